--- /dev/null
+++ b/tests/compatibility/agreement_binding.py
@@ -0,0 +1,267 @@
+"""The product's names for leases, versions of rules, voters and evidence, as instances send them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from linnetstile.accord import caps
+from linnetstile.accord.book import Answer as CommandAnswer
+from linnetstile.accord.book import Book, Command, Forget, Guard, Promote, Propose, Version, Voters
+from linnetstile.accord.control import Question
+from linnetstile.accord.granting import Granting, in_trial
+from linnetstile.accord.holding import Holding
+from linnetstile.accord.rules import NOTHING, Rules, RulesError, decoded, difference, digest
+from linnetstile.accord.terms import Grant, Renew, Terms
+from linnetstile.failover.evidence import Cell, Counting, Demand, Report
+
+Values = dict[str, Any]
+
+_pack = msgspec.msgpack.encode
+
+
+def renewal_values(renewal: Renew) -> Values:
+    return {
+        "boot": renewal.boot,
+        "process nonce": renewal.nonce,
+        "sequence": renewal.seq,
+        "digest of the first version": renewal.first,
+        "versions acted on": list(renewal.acts),
+        "refused before": renewal.refuses,
+        "delivered": renewal.counts.delivered,
+        "ended": renewal.counts.ended,
+        "leaving": renewal.leaving,
+    }
+
+
+def grant_values(grant: Grant) -> Values:
+    return {
+        "sequence": grant.seq,
+        "noted": grant.noted,
+        "granted version": grant.granted,
+        "cleared version": grant.cleared,
+        "current version": grant.current,
+        "trial version": grant.trial,
+        "refusal": grant.why,
+    }
+
+
+def _guard(guard: Guard | None) -> Values | None:
+    if guard is None:
+        return None
+    return {
+        "ratio": guard.least_ratio,
+        "count": guard.least_count,
+        "seconds": guard.watch_s,
+        "promote": guard.promote,
+    }
+
+
+def version_values(version: Version) -> Values:
+    return {
+        "number": version.number,
+        "digest": version.digest,
+        "rules text": version.rules.decode(),
+        "voters": list(version.voters),
+        "author": version.author,
+        "cause": version.cause,
+        "unix ms": version.at_ms,
+        "stage": version.stage.value,
+        "trial share": version.share,
+        "guard": _guard(version.guard),
+        "rules of version": version.of,
+    }
+
+
+def command_values(told: Command) -> Values:
+    match told:
+        case Propose():
+            return {
+                "proposal on": told.base,
+                "rules text": told.rules.decode(),
+                "author": told.author,
+                "cause": told.cause,
+                "unix ms": told.at_ms,
+                "trial share": told.share,
+                "guard": _guard(told.guard),
+                "rules of version": told.of,
+            }
+        case Promote():
+            return {"promotion of": told.number, "author": told.author}
+        case Voters():
+            return {
+                "voters changed on": told.base,
+                "added": told.add,
+                "removed": told.remove,
+                "author": told.author,
+                "unix ms": told.at_ms,
+            }
+        case Forget():
+            return {"forgotten": told.name, "boot": told.boot, "author": told.author, "unix ms": told.at_ms}
+        case _:
+            return {"withdrawal of": told.number, "author": told.author, "cause": told.cause}
+
+
+def command_answer_values(answer: CommandAnswer) -> Values:
+    return {"version": answer.number, "refusal": answer.refused}
+
+
+def question_values(question: Question) -> Values:
+    return {
+        "question": question.ask,
+        "rules text": bytes(question.rules).decode(),
+        "author": question.author,
+        "cause": question.cause,
+        "on version": question.base,
+        "version": question.number,
+        "trial share": question.share,
+        "guard": _guard(question.guard),
+        "voter added": question.add,
+        "voter removed": question.remove,
+        "member or zone": question.name,
+        "message": question.message,
+    }
+
+
+def rules_values(rules: Rules) -> Values:
+    zones = rules.policies.zones
+    return {
+        "destinations": {
+            name: {
+                "rate": each.rate,
+                "slots": each.slots,
+                "endpoints": None if each.endpoints is None else sorted(each.endpoints),
+                "closed": each.closed,
+            }
+            for name, each in rules.destinations.items()
+        },
+        "classes": {
+            name: {"effect": each.effect, "attempts": each.attempts, "closed": each.closed}
+            for name, each in rules.classes.items()
+        },
+        "zones that may be called": None if zones is None else sorted(zones),
+        "evacuated zones": sorted(rules.policies.evacuated),
+        "flows": {
+            name: {"bounds": each.bound, "spare": each.spare, "shares": each.share}
+            for name, each in rules.flows.items()
+        },
+        "instances by zone": rules.zones,
+    }
+
+
+def rules_digest(text: str) -> str:
+    return digest(decoded(text.encode()))
+
+
+def rules_difference(text: str, other: str) -> list[str]:
+    """A line for each field that changes, as `rules diff` prints it."""
+    return difference(decoded(text.encode()), decoded(other.encode()))
+
+
+def rules_fault(text: str) -> str:
+    try:
+        decoded(text.encode())
+    except RulesError as error:
+        return str(error)
+    return ""
+
+
+def rules_capabilities(text: str, bits: int) -> list[Any]:
+    rules = decoded(text.encode())
+    return [caps.HERE, caps.needed(rules), caps.lacking(rules, bits)]
+
+
+def trial_members(number: int, rules_text: str, share: float, names: list[str]) -> list[str]:
+    """Who tries a version, of these."""
+    book = Book(Rules(), ("n0",))
+    rules = rules_text.encode()
+    book.apply(Propose(1, rules, "operator", "a trial", 5.0, share))
+    version = msgspec.structs.replace(book.newest, number=number)
+    return [name for name in names if in_trial(name, version)]
+
+
+def book_after(rules_text: str) -> tuple[list[str], str]:
+    """A log of commands: each answer, and the whole state that is handed to another voter."""
+    book, rules = Book(Rules(), ("n1", "n0")), rules_text.encode()
+    told = (
+        Propose(1, rules, "operator", "stricter", 5.0, 0.25, Guard(0.8, 10, 5.0, True)),
+        Promote(2, "operator"),
+        Promote(2, "operator"),
+        Propose(1, rules, "another", "late", 6.0),
+        Voters(2, "n2", "", "operator", 7.0),
+        Forget("n9", 4, "operator", 8.0),
+    )
+    answers = [msgspec.json.encode(book.apply(each)).decode() for each in told]
+    return answers, book.dumped().decode()
+
+
+def lease_round(rules_text: str) -> list[str]:
+    """A relay renews, a voter grants, before and after a second version, and the relay leaves."""
+    book, terms = Book(Rules(), ("n0",)), Terms()
+    first = digest(Rules()) + "/n0"
+    relay = Holding(3, 77, first, terms, NOTHING)
+    relay.know(book.newest)
+    voter = Granting("n0", book, terms, first, 0, 100.0)
+    voter.clear(100.0)
+    frames: list[str] = []
+
+    def exchange(now: float, leaving: bool = False) -> None:
+        renewal = relay.renew(now, leaving=leaving)
+        grant = voter.renewed(now, "n5", renewal)
+        relay.heard(now, "n0", grant)
+        frames.extend((_pack(renewal).hex(), _pack(grant).hex()))
+
+    exchange(100.0)
+    exchange(100.3)
+    book.apply(Propose(1, rules_text.encode(), "operator", "stricter", 5.0))
+    exchange(100.6)
+    exchange(100.9, leaving=True)
+    return frames
+
+
+# -- evidence ----------------------------------------------------------------------------------------------
+
+
+def _cell(cell: Cell) -> Values:
+    return {
+        "destination": cell.destination,
+        "zone": cell.zone,
+        "calls": cell.calls,
+        "good": cell.good,
+        "proven harmless": cell.proven,
+        "told to wait": cell.waits,
+        "latency sketch": [list(pair) for pair in cell.sketch],
+        "avoided after failures": cell.shunned,
+    }
+
+
+def _demand(demand: Demand) -> Values:
+    return {"destination": demand.destination, "group": demand.group, "per second": demand.rate}
+
+
+def report_values(report: Report) -> Values:
+    return {
+        "origin": report.origin,
+        "process nonce": report.nonce,
+        "window": report.number,
+        "part": report.part,
+        "zone": report.zone,
+        "age s": report.age_s,
+        "load": report.load,
+        "demand": [_demand(each) for each in report.demand],
+        "cells": [_cell(each) for each in report.cells],
+    }
+
+
+def evidence_of_calls() -> list[str]:
+    """Two windows of one relay, as sent: calls that went well, failed, and were left out."""
+    counting = Counting("n1", 9, "z-1")
+    counting.asked(7, "anywhere 1")
+    counting.ended(7, "z-1", True, False, False, 12.5)
+    counting.ended(7, "z-2", False, True, False, 0.0)
+    counting.ended(7, "z-2", False, False, True, 0.0)
+    sent = counting.reports(2.0, 0.25)
+    counting.asked(7, "anywhere 1")
+    sent += counting.reports(2.0, 0.5)
+    return [_pack(each).hex() for each in sent]
--- /dev/null
+++ b/tests/compatibility/decision_binding.py
@@ -0,0 +1,421 @@
+"""The only place at which the decision traces name the product's classes, functions and fields.
+
+Functions take plain positional arguments and return neutral values. When something of the product is renamed
+or moved, this file follows, and neither the scenarios nor the fixtures change.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Sequence
+from itertools import islice
+from typing import Any, NamedTuple
+
+from emulator.experiment import decoded
+from emulator.runs import one
+from linnetstile.decisions import interface
+from linnetstile.decisions.control import Relay
+from linnetstile.decisions.effects import until, window
+from linnetstile.decisions.index import edges
+from linnetstile.decisions.paces import doubt, overdue_ms, suspect
+from linnetstile.decisions.state import Course, Held, Lane
+
+from .decision_scenarios import InstancePlace, Scenario
+
+Scheduler = Relay
+Event = interface.Event
+Endpoint = interface.Endpoint
+Message = interface.Message
+
+EFFECTS = {
+    "safe": interface.Effect.SAFE,
+    "keyed": interface.Effect.KEYED,
+    "unsafe": interface.Effect.UNSAFE,
+}
+SCOPES = {"all": interface.Scope.ALL, "zone": interface.Scope.ZONE, "endpoint": interface.Scope.ENDPOINT}
+OUTCOMES = {
+    "ok": interface.Outcome.OK,
+    "error": interface.Outcome.ERROR,
+    "full": interface.Outcome.FULL,
+    "timeout": interface.Outcome.TIMEOUT,
+    "connect_failed": interface.Outcome.CONNECT_FAILED,
+    "reset": interface.Outcome.RESET,
+    "cancelled": interface.Outcome.CANCELLED,
+    "not_sent": interface.Outcome.NOT_SENT,
+}
+LISTINGS = {
+    "ready": interface.Listing.READY,
+    "draining": interface.Listing.DRAINING,
+    "gone": interface.Listing.GONE,
+    "unneeded": interface.Listing.UNNEEDED,
+}
+LIST_KINDS = {
+    "changes": interface.ListKind.CHANGES,
+    "whole": interface.ListKind.WHOLE,
+    "cached": interface.ListKind.CACHED,
+    "failed": interface.ListKind.FAILED,
+}
+RATES = {
+    "none": interface.Rates.NONE,
+    "nominal": interface.Rates.NOMINAL,
+    "rough": interface.Rates.ROUGH,
+}
+DECAYS = {"line": interface.Decay.LINE, "half_life": interface.Decay.HALVES}
+
+SNAPSHOT_ROWS = 12  # rows of each table in one snapshot
+
+
+class Action(NamedTuple):
+    """What the scheduler wants done, in neutral terms."""
+
+    kind: str
+    number: int = 0  # of the message, or the token of a timer
+    endpoint: int = 0
+    value: float = 0.0
+
+
+class Knowledge(NamedTuple):
+    """What a process passes on of one destination."""
+
+    destination: int
+    wait_ms: float
+    out: bool
+    failing_for_ms: float | None
+    back_for_ms: float | None
+
+
+# -- settings ----------------------------------------------------------------------------------------------
+
+
+def _place(place: InstancePlace) -> interface.Fleet:
+    return interface.Fleet(place.number, place.size, place.clock_ms)
+
+
+def _settings(scenario: Scenario) -> interface.Settings:
+    limits, goal = scenario.limits, scenario.goal_weights
+    return interface.Settings(
+        classes=tuple(
+            interface.MessageClass(
+                each.name,
+                EFFECTS[each.effect],
+                each.target_ms,
+                each.deadline_ms,
+                each.value,
+                each.late_fraction,
+                each.key_window_ms,
+                SCOPES[each.key_scope],
+                each.ordered,
+            )
+            for each in scenario.classes
+        ),
+        kinds=tuple(
+            interface.DestinationKind(each.name, each.batch, each.separate_routes) for each in scenario.kinds
+        ),
+        slots=scenario.slots,
+        hold=scenario.hold,
+        attempts=scenario.attempts,
+        relays=scenario.instances,
+        zone=scenario.zone,
+        tenants=tuple(interface.Tenant(each.name, each.per_second) for each in scenario.tenants),
+        over_share_worth=scenario.over_quota_value,
+        decay=DECAYS[scenario.decay],
+        rates=RATES[scenario.rates],
+        ask_for_list=scenario.ask_for_list,
+        idle_ms=scenario.idle_ms,
+        tick_ms=scenario.tick_ms,
+        marks_repeats=scenario.marks_repeats,
+        longest_advice_ms=scenario.longest_advice_ms,
+        cross_zone_price=scenario.cross_zone_price,
+        route_fees=scenario.zone_fees,
+        report_fields=("left", "limit") if scenario.reports_limit else (),
+        limit_report=(0, 1) if scenario.reports_limit else None,
+        safety=interface.Safety(
+            limits.answer_slack_ms,
+            limits.drain_grace_ms,
+            limits.cold_fraction,
+            limits.cold_ms,
+            limits.collapse_multiple,
+            limits.collapse_ms,
+            limits.ask_within_ms,
+            limits.key_rest_ms,
+        ),
+        goal=interface.Goal(*goal),
+        fleet=None if scenario.agreed is None else _place(scenario.agreed),
+    )
+
+
+def new_scheduler(scenario: Scenario, seed: int) -> Scheduler:
+    return Relay(_settings(scenario), seed)
+
+
+# -- events ------------------------------------------------------------------------------------------------
+
+
+def endpoint(number: int, destination: int, listing: str, kind: int, zone: int, rate: float) -> Endpoint:
+    return interface.Endpoint(number, destination, LISTINGS[listing], kind, zone, rate)
+
+
+def endpoint_list(kind: str, entries: Sequence[Endpoint]) -> Event:
+    return interface.EndpointList(LIST_KINDS[kind], tuple(entries))
+
+
+def message(
+    number: int,
+    destination: int,
+    class_number: int,
+    left_ms: float,
+    tenant: int,
+    key: int,
+    work_ms: float | None,
+    again: bool,
+    from_dead_instance: bool,
+) -> Message:
+    return interface.Message(
+        number, destination, class_number, left_ms, tenant, key, work_ms, again, from_dead_instance
+    )
+
+
+def resumed_message(
+    number: int,
+    destination: int,
+    class_number: int,
+    left_ms: float,
+    tenant: int,
+    key: int,
+    age_ms: float,
+    tries: int,
+    risk_age_ms: float | None,
+    risk: Endpoint | None,
+) -> Message:
+    """One that an earlier process took on."""
+    return interface.Message(
+        number,
+        destination,
+        class_number,
+        left_ms,
+        tenant,
+        key,
+        age_ms=age_ms,
+        tries=tries,
+        risk_age_ms=risk_age_ms,
+        risk=risk,
+    )
+
+
+def message_event(it: Message) -> Event:
+    return it
+
+
+def attempt_ended(
+    number: int,
+    attempt: int,
+    endpoint_number: int,
+    outcome: str,
+    latency_ms: float,
+    finished: bool,
+    wait_ms: float,
+    no_slot: bool,
+    report: tuple[float, ...],
+    held_back: bool,
+) -> Event:
+    return interface.AttemptEnded(
+        number,
+        attempt,
+        endpoint_number,
+        OUTCOMES[outcome],
+        latency_ms,
+        finished,
+        wait_ms,
+        no_slot,
+        report,
+        held_back,
+    )
+
+
+def probe_ended(endpoint_number: int, outcome: str, latency_ms: float) -> Event:
+    return interface.ProbeEnded(endpoint_number, OUTCOMES[outcome], latency_ms)
+
+
+def withdrawn(number: int) -> Event:
+    return interface.Withdrawn(number)
+
+
+def timer_fired(token: int) -> Event:
+    return interface.TimerFired(token)
+
+
+def closing(at_ms: float) -> Event:
+    return interface.Closing(at_ms)
+
+
+def recalled(it: Knowledge) -> Event:
+    return interface.Learned(it.destination, it.wait_ms, it.out, it.failing_for_ms, it.back_for_ms)
+
+
+def resized(place: InstancePlace) -> Event:
+    return _place(place)
+
+
+# -- calls -------------------------------------------------------------------------------------------------
+
+
+def _neutral(action: interface.Action) -> Action:
+    match action:
+        case interface.Send():
+            return Action("send", action.id, action.endpoint, action.give_up_at_ms)
+        case interface.Refuse():
+            return Action("refuse", action.id, 0, action.stay_away_ms)
+        case interface.Fail():
+            return Action("fail", action.id)
+        case interface.Cancel():
+            return Action("cancel", action.id, action.attempt)
+        case interface.SetTimer():
+            return Action("timer", action.token, 0, action.delay_ms)
+        case interface.Probe():
+            return Action("probe", 0, action.endpoint)
+        case interface.WatchList():
+            return Action("ask_for_list")
+        case interface.Log():
+            return Action("log")
+
+
+def handle(scheduler: Scheduler, now_ms: float, events: list[Event]) -> list[Action]:
+    return [_neutral(action) for action in scheduler.handle(now_ms, events)]
+
+
+def turned_away(scheduler: Scheduler, now_ms: float, offered: Message, holding: int) -> float | None:
+    return scheduler.turned_away(now_ms, offered, holding)
+
+
+def may_write(scheduler: Scheduler, now_ms: float, number: int) -> bool:
+    return scheduler.may_write(now_ms, number)
+
+
+def knowledge(scheduler: Scheduler, now_ms: float) -> list[Knowledge]:
+    return [
+        Knowledge(it.destination, it.wait_ms, it.out, it.bad_ms, it.cold_ms)
+        for it in scheduler.learned(now_ms)
+    ]
+
+
+# -- snapshots ---------------------------------------------------------------------------------------------
+
+Row = tuple[str | int | float | bool | None, ...]
+
+
+def _lane_row(destination: int, route: int, lane: Lane) -> Row:
+    share = lane.share
+    slot: Row = (
+        () if share is None else (share.frame_ms, share.used, share.turn, share.since, share.good_until)
+    )
+    return (
+        *("lane", destination, route, lane.mean, lane.dev, lane.total, lane.pace, lane.credit),
+        *(lane.credit_at, lane.answers, lane.last_ok, lane.stretch, lane.hold, lane.free_at),
+        *(lane.wait_until, lane.blame, lane.sick, lane.failed_at, lane.ran_nothing, lane.bad_since),
+        *(lane.cold_since, lane.knowers, lane.next_trickle, lane.listed, len(lane.out), len(lane.doors)),
+        *slot,
+    )
+
+
+def _pace_row(scheduler: Scheduler, now_ms: float, destination: int, lane: Lane) -> Row:
+    paces, out = scheduler.paces, suspect(lane, now_ms)
+    doubts = (doubt(door, now_ms, 0) for door in lane.doors.values())
+    return (
+        *("pace", destination, out, overdue_ms(lane), *paces.pace(now_ms, lane, out)),
+        *(*paces.pace(now_ms, lane, True), paces.knowers(now_ms, lane), paces.paced_until(now_ms, lane)),
+        *(scheduler.endings.advice(now_ms, destination), *doubts),
+    )
+
+
+def _held_row(scheduler: Scheduler, now_ms: float, held: Held) -> Row:
+    return (
+        *("held", held.msg.id, held.since, held.due, held.worth, held.ready, held.tries, held.first_risk),
+        *(held.withdrawn, held.late, held.refusable, held.ripe_at, held.out is not None),
+        *(until(scheduler.s, held), window(scheduler.s, held), held.worth_at(now_ms, scheduler.s.decay)),
+    )
+
+
+def _course_row(now_ms: float, course: Course, lane: Lane) -> Row:
+    found, change = edges(course, lane, now_ms)
+    return (
+        "course",
+        *course.key[:5],
+        len(course.ready),
+        len(course.parked),
+        change,
+        *(h.msg.id for h in found),
+    )
+
+
+def _course_rows(scheduler: Scheduler, now_ms: float) -> list[Row]:
+    return [
+        _course_row(now_ms, course, lane)
+        for queue in islice(scheduler.board.queues.values(), SNAPSHOT_ROWS)
+        for course in islice(queue.courses.values(), SNAPSHOT_ROWS)
+        for lane in islice(scheduler.lanes.get(queue.dest, {}).values(), 1)
+    ]
+
+
+def snapshot(scheduler: Scheduler, now_ms: float) -> list[Row]:
+    """What is believed now, for the lines of a trace; looking changes nothing."""
+    board, index, paces = scheduler.board, scheduler.index, scheduler.paces
+    draws = hashlib.sha256(repr(scheduler.rng.getstate()).encode()).hexdigest()[:16]
+    rows: list[Row] = [
+        ("random", draws),
+        ("counts", len(board.held), len(board.queues), scheduler.busy, len(scheduler.members.doors)),
+        ("times", scheduler.timer_at, scheduler.members.ask_at, *paces.usual),
+        ("index", index.good_until, len(index.cells)),
+        ("quotas", *(value for quota in scheduler.shares for value in quota)),
+        ("waiting", *islice(board.queues, SNAPSHOT_ROWS)),
+    ]
+    rows += [
+        ("cell", *cell.key, cell.bound, cell.top) for cell in islice(index.cells.values(), SNAPSHOT_ROWS)
+    ]
+    lanes = [
+        (destination, route, lane)
+        for destination, routes in scheduler.lanes.items()
+        for route, lane in routes.items()
+    ][:SNAPSHOT_ROWS]
+    rows += [_lane_row(*each) for each in lanes]
+    rows += [_pace_row(scheduler, now_ms, destination, lane) for destination, _, lane in lanes]
+    rows += _course_rows(scheduler, now_ms)
+    held = islice(board.held.values(), SNAPSHOT_ROWS)
+    rows += [_held_row(scheduler, now_ms, each) for each in held]
+    rows += [("end", *scheduler.endings.ends[0])] if scheduler.endings.ends else []
+    return rows
+
+
+# -- the emulator ------------------------------------------------------------------------------------------
+
+EXPERIMENT: dict[str, Any] = {
+    "name": "trace",
+    "traffic": {"rate": 30.0, "seconds": 14.0, "warm_s": 2.0},
+    "partners": [
+        {
+            "rate": {"per_s": 45.0, "wait_ms": [50.0, 200.0]},
+            "error": 0.05,
+            "reset": 0.03,
+            "hang": 0.02,
+            "refuse": 0.03,
+            "endpoints": 2,
+            "cold": {"share": 0.2, "warm_ms": 4000.0},
+            "troubles": [
+                {"fault": "down", "begin_s": 4, "end_s": 6},
+                {"fault": "silent", "begin_s": 9, "end_s": 10},
+            ],
+            "changes": [{"at_s": 7, "endpoint": 1, "listing": "draining"}],
+        }
+    ],
+    "fleet": {"relays": 3, "restarts": [{"relay": 0, "at_s": 5}, {"relay": 1, "at_s": 8, "how": "kill"}]},
+}
+
+
+def emulated(seed: int) -> list[Row]:
+    """One short experiment in virtual time: its figures, in their order, without their names."""
+    experiment = decoded(EXPERIMENT, "trace")
+    result = one(experiment, experiment.all_variants()[0], seed)
+    rows: list[Row] = [("totals", result.breaks, result.messages, result.turns, len(result.broken))]
+    rows += [("figure", value) for value in result.figures.values()]
+    rows += [("series", *values) for values in result.series.values()]
+    rows += [("destination", *values) for values in result.destinations]
+    return rows
--- /dev/null
+++ b/tests/compatibility/gossip_binding.py
@@ -0,0 +1,104 @@
+"""The product's names for gossip and the frames of connections between instances."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Any
+
+from linnetstile.peers.node import Hello, framed
+from linnetstile.peers.swim import Swim
+from linnetstile.peers.wire import Ack, App, Claim, Nack, Packet, Ping, PingFor, Refused, State, Sync, sealed
+
+Values = dict[str, Any]
+
+
+def claim_values(claim: Claim) -> Values:
+    return {
+        "name": claim.name,
+        "identity": claim.id,
+        "boot": claim.boot,
+        "process nonce": claim.nonce,
+        "incarnation": claim.incarnation,
+        "state number": int(claim.state),
+        "host": claim.host,
+        "port": claim.port,
+        "zone": claim.zone,
+        "capability bits": claim.caps,
+        "suspected by": claim.by,
+    }
+
+
+def claims_values(claims: tuple[Claim, ...]) -> list[Values]:
+    return [claim_values(claim) for claim in claims]
+
+
+def _gossip_body(body: object) -> Values:
+    match body:
+        case Ping():
+            return {"ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
+        case Ack():
+            return {"acknowledgement": body.seq, "claims": claims_values(body.claims)}
+        case PingFor():
+            return {"indirect ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
+        case Nack():
+            return {"negative acknowledgement": body.seq}
+        case Sync():
+            return {
+                "answer wanted": body.want,
+                "claims": claims_values(body.claims),
+                "sum of all": body.same,
+                "sums of parts": body.slices.hex(),
+            }
+        case Refused():
+            return {"refused for": claim_values(body.claim)}
+        case App():
+            return {"application kind": body.kind, "payload": body.body.hex()}
+    raise TypeError(type(body))
+
+
+def packet_values(packet: Packet) -> Values:
+    return {"sender": packet.sender, "process nonce": packet.nonce, "body": _gossip_body(packet.body)}
+
+
+def member_state_numbers() -> Values:
+    return {
+        "joining": int(State.JOINING),
+        "alive": int(State.ALIVE),
+        "suspect": int(State.SUSPECT),
+        "dead": int(State.DEAD),
+        "left": int(State.LEFT),
+    }
+
+
+def gossip_conversation(steps: int, silent_from: int) -> dict[str, str]:
+    """Three members talk, and from one step on the third is silent: the first packet of each kind, in hex."""
+    members: dict[tuple[str, int], Swim] = {}
+    for number in range(3):
+        address = ("127.0.0.1", 4000 + number)
+        claim = Claim(f"n{number}", f"id-{number}", 1, 100 + number, 0, State.JOINING, *address, "z", 15)
+        seeds = () if number == 0 else (("127.0.0.1", 4000),)
+        members[address] = Swim(claim, seeds, Random(number))
+    first: dict[str, str] = {}
+    for step in range(steps):
+        now = 0.1 * step
+        if step == steps - 1:
+            members["127.0.0.1", 4000].leave()
+        for address, member in members.items():
+            if address[1] == 4002 and step >= silent_from:
+                continue
+            member.tick(now)
+            outgoing, member.outbox = member.outbox, []
+            for target, body in outgoing:
+                packet = Packet(member.me.name, member.me.nonce, body)
+                first.setdefault(str(type(body).__struct_config__.tag), sealed(packet, b"").hex())
+                if target in members and not (target[1] == 4002 and step >= silent_from):
+                    members[target].receive(now, packet.sender, packet.nonce, body)
+    return first
+
+
+def connection_frame(payload: bytes, secret: bytes) -> bytes:
+    return framed(payload, secret)
+
+
+def hello_values(hello: Hello) -> Values:
+    return {"sender": hello.sender, "kind": hello.kind, "process nonce": hello.nonce}
--- /dev/null
+++ b/tests/compatibility/state_binding.py
@@ -0,0 +1,657 @@
+"""The state folder's formats in neutral words: the one file of these tests that names the product.
+
+Every import of the product, and every use of a name of its classes, functions, fields and parameters, stands
+here. The functions take plain values and return plain dictionaries and lists whose keys belong to the tests,
+so that a rename in the product changes this file and neither the tests nor their fixtures.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable, Iterable, Sequence
+from functools import partial
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import msgspec
+
+from linnetstile.accord.book import (
+    Answer,
+    Book,
+    Command,
+    Forget,
+    Guard,
+    Promote,
+    Propose,
+    Version,
+    Voters,
+    Withdraw,
+    command,
+)
+from linnetstile.accord.disk import Torn, check, entries, unsealed, voted
+from linnetstile.accord.log import Log
+from linnetstile.accord.node import Accord
+from linnetstile.accord.rules import Rules, decoded, digest, encoded
+from linnetstile.accord.settings import AccordPart
+from linnetstile.accord.terms import Counts
+from linnetstile.core.recall import Recall
+from linnetstile.decisions import interface as api
+from linnetstile.decisions.control import Relay
+from linnetstile.fleet.common import FOLDER
+from linnetstile.peers.identity import Identity, IdentityError, claimed, raised
+from linnetstile.peers.node import Hello
+from linnetstile.store.files import FolderFiles
+from linnetstile.store.frame import Header, NewerFormat, frame
+from linnetstile.store.journal import Journal
+from linnetstile.store.learned import LearnedFile
+from linnetstile.store.records import Attempt, Entry
+from linnetstile.store.recovery import lines, recover
+
+Plain = dict[str, Any]
+Step = Sequence[Any]
+
+MONOTONIC_CLOCK_OF_RAFT = "pysyncobj.syncobj.monotonicTime"
+SECONDS_TO_ELECTION = 2.0
+SECONDS_TO_ANSWER = 3.0  # nobody waits so long unless a test fails
+SECONDS_PER_ROUND = 0.2
+ROUNDS = 8
+ROUNDS_TO_COMPACTION = 160  # 32 s: the log is compacted every 30 s
+
+# -- the message journal -------------------------------------------------------------------------------------
+
+
+def _plain_attempt(attempt: Attempt | None) -> Plain | None:
+    if attempt is None:
+        return None
+    return {
+        "at_ms": attempt.at,
+        "endpoint": attempt.endpoint,
+        "zone": attempt.zone,
+        "uptime_ms": attempt.up,
+    }
+
+
+def _plain_message(entry: Entry) -> Plain:
+    return {
+        "message": entry.id,
+        "class": entry.class_,
+        "tenant": entry.tenant,
+        "destination": entry.dest,
+        "order_key": entry.key,
+        "arrived_ms": entry.since,
+        "due_ms": entry.due,
+        "repeat": entry.again,
+        "body": entry.body.hex(),
+        "attempts": entry.tries,
+        "attempt_without_outcome": _plain_attempt(entry.out),
+        "first_attempt_that_may_have_run": _plain_attempt(entry.risk),
+        "end": entry.end,
+        "end_after_ms": entry.after_ms,
+        "notified": entry.told,
+        "front": entry.origin,
+        "notice_is_owed": entry.owes_notice,
+        "anything_is_owed": entry.owed,
+    }
+
+
+class _JournalSession:
+    """A journal that takes the steps of a script."""
+
+    def __init__(self, folder: Path, disk_bytes: int, synced: bool) -> None:
+        self.folder, self.disk_bytes, self.synced = folder, disk_bytes, synced
+        self.journal = self._open()
+
+    def _open(self) -> Journal:
+        return Journal(self.folder, self.disk_bytes, sync_ms=0.0 if self.synced else None)
+
+    def take(self, step: Step) -> None:
+        journal = self.journal
+        match step:
+            case ["accept", message, class_, tenant, destination, key, arrived, due, repeat, body, front]:
+                journal.take(
+                    Entry(message, class_, tenant, destination, key, arrived, due, repeat, body, origin=front)
+                )
+            case ["attempt", message, at_ms, endpoint, zone, uptime_ms]:
+                journal.tried(journal.entries[message], at_ms, endpoint, zone, uptime_ms)
+            case ["outcome", message, may_have_run]:
+                journal.outcome(journal.entries[message], may_have_run)
+            case ["end", message, how, after_ms]:
+                journal.ended(journal.entries[message], how, after_ms)
+            case ["notified", *messages]:
+                journal.told(messages)
+            case ["withdraw", message]:
+                journal.withdrawn(journal.entries[message])
+            case ["tidy", now_ms]:
+                journal.tidy(now_ms)
+            case ["reopen"]:
+                journal.close()
+                self.journal = self._open()
+            case ["rewrite"]:
+                self._rewrite()
+            case _:
+                raise AssertionError(f"unknown step: {step!r}")
+
+    def _rewrite(self) -> None:
+        """Copies all that is known to a new segment and gives up those before it."""
+        durability = self.journal.durability
+        assert durability is not None
+        durability.anew()
+        names, upto = durability.begin()
+        durability.sync(names)
+        durability.safe(upto)
+
+    def close(self) -> Plain:
+        journal = self.journal
+        told = {
+            "messages": [_plain_message(entry) for entry in journal.entries.values()],
+            "damage": list(journal.findings),
+            "live_bytes": journal.live,
+            "disk_bytes": journal.size,
+            "copied_bytes": journal.copied,
+            "written_bytes": journal.written,
+        }
+        journal.close()
+        return told
+
+
+def run_journal(folder: Path, disk_bytes: int, synced: bool, steps: Iterable[Step]) -> Plain:
+    """What the journal knows once the steps are taken; an empty script only opens and closes it."""
+    session = _JournalSession(folder, disk_bytes, synced)
+    for step in steps:
+        session.take(step)
+    return session.close()
+
+
+def read_journal(folder: Path) -> Plain:
+    """What a start would find, without a change to the folder."""
+    found = recover(FolderFiles(folder))
+    return {
+        "messages": [_plain_message(entry) for entry in found.entries.values()],
+        "next_sequence": found.sequence,
+        "damage": list(found.findings),
+        "torn_bytes": found.torn,
+        "files_never_begun": list(found.empty),
+        "segments": [
+            {
+                "file": segment.name,
+                "number": segment.number,
+                "size": segment.size,
+                "size_on_disk": segment.on_disk,
+                "checksum": segment.check,
+                "salt": segment.salt,
+                "latest_snapshots": list(segment.homes),
+                "damaged": segment.damaged,
+            }
+            for segment in found.segments
+        ],
+    }
+
+
+def journal_records(folder: Path) -> list[Plain]:
+    return [
+        {
+            "file": line.segment,
+            "offset": line.at,
+            "sequence": line.sequence,
+            "kind": line.kind,
+            "message": line.ident,
+            "payload": line.payload.hex(),
+            "readable": line.well,
+        }
+        for line in lines(FolderFiles(folder))
+    ]
+
+
+def journal_refusal(folder: Path, disk_bytes: int) -> str:
+    """Why the folder's format is refused; empty if it is not."""
+    try:
+        Journal(folder, disk_bytes).close()
+    except NewerFormat as error:
+        return str(error)
+    return ""
+
+
+def segment_bytes(number: int, first: int, salt: int, records: Iterable[tuple[int, str, bytes]]) -> bytes:
+    """A segment without one before it, of records of which each has a kind, a message and a payload."""
+    data = Header(number, first, 0, 0, salt).encode()
+    for sequence, (kind, message, payload) in enumerate(records, first):
+        data += frame(salt, sequence, kind, message.encode(), payload)
+    return data
+
+
+# -- what was learned of destinations ------------------------------------------------------------------------
+
+
+def _lane(lane: Step) -> api.Learned:
+    """Of destination, wait, outage, age of the first failure and age of the return."""
+    destination, wait_ms, out, failing_ms, returned_ms = lane
+    return api.Learned(destination, wait_ms, out, failing_ms, returned_ms)
+
+
+def _plain_lane(lane: api.Learned) -> list[Any]:
+    return [lane.destination, lane.wait_ms, lane.out, lane.bad_ms, lane.cold_ms]
+
+
+def write_learned(folder: Path, saves: Iterable[tuple[float, Sequence[Step]]]) -> None:
+    """One process that writes its file more than once."""
+    file = LearnedFile(folder)
+    for now_ms, lanes in saves:
+        file.save(now_ms, [_lane(lane) for lane in lanes])
+
+
+def read_learned(folder: Path, now_ms: float) -> list[list[Any]]:
+    return [_plain_lane(lane) for lane in LearnedFile(folder).load(now_ms)]
+
+
+def recalled(
+    kept: Iterable[tuple[float, Step]], arrival_ms: float, destinations: Iterable[int], later_ms: float
+) -> Plain:
+    """Lanes of destinations that are not known yet: told when they come, and what is kept of the others."""
+    memory = Recall()
+    for now_ms, lane in kept:
+        memory.keep(now_ms, _lane(lane))
+    come = [api.Endpoint(100 + destination, destination, api.Listing.READY) for destination in destinations]
+    told = memory.come(arrival_ms, come)
+    return {
+        "told": [_plain_lane(lane) for lane in told],
+        "kept": [_plain_lane(lane) for lane in memory.kept(later_ms)],
+    }
+
+
+def _settings() -> api.Settings:
+    safe = api.MessageClass("safe", api.Effect.SAFE, 1000.0, 10000.0, 1.0, 0.5, 3000.0)
+    return api.Settings(
+        classes=(safe,),
+        kinds=(api.DestinationKind("kind"),),
+        slots=8,
+        hold=40,
+        attempts=5,
+        relays=2,
+        rates=api.Rates.NOMINAL,
+        idle_ms=10000.0,
+        tick_ms=5.0,
+        safety=api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
+    )
+
+
+def learned_by_next_process(lanes: Sequence[Step], now_ms: float, later_ms: float) -> list[list[Any]]:
+    """What a process writes in its turn that was told these lanes and has seen nothing itself."""
+    relay = Relay(_settings(), 1)
+    entries_ = tuple(api.Endpoint(100 + lane[0], lane[0], api.Listing.READY, 0, 0, 20.0) for lane in lanes)
+    relay.handle(now_ms, [api.EndpointList(api.ListKind.CACHED, entries_)])
+    relay.handle(now_ms, [_lane(lane) for lane in lanes])
+    return [_plain_lane(lane) for lane in relay.learned(later_ms)]
+
+
+# -- the identity --------------------------------------------------------------------------------------------
+
+
+def peers_folder_name() -> str:
+    """Of the part of a state folder that belongs to the fleet."""
+    return FOLDER
+
+
+def _plain_identity(identity: Identity) -> Plain:
+    return {
+        "id": identity.id,
+        "name": identity.name,
+        "boot": identity.boot,
+        "device": identity.device,
+        "inode": identity.inode,
+        "generation": identity.generation,
+    }
+
+
+def claim_identity(folder: Path, name: str) -> Plain:
+    """The identity, or why there is none."""
+    try:
+        return _plain_identity(claimed(folder, name))
+    except IdentityError as error:
+        return {"refused": str(error).replace(str(folder), "FOLDER")}
+
+
+def claim_and_raise_identity(folder: Path, name: str, seen_boot: int) -> Plain:
+    """As where others have seen a later process of the folder."""
+    try:
+        return _plain_identity(raised(folder, claimed(folder, name), seen_boot))
+    except IdentityError as error:
+        return {"refused": str(error)}
+
+
+# -- agreed rules: commands, the state machine, its dump -----------------------------------------------------
+
+
+def _plain_rates(rates: dict[str, dict[str, float]]) -> Plain:
+    return {source: dict(row) for source, row in rates.items()}
+
+
+def _names(names: frozenset[str] | None) -> list[str] | None:
+    return None if names is None else sorted(names)
+
+
+def _plain_rules(rules: Rules) -> Plain:
+    return {
+        "destinations": {
+            name: {
+                "rate": told.rate,
+                "slots": told.slots,
+                "endpoints": _names(told.endpoints),
+                "closed": told.closed,
+            }
+            for name, told in rules.destinations.items()
+        },
+        "classes": {
+            name: {"effect": told.effect, "attempts": told.attempts, "closed": told.closed}
+            for name, told in rules.classes.items()
+        },
+        "zones_allowed": _names(rules.policies.zones),
+        "zones_evacuated": _names(rules.policies.evacuated),
+        "flows": {
+            name: {
+                "bound": _plain_rates(told.bound),
+                "spare": dict(told.spare),
+                "share": _plain_rates(told.share),
+            }
+            for name, told in rules.flows.items()
+        },
+        "zones": dict(rules.zones),
+    }
+
+
+def _plain_guard(guard: Guard | None) -> list[Any] | None:
+    if guard is None:
+        return None
+    return [guard.least_ratio, guard.least_count, guard.watch_s, guard.promote]
+
+
+def _plain_version(version: Version) -> Plain:
+    return {
+        "number": version.number,
+        "digest": version.digest,
+        "rules": version.rules.decode(),
+        "voters": list(version.voters),
+        "author": version.author,
+        "cause": version.cause,
+        "at_ms": version.at_ms,
+        "stage": version.stage.value,
+        "share": version.share,
+        "guard": _plain_guard(version.guard),
+        "brings_back": version.of,
+    }
+
+
+def _plain_book(book: Book) -> Plain:
+    trial = book.trial
+    return {
+        "versions": [_plain_version(version) for version in book.versions],
+        "forgotten_boots": dict(book.forgotten),
+        "voters_changed_at_ms": book.voters_at_ms,
+        "current": book.current.number,
+        "newest": book.newest.number,
+        "on_trial": None if trial is None else trial.number,
+    }
+
+
+def _command(step: Step) -> Command:
+    match step:
+        case ["propose", base, rules, author, cause, at_ms, share, guard, brings_back]:
+            watched = None if guard is None else Guard(*guard)
+            return Propose(base, rules.encode(), author, cause, at_ms, share, watched, brings_back)
+        case ["promote", number, author]:
+            return Promote(number, author)
+        case ["withdraw", number, author, cause]:
+            return Withdraw(number, author, cause)
+        case ["voters", base, add, remove, author, at_ms]:
+            return Voters(base, add, remove, author, at_ms)
+        case ["forget", name, boot, author, at_ms]:
+            return Forget(name, boot, author, at_ms)
+    raise AssertionError(f"unknown command: {step!r}")
+
+
+def encoded_command(step: Step) -> str:
+    """As it goes into the log."""
+    return msgspec.json.encode(_command(step)).decode()
+
+
+def encoded_rules(rules: str) -> Plain:
+    """The normal form of a set of rules, and its digest."""
+    read = decoded(rules.encode())
+    return {"normal": encoded(read).decode(), "digest": digest(read), "as_read": _plain_rules(read)}
+
+
+def _plain_answer(answer: Answer) -> list[Any]:
+    return [answer.number, answer.refused]
+
+
+def apply_commands(first_rules: str, voters: Iterable[str], raws: Iterable[str]) -> Plain:
+    """What becomes of encoded commands, the state machine after them, and its dump."""
+    book = Book(decoded(first_rules.encode()), tuple(voters))
+    answers = [_plain_answer(book.apply(command(raw.encode()))) for raw in raws]
+    return {"answers": answers, "book": _plain_book(book), "dump": book.dumped().decode()}
+
+
+def load_dump(first_rules: str, voters: Iterable[str], dump: str) -> Plain:
+    """The state machine as a dump has it, and the dump written anew."""
+    book = Book(decoded(first_rules.encode()), tuple(voters))
+    book.load(dump.encode())
+    return {"book": _plain_book(book), "dump": book.dumped().decode()}
+
+
+# -- agreed rules: the replicated log ------------------------------------------------------------------------
+
+
+class _Clock:
+    """In place of the clock of pysyncobj."""
+
+    def __init__(self) -> None:
+        self.now = 1000.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+class _Peers:
+    """A peers' node that reaches nobody by itself."""
+
+    def __init__(self) -> None:
+        self.frames: dict[str, Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]] = {}
+        self.rng = SimpleNamespace(uniform=lambda least, most: most)
+
+    def where(self, name: str) -> None:
+        return None
+
+
+class _Voters:
+    """The logs of one or more voters, each in the folder of its name, whose messages are handed over in
+    memory and whose turns are taken in a fixed order."""
+
+    def __init__(
+        self, folders: dict[str, Path], names: Sequence[str], first_rules: str, clock: _Clock
+    ) -> None:
+        """`names`: all who vote, of whom some may not run here."""
+        self.clock = clock
+        self.books: dict[str, Book] = {}
+        self.logs: dict[str, Log] = {}
+        self.peers = {name: _Peers() for name in folders}
+        for name, folder in folders.items():
+            self.books[name] = Book(decoded(first_rules.encode()), tuple(names))
+            others = [other for other in names if other != name]
+            self.logs[name] = Log(
+                folder,
+                self.peers[name],  # type: ignore[arg-type]
+                name,
+                others,
+                self.books[name],
+                lambda: None,
+            )
+        self.leader = next(iter(folders))
+
+    def connect(self) -> None:
+        for sender, log in self.logs.items():
+            for receiver, stream in log.wire.streams.items():
+                if receiver in self.logs:
+                    stream.up = True
+                    stream.say = partial(self._hand_over, sender, receiver)  # type: ignore[method-assign]
+                    log.wire._changed(receiver, True)
+
+    def _hand_over(self, sender: str, receiver: str, raw: bytes) -> bool:
+        for kind, heard in self.peers[receiver].frames.items():
+            heard(Hello(sender, kind), raw)
+        return True
+
+    def turn(self) -> None:
+        for log in self.logs.values():
+            log.wire.deliver()
+            log.raft.doTick(0.0)
+            log.wire.flush()
+
+    def rounds(self, count: int = ROUNDS) -> None:
+        for _ in range(count):
+            self.clock.now += SECONDS_PER_ROUND
+            self.turn()
+
+    def elect(self) -> None:
+        """The first one: it is the first whose turn comes after the time-out."""
+        self.clock.now += SECONDS_TO_ELECTION
+        self.rounds()
+        assert self.logs[self.leader].leads
+
+    async def _answered(self, work: Awaitable[Any]) -> Any:
+        asked = asyncio.ensure_future(work)
+        await asyncio.sleep(0)
+        self.rounds()
+        return await asked
+
+    async def take(self, step: Step) -> list[Any] | str | None:
+        log = self.logs[self.leader]
+        match step:
+            case ["compact"]:
+                self.rounds(ROUNDS_TO_COMPACTION)
+                return None
+            case ["member", add, remove]:
+                refused: str = await self._answered(log.voters(add, remove, SECONDS_TO_ANSWER))
+                return refused
+            case _:
+                told = _command(step)
+                raw = msgspec.json.encode(told)
+                answer: Answer = await self._answered(log.propose(told, raw, SECONDS_TO_ANSWER))
+                return _plain_answer(answer)
+
+    async def close(self) -> None:
+        for log in self.logs.values():
+            await log.close()
+
+
+async def _run_voters(
+    folders: dict[str, Path], names: Sequence[str], first_rules: str, steps: Iterable[Step]
+) -> Plain:
+    clock = _Clock()
+    with mock.patch(MONOTONIC_CLOCK_OF_RAFT, clock):
+        voters = _Voters(folders, names, first_rules, clock)
+        voters.turn()
+        voters.connect()
+        voters.elect()
+        answers = [await voters.take(step) for step in steps]
+        voters.rounds()
+        books = {name: _plain_book(book) for name, book in voters.books.items()}
+        await voters.close()
+    return {"answers": answers, "books": books}
+
+
+def run_voters(
+    folders: dict[str, Path], names: Sequence[str], first_rules: str, steps: Iterable[Step]
+) -> Plain:
+    """Of the voters named, those with a folder run and agree on commands; the first of them leads."""
+    return asyncio.run(_run_voters(folders, names, first_rules, steps))
+
+
+async def _read_voter(folder: Path, name: str, names: Sequence[str], first_rules: str) -> Plain:
+    clock = _Clock()
+    with mock.patch(MONOTONIC_CLOCK_OF_RAFT, clock):
+        voters = _Voters({name: folder}, names, first_rules, clock)
+        voters.turn()
+        told = _plain_book(voters.books[name])
+        others = sorted(voters.logs[name].wire.streams)
+        await voters.close()
+    return {"book": told, "other_voters": others}
+
+
+def read_voter(folder: Path, name: str, names: Sequence[str], first_rules: str) -> Plain:
+    """What a voter knows right after its start, before it has heard of anybody."""
+    return asyncio.run(_read_voter(folder, name, names, first_rules))
+
+
+def believed(folder: Path) -> str:
+    """Why the log in the folder is not believed; empty if it is."""
+    try:
+        check(folder)
+    except Torn as error:
+        return str(error)
+    return ""
+
+
+def raft_journal_entries(raw: bytes) -> list[tuple[int, int, bytes]]:
+    """Number, term and content of each."""
+    return entries(raw)
+
+
+def unsealed_command(raw: bytes) -> str:
+    return unsealed(raw).decode()
+
+
+def vote(raw: bytes) -> Plain:
+    return voted(raw)
+
+
+# -- agreed rules: what outlasts a voter's process -----------------------------------------------------------
+
+
+def _accord(folder: Path) -> Accord:
+    peers: Any = SimpleNamespace(
+        swim=SimpleNamespace(me=SimpleNamespace(nonce=1)),
+        rng=random.Random(1),
+        rebooted=[],
+        refused=[],
+        datagrams={},
+        frames={},
+    )
+    identity = Identity("0011223344556677", "n0", 3, 1, 2)
+    return Accord(
+        AccordPart(voters=(0, 1, 2)),
+        peers,
+        folder,
+        identity,
+        _settings(),
+        ("east", "west"),
+        3,
+        lambda: None,
+        Counts,
+    )
+
+
+def _plain_standing(accord: Accord) -> Plain:
+    standing = accord.standing
+    return {
+        "cleared": standing.cleared,
+        "boots": dict(standing.boots),
+        "log_was_begun": standing.voted,
+        "voters": list(standing.voters),
+    }
+
+
+def read_standing(folder: Path) -> Plain:
+    return _plain_standing(_accord(folder))
+
+
+def write_standing(
+    folder: Path, cleared: int, boots: dict[str, int], log_was_begun: bool, voters: Iterable[str]
+) -> Plain:
+    accord = _accord(folder)
+    standing = accord.standing
+    standing.cleared, standing.voted, standing.voters = cleared, log_was_begun, tuple(voters)
+    standing.boots.update(boots)
+    accord._keep()
+    return _plain_standing(accord)
--- /dev/null
+++ b/tests/compatibility/status_binding.py
@@ -0,0 +1,320 @@
+"""The product's names for what operators are shown: reports, answers, commands, metrics, log lines."""
+
+from __future__ import annotations
+
+import asyncio
+import io
+import logging
+import os
+import socket
+import threading
+from collections.abc import Sequence
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import click
+import msgspec
+from click.testing import CliRunner
+from rich.console import Console
+
+from linnetstile import process
+from linnetstile.accord.book import Book
+from linnetstile.accord.control import ControlSocket
+from linnetstile.accord.disk import sealed
+from linnetstile.accord.holding import Acting, Tier
+from linnetstile.accord.log import KIND, Log
+from linnetstile.accord.rules import Rules
+from linnetstile.assembly import assemble
+from linnetstile.cli.main import group
+from linnetstile.cli.status import as_json, prometheus, shown
+from linnetstile.config import load
+from linnetstile.core.seams import Call, Offer
+from linnetstile.failover.evidence import Cell, Demand
+from linnetstile.failover.evidence import Report as Evidence
+from linnetstile.failover.verdicts import State as PairState
+from linnetstile.fleet import report
+from linnetstile.fleet.common import Common
+from linnetstile.fleet.operator import Operator, decoded
+from linnetstile.fleet.plan import State as InstanceState
+from linnetstile.fleet.report import FleetReport, Lag, Report
+from linnetstile.fleet.status import StatusSocket, ask
+from linnetstile.fleet.recording import Recorder
+from linnetstile.logs import BoundedWriter, Note, structured
+from linnetstile.peers.node import Hello
+from linnetstile.store.journal import Journal
+from linnetstile.store.records import Entry
+
+Values = dict[str, Any]
+MODULE = "linnetstile"  # what `python -m` starts
+
+
+# -- reports -----------------------------------------------------------------------------------------------
+
+
+def _reports(plain: Sequence[Values]) -> list[Report]:
+    return [msgspec.convert(each, Report) for each in plain]
+
+
+def _fleet(plain: Values | None) -> FleetReport | None:
+    return None if plain is None else msgspec.convert(plain, FleetReport)
+
+
+def status_json(reports: Sequence[Values], fleet: Values | None, silent: list[str]) -> str:
+    return as_json(_reports(reports), _fleet(fleet), silent)
+
+
+def status_metrics(reports: Sequence[Values], fleet: Values | None) -> str:
+    return prometheus(_reports(reports), _fleet(fleet))
+
+
+def status_tables(reports: Sequence[Values], fleet: Values | None, silent: list[str]) -> list[str]:
+    """As they are printed on a wide terminal."""
+    out = io.StringIO()
+    Console(file=out, width=220, color_system=None).print(shown(_reports(reports), _fleet(fleet), silent))
+    return [line.rstrip() for line in out.getvalue().splitlines()]
+
+
+async def status_over_socket(path: Path, plain: Values, fleet: bool) -> tuple[bytes, Values]:
+    """What a caller of the socket reads, and what the command makes of it."""
+    told: Report | FleetReport
+    told = msgspec.convert(plain, FleetReport) if fleet else msgspec.convert(plain, Report)
+    server = StatusSocket(path, lambda: told)
+    await server.open()
+    try:
+        reader, writer = await asyncio.open_unix_connection(str(path))
+        raw = await reader.read(-1)
+        writer.close()
+        understood: Values = msgspec.to_builtins(await ask(path))
+        return raw, understood
+    finally:
+        server.close()
+
+
+def instance_states() -> list[str]:
+    """As a supervisor tells them."""
+    states = InstanceState
+    return [each.value for each in (states.DOWN, states.STARTING, states.UP, states.ENDING, states.FAILED)]
+
+
+def pair_states() -> list[str]:
+    """Of a pair of zones, as plans of failover tell them."""
+    return [each.value for each in (PairState.WELL, PairState.GREY, PairState.LOST, PairState.TRIAL)]
+
+
+def rules_labels() -> list[str]:
+    """By which rules a call is made, as partners and operators are told."""
+    acted = (((7,), Tier.LEASE), ((7, 8), Tier.LEASE), ((7,), Tier.STANDBY), ((), Tier.FLOOR))
+    return [Acting(Rules(), versions, tier).label for versions, tier in acted]
+
+
+# -- a whole instance --------------------------------------------------------------------------------------
+
+
+class Instance:
+    """The parts of instance 0 that talk to peers and operators, put together and not started."""
+
+    def __init__(self, config_file: Path, operator: Values) -> None:
+        self.operator: Operator = decoded(operator, "relay.toml")
+        config = load({"RELAY_CONFIG": str(config_file)})
+        settings = replace(config.settings, relays=self.operator.fleet.instances)
+        self.parts = assemble(replace(config, settings=settings))
+        self.common = Common(self.operator, 0, config, self.parts.host)
+
+    def message_kinds(self) -> list[list[str]]:
+        """Of datagrams, and of frames of connections."""
+        return [sorted(self.common.peers.datagrams), sorted(self.common.peers.frames)]
+
+    def report(self) -> Values:
+        told = report.of(self.parts.host, 0, "serving", 0.0, Lag(), 10)
+        return dict(msgspec.to_builtins(told))
+
+    def shards_report(self) -> Values:
+        assert self.common.shards is not None
+        return dict(msgspec.to_builtins(self.common.shards.told()))
+
+    async def frame_answer(self, kind: str, payload: bytes) -> bytes:
+        """To a message on a connection of another instance."""
+        answer = self.common.peers.frames[kind](Hello("n1", kind, 5), payload)
+        if answer is None or isinstance(answer, bytes):
+            return answer or b""
+        return await answer or b""
+
+    async def operators_answer(self, asked: Values) -> Values:
+        """To a question, as JSON on the socket."""
+        assert self.common.control is not None
+        control: ControlSocket = self.common.control
+        await control.open()
+        try:
+            reader, writer = await asyncio.open_unix_connection(str(control.path))
+            writer.write(msgspec.json.encode(asked))
+            writer.write_eof()
+            raw = await reader.read(-1)
+            writer.close()
+            answer: Values = msgspec.json.decode(raw)
+            return answer
+        finally:
+            control.close()
+
+    def control_socket_name(self) -> str:
+        assert self.common.control is not None
+        return self.common.control.path.name
+
+    def allow_a_call(self, message: str) -> None:
+        """A call is asked for, so that there is something to explain."""
+        assert self.common.accord is not None
+        call = Call(message, 7, "e", "z", "safe", 0, False, False)
+        self.common.accord.gate.may(0.0, call)
+
+    def see_a_zone_fail(self) -> None:
+        """All calls into one zone fail, and a plan is made of that."""
+        failover, accord = self.common.failover, self.common.accord
+        assert failover is not None and accord is not None
+        now, rooms = asyncio.get_running_loop().time(), {7: {"z": 50.0, "y": 50.0}}
+        for window in range(10):
+            for name in ("n0", "n1", "n2"):
+                cells = (Cell(7, "z", 40, 0, 40), Cell(7, "y", 40, 40, 0, 0, ((4, 40),)))
+                demand = (Demand(7, "anywhere 1", 40.0),)
+                told = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, cells)
+                failover.evidence.take(now, told)
+        rules = accord.newest()
+        problems = failover.decider.look(now, rules, rooms)
+        plans = failover.decider.plans(problems)
+        failover.decider.next(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
+
+    async def close(self) -> None:
+        await self.parts.host.close()
+
+
+def log_command(folder: Path, raw: bytes) -> tuple[str, bytes]:
+    """The kind of frames in which voters send each other the log, and a command as it stands in it."""
+    entries: list[bytes] = []
+    node: Any = _FramesOnly()
+    log = Log(folder, node, "n0", [], Book(Rules(), ("n0",)), lambda: None)
+    log.raft._applyCommand = lambda entry, *more: entries.append(entry)
+    log.raft.take(sealed(raw))
+    log.raft.destroy()
+    return KIND, entries[0]
+
+
+class _FramesOnly:
+    """As much of a node of peers as a log without peers needs."""
+
+    def __init__(self) -> None:
+        self.frames: dict[str, Any] = {}
+
+
+# -- commands ----------------------------------------------------------------------------------------------
+
+
+def commands() -> Values:
+    """Every command with its arguments and flags."""
+    found: Values = {}
+
+    def walk(path: str, command: click.Command) -> None:
+        found[path or "(none)"] = [_parameter(each) for each in command.params]
+        if isinstance(command, click.Group):
+            for name, each in sorted(command.commands.items()):
+                walk(f"{path} {name}".strip(), each)
+
+    walk("", group)
+    return found
+
+
+def _parameter(parameter: click.Parameter) -> str:
+    names = "/".join([*parameter.opts, *parameter.secondary_opts])
+    if isinstance(parameter, click.Argument):
+        return parameter.human_readable_name
+    flag = isinstance(parameter, click.Option) and parameter.is_flag
+    kind = "flag" if flag else parameter.type.name
+    return f"{names} {kind}" + (", required" if parameter.required else "")
+
+
+def run_command(arguments: list[str], env: dict[str, str]) -> tuple[int, str]:
+    """Exit code and output."""
+    told = CliRunner().invoke(group, arguments, env={"COLUMNS": "200", **env}, prog_name="relay")
+    return told.exit_code, told.output
+
+
+def question_of_command(folder: Path, arguments: list[str], answer: Values) -> tuple[Values, int, str]:
+    """What a command asks an instance, and what it makes of this answer: exit code and output."""
+    asked: list[bytes] = []
+    server = socket.socket(socket.AF_UNIX)
+    server.bind(str(folder / "0.rules"))
+    server.listen()
+
+    def serve() -> None:
+        try:
+            taken, _ = server.accept()
+        except OSError:  # the command has asked nothing
+            return
+        parts = []
+        while part := taken.recv(65536):
+            parts.append(part)
+        asked.append(b"".join(parts))
+        taken.sendall(msgspec.json.encode(answer))
+        taken.close()
+
+    thread = threading.Thread(target=serve)
+    thread.start()
+    try:
+        code, output = run_command(arguments, {})
+    finally:
+        server.shutdown(socket.SHUT_RDWR)
+        thread.join()
+        server.close()
+        (folder / "0.rules").unlink()
+    told: Values = msgspec.json.decode(asked[0]) if asked else {}
+    return told, code, output
+
+
+def exit_codes() -> Values:
+    return {"refused": process.REFUSED, "failed": process.FAILED}
+
+
+def program_arguments(*arguments: str) -> list[str]:
+    """Behind the interpreter, to start the program."""
+    return ["-m", MODULE, *arguments]
+
+
+def journal_folder(folder: Path) -> None:
+    """A state folder with a message that may have run, one that ended and one that is held."""
+    journal = Journal(folder, 3_000_000)
+    for number, (ident, key) in enumerate((("m-1", "k-1"), ("m-2", None), ("m-3", None))):
+        since = 1_700_000_000_000.0 + number
+        journal.take(Entry(ident, "pay", "t", 7, key, since, since + 5000, "1", b"hello"))
+    risky, failed = journal.entries["m-1"], journal.entries["m-2"]
+    journal.tried(risky, 1_700_000_000_100.0, "e-1", 2, 55.0)
+    journal.outcome(risky, True)
+    journal.tried(risky, 1_700_000_000_200.0, "e-2", 1, 65.0)
+    journal.ended(failed, "returned", 250.0)
+    journal.close()
+
+
+def recorded_lines(path: Path) -> list[Any]:
+    """A recording of one message that is handed in."""
+    recorder = Recorder(path, 1.0)
+    recorder.offered(Offer("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
+    recorder.close()
+    return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
+
+
+# -- log lines ---------------------------------------------------------------------------------------------
+
+
+def log_line(format_: str, logger: str, event: str, fields: Values) -> str:
+    """One line as it is written to standard error."""
+    root = logging.getLogger()
+    handlers, level = root.handlers[:], root.level
+    reading, writing = os.pipe()
+    root.handlers[:] = []
+    writer: BoundedWriter = structured(format_, "info", 10, writing)
+    try:
+        logging.getLogger(logger).warning(Note(event, **fields))
+        writer.close()
+        return os.read(reading, 65536).decode()
+    finally:
+        root.handlers[:] = handlers
+        root.setLevel(level)
+        os.close(reading)
+        os.close(writing)
--- /dev/null
+++ b/tests/compatibility/subsystem_binding.py
@@ -0,0 +1,573 @@
+"""Seeded runs of the deciders beside the scheduler: the only place that names what they are called.
+
+Each function drives one decider with its own random source and a clock set by hand, and returns rows of
+neutral values: what it decided, floats to the last bit. When something is renamed or moved, this file
+follows, and the fixtures stay as they are.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import math
+import random
+from collections.abc import Callable
+from itertools import count, product
+
+from linnetstile.accord.book import Book, Guard, Promote, Propose, Withdraw
+from linnetstile.accord.boots import Boots
+from linnetstile.accord.gate import Gate
+from linnetstile.accord.granting import Granting, Record
+from linnetstile.accord.guard import Recent, Verdict, Watch
+from linnetstile.accord.holding import Acting, Holding, Tier
+from linnetstile.accord.rules import ANY, Class, Destination, Flow, Rules, encoded
+from linnetstile.accord.terms import Counts, Terms
+from linnetstile.core.seams import Call, Member, Update
+from linnetstile.decisions.interface import Endpoint, Fleet, Listing, Safety
+from linnetstile.decisions.share import Share
+from linnetstile.failover.evidence import Evidence, Pair, Seen
+from linnetstile.failover.planner import Group, Problem, greedy, near
+from linnetstile.failover.verdicts import Judge, interval
+from linnetstile.failover.verdicts import State as Standing
+from linnetstile.fleet.operator import SupervisorPart
+from linnetstile.fleet.plan import Do, Plan
+from linnetstile.fleet.size import Place
+from linnetstile.http.keeping import Keeping
+from linnetstile.membership.asking import Asking
+from linnetstile.membership.merge import Merge
+from linnetstile.membership.rule import Shrink, Word, together
+from linnetstile.peers.swim import Swim
+from linnetstile.peers.wire import Claim, Packet, opened, sealed
+from linnetstile.peers.wire import State as Presence
+from linnetstile.shards.freshness import Freshness
+from linnetstile.shards.ring import ranked, shard_of
+
+Row = tuple[str | int | float | bool | None, ...]
+
+LISTINGS = {Listing.READY: "ready", Listing.DRAINING: "draining", Listing.GONE: "gone"}
+MOVED_DIGITS = 6
+ZONES = ("a", "b", "c", "d")
+
+
+# -- agreed rates ------------------------------------------------------------------------------------------
+
+
+def agreed_rate_slots(seed: int) -> list[Row]:
+    draw, now, rows = random.Random(seed), 1e6, list[Row]()
+    share = Share(Fleet(2, 7, 12.5), 40.0, Safety(cold_share=0.2, cold_ms=9000.0))
+    for _ in range(600):
+        now += draw.expovariate(1 / 120.0)
+        at = share.next_at(now)
+        rows.append(("slot", at, share.part(now), share.part(now + draw.uniform(0.0, 12_000.0))))
+        drawn = draw.random()
+        if drawn < 0.5:
+            share.sent()
+            now = max(now, at)
+        elif drawn < 0.85:
+            share.answered(now)
+        elif drawn < 0.9:
+            share.failed(now, draw.random() < 0.5)
+        elif drawn < 0.92:
+            size = draw.randint(1, 40)
+            share.resized(Fleet(draw.randrange(size), size, draw.uniform(-500.0, 500.0)))
+        elif drawn < 0.94:
+            share.rated(draw.uniform(1.0, 300.0))
+    return rows
+
+
+# -- membership --------------------------------------------------------------------------------------------
+
+
+def words_on_endpoints(seed: int) -> list[Row]:
+    words = {Word.UNKNOWN: "unknown", Word.READY: "ready", Word.DRAINING: "draining", Word.GONE: "gone"}
+    rows: list[Row] = [(*map(words.__getitem__, each), words[together(each)]) for each in product(Word, Word)]
+    rows.append((words[together(())],))
+    draw, shrink, now, had = random.Random(seed), Shrink(), 0.0, 20
+    for _ in range(400):
+        now += draw.expovariate(0.8)
+        has = draw.randint(0, had)
+        believed = shrink.believed(now, had, has)
+        rows.append((now, had, has, believed))
+        had = draw.randint(0, 20) if believed else had
+    return rows
+
+
+def _member(draw: random.Random) -> Member:
+    number = draw.randint(1, 12)
+    return Member(
+        f"e{number}",
+        1 + number % 3,
+        draw.choice((Listing.READY, Listing.READY, Listing.DRAINING, Listing.GONE)),
+        ("127.0.0.1", 9000 + number + 100 * (draw.random() < 0.1)),
+        draw.choice((None, "plain")),
+        draw.choice(ZONES),
+        draw.choice((0.0, 10.0, 25.5)),
+    )
+
+
+def merged_lists(seed: int) -> list[Row]:
+    draw, now, rows = random.Random(seed), 0.0, list[Row]()
+    merge = Merge(("file", "register", "peers"), ("register",))
+    for _ in range(400):
+        now += draw.expovariate(1.0)
+        members = {each.name: each for each in (_member(draw) for _ in range(draw.randint(0, 9)))}
+        lives = ((f"e{draw.randint(1, 12)}", draw.choice((Listing.READY, Listing.DRAINING))),)
+        source = draw.choice(("file", "register", "peers"))
+        told = Update(
+            draw.random() < 0.4, tuple(members.values()), lives if draw.random() < 0.3 else (), source
+        )
+        found = merge.take(told, now)
+        rows.append((now, source, None if found is None else found.whole))
+        for each in () if found is None else found.members:
+            listing = LISTINGS[each.listing]
+            rows.append(
+                (each.name, each.destination, listing, *each.address, each.kind, each.zone, each.rate)
+            )
+    return rows
+
+
+def discovery_pauses(seed: int) -> list[Row]:
+    rows: list[Row] = []
+    for instances, shared in ((1, True), (1, False), (3, True), (40, True), (200, True), (200, False)):
+        draw = random.Random(seed * 1000 + instances)
+        asking = Asking(instances, random.Random(seed), shared)
+        rows.append((instances, shared, asking.first()))
+        for _ in range(60):
+            hold = asking.hold()
+            rows.append((hold, asking.patience(hold)))
+            drawn = draw.random()
+            if drawn < 0.4:
+                asking.answered()
+            elif drawn < 0.95:
+                rows.append((asking.failed(draw.random() < 0.5),))
+            else:
+                asking.anew()
+    return rows
+
+
+def kept_connections(seed: int) -> list[Row]:
+    draw, keeping, now, rows = random.Random(seed), Keeping(), 0.0, list[Row]()
+    for _ in range(400):
+        now += draw.expovariate(1 / 9.0)
+        kind = draw.choice(("x", "y", "z"))
+        if draw.random() < 0.1:
+            rows.append((now, kind, "refused", keeping.refused(kind, now)))
+        else:
+            rows.append((now, kind, "asked", keeping.keeps(kind, now)))
+    return rows
+
+
+# -- failover between zones --------------------------------------------------------------------------------
+
+
+def _window(draw: random.Random, health: float, there: bool) -> Seen:
+    calls = draw.randint(0, 12) if there else 0
+    good = sum(draw.random() < health for _ in range(calls))
+    waits = draw.randint(0, calls - good)
+    seen = Seen(calls, good, waits, waits, {"r1", "r2"} if calls else set())
+    if not calls and draw.random() < 0.3:
+        seen.shunning = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
+    for _ in range(good):
+        seen.sketch[draw.randint(8, 18 if health > 0.8 else 24)] += 1
+    return seen
+
+
+def zone_verdicts(seed: int) -> list[Row]:
+    words = {
+        Standing.WELL: "well",
+        Standing.GREY: "degraded",
+        Standing.LOST: "lost",
+        Standing.TRIAL: "trial",
+    }
+    draw, now = random.Random(seed), 100.0
+    rows: list[Row] = [
+        (good, tried, *interval(good, tried)) for tried in range(0, 40, 3) for good in range(0, tried + 1, 2)
+    ]
+    judge = Judge(Evidence(), 1)
+    judge.resume(now, {("a", "b"): 0.3, ("a", "c"): 0.0})
+    pairs: list[Pair] = [(source, target) for source in "abc" for target in "abc"]
+    history: dict[Pair, list[Seen]] = {pair: [] for pair in pairs}
+    health = dict.fromkeys(pairs, 1.0)
+    for _ in range(300):
+        now += 1.0
+        for pair in pairs:
+            if draw.random() < 0.04:
+                health[pair] = draw.choice((0.0, 0.05, 0.6, 0.85, 1.0, 1.0))
+            window = _window(draw, health[pair], judge.standing(pair).share > draw.random())
+            history[pair] = [window, *history[pair]][:10]
+        shared = {pair: history[pair][0] for pair in pairs} if draw.random() < 0.2 else None
+        changed = judge.look(now, {pair: list(row) for pair, row in history.items()}, shared)
+        for pair in changed:
+            it = judge.standing(pair)
+            rows.append((now, *pair, words[it.state], it.step, it.flaps, it.share, it.ability, it.back))
+        rows.append((now, *(judge.down(zone) for zone in "abc"), *(judge.cut_off(zone) for zone in "abc")))
+    return rows
+
+
+def _problem(draw: random.Random) -> Problem:
+    zones = ZONES[: draw.randint(2, 4)]
+    pairs = [(a, b) for a in zones for b in zones]
+    stays = frozenset(pair for pair in pairs if draw.random() < 0.6)
+    groups = (Group("low", 1.0), Group("high", 5.0), Group("near", 2.0, stays))
+    demand = {
+        (zone, group.name): draw.uniform(1, 100) for zone in zones for group in groups if draw.random() < 0.8
+    }
+    room = {zone: draw.choice((draw.uniform(0, 250), draw.uniform(0, 60), math.inf)) for zone in zones}
+    ability = {pair: draw.choice((0.0, draw.uniform(0.3, 1.0), 1.0)) for pair in pairs if draw.random() < 0.5}
+    price = {(a, b): 0.0 if a == b else draw.choice((0.05, 0.2)) for a, b in pairs}
+    last = {(a, "low", b): draw.uniform(0, 40) for a, b in pairs if draw.random() < 0.3}
+    part = {pair: draw.choice((0.0, 0.1, 0.6)) for pair in pairs if draw.random() < 0.2}
+    return Problem(zones, groups, demand, room, ability, price, last, part)
+
+
+def zone_plans(seed: int) -> list[Row]:
+    draw, rows = random.Random(seed), list[Row]()
+    for _ in range(120):
+        problem = _problem(draw)
+        for plan in (near(problem), greedy(problem)):
+            if plan is None:
+                rows.append(("none",))
+                continue
+            rows += [("flow", *way, rate) for way, rate in plan.flows.items()]
+            rows += [("shed", *who, rate) for who, rate in plan.shed(problem).items()]
+            # What is moved is summed up in the order of a set of texts, which differs between processes.
+            rows.append(("plan", plan.worth(problem), round(plan.moved(problem), MOVED_DIGITS)))
+    return rows
+
+
+# -- members of a fleet ------------------------------------------------------------------------------------
+
+
+class Gossip:
+    """Some members with a clock set by hand, lost datagrams, a freeze and a restart."""
+
+    COUNT, FIRST_PORT = 7, 7000
+
+    def __init__(self, seed: int) -> None:
+        self.draw, self.now, self.order = random.Random(seed), 0.0, count()
+        self.jobs: list[tuple[float, int, Callable[[], None]]] = []
+        self.rows: list[Row] = []
+        self.members: dict[int, Swim] = {}
+        self.frozen: dict[int, float] = {}
+        for number in range(self.COUNT):
+            self.start(number, 1)
+        self.at(12.0, lambda: self.frozen.update({3: 21.0}))
+        self.at(25.0, lambda: self.start(5, 2))
+        self.at(32.0, self.leaves)
+
+    def at(self, when: float, job: Callable[[], None]) -> None:
+        heapq.heappush(self.jobs, (when, next(self.order), job))
+
+    def start(self, number: int, boot: int) -> None:
+        port = self.FIRST_PORT + number
+        me = Claim(
+            f"n{number}",
+            f"id{number}",
+            boot,
+            1000 * boot + number,
+            0,
+            Presence.JOINING,
+            "127.0.0.1",
+            port,
+            "z",
+            7,
+        )
+        seeds = (("127.0.0.1", self.FIRST_PORT), ("127.0.0.1", self.FIRST_PORT + 1))
+        self.members[number] = Swim(me, seeds, random.Random(number * 77 + boot), 1.0)
+        self.at(self.now + 0.05 * number, lambda: self.tick(number, boot))
+
+    def leaves(self) -> None:
+        self.members[2].leave()
+        self.flush(2)
+
+    def tick(self, number: int, boot: int) -> None:
+        it = self.members[number]
+        if it.me.boot != boot:
+            return
+        if self.now >= self.frozen.get(number, 0.0):
+            it.tick(self.now)
+            self.flush(number)
+        self.at(max(self.now + 0.02, it.next_at()), lambda: self.tick(number, boot))
+
+    def flush(self, number: int) -> None:
+        it = self.members[number]
+        datagrams, it.outbox = it.outbox, []
+        for (_, port), body in datagrams:
+            raw = sealed(Packet(it.me.name, it.me.nonce, body), b"")
+            self.rows.append((self.now, number, port, hashlib.sha256(raw).hexdigest()[:16]))
+            if self.draw.random() > 0.12:
+                self.at(self.now + self.draw.uniform(0.001, 0.05), self.takes(port - self.FIRST_PORT, raw))
+        changes, it.changes = it.changes, []
+        for each in changes:
+            self.rows.append((self.now, number, each.name, each.boot, each.incarnation, int(each.state)))
+
+    def takes(self, number: int, raw: bytes) -> Callable[[], None]:
+        def job() -> None:
+            if self.now >= self.frozen.get(number, 0.0):
+                packet = opened(raw, b"")
+                self.members[number].receive(self.now, packet.sender, packet.nonce, packet.body)
+                self.flush(number)
+
+        return job
+
+    def run(self, seconds: float) -> list[Row]:
+        while self.jobs and self.jobs[0][0] <= seconds:
+            self.now, _, job = heapq.heappop(self.jobs)
+            job()
+        return self.rows
+
+
+def gossip(seed: int) -> list[Row]:
+    return Gossip(seed).run(60.0)
+
+
+# -- shards ------------------------------------------------------------------------------------------------
+
+
+def shard_placement(seed: int) -> list[Row]:
+    draw, rows = random.Random(seed), list[Row]()
+    for _ in range(400):
+        destination = draw.choice((draw.randint(0, 5000), draw.getrandbits(64), -draw.randint(1, 9)))
+        rows.append((destination, *(shard_of(destination, 1 << bits) for bits in (0, 4, 10, 16))))
+    keepers = [f"k{number}" for number in range(9)]
+    rows += [(f"r{number}", *ranked(f"r{number}", keepers)) for number in range(60)]
+    return rows
+
+
+def shard_freshness(seed: int) -> list[Row]:
+    draw, now, rows = random.Random(seed), 50.0, list[Row]()
+    keepers = ("k0", "k1", "k2")
+    it = Freshness(keepers, 6.0)
+    for _ in range(800):
+        now += draw.expovariate(3.0)
+        keeper, version = draw.choice(keepers), (1 + draw.randint(0, 1), draw.randint(0, int(now)))
+        match draw.randint(0, 4):
+            case 0:
+                it.answered(keeper, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9))
+            case 1:
+                clock_ms = 1e3 * (now - draw.random())
+                rows.append(("dated", it.dated(now, keeper, draw.randint(1, 2), clock_ms)))
+            case 2 | 3:
+                it.says(keeper, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8)
+            case _:
+                it.failed(keeper, now - draw.random())
+        rows.append((*version, it.confirmed(version), it.current(now, version)))
+    return rows
+
+
+# -- a supervised fleet ------------------------------------------------------------------------------------
+
+
+def fleet_size(seed: int) -> list[Row]:
+    draw, now, rows = random.Random(seed), 0.0, list[Row]()
+    place = Place(2, 5, 0.0)
+    for _ in range(400):
+        now += draw.expovariate(1 / 400.0)
+        if draw.random() < 0.2:
+            rows.append(("told", place.told(now, draw.randint(1, 9), draw.choice((0.0, 900.0)))))
+        found = place.look(now, place.clock_ms + draw.choice((0.0, 0.0, 4.9, 5.1, -30.0)))
+        rows.append((now,) if found is None else (now, found.number, found.size, found.clock_ms))
+    return rows
+
+
+def supervisor_steps(seed: int) -> list[Row]:
+    words = {Do.START: "start", Do.RELOAD: "reload", Do.TERM: "terminate", Do.KILL: "kill"}
+    draw, now, rows = random.Random(seed), 0.0, list[Row]()
+    part = SupervisorPart(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
+    plan = Plan(part, 6, now, seed)
+    for _ in range(900):
+        now += draw.expovariate(3.0)
+        number = draw.randrange(plan.count)
+        drawn = draw.random()
+        if drawn < 0.45:
+            plan.ready(number, now)
+        elif drawn < 0.8:
+            for each in range(plan.count):
+                plan.beat(each, now)
+        elif drawn < 0.86:
+            plan.exited(number, now, draw.choice((0, 0, 1, 2, -9)))
+        elif drawn < 0.88:
+            plan.told_to_reload(now, part, draw.randint(3, 8), 10.0)
+        elif drawn < 0.9:
+            plan.told_to_roll(now)
+        for do, instance in plan.next(now):
+            rows.append((now, words[do], instance))
+            if words[do] in ("terminate", "kill") and draw.random() < 0.8:
+                plan.exited(instance, now, 0)
+        rows.append((plan.wake(now), plan.loops(number, now), plan.done))
+    plan.told_to_stop(now)
+    rows += [(now, words[do], instance) for do, instance in plan.next(now)]
+    return rows
+
+
+# -- agreed rules ------------------------------------------------------------------------------------------
+
+
+def seen_boots(seed: int) -> list[Row]:
+    draw, boots, rows = random.Random(seed), Boots({"a": 3}), list[Row]()
+    for _ in range(400):
+        name, boot = draw.choice("abc"), draw.randint(1, 12)
+        if draw.random() < 0.05:
+            boots.back(name, draw.choice((None, boot)))
+        else:
+            rows.append((name, boot, boots.told(name, boot, draw.randint(0, 2))))
+        rows += [("seen", *each) for each in sorted(boots.seen.items())]
+    return rows
+
+
+def _rule_sets() -> list[Rules]:
+    return [
+        Rules(),
+        Rules({ANY: Destination(rate=5.0)}),
+        Rules({"1": Destination(rate=12.0, slots=3), "2": Destination(endpoints=frozenset({"e1", "e2"}))}),
+        Rules({"3": Destination(closed=True)}, {"pay": Class(effect="unsafe", attempts=2)}),
+        Rules(
+            {"1": Destination(rate=40.0)},
+            {"order": Class(effect="keyed")},
+            flows={"1": Flow(bound={"a": {"b": 20.0, "c": 10.0}}, share={"a": {"b": 0.5}})},
+            zones={"a": 4},
+        ),
+    ]
+
+
+def permitted_calls(seed: int) -> list[Row]:
+    draw, now, rows, acting = random.Random(seed), 0.0, list[Row](), list[Acting]()
+    acting.append(Acting(Rules(), (1,), Tier.LEASE))
+    gate = Gate(lambda: acting[-1], 4, lambda: 0.0, "n3", "a")
+    sets = _rule_sets()
+    for _ in range(1200):
+        now += draw.expovariate(20.0)
+        if draw.random() < 0.02:
+            number = draw.randrange(len(sets))
+            acting.append(Acting(sets[number], (number + 1,), draw.choice(list(Tier))))
+        destination, zone = draw.randint(1, 3), draw.choice("abc")
+        class_ = draw.choice(("order", "pay", "status"))
+        endpoint = f"e{draw.randint(1, 3)}"
+        call = Call(
+            "m",
+            destination,
+            endpoint,
+            zone,
+            class_,
+            draw.randint(0, 3),
+            draw.random() < 0.2,
+            draw.random() < 0.5,
+        )
+        allowed = gate.may(now, call) is not None
+        rows.append((now, allowed, gate.still(call), bool(gate.bars(destination, class_))))
+        seen = gate.entry(endpoint, zone, Endpoint(9, destination, Listing.READY, 0, 0, 30.0))
+        rows.append((LISTINGS[seen.listing], seen.rate))
+        if allowed and draw.random() < 0.9:
+            gate.ended(destination)
+    rows.append(tuple(value for _, value in sorted(gate.counts.items())))
+    return rows
+
+
+def harm_of_changes(seed: int) -> list[Row]:
+    words = {Verdict.WAIT: "wait", Verdict.HARM: "harm", Verdict.WELL: "well"}
+    draw, now, rows = random.Random(seed), 0.0, list[Row]()
+    for share in (0.3, 1.0):
+        book = Book(Rules(), ("n0", "n1", "n2"))
+        guard = Guard(least_ratio=0.9, least_count=30, watch_s=20.0)
+        book.apply(Propose(1, encoded(_rule_sets()[1]), "ana", "", 0.0, share, guard))
+        recent, watch = Recent(), Watch(book.newest, now, 0.95)
+        counts = {f"n{number}": (0, 0) for number in range(12)}
+        for _ in range(80):
+            now += draw.expovariate(2.0)
+            for name, (delivered, ended) in counts.items():
+                more = draw.randint(0, 9)
+                counts[name] = delivered + sum(draw.random() < 0.93 for _ in range(more)), ended + more
+            records = [(name, Record(1, 7, counts=Counts(*each))) for name, each in counts.items()]
+            recent.take(now, [record for _, record in records])
+            verdict, why = watch.judged(now, records)
+            rows.append((now, words[verdict], bool(why), recent.share(40)))
+    return rows
+
+
+class Leases:
+    """Three voters and some instances that act on what a majority has granted."""
+
+    VOTERS = ("n0", "n1", "n2")
+
+    def __init__(self, seed: int) -> None:
+        self.draw, self.now, self.rows = random.Random(seed), 100.0, list[Row]()
+        self.terms = Terms(bound=2.0, horizon=6.0)
+        self.books = {name: Book(Rules(), self.VOTERS) for name in self.VOTERS}
+        self.granting = {
+            name: Granting(name, book, self.terms, "first", 0, self.now) for name, book in self.books.items()
+        }
+        self.holding = {f"n{n}": Holding(1, 7 + n, "first", self.terms) for n in range(3, 7)}
+        self.boots = dict.fromkeys(self.holding, 1)
+
+    def changes(self) -> None:
+        newest = self.books["n0"].newest
+        drawn, rules = self.draw.random(), encoded(self.draw.choice(_rule_sets()))
+        share = self.draw.choice((0.5, 1.0, 1.0))
+        for book in self.books.values():
+            if drawn < 0.6:
+                answer = book.apply(Propose(newest.number, rules, "ana", "", 0.0, share))
+            elif drawn < 0.8:
+                answer = book.apply(Promote(newest.number, "ana"))
+            else:
+                answer = book.apply(Withdraw(newest.number, "ana", ""))
+            self.rows.append(("command", answer.number, bool(answer.refused)))
+
+    def renews(self, name: str) -> None:
+        it = self.holding[name]
+        told = it.renew(self.now, Counts(self.draw.randint(0, 9), 9), self.draw.random() < 0.01)
+        self.rows.append((name, "renews", told.boot, told.seq, *told.acts, told.refuses))
+        for voter in self.VOTERS:
+            if self.draw.random() < 0.2:
+                continue
+            grant = self.granting[voter].renewed(self.now, name, told)
+            self.rows.append((voter, grant.noted, grant.granted, grant.cleared, grant.current, grant.trial))
+            if self.draw.random() < 0.85:
+                self.rows.append((it.heard(self.now, voter, grant), it.wants(grant)))
+                if self.draw.random() < 0.7:
+                    for version in self.books[voter].versions:
+                        it.know(version)
+        if told.leaving:
+            it.left()
+
+    def run(self) -> list[Row]:
+        names = {Tier.LEASE: "lease", Tier.STANDBY: "standby", Tier.FLOOR: "floor"}
+        for _ in range(700):
+            self.now += self.draw.expovariate(6.0) + 8.0 * (self.draw.random() < 0.01)
+            if self.draw.random() < 0.03:
+                self.changes()
+            name = self.draw.choice(list(self.holding))
+            if self.draw.random() < 0.01:
+                self.boots[name] += 1
+                self.holding[name].began(self.boots[name])
+            self.renews(name)
+            for voter, granting in self.granting.items():
+                self.rows.append((voter, "clears", granting.clear(self.now), *granting.blocked))
+            for each, it in self.holding.items():
+                acting = it.acting(self.now)
+                digest = hashlib.sha256(encoded(acting.rules)).hexdigest()[:12]
+                self.rows.append((each, names[acting.tier], *acting.versions, it.until(self.now), digest))
+        return self.rows
+
+
+def rule_leases(seed: int) -> list[Row]:
+    return Leases(seed).run()
+
+
+RUNS: dict[str, Callable[[int], list[Row]]] = {
+    "agreed_rate_slots": agreed_rate_slots,
+    "words_on_endpoints": words_on_endpoints,
+    "merged_lists": merged_lists,
+    "discovery_pauses": discovery_pauses,
+    "kept_connections": kept_connections,
+    "zone_verdicts": zone_verdicts,
+    "zone_plans": zone_plans,
+    "gossip": gossip,
+    "shard_placement": shard_placement,
+    "shard_freshness": shard_freshness,
+    "fleet_size": fleet_size,
+    "supervisor_steps": supervisor_steps,
+    "seen_boots": seen_boots,
+    "permitted_calls": permitted_calls,
+    "harm_of_changes": harm_of_changes,
+    "rule_leases": rule_leases,
+}
--- /dev/null
+++ b/tests/compatibility/test_operator_formats.py
@@ -0,0 +1,112 @@
+"""What operators and the platform set and are shown stays as it was: keys, values, texts and exit codes."""
+
+from __future__ import annotations
+
+import tomllib
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from . import operator_binding as operator
+from .status_scenarios import key_types
+from .wire_fixtures import FOLDER, produced, stored
+
+DEPLOY = Path(__file__).parents[2] / "deploy"
+SHOWN_AND_SET = (
+    "operator_files",
+    "known_keys",
+    "operator_faults",
+    "platform_files",
+    "variables",
+    "status_shown",
+    "status_sockets",
+    "instances",
+    "command_questions",
+    "command_line",
+    "journal_commands",
+    "recording",
+    "log_lines",
+)
+STATE_FOLDER, ETC_FOLDER, RUNTIME_FOLDER = "/var/lib/linnetstile", "/etc/linnetstile", "linnetstile"
+
+
+@pytest.mark.parametrize("name", SHOWN_AND_SET)
+def test_what_is_set_and_shown_is_as_before(name: str) -> None:
+    now, before = produced(name), stored(name)
+    assert sorted(now) == sorted(before)
+    for part, told in before.items():
+        assert now[part] == told, part
+
+
+def sections(path: Path) -> set[str]:
+    """Sections and their keys, as dotted paths."""
+    raw = tomllib.loads(path.read_text())
+    return {
+        name for section, part in raw.items() for name in (section, *(f"{section}.{key}" for key in part))
+    }
+
+
+def test_the_fixtures_and_the_example_set_every_key_of_the_operators_file() -> None:
+    known = {key for key in stored("known_keys")["operator's file"] if key.count(".") < 2}
+    assert sections(FOLDER / "operator.toml") | sections(FOLDER / "shards.toml") == known
+    assert sections(DEPLOY / "relay.toml") == known
+
+
+def test_a_live_report_has_the_keys_of_the_sample() -> None:
+    live = stored("instances")["agreeing"]["keys of the report"]
+    sample = key_types(stored("status_sockets")["report as understood"])
+    assert {key for key in live if not key.startswith("by_class.")} <= set(sample)
+    assert {key for key in sample if "[" not in key and not key.startswith(("by_class.", "shards."))} <= set(
+        live
+    )
+
+
+def test_the_clock_of_leases_can_be_set_apart(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delenv("LINNETSTILE_CLOCK_RATE", raising=False)
+    assert operator.clock_rate() == 1.0
+    monkeypatch.setenv("LINNETSTILE_CLOCK_RATE", "1.02")
+    assert operator.clock_rate() == 1.02
+
+
+# -- units of the service manager --------------------------------------------------------------------------
+
+
+def unit_lines(pattern: str) -> Iterator[tuple[str, list[str]]]:
+    found = sorted((DEPLOY / "systemd").glob(pattern))
+    assert found, pattern
+    for path in found:
+        yield path.name, [line for line in path.read_text().splitlines() if line and line[0] not in "#["]
+
+
+def test_units_keep_their_user_folders_and_variables() -> None:
+    for name, lines in unit_lines("*.service"):
+        said = dict(line.split("=", 1) for line in lines if not line.startswith("Environment="))
+        assert said["User"] == "linnetstile", name
+        assert said["StateDirectory"] == f"{Path(STATE_FOLDER).name}/%i", name
+        assert (said["StateDirectoryMode"], said["RuntimeDirectoryMode"]) == ("0700", "0700"), name
+        assert said["RuntimeDirectory"] == RUNTIME_FOLDER, name
+        assert (said["Type"], said["RestartPreventExitStatus"]) == ("notify-reload", "2"), name
+        variables = dict(
+            pair.split("=", 1)
+            for line in lines
+            if line.startswith("Environment=")
+            for pair in line.removeprefix("Environment=").split()
+        )
+        assert variables.pop("RELAY_LISTEN").startswith("127.0.0.1:"), name
+        assert variables == {
+            "RELAY_NAME": "%i",
+            "RELAY_INSTANCE": "%i",
+            "RELAY_STATE": f"{STATE_FOLDER}/%i",
+            "RELAY_CONFIG": f"{ETC_FOLDER}/relay.json",
+            "RELAY_OPERATOR": f"{ETC_FOLDER}/relay.toml",
+        }, name
+
+
+def test_sockets_of_units_are_handed_over_under_the_same_name() -> None:
+    ports = []
+    for name, lines in unit_lines("*.socket"):
+        said = dict(line.split("=", 1) for line in lines)
+        assert said["FileDescriptorName"] == operator.clients_socket_name() == "clients", name
+        ports.append(said["ListenStream"])
+    assert sorted(ports) == ["127.0.0.1:1%i", "127.0.0.1:7%i"]
--- /dev/null
+++ b/tests/compatibility/wire_binding.py
@@ -0,0 +1,108 @@
+"""Every message between instances, by a neutral kind: into bytes, and out of them as plain values.
+
+A message is written down in its JSON form (arrays for compact messages, base64 for bytes); what each field
+means is read by attribute, so that a field that changes places or meaning is noticed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from linnetstile.accord.book import Answer as CommandAnswer
+from linnetstile.accord.book import Command, Version, command
+from linnetstile.accord.control import Question
+from linnetstile.accord.rules import Rules, decoded, encoded
+from linnetstile.accord.terms import Grant, Renew
+from linnetstile.failover.evidence import Report
+from linnetstile.peers.node import Hello
+from linnetstile.peers.wire import Packet, opened, sealed
+from linnetstile.shards import wire as shard_wire
+
+from .agreement_binding import (
+    command_answer_values,
+    command_values,
+    grant_values,
+    question_values,
+    renewal_values,
+    report_values,
+    rules_values,
+    version_values,
+)
+from .gossip_binding import hello_values, packet_values
+from .shard_binding import row_values, shard_message_values
+
+Plain = Any
+SECRET = b"0123456789abcdef"
+
+_pack = msgspec.msgpack.encode
+
+
+@dataclass(frozen=True)
+class _Format:
+    shape: Any
+    write: Callable[[Any], bytes]
+    read: Callable[[bytes], Any]
+    values: Callable[[Any], Any]
+
+
+def _msgpack(shape: Any, values: Callable[[Any], Any]) -> _Format:
+    return _Format(shape, _pack, lambda raw: msgspec.msgpack.decode(raw, type=shape), values)
+
+
+def _json(shape: Any, values: Callable[[Any], Any], read: Callable[[bytes], Any] | None = None) -> _Format:
+    return _Format(
+        shape, msgspec.json.encode, read or (lambda raw: msgspec.json.decode(raw, type=shape)), values
+    )
+
+
+def _itself(value: Any) -> Any:
+    return list(value) if isinstance(value, tuple) else value
+
+
+_FORMATS: dict[str, _Format] = {
+    "gossip": _Format(
+        Packet, lambda packet: sealed(packet, b""), lambda raw: opened(raw, b""), packet_values
+    ),
+    "sealed gossip": _Format(
+        Packet, lambda packet: sealed(packet, SECRET), lambda raw: opened(raw, SECRET), packet_values
+    ),
+    "hello": _msgpack(Hello, hello_values),
+    "lease renewal": _msgpack(Renew, renewal_values),
+    "lease grant": _msgpack(Grant, grant_values),
+    "boot question": _msgpack(tuple[str, int], _itself),
+    "boot answer": _msgpack(int, _itself),
+    "version question": _msgpack(int, _itself),
+    "version": _msgpack(Version, version_values),
+    "command": _json(Command, command_values, command),
+    "command answer": _json(CommandAnswer, command_answer_values),
+    "operator's question": _json(Question, question_values),
+    "rules": _Format(Rules, encoded, decoded, rules_values),
+    "evidence": _msgpack(Report, report_values),
+    "shards": _Format(shard_wire.Word, shard_wire.packed, shard_wire.read, shard_message_values),
+    "shard rows": _msgpack(list[shard_wire.Row], lambda rows: [row_values(row) for row in rows]),
+}
+
+
+def encode(kind: str, plain: Plain) -> bytes:
+    """A message's bytes, from its JSON form."""
+    found = _FORMATS[kind]
+    return found.write(msgspec.json.decode(msgspec.json.encode(plain), type=found.shape))
+
+
+def decode(kind: str, raw: bytes) -> Any:
+    """What a message says, by neutral keys."""
+    found = _FORMATS[kind]
+    return found.values(found.read(raw))
+
+
+def encode_again(kind: str, raw: bytes) -> bytes:
+    found = _FORMATS[kind]
+    return found.write(found.read(raw))
+
+
+def kinds() -> list[str]:
+    return sorted(_FORMATS)
