--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -37,8 +37,12 @@
     lines = entries(path.read_text()) if path.exists() else []
     collected: set[str] = set()
     if lines:
-        done = subprocess.run([sys.executable, "-m", "pytest", "--collect-only", "-q"], capture_output=True,
-                              text=True, check=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "pytest", "--collect-only", "-q"],
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         collected = {line.strip() for line in done.stdout.splitlines() if "::" in line}
     try:
         tests = named(lines, collected)
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -81,7 +81,10 @@
     """In a process of its own. Raises ValueError with what it said if it failed."""
     done = subprocess.run(
         [sys.executable, "-m", "benchmarks.capacity", "--one", measure.name, "--size", str(size)],
-        capture_output=True, text=True, timeout=PATIENCE_S, check=False,
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE_S,
+        check=False,
     )
     if done.returncode:
         raise ValueError(f"{measure.name} at {size}: {done.stderr.strip()[-400:]}")
@@ -102,8 +105,17 @@
         for size in (*measure.sizes, measure.largest):
             values = [row[cost] for row in rows[size]]
             samples.append(Sample(size, statistics.median(values), min(values), max(values)))
-        slopes.append(fitted(f"{measure.name}.{cost}", measure.per, measure.units[cost], samples[:-1],
-                             samples[-1], measure.mechanism, measure.note))
+        slopes.append(
+            fitted(
+                f"{measure.name}.{cost}",
+                measure.per,
+                measure.units[cost],
+                samples[:-1],
+                samples[-1],
+                measure.mechanism,
+                measure.note,
+            )
+        )
     return slopes
 
 
@@ -123,25 +135,44 @@
             print(f"  failed: {error}", file=sys.stderr)
     watch.ended.set()
     watch.join()
-    kept = [] if before is None or not only else [
-        each for each in before.slopes if not any(each.name.startswith(f"{part.name}.") for part in chosen)]
+    kept = (
+        []
+        if before is None or not only
+        else [
+            each
+            for each in before.slopes
+            if not any(each.name.startswith(f"{part.name}.") for part in chosen)
+        ]
+    )
     facts = {} if before is None else before.facts
     machine = f"{os.cpu_count()} cores, {platform.python_implementation()} {platform.python_version()}"
-    return Report(machine, round(time.monotonic() - began, 1), round(watch.most_mb), watch.most_processes,
-                  sorted(kept + slopes, key=lambda each: each.name), facts, missing)
+    return Report(
+        machine,
+        round(time.monotonic() - began, 1),
+        round(watch.most_mb),
+        watch.most_processes,
+        sorted(kept + slopes, key=lambda each: each.name),
+        facts,
+        missing,
+    )
 
 
 def table(report: Report) -> str:
-    lines = [f"{'slope':42} {'unit':12} {'base':>10} {'each':>12} {'+-':>10} {'exponent':>16} "
-             f"{'largest':>9} {'predicted':>11} {'measured':>11}"]
+    lines = [
+        f"{'slope':42} {'unit':12} {'base':>10} {'each':>12} {'+-':>10} {'exponent':>16} "
+        f"{'largest':>9} {'predicted':>11} {'measured':>11}"
+    ]
     for one in report.slopes:
         lines.append(
             f"{one.name:42} {one.unit:12} {one.base:10.4g} {one.each:12.4g} {one.each_high - one.each:10.2g} "
             f"{one.exponent:6.2f} +- {one.exponent_high - one.exponent:4.2f} {one.largest:9} "
-            f"{one.predicted:11.4g} {one.measured:11.4g}{'  OFF' if one.finding else ''}")
+            f"{one.predicted:11.4g} {one.measured:11.4g}{'  OFF' if one.finding else ''}"
+        )
     lines += [f"failed: {each}" for each in report.missing]
-    lines.append(f"{report.seconds:.0f} s, {report.most_mb:.0f} MB and {report.most_processes} processes "
-                 f"at most; {report.machine}")
+    lines.append(
+        f"{report.seconds:.0f} s, {report.most_mb:.0f} MB and {report.most_processes} processes "
+        f"at most; {report.machine}"
+    )
     return "\n".join(lines)
 
 
--- a/benchmarks/capacity/accord.py
+++ b/benchmarks/capacity/accord.py
@@ -101,8 +101,12 @@
         took, _ = round_of(it, 8.0 + n, 1000 + n, size - 1, (newest, newest + 1), 1000)
         waiting.append(took)
     assert it.blocked == [f"n{size - 1}"]
-    return {"cpu_us": 1e6 * each, "waiting_cpu_us": 1e6 * min(waiting) / (size - 1),
-            "bytes": both, "memory_bytes": memory}
+    return {
+        "cpu_us": 1e6 * each,
+        "waiting_cpu_us": 1e6 * min(waiting) / (size - 1),
+        "bytes": both,
+        "memory_bytes": memory,
+    }
 
 
 def clear(size: int) -> Mapping[str, float]:
@@ -123,11 +127,17 @@
 
 
 def written(size: int, rate: float) -> Rules:
-    return Rules({
-        str(n): Destination(rate=rate, endpoints=frozenset(f"10.0.{n % 250}.{m}:80" for m in range(ENDPOINTS))
-                            if n % 10 == 0 else None)
-        for n in range(size)
-    })
+    return Rules(
+        {
+            str(n): Destination(
+                rate=rate,
+                endpoints=frozenset(f"10.0.{n % 250}.{m}:80" for m in range(ENDPOINTS))
+                if n % 10 == 0
+                else None,
+            )
+            for n in range(size)
+        }
+    )
 
 
 def rules(size: int) -> Mapping[str, float]:
@@ -162,26 +172,44 @@
     began = time.process_time()
     it.renewed(0.1, "n9", Renew(1, 1, 1, FIRST, (1, 2), 1))  # the first that says so: the others cost nothing
     it.clear(0.1)
-    return {"bytes": len(told), "voter_cpu_ms": 1000 * voter_s, "relay_cpu_ms": 1000 * relay_s,
-            "first_renewal_cpu_ms": 1000 * (time.process_time() - began)}
+    return {
+        "bytes": len(told),
+        "voter_cpu_ms": 1000 * voter_s,
+        "relay_cpu_ms": 1000 * relay_s,
+        "first_renewal_cpu_ms": 1000 * (time.process_time() - began),
+    }
 
 
 MEASURES = (
     Measure(
-        "accord.renewal", "relay", (100, 200, 400, 800, 1600), 3500,
+        "accord.renewal",
+        "relay",
+        (100, 200, 400, 800, 1600),
+        3500,
         {"cpu_us": "us", "waiting_cpu_us": "us", "bytes": "bytes", "memory_bytes": "bytes"},
-        renewal, "linnetstile/accord/granting.py",
+        renewal,
+        "linnetstile/accord/granting.py",
         "one renewal at one voter, opened and sealed, 64 versions kept; no system call; waiting: while a "
         "version waits for a relay that is cut off",
     ),
     Measure(
-        "accord.clear", "relay", (100, 200, 400, 800, 1600), 3500, {"cpu_ms": "ms"},
-        clear, "linnetstile/accord/granting.py", "one look at all relays, each of which is waited for",
+        "accord.clear",
+        "relay",
+        (100, 200, 400, 800, 1600),
+        3500,
+        {"cpu_ms": "ms"},
+        clear,
+        "linnetstile/accord/granting.py",
+        "one look at all relays, each of which is waited for",
     ),
     Measure(
-        "accord.rules", "destination", (150, 300, 600, 1200, 2400), 5000,
+        "accord.rules",
+        "destination",
+        (150, 300, 600, 1200, 2400),
+        5000,
         {"bytes": "bytes", "voter_cpu_ms": "ms", "relay_cpu_ms": "ms", "first_renewal_cpu_ms": "ms"},
-        rules, "linnetstile/accord/rules.py",
+        rules,
+        "linnetstile/accord/rules.py",
         "a version goes whole to each relay; a set names 5,000 destinations at the most (NAMES)",
     ),
 )
--- a/benchmarks/capacity/commands.py
+++ b/benchmarks/capacity/commands.py
@@ -31,12 +31,34 @@
 
 
 def report(number: int, count: int) -> Report:
-    told = [Destination(1000 + n, None, 1, 3, 1, 1.234, None, 0.012, False, 0.0, None, 12.3)
-            for n in range(DESTINATIONS)]
+    told = [
+        Destination(1000 + n, None, 1, 3, 1, 1.234, None, 0.012, False, 0.0, None, 12.3)
+        for n in range(DESTINATIONS)
+    ]
     return Report(
-        f"relay-{number}", number, count, 4000 + number, "serving", 1.75e12, 86_400.0, 600, 1000,
-        {"order": 400, "pay": 150, "status": 50}, 40, 64, 2, 12, 1_500_000, 900_000, 3_000_000, 61.2, 1234.5,
-        Lag(0.2, 1.1, 4.5), told, 800)
+        f"relay-{number}",
+        number,
+        count,
+        4000 + number,
+        "serving",
+        1.75e12,
+        86_400.0,
+        600,
+        1000,
+        {"order": 400, "pay": 150, "status": 50},
+        40,
+        64,
+        2,
+        12,
+        1_500_000,
+        900_000,
+        3_000_000,
+        61.2,
+        1234.5,
+        Lag(0.2, 1.1, 4.5),
+        told,
+        800,
+    )
 
 
 def status(size: int) -> Mapping[str, float]:
@@ -53,8 +75,7 @@
             text = as_json(found, fleet, silent)
             cpu = time.process_time() - cpu
             assert len(found) == size and not silent
-            return {"cpu_ms": 1e3 * cpu, "bytes": float(len(text)),
-                    "memory_bytes": 1e6 * (rss_mb() - before)}
+            return {"cpu_ms": 1e3 * cpu, "bytes": float(len(text)), "memory_bytes": 1e6 * (rss_mb() - before)}
 
     return asyncio.run(work())
 
@@ -88,12 +109,26 @@
 
 
 MEASURES: tuple[Measure, ...] = (
-    Measure("commands.status", "instance", (25, 50, 100, 200, 400), 1600,
-            {"cpu_ms": "ms", "bytes": "bytes", "memory_bytes": "bytes"}, status, "linnetstile/cli/status.py",
-            f"sockets that stand in for instances, {DESTINATIONS} destinations told by each; the processor "
-            "time holds both sides"),
-    Measure("supervisor.instances", "instance", (25, 50, 100, 200), 800,
-            {"cpu_ms_s": "ms/s", "memory_bytes": "bytes"}, instances, "linnetstile/fleet/plan.py",
-            f"its decisions in virtual time, {VIRTUAL_S} s, a beat a second each; without the processes and "
-            "their pipes"),
+    Measure(
+        "commands.status",
+        "instance",
+        (25, 50, 100, 200, 400),
+        1600,
+        {"cpu_ms": "ms", "bytes": "bytes", "memory_bytes": "bytes"},
+        status,
+        "linnetstile/cli/status.py",
+        f"sockets that stand in for instances, {DESTINATIONS} destinations told by each; the processor "
+        "time holds both sides",
+    ),
+    Measure(
+        "supervisor.instances",
+        "instance",
+        (25, 50, 100, 200),
+        800,
+        {"cpu_ms_s": "ms/s", "memory_bytes": "bytes"},
+        instances,
+        "linnetstile/fleet/plan.py",
+        f"its decisions in virtual time, {VIRTUAL_S} s, a beat a second each; without the processes and "
+        "their pipes",
+    ),
 )
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -48,11 +48,26 @@
 
 
 MEASURES: tuple[Measure, ...] = (
-    Measure("decisions.message", "destination", (1_250, 2_500, 5_000, 10_000), 40_000,
-            {"cpu_us": "us", "turn_ms": "ms"}, message, "linnetstile/decisions/control.py",
-            f"{EACH} held for each destination; a message's coming, an outcome and what dies meanwhile; "
-            f"turn_ms: the longest of {MESSAGES}", 1),
-    Measure("decisions.held", "message", (2_500, 5_000, 10_000, 20_000), 80_000,
-            {"memory_bytes": "bytes"}, held, "linnetstile/decisions/state.py",
-            f"for {DESTS} destinations, whose part is in the base; without body and journal entry"),
+    Measure(
+        "decisions.message",
+        "destination",
+        (1_250, 2_500, 5_000, 10_000),
+        40_000,
+        {"cpu_us": "us", "turn_ms": "ms"},
+        message,
+        "linnetstile/decisions/control.py",
+        f"{EACH} held for each destination; a message's coming, an outcome and what dies meanwhile; "
+        f"turn_ms: the longest of {MESSAGES}",
+        1,
+    ),
+    Measure(
+        "decisions.held",
+        "message",
+        (2_500, 5_000, 10_000, 20_000),
+        80_000,
+        {"memory_bytes": "bytes"},
+        held,
+        "linnetstile/decisions/state.py",
+        f"for {DESTS} destinations, whose part is in the base; without body and journal entry",
+    ),
 )
--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -32,8 +32,10 @@
 def item(number: int, lifecycle: str = "ready", port: int = 8080) -> str:
     """An endpoint as a register writes it, 150 bytes or so."""
     host = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:{port}"
-    return (f'{{"instanceId":"s-{number:08x}","hostPort":"{host}","zone":"z","machineType":"k",'
-            f'"cell":{number},"lifecycle":"{lifecycle}","weight":8.3,"startedAtMs":1750000000000}}')
+    return (
+        f'{{"instanceId":"s-{number:08x}","hostPort":"{host}","zone":"z","machineType":"k",'
+        f'"cell":{number},"lifecycle":"{lifecycle}","weight":8.3,"startedAtMs":1750000000000}}'
+    )
 
 
 def answer(size: int) -> bytes:
@@ -47,8 +49,14 @@
 def relay(folder: Path) -> Assembly:
     """One with nothing listed. It is not started: no sockets, and nothing that runs by itself."""
     (folder / "state").mkdir()
-    raw = {"name": "b", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1",
-           "state": str(folder / "state"), "settings": settings(1000)}
+    raw = {
+        "name": "b",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:1",
+        "seed": "1",
+        "state": str(folder / "state"),
+        "settings": settings(1000),
+    }
     (folder / "config.json").write_text(json.dumps(raw))
     built = assemble(config.load({"RELAY_CONFIG": str(folder / "config.json")}))
     built.host.open = True  # as after the first list: what is listed goes to the decisions
@@ -87,6 +95,7 @@
 
 def measured(size: int) -> Mapping[str, float]:
     """All in one process: a list of 360,000 takes long enough to make once."""
+
     def work(built: Assembly) -> Mapping[str, float]:
         body = answer(size)
         before, cpu = 1e6 * rss_mb(), time.process_time()
@@ -94,9 +103,15 @@
         cpu = time.process_time() - cpu
         after, most = 1e6 * rss_mb(), 1e6 * most_rss_mb()
         assert len(built.host.relay.doors) == size
-        return {"list.json_bytes": float(len(body)), "list.turn_ms": max(turns), "list.cpu_ms": 1e3 * cpu,
-                "list.memory_bytes": after - before, "list.peak_bytes": most - before + len(body),
-                "change.cpu_ms": changed(built, size), "sweep.cpu_ms": swept(built)}
+        return {
+            "list.json_bytes": float(len(body)),
+            "list.turn_ms": max(turns),
+            "list.cpu_ms": 1e3 * cpu,
+            "list.memory_bytes": after - before,
+            "list.peak_bytes": most - before + len(body),
+            "change.cpu_ms": changed(built, size),
+            "sweep.cpu_ms": swept(built),
+        }
 
     return asyncio.run(in_service(work))
 
@@ -123,12 +138,24 @@
 
 
 MEASURES: tuple[Measure, ...] = (
-    Measure("directory", "destination", SIZES, LARGEST,
-            {"list.json_bytes": "bytes", "list.turn_ms": "ms", "list.cpu_ms": "ms",
-             "list.memory_bytes": "bytes", "list.peak_bytes": "bytes", "change.cpu_ms": "ms",
-             "sweep.cpu_ms": "ms"},
-            measured, "linnetstile/core/directory.py, decisions/members.py, core/host.py",
-            "one endpoint a destination. list: taken whole; turn_ms: the longer of the source's turn and the "
-            "decisions'; peak_bytes: while it is taken, the answer's body counted once. change: one endpoint "
-            f"drains or comes at another port, median of {2 * CHANGES}. sweep: what is done once a second"),
+    Measure(
+        "directory",
+        "destination",
+        SIZES,
+        LARGEST,
+        {
+            "list.json_bytes": "bytes",
+            "list.turn_ms": "ms",
+            "list.cpu_ms": "ms",
+            "list.memory_bytes": "bytes",
+            "list.peak_bytes": "bytes",
+            "change.cpu_ms": "ms",
+            "sweep.cpu_ms": "ms",
+        },
+        measured,
+        "linnetstile/core/directory.py, decisions/members.py, core/host.py",
+        "one endpoint a destination. list: taken whole; turn_ms: the longer of the source's turn and the "
+        "decisions'; peak_bytes: while it is taken, the answer's body counted once. change: one endpoint "
+        f"drains or comes at another port, median of {2 * CHANGES}. sweep: what is done once a second",
+    ),
 )
--- a/benchmarks/capacity/evidence.py
+++ b/benchmarks/capacity/evidence.py
@@ -35,8 +35,10 @@
 
 
 def packets(reports: list[Report]) -> list[bytes]:
-    return [sealed(Packet(each.origin, 1, App(EVIDENCE, msgspec.msgpack.encode(each))), SECRET)
-            for each in reports]
+    return [
+        sealed(Packet(each.origin, 1, App(EVIDENCE, msgspec.msgpack.encode(each))), SECRET)
+        for each in reports
+    ]
 
 
 def taken(evidence: Evidence, now: float, raws: list[bytes]) -> None:
@@ -100,17 +102,32 @@
 
 MEASURES = (
     Measure(
-        "evidence.report", "destination", (12, 25, 50, 100), 200,
+        "evidence.report",
+        "destination",
+        (12, 25, 50, 100),
+        200,
         {"bytes": "bytes", "datagrams": "datagrams", "cpu_ms": "ms"},
-        report, "linnetstile/failover/evidence.py",
+        report,
+        "linnetstile/failover/evidence.py",
         "a window of 857 calls of one relay to one voter; the processor time is the voter's; more than 200 "
         "destinations are summed up (CELLS)",
     ),
     Measure(
-        "evidence.sum", "relay", (25, 50, 100, 200, 400), 800,
-        {"take_cpu_ms": "ms", "take_bytes": "bytes", "series_cpu_ms": "ms", "demand_cpu_ms": "ms",
-         "news_cpu_ms": "ms", "first_look_cpu_ms": "ms", "look_cpu_ms": "ms"},
-        total, "linnetstile/failover/decider.py",
+        "evidence.sum",
+        "relay",
+        (25, 50, 100, 200, 400),
+        800,
+        {
+            "take_cpu_ms": "ms",
+            "take_bytes": "bytes",
+            "series_cpu_ms": "ms",
+            "demand_cpu_ms": "ms",
+            "news_cpu_ms": "ms",
+            "first_look_cpu_ms": "ms",
+            "look_cpu_ms": "ms",
+        },
+        total,
+        "linnetstile/failover/decider.py",
         "each relay calls 20 destinations, each of which ten relays call; take: of one window; look: the "
         "turn of a decider, once a window, on the loop",
     ),
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -43,10 +43,20 @@
 RETURN, ZONE, FROZEN_S = 200, 700, 10.0
 BACK_S = 2.0  # periods: a supervisor starts one that crashed about so long after
 RATES = 900.0, 895.0  # the standby of each lies within the other: one that ends holds it up for a lease
-UNITS = {"bytes_s": "bytes/s", "bytes_in_s": "bytes/s", "datagrams_s": "datagrams/s",
-         "datagrams_in_s": "datagrams/s", "cpu_share": "cores", "memory_bytes": "bytes",
-         "voter_datagrams_in_s": "datagrams/s", "voter_bytes_in_s": "bytes/s", "voter_bytes_s": "bytes/s",
-         "voter_cpu_share": "cores", "voter_memory_bytes": "bytes", "change_p99_s": "s"}
+UNITS = {
+    "bytes_s": "bytes/s",
+    "bytes_in_s": "bytes/s",
+    "datagrams_s": "datagrams/s",
+    "datagrams_in_s": "datagrams/s",
+    "cpu_share": "cores",
+    "memory_bytes": "bytes",
+    "voter_datagrams_in_s": "datagrams/s",
+    "voter_bytes_in_s": "bytes/s",
+    "voter_bytes_s": "bytes/s",
+    "voter_cpu_share": "cores",
+    "voter_memory_bytes": "bytes",
+    "change_p99_s": "s",
+}
 MECHANISMS = {"voter": "linnetstile/accord/granting.py", "change": "linnetstile/accord/node.py"}
 MECHANISM = "linnetstile/peers/swim.py"
 
@@ -70,9 +80,11 @@
     told["change_cpu_ms"] = 1000 * (after["cpu_s"] - before["cpu_s"]) / them.up / len(rows)
     told["changes_took_s"] = after["at"] - before["at"]
     told["voter_refused_streams"] = after["voter"]["refused_streams"]
-    return told | {f"change_{name}": statistics.median(row[name] for row in rows)
-                   for name in ("p50_s", "p99_s")} | {
-        "change_most_s": max(row["most_s"] for row in rows)}
+    return (
+        told
+        | {f"change_{name}": statistics.median(row[name] for row in rows) for name in ("p50_s", "p99_s")}
+        | {"change_most_s": max(row["most_s"] for row in rows)}
+    )
 
 
 async def storm(them: HollowFleet, seconds: float) -> dict[str, float]:
@@ -88,9 +100,13 @@
     for version, at in proposed:
         bins = await them.acted(version)
         rows.append((bins.quantile(0.5, at), bins.quantile(0.99, at), bins.quantile(1.0, at), len(bins)))
-    return {"changes_20_took_s": took, "changes_20_p50_s": statistics.median(row[0] for row in rows),
-            "changes_20_p99_s": max(row[1] for row in rows), "changes_20_most_s": max(row[2] for row in rows),
-            "changes_20_acting_least": min(row[3] for row in rows)}
+    return {
+        "changes_20_took_s": took,
+        "changes_20_p50_s": statistics.median(row[0] for row in rows),
+        "changes_20_p99_s": max(row[1] for row in rows),
+        "changes_20_most_s": max(row[2] for row in rows),
+        "changes_20_acting_least": min(row[3] for row in rows),
+    }
 
 
 async def away(them: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
@@ -121,9 +137,13 @@
     while time.monotonic() < ends and len(lives) < want:
         await asyncio.sleep(1.0)
         lives.merge(merged((await them.heard())["lives"], keys).counts)
-    return {f"{name}_s": acted, f"{name}_all_act": float(not math.isnan(acts)),
-            f"{name}_known_p50_s": lives.quantile(0.5, at), f"{name}_known_p99_s": lives.quantile(0.99, at),
-            f"{name}_known": min(1.0, len(lives) / want)}
+    return {
+        f"{name}_s": acted,
+        f"{name}_all_act": float(not math.isnan(acts)),
+        f"{name}_known_p50_s": lives.quantile(0.5, at),
+        f"{name}_known_p99_s": lives.quantile(0.99, at),
+        f"{name}_known": min(1.0, len(lives) / want),
+    }
 
 
 async def crashed(them: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
@@ -166,15 +186,23 @@
         await asyncio.sleep(2.0)
         await them.heard()
     new = {key for key in them.wrong if key not in wrong}
-    return {"frozen": len(worker.numbers), "frozen_acts_s": acts, "frozen_dead": len(new & mine),
-            "frozen_wrong_deaths": len(new - mine)}
+    return {
+        "frozen": len(worker.numbers),
+        "frozen_acts_s": acts,
+        "frozen_dead": len(new & mine),
+        "frozen_wrong_deaths": len(new - mine),
+    }
 
 
 async def play(args: argparse.Namespace) -> dict[str, Any]:
     began = time.monotonic()
-    row: dict[str, Any] = {"instances": args.instances, "processes": args.processes, "stretch": args.stretch,
-                           "machine": f"{os.cpu_count()} cores, Python {platform.python_version()}",
-                           "load": os.getloadavg()[0]}
+    row: dict[str, Any] = {
+        "instances": args.instances,
+        "processes": args.processes,
+        "stretch": args.stretch,
+        "machine": f"{os.cpu_count()} cores, Python {platform.python_version()}",
+        "load": os.getloadavg()[0],
+    }
     async with hollow_fleet(args.instances, args.processes, args.stretch, args.zone_of) as them:
         them.say(f"{args.instances}: real ones up after {time.monotonic() - began:.1f} s")
         them.serve()
@@ -187,16 +215,26 @@
                 if event == "rest":
                     row |= await them.rest(REST_S)
                 else:
-                    happens = {"changes": changes, "storm": storm, "return": returning, "zone": zone,
-                               "frozen": frozen, "deaths": deaths}[event]
+                    happens = {
+                        "changes": changes,
+                        "storm": storm,
+                        "return": returning,
+                        "zone": zone,
+                        "frozen": frozen,
+                        "deaths": deaths,
+                    }[event]
                     try:
                         row |= await happens(them, args.patience)
                     except Broken as error:
                         row[f"{event}_failed"] = str(error)
                 them.say(f"  {event} done after {time.monotonic() - began:.1f} s")
             await them.heard()
-            row |= {"wrong_deaths": len(them.wrong), "wrong_deaths_heard": sum(them.wrong.values()),
-                    "suspected": len(them.suspected), "conflicts": them.conflicts}
+            row |= {
+                "wrong_deaths": len(them.wrong),
+                "wrong_deaths_heard": sum(them.wrong.values()),
+                "suspected": len(them.suspected),
+                "conflicts": them.conflicts,
+            }
             if them.clients is not None:
                 row["real_taken"] = len(them.clients.taken)
                 row["real_asked"] = len(them.clients.asked)
@@ -226,15 +264,27 @@
     for cost, unit in UNITS.items():
         samples = []
         for size in sizes:
-            values = [row[cost] for row in rows if row["instances"] == size and cost in row
-                      and math.isfinite(row[cost])]
+            values = [
+                row[cost]
+                for row in rows
+                if row["instances"] == size and cost in row and math.isfinite(row[cost])
+            ]
             if values:
                 samples.append(Sample(size, statistics.median(values), min(values), max(values)))
         if len(samples) < 5:
             continue
         mechanism = MECHANISMS.get(cost.partition("_")[0], MECHANISM)
-        found.append(fitted(f"hollow.{cost}", "instance", unit, samples[:-1], samples[-1], mechanism,
-                            f"periods {rows[0]['stretch']:g} times the defaults"))
+        found.append(
+            fitted(
+                f"hollow.{cost}",
+                "instance",
+                unit,
+                samples[:-1],
+                samples[-1],
+                mechanism,
+                f"periods {rows[0]['stretch']:g} times the defaults",
+            )
+        )
     return found
 
 
@@ -244,8 +294,11 @@
     found: dict[str, float] = {}
     for row in rows:
         if row["instances"] == most:
-            found |= {f"hollow.{name}": float(value) for name, value in row.items()
-                      if isinstance(value, int | float) and math.isfinite(value)}
+            found |= {
+                f"hollow.{name}": float(value)
+                for name, value in row.items()
+                if isinstance(value, int | float) and math.isfinite(value)
+            }
     return found
 
 
@@ -260,13 +313,16 @@
     new = slopes(rows)
     kept = [each for each in before.slopes if not each.name.startswith("hollow.")]
     known = {name: value for name, value in before.facts.items() if not name.startswith("hollow.")}
-    told = msgspec.structs.replace(before, slopes=sorted(kept + new, key=lambda each: each.name),
-                                   facts=known | facts(rows))
+    told = msgspec.structs.replace(
+        before, slopes=sorted(kept + new, key=lambda each: each.name), facts=known | facts(rows)
+    )
     into.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1) + b"\n")
     return "\n".join(
         f"{each.name:32} base {each.base:12.5g} each {each.each:12.5g} exponent {each.exponent:5.2f}  at "
         f"{each.largest}: predicted {each.predicted:.5g}, measured {each.measured:.5g}"
-        f"{'  OFF' if each.finding else ''}" for each in new)
+        f"{'  OFF' if each.finding else ''}"
+        for each in new
+    )
 
 
 def main() -> int:
--- a/benchmarks/capacity/hollow_figures.py
+++ b/benchmarks/capacity/hollow_figures.py
@@ -37,8 +37,11 @@
         return math.nan
 
     def quartet(self, since: float) -> dict[str, float]:
-        return {"p50_s": self.quantile(0.5, since), "p99_s": self.quantile(0.99, since),
-                "most_s": self.quantile(1.0, since)}
+        return {
+            "p50_s": self.quantile(0.5, since),
+            "p99_s": self.quantile(0.99, since),
+            "most_s": self.quantile(1.0, since),
+        }
 
 
 def of(times: Iterable[float]) -> Bins:
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -37,8 +37,9 @@
 def parts(zones: Sequence[str], window_s: float) -> str:
     """Of the operator's file: two regions."""
     east = (len(zones) + 1) // 2
-    named = ", ".join(f'{zone} = {{ region = "{"east" if n < east else "west"}" }}'
-                      for n, zone in enumerate(zones))
+    named = ", ".join(
+        f'{zone} = {{ region = "{"east" if n < east else "west"}" }}' for n, zone in enumerate(zones)
+    )
     return f"[failover]\nzones = {{ {named} }}\nwindow_s = {window_s:g}\n"
 
 
@@ -112,14 +113,24 @@
         for n in range(self.processes):
             log = open(self.it.folder / f"hollow{n}.log", "ab")  # noqa: SIM115  the process keeps it
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "benchmarks.capacity.hollow_instance",
-                "--operator", str(self.it.folder / "relay.toml"),
-                "--config", str(self.it.folder / "config0.json"),
-                "--state", str(self.state),
-                "--address", f"127.{self.it.block}.{4 + n}.1",
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log, limit=LINE_BYTES)
+                sys.executable,
+                "-m",
+                "benchmarks.capacity.hollow_instance",
+                "--operator",
+                str(self.it.folder / "relay.toml"),
+                "--config",
+                str(self.it.folder / "config0.json"),
+                "--state",
+                str(self.state),
+                "--address",
+                f"127.{self.it.block}.{4 + n}.1",
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                limit=LINE_BYTES,
+            )
             log.close()
-            worker = Worker(process, self.numbers[n::self.processes], 0)
+            worker = Worker(process, self.numbers[n :: self.processes], 0)
             assert process.stdout is not None
             line = await process.stdout.readline()
             if not line:
@@ -135,10 +146,18 @@
         begun = time.monotonic()
         zones = {str(number): self.zone(number) for number in numbers}
         wanted = set(numbers)
-        await asyncio.gather(*(
-            worker.do(do="start", numbers=[n for n in worker.numbers if n in wanted], zones=zones,
-                      of=self.instances + self.it.instances, within_s=within_s)
-            for worker in self.workers))
+        await asyncio.gather(
+            *(
+                worker.do(
+                    do="start",
+                    numbers=[n for n in worker.numbers if n in wanted],
+                    zones=zones,
+                    of=self.instances + self.it.instances,
+                    within_s=within_s,
+                )
+                for worker in self.workers
+            )
+        )
         self.boots.update(numbers)
         self.down -= wanted
         return time.monotonic() - begun
@@ -173,8 +192,9 @@
     def up(self) -> int:
         return self.instances - len(self.down)
 
-    async def until(self, true: Callable[[list[dict[str, Any]]], bool], seconds: float, word: str,
-                    every: float = 1.0) -> float:
+    async def until(
+        self, true: Callable[[list[dict[str, Any]]], bool], seconds: float, word: str, every: float = 1.0
+    ) -> float:
         """Until that is true of all workers; how long it took. nan, and said, where it does not come."""
         begun = time.monotonic()
         while True:
@@ -190,12 +210,18 @@
         """Until each knows each other one that runs, and nobody else."""
         count = self.up + self.it.instances
         return await self.until(
-            lambda told: all(row["least"] == row["most"] == count for row in told), seconds,
-            f"all know {count}")
+            lambda told: all(row["least"] == row["most"] == count for row in told),
+            seconds,
+            f"all know {count}",
+        )
 
     async def all_act(self, seconds: float) -> float:
-        return await self.until(lambda told: sum(row["acts"] for row in told) == self.up, seconds,
-                                f"all act by {self.version}", 0.25)
+        return await self.until(
+            lambda told: sum(row["acts"] for row in told) == self.up,
+            seconds,
+            f"all act by {self.version}",
+            0.25,
+        )
 
     async def heard(self) -> dict[str, dict[str, Bins]]:
         """What was heard of members since the last look, by process; what was wrong is kept."""
@@ -215,12 +241,16 @@
         total: Counter[str] = Counter()
         for row in rows:
             total.update(row["counts"])
-        return {"counts": total, "cpu_s": sum(row["cpu_s"] for row in rows), "at": time.monotonic(),
-                "rss": sum(row["rss"] - worker.empty for row, worker in zip(rows, self.workers, strict=True)),
-                "descriptors": max(row["descriptors"] for row in rows),
-                "lag_ms": max(row["lag_ms"][2] for row in rows),
-                "voters": {n: self._used(n) for n in range(self.it.instances)},
-                "voter": await self._traffic(0)}
+        return {
+            "counts": total,
+            "cpu_s": sum(row["cpu_s"] for row in rows),
+            "at": time.monotonic(),
+            "rss": sum(row["rss"] - worker.empty for row, worker in zip(rows, self.workers, strict=True)),
+            "descriptors": max(row["descriptors"] for row in rows),
+            "lag_ms": max(row["lag_ms"][2] for row in rows),
+            "voters": {n: self._used(n) for n in range(self.it.instances)},
+            "voter": await self._traffic(0),
+        }
 
     async def _traffic(self, n: int) -> Counter[str]:
         try:
@@ -252,13 +282,16 @@
         return {
             "bytes_s": mine["sent_bytes"] + mine["asked_bytes"],
             "bytes_in_s": mine["received_bytes"],
-            "datagrams_s": mine["sent"], "datagrams_in_s": mine["received"],
+            "datagrams_s": mine["sent"],
+            "datagrams_in_s": mine["received"],
             "cpu_share": (after["cpu_s"] - before["cpu_s"]) / took / self.up,
             "memory_bytes": after["rss"] / self.up,
-            "descriptors": after["descriptors"], "lag_ms": after["lag_ms"],
+            "descriptors": after["descriptors"],
+            "lag_ms": after["lag_ms"],
             "voter_datagrams_in_s": voter.get("received", 0.0),
             "voter_bytes_in_s": voter.get("received_bytes", 0.0),
-            "voter_datagrams_s": voter.get("sent", 0.0), "voter_bytes_s": voter.get("sent_bytes", 0.0),
+            "voter_datagrams_s": voter.get("sent", 0.0),
+            "voter_bytes_s": voter.get("sent_bytes", 0.0),
             "voter_cpu_share": max(used),
             "voter_memory_bytes": max(self._memory(n) for n in range(self.it.voters)),
         }
@@ -313,12 +346,24 @@
 
 
 @contextlib.asynccontextmanager
-async def hollow_fleet(instances: int, processes: int, stretch: float, zone_of: int = 0,
-                       voters: int = VOTERS, relays: int = RELAYS, zones: tuple[str, ...] = ZONES,
-                       ) -> AsyncIterator[HollowFleet]:
+async def hollow_fleet(
+    instances: int,
+    processes: int,
+    stretch: float,
+    zone_of: int = 0,
+    voters: int = VOTERS,
+    relays: int = RELAYS,
+    zones: tuple[str, ...] = ZONES,
+) -> AsyncIterator[HollowFleet]:
     async with town(
-        voters + relays, voters=voters, bound=BOUND_S * stretch, horizon=HORIZON_S * stretch,
-        period=PERIOD_S * stretch, zones=len(zones), partners=zones, deadline_share=0.5,
+        voters + relays,
+        voters=voters,
+        bound=BOUND_S * stretch,
+        horizon=HORIZON_S * stretch,
+        period=PERIOD_S * stretch,
+        zones=len(zones),
+        partners=zones,
+        deadline_share=0.5,
         more_parts=parts(zones, WINDOW_S * stretch),
     ) as it:
         memory = str(MEMORY) if MEMORY.is_dir() else None
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -40,8 +40,19 @@
 PORT = 7400  # with an instance's number
 LINE_BYTES = 1 << 24  # of an order: names of all that end
 START_S = 0.002  # between two starts in one turn of an order: others have theirs in between
-COUNTED = ("sent", "sent_bytes", "received", "received_bytes", "errors", "unreadable", "refused_streams",
-           "asked", "asked_bytes", "conversations", "conversation_bytes")
+COUNTED = (
+    "sent",
+    "sent_bytes",
+    "received",
+    "received_bytes",
+    "errors",
+    "unreadable",
+    "refused_streams",
+    "asked",
+    "asked_bytes",
+    "conversations",
+    "conversation_bytes",
+)
 
 
 class Silent:
@@ -146,15 +157,23 @@
         told = msgspec.structs.replace(
             self.told,
             peers=msgspec.structs.replace(self.told.peers, listen=listen, address=""),
-            fleet=FleetPart(instances=of), status=StatusPart(),
+            fleet=FleetPart(instances=of),
+            status=StatusPart(),
         )
         state = Path(self.args.state) / str(number)
         state.mkdir(parents=True, exist_ok=True)
         settings = replace(self.config.settings, zone=zone)
         config = Config(
-            name=f"n{number}", listen=("127.0.0.1", 1), discovery=self.config.discovery, state=state,
-            seed=number, sockets=self.config.sockets, disk_bytes=self.config.disk_bytes,
-            known=self.listed, settings=settings, zones=self.config.zones,
+            name=f"n{number}",
+            listen=("127.0.0.1", 1),
+            discovery=self.config.discovery,
+            state=state,
+            seed=number,
+            sockets=self.config.sockets,
+            disk_bytes=self.config.disk_bytes,
+            known=self.listed,
+            settings=settings,
+            zones=self.config.zones,
         )
         return Hollow(number, told, config, self.watch)
 
@@ -181,8 +200,11 @@
         used = resource.getrusage(resource.RUSAGE_SELF)
         lag = self.lag.told()
         return {
-            "instances": len(self.instances), "counts": dict(found), "at": time.monotonic(),
-            "cpu_s": used.ru_utime + used.ru_stime, "rss": _rss(),
+            "instances": len(self.instances),
+            "counts": dict(found),
+            "at": time.monotonic(),
+            "cpu_s": used.ru_utime + used.ru_stime,
+            "rss": _rss(),
             "descriptors": len(os.listdir("/proc/self/fd")),
             "lag_ms": [lag.median_ms, lag.p99_ms, lag.most_ms],
         }
@@ -193,11 +215,18 @@
         there = [one.there for one in self.instances.values()]
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
         news = [len(one.common.peers.swim.news) for one in self.instances.values()]
-        late = [f"{one.accord.me}: {one.accord.acting().label} {one.accord.holding.why}"
-                for number, one in self.instances.items()
-                if max(self.watch.acts.get(number, {0: 0.0})) < version]
-        return {"least": min(there, default=0), "most": max(there, default=0), "acts": acts,
-                "news": max(news, default=0), "late": late[:2]}  # some, for whoever looks for the cause
+        late = [
+            f"{one.accord.me}: {one.accord.acting().label} {one.accord.holding.why}"
+            for number, one in self.instances.items()
+            if max(self.watch.acts.get(number, {0: 0.0})) < version
+        ]
+        return {
+            "least": min(there, default=0),
+            "most": max(there, default=0),
+            "acts": acts,
+            "news": max(news, default=0),
+            "late": late[:2],
+        }  # some, for whoever looks for the cause
 
     def acted(self, version: int) -> list[float]:
         """When each began to act by that version or a later one, of those that do."""
@@ -225,9 +254,11 @@
             case "changes":
                 """What was heard of members since the last question."""
                 watch = self.watch
-                told = {"deaths": {key: bins.counts for key, bins in watch.deaths.items()},
-                        "lives": {key: bins.counts for key, bins in watch.lives.items()},
-                        "suspects": dict(watch.suspects)}
+                told = {
+                    "deaths": {key: bins.counts for key, bins in watch.deaths.items()},
+                    "lives": {key: bins.counts for key, bins in watch.lives.items()},
+                    "suspects": dict(watch.suspects),
+                }
                 watch.deaths, watch.lives, watch.suspects = {}, {}, Counter()
                 return told
             case "collect":
@@ -269,8 +300,9 @@
     parser.add_argument("--config", type=Path, required=True)
     parser.add_argument("--state", required=True)
     parser.add_argument("--address", required=True)
-    logging.basicConfig(level=logging.WARNING, stream=sys.stderr,
-                        format="%(asctime)s %(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        level=logging.WARNING, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
+    )
     args = parser.parse_args()
     asyncio.run(Worker(args).run())
 
--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/peers.py
@@ -8,6 +8,7 @@
 
 import heapq
 import random
+from functools import partial
 import time
 import tracemalloc
 from collections.abc import Callable, Mapping
@@ -31,8 +32,18 @@
     """As large as a real one: an identity of 16 letters, a nonce of 48 bits, an address of a machine's."""
     host = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
     nonce = (n * 0x9E3779B97F4A7C15 + boot) & (1 << 48) - 1
-    return Claim(f"n{n}", f"{n * 0x9E3779B97F4A7C15 & (1 << 64) - 1:016x}", boot, nonce, 0, state, host,
-                 FIRST_PORT + n, f"zone-{n % ZONES}", 15)
+    return Claim(
+        f"n{n}",
+        f"{n * 0x9E3779B97F4A7C15 & (1 << 64) - 1:016x}",
+        boot,
+        nonce,
+        0,
+        state,
+        host,
+        FIRST_PORT + n,
+        f"zone-{n % ZONES}",
+        15,
+    )
 
 
 class Fleet:
@@ -96,8 +107,10 @@
             self.bytes[n] += len(raw)
             other = self.at.get(to)
             if other is not None and not self.lost(n, other):
-                self._at(self.now + self.rng.uniform(0.001, 0.02),
-                         lambda other=other, raw=raw: self._take(other, raw))  # type: ignore[misc]
+                self._at(
+                    self.now + self.rng.uniform(0.001, 0.02),
+                    partial(self._take, other, raw),
+                )
         it.changes.clear()
 
     def _take(self, n: int, raw: bytes) -> None:
@@ -139,8 +152,12 @@
     fleet, began = Fleet(size), time.process_time()
     took = fleet.joined()
     cpu = time.process_time() - began
-    return {"cpu_ms": 1000 * cpu / size, "bytes": sum(fleet.bytes) / size,
-            "seed_bytes": sum(fleet.bytes[:SEEDS]) / SEEDS, "seconds": took}
+    return {
+        "cpu_ms": 1000 * cpu / size,
+        "bytes": sum(fleet.bytes) / size,
+        "seed_bytes": sum(fleet.bytes[:SEEDS]) / SEEDS,
+        "seconds": took,
+    }
 
 
 def members(size: int) -> Mapping[str, float]:
@@ -161,8 +178,9 @@
     """Of each member known, as one instance holds them: taken from packets."""
     it = Swim(claim(0), (), random.Random(1))
     words = [claim(n + 1, State.ALIVE) for n in range(size)]
-    packets = [sealed(Packet("n1", 1, Sync(False, tuple(words[n : n + 10]))), SECRET)
-               for n in range(0, size, 10)]
+    packets = [
+        sealed(Packet("n1", 1, Sync(False, tuple(words[n : n + 10]))), SECRET) for n in range(0, size, 10)
+    ]
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for raw in packets:
@@ -174,16 +192,24 @@
 
 MEASURES = (
     Measure(
-        "peers.members", "member", (50, 100, 200, 400), 800,
+        "peers.members",
+        "member",
+        (50, 100, 200, 400),
+        800,
         {"bytes_s": "bytes/s", "datagrams_s": "datagrams/s", "cpu_ms_s": "ms/s", "memory_bytes": "bytes"},
-        members, "linnetstile/peers/swim.py",
+        members,
+        "linnetstile/peers/swim.py",
         "of one member, at rest, with a period of 1 s: there is no news; memory: of each member known; "
         "virtual time: processor time holds the driver's, and no system call",
     ),
     Measure(
-        "peers.start", "member", (25, 50, 100, 200), 400,
+        "peers.start",
+        "member",
+        (25, 50, 100, 200),
+        400,
         {"cpu_ms": "ms", "bytes": "bytes", "seed_bytes": "bytes", "seconds": "s"},
-        start, "linnetstile/peers/roll.py",
+        start,
+        "linnetstile/peers/roll.py",
         "of one member, and of a seed, until each knows all: they start within 1 s; virtual time, no sockets",
     ),
 )
--- a/benchmarks/capacity/planner.py
+++ b/benchmarks/capacity/planner.py
@@ -56,15 +56,19 @@
 def of_zones(size: int) -> Mapping[str, float]:
     solved = solver()
     solved(problem(2, 1, 0), 1.0)  # what is loaded at the first use is not of a plan
-    return {"solved_cpu_ms": median_ms(size, GROUPS, lambda each: solved(each, 10.0)),
-            "greedy_cpu_ms": median_ms(size, GROUPS, greedy)}
+    return {
+        "solved_cpu_ms": median_ms(size, GROUPS, lambda each: solved(each, 10.0)),
+        "greedy_cpu_ms": median_ms(size, GROUPS, greedy),
+    }
 
 
 def of_groups(size: int) -> Mapping[str, float]:
     solved = solver()
     solved(problem(2, 1, 0), 1.0)
-    return {"solved_cpu_ms": median_ms(ZONES, size, lambda each: solved(each, 10.0)),
-            "greedy_cpu_ms": median_ms(ZONES, size, greedy)}
+    return {
+        "solved_cpu_ms": median_ms(ZONES, size, lambda each: solved(each, 10.0)),
+        "greedy_cpu_ms": median_ms(ZONES, size, greedy),
+    }
 
 
 def of_destinations(size: int) -> Mapping[str, float]:
@@ -78,11 +82,34 @@
 
 
 MEASURES = (
-    Measure("planner.zones", "zone", (2, 4, 8, 16), 32, {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
-            of_zones, "linnetstile/failover/solver.py", "one destination, 3 groups, one zone lost"),
-    Measure("planner.groups", "group", (1, 2, 4, 8), 16, {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
-            of_groups, "linnetstile/failover/solver.py", "one destination, 10 zones, one of them lost"),
-    Measure("planner.plan", "destination", (12, 25, 50, 100), 200, {"cpu_ms": "ms", "solved": "plans"},
-            of_destinations, "linnetstile/failover/planner.py",
-            "10 zones, 3 groups, one zone lost; the solver has 150 ms for all, and the others are greedy"),
+    Measure(
+        "planner.zones",
+        "zone",
+        (2, 4, 8, 16),
+        32,
+        {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
+        of_zones,
+        "linnetstile/failover/solver.py",
+        "one destination, 3 groups, one zone lost",
+    ),
+    Measure(
+        "planner.groups",
+        "group",
+        (1, 2, 4, 8),
+        16,
+        {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
+        of_groups,
+        "linnetstile/failover/solver.py",
+        "one destination, 10 zones, one of them lost",
+    ),
+    Measure(
+        "planner.plan",
+        "destination",
+        (12, 25, 50, 100),
+        200,
+        {"cpu_ms": "ms", "solved": "plans"},
+        of_destinations,
+        "linnetstile/failover/planner.py",
+        "10 zones, 3 groups, one zone lost; the solver has 150 ms for all, and the others are greedy",
+    ),
 )
--- a/benchmarks/capacity/relay.py
+++ b/benchmarks/capacity/relay.py
@@ -21,8 +21,15 @@
 
 
 MEASURES: tuple[Measure, ...] = (
-    Measure("relay.message", "message", (64, 250, 500, 1000), 2000, {"cpu_ms": "ms"}, message,
-            "linnetstile/core/host.py",
-            f"one process at saturation over loopback, {SECONDS:g} s: clients hand in as soon as they are "
-            "answered, so the hold is full; refusals are in it"),
+    Measure(
+        "relay.message",
+        "message",
+        (64, 250, 500, 1000),
+        2000,
+        {"cpu_ms": "ms"},
+        message,
+        "linnetstile/core/host.py",
+        f"one process at saturation over loopback, {SECONDS:g} s: clients hand in as soon as they are "
+        "answered, so the hold is full; refusals are in it",
+    ),
 )
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -32,8 +32,16 @@
 def rows(size: int) -> Iterator[list[Row]]:
     for first in range(0, size, PIECE):
         yield [
-            Row(f"s-{number:08x}", number, 0, f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}",
-                8080, "k", "z", 8.3)
+            Row(
+                f"s-{number:08x}",
+                number,
+                0,
+                f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}",
+                8080,
+                "k",
+                "z",
+                8.3,
+            )
             for number in range(first, min(size, first + PIECE))
         ]
 
@@ -167,24 +175,44 @@
 
 MEASURES = (
     Measure(
-        "shards.keeper", "destination", (11_250, 22_500, 45_000, 90_000), 360_000,
-        {"memory_bytes": "bytes", "load_cpu_ms": "ms", "turn_ms": "ms"}, keeper,
+        "shards.keeper",
+        "destination",
+        (11_250, 22_500, 45_000, 90_000),
+        360_000,
+        {"memory_bytes": "bytes", "load_cpu_ms": "ms", "turn_ms": "ms"},
+        keeper,
         "linnetstile/shards/table.py",
         "8,192 shards; a whole list in pieces of 2,000 rows, its longest turn",
     ),
     Measure(
-        "shards.change", "reader", (200, 400, 800, 1_600), 3_500, {"cpu_us": "us", "bytes": "bytes"}, change,
+        "shards.change",
+        "reader",
+        (200, 400, 800, 1_600),
+        3_500,
+        {"cpu_us": "us", "bytes": "bytes"},
+        change,
         "linnetstile/shards/audience.py",
         "one change at a keeper of 22,500 destinations, readers of an eighth of 8,192 shards each; bytes: of "
         "an ask and its answer, for each change",
     ),
     Measure(
-        "shards.reader", "shard", (128, 256, 512, 1_024, 2_048), 8_192,
-        {"memory_bytes": "bytes", "cpu_ms": "ms"}, reader, "linnetstile/shards/holding.py",
+        "shards.reader",
+        "shard",
+        (128, 256, 512, 1_024, 2_048),
+        8_192,
+        {"memory_bytes": "bytes", "cpu_ms": "ms"},
+        reader,
+        "linnetstile/shards/holding.py",
         "shards of 44 endpoints; one destination in use in each; without the directory and the decisions",
     ),
     Measure(
-        "shards.digests", "reader", (200, 400, 800, 1_600), 3_500, {"cpu_ms_s": "ms/s", "bytes_s": "bytes/s"},
-        digests, "linnetstile/shards/audience.py", "a digest each 3 s, without sockets",
+        "shards.digests",
+        "reader",
+        (200, 400, 800, 1_600),
+        3_500,
+        {"cpu_ms_s": "ms/s", "bytes_s": "bytes/s"},
+        digests,
+        "linnetstile/shards/audience.py",
+        "a digest each 3 s, without sockets",
     ),
 )
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -21,8 +21,9 @@
 
 
 def entry(number: int) -> Entry:
-    return Entry(f"{number:016x}", "order", "t", number % 1000, f"k{number:016x}", 1e6, 1e6 + LIFE_MS, "",
-                 bytes(BODY))
+    return Entry(
+        f"{number:016x}", "order", "t", number % 1000, f"k{number:016x}", 1e6, 1e6 + LIFE_MS, "", bytes(BODY)
+    )
 
 
 def entries(first: int, count: int) -> Iterator[Entry]:
@@ -45,8 +46,11 @@
         journal = Journal(Path(name), ROOM * (size + EVENTS) + 10_000_000)
         cpu = time.process_time() - cpu
         assert len(journal.entries) == size
-        told = {"cpu_ms": 1e3 * cpu, "memory_bytes": 1e6 * (rss_mb() - before),
-                "disk_bytes": float(journal.size)}
+        told = {
+            "cpu_ms": 1e3 * cpu,
+            "memory_bytes": 1e6 * (rss_mb() - before),
+            "disk_bytes": float(journal.size),
+        }
         journal.close()
         return told
 
@@ -83,12 +87,27 @@
 
 
 MEASURES: tuple[Measure, ...] = (
-    Measure("store.start", "record", (6_250, 12_500, 25_000, 50_000), 200_000,
-            {"cpu_ms": "ms", "memory_bytes": "bytes", "disk_bytes": "bytes"}, start,
-            "linnetstile/store/recovery.py",
-            f"bodies of {BODY} bytes, untried; memory: the journal's entries with their bodies", 1),
-    Measure("store.message", "record", (2_500, 5_000, 10_000, 20_000), 80_000,
-            {"disk_bytes": "bytes", "cpu_us": "us"}, message, "linnetstile/store/journal.py",
-            f"take, tried, ended, told: {EVENTS} messages of {BODY} bytes beside those held; "
-            "no syncs, copies of old segments counted", 1),
+    Measure(
+        "store.start",
+        "record",
+        (6_250, 12_500, 25_000, 50_000),
+        200_000,
+        {"cpu_ms": "ms", "memory_bytes": "bytes", "disk_bytes": "bytes"},
+        start,
+        "linnetstile/store/recovery.py",
+        f"bodies of {BODY} bytes, untried; memory: the journal's entries with their bodies",
+        1,
+    ),
+    Measure(
+        "store.message",
+        "record",
+        (2_500, 5_000, 10_000, 20_000),
+        80_000,
+        {"disk_bytes": "bytes", "cpu_us": "us"},
+        message,
+        "linnetstile/store/journal.py",
+        f"take, tried, ended, told: {EVENTS} messages of {BODY} bytes beside those held; "
+        "no syncs, copies of old segments counted",
+        1,
+    ),
 )
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -51,8 +51,17 @@
         rng = random.Random(f"{self.relays} {self.way} {self.seed}")
         rates = api.Rates.ROUGH if self.way == "hint high" else api.Rates.NOMINAL
         self.settings = api.Settings(
-            classes=(CLASS,), kinds=(api.DestinationKind("k"),), slots=12, hold=4000, attempts=8,
-            relays=self.relays, rates=rates, idle_ms=10_000.0, tick_ms=5.0, safety=SAFETY)
+            classes=(CLASS,),
+            kinds=(api.DestinationKind("k"),),
+            slots=12,
+            hold=4000,
+            attempts=8,
+            relays=self.relays,
+            rates=rates,
+            idle_ms=10_000.0,
+            tick_ms=5.0,
+            safety=SAFETY,
+        )
         self.made = [self._new(rng) for _ in range(self.relays)]
         self.knows = [False] * self.relays
         self.wakes = [float("inf")] * self.relays
@@ -114,8 +123,12 @@
             if again:
                 self.at(now + again[0], "up", n, send)
             else:
-                self.at(now + until, "event", n, api.AttemptEnded(
-                    send.id, 0, send.endpoint, api.Outcome.CONNECT_FAILED, until))
+                self.at(
+                    now + until,
+                    "event",
+                    n,
+                    api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.CONNECT_FAILED, until),
+                )
             return
         self.calls.append((now, self.knows[n]))
         outcome, took = api.Outcome.OK, ANSWER_MS
@@ -123,16 +136,23 @@
             silent = self.way == "silent"
             outcome = api.Outcome.TIMEOUT if silent else api.Outcome.CONNECT_FAILED
             took = send.give_up_at_ms - now if silent else REFUSED_MS
-        self.at(now + took, "event", n, api.AttemptEnded(
-            send.id, 0, send.endpoint, outcome, took, outcome is api.Outcome.OK))
+        self.at(
+            now + took,
+            "event",
+            n,
+            api.AttemptEnded(send.id, 0, send.endpoint, outcome, took, outcome is api.Outcome.OK),
+        )
 
     def _up(self, now: float, n: int, send: api.Send) -> None:
         """A connection is there, long after it was asked for."""
         if self.made[n].may_write(now, send.id):
             self._call(now, n, send)
         else:
-            self._handle(now, n, [api.AttemptEnded(
-                send.id, 0, send.endpoint, api.Outcome.NOT_SENT, 0.0, held_back=True)])
+            self._handle(
+                now,
+                n,
+                [api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.NOT_SENT, 0.0, held_back=True)],
+            )
 
     # -- what came of it ---------------------------------------------------------------------------------
 
@@ -143,7 +163,7 @@
         for last, (at, _) in enumerate(late):
             while late[first][0] <= at - SAFETY.fall_ms:
                 first += 1
-            window = late[first:last + 1]
+            window = late[first : last + 1]
             if 3 * sum(knew for _, knew in window) > 2 * len(window):
                 worst = max(worst, len(window) / allowed(max(BACK_MS, at - SAFETY.fall_ms)))
         return worst
@@ -185,8 +205,16 @@
     spread = pool.map if pool is not None else map
     got = list(spread(one, [relays] * seeds, [way] * seeds, range(seeds)))
     worst = sorted(each for each, _ in got)
-    return Row(relays, way, seeds, round(median(worst), 2), round(worst[int(0.99 * (seeds - 1))], 2),
-               round(worst[-1], 2), sum(each > 1 for each in worst), median(used for _, used in got))
+    return Row(
+        relays,
+        way,
+        seeds,
+        round(median(worst), 2),
+        round(worst[int(0.99 * (seeds - 1))], 2),
+        round(worst[-1], 2),
+        sum(each > 1 for each in worst),
+        median(used for _, used in got),
+    )
 
 
 def main() -> int:
@@ -201,9 +229,11 @@
         return 0
     print("worst window over what is allowed (1.00 = N + 2 x root of N + 2)")
     for each in rows:
-        print(f"{each.relays:4} relays, {each.way:10} p50 {each.worst_p50:.2f}  p99 {each.worst_p99:.2f}  "
-              f"max {each.worst_max:.2f}  over {each.over:3} of {each.seeds}  "
-              f"full use {each.full_use_s_p50:.1f} s")
+        print(
+            f"{each.relays:4} relays, {each.way:10} p50 {each.worst_p50:.2f}  p99 {each.worst_p99:.2f}  "
+            f"max {each.worst_max:.2f}  over {each.over:3} of {each.seeds}  "
+            f"full use {each.full_use_s_p50:.1f} s"
+        )
     return 0
 
 
--- a/benchmarks/cold_real.py
+++ b/benchmarks/cold_real.py
@@ -88,8 +88,13 @@
     ) -> str:
         with open(self.folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *args, stdout=asyncio.subprocess.PIPE if says else log, stderr=log,
-                env={**os.environ, **(env or {})})
+                sys.executable,
+                "-m",
+                *args,
+                stdout=asyncio.subprocess.PIPE if says else log,
+                stderr=log,
+                env={**os.environ, **(env or {})},
+            )
         self.processes.append(process)
         if process.stdout is None:
             return ""
@@ -98,21 +103,52 @@
     async def _set_up(self) -> None:
         it = self.setting
         at = await self._start(
-            "partner", "standins.partner", "--answer-ms", str(ANSWER_MS), "--rate", str(it.rate), "--armed",
-            "--down", f"0:{DOWN_S}", "--cold", str(COLD), "--warm-s", str(WARM_S),
-            "--calls", str(self.folder / "calls"), *(["--unheard"] if it.unheard else []))
-        entry = {"instanceId": "p", "hostPort": at, "zone": "z", "machineType": "k", "cell": 1,
-                 "lifecycle": "ready", "weight": it.rate, "startedAtMs": 0}
+            "partner",
+            "standins.partner",
+            "--answer-ms",
+            str(ANSWER_MS),
+            "--rate",
+            str(it.rate),
+            "--armed",
+            "--down",
+            f"0:{DOWN_S}",
+            "--cold",
+            str(COLD),
+            "--warm-s",
+            str(WARM_S),
+            "--calls",
+            str(self.folder / "calls"),
+            *(["--unheard"] if it.unheard else []),
+        )
+        entry = {
+            "instanceId": "p",
+            "hostPort": at,
+            "zone": "z",
+            "machineType": "k",
+            "cell": 1,
+            "lifecycle": "ready",
+            "weight": it.rate,
+            "startedAtMs": 0,
+        }
         known = {"generation": 1, "reset": True, "instances": [entry]}
         (self.folder / "list.json").write_text(json.dumps(known))
         agent = await self._start("agent", "standins.agent", "--list", str(self.folder / "list.json"))
         self.port = free_ports(it.relays)
         for n in range(it.relays):
             (self.folder / f"state{n}").mkdir()
-            (self.folder / f"config{n}.json").write_text(json.dumps({
-                "name": f"r{n}", "listen": f"127.0.0.1:{self.port + n}", "discovery": agent,
-                "seed": f"{self.seed * 1000 + n:x}", "state": str(self.folder / f"state{n}"),
-                "settings": it.settings(), "known": known}))
+            (self.folder / f"config{n}.json").write_text(
+                json.dumps(
+                    {
+                        "name": f"r{n}",
+                        "listen": f"127.0.0.1:{self.port + n}",
+                        "discovery": agent,
+                        "seed": f"{self.seed * 1000 + n:x}",
+                        "state": str(self.folder / f"state{n}"),
+                        "settings": it.settings(),
+                        "known": known,
+                    }
+                )
+            )
             env = {"RELAY_CONFIG": str(self.folder / f"config{n}.json")}
             await self._start(f"relay{n}", "linnetstile", env=env, says=False)
         async with asyncio.timeout(READY_S):
@@ -193,12 +229,19 @@
         over_can = max(over_can, count / can)
         if count / (n + 2 * sqrt(n) + 2) > worst:
             worst, budget = count / (n + 2 * sqrt(n) + 2), n
-            knew = sum(each.relay in knowing for each in calls[first:first + count]) / count
+            knew = sum(each.relay in knowing for each in calls[first : first + count]) / count
     seconds = [most(times, n * 1000.0, 1000.0) for n in range(int(AFTER_S))]
     full = [n for n, count in enumerate(seconds) if count >= USED * 0.8 * it.rate]
-    return {"worst": worst, "N": budget, "knew": knew, "over can": over_can,
-            "first": most(times, 0.0, FALL_MS), "in use s": full[0] if full else AFTER_S,
-            "refused": sum(each.reply == "full" for each in calls), "by second": seconds}
+    return {
+        "worst": worst,
+        "N": budget,
+        "knew": knew,
+        "over can": over_can,
+        "first": most(times, 0.0, FALL_MS),
+        "in use s": full[0] if full else AFTER_S,
+        "refused": sum(each.reply == "full" for each in calls),
+        "by second": seconds,
+    }
 
 
 async def play(it: Setting, seed: int) -> tuple[dict[str, Any], list[Arrived]]:
@@ -223,22 +266,30 @@
     parser.add_argument("--calls", type=Path)
     args = parser.parse_args()
     it = Setting(
-        args.relays, args.slots, args.rate, args.multiple, args.unheard, args.connect_ms, args.learn_s)
+        args.relays, args.slots, args.rate, args.multiple, args.unheard, args.connect_ms, args.learn_s
+    )
     rows, kept = [], []
     for seed in range(args.seed, args.seed + args.plays):
         found, calls = asyncio.run(play(it, seed))
         rows.append({"seed": seed, **found})
-        kept += [f"{seed} {each.at:.1f} {each.ident} {each.relay} {each.reply} {int(each.before)}\n"
-                 for each in calls]
+        kept += [
+            f"{seed} {each.at:.1f} {each.ident} {each.relay} {each.reply} {int(each.before)}\n"
+            for each in calls
+        ]
     if args.calls is not None:
         args.calls.write_text("".join(kept))
-    report(rows, args.json, (
-        f"{it.relays} processes, slots {it.slots}, agreed rate {it.rate:g}/s, multiple {it.multiple:g}"
-        f"{', unheard' * it.unheard}, connections within {it.connect_ms:g} ms; "
-        "worst: 1.00 = N + 2 x root of N + 2",
-        "seed  worst      N   knew  over can  first  in use s  refused  by second"),
+    report(
+        rows,
+        args.json,
+        (
+            f"{it.relays} processes, slots {it.slots}, agreed rate {it.rate:g}/s, multiple {it.multiple:g}"
+            f"{', unheard' * it.unheard}, connections within {it.connect_ms:g} ms; "
+            "worst: 1.00 = N + 2 x root of N + 2",
+            "seed  worst      N   knew  over can  first  in use s  refused  by second",
+        ),
         "{seed:4}{worst:7.2f}{N:7.1f}{knew:7.2f}{over can:10.2f}{first:7}{in use s:10.1f}{refused:9}"
-        "  {by second}")
+        "  {by second}",
+    )
     return 0
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -58,14 +58,26 @@
         self.out: deque[api.Send] = deque()
         self.took, self.longest = 0.0, 0.0
         settings = api.Settings(
-            CLASSES, (api.DestinationKind("k"),), slots=SLOTS, hold=2 * held, attempts=8, tick_ms=1.0,
-            decay=api.Decay.HALVES, rates=api.Rates.NOMINAL, idle_ms=10_000.0,
-            tenants=(api.Tenant("a", 1e9), api.Tenant("b", 1.0)), over_share_worth=0.1,
+            CLASSES,
+            (api.DestinationKind("k"),),
+            slots=SLOTS,
+            hold=2 * held,
+            attempts=8,
+            tick_ms=1.0,
+            decay=api.Decay.HALVES,
+            rates=api.Rates.NOMINAL,
+            idle_ms=10_000.0,
+            tenants=(api.Tenant("a", 1e9), api.Tenant("b", 1.0)),
+            over_share_worth=0.1,
             safety=api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0),
         )
         self.relay = Relay(settings, seed)
-        self.feed(api.EndpointList(api.ListKind.WHOLE, tuple(
-            api.Endpoint(d, d, api.Listing.READY, rate=1e5) for d in range(1, dests + 1))))
+        self.feed(
+            api.EndpointList(
+                api.ListKind.WHOLE,
+                tuple(api.Endpoint(d, d, api.Listing.READY, rate=1e5) for d in range(1, dests + 1)),
+            )
+        )
         if load == "shut":
             for dest in range(2, dests + 1):
                 self._shut(dest)
@@ -115,9 +127,15 @@
         self.took, self.longest, self.turns, ids = 0.0, 0.0, 0, self.ids
         steps = self.relay.index.steps
         self.run(messages)
-        return Row(self.load, self.held, self.dests, 1e6 * self.took / max(1, self.ids - ids),
-                   1e6 * self.took / self.turns, 1e3 * self.longest,
-                   (self.relay.index.steps - steps) / self.turns)
+        return Row(
+            self.load,
+            self.held,
+            self.dests,
+            1e6 * self.took / max(1, self.ids - ids),
+            1e6 * self.took / self.turns,
+            1e3 * self.longest,
+            (self.relay.index.steps - steps) / self.turns,
+        )
 
 
 def median(rows: list[Row]) -> Row:
@@ -143,13 +161,24 @@
                 again = Load(load, BASE[0], BASE[1], seed).measure(args.messages)
                 rows.append(row)
                 ratios.append(row.us_a_message / statistics.mean((base.us_a_message, again.us_a_message)))
-            out.append({**asdict(median(rows)), "ratio": statistics.median(ratios),
-                        "ratio_least": min(ratios), "ratio_most": max(ratios)})
-    report(out, args.json, (
-        f"against {BASE[0]} held for {BASE[1]}; {args.messages} messages, median of {args.rounds} rounds",
-        "load   held   dests   us/message   us/turn   longest ms   steps/turn   ratio (least to most)"),
+            out.append(
+                {
+                    **asdict(median(rows)),
+                    "ratio": statistics.median(ratios),
+                    "ratio_least": min(ratios),
+                    "ratio_most": max(ratios),
+                }
+            )
+    report(
+        out,
+        args.json,
+        (
+            f"against {BASE[0]} held for {BASE[1]}; {args.messages} messages, median of {args.rounds} rounds",
+            "load   held   dests   us/message   us/turn   longest ms   steps/turn   ratio (least to most)",
+        ),
         "{load}{held:8}{dests:8}{us_a_message:13.1f}{us_a_turn:10.1f}{worst_ms:13.1f}{steps_a_turn:13.1f}"
-        "{ratio:8.2f} ({ratio_least:.2f} to {ratio_most:.2f})")
+        "{ratio:8.2f} ({ratio_least:.2f} to {ratio_most:.2f})",
+    )
     return 0
 
 
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -79,7 +79,8 @@
         rate=room * 3,
         partners=ZONES,
         partner=("--rate", str(room), "--armed", "--down", f"0:{DOWN_S:g}", "--warm-s", "6"),
-        more_parts=PARTS if planned else "", fleet_of=INSTANCES,
+        more_parts=PARTS if planned else "",
+        fleet_of=INSTANCES,
         block=block,
         net_seed=seed,
     ) as it:
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -77,10 +77,16 @@
         assert self.transport is not None
         self.ident, self.body = ident, body
         self.floor.record(k="try", id=ident)
-        request = h11.Request(method="POST", target="/inbox", headers=[
-            ("Host", "x"), ("X-Trace-Id", ident), ("Content-Length", str(len(body)))])
-        self.transport.write(b"".join(self.http.send(event) or b"" for event in (
-            request, h11.Data(data=body), h11.EndOfMessage())))
+        request = h11.Request(
+            method="POST",
+            target="/inbox",
+            headers=[("Host", "x"), ("X-Trace-Id", ident), ("Content-Length", str(len(body)))],
+        )
+        self.transport.write(
+            b"".join(
+                self.http.send(event) or b"" for event in (request, h11.Data(data=body), h11.EndOfMessage())
+            )
+        )
 
     def data_received(self, data: bytes) -> None:
         self.http.receive_data(data)
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -6,7 +6,7 @@
 refuses, fails and hangs by chance (standins.partner), a register that counts notices (standins.agent),
 clients without pause. After each kill it is started anew on its folder. At the end every message that was
 taken must have an effect at the partner or a final answer, and no `pay` an effect twice: the partner's
-ledger takes a `pay` as often as it comes, since those carry no key. """
+ledger takes a `pay` as often as it comes, since those carry no key."""
 
 from __future__ import annotations
 
@@ -48,8 +48,13 @@
     import os
 
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", *args, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
-        env={**os.environ, **env})
+        sys.executable,
+        "-m",
+        *args,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL,
+        env={**os.environ, **env},
+    )
     if args[0] == "linnetstile":
         return process, ""
     assert process.stdout is not None
@@ -94,9 +99,12 @@
         class_ = self.rng.choice(("order", "pay", "status"))
         body = bytes(self.rng.choice((100, 100, 400, 9000)))
         key = f"Idempotency-Key: k{ident}\r\n" if class_ == "order" else ""
-        writer.write(f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {ident}\r\nX-Qos: {class_}\r\n"
-                     f"X-Customer: t\r\nX-Expires-In-Ms: {4000}\r\n{key}X-Addressing: dest=1\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        writer.write(
+            f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {ident}\r\nX-Qos: {class_}\r\n"
+            f"X-Customer: t\r\nX-Expires-In-Ms: {4000}\r\n{key}X-Addressing: dest=1\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n".encode()
+            + body
+        )
         head = await reader.readuntil(b"\r\n\r\n")
         length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
         await reader.readexactly(int(length or 0))
@@ -109,21 +117,56 @@
 async def measure(folder: Path, kills: int, seed: int) -> Row:
     rng, row = random.Random(seed), Row()
     (folder / "state").mkdir()
-    partner, at = await started("standins.partner", "--answer-ms", "15", "--refuse", "0.08",
-                                "--error", "0.05", "--hang", "0.02",
-                                "--ledger", str(folder / "effects"))
-    known = {"generation": 1, "reset": True, "instances": [
-        {"instanceId": "p", "hostPort": at, "zone": "z", "machineType": "k", "cell": 1, "lifecycle": "ready",
-         "weight": 2000.0, "startedAtMs": 0}]}
+    partner, at = await started(
+        "standins.partner",
+        "--answer-ms",
+        "15",
+        "--refuse",
+        "0.08",
+        "--error",
+        "0.05",
+        "--hang",
+        "0.02",
+        "--ledger",
+        str(folder / "effects"),
+    )
+    known = {
+        "generation": 1,
+        "reset": True,
+        "instances": [
+            {
+                "instanceId": "p",
+                "hostPort": at,
+                "zone": "z",
+                "machineType": "k",
+                "cell": 1,
+                "lifecycle": "ready",
+                "weight": 2000.0,
+                "startedAtMs": 0,
+            }
+        ],
+    }
     (folder / "list.json").write_text(json.dumps(known))
-    agent, discovery = await started("standins.agent", "--list", str(folder / "list.json"), "--ledger",
-                                     str(folder / "notices"))
+    agent, discovery = await started(
+        "standins.agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
+    )
     (port,) = free_ports(1)
     raw = settings(0.25)
     raw["extra"]["call-slots"] = 24
-    (folder / "config.json").write_text(json.dumps({
-        "name": "k", "listen": f"127.0.0.1:{port}", "discovery": discovery, "seed": "1", "known": known,
-        "state": str(folder / "state"), "settings": raw, "limits": {"disk_mb": DISK_MB}}))
+    (folder / "config.json").write_text(
+        json.dumps(
+            {
+                "name": "k",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": discovery,
+                "seed": "1",
+                "known": known,
+                "state": str(folder / "state"),
+                "settings": raw,
+                "limits": {"disk_mb": DISK_MB},
+            }
+        )
+    )
     traffic = Traffic(port, rng)
     relay, _ = await started("linnetstile", RELAY_CONFIG=str(folder / "config.json"))
     clients: list[asyncio.Task[None]] = []
@@ -160,8 +203,11 @@
     ended = effects.keys() | ends.keys()
     row.broken += [f"{ident}: no end" for ident in traffic.taken if ident not in ended]
     row.broken += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
-    row.broken += [f"{ident}: took effect {effects[ident]} times" for ident, class_ in traffic.taken.items()
-                   if class_ == "pay" and effects[ident] > 1]
+    row.broken += [
+        f"{ident}: took effect {effects[ident]} times"
+        for ident, class_ in traffic.taken.items()
+        if class_ == "pay" and effects[ident] > 1
+    ]
     return row
 
 
@@ -175,10 +221,15 @@
         row = asyncio.run(measure(Path(folder), args.kills, args.seed))
     for text in row.broken:
         print(text, file=sys.stderr)
-    report([{**asdict(row), "broken": len(row.broken)}], args.json, (
-        "SIGKILL at random moments, under traffic",
-        "kills   taken  effects  notices  segments  restart s  broken"),
-        "{kills:5}{taken:8}{effects:9}{notices:9}{segments:10}{restart_s:11.2f}{broken:8}")
+    report(
+        [{**asdict(row), "broken": len(row.broken)}],
+        args.json,
+        (
+            "SIGKILL at random moments, under traffic",
+            "kills   taken  effects  notices  segments  restart s  broken",
+        ),
+        "{kills:5}{taken:8}{effects:9}{notices:9}{segments:10}{restart_s:11.2f}{broken:8}",
+    )
     return 1 if row.broken else 0
 
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -51,16 +51,41 @@
 def settings(deadline_share: float = 1.0) -> dict[str, Any]:
     """In the platform's form."""
     return {
-        "az": 0, "balancers": 1, "zones": ["z"], "kinds": ["k"], "tick-ms": 5.0, "weight-kind": "nominal",
-        "classes": [{"name": name, "effect": effect, "aim-ms": deadline * deadline_share / 4,
-                     "deadline-ms": deadline * deadline_share, "window-ms": 4000.0, "worth": 1.0,
-                     "late-share": 0.5} for name, effect, deadline, _ in CLASSES],
+        "az": 0,
+        "balancers": 1,
+        "zones": ["z"],
+        "kinds": ["k"],
+        "tick-ms": 5.0,
+        "weight-kind": "nominal",
+        "classes": [
+            {
+                "name": name,
+                "effect": effect,
+                "aim-ms": deadline * deadline_share / 4,
+                "deadline-ms": deadline * deadline_share,
+                "window-ms": 4000.0,
+                "worth": 1.0,
+                "late-share": 0.5,
+            }
+            for name, effect, deadline, _ in CLASSES
+        ],
         "extra": {"call-slots": 8, "loses-worth": "halves"},
-        "limits": {"open-cap": 60, "try-limit": 8, "conn-idle-ms": 10000.0, "connect-timeout-ms": 1500.0,
-                   "max-retry-after-ms": 1000},
+        "limits": {
+            "open-cap": 60,
+            "try-limit": 8,
+            "conn-idle-ms": 10000.0,
+            "connect-timeout-ms": 1500.0,
+            "max-retry-after-ms": 1000,
+        },
         "orgs": [{"name": "t", "quota-per-s": 1e6}],
-        "safety": {"answer-slack-ms": 20, "drain-grace-ms": 250, "cold-from": COLD, "cold-ms": WARM_S * 1000,
-                   "fall-ms": FALL_MS, "fall-multiple": 2.0},
+        "safety": {
+            "answer-slack-ms": 20,
+            "drain-grace-ms": 250,
+            "cold-from": COLD,
+            "cold-ms": WARM_S * 1000,
+            "fall-ms": FALL_MS,
+            "fall-multiple": 2.0,
+        },
     }
 
 
@@ -132,8 +157,12 @@
     async def start(self, name: str, *args: str) -> str:
         with open(self.folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *args, stdout=asyncio.subprocess.PIPE if name != "fleet" else log,
-                stderr=log)
+                sys.executable,
+                "-m",
+                *args,
+                stdout=asyncio.subprocess.PIPE if name != "fleet" else log,
+                stderr=log,
+            )
         self.processes[name] = process
         if process.stdout is None:
             return ""
@@ -143,18 +172,57 @@
         self.port = free_ports(self.instances)
         (self.folder / "run").mkdir()
         at = await self.start(
-            "partner", "standins.partner", "--answer-ms", "100", "--rate", str(self.rate), "--armed",
-            "--down", f"0:{self.down_s}", "--cold", str(COLD), "--warm-s", str(self.warm_s), "--calls",
-            str(self.folder / "calls"), "--ledger", str(self.folder / "effects"))
-        entry = {"instanceId": "p", "hostPort": at, "zone": "z", "machineType": "k", "cell": 1,
-                 "lifecycle": "ready", "weight": self.rate, "startedAtMs": 0}
+            "partner",
+            "standins.partner",
+            "--answer-ms",
+            "100",
+            "--rate",
+            str(self.rate),
+            "--armed",
+            "--down",
+            f"0:{self.down_s}",
+            "--cold",
+            str(COLD),
+            "--warm-s",
+            str(self.warm_s),
+            "--calls",
+            str(self.folder / "calls"),
+            "--ledger",
+            str(self.folder / "effects"),
+        )
+        entry = {
+            "instanceId": "p",
+            "hostPort": at,
+            "zone": "z",
+            "machineType": "k",
+            "cell": 1,
+            "lifecycle": "ready",
+            "weight": self.rate,
+            "startedAtMs": 0,
+        }
         known = {"generation": 1, "reset": True, "instances": [entry]}
         (self.folder / "list.json").write_text(json.dumps(known))
-        agent = await self.start("agent", "standins.agent", "--list", str(self.folder / "list.json"),
-                                 "--ledger", str(self.folder / "notices"))
-        (self.folder / "config.json").write_text(json.dumps({
-            "name": "x", "listen": "127.0.0.1:1", "discovery": agent, "seed": "1", "known": known,
-            "state": str(self.folder), "settings": settings(self.deadline_share)}))
+        agent = await self.start(
+            "agent",
+            "standins.agent",
+            "--list",
+            str(self.folder / "list.json"),
+            "--ledger",
+            str(self.folder / "notices"),
+        )
+        (self.folder / "config.json").write_text(
+            json.dumps(
+                {
+                    "name": "x",
+                    "listen": "127.0.0.1:1",
+                    "discovery": agent,
+                    "seed": "1",
+                    "known": known,
+                    "state": str(self.folder),
+                    "settings": settings(self.deadline_share),
+                }
+            )
+        )
         self.configure(self.instances)
         await self.start("fleet", "linnetstile", "fleet", "--config", str(self.folder / "relay.toml"))
         await self.until(lambda told: told.up == self.instances)
@@ -164,7 +232,8 @@
             f"[fleet]\ninstances = {instances}\nshare_rates = {str(self.shared).lower()}\n"
             f"settle_s = {self.settle_s}\n"
             f'[status]\nfolder = "{self.folder}/run"\n[supervisor]\nconfig = "{self.folder}/config.json"\n'
-            f'port = {self.port}\nstate = "{self.folder}/state"\n{self.more}')
+            f'port = {self.port}\nstate = "{self.folder}/state"\n{self.more}'
+        )
 
     async def until(self, true: Callable[[FleetReport], bool], seconds: float = READY_S) -> FleetReport:
         """The supervisor's report for which it is true; TimeoutError if none comes."""
@@ -219,8 +288,11 @@
         bad = [f"{ident}: took effect {count} times" for ident, count in effects.items() if count > 1]
         bad += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
         bad += [f"{ident}: no end" for ident in taken if ident not in effects and ident not in ends]
-        bad += [f"{ident}: took effect and was returned" for ident, states in ends.items()
-                if "returned" in states and effects[ident] and taken.get(ident) == "pay"]
+        bad += [
+            f"{ident}: took effect and was returned"
+            for ident, states in ends.items()
+            if "returned" in states and effects[ident] and taken.get(ident) == "pay"
+        ]
         return bad
 
     async def close(self) -> None:
@@ -274,8 +346,10 @@
 
 def expected(rate: float, begin: float, back: float, warm_ms: float) -> Partner:
     """What the partner could do, on Unix time, where it was down once."""
-    return Partner(Spec(rate=rated(rate), cold=Cold(COLD, warm_ms),
-                        troubles=(Trouble(Fault.DOWN, begin, back),)), random.Random(1))
+    return Partner(
+        Spec(rate=rated(rate), cold=Cold(COLD, warm_ms), troubles=(Trouble(Fault.DOWN, begin, back),)),
+        random.Random(1),
+    )
 
 
 def over(calls: list[float], agreed: Partner, begin: float, back: float) -> tuple[float, float]:
@@ -342,14 +416,21 @@
     parser.add_argument("--rolls", type=int, default=1)
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
-    rows = [asyncio.run(experiment(args.instances, args.rate, mode == "shared", args.rolls, args.seed))
-            for mode in args.modes.split(",")]
-    report(rows, args.json, (
-        f"{args.instances} processes, agreed rate {args.rate:g}/s",
-        "mode    delivered  over 1 s  over cold  start s  all up s  roll s  idle MB"
-        "  idle CPU ms/s  broken"),
+    rows = [
+        asyncio.run(experiment(args.instances, args.rate, mode == "shared", args.rolls, args.seed))
+        for mode in args.modes.split(",")
+    ]
+    report(
+        rows,
+        args.json,
+        (
+            f"{args.instances} processes, agreed rate {args.rate:g}/s",
+            "mode    delivered  over 1 s  over cold  start s  all up s  roll s  idle MB"
+            "  idle CPU ms/s  broken",
+        ),
         "{mode:7}{delivered:10.3f}{over 1 s:10.2f}{over cold:11.2f}{start s:9.2f}{all up s:10.1f}"
-        "{roll s:8.1f}{idle MB:9.1f}{idle CPU ms/s:15.2f}{broken:8}  {by second} {answers}")
+        "{roll s:8.1f}{idle MB:9.1f}{idle CPU ms/s:15.2f}{broken:8}  {by second} {answers}",
+    )
     return 0
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -73,17 +73,41 @@
 
 def settings(held: int) -> dict[str, Any]:
     return {
-        "az": 0, "balancers": 1, "zones": ["z"], "kinds": ["k"], "tick-ms": 5.0, "weight-kind": "nominal",
+        "az": 0,
+        "balancers": 1,
+        "zones": ["z"],
+        "kinds": ["k"],
+        "tick-ms": 5.0,
+        "weight-kind": "nominal",
         "classes": [
-            {"name": "order", "effect": "by_key", "aim-ms": 4000.0, "deadline-ms": 16000.0,
-             "window-ms": 4000.0, "worth": 2.0, "late-share": 0.5},
-            {"name": "status", "effect": "repeatable", "aim-ms": 1500.0, "deadline-ms": 8000.0, "worth": 4.0,
-             "late-share": 0.1}],
+            {
+                "name": "order",
+                "effect": "by_key",
+                "aim-ms": 4000.0,
+                "deadline-ms": 16000.0,
+                "window-ms": 4000.0,
+                "worth": 2.0,
+                "late-share": 0.5,
+            },
+            {
+                "name": "status",
+                "effect": "repeatable",
+                "aim-ms": 1500.0,
+                "deadline-ms": 8000.0,
+                "worth": 4.0,
+                "late-share": 0.1,
+            },
+        ],
         "extra": {"call-slots": 64, "loses-worth": "halves"},
         "limits": {"open-cap": held, "try-limit": 8, "conn-idle-ms": 10000.0, "connect-timeout-ms": 1500.0},
         "orgs": [{"name": "t", "quota-per-s": 1e6}],
-        "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 9000.0, "fall-ms": 1500.0,
-                   "fall-multiple": 2.0},
+        "safety": {
+            "drain-grace-ms": 250.0,
+            "cold-from": 0.2,
+            "cold-ms": 9000.0,
+            "fall-ms": 1500.0,
+            "fall-multiple": 2.0,
+        },
     }
 
 
@@ -129,15 +153,23 @@
 async def program(module: str, held: int, folder: Path, partner: str, agent: str) -> AsyncIterator[Any]:
     (port,) = free_ports(1)
     (folder / "state").mkdir()
-    config = {"name": "b", "listen": f"127.0.0.1:{port}", "discovery": agent, "seed": "1",
-              "state": str(folder / "state"), "settings": settings(held),
-              "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 2000 if held > 64 else 200},
-              "known": json.loads((folder / "list").read_text())}
+    config = {
+        "name": "b",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": agent,
+        "seed": "1",
+        "state": str(folder / "state"),
+        "settings": settings(held),
+        "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 2000 if held > 64 else 200},
+        "known": json.loads((folder / "list").read_text()),
+    }
     (folder / "config.json").write_text(json.dumps(config))
     profile = ["-m", "cProfile", "-o", os.environ["PROFILE"]] if "PROFILE" in os.environ else []
-    process = subprocess.Popen([sys.executable, *profile, "-m", module],
-                               env={**os.environ, "RELAY_CONFIG": str(folder / "config.json")},
-                               stderr=subprocess.DEVNULL)
+    process = subprocess.Popen(
+        [sys.executable, *profile, "-m", module],
+        env={**os.environ, "RELAY_CONFIG": str(folder / "config.json")},
+        stderr=subprocess.DEVNULL,
+    )
     try:
         while True:
             with contextlib.suppress(OSError):
@@ -152,11 +184,21 @@
 
 
 async def measure(module: str, held: int, seconds: float, rate: float) -> Row:
-    with (tempfile.TemporaryDirectory() as name,
-          standin("standins.partner", "--ledger", f"{name}/ledger") as partner):
+    with (
+        tempfile.TemporaryDirectory() as name,
+        standin("standins.partner", "--ledger", f"{name}/ledger") as partner,
+    ):
         folder = Path(name)
-        entry = {"instanceId": "s-1", "hostPort": partner, "zone": "z", "machineType": "k", "cell": 1,
-                 "lifecycle": "ready", "weight": 1e6, "startedAtMs": 0}
+        entry = {
+            "instanceId": "s-1",
+            "hostPort": partner,
+            "zone": "z",
+            "machineType": "k",
+            "cell": 1,
+            "lifecycle": "ready",
+            "weight": 1e6,
+            "startedAtMs": 0,
+        }
         (folder / "list").write_text(json.dumps({"generation": 1, "reset": True, "instances": [entry]}))
         with standin("standins.agent", "--list", str(folder / "list")) as agent:
             async with program(module, held, folder, partner, agent) as (pid, port):
@@ -173,17 +215,32 @@
                 done = sum(1 for _ in (folder / "ledger").open()) - lines
                 rss = rss_mb(pid)
                 await asyncio.gather(*tasks)
-                plan = Plan((("127.0.0.1", port),), rate, seconds, classes=(
-                    ("order", 0.75, 16000.0), ("status", 0.25, 8000.0)), warm_s=seconds / 3)
+                plan = Plan(
+                    (("127.0.0.1", port),),
+                    rate,
+                    seconds,
+                    classes=(("order", 0.75, 16000.0), ("status", 0.25, 8000.0)),
+                    warm_s=seconds / 3,
+                )
                 opened = await asyncio.to_thread(load, plan)
-    waits = sorted(1e3 * wait for client, n in zip(clients, seen, strict=True)
-                   for wait in client.waits[n:])
+    waits = sorted(1e3 * wait for client, n in zip(clients, seen, strict=True) for wait in client.waits[n:])
     name = module.rpartition(".")[2]
-    return Row(name, held, done / took, 1e3 * spent / max(1, done),
-               waits[int(0.99 * len(waits))] if waits else float("inf"), statistics.median(waits or [0.0]),
-               max(waits, default=0.0),
-               sum(client.refused for client in clients), sum(client.failed for client in clients), rss,
-               opened.ms(50), opened.ms(99), opened.ms(99.9), opened.limit)
+    return Row(
+        name,
+        held,
+        done / took,
+        1e3 * spent / max(1, done),
+        waits[int(0.99 * len(waits))] if waits else float("inf"),
+        statistics.median(waits or [0.0]),
+        max(waits, default=0.0),
+        sum(client.refused for client in clients),
+        sum(client.failed for client in clients),
+        rss,
+        opened.ms(50),
+        opened.ms(99),
+        opened.ms(99.9),
+        opened.limit,
+    )
 
 
 def main() -> int:
@@ -191,8 +248,9 @@
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--rounds", type=int, default=1)
-    parser.add_argument("--held", type=lambda text: [int(part) for part in text.split(",")],
-                        default=[64, 300, 1000, 4000])
+    parser.add_argument(
+        "--held", type=lambda text: [int(part) for part in text.split(",")], default=[64, 300, 1000, 4000]
+    )
     parser.add_argument("--program", default="linnetstile", help="modules to measure, with commas")
     parser.add_argument("--rate", type=float, default=300.0, help="messages a second, open loop")
     args = parser.parse_args()
@@ -204,12 +262,17 @@
             for module in args.program.split(","):
                 row = asyncio.run(measure(module, held, args.seconds, args.rate))
                 out.append({**asdict(row), "ratio": row.cpu_ms / floor.cpu_ms})
-    report(out, args.json, (
-        "program       held  delivered/s  CPU ms  ratio  p50 ms  p99 ms  worst ms  refused  failed  RSS MB"
-        "  open p50   p99  p99.9  limit",),
+    report(
+        out,
+        args.json,
+        (
+            "program       held  delivered/s  CPU ms  ratio  p50 ms  p99 ms  worst ms  refused  failed"
+            "  RSS MB  open p50   p99  p99.9  limit",
+        ),
         "{program:11}{held:7}{delivered_a_s:13.0f}{cpu_ms:8.2f}{ratio:7.2f}{p50_ms:8.1f}{p99_ms:8.1f}"
         "{worst_ms:10.1f}{refused:9}{failed:8}{rss_mb:8.1f}"
-        "{open_p50_ms:10.2f}{open_p99_ms:6.1f}{open_p999_ms:7.1f}  {limit}")
+        "{open_p50_ms:10.2f}{open_p99_ms:6.1f}{open_p999_ms:7.1f}  {limit}",
+    )
     return 0
 
 
--- a/benchmarks/shards.py
+++ b/benchmarks/shards.py
@@ -44,16 +44,22 @@
     late = sorted(it.late())
     readers = [await it.role(n, "reader") for n in it.relays]
     found: dict[str, Any] = {
-        "handed in": len(clients.asked), "taken": len(clients.taken), "answers": clients.answers,
-        "broken": it.broken(clients.taken), "failed": sum("failed" in ends for ends in it.ends().values()),
+        "handed in": len(clients.asked),
+        "taken": len(clients.taken),
+        "answers": clients.answers,
+        "broken": it.broken(clients.taken),
+        "failed": sum("failed" in ends for ends in it.ends().values()),
         "stale refused": sum(each["stale_refused"] for each in readers),
         "ask failures": sum(each["failures"] for each in readers),
         "unreadable": sum(each["unreadable"] for each in readers),
     }
     if late:
-        found |= {"moves": len(late), "force p50 s": round(late[len(late) // 2], 2),
-                  "force p99 s": round(late[int(0.99 * (len(late) - 1))], 2),
-                  "force most s": round(late[-1], 2)}
+        found |= {
+            "moves": len(late),
+            "force p50 s": round(late[len(late) // 2], 2),
+            "force p99 s": round(late[int(0.99 * (len(late) - 1))], 2),
+            "force most s": round(late[-1], 2),
+        }
     return found
 
 
@@ -80,6 +86,7 @@
 
 async def killed() -> dict[str, Any]:
     """A keeper is killed in the middle of a shard's answer: what comes of it is a trickle."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         for relay in it.relays:
             await it.net("set", "n0", f"n{relay}", bytes_s=2000.0)
@@ -97,6 +104,7 @@
 
 async def frozen() -> dict[str, Any]:
     """A keeper stands still for 20 s, and then a relay does."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         it.freeze(0)
         await asyncio.sleep(20.0)
@@ -113,6 +121,7 @@
 async def behind() -> dict[str, Any]:
     """One keeper hears of no change, though its source confirms it: it is behind by all changes of the play
     and 300 before it. For a while it is the only one that can be reached."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         await asyncio.sleep(8.0)
         for dest in range(61, 161):
@@ -142,6 +151,7 @@
 
 async def restarted() -> dict[str, Any]:
     """All keepers end and start together, while messages come for shards that no relay has."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         await asyncio.gather(*(it.kill(n) for n in range(3)))
         for dest in range(61, 361):
@@ -155,6 +165,7 @@
 
 async def one_way() -> dict[str, Any]:
     """What keepers say does not come, what is asked of them does; then the other way round."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         relays = [f"n{n}" for n in it.relays]
         for some, others in ((["n0", "n1", "n2"], relays), (relays, ["n0", "n1", "n2"])):
@@ -173,6 +184,7 @@
 async def doubled() -> dict[str, Any]:
     """Datagrams come twice, late and in another order, and a third is lost; connections are slow and uneven,
     and end now and then in the middle."""
+
     async def fault(it: ShardsTown, clients: Clients) -> None:
         await it.net("set", twice=0.5, late=0.2, loss=0.3, delay_ms=20.0, jitter_ms=150.0)
         for turn in range(8):
@@ -188,8 +200,12 @@
 async def unreadable() -> dict[str, Any]:
     """Entries that can't be read: a port that is none, no address, a rate below 0, and no entry at all; then
     two that are known change to such."""
-    spoilt = (entry(900, "127.0.0.1:99999"), entry(901, ""), entry(902, "127.0.0.1:9", weight=-1),
-              {"instanceId": "x"})
+    spoilt = (
+        entry(900, "127.0.0.1:99999"),
+        entry(901, ""),
+        entry(902, "127.0.0.1:9", weight=-1),
+        {"instanceId": "x"},
+    )
 
     async def fault(it: ShardsTown, clients: Clients) -> None:
         it.register.change([entry(dest, "nowhere") for dest in (300, 301)])
@@ -221,8 +237,12 @@
         wrong = sum(len(it.calls_to(dest, "a")) for dest in moved)
         found = await told(it, clients)
         clients.close()
-        return found | {"held": before, "drained s": round(took, 1), "delivered": len(it.effects()),
-                        "calls at places that were left": wrong}
+        return found | {
+            "held": before,
+            "drained s": round(took, 1),
+            "delivered": len(it.effects()),
+            "calls at places that were left": wrong,
+        }
 
 
 async def waiting() -> dict[str, Any]:
@@ -244,8 +264,16 @@
 
 
 PLAYS: dict[str, Play] = {
-    "calm": calm, "killed": killed, "frozen": frozen, "behind": behind, "restarted": restarted,
-    "one_way": one_way, "doubled": doubled, "unreadable": unreadable, "held": held, "waiting": waiting,
+    "calm": calm,
+    "killed": killed,
+    "frozen": frozen,
+    "behind": behind,
+    "restarted": restarted,
+    "one_way": one_way,
+    "doubled": doubled,
+    "unreadable": unreadable,
+    "held": held,
+    "waiting": waiting,
 }
 
 
@@ -277,9 +305,14 @@
             said = ", ".join(f"{key} {value}" for key, value in results[name].items())
             print(f"{name}: {said}", flush=True)
     if args.budget:
-        results["budget"] = asyncio.run(budget(
-            [int(each) for each in args.sizes.split(",")], args.known, set(args.parts.split(",")),
-            args.count))
+        results["budget"] = asyncio.run(
+            budget(
+                [int(each) for each in args.sizes.split(",")],
+                args.known,
+                set(args.parts.split(",")),
+                args.count,
+            )
+        )
     if args.json or args.budget:
         print(json.dumps(results, indent=1))
     for text in bad:
--- a/benchmarks/shards_budget.py
+++ b/benchmarks/shards_budget.py
@@ -27,15 +27,23 @@
     counts = await it.net("count")
     datagrams = shards.get("peers", {})
     moved = counts.get("bytes", 0) + datagrams.get("sent_bytes", 0) + datagrams.get("received_bytes", 0)
-    return {"at": time.monotonic(), "cpu": told.cpu_s, "rss": told.rss_mb, "bytes": float(moved),
-            "lag": told.lag.most_ms}
+    return {
+        "at": time.monotonic(),
+        "cpu": told.cpu_s,
+        "rss": told.rss_mb,
+        "bytes": float(moved),
+        "lag": told.lag.most_ms,
+    }
 
 
 def between(before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
     took = after["at"] - before["at"]
-    return {"core %": round(100 * (after["cpu"] - before["cpu"]) / took, 2),
-            "bytes/s": round((after["bytes"] - before["bytes"]) / took),
-            "RSS MB": round(after["rss"], 1), "lag ms": after["lag"]}
+    return {
+        "core %": round(100 * (after["cpu"] - before["cpu"]) / took, 2),
+        "bytes/s": round((after["bytes"] - before["bytes"]) / took),
+        "RSS MB": round(after["rss"], 1),
+        "lag ms": after["lag"],
+    }
 
 
 async def window(it: ShardsTown, seconds: float = WINDOW_S) -> dict[str, float]:
@@ -87,10 +95,15 @@
     async with asyncio.timeout(120.0):
         while (await it.role(it.relays[0], "reader"))["version"][1] < it.register.generation:
             await asyncio.sleep(0.05)
-    return {"changes": len(dests), "within s": STORM_S, "keepers follow after s": round(kept, 1),
-            "the relay follows after s": round(time.monotonic() - ended, 1),
-            **between(before, await taken(it)), "reader": await it.role(it.relays[0], "reader"),
-            "keepers": [await it.role(n, "keeper") for n in range(it.keepers)]}
+    return {
+        "changes": len(dests),
+        "within s": STORM_S,
+        "keepers follow after s": round(kept, 1),
+        "the relay follows after s": round(time.monotonic() - ended, 1),
+        **between(before, await taken(it)),
+        "reader": await it.role(it.relays[0], "reader"),
+        "keepers": [await it.role(n, "keeper") for n in range(it.keepers)],
+    }
 
 
 async def budget(sizes: list[int], known: int, parts: set[str], count: int = SHARDS) -> dict[str, Any]:
@@ -125,8 +138,10 @@
             found[f"{size} in use"] = row
         if "storm" in parts:
             found["storm"] = await stormed(it)
-        found["keeper after"] = {"RSS MB": round((await it.report(0)).rss_mb, 1),
-                                 "lag ms": (await it.report(0)).lag.most_ms}
+        found["keeper after"] = {
+            "RSS MB": round((await it.report(0)).rss_mb, 1),
+            "lag ms": (await it.report(0)).lag.most_ms,
+        }
         found["broken"] = it.broken(clients.taken)
         clients.close()
     return found
--- a/benchmarks/shards_schedules.py
+++ b/benchmarks/shards_schedules.py
@@ -87,9 +87,11 @@
     @property
     def bad(self) -> bool:
         wrong = (self.late_calls, self.older, self.returned, self.stuck, self.wrong_absent, self.unmet)
-        return bool(any(wrong)
-                    or self.answers_s > ANSWERS_S * (1 + BURST_S) + 1
-                    or self.bytes_s > BYTES_S * (1 + BURST_S) + 2 * ANSWER_BYTES)
+        return bool(
+            any(wrong)
+            or self.answers_s > ANSWERS_S * (1 + BURST_S) + 1
+            or self.bytes_s > BYTES_S * (1 + BURST_S) + 2 * ANSWER_BYTES
+        )
 
 
 class Truth:
@@ -201,7 +203,7 @@
                     pass
                 assert load.taken
             elif self.keeper.table.generation < truth.generation:
-                for generation, rows, lives in truth.log[self.keeper.table.generation:]:
+                for generation, rows, lives in truth.log[self.keeper.table.generation :]:
                     assert self.keeper.changed(now, generation, rows, lives)
             self.keeper.confirmed(now)
             if not self.gens or self.gens[-1] < truth.generation:
@@ -546,10 +548,16 @@
         """After the quiet end the directory has of each destination in use what there is."""
         for destination in set(side.used):
             if side.reader.here(destination):
-                has = {(known.name, int(known.entry.rate)) for known in side.directory.by_name.values()
-                       if known.entry.destination == destination}
-                is_ = {(row.name, int(row.rate)) for row in self.truth.rows.values()
-                       if row.destination == destination}
+                has = {
+                    (known.name, int(known.entry.rate))
+                    for known in side.directory.by_name.values()
+                    if known.entry.destination == destination
+                }
+                is_ = {
+                    (row.name, int(row.rate))
+                    for row in self.truth.rows.values()
+                    if row.destination == destination
+                }
                 if has != is_:
                     self.found.unmet += 1
                     self.note(f"{side.name}: {destination} is {sorted(is_)}, has {sorted(has)}")
@@ -571,8 +579,19 @@
     with ProcessPoolExecutor(told.processes) as pool:
         found = list(pool.map(played, plans, chunksize=4))
     total: dict[str, Any] = {"schedules": len(found), "readers": told.readers}
-    for name in ("calls", "blocked", "late_calls", "older", "returned", "stuck", "wrong_absent", "unmet",
-                 "answers", "busy", "stale_refused"):
+    for name in (
+        "calls",
+        "blocked",
+        "late_calls",
+        "older",
+        "returned",
+        "stuck",
+        "wrong_absent",
+        "unmet",
+        "answers",
+        "busy",
+        "stale_refused",
+    ):
         total[name] = sum(getattr(each, name) for each in found)
     late = sorted(each.late_s for each in found)
     total["late_s"] = {"p50": late[len(late) // 2], "p99": late[len(late) * 99 // 100], "most": late[-1]}
--- a/benchmarks/shards_town.py
+++ b/benchmarks/shards_town.py
@@ -80,7 +80,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query.get("hold_ms", ["0"])[0]) / 1000):
                     await self.news.wait()
-        changes = self.log[bisect_left(self.log, known + 1, key=lambda each: each[0]):]
+        changes = self.log[bisect_left(self.log, known + 1, key=lambda each: each[0]) :]
         latest = {entry["instanceId"]: entry for _, entry in changes}
         return 200, self._told(False, list(latest.values()))
 
@@ -91,8 +91,17 @@
 
 
 def entry(dest: int, at: str, **more: Any) -> dict[str, Any]:
-    return {"instanceId": f"e{dest}", "hostPort": at, "zone": "z", "machineType": "k", "cell": dest,
-            "lifecycle": "ready", "weight": 1000.0, "startedAtMs": 0, **more}
+    return {
+        "instanceId": f"e{dest}",
+        "hostPort": at,
+        "zone": "z",
+        "machineType": "k",
+        "cell": dest,
+        "lifecycle": "ready",
+        "weight": 1000.0,
+        "startedAtMs": 0,
+        **more,
+    }
 
 
 @dataclass
@@ -181,8 +190,15 @@
         self.at = {}
         for place in PLACES:
             self.at[place] = await super().start(
-                f"partner {place}", "standins.partner", "--answer-ms", str(self.answer_ms), "--calls",
-                str(self.folder / f"calls {place}"), "--ledger", str(self.folder / "effects"))
+                f"partner {place}",
+                "standins.partner",
+                "--answer-ms",
+                str(self.answer_ms),
+                "--calls",
+                str(self.folder / f"calls {place}"),
+                "--ledger",
+                str(self.folder / "effects"),
+            )
         if self.old:
             path = self.folder / "old.json"
             self.more_env |= {n: {"RELAY_CONFIG": str(path)} for n in self.old}
@@ -200,11 +216,13 @@
         self.more_parts = (
             f'[peers]\nlisten = "127.{self.block}.1.{{n}}:{PORT}"\n'
             f'address = "127.{self.block}.2.{{n}}:{PORT}"\nseeds = [{seeds}]\n'
-            f'secret_file = "{self.folder}/secret"\nperiod_s = 0.5\n')
+            f'secret_file = "{self.folder}/secret"\nperiod_s = 0.5\n'
+        )
         if self.on:
             self.more_parts += (
                 f"[shards]\nkeepers = {list(range(self.keepers))}\ncount = {self.count}\n"
-                f"bound_s = {self.bound_s}\nidle_s = {self.idle_s}\n")
+                f"bound_s = {self.bound_s}\nidle_s = {self.idle_s}\n"
+            )
         path = self.folder / "config0.json"
         if self.old:
             told = json.loads(path.read_text())
@@ -229,7 +247,7 @@
                 calls.setdefault((place, int(ident.rpartition("-")[2])), []).append(float(at) / 1000)
         found = []
         for n, (moved, dest, to) in enumerate(self.moves):
-            ends = next((then for then, other, _ in self.moves[n + 1:] if other == dest), float("inf"))
+            ends = next((then for then, other, _ in self.moves[n + 1 :] if other == dest), float("inf"))
             before = "b" if to == "a" else "a"
             old = [each - moved for each in calls.get((before, dest), []) if moved < each < ends]
             found.append(max(old, default=0.0))
@@ -284,8 +302,15 @@
 @contextlib.asynccontextmanager
 async def shards_town(keepers: int = 3, relays: int = 3, **more: Any) -> AsyncIterator[ShardsTown]:
     with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
-        it = ShardsTown(Path(folder), keepers + relays, more.pop("rate", 1000.0), False, keepers=keepers,
-                        fleet_of=keepers + relays, **more)
+        it = ShardsTown(
+            Path(folder),
+            keepers + relays,
+            more.pop("rate", 1000.0),
+            False,
+            keepers=keepers,
+            fleet_of=keepers + relays,
+            **more,
+        )
         try:
             await it.set_up()
             if it.on:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -6,7 +6,7 @@
 some more, 4% end as failed or returned and are told; each is known for 16 s at 120 messages a second, budget
 2.96 MB. `--old` names a checkout of the version with one file (commit 41140d3), which is then measured by a
 process of its own in each round. `pause` is the longest call, `p99` of a take, `amplification` bytes written
-over bytes of new records, `peak` the most that lay on the disk, against the budget. """
+over bytes of new records, `peak` the most that lay on the disk, against the budget."""
 
 from __future__ import annotations
 
@@ -107,11 +107,19 @@
         assert len(again.entries) >= live
         again.close()
         takes, every = sorted(mix.takes), sorted(mix.takes + mix.others)
-        return {"us a message": took / messages * 1e6, "p99 ms": takes[int(0.99 * len(takes))],
-                "p999 ms": takes[int(0.999 * len(takes))], "pause ms": every[-1], "refused": mix.refused,
-                "amplification": (copied + written) / written, "peak": mix.peak, "over": mix.peak > BUDGET,
-                "bytes a known": size / max(1, live), "recovery ms": restored * 1000,
-                "recovery MB/s": size / 1e6 / restored}
+        return {
+            "us a message": took / messages * 1e6,
+            "p99 ms": takes[int(0.99 * len(takes))],
+            "p999 ms": takes[int(0.999 * len(takes))],
+            "pause ms": every[-1],
+            "refused": mix.refused,
+            "amplification": (copied + written) / written,
+            "peak": mix.peak,
+            "over": mix.peak > BUDGET,
+            "bytes a known": size / max(1, live),
+            "recovery ms": restored * 1000,
+            "recovery MB/s": size / 1e6 / restored,
+        }
 
 
 def recovery(size: int, total: int) -> dict[str, Any]:
@@ -129,22 +137,35 @@
         found = recover(FolderFiles(Path(name)))
         took = time.perf_counter() - begun
         assert len(found.entries) == total // size
-        return {"body": size, "MB": read / 1e6, "us a record": took / len(found.entries) * 1e6,
-                "MB/s": read / 1e6 / took, "floor": read / 1e6 / floor}
+        return {
+            "body": size,
+            "MB": read / 1e6,
+            "us a record": took / len(found.entries) * 1e6,
+            "MB/s": read / 1e6 / took,
+            "floor": read / 1e6 / floor,
+        }
 
 
 def old(folder: Path, messages: int, seed: int) -> dict[str, Any]:
     """The same by the version in another folder: this file's loop, that version's journal."""
-    code = ("import json, sys; from benchmarks.store import measure;"
-            f"print(json.dumps(measure({messages}, {seed})))")
+    code = (
+        "import json, sys; from benchmarks.store import measure;"
+        f"print(json.dumps(measure({messages}, {seed})))"
+    )
     here = Path(__file__).parents[1]
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "benchmarks").mkdir()
         for part in ("__init__.py", "report.py", "store.py"):
             (Path(name) / "benchmarks" / part).symlink_to(here / "benchmarks" / part)
         (Path(name) / "linnetstile").symlink_to(folder / "linnetstile")
-        done = subprocess.run([sys.executable, "-c", code], cwd=name, capture_output=True, text=True,
-                              check=True, env={**os.environ, "PYTHONPATH": name})
+        done = subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=name,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONPATH": name},
+        )
     return dict(json.loads(done.stdout))
 
 
@@ -157,21 +178,29 @@
     parser.add_argument("--recovery", action="store_true", help="a start on messages of each size instead")
     args = parser.parse_args()
     if args.recovery:
-        report([recovery(size, 20_000_000) for size in (100, 400, 1000, 4000, 16_000, 60_000)], args.json,
-               ("   body     MB  us/record    MB/s  read and sum up, MB/s",),
-               "{body:7}{MB:7.1f}{us a record:11.1f}{MB/s:8.0f}{floor:23.0f}")
+        report(
+            [recovery(size, 20_000_000) for size in (100, 400, 1000, 4000, 16_000, 60_000)],
+            args.json,
+            ("   body     MB  us/record    MB/s  read and sum up, MB/s",),
+            "{body:7}{MB:7.1f}{us a record:11.1f}{MB/s:8.0f}{floor:23.0f}",
+        )
         return 0
     rows = []
     for seed in range(args.rounds):
         rows.append({"store": "segments", **measure(args.messages, seed)})
         if args.old is not None:
             rows.append({"store": "one file", **old(args.old.resolve(), args.messages, seed)})
-    report(rows, args.json, (
-        f"{args.messages} messages, budget {BUDGET} bytes",
-        "store     us/message  p99 ms  p999 ms  pause ms  refused  amplification     peak  recovery ms"
-        "   MB/s"),
+    report(
+        rows,
+        args.json,
+        (
+            f"{args.messages} messages, budget {BUDGET} bytes",
+            "store     us/message  p99 ms  p999 ms  pause ms  refused  amplification     peak  recovery ms"
+            "   MB/s",
+        ),
         "{store:9}{us a message:11.1f}{p99 ms:8.3f}{p999 ms:9.3f}{pause ms:10.2f}{refused:9}"
-        "{amplification:15.2f}{peak:9}{recovery ms:13.1f}{recovery MB/s:7.0f}")
+        "{amplification:15.2f}{peak:9}{recovery ms:13.1f}{recovery MB/s:7.0f}",
+    )
     return 0
 
 
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -9,7 +9,7 @@
 
 `amplification` is what went through write calls (`wchar` of /proc/self/io) over the bytes of the records
 themselves, `pause` the longest call, `peak` the most that lay on the disk, looked at once a second of the
-traffic. """
+traffic."""
 
 from __future__ import annotations
 
@@ -94,8 +94,12 @@
     def __init__(self, folder: Path) -> None:
         super().__init__()
         self.db = sqlite3.connect(folder / "journal.db", isolation_level=None)
-        for text in ("PRAGMA journal_mode=WAL", "PRAGMA synchronous=OFF", "PRAGMA wal_autocheckpoint=100",
-                     "CREATE TABLE m (id TEXT PRIMARY KEY, state BLOB, body BLOB) WITHOUT ROWID"):
+        for text in (
+            "PRAGMA journal_mode=WAL",
+            "PRAGMA synchronous=OFF",
+            "PRAGMA wal_autocheckpoint=100",
+            "CREATE TABLE m (id TEXT PRIMARY KEY, state BLOB, body BLOB) WITHOUT ROWID",
+        ):
             self.db.execute(text)
 
     def put(self, entry: Entry) -> None:
@@ -114,8 +118,9 @@
 class Lmdb(Rows):
     def __init__(self, folder: Path) -> None:
         super().__init__()
-        self.db = import_module("lmdb").open(str(folder), map_size=64 << 20, sync=False, metasync=False,
-                                             lock=False)
+        self.db = import_module("lmdb").open(
+            str(folder), map_size=64 << 20, sync=False, metasync=False, lock=False
+        )
 
     def put(self, entry: Entry) -> None:
         with self.db.begin(write=True) as work:
@@ -189,9 +194,15 @@
         gc.enable()
         store.close()
         every = sorted(mix.takes + mix.others)
-        return {"store": name, "us a message": took / messages * 1e6, "wrote": wrote, "peak": mix.peak,
-                "p99 ms": sorted(mix.takes)[int(0.99 * len(mix.takes))], "pause ms": every[-1],
-                "written": getattr(store, "written", 0)}
+        return {
+            "store": name,
+            "us a message": took / messages * 1e6,
+            "wrote": wrote,
+            "peak": mix.peak,
+            "p99 ms": sorted(mix.takes)[int(0.99 * len(mix.takes))],
+            "pause ms": every[-1],
+            "written": getattr(store, "written", 0),
+        }
 
 
 def main() -> int:
@@ -201,8 +212,11 @@
     parser.add_argument("--rounds", type=int, default=2)
     args = parser.parse_args()
     makers: dict[str, Callable[[Path], Any]] = {
-        "segments": lambda folder: Journal(folder, BUDGET), "generations": Generations, "sqlite": Sqlite,
-        "lmdb": Lmdb}
+        "segments": lambda folder: Journal(folder, BUDGET),
+        "generations": Generations,
+        "sqlite": Sqlite,
+        "lmdb": Lmdb,
+    }
     rows: list[dict[str, Any]] = []
     for seed in range(args.rounds):
         records = 1
@@ -214,9 +228,12 @@
                 continue
             records = row["written"] or records  # the same calls, so the same records
             rows.append({**row, "amplification": row["wrote"] / records})
-    report(rows, args.json, (
-        f"{args.messages} messages", "store        us/message  p99 ms  pause ms  amplification      peak"),
-        "{store:12}{us a message:11.1f}{p99 ms:8.3f}{pause ms:10.2f}{amplification:15.2f}{peak:10}")
+    report(
+        rows,
+        args.json,
+        (f"{args.messages} messages", "store        us/message  p99 ms  pause ms  amplification      peak"),
+        "{store:12}{us a message:11.1f}{p99 ms:8.3f}{pause ms:10.2f}{amplification:15.2f}{peak:10}",
+    )
     return 0
 
 
--- a/benchmarks/town.py
+++ b/benchmarks/town.py
@@ -52,9 +52,7 @@
     block: int = 0  # of loopback addresses: 127.BLOCK.x.n, so that towns beside each other don't meet
     more_env: dict[int, dict[str, str]] = field(default_factory=dict)
     first: str = ""  # of the operator's file: [accord.first]
-    partners: tuple[
-        str, ...
-    ] = ()  # zones, each with a partner of its own; instance n is in zone n % as many
+    partners: tuple[str, ...] = ()  # zones, each with a partner of its own; instance n is in zone n % as many
     partner: tuple[str, ...] = ()  # more arguments of each partner
     fleet_of: int = 40  # instances that the operator's file names at the least: rates are shared by them
     more_parts: str = ""  # of the operator's file
@@ -153,9 +151,7 @@
         if not self.partners:
             return bad
         return [
-            text
-            for text in bad
-            if "took effect" not in text or taken.get(text.partition(":")[0]) != "status"
+            text for text in bad if "took effect" not in text or taken.get(text.partition(":")[0]) != "status"
         ]
 
     def _listed(self, places: dict[str, str]) -> dict[str, Any]:
@@ -282,9 +278,7 @@
         rest = [
             f"n{n}"
             for n in (
-                others
-                if others is not None
-                else [n for n in range(max(self.instances, 40)) if n not in some]
+                others if others is not None else [n for n in range(max(self.instances, 40)) if n not in some]
             )
         ]
         await self.net("set", mine, rest, cut=True)
--- a/benchmarks/uncompacted.py
+++ b/benchmarks/uncompacted.py
@@ -1,6 +1,6 @@
 """The relay with a journal that never gives up a segment: what compaction costs is the difference.
 
-    python -m benchmarks.relay --held 64,300 --program linnetstile,benchmarks.uncompacted
+python -m benchmarks.relay --held 64,300 --program linnetstile,benchmarks.uncompacted
 """
 
 from __future__ import annotations
--- a/emulator/accord/model.py
+++ b/emulator/accord/model.py
@@ -232,9 +232,7 @@
     for guard in [args.without] if args.without else ["", *GUARDS]:
         begun = time.monotonic()
         seen, path = explore(guard, tight=guard == "standby")
-        rows.append(
-            {"without": guard, "states": seen, "path": path, "s": round(time.monotonic() - begun, 2)}
-        )
+        rows.append({"without": guard, "states": seen, "path": path, "s": round(time.monotonic() - begun, 2)})
         if not args.json:
             print(
                 f"without {guard or 'nothing':10} {seen:8} states  {rows[-1]['s']:6} s  "
--- a/emulator/accord/world.py
+++ b/emulator/accord/world.py
@@ -311,11 +311,7 @@
 
     def judge(self, relay: Relay, acting: Acting) -> None:
         self.calls += 1
-        if (
-            acting.tier is Tier.LEASE
-            and len(acting.versions) == 1
-            and acting.versions[0] < self.force.number
-        ):
+        if acting.tier is Tier.LEASE and len(acting.versions) == 1 and acting.versions[0] < self.force.number:
             late = self.now - self.force_at
             self.worst = max(self.worst, late)
             if late > self.terms.bound:
--- a/emulator/capacity/command.py
+++ b/emulator/capacity/command.py
@@ -50,10 +50,20 @@
 
 
 @click.command()
-@click.option("--size", "size_file", type=click.Path(path_type=Path), required=True,
-              help="What to design for: deploy/sizes/two-years.toml.")
-@click.option("--slopes", type=click.Path(path_type=Path), default=SLOPES, show_default=True,
-              help="What `python -m benchmarks.capacity --into` wrote.")
+@click.option(
+    "--size",
+    "size_file",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="What to design for: deploy/sizes/two-years.toml.",
+)
+@click.option(
+    "--slopes",
+    type=click.Path(path_type=Path),
+    default=SLOPES,
+    show_default=True,
+    help="What `python -m benchmarks.capacity --into` wrote.",
+)
 @click.option("--json", "in_json", is_flag=True)
 @click.option("--write", type=click.Path(path_type=Path), help="Put the tables between this page's marks.")
 @click.pass_context
--- a/emulator/capacity/interest.py
+++ b/emulator/capacity/interest.py
@@ -18,8 +18,9 @@
 
 def read_memory(m: Reckoner, every: bool = False) -> float:
     """The shards, and what directory and decisions keep of the destinations in use."""
-    return (m.part("shards.reader.memory_bytes", shards_in_use(m, every))
-            + m.part("directory.list.memory_bytes", in_use(m, every)))
+    return m.part("shards.reader.memory_bytes", shards_in_use(m, every)) + m.part(
+        "directory.list.memory_bytes", in_use(m, every)
+    )
 
 
 def of_budget(m: Reckoner, size: str, when: str, cost: str) -> float:
@@ -48,58 +49,160 @@
 def beside_keepers(size: str, words: str) -> list[Formula]:
     """The rows of a real relay with so many destinations in use."""
     found = []
-    for when, at, said in (("plan", When.CHANGES, "at the plan's changes"),
-                           ("plan_x_100", When.STORM, "at 100 times the plan's changes")):
+    for when, at, said in (
+        ("plan", When.CHANGES, "at the plan's changes"),
+        ("plan_x_100", When.STORM, "at 100 times the plan's changes"),
+    ):
         found += [
-            Formula(f"relay.real_{size}_{when}_bytes", Role.CONTROL, at, Kind.IN,
-                    f"sent and received by a real relay, {words} in use, {said}", Unit.RATE,
-                    partial(real_bytes, size=size, when=when), "as run", READING, b.BYTES, ASSIGN),
-            Formula(f"relay.real_{size}_{when}_processor", Role.CONTROL, at, Kind.PROCESSOR,
-                    f"of a real relay more than without keepers, {words} in use, {said}", Unit.CORE,
-                    partial(real_core, size=size, when=when), "as run, less as run without", READING, b.CORE,
-                    ASSIGN),
+            Formula(
+                f"relay.real_{size}_{when}_bytes",
+                Role.CONTROL,
+                at,
+                Kind.IN,
+                f"sent and received by a real relay, {words} in use, {said}",
+                Unit.RATE,
+                partial(real_bytes, size=size, when=when),
+                "as run",
+                READING,
+                b.BYTES,
+                ASSIGN,
+            ),
+            Formula(
+                f"relay.real_{size}_{when}_processor",
+                Role.CONTROL,
+                at,
+                Kind.PROCESSOR,
+                f"of a real relay more than without keepers, {words} in use, {said}",
+                Unit.CORE,
+                partial(real_core, size=size, when=when),
+                "as run, less as run without",
+                READING,
+                b.CORE,
+                ASSIGN,
+            ),
         ]
-    return found + [Formula(
-        f"relay.real_{size}_memory", Role.CONTROL, When.HOUR, Kind.MEMORY,
-        f"of a real relay more than without keepers, {words} in use", Unit.BYTES,
-        lambda m: of_budget(m, size, "plan", "rss_mb") * b.MB, "as run, less as run without", READING, b.MORE,
-        ASSIGN)]
+    return found + [
+        Formula(
+            f"relay.real_{size}_memory",
+            Role.CONTROL,
+            When.HOUR,
+            Kind.MEMORY,
+            f"of a real relay more than without keepers, {words} in use",
+            Unit.BYTES,
+            lambda m: of_budget(m, size, "plan", "rss_mb") * b.MB,
+            "as run, less as run without",
+            READING,
+            b.MORE,
+            ASSIGN,
+        )
+    ]
 
 
 INTERESTED = [
-    Formula("relay.storm_in_use", Role.CONTROL, When.STORM, Kind.IN,
-            "a storm's part in the shards that it holds, within the time to be in force", Unit.RATE,
-            lambda m: m.assume("storm") * shards_in_use(m) / m.assume("shards") * m.assume("packed_bytes")
-            / m.size.changes.force_s,
-            "entries x share of the shards x packed bytes of one / time to be in force", READING, b.BYTES,
-            ASSIGN),
-    Formula("relay.reader_memory", Role.CONTROL, When.HOUR, Kind.MEMORY, "shards of the destinations in use",
-            Unit.BYTES, lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m))
-            + m.at("directory.list.memory_bytes", in_use(m)),
-            "memory at so many shards + directory and decisions at so many in use", READING, b.MEMORY),
-    Formula("relay.reader_memory_all", Role.CONTROL, When.HOUR, Kind.MEMORY,
-            "shards where clients spread evenly", Unit.BYTES,
-            lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m, True))
-            + m.at("directory.list.memory_bytes", in_use(m, True)),
-            "memory at so many shards + directory and decisions at so many in use", READING, b.MEMORY,
-            ASSIGN),
-    Formula("relay.reader_start", Role.CONTROL, When.BACK, Kind.PROCESSOR,
-            "taking in the shards that it holds, after a restart", Unit.SECONDS,
-            lambda m: m.at("shards.reader.cpu_ms", shards_in_use(m)), "processor time at so many shards",
-            READING, b.START),
-    Formula("relay.digest_bytes", Role.CONTROL, When.REST, Kind.IN, "digests of its keepers", Unit.RATE,
-            lambda m: m.assume("keepers_a_reader")
-            * m.at("shards.digests.bytes_s", listeners(m)) / listeners(m),
-            "keepers that it hears x bytes to so many readers / readers", READING, b.BYTES),
+    Formula(
+        "relay.storm_in_use",
+        Role.CONTROL,
+        When.STORM,
+        Kind.IN,
+        "a storm's part in the shards that it holds, within the time to be in force",
+        Unit.RATE,
+        lambda m: m.assume("storm")
+        * shards_in_use(m)
+        / m.assume("shards")
+        * m.assume("packed_bytes")
+        / m.size.changes.force_s,
+        "entries x share of the shards x packed bytes of one / time to be in force",
+        READING,
+        b.BYTES,
+        ASSIGN,
+    ),
+    Formula(
+        "relay.reader_memory",
+        Role.CONTROL,
+        When.HOUR,
+        Kind.MEMORY,
+        "shards of the destinations in use",
+        Unit.BYTES,
+        lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m))
+        + m.at("directory.list.memory_bytes", in_use(m)),
+        "memory at so many shards + directory and decisions at so many in use",
+        READING,
+        b.MEMORY,
+    ),
+    Formula(
+        "relay.reader_memory_all",
+        Role.CONTROL,
+        When.HOUR,
+        Kind.MEMORY,
+        "shards where clients spread evenly",
+        Unit.BYTES,
+        lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m, True))
+        + m.at("directory.list.memory_bytes", in_use(m, True)),
+        "memory at so many shards + directory and decisions at so many in use",
+        READING,
+        b.MEMORY,
+        ASSIGN,
+    ),
+    Formula(
+        "relay.reader_start",
+        Role.CONTROL,
+        When.BACK,
+        Kind.PROCESSOR,
+        "taking in the shards that it holds, after a restart",
+        Unit.SECONDS,
+        lambda m: m.at("shards.reader.cpu_ms", shards_in_use(m)),
+        "processor time at so many shards",
+        READING,
+        b.START,
+    ),
+    Formula(
+        "relay.digest_bytes",
+        Role.CONTROL,
+        When.REST,
+        Kind.IN,
+        "digests of its keepers",
+        Unit.RATE,
+        lambda m: m.assume("keepers_a_reader") * m.at("shards.digests.bytes_s", listeners(m)) / listeners(m),
+        "keepers that it hears x bytes to so many readers / readers",
+        READING,
+        b.BYTES,
+    ),
     *beside_keepers("1000", "1,000 destinations"),
     *beside_keepers("10000", "10,000 destinations"),
-    Formula("relay.real_storm", Role.CONTROL, When.STORM, Kind.TIME,
-            "72,000 changes within 30 s, until the real relay has followed", Unit.SECONDS,
-            lambda m: m.fact("shards.budget.storm.the_relay_follows_after_s"), "as run", READING, b.FORCE),
-    Formula("relay.real_force", Role.CONTROL, When.CHANGES, Kind.TIME,
-            "a move, until the last call by the older entry, worst of the plays with faults", Unit.SECONDS,
-            lambda m: m.worst("shards.", ".force_most_s"), "as run", READING, b.FORCE),
-    Formula("relay.real_force_p99", Role.CONTROL, When.CHANGES, Kind.TIME,
-            "a move, until the last call by the older entry, worst p99 of the plays", Unit.SECONDS,
-            lambda m: m.worst("shards.", ".force_p99_s"), "as run", READING, b.FORCE),
+    Formula(
+        "relay.real_storm",
+        Role.CONTROL,
+        When.STORM,
+        Kind.TIME,
+        "72,000 changes within 30 s, until the real relay has followed",
+        Unit.SECONDS,
+        lambda m: m.fact("shards.budget.storm.the_relay_follows_after_s"),
+        "as run",
+        READING,
+        b.FORCE,
+    ),
+    Formula(
+        "relay.real_force",
+        Role.CONTROL,
+        When.CHANGES,
+        Kind.TIME,
+        "a move, until the last call by the older entry, worst of the plays with faults",
+        Unit.SECONDS,
+        lambda m: m.worst("shards.", ".force_most_s"),
+        "as run",
+        READING,
+        b.FORCE,
+    ),
+    Formula(
+        "relay.real_force_p99",
+        Role.CONTROL,
+        When.CHANGES,
+        Kind.TIME,
+        "a move, until the last call by the older entry, worst p99 of the plays",
+        Unit.SECONDS,
+        lambda m: m.worst("shards.", ".force_p99_s"),
+        "as run",
+        READING,
+        b.FORCE,
+    ),
 ]
--- a/emulator/capacity/roles.py
+++ b/emulator/capacity/roles.py
@@ -12,7 +12,15 @@
 from .rows import Formula, Role, When
 
 FORMULAS: list[Formula] = [
-    *DATA, *RELAY_CONTROL, *VOTER, *LEADER, *DECIDER, *KEEPER, *SUPERVISOR, *COMMANDS, *DESTINATION,
+    *DATA,
+    *RELAY_CONTROL,
+    *VOTER,
+    *LEADER,
+    *DECIDER,
+    *KEEPER,
+    *SUPERVISOR,
+    *COMMANDS,
+    *DESTINATION,
 ]
 
 # Where an event costs a role nothing of its own.
@@ -24,8 +32,10 @@
     Role.CONTROL: {"as at an ordinary hour: control knows nothing of what is held": (When.DRAIN,)},
     Role.VOTER: {
         "as one change: what changes together is one version": (When.STORM,),
-        "as at rest: relays that are gone renew nothing; a voter's own is one of those that may go":
-            (When.MACHINE, When.RACK),
+        "as at rest: relays that are gone renew nothing; a voter's own is one of those that may go": (
+            When.MACHINE,
+            When.RACK,
+        ),
         "as at an ordinary hour: a renewal knows nothing of what is held": (When.DRAIN,),
     },
     Role.LEADER: {
@@ -35,8 +45,15 @@
     },
     Role.DECIDER: {
         "no calls, so no evidence": (When.REST,),
-        "as at an ordinary hour: the windows of relays that are gone run out, the others' sums cost the same":
-            (When.DAY, When.CHANGES, When.RACK, When.DRAIN),
+        (
+            "as at an ordinary hour: the windows of relays that are gone run out,"
+            " the others' sums cost the same"
+        ): (
+            When.DAY,
+            When.CHANGES,
+            When.RACK,
+            When.DRAIN,
+        ),
         "as a zone: plans for all that changes": (When.STORM, When.BACK),
         "as at an ordinary hour on the side that has the leader; the other keeps its plan": (When.APART,),
     },
@@ -45,19 +62,34 @@
         "as at an ordinary hour: held events hold shards that are in use": (When.DRAIN,),
     },
     Role.SUPERVISOR: {
-        "as at rest: it looks at processes, not at events or changes":
-            (When.HOUR, When.CHANGES, When.STORM, When.APART, When.DRAIN),
+        "as at rest: it looks at processes, not at events or changes": (
+            When.HOUR,
+            When.CHANGES,
+            When.STORM,
+            When.APART,
+            When.DRAIN,
+        ),
         "its machine is gone with it": (When.RACK, When.ZONE),
     },
     Role.COMMANDS: {
         "nobody asks": (When.REST,),
-        "as at an ordinary hour: what does not answer is told after its time":
-            (When.DAY, When.STORM, When.RACK, When.ZONE, When.APART, When.BACK, When.DRAIN),
+        "as at an ordinary hour: what does not answer is told after its time": (
+            When.DAY,
+            When.STORM,
+            When.RACK,
+            When.ZONE,
+            When.APART,
+            When.BACK,
+            When.DRAIN,
+        ),
     },
     Role.DESTINATION: {
         "no calls; idle connections are closed": (When.REST,),
-        "as at an ordinary hour: others send what the missing relays would have":
-            (When.DAY, When.MACHINE, When.RACK),
+        "as at an ordinary hour: others send what the missing relays would have": (
+            When.DAY,
+            When.MACHINE,
+            When.RACK,
+        ),
         "as at an ordinary hour: it keeps its calls while its entry changes": (When.CHANGES, When.STORM),
     },
 }
--- a/emulator/capacity/rows.py
+++ b/emulator/capacity/rows.py
@@ -74,9 +74,26 @@
 
 # Units that measures tell, and what one of them is in the units here.
 SCALE = {
-    "bytes": 1.0, "KB": 1e3, "MB": 1e6, "bytes/s": 1.0, "KB/s": 1e3,
-    "s": 1.0, "ms": 1e-3, "us": 1e-6, "s/s": 1.0, "ms/s": 1e-3, "us/s": 1e-6, "core": 1.0, "cores": 1.0,
-    "datagrams/s": 1.0, "datagrams": 1.0, "messages/s": 1.0, "1/s": 1.0, "": 1.0, "share": 1.0, "count": 1.0,
+    "bytes": 1.0,
+    "KB": 1e3,
+    "MB": 1e6,
+    "bytes/s": 1.0,
+    "KB/s": 1e3,
+    "s": 1.0,
+    "ms": 1e-3,
+    "us": 1e-6,
+    "s/s": 1.0,
+    "ms/s": 1e-3,
+    "us/s": 1e-6,
+    "core": 1.0,
+    "cores": 1.0,
+    "datagrams/s": 1.0,
+    "datagrams": 1.0,
+    "messages/s": 1.0,
+    "1/s": 1.0,
+    "": 1.0,
+    "share": 1.0,
+    "count": 1.0,
 }
 
 
@@ -214,13 +231,27 @@
     budget = None if formula.budget is None else formula.budget.most(size)
     factor = None if value is None or not budget else value / budget
     return Row(
-        formula.name, formula.role.value, formula.when.value, formula.kind.value, formula.what,
-        formula.unit.value, formula.how, value,
-        None if value is None else min(values), None if value is None else max(values),
-        budget, "" if formula.budget is None else formula.budget.words,
-        factor, factor is not None and factor > 1.0 + SAME,
-        "not measured" if value is None else state(one, value), mechanism(formula.mechanism), formula.step,
-        one.uses, one.facts, one.assumed, list(dict.fromkeys(lacks)),
+        formula.name,
+        formula.role.value,
+        formula.when.value,
+        formula.kind.value,
+        formula.what,
+        formula.unit.value,
+        formula.how,
+        value,
+        None if value is None else min(values),
+        None if value is None else max(values),
+        budget,
+        "" if formula.budget is None else formula.budget.words,
+        factor,
+        factor is not None and factor > 1.0 + SAME,
+        "not measured" if value is None else state(one, value),
+        mechanism(formula.mechanism),
+        formula.step,
+        one.uses,
+        one.facts,
+        one.assumed,
+        list(dict.fromkeys(lacks)),
     )
 
 
--- a/emulator/capacity/size.py
+++ b/emulator/capacity/size.py
@@ -158,8 +158,11 @@
         "assumed.in_use": (assumed.in_use, assumed.in_use_most, "assumed.in_use_most"),
         "assumed.relays_a_machine": (assumed.relays_a_machine, fleet.relays, "fleet.relays"),
     }
-    found += [f"{name}: {value:g}: must be {limit:g} or less ({of})"
-              for name, (value, limit, of) in most.items() if value > limit]
+    found += [
+        f"{name}: {value:g}: must be {limit:g} or less ({of})"
+        for name, (value, limit, of) in most.items()
+        if value > limit
+    ]
     if assumed.voters % 2 == 0:
         found.append(f"assumed.voters: {assumed.voters}: must be odd: {assumed.voters - 1} outlive as many")
     return found
--- a/emulator/capacity/slopes.py
+++ b/emulator/capacity/slopes.py
@@ -136,17 +136,31 @@
     return float(found[0]), float(found[1]), half
 
 
-def fitted(name: str, per: str, unit: str, samples: Sequence[Sample], largest: Sample, mechanism: str,
-           note: str = "") -> Slope:
+def fitted(
+    name: str, per: str, unit: str, samples: Sequence[Sample], largest: Sample, mechanism: str, note: str = ""
+) -> Slope:
     """`largest`: what was measured at the size that is in no fit."""
     x = np.array([each.size for each in samples], dtype=float)
     y = np.array([each.value for each in samples], dtype=float)
     base, each, half = _line(x, y, _weights(y))
     _, power, give = _line(np.log(x), np.log(np.maximum(y, _least(y))), np.ones_like(x))
     found = Slope(
-        name, per, unit, list(samples), base, each, each - half, each + half,
-        power, power - give, power + give,
-        largest.size, base + each * largest.size, largest.value, mechanism, note,
+        name,
+        per,
+        unit,
+        list(samples),
+        base,
+        each,
+        each - half,
+        each + half,
+        power,
+        power - give,
+        power + give,
+        largest.size,
+        base + each * largest.size,
+        largest.value,
+        mechanism,
+        note,
     )
     return msgspec.structs.replace(found, predicted=mean(samples)) if found.flat else found
 
--- a/emulator/capacity/tables.py
+++ b/emulator/capacity/tables.py
@@ -72,11 +72,22 @@
 def tables(size: Size, report: Report, formulas: Sequence[Formula] = FORMULAS) -> Tables:
     found = rows(formulas, size, report)
     return Tables(
-        size, report.machine, report.seconds, report.most_mb, report.most_processes,
-        [Told(row, slopes_of(row, report)) for row in found], steps(found), report.slopes,
-        [Finding(each.name, each.largest, each.predicted, each.measured, each.off, reason(each))
-         for each in report.slopes if each.finding],
-        paper(size, found), sorted({lack for row in found for lack in row.lacks}), report.missing,
+        size,
+        report.machine,
+        report.seconds,
+        report.most_mb,
+        report.most_processes,
+        [Told(row, slopes_of(row, report)) for row in found],
+        steps(found),
+        report.slopes,
+        [
+            Finding(each.name, each.largest, each.predicted, each.measured, each.off, reason(each))
+            for each in report.slopes
+            if each.finding
+        ],
+        paper(size, found),
+        sorted({lack for row in found for lack in row.lacks}),
+        report.missing,
         report.facts,
     )
 
@@ -87,8 +98,10 @@
     for row in found:
         if row.over:
             by_name.setdefault(row.step or "no step is named", []).append(row)
-    told = [Step(name, max(row.factor or 0.0 for row in over), [row.name for row in over])
-            for name, over in by_name.items()]
+    told = [
+        Step(name, max(row.factor or 0.0 for row in over), [row.name for row in over])
+        for name, over in by_name.items()
+    ]
     return sorted(told, key=lambda step: -step.factor)
 
 
@@ -142,8 +155,13 @@
                 return f"{digits(value / scale)} {prefix}{tail}"
         return f"{digits(value)} {tail}"
     if unit == Unit.SECONDS.value:
-        for scale, name, least in ((86400.0, "days", 2 * 86400.0), (3600.0, "h", 7200.0), (1.0, "s", 1.0),
-                                   (1e-3, "ms", 1e-3), (1e-6, "us", 0.0)):
+        for scale, name, least in (
+            (86400.0, "days", 2 * 86400.0),
+            (3600.0, "h", 7200.0),
+            (1.0, "s", 1.0),
+            (1e-3, "ms", 1e-3),
+            (1e-6, "us", 0.0),
+        ):
             if abs(value) >= least:
                 return f"{digits(value / scale)} {name}"
     if unit in (Unit.CORE.value, Unit.SHARE.value):
@@ -173,8 +191,10 @@
     low, high = slope.sizes
     law = ", power law taken where worse" if slope.superlinear else ""
     half = slope.each_high - slope.each
-    return (f"`{slope.name}` {slope.each:.3g} +- {half:.1g} {slope.unit} a {slope.per}, run at "
-            f"{low:,} to {high:,}, exponent {exponent(slope)}{law}")
+    return (
+        f"`{slope.name}` {slope.each:.3g} +- {half:.1g} {slope.unit} a {slope.per}, run at "
+        f"{low:,} to {high:,}, exponent {exponent(slope)}{law}"
+    )
 
 
 def rests_on(told: Told) -> str:
@@ -215,45 +235,101 @@
 
 def cells(told: Told) -> tuple[str, ...]:
     row = told.row
-    return (row.when, f"{row.kind}: {row.what}", figure(row), budget(row), factor(row), rests_on(told),
-            carried(row), row.state)
+    return (
+        row.when,
+        f"{row.kind}: {row.what}",
+        figure(row),
+        budget(row),
+        factor(row),
+        rests_on(told),
+        carried(row),
+        row.state,
+    )
 
 
 def markdown(told: Tables) -> str:
     over = [each for each in told.rows if each.row.over]
     states = [each.row.state for each in told.rows]
-    counts = ", ".join(f"{states.count(state)} {state}"
-                       for state in ("measured", "reckoned", "assumed", "not measured"))
+    counts = ", ".join(
+        f"{states.count(state)} {state}" for state in ("measured", "reckoned", "assumed", "not measured")
+    )
     lines = [
-        f"Size \"{told.size.name}\": {len(told.rows)} figures, {len(over)} of them over budget; {counts}.",
+        f'Size "{told.size.name}": {len(told.rows)} figures, {len(over)} of them over budget; {counts}.',
         f"Slopes: {len(told.slopes)}, measured on {told.machine} in {told.seconds:.0f} s, with "
-        f"{told.most_mb:,.0f} MB and {told.most_processes} processes at most." if told.slopes
+        f"{told.most_mb:,.0f} MB and {told.most_processes} processes at most."
+        if told.slopes
         else "Slopes: none has been measured.",
-        "", "### Over budget", "",
+        "",
+        "### Over budget",
+        "",
         *table(("role", *HEADS), ((each.row.role, *cells(each)) for each in over)),
-        "", "### What is missing first", "",
+        "",
+        "### What is missing first",
+        "",
         *missing_first(told),
     ]
     for role in Role:
-        lines += ["", f"### {role.value[0].upper()}{role.value[1:]}", "",
-                  *table(HEADS, (cells(each) for each in told.rows if each.row.role == role.value))]
+        lines += [
+            "",
+            f"### {role.value[0].upper()}{role.value[1:]}",
+            "",
+            *table(HEADS, (cells(each) for each in told.rows if each.row.role == role.value)),
+        ]
         lines += [""] if AS_ELSEWHERE.get(role) else []
-        lines += [f"- {', '.join(when.value for when in at)}: {words}."
-                  for words, at in AS_ELSEWHERE.get(role, {}).items()]
-    lines += ["", "### Predicted, then measured", "",
-              "Each slope was fitted without its largest size, which was predicted and then run.", "",
-              *table(("slope", "unit", "sizes of the fit", "a unit of size", "exponent", "largest",
-                      "predicted", "measured", "off", "mechanism"), map(predicted, told.slopes)),
-              "", "### Findings: predictions off by more than a quarter", "",
-              *table(("slope", "size", "predicted", "measured", "off", "reason"),
-                     ((f"`{each.slope}`", f"{each.size:,}", f"{each.predicted:.4g}", f"{each.measured:.4g}",
-                       f"{each.off:+.0%}", each.reason) for each in told.findings)),
-              "", "### Reckoned by hand before, and what comes out", "",
-              *table(("row", "by hand", "comes out", ""), map(compared, told.paper)),
-              "", "### Single figures", "",
-              *table(("what", "figure"),
-                     ((f"`{name}`", f"{value:.4g}") for name, value in told.facts.items())),
-              "", "### Not measured", ""]
+        lines += [
+            f"- {', '.join(when.value for when in at)}: {words}."
+            for words, at in AS_ELSEWHERE.get(role, {}).items()
+        ]
+    lines += [
+        "",
+        "### Predicted, then measured",
+        "",
+        "Each slope was fitted without its largest size, which was predicted and then run.",
+        "",
+        *table(
+            (
+                "slope",
+                "unit",
+                "sizes of the fit",
+                "a unit of size",
+                "exponent",
+                "largest",
+                "predicted",
+                "measured",
+                "off",
+                "mechanism",
+            ),
+            map(predicted, told.slopes),
+        ),
+        "",
+        "### Findings: predictions off by more than a quarter",
+        "",
+        *table(
+            ("slope", "size", "predicted", "measured", "off", "reason"),
+            (
+                (
+                    f"`{each.slope}`",
+                    f"{each.size:,}",
+                    f"{each.predicted:.4g}",
+                    f"{each.measured:.4g}",
+                    f"{each.off:+.0%}",
+                    each.reason,
+                )
+                for each in told.findings
+            ),
+        ),
+        "",
+        "### Reckoned by hand before, and what comes out",
+        "",
+        *table(("row", "by hand", "comes out", ""), map(compared, told.paper)),
+        "",
+        "### Single figures",
+        "",
+        *table(("what", "figure"), ((f"`{name}`", f"{value:.4g}") for name, value in told.facts.items())),
+        "",
+        "### Not measured",
+        "",
+    ]
     lines += [f"- `{name}`" for name in told.not_measured] or ["Nothing that a figure needs."]
     lines += [f"- failed: {each}" for each in told.failed]
     return "\n".join(lines) + "\n"
@@ -265,25 +341,44 @@
     lines = []
     for place, step in enumerate(told.steps, 1):
         named = [by_name[name] for name in step.rows[:NAMED]]
-        words = "; ".join(f"{row.role}, {row.what}: {shown(row.value, row.unit)} for "
-                          f"{shown(row.budget, row.unit)}" for row in named)
+        words = "; ".join(
+            f"{row.role}, {row.what}: {shown(row.value, row.unit)} for " f"{shown(row.budget, row.unit)}"
+            for row in named
+        )
         rest = f"; and {len(step.rows) - NAMED} more" if len(step.rows) > NAMED else ""
         lines.append(f"{place}. **{step.name}**, {digits(step.factor)} times: {words}{rest}.")
-    bare = [each.row for each in told.rows
-            if each.row.mechanism.startswith(MISSING) and not each.row.over and each.row.value is not None]
+    bare = [
+        each.row
+        for each in told.rows
+        if each.row.mechanism.startswith(MISSING) and not each.row.over and each.row.value is not None
+    ]
     if bare:
-        lines += ["", "Nothing carries these either, and they have no budget that they break: " + "; ".join(
-            f"{row.role}, {row.what} ({shown(row.value, row.unit)}): {row.step or row.mechanism}"
-            for row in bare) + "."]
+        lines += [
+            "",
+            "Nothing carries these either, and they have no budget that they break: "
+            + "; ".join(
+                f"{row.role}, {row.what} ({shown(row.value, row.unit)}): {row.step or row.mechanism}"
+                for row in bare
+            )
+            + ".",
+        ]
     return lines or ["Nothing is over budget."]
 
 
 def predicted(slope: Slope) -> tuple[str, ...]:
     fit = [each.size for each in slope.samples]
-    return (f"`{slope.name}`", slope.unit, f"{min(fit):,} to {max(fit):,} ({len(fit)})",
-            f"{slope.each:.4g} ({slope.each_low:.4g} to {slope.each_high:.4g})", exponent(slope),
-            f"{slope.largest:,}", f"{slope.predicted:.4g}", f"{slope.measured:.4g}",
-            f"**{slope.off:+.0%}**" if slope.finding else f"{slope.off:+.0%}", f"`{slope.mechanism}`")
+    return (
+        f"`{slope.name}`",
+        slope.unit,
+        f"{min(fit):,} to {max(fit):,} ({len(fit)})",
+        f"{slope.each:.4g} ({slope.each_low:.4g} to {slope.each_high:.4g})",
+        exponent(slope),
+        f"{slope.largest:,}",
+        f"{slope.predicted:.4g}",
+        f"{slope.measured:.4g}",
+        f"**{slope.off:+.0%}**" if slope.finding else f"{slope.off:+.0%}",
+        f"`{slope.mechanism}`",
+    )
 
 
 def compared(each: Paper) -> tuple[str, ...]:
--- a/emulator/runs.py
+++ b/emulator/runs.py
@@ -77,9 +77,7 @@
 
 
 def result_of(record: Record, variant: Variant, seed: int) -> Result:
-    figures = {
-        name: None if value != value else round(value, 9) for name, value in record.figures().items()
-    }
+    figures = {name: None if value != value else round(value, 9) for name, value in record.figures().items()}
     return Result(
         variant.name,
         seed,
--- a/emulator/spec.py
+++ b/emulator/spec.py
@@ -32,8 +32,11 @@
         need(self.per_s > 0, "rate.per_s", "must be above 0")
         need(self.window_ms > 0, "rate.window_ms", "must be above 0")
         need(self.burst >= 1, "rate.burst", "must be 1 or more")
-        need(self.wait_ms is None or 0 < self.wait_ms[0] <= self.wait_ms[1], "rate.wait_ms",
-             "must be two times above 0, the smaller first")
+        need(
+            self.wait_ms is None or 0 < self.wait_ms[0] <= self.wait_ms[1],
+            "rate.wait_ms",
+            "must be two times above 0, the smaller first",
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/accord/granting.py
+++ b/linnetstile/accord/granting.py
@@ -92,9 +92,7 @@
         record = self.records.get(name)
         if record is None or (told.boot, told.nonce) != (record.boot, record.nonce):
             if record is not None and told.boot <= record.boot:
-                return self._answer(
-                    told, why=f"boot {told.boot} is not above {record.boot}: another process"
-                )
+                return self._answer(told, why=f"boot {told.boot} is not above {record.boot}: another process")
             if record is None and len(self.records) >= RELAYS_MAX:
                 return self._answer(told, why=f"it is relay {RELAYS_MAX + 1}: {RELAYS_MAX} at most")
             # A process that has just started acts by nothing, and the one before it has ended.
--- a/linnetstile/accord/guard.py
+++ b/linnetstile/accord/guard.py
@@ -28,9 +28,7 @@
     version: Version
     since: float
     before: float | None  # share of the fleet before it; None: too little was seen
-    at: dict[tuple[str, int], Counts] = field(
-        default_factory=dict
-    )  # of each process, when it was first seen
+    at: dict[tuple[str, int], Counts] = field(default_factory=dict)  # of each process, when it was first seen
 
     def judged(self, now: float, records: Iterable[tuple[str, Record]]) -> tuple[Verdict, str]:
         guard = self.version.guard
--- a/linnetstile/accord/holding.py
+++ b/linnetstile/accord/holding.py
@@ -78,9 +78,7 @@
         self.base = BEFORE  # when the renewal was sent that a majority noted last
         self.last = BEFORE
         self.why = ""  # the latest word of a voter that allowed nothing
-        self._made: tuple[tuple[int, ...], float, float, Acting] | None = (
-            None  # acts, base, until, and what
-        )
+        self._made: tuple[tuple[int, ...], float, float, Acting] | None = None  # acts, base, until, and what
 
     # -- asking ----------------------------------------------------------------------------------------------
 
@@ -266,12 +264,7 @@
         """Asked right before a call's first byte, and for each message: as long as nothing that it rests on
         has changed, and time has not run out, it is as it was told last."""
         made = self._made
-        if (
-            made is not None
-            and made[0] is self.acts
-            and made[1] == self.base
-            and self.last <= now <= made[2]
-        ):
+        if made is not None and made[0] is self.acts and made[1] == self.base and self.last <= now <= made[2]:
             self.last = now
             return made[3]
         tier = self.tier(now)
--- a/linnetstile/accord/node.py
+++ b/linnetstile/accord/node.py
@@ -487,11 +487,7 @@
         assert self.granting is not None and self.log is not None
         now, newest, records = self.clock.now(), self.book.newest, self.granting.records
         if self.watch is None or self.watch.version.number != newest.number:
-            if (
-                newest.stage is Stage.CURRENT
-                and newest.share >= 1
-                and self.granting.cleared < newest.number
-            ):
+            if newest.stage is Stage.CURRENT and newest.share >= 1 and self.granting.cleared < newest.number:
                 return  # not in force yet
             least = newest.guard.least_count if newest.guard is not None else 1
             self.watch = Watch(newest, now, self.recent.share(least))
--- a/linnetstile/accord/rules.py
+++ b/linnetstile/accord/rules.py
@@ -286,9 +286,7 @@
         return NOTHING
     usual = rules.destination(ANY)
     usual = SHUT if usual.nothing else usual
-    destinations = {
-        name: SHUT if told.nothing else told for name, told in sorted(rules.destinations.items())
-    }
+    destinations = {name: SHUT if told.nothing else told for name, told in sorted(rules.destinations.items())}
     destinations = {name: told for name, told in destinations.items() if name != ANY and told != usual}
     if usual != FREE:
         destinations[ANY] = usual
@@ -421,6 +419,4 @@
 
 
 def _said(value: object) -> str:
-    return (
-        "-" if value is None else ", ".join(sorted(value)) if isinstance(value, frozenset) else str(value)
-    )
+    return "-" if value is None else ", ".join(sorted(value)) if isinstance(value, frozenset) else str(value)
--- a/linnetstile/assembly.py
+++ b/linnetstile/assembly.py
@@ -40,16 +40,18 @@
         await self.host.start(self.known)
 
 
-def assemble(config: Config, sockets: Mapping[str, socket.socket] | None = None,
-             amqp: AmqpPart | None = None) -> Assembly:
+def assemble(
+    config: Config, sockets: Mapping[str, socket.socket] | None = None, amqp: AmqpPart | None = None
+) -> Assembly:
     """With the listening sockets that a service manager has handed over, and the operator's brokers, if any.
     Raises ConfigError where these cannot be used."""
     settings, host = config.settings, Host(config)
     idle, ending = max(1, config.sockets // 8), max(1, config.sockets // 16)
     # Clients get what calls cannot need: so a flood of connections leaves every call its descriptor.
     clients = config.sockets - OWN_SOCKETS - settings.slots - idle - ending
-    http = front.Front(host.messages, config, max(1, clients), config.sockets // 12,
-                       (sockets or {}).get(CLIENTS))
+    http = front.Front(
+        host.messages, config, max(1, clients), config.sockets // 12, (sockets or {}).get(CLIENTS)
+    )
     calls = Calls(settings.idle_ms, settings.connect_timeout_ms, idle, ending, settings.report_fields)
     register = Register(config.discovery, settings.relays, config.seed, settings.ask_for_list)
     intakes: dict[str, Intake] = {front.NAME: http}
--- a/linnetstile/cli/journal.py
+++ b/linnetstile/cli/journal.py
@@ -16,8 +16,22 @@
 from ..store.records import CENSUS, Kind
 from ..store.recovery import Found, Line, lines, recover
 
-NAMES = ("class", "tenant", "dest", "key", "since", "due", "again", "tries", "out", "risk", "end", "after",
-         "told", "from")  # of a snapshot's fields, without the body
+NAMES = (
+    "class",
+    "tenant",
+    "dest",
+    "key",
+    "since",
+    "due",
+    "again",
+    "tries",
+    "out",
+    "risk",
+    "end",
+    "after",
+    "told",
+    "from",
+)  # of a snapshot's fields, without the body
 TRIES = 5  # a relay may give up a segment between the look at the folder and the read of the file
 
 
@@ -64,8 +78,9 @@
     value = msgspec.msgpack.decode(line.payload)
     if line.kind == "take":
         *said, body = value
-        pairs = [f"{name}={got}" for name, got in zip(NAMES, said, strict=True)
-                 if got not in ("", None, 0, False)]
+        pairs = [
+            f"{name}={got}" for name, got in zip(NAMES, said, strict=True) if got not in ("", None, 0, False)
+        ]
         return " ".join([*pairs, f"body={len(body)}B"])
     return str(value)
 
@@ -87,8 +102,10 @@
     took, size = time.perf_counter() - begun, sum(each.on_disk for each in found.segments)
     for text in found.findings:
         click.echo(text)
-    click.echo(f"{len(found.segments)} segments, {size} bytes, {len(found.entries)} messages, "
-               f"{found.torn} bytes of a torn end, {len(found.findings)} findings, {took * 1000:.0f} ms")
+    click.echo(
+        f"{len(found.segments)} segments, {size} bytes, {len(found.entries)} messages, "
+        f"{found.torn} bytes of a torn end, {len(found.findings)} findings, {took * 1000:.0f} ms"
+    )
     sys.exit(1 if found.findings else 0)
 
 
@@ -102,8 +119,14 @@
     entry = found_in(folder).entries.get(ident)
     if json_:
         now = None if entry is None else _plain(entry)
-        click.echo(msgspec.json.encode({"records": [(line.segment, line.sequence, line.kind, told(line))
-                                                    for line in mine], "now": now}))
+        click.echo(
+            msgspec.json.encode(
+                {
+                    "records": [(line.segment, line.sequence, line.kind, told(line)) for line in mine],
+                    "now": now,
+                }
+            )
+        )
     else:
         for line in mine:
             click.echo(f"{line.segment} {line.sequence:8} {line.kind:7} {told(line)}")
@@ -128,7 +151,8 @@
     for line in lines_of(folder):
         kinds[line.kind] += 1
     told_ = {
-        "segments": len(found.segments), "bytes": sum(each.on_disk for each in found.segments),
+        "segments": len(found.segments),
+        "bytes": sum(each.on_disk for each in found.segments),
         "records": {kind.name.lower(): kinds[kind.name.lower()] for kind in Kind},
         "open": sum(not each.end for each in found.entries.values()),
         "notices_owed": sum(each.owes_notice for each in found.entries.values()),
--- a/linnetstile/cli/rules.py
+++ b/linnetstile/cli/rules.py
@@ -107,9 +107,7 @@
     default=1.0,
     help="Try it on this share of the relays first; it must be stricter in all that changes.",
 )
-@click.option(
-    "--guard", type=click.FloatRange(0, 2), help="Take it back if service falls under this ratio."
-)
+@click.option("--guard", type=click.FloatRange(0, 2), help="Take it back if service falls under this ratio.")
 @click.option("--watch", type=float, default=30.0, help="The guard watches for so many seconds.")
 @click.option("--least", type=int, default=50, help="Messages on each side before the guard says anything.")
 @click.option(
@@ -177,9 +175,7 @@
 @pass_instances
 def revert(it: Instances, number: int, cause: str, author: str) -> None:
     """Bring back the rules of version NUMBER as a new version."""
-    it.over(
-        it.ask(ask="revert", number=number, cause=cause, author=author), "version {number} is agreed on"
-    )
+    it.over(it.ask(ask="revert", number=number, cause=cause, author=author), "version {number} is agreed on")
 
 
 @rules.command()
@@ -299,9 +295,7 @@
     def table() -> Table:
         made = Table("instance", "at ms", "version", "verdict")
         for each in found:
-            made.add_row(
-                each["instance"], f"{each['at_ms']:.0f}", each["version"], each["why"] or "allowed"
-            )
+            made.add_row(each["instance"], f"{each['at_ms']:.0f}", each["version"], each["why"] or "allowed")
         return made
 
     it.say(found, table)
--- a/linnetstile/config.py
+++ b/linnetstile/config.py
@@ -51,8 +51,10 @@
     need_mb = OWN_MB + hold * MESSAGE_BYTES / 1e6
     if memory_mb is not None and need_mb > float(memory_mb):
         most = max(0, int((float(memory_mb) - OWN_MB) * 1e6 / MESSAGE_BYTES))
-        raise ValueError(f"settings.limits.open-cap: holding {hold} messages needs about {need_mb:.0f} MB, "
-                         f"and limits.memory_mb is {float(memory_mb):g}: hold {most} at most, or raise it")
+        raise ValueError(
+            f"settings.limits.open-cap: holding {hold} messages needs about {need_mb:.0f} MB, "
+            f"and limits.memory_mb is {float(memory_mb):g}: hold {most} at most, or raise it"
+        )
 
 
 LEAST_SOCKETS = 64  # descriptors: some forty are the process's own, calls and clients need the rest
@@ -98,8 +100,9 @@
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         raw: _File = msgspec.json.decode(Path(path).read_bytes(), type=_File, strict=False)
-        told = {key: env.get(f"RELAY_{key.upper()}") or getattr(raw, key) for key in
-                ("name", "listen", "state")}
+        told = {
+            key: env.get(f"RELAY_{key.upper()}") or getattr(raw, key) for key in ("name", "listen", "state")
+        }
         told["state"] = told["state"] or env.get("STATE_DIRECTORY", "").partition(":")[0]
         told["discovery"] = raw.discovery or env.get("RELAY_DISCOVERY")
         missing = [key for key, value in told.items() if not value]
@@ -109,9 +112,15 @@
         zones: _Zones = msgspec.json.decode(raw.settings, type=_Zones)
         carried(settings.hold, raw.limits.memory_mb)
         return Config(
-            name=str(told["name"]), listen=address(told["listen"]), discovery=address(told["discovery"]),
-            state=Path(str(told["state"])), seed=int(raw.seed, 16), sockets=min(1024, raw.limits.sockets),
-            disk_bytes=int(raw.limits.disk_mb * 1e6), known=raw.known or {}, settings=settings,
+            name=str(told["name"]),
+            listen=address(told["listen"]),
+            discovery=address(told["discovery"]),
+            state=Path(str(told["state"])),
+            seed=int(raw.seed, 16),
+            sockets=min(1024, raw.limits.sockets),
+            disk_bytes=int(raw.limits.disk_mb * 1e6),
+            known=raw.known or {},
+            settings=settings,
             zones=zones.zones,
         )
     except OSError as error:
--- a/linnetstile/core/attempts.py
+++ b/linnetstile/core/attempts.py
@@ -45,8 +45,15 @@
 
 
 class Attempts:
-    def __init__(self, relay: Relay, turns: Turns, messages: Messages, directory: Directory,
-                 transport: Transport, tasks: Tasks) -> None:
+    def __init__(
+        self,
+        relay: Relay,
+        turns: Turns,
+        messages: Messages,
+        directory: Directory,
+        transport: Transport,
+        tasks: Tasks,
+    ) -> None:
         self.relay, self.turns, self.messages = relay, turns, messages
         self.directory, self.transport, self.tasks = directory, transport, tasks
         self.permits: Permits | None = None
@@ -73,10 +80,20 @@
                 permit = Permit(self.permits, self._call(entry, known))
             gate = None if known is None else self._gate(number, entry, known, permit)
             if known is not None and gate is not None and await self._safe(gate, until_ms):
-                result = await self.transport.attempt(Attempt(
-                    endpoint, known.address, entry.id, entry.key, entry.body, until_ms / 1000, gate,
-                    careful=self.messages.effect(entry) is api.Effect.UNSAFE,
-                    mark=None if permit is None else permit.said, kind=known.kind))
+                result = await self.transport.attempt(
+                    Attempt(
+                        endpoint,
+                        known.address,
+                        entry.id,
+                        entry.key,
+                        entry.body,
+                        until_ms / 1000,
+                        gate,
+                        careful=self.messages.effect(entry) is api.Effect.UNSAFE,
+                        mark=None if permit is None else permit.said,
+                        kind=known.kind,
+                    )
+                )
         except asyncio.CancelledError:
             result = Result(api.Outcome.CANCELLED)  # by the module, or at the end of the process
         except Exception:
@@ -85,9 +102,22 @@
             result = Result(api.Outcome.RESET if entry.out else api.Outcome.CONNECT_FAILED)
         if permit is not None:
             permit.over(result, self.turns.now() - begun)
-        self._ended(number, held, api.AttemptEnded(
-            number, attempt, endpoint, result.outcome, self.turns.now() - begun, result.over, result.wait_ms,
-            result.no_slot, result.report, result.held_back))
+        self._ended(
+            number,
+            held,
+            api.AttemptEnded(
+                number,
+                attempt,
+                endpoint,
+                result.outcome,
+                self.turns.now() - begun,
+                result.over,
+                result.wait_ms,
+                result.no_slot,
+                result.report,
+                result.held_back,
+            ),
+        )
 
     async def _confirmed(self, interest: Interest, dest: int, until_ms: float) -> None:
         """Before a connection is looked for. Without a wait here a call that the gate holds back would be
@@ -125,8 +155,16 @@
 
     def _call(self, entry: Entry, known: Known) -> Call:
         zones, zone = self.directory.zones, known.entry.zone
-        return Call(entry.id, entry.dest, known.name, zones[zone] if zone < len(zones) else "", entry.class_,
-                    entry.tries, entry.risk is not None, entry.key is not None)
+        return Call(
+            entry.id,
+            entry.dest,
+            known.name,
+            zones[zone] if zone < len(zones) else "",
+            entry.class_,
+            entry.tries,
+            entry.risk is not None,
+            entry.key is not None,
+        )
 
     def _gate(self, number: int, entry: Entry, known: Known, permit: Permit | None) -> Callable[[], bool]:
         """Asked before the first byte on each connection, and before the last; one attempt in the journal."""
@@ -138,8 +176,11 @@
                 return False
             if permit is not None and not permit.given():
                 return False
-            noted = noted or self.messages.write(lambda: self.messages.journal.tried(
-                entry, unix_ms(), known.name, known.entry.zone, self.turns.now()))
+            noted = noted or self.messages.write(
+                lambda: self.messages.journal.tried(
+                    entry, unix_ms(), known.name, known.entry.zone, self.turns.now()
+                )
+            )
             return noted
 
         return may_write
--- a/linnetstile/core/directory.py
+++ b/linnetstile/core/directory.py
@@ -45,8 +45,11 @@
         """Takes what a source tells: the event for the decisions, what no longer stands or newly does, and
         the destinations that any of it concerns."""
         found = [self._known(member) for member in update.members]
-        found += [replace(known, entry=replace(known.entry, listing=listing))
-                  for name, listing in update.lives if (known := self.by_name.get(name)) is not None]
+        found += [
+            replace(known, entry=replace(known.entry, listing=listing))
+            for name, listing in update.lives
+            if (known := self.by_name.get(name)) is not None
+        ]
         changed: dict[Key, bool] = {}
         concerned = {known.entry.destination for known in found}
         if update.whole:
@@ -79,8 +82,11 @@
 
     def _known(self, member: Member) -> Known:
         entry = Endpoint(
-            id=self.number(member.name), destination=member.destination, listing=member.listing,
+            id=self.number(member.name),
+            destination=member.destination,
+            listing=member.listing,
             kind=self.kinds.index(member.kind) if member.kind in self.kinds else 0,
-            zone=self.zones.index(member.zone) if member.zone in self.zones else 0, rate=member.rate,
+            zone=self.zones.index(member.zone) if member.zone in self.zones else 0,
+            rate=member.rate,
         )
         return Known(member.name, entry, member.address, member.kind or "")
--- a/linnetstile/core/host.py
+++ b/linnetstile/core/host.py
@@ -40,12 +40,12 @@
         self.relay = Relay(config.settings, config.seed)
         self.turns = Turns(self.relay, config.settings.tick_ms, self._act)
         self.lock = FolderLock(config.state)
-        self.journal = Journal(config.state, config.disk_bytes - 2 * FILE_BYTES,
-                               sync_ms=config.sync_ms)
+        self.journal = Journal(config.state, config.disk_bytes - 2 * FILE_BYTES, sync_ms=config.sync_ms)
         self.learned = LearnedFile(config.state)
         self.directory = Directory(config.settings, config.zones)
-        self.messages = Messages(config.settings, self.journal, self.turns.now, self.turns.feed,
-                                 self._pass_on, self._turned_away)
+        self.messages = Messages(
+            config.settings, self.journal, self.turns.now, self.turns.feed, self._pass_on, self._turned_away
+        )
         self.tasks = Tasks()
         self.intakes: dict[str, Intake] = {}
         self.sources: list[Membership] = []
@@ -70,8 +70,11 @@
     def in_use(self, destination: int) -> bool:
         """Whether a message for it is held, a call is out, or something was learned that still counts."""
         now = self.turns.now()
-        return (destination in self.messages.bound_for or destination in self.remembered
-                or self.recall.has(now, destination))
+        return (
+            destination in self.messages.bound_for
+            or destination in self.remembered
+            or self.recall.has(now, destination)
+        )
 
     def rule(self, permits: Permits) -> None:
         """Rules on which the instances agree hold from now on."""
@@ -94,8 +97,13 @@
             found.append(entry if known is None else self.permits.entry(known.name, zone, entry))
         return api.EndpointList(event.kind, tuple(found))
 
-    def plug_in(self, intakes: dict[str, Intake], transport: Transport, sources: list[Membership],
-                merge: Merge | None = None) -> None:
+    def plug_in(
+        self,
+        intakes: dict[str, Intake],
+        transport: Transport,
+        sources: list[Membership],
+        merge: Merge | None = None,
+    ) -> None:
         """Fronts by the name that the journal keeps with their messages; `merge`: of several sources."""
         self.merge = merge
         self.intakes, self.transport, self.sources = intakes, transport, sources
--- a/linnetstile/core/messages.py
+++ b/linnetstile/core/messages.py
@@ -44,10 +44,15 @@
 class Messages:
     """Takes, holds and ends; which endpoint and whether again is not decided here."""
 
-    def __init__(self, settings: api.Settings, journal: Journal, now: Callable[[], float],
-                 feed: Callable[[api.Event], None], pass_on: Callable[[str, End], None],
-                 turned_away: Callable[[api.Message, int], float | None] = lambda message, held: None
-                 ) -> None:
+    def __init__(
+        self,
+        settings: api.Settings,
+        journal: Journal,
+        now: Callable[[], float],
+        feed: Callable[[api.Event], None],
+        pass_on: Callable[[str, End], None],
+        turned_away: Callable[[api.Message, int], float | None] = lambda message, held: None,
+    ) -> None:
         """`turned_away`: the decisions' word on one that is offered while so many are held: when to come
         instead (ms), or None."""
         self.settings, self.journal, self.turned_away = settings, journal, turned_away
@@ -107,8 +112,18 @@
             wait = max(TURNED_AWAY_S, come_ms / 1000)
             return Receipt(False, why="others that are held come first", retry_s=wait)
         now = unix_ms()
-        entry = Entry(offer.id, offer.class_, offer.tenant, offer.dest, offer.key, now, now + offer.left_ms,
-                      offer.again[:16], offer.body, origin=offer.origin)
+        entry = Entry(
+            offer.id,
+            offer.class_,
+            offer.tenant,
+            offer.dest,
+            offer.key,
+            now,
+            now + offer.left_ms,
+            offer.again[:16],
+            offer.body,
+            origin=offer.origin,
+        )
         try:
             self.journal.take(entry)
         except JournalError as error:
@@ -174,11 +189,21 @@
                 self.end(entry, "failed")  # the settings no longer know its class
             else:
                 risk = entry.risk
-                self._hold(entry, self._message(
-                    entry, entry.due - now, age_ms=max(0.0, now - entry.since), tries=entry.tries,
-                    risk_age_ms=None if risk is None else self._age(risk, now),
-                    risk=None if risk is None else api.Endpoint(
-                        number_of(risk.endpoint), entry.dest, api.Listing.READY, zone=risk.zone)))
+                self._hold(
+                    entry,
+                    self._message(
+                        entry,
+                        entry.due - now,
+                        age_ms=max(0.0, now - entry.since),
+                        tries=entry.tries,
+                        risk_age_ms=None if risk is None else self._age(risk, now),
+                        risk=None
+                        if risk is None
+                        else api.Endpoint(
+                            number_of(risk.endpoint), entry.dest, api.Listing.READY, zone=risk.zone
+                        ),
+                    ),
+                )
                 self.held[self.last_number].claims += 1  # the earlier process said so
 
     def _age(self, risk: Attempt, now: float) -> float:
@@ -201,9 +226,16 @@
 
     def _message(self, it: Offer | Entry, left_ms: float, **resumed: Any) -> api.Message:
         """As the decisions hear of it, under the next number."""
-        return api.Message(self.last_number + 1, it.dest, self.classes[it.class_], left_ms,
-                           self.tenants.get(it.tenant, 0), again=it.again == "1",
-                           from_dead_relay=it.again == "again", **resumed)
+        return api.Message(
+            self.last_number + 1,
+            it.dest,
+            self.classes[it.class_],
+            left_ms,
+            self.tenants.get(it.tenant, 0),
+            again=it.again == "1",
+            from_dead_relay=it.again == "again",
+            **resumed,
+        )
 
     def effect(self, entry: Entry) -> api.Effect:
         return self.settings.classes[self.classes[entry.class_]].effect
--- a/linnetstile/core/recall.py
+++ b/linnetstile/core/recall.py
@@ -28,8 +28,12 @@
         if not self.lanes:
             return []
         here = dict.fromkeys(entry.destination for entry in entries)
-        return [aged(lane, now - at) for dest in here if (at := self._at(now, dest)) is not None
-                for lane in [self.lanes.pop(dest)[1]]]
+        return [
+            aged(lane, now - at)
+            for dest in here
+            if (at := self._at(now, dest)) is not None
+            for lane in [self.lanes.pop(dest)[1]]
+        ]
 
     def _at(self, now: float, destination: int) -> float | None:
         return self.lanes[destination][0] if self.has(now, destination) else None
@@ -41,6 +45,9 @@
 
 
 def aged(lane: Learned, ms: float) -> Learned:
-    return replace(lane, wait_ms=max(0.0, lane.wait_ms - ms),
-                   bad_ms=None if lane.bad_ms is None else lane.bad_ms + ms,
-                   cold_ms=None if lane.cold_ms is None else lane.cold_ms + ms)
+    return replace(
+        lane,
+        wait_ms=max(0.0, lane.wait_ms - ms),
+        bad_ms=None if lane.bad_ms is None else lane.bad_ms + ms,
+        cold_ms=None if lane.cold_ms is None else lane.cold_ms + ms,
+    )
--- a/linnetstile/decisions/control.py
+++ b/linnetstile/decisions/control.py
@@ -12,8 +12,24 @@
 from .endings import CROWDED, LOOKS, Endings
 from .index import Index
 from .interface import (
-    FOREVER, NEVER, Action, AttemptEnded, Closing, Effect, EndpointList, Event, Fleet, Learned, Message,
-    Outcome, Send, SetTimer, Settings, TimerFired, WatchList, Withdrawn,
+    FOREVER,
+    NEVER,
+    Action,
+    AttemptEnded,
+    Closing,
+    Effect,
+    EndpointList,
+    Event,
+    Fleet,
+    Learned,
+    Message,
+    Outcome,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+    WatchList,
+    Withdrawn,
 )
 from .members import Members
 from .paces import DEVIATIONS, FADE_MS, LEAST_MS, RETRY_MAX_MS, RETRY_MS, Paces, doubt, overdue_ms, suspect
@@ -204,6 +220,7 @@
 
     def _door(self, now: float, held: Held, lane: Lane) -> Door | None:
         """The endpoint to use: not doubted, little busy, with a warm connection, cheap."""
+
         def rank(door: Door) -> tuple[float, float, int]:
             zone = door.entry.zone
             fee = self.s.route_fees[zone] if zone < len(self.s.route_fees) else 0.0
--- a/linnetstile/decisions/index.py
+++ b/linnetstile/decisions/index.py
@@ -80,8 +80,9 @@
         self.good_until = 0.0  # the bounds
         self.steps = 0  # messages and cells looked at so far
 
-    def enter(self, now: float, course: Course, lane: Lane, cost: float,
-              newcomer: Held | None = None) -> float:
+    def enter(
+        self, now: float, course: Course, lane: Lane, cost: float, newcomer: Held | None = None
+    ) -> float:
         """Takes up what may be sent on this lane, or only the newcomer; when to look at it anew."""
         if now >= self.good_until:
             self._renew(now)
--- a/linnetstile/decisions/members.py
+++ b/linnetstile/decisions/members.py
@@ -6,7 +6,15 @@
 from dataclasses import replace
 
 from .interface import (
-    FOREVER, NEVER, Endpoint, EndpointList, Fleet, Learned, Listing, ListKind, Rates,
+    FOREVER,
+    NEVER,
+    Endpoint,
+    EndpointList,
+    Fleet,
+    Learned,
+    Listing,
+    ListKind,
+    Rates,
 )
 from .paces import BURST, FADE_MS, RETRY_MS, Paces
 from .share import Share
--- a/linnetstile/decisions/settings.py
+++ b/linnetstile/decisions/settings.py
@@ -114,8 +114,11 @@
     client_habits: _Habits = _Habits()
 
 
-EFFECTS = {_Effect.REPEATABLE: api.Effect.SAFE, _Effect.BY_KEY: api.Effect.KEYED,
-           _Effect.ONCE: api.Effect.UNSAFE}
+EFFECTS = {
+    _Effect.REPEATABLE: api.Effect.SAFE,
+    _Effect.BY_KEY: api.Effect.KEYED,
+    _Effect.ONCE: api.Effect.UNSAFE,
+}
 SCOPES = {_Scope.ALL: api.Scope.ALL, _Scope.ZONE: api.Scope.ZONE, _Scope.CELL: api.Scope.ENDPOINT}
 RATES = {"nominal": api.Rates.NOMINAL, "rough": api.Rates.ROUGH}
 
@@ -138,17 +141,26 @@
     return api.Settings(
         classes=tuple(_class(item) for item in raw.classes),
         kinds=tuple(_kind(name, n, extra) for n, name in enumerate(raw.kinds)),
-        slots=extra.call_slots, hold=limits.open_cap, attempts=limits.try_limit, relays=raw.balancers,
-        zone=raw.az, tenants=tuple(api.Tenant(org.name, org.quota_per_s) for org in raw.orgs),
+        slots=extra.call_slots,
+        hold=limits.open_cap,
+        attempts=limits.try_limit,
+        relays=raw.balancers,
+        zone=raw.az,
+        tenants=tuple(api.Tenant(org.name, org.quota_per_s) for org in raw.orgs),
         over_share_worth=raw.over_share_worth,
         decay=api.Decay.HALVES if extra.loses_worth == "halves" else api.Decay.LINE,
-        rates=RATES.get(raw.weight_kind, api.Rates.NONE), ask_for_list=raw.registry_mode == "ask",
-        probing=limits.probing, cancelling=limits.cancelling,
-        streams_per_connection=limits.streams_per_conn, idle_ms=limits.conn_idle_ms,
-        connect_timeout_ms=limits.connect_timeout_ms, tick_ms=raw.tick_ms,
+        rates=RATES.get(raw.weight_kind, api.Rates.NONE),
+        ask_for_list=raw.registry_mode == "ask",
+        probing=limits.probing,
+        cancelling=limits.cancelling,
+        streams_per_connection=limits.streams_per_conn,
+        idle_ms=limits.conn_idle_ms,
+        connect_timeout_ms=limits.connect_timeout_ms,
+        tick_ms=raw.tick_ms,
         marks_repeats=raw.client_habits.marks_retry,
         longest_advice_ms=limits.max_retry_after_ms,  # told also where few clients heed it
-        cross_zone_price=raw.prices.cross_zone, route_fees=tuple(extra.carriage),
+        cross_zone_price=raw.prices.cross_zone,
+        route_fees=tuple(extra.carriage),
         report_fields=tuple(fields),
         limit_report=(fields.index("x0"), fields.index("x1")) if {"x0", "x1"} <= set(fields) else None,
         safety=_safety(raw.safety),
@@ -158,19 +170,33 @@
 
 def _class(raw: _Class) -> api.MessageClass:
     return api.MessageClass(
-        name=raw.name, effect=EFFECTS[raw.effect], aim_ms=raw.aim_ms, deadline_ms=raw.deadline_ms,
-        worth=raw.worth, late_share=raw.late_share, key_window_ms=raw.window_ms,
-        key_scope=SCOPES[raw.dedup_scope], in_order=raw.by_arrival)
+        name=raw.name,
+        effect=EFFECTS[raw.effect],
+        aim_ms=raw.aim_ms,
+        deadline_ms=raw.deadline_ms,
+        worth=raw.worth,
+        late_share=raw.late_share,
+        key_window_ms=raw.window_ms,
+        key_scope=SCOPES[raw.dedup_scope],
+        in_order=raw.by_arrival,
+    )
 
 
 def _kind(name: str, number: int, extra: _Extra) -> api.DestinationKind:
     batches, apart = extra.per_call, extra.separate_routes
-    return api.DestinationKind(name, batches[number] if number < len(batches) else 1,
-                               apart[number] if number < len(apart) else False)
+    return api.DestinationKind(
+        name, batches[number] if number < len(batches) else 1, apart[number] if number < len(apart) else False
+    )
 
 
 def _safety(raw: _Safety) -> api.Safety:
     return api.Safety(
-        answer_slack_ms=raw.answer_slack_ms, drain_grace_ms=raw.drain_grace_ms, cold_share=raw.cold_from,
-        cold_ms=raw.cold_ms, fall_multiple=raw.fall_multiple, fall_ms=raw.fall_ms,
-        ask_within_ms=raw.ask_within_ms, key_rest_ms=raw.key_quiet_ms)
+        answer_slack_ms=raw.answer_slack_ms,
+        drain_grace_ms=raw.drain_grace_ms,
+        cold_share=raw.cold_from,
+        cold_ms=raw.cold_ms,
+        fall_multiple=raw.fall_multiple,
+        fall_ms=raw.fall_ms,
+        ask_within_ms=raw.ask_within_ms,
+        key_rest_ms=raw.key_quiet_ms,
+    )
--- a/linnetstile/decisions/share.py
+++ b/linnetstile/decisions/share.py
@@ -97,5 +97,3 @@
     """An instance's place on the circle: neighbours there are far from each other in time."""
     step = next(k for k in range(max(1, round(size * GOLDEN)), size + 1) if math.gcd(k, size) == 1)
     return number * step % size / size
-
-
--- a/linnetstile/decisions/state.py
+++ b/linnetstile/decisions/state.py
@@ -110,8 +110,19 @@
 class Course:
     """Messages of one destination whose worth is the same function of their age, oldest first."""
 
-    __slots__ = ("bound", "class_", "cls", "hurried", "key", "life", "parked", "queue", "ready", "refusable",
-                 "worth")
+    __slots__ = (
+        "bound",
+        "class_",
+        "cls",
+        "hurried",
+        "key",
+        "life",
+        "parked",
+        "queue",
+        "ready",
+        "refusable",
+        "worth",
+    )
 
     def __init__(self, queue: Queue, held: Held, key: CourseKey) -> None:
         self.queue, self.key, self.cls, self.class_ = queue, key, held.cls, held.msg.class_
--- a/linnetstile/failover/decider.py
+++ b/linnetstile/failover/decider.py
@@ -97,8 +97,7 @@
         flows = {
             str(destination): flow
             for destination in sorted({*rooms, *found})
-            if (flow := self._flow(destination, found.get(destination), problems, rooms, relays))
-            is not None
+            if (flow := self._flow(destination, found.get(destination), problems, rooms, relays)) is not None
         }
         counts = {zone: _counted(rules.zones.get(zone, 0), len(relays.get(zone, ()))) for zone in self.zones}
         if now - self.proposed_at < STEP_S or not self._differs(rules, flows, counts):
@@ -154,9 +153,7 @@
                 so[pair] += lost(standing)
         return {pair for pair, n in judged.items() if n >= JUDGED and so[pair] > LOST_TOGETHER * n}
 
-    def shares(
-        self, destination: int, evacuated: Iterable[str], together: set[Pair]
-    ) -> dict[Pair, float]:
+    def shares(self, destination: int, evacuated: Iterable[str], together: set[Pair]) -> dict[Pair, float]:
         """Of the relays in each zone that may use each zone. `together`: see `lost_together`."""
         judge = self.judges.get(destination)
         found: dict[Pair, float] = {}
@@ -256,9 +253,7 @@
         share: dict[str, dict[str, float]] = {}
         for (source, target), part in sorted(problem.part.items()):
             if part > 0:  # one of them at least, or nothing would ever be heard of it again
-                first = min(
-                    (turn(destination, target, name) for name in relays.get(source, ())), default=0.0
-                )
+                first = min((turn(destination, target, name) for name in relays.get(source, ())), default=0.0)
                 part = min(1.0, max(part, round(first + 1e-6, 6)))
             share.setdefault(source, {})[target] = part
         return Flow(self._bounds(plan, problem, spare), spare, share)
--- a/linnetstile/failover/evidence.py
+++ b/linnetstile/failover/evidence.py
@@ -194,9 +194,7 @@
             for key, count in sorted(self.offered.items(), key=lambda item: (-item[1], item[0]))[:CELLS]
         ]
         for key in ranked[:CELLS]:
-            told.append(
-                _cell(key, self.cells[key], tuple(sorted(self.sketches.get(key, Counter()).items())))
-            )
+            told.append(_cell(key, self.cells[key], tuple(sorted(self.sketches.get(key, Counter()).items()))))
         told += self._rest(ranked[CELLS:])
         told += self._shunned()
         self.cells, self.sketches, self.offered = {}, {}, Counter()
--- a/linnetstile/failover/planner.py
+++ b/linnetstile/failover/planner.py
@@ -21,9 +21,7 @@
 
 from .evidence import Pair
 
-STAY = (
-    0.01  # of the worth of a call: what it must gain before it is planned elsewhere than in the last plan
-)
+STAY = 0.01  # of the worth of a call: what it must gain before it is planned elsewhere than in the last plan
 TINY = 1e-9
 
 ROUNDS = 60  # of sharing out among equals; each closes a source or a target, up to rounding
--- a/linnetstile/failover/solver.py
+++ b/linnetstile/failover/solver.py
@@ -54,9 +54,7 @@
         rates = tuple(problem.demand.get((zone, group.name), 0.0) for group in problem.groups)
         out = sorted(problem.ability.get((zone, other), 1.0) for other in problem.zones)
         into = sorted(problem.ability.get((other, zone), 1.0) for other in problem.zones)
-        last = sorted(
-            rate for (source, _, target), rate in problem.last.items() if zone in (source, target)
-        )
+        last = sorted(rate for (source, _, target), rate in problem.last.items() if zone in (source, target))
         prices = sorted(problem.price.get((zone, other), 0.0) for other in problem.zones)
         return problem.room.get(zone, math.inf), rates, out, into, last, prices
 
--- a/linnetstile/fleet/common.py
+++ b/linnetstile/fleet/common.py
@@ -96,8 +96,10 @@
 
         unknown = sorted({*told.failover.zones} ^ {*config.zones})
         if unknown:
-            raise ConfigError(f"failover.zones: must be those of the platform, {', '.join(config.zones)}: "
-                              f"{', '.join(unknown)} differ")
+            raise ConfigError(
+                f"failover.zones: must be those of the platform, {', '.join(config.zones)}: "
+                f"{', '.join(unknown)} differ"
+            )
         assert self.accord is not None
         self.failover = Failover(told.failover, self.peers, self.accord, host)
 
--- a/linnetstile/fleet/instance.py
+++ b/linnetstile/fleet/instance.py
@@ -84,8 +84,15 @@
 
     def report(self) -> report.Report:
         shards = None if self.common is None or self.common.shards is None else self.common.shards.told()
-        return report.of(self.host, self.number, self.state, self.began, self.lag.told(),
-                         self.told.status.destinations, shards)
+        return report.of(
+            self.host,
+            self.number,
+            self.state,
+            self.began,
+            self.lag.told(),
+            self.told.status.destinations,
+            shards,
+        )
 
     async def serving(self) -> None:
         self.state = "serving"
--- a/linnetstile/fleet/lifeline.py
+++ b/linnetstile/fleet/lifeline.py
@@ -2,7 +2,7 @@
 
 However the supervisor ends, SIGKILL included, the system closes its end. A thread waits for that, so that
 also an instance whose loop hangs hears of it; it asks for an orderly stop, and ends the process if none
-comes. """
+comes."""
 
 from __future__ import annotations
 
--- a/linnetstile/fleet/operator.py
+++ b/linnetstile/fleet/operator.py
@@ -127,11 +127,15 @@
         if self.accord.on and not self.peers.on:
             raise ValueError("accord.voters: needs peers.listen: instances have to know each other")
         if self.accord.on and not self.peers.secret_file and not self.peers.listen.startswith("127."):
-            raise ValueError("peers.secret_file: is needed with accord.voters, unless peers.listen is a "
-                             "loopback address: what voters say to each other is believed")
+            raise ValueError(
+                "peers.secret_file: is needed with accord.voters, unless peers.listen is a "
+                "loopback address: what voters say to each other is believed"
+            )
         if self.accord.on and max(self.accord.voters) >= self.fleet.instances:
-            raise ValueError(f"accord.voters: {max(self.accord.voters)} is not among fleet.instances = "
-                             f"{self.fleet.instances}")
+            raise ValueError(
+                f"accord.voters: {max(self.accord.voters)} is not among fleet.instances = "
+                f"{self.fleet.instances}"
+            )
         if self.failover.on and not self.accord.on:
             raise ValueError("failover.zones: needs accord.voters: a plan is a version of the agreed rules")
         self._keep()
@@ -151,17 +155,25 @@
         if not self.peers.on:
             raise ValueError("shards.keepers: needs peers.listen: relays ask keepers as their peers")
         if not self.peers.secret_file and not self.peers.listen.startswith("127."):
-            raise ValueError("peers.secret_file: is needed with shards.keepers, unless peers.listen is a "
-                             "loopback address: what a keeper says of endpoints is believed")
+            raise ValueError(
+                "peers.secret_file: is needed with shards.keepers, unless peers.listen is a "
+                "loopback address: what a keeper says of endpoints is believed"
+            )
         if max(self.shards.keepers) >= self.fleet.instances:
-            raise ValueError(f"shards.keepers: {max(self.shards.keepers)} is not among fleet.instances = "
-                             f"{self.fleet.instances}")
+            raise ValueError(
+                f"shards.keepers: {max(self.shards.keepers)} is not among fleet.instances = "
+                f"{self.fleet.instances}"
+            )
         if self.failover.on:
-            raise ValueError("shards.keepers: not together with failover.zones: a plan needs every relay to "
-                             "know all destinations")
+            raise ValueError(
+                "shards.keepers: not together with failover.zones: a plan needs every relay to "
+                "know all destinations"
+            )
         if self.amqp.brokers:
-            raise ValueError("shards.keepers: not together with amqp.brokers: endpoints of brokers are in no "
-                             "keeper's list")
+            raise ValueError(
+                "shards.keepers: not together with amqp.brokers: endpoints of brokers are in no "
+                "keeper's list"
+            )
 
 
 def read(path: Path, env: Mapping[str, str] = os.environ) -> Operator:
--- a/linnetstile/fleet/plan.py
+++ b/linnetstile/fleet/plan.py
@@ -9,7 +9,7 @@
     FAILED: it ended with 2, its configuration makes no sense; only a reload starts it again.
 
 A rolling restart has one instance ENDING or STARTING at a time, and stops at the first that does not come
-back. """
+back."""
 
 from __future__ import annotations
 
--- a/linnetstile/fleet/report.py
+++ b/linnetstile/fleet/report.py
@@ -104,8 +104,15 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE / 1e6
 
 
-def of(host: Host, number: int, state: str, began: float, lag: Lag, most: int,
-       shards: dict[str, Any] | None = None) -> Report:
+def of(
+    host: Host,
+    number: int,
+    state: str,
+    began: float,
+    lag: Lag,
+    most: int,
+    shards: dict[str, Any] | None = None,
+) -> Report:
     """`began`: Unix time in s; `most` destinations are told one by one."""
     now, messages, settings = host.turns.now(), host.messages, host.relay.s
     counts = Counter(entry.class_ for entry in messages.owed())
--- a/linnetstile/fleet/size.py
+++ b/linnetstile/fleet/size.py
@@ -2,7 +2,7 @@
 
 Instances hear of a change one after the other, and in any order. While some still count with the old number,
 all of them together must not pass a partner's rate: a smaller part is taken up at once, a larger one only
-after all have heard of it and those that leave have left (`settle_ms`). """
+after all have heard of it and those that leave have left (`settle_ms`)."""
 
 from __future__ import annotations
 
--- a/linnetstile/fleet/status.py
+++ b/linnetstile/fleet/status.py
@@ -1,7 +1,7 @@
 """A report on a Unix socket: whoever connects gets one JSON object. Mode 0600, in the runtime folder.
 
 No request is read, so nothing that a caller sends can matter. At most `MOST` callers at once, each for
-`GIVE_S`. """
+`GIVE_S`."""
 
 from __future__ import annotations
 
--- a/linnetstile/fleet/supervisor.py
+++ b/linnetstile/fleet/supervisor.py
@@ -3,7 +3,7 @@
 Each instance is a process of its own, and hears of the others through nothing. The supervisor holds their
 listening sockets (so a restart refuses no connection), hears their notifications (fleet/notify.py), and holds
 the lifeline on which they end with it (fleet/lifeline.py). SIGHUP: reads the operator's file again. SIGUSR2:
-a rolling restart. SIGTERM, SIGINT: ends all, and then itself. """
+a rolling restart. SIGTERM, SIGINT: ends all, and then itself."""
 
 from __future__ import annotations
 
@@ -289,7 +289,8 @@
                     for_s=round(now - one.since, 1),
                     crashes=sum(now - at <= self.plan.part.loop_s for at in one.crashes),
                     crash_loop=self.plan.loops(n, now),
-                    restarts=one.restarts, start_s=round(one.start_s, 3),
+                    restarts=one.restarts,
+                    start_s=round(one.start_s, 3),
                     why=one.why or self.children[n].said.get("STATUS", ""),
                 )
             )
--- a/linnetstile/http/calls.py
+++ b/linnetstile/http/calls.py
@@ -85,8 +85,12 @@
 
 class Calls:
     def __init__(
-        self, idle_ms: float, connect_timeout_ms: float, most_idle: int, most_ending: int = 16,
-        report_fields: tuple[str, ...] = ()
+        self,
+        idle_ms: float,
+        connect_timeout_ms: float,
+        most_idle: int,
+        most_ending: int = 16,
+        report_fields: tuple[str, ...] = (),
     ) -> None:
         self.report_fields, self.keeping = report_fields, Keeping()
         self.idle_s = IDLE_SHARE * idle_ms / 1000
@@ -220,8 +224,11 @@
     @staticmethod
     def _headers(attempt: Attempt) -> list[tuple[str, str]]:
         left = max(1, int((attempt.give_up_at - asyncio.get_running_loop().time()) * 1000))
-        headers = [("Host", f"{attempt.address[0]}:{attempt.address[1]}"), ("X-Trace-Id", attempt.trace_id),
-                   ("X-Expires-In-Ms", str(left))]
+        headers = [
+            ("Host", f"{attempt.address[0]}:{attempt.address[1]}"),
+            ("X-Trace-Id", attempt.trace_id),
+            ("X-Expires-In-Ms", str(left)),
+        ]
         if attempt.mark is not None:
             headers.append(("X-Rules", attempt.mark()))
         return headers if attempt.key is None else [*headers, ("Idempotency-Key", attempt.key)]
