--- a/linnetstile/http/front.py
+++ b/linnetstile/http/front.py
@@ -13,15 +13,21 @@
 from .notices import Notices
 
 NAME = "http"
-FIELDS = {"id": "X-Trace-Id", "key": "Idempotency-Key", "tenant": "X-Customer", "left": "X-Expires-In-Ms",
-          "dest": "X-Addressing"}  # what a client calls the fields of an offer
+FIELDS = {
+    "id": "X-Trace-Id",
+    "key": "Idempotency-Key",
+    "tenant": "X-Customer",
+    "left": "X-Expires-In-Ms",
+    "dest": "X-Addressing",
+}  # what a client calls the fields of an offer
 
 
 class Front:
     """`most` connections of clients at once; so many idle ones as `roomy` says are few."""
 
-    def __init__(self, desk: Desk, config: Config, most: int, roomy: int,
-                 handed: socket.socket | None = None) -> None:
+    def __init__(
+        self, desk: Desk, config: Config, most: int, roomy: int, handed: socket.socket | None = None
+    ) -> None:
         self.desk, self.listen, self.handed = desk, config.listen, handed
         self.clients = Clients(self.take, desk.withdraw, most, roomy)
         self.notices = Notices(Agent(config.discovery), desk.told)
@@ -85,8 +91,17 @@
     left = get("x-expires-in-ms", "")
     if not (left.isascii() and left.isdecimal() and len(left) <= 9):
         raise Malformed("left", "whole milliseconds are needed")
-    return Offer(get("x-trace-id", ""), class_, get("x-customer", ""), _dest(get("x-addressing", "")),
-                 get("idempotency-key"), int(left), get("x-second-try", ""), bytes(request.body), NAME)
+    return Offer(
+        get("x-trace-id", ""),
+        class_,
+        get("x-customer", ""),
+        _dest(get("x-addressing", "")),
+        get("idempotency-key"),
+        int(left),
+        get("x-second-try", ""),
+        bytes(request.body),
+        NAME,
+    )
 
 
 def _dest(text: str) -> int:
--- a/linnetstile/http/intake.py
+++ b/linnetstile/http/intake.py
@@ -39,16 +39,43 @@
 PENALTY_S = 0.1  # what follows a request that made no sense is read so much later
 SWEEP_S = 0.1  # how often it is looked whose time is up
 # A message whose head says one of these twice has two meanings: ours and that of whoever reads it next.
-ONCE = frozenset(("host", "transfer-encoding", "idempotency-key", "x-addressing", "x-customer",
-                  "x-expires-in-ms", "x-qos", "x-second-try", "x-trace-id"))
+ONCE = frozenset(
+    (
+        "host",
+        "transfer-encoding",
+        "idempotency-key",
+        "x-addressing",
+        "x-customer",
+        "x-expires-in-ms",
+        "x-qos",
+        "x-second-try",
+        "x-trace-id",
+    )
+)
 SENSELESS = frozenset((400, 404, 405))
 # A request that is written in the ordinary way and has come whole. What this takes, h11 takes in the same way
 # (tests/test_plain.py); all else goes to h11, which is strict.
-REQUEST = re.compile(rb"(GET|POST) (/[!-~]{0,500}) HTTP/1\.1\r\n"
-                     rb"((?:[A-Za-z0-9-]{1,60}: ?[!-~](?:[ !-~]{0,400}[!-~])?\r\n){1,40})\r\n")
-PLAIN = frozenset(("accept", "accept-encoding", "content-length", "content-type", "host", "idempotency-key",
-                   "user-agent", "x-addressing", "x-customer", "x-expires-in-ms", "x-qos", "x-second-try",
-                   "x-trace-id"))  # what an ordinary one may say; others can change what its bytes mean
+REQUEST = re.compile(
+    rb"(GET|POST) (/[!-~]{0,500}) HTTP/1\.1\r\n"
+    rb"((?:[A-Za-z0-9-]{1,60}: ?[!-~](?:[ !-~]{0,400}[!-~])?\r\n){1,40})\r\n"
+)
+PLAIN = frozenset(
+    (
+        "accept",
+        "accept-encoding",
+        "content-length",
+        "content-type",
+        "host",
+        "idempotency-key",
+        "user-agent",
+        "x-addressing",
+        "x-customer",
+        "x-expires-in-ms",
+        "x-qos",
+        "x-second-try",
+        "x-trace-id",
+    )
+)  # what an ordinary one may say; others can change what its bytes mean
 
 
 @dataclass(slots=True)
@@ -85,7 +112,7 @@
         return None
     if len(data) != head.end() + int(length):
         return None
-    return Request(head[1].decode("ascii"), head[2].decode("ascii"), headers, bytearray(data[head.end():]))
+    return Request(head[1].decode("ascii"), head[2].decode("ascii"), headers, bytearray(data[head.end() :]))
 
 
 def plain_answer(reply: Reply, last: bool) -> bytes:
@@ -93,8 +120,10 @@
     text = (reply.text + "\n" if reply.text else "").encode()
     wait = f"Retry-After: {reply.retry_s:.3f}\r\n" if reply.retry_s > 0 else ""
     close = "Connection: close\r\n" if last else ""
-    return (f"HTTP/1.1 {reply.status} \r\nContent-Length: {len(text)}\r\n"
-            f"Content-Type: text/plain; charset=utf-8\r\n{wait}{close}\r\n").encode("ascii") + text
+    return (
+        f"HTTP/1.1 {reply.status} \r\nContent-Length: {len(text)}\r\n"
+        f"Content-Type: text/plain; charset=utf-8\r\n{wait}{close}\r\n"
+    ).encode("ascii") + text
 
 
 Handler = Callable[[Request], Reply]
@@ -240,8 +269,9 @@
                 if (fault := fault_of(head)) is not None:
                     self._end(fault)
                     return False
-                self.request = Request(head.method.decode("ascii"), head.target.decode("latin-1"),
-                                       named(head.headers))
+                self.request = Request(
+                    head.method.decode("ascii"), head.target.decode("latin-1"), named(head.headers)
+                )
                 if http.they_are_waiting_for_100_continue:
                     self._send(h11.InformationalResponse(status_code=100, headers=[]))
             case h11.Data(data=chunk) if self.request is not None:
@@ -345,8 +375,11 @@
                 headers.append(("Retry-After", f"{reply.retry_s:.3f}"))
             if self.last:
                 headers.append(("Connection", "close"))
-            self._send(h11.Response(status_code=reply.status, headers=headers), h11.Data(data=text),
-                       h11.EndOfMessage())
+            self._send(
+                h11.Response(status_code=reply.status, headers=headers),
+                h11.Data(data=text),
+                h11.EndOfMessage(),
+            )
         if reply.accepted is not None:
             self._heard(reply.accepted)
 
--- a/linnetstile/http/link.py
+++ b/linnetstile/http/link.py
@@ -56,13 +56,16 @@
         return None
     lines = head[2].decode("ascii").split("\r\n")[:-1]
     pairs = (line.split(":", 1) for line in lines)
-    return int(head[1]), {name.lower(): value.strip() for name, value in pairs}, data[head.end():]
+    return int(head[1]), {name.lower(): value.strip() for name, value in pairs}, data[head.end() :]
 
 
 def plain_request(method: str, target: str, headers: Headers, body: bytes) -> bytes:
     """A request's bytes. LinkLost if a header holds a line break, which would begin another."""
-    lines = [f"{method} {target} HTTP/1.1\r\n", *(f"{name}: {value}\r\n" for name, value in headers),
-             f"Content-Length: {len(body)}\r\n\r\n"]
+    lines = [
+        f"{method} {target} HTTP/1.1\r\n",
+        *(f"{name}: {value}\r\n" for name, value in headers),
+        f"Content-Length: {len(body)}\r\n\r\n",
+    ]
     if any(LINE_BREAK.search(value) for _, value in headers):
         raise LinkLost("a header's value holds a line break")
     return "".join(lines).encode("latin-1") + body
--- a/linnetstile/http/register.py
+++ b/linnetstile/http/register.py
@@ -54,9 +54,15 @@
     rate = float(item.get("weight", 0.0))
     if not 0 <= rate < 1e9:
         raise ValueError(f"{name}: weight {rate} makes no sense")
-    return Member(name, int(item["cell"]), LISTINGS.get(item["lifecycle"], Listing.DRAINING),
-                  address(item["hostPort"]), None if kind is None else str(kind),
-                  None if zone is None else str(zone), rate)
+    return Member(
+        name,
+        int(item["cell"]),
+        LISTINGS.get(item["lifecycle"], Listing.DRAINING),
+        address(item["hostPort"]),
+        None if kind is None else str(kind),
+        None if zone is None else str(zone),
+        rate,
+    )
 
 
 class Register:
--- a/linnetstile/logs.py
+++ b/linnetstile/logs.py
@@ -2,7 +2,7 @@
 
 Plain lines through the standard library are the default. Where the operator's file asks for it, structlog
 (extra `ops`) makes JSON or console lines of the same records, and a thread writes them: a reader that is slow
-or has stopped costs lines, which are counted, and never a turn of the loop. """
+or has stopped costs lines, which are counted, and never a turn of the loop."""
 
 from __future__ import annotations
 
--- a/linnetstile/process.py
+++ b/linnetstile/process.py
@@ -38,8 +38,9 @@
 class Life:
     """From its start to its stop, as on the platform; fleet/instance.py adds what an operator's file sets."""
 
-    def __init__(self, config: Config, signals: Signals, notifier: Notifier,
-                 amqp: AmqpPart | None = None) -> None:
+    def __init__(
+        self, config: Config, signals: Signals, notifier: Notifier, amqp: AmqpPart | None = None
+    ) -> None:
         self.signals, self.notifier = signals, notifier
         self.built = assemble(config, handed_over(), amqp)
         self.host = self.built.host
--- a/linnetstile/shards/holding.py
+++ b/linnetstile/shards/holding.py
@@ -43,8 +43,9 @@
 
 
 def member(row: Row) -> Member:
-    return Member(row.name, row.destination, LISTINGS[row.listing], (row.host, row.port), row.kind, row.zone,
-                  row.rate)
+    return Member(
+        row.name, row.destination, LISTINGS[row.listing], (row.host, row.port), row.kind, row.zone, row.rate
+    )
 
 
 class Held:
--- a/linnetstile/shards/keeping.py
+++ b/linnetstile/shards/keeping.py
@@ -100,8 +100,9 @@
         version = (self.epoch, generation)
         return Change(self.table, now, version, self.loaded and self._allowed(version), self._taken)
 
-    def changed(self, now: float, generation: int, rows: Iterable[Row],
-                lives: Iterable[tuple[str, int]] = ()) -> bool:
+    def changed(
+        self, now: float, generation: int, rows: Iterable[Row], lives: Iterable[tuple[str, int]] = ()
+    ) -> bool:
         """All changes up to this generation at once. False: refused, and the source has to be asked anew."""
         change = self.change(now, generation)
         change.add(rows, lives)
@@ -179,8 +180,17 @@
         self.bytes_out += size
         self.tokens -= 1.0
         self.bytes_left -= size
-        return Answer(ask.number, self.version, tuple(parts), complete, (self.epoch, self.table.start),
-                      self._age_ms(now), self.boot, now * 1e3, reached)
+        return Answer(
+            ask.number,
+            self.version,
+            tuple(parts),
+            complete,
+            (self.epoch, self.table.start),
+            self._age_ms(now),
+            self.boot,
+            now * 1e3,
+            reached,
+        )
 
     def _parts(self, ask: Ask, holds: int, further: int) -> tuple[list[Part], bool, Version, int]:
         """What it gets, whether that is all, how far all is then, and how many bytes that is about."""
@@ -260,8 +270,15 @@
             reader = self.audience.next_due(now, self.table.sums)
             if reader is None:
                 break
-            digest = Digest(self.layout_sum, self.version, reader.set_sum, reader.sum, self._age_ms(now),
-                            self.boot, now * 1e3)
+            digest = Digest(
+                self.layout_sum,
+                self.version,
+                reader.set_sum,
+                reader.sum,
+                self._age_ms(now),
+                self.boot,
+                now * 1e3,
+            )
             found.append((reader.name, digest))
         return found
 
--- a/linnetstile/shards/node.py
+++ b/linnetstile/shards/node.py
@@ -48,9 +48,20 @@
         self.source: RegisterSource | FileSource | None = None
         if number in part.keepers:
             self.keeper = Keeper(self.layout, part.epoch, rng)
-            self.source = FileSource(self.keeper, part.epoch, Path(part.file)) if part.file else (
-                RegisterSource(self.keeper, part.epoch, config.discovery, len(part.keepers), config.seed,
-                               config.settings.ask_for_list))
+            self.source = (
+                FileSource(self.keeper, part.epoch, Path(part.file))
+                if part.file
+                else (
+                    RegisterSource(
+                        self.keeper,
+                        part.epoch,
+                        config.discovery,
+                        len(part.keepers),
+                        config.seed,
+                        config.settings.ask_for_list,
+                    )
+                )
+            )
         self.tasks = Tasks()
         self.counts: Counter[str] = Counter()
         self.listener: Told = host.listed
@@ -231,8 +242,14 @@
     def _unreadable(self, sender: str, error: Exception) -> None:
         self.counts["unreadable"] += 1
         if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
-            log.warning(Note("a word on the directory is passed over", sender=sender, why=error,
-                             so_far=self.counts["unreadable"]))
+            log.warning(
+                Note(
+                    "a word on the directory is passed over",
+                    sender=sender,
+                    why=error,
+                    so_far=self.counts["unreadable"],
+                )
+            )
 
     def _member_changed(self, claim: Claim) -> None:
         if claim.name in self.keepers and self.running:
@@ -240,16 +257,26 @@
 
     def _reach(self) -> None:
         members = self.peers.swim.members
-        self.reader.reachable(self.now(), [name for name in sorted(self.keepers) if name == self.me or
-                                           name in members and not members[name].gone])
+        self.reader.reachable(
+            self.now(),
+            [
+                name
+                for name in sorted(self.keepers)
+                if name == self.me or name in members and not members[name].gone
+            ],
+        )
         self._due(self.now() + LEAST_S)
 
     # -- for people ------------------------------------------------------------------------------------------
 
     def told(self) -> dict[str, Any]:
-        told = {"reader": msgspec.to_builtins(self.reader.told(self.now())) | dict(self.counts),
-                "peers": {name: self.peers.counts[name] for name in ("sent_bytes", "received_bytes")}}
+        told = {
+            "reader": msgspec.to_builtins(self.reader.told(self.now())) | dict(self.counts),
+            "peers": {name: self.peers.counts[name] for name in ("sent_bytes", "received_bytes")},
+        }
         if self.keeper is not None and self.source is not None:
             told["keeper"] = msgspec.to_builtins(self.keeper.told(self.now())) | {
-                "source_failures": self.source.failures, "entries_passed_over": self.source.passed.count}
+                "source_failures": self.source.failures,
+                "entries_passed_over": self.source.passed.count,
+            }
         return told
--- a/linnetstile/shards/reading.py
+++ b/linnetstile/shards/reading.py
@@ -96,8 +96,9 @@
 
     __slots__ = ("number", "sent_at", "holds", "sums", "wants")
 
-    def __init__(self, number: int, sent_at: float, holds: int, sums: dict[int, int],
-                 wants: list[int]) -> None:
+    def __init__(
+        self, number: int, sent_at: float, holds: int, sums: dict[int, int], wants: list[int]
+    ) -> None:
         self.number, self.sent_at, self.holds = number, sent_at, holds
         self.sums, self.wants = sums, wants
 
@@ -105,8 +106,17 @@
 class Keeper:
     """What a reader knows of one."""
 
-    __slots__ = ("name", "rank", "out", "paused_until", "pauses", "failing", "behind_until", "news",
-                 "asked_at")
+    __slots__ = (
+        "name",
+        "rank",
+        "out",
+        "paused_until",
+        "pauses",
+        "failing",
+        "behind_until",
+        "news",
+        "asked_at",
+    )
 
     def __init__(self, name: str, rank: int, rng: random.Random) -> None:
         self.name, self.rank = name, rank
@@ -118,8 +128,15 @@
 
 
 class Reader:
-    def __init__(self, me: str, layout: Layout, rng: random.Random, bound_s: float = 12.0,
-                 idle_s: float = 300.0, digest_s: float = 3.0) -> None:
+    def __init__(
+        self,
+        me: str,
+        layout: Layout,
+        rng: random.Random,
+        bound_s: float = 12.0,
+        idle_s: float = 300.0,
+        digest_s: float = 3.0,
+    ) -> None:
         self.me, self.layout, self.rng = me, layout, rng
         # Where all hang at once, all have to be tried within the bound, or calls wait for that.
         trying = ROOM_S + TRY_S * (len(layout.keepers) / 2 + 1)
@@ -386,9 +403,16 @@
         self.due = now + 1.0
         # Of those that fail the one that was left alone the longest: else the first few, whose time runs out
         # again and again, keep the last from being tried, and that may be the one that is back.
-        order = sorted(self.keepers.values(), key=lambda each: (
-            each.failing, each.behind_until > now, each.name not in self.here_now,
-            each.asked_at if each.failing else BEFORE, each.rank))
+        order = sorted(
+            self.keepers.values(),
+            key=lambda each: (
+                each.failing,
+                each.behind_until > now,
+                each.name not in self.here_now,
+                each.asked_at if each.failing else BEFORE,
+                each.rank,
+            ),
+        )
         for place, keeper in enumerate(order):
             if sum(each.out is not None for each in order) >= OUT_MOST:
                 return
@@ -433,8 +457,11 @@
         old = now - self.fresh.confirmed(self.store.base) >= self.refresh_s
         tried = now - self.fresh.tried[keeper.name][0]
         if old and tried >= self.refresh_s:
-            return all(each.failing or now - each.out.sent_at >= SLOW_S  # else its answer may do
-                       for each in self.keepers.values() if each.out is not None)
+            return all(
+                each.failing or now - each.out.sent_at >= SLOW_S  # else its answer may do
+                for each in self.keepers.values()
+                if each.out is not None
+            )
         return bool(self.late) and place < 2 and tried >= PAUSE_S
 
     def _ask(self, now: float, keeper: Keeper, wants: list[int]) -> None:
@@ -446,16 +473,21 @@
         ahead = store.ahead()
         keeper.out = Out(self.number, now, store.bits, sums, wants)
         keeper.asked_at, keeper.news = now, False
-        self.asks.append((keeper.name, Ask(
-            number=self.number,
-            layout=self.layout,
-            version=store.base if store.held else store.top,
-            holds=packed_bits(store.bits, self.layout.shards),
-            wants=tuple(Want(shard, self._due_ms(now, shard)) for shard in wants),
-            sums=tuple(sums.items()),
-            ahead=store.mark if ahead else NONE,
-            further=packed_bits(ahead, self.layout.shards) if ahead else b"",
-        )))
+        self.asks.append(
+            (
+                keeper.name,
+                Ask(
+                    number=self.number,
+                    layout=self.layout,
+                    version=store.base if store.held else store.top,
+                    holds=packed_bits(store.bits, self.layout.shards),
+                    wants=tuple(Want(shard, self._due_ms(now, shard)) for shard in wants),
+                    sums=tuple(sums.items()),
+                    ahead=store.mark if ahead else NONE,
+                    further=packed_bits(ahead, self.layout.shards) if ahead else b"",
+                ),
+            )
+        )
 
     def _due_ms(self, now: float, shard: int) -> float:
         return min(NO_DUE_MS, max(0.0, self.wants[shard].due - now) * 1e3)
--- a/linnetstile/shards/source.py
+++ b/linnetstile/shards/source.py
@@ -59,8 +59,15 @@
 
 
 def row(member: Member) -> Row:
-    return Row(member.name, member.destination, NUMBERS[member.listing], *member.address, member.kind,
-               member.zone, member.rate)
+    return Row(
+        member.name,
+        member.destination,
+        NUMBERS[member.listing],
+        *member.address,
+        member.kind,
+        member.zone,
+        member.rate,
+    )
 
 
 class Splitter:
@@ -81,7 +88,7 @@
         if self.bytes > LIST_BYTES:
             raise SourceError(f"the list is longer than {LIST_BYTES} bytes")
         try:
-            self.text = self.text[self.at:] + self.decoder.decode(data)
+            self.text = self.text[self.at :] + self.decoder.decode(data)
         except UnicodeDecodeError as error:
             raise SourceError(f"the list is no UTF-8: {error.reason}") from error
         self.at = 0
@@ -202,8 +209,9 @@
 class Taking:
     """One list on its way from the source to the keeper."""
 
-    def __init__(self, keeper: Keeper, epoch: int, passed: Passed, asked_at: float,
-                 least: int | None) -> None:
+    def __init__(
+        self, keeper: Keeper, epoch: int, passed: Passed, asked_at: float, least: int | None
+    ) -> None:
         """`asked_at`: on the loop's clock; `least`: the generation from which on changes were asked for,
         None: all was asked for."""
         self.keeper, self.epoch, self.passed, self.asked_at = keeper, epoch, passed, asked_at
@@ -239,8 +247,10 @@
         while taken and not staged.step():
             await asyncio.sleep(0)
         if not taken or not staged.taken:
-            raise Refused(f"generation {generation} of epoch {self.epoch} is older than what is known: where "
-                          "the source counts anew, shards.epoch has to be raised")
+            raise Refused(
+                f"generation {generation} of epoch {self.epoch} is older than what is known: where "
+                "the source counts anew, shards.epoch has to be raised"
+            )
 
     def _head(self) -> tuple[int, bool]:
         try:
@@ -273,8 +283,10 @@
         rows, lives = self.passed.rows(items)
         if isinstance(staged, Load):  # what can't be read of them stands, but for their life
             known = ((self.keeper.known(name), listing) for name, listing in lives)
-            staged.add(rows + [msgspec.structs.replace(row, listing=listing)
-                               for row, listing in known if row is not None])
+            staged.add(
+                rows
+                + [msgspec.structs.replace(row, listing=listing) for row, listing in known if row is not None]
+            )
         elif self.count > CHANGES_MOST:
             raise TooManyChanges
         else:
@@ -288,8 +300,9 @@
     try:
         http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
         host = f"{at[0]}:{at[1]}"
-        asked = http.send(h11.Request(method="GET", target=target,
-                                      headers=[("Host", host), ("Connection", "close")]))
+        asked = http.send(
+            h11.Request(method="GET", target=target, headers=[("Host", host), ("Connection", "close")])
+        )
         writer.write((asked or b"") + (http.send(h11.EndOfMessage()) or b""))
         while True:
             event = http.next_event()
@@ -341,8 +354,9 @@
 class RegisterSource(Source):
     """The register: its list whole, then what changes."""
 
-    def __init__(self, keeper: Keeper, epoch: int, at: Address, keepers: int, seed: int,
-                 shared: bool) -> None:
+    def __init__(
+        self, keeper: Keeper, epoch: int, at: Address, keepers: int, seed: int, shared: bool
+    ) -> None:
         super().__init__(keeper, epoch)
         self.at, self.asking = at, Asking(keepers, random.Random(seed), shared)
 
--- a/linnetstile/shards/staging.py
+++ b/linnetstile/shards/staging.py
@@ -107,7 +107,7 @@
 
     def work(self) -> bool:
         if self.sorted < len(self.told):
-            self._sort(self.told[self.sorted:self.sorted + STEP_ROWS])
+            self._sort(self.told[self.sorted : self.sorted + STEP_ROWS])
             self.sorted += STEP_ROWS
             self.left = list(self.by_shard)
             if self.sorted < len(self.told):
--- a/linnetstile/store/durability.py
+++ b/linnetstile/store/durability.py
@@ -8,7 +8,7 @@
 
 A segment is unlinked only when what was copied out of it is on the disk. A sync that fails may have lost
 what it was to write, and the next would not tell (the system forgets such pages): so all is written anew,
-elsewhere. """
+elsewhere."""
 
 from __future__ import annotations
 
--- a/linnetstile/store/files.py
+++ b/linnetstile/store/files.py
@@ -1,7 +1,7 @@
 """The one way from the store to the disk: a flat folder of files, each only ever appended to.
 
 Tests put another `Files` in its place, which fails, shortens, loses or reorders any call
-(tests/store/disk.py). """
+(tests/store/disk.py)."""
 
 from __future__ import annotations
 
--- a/linnetstile/store/frame.py
+++ b/linnetstile/store/frame.py
@@ -16,7 +16,7 @@
 The id stands on both sides of the payload with checksums of its own, since a record that can't be read still
 concerns somebody: where only one of the ends is well, it is known whom. Records are numbered without gaps
 over all segments, so that it is known how many are missing. What is not whole at the very end of the last
-segment is the torn tail of a write that nobody was told of; the same in any other place is damage. """
+segment is the torn tail of a write that nobody was told of; the same in any other place is damage."""
 
 from __future__ import annotations
 
@@ -52,8 +52,9 @@
     salt: int
 
     def encode(self) -> bytes:
-        one = HEADER.pack(MAGIC, VERSION, 0, self.number, self.first, self.before_bytes, self.before_check,
-                          self.salt)
+        one = HEADER.pack(
+            MAGIC, VERSION, 0, self.number, self.first, self.before_bytes, self.before_check, self.salt
+        )
         return 2 * (one + CHECK.pack(crc32(one)))
 
 
@@ -87,8 +88,16 @@
 def frame(salt: int, sequence: int, kind: int, ident: bytes, payload: bytes) -> bytes:
     head = HEAD.pack(MARK, kind, len(ident), len(payload), sequence) + ident
     ends = ident + bytes((len(ident), kind))
-    return b"".join((head, CHECK.pack(crc32(head, salt)), payload, CHECK.pack(crc32(payload, salt)), ends,
-                     CHECK.pack(crc32(ends, salt))))
+    return b"".join(
+        (
+            head,
+            CHECK.pack(crc32(head, salt)),
+            payload,
+            CHECK.pack(crc32(payload, salt)),
+            ends,
+            CHECK.pack(crc32(ends, salt)),
+        )
+    )
 
 
 def frame_bytes(ident: int, payload: int) -> int:
@@ -144,8 +153,12 @@
             mark, kind, length, payload, number = unpack(data, at)
             begin = at + HEAD.size + length + 4
             end = begin + payload + 4 + length + TAIL.size
-            if (mark == MARK and payload <= PAYLOAD_BYTES and begin <= size
-                    and CHECK.unpack_from(data, begin - 4)[0] == crc(data[at : begin - 4], salt)):
+            if (
+                mark == MARK
+                and payload <= PAYLOAD_BYTES
+                and begin <= size
+                and CHECK.unpack_from(data, begin - 4)[0] == crc(data[at : begin - 4], salt)
+            ):
                 whole = end <= size
         if whole and number == sequence:
             body, ident = data[begin : begin + payload], data[at + HEAD.size : begin - 4]
@@ -192,8 +205,12 @@
         if at + HEAD.size <= len(data):
             _, _, length, payload, number = HEAD.unpack_from(data, at)
             begin = at + HEAD.size + length + 4
-            if (payload <= PAYLOAD_BYTES and begin <= len(data) and number >= sequence
-                    and CHECK.unpack_from(data, begin - 4)[0] == crc32(data[at : begin - 4], salt)):
+            if (
+                payload <= PAYLOAD_BYTES
+                and begin <= len(data)
+                and number >= sequence
+                and CHECK.unpack_from(data, begin - 4)[0] == crc32(data[at : begin - 4], salt)
+            ):
                 return at, number
         at += 1
     return None
--- a/linnetstile/store/journal.py
+++ b/linnetstile/store/journal.py
@@ -4,7 +4,7 @@
 known of its messages anew at the head, and then unlinking it. So what lies in the folder is one piece of the
 log at each moment, and reading it in order gives the latest state of each message: a kill at any point
 leaves a message either in both places or in one (docs/design/store.md). Whether there is room, and how much
-to copy when, is room.py's. """
+to copy when, is room.py's."""
 
 from __future__ import annotations
 
@@ -60,8 +60,9 @@
 
 
 class Journal:
-    def __init__(self, folder: Path, disk_bytes: int, files: Files | None = None,
-                 sync_ms: float | None = None) -> None:
+    def __init__(
+        self, folder: Path, disk_bytes: int, files: Files | None = None, sync_ms: float | None = None
+    ) -> None:
         """`disk_bytes`: of the folder, for the journal; `sync_ms`: see durability.py, None: no syncs.
         Raises NewerFormat; OSError if the folder can't be used."""
         self.files: Files = files or FolderFiles(folder)
@@ -474,5 +475,3 @@
         except OSError as error:
             raise JournalError(f"journal: {error}") from error
         self.used -= self.aside.pop(name)
-
-
--- a/linnetstile/store/learned.py
+++ b/linnetstile/store/learned.py
@@ -55,14 +55,21 @@
         except (OSError, ValueError) as error:  # msgspec's own errors are ValueErrors
             log.warning(Note("what was learned is passed over", path=self.path, why=error))
             return []
-        return lanes if age < OLD_MS else [replace(lane, out=False, bad_ms=None, cold_ms=None)
-                                           for lane in lanes if lane.wait_ms > 0]
+        return (
+            lanes
+            if age < OLD_MS
+            else [replace(lane, out=False, bad_ms=None, cold_ms=None) for lane in lanes if lane.wait_ms > 0]
+        )
 
     @staticmethod
     def _aged(lane: _Lane, age: float) -> Learned:
-        return Learned(lane.destination, max(0.0, lane.wait_ms - age), lane.out,
-                       None if lane.bad_ms is None else lane.bad_ms + age,
-                       None if lane.cold_ms is None else lane.cold_ms + age)
+        return Learned(
+            lane.destination,
+            max(0.0, lane.wait_ms - age),
+            lane.out,
+            None if lane.bad_ms is None else lane.bad_ms + age,
+            None if lane.cold_ms is None else lane.cold_ms + age,
+        )
 
     def save(self, now: float, lanes: list[Learned]) -> None:
         """Only where there is something to tell, or was; what does not fit is left out. Never raises."""
--- a/linnetstile/store/legacy.py
+++ b/linnetstile/store/legacy.py
@@ -1,7 +1,7 @@
 """The one file `journal` of earlier versions (format 1): a line each record, a checksum and a JSON object.
 
 Read once, at the first start of this version; what it holds is written as a segment, which takes its place
-at one stroke. A record that can't be read is taken at its worst, as in recovery.py. """
+at one stroke. A record that can't be read is taken at its worst, as in recovery.py."""
 
 from __future__ import annotations
 
@@ -59,14 +59,32 @@
 def _apply(entries: dict[str, Entry], line: Line) -> None:
     if line.k == "take":
         entries[line.id] = Entry(
-            line.id, line.class_, line.tenant, line.dest, line.key, line.since, line.due, line.again,
-            base64.b64decode(line.body), line.tries, _attempt(line.out), _attempt(line.risk), line.end,
-            line.after, line.told, line.origin)
+            line.id,
+            line.class_,
+            line.tenant,
+            line.dest,
+            line.key,
+            line.since,
+            line.due,
+            line.again,
+            base64.b64decode(line.body),
+            line.tries,
+            _attempt(line.out),
+            _attempt(line.risk),
+            line.end,
+            line.after,
+            line.told,
+            line.origin,
+        )
     elif line.k == "drop":
         del entries[line.id]
     else:
-        payloads = {"try": Tried(round(line.at), line.ep, line.zone), "out": line.ran,
-                    "end": Ended(line.state, line.after), "told": None}
+        payloads = {
+            "try": Tried(round(line.at), line.ep, line.zone),
+            "out": line.ran,
+            "end": Ended(line.state, line.after),
+            "told": None,
+        }
         change(entries[line.id], KINDS[line.k], PACK(payloads[line.k]))
 
 
@@ -91,4 +109,3 @@
         if entry.out is not None:
             entry.risk, entry.out = entry.risk or entry.out, None
     return entries, findings
-
--- a/linnetstile/store/lock.py
+++ b/linnetstile/store/lock.py
@@ -29,10 +29,16 @@
         except OSError as error:
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
                 self.release()
-                raise FolderBusy(f"{folder}: another process works in it; end that one first, "
-                                 "or name another folder") from error
-            log.warning(Note("a folder cannot be locked: see to it that one process works in it",
-                             folder=folder, why=error))
+                raise FolderBusy(
+                    f"{folder}: another process works in it; end that one first, " "or name another folder"
+                ) from error
+            log.warning(
+                Note(
+                    "a folder cannot be locked: see to it that one process works in it",
+                    folder=folder,
+                    why=error,
+                )
+            )
 
     def release(self) -> None:
         """May be called more than once."""
--- a/linnetstile/store/records.py
+++ b/linnetstile/store/records.py
@@ -113,18 +113,48 @@
 
 def snapshot(entry: Entry) -> bytes:
     """All that is known of a message; one that has ended needs its body no more."""
-    return PACK(Taken(
-        entry.class_, entry.tenant, entry.dest, entry.key, round(entry.since), round(entry.due), entry.again,
-        entry.tries, _flat(entry.out), _flat(entry.risk), entry.end, entry.after_ms, entry.told, entry.origin,
-        b"" if entry.end else entry.body))
+    return PACK(
+        Taken(
+            entry.class_,
+            entry.tenant,
+            entry.dest,
+            entry.key,
+            round(entry.since),
+            round(entry.due),
+            entry.again,
+            entry.tries,
+            _flat(entry.out),
+            _flat(entry.risk),
+            entry.end,
+            entry.after_ms,
+            entry.told,
+            entry.origin,
+            b"" if entry.end else entry.body,
+        )
+    )
 
 
 def entry_of(ident: str, payload: bytes) -> Entry:
     """ValueError if it is not a snapshot."""
     raw = TAKEN.decode(payload)
-    return Entry(ident, raw.class_, raw.tenant, raw.dest, raw.key, float(raw.since), float(raw.due),
-                 raw.again, raw.body, raw.tries, _attempt(raw.out), _attempt(raw.risk), raw.end, raw.after_ms,
-                 raw.told, raw.origin)
+    return Entry(
+        ident,
+        raw.class_,
+        raw.tenant,
+        raw.dest,
+        raw.key,
+        float(raw.since),
+        float(raw.due),
+        raw.again,
+        raw.body,
+        raw.tries,
+        _attempt(raw.out),
+        _attempt(raw.risk),
+        raw.end,
+        raw.after_ms,
+        raw.told,
+        raw.origin,
+    )
 
 
 def change(entry: Entry, kind: int, payload: bytes) -> None:
--- a/linnetstile/store/recovery.py
+++ b/linnetstile/store/recovery.py
@@ -3,7 +3,7 @@
 A torn tail is normal and dropped. Damage in any other place costs as little as it can: all that is readable
 counts, and whatever a lost record may have said is assumed at its worst. One whose id is known concerns one
 message; where records are missing that nobody is named for, each message that is still open then may have
-been tried. A message of which only its id is left, in another record or a census, gets its `failed`. """
+been tried. A message of which only its id is left, in another record or a census, gets its `failed`."""
 
 from __future__ import annotations
 
@@ -140,13 +140,18 @@
             case Hurt():
                 self.found.sequence = piece.sequence + 1
                 ident = piece.ident.decode(errors="replace")
-                self._damage(segment, f"bytes {piece.at} to {piece.end}: a record of kind {piece.kind} of "
-                             f"message {ident} cannot be read")
+                self._damage(
+                    segment,
+                    f"bytes {piece.at} to {piece.end}: a record of kind {piece.kind} of "
+                    f"message {ident} cannot be read",
+                )
                 self._hurt(segment, ident, piece.kind)
             case Gap():
                 self.found.sequence += piece.lost
-                self._damage(segment, f"bytes {piece.at} to {piece.end} cannot be read, "
-                             f"{piece.lost} records at least")
+                self._damage(
+                    segment,
+                    f"bytes {piece.at} to {piece.end} cannot be read, " f"{piece.lost} records at least",
+                )
                 self._all_at_worst()
             case Torn():
                 self.found.torn += piece.end - piece.at
@@ -254,6 +259,12 @@
                 kind = Kind(piece.kind).name.lower() if piece.kind in set(Kind) else str(piece.kind)
                 payload = piece.payload if isinstance(piece, Record) else b""
                 ident = piece.ident.decode(errors="replace")
-                yield Line(one.segment.name, piece.at, piece.sequence, kind, ident, payload,
-                           isinstance(piece, Record))
-
+                yield Line(
+                    one.segment.name,
+                    piece.at,
+                    piece.sequence,
+                    kind,
+                    ident,
+                    payload,
+                    isinstance(piece, Record),
+                )
--- a/linnetstile/store/room.py
+++ b/linnetstile/store/room.py
@@ -4,7 +4,7 @@
 messages that are known would take if each were written anew, with the records that those not yet ended may
 still need. A message is taken only if that fits beside `spare`; and only giving up a segment may use the
 spare, which is as large as what it can have to copy. So there is always room to give one up, doing so with
-all of them leaves room for all that is owed, and a message that was taken can always be ended. """
+all of them leaves room for all that is owed, and a message that was taken can always be ended."""
 
 from __future__ import annotations
 
--- a/linnetstile/wirehost.py
+++ b/linnetstile/wirehost.py
@@ -11,8 +11,16 @@
 from .decisions.control import Relay
 from .decisions.settings import SettingsError, settings_from
 
-OUTCOMES = (api.Outcome.ERROR, api.Outcome.OK, api.Outcome.FULL, api.Outcome.TIMEOUT,
-            api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
+OUTCOMES = (
+    api.Outcome.ERROR,
+    api.Outcome.OK,
+    api.Outcome.FULL,
+    api.Outcome.TIMEOUT,
+    api.Outcome.CONNECT_FAILED,
+    api.Outcome.RESET,
+    api.Outcome.CANCELLED,
+    api.Outcome.NOT_SENT,
+)
 LISTINGS = {1: api.Listing.READY, 2: api.Listing.GONE, 3: api.Listing.DRAINING}
 LIST_KINDS = (api.ListKind.CHANGES, api.ListKind.WHOLE, api.ListKind.CACHED, api.ListKind.FAILED)
 ENTRY = struct.Struct("<BfdHBHI")
@@ -82,15 +90,33 @@
     def _event(self, code: int, data: bytes) -> api.Event:
         if code == 110:
             tid, lane, tenant, key, left, hint, dest, opts = struct.unpack_from("<IBIQddfB", data, 4)
-            return api.Message(tid, int(dest), lane, left, tenant, key, hint if opts & 1 else None,
-                               bool(opts & 2), bool(opts & 16))
+            return api.Message(
+                tid,
+                int(dest),
+                lane,
+                left,
+                tenant,
+                key,
+                hint if opts & 1 else None,
+                bool(opts & 2),
+                bool(opts & 16),
+            )
         if code == 100:
             tid, go, endpoint, result, cost, done, wait, n = struct.unpack_from("<IHIBdBIB", data, 4)
             report = struct.unpack_from(f"<{n}f", data, 29)
             outcome = outcome_of(result)
             full = outcome is api.Outcome.FULL
-            return api.AttemptEnded(tid, go, endpoint, outcome, cost, bool(done), wait if full else 0.0,
-                                    bool(wait) and outcome is api.Outcome.NOT_SENT, report)
+            return api.AttemptEnded(
+                tid,
+                go,
+                endpoint,
+                outcome,
+                cost,
+                bool(done),
+                wait if full else 0.0,
+                bool(wait) and outcome is api.Outcome.NOT_SENT,
+                report,
+            )
         if code == 30:
             kind, _, number = struct.unpack_from("<BQB", data, 4)
             if kind >= len(LIST_KINDS):
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -3,7 +3,7 @@
     python -m standins.agent --listen 127.0.0.1:0 --list FILE [--ledger FILE]
 
 FILE holds the list in discovery's form. A watch is held for as long as it asks to be; notices get 204, and a
-line each in the ledger, as they came. """
+line each in the ledger, as they came."""
 
 from __future__ import annotations
 
@@ -26,8 +26,14 @@
             while head := await reader.readuntil(b"\r\n\r\n"):
                 lines = head.decode("latin-1").split("\r\n")
                 method, target, _ = lines[0].split(" ", 2)
-                length = next((int(line.partition(":")[2]) for line in lines
-                               if line.lower().startswith("content-length:")), 0)
+                length = next(
+                    (
+                        int(line.partition(":")[2])
+                        for line in lines
+                        if line.lower().startswith("content-length:")
+                    ),
+                    0,
+                )
                 told = await reader.readexactly(length)
                 status, body = await self.answer(method, target, told)
                 writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
--- a/standins/manager.py
+++ b/standins/manager.py
@@ -19,7 +19,7 @@
 from .serving import address, arguments
 
 HANDED = 3  # where the listening socket goes in the program
-LAUNCH = ("import os,sys; os.environ['LISTEN_PID']=str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])")
+LAUNCH = "import os,sys; os.environ['LISTEN_PID']=str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])"
 
 
 class Manager:
@@ -70,8 +70,15 @@
             os.dup2(fd, HANDED, inheritable=True)
 
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", LAUNCH, *program, env={**os.environ, **(env or {}), **more},
-            pass_fds=(HANDED,) if fd == HANDED else (), close_fds=False, preexec_fn=hand_over)
+            sys.executable,
+            "-c",
+            LAUNCH,
+            *program,
+            env={**os.environ, **(env or {}), **more},
+            pass_fds=(HANDED,) if fd == HANDED else (),
+            close_fds=False,
+            preexec_fn=hand_over,
+        )
 
     async def heard(self, name: str, times: int = 1) -> dict[str, str]:
         """The datagram that says this for the so-many-th time."""
--- a/standins/net.py
+++ b/standins/net.py
@@ -125,9 +125,7 @@
         self.plan, self.rng, self.log = plan, random.Random(seed), log
         self.links: dict[tuple[str, str], Held] = {}  # those on which something holds
         self.zones = {node.name: node.zone for node in plan.nodes} | plan.zones
-        self.names = sorted(
-            self.zones | {name: "" for door in plan.doors for name in (door.source, door.to)}
-        )
+        self.names = sorted(self.zones | {name: "" for door in plan.doors for name in (door.source, door.to)})
         self.by_host = {address(node.bind)[0]: node.name for node in plan.nodes}
         self.open: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         self.counts: Counter[str] = Counter()
--- a/standins/partner.py
+++ b/standins/partner.py
@@ -12,7 +12,7 @@
 MS RULES`, with how long the answer takes (`inf`: it never comes) and the relay's X-Rules (`-`: none).
 `--ledger` gets a line for each call that took effect, written before its answer: `UNIX_MS TRACE_ID KEY`; a
 key that came within the hour takes no effect again. Requests are HTTP/1.1 with Content-Length, as the relay
-sends them; one that is too long ends the connection. """
+sends them; one that is too long ends the connection."""
 
 from __future__ import annotations
 
@@ -38,8 +38,11 @@
 MOST = 128 * 1024
 KEYS_MS = 3_600_000.0
 BEFORE_MS = -1e13  # added to Unix ms until it is armed: no trouble of it has begun then
-STATUS = {Reply.OK: b"200 OK", Reply.ERROR: b"500 Internal Server Error",
-          Reply.FULL: b"503 Service Unavailable"}
+STATUS = {
+    Reply.OK: b"200 OK",
+    Reply.ERROR: b"500 Internal Server Error",
+    Reply.FULL: b"503 Service Unavailable",
+}
 
 
 def unheard(listen: tuple[str, int]) -> list[socket.socket]:
@@ -55,8 +58,14 @@
 class Endpoint:
     """The model behind one listener. `clock`: ms, the model's time."""
 
-    def __init__(self, model: Partner, listen: tuple[str, int], clock: Callable[[], float] | None = None,
-                 ledger: TextIO | None = None, log: TextIO | None = None) -> None:
+    def __init__(
+        self,
+        model: Partner,
+        listen: tuple[str, int],
+        clock: Callable[[], float] | None = None,
+        ledger: TextIO | None = None,
+        log: TextIO | None = None,
+    ) -> None:
         self.model, self.listen, self.ledger, self.log = model, listen, ledger, log
         self.zero: float | None = None  # Unix ms when its time began; None: it is not armed yet
         self.clock = clock or self._clock
@@ -77,8 +86,10 @@
         answer = self.model.call(now, Call(name, key.decode("latin-1") or None))
         if self.log is not None:
             reply = answer.reply.value.replace(" ", "-")
-            self.log.write(f"{time.time() * 1000:.1f} {name} {reply} {answer.at - now:.1f} "
-                           f"{rules.decode('latin-1') or '-'}\n")
+            self.log.write(
+                f"{time.time() * 1000:.1f} {name} {reply} {answer.at - now:.1f} "
+                f"{rules.decode('latin-1') or '-'}\n"
+            )
             self.log.flush()
         if self.ledger is not None and self.model.effects[name] > before:
             self.ledger.write(f"{time.time() * 1000:.0f} {name} {key.decode('latin-1')}\n")
@@ -162,8 +173,11 @@
             wait = b""
             if wait_ms > 0:
                 status, wait = b"429 Too Many Requests", b"X-RateLimit-Wait-Ms: %d\r\n" % round(wait_ms)
-            loop.call_later(after_ms / 1000, self.transport.write,
-                            b"HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n" % (status, wait))
+            loop.call_later(
+                after_ms / 1000,
+                self.transport.write,
+                b"HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n" % (status, wait),
+            )
 
 
 def spans(text: str) -> list[tuple[float, float]]:
@@ -206,15 +220,28 @@
     parser.add_argument("--spec", type=Path, help="JSON in place of all these: a partner of an experiment")
     args = parser.parse_args()
     try:
-        spec = spec_of(args.spec) if args.spec is not None else Spec(
-            rate=None if args.rate is None else rated(args.rate), slots=args.slots, queue=args.queue,
-            service=Service(args.answer_ms, cv=0.0), cold=Cold(args.cold, args.warm_s * 1000),
-            key_window_ms=KEYS_MS, refuse=args.refuse, error=args.error, reset=args.reset, hang=args.hang,
-            troubles=tuple(Trouble(Fault.DOWN, begin, end) for begin, end in args.down))
+        spec = (
+            spec_of(args.spec)
+            if args.spec is not None
+            else Spec(
+                rate=None if args.rate is None else rated(args.rate),
+                slots=args.slots,
+                queue=args.queue,
+                service=Service(args.answer_ms, cv=0.0),
+                cold=Cold(args.cold, args.warm_s * 1000),
+                key_window_ms=KEYS_MS,
+                refuse=args.refuse,
+                error=args.error,
+                reset=args.reset,
+                hang=args.hang,
+                troubles=tuple(Trouble(Fault.DOWN, begin, end) for begin, end in args.down),
+            )
+        )
     except ValueError as error:
         parser.error(str(error))
-    endpoint = Endpoint(Partner(spec, random.Random(args.seed)), address(args.listen), None, args.ledger,
-                        args.calls)
+    endpoint = Endpoint(
+        Partner(spec, random.Random(args.seed)), address(args.listen), None, args.ledger, args.calls
+    )
     endpoint.unheard = args.unheard
 
     async def start() -> asyncio.Server:
--- a/tests/accord/test_boots.py
+++ b/tests/accord/test_boots.py
@@ -63,8 +63,19 @@
         state = folder / str(n)
         identity = claimed(state, f"n{n}")
         peers = Node(part, identity, state, n, "z", 0)
-        made.append(Accord(AccordPart(voters=(0, 1, 2)), peers, state, identity, make_settings(), ("z",), 2,
-                           lambda: None, Counts))
+        made.append(
+            Accord(
+                AccordPart(voters=(0, 1, 2)),
+                peers,
+                state,
+                identity,
+                make_settings(),
+                ("z",),
+                2,
+                lambda: None,
+                Counts,
+            )
+        )
     try:
         for one in made:
             await one.peers.start()
--- a/tests/accord/test_commands.py
+++ b/tests/accord/test_commands.py
@@ -39,13 +39,16 @@
     return asyncio.run(Accord._agree(cast(Accord, asking), TOLD))
 
 
-@pytest.mark.parametrize(("voters", "number", "refused", "asked"), [
-    ({"n0": STARTING, "n1": Answer(number=3), "n2": Answer(number=4)}, 3, "", ["n0", "n1"]),
-    ({"n0": SILENT, "n1": STARTING, "n2": Answer(number=4)}, 4, "", ["n0", "n1", "n2"]),
-    ({"n0": STARTING, "n1": Answer(refused="no"), "n2": Answer(number=4)}, 0, "no", ["n0", "n1"]),
-    ({"n0": STARTING, "n1": SILENT}, 0, node.NO_VOTE, ["n0", "n1"]),
-    ({"n0": SILENT, "n1": SILENT}, 0, "no voter can be reached", ["n0", "n1"]),
-])
+@pytest.mark.parametrize(
+    ("voters", "number", "refused", "asked"),
+    [
+        ({"n0": STARTING, "n1": Answer(number=3), "n2": Answer(number=4)}, 3, "", ["n0", "n1"]),
+        ({"n0": SILENT, "n1": STARTING, "n2": Answer(number=4)}, 4, "", ["n0", "n1", "n2"]),
+        ({"n0": STARTING, "n1": Answer(refused="no"), "n2": Answer(number=4)}, 0, "no", ["n0", "n1"]),
+        ({"n0": STARTING, "n1": SILENT}, 0, node.NO_VOTE, ["n0", "n1"]),
+        ({"n0": SILENT, "n1": SILENT}, 0, "no voter can be reached", ["n0", "n1"]),
+    ],
+)
 def test_a_voter_that_has_only_just_started_does_not_speak_for_the_others(
     voters: dict[str, str | Answer], number: int, refused: str, asked: list[str]
 ) -> None:
--- a/tests/accord/test_town.py
+++ b/tests/accord/test_town.py
@@ -193,9 +193,7 @@
             await it.acting("1")
             first, second = await asyncio.gather(it.propose(0, OPEN, base=1), it.propose(3, CLOSED, base=1))
             refused = [each for each in (first, second) if each["refused"]]
-            assert (
-                len(refused) == 1 and "the newest version is 2 (by test: a test)" in refused[0]["refused"]
-            )
+            assert len(refused) == 1 and "the newest version is 2 (by test: a test)" in refused[0]["refused"]
             newest = (await it.propose(0, OPEN) if first["refused"] else first)["number"]
             file = tmp_path / "rules.json"
             file.write_text(json.dumps({"destinations": {"x": {}}}))
--- a/tests/amqp/test_tls.py
+++ b/tests/amqp/test_tls.py
@@ -58,7 +58,8 @@
         broker.declare("q")
         with keys(tmp_path) as (_, server):
             listening = await asyncio.get_running_loop().create_server(
-                lambda: Session(broker), "127.0.0.1", 0, ssl=server)
+                lambda: Session(broker), "127.0.0.1", 0, ssl=server
+            )
             at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
             assert await outcome(BrokerPart("b", at, tls=tls(tmp_path))) is Outcome.OK
             unknown = tls(tmp_path, "other.pem")
@@ -78,7 +79,8 @@
         broker.declare("q")
         with keys(tmp_path) as (_, server):
             listening = await asyncio.get_running_loop().create_server(
-                lambda: Session(broker), "127.0.0.1", 0, ssl=server)
+                lambda: Session(broker), "127.0.0.1", 0, ssl=server
+            )
             at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
             mine = BrokerPart("b", at, tls=tls(tmp_path, own=True), external=True)
             assert await outcome(mine) is Outcome.OK
@@ -91,8 +93,11 @@
 def test_files_that_cannot_be_used_and_settings_that_make_no_sense(tmp_path: Path) -> None:
     with keys(tmp_path):
         (tmp_path / "bad.pem").write_text("no key")
-        for part in (TlsPart(str(tmp_path / "none.pem")), TlsPart(str(tmp_path / "bad.pem")),
-                     TlsPart("", str(tmp_path / "cert.pem"), str(tmp_path / "bad.pem"))):
+        for part in (
+            TlsPart(str(tmp_path / "none.pem")),
+            TlsPart(str(tmp_path / "bad.pem")),
+            TlsPart("", str(tmp_path / "cert.pem"), str(tmp_path / "bad.pem")),
+        ):
             with pytest.raises(ValueError, match="amqp.brokers.tls of b"):
                 context(BrokerPart("b", ["a:1"], tls=part))
     with pytest.raises(ValueError, match="needs tls.cert"):
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -89,10 +89,15 @@
                 if seen.over:
                     raise Breach("lost: a second final answer")
                 effect = self.settings.classes[seen.msg.class_].effect
-                if isinstance(action, api.Refuse) and self.risks(seen) and (
+                if (
+                    isinstance(action, api.Refuse)
+                    and self.risks(seen)
+                    and (
                         effect is api.Effect.UNSAFE
                         or effect is api.Effect.KEYED
-                        and self.settings.classes[seen.msg.class_].key_scope is not api.Scope.ALL):
+                        and self.settings.classes[seen.msg.class_].key_scope is not api.Scope.ALL
+                    )
+                ):
                     raise Breach("twice: refused though it may have run")
                 seen.over = True
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,8 +22,15 @@
 
 def make_settings(**more: Any) -> api.Settings:
     values: dict[str, Any] = {
-        "classes": CLASSES, "kinds": (api.DestinationKind("k"),), "slots": 8, "hold": 40, "attempts": 5,
-        "relays": 2, "rates": api.Rates.NOMINAL, "idle_ms": 10000.0, "tick_ms": 5.0,
+        "classes": CLASSES,
+        "kinds": (api.DestinationKind("k"),),
+        "slots": 8,
+        "hold": 40,
+        "attempts": 5,
+        "relays": 2,
+        "rates": api.Rates.NOMINAL,
+        "idle_ms": 10000.0,
+        "tick_ms": 5.0,
         "safety": api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
     }
     return api.Settings(**{**values, **more})
@@ -61,8 +68,12 @@
         return acts
 
     def listed(self, *entries: tuple[int, int], rate: float = 20.0, kind: int = 0) -> None:
-        self.feed(api.EndpointList(api.ListKind.CACHED, tuple(
-            api.Endpoint(ident, dest, api.Listing.READY, kind, 0, rate) for ident, dest in entries)))
+        self.feed(
+            api.EndpointList(
+                api.ListKind.CACHED,
+                tuple(api.Endpoint(ident, dest, api.Listing.READY, kind, 0, rate) for ident, dest in entries),
+            )
+        )
 
     def message(
         self, class_: int = SAFE, dest: int = 1, left: float = 1e4, key: int = 0, tenant: int = 0
@@ -80,11 +91,27 @@
     def last(self, ident: int) -> tuple[float, api.Send]:
         return [entry for entry in self.sent if entry[1].id == ident][-1]
 
-    def answer(self, ident: int, outcome: api.Outcome = api.Outcome.OK, wait: float = 0.0,
-               took: float = 100.0, report: tuple[float, ...] = ()) -> list[api.Action]:
+    def answer(
+        self,
+        ident: int,
+        outcome: api.Outcome = api.Outcome.OK,
+        wait: float = 0.0,
+        took: float = 100.0,
+        report: tuple[float, ...] = (),
+    ) -> list[api.Action]:
         send = self.out.pop(ident)
-        return self.feed(api.AttemptEnded(ident, self.tries[ident] - 1, send.endpoint, outcome, took,
-                                          outcome is api.Outcome.OK, wait, report=report))
+        return self.feed(
+            api.AttemptEnded(
+                ident,
+                self.tries[ident] - 1,
+                send.endpoint,
+                outcome,
+                took,
+                outcome is api.Outcome.OK,
+                wait,
+                report=report,
+            )
+        )
 
     def warm_up(self, dest: int = 1, calls: int = 6) -> None:
         """Some quick answers, so that the destination is known and well."""
--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -38,13 +38,32 @@
     """Round figures. `changed`: table__field."""
     raw = plan()
     raw["paper"] = []
-    raw["fleet"] |= {"relays": 100, "events_s": 10_000, "destinations": 1000, "down": 0.02, "backlog": 1e6,
-                     "regions": 2, "zones": 4}
+    raw["fleet"] |= {
+        "relays": 100,
+        "events_s": 10_000,
+        "destinations": 1000,
+        "down": 0.02,
+        "backlog": 1e6,
+        "regions": 2,
+        "zones": 4,
+    }
     raw["changes"] |= {"a_day": 8640, "force_s": 10.0}
     raw["control"] |= {"core": 0.05, "memory_mb": 1.0, "kb_s": 2.0, "machines": 10}
-    raw["assumed"] |= {"relays_a_machine": 5, "machines_a_rack": 2, "storm": 500, "deadline_s": 60.0,
-                       "deadline_today_s": 10.0, "outage_s": 100.0, "latency_s": 0.1, "headroom": 1.5,
-                       "voters": 5, "bound_s": 2.0, "in_use": 0.1, "in_use_most": 1.0, "data_memory_mb": 15.0}
+    raw["assumed"] |= {
+        "relays_a_machine": 5,
+        "machines_a_rack": 2,
+        "storm": 500,
+        "deadline_s": 60.0,
+        "deadline_today_s": 10.0,
+        "outage_s": 100.0,
+        "latency_s": 0.1,
+        "headroom": 1.5,
+        "voters": 5,
+        "bound_s": 2.0,
+        "in_use": 0.1,
+        "in_use_most": 1.0,
+        "data_memory_mb": 15.0,
+    }
     for name, value in changed.items():
         table, _, field = name.partition("__")
         raw[table][field] = value
@@ -57,13 +76,25 @@
 
 def slope(name: str, unit: str, cost: Any, off: float = 1.0, per: str = "destination") -> Slope:
     """`cost` by size; the largest size costs `off` times that."""
-    return fitted(name, per, unit, [sample(each, cost(each)) for each in FIT],
-                  sample(LARGEST, off * cost(LARGEST)), "linnetstile/core/directory.py")
+    return fitted(
+        name,
+        per,
+        unit,
+        [sample(each, cost(each)) for each in FIT],
+        sample(LARGEST, off * cost(LARGEST)),
+        "linnetstile/core/directory.py",
+    )
 
 
 def report(*slopes: Slope, **facts: float) -> Report:
-    return Report("a made-up machine", 1.0, 2.0, 3, list(slopes),
-                  {name.replace("__", "."): value for name, value in facts.items()})
+    return Report(
+        "a made-up machine",
+        1.0,
+        2.0,
+        3,
+        list(slopes),
+        {name.replace("__", "."): value for name, value in facts.items()},
+    )
 
 
 MADE_UP = report(
@@ -85,63 +116,78 @@
 # -- figures by hand ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name, value, state", [
-    ("relay.events", 100.0, "reckoned"),  # 10,000 / 100
-    ("relay.call_again", 10.0, "reckoned"),  # 100 x 1,000 / 10,000
-    ("relay.backlog", 10_000.0, "reckoned"),  # 1e6 / 100
-    ("relay.held", 110.0, "assumed"),  # 100 x (0.1 + 0.02 x 50)
-    ("relay.directory_memory", 2_001_000.0, "reckoned"),  # 1,000 + 2,000 x 1,000: 1,000 was not run
-    ("relay.storm_processor", 0.05, "reckoned"),  # 500 x 0.1 ms
-    ("relay.start", 0.1, "reckoned"),  # 10,000 x 0.01 ms: beyond 1,600
-    ("relay.start_hour", 0.0011, "reckoned"),  # 110 x 0.01 ms
-    ("relay.backlog_memory", 15e6, "reckoned"),  # 10,000 x 1,500
-    ("relay.processor", 0.1, "reckoned"),  # 100 x 1 ms
-    ("relay.zone", 10_000 / 75 * 0.001, "reckoned"),  # 25 of 100 relays are gone
-    ("relay.rack", 10_000 / 90 * 0.001, "reckoned"),
-    ("relay.machine", 10_000 / 95 * 0.001, "reckoned"),
-    ("relay.drain", 200.0, "assumed"),  # 10,000 / (100 x 0.5)
-    ("relay.drain_processor", 20.0, "reckoned"),  # 0.6 / 1 ms = 600 a second: 500 to spare
-    ("relay.expired", 0.4, "assumed"),  # it gathered in 100 s, of which 60 still count
-    ("relay.expired_today", 0.9, "assumed"),
-    ("relay.apart", 180_000.0, "reckoned"),  # 100 x 3,600 x 1/2
-    ("relay.force", 4.0, "measured"),
-    ("voter.renewals", 100 / 0.27, "assumed"),  # a lease of 1.2 s, four renewals, each 0.9 of 0.3 s
-    ("voter.processor", 100 / 0.27 * 4e-6, "reckoned"),
-    ("destination.calls", 10.0, "reckoned"),  # 10,000 / 1,000
-    ("destination.cold", 2.7, "assumed"),  # 10 x 1.5 x 0.18
-    ("destination.waiting", 600.0, "assumed"),  # 10 x 60: none waits longer than its time
-    ("destination.connections", 100 * (1 - math.exp(-6)), "assumed"),  # 60 s idle, called each 10 s
-    ("relay.storm_held", 500.0, "assumed"),  # 100 x 10 s x 500 / 1,000
-    ("relay.back", 3600.0, "assumed"),  # an hour's half for the other region, at half the rate to spare
-    ("voter.lost", 2.0, "assumed"),  # 5 over 4 zones
-    ("voter.side", 2.0, "assumed"),
-    ("leader.missed", 360.0, "reckoned"),  # 0.1 a second
-    ("leader.heartbeats", 4 / 0.15, "assumed"),
-    ("supervisor.back", 0.0055, "reckoned"),  # 5 x 110 x 0.01 ms
-    ("supervisor.restarts", 27.5, "assumed"),  # 550 x 5 / 100
-    ("keeper.digests", 100 * 2 / 8 / 3, "assumed"),
-])
+@pytest.mark.parametrize(
+    "name, value, state",
+    [
+        ("relay.events", 100.0, "reckoned"),  # 10,000 / 100
+        ("relay.call_again", 10.0, "reckoned"),  # 100 x 1,000 / 10,000
+        ("relay.backlog", 10_000.0, "reckoned"),  # 1e6 / 100
+        ("relay.held", 110.0, "assumed"),  # 100 x (0.1 + 0.02 x 50)
+        ("relay.directory_memory", 2_001_000.0, "reckoned"),  # 1,000 + 2,000 x 1,000: 1,000 was not run
+        ("relay.storm_processor", 0.05, "reckoned"),  # 500 x 0.1 ms
+        ("relay.start", 0.1, "reckoned"),  # 10,000 x 0.01 ms: beyond 1,600
+        ("relay.start_hour", 0.0011, "reckoned"),  # 110 x 0.01 ms
+        ("relay.backlog_memory", 15e6, "reckoned"),  # 10,000 x 1,500
+        ("relay.processor", 0.1, "reckoned"),  # 100 x 1 ms
+        ("relay.zone", 10_000 / 75 * 0.001, "reckoned"),  # 25 of 100 relays are gone
+        ("relay.rack", 10_000 / 90 * 0.001, "reckoned"),
+        ("relay.machine", 10_000 / 95 * 0.001, "reckoned"),
+        ("relay.drain", 200.0, "assumed"),  # 10,000 / (100 x 0.5)
+        ("relay.drain_processor", 20.0, "reckoned"),  # 0.6 / 1 ms = 600 a second: 500 to spare
+        ("relay.expired", 0.4, "assumed"),  # it gathered in 100 s, of which 60 still count
+        ("relay.expired_today", 0.9, "assumed"),
+        ("relay.apart", 180_000.0, "reckoned"),  # 100 x 3,600 x 1/2
+        ("relay.force", 4.0, "measured"),
+        ("voter.renewals", 100 / 0.27, "assumed"),  # a lease of 1.2 s, four renewals, each 0.9 of 0.3 s
+        ("voter.processor", 100 / 0.27 * 4e-6, "reckoned"),
+        ("destination.calls", 10.0, "reckoned"),  # 10,000 / 1,000
+        ("destination.cold", 2.7, "assumed"),  # 10 x 1.5 x 0.18
+        ("destination.waiting", 600.0, "assumed"),  # 10 x 60: none waits longer than its time
+        ("destination.connections", 100 * (1 - math.exp(-6)), "assumed"),  # 60 s idle, called each 10 s
+        ("relay.storm_held", 500.0, "assumed"),  # 100 x 10 s x 500 / 1,000
+        ("relay.back", 3600.0, "assumed"),  # an hour's half for the other region, at half the rate to spare
+        ("voter.lost", 2.0, "assumed"),  # 5 over 4 zones
+        ("voter.side", 2.0, "assumed"),
+        ("leader.missed", 360.0, "reckoned"),  # 0.1 a second
+        ("leader.heartbeats", 4 / 0.15, "assumed"),
+        ("supervisor.back", 0.0055, "reckoned"),  # 5 x 110 x 0.01 ms
+        ("supervisor.restarts", 27.5, "assumed"),  # 550 x 5 / 100
+        ("keeper.digests", 100 * 2 / 8 / 3, "assumed"),
+    ],
+)
 def test_a_figure_is_what_the_hand_works_out(name: str, value: float, state: str) -> None:
     found = row(name)
     assert found.value == pytest.approx(value, rel=1e-6)
     assert found.state == state
 
 
-@pytest.mark.parametrize("destinations, value, state", [
-    (800, 1_601_000.0, "measured"),  # a size of the fit
-    (1600, 4_000_000.0, "measured"),  # the largest: as it was run, whatever was predicted
-    (1601, 3_203_000.0, "reckoned"),
-])
+@pytest.mark.parametrize(
+    "destinations, value, state",
+    [
+        (800, 1_601_000.0, "measured"),  # a size of the fit
+        (1600, 4_000_000.0, "measured"),  # the largest: as it was run, whatever was predicted
+        (1601, 3_203_000.0, "reckoned"),
+    ],
+)
 def test_a_size_that_was_run_is_told_as_it_was_run(destinations: int, value: float, state: str) -> None:
-    line = fitted("directory.list.memory_bytes", "destination", "bytes",
-                  [sample(each, 1000 + 2000 * each) for each in FIT], sample(LARGEST, 4_000_000.0), "f")
+    line = fitted(
+        "directory.list.memory_bytes",
+        "destination",
+        "bytes",
+        [sample(each, 1000 + 2000 * each) for each in FIT],
+        sample(LARGEST, 4_000_000.0),
+        "f",
+    )
     found = row("relay.directory_memory", small(fleet__destinations=destinations), report(line))
     assert found.value == pytest.approx(value) and found.state == state
 
 
 def test_stretched_periods_are_put_back() -> None:
-    told = report(slope("hollow.cpu_share", "cores", lambda n: 1e-5 * n, per="instance"),
-                  hollow__stretch=6.0, hollow__change_most_s=18.0)
+    told = report(
+        slope("hollow.cpu_share", "cores", lambda n: 1e-5 * n, per="instance"),
+        hollow__stretch=6.0,
+        hollow__change_most_s=18.0,
+    )
     assert row("relay.hollow_processor", told=told).value == pytest.approx(0.006)  # 100 x 1e-5 x 6
     usual = row("relay.force_usual", told=told)
     assert usual.value == pytest.approx(3.0) and usual.state == "reckoned"
@@ -161,13 +207,39 @@
     raise AssertionError(names)
 
 
-ONE = {f"fleet__{name}": 1 for name in ("relays", "destinations", "regions", "zones")} | {
-    f"assumed__{name}": 1 for name in ("relays_a_machine", "storm", "voters", "keepers", "keepers_a_reader",
-                                       "shards", "connections", "headroom")} | {"control__machines": 1}
-NONE = {"fleet__backlog": 0, "fleet__down": 0, "changes__a_day": 0, "assumed__idle_s": 0,
-        "failures__machines_a_day": 0, "failures__restarts_a_day": 0, "failures__regions_apart_s": 0}
-MOST = {"fleet__events_s": 1e15, "fleet__backlog": 1e15, "fleet__relays": 10**9, "fleet__destinations": 10**9,
-        "assumed__headroom": 0.5}
+ONE = (
+    {f"fleet__{name}": 1 for name in ("relays", "destinations", "regions", "zones")}
+    | {
+        f"assumed__{name}": 1
+        for name in (
+            "relays_a_machine",
+            "storm",
+            "voters",
+            "keepers",
+            "keepers_a_reader",
+            "shards",
+            "connections",
+            "headroom",
+        )
+    }
+    | {"control__machines": 1}
+)
+NONE = {
+    "fleet__backlog": 0,
+    "fleet__down": 0,
+    "changes__a_day": 0,
+    "assumed__idle_s": 0,
+    "failures__machines_a_day": 0,
+    "failures__restarts_a_day": 0,
+    "failures__regions_apart_s": 0,
+}
+MOST = {
+    "fleet__events_s": 1e15,
+    "fleet__backlog": 1e15,
+    "fleet__relays": 10**9,
+    "fleet__destinations": 10**9,
+    "assumed__headroom": 0.5,
+}
 
 
 @pytest.mark.parametrize("value", [0.0, 1.0, 1e12])
@@ -205,11 +277,18 @@
 
 
 def test_what_a_real_relay_took_is_told_less_one_without_keepers() -> None:
-    found = {"budget": {
-        "destinations": 360_000, "without": {"core %": 2.0, "bytes/s": 0, "RSS MB": 30.0},
-        "1000 in use": {"plan": {"core %": 3.0, "bytes/s": 1800, "RSS MB": 60.0},
-                        "reader": {"behind": False}},
-    }, "killed": {"force most s": 9.5, "broken": []}, "frozen": {"force most s": 11.0, "answers": {"200": 3}}}
+    found = {
+        "budget": {
+            "destinations": 360_000,
+            "without": {"core %": 2.0, "bytes/s": 0, "RSS MB": 30.0},
+            "1000 in use": {
+                "plan": {"core %": 3.0, "bytes/s": 1800, "RSS MB": 60.0},
+                "reader": {"behind": False},
+            },
+        },
+        "killed": {"force most s": 9.5, "broken": []},
+        "frozen": {"force most s": 11.0, "answers": {"200": 3}},
+    }
     told = taken(MADE_UP, "shards", found)
     assert told.facts["hollow.change_most_s"] == 4.0  # others' stay
     assert told.facts["shards.budget.1000_in_use.plan.core_percent"] == 3.0
@@ -231,7 +310,7 @@
     found = rows(FORMULAS, small(), MADE_UP)
     factors = [each.factor or 0.0 for each in found if each.over]
     assert factors and factors == sorted(factors, reverse=True)
-    assert not any(each.over for each in found[len(factors):])
+    assert not any(each.over for each in found[len(factors) :])
     assert row("relay.directory_memory").factor == pytest.approx(2.001)
     assert not row("relay.backlog_memory").over  # 15 MB for 15 MB
 
@@ -337,11 +416,17 @@
 
 def test_what_was_reckoned_by_hand_is_corrected_where_it_is_off() -> None:
     raw = plan()
-    raw["paper"] = [{"row": "relay.events", "figure": 857}, {"row": "voter.renewals", "figure": 10_000},
-                    {"row": "nobody.knows", "figure": 1}]
+    raw["paper"] = [
+        {"row": "relay.events", "figure": 857},
+        {"row": "voter.renewals", "figure": 10_000},
+        {"row": "nobody.knows", "figure": 1},
+    ]
     told = tables(decoded(raw, "x"), report())
     assert [(each.row, each.corrected) for each in told.paper] == [
-        ("relay.events", False), ("voter.renewals", True), ("nobody.knows", False)]
+        ("relay.events", False),
+        ("voter.renewals", True),
+        ("nobody.knows", False),
+    ]
     assert told.paper[2].unit == "no such row"
 
 
@@ -366,8 +451,14 @@
 def test_an_interval_is_students_and_holds_the_truth() -> None:
     """Two sizes up and two down by a tenth: the interval by hand, of the relative residuals."""
     values = [110.0, 180.0, 360.0, 880.0]
-    found = fitted("x.y.z", "d", "ms", [sample(*each) for each in zip(FIT, values, strict=True)],
-                   sample(LARGEST, 1600), "f")
+    found = fitted(
+        "x.y.z",
+        "d",
+        "ms",
+        [sample(*each) for each in zip(FIT, values, strict=True)],
+        sample(LARGEST, 1600),
+        "f",
+    )
     # Weighed normal equations of y = a + b x with weights 1 / y, solved by hand.
     w = [1 / y**2 for y in values]
     sw, sx = sum(w), sum(a * x for a, x in zip(w, FIT, strict=True))
@@ -401,29 +492,32 @@
 # -- bad input ----------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("table, field, value, told", [
-    ("fleet", "relays", 0, "fleet.relays: 0: Expected `int` >= 1"),
-    ("fleet", "relays", -3500, "fleet.relays: -3500: Expected `int` >= 1"),
-    ("fleet", "relays", 3500.5, "fleet.relays: 3500.5: Expected `int`"),
-    ("fleet", "relays", "many", "fleet.relays: 'many': Expected `int`"),
-    ("fleet", "relays", True, "fleet.relays: True: Expected `int`"),
-    ("fleet", "events_s", -1.0, "fleet.events_s: -1.0: Expected `float` > 0.0"),
-    ("fleet", "events_s", math.inf, "fleet.events_s: inf: Expected `float` <= 1000000000000000.0"),
-    ("fleet", "down", math.nan, "fleet.down: nan: Expected `float`"),
-    ("fleet", "down", 1.8, "fleet.down: 1.8: Expected `float` < 1.0"),
-    ("fleet", "backlog", -12e9, "fleet.backlog: -12000000000.0: Expected `float` >= 0.0"),
-    ("fleet", "zones", 1, "fleet.regions: 2: must be 1 or less (fleet.zones)"),
-    ("fleet", "relais", 1, "fleet.relais: is not known; 'relays' is the nearest name"),
-    ("control", "core", 2.6, "control.core: 2.6: Expected `float` <= 1.0"),
-    ("control", "machines", 0, "control.machines: 0: Expected `int` >= 1"),
-    ("changes", "a_day", -7000, "changes.a_day: -7000: Expected `float` >= 0.0"),
-    ("failures", "rack_days", 0, "failures.rack_days: 0: Expected `float` > 0.0"),
-    ("assumed", "shards", 0, "assumed.shards: 0: Expected `int` >= 1"),
-    ("assumed", "shards", 1000, "assumed.shards: 1000: must be a power of two: 512 or 1024"),
-    ("assumed", "voters", 4, "assumed.voters: 4: must be odd: 3 outlive as many"),
-    ("assumed", "keepers", 9, "assumed.keepers: 9: must be 8 or less (control.machines)"),
-    ("assumed", "storm", 400_000, "assumed.storm: 400000: must be 360000 or less (fleet.destinations)"),
-])
+@pytest.mark.parametrize(
+    "table, field, value, told",
+    [
+        ("fleet", "relays", 0, "fleet.relays: 0: Expected `int` >= 1"),
+        ("fleet", "relays", -3500, "fleet.relays: -3500: Expected `int` >= 1"),
+        ("fleet", "relays", 3500.5, "fleet.relays: 3500.5: Expected `int`"),
+        ("fleet", "relays", "many", "fleet.relays: 'many': Expected `int`"),
+        ("fleet", "relays", True, "fleet.relays: True: Expected `int`"),
+        ("fleet", "events_s", -1.0, "fleet.events_s: -1.0: Expected `float` > 0.0"),
+        ("fleet", "events_s", math.inf, "fleet.events_s: inf: Expected `float` <= 1000000000000000.0"),
+        ("fleet", "down", math.nan, "fleet.down: nan: Expected `float`"),
+        ("fleet", "down", 1.8, "fleet.down: 1.8: Expected `float` < 1.0"),
+        ("fleet", "backlog", -12e9, "fleet.backlog: -12000000000.0: Expected `float` >= 0.0"),
+        ("fleet", "zones", 1, "fleet.regions: 2: must be 1 or less (fleet.zones)"),
+        ("fleet", "relais", 1, "fleet.relais: is not known; 'relays' is the nearest name"),
+        ("control", "core", 2.6, "control.core: 2.6: Expected `float` <= 1.0"),
+        ("control", "machines", 0, "control.machines: 0: Expected `int` >= 1"),
+        ("changes", "a_day", -7000, "changes.a_day: -7000: Expected `float` >= 0.0"),
+        ("failures", "rack_days", 0, "failures.rack_days: 0: Expected `float` > 0.0"),
+        ("assumed", "shards", 0, "assumed.shards: 0: Expected `int` >= 1"),
+        ("assumed", "shards", 1000, "assumed.shards: 1000: must be a power of two: 512 or 1024"),
+        ("assumed", "voters", 4, "assumed.voters: 4: must be odd: 3 outlive as many"),
+        ("assumed", "keepers", 9, "assumed.keepers: 9: must be 8 or less (control.machines)"),
+        ("assumed", "storm", 400_000, "assumed.storm: 400000: must be 360000 or less (fleet.destinations)"),
+    ],
+)
 def test_a_figure_without_sense_is_refused_by_name(table: str, field: str, value: Any, told: str) -> None:
     raw = plan()
     raw[table][field] = value
@@ -449,11 +543,14 @@
     return CliRunner().invoke(main, ["capacity", *map(str, told)])
 
 
-@pytest.mark.parametrize("text, told", [
-    (None, "No such file"),
-    ("name = ", "plan.toml: "),
-    ("name = 'x'", "fleet: is missing"),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        (None, "No such file"),
+        ("name = ", "plan.toml: "),
+        ("name = 'x'", "fleet: is missing"),
+    ],
+)
 def test_a_file_that_is_none_ends_with_2_and_plain_text(tmp_path: Path, text: str | None, told: str) -> None:
     path = tmp_path / "plan.toml"
     if text is not None:
@@ -495,9 +592,17 @@
 def test_a_row_tells_its_slope_sizes_interval_exponent_budget_and_mechanism() -> None:
     text = markdown(tables(small(), MADE_UP))
     line = next(line for line in text.splitlines() if "the whole list, in directory and decisions" in line)
-    for part in ("2 MB", "1 MB (asked: for control)", "**2**", "`directory.list.memory_bytes` 2e+03 +- ",
-                 "bytes a destination", "run at 100 to 1,600", "exponent 1.00 +- 0.00",
-                 "`linnetstile/core/directory.py`; would: directory by interest", "reckoned"):
+    for part in (
+        "2 MB",
+        "1 MB (asked: for control)",
+        "**2**",
+        "`directory.list.memory_bytes` 2e+03 +- ",
+        "bytes a destination",
+        "run at 100 to 1,600",
+        "exponent 1.00 +- 0.00",
+        "`linnetstile/core/directory.py`; would: directory by interest",
+        "reckoned",
+    ):
         assert part in line, part
 
 
@@ -514,7 +619,8 @@
 
 
 @pytest.mark.parametrize(
-    "page", ["", BEGIN, f"{END}\n{BEGIN}\n", f"{BEGIN}\n{BEGIN}\n{END}", f"{BEGIN}\n{END}{END}"])
+    "page", ["", BEGIN, f"{END}\n{BEGIN}\n", f"{BEGIN}\n{BEGIN}\n{END}", f"{BEGIN}\n{END}{END}"]
+)
 def test_a_page_without_its_marks_is_left_as_it_is(tmp_path: Path, page: str) -> None:
     path = tmp_path / "page.md"
     path.write_text(page)
@@ -535,8 +641,9 @@
     result = run("--size", PLAN.relative_to(ROOT))
     assert result.exit_code == 0
     _, inside, _ = between(PAGE.read_text(), "docs/CAPACITY.md")
-    assert inside == result.output, ("python -m emulator capacity --size deploy/sizes/two-years.toml "
-                                     "--write docs/CAPACITY.md")
+    assert inside == result.output, (
+        "python -m emulator capacity --size deploy/sizes/two-years.toml " "--write docs/CAPACITY.md"
+    )
 
 
 def test_a_flat_cost_is_reckoned_far_away_as_its_mean_and_its_interval_stays_the_lines() -> None:
@@ -554,8 +661,10 @@
 
 def test_a_cost_that_does_not_measurably_grow_is_predicted_as_its_mean() -> None:
     """By its line the noise of small sizes, taken nine times as far, would be a finding of its own."""
-    samples = [Sample(size, value, value, value) for size, value in
-               ((2500, 1.1), (5000, 0.9), (10000, 1.05), (20000, 0.95), (40000, 0.9))]
+    samples = [
+        Sample(size, value, value, value)
+        for size, value in ((2500, 1.1), (5000, 0.9), (10000, 1.05), (20000, 0.95), (40000, 0.9))
+    ]
     slope = fitted("a.b", "x", "ms", samples, Sample(360_000, 1.0, 1.0, 1.0), "f")
     assert slope.each_low < 0 < slope.each_high and abs(slope.base + slope.each * 360_000 - 1.0) > 0.5
     assert abs(slope.predicted - 0.97) < 0.03 and not slope.finding
--- a/tests/emulator/test_partner.py
+++ b/tests/emulator/test_partner.py
@@ -82,7 +82,11 @@
     it = partner(slots=2, queue=1, service=Service(100.0, cv=0.0))
     at = [it.call(0.0, Call(f"t{n}")) for n in range(4)]
     assert [(one.reply, one.at) for one in at] == [
-        (Reply.OK, 100.0), (Reply.OK, 100.0), (Reply.OK, 200.0), (Reply.FULL, 0.0)]
+        (Reply.OK, 100.0),
+        (Reply.OK, 100.0),
+        (Reply.OK, 200.0),
+        (Reply.FULL, 0.0),
+    ]
     assert it.call(150.0, Call("t5")).at == 250.0  # a slot is free again
 
 
@@ -142,8 +146,16 @@
 def test_the_same_calls_get_the_same_answers_and_no_proof_is_false(seed: int) -> None:
     rng = Random(seed)
     troubles = tuple(Trouble(rng.choice(list(Fault)), at, at + 800.0) for at in (1000.0, 3000.0, 6000.0))
-    spec = Spec(rate=Rate(40.0, rng.choice(list(Enforced))), slots=4, queue=2, refuse=0.05, error=0.1,
-                reset=0.05, cold=Cold(0.2, 3000.0, 2.0, 1500.0, 2000.0), troubles=troubles)
+    spec = Spec(
+        rate=Rate(40.0, rng.choice(list(Enforced))),
+        slots=4,
+        queue=2,
+        refuse=0.05,
+        error=0.1,
+        reset=0.05,
+        cold=Cold(0.2, 3000.0, 2.0, 1500.0, 2000.0),
+        troubles=troubles,
+    )
     times = sorted(rng.uniform(0.0, 9000.0) for _ in range(300))
     got = []
     for _ in range(2):
@@ -158,13 +170,20 @@
             assert it.effects[f"t{n}"] == 1
 
 
-@pytest.mark.parametrize(("make", "says"), [
-    (lambda: Rate(0.0), "rate.per_s"), (lambda: Rate(1.0, wait_ms=(5.0, 1.0)), "rate.wait_ms"),
-    (lambda: Service(slow_share=2.0), "service.slow_share"), (lambda: Cold(0.0), "cold.share"),
-    (lambda: Cold(fall_multiple=1.0), "cold.fall_multiple"),
-    (lambda: Trouble(Fault.DOWN, 5.0, 5.0), "trouble.end_ms"),
-    (lambda: Trouble(Fault.FAILING, 0.0, 1.0, 2.0), "trouble.size"), (lambda: Spec(slots=0), "slots"),
-    (lambda: Spec(refuse=0.6, error=0.6), "refuse, error, reset, hang")])
+@pytest.mark.parametrize(
+    ("make", "says"),
+    [
+        (lambda: Rate(0.0), "rate.per_s"),
+        (lambda: Rate(1.0, wait_ms=(5.0, 1.0)), "rate.wait_ms"),
+        (lambda: Service(slow_share=2.0), "service.slow_share"),
+        (lambda: Cold(0.0), "cold.share"),
+        (lambda: Cold(fall_multiple=1.0), "cold.fall_multiple"),
+        (lambda: Trouble(Fault.DOWN, 5.0, 5.0), "trouble.end_ms"),
+        (lambda: Trouble(Fault.FAILING, 0.0, 1.0, 2.0), "trouble.size"),
+        (lambda: Spec(slots=0), "slots"),
+        (lambda: Spec(refuse=0.6, error=0.6), "refuse, error, reset, hang"),
+    ],
+)
 def test_what_makes_no_sense_names_its_field(make: object, says: str) -> None:
     with pytest.raises(ValueError, match=says):
         make()  # type: ignore[operator]
--- a/tests/emulator/test_shell.py
+++ b/tests/emulator/test_shell.py
@@ -13,10 +13,21 @@
 
 CALLS, LINES = 10_000, 8
 SPEC = Spec(
-    rate=Rate(400.0, wait_ms=(100.0, 300.0)), slots=30, queue=5, service=Service(40.0, 0.4, 0.02, 8.0, 0.3),
-    cold=Cold(0.2, 3000.0), key_window_ms=4000.0, refuse=0.03, error=0.04, reset=0.02,
-    troubles=(Trouble(Fault.SHUT, 4000.0, 5000.0), Trouble(Fault.FAILING, 9000.0, 11_000.0, 0.6),
-              Trouble(Fault.BROWN, 15_000.0, 17_000.0, 3.0)))
+    rate=Rate(400.0, wait_ms=(100.0, 300.0)),
+    slots=30,
+    queue=5,
+    service=Service(40.0, 0.4, 0.02, 8.0, 0.3),
+    cold=Cold(0.2, 3000.0),
+    key_window_ms=4000.0,
+    refuse=0.03,
+    error=0.04,
+    reset=0.02,
+    troubles=(
+        Trouble(Fault.SHUT, 4000.0, 5000.0),
+        Trouble(Fault.FAILING, 9000.0, 11_000.0, 0.6),
+        Trouble(Fault.BROWN, 15_000.0, 17_000.0, 3.0),
+    ),
+)
 
 
 def script() -> list[tuple[float, Call]]:
@@ -71,6 +82,7 @@
         assert model.effects == virtual.effects
         lines = (tmp_path / "ledger").read_text().splitlines()
         assert [line.split()[1] for line in lines] == list(model.effects.elements())
+
     asyncio.run(asyncio.wait_for(work(), 60.0))
 
 
@@ -90,4 +102,5 @@
         while not endpoint.server.is_serving():
             await asyncio.sleep(0.01)
         endpoint.server.close()
+
     asyncio.run(asyncio.wait_for(work(), 30.0))
--- a/tests/emulator/test_size.py
+++ b/tests/emulator/test_size.py
@@ -23,8 +23,13 @@
     },
     "partners": [
         {
-            "rate": {"per_s": RATE, "enforced": "bucket", "burst": RATE / 2, "counts_refused": True,
-                     "wait_ms": [200, 900]},
+            "rate": {
+                "per_s": RATE,
+                "enforced": "bucket",
+                "burst": RATE / 2,
+                "counts_refused": True,
+                "wait_ms": [200, 900],
+            },
             "service": {"mean_ms": 150.0},
         }
     ],
--- a/tests/failover/test_verdicts.py
+++ b/tests/failover/test_verdicts.py
@@ -196,9 +196,7 @@
     assert play.judge.standing(("b", "b")).share <= 0.3  # no jump
 
 
-@pytest.mark.parametrize(
-    ("good", "tried", "bound"), [(0, 7, 0.5), (0, 6, 1.0), (70, 100, 0.85), (0, 0, 1.0)]
-)
+@pytest.mark.parametrize(("good", "tried", "bound"), [(0, 7, 0.5), (0, 6, 1.0), (70, 100, 0.85), (0, 0, 1.0)])
 def test_the_interval_says_no_more_than_the_calls_do(good: int, tried: int, bound: float) -> None:
     low, high = interval(good, tried)
     assert 0 <= low <= (good / tried if tried else 1) <= high <= bound or not tried
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -124,9 +124,7 @@
 
 
 @by_chance
-def test_the_next_zones_are_not_overrun_and_a_decider_that_was_frozen_changes_nothing_when_it_wakes() -> (
-    None
-):
+def test_the_next_zones_are_not_overrun_and_a_decider_that_was_frozen_changes_nothing_when_it_wakes() -> None:
     """Each zone asks for 30 a second and can do 40, so that a third of what one has finds room elsewhere."""
 
     async def work() -> None:
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -33,8 +33,9 @@
         await self.server.start()
         (self.folder / "state").mkdir()
         # The address that it is told is another's: only what is handed over can be listened on.
-        raw = raw_config(self.folder / "state", self.agent, self.server,
-                         listen=f"127.0.0.1:{self.manager.port}")
+        raw = raw_config(
+            self.folder / "state", self.agent, self.server, listen=f"127.0.0.1:{self.manager.port}"
+        )
         self.config.write_text(json.dumps(raw))
 
     async def start(self) -> None:
@@ -82,6 +83,7 @@
             await w.manager.heard("STOPPING")
             names = [name for lines in w.manager.said for name in lines if name in ("READY", "STOPPING")]
             assert names == ["READY", "READY", "READY", "STOPPING"]
+
     run(work())
 
 
@@ -96,6 +98,7 @@
                 assert await client.status() == 202
             await until(lambda: len(w.server.seen) == 1)
             assert await w.manager.end() == 0
+
     run(work())
 
 
@@ -112,6 +115,7 @@
             w.manager.tell(signal.SIGCONT)
             await until(lambda: len(w.manager.beats) > beats)
             assert await w.manager.end() == 0
+
     run(work())
 
 
@@ -129,6 +133,7 @@
             gaps = [b - a for a, b in zip(w.manager.beats, w.manager.beats[1:], strict=False)]
             assert n > 50 and max(gaps) < 2.0
             assert await w.manager.end() == 0
+
     run(work())
 
 
@@ -142,6 +147,7 @@
             w.manager.tell(signal.SIGHUP)
             await until(lambda: len(w.server.seen) == 1)
             assert await w.manager.end() == 0  # SIGTERM while the socket is full
+
     run(work())
 
 
@@ -158,6 +164,7 @@
             w.server.hold.set()
             assert w.manager.process is not None and await w.manager.process.wait() == 0
             assert len(w.server.seen) == 1 and w.agent.notices.empty()
+
     run(work())
 
 
@@ -176,6 +183,7 @@
         assert manager.said[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.waiting
         notifier.close()
         manager.close()
+
     assert RETRY_S < 1.0
     run(work())
 
@@ -187,12 +195,18 @@
         notifier.ready()
         assert not notifier.waiting
         notifier.close()
+
     run(work())
 
 
-@pytest.mark.parametrize(("env", "says"), [
-    ({"NOTIFY_SOCKET": "run/x"}, "NOTIFY_SOCKET"), ({"WATCHDOG_USEC": "soon"}, "WATCHDOG_USEC"),
-    ({"WATCHDOG_USEC": "0"}, "WATCHDOG_USEC")])
+@pytest.mark.parametrize(
+    ("env", "says"),
+    [
+        ({"NOTIFY_SOCKET": "run/x"}, "NOTIFY_SOCKET"),
+        ({"WATCHDOG_USEC": "soon"}, "WATCHDOG_USEC"),
+        ({"WATCHDOG_USEC": "0"}, "WATCHDOG_USEC"),
+    ],
+)
 def test_an_environment_that_makes_no_sense_names_its_variable(env: dict[str, str], says: str) -> None:
     with pytest.raises(NotifyError, match=says):
         Notifier.of(env)
@@ -208,9 +222,16 @@
     assert handed_over(env) == {} and env == {}
 
 
-@pytest.mark.parametrize(("number", "names", "says"), [
-    ("x", "", "LISTEN_FDS"), ("17", "", "LISTEN_FDS"), ("0", "", "LISTEN_FDS"),
-    ("1", "a:b", "LISTEN_FDNAMES"), ("2", "a:a", "LISTEN_FDNAMES")])
+@pytest.mark.parametrize(
+    ("number", "names", "says"),
+    [
+        ("x", "", "LISTEN_FDS"),
+        ("17", "", "LISTEN_FDS"),
+        ("0", "", "LISTEN_FDS"),
+        ("1", "a:b", "LISTEN_FDNAMES"),
+        ("2", "a:a", "LISTEN_FDNAMES"),
+    ],
+)
 def test_a_handover_that_makes_no_sense_is_told(number: str, names: str, says: str) -> None:
     with pytest.raises(HandoverError, match=says):
         handed_over({"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": number, "LISTEN_FDNAMES": names})
@@ -225,6 +246,6 @@
             handed_over(env(), first=os.dup(null.fileno()))
         with pytest.raises(HandoverError, match="no listening"):
             handed_over(env(), first=os.dup(idle.fileno()))
-        (name, sock), = handed_over(env(), first=os.dup(good.fileno())).items()
+        ((name, sock),) = handed_over(env(), first=os.dup(good.fileno())).items()
         assert name == "clients" and sock.getsockname() == good.getsockname()
         sock.close()
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -20,8 +20,10 @@
 
 from ..loopback import until
 
-QUICK = ("ready_s = 20\nstop_s = 8\nwatchdog_s = 0\nfirst_wait_s = 0.1\nmost_wait_s = 0.4\nloop_crashes = 3\n"
-         "stagger_s = 0\n")
+QUICK = (
+    "ready_s = 20\nstop_s = 8\nwatchdog_s = 0\nfirst_wait_s = 0.1\nmost_wait_s = 0.4\nloop_crashes = 3\n"
+    "stagger_s = 0\n"
+)
 
 
 def go(work: object) -> None:
@@ -54,6 +56,7 @@
 def test_a_partner_that_returns_cold_is_not_pushed_past_its_rate(tmp_path: Path) -> None:
     """The forty of benchmarks.processes, as four and quicker. The bounds have room for a late process:
     what the decisions do by themselves is in test_share."""
+
     async def work() -> None:
         async with fleet(4, 24.0, True, down_s=3.0, warm_s=4.0, deadline_share=0.5, more=QUICK) as it:
             clients = Clients(it.port, 4, deadline_share=0.5)
@@ -67,6 +70,7 @@
             assert second <= 1.25 and cold <= 2.0 and it.broken(clients.taken) == []
             assert len(clients.taken) > 100 and len(it.effects()) > 60
             clients.close()
+
     go(work())
 
 
@@ -86,6 +90,7 @@
             assert it.broken(clients.taken) == [] and len(clients.taken) > 50
             assert not {name for name in clients.answers if name.endswith("Error")}
             clients.close()
+
     go(work())
 
 
@@ -103,6 +108,7 @@
             await it.drained(20.0)
             assert it.broken(clients.taken) == []
             clients.close()
+
     go(work())
 
 
@@ -114,11 +120,13 @@
             os.kill(pid, signal.SIGSTOP)
             told = await it.until(lambda told: told.lines[1].crashes > 0 and told.up == 2)
             assert told.lines[1].pid != pid and told.lines[0].crashes == 0 and not alive(pid)
+
     go(work())
 
 
 def test_a_frozen_instance_that_wakes_ends_what_is_over_and_sends_none_of_it(tmp_path: Path) -> None:
     """Its messages' time is up when it wakes: each gets its final answer, and no call goes out."""
+
     async def work() -> None:
         async with fleet(1, 30.0, False, down_s=1.5, warm_s=1.0, deadline_share=0.1, more=QUICK) as it:
             clients = Clients(it.port, 1, deadline_share=0.1)
@@ -134,6 +142,7 @@
             assert it.effects() == before and it.broken(clients.taken) == []
             assert set(it.ends()) >= set(clients.taken) - set(before)
             clients.close()
+
     go(work())
 
 
@@ -156,13 +165,15 @@
             await it.drained(40.0)
             assert it.broken(clients.taken) == [] and clients.taken
             clients.close()
+
     go(work())
 
 
 def test_fewer_instances_end_what_they_hold_and_leave_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(4, 40.0, True, down_s=2.0, warm_s=1.0, deadline_share=0.5, settle_s=12.0,
-                         more=QUICK) as it:
+        async with fleet(
+            4, 40.0, True, down_s=2.0, warm_s=1.0, deadline_share=0.5, settle_s=12.0, more=QUICK
+        ) as it:
             clients = Clients(it.port, 4, deadline_share=0.5)
             it.tell("partner", signal.SIGUSR1)
             await clients.run(40.0, 1.0)
@@ -187,6 +198,7 @@
             await it.drained(15.0)
             assert it.broken(clients.taken) == [] and clients.answers["202"] > 40
             clients.close()
+
     go(work())
 
 
@@ -210,6 +222,7 @@
             held = r'^linnetstile_held_messages\{class="pay",instance="1"\} 0.0$'
             assert re.search(held, text, re.MULTILINE)
             assert "linnetstile_instances_up 2.0" in text
+
     go(work())
 
 
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -40,20 +40,34 @@
 
 
 def test_all_faults_are_told_with_path_and_what_would_be_right(tmp_path: Path) -> None:
-    found = faults(tmp_path, "[flet]\n[fleet]\ninstances = 0\nshare_rate = true\n[log]\nformat = 'xml'\n"
-                             "lines = 'many'\n[supervisor]\nport = 70000\n")
+    found = faults(
+        tmp_path,
+        "[flet]\n[fleet]\ninstances = 0\nshare_rate = true\n[log]\nformat = 'xml'\n"
+        "lines = 'many'\n[supervisor]\nport = 70000\n",
+    )
     assert found == [
-        "flet: is not known; 'fleet' is the nearest name", "fleet.instances: 0: Expected `int` >= 1",
+        "flet: is not known; 'fleet' is the nearest name",
+        "fleet.instances: 0: Expected `int` >= 1",
         "fleet.share_rate: is not known; 'share_rates' is the nearest name",
         "log.format: 'xml': one of plain, json, console is needed",
-        "log.lines: 'many': Expected `int`, got `str`", "supervisor.port: 70000: Expected `int` <= 65535"]
-
-
-@pytest.mark.parametrize(("text", "says"), [
-    ("[supervisor]\nfirst_wait_s = 9\nmost_wait_s = 3\n", "supervisor.most_wait_s: 3 must be first_wait_s"),
-    ("[fleet]\ninstances = 40\n[supervisor]\nport = 65500\n", "supervisor.port: with 40 instances"),
-    ("fleet = 3\n", "fleet: must be a table"), ("[fleet", "Expected"),
-    ("[log]\nlevel = 3\n", "log.level: 3")])
+        "log.lines: 'many': Expected `int`, got `str`",
+        "supervisor.port: 70000: Expected `int` <= 65535",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        (
+            "[supervisor]\nfirst_wait_s = 9\nmost_wait_s = 3\n",
+            "supervisor.most_wait_s: 3 must be first_wait_s",
+        ),
+        ("[fleet]\ninstances = 40\n[supervisor]\nport = 65500\n", "supervisor.port: with 40 instances"),
+        ("fleet = 3\n", "fleet: must be a table"),
+        ("[fleet", "Expected"),
+        ("[log]\nlevel = 3\n", "log.level: 3"),
+    ],
+)
 def test_what_makes_no_sense_together_or_at_all(tmp_path: Path, text: str, says: str) -> None:
     assert any(says in line for line in faults(tmp_path, text))
 
@@ -63,9 +77,14 @@
         read(tmp_path / "nowhere.toml", {})
 
 
-@pytest.mark.parametrize(("env", "says"), [
-    ({}, "RELAY_INSTANCE: '' must be a number"), ({"RELAY_INSTANCE": "x"}, "must be a number from 0 to 2"),
-    ({"RELAY_INSTANCE": "3"}, "3 is not among fleet.instances = 3: 0 to 2 are")])
+@pytest.mark.parametrize(
+    ("env", "says"),
+    [
+        ({}, "RELAY_INSTANCE: '' must be a number"),
+        ({"RELAY_INSTANCE": "x"}, "must be a number from 0 to 2"),
+        ({"RELAY_INSTANCE": "3"}, "3 is not among fleet.instances = 3: 0 to 2 are"),
+    ],
+)
 def test_an_instance_that_is_not_one_of_the_fleet(tmp_path: Path, env: dict[str, str], says: str) -> None:
     path = tmp_path / "relay.toml"
     path.write_text("[fleet]\ninstances = 3\nshare_rates = true\n")
@@ -104,22 +123,27 @@
 
 
 def test_a_bare_import_and_a_bare_run_load_no_tool() -> None:
-    code = ("import sys, linnetstile, linnetstile.process, linnetstile.assembly;"
-            "tools = ('click', 'rich', 'structlog', 'prometheus_client', 'tomllib');"
-            "print([name for name in tools if name in sys.modules])")
+    code = (
+        "import sys, linnetstile, linnetstile.process, linnetstile.assembly;"
+        "tools = ('click', 'rich', 'structlog', 'prometheus_client', 'tomllib');"
+        "print([name for name in tools if name in sys.modules])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert done.stdout.strip() == "[]"
 
 
 def units(template: str) -> tuple[str, str]:
     """Its socket and its service."""
-    socket_, service = ((DEPLOY / "systemd" / f"{template}@.{kind}").read_text()
-                        for kind in ("socket", "service"))
+    socket_, service = (
+        (DEPLOY / "systemd" / f"{template}@.{kind}").read_text() for kind in ("socket", "service")
+    )
     return socket_, service
 
 
-@pytest.mark.parametrize(("template", "digits", "last", "first_port"), [
-    ("linnetstile", 3, 999, 7000), ("linnetstile4", 4, 4095, 10000)])
+@pytest.mark.parametrize(
+    ("template", "digits", "last", "first_port"),
+    [("linnetstile", 3, 999, 7000), ("linnetstile4", 4, 4095, 10000)],
+)
 def test_units_give_each_instance_a_port_and_a_number_of_its_own(
     template: str, digits: int, last: int, first_port: int
 ) -> None:
@@ -134,15 +158,23 @@
         assert listen is not None and f"RELAY_LISTEN=127.0.0.1:{listen[1]} " in own
         assert f"Requires={template}@{name}.socket" in own and f"StateDirectory=linnetstile/{name}" in own
         ports.add(int(listen[1]))
-        env = dict(word.split("=", 1) for line in own.splitlines() if line.startswith("Environment=")
-                   for word in line.removeprefix("Environment=").split())
+        env = dict(
+            word.split("=", 1)
+            for line in own.splitlines()
+            if line.startswith("Environment=")
+            for word in line.removeprefix("Environment=").split()
+        )
         assert instance(fleet, env) == n
     assert ports == set(range(first_port, first_port + last + 1)) and max(ports) <= 65535
 
 
-@pytest.mark.parametrize(("template", "good", "wrong", "says"), [
-    ("linnetstile", "003", ("03", "3", "0003", "x03"), "three digits are needed"),
-    ("linnetstile4", "0003", ("003", "3", "00003", "x003"), "four digits are needed")])
+@pytest.mark.parametrize(
+    ("template", "good", "wrong", "says"),
+    [
+        ("linnetstile", "003", ("03", "3", "0003", "x03"), "three digits are needed"),
+        ("linnetstile4", "0003", ("003", "3", "00003", "x003"), "four digits are needed"),
+    ],
+)
 def test_units_say_which_digits_they_need(
     template: str, good: str, wrong: tuple[str, ...], says: str
 ) -> None:
@@ -150,8 +182,9 @@
     told = re.search(r"^ExecStartPre=/bin/sh -c '(.*)'$", units(template)[0], re.MULTILINE)
     assert told is not None
     for name in (good, *wrong):
-        done = subprocess.run(["/bin/sh", "-c", told[1].replace("%i", name)], capture_output=True, text=True,
-                              timeout=10)
+        done = subprocess.run(
+            ["/bin/sh", "-c", told[1].replace("%i", name)], capture_output=True, text=True, timeout=10
+        )
         assert (done.returncode == 0) is (name == good)
         assert (f"instance {name}: {says}" in done.stderr) is (name != good)
 
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -10,8 +10,17 @@
 from linnetstile.fleet.operator import SupervisorPart
 from linnetstile.fleet.plan import Do, Plan, State
 
-PART = SupervisorPart(together=3, stagger_s=0.0, ready_s=5.0, stop_s=2.0, watchdog_s=4.0, first_wait_s=0.5,
-                      most_wait_s=4.0, loop_crashes=3, loop_s=60.0)
+PART = SupervisorPart(
+    together=3,
+    stagger_s=0.0,
+    ready_s=5.0,
+    stop_s=2.0,
+    watchdog_s=4.0,
+    first_wait_s=0.5,
+    most_wait_s=4.0,
+    loop_crashes=3,
+    loop_s=60.0,
+)
 
 
 def up(count: int = 3) -> Plan:
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -69,6 +69,7 @@
         (one,) = told.destinations
         assert one.destination == 7 and one.held == 3 and one.endpoints == 1 and one.down
         assert 2000 < one.wait_ms <= 3300 and one.part is not None and 0 < one.part < 1
+
     run(work())
 
 
@@ -96,6 +97,7 @@
         assert not path.exists()
         with pytest.raises(StatusError, match="0.sock: No such file"):
             await ask(path)
+
     run(work())
 
 
@@ -106,6 +108,7 @@
             with pytest.raises(StatusError, match=says):
                 await StatusSocket(tmp_path / name, lambda: pytest.fail()).open()
         assert (tmp_path / "file").read_text() == "precious"
+
     run(work())
     assert folder_of("", {"RUNTIME_DIRECTORY": "/run/a:/run/b"}) == Path("/run/a")
     assert folder_of("", {}) is None
@@ -120,6 +123,7 @@
         lag.start()
         await until(lambda: len(lag.late) > 21)
         lag.stop()
+
     run(work())
 
 
@@ -197,16 +201,24 @@
 def test_the_lifelines_end_stops_a_process_also_when_its_loop_hangs() -> None:
     async def work() -> None:
         reading, writing = os.pipe()
-        code = ("import time, signal; from linnetstile.fleet import lifeline; lifeline.STOP_S = 0.2;"
-                "signal.signal(signal.SIGTERM, lambda *_: print('told', flush=True));"
-                "lifeline.hold(); print('ready', flush=True)\nwhile True: time.sleep(0.01)")
+        code = (
+            "import time, signal; from linnetstile.fleet import lifeline; lifeline.STOP_S = 0.2;"
+            "signal.signal(signal.SIGTERM, lambda *_: print('told', flush=True));"
+            "lifeline.hold(); print('ready', flush=True)\nwhile True: time.sleep(0.01)"
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code, stdout=asyncio.subprocess.PIPE, pass_fds=(reading,),
-            env={**os.environ, lifeline.VARIABLE: str(reading)})
+            sys.executable,
+            "-c",
+            code,
+            stdout=asyncio.subprocess.PIPE,
+            pass_fds=(reading,),
+            env={**os.environ, lifeline.VARIABLE: str(reading)},
+        )
         os.close(reading)
         assert process.stdout is not None and await process.stdout.readline() == b"ready\n"
         os.close(writing)
         assert await process.stdout.readline() == b"told\n" and await process.wait() == -9
+
     run(work())
     with pytest.raises(ValueError, match="must be a descriptor"):
         lifeline.hold({lifeline.VARIABLE: "x"})
--- a/tests/http/test_calls.py
+++ b/tests/http/test_calls.py
@@ -22,8 +22,15 @@
 NO_PLACE = answer(503, "Connection: close")
 
 
-def attempt(address: tuple[str, int], body: bytes = b"b", endpoint: int = 1, kind: str = "k",
-            may: Callable[[], bool] = lambda: True, careful: bool = False, seconds: float = 20.0) -> Attempt:
+def attempt(
+    address: tuple[str, int],
+    body: bytes = b"b",
+    endpoint: int = 1,
+    kind: str = "k",
+    may: Callable[[], bool] = lambda: True,
+    careful: bool = False,
+    seconds: float = 20.0,
+) -> Attempt:
     give_up_at = asyncio.get_running_loop().time() + seconds
     return Attempt(endpoint, address, "id", "key", body, give_up_at, may, careful, kind=kind)
 
@@ -62,31 +69,37 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=sock, limit=1 << 16)
-        made = asyncio.ensure_future(Calls(60000.0, 20000.0, 10).attempt(
-            attempt(sock.getsockname(), b"x" * size)))
+        made = asyncio.ensure_future(
+            Calls(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), b"x" * size))
+        )
         await until(lambda: bool(limits))
         gate.set()
         assert (await made).outcome is Outcome.TIMEOUT
         assert await got.get() > size  # the endpoint has all of it, its head too
         server.close()
+
     run(work())
 
 
 def test_a_call_given_up_before_its_last_byte_proves_that_nothing_ran() -> None:
     """The endpoint reads nothing: most of a large call still lies in the buffer when the time is up."""
+
     async def work() -> None:
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
         sock.listen()
         result = await Calls(60000.0, 20000.0, 10).attempt(
-            attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2))
+            attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2)
+        )
         assert result == Result(Outcome.CONNECT_FAILED)
         sock.close()
+
     run(work())
 
 
 def test_a_connection_that_comes_up_after_the_call_was_given_up_carries_nothing() -> None:
     """The listener's queue is full, so that the connection comes up only once others were taken from it."""
+
     async def work() -> None:
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
@@ -108,14 +121,19 @@
         assert not came
         for each in (*crowd, sock):
             each.close()
+
     run(work())
 
 
-@pytest.mark.parametrize(("reply", "outcome"), [
-    (b"HTTP/1.1 20", Outcome.RESET), (b"HTTP/1.1 429 X\r\nX-RateLimit-Wa", Outcome.RESET),
-    (b"HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nabc", Outcome.RESET),
-    (b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Outcome.RESET),
-])
+@pytest.mark.parametrize(
+    ("reply", "outcome"),
+    [
+        (b"HTTP/1.1 20", Outcome.RESET),
+        (b"HTTP/1.1 429 X\r\nX-RateLimit-Wa", Outcome.RESET),
+        (b"HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nabc", Outcome.RESET),
+        (b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Outcome.RESET),
+    ],
+)
 def test_an_answer_that_stops_short_is_no_proof(reply: bytes, outcome: Outcome) -> None:
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -127,6 +145,7 @@
         result = await Calls(60000.0, 20000.0, 10).attempt(attempt(server.sockets[0].getsockname()[:2]))
         assert result.outcome is outcome and not result.outcome.proves_no_effect
         server.close()
+
     run(work())
 
 
@@ -142,8 +161,10 @@
     for _ in range(10):
         send = driver.out[ident]
         ended = api.AttemptEnded(ident, 0, send.endpoint, Outcome.NOT_SENT, held_back=True)
-        driver.feed(api.EndpointList(api.ListKind.CHANGES, (
-            api.Endpoint(send.endpoint, 1, api.Listing.DRAINING),)), ended)
+        driver.feed(
+            api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(send.endpoint, 1, api.Listing.DRAINING),)),
+            ended,
+        )
         del driver.out[ident]
         driver.pass_time(500)
     assert ident in driver.out and ident not in driver.ended
@@ -191,6 +212,7 @@
 async def calls_of(relays: list[Calls], *servers: Server) -> int:
     """Each relay calls each endpoint, beginning with another one, again and again until all have had an
     answer; how many were turned away meanwhile."""
+
     async def one(first: int, calls: Calls) -> int:
         refused = 0
         for n in [(first + step) % len(servers) for step in range(len(servers))]:
@@ -200,12 +222,14 @@
                 assert refused < 200, "the idle connections of others keep its place"
                 await asyncio.sleep(0)
         return refused
+
     return sum(await asyncio.gather(*(one(n, calls) for n, calls in enumerate(relays))))
 
 
 def test_where_endpoints_hold_few_connections_idle_ones_make_room_for_others() -> None:
     """Six relays, two endpoints with three places each. Seen to fail where connections were kept: three of
     six relays were turned away each time, for good."""
+
     async def work() -> None:
         narrow = [Narrow(3), Narrow(3)]
         for server in narrow:
@@ -216,11 +240,13 @@
         assert not any(calls.aged for calls in relays)
         for calls in relays:
             calls.close()
+
     run(work())
 
 
 def test_a_place_held_idle_at_another_endpoint_of_the_kind_is_given_up() -> None:
     """Whoever has a place meets no refusal there itself."""
+
     async def work() -> None:
         roomy, full, other = Server(), Server(usual=NO_PLACE), Server()
         for server in (roomy, full, other):
@@ -234,6 +260,7 @@
         assert [key[0] for key in calls.aged.values()] == [2]  # of the other kind nothing is known
         await until(roomy.left)
         calls.close()
+
     run(work())
 
 
@@ -255,11 +282,21 @@
 # -- reports -----------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("text", "report"), [
-    ("TEXT x0=0.852, x1=482.401", (0.852, 482.401)), ("TEXT x1=2,x0=1", (1.0, 2.0)),
-    ("TEXT x0=0.5", ()), ("TEXT x0=nan, x1=2", ()), ("TEXT x0=-1, x1=2", ()), ("TEXT x0=1e999, x1=2", ()),
-    ("JSON x0=1, x1=2", ()), ("\xff", ()), ("", ()), ("TEXT x0=0.5, x1=2, x9=y", (0.5, 2.0)),
-])
+@pytest.mark.parametrize(
+    ("text", "report"),
+    [
+        ("TEXT x0=0.852, x1=482.401", (0.852, 482.401)),
+        ("TEXT x1=2,x0=1", (1.0, 2.0)),
+        ("TEXT x0=0.5", ()),
+        ("TEXT x0=nan, x1=2", ()),
+        ("TEXT x0=-1, x1=2", ()),
+        ("TEXT x0=1e999, x1=2", ()),
+        ("JSON x0=1, x1=2", ()),
+        ("\xff", ()),
+        ("", ()),
+        ("TEXT x0=0.5, x1=2, x9=y", (0.5, 2.0)),
+    ],
+)
 def test_a_load_report_is_read_in_the_order_of_the_settings(text: str, report: tuple[float, ...]) -> None:
     assert report_of(Head(200, {"endpoint-load-metrics": text}), ("x0", "x1")) == report
     assert report_of(Head(200, {"endpoint-load-metrics": text}), ()) == ()
@@ -272,6 +309,5 @@
         calls = Calls(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
         assert (await calls.attempt(attempt(server.address))).report == (0.4, 25.0)
         calls.close()
-    run(work())
-
 
+    run(work())
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -48,6 +48,7 @@
 def test_what_a_restart_found_does_not_go_where_the_first_answer_says_drain(tmp_path: Path) -> None:
     """The operators' sighting on the days of rolling restarts. Seen to fail without the wait for it:
     two of three went to the endpoint that had drained while the process was away."""
+
     async def work() -> None:
         state = left_untried(tmp_path, 3)
         agent, old, new = await old_and_new()
@@ -56,6 +57,7 @@
             await until(lambda: len(new.seen) == 3)
             assert not old.seen
             assert agent.seen[0].target.endswith("hold_ms=0")  # it does not wait on the far side
+
     run(work())
 
 
@@ -71,12 +73,14 @@
             assert not old.seen
             await until(lambda: len(old.seen) == 4)
             assert time.monotonic() - begun >= core_host.FIRST_LIST_S
+
     run(work())
 
 
 def test_an_old_agents_answer_that_has_come_is_not_taken_after_a_reload(tmp_path: Path) -> None:
     """The answer lies in the watch's future when the reload comes: neither its list nor its version may be
     carried to the new agent, whose versions count anew."""
+
     async def work() -> None:
         state = left_untried(tmp_path, 0)
         agent, old, new = await old_and_new()
@@ -98,6 +102,7 @@
             await until(lambda: host.register.version == 3)
             await until(lambda: any("from=3&" in seen.target for seen in other.seen))
             assert {each.address for each in host.directory.by_name.values()} == {new.address}
+
     run(work())
 
 
@@ -122,6 +127,7 @@
             await until(lambda: bool(other.seen))
             other.tell(listing(new, generation=1))
             await until(lambda: {each.address for each in host.directory.by_name.values()} == {new.address})
+
     run(work())
 
 
@@ -143,6 +149,7 @@
                 assert await client.ask(message("n")) == 202
             await until(lambda: len(new.seen) == 1)
             assert not old.seen
+
     run(work())
 
 
@@ -160,11 +167,13 @@
             assert host.register.version == 1 and len(host.directory.by_name) == 1
             agent.tell(moved(old, new))
             await until(lambda: host.register.version == 2)
+
     run(work())
 
 
 def test_during_the_drain_of_a_stop_lists_are_still_followed(tmp_path: Path) -> None:
     """Discovery goes silent and comes back while the process ends: what it holds goes to what stands then."""
+
     async def work() -> None:
         state = left_untried(tmp_path, 0)
         agent, old, new = await old_and_new()
@@ -179,6 +188,7 @@
         await until(lambda: len(new.seen) == 1)
         assert not old.seen
         await stopping
+
     run(work())
 
 
@@ -195,12 +205,14 @@
         assert register.version == -1 and register.asking.hold() == 0.0
         assert register.agent.address == agent.address
         await host.close()
+
     run(work())
 
 
 def test_the_wait_for_the_first_list_makes_nothing_younger(tmp_path: Path) -> None:
     """Seen to fail where events were gathered during the wait: a message's end and its key's window, told as
     times to go, came later by the wait, and a keyed message was sent again half a second past its window."""
+
     async def work() -> None:
         state = tmp_path / "state"
         state.mkdir()
@@ -214,6 +226,7 @@
         async with relay(state, agent, old):
             assert (await agent.notices.get())["id"] == "k"
             assert not old.seen
+
     run(work())
 
 
@@ -229,4 +242,5 @@
         await host.start()
         await host.close()
         assert (state / "learned").read_text() == text
+
     run(work())
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -45,6 +45,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen to fail where the last answer was followed by a close: the connection was reset."""
+
     async def work() -> None:
         async with World(tmp_path) as host:
             host.ingress.roomy = 0  # so many are idle that no connection is kept
@@ -61,11 +62,13 @@
                 assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
             assert list(host.journal.entries) == ["a"]  # what is read after the end is not taken on
             await until(lambda: not host.ingress.connections)
+
     run(work())
 
 
 def test_a_request_on_a_resting_connection_in_the_moment_of_a_stop_is_answered(tmp_path: Path) -> None:
     """Seen to fail where a stop closed whatever was idle: the request was cut with no answer."""
+
     async def work() -> None:
         async with World(tmp_path) as host:
             with raw(host.ingress.port) as sock:
@@ -76,6 +79,7 @@
                 text = await all_of(sock)
                 assert text.startswith(b"HTTP/1.1 202") and b"connection: close" in text.lower()
             assert list(host.journal.entries) == ["a", "b"]
+
     run(work())
 
 
@@ -95,11 +99,13 @@
                 sock.send(message("late"))
                 await until(lambda: not host.ingress.connections)
             assert list(host.journal.entries) == ["a"]
+
     run(work())
 
 
 def test_connections_in_the_systems_queue_at_a_stop_are_answered(tmp_path: Path) -> None:
     """Seen to fail where the listener was closed with its queue: all were reset."""
+
     async def work() -> None:
         async with World(tmp_path) as host:
             socks = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(5)]
@@ -110,6 +116,7 @@
                 assert (await all_of(sock)).startswith(b"HTTP/1.1 202")
                 sock.close()
             assert len(host.journal.entries) == 5
+
     run(work())
 
 
@@ -124,6 +131,7 @@
                 assert (await all_of(sock)).startswith(b"HTTP/1.1 202")
                 begun = time.monotonic()
                 assert await all_of(silent) == b"" and time.monotonic() - begun < 2.0
+
     run(work())
 
 
@@ -140,6 +148,7 @@
                 host.ingress.stop()
                 assert (await all_of(sock)).startswith(b"HTTP/1.1 408")
             assert not host.journal.entries
+
     run(work())
 
 
@@ -158,11 +167,13 @@
                     await client.writer.drain()
             assert not host.journal.entries
             await until(lambda: not host.ingress.connections)
+
     run(work())
 
 
 def test_one_that_must_go_for_another_loses_no_answer_to_bytes_that_lie_unread(tmp_path: Path) -> None:
     """Of those that linger the oldest makes room: our end of sending has gone out behind its answer."""
+
     async def work() -> None:
         async with World(tmp_path) as host:
             host.ingress.roomy = 0
@@ -173,6 +184,7 @@
                 next(iter(host.ingress.lingering)).make_way()
                 text = await all_of(sock)
                 assert text.startswith(b"HTTP/1.1 202")
+
     run(work())
 
 
@@ -215,12 +227,14 @@
         assert it.withdrawn == ["m"]  # once
         watch.cancel()
         it.clients.stop()
+
     run(work())
 
 
 @pytest.mark.parametrize("how", ("half", "whole"))
 def test_one_that_ends_its_sending_while_its_answer_waits_for_a_sync(how: str) -> None:
     """With a half close it still reads: it hears that coming again is harmless."""
+
     async def work() -> None:
         it, sync = Waiting(True), asyncio.get_running_loop().create_future()
         it.clients.handle = lambda request: Reply(202, accepted="m", when=sync)
@@ -238,6 +252,7 @@
             await until(lambda: it.withdrawn == ["m"])
         await until(lambda: not it.clients.connections)
         it.clients.stop()
+
     run(work())
 
 
@@ -252,6 +267,7 @@
             it.clients.stop()
             sync.set_result(None)
             assert (await all_of(sock)).startswith(b"HTTP/1.1 202") and not it.withdrawn
+
     run(work())
 
 
@@ -272,6 +288,7 @@
                 assert len(host.ingress.connections) <= 4
             for each in crowd:
                 each.close()
+
     run(work())
 
 
@@ -287,4 +304,5 @@
             assert await client.ask(message("a")) == 202
             assert await ended(client)
             await until(lambda: no_connection(host))
+
     run(work())
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -83,8 +83,7 @@
             def may() -> bool:
                 return d.relay.may_write(d.now + (loop.time() - begun) * 1000, ident)
 
-            return await calls[n].attempt(
-                Attempt(11, address, f"m{n}", None, b"b", loop.time() + 8.0, may))
+            return await calls[n].attempt(Attempt(11, address, f"m{n}", None, b"b", loop.time() + 8.0, may))
 
         work = [asyncio.ensure_future(call(n)) for n in range(RELAYS)]
         await asyncio.sleep(0.3)  # the system's first words are lost by now, and said anew after a second
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -22,7 +22,12 @@
 
 PATIENCE_S = 60.0  # nothing here takes long; only a hang reaches it
 SETTINGS: dict[str, Any] = {
-    "az": 0, "balancers": 1, "zones": ["z"], "kinds": ["k"], "tick-ms": 5.0, "weight-kind": "nominal",
+    "az": 0,
+    "balancers": 1,
+    "zones": ["z"],
+    "kinds": ["k"],
+    "tick-ms": 5.0,
+    "weight-kind": "nominal",
     "classes": [
         {"name": "keyed", "effect": "by_key", "aim-ms": 4000.0, "deadline-ms": 16000.0, "window-ms": 4000.0},
         {"name": "unsafe", "effect": "once", "aim-ms": 3000.0, "deadline-ms": 16000.0},
@@ -31,8 +36,14 @@
     "extra": {"call-slots": 8, "loses-worth": "halves"},
     "limits": {"open-cap": 20, "try-limit": 8, "conn-idle-ms": 10000.0, "connect-timeout-ms": 1500.0},
     "orgs": [{"name": "t", "quota-per-s": 100.0}],
-    "safety": {"answer-slack-ms": 20.0, "drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 9000.0,
-               "fall-ms": 1500.0, "fall-multiple": 2.0},
+    "safety": {
+        "answer-slack-ms": 20.0,
+        "drain-grace-ms": 250.0,
+        "cold-from": 0.2,
+        "cold-ms": 9000.0,
+        "fall-ms": 1500.0,
+        "fall-multiple": 2.0,
+    },
 }
 
 
@@ -166,16 +177,37 @@
 def listing(
     *servers: Server, generation: int = 1, reset: bool = True, state: str = "ready"
 ) -> dict[str, Any]:
-    return {"generation": generation, "reset": reset, "instances": [
-        {"instanceId": f"s-{server.address[1]}", "hostPort": "{}:{}".format(*server.address), "zone": "z",
-         "machineType": "k", "cell": 7, "lifecycle": state, "weight": 50.0, "startedAtMs": 0}
-        for server in servers]}
+    return {
+        "generation": generation,
+        "reset": reset,
+        "instances": [
+            {
+                "instanceId": f"s-{server.address[1]}",
+                "hostPort": "{}:{}".format(*server.address),
+                "zone": "z",
+                "machineType": "k",
+                "cell": 7,
+                "lifecycle": state,
+                "weight": 50.0,
+                "startedAtMs": 0,
+            }
+            for server in servers
+        ],
+    }
 
 
 def raw_config(state: Path, agent: Server, *servers: Server, **more: Any) -> dict[str, Any]:
-    return {"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}:{}".format(*agent.address),
-            "seed": "1f", "state": str(state), "limits": {"sockets": 256, "disk_mb": 3},
-            "known": listing(*servers), "settings": SETTINGS, **more}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "{}:{}".format(*agent.address),
+        "seed": "1f",
+        "state": str(state),
+        "limits": {"sockets": 256, "disk_mb": 3},
+        "known": listing(*servers),
+        "settings": SETTINGS,
+        **more,
+    }
 
 
 class Running:
@@ -209,8 +241,9 @@
         self.host.listed(update)
 
 
-def host_of(state: Path, agent: Server, *servers: Server, amqp: AmqpPart | None = None,
-            **more: Any) -> Running:
+def host_of(
+    state: Path, agent: Server, *servers: Server, amqp: AmqpPart | None = None, **more: Any
+) -> Running:
     path = state.parent / "config.json"
     path.write_text(json.dumps(raw_config(state, agent, *servers, **more)))
     return Running(config.load({"RELAY_CONFIG": str(path)}), amqp)
@@ -228,8 +261,13 @@
 
 def message(ident: str, class_: str = "safe", body: bytes = b"hello", left: int = 8000, **more: str) -> bytes:
     headers = {
-        "Host": "origin.svc", "X-Trace-Id": ident, "X-Qos": class_, "X-Customer": "t",
-        "X-Expires-In-Ms": str(left), "X-Addressing": "dest=7", "Content-Length": str(len(body)),
+        "Host": "origin.svc",
+        "X-Trace-Id": ident,
+        "X-Qos": class_,
+        "X-Customer": "t",
+        "X-Expires-In-Ms": str(left),
+        "X-Addressing": "dest=7",
+        "Content-Length": str(len(body)),
         **({"Idempotency-Key": "k-" + ident} if class_ == "keyed" else {}),
         **{name.replace("_", "-"): value for name, value in more.items()},
     }
--- a/tests/membership/test_asking.py
+++ b/tests/membership/test_asking.py
@@ -140,8 +140,10 @@
 
 
 def worst(relays: int, shared: bool, silent_watch: bool) -> float:
-    return max(known_after(Asking(relays, random.Random(n), shared), random.Random(-n), silent_watch)
-               for n in range(3000))
+    return max(
+        known_after(Asking(relays, random.Random(n), shared), random.Random(-n), silent_watch)
+        for n in range(3000)
+    )
 
 
 @pytest.mark.parametrize("relays", (1, 40, 200))
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -57,8 +57,11 @@
     found = []
     for dest, queue in queues.items():
         drained = now + 1000 * len(queue) / relay.endings.speed(now, dest)
-        found += [(lost(relay, now, drained, held), held.worth_at(now, relay.s.decay))
-                  for held in queue if may_refuse(held) and not left_untried(held)]
+        found += [
+            (lost(relay, now, drained, held), held.worth_at(now, relay.s.decay))
+            for held in queue
+            if may_refuse(held) and not left_untried(held)
+        ]
     return min(found, default=None)
 
 
--- a/tests/scale/counting.py
+++ b/tests/scale/counting.py
@@ -78,5 +78,7 @@
 def usual(works: Iterable[Callable[[], object]]) -> Work:
     """Of several of a kind, the median: now and then a map that has filled up grows."""
     each = [counted(work) for work in works]
-    return Work(round(statistics.median(one.steps for one in each)),
-                round(statistics.median(one.bytes for one in each)))
+    return Work(
+        round(statistics.median(one.steps for one in each)),
+        round(statistics.median(one.bytes for one in each)),
+    )
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -78,9 +78,7 @@
         with pytest.raises(OperatorError, match=rf"f: {where}: .*<= {INSTANCES_MAX - (part == 'accord')}"):
             decoded(wrong, "f")
     with pytest.raises(ValueError, match="is not among fleet.instances = 3"):
-        Operator(
-            fleet=FleetPart(instances=3), peers=PeersPart("127.0.0.1:9000"), accord=AccordPart((last,))
-        )
+        Operator(fleet=FleetPart(instances=3), peers=PeersPart("127.0.0.1:9000"), accord=AccordPart((last,)))
 
 
 @pytest.mark.parametrize("text", ["4095", "004095", "0000004095"[-9:]])
@@ -103,6 +101,8 @@
 )
 def test_commands_refuse_numbers_past_the_edge(words: list[str]) -> None:
     done = CliRunner().invoke(group, words)
-    assert done.exit_code == 2 and "4096 is not in the range 0<=x<=4095" in done.output + done.stderr or (
-        "4097 is not in the range 1<=x<=4096" in done.output + done.stderr
+    assert (
+        done.exit_code == 2
+        and "4096 is not in the range 0<=x<=4095" in done.output + done.stderr
+        or ("4097 is not in the range 1<=x<=4096" in done.output + done.stderr)
     )
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -59,9 +59,22 @@
 async def ended(rows: Path) -> dict[str, float]:
     """A play that is told to end while it rests: its row."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.capacity.hollow", "--instances", "10", "--processes", "1",
-        "--stretch", "0.5", "--events", "rest", "--rows", str(rows),
-        stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "benchmarks.capacity.hollow",
+        "--instances",
+        "10",
+        "--processes",
+        "1",
+        "--stretch",
+        "0.5",
+        "--events",
+        "rest",
+        "--rows",
+        str(rows),
+        stdout=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.PIPE,
+    )
     assert process.stderr is not None
     async with asyncio.timeout(2 * PATIENCE_S):
         while b"all know all" not in await process.stderr.readline():
@@ -154,8 +167,16 @@
 
 
 def rows() -> list[dict[str, float]]:
-    return [{"instances": n, "stretch": 10.0, "bytes_s": 100.0 + n, "memory_bytes": 1000.0 * n,
-             "return_200_s": 5.0 + n / 1000} for n in (188, 375, 750, 1500, 3000)]
+    return [
+        {
+            "instances": n,
+            "stretch": 10.0,
+            "bytes_s": 100.0 + n,
+            "memory_bytes": 1000.0 * n,
+            "return_200_s": 5.0 + n / 1000,
+        }
+        for n in (188, 375, 750, 1500, 3000)
+    ]
 
 
 def test_the_largest_fleet_is_in_no_fit_and_its_figures_are_facts() -> None:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -79,8 +79,8 @@
 
 
 def test_at_rest_a_member_sends_the_same_whatever_their_number() -> None:
-    """Flat: the law of peers.members. Of four sizes an octave apart the most is within a tenth of the least.
-    """
+    """Flat: the law of peers.members. Of four sizes an octave apart the most is within a tenth of the
+    least."""
     datagrams, sizes = [], []
     for count in (50, 100, 200, 400):
         fleet = peers.Fleet(count, settled=True)
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -45,8 +45,11 @@
 
 
 def changes(built: Assembly, size: int) -> Work:
-    bodies = [f'{{"generation":2,"reset":false,"instances":[{item(n, what, port)}]}}'.encode()
-              for n in range(100, 100 + TIMES) for what, port in (("draining", 8080), ("ready", 8081))]
+    bodies = [
+        f'{{"generation":2,"reset":false,"instances":[{item(n, what, port)}]}}'.encode()
+        for n in range(100, 100 + TIMES)
+        for what, port in (("draining", 8080), ("ready", 8081))
+    ]
     return usual(partial(take, built, body) for body in bodies)
 
 
@@ -68,9 +71,14 @@
         take(built, answer(FEW))
         host.tidy()
         maps: dict[str, Walked[Any, Any]] = {}
-        for owner, name in ((host.directory, "by_name"), (host.directory, "by_number"),
-                            (host.directory, "listed"), (host.messages, "dests"), (members, "lanes"),
-                            (members, "doors")):
+        for owner, name in (
+            (host.directory, "by_name"),
+            (host.directory, "by_number"),
+            (host.directory, "listed"),
+            (host.messages, "dests"),
+            (members, "lanes"),
+            (members, "doors"),
+        ):
             maps[name] = Walked(getattr(owner, name))
             setattr(owner, name, maps[name])
         host.relay.lanes, host.relay.doors = maps["lanes"], maps["doors"]
@@ -89,13 +97,16 @@
         merge.take(Update(True, members, source="a"), 0.0)
         return usual(
             partial(merge.take, Update(False, (Member(f"x{n}", n, what, ("h", port)),), source="a"), 1.0)
-            for n in range(TIMES) for what, port in ((Listing.DRAINING, 1), (Listing.READY, 2)))
+            for n in range(TIMES)
+            for what, port in ((Listing.DRAINING, 1), (Listing.READY, 2))
+        )
 
     flat(told(FEW), told(MANY))
 
 
 def test_a_message_costs_the_same_for_1_000_and_20_000_destinations() -> None:
     """With as many held: what waits is another size."""
+
     def message(dests: int) -> Work:
         load = Load("open", 2_000, dests)
         load.run(100)
--- a/tests/shards/common.py
+++ b/tests/shards/common.py
@@ -47,8 +47,15 @@
     return begun.taken
 
 
-def ask(layout: Layout, version: Version = NONE, holds: Iterable[int] = (), wants: Iterable[int] = (),
-        sums: Iterable[tuple[int, int]] = (), due_ms: float = 1000.0, number: int = 1) -> Ask:
+def ask(
+    layout: Layout,
+    version: Version = NONE,
+    holds: Iterable[int] = (),
+    wants: Iterable[int] = (),
+    sums: Iterable[tuple[int, int]] = (),
+    due_ms: float = 1000.0,
+    number: int = 1,
+) -> Ask:
     bits = packed_bits(sum(1 << shard for shard in set(holds)), layout.shards)
     return Ask(number, layout, version, bits, tuple(Want(shard, due_ms) for shard in wants), tuple(sums))
 
--- a/tests/shards/loopback.py
+++ b/tests/shards/loopback.py
@@ -32,8 +32,17 @@
 
 
 def entry(name: str, dest: int, port: int = 1, **more: Any) -> dict[str, Any]:
-    return {"instanceId": name, "hostPort": f"h:{port}", "zone": "z", "machineType": "k", "cell": dest,
-            "lifecycle": "ready", "weight": 500.0, "startedAtMs": 0, **more}
+    return {
+        "instanceId": name,
+        "hostPort": f"h:{port}",
+        "zone": "z",
+        "machineType": "k",
+        "cell": dest,
+        "lifecycle": "ready",
+        "weight": 500.0,
+        "startedAtMs": 0,
+        **more,
+    }
 
 
 def listing(entries: list[dict[str, Any]], generation: int = 1, reset: bool = True) -> dict[str, Any]:
@@ -148,8 +157,9 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(folder: Path, entries: list[dict[str, Any]], *numbers: int,
-                **more: Any) -> AsyncIterator[Fleet]:
+async def fleet(
+    folder: Path, entries: list[dict[str, Any]], *numbers: int, **more: Any
+) -> AsyncIterator[Fleet]:
     it = Fleet(folder, entries, **more)
     try:
         for number in numbers:
--- a/tests/shards/model.py
+++ b/tests/shards/model.py
@@ -214,38 +214,76 @@
                 self.tick()
             self.check()
             self.now += 2.0
-        has = {(known.name, known.entry.destination, known.entry.rate)
-               for known in self.directory.by_name.values()}
-        is_ = {(each.name, each.destination, each.rate) for each in self.rows[LATEST]
-               if each.destination in self.destinations}
+        has = {
+            (known.name, known.entry.destination, known.entry.rate)
+            for known in self.directory.by_name.values()
+        }
+        is_ = {
+            (each.name, each.destination, each.rate)
+            for each in self.rows[LATEST]
+            if each.destination in self.destinations
+        }
         if has != is_:
             return f"has {has}, is {is_}"
-        if not all(self.reader.current(self.now, destination) for destination in self.destinations
-                   if self.reader.here(destination)):
+        if not all(
+            self.reader.current(self.now, destination)
+            for destination in self.destinations
+            if self.reader.here(destination)
+        ):
             return "not current"
         return self.wrong
 
     def key(self) -> bytes:
         """What the state is, without what only counts."""
         reader, store = self.reader, self.reader.store
-        return pickle.dumps((
-            round(self.now, 3),
-            [(keeper.version, sorted(keeper.audience.readers), keeper.confirmed_at, keeper.tokens_at)
-             for keeper in self.keepers.values()],
-            self.learned, self.failed_at, self.mark, self.asks, sorted(map(repr, self.answers)),
-            sorted(map(repr, self.digests)),
-            [(shard, held.blob, held.as_of, sorted(held.used.items()), sorted(held.told), held.used_at)
-             for shard, held in sorted(store.held.items())],
-            store.base, store.top, sorted(store.names.items()), sorted(reader.wants), sorted(reader.compare),
-            [(keeper.out and (keeper.out.number, keeper.out.sent_at), keeper.paused_until, keeper.failing,
-              keeper.behind_until, keeper.news) for keeper in reader.keepers.values()],
-            reader.fresh.versions, reader.fresh.times, sorted(reader.fresh.tried.items()),
-            sorted((name, clock.offset) for name, clock in reader.fresh.clocks.items()),
-        ))
-
-
-def explore(rows: dict[int, list[Row]], shards: int, destinations: Sequence[int], depth: int,
-            before: Sequence[Action] = (), fair_every: int = 1) -> tuple[int, str]:
+        return pickle.dumps(
+            (
+                round(self.now, 3),
+                [
+                    (keeper.version, sorted(keeper.audience.readers), keeper.confirmed_at, keeper.tokens_at)
+                    for keeper in self.keepers.values()
+                ],
+                self.learned,
+                self.failed_at,
+                self.mark,
+                self.asks,
+                sorted(map(repr, self.answers)),
+                sorted(map(repr, self.digests)),
+                [
+                    (shard, held.blob, held.as_of, sorted(held.used.items()), sorted(held.told), held.used_at)
+                    for shard, held in sorted(store.held.items())
+                ],
+                store.base,
+                store.top,
+                sorted(store.names.items()),
+                sorted(reader.wants),
+                sorted(reader.compare),
+                [
+                    (
+                        keeper.out and (keeper.out.number, keeper.out.sent_at),
+                        keeper.paused_until,
+                        keeper.failing,
+                        keeper.behind_until,
+                        keeper.news,
+                    )
+                    for keeper in reader.keepers.values()
+                ],
+                reader.fresh.versions,
+                reader.fresh.times,
+                sorted(reader.fresh.tried.items()),
+                sorted((name, clock.offset) for name, clock in reader.fresh.clocks.items()),
+            )
+        )
+
+
+def explore(
+    rows: dict[int, list[Row]],
+    shards: int,
+    destinations: Sequence[int],
+    depth: int,
+    before: Sequence[Action] = (),
+    fair_every: int = 1,
+) -> tuple[int, str]:
     """Every order of up to so many happenings after those of `before`: how many states, and the first that is
     wrong with its way. From each `fair_every`th all comes right in the end."""
     first = Model(rows, shards, destinations)
@@ -285,7 +323,10 @@
     "one shard, held, one keeper ahead": (ONE, 1, (A,), (*HELD, ("learn", "n1"), ("learn", "n1"))),
     "one shard, held, the other ahead": (ONE, 1, (A,), (*HELD, ("learn", "n2"), ("learn", "n2"))),
     "one shard, held, one ahead and told": (
-        ONE, 1, (A,), (*HELD, ("learn", "n1"), ("digest", "n1"), ("tell", 0), ("ask", 0), ("answer", 1))
+        ONE,
+        1,
+        (A,),
+        (*HELD, ("learn", "n1"), ("digest", "n1"), ("tell", 0), ("ask", 0), ("answer", 1)),
     ),
 }
 
--- a/tests/shards/test_keeping.py
+++ b/tests/shards/test_keeping.py
@@ -238,13 +238,16 @@
         assert told == Other(1, LAYOUT) and read(packed(told)) == told
 
 
-@pytest.mark.parametrize("wrong", [
-    Ask(1, LAYOUT, NONE, b"no zlib"),
-    Ask(1, LAYOUT, NONE, packed_bits(0, 1 << 20)),
-    ask(LAYOUT, wants=[4]),
-    ask(LAYOUT, wants=[-1]),
-    ask(LAYOUT, sums=[(9, 0)]),
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        Ask(1, LAYOUT, NONE, b"no zlib"),
+        Ask(1, LAYOUT, NONE, packed_bits(0, 1 << 20)),
+        ask(LAYOUT, wants=[4]),
+        ask(LAYOUT, wants=[-1]),
+        ask(LAYOUT, sums=[(9, 0)]),
+    ],
+)
 def test_an_ask_that_cannot_be_read_changes_nothing(wrong: Ask) -> None:
     keeper = filled(LAYOUT, [])
     with pytest.raises(Unreadable):
@@ -256,8 +259,10 @@
     layout = Layout(64, (1,))
     keeper = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
     told = ask(layout, wants=range(64))
-    told = msgspec.structs.replace(told, wants=tuple(
-        msgspec.structs.replace(want, due_ms=1e4 - 100.0 * want.shard) for want in told.wants))
+    told = msgspec.structs.replace(
+        told,
+        wants=tuple(msgspec.structs.replace(want, due_ms=1e4 - 100.0 * want.shard) for want in told.wants),
+    )
     answer = asked(keeper, told)
     assert len(packed(answer)) <= keeping.ANSWER_BYTES + 4_000
     assert [part.shard for part in answer.parts] == list(range(63, 63 - len(answer.parts), -1))
--- a/tests/shards/test_reading.py
+++ b/tests/shards/test_reading.py
@@ -49,9 +49,7 @@
 
     def __init__(self, rows: list[Row], layout: Layout = LAYOUT, now: float = 100.0, **more: Any) -> None:
         self.layout, self.now = layout, now
-        self.keepers = {
-            f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.keepers
-        }
+        self.keepers = {f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.keepers}
         self.reader = Reader("n100", layout, random.Random(1), **more)
         self.directory = Directory(make_settings(), ("z",))
         self.updates: list[Update] = []
@@ -61,8 +59,9 @@
         self.served: list[tuple[str, Ask]] = []
         self.behind: set[str] = set()  # whose source is silent
 
-    def changed(self, generation: int, rows: list[Row], lives: list[tuple[str, int]] | None = None,
-                *names: str) -> None:
+    def changed(
+        self, generation: int, rows: list[Row], lives: list[tuple[str, int]] | None = None, *names: str
+    ) -> None:
         for name in names or self.keepers:
             assert self.keepers[name].changed(self.now, generation, rows, lives or [])
 
@@ -327,8 +326,11 @@
     for step in range(40):  # what its socket holds meanwhile
         for keeper in world.keepers.values():
             keeper.confirmed(world.now + step)
-        old += [(name, digest) for name, keeper in world.keepers.items()
-                for _, digest in keeper.digests(world.now + step)]
+        old += [
+            (name, digest)
+            for name, keeper in world.keepers.items()
+            for _, digest in keeper.digests(world.now + step)
+        ]
     world.now += 40.0
     world.changed(2, [], [("a", DRAINING)])
     assert not world.reader.current(world.now, 1)
@@ -499,10 +501,21 @@
     assert world.reader.knows(1)
 
 
-@pytest.mark.parametrize("wrong", [
-    {"port": 0}, {"port": 65536}, {"port": -1}, {"host": ""}, {"host": "h" * 254}, {"rate": -1.0},
-    {"rate": float("inf")}, {"rate": float("nan")}, {"name": ""}, {"listing": 7},
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"port": 0},
+        {"port": 65536},
+        {"port": -1},
+        {"host": ""},
+        {"host": "h" * 254},
+        {"rate": -1.0},
+        {"rate": float("inf")},
+        {"rate": float("nan")},
+        {"name": ""},
+        {"listing": 7},
+    ],
+)
 def test_an_entry_that_cannot_be_read_is_passed_over(wrong: dict[str, Any]) -> None:
     bad = msgspec.structs.replace(row("bad", 1), **wrong)
     world = World([row("a", 1), bad], ONE)
@@ -533,8 +546,12 @@
     world.want(a)
     (told,) = world.turn()
     answer = asked(world.keepers[told[0]], told[1], world.now)
-    parts = (Whole(0, (row("a", a), row("wrong", b))), Whole(999, (row("y", 5),)), Whole(-1, ()),
-             Changes(2, (row("z", 5),)))
+    parts = (
+        Whole(0, (row("a", a), row("wrong", b))),
+        Whole(999, (row("y", 5),)),
+        Whole(-1, ()),
+        Changes(2, (row("z", 5),)),
+    )
     world.reader.answered(world.now, told[0], msgspec.structs.replace(answer, parts=parts))
     world.apply()
     assert set(world.directory.by_name) == {"a"} and world.reader.told(world.now).shards == 1
@@ -670,8 +687,9 @@
                 mark = int(member.rate)
                 assert mark >= self.marks.get(member.name, 0), "older than it was"
                 if member.name not in self.directory.by_name:
-                    replaced = [g for g in range(mark + 1, len(self.rows))
-                                if self.log[g - 2].name == member.name]
+                    replaced = [
+                        g for g in range(mark + 1, len(self.rows)) if self.log[g - 2].name == member.name
+                    ]
                     assert not replaced or replaced[0] > evidence, "came back"
                 self.marks[member.name] = mark
                 self.evidence = max(self.evidence, mark)
@@ -736,10 +754,14 @@
     for op, pick in [("w", 0), ("w", 1), *ops]:
         drawn.do(op, pick)
     drawn.quiet()
-    has = {name: (known.entry.destination, known.entry.rate, known.entry.listing)
-           for name, known in drawn.directory.by_name.items()}
-    is_ = {name: (each.destination, each.rate, (Listing.READY, Listing.DRAINING)[each.listing])
-           for name, each in drawn.rows[-1].items()}
+    has = {
+        name: (known.entry.destination, known.entry.rate, known.entry.listing)
+        for name, known in drawn.directory.by_name.items()
+    }
+    is_ = {
+        name: (each.destination, each.rate, (Listing.READY, Listing.DRAINING)[each.listing])
+        for name, each in drawn.rows[-1].items()
+    }
     assert has == is_
     shards = by_shard(drawn.rows[-1], 2)
     for shard, held in drawn.reader.store.held.items():
@@ -747,13 +769,12 @@
     assert drawn.reader.told(drawn.now).endpoints == len(has)
 
 
-
-
 # -- what a keeper that errs may say -------------------------------------------------------------------------
 
 
-def answer_to(told: tuple[str, Ask], version: tuple[int, int], parts: Any = (), complete: bool = True,
-              now: float = 0.0) -> Answer:
+def answer_to(
+    told: tuple[str, Ask], version: tuple[int, int], parts: Any = (), complete: bool = True, now: float = 0.0
+) -> Answer:
     """Of a keeper that does not look at what it is asked."""
     return Answer(told[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
 
--- a/tests/shards/test_relaying.py
+++ b/tests/shards/test_relaying.py
@@ -34,8 +34,10 @@
 
 def cut(relay: Instance) -> None:
     """No keeper can be reached, and what they say does not come."""
+
     async def ask(*_: object) -> bytes:
         raise OSError("cut off")
+
     relay.node.ask = ask  # type: ignore[method-assign, assignment]
     relay.node.datagrams.clear()
 
@@ -52,6 +54,7 @@
             await until(lambda: relay.entries["m"].end == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
             assert relay.shards.knows(7) and not relay.messages.bound_for
+
     run(work())
 
 
@@ -65,6 +68,7 @@
             assert relay.entries["m"].due > 0 and not relay.carrier.connecting
             await until(lambda: not relay.host.relay.board.held, 3.0)  # nothing is left of it
             assert not relay.messages.held and not relay.messages.bound_for
+
     run(work())
 
 
@@ -82,11 +86,13 @@
             with pytest.raises(Malformed) as caught:
                 relay.messages.take(offer("n"))
             assert caught.value.field == "dest" and "n" not in relay.entries
+
     run(work())
 
 
 def test_after_a_restart_what_was_held_over_many_shards_is_asked_for_the_earliest_end_first(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def work() -> None:
         dests = in_shards(50)
         async with fleet(tmp_path, listed(*dests), 1) as it:
@@ -111,14 +117,17 @@
             await it.begin(0)
             await until(lambda: all(each.end == "delivered" for each in relay.entries.values()))
             wanted = next(each for each in asked if each)
-            assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][:len(wanted)]
+            assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(wanted)]
             assert sorted(each.trace_id for each in relay.carrier.attempts) == sorted(
-                f"m{n}" for n in range(50))
+                f"m{n}" for n in range(50)
+            )
+
     run(work())
 
 
 def test_one_that_was_left_for_a_shard_without_it_ends_as_failed(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its shard has come before it is taken up."""
     monkeypatch.setattr(host, "FIRST_LIST_S", 3.0)
 
@@ -132,6 +141,7 @@
             assert not relay.host.open
             await until(lambda: [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")])
             assert not relay.messages.holding
+
     run(work())
 
 
@@ -144,11 +154,13 @@
             await it.begin(0)
             await until(lambda: relay.entries["m"].end == "delivered")
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
+
     run(work())
 
 
 def test_one_that_moves_while_a_connection_is_looked_for_gets_no_byte_at_its_old_place(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -164,11 +176,13 @@
             assert relay.carrier.held_back == 1
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
             assert relay.entries["m"].tries == 1  # what was held back is no try
+
     run(work())
 
 
 def test_one_that_was_frozen_sends_no_byte_before_it_has_heard_what_is_new(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(attempts, "CURRENT_S", 9.0)  # it goes on as soon as it may, and not when that is over
 
     async def work() -> None:
@@ -198,6 +212,7 @@
             await until(lambda: relay.entries["m"].end == "delivered", 6.0)
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
             assert relay.carrier.connecting == connecting + 1
+
     run(work())
 
 
@@ -208,6 +223,7 @@
             await learned(relay, 7)
             waiting = [asyncio.ensure_future(relay.shards.renewed()) for _ in range(3)]
             await until(lambda: all(each.done() for each in waiting))
+
     run(work())
 
 
@@ -230,6 +246,7 @@
             relay.shards.reader.current = current  # type: ignore[method-assign]
             await until(lambda: relay.entries["m"].end == "delivered")
             assert len(relay.carrier.attempts) == 1
+
     run(work())
 
 
@@ -250,6 +267,7 @@
             assert relay.messages.take(offer("x", dest=8)).taken  # nobody can say that there is none
             await asyncio.sleep(0.3)
             assert not relay.front.ends and not relay.entries["x"].end
+
     run(work())
 
 
@@ -264,6 +282,7 @@
             await learned(relay, 7, "second")
             lane = relay.host.relay.lanes[7][-1]
             assert lane.cold_since < 0 and lane.bad_since is None
+
     run(work())
 
 
@@ -282,6 +301,7 @@
             relay.carrier.connects.set()
             await until(lambda: relay.entries["m"].end == "delivered")
             assert not relay.host.in_use(7)
+
     run(work())
 
 
@@ -298,15 +318,19 @@
             begun = asyncio.get_running_loop().time()
             await until(lambda: not relay.shards.here(7))
             assert asyncio.get_running_loop().time() - begun > 1.0
+
     run(work())
 
 
 def test_a_destination_that_is_not_known_yet_is_taken_to_be_as_fast_as_one_whose_rate_is_not_listed(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     """Else what waits for its shard would be refused first, and its clients told to stay away for minutes."""
+
     async def work() -> None:
         async with fleet(tmp_path, [], 0) as it:
             assert it.instances[0].host.relay.endings.drained(1000.0, 5, 1) == 3000.0
+
     run(work())
 
 
@@ -331,6 +355,7 @@
             await until(lambda: 7 in relay.host.relay.lanes)
             await until(lambda: relay.entries["m"].end == "delivered")
             assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
+
     run(work())
 
 
@@ -354,11 +379,13 @@
             relay.messages.take(offer("m", dest=8))
             await until(lambda: bool(relay.front.ends))
             assert relay.shards.counts["unreadable"] == 5 and relay.shards.knows(7)
+
     run(work())
 
 
 def test_a_fault_in_a_turn_is_told_and_the_next_one_comes(
-        tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -373,6 +400,7 @@
             relay.shards.reader.tick = failing  # type: ignore[method-assign, assignment]
             await learned(relay, 7)
             assert "a turn of the directory failed" in caplog.text
+
     run(work())
 
 
@@ -383,6 +411,7 @@
             await learned(keeper, 7)
             told = keeper.shards.told()
             assert told["reader"]["shards"] == 1 and told["keeper"]["endpoints"] == 1
+
     run(work())
 
 
@@ -392,6 +421,7 @@
             ask = Ask(5, it.instances[1].shards.layout, (0, -1), b"")
             raw = it.instances[1].shards._asked(Hello("n0", KIND), packed(ask))
             assert read(raw) == Other(5, it.instances[1].shards.layout)
+
     run(work())
 
 
@@ -409,6 +439,7 @@
             await until(lambda: relay.host.remembered == {7})
             await until(lambda: not relay.host.remembered)
             assert not known
+
     run(work())
 
 
@@ -422,4 +453,5 @@
             again = await it.begin(1)
             assert [(end.id, end.state) for end in again.front.ends] == [("m", "failed")]
             assert isinstance(it, Fleet)
+
     run(work())
--- a/tests/shards/test_schedules.py
+++ b/tests/shards/test_schedules.py
@@ -36,8 +36,20 @@
     """All keepers are away, 150 readers come to need 60 shards each, then one keeper returns alone, with a
     quarter of the bytes a second, so that they press on it as 600 would."""
     monkeypatch.setattr(keeping, "BYTES_S", 1e6)
-    plan = Plan(7, readers=150, keepers=1, destinations=6_000, shards=128, used=1, seconds=60.0, faults=0,
-                call_s=1e9, change_s=1e9, all_restart=False, loss=0.0)
+    plan = Plan(
+        7,
+        readers=150,
+        keepers=1,
+        destinations=6_000,
+        shards=128,
+        used=1,
+        seconds=60.0,
+        faults=0,
+        call_s=1e9,
+        change_s=1e9,
+        all_restart=False,
+        loss=0.0,
+    )
     world = World(plan)
     world.keepers["n1"].stop()
     waits: dict[bool, list[float]] = {True: [], False: []}
--- a/tests/shards/test_settings.py
+++ b/tests/shards/test_settings.py
@@ -33,27 +33,41 @@
     assert (settings.COUNT_MOST, settings.KEEPERS_MOST) == (SHARDS_MOST, KEEPERS_MOST)
 
 
-@pytest.mark.parametrize(("told", "said"), [
-    ({"shards": {"keepers": [0]}}, "shards.keepers: needs peers.listen"),
-    ({**HERE, "shards": {"keepers": [3]}}, "shards.keepers: 3 is not among fleet.instances = 3"),
-    ({**HERE, "shards": {"keepers": [0, 0]}}, "shards.keepers: each is named once"),
-    ({**HERE, "shards": {"keepers": [-1]}}, r"shards.keepers: \[-1\]: Expected `int` >= 0"),
-    ({"shards": {"keepers": list(range(KEEPERS_MOST + 1))}}, f"shards.keepers: 17: {KEEPERS_MOST} at most"),
-    ({**HERE, "shards": {"keepers": [0], "count": 0}}, "shards.count: 0 must be a power of two, from 1 to"),
-    ({**HERE, "shards": {"keepers": [0], "count": 6}}, "shards.count: 6 must be a power of two"),
-    ({"shards": {"count": 2 * COUNT_MOST}}, f"shards.count: {2 * COUNT_MOST} must be a power of two"),
-    ({**HERE, "shards": {"keepers": [0], "epoch": 0}}, "shards.epoch: 0: Expected `int` >= 1"),
-    ({**HERE, "shards": {"keepers": [0], "bound_s": 1.0}}, "shards.bound_s: 1.0: Expected `float` >= 6"),
-    ({"shards": {"file": "x"}}, "shards.file: needs keepers"),
-    ({**HERE, "shards": {"keeper": [0]}}, "shards.keeper: is not known; 'keepers' is the nearest name"),
-    ({"shards": {"keepers": [0]}, "peers": {"listen": "10.0.0.1:7000"}}, "peers.secret_file: is needed with "
-     "shards.keepers"),
-    ({**HERE, "shards": {"keepers": [0]}, "amqp": {"brokers": [BROKER]}}, "not together with amqp.brokers"),
-    ({**HERE, **ACCORD, "shards": {"keepers": [0]}, "failover": {"zones": ZONES}},
-     "not together with failover.zones"),
-])
+@pytest.mark.parametrize(
+    ("told", "said"),
+    [
+        ({"shards": {"keepers": [0]}}, "shards.keepers: needs peers.listen"),
+        ({**HERE, "shards": {"keepers": [3]}}, "shards.keepers: 3 is not among fleet.instances = 3"),
+        ({**HERE, "shards": {"keepers": [0, 0]}}, "shards.keepers: each is named once"),
+        ({**HERE, "shards": {"keepers": [-1]}}, r"shards.keepers: \[-1\]: Expected `int` >= 0"),
+        (
+            {"shards": {"keepers": list(range(KEEPERS_MOST + 1))}},
+            f"shards.keepers: 17: {KEEPERS_MOST} at most",
+        ),
+        (
+            {**HERE, "shards": {"keepers": [0], "count": 0}},
+            "shards.count: 0 must be a power of two, from 1 to",
+        ),
+        ({**HERE, "shards": {"keepers": [0], "count": 6}}, "shards.count: 6 must be a power of two"),
+        ({"shards": {"count": 2 * COUNT_MOST}}, f"shards.count: {2 * COUNT_MOST} must be a power of two"),
+        ({**HERE, "shards": {"keepers": [0], "epoch": 0}}, "shards.epoch: 0: Expected `int` >= 1"),
+        ({**HERE, "shards": {"keepers": [0], "bound_s": 1.0}}, "shards.bound_s: 1.0: Expected `float` >= 6"),
+        ({"shards": {"file": "x"}}, "shards.file: needs keepers"),
+        ({**HERE, "shards": {"keeper": [0]}}, "shards.keeper: is not known; 'keepers' is the nearest name"),
+        (
+            {"shards": {"keepers": [0]}, "peers": {"listen": "10.0.0.1:7000"}},
+            "peers.secret_file: is needed with " "shards.keepers",
+        ),
+        (
+            {**HERE, "shards": {"keepers": [0]}, "amqp": {"brokers": [BROKER]}},
+            "not together with amqp.brokers",
+        ),
+        (
+            {**HERE, **ACCORD, "shards": {"keepers": [0]}, "failover": {"zones": ZONES}},
+            "not together with failover.zones",
+        ),
+    ],
+)
 def test_bad_input_is_refused_with_the_field_and_what_would_be_right(told: dict[str, Any], said: str) -> None:
     with pytest.raises(OperatorError, match=said):
         decoded(told, "f")
-
-
--- a/tests/shards/test_source.py
+++ b/tests/shards/test_source.py
@@ -15,7 +15,14 @@
 from linnetstile.shards import source
 from linnetstile.shards.keeping import Keeper
 from linnetstile.shards.source import (
-    ENTRIES_A_TURN, FileSource, Passed, Refused, RegisterSource, SourceError, Splitter, Taking,
+    ENTRIES_A_TURN,
+    FileSource,
+    Passed,
+    Refused,
+    RegisterSource,
+    SourceError,
+    Splitter,
+    Taking,
     TooManyChanges,
 )
 from linnetstile.shards.wire import Layout, Row
@@ -30,11 +37,12 @@
 
 async def pieces(raw: bytes, size: int = source.PIECE_BYTES) -> AsyncIterator[bytes]:
     for at in range(0, len(raw), size):
-        yield raw[at:at + size]
+        yield raw[at : at + size]
 
 
-async def taken(it: Keeper, told: dict[str, Any] | bytes, least: int | None = None,
-                size: int = source.PIECE_BYTES) -> Taking:
+async def taken(
+    it: Keeper, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.PIECE_BYTES
+) -> Taking:
     raw = told if isinstance(told, bytes) else json.dumps(told).encode()
     taking = Taking(it, 1, Passed(), 5.0, least)
     await taking.take(pieces(raw, size))
@@ -60,9 +68,12 @@
                 it = keeper()
                 await taken(it, text.encode(), size=size)
                 assert it.version == (1, 1)
-                assert rows(it) == {"ä": Row("ä", 1, 0, "h", 5, "k", "z", 500.0),
-                                    '"}],': Row('"}],', 2, 1, "h", 6, "k", "z", 500.0),
-                                    "c": Row("c", 3, 0, "h", 7, "k", None, 500.0)}
+                assert rows(it) == {
+                    "ä": Row("ä", 1, 0, "h", 5, "k", "z", 500.0),
+                    '"}],': Row('"}],', 2, 1, "h", 6, "k", "z", 500.0),
+                    "c": Row("c", 3, 0, "h", 7, "k", None, 500.0),
+                }
+
     run(work())
 
 
@@ -85,6 +96,7 @@
         assert it.told(5.0).endpoints == 140_000
         assert taking.longest <= ENTRIES_A_TURN
         assert turns > 140_000 / ENTRIES_A_TURN / 2  # in between all else has its turn
+
     run(work())
 
 
@@ -100,25 +112,39 @@
         assert it.version == (1, 1) and set(rows(it)) == {"old"}
         await taken(it, raw)
         assert it.version == (1, 2) and set(rows(it)) == {"a", "b"}
+
     run(work())
 
 
-@pytest.mark.parametrize("raw", [
-    b"", b"[]", b"null", b"{}", b'{"instances": 5}', b'{"instances": []}',
-    b'{"generation": 1, "instances": []}', b'{"generation": "x", "reset": true, "instances": []}',
-    b'{"generation" 1}', b'{"generation": 1 "reset": 1}',
-    b'{"generation": 1, "reset": true, "instances": [{} {}]}', b"\xff" * 9, b"[" * 100_000,
-    b'{"generation": 1, "reset": true, "instances": [' + b"[" * 60_000 + b"]" * 60_000 + b"]}",
-    b'{"generation": 1, "reset": true, "instances": ["' + b"x" * 200_000 + b'"]}',
-    b'{"generation": 1, "reset": true, "instances": [nonsense]}',
-    b'{"generation": 1, "reset": false, "instances": []}',  # changes, and nothing that they change
-])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"",
+        b"[]",
+        b"null",
+        b"{}",
+        b'{"instances": 5}',
+        b'{"instances": []}',
+        b'{"generation": 1, "instances": []}',
+        b'{"generation": "x", "reset": true, "instances": []}',
+        b'{"generation" 1}',
+        b'{"generation": 1 "reset": 1}',
+        b'{"generation": 1, "reset": true, "instances": [{} {}]}',
+        b"\xff" * 9,
+        b"[" * 100_000,
+        b'{"generation": 1, "reset": true, "instances": [' + b"[" * 60_000 + b"]" * 60_000 + b"]}",
+        b'{"generation": 1, "reset": true, "instances": ["' + b"x" * 200_000 + b'"]}',
+        b'{"generation": 1, "reset": true, "instances": [nonsense]}',
+        b'{"generation": 1, "reset": false, "instances": []}',  # changes, and nothing that they change
+    ],
+)
 def test_what_is_no_list_changes_nothing(raw: bytes) -> None:
     async def work() -> None:
         it = keeper()
         with pytest.raises(SourceError):
             await taken(it, raw)
         assert not it.loaded
+
     run(work())
 
 
@@ -131,14 +157,21 @@
         with pytest.raises(SourceError, match="longer than 50000 bytes"):
             await taken(it, listing(many(1000), 2))
         assert it.version == (1, 1) and len(rows(it)) == 100
+
     run(work())
 
 
 def test_entries_that_cannot_be_read_are_passed_over_and_stand_but_for_their_life() -> None:
     good = [entry("a", 1), entry("b", 2), entry("c", 3)]
     bad: list[Any] = [
-        entry("a", 1, hostPort="x"), entry("b", 2, weight=-1, lifecycle="draining"),
-        entry("c", 3, weight="much", lifecycle="gone"), entry("new", 4, hostPort=":5"), 5, None, [], {},
+        entry("a", 1, hostPort="x"),
+        entry("b", 2, weight=-1, lifecycle="draining"),
+        entry("c", 3, weight="much", lifecycle="gone"),
+        entry("new", 4, hostPort=":5"),
+        5,
+        None,
+        [],
+        {},
         {"instanceId": "d"},
     ]
 
@@ -147,11 +180,14 @@
         await taken(it, listing(good))
         taking = await taken(it, listing([*bad, entry("e", 5)], 2))
         assert taking.passed.count == len(bad)
-        assert rows(it) == {"a": Row("a", 1, 0, "h", 1, "k", "z", 500.0),
-                            "b": Row("b", 2, 1, "h", 1, "k", "z", 500.0),
-                            "e": Row("e", 5, 0, "h", 1, "k", "z", 500.0)}
+        assert rows(it) == {
+            "a": Row("a", 1, 0, "h", 1, "k", "z", 500.0),
+            "b": Row("b", 2, 1, "h", 1, "k", "z", 500.0),
+            "e": Row("e", 5, 0, "h", 1, "k", "z", 500.0),
+        }
         await taken(it, listing([entry("e", 5, hostPort="x", lifecycle="draining")], 3, reset=False), 2)
         assert rows(it)["e"].listing == 1 and it.version == (1, 3)
+
     run(work())
 
 
@@ -168,6 +204,7 @@
         with pytest.raises(TooManyChanges):
             await taken(it, listing(many(51), 6, False), 5)
         assert it.version == (1, 5) and len(rows(it)) == 99
+
     run(work())
 
 
@@ -204,17 +241,20 @@
         with pytest.raises(Refused):
             await taken(it, listing(many(1), 6, False), 7)
         assert it.version == (1, 7) and len(rows(it)) == 10 and it.told(5.0).refused == 2
+
     run(work())
 
 
 def test_a_list_counts_as_of_when_it_was_asked_for() -> None:
     """It may have lain unread while this process stood still."""
+
     async def work() -> None:
         it = keeper()
         await taken(it, listing(many(10)))
         assert it.told(9.0).source_age_s == 4.0
         await taken(it, listing([], 1, False), 1)
         assert it.told(9.0).source_age_s == 4.0
+
     run(work())
 
 
@@ -252,6 +292,7 @@
         await until(lambda: it.version == (1, 2))
         assert len(rows(it)) == 3001
         task.cancel()
+
     run(work())
 
 
@@ -268,6 +309,7 @@
         await until(lambda: it.loaded)
         assert len(rows(it)) == count
         task.cancel()
+
     run(work())
 
 
@@ -286,6 +328,7 @@
         assert len(rows(it)) == 4
         assert [("from" in seen.target) for seen in agent.seen[:3]] == [False, True, False]
         task.cancel()
+
     run(work())
 
 
@@ -302,6 +345,7 @@
         assert len(rows(it)) == 60
         assert [("from" in seen.target) for seen in agent.seen[:3]] == [False, True, False]
         task.cancel()
+
     run(work())
 
 
@@ -321,6 +365,7 @@
         await until(lambda: it.version == (1, 2))
         assert "from" not in other.seen[0].target and len(rows(it)) == 5
         task.cancel()
+
     run(work())
 
 
@@ -354,6 +399,7 @@
         put(path, listing(many(5), 2))
         await watch.look()
         assert it.version == (1, 2) and len(rows(it)) == 5
+
     run(work())
 
 
@@ -367,4 +413,5 @@
         await until(lambda: it.loaded)
         assert watch.failures >= 1
         task.cancel()
+
     run(work())
--- a/tests/shards/test_storm.py
+++ b/tests/shards/test_storm.py
@@ -191,7 +191,8 @@
 
 
 def test_a_log_that_was_given_up_begins_anew_where_its_shard_changed_last(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(table, "LOG_ROWS", 1)
     layout = Layout(SHARDS, (1,))
     keeper = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
@@ -208,7 +209,8 @@
 
 
 def test_an_answer_in_many_pieces_goes_on_where_it_was_though_versions_come_faster(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(table, "LOG_ROWS", 600)  # nine generations: who was cut off longer gets wholes
     it = Storm()
     it.play(cut_s=10.0)
--- a/tests/shards/test_town.py
+++ b/tests/shards/test_town.py
@@ -82,7 +82,8 @@
                 told = await it.role(1, "reader")
                 assert told["age_s"] > 8.0 and told["failures"] > 0 and told["shards"] > 5
                 shown = await asyncio.to_thread(
-                    CliRunner().invoke, group, ["status", "--folder", str(it.folder / "run")])
+                    CliRunner().invoke, group, ["status", "--folder", str(it.folder / "run")]
+                )
                 assert "directory by interest" in shown.output and "age_s" in shown.output.replace("\n", "")
             await it.drained(25.0)
             assert it.broken(clients.taken) == []
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -143,8 +143,10 @@
     total = calls_of(200, 5)
     for at in range(1, total, 7):
         for error in (errno.ENOSPC, errno.EIO):
-            disk = Disk(fail=lambda call, name, n, at=at, error=error:  # type: ignore[misc]
-                        error if at <= n < at + 60 and call == "append" else None)
+            disk = Disk(
+                fail=lambda call, name, n, at=at, error=error:  # type: ignore[misc]
+                error if at <= n < at + 60 and call == "append" else None
+            )
             world = World(disk, 5)
             journal = world.run(200)
             disk.fail = lambda call, name, number: None
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -108,6 +108,7 @@
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
         journal.close()
+
     run(work())
 
 
@@ -128,6 +129,7 @@
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
         journal.close()
+
     run(work())
 
 
@@ -143,11 +145,13 @@
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
         journal.close()
+
     run(work())
 
 
 def test_a_client_is_answered_after_the_sync_and_the_loop_never_waits(tmp_path: Path) -> None:
     """A sync hangs: no answer, no first byte, no notice; then one by one. One that hangs up is withdrawn."""
+
     async def work() -> None:
         agent, server = Agent(), Server()
         await agent.start()
@@ -177,4 +181,5 @@
             await until(lambda: len(server.seen) == 2)
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["m", "n"]
         await host.close()
+
     run(work())
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -62,8 +62,10 @@
 ) -> None:
     fill(tmp_path).close()
     (only,) = segments(tmp_path)
-    data, lost = bytearray(only.read_bytes()), [line for line in lines(FolderFiles(tmp_path))
-                                                if line.kind == "try"]
+    data, lost = (
+        bytearray(only.read_bytes()),
+        [line for line in lines(FolderFiles(tmp_path)) if line.kind == "try"],
+    )
     data[lost[0].at + 24] ^= 4  # in what it says
     only.write_bytes(data)
     journal = Journal(tmp_path, DISK)
@@ -235,8 +237,15 @@
     assert set(journal.entries) == {"m1"}
 
 
-@given(st.lists(st.tuples(st.sampled_from(["take", "try", "out", "ran", "end", "told", "drop", "compact"]),
-                          st.integers(0, 3)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["take", "try", "out", "ran", "end", "told", "drop", "compact"]),
+            st.integers(0, 3),
+        ),
+        max_size=40,
+    )
+)
 def test_what_is_read_back_is_what_was_written(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]]
 ) -> None:
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -109,8 +109,13 @@
                 journal.ended(one, rng.choice(("delivered", "failed")))
                 self.promise(journal, lambda: self.ended.add(name))
             else:
-                journal.told([each.id for each in journal.entries.values()
-                              if each.owes_notice and each.id in self.ended][:2])
+                journal.told(
+                    [
+                        each.id
+                        for each in journal.entries.values()
+                        if each.owes_notice and each.id in self.ended
+                    ][:2]
+                )
 
     def first_byte(self, ident: str) -> None:
         self.unsent.discard(ident)
@@ -177,8 +182,9 @@
                 for told in (self.taken, self.tried):
                     told.discard(ident)
                 self.ended.pop(ident, None)
-                journal.take(Entry(ident, "plata", "t", 7, None, now, now + 500.0, "",
-                                   bytes(rng.choice((30, 9000)))))
+                journal.take(
+                    Entry(ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(rng.choice((30, 9000))))
+                )
                 self.taken.add(ident)
                 self.lives += 1
             elif entry.end:
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -61,8 +61,14 @@
 def test_a_process_says_so_in_one_line_and_ends_with_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(tmp_path, BAD[8][0])))
-    done = subprocess.run([sys.executable, "-m", "linnetstile"], env={"RELAY_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "linnetstile"],
+        env={"RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 2 and "window_ms" in done.stderr and done.stderr.count("\n") == 1
 
 
@@ -71,6 +77,7 @@
         settings = raw["settings"]
         for place in (raw, raw["limits"], settings, settings["classes"][0], settings["extra"]):
             place["what-is-new"] = {"a": [1, None]}
+
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(tmp_path, more)))
     assert config.load({"RELAY_CONFIG": str(path)}).settings.classes[0].name == "keyed"
@@ -89,4 +96,5 @@
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))
         assert not other.seen
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -44,24 +44,35 @@
     return True
 
 
-@pytest.mark.parametrize(("request_", "status"), [
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nTransfer-Encoding: chunked")
-         .replace(b"hello", b"0\r\n\r\n" + message("hidden")), 400),
-    (GOOD.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked\r\nContent-Length: 5"), 400),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nContent-Length: 6"), 400),
-    (GOOD.replace(b"X-Trace-Id: m", b"X-Trace-Id: m\r\nX-Trace-Id: n"), 400),
-    (GOOD.replace(b"X-Addressing: dest=7", b"X-Addressing: dest=7\r\nX-Addressing: dest=8"), 400),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: -5"), 400),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: 3"), 400),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 19), 413),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 9000), 400),
-    (GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n")
-         .replace(b"hello", b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n"), 413),
-    (GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n") + b"\r\n", 400),
-    (GOOD * 300, 400),
-    (HEAD + b"X-A: " + b"a" * (1 << 20), 431),
-    (b"\x16\x03\x01\x02\x00" * 9, 400),
-])
+@pytest.mark.parametrize(
+    ("request_", "status"),
+    [
+        (
+            GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nTransfer-Encoding: chunked").replace(
+                b"hello", b"0\r\n\r\n" + message("hidden")
+            ),
+            400,
+        ),
+        (GOOD.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked\r\nContent-Length: 5"), 400),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nContent-Length: 6"), 400),
+        (GOOD.replace(b"X-Trace-Id: m", b"X-Trace-Id: m\r\nX-Trace-Id: n"), 400),
+        (GOOD.replace(b"X-Addressing: dest=7", b"X-Addressing: dest=7\r\nX-Addressing: dest=8"), 400),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: -5"), 400),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 3"), 400),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 19), 413),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 9000), 400),
+        (
+            GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n").replace(
+                b"hello", b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n"
+            ),
+            413,
+        ),
+        (GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n") + b"\r\n", 400),
+        (GOOD * 300, 400),
+        (HEAD + b"X-A: " + b"a" * (1 << 20), 431),
+        (b"\x16\x03\x01\x02\x00" * 9, 400),
+    ],
+)
 def test_it_is_turned_away_and_the_connection_ends(tmp_path: Path, request_: bytes, status: int) -> None:
     async def work() -> None:
         world = World(tmp_path)
@@ -70,11 +81,13 @@
             assert await ended(client)
             assert not host.held and not host.journal.entries
         assert not world.server.seen
+
     run(work())
 
 
 def test_a_body_of_many_megabytes_is_answered_from_its_head_and_thrown_away(tmp_path: Path) -> None:
     """Guards memory, and the answer: a close with bytes unread would reset it away."""
+
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
             size = 60 << 20
@@ -88,13 +101,20 @@
             async with Client(host.ingress.port) as other:
                 assert await other.ask(message("n")) == 202
         assert list(host.journal.entries) == ["n"]
+
     run(work())
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (b"", 0), (b"GET /hea", 408), (GOOD[:-1], 408), (GOOD[:60], 408),
-    (GOOD.replace(b"Content-Length: 5", b"Content-Length: 50"), 408),
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"", 0),
+        (b"GET /hea", 408),
+        (GOOD[:-1], 408),
+        (GOOD[:60], 408),
+        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 50"), 408),
+    ],
+)
 def test_what_does_not_come_in_time_is_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, status: int
 ) -> None:
@@ -108,6 +128,7 @@
             assert await ended(client)
             await until(lambda: not host.ingress.connections)
             assert not host.held
+
     run(work())
 
 
@@ -123,6 +144,7 @@
             client.writer.write(GOOD[:-2])
             client.writer.write_eof()
             assert await client.status() == 400 and not host.held
+
     run(work())
 
 
@@ -140,6 +162,7 @@
             await until(lambda: not host.ingress.connections)
             ingress_ = host.ingress
             assert not (ingress_.silent or ingress_.visiting or ingress_.resting or ingress_.lingering)
+
     run(work())
 
 
@@ -147,6 +170,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards clients that may hold only so many connections: those that stay shut the others out."""
+
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
             port, host.ingress.roomy = host.ingress.port, 3
@@ -163,6 +187,7 @@
             host.ingress.roomy = 4
             assert not host.ingress._due(now + ingress.IDLE_S - 1.0)
             assert len(host.ingress._due(now + ingress.IDLE_S)) == 3
+
     run(work())
 
 
@@ -183,6 +208,7 @@
                         assert len(host.ingress.connections) <= 3
                 assert await ended(first) and await ended(second)
                 assert await usual.ask(message("c")) == 202  # idle for less than 2 s: it is spared
+
     run(work())
 
 
@@ -204,11 +230,13 @@
                 assert await client.ask(message(f"b{count}")) == 202
             for client in idle:
                 assert await ended(client)
+
     run(work())
 
 
 def test_who_only_looks_in_makes_room_for_who_hands_in(tmp_path: Path) -> None:
     """Guards messages against a crowd that asks for the health and stays."""
+
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
             port, host.ingress.most = host.ingress.port, 4
@@ -220,6 +248,7 @@
             other = await open_.enter_async_context(Client(port))
             assert await other.ask(message("b")) == await usual.ask(message("c")) == 202
             assert len(host.ingress.connections) == 4
+
     run(work())
 
 
@@ -242,6 +271,7 @@
                 assert await ended(kept)
                 half.writer.write(GOOD[60:])
                 assert await half.status() == 202
+
     run(work())
 
 
@@ -259,6 +289,7 @@
             assert connection.transport is not None and not connection.transport.is_reading()
             assert await client.ask(bad) == 400 and await client.ask(GOOD) == 202
             assert connection.transport.is_reading()
+
     run(work())
 
 
@@ -277,4 +308,5 @@
             world.server.hold.set()
             await until(lambda: host.journal.entries["m"].end == "delivered")
         assert [seen.body for seen in world.server.seen] == [b"hello"]
+
     run(work())
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -23,10 +23,20 @@
 
 def crowded(worths: tuple[float, float] = (1.0, 1.0)) -> Driver:
     """Destination 1 takes nothing (its calls stay out), 2 is well; the hold is as full as it gets."""
-    classes = tuple(api.MessageClass(str(n), api.Effect.SAFE, 1000.0, 1e4, worth, 0.5, 3000.0)
-                    for n, worth in enumerate(worths))
-    d = Driver(make_settings(classes=classes, hold=HOLD, relays=1, longest_advice_ms=3000.0, tenants=TENANTS,
-                             over_share_worth=0.1))
+    classes = tuple(
+        api.MessageClass(str(n), api.Effect.SAFE, 1000.0, 1e4, worth, 0.5, 3000.0)
+        for n, worth in enumerate(worths)
+    )
+    d = Driver(
+        make_settings(
+            classes=classes,
+            hold=HOLD,
+            relays=1,
+            longest_advice_ms=3000.0,
+            tenants=TENANTS,
+            over_share_worth=0.1,
+        )
+    )
     d.listed((1, 1), rate=1.0)
     d.listed((1, 1), (2, 2), rate=1.0)
     d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(2, 2, api.Listing.READY, rate=1000.0),)))
@@ -78,9 +88,14 @@
         entry = api.Endpoint(1, 1, api.Listing.READY, rate=1.0)
         relay.handle(0.0, [api.EndpointList(api.ListKind.WHOLE, (entry,))])
         events: list[api.Event] = []
-        desk = Messages(settings, journal, lambda: 0.0, events.append,
-                        lambda origin, end: pytest.fail("an end is owed"),
-                        lambda message, held: relay.turned_away(0.0, message, held))
+        desk = Messages(
+            settings,
+            journal,
+            lambda: 0.0,
+            events.append,
+            lambda origin, end: pytest.fail("an end is owed"),
+            lambda message, held: relay.turned_away(0.0, message, held),
+        )
         desk.know({1})
         name = settings.classes[SAFE].name
         offers = [Offer(f"m{n}", name, "", 1, None, 10_000, "", b"", "http") for n in range(MOST + 1)]
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -16,8 +16,14 @@
 from .loopback import OK, Server, answer, run, until
 
 
-def call(address: tuple[str, int], seconds: float = 20.0, may: Callable[[], bool] = lambda: True,
-         body: bytes = b"b", endpoint: int = 1, careful: bool = False) -> Attempt:
+def call(
+    address: tuple[str, int],
+    seconds: float = 20.0,
+    may: Callable[[], bool] = lambda: True,
+    body: bytes = b"b",
+    endpoint: int = 1,
+    careful: bool = False,
+) -> Attempt:
     until = asyncio.get_running_loop().time() + seconds
     return Attempt(endpoint, address, "id", "key", body, until, may, careful)
 
@@ -26,24 +32,27 @@
     return Calls(idle_ms, connect_ms, most)
 
 
-@pytest.mark.parametrize(("reply", "expected"), [
-    (OK, Result(Outcome.OK, over=True)),
-    (answer(500), Result(Outcome.ERROR)),
-    (answer(429, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
-    (answer(429), Result(Outcome.FULL)),
-    (answer(429, "X-RateLimit-Wait-Ms: nan"), Result(Outcome.FULL)),
-    (answer(429, "X-RateLimit-Wait-Ms: 7200000.5"), Result(Outcome.FULL, wait_ms=7200000.5)),
-    (answer(503), Result(Outcome.FULL)),
-    (answer(503, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
-    (answer(503, "X-Over-Slots: 1"), Result(Outcome.NOT_SENT, no_slot=True)),
-    (answer(504), Result(Outcome.NOT_SENT)),
-    (answer(410), Result(Outcome.NOT_SENT, over=True)),
-    (answer(400), Result(Outcome.ERROR)),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
-    (b"rubbish\r\n\r\n", Result(Outcome.RESET)),
-    ("reset", Result(Outcome.RESET)),
-    ("close", Result(Outcome.RESET)),
-])
+@pytest.mark.parametrize(
+    ("reply", "expected"),
+    [
+        (OK, Result(Outcome.OK, over=True)),
+        (answer(500), Result(Outcome.ERROR)),
+        (answer(429, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
+        (answer(429), Result(Outcome.FULL)),
+        (answer(429, "X-RateLimit-Wait-Ms: nan"), Result(Outcome.FULL)),
+        (answer(429, "X-RateLimit-Wait-Ms: 7200000.5"), Result(Outcome.FULL, wait_ms=7200000.5)),
+        (answer(503), Result(Outcome.FULL)),
+        (answer(503, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
+        (answer(503, "X-Over-Slots: 1"), Result(Outcome.NOT_SENT, no_slot=True)),
+        (answer(504), Result(Outcome.NOT_SENT)),
+        (answer(410), Result(Outcome.NOT_SENT, over=True)),
+        (answer(400), Result(Outcome.ERROR)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
+        (b"rubbish\r\n\r\n", Result(Outcome.RESET)),
+        ("reset", Result(Outcome.RESET)),
+        ("close", Result(Outcome.RESET)),
+    ],
+)
 def test_an_answer_or_an_end_after_the_last_byte(reply: bytes | str, expected: Result) -> None:
     async def work() -> None:
         server = await Server().start()
@@ -52,6 +61,7 @@
         assert server.seen[0].headers["x-trace-id"] == "id"
         assert server.seen[0].headers["idempotency-key"] == "key" and server.seen[0].body == b"b"
         assert 0 < int(server.seen[0].headers["x-expires-in-ms"]) <= 20000
+
     run(work())
 
 
@@ -59,30 +69,33 @@
 FULL = b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: 350\r\n"
 
 
-@pytest.mark.parametrize(("reply", "expected"), [
-    # The first line tells the truth, whatever comes after it.
-    (HEAD + b"Content-Length: x\r\n\r\n", Result(Outcome.OK, over=True)),
-    (HEAD + b"Content-Length: -1\r\n\r\n", Result(Outcome.OK, over=True)),
-    (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", Result(Outcome.OK, over=True)),
-    (HEAD + b"Content-Length: 9\r\n\r\nx", Result(Outcome.OK, over=True)),
-    (HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.OK, over=True)),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000, Result(Outcome.OK, over=True)),
-    (HEAD + b"\x00\xff: \x01\r\n\r\n", Result(Outcome.OK, over=True)),
-    (HEAD + b"X-A: " + b"a" * 40000, Result(Outcome.OK, over=True)),
-    (HEAD + b"X-A: it goes on, but not now", Result(Outcome.OK, over=True)),
-    (b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" * 3 + HEAD + b"\xff\r\n\r\n", Result(Outcome.OK, over=True)),
-    (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
-    # Without that, it is a call that may have run: noise never proves a refusal.
-    (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", Result(Outcome.RESET)),
-    (b"HTTP/1.1 2000 X\r\n\r\n", Result(Outcome.RESET)),
-    (b"X-A: HTTP/1.1 200 X\r\n" * 3000, Result(Outcome.RESET)),
-    (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", Result(Outcome.RESET)),
-    (b"HTTP/1.1 100 X\r\n\r\n" * 3000 + OK, Result(Outcome.RESET)),
-    (b"HTTP/1.1 503 X\r\nContent-Length: x\r\n\r\n", Result(Outcome.RESET)),
-    (b"HTTP/1.1 503 X\r\n" + b"X-A: " + b"a" * 40000, Result(Outcome.RESET)),
-    (FULL + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.RESET, wait_ms=350.0)),
-    (FULL + b"Content-Length: 9\r\n\r\nx", Result(Outcome.TIMEOUT, wait_ms=350.0)),
-])
+@pytest.mark.parametrize(
+    ("reply", "expected"),
+    [
+        # The first line tells the truth, whatever comes after it.
+        (HEAD + b"Content-Length: x\r\n\r\n", Result(Outcome.OK, over=True)),
+        (HEAD + b"Content-Length: -1\r\n\r\n", Result(Outcome.OK, over=True)),
+        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", Result(Outcome.OK, over=True)),
+        (HEAD + b"Content-Length: 9\r\n\r\nx", Result(Outcome.OK, over=True)),
+        (HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.OK, over=True)),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000, Result(Outcome.OK, over=True)),
+        (HEAD + b"\x00\xff: \x01\r\n\r\n", Result(Outcome.OK, over=True)),
+        (HEAD + b"X-A: " + b"a" * 40000, Result(Outcome.OK, over=True)),
+        (HEAD + b"X-A: it goes on, but not now", Result(Outcome.OK, over=True)),
+        (b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" * 3 + HEAD + b"\xff\r\n\r\n", Result(Outcome.OK, over=True)),
+        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
+        # Without that, it is a call that may have run: noise never proves a refusal.
+        (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", Result(Outcome.RESET)),
+        (b"HTTP/1.1 2000 X\r\n\r\n", Result(Outcome.RESET)),
+        (b"X-A: HTTP/1.1 200 X\r\n" * 3000, Result(Outcome.RESET)),
+        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", Result(Outcome.RESET)),
+        (b"HTTP/1.1 100 X\r\n\r\n" * 3000 + OK, Result(Outcome.RESET)),
+        (b"HTTP/1.1 503 X\r\nContent-Length: x\r\n\r\n", Result(Outcome.RESET)),
+        (b"HTTP/1.1 503 X\r\n" + b"X-A: " + b"a" * 40000, Result(Outcome.RESET)),
+        (FULL + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.RESET, wait_ms=350.0)),
+        (FULL + b"Content-Length: 9\r\n\r\nx", Result(Outcome.TIMEOUT, wait_ms=350.0)),
+    ],
+)
 def test_a_spoilt_answer(monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: Result) -> None:
     """The endpoint leaves the connection open; nothing more is ever sent on it."""
     monkeypatch.setattr(egress_module, "BODY_S", 0.1)
@@ -94,11 +107,13 @@
         assert await calls.attempt(call(server.address)) == Result(Outcome.OK, over=True)
         assert [seen.connection for seen in server.seen] == [1, 2]
         await until(lambda: server.readers[0].at_eof() or server.readers[0].exception() is not None)
+
     run(work())
 
 
 def test_a_second_answer_that_lies_unread_is_not_the_next_calls() -> None:
     """Guards against a delivery that never was: the copy came after the pool had the connection back."""
+
     async def work() -> None:
         server, calls = await Server().start(), egress()
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
@@ -108,6 +123,7 @@
         assert not link.quiet and link.usable
         assert (await calls.attempt(call(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
+
     run(work())
 
 
@@ -152,6 +168,7 @@
         got = await calls.attempt(call(address, careful=True, may=may))
         assert got == Result(Outcome.OK, over=True)
         assert server.whole == server.opened == 2 and len(asked) == 3
+
     run(work())
 
 
@@ -166,22 +183,26 @@
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
         got = await egress().attempt(call(server.sockets[0].getsockname(), careful=True))
         assert got.outcome is Outcome.CONNECT_FAILED
+
     run(work())
 
 
 def test_what_changed_while_the_last_byte_was_held_back_stops_the_call() -> None:
     """Guards told waits and key windows, which count from the last byte."""
+
     async def work() -> None:
         server, calls, may = await Server().start(), egress(), iter([True, False])
         assert await calls.attempt(call(server.address, careful=True, may=lambda: next(may))) == Result(
-            Outcome.NOT_SENT, held_back=True)
+            Outcome.NOT_SENT, held_back=True
+        )
         await until(server.left)
         assert server.opened == 1 and not server.seen and not calls.idle
+
     run(work())
 
 
 def test_while_connections_break_every_call_on_a_kept_one_holds_its_last_byte(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(egress_module, "HOLD_S", 1.0)
 
@@ -193,11 +214,13 @@
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
         assert server.whole == server.opened == 3
+
     run(work())
 
 
 def test_an_endpoint_at_the_address_of_another_gets_connections_of_its_own() -> None:
     """Guards against a call on its predecessor's connection, also one whose answer was still coming."""
+
     async def work() -> None:
         server, calls = await Server().start(), egress()
         server.script += [OK, b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na"]
@@ -205,9 +228,11 @@
         assert (await calls.attempt(call(server.address, endpoint=2))).outcome is Outcome.OK
         calls.keep_only({(2, server.address)})
         server.writers[1].write(b"a")
-        await until(lambda: all(reader.at_eof() or reader.exception() is not None
-                                for reader in server.readers[:2]))
+        await until(
+            lambda: all(reader.at_eof() or reader.exception() is not None for reader in server.readers[:2])
+        )
         assert server.opened == 3 and set(calls.idle) == {(2, server.address)}
+
     run(work())
 
 
@@ -217,6 +242,7 @@
         calls = egress()
         assert (await calls.attempt(call(server.address, 0.2))).outcome is Outcome.TIMEOUT
         assert not calls.idle
+
     run(work())
 
 
@@ -226,6 +252,7 @@
             closed.bind(("127.0.0.1", 0))
             got = await egress().attempt(call(closed.getsockname()))
         assert got.outcome is Outcome.CONNECT_FAILED
+
     run(work())
 
 
@@ -243,6 +270,7 @@
             for sock in fill:
                 sock.close()
         assert got.outcome is Outcome.CONNECT_FAILED
+
     run(work())
 
 
@@ -256,6 +284,7 @@
         big = b"x" * (64 << 20)  # more than the sockets between can hold
         got = await egress().attempt(call(server.sockets[0].getsockname(), body=big))
         assert got.outcome is Outcome.CONNECT_FAILED
+
     run(work())
 
 
@@ -268,17 +297,20 @@
         big = b"x" * (64 << 20)
         got = await egress().attempt(call(server.sockets[0].getsockname(), 0.3, body=big))
         assert got.outcome is Outcome.CONNECT_FAILED
+
     run(work())
 
 
 def test_what_changed_while_connecting_stops_the_call_before_its_first_byte() -> None:
     """Guards drains, told waits and deadlines: a connect takes time. The connection is kept for the next."""
+
     async def work() -> None:
         server, calls = await Server().start(), egress()
         got = await calls.attempt(call(server.address, may=lambda: False))
         assert got == Result(Outcome.NOT_SENT, held_back=True)
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
+
     run(work())
 
 
@@ -288,6 +320,7 @@
         for _ in range(5):
             assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert server.opened == 1
+
     run(work())
 
 
@@ -297,11 +330,13 @@
         got = await asyncio.gather(*(calls.attempt(call(server.address)) for _ in range(5)))
         assert {each.outcome for each in got} == {Outcome.OK}
         assert server.opened == 5 and len(calls.idle[1, server.address]) == 2
+
     run(work())
 
 
 def test_a_pooled_connection_that_was_closed_is_not_used() -> None:
     """Guards against resets for nothing: a request on it would count as sent, and may have run."""
+
     async def work() -> None:
         opened: list[asyncio.StreamWriter] = []
 
@@ -318,6 +353,7 @@
         await until(lambda: not link.usable)
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
         assert len(opened) == 2
+
     run(work())
 
 
@@ -327,6 +363,7 @@
         server.script.append(answer(200, "Connection: close"))
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert not calls.idle.get((1, server.address))
+
     run(work())
 
 
@@ -340,6 +377,7 @@
         assert not calls.idle and not link.usable
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert server.opened == 2
+
     run(work())
 
 
@@ -351,6 +389,7 @@
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert (await calls.attempt(call(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
+
     run(work())
 
 
@@ -360,6 +399,7 @@
         server.script.append(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na")
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert not calls.idle  # the outcome is known; the connection is not free before the body is whole
+
     run(work())
 
 
@@ -371,4 +411,5 @@
         (link,) = calls.idle[1, left.address]
         calls.keep_only({(1, kept.address)})
         assert set(calls.idle) == {(1, kept.address)} and not link.usable
+
     run(work())
