--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -48,24 +48,34 @@
             assert (seen.headers["x-trace-id"], seen.headers["idempotency-key"]) == ("m1", "k-m1")
             await until(lambda: host.journal.entries["m1"].end == "delivered")
             assert not host.held and agent.notices.empty()
+
     run(work())
 
 
-@pytest.mark.parametrize(("request_", "status", "says"), [
-    (message("m", "safe", X_Qos="unsafe"), 400, "class"),
-    (message("m", "other"), 400, "class"),
-    (message("m", X_Customer="nobody"), 400, "X-Customer"),
-    (message("m", X_Addressing="dest=8"), 400, "destination 8"),
-    (message("m", X_Addressing="dest=-1"), 400, "dest=NUMBER"),
-    (message("m", X_Expires_In_Ms="soon"), 400, "X-Expires-In-Ms"),
-    (message("m", "keyed", Idempotency_Key=""), 400, "Idempotency-Key"),
-    (message("", ), 400, "X-Trace-Id"),
-    (message("m" * 201), 400, "X-Trace-Id"),
-    (message("m", body=b"x" * 65537), 413, "65536"),
-    (b"GET /safe HTTP/1.1\r\nHost: x\r\n\r\n", 405, "POST"),
-    (b"nonsense\r\n\r\n", 400, ""),
-    (b"GET / HTTP/1.1\r\nHost: x\r\nX-A: " + b"a" * 40000, 431, ""),
-])
+@pytest.mark.parametrize(
+    ("request_", "status", "says"),
+    [
+        (message("m", "safe", X_Qos="unsafe"), 400, "class"),
+        (message("m", "other"), 400, "class"),
+        (message("m", X_Customer="nobody"), 400, "X-Customer"),
+        (message("m", X_Addressing="dest=8"), 400, "destination 8"),
+        (message("m", X_Addressing="dest=-1"), 400, "dest=NUMBER"),
+        (message("m", X_Expires_In_Ms="soon"), 400, "X-Expires-In-Ms"),
+        (message("m", "keyed", Idempotency_Key=""), 400, "Idempotency-Key"),
+        (
+            message(
+                "",
+            ),
+            400,
+            "X-Trace-Id",
+        ),
+        (message("m" * 201), 400, "X-Trace-Id"),
+        (message("m", body=b"x" * 65537), 413, "65536"),
+        (b"GET /safe HTTP/1.1\r\nHost: x\r\n\r\n", 405, "POST"),
+        (b"nonsense\r\n\r\n", 400, ""),
+        (b"GET / HTTP/1.1\r\nHost: x\r\nX-A: " + b"a" * 40000, 431, ""),
+    ],
+)
 def test_what_cannot_be_taken_is_answered_with_its_reason(
     state: Path, request_: bytes, status: int, says: str
 ) -> None:
@@ -75,6 +85,7 @@
             assert await client.ask(request_) == status and says in client.text
             assert not host.held and not host.journal.entries
         assert not server.seen
+
     run(work())
 
 
@@ -88,6 +99,7 @@
             assert await client.ask(message("n")) == 202
             await until(lambda: host.journal.entries["n"].end == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["m", "n"]
+
     run(work())
 
 
@@ -107,6 +119,7 @@
             assert await client.ask(message("a", body=b"x" * 60000)) == 202
             assert await client.ask(message("b", body=b"x" * 60000)) == 503
             assert "b" not in host.journal.entries and await client.ask(message("c")) == 202
+
     run(work())
 
 
@@ -116,6 +129,7 @@
     async def work() -> None:
         agent, server = await pair()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
+
             def no_space(*_: object) -> int:
                 raise OSError(errno.ENOSPC, "no space")
 
@@ -125,11 +139,13 @@
             assert not host.held and await client.ask(message("n")) == 202
             await until(lambda: host.journal.entries["n"].end == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["n"]
+
     run(work())
 
 
 def test_a_client_that_hangs_up_unanswered_leaves_no_message(state: Path) -> None:
     """Guards against second copies: it hands the message in again, under another id."""
+
     async def work() -> None:
         agent, server = await pair()
         async with relay(state, agent, server) as host:
@@ -142,6 +158,7 @@
             await until(lambda: not host.ingress.connections)
             assert list(host.journal.entries) == ["here"]
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["here"]
+
     run(work())
 
 
@@ -155,6 +172,7 @@
                 half.setblocking(False)
                 reply = await asyncio.get_running_loop().sock_recv(half, 1000)
             assert reply.startswith(b"HTTP/1.1 503 ")
+
     run(work())
 
 
@@ -170,6 +188,7 @@
             client.writer.transport.abort()
             await until(lambda: not host.ingress.connections)
             assert not host.held and "m" not in host.journal.entries
+
     run(work())
 
 
@@ -183,6 +202,7 @@
             await until(lambda: host.journal.entries["a"].out is None)
             assert await client.ask(message("b")) == 202
             assert min((await server.came.get()).at, (await server.came.get()).at) >= told + 0.4
+
     run(work())
 
 
@@ -204,6 +224,7 @@
             await until(lambda: host.register.version == 3)
             assert len(host.directory.by_name) == 1
         assert len(old.seen) == 1
+
     run(work())
 
 
@@ -229,6 +250,7 @@
                 agent.tell(listing(server, generation=4))
                 await asyncio.sleep(0.02)
             assert len(host.directory.by_name) == 1
+
     run(work())
 
 
@@ -238,8 +260,13 @@
         async with relay(state, agent, server) as host:
             (name,) = host.directory.by_name
             other = {**listing(server)["instances"][0], "instanceId": "s-other"}
-            mangled = [None, {}, {**other, "instanceId": "s-x", "cell": "?"}, {**other, "hostPort": 7},
-                       {"instanceId": name, "lifecycle": "ready"}]
+            mangled = [
+                None,
+                {},
+                {**other, "instanceId": "s-x", "cell": "?"},
+                {**other, "hostPort": 7},
+                {"instanceId": name, "lifecycle": "ready"},
+            ]
             raw = {"generation": 2, "reset": True, "instances": [*mangled, other]}
             host.tell(raw)
             assert set(host.directory.by_name) == {name, "s-other"} and host.register.version == 2
@@ -247,6 +274,7 @@
             last = {"instanceId": name, "lifecycle": "gone"}  # all that is needed to go
             host.tell({"generation": 3, "reset": False, "instances": [last]})
             assert set(host.directory.by_name) == {"s-other"}
+
     run(work())
 
 
@@ -273,14 +301,25 @@
             host.messages.know({39})
             directory, ingress, relay_ = host.directory, host.ingress, host.relay
             sizes: dict[str, Sized] = {
-                "held": host.held, "numbers": host.numbers, "entries": host.journal.entries,
-                "sizes": host.journal.book.sizes, "home": host.journal.home,
-                "dying": host.journal.dying, "silent": ingress.silent, "resting": ingress.resting,
+                "held": host.held,
+                "numbers": host.numbers,
+                "entries": host.journal.entries,
+                "sizes": host.journal.book.sizes,
+                "home": host.journal.home,
+                "dying": host.journal.dying,
+                "silent": ingress.silent,
+                "resting": ingress.resting,
                 "visiting": ingress.visiting,
-                "lingering": ingress.lingering, "queues": relay_.board.queues, "due": relay_.board.due,
-                "unsure": relay_.board.unsure, "lines": relay_.board.lines, "rest": relay_.board.key_rest,
+                "lingering": ingress.lingering,
+                "queues": relay_.board.queues,
+                "due": relay_.board.due,
+                "unsure": relay_.board.unsure,
+                "lines": relay_.board.lines,
+                "rest": relay_.board.key_rest,
                 "ending": host.egress.ending,
-                "notices": host.notices.waiting, "events": host.events}
+                "notices": host.notices.waiting,
+                "events": host.events,
+            }
             assert {name: len(what) for name, what in sizes.items() if len(what)} == {}
             assert len(directory.by_name) == len(directory.by_number) == len(host.egress.idle) == 1
             assert list(host.dests) == [39] and len(relay_.doors) == 1
@@ -288,6 +327,7 @@
             relay_.handle(host.now() + 61_000.0, [api.EndpointList(api.ListKind.CHANGES)])
             assert len(relay_.lanes) == 1
             assert len(host.tasks.running) == len(host.front.tasks.running) == 2  # each watches and sweeps
+
     run(work())
 
 
@@ -301,6 +341,7 @@
             assert await agent.notices.get() == {"id": "m", "state": "failed"}
             await until(lambda: host.journal.entries["m"].told)
         assert len(server.seen) == 1
+
     run(work())
 
 
@@ -318,6 +359,7 @@
         task.cancel()
         assert sorted(told) == ["m0", "m1", "m2"]
         assert agent.seen[0].body.splitlines()[0] == b'{"id": "m0", "state": "returned", "after_ms": 250}'
+
     run(work())
 
 
@@ -334,6 +376,7 @@
             async with Client(host.ingress.port) as other:
                 assert await other.ask(message("n")) == 202
                 await until(lambda: host.journal.entries["n"].end == "delivered")
+
     run(work())
 
 
@@ -342,8 +385,9 @@
 
 def entry(class_: str, age_ms: float = 1000.0, left_ms: float = 8000.0) -> Entry:
     now = unix_ms()
-    return Entry("m", class_, "t", 7, "k-m" if class_ == "keyed" else None, now - age_ms, now + left_ms, "",
-                 b"kept")
+    return Entry(
+        "m", class_, "t", 7, "k-m" if class_ == "keyed" else None, now - age_ms, now + left_ms, "", b"kept"
+    )
 
 
 STEPS: list[tuple[str, str, dict[str, float], str]] = [
@@ -393,6 +437,7 @@
                 await until(lambda: host.journal.entries["m"].told)
             assert not host.held and bool(server.seen) == (end == "delivered")
             assert agent.notices.empty()
+
     run(work())
 
 
@@ -420,6 +465,7 @@
             await stopping
         after = Journal(state, 3_000_000).entries
         assert after["m"].end == after["late"].end == "delivered"
+
     run(work())
 
 
@@ -435,4 +481,5 @@
             await host.stop()
         (left,) = Journal(state, 3_000_000).entries.values()
         assert left.end == "" and left.tries == 1 and left.risk is not None and left.body == b"hello"
+
     run(work())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -30,10 +30,15 @@
     assert red.named(lines, COLLECTED) == ["tests/a.py::test_x", "tests/a.py::test_y"]
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("tests/a.py::test_z, gone, 34", "names no test"), ("tests/a.py::test_x", "test, cause, issue"),
-    ("tests/a.py::test_x, , 34", "test, cause, issue"), ("tests/a.py::test_y, why, 1\n" * 4, "3 at most"),
-])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("tests/a.py::test_z, gone, 34", "names no test"),
+        ("tests/a.py::test_x", "test, cause, issue"),
+        ("tests/a.py::test_x, , 34", "test, cause, issue"),
+        ("tests/a.py::test_y, why, 1\n" * 4, "3 at most"),
+    ],
+)
 def test_it_fails_where_it_grows_or_outlives_its_tests(text: str, says: str) -> None:
     red = script()
     with pytest.raises(ValueError, match=says):
@@ -41,6 +46,7 @@
 
 
 def test_without_a_list_every_test_is_run(tmp_path: Path) -> None:
-    done = subprocess.run([sys.executable, str(SCRIPT)], cwd=tmp_path, capture_output=True, text=True,
-                          check=True)
+    done = subprocess.run(
+        [sys.executable, str(SCRIPT)], cwd=tmp_path, capture_output=True, text=True, check=True
+    )
     assert done.stdout.strip() == "" and done.stderr == ""
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -69,11 +69,13 @@
     def end(self, ident: int, outcome: api.Outcome = api.Outcome.OK, wait: float = 0.0) -> int:
         send = self.out.pop(ident)
         tries = len(self.watch.seen[ident].attempts)
-        return self.feed(api.AttemptEnded(ident, tries - 1, send.endpoint, outcome, 50.0,
-                                          outcome is api.Outcome.OK, wait))
+        return self.feed(
+            api.AttemptEnded(ident, tries - 1, send.endpoint, outcome, 50.0, outcome is api.Outcome.OK, wait)
+        )
 
-    def listed(self, *entries: tuple[int, int], rate: float = 50.0,
-               listing: api.Listing = api.Listing.READY) -> None:
+    def listed(
+        self, *entries: tuple[int, int], rate: float = 50.0, listing: api.Listing = api.Listing.READY
+    ) -> None:
         kind = api.ListKind.CHANGES
         self.feed(api.EndpointList(kind, tuple(api.Endpoint(e, d, listing, rate=rate) for e, d in entries)))
 
@@ -163,12 +165,15 @@
 
 def test_one_whose_worth_halves_is_overtaken_by_a_younger_one_of_another_class() -> None:
     """Worth 4 and an aim of 1.5 s against worth 2 and 4 s: the first leads, until it has lost enough."""
-    classes = (api.MessageClass("status", api.Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
-               api.MessageClass("order", api.Effect.SAFE, 4000.0, 20_000.0, 2.0, 0.5))
+    classes = (
+        api.MessageClass("status", api.Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
+        api.MessageClass("order", api.Effect.SAFE, 4000.0, 20_000.0, 2.0, 0.5),
+    )
     for age, leads in ((0.0, 0), (1500.0, 0), (4200.0, 1), (8000.0, 1)):
         relay = watched(make_settings(classes=classes, slots=1, decay=api.Decay.HALVES))
-        relay.handle(0.0, [api.EndpointList(api.ListKind.CACHED, (
-            api.Endpoint(11, 1, api.Listing.READY, rate=50.0),))])
+        relay.handle(
+            0.0, [api.EndpointList(api.ListKind.CACHED, (api.Endpoint(11, 1, api.Listing.READY, rate=50.0),))]
+        )
         (send,) = [a for a in relay.handle(0.0, [api.Message(1, 1, 0, 20_000.0)]) if isinstance(a, api.Send)]
         relay.handle(1.0, [api.Message(2, 1, 0, 20_000.0)])
         relay.handle(1.0 + age, [api.Message(3, 1, 1, 20_000.0)])
@@ -180,16 +185,29 @@
     """Nothing would be left of it a second later, so it is worth twice as much to send: nobody tells the
     index, since nothing has happened at its destination."""
     classes = (api.MessageClass("c", api.Effect.SAFE, 1000.0, 8000.0, 1.0, 0.1),)
-    relay = watched(make_settings(
-        classes=classes, slots=1, decay=api.Decay.HALVES, over_share_worth=0.14,
-        tenants=(api.Tenant("rich", 1e6), api.Tenant("over its share", 1e-6))))
+    relay = watched(
+        make_settings(
+            classes=classes,
+            slots=1,
+            decay=api.Decay.HALVES,
+            over_share_worth=0.14,
+            tenants=(api.Tenant("rich", 1e6), api.Tenant("over its share", 1e-6)),
+        )
+    )
 
     def ended(ident: int, now: float) -> list[int]:
         acts = relay.handle(now, [api.AttemptEnded(ident, 0, 12, api.Outcome.OK, 500.0, True)])
         return [act.id for act in acts if isinstance(act, api.Send)]
 
-    relay.handle(0.0, [api.EndpointList(api.ListKind.CACHED, tuple(
-        api.Endpoint(10 + dest, dest, api.Listing.READY, rate=50.0) for dest in (1, 2)))])
+    relay.handle(
+        0.0,
+        [
+            api.EndpointList(
+                api.ListKind.CACHED,
+                tuple(api.Endpoint(10 + dest, dest, api.Listing.READY, rate=50.0) for dest in (1, 2)),
+            )
+        ],
+    )
     relay.shares[1] = 0.0, 0.0  # the second one has used up what it could save
     relay.handle(0.0, [api.Message(100, 2, 0, 8000.0)])  # takes the slot
     relay.handle(0.0, [api.Message(99, 3, 0, 8000.0)])  # or a queue left alone would be looked at for that
@@ -294,8 +312,10 @@
         ids += 100
         while sends := [act for act in acts if isinstance(act, api.Send)]:
             now += 5.0
-            acts = relay.handle(now, [api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.OK, 20.0, True)
-                                      for send in sends])
+            acts = relay.handle(
+                now,
+                [api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.OK, 20.0, True) for send in sends],
+            )
         gone = tuple(api.Endpoint(e.id, e.destination, api.Listing.GONE) for e in entries)
         relay.handle(now, [api.EndpointList(api.ListKind.CHANGES, gone)])
         now += 1000.0
@@ -306,10 +326,22 @@
     relay.handle(now + 9000.0, [api.TimerFired(0)])
     board, index = relay.board, relay.index
     left: dict[str, Sized] = {
-        "lanes": relay.lanes, "doors": relay.doors, "held": board.held, "queues": board.queues,
-        "due": board.due, "unsure": board.unsure, "lines": board.lines, "fading": relay.members.fading}
+        "lanes": relay.lanes,
+        "doors": relay.doors,
+        "held": board.held,
+        "queues": board.queues,
+        "due": board.due,
+        "unsure": board.unsure,
+        "lines": board.lines,
+        "fading": relay.members.fading,
+    }
     assert {name: len(what) for name, what in left.items() if what} == {}
     small: dict[str, Sized] = {
-        "ends": relay.endings.ends, "poor": relay.endings.poor, "looks": board.looks, "ripe": board.ripe,
-        "cells": index.cells, "tops": index.tops}
+        "ends": relay.endings.ends,
+        "poor": relay.endings.poor,
+        "looks": board.looks,
+        "ripe": board.ripe,
+        "cells": index.cells,
+        "tops": index.tops,
+    }
     assert {name: len(what) for name, what in small.items() if len(what) > 80} == {}
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -94,11 +94,20 @@
     assert d.relay.learned(d.now) == [] and not list(tmp_path.iterdir())
 
 
-@pytest.mark.parametrize("text", [
-    "", "{", "[]", '{"version":2,"at":0,"lanes":[]}', '{"version":1,"at":"x","lanes":[]}',
-    '{"version":1,"at":0,"lanes":[{}]}', '{"version":1,"at":0,"lanes":[7]}',
-    '{"version":1,"at":9e11,"lanes":[{"destination":1,"wait_ms":1,"out":true,"bad_ms":-1e15,"cold_ms":null}]}',
-    '{"version":1,"at":9e11,"lanes":[{"destination":1,"wait_ms":1e999,"out":true,"bad_ms":0,"cold_ms":0}]}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        "[]",
+        '{"version":2,"at":0,"lanes":[]}',
+        '{"version":1,"at":"x","lanes":[]}',
+        '{"version":1,"at":0,"lanes":[{}]}',
+        '{"version":1,"at":0,"lanes":[7]}',
+        '{"version":1,"at":9e11,"lanes":[{"destination":1,"wait_ms":1,"out":true,"bad_ms":-1e15,"cold_ms":null}]}',
+        '{"version":1,"at":9e11,"lanes":[{"destination":1,"wait_ms":1e999,"out":true,"bad_ms":0,"cold_ms":0}]}',
+    ],
+)
 def test_a_file_that_makes_no_sense_is_passed_over(
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -24,15 +24,30 @@
     def cls(effect: api.Effect, scope: api.Scope, ordered: bool) -> api.MessageClass:
         return api.MessageClass("c", effect, 400.0, 4000.0, 1.0, 0.5, 1200.0, scope, ordered)
 
-    classes = draw(st.lists(
-        st.builds(cls, st.sampled_from(api.Effect), st.sampled_from([api.Scope.ALL, api.Scope.ZONE]),
-                  st.booleans()), min_size=1, max_size=3))
+    classes = draw(
+        st.lists(
+            st.builds(
+                cls,
+                st.sampled_from(api.Effect),
+                st.sampled_from([api.Scope.ALL, api.Scope.ZONE]),
+                st.booleans(),
+            ),
+            min_size=1,
+            max_size=3,
+        )
+    )
     return make_settings(
-        classes=tuple(classes), kinds=(api.DestinationKind("k", routes_apart=draw(st.booleans())),),
-        slots=draw(st.integers(1, 6)), hold=draw(st.integers(5, 30)), attempts=draw(st.integers(1, 5)),
-        ask_for_list=draw(st.booleans()), rates=draw(st.sampled_from(api.Rates)),
-        decay=draw(st.sampled_from(api.Decay)), marks_repeats=draw(st.booleans()),
-        tenants=tuple(api.Tenant(name, 2.0) for name in "ab"), over_share_worth=0.1,
+        classes=tuple(classes),
+        kinds=(api.DestinationKind("k", routes_apart=draw(st.booleans())),),
+        slots=draw(st.integers(1, 6)),
+        hold=draw(st.integers(5, 30)),
+        attempts=draw(st.integers(1, 5)),
+        ask_for_list=draw(st.booleans()),
+        rates=draw(st.sampled_from(api.Rates)),
+        decay=draw(st.sampled_from(api.Decay)),
+        marks_repeats=draw(st.booleans()),
+        tenants=tuple(api.Tenant(name, 2.0) for name in "ab"),
+        over_share_worth=0.1,
     )
 
 
@@ -79,15 +94,27 @@
             dest, age = rng.randint(1, dests + 1), rng.choice([None] * 9 + [700.0])
             there = [entry for entry in listed if entry.destination == dest]
             risk = rng.choice(there) if age is not None and there and rng.random() < 0.6 else None
-            events.append(api.Message(
-                ids, dest, rng.randrange(len(setup.classes)), left, rng.randrange(2), rng.choice([0, 7, 8]),
-                again=rng.random() < 0.2, age_ms=age, tries=0 if age is None else rng.randint(0, 2),
-                risk_age_ms=None if risk is None else rng.choice([50.0, 600.0]), risk=risk))
+            events.append(
+                api.Message(
+                    ids,
+                    dest,
+                    rng.randrange(len(setup.classes)),
+                    left,
+                    rng.randrange(2),
+                    rng.choice([0, 7, 8]),
+                    again=rng.random() < 0.2,
+                    age_ms=age,
+                    tries=0 if age is None else rng.randint(0, 2),
+                    risk_age_ms=None if risk is None else rng.choice([50.0, 600.0]),
+                    risk=risk,
+                )
+            )
         if rng.random() < 0.02:  # an endpoint is replaced by another, under another id
             n = rng.randrange(len(listed))
             old, listed[n] = listed[n], replace(listed[n], id=listed[n].id + 1000)
-            events.append(api.EndpointList(api.ListKind.CHANGES, (
-                replace(old, listing=api.Listing.GONE), listed[n])))
+            events.append(
+                api.EndpointList(api.ListKind.CHANGES, (replace(old, listing=api.Listing.GONE), listed[n]))
+            )
         if rng.random() < 0.03:
             kind = rng.choice(list(api.ListKind))
             part = rng.sample(listed, len(listed) - 1)
@@ -117,8 +144,13 @@
         api.MessageClass("o", api.Effect.SAFE, 400.0, 4000.0, in_order=True),
     )
     watch = Checker(make_settings(classes=classes, **more))
-    watch.event(0.0, api.EndpointList(api.ListKind.CACHED, tuple(
-        api.Endpoint(e, 1, api.Listing.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1)))))
+    watch.event(
+        0.0,
+        api.EndpointList(
+            api.ListKind.CACHED,
+            tuple(api.Endpoint(e, 1, api.Listing.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1))),
+        ),
+    )
     for ident, class_ in enumerate([0, 1, 2, 2]):
         watch.event(0.0, api.Message(ident, 1, class_, 4000.0, 0, 7))
     return watch
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -16,8 +16,22 @@
 
 from .conftest import Driver, make_settings
 
-NAMES = ("traduceri", "comanda", "plata", "stare-lucrare", "firma-mare", "birou-mic", "dir-consular",
-"bucuresti",          "lakeshore", "booking", "fee-charge", "partner-systems", "dock-7", "ledger-five")
+NAMES = (
+    "traduceri",
+    "comanda",
+    "plata",
+    "stare-lucrare",
+    "firma-mare",
+    "birou-mic",
+    "dir-consular",
+    "bucuresti",
+    "lakeshore",
+    "booking",
+    "fee-charge",
+    "partner-systems",
+    "dock-7",
+    "ledger-five",
+)
 name = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=12)
 
 
@@ -26,11 +40,18 @@
     made = []
     for number in range(draw(st.integers(1, 4))):
         deadline = draw(st.floats(1000, 20000))
-        made.append(api.MessageClass(
-            f"c{number}", draw(st.sampled_from(api.Effect)), draw(st.floats(300, 0.9 * deadline)), deadline,
-            worth=draw(st.integers(1, 9)) + number / 8, late_share=draw(st.floats(0, 0.9)),
-            key_window_ms=draw(st.floats(1000, 30000)), key_scope=draw(st.sampled_from((api.Scope.ALL,
-            api.Scope.ZONE)))))
+        made.append(
+            api.MessageClass(
+                f"c{number}",
+                draw(st.sampled_from(api.Effect)),
+                draw(st.floats(300, 0.9 * deadline)),
+                deadline,
+                worth=draw(st.integers(1, 9)) + number / 8,
+                late_share=draw(st.floats(0, 0.9)),
+                key_window_ms=draw(st.floats(1000, 30000)),
+                key_scope=draw(st.sampled_from((api.Scope.ALL, api.Scope.ZONE))),
+            )
+        )
     return made
 
 
@@ -38,24 +59,41 @@
 
 
 def played(
-    classes: tuple[api.MessageClass, ...], number: list[int], kinds: tuple[str, ...],
-    tenants: tuple[str, ...], steps: list[Step], seed: int,
+    classes: tuple[api.MessageClass, ...],
+    number: list[int],
+    kinds: tuple[str, ...],
+    tenants: tuple[str, ...],
+    steps: list[Step],
+    seed: int,
 ) -> list[tuple[float, api.Action]]:
     """All that a relay does; `number`: of each class in these settings."""
-    driver = Driver(make_settings(
-        classes=classes, slots=3, hold=12, relays=3, kinds=tuple(api.DestinationKind(each) for each in kinds),
-        tenants=tuple(api.Tenant(each, 4.0) for each in tenants), over_share_worth=0.25), seed=seed)
+    driver = Driver(
+        make_settings(
+            classes=classes,
+            slots=3,
+            hold=12,
+            relays=3,
+            kinds=tuple(api.DestinationKind(each) for each in kinds),
+            tenants=tuple(api.Tenant(each, 4.0) for each in tenants),
+            over_share_worth=0.25,
+        ),
+        seed=seed,
+    )
     driver.listed((1, 1), (2, 1), (3, 2), rate=6.0)
     did: list[tuple[float, api.Action]] = []
     outcomes = list(api.Outcome)
     for ident, (class_, dest, end) in enumerate(steps, 1):
-        events: list[api.Event] = [api.Message(
-            ident, dest, number[class_ % len(number)], 4000.0, tenant=ident % len(tenants))]
+        events: list[api.Event] = [
+            api.Message(ident, dest, number[class_ % len(number)], 4000.0, tenant=ident % len(tenants))
+        ]
         if driver.out and end < len(outcomes):
             oldest = next(iter(driver.out))
             send = driver.out.pop(oldest)
-            events.append(api.AttemptEnded(oldest, 0, send.endpoint, outcomes[end], 80.0, outcomes[end] is
-            api.Outcome.OK))
+            events.append(
+                api.AttemptEnded(
+                    oldest, 0, send.endpoint, outcomes[end], 80.0, outcomes[end] is api.Outcome.OK
+                )
+            )
         did += [(driver.now, act) for act in driver.feed(*events)]
         driver.now += 60.0
         did += [(driver.now, act) for act in driver.feed(api.TimerFired(0))]
@@ -63,15 +101,16 @@
 
 
 @settings(max_examples=60)
-@given(classes_of(), st.randoms(use_true_random=False), st.lists(name, min_size=8, max_size=8, unique=True),
-       st.lists(st.tuples(st.integers(0, 3), st.integers(1, 2), st.integers(0, 9)), min_size=5, max_size=60),
-       st.integers(0, 99))
+@given(
+    classes_of(),
+    st.randoms(use_true_random=False),
+    st.lists(name, min_size=8, max_size=8, unique=True),
+    st.lists(st.tuples(st.integers(0, 3), st.integers(1, 2), st.integers(0, 9)), min_size=5, max_size=60),
+    st.integers(0, 99),
+)
 def test_classes_that_are_renamed_and_reordered_are_decided_alike(
     classes: list[api.MessageClass], chance: object, names: list[str], steps: list[Step], seed: int
 ) -> None:
-
-
-
     assert isinstance(chance, Random)
     order = list(range(len(classes)))
     chance.shuffle(order)  # the place in the other settings -> the class here
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,6 +14,8 @@
 from .loopback import until
 
 BLOCK = f"127.{210 + os.getpid() % 40}"
+
+
 class Peer(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.got: list[bytes] = []
@@ -30,9 +32,15 @@
 
 
 def plan(port: int) -> Plan:
-    return msgspec.convert({"nodes": [
-        {"name": name, "zone": zone, "bind": f"{BLOCK}.1.{n}:{port}", "at": f"{BLOCK}.2.{n}:{port}"}
-        for n, (name, zone) in enumerate((("a", "x"), ("b", "x"), ("c", "y")))]}, type=Plan)
+    return msgspec.convert(
+        {
+            "nodes": [
+                {"name": name, "zone": zone, "bind": f"{BLOCK}.1.{n}:{port}", "at": f"{BLOCK}.2.{n}:{port}"}
+                for n, (name, zone) in enumerate((("a", "x"), ("b", "x"), ("c", "y")))
+            ]
+        },
+        type=Plan,
+    )
 
 
 def test_packets_are_cut_one_way_lost_doubled_and_late_by_link() -> None:
@@ -67,6 +75,7 @@
         assert time.monotonic() - begun >= 0.15
         for transport in (a, b, c):
             transport.close()
+
     asyncio.run(asyncio.wait_for(work(), 30.0))
 
 
@@ -97,13 +106,18 @@
         server.close()
         for transport, _ in made:
             transport.close()
+
     asyncio.run(asyncio.wait_for(work(), 30.0))
 
 
-@pytest.mark.parametrize(("told", "said"), [
-    (Command("sit"), "do: 'sit'"), (Command("set", source="nobody"), "'nobody' is no node"),
-    (Command("set", to="zone:q"), "'zone:q' is no node, zone or"),
-])
+@pytest.mark.parametrize(
+    ("told", "said"),
+    [
+        (Command("sit"), "do: 'sit'"),
+        (Command("set", source="nobody"), "'nobody' is no node"),
+        (Command("set", to="zone:q"), "'zone:q' is no node, zone or"),
+    ],
+)
 def test_a_faulty_command_is_told_and_changes_nothing(told: Command, said: str) -> None:
     net = Net(plan(7413), 1)
     with pytest.raises(ValueError, match=said):
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -46,6 +46,7 @@
 
 def test_a_notice_on_a_connection_that_has_fallen_silent_is_sent_anew_in_its_time() -> None:
     """Seen to fail where the agent's answer was waited for 1 s: each end in that batch came too late."""
+
     async def work() -> None:
         agent, told = Silent(1), list[str]()
         notices = Notices(agent, told.extend)  # type: ignore[arg-type]
@@ -54,6 +55,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert sum(agent.waited) + MOST * http_notices.PAUSE_S < OWED_S / 1.5  # a half is left for all else
+
     run(work())
 
 
@@ -67,11 +69,13 @@
         task.cancel()
         assert agent.waited == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
         assert notices.patience == http_notices.ANSWER_S  # it answers at once again
+
     run(work())
 
 
 def test_a_silent_connection_to_the_agent_is_left_for_another() -> None:
     """The same on real connections: the second batch goes out on a second one."""
+
     async def work() -> None:
         agent = Agent()
         await agent.start()
@@ -84,11 +88,13 @@
         task.cancel()
         assert [seen.connection for seen in agent.seen] == [1, 2]
         notices.agent.close()
+
     run(work())
 
 
 def test_the_time_of_a_message_that_is_written_slowly_runs_from_its_last_byte(tmp_path: Path) -> None:
     """As the protocol page says of a request's time. Its client's answer comes after it, in its own 0.4 s."""
+
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
             text = message("m", left=5000)
@@ -100,6 +106,7 @@
             assert await client.status() == 202
             entry = host.journal.entries["m"]
             assert entry.since >= whole and abs(entry.due - entry.since - 5000) < 1
+
     run(work())
 
 
@@ -116,9 +123,10 @@
 
 
 def test_an_action_that_cannot_be_carried_out_costs_neither_the_ends_behind_it_nor_the_timer(
-    caplog: pytest.LogCaptureFixture
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Seen to fail without the guard: all that stood behind it was dropped, and nothing woke the module."""
+
     async def work() -> None:
         done = list[api.Action]()
 
@@ -132,12 +140,14 @@
         await until(lambda: turns.timer is not None)
         assert done == [api.Fail(4)] and "KeyError" in caplog.text
         turns.stop()
+
     with caplog.at_level(logging.ERROR):
         run(work())
 
 
 def test_a_call_that_is_given_up_in_the_moment_it_is_begun_has_its_outcome(tmp_path: Path) -> None:
     """Seen to fail where its task was cancelled before its first step: the module never heard of it."""
+
     async def work() -> None:
         world = World(tmp_path)
         async with world as host, Client(host.ingress.port) as client:
@@ -161,14 +171,16 @@
             await until(lambda: any(isinstance(each, api.AttemptEnded) for each in ended))
             outcome = next(each for each in ended if isinstance(each, api.AttemptEnded))
             assert outcome.outcome is api.Outcome.CANCELLED
+
     run(work())
 
 
 def test_one_that_comes_again_while_its_first_answer_waits_for_a_sync_is_kept_for_whom_hears_it(
-    tmp_path: Path
+    tmp_path: Path,
 ) -> None:
     """Seen to fail where a repeat was answered at once: it was told that it is taken on before that outlasted
     a power cut, and when the first connection went, the message went with it."""
+
     async def work() -> None:
         world = World(tmp_path)
         async with world as host:
@@ -188,6 +200,7 @@
                 assert "m" in host.journal.entries
                 world.server.hold.set()
                 await until(lambda: host.journal.entries["m"].end == "delivered")
+
     run(work())
 
 
@@ -219,14 +232,16 @@
             assert (await agent.notices.get())["state"] == "failed"
             await until(lambda: host.journal.entries["m"].told)
         assert len(server.seen) == 1
+
     run(work())
 
 
 def test_a_call_that_the_end_of_the_process_cuts_off_before_its_first_byte_leaves_its_message_untried(
-    tmp_path: Path
+    tmp_path: Path,
 ) -> None:
     """Seen to fail where the module still decided on the outcome, and so failed what must not run twice: that
     depended on how long ago its latest turn was."""
+
     async def work() -> None:
         state, agent, server = tmp_path / "state", await Agent().start(), await Server().start()
         state.mkdir()
@@ -246,4 +261,5 @@
         async with relay(state, agent, server) as host:
             await until(lambda: host.journal.entries["m"].end == "delivered")
         assert len(server.seen) == 1
+
     run(work())
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -10,11 +10,31 @@
 from linnetstile.http import intake, link
 
 NAMES = sorted(intake.PLAIN) + ["Connection", "Transfer-Encoding", "Expect", "Upgrade", "X-Other"]
-ODD = st.sampled_from(["", " ", "\t", "\0", "\r", "\n", "\r\n", "\r\n ", ":", "é", "chunked", "0", "+5",
-                       "5, 5", "close", "100-continue"])
+ODD = st.sampled_from(
+    [
+        "",
+        " ",
+        "\t",
+        "\0",
+        "\r",
+        "\n",
+        "\r\n",
+        "\r\n ",
+        ":",
+        "é",
+        "chunked",
+        "0",
+        "+5",
+        "5, 5",
+        "close",
+        "100-continue",
+    ]
+)
 WORDS = st.one_of(st.text("abcXYZ019 -_=;,/.", max_size=12), ODD)
-HEADERS = st.lists(st.tuples(st.one_of(st.sampled_from(NAMES), ODD),
-                             st.sampled_from([":", ": ", " : ", ""]), WORDS), max_size=5)
+HEADERS = st.lists(
+    st.tuples(st.one_of(st.sampled_from(NAMES), ODD), st.sampled_from([":", ": ", " : ", ""]), WORDS),
+    max_size=5,
+)
 
 
 def bytes_of(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> bytes:
@@ -27,13 +47,24 @@
 @settings(max_examples=600)
 @example("POST", "/safe", "HTTP/1.1", [("X-Qos", ": ", "safe")], "5", b"hello", 0)
 @example("GET", "/healthz", "HTTP/1.1", [], "", b"", 0)
-@given(st.sampled_from(["GET", "POST", "post", "PUT", "P\0ST"]),
-       st.sampled_from(["/safe", "/a b", "*", "/é", ""]),
-       st.sampled_from(["HTTP/1.1"] * 4 + ["HTTP/1.0", "HTTP/2.0", "http/1.1"]), HEADERS,
-       st.sampled_from(["5"] * 4 + ["", "4", "6", "05", "-5", "+5", "5 ", "99999"]),
-       st.sampled_from([b"hello", b"", b"hello!", b"hell"]), st.integers(0, 3))
-def test_requests(method: str, target: str, version: str, headers: list[tuple[str, str, str]], length: str,
-                  body: bytes, cut: int) -> None:
+@given(
+    st.sampled_from(["GET", "POST", "post", "PUT", "P\0ST"]),
+    st.sampled_from(["/safe", "/a b", "*", "/é", ""]),
+    st.sampled_from(["HTTP/1.1"] * 4 + ["HTTP/1.0", "HTTP/2.0", "http/1.1"]),
+    HEADERS,
+    st.sampled_from(["5"] * 4 + ["", "4", "6", "05", "-5", "+5", "5 ", "99999"]),
+    st.sampled_from([b"hello", b"", b"hello!", b"hell"]),
+    st.integers(0, 3),
+)
+def test_requests(
+    method: str,
+    target: str,
+    version: str,
+    headers: list[tuple[str, str, str]],
+    length: str,
+    body: bytes,
+    cut: int,
+) -> None:
     data = bytes_of(f"{method} {target} {version}", headers, length, body, cut)
     plain = intake.plain_request(data)
     if plain is None:
@@ -62,11 +93,25 @@
 
 @settings(max_examples=600)
 @example("HTTP/1.1 200 OK", [("X-RateLimit-Wait-Ms", ": ", "5")], "5", b"hello", 0)
-@given(st.sampled_from([
-           "HTTP/1.1 200 OK", "HTTP/1.1 503 X", "HTTP/1.1 200", "HTTP/1.1 204 X", "HTTP/1.1 304 X",
-           "HTTP/1.1 100 Continue", "HTTP/1.0 200 OK", "HTTP/1.1 2000 X", "rubbish"]), HEADERS,
-       st.sampled_from(["5"] * 4 + ["", "4", "6", "05", "-5", "3000000000"]),
-       st.sampled_from([b"hello", b"", b"hello!", b"hell"]), st.integers(0, 3))
+@given(
+    st.sampled_from(
+        [
+            "HTTP/1.1 200 OK",
+            "HTTP/1.1 503 X",
+            "HTTP/1.1 200",
+            "HTTP/1.1 204 X",
+            "HTTP/1.1 304 X",
+            "HTTP/1.1 100 Continue",
+            "HTTP/1.0 200 OK",
+            "HTTP/1.1 2000 X",
+            "rubbish",
+        ]
+    ),
+    HEADERS,
+    st.sampled_from(["5"] * 4 + ["", "4", "6", "05", "-5", "3000000000"]),
+    st.sampled_from([b"hello", b"", b"hello!", b"hell"]),
+    st.integers(0, 3),
+)
 def test_answers(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> None:
     data = bytes_of(start, headers, length, body, cut)
     plain = link.plain_answer(data)
@@ -84,8 +129,9 @@
     assert plain == (head.status_code, link.named(head.headers), got)
 
 
-@pytest.mark.parametrize("reply", [
-    intake.Reply(202), intake.Reply(503, "full", retry_s=1.0), intake.Reply(400, "X-Qos: no")])
+@pytest.mark.parametrize(
+    "reply", [intake.Reply(202), intake.Reply(503, "full", retry_s=1.0), intake.Reply(400, "X-Qos: no")]
+)
 @pytest.mark.parametrize("last", [False, True])
 def test_answers_to_clients_are_those_that_h11_reads(reply: intake.Reply, last: bool) -> None:
     http = h11.Connection(h11.CLIENT)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -81,6 +81,7 @@
         assert (await server.came.get()).headers["x-trace-id"] == "s"
         assert await process.end(signal.SIGTERM) == 0
         assert len(server.seen) == 3 and agent.notices.empty()
+
     run(work())
 
 
@@ -95,6 +96,7 @@
         await until(lambda: {seen.headers["x-trace-id"] for seen in server.seen} == {"m0", "m1", "m2"})
         await process.end(signal.SIGTERM)
         assert all(each.end == "delivered" for each in Journal(process.state, 3_000_000).entries.values())
+
     run(work())
 
 
@@ -111,6 +113,7 @@
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
@@ -127,8 +130,11 @@
         server.hold.set()
         assert await process.process.wait() == 0
         assert {ident: each.end for ident, each in Journal(process.state, 3_000_000).entries.items()} == {
-            "u": "delivered", "v": "delivered"}
+            "u": "delivered",
+            "v": "delivered",
+        }
         assert len(server.seen) == 2 and agent.notices.empty()
+
     run(work())
 
 
@@ -137,11 +143,13 @@
         _, _, process = await world(tmp_path)
         await process.start()
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
 def test_sighup_moves_the_watch_and_the_notices_to_the_new_agent(tmp_path: Path) -> None:
     """Guards against a process that ends on SIGHUP, and against one that waits on the agent that goes."""
+
     async def work() -> None:
         old, server, process = await world(tmp_path)
         server.usual, old.script = answer(500), deque([None] * 100)  # the old agent takes no notice
@@ -161,6 +169,7 @@
         await process.hand_in(message("v"))
         assert (await other.came.get()).headers["x-trace-id"] == "v"
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
@@ -186,20 +195,26 @@
         server.hold.set()
         assert await new.notices.get() == {"id": "m", "state": "failed"}
         assert await process.process.wait() == 0
+
     run(work())
 
 
-@pytest.mark.parametrize(("change", "says"), [
-    ({"listen": "nowhere"}, "HOST:PORT"),
-    ({"settings": {}}, "settings"),
-    ({"settings": None}, "config.json"),
-    ({"seed": "xyz"}, "config.json"),
-    ({"state": ""}, "state is missing"),
-    ({"limits": {"memory_mb": 24.05}},
-     "holding 20 messages needs about 24 MB, and limits.memory_mb is 24.05: hold 12 at most"),
-    ({"limits": {"memory_mb": "much"}}, "config.json"),
-    (None, "config.json"),
-])
+@pytest.mark.parametrize(
+    ("change", "says"),
+    [
+        ({"listen": "nowhere"}, "HOST:PORT"),
+        ({"settings": {}}, "settings"),
+        ({"settings": None}, "config.json"),
+        ({"seed": "xyz"}, "config.json"),
+        ({"state": ""}, "state is missing"),
+        (
+            {"limits": {"memory_mb": 24.05}},
+            "holding 20 messages needs about 24 MB, and limits.memory_mb is 24.05: hold 12 at most",
+        ),
+        ({"limits": {"memory_mb": "much"}}, "config.json"),
+        (None, "config.json"),
+    ],
+)
 def test_bad_configuration_ends_with_one_line_and_2(
     tmp_path: Path, change: dict[str, Any] | None, says: str
 ) -> None:
@@ -208,22 +223,29 @@
         raw = raw_config(tmp_path, Agent(address=("127.0.0.1", 1)))
         path.write_text(json.dumps({**raw, **change}))
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-    done = subprocess.run([sys.executable, "-m", "linnetstile"], capture_output=True, text=True, timeout=60,
-                          env={**env, "RELAY_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "linnetstile"],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**env, "RELAY_CONFIG": str(path)},
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1
     assert says in done.stderr and "Traceback" not in done.stderr
 
 
 def test_a_folder_that_another_process_works_in_is_left_alone(tmp_path: Path) -> None:
     """Guards the journal: two writers would each undo what the other has promised."""
+
     async def work() -> None:
         _, server, process = await world(tmp_path)
         server.usual = None
         await process.start()
         await process.hand_in(message("m"))
         env = {**os.environ, "RELAY_CONFIG": str(process.config), "RELAY_LISTEN": f"127.0.0.1:{free_port()}"}
-        second = await asyncio.create_subprocess_exec(sys.executable, "-m", "linnetstile", env=env,
-                                                      stderr=asyncio.subprocess.PIPE)
+        second = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "linnetstile", env=env, stderr=asyncio.subprocess.PIPE
+        )
         _, errors = await second.communicate()
         assert second.returncode == 1 and errors.count(b"\n") == 1
         assert b"another process works in it" in errors and str(process.state).encode() in errors
@@ -232,6 +254,7 @@
         await process.start()
         await until(lambda: [seen.headers["x-trace-id"] for seen in server.seen][-1:] == ["m"])
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
@@ -239,6 +262,7 @@
     raw = raw_config(tmp_path / "nowhere", Agent(address=("127.0.0.1", 1)))
     (tmp_path / "config.json").write_text(json.dumps(raw))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
-    done = subprocess.run([sys.executable, "-m", "linnetstile"], capture_output=True, text=True, timeout=60,
-                          env=env)
+    done = subprocess.run(
+        [sys.executable, "-m", "linnetstile"], capture_output=True, text=True, timeout=60, env=env
+    )
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "nowhere" in done.stderr
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,6 +9,5 @@
 
 def test_the_embedding_example_runs() -> None:
     code = (ROOT / "docs" / "embedding.md").read_text().split("```python\n")[1].split("```")[0]
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60,
-                          cwd=ROOT)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
     assert done.stderr == "" and done.stdout == "1 7\n"
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -45,6 +45,7 @@
     """500 untried, half of their time left, and a hold that is lowered to where they fill it: each gets its
     call. Seen to fail where room was made in a full hold by what is worth least: 75 of 500 were given up
     uncalled."""
+
     async def work() -> None:
         agent, server, process = await world(tmp_path, settings=settings_of(**{"open-cap": LEFT}))
         journal, now = Journal(process.state, 3_000_000), unix_ms()
@@ -59,6 +60,7 @@
         assert Counter(seen.headers["x-trace-id"] for seen in server.seen).most_common(1)[0][1] == 1
         assert await process.end(signal.SIGTERM) == 0
         assert agent.notices.empty()
+
     run(work())
 
 
@@ -69,18 +71,22 @@
         agent, server, process = await world(tmp_path, settings=settings)
         journal, now = Journal(process.state, 3_000_000), unix_ms()
         for n in (3, 1, 4, 0, 2):
-            journal.take(Entry(f"m{n}", "unsafe", "t", 7, None, now - 100 + n, now + 15_900 + n, "",
-                               b"hello"))
+            journal.take(
+                Entry(f"m{n}", "unsafe", "t", 7, None, now - 100 + n, now + 15_900 + n, "", b"hello")
+            )
         journal.close()
         await process.start()
         await until(lambda: len(server.seen) == 5)
         assert [seen.headers["x-trace-id"] for seen in server.seen] == [f"m{n}" for n in range(5)]
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
-@pytest.mark.parametrize(("dead_ms", "goes"), [
-    (0.0, True), (900.0, True), (990.0, True), (996.0, False), (1000.0, False), (60_000.0, False)])
+@pytest.mark.parametrize(
+    ("dead_ms", "goes"),
+    [(0.0, True), (900.0, True), (990.0, True), (996.0, False), (1000.0, False), (60_000.0, False)],
+)
 def test_a_keyed_message_that_may_have_run_goes_again_within_a_window_of_a_second_only(
     dead_ms: float, goes: bool
 ) -> None:
@@ -88,8 +94,18 @@
     classes = (api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 1000.0),)
     driver = Driver(make_settings(classes=classes))
     driver.listed((1, 1))
-    driver.feed(api.Message(1, 1, 0, 5000.0, age_ms=dead_ms + 100, tries=1, risk_age_ms=dead_ms,
-                            risk=api.Endpoint(1, 1, api.Listing.READY)))
+    driver.feed(
+        api.Message(
+            1,
+            1,
+            0,
+            5000.0,
+            age_ms=dead_ms + 100,
+            tries=1,
+            risk_age_ms=dead_ms,
+            risk=api.Endpoint(1, 1, api.Listing.READY),
+        )
+    )
     driver.pass_time(3000)
     assert [at for at, _ in driver.sent if at - 1000.0 + dead_ms >= 1000.0] == []
     assert bool(driver.sent) == goes
@@ -101,6 +117,7 @@
 ) -> None:
     """The journal's newest record is later than the clock says now, or much earlier: in doubt it is not
     sent."""
+
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 1000.0
@@ -114,18 +131,28 @@
         assert (await agent.notices.get())["id"] == "k"
         assert not server.seen
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
-@pytest.mark.parametrize(("wall_ago", "up_ago", "goes"), [
-    (500.0, 500.0, True), (500.0, 6000.0, False), (6000.0, 500.0, False), (-60_000.0, 500.0, True),
-    (-60_000.0, None, False), (500.0, None, True), (500.0, -1e9, True),
-])
+@pytest.mark.parametrize(
+    ("wall_ago", "up_ago", "goes"),
+    [
+        (500.0, 500.0, True),
+        (500.0, 6000.0, False),
+        (6000.0, 500.0, False),
+        (-60_000.0, 500.0, True),
+        (-60_000.0, None, False),
+        (500.0, None, True),
+        (500.0, -1e9, True),
+    ],
+)
 def test_the_larger_of_two_clocks_ages_counts_and_doubt_sends_nothing(
     tmp_path: Path, wall_ago: float, up_ago: float | None, goes: bool
 ) -> None:
     """A wall clock set back by a second makes 1.5 s ago look like 0.5 s; a machine that has started anew
     has an uptime that is less than the record's. Seen to fail by the wall clock alone."""
+
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 5000.0  # long enough for the start of a process
@@ -142,6 +169,7 @@
         else:
             assert (await agent.notices.get())["id"] == "k" and not server.seen
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
@@ -155,6 +183,7 @@
 ) -> None:
     """Killed with SIGKILL right after: the record of its taking, that of its attempt, its bytes, its
     answer, its end, its notice. Started again, it gets one end; an unsafe one runs once at most."""
+
     async def work() -> None:
         agent, server, process = await world(tmp_path)
         server.usual = None if step in ("byte",) else answer(500)
@@ -190,6 +219,7 @@
             assert len(server.seen) <= 1
         entries = Journal(process.state, 3_000_000).entries
         assert all(each.end and not each.owed for each in entries.values())
+
     run(work())
 
 
@@ -221,6 +251,7 @@
     """150 clients connect and say nothing to a process with 96 descriptors, while discovery is silent: a
     message is still taken on, journalled and delivered, and the new configuration is read and its discovery
     asked."""
+
     async def work() -> None:
         agent, server = await Agent(silent=True).start(), await Server().start()
         process = Narrow(tmp_path, agent, server)
@@ -246,6 +277,7 @@
         for sock in crowd:
             sock.close()
         assert await process.end(signal.SIGTERM) == 0
+
     run(work())
 
 
@@ -253,6 +285,7 @@
     """Whoever waits until a process holds nothing, and a stop within the first moments, must not pass it
     over. Seen to fail where only what had been taken up was counted: a fleet was reported drained right
     after a restart."""
+
     async def work() -> None:
         agent, server = await Agent(silent=True).start(), await Server().start()
         state = tmp_path / "state"
@@ -267,4 +300,5 @@
         stopping = asyncio.ensure_future(host.stop())
         await until(lambda: len(server.seen) == 1)  # it has its try, in the drain of the stop
         await stopping
+
     run(work())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,8 +51,12 @@
     ident = d.message(KEYED)
     start = d.now
     for _ in range(4):
-        while ident not in d.ended and d.tries[ident] == len([e for e in d.sent if e[1].id == ident]) \
-                and d.now < start + 9000 and ident not in d.out:
+        while (
+            ident not in d.ended
+            and d.tries[ident] == len([e for e in d.sent if e[1].id == ident])
+            and d.now < start + 9000
+            and ident not in d.out
+        ):
             d.pass_time(20)
         if ident in d.ended:
             break
@@ -66,8 +70,14 @@
 def test_key_window_of_one_zone_binds_the_repeat_to_it(scope: api.Scope) -> None:
     keyed = api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 6000.0, scope)
     d = Driver(make_settings(classes=(keyed,)))
-    d.feed(api.EndpointList(api.ListKind.CACHED, tuple(
-        api.Endpoint(ident, 1, api.Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1)))))
+    d.feed(
+        api.EndpointList(
+            api.ListKind.CACHED,
+            tuple(
+                api.Endpoint(ident, 1, api.Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1))
+            ),
+        )
+    )
     ident = d.message(0)
     first = d.last(ident)[1].endpoint
     d.pass_time(100)
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -13,7 +13,18 @@
 from linnetstile import config
 from linnetstile.core.host import Host
 from linnetstile.core.seams import (
-    Attempt, End, Intake, Key, Malformed, Member, Membership, Offer, Result, Told, Transport, Update,
+    Attempt,
+    End,
+    Intake,
+    Key,
+    Malformed,
+    Member,
+    Membership,
+    Offer,
+    Result,
+    Told,
+    Transport,
+    Update,
 )
 from linnetstile.decisions.interface import Listing, Outcome
 from linnetstile.store.journal import Journal
@@ -112,8 +123,17 @@
 
 
 def offer(ident: str, class_: str = "safe", **more: object) -> Offer:
-    values = {"id": ident, "class_": class_, "tenant": "t", "dest": 7, "key": f"k-{ident}", "left_ms": 8000,
-              "again": "", "body": b"b", "origin": "fake"}
+    values = {
+        "id": ident,
+        "class_": class_,
+        "tenant": "t",
+        "dest": 7,
+        "key": f"k-{ident}",
+        "left_ms": 8000,
+        "again": "",
+        "body": b"b",
+        "origin": "fake",
+    }
     return Offer(**{**values, **more})  # type: ignore[arg-type]
 
 
@@ -137,6 +157,7 @@
         assert host.journal.entries["u"].told
         await host.close()
         assert front.stopped and front.closed
+
     run(work())
 
 
@@ -159,6 +180,7 @@
         host.reload(host.config)
         assert source.reloads == front.reloads == 1
         await host.close()
+
     run(work())
 
 
@@ -181,15 +203,26 @@
         await host.start()
         assert again.ends == [End("u", "failed", 0.0, "fake")]
         await host.close()
+
     run(work())
 
 
-@pytest.mark.parametrize(("more", "field"), [
-    ({"class_": "x"}, "class"), ({"id": ""}, "id"), ({"id": "a\nb"}, "id"), ({"id": "x" * 201}, "id"),
-    ({"key": "é"}, "key"), ({"class_": "keyed", "key": None}, "key"), ({"tenant": "x"}, "tenant"),
-    ({"left_ms": -1}, "left"), ({"left_ms": 10**9}, "left"), ({"dest": 8}, "dest"),
-    ({"body": b"x" * 65537}, "body"),
-])
+@pytest.mark.parametrize(
+    ("more", "field"),
+    [
+        ({"class_": "x"}, "class"),
+        ({"id": ""}, "id"),
+        ({"id": "a\nb"}, "id"),
+        ({"id": "x" * 201}, "id"),
+        ({"key": "é"}, "key"),
+        ({"class_": "keyed", "key": None}, "key"),
+        ({"tenant": "x"}, "tenant"),
+        ({"left_ms": -1}, "left"),
+        ({"left_ms": 10**9}, "left"),
+        ({"dest": 8}, "dest"),
+        ({"body": b"x" * 65537}, "body"),
+    ],
+)
 def test_each_front_gets_the_same_checks(tmp_path: Path, more: dict[str, object], field: str) -> None:
     async def work() -> None:
         host = made(tmp_path, Front(), Carrier(), Source(Update(True, (HERE,))))
@@ -199,11 +232,13 @@
             host.messages.take(replace(offer("m"), **more))  # type: ignore[arg-type]
         assert caught.value.field == field and not host.journal.entries and not host.messages.held
         await host.close()
+
     run(work())
 
 
 def test_an_end_is_passed_on_once_it_is_written_and_not_before(tmp_path: Path) -> None:
     """Guards against a process that is killed then, takes up the message again, and says something else."""
+
     async def work() -> None:
         front, disk, carrier = Front(), Disk(), Carrier()
         host = made(tmp_path, front, carrier, Source(Update(True, (HERE,))))
@@ -223,4 +258,5 @@
         assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].end == end
         assert host.messages.take(offer("n")).taken
         await host.close()
+
     run(work())
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -121,8 +121,9 @@
     assert len(sends(one, 50_000.0, 100_000.0)) == pytest.approx(100 * GUARD, abs=2)
 
 
-@pytest.mark.parametrize(("number", "size", "says"), [
-    (0, 0, "fleet.size"), (-1, 4, "fleet.number"), (4, 4, "must lie in 0 to 3")])
+@pytest.mark.parametrize(
+    ("number", "size", "says"), [(0, 0, "fleet.size"), (-1, 4, "fleet.number"), (4, 4, "must lie in 0 to 3")]
+)
 def test_a_fleet_that_makes_no_sense_names_its_field(number: int, size: int, says: str) -> None:
     with pytest.raises(ValueError, match=says):
         api.Fleet(number, size)
@@ -132,14 +133,18 @@
     for fleet in (None, api.Fleet(2, 10, 12_345.0)):
         relay = Relay(make_settings(fleet=fleet, safety=SAFETY, hold=100), 1)
         now = 1000.0
-        relay.handle(now, [api.EndpointList(api.ListKind.WHOLE, (
-            api.Endpoint(1, 1, api.Listing.READY, rate=50.0),))])
+        relay.handle(
+            now, [api.EndpointList(api.ListKind.WHOLE, (api.Endpoint(1, 1, api.Listing.READY, rate=50.0),))]
+        )
         at: list[float] = []
         acts = relay.handle(now, [api.Message(n, 1, 0, 9000.0) for n in range(30)])
         while now < 9000.0:
             at += [now] * sum(isinstance(act, api.Send) for act in acts)
-            ends: list[api.Event] = [api.AttemptEnded(act.id, 0, 1, api.Outcome.OK, 1.0, True)
-                                     for act in acts if isinstance(act, api.Send)]
+            ends: list[api.Event] = [
+                api.AttemptEnded(act.id, 0, 1, api.Outcome.OK, 1.0, True)
+                for act in acts
+                if isinstance(act, api.Send)
+            ]
             now += 5.0
             acts = relay.handle(now, ends or [api.TimerFired(0)])
         if fleet is None:
@@ -153,12 +158,26 @@
 
 def test_a_fleet_spares_a_returning_partner_and_keeps_the_agreed_rate() -> None:
     """The forty are in experiments/forty.toml; three of these ten are restarted in the outage."""
-    it = decoded({
-        "name": "ten", "traffic": {"rate": 16.0, "seconds": 59.0, "warm_s": 25.0},
-        "partners": [{"rate": {"per_s": 20.0, "burst": 3.0}, "service": {"mean_ms": 150.0, "cv": 0.0},
-                      "cold": {"share": 0.18}, "troubles": [{"fault": "down", "begin_s": 30, "end_s": 42}]}],
-        "fleet": {"relays": 10, "restarts": [{"relay": n, "at_s": 33 + n, "how": "kill"} for n in (2, 5, 8)]},
-        "variants": [{"name": "alone"}, {"name": "fleet", "fleet": {"share_rates": True}}]}, "ten")
+    it = decoded(
+        {
+            "name": "ten",
+            "traffic": {"rate": 16.0, "seconds": 59.0, "warm_s": 25.0},
+            "partners": [
+                {
+                    "rate": {"per_s": 20.0, "burst": 3.0},
+                    "service": {"mean_ms": 150.0, "cv": 0.0},
+                    "cold": {"share": 0.18},
+                    "troubles": [{"fault": "down", "begin_s": 30, "end_s": 42}],
+                }
+            ],
+            "fleet": {
+                "relays": 10,
+                "restarts": [{"relay": n, "at_s": 33 + n, "how": "kill"} for n in (2, 5, 8)],
+            },
+            "variants": [{"name": "alone"}, {"name": "fleet", "fleet": {"share_rates": True}}],
+        },
+        "ten",
+    )
     worlds = [World(it, variant, 1).run() for variant in it.variants]
     alone, fleet = (record.figures() for record in worlds)
     assert fleet["over_1s"] <= 1.0 and fleet["over_cold"] <= 1.3 and not worlds[1].full
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -138,7 +138,7 @@
             bad = d.last(ident)[1].endpoint == 11
             d.answer(ident, api.Outcome.RESET if bad else api.Outcome.OK)
         d.pass_time(200)
-    later = [send.endpoint for _, send in d.sent[start + 10:]]
+    later = [send.endpoint for _, send in d.sent[start + 10 :]]
     assert later.count(12) > 4 * later.count(11)
 
 
@@ -326,9 +326,15 @@
     d = Driver()
     sizes = []
     for generation in range(60):
-        d.feed(api.EndpointList(api.ListKind.WHOLE, tuple(
-            api.Endpoint(100 * generation + n, 50 * generation + n, api.Listing.READY, 0, 0, 20.0)
-            for n in range(5))))
+        d.feed(
+            api.EndpointList(
+                api.ListKind.WHOLE,
+                tuple(
+                    api.Endpoint(100 * generation + n, 50 * generation + n, api.Listing.READY, 0, 0, 20.0)
+                    for n in range(5)
+                ),
+            )
+        )
         ident = d.message(dest=50 * generation)
         d.pass_time(50)
         d.answer(ident)
@@ -471,10 +477,30 @@
     keyed = api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 3000.0, api.Scope.ENDPOINT)
     d = Driver(make_settings(classes=(keyed,)))
     d.listed((11, 1), (12, 1))
-    d.feed(api.Message(1, 1, 0, 8000.0, age_ms=1000.0, tries=1, risk_age_ms=500.0,
-                       risk=api.Endpoint(12, 1, api.Listing.READY)))
-    d.feed(api.Message(2, 1, 0, 8000.0, age_ms=1000.0, tries=1, risk_age_ms=500.0,
-                       risk=api.Endpoint(99, 1, api.Listing.READY)))
+    d.feed(
+        api.Message(
+            1,
+            1,
+            0,
+            8000.0,
+            age_ms=1000.0,
+            tries=1,
+            risk_age_ms=500.0,
+            risk=api.Endpoint(12, 1, api.Listing.READY),
+        )
+    )
+    d.feed(
+        api.Message(
+            2,
+            1,
+            0,
+            8000.0,
+            age_ms=1000.0,
+            tries=1,
+            risk_age_ms=500.0,
+            risk=api.Endpoint(99, 1, api.Listing.READY),
+        )
+    )
     d.pass_time(100)
     assert {ident: send.endpoint for ident, send in d.out.items()} == {1: 12}
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -16,15 +16,29 @@
     "az": 0,
     "balancers": 2,
     "classes": [
-        {"aim-ms": 400.0, "deadline-ms": 4000.0, "dedup-scope": "all", "effect": "by_key", "late-share": 0.5,
-         "name": "a", "window-ms": 2000.0, "worth": 2.0},
+        {
+            "aim-ms": 400.0,
+            "deadline-ms": 4000.0,
+            "dedup-scope": "all",
+            "effect": "by_key",
+            "late-share": 0.5,
+            "name": "a",
+            "window-ms": 2000.0,
+            "worth": 2.0,
+        },
     ],
     "extra": {"call-slots": 4, "loses-worth": "halves", "per-call": [1], "separate-routes": [False]},
     "kinds": ["k"],
     "limits": {"open-cap": 20, "try-limit": 5, "probing": False, "streams-per-conn": 1, "conn-idle-ms": 1e4},
     "registry-mode": "push",
-    "safety": {"answer-slack-ms": 20.0, "cold-from": 0.2, "cold-ms": 9000.0, "drain-grace-ms": 250.0,
-               "fall-ms": 1500.0, "fall-multiple": 2.0},
+    "safety": {
+        "answer-slack-ms": 20.0,
+        "cold-from": 0.2,
+        "cold-ms": 9000.0,
+        "drain-grace-ms": 250.0,
+        "fall-ms": 1500.0,
+        "fall-multiple": 2.0,
+    },
     "tick-ms": 5.0,
     "weight-kind": "nominal",
     "a-key-nobody-knows": {"x": 1},
@@ -59,29 +73,43 @@
 
 
 def run(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
-    return subprocess.run([sys.executable, "-m", "linnetstile.wirehost"], input=data, capture_output=True,
-                          timeout=60, env={**os.environ, **env})
+    return subprocess.run(
+        [sys.executable, "-m", "linnetstile.wirehost"],
+        input=data,
+        capture_output=True,
+        timeout=60,
+        env={**os.environ, **env},
+    )
 
 
 def test_documented_events_are_decoded() -> None:
     host = wirehost.Host()
-    data = bytes.fromhex("03000000c4913a5d0000000000640ad2557c3bf091"
-                         "0000000000006e4000000000000028400000644201")
+    data = bytes.fromhex(
+        "03000000c4913a5d0000000000640ad2557c3bf091" "0000000000006e4000000000000028400000644201"
+    )
     assert host._event(110, data) == api.Message(
-        0x5D3A91C4, 57, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0, False, False)
+        0x5D3A91C4, 57, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0, False, False
+    )
     assert host._event(40, bytes.fromhex("030000004d00000000000000")) == api.TimerFired(77)
     assert host._event(70, bytes.fromhex("05000000192b6f0e")) == api.Withdrawn(0x0E6F2B19)
     done = bytes.fromhex("03000000c4913a5d0000074a12030100000000008032400100000000" + "00")
     assert host._event(100, done) == api.AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18.5, True, 0.0, False, ())
+        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18.5, True, 0.0, False, ()
+    )
     events: dict[int, list[api.Event]] = {}
     rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
     rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
     host._take(20, b"\0" + bytes.fromhex(rows), events)
     host._take(30, bytes.fromhex("0300000002290000000000000000"), events)
-    assert events[3] == [api.EndpointList(api.ListKind.CACHED, (
-        api.Endpoint(0x03124A07, 57, api.Listing.READY, 0, 0, 1.0),
-        api.Endpoint(0x2C9011F2, 57, api.Listing.READY, 0, 0, 1.5)))]
+    assert events[3] == [
+        api.EndpointList(
+            api.ListKind.CACHED,
+            (
+                api.Endpoint(0x03124A07, 57, api.Listing.READY, 0, 0, 1.0),
+                api.Endpoint(0x2C9011F2, 57, api.Listing.READY, 0, 0, 1.5),
+            ),
+        )
+    ]
 
 
 @pytest.mark.parametrize(
@@ -111,13 +139,15 @@
 
 def conversation() -> bytes:
     done = struct.pack("<IIHIBdBIB", 3, 1, 0, 11, 1, 120.0, 1, 0, 0)
-    return b"".join([
-        frame(0.0),
-        frame(100.0, enlist(), listing(), announce()),
-        frame(110.0, request(1)),
-        frame(1240.0, record(100, done), *(request(n) for n in range(2, 9))),
-        frame(1260.0, record(40, struct.pack("<IQ", 3, 0))),
-    ])
+    return b"".join(
+        [
+            frame(0.0),
+            frame(100.0, enlist(), listing(), announce()),
+            frame(110.0, request(1)),
+            frame(1240.0, record(100, done), *(request(n) for n in range(2, 9))),
+            frame(1260.0, record(40, struct.pack("<IQ", 3, 0))),
+        ]
+    )
 
 
 def replies(data: bytes) -> list[list[tuple[int, bytes]]]:
