--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -2,7 +2,8 @@
 
     python -m benchmarks.amqp [--json] [--seconds 4] [--rounds 2] [--messages 3000] [--kills 0]
 
-One relay process with an operator's file; destination 1 is `standins.partner` or a queue of `standins.amqp`,
+One relay process with an operator's file; destination 1 is `fakes.endpoint` or a queue of
+`fakes.amqp_broker`,
 which confirms at once. `delivered/s` and `CPU ms` at saturation (24 clients on kept connections, 64 held),
 then open loop at half of that: waits from the intended moment to the 202. `intake`: messages that lie in one
 broker's queue go out by another's; a second until all are out. Two brokers, half of all messages to each: the
@@ -32,13 +33,13 @@
 
 import pika
 
-from linnetstile.amqp.settings import AmqpPart, BrokerPart, TargetPart
-from linnetstile.amqp.transport import Publishing
-from linnetstile.core.seams import Attempt
-from linnetstile.decisions.interface import Outcome
 from emulator.live import free_ports
 from emulator.load import Load, Plan
 from emulator.load import run as load
+from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart
+from message_relay.amqp.transport import BrokerPublisher
+from message_relay.core.ports import Attempt
+from message_relay.decisions.model import Outcome
 
 from . import processes
 from .relay import CLIENTS, Client, cpu_s, rss_mb, settings, standin
@@ -98,7 +99,7 @@
     listing = {"generation": 1, "reset": True, "instances": entries}
     (folder / "list").write_text(json.dumps(listing))
     (folder / "state").mkdir(exist_ok=True)
-    with standin("standins.agent", "--list", str(folder / "list")) as agent:
+    with standin("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
         (folder / "config.json").write_text(
             json.dumps(
                 {
@@ -114,7 +115,7 @@
             )
         )
         process = subprocess.Popen(
-            [sys.executable, "-m", "linnetstile"],
+            [sys.executable, "-m", "message_relay"],
             stderr=subprocess.DEVNULL,
             env={**os.environ, "RELAY_CONFIG": str(folder / "config.json"), "RELAY_OPERATOR": operator},
         )
@@ -160,10 +161,10 @@
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
         ledger = ("--ledger", str(folder / "ledger"))
-        partner = stack.enter_context(standin("standins.partner", *ledger)) if kind == "HTTP" else ""
+        partner = stack.enter_context(standin("fakes.endpoint", *ledger)) if kind == "HTTP" else ""
         brokers, endpoints = {}, {}
         if kind == "AMQP":
-            brokers = {"b": stack.enter_context(standin("standins.amqp", "--queue", "q", *ledger))}
+            brokers = {"b": stack.enter_context(standin("fakes.amqp_broker", "--queue", "q", *ledger))}
             endpoints = {1: ("b", "q")}
         async with relay(folder, partner, operators(folder, brokers, endpoints, "")) as it:
             row = {"kind": kind, **await saturated(it, seconds)}
@@ -201,9 +202,9 @@
 async def intake(messages: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        inward = stack.enter_context(standin("standins.amqp", "--queue", "in"))
+        inward = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in"))
         outward = stack.enter_context(
-            standin("standins.amqp", "--queue", "q", "--ledger", str(folder / "ledger"))
+            standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
         await asyncio.to_thread(fill, inward, messages)
         told = operators(folder, {"a": inward, "b": outward}, {1: ("b", "q")}, "a")
@@ -225,9 +226,11 @@
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
         good = stack.enter_context(
-            standin("standins.amqp", "--queue", "q", "--ledger", str(folder / "ledger"))
+            standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
+        )
+        other = stack.enter_context(
+            standin("fakes.amqp_broker", "--queue", "q", *(["--mute"] if mute else []))
         )
-        other = stack.enter_context(standin("standins.amqp", "--queue", "q", *(["--mute"] if mute else [])))
         told = operators(folder, {"a": good, "b": other}, {1: ("a", "q"), 2: ("b", "q")}, "")
         async with relay(folder, "", told, held=600) as it:
             cpu = cpu_s(it.pid)
@@ -270,10 +273,10 @@
     rng, begun = random.Random(seed), time.monotonic()
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        inward = stack.enter_context(standin("standins.amqp", "--queue", "in", "--queue", "answers"))
+        inward = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in", "--queue", "answers"))
         outward = stack.enter_context(
             standin(
-                "standins.amqp",
+                "fakes.amqp_broker",
                 "--queue",
                 "q",
                 "--ledger",
@@ -334,10 +337,10 @@
 
 async def connections(count: int) -> dict[str, Any]:
     """What so many connections of one process take, each with its channel and one publish made."""
-    with standin("standins.amqp", "--queue", "q") as at:
+    with standin("fakes.amqp_broker", "--queue", "q") as at:
         parts = [BrokerPart(f"b{n}", [at]) for n in range(count)]
         targets = [TargetPart(f"e{n}", n, f"b{n}", "q") for n in range(count)]
-        out, before = Publishing(AmqpPart(parts, targets), random.Random(1)), rss_mb(os.getpid())
+        out, before = BrokerPublisher(AmqpSettings(parts, targets), random.Random(1)), rss_mb(os.getpid())
         loop = asyncio.get_running_loop()
         made = await asyncio.gather(
             *(
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -23,7 +23,6 @@
 import msgspec
 
 import benchmarks.capacity as here
-
 from emulator.capacity.slopes import Report, Sample, Slope, fitted
 
 from .form import Measure
--- a/benchmarks/capacity/commands.py
+++ b/benchmarks/capacity/commands.py
@@ -18,11 +18,11 @@
 from functools import partial
 from pathlib import Path
 
-from linnetstile.cli.status import as_json, asked
-from linnetstile.fleet.operator import SupervisorPart
-from linnetstile.fleet.plan import Do, Plan
-from linnetstile.fleet.report import Destination, Lag, Report, rss_mb
-from linnetstile.fleet.status import StatusSocket
+from message_relay.cli.status import as_json, asked
+from message_relay.fleet.operator import SupervisorPart
+from message_relay.fleet.plan import Plan, SupervisorAction
+from message_relay.fleet.report import Destination, Lag, Report, rss_mb
+from message_relay.fleet.status import StatusSocket
 
 from .form import Measure
 
@@ -83,7 +83,7 @@
 def started(size: int) -> Plan:
     plan = Plan(SupervisorPart(stagger_s=0.0, together=1000), size, 0.0, 1)
     for do, number in plan.next(0.0):
-        assert do is Do.START
+        assert do is SupervisorAction.START
         plan.ready(number, 0.0)
     return plan
 
@@ -96,7 +96,7 @@
         if second % (VIRTUAL_S // 4) == 0:
             plan.exited(second % size, second, -9)
         for do, number in plan.next(second):  # at each change, and once a second
-            if do is Do.START:
+            if do is SupervisorAction.START:
                 plan.ready(number, second)
         plan.wake(second)
         plan.notes.clear()
@@ -116,7 +116,7 @@
         1600,
         {"cpu_ms": "ms", "bytes": "bytes", "memory_bytes": "bytes"},
         status,
-        "linnetstile/cli/status.py",
+        "message_relay/cli/status.py",
         f"sockets that stand in for instances, {DESTINATIONS} destinations told by each; the processor "
         "time holds both sides",
     ),
@@ -127,7 +127,7 @@
         800,
         {"cpu_ms_s": "ms/s", "memory_bytes": "bytes"},
         instances,
-        "linnetstile/fleet/plan.py",
+        "message_relay/fleet/plan.py",
         f"its decisions in virtual time, {VIRTUAL_S} s, a beat a second each; without the processes and "
         "their pipes",
     ),
--- a/benchmarks/capacity/accord.py
+++ b/benchmarks/capacity/consensus.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from linnetstile.accord import book as books
-from linnetstile.accord.book import KEPT, Book, Propose, Version
-from linnetstile.accord.granting import Granting
-from linnetstile.accord.holding import Holding
-from linnetstile.accord.node import GRANT, RENEW
-from linnetstile.accord.rules import ANY, Destination, Rules, decoded, digest, encoded, within
-from linnetstile.accord.terms import Counts, Grant, Renew, Terms
-from linnetstile.peers.wire import App, Packet, opened, sealed
+from message_relay.consensus import version_history as books
+from message_relay.consensus.instance import GRANT, RENEW
+from message_relay.consensus.lease_grantor import LeaseGrantor
+from message_relay.consensus.lease_holder import LeaseHolder
+from message_relay.consensus.lease_protocol import Counts, Grant, LeaseTerms, Renew
+from message_relay.consensus.rules import ANY, Destination, Rules, decoded, digest, encoded, within
+from message_relay.consensus.version_history import KEPT, Propose, Version, VersionHistory
+from message_relay.gossip.wire import App, Packet, opened, sealed
 
 from .form import Measure
 
@@ -29,13 +29,13 @@
 Names = list[str]
 
 
-def voter(size: int, versions: int = KEPT) -> tuple[Granting, Names]:
+def voter(size: int, versions: int = KEPT) -> tuple[LeaseGrantor, Names]:
     """One that holds as many versions as are kept, the newest cleared, and knows no relay yet."""
-    book = Book(Rules(), VOTERS)
+    book = VersionHistory(Rules(), VOTERS)
     for n in range(1, versions):
         rules = Rules({str(n): Destination(rate=1000.0 - n)})
         assert not book.apply(Propose(n, encoded(rules), "bench", "", 0.0)).refused
-    it = Granting("n0", book, Terms(), FIRST, 0, 0.0)
+    it = LeaseGrantor("n0", book, LeaseTerms(), FIRST, 0, 0.0)
     it.fresh = True
     it.clear(0.0)
     assert it.cleared == versions
@@ -48,8 +48,8 @@
     return sealed(Packet(f"n{n}", n, App(RENEW, msgspec.msgpack.encode(told))), SECRET)
 
 
-def answered(it: Granting, now: float, raw: bytes) -> bytes:
-    """As accord/node.py has it: clears before and after."""
+def answered(it: LeaseGrantor, now: float, raw: bytes) -> bytes:
+    """As consensus/instance.py has it: clears before and after."""
     packet = opened(raw, SECRET)
     assert isinstance(packet.body, App)
     told: Renew = msgspec.msgpack.decode(packet.body.body, type=Renew)
@@ -60,7 +60,7 @@
 
 
 def round_of(
-    it: Granting, now: float, seq: int, size: int, acts: tuple[int, ...], refuses: int = 1
+    it: LeaseGrantor, now: float, seq: int, size: int, acts: tuple[int, ...], refuses: int = 1
 ) -> tuple[float, int]:
     """Each relay renews once: processor seconds, and bytes both ways of one."""
     raws = [asked(n, seq, acts, refuses) for n in range(size)]
@@ -71,7 +71,7 @@
     return time.process_time() - began, len(raws[-1]) + len(answer)
 
 
-def quartile(it: Granting, now: float, size: int, acts: tuple[int, ...]) -> float:
+def quartile(it: LeaseGrantor, now: float, size: int, acts: tuple[int, ...]) -> float:
     """Processor seconds of a renewal: as many are timed whatever the number of relays."""
     times = []
     for seq in range(RENEWALS // size):
@@ -149,18 +149,20 @@
 def _rules(size: int) -> dict[str, float]:
     books._SETS.clear()  # what was decoded is kept: each time is the first
     old, raw = written(size, 200.0), encoded(written(size, 100.0))
-    book = Book(old, VOTERS)
+    book = VersionHistory(old, VOTERS)
     began = time.process_time()
     decoded(raw)
-    assert within(Rules({ANY: Destination(closed=True)}), decoded(raw))  # the floor: accord/node.py, _against
+    assert within(
+        Rules({ANY: Destination(closed=True)}), decoded(raw)
+    )  # the floor: consensus/instance.py, _against
     assert not book.apply(Propose(1, raw, "bench", "", 0.0)).refused
     voter_s = time.process_time() - began
     told = msgspec.msgpack.encode(book.newest)
-    holding = Holding(1, 1, FIRST, Terms())
+    holding = LeaseHolder(1, 1, FIRST, LeaseTerms())
     for each in book.versions:
         holding.know(each)
     holding.acts = (1,)
-    it = Granting("n0", book, Terms(), FIRST, 1, 0.0)
+    it = LeaseGrantor("n0", book, LeaseTerms(), FIRST, 1, 0.0)
     began = time.process_time()
     version: Version = msgspec.msgpack.decode(told, type=Version)
     assert digest(decoded(version.rules)) == version.digest
@@ -188,7 +190,7 @@
         3500,
         {"cpu_us": "us", "waiting_cpu_us": "us", "bytes": "bytes", "memory_bytes": "bytes"},
         renewal,
-        "linnetstile/accord/granting.py",
+        "message_relay/consensus/lease_grantor.py",
         "one renewal at one voter, opened and sealed, 64 versions kept; no system call; waiting: while a "
         "version waits for a relay that is cut off",
     ),
@@ -199,7 +201,7 @@
         3500,
         {"cpu_ms": "ms"},
         clear,
-        "linnetstile/accord/granting.py",
+        "message_relay/consensus/lease_grantor.py",
         "one look at all relays, each of which is waited for",
     ),
     Measure(
@@ -209,7 +211,7 @@
         5000,
         {"bytes": "bytes", "voter_cpu_ms": "ms", "relay_cpu_ms": "ms", "first_renewal_cpu_ms": "ms"},
         rules,
-        "linnetstile/accord/rules.py",
+        "message_relay/consensus/rules.py",
         "a version goes whole to each relay; a set names 5,000 destinations at the most (NAMES)",
     ),
 )
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 
 from benchmarks.decisions import Load
-from linnetstile.fleet.report import rss_mb
-from linnetstile.garbage import tend
+from message_relay.fleet.report import rss_mb
+from message_relay.gc_policy import run_gc_policy
 
 from .form import Measure
 
@@ -22,7 +22,7 @@
 
 async def _tended() -> None:
     """Garbage is tended as in service from now on: the task's settings stay."""
-    tending = asyncio.create_task(tend(lambda: 0))
+    tending = asyncio.create_task(run_gc_policy(lambda: 0))
     await asyncio.sleep(0)
     tending.cancel()
 
@@ -55,7 +55,7 @@
         40_000,
         {"cpu_us": "us", "turn_ms": "ms"},
         message,
-        "linnetstile/decisions/control.py",
+        "message_relay/decisions/scheduler.py",
         f"{EACH} held for each destination; a message's coming, an outcome and what dies meanwhile; "
         f"turn_ms: the longest of {MESSAGES}",
         1,
@@ -67,7 +67,7 @@
         80_000,
         {"memory_bytes": "bytes"},
         held,
-        "linnetstile/decisions/state.py",
+        "message_relay/decisions/pending.py",
         f"for {DESTS} destinations, whose part is in the base; without body and journal entry",
     ),
 )
--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -16,11 +16,11 @@
 from pathlib import Path
 
 from benchmarks.relay import settings
-from linnetstile import config
-from linnetstile.assembly import Assembly, assemble
-from linnetstile.fleet.report import rss_mb
-from linnetstile.garbage import tend
-from linnetstile.http.register import read
+from message_relay import config
+from message_relay.composition import ComposedRelay, compose
+from message_relay.fleet.report import rss_mb
+from message_relay.gc_policy import run_gc_policy
+from message_relay.http.discovery_client import read
 
 from .form import Measure
 
@@ -46,7 +46,7 @@
     return bytes(text + b"]}")
 
 
-def relay(folder: Path) -> Assembly:
+def relay(folder: Path) -> ComposedRelay:
     """One with nothing listed. It is not started: no sockets, and nothing that runs by itself."""
     (folder / "state").mkdir()
     raw = {
@@ -58,32 +58,32 @@
         "settings": settings(1000),
     }
     (folder / "config.json").write_text(json.dumps(raw))
-    built = assemble(config.load({"RELAY_CONFIG": str(folder / "config.json")}))
-    built.host.open = True  # as after the first list: what is listed goes to the decisions
+    built = compose(config.load({"RELAY_CONFIG": str(folder / "config.json")}))
+    built.relay.open = True  # as after the first list: what is listed goes to the decisions
     return built
 
 
-async def in_service(work: Callable[[Assembly], Mapping[str, float]]) -> Mapping[str, float]:
+async def in_service(work: Callable[[ComposedRelay], Mapping[str, float]]) -> Mapping[str, float]:
     """On a loop, with the garbage tended as in service."""
     with tempfile.TemporaryDirectory() as name:
         built = relay(Path(name))
-        tending = asyncio.create_task(tend(lambda: 0))
+        tending = asyncio.create_task(run_gc_policy(lambda: 0))
         await asyncio.sleep(0)
         try:
             return work(built)
         finally:
             tending.cancel()
-            built.host.turns.stop()
-            built.host.journal.close()
+            built.relay.driver.stop()
+            built.relay.journal.close()
 
 
-def take(built: Assembly, body: bytes) -> tuple[float, float]:
+def take(built: ComposedRelay, body: bytes) -> tuple[float, float]:
     """An answer in two turns of the loop, as it comes: the source's, and then the decisions'. ms of each."""
     begun = time.perf_counter()
     _, update = read(json.loads(body))
-    built.host.listed(update)
+    built.relay.on_endpoint_update(update)
     then = time.perf_counter()
-    built.host.turns.step()
+    built.relay.driver.step()
     return 1e3 * (then - begun), 1e3 * (time.perf_counter() - then)
 
 
@@ -96,13 +96,13 @@
 def measured(size: int) -> Mapping[str, float]:
     """All in one process: a list of 360,000 takes long enough to make once."""
 
-    def work(built: Assembly) -> Mapping[str, float]:
+    def work(built: ComposedRelay) -> Mapping[str, float]:
         body = answer(size)
         before, cpu = 1e6 * rss_mb(), time.process_time()
         turns = take(built, body)
         cpu = time.process_time() - cpu
         after, most = 1e6 * rss_mb(), 1e6 * most_rss_mb()
-        assert len(built.host.relay.doors) == size
+        assert len(built.relay.scheduler.doors) == size
         return {
             "list.json_bytes": float(len(body)),
             "list.turn_ms": max(turns),
@@ -116,7 +116,7 @@
     return asyncio.run(in_service(work))
 
 
-def changed(built: Assembly, size: int) -> float:
+def changed(built: ComposedRelay, size: int) -> float:
     rng, took = random.Random(1), []
     for number in (rng.randint(1, size) for _ in range(CHANGES)):
         for what in (item(number, "draining"), item(number, port=8081)):
@@ -124,15 +124,15 @@
             cpu = time.process_time()
             take(built, body)
             took.append(1e3 * (time.process_time() - cpu))
-    assert len(built.host.relay.doors) == size
+    assert len(built.relay.scheduler.doors) == size
     return statistics.median(took)
 
 
-def swept(built: Assembly) -> float:
+def swept(built: ComposedRelay) -> float:
     took = []
     for _ in range(SWEEPS):
         cpu = time.process_time()
-        built.host.tidy()
+        built.relay.run_maintenance()
         took.append(1e3 * (time.process_time() - cpu))
     return statistics.median(took)
 
@@ -153,7 +153,7 @@
             "sweep.cpu_ms": "ms",
         },
         measured,
-        "linnetstile/core/directory.py, decisions/members.py, core/host.py",
+        "message_relay/core/directory.py, decisions/endpoint_registry.py, core/relay.py",
         "one endpoint a destination. list: taken whole; turn_ms: the longer of the source's turn and the "
         "decisions'; peak_bytes: while it is taken, the answer's body counted once. change: one endpoint "
         f"drains or comes at another port, median of {2 * CHANGES}. sweep: what is done once a second",
--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/gossip.py
@@ -1,6 +1,6 @@
 """What membership costs an instance, by how many there are: `Swim` in virtual time, its packets sealed.
 
-`Fleet` drives it as `peers/node.py` does, without sockets: what is sent is sealed and opened again, takes 1
+`Fleet` drives it as `gossip/node.py` does, without sockets: what is sent is sealed and opened again, takes 1
 to 20 ms, and is counted. Tests of scale count with it too (tests/scale/test_members.py).
 """
 
@@ -8,13 +8,13 @@
 
 import heapq
 import random
-from functools import partial
 import time
 import tracemalloc
 from collections.abc import Callable, Mapping
+from functools import partial
 
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import Claim, Packet, State, Sync, opened, sealed
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import Claim, Packet, State, Sync, opened, sealed
 
 from .form import Measure
 
@@ -25,7 +25,7 @@
 JOIN_MOST_S = 60.0
 REST_S, REST_FROM_S = 20.0, 2.0  # of rest that are counted, and the time before it
 ZONES = 10
-SLACK_S = 0.005  # as peers/node.py has it: timers closer than that are one
+SLACK_S = 0.005  # as gossip/node.py has it: timers closer than that are one
 
 
 def claim(n: int, state: State = State.JOINING, boot: int = 1) -> Claim:
@@ -198,7 +198,7 @@
         800,
         {"bytes_s": "bytes/s", "datagrams_s": "datagrams/s", "cpu_ms_s": "ms/s", "memory_bytes": "bytes"},
         members,
-        "linnetstile/peers/swim.py",
+        "message_relay/gossip/swim.py",
         "of one member, at rest, with a period of 1 s: there is no news; memory: of each member known; "
         "virtual time: processor time holds the driver's, and no system call",
     ),
@@ -209,7 +209,7 @@
         400,
         {"cpu_ms": "ms", "bytes": "bytes", "seed_bytes": "bytes", "seconds": "s"},
         start,
-        "linnetstile/peers/roll.py",
+        "message_relay/gossip/member_table.py",
         "of one member, and of a seed, until each knows all: they start within 1 s; virtual time, no sockets",
     ),
 )
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -34,8 +34,8 @@
 
 from emulator.capacity.slopes import Report, Sample, Slope, fitted
 
-from .hollow_fleet import Broken, HollowFleet, begun, hollow_fleet
 from .hollow_figures import Bins
+from .hollow_fleet import Broken, HollowFleet, begun, hollow_fleet
 
 EVENTS = ("rest", "changes", "frozen", "return", "zone", "storm", "deaths")
 REST_S = 15.0
@@ -57,8 +57,11 @@
     "voter_memory_bytes": "bytes",
     "change_p99_s": "s",
 }
-MECHANISMS = {"voter": "linnetstile/accord/granting.py", "change": "linnetstile/accord/node.py"}
-MECHANISM = "linnetstile/peers/swim.py"
+MECHANISMS = {
+    "voter": "message_relay/consensus/lease_grantor.py",
+    "change": "message_relay/consensus/instance.py",
+}
+MECHANISM = "message_relay/gossip/swim.py"
 
 
 def merged(rows: dict[str, Bins], keys: Sequence[str]) -> Bins:
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -16,10 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from linnetstile.fleet.status import StatusError
-
+from benchmarks.cluster_harness import ClusterHarness, cluster
 from benchmarks.processes import Clients
-from benchmarks.town import Town, town
+from message_relay.fleet.status import StatusError
 
 from .hollow_figures import Bins, of, rates
 
@@ -72,7 +71,7 @@
 
 @dataclass
 class HollowFleet:
-    it: Town
+    it: ClusterHarness
     instances: int
     processes: int
     stretch: float
@@ -355,7 +354,7 @@
     relays: int = RELAYS,
     zones: tuple[str, ...] = ZONES,
 ) -> AsyncIterator[HollowFleet]:
-    async with town(
+    async with cluster(
         voters + relays,
         voters=voters,
         bound=BOUND_S * stretch,
@@ -367,7 +366,7 @@
         more_parts=parts(zones, WINDOW_S * stretch),
     ) as it:
         memory = str(MEMORY) if MEMORY.is_dir() else None
-        with tempfile.TemporaryDirectory(prefix="linnetstile-hollow-", dir=memory) as state:
+        with tempfile.TemporaryDirectory(prefix="message_relay-hollow-", dir=memory) as state:
             them = HollowFleet(it, instances, processes, stretch, zone_of, state=Path(state))
             try:
                 await them.begin()
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -22,18 +22,18 @@
 
 import msgspec
 
-from linnetstile.config import Config, load
-from linnetstile.core.host import Host
-from linnetstile.core.seams import Attempt, Key, Result, Update
-from linnetstile.decisions.interface import Outcome
-from linnetstile.failover.node import solver
-from linnetstile.fleet import operator
-from linnetstile.fleet.common import Common
-from linnetstile.fleet.operator import FleetPart, Operator, StatusPart
-from linnetstile.fleet.status import LoopLag
-from linnetstile.garbage import tend
-from linnetstile.http.register import Register
-from linnetstile.peers.wire import Claim, State
+from message_relay.config import Config, load
+from message_relay.core.ports import Attempt, AttemptResult, EndpointKey, EndpointUpdate
+from message_relay.core.relay import Relay
+from message_relay.decisions.model import Outcome
+from message_relay.failover.node import solver
+from message_relay.fleet import operator
+from message_relay.fleet.common import SharedSubsystems
+from message_relay.fleet.operator import FleetPart, OperatorConfig, StatusPart
+from message_relay.fleet.status import LoopLag
+from message_relay.gc_policy import run_gc_policy
+from message_relay.gossip.wire import Claim, State
+from message_relay.http.discovery_client import DiscoveryClient
 
 from .hollow_figures import Bins
 
@@ -58,13 +58,13 @@
 class Silent:
     """A transport that is never asked: there are no messages."""
 
-    async def attempt(self, attempt: Attempt) -> Result:
-        return Result(Outcome.NOT_SENT)
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
+        return AttemptResult(Outcome.NOT_SENT)
 
-    def keep_only(self, listed: set[Key]) -> None:
+    def retain_only(self, listed: set[EndpointKey]) -> None:
         pass
 
-    def changed(self, key: Key, listed: bool) -> None:
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
         pass
 
     def sweep(self) -> None:
@@ -100,25 +100,27 @@
 class Hollow:
     """One instance."""
 
-    def __init__(self, number: int, told: Operator, config: Config, watch: Watch) -> None:
+    def __init__(self, number: int, told: OperatorConfig, config: Config, watch: Watch) -> None:
         self.number, self.watch = number, watch
-        self.host = Host(config)
-        self.host.plug_in({}, Silent(), [])
-        self.common = Common(told, number, config, self.host)
+        self.host = Relay(config)
+        self.host.connect({}, Silent(), [])
+        self.common = SharedSubsystems(told, number, config, self.host)
         if config.known:
-            known: Update = Register(config.discovery, config.settings.relays).known(config.known)
-            self.host.listed(known)
+            known: EndpointUpdate = DiscoveryClient(config.discovery, config.settings.relays).known(
+                config.known
+            )
+            self.host.on_endpoint_update(known)
         self.common.peers.changed.append(watch.changed)
         accord = self.common.accord
         assert accord is not None
-        self.accord, retell = accord, accord.retell
+        self.accord, retell = accord, accord.on_rules_changed
 
         def retold() -> None:
             if accord.shown is not None:
                 watch.acting(number, accord.shown.label)
             retell()
 
-        accord.retell = retold
+        accord.on_rules_changed = retold
 
     async def start(self) -> None:
         await self.common.start()
@@ -148,7 +150,7 @@
         self.args, self.watch, self.lag = args, Watch(), LoopLag()
         self.instances: dict[int, Hollow] = {}
         self.ended: Counter[str] = Counter()  # what those counted that have ended
-        self.told: Operator = operator.read(args.operator)
+        self.told: OperatorConfig = operator.read(args.operator)
         config = load({"RELAY_CONFIG": str(args.config), "RELAY_NAME": "x", "RELAY_STATE": args.state})
         self.config, self.listed = config, config.known
 
@@ -216,7 +218,7 @@
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
         news = [len(one.common.peers.swim.news) for one in self.instances.values()]
         late = [
-            f"{one.accord.me}: {one.accord.acting().label} {one.accord.holding.why}"
+            f"{one.accord.me}: {one.accord.acting().label} {one.accord.lease_holder.why}"
             for number, one in self.instances.items()
             if max(self.watch.acts.get(number, {0: 0.0})) < version
         ]
@@ -273,7 +275,7 @@
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         self.lag.start()
         solver()  # what it imports is the process's, not an instance's
-        tending = loop.create_task(tend(lambda: 0))
+        tending = loop.create_task(run_gc_policy(lambda: 0))
         say({"rss": _rss(), "pid": os.getpid()})
         while line := await reader.readline():
             try:
--- a/benchmarks/capacity/evidence.py
+++ b/benchmarks/capacity/observations.py
@@ -8,24 +8,24 @@
 
 import msgspec
 
-from linnetstile.accord.rules import Rules
-from linnetstile.failover.decider import Decider
-from linnetstile.failover.evidence import KEPT, Counting, Evidence, Report
-from linnetstile.failover.node import EVIDENCE, FORWARDED
-from linnetstile.failover.settings import FailoverPart, ZonePart
-from linnetstile.peers.wire import App, Packet, opened, sealed
+from message_relay.consensus.rules import Rules
+from message_relay.failover.controller import FailoverController
+from message_relay.failover.node import EVIDENCE, FORWARDED
+from message_relay.failover.observations import KEPT, CallCounter, Observations, Report
+from message_relay.failover.settings import FailoverSettings, ZonePart
+from message_relay.gossip.wire import App, Packet, opened, sealed
 
 from .form import Measure
 
 SECRET = b"0123456789abcdef"
 ZONES = tuple(f"zone-{n}" for n in range(10))
-PART = FailoverPart({zone: ZonePart(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
+PART = FailoverSettings({zone: ZonePart(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
 CALLS = 857  # of a relay in a window: a second of its share of three million
 DESTINATIONS = 20  # that a relay calls in a window, where relays are counted; of as many as ten relays call
 GROUP = "anywhere 1"
 
 
-def window(counting: Counting, rng: random.Random, destinations: list[int]) -> list[Report]:
+def window(counting: CallCounter, rng: random.Random, destinations: list[int]) -> list[Report]:
     for n in range(CALLS):
         destination = destinations[n % len(destinations)]
         counting.asked(destination, GROUP)
@@ -41,7 +41,7 @@
     ]
 
 
-def taken(evidence: Evidence, now: float, raws: list[bytes]) -> None:
+def taken(evidence: Observations, now: float, raws: list[bytes]) -> None:
     for raw in raws:
         body = opened(raw, SECRET).body
         assert isinstance(body, App)
@@ -57,21 +57,21 @@
 
 def report(size: int) -> Mapping[str, float]:
     """Of one relay and window, as told to one voter."""
-    rng, counting = random.Random(1), Counting("n1", 1, ZONES[0])
+    rng, counting = random.Random(1), CallCounter("n1", 1, ZONES[0])
     reports = window(counting, rng, list(range(size)))
     times = []
     for n in range(20):
         raws = packets(reports)
-        evidence = Evidence()
+        evidence = Observations()
         times.append(timed(lambda raws=raws, evidence=evidence, n=n: taken(evidence, float(n), raws)))  # type: ignore[misc]
     return {"bytes": sum(map(len, raws)), "datagrams": len(raws), "cpu_ms": min(times)}
 
 
-def filled(size: int) -> tuple[Evidence, float, float]:
+def filled(size: int) -> tuple[Observations, float, float]:
     """What a decider knows of so many relays; how long the last window took it, and its bytes."""
-    rng, evidence = random.Random(1), Evidence()
+    rng, evidence = random.Random(1), Observations()
     pool = max(DESTINATIONS, size * DESTINATIONS // 10)
-    relays = [Counting(f"n{n}", n, ZONES[n % len(ZONES)]) for n in range(size)]
+    relays = [CallCounter(f"n{n}", n, ZONES[n % len(ZONES)]) for n in range(size)]
     mine = [rng.sample(range(pool), DESTINATIONS) for _ in relays]
     now, took, length = 0.0, 0.0, 0
     for number in range(KEPT):
@@ -87,7 +87,7 @@
 
 def total(size: int) -> Mapping[str, float]:
     evidence, took, length = filled(size)
-    now, decider = KEPT + 0.5, Decider(PART, evidence, None, lambda: 0.0)
+    now, decider = KEPT + 0.5, FailoverController(PART, evidence, None, lambda: 0.0)
     first = timed(lambda: decider.look(now, Rules(), {}))
     return {
         "take_cpu_ms": took,
@@ -108,7 +108,7 @@
         200,
         {"bytes": "bytes", "datagrams": "datagrams", "cpu_ms": "ms"},
         report,
-        "linnetstile/failover/evidence.py",
+        "message_relay/failover/observations.py",
         "a window of 857 calls of one relay to one voter; the processor time is the voter's; more than 200 "
         "destinations are summed up (CELLS)",
     ),
@@ -127,7 +127,7 @@
             "look_cpu_ms": "ms",
         },
         total,
-        "linnetstile/failover/decider.py",
+        "message_relay/failover/controller.py",
         "each relay calls 20 destinations, each of which ten relays call; take: of one window; look: the "
         "turn of a decider, once a window, on the loop",
     ),
--- a/benchmarks/capacity/planner.py
+++ b/benchmarks/capacity/planner.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from linnetstile.failover.planner import Group, Plan, Problem, Solver, greedy, plans
+from message_relay.failover.planner import Group, Plan, Problem, Solver, greedy, plans
 
 from .form import Measure
 
@@ -48,7 +48,7 @@
 
 def solver() -> Solver:
     """Loaded here: all other measures are imported beside this one, and don't need it."""
-    from linnetstile.failover.solver import solved
+    from message_relay.failover.solver import solved
 
     return solved
 
@@ -89,7 +89,7 @@
         32,
         {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
         of_zones,
-        "linnetstile/failover/solver.py",
+        "message_relay/failover/solver.py",
         "one destination, 3 groups, one zone lost",
     ),
     Measure(
@@ -99,7 +99,7 @@
         16,
         {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
         of_groups,
-        "linnetstile/failover/solver.py",
+        "message_relay/failover/solver.py",
         "one destination, 10 zones, one of them lost",
     ),
     Measure(
@@ -109,7 +109,7 @@
         200,
         {"cpu_ms": "ms", "solved": "plans"},
         of_destinations,
-        "linnetstile/failover/planner.py",
+        "message_relay/failover/planner.py",
         "10 zones, 3 groups, one zone lost; the solver has 150 ms for all, and the others are greedy",
     ),
 )
--- a/benchmarks/capacity/relay.py
+++ b/benchmarks/capacity/relay.py
@@ -14,7 +14,7 @@
 
 
 def message(size: int) -> Mapping[str, float]:
-    row = asyncio.run(measure("linnetstile", size, SECONDS, RATE))
+    row = asyncio.run(measure("message_relay", size, SECONDS, RATE))
     if row.failed:
         raise ValueError(f"{row.failed} requests were neither taken nor refused")
     return {"cpu_ms": row.cpu_ms}
@@ -28,7 +28,7 @@
         2000,
         {"cpu_ms": "ms"},
         message,
-        "linnetstile/core/host.py",
+        "message_relay/core/relay.py",
         f"one process at saturation over loopback, {SECONDS:g} s: clients hand in as soon as they are "
         "answered, so the hold is full; refusals are in it",
     ),
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -12,12 +12,12 @@
 import tracemalloc
 from collections.abc import Iterator, Mapping
 
-from linnetstile.fleet.report import rss_mb
-from linnetstile.shards.audience import DIGEST_S
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import Answer, Ask, Layout, Row, packed, packed_bits
+from message_relay.fleet.report import rss_mb
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.subscribers import DIGEST_S
+from message_relay.sharded_directory.wire import Layout, Row, ShardRequest, ShardResponse, packed, packed_bits
 
 from .form import Measure
 
@@ -46,9 +46,9 @@
         ]
 
 
-def loaded(size: int) -> tuple[Keeper, list[float]]:
+def loaded(size: int) -> tuple[ShardServer, list[float]]:
     """And how long each turn of the load took, in ms."""
-    keeper, turns = Keeper(LAYOUT, 1, random.Random(1)), []
+    keeper, turns = ShardServer(LAYOUT, 1, random.Random(1)), []
     load = keeper.begin(0.0, (1, 1))
     for piece in rows(size):
         began = time.perf_counter()
@@ -74,7 +74,7 @@
     for _ in rows(size):
         pass
     made = time.process_time() - made  # of that, what making the rows took
-    assert kept.told(0.0).endpoints == size
+    assert kept.status(0.0).endpoints == size
     return {
         "memory_bytes": (rss_mb() - before) * 1e6,
         "load_cpu_ms": (took - made) * 1e3,
@@ -82,14 +82,16 @@
     }
 
 
-def audience(kept: Keeper, readers: int) -> list[bytes]:
+def audience(kept: ShardServer, readers: int) -> list[bytes]:
     """So many readers that have asked; what each holds."""
     rng, found = random.Random(2), []
     for number in range(readers):
         held = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
         found.append(packed_bits(held, SHARDS))
-        answer = kept.asked(float(number), f"n{number + 100}", Ask(1, LAYOUT, kept.version, found[-1]))
-        assert isinstance(answer, Answer)
+        answer = kept.asked(
+            float(number), f"n{number + 100}", ShardRequest(1, LAYOUT, kept.version, found[-1])
+        )
+        assert isinstance(answer, ShardResponse)
     return found
 
 
@@ -104,27 +106,27 @@
     took = time.process_time() - began
     asked = 0
     for raw in holds[:50]:  # all changes at once: bytes of each that the reader holds
-        ask = Ask(2, LAYOUT, (1, 1), raw)
+        ask = ShardRequest(2, LAYOUT, (1, 1), raw)
         answer = kept.asked(now + 100.0, "n100", ask)
-        assert isinstance(answer, Answer)
+        assert isinstance(answer, ShardResponse)
         told += len(packed(answer)) + len(packed(ask))
         asked += 1
     return {"cpu_us": took / CHANGES * 1e6, "bytes": told / asked / CHANGES}
 
 
-def taken(kept: Keeper, shards: int, now: float) -> tuple[Reader, float]:
+def taken(kept: ShardServer, shards: int, now: float) -> tuple[ShardClient, float]:
     """A reader that has taken so many, one destination of each in use, and the processor time in s."""
-    read = Reader("n100", LAYOUT, random.Random(4))
+    read = ShardClient("n100", LAYOUT, random.Random(4))
     wanted: set[int] = set()
     for destination in range(DESTINATIONS):
         shard = shard_of(destination, SHARDS)
         if shard not in wanted:
             wanted.add(shard)
-            read.want(now, destination, now + 600.0)
+            read.request(now, destination, now + 600.0)
             if len(wanted) == shards:
                 break
     took = 0.0
-    while read.told(now).waiting:
+    while read.status(now).waiting:
         now += 0.05
         kept.confirmed(now)
         began = time.process_time()
@@ -138,7 +140,7 @@
             read.answered(now, name, word)
             read.updates.clear()
             took += time.process_time() - began
-    assert read.told(now).shards == shards
+    assert read.status(now).shards == shards
     return read, took
 
 
@@ -181,7 +183,7 @@
         360_000,
         {"memory_bytes": "bytes", "load_cpu_ms": "ms", "turn_ms": "ms"},
         keeper,
-        "linnetstile/shards/table.py",
+        "message_relay/sharded_directory/shard_table.py",
         "8,192 shards; a whole list in pieces of 2,000 rows, its longest turn",
     ),
     Measure(
@@ -191,7 +193,7 @@
         3_500,
         {"cpu_us": "us", "bytes": "bytes"},
         change,
-        "linnetstile/shards/audience.py",
+        "message_relay/sharded_directory/subscribers.py",
         "one change at a keeper of 22,500 destinations, readers of an eighth of 8,192 shards each; bytes: of "
         "an ask and its answer, for each change",
     ),
@@ -202,7 +204,7 @@
         8_192,
         {"memory_bytes": "bytes", "cpu_ms": "ms"},
         reader,
-        "linnetstile/shards/holding.py",
+        "message_relay/sharded_directory/shard_cache.py",
         "shards of 44 endpoints; one destination in use in each; without the directory and the decisions",
     ),
     Measure(
@@ -212,7 +214,7 @@
         3_500,
         {"cpu_ms_s": "ms/s", "bytes_s": "bytes/s"},
         digests,
-        "linnetstile/shards/audience.py",
+        "message_relay/sharded_directory/subscribers.py",
         "a digest each 3 s, without sockets",
     ),
 )
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-from linnetstile.fleet.report import rss_mb
-from linnetstile.store.journal import Entry, Journal
+from message_relay.fleet.report import rss_mb
+from message_relay.store.journal import Journal, JournalEntry
 
 from .form import Measure
 
@@ -20,20 +20,20 @@
 ROOM = 6000  # bytes of the folder for each message held: twice what it needs, records to come included
 
 
-def entry(number: int) -> Entry:
-    return Entry(
+def entry(number: int) -> JournalEntry:
+    return JournalEntry(
         f"{number:016x}", "order", "t", number % 1000, f"k{number:016x}", 1e6, 1e6 + LIFE_MS, "", bytes(BODY)
     )
 
 
-def entries(first: int, count: int) -> Iterator[Entry]:
+def entries(first: int, count: int) -> Iterator[JournalEntry]:
     return (entry(number) for number in range(first, first + count))
 
 
 def filled(folder: Path, size: int) -> Journal:
     journal = Journal(folder, ROOM * (size + EVENTS) + 10_000_000)
     for each in entries(0, size):
-        journal.take(each)
+        journal.append_accepted(each)
     return journal
 
 
@@ -76,10 +76,10 @@
         written, copied, cpu = journal.written, journal.copied, time.process_time()
         now = 1e6
         for each in entries(size, EVENTS):
-            journal.take(each)
-            journal.tried(each, now, "s-5be2a07c", 0)
-            journal.ended(each, "returned", 500.0)
-            journal.told([each.id])
+            journal.append_accepted(each)
+            journal.append_attempt(each, now, "s-5be2a07c", 0)
+            journal.append_final_outcome(each, "returned", 500.0)
+            journal.append_notified([each.id])
         cpu = time.process_time() - cpu
         disk = journal.written - written + journal.copied - copied
         journal.close()
@@ -94,7 +94,7 @@
         200_000,
         {"cpu_ms": "ms", "memory_bytes": "bytes", "disk_bytes": "bytes"},
         start,
-        "linnetstile/store/recovery.py",
+        "message_relay/store/recovery.py",
         f"bodies of {BODY} bytes, untried; memory: the journal's entries with their bodies",
         1,
     ),
@@ -105,7 +105,7 @@
         80_000,
         {"disk_bytes": "bytes", "cpu_us": "us"},
         message,
-        "linnetstile/store/journal.py",
+        "message_relay/store/journal.py",
         f"take, tried, ended, told: {EVENTS} messages of {BODY} bytes beside those held; "
         "no syncs, copies of old segments counted",
         1,
--- a/benchmarks/town.py
+++ b/benchmarks/cluster_harness.py
@@ -1,8 +1,8 @@
 """Real instances that agree on rules, with a net between them in which faults are put: for tests and
 benchmarks.
 
-Each instance is a process of its own (`linnetstile run` with an operator's file), reaches the others only
-through standins.net, and delivers to one partner, whose ledger says under which version each call was
+Each instance is a process of its own (`message_relay run` with an operator's file), reaches the others only
+through fakes.fault_proxy, and delivers to one partner, whose ledger says under which version each call was
 made. Started, killed, frozen and started again by number; their folders can be put back to an older
 state.
 """
@@ -24,8 +24,8 @@
 from pathlib import Path
 from typing import Any
 
-from linnetstile.accord.control import question
-from linnetstile.fleet.status import StatusError
+from message_relay.consensus.admin_socket import question
+from message_relay.fleet.status import StatusError
 
 from .processes import Fleet, free_ports, lines, settings
 
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Town(Fleet):
+class ClusterHarness(Fleet):
     """`voters` of `instances` vote; `bound` is T. `shared` and the supervisor of a Fleet are not used."""
 
     voters: int = 3
@@ -69,7 +69,7 @@
         for zone in self.partners or ("z",):
             places[zone] = await self.start(
                 f"partner {zone}" if self.partners else "partner",
-                "standins.partner",
+                "fakes.endpoint",
                 "--answer-ms",
                 str(self.answer_ms),
                 "--calls",
@@ -97,7 +97,7 @@
             (self.folder / f"list{n}.json").write_text(json.dumps(known[n]))
             self.agents[n] = await self.start(
                 f"agent {n}" if n else "agent",
-                "standins.agent",
+                "fakes.discovery_agent",
                 "--list",
                 str(self.folder / f"list{n}.json"),
                 "--ledger",
@@ -115,7 +115,7 @@
         (self.folder / "plan.json").write_text(json.dumps({"nodes": nodes, "doors": doors}))
         self.control = await self.start(
             "net",
-            "standins.net",
+            "fakes.fault_proxy",
             "--plan",
             str(self.folder / "plan.json"),
             "--seed",
@@ -208,7 +208,7 @@
             env["LINNETSTILE_CLOCK_RATE"] = self.clock_rates[n]
         with open(self.folder / f"i{n}.log", "ab") as log:
             self.processes[self.name(n)] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "linnetstile", "run", stdout=log, stderr=log, env=env
+                sys.executable, "-m", "message_relay", "run", stdout=log, stderr=log, env=env
             )
         if wait:
             await self.serving(n)
@@ -377,9 +377,9 @@
 
 
 @contextlib.asynccontextmanager
-async def town(instances: int, **more: Any) -> AsyncIterator[Town]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
-        it = Town(Path(folder), instances, more.pop("rate", 1000.0), False, **more)
+async def cluster(instances: int, **more: Any) -> AsyncIterator[ClusterHarness]:
+    with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
+        it = ClusterHarness(Path(folder), instances, more.pop("rate", 1000.0), False, **more)
         try:
             await it.set_up()
             yield it
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -22,18 +22,31 @@
 from math import sqrt
 from statistics import median
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from message_relay.decisions.actions import SetTimer, StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, TimerFired
+from message_relay.decisions.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Rates,
+    Safety,
+    Settings,
+)
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 FLEETS = (1, 5, 20, 30, 200)
 WAYS = ("all know", "half know", "restarted", "uneven", "hint high", "silent", "unheard")
 RATE, LOAD = 40.0, 0.8  # calls a second that it takes warm, and of them that are asked for
 DOWN_MS, BACK_MS, END_MS = 4_000.0, 11_000.0, 24_000.0
-SAFETY = api.Safety(cold_share=0.18, cold_ms=11_000.0, fall_multiple=2.0, fall_ms=1_500.0)
+SAFETY = Safety(cold_share=0.18, cold_ms=11_000.0, fall_multiple=2.0, fall_ms=1_500.0)
 HINT = 1.5  # a rough rate may be listed so much too high
 REFUSED_MS, ANSWER_MS = 15.0, 120.0
 SAID_ANEW_MS, CONNECT_MS = (1_000.0, 3_000.0), 5_000.0  # of a connection, and how long a relay waits for it
-CLASS = api.MessageClass("c", api.Effect.SAFE, 3_000.0, 12_000.0)
+CLASS = MessageClass("c", Effect.SAFE, 3_000.0, 12_000.0)
 
 
 @dataclass
@@ -49,13 +62,13 @@
 
     def run(self) -> Play:
         rng = random.Random(f"{self.relays} {self.way} {self.seed}")
-        rates = api.Rates.ROUGH if self.way == "hint high" else api.Rates.NOMINAL
-        self.settings = api.Settings(
+        rates = Rates.ROUGH if self.way == "hint high" else Rates.NOMINAL
+        self.settings = Settings(
             classes=(CLASS,),
-            kinds=(api.DestinationKind("k"),),
-            slots=12,
-            hold=4000,
-            attempts=8,
+            kinds=(DestinationKind("k"),),
+            max_concurrent_attempts=12,
+            max_pending_messages=4000,
+            max_attempts=8,
             relays=self.relays,
             rates=rates,
             idle_ms=10_000.0,
@@ -76,26 +89,26 @@
                 self.made[n] = self._new(rng)
                 self._handle(now, n, list(learned))
             elif what == "up":
-                assert isinstance(more, api.Send)
+                assert isinstance(more, StartAttempt)
                 self._up(now, n, more)
             elif what != "wake":
-                assert isinstance(more, api.Message | api.AttemptEnded)
-                failed = isinstance(more, api.AttemptEnded) and more.outcome is not api.Outcome.OK
+                assert isinstance(more, Message | AttemptCompleted)
+                failed = isinstance(more, AttemptCompleted) and more.outcome is not Outcome.OK
                 self.knows[n] = self.knows[n] or failed and now < BACK_MS
                 self._handle(now, n, [more])
             elif self.wakes[n] == now:
-                self._handle(now, n, [api.TimerFired(0)])
+                self._handle(now, n, [TimerFired(0)])
         return self
 
     def at(self, when: float, what: str, n: int, more: object = None) -> None:
         if when < END_MS:
             heapq.heappush(self.events, (when, next(self.numbers), what, n, more))
 
-    def _new(self, rng: random.Random) -> Relay:
-        relay = Relay(self.settings, rng.getrandbits(32))
+    def _new(self, rng: random.Random) -> DeliveryScheduler:
+        relay = DeliveryScheduler(self.settings, rng.getrandbits(32))
         listed = RATE * (HINT if self.way == "hint high" else 1.0)
-        entry = api.Endpoint(1, 1, api.Listing.READY, rate=listed)
-        relay.handle(0.0, [api.EndpointList(api.ListKind.WHOLE, (entry,))])
+        entry = Endpoint(1, 1, Listing.READY, rate=listed)
+        relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
         return relay
 
     def _arrivals(self, rng: random.Random) -> None:
@@ -106,17 +119,17 @@
             n = rng.choices(range(self.relays), weights)[0]
             if self.way == "half know" and n % 2 and now < BACK_MS:
                 continue  # those have no traffic for it before it is back
-            self.at(now, "event", n, api.Message(ident, 1, 0, CLASS.deadline_ms))
+            self.at(now, "event", n, Message(ident, 1, 0, CLASS.deadline_ms))
 
-    def _handle(self, now: float, n: int, events: list[api.Event]) -> None:
+    def _handle(self, now: float, n: int, events: list[Event]) -> None:
         for act in self.made[n].handle(now, events):
-            if isinstance(act, api.SetTimer):
+            if isinstance(act, SetTimer):
                 self.wakes[n] = now + act.delay_ms
                 self.at(self.wakes[n], "wake", n)
-            elif isinstance(act, api.Send):
+            elif isinstance(act, StartAttempt):
                 self._call(now, n, act)
 
-    def _call(self, now: float, n: int, send: api.Send) -> None:
+    def _call(self, now: float, n: int, send: StartAttempt) -> None:
         if self.way == "unheard" and DOWN_MS <= now < BACK_MS:
             until = min(CONNECT_MS, send.give_up_at_ms - now)
             again = [ms for ms in SAID_ANEW_MS if now + ms >= BACK_MS and ms < until]
@@ -127,23 +140,23 @@
                     now + until,
                     "event",
                     n,
-                    api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.CONNECT_FAILED, until),
+                    AttemptCompleted(send.id, 0, send.endpoint, Outcome.CONNECT_FAILED, until),
                 )
             return
         self.calls.append((now, self.knows[n]))
-        outcome, took = api.Outcome.OK, ANSWER_MS
+        outcome, took = Outcome.OK, ANSWER_MS
         if DOWN_MS <= now < BACK_MS:
             silent = self.way == "silent"
-            outcome = api.Outcome.TIMEOUT if silent else api.Outcome.CONNECT_FAILED
+            outcome = Outcome.TIMEOUT if silent else Outcome.CONNECT_FAILED
             took = send.give_up_at_ms - now if silent else REFUSED_MS
         self.at(
             now + took,
             "event",
             n,
-            api.AttemptEnded(send.id, 0, send.endpoint, outcome, took, outcome is api.Outcome.OK),
+            AttemptCompleted(send.id, 0, send.endpoint, outcome, took, outcome is Outcome.OK),
         )
 
-    def _up(self, now: float, n: int, send: api.Send) -> None:
+    def _up(self, now: float, n: int, send: StartAttempt) -> None:
         """A connection is there, long after it was asked for."""
         if self.made[n].may_write(now, send.id):
             self._call(now, n, send)
@@ -151,7 +164,7 @@
             self._handle(
                 now,
                 n,
-                [api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.NOT_SENT, 0.0, held_back=True)],
+                [AttemptCompleted(send.id, 0, send.endpoint, Outcome.NOT_SENT, 0.0, withheld=True)],
             )
 
     # -- what came of it ---------------------------------------------------------------------------------
--- a/benchmarks/cold_real.py
+++ b/benchmarks/cold_real.py
@@ -4,7 +4,7 @@
                                    [--unheard] [--connect-ms 1500] [--learn-s 10] [--calls FILE] [--json]
 
 Each relay is a process of its own without an operator's file: `balancers` in the settings tells it how many
-there are, and it decides alone. The partner (standins.partner) is down for 12 s, comes back at 18% of the
+there are, and it decides alone. The partner (fakes.endpoint) is down for 12 s, comes back at 18% of the
 agreed rate and is warm 11 s later; down it refuses connections, or with `--unheard` leaves them without an
 answer, so that those which still wait come up together at its return. Clients hand in at 80% of the rate,
 evenly. As in benchmarks/cold.py, any window of `fall-ms` that begins while it is cold may hold N + 2 x root
@@ -104,7 +104,7 @@
         it = self.setting
         at = await self._start(
             "partner",
-            "standins.partner",
+            "fakes.endpoint",
             "--answer-ms",
             str(ANSWER_MS),
             "--rate",
@@ -132,7 +132,7 @@
         }
         known = {"generation": 1, "reset": True, "instances": [entry]}
         (self.folder / "list.json").write_text(json.dumps(known))
-        agent = await self._start("agent", "standins.agent", "--list", str(self.folder / "list.json"))
+        agent = await self._start("agent", "fakes.discovery_agent", "--list", str(self.folder / "list.json"))
         self.port = free_ports(it.relays)
         for n in range(it.relays):
             (self.folder / f"state{n}").mkdir()
@@ -150,7 +150,7 @@
                 )
             )
             env = {"RELAY_CONFIG": str(self.folder / f"config{n}.json")}
-            await self._start(f"relay{n}", "linnetstile", env=env, says=False)
+            await self._start(f"relay{n}", "message_relay", env=env, says=False)
         async with asyncio.timeout(READY_S):
             for n in range(it.relays):
                 await self._ready(n)
@@ -245,7 +245,7 @@
 
 
 async def play(it: Setting, seed: int) -> tuple[dict[str, Any], list[Arrived]]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         one = Play(it, Path(folder), seed)
         calls = await one.run()
         return row(it, calls, one.knowing(), expected(it.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)), calls
--- a/benchmarks/accord.py
+++ b/benchmarks/consensus.py
@@ -1,6 +1,6 @@
 """Agreed rules on real processes: how soon a version holds, what faults do to its bound, and what it costs.
 
-    python -m benchmarks.accord [--json] [--members 3,15,40] [--changes 12] [--faulted 30] [--towns 1]
+    python -m benchmarks.consensus [--json] [--members 3,15,40] [--changes 12] [--faulted 30] [--towns 1]
                                 [--seed 1]
 
 `activate_s`: from the proposal to the moment at which an instance acts by the version, over all instances and
@@ -34,12 +34,12 @@
 
 import msgspec
 
-from linnetstile.accord.rules import Rules, decoded, meet_all, standby, within
-from linnetstile.accord.terms import Terms
-from linnetstile.fleet.status import StatusError
+from message_relay.consensus.lease_protocol import LeaseTerms
+from message_relay.consensus.rules import Rules, decoded, intersect_all, standby, within
+from message_relay.fleet.status import StatusError
 
+from .cluster_harness import ClusterHarness, cluster
 from .processes import Clients
-from .town import Town, town
 
 SETS: list[dict[str, Any]] = [
     {"destinations": {"1": {"rate": 900}}},
@@ -57,7 +57,7 @@
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 3)
 
 
-async def activated(it: Town, changes: int, rng: random.Random) -> list[float]:
+async def activated(it: ClusterHarness, changes: int, rng: random.Random) -> list[float]:
     """Of each instance and change; polled each 10 ms or so."""
     found: list[float] = []
     for n in range(changes):
@@ -75,7 +75,7 @@
 
 async def size_row(members: int, changes: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
-    async with town(members, voters=3 if members < 15 else 5, bound=2.0, horizon=6.0) as it:
+    async with cluster(members, voters=3 if members < 15 else 5, bound=2.0, horizon=6.0) as it:
         await it.acting("1")
         times = await activated(it, changes, rng)
         before = await traffic(it)
@@ -89,14 +89,14 @@
         }
 
 
-async def traffic(it: Town) -> int:
+async def traffic(it: ClusterHarness) -> int:
     told = await asyncio.gather(*(it.status(n) for n in range(it.instances)))
     return sum(each["traffic"].get("sent_bytes", 0) for each in told)
 
 
 async def baseline(members: int) -> float:
     """By SIGHUP to each, one of them frozen: s from the first to the last that has read it."""
-    async with town(members, agreed=False) as it:
+    async with cluster(members, agreed=False) as it:
         it.freeze(members - 1)
         for n in range(members):
             it.tell(it.name(n), signal.SIGHUP)
@@ -112,7 +112,7 @@
 
 async def frozen(members: int) -> float:
     """The same with agreed rules: s by which a contrary call came after the first by the new version."""
-    async with town(members, bound=2.0, horizon=6.0) as it:
+    async with cluster(members, bound=2.0, horizon=6.0) as it:
         await it.acting("1")
         clients = Clients(it.port, members, deadline_share=0.5)
         work = asyncio.ensure_future(clients.run(100.0, 600.0))
@@ -132,7 +132,7 @@
     clients.close()
 
 
-async def versions(it: Town) -> dict[int, Rules]:
+async def versions(it: ClusterHarness) -> dict[int, Rules]:
     found: dict[int, Rules] = {}
     for n in range(it.voters):
         with contextlib.suppress(StatusError, KeyError):
@@ -143,17 +143,17 @@
     return found
 
 
-def contradiction(it: Town, known: dict[int, Rules]) -> tuple[float, int]:
+def contradiction(it: ClusterHarness, known: dict[int, Rules]) -> tuple[float, int]:
     """The worst, in s, over all calls in the ledger, and how many calls there are. Versions that are too
     old to be known any more are not judged."""
-    share, first, worst = Terms().share, dict[int, float](), 0.0
+    share, first, worst = LeaseTerms().share, dict[int, float](), 0.0
     calls = it.labels()
     for at, _, label in calls:
         numbers, _, tier = label.partition("/")
         named = [int(number) for number in numbers.split("+") if number.isdecimal()]
         if not named or any(number not in known for number in named):
             continue
-        rules = meet_all(known[number] for number in named)
+        rules = intersect_all(known[number] for number in named)
         rules = standby(rules, share) if tier else rules
         if len(named) == 1 and not tier:
             first.setdefault(named[0], at)
@@ -163,7 +163,7 @@
     return round(worst, 3), len(calls)
 
 
-async def faults(it: Town, seconds: float, rng: random.Random) -> dict[str, int]:
+async def faults(it: ClusterHarness, seconds: float, rng: random.Random) -> dict[str, int]:
     """Puts faults between and into the processes for so long, and takes all away."""
     done: dict[str, int] = {}
     ends = time.monotonic() + seconds
@@ -222,7 +222,7 @@
 async def faulted(instances: int, seconds: float, seed: int, block: int) -> dict[str, Any]:
     rng = random.Random(seed)
     rates = {n: str(1 + rng.uniform(-0.02, 0.02)) for n in range(instances)}
-    async with town(
+    async with cluster(
         instances,
         voters=5,
         bound=2.0,
@@ -263,7 +263,7 @@
 
 async def grown() -> dict[str, Any]:
     """3 to 30 to 5 instances under traffic: how soon a version holds at each size, and what was lost."""
-    async with town(3, bound=2.0, horizon=6.0, deadline_share=0.5) as it:
+    async with cluster(3, bound=2.0, horizon=6.0, deadline_share=0.5) as it:
         await it.acting("1")
         clients = Clients(it.port, 3, deadline_share=0.5)
         work = asyncio.ensure_future(clients.run(60.0, 600.0))
@@ -283,7 +283,7 @@
 
 
 async def service_ratio() -> float:
-    async with town(4, voters=3, bound=2.0, horizon=30.0) as it:
+    async with cluster(4, voters=3, bound=2.0, horizon=30.0) as it:
         await it.acting("1")
         await it.propose(0, {"destinations": {"1": {"rate": 400}}})
         await it.acting("2")
@@ -294,7 +294,7 @@
         return round(lost / max(1, other), 3)
 
 
-async def delivered(it: Town, n: int, seconds: float) -> int:
+async def delivered(it: ClusterHarness, n: int, seconds: float) -> int:
     clients = Clients(it.port + n, 1, deadline_share=0.5)
     before = len(it.effects())
     await clients.run(40.0, seconds)
@@ -305,7 +305,7 @@
 
 async def cpu(agreed: bool) -> float:
     """ms of processor time a delivered message, over 4 instances at 100 messages a second each."""
-    async with town(4, agreed=agreed, block=90 + agreed) as it:
+    async with cluster(4, agreed=agreed, block=90 + agreed) as it:
         if agreed:
             await it.acting("1")
         clients = Clients(it.port, 4)
@@ -317,7 +317,7 @@
         return 1000 * (used(it) - before) / max(1, len(it.effects()) - effects)
 
 
-def used(it: Town) -> float:
+def used(it: ClusterHarness) -> float:
     """Processor seconds of all instances."""
     total = 0
     for n in range(it.instances):
@@ -352,7 +352,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.accord")
+    parser = argparse.ArgumentParser(prog="benchmarks.consensus")
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--members", default="3,15,40")
     parser.add_argument("--changes", type=int, default=12)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -22,8 +22,23 @@
 from collections import deque
 from dataclasses import asdict, dataclass
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from message_relay.decisions.actions import StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message
+from message_relay.decisions.model import (
+    Decay,
+    DestinationKind,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Rates,
+    Safety,
+    Settings,
+    Tenant,
+)
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 from .report import report
 
@@ -31,9 +46,9 @@
 SIZES = ((4_070, 1), (10_070, 1_000), (10_070, 5_000), (20_000, 5_000), (20_000, 1))
 SLOTS = 64
 CLASSES = (
-    api.MessageClass("order", api.Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),
-    api.MessageClass("pay", api.Effect.UNSAFE, 3000.0, 16000.0, 1.0, 0.5),
-    api.MessageClass("status", api.Effect.SAFE, 1500.0, 8000.0, 4.0, 0.1),
+    MessageClass("order", Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),
+    MessageClass("pay", Effect.UNSAFE, 3000.0, 16000.0, 1.0, 0.5),
+    MessageClass("status", Effect.SAFE, 1500.0, 8000.0, 4.0, 0.1),
 )
 STEP_MS = 1.0
 
@@ -55,27 +70,27 @@
     def __init__(self, load: str, held: int, dests: int, seed: int = 1) -> None:
         self.rng, self.now, self.ids, self.turns = random.Random(seed), 1e6, 0, 0
         self.load, self.held, self.dests = load, held, dests
-        self.out: deque[api.Send] = deque()
+        self.out: deque[StartAttempt] = deque()
         self.took, self.longest = 0.0, 0.0
-        settings = api.Settings(
+        settings = Settings(
             CLASSES,
-            (api.DestinationKind("k"),),
-            slots=SLOTS,
-            hold=2 * held,
-            attempts=8,
+            (DestinationKind("k"),),
+            max_concurrent_attempts=SLOTS,
+            max_pending_messages=2 * held,
+            max_attempts=8,
             tick_ms=1.0,
-            decay=api.Decay.HALVES,
-            rates=api.Rates.NOMINAL,
+            decay=Decay.HALVES,
+            rates=Rates.NOMINAL,
             idle_ms=10_000.0,
-            tenants=(api.Tenant("a", 1e9), api.Tenant("b", 1.0)),
-            over_share_worth=0.1,
-            safety=api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0),
+            tenants=(Tenant("a", 1e9), Tenant("b", 1.0)),
+            over_quota_weight=0.1,
+            safety=Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0),
         )
-        self.relay = Relay(settings, seed)
+        self.relay = DeliveryScheduler(settings, seed)
         self.feed(
-            api.EndpointList(
-                api.ListKind.WHOLE,
-                tuple(api.Endpoint(d, d, api.Listing.READY, rate=1e5) for d in range(1, dests + 1)),
+            EndpointList(
+                ListKind.WHOLE,
+                tuple(Endpoint(d, d, Listing.READY, rate=1e5) for d in range(1, dests + 1)),
             )
         )
         if load == "shut":
@@ -87,21 +102,21 @@
         gc.collect()
         gc.freeze()  # as the daemon does: a pass over all that is held is no part of a turn
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         begun = time.perf_counter()
         acts = self.relay.handle(self.now, [event])
         took = time.perf_counter() - begun
         self.turns, self.took, self.longest = self.turns + 1, self.took + took, max(self.longest, took)
-        self.out.extend(act for act in acts if isinstance(act, api.Send))
+        self.out.extend(act for act in acts if isinstance(act, StartAttempt))
 
     def _shut(self, dest: int) -> None:
         self.ids += 1
-        self.feed(api.Message(self.ids, dest, 2, 8000.0))
+        self.feed(Message(self.ids, dest, 2, 8000.0))
         while self.out:
             send = self.out.popleft()
-            self.feed(api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.FULL, 20.0, wait_ms=3.6e6))
+            self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.FULL, 20.0, wait_ms=3.6e6))
 
-    def _message(self, age_ms: float | None = None) -> api.Message:
+    def _message(self, age_ms: float | None = None) -> Message:
         self.ids += 1
         class_ = self.rng.choices((0, 1, 2), (51, 32, 17))[0]
         dest = self.rng.randint(1, self.dests)
@@ -110,7 +125,7 @@
         left = CLASSES[class_].deadline_ms - (age_ms or 0.0)
         # Those that are there at the beginning have had a try: they may make room for others.
         tries = 0 if age_ms is None else 1
-        return api.Message(self.ids, dest, class_, left, self.rng.randrange(2), age_ms=age_ms, tries=tries)
+        return Message(self.ids, dest, class_, left, self.rng.randrange(2), age_ms=age_ms, tries=tries)
 
     def run(self, messages: int) -> None:
         """So many more messages: each comes, and the oldest call ends, as long as enough are held."""
@@ -120,7 +135,7 @@
                 self.feed(self._message())
             if self.out:
                 send = self.out.popleft()
-                self.feed(api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.OK, 20.0, True))
+                self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.OK, 20.0, True))
 
     def measure(self, messages: int) -> Row:
         self.run(messages // 10)
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -23,11 +23,11 @@
 import time
 from typing import Any
 
-from linnetstile.failover.planner import Group, Problem, plans
-from linnetstile.failover.solver import solved
+from message_relay.failover.planner import Group, Problem, plans
+from message_relay.failover.solver import solved
 
+from .cluster_harness import cluster
 from .processes import Clients, most
-from .town import town
 
 ZONES = ("a", "b", "c")
 PARTS = """[failover]
@@ -69,7 +69,7 @@
 
 async def play(planned: bool, seed: int, block: int) -> dict[str, Any]:
     room = RATE * 1.3
-    async with town(
+    async with cluster(
         INSTANCES,
         voters=3,
         bound=1.0,
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -17,10 +17,10 @@
 
 from emulator.experiment import decoded
 from emulator.zones import Cut, Mode, Outage, Place, Zoned
-from linnetstile.failover.settings import ClassPart, FailoverPart, ZonePart
+from message_relay.failover.settings import ClassPart, FailoverSettings, ZonePart
 
 EAST, WEST = ZonePart("east"), ZonePart("west")
-PART = FailoverPart(
+PART = FailoverSettings(
     zones={"a": EAST, "b": EAST, "c": WEST}, classes={"pay": ClassPart(5.0, "region")}, window_s=1.0
 )
 DESTINATIONS, EACH = 6, 3.0  # messages a second of one relay
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -3,7 +3,7 @@
     python -m benchmarks.kills [--kills 300] [--seed 1] [--json]
 
 One relay with a small budget for its journal (so that it gives up segments all the time), a partner that
-refuses, fails and hangs by chance (standins.partner), a register that counts notices (standins.agent),
+refuses, fails and hangs by chance (fakes.endpoint), a register that counts notices (fakes.discovery_agent),
 clients without pause. After each kill it is started anew on its folder. At the end every message that was
 taken must have an effect at the partner or a final answer, and no `pay` an effect twice: the partner's
 ledger takes a `pay` as often as it comes, since those carry no key."""
@@ -55,7 +55,7 @@
         stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, **env},
     )
-    if args[0] == "linnetstile":
+    if args[0] == "message_relay":
         return process, ""
     assert process.stdout is not None
     return process, (await process.stdout.readline()).decode().split()[1]
@@ -118,7 +118,7 @@
     rng, row = random.Random(seed), Row()
     (folder / "state").mkdir()
     partner, at = await started(
-        "standins.partner",
+        "fakes.endpoint",
         "--answer-ms",
         "15",
         "--refuse",
@@ -148,7 +148,7 @@
     }
     (folder / "list.json").write_text(json.dumps(known))
     agent, discovery = await started(
-        "standins.agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
+        "fakes.discovery_agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
     )
     (port,) = free_ports(1)
     raw = settings(0.25)
@@ -168,7 +168,7 @@
         )
     )
     traffic = Traffic(port, rng)
-    relay, _ = await started("linnetstile", RELAY_CONFIG=str(folder / "config.json"))
+    relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
     clients: list[asyncio.Task[None]] = []
     try:
         await healthy(port)
@@ -178,7 +178,7 @@
             relay.send_signal(signal.SIGKILL)
             await relay.wait()
             begun = time.monotonic()
-            relay, _ = await started("linnetstile", RELAY_CONFIG=str(folder / "config.json"))
+            relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
             await healthy(port)
             row.kills += 1
             row.restart_s += (time.monotonic() - begun) / kills
@@ -217,7 +217,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
-    with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         row = asyncio.run(measure(Path(folder), args.kills, args.seed))
     for text in row.broken:
         print(text, file=sys.stderr)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.processes [--json] [--instances 40] [--rate 60] [--modes shared,alone] [--rolls 1]
 
-The supervisor (`linnetstile fleet`), the partner (standins.partner) and the register (standins.agent)
+The supervisor (`message_relay fleet`), the partner (fakes.endpoint) and the register (fakes.discovery_agent)
 are processes of their own. Clients hand in at 80% of the rate, open loop, evenly over the instances. The
 partner is down for 12 s, comes back at 18% of its rate and is warm 11 s later; then all instances are
 restarted one by one, with traffic going on. `shared`: listed rates are kept together; `alone`: they are not.
@@ -31,13 +31,13 @@
 from pathlib import Path
 from typing import Any
 
-from linnetstile.fleet.report import FleetReport, Report
-from linnetstile.fleet.status import StatusError, ask
 from emulator import clients as connections
 from emulator.clients import request
 from emulator.partner import Partner
 from emulator.spec import Cold, Fault, Spec, Trouble
-from standins.partner import rated
+from fakes.endpoint import rated
+from message_relay.fleet.report import FleetReport, Report
+from message_relay.fleet.status import StatusError, ask
 
 from .report import report
 
@@ -173,7 +173,7 @@
         (self.folder / "run").mkdir()
         at = await self.start(
             "partner",
-            "standins.partner",
+            "fakes.endpoint",
             "--answer-ms",
             "100",
             "--rate",
@@ -204,7 +204,7 @@
         (self.folder / "list.json").write_text(json.dumps(known))
         agent = await self.start(
             "agent",
-            "standins.agent",
+            "fakes.discovery_agent",
             "--list",
             str(self.folder / "list.json"),
             "--ledger",
@@ -224,7 +224,7 @@
             )
         )
         self.configure(self.instances)
-        await self.start("fleet", "linnetstile", "fleet", "--config", str(self.folder / "relay.toml"))
+        await self.start("fleet", "message_relay", "fleet", "--config", str(self.folder / "relay.toml"))
         await self.until(lambda told: told.up == self.instances)
 
     def configure(self, instances: int) -> None:
@@ -331,7 +331,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet(instances: int, rate: float, shared: bool, **more: Any) -> AsyncIterator[Fleet]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         it = Fleet(Path(folder), instances, rate, shared, **more)
         try:
             await it.set_up()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.relay [--json] [--seconds N] [--rounds N] [--held 64,300,1000,4000] [--rate 300]
 
-One process of the relay, one partner that answers in 2 ms (standins.partner), clients on kept connections
+One process of the relay, one partner that answers in 2 ms (fakes.endpoint), clients on kept connections
 that hand in a message as soon as the last one was answered, and pause when it was refused. So the hold is
 full all the time: `delivered/s` is what the process can do, `CPU ms` its processor time for each delivered
 one, and `p99` is over all 202s, in ms from the request's last byte. The floor (benchmarks.floor) holds no
@@ -186,7 +186,7 @@
 async def measure(module: str, held: int, seconds: float, rate: float) -> Row:
     with (
         tempfile.TemporaryDirectory() as name,
-        standin("standins.partner", "--ledger", f"{name}/ledger") as partner,
+        standin("fakes.endpoint", "--ledger", f"{name}/ledger") as partner,
     ):
         folder = Path(name)
         entry = {
@@ -200,7 +200,7 @@
             "startedAtMs": 0,
         }
         (folder / "list").write_text(json.dumps({"generation": 1, "reset": True, "instances": [entry]}))
-        with standin("standins.agent", "--list", str(folder / "list")) as agent:
+        with standin("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
             async with program(module, held, folder, partner, agent) as (pid, port):
                 warm = 1.0 + held / 1000  # until the hold is full
                 begun = time.perf_counter()
@@ -251,7 +251,7 @@
     parser.add_argument(
         "--held", type=lambda text: [int(part) for part in text.split(",")], default=[64, 300, 1000, 4000]
     )
-    parser.add_argument("--program", default="linnetstile", help="modules to measure, with commas")
+    parser.add_argument("--program", default="message_relay", help="modules to measure, with commas")
     parser.add_argument("--rate", type=float, default=300.0, help="messages a second, open loop")
     args = parser.parse_args()
     out: list[dict[str, Any]] = []
--- a/benchmarks/shards.py
+++ b/benchmarks/sharded_directory.py
@@ -1,6 +1,7 @@
 """The directory by interest on real processes: one play of each hard case, and what it costs a relay.
 
-    python -m benchmarks.shards [--json] [--plays killed,...] [--budget] [--sizes 1000,...] [--parts rows,...]
+    python -m benchmarks.sharded_directory [--json] [--plays killed,...] [--budget] [--sizes 1000,...]
+            [--parts rows,...]
 
 Plays: 3 keepers and 3 relays through the fault net, traffic to 60 of 400 destinations, ten of which move to
 another address every two seconds. `force`: how long after a move, as the register told it, the last call was
@@ -20,8 +21,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from .shards_budget import DESTS, SHARDS, budget
-from .shards_town import Clients, ShardsTown, entry, shards_town, traffic
+from .sharded_directory_budget import DESTS, SHARDS, budget
+from .sharded_directory_cluster import Clients, ShardsTown, entry, shards_town, traffic
 
 RATE = 120.0  # messages a second, of all clients
 USED = list(range(1, 61))  # destinations with traffic all the time
@@ -287,7 +288,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.shards")
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.sharded_directory")
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--plays", default=",".join(PLAYS), help="by name, with commas; empty: none")
     parser.add_argument("--budget", action="store_true")
--- a/benchmarks/shards_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -1,5 +1,5 @@
 """What the directory by interest costs a real relay beside keepers of 360,000 destinations: memory, bytes and
-processor time, at rest and at changes. See benchmarks/shards.py."""
+processor time, at rest and at changes. See benchmarks/sharded_directory.py."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from .shards_town import Clients, ShardsTown, entry, shards_town
+from .sharded_directory_cluster import Clients, ShardsTown, entry, shards_town
 
 DESTS = 360_000
 DAY_S, PLAN = 86_400.0, 7_000  # changes
--- a/benchmarks/shards_town.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -1,5 +1,5 @@
 """Real relays and keepers with a net between them in which faults are put, a register whose list changes, and
-two partners' endpoints between which destinations move: for tests and benchmarks/shards.py.
+two partners' endpoints between which destinations move: for tests and benchmarks/sharded_directory.py.
 
 Instances 0 to `keepers` - 1 keep the list; clients hand in at the others. Each message's id tells its
 destination, so that the ledgers of the two places tell by which entry each call was made.
@@ -20,14 +20,14 @@
 from typing import Any, TextIO
 from urllib.parse import parse_qs, urlsplit
 
-from linnetstile.fleet.report import Report
-from linnetstile.fleet.status import StatusError, ask
 from emulator import clients as connections
 from emulator.clients import request
-from standins.agent import Agent
+from fakes.discovery_agent import Agent
+from message_relay.fleet.report import Report
+from message_relay.fleet.status import StatusError, ask
 
+from .cluster_harness import PORT, ClusterHarness
 from .processes import CLASSES, lines
-from .town import PORT, Town
 
 PLACES = ("a", "b")
 LOG = 200_000  # changes that a register can tell since a version; older ones: all
@@ -152,7 +152,7 @@
 
 
 @dataclass
-class ShardsTown(Town):
+class ShardsTown(ClusterHarness):
     """`instances` counts keepers and relays."""
 
     agreed: bool = False
@@ -191,7 +191,7 @@
         for place in PLACES:
             self.at[place] = await super().start(
                 f"partner {place}",
-                "standins.partner",
+                "fakes.endpoint",
                 "--answer-ms",
                 str(self.answer_ms),
                 "--calls",
@@ -301,7 +301,7 @@
 
 @contextlib.asynccontextmanager
 async def shards_town(keepers: int = 3, relays: int = 3, **more: Any) -> AsyncIterator[ShardsTown]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         it = ShardsTown(
             Path(folder),
             keepers + relays,
--- a/benchmarks/shards_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -1,7 +1,7 @@
 """The directory by interest in virtual time: keepers and readers as they are, with links, sources and
 processes that fail by a seed. What may never be is counted, and how late the last call by an older entry was.
 
-    python -m benchmarks.shards_schedules --seeds 1000 [--readers 200] [--json]
+    python -m benchmarks.sharded_directory_schedules --seeds 1000 [--readers 200] [--json]
 
 A call is *late* by the time since which a keeper that has the newer entry could be reached by its reader
 without a break: alive, not frozen, both ways of the link open. Asks go over TCP (late, or not at all where a
@@ -22,12 +22,28 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from linnetstile.core.directory import Directory
-from linnetstile.core.seams import Update
-from linnetstile.decisions.interface import DestinationKind, Effect, MessageClass, Settings
-from linnetstile.shards.keeping import ANSWER_BYTES, ANSWERS_S, BURST_S, BYTES_S, Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.wire import DRAINING, GONE, Answer, Ask, Busy, Digest, Layout, Other, Row
+from message_relay.core.directory import EndpointDirectory
+from message_relay.core.ports import EndpointUpdate
+from message_relay.decisions.model import DestinationKind, Effect, MessageClass, Settings
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import (
+    ANSWER_BYTES,
+    ANSWERS_S,
+    BURST_S,
+    BYTES_S,
+    ShardServer,
+)
+from message_relay.sharded_directory.wire import (
+    DRAINING,
+    GONE,
+    Digest,
+    Layout,
+    LayoutMismatch,
+    Overloaded,
+    Row,
+    ShardRequest,
+    ShardResponse,
+)
 
 BOUND_S = 12.0
 STUCK_S = 10.0  # a keeper that knows all could be reached for so long: calls go, wanted shards are here
@@ -36,9 +52,9 @@
 SETTINGS = Settings(
     classes=(MessageClass("order", Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),),
     kinds=(DestinationKind("k"),),
-    slots=8,
-    hold=40,
-    attempts=5,
+    max_concurrent_attempts=8,
+    max_pending_messages=40,
+    max_attempts=5,
 )
 
 
@@ -168,7 +184,7 @@
         self.frozen_until = 0.0
         self.source_cut_until = 0.0
         self.life = 0
-        self.keeper: Keeper
+        self.keeper: ShardServer
         self.gens: list[int] = []  # what it had in this life, and when
         self.times: list[float] = []
         self.seconds: Counter[int] = Counter()
@@ -178,7 +194,7 @@
     def start(self, now: float) -> None:
         self.life += 1
         rng = random.Random(f"{self.world.plan.seed} {self.name} {self.life}")
-        self.keeper = Keeper(self.world.layout, 1, rng)
+        self.keeper = ShardServer(self.world.layout, 1, rng)
         self.up_since, self.frozen_until = now, 0.0
         self.gens, self.times = [], []
         self.world.at(now + (0.0 if now == 0.0 else rng.uniform(0.2, 1.0)), lambda: self.poll(self.life))
@@ -216,9 +232,9 @@
         place = bisect_left(self.gens, generation)
         return self.times[place] if place < len(self.gens) else None
 
-    def asked(self, reader: str, raw: Ask) -> Answer | Busy | Other:
+    def asked(self, reader: str, raw: ShardRequest) -> ShardResponse | Overloaded | LayoutMismatch:
         word = self.keeper.asked(self.world.now, reader, raw)
-        if isinstance(word, Answer):
+        if isinstance(word, ShardResponse):
             self.seconds[int(self.world.now)] += 1
         return word
 
@@ -233,8 +249,8 @@
     def __init__(self, world: World, name: str, rng: random.Random) -> None:
         self.world, self.name, self.rng = world, name, rng
         plan = world.plan
-        self.reader = Reader(name, world.layout, rng, idle_s=15.0)
-        self.directory = Directory(SETTINGS, ("z",))
+        self.reader = ShardClient(name, world.layout, rng, idle_s=15.0)
+        self.directory = EndpointDirectory(SETTINGS, ("z",))
         self.used = rng.sample(range(plan.destinations), plan.used)
         self.frozen_until = 0.0
         self.queue: list[Callable[[], None]] = []  # what came while it was frozen
@@ -277,7 +293,7 @@
                 world.found.wrong_absent += 1
                 world.note(f"{now:.1f} {self.name}: {destination} is said not to be")
         reader.absent.clear()
-        for destination in [each for each in self.wanted if reader.here(each)]:
+        for destination in [each for each in self.wanted if reader.is_resident(each)]:
             del self.wanted[destination]
         for keeper, ask in reader.asks:
             world.carry(self, keeper, ask)
@@ -287,10 +303,10 @@
             self.ticking = due
             world.at(due, lambda: self.do(lambda: None))
 
-    def check(self, update: Update) -> None:
+    def check(self, update: EndpointUpdate) -> None:
         world, directory = self.world, self.directory
         evidence = self.evidence
-        for member in update.members:
+        for member in update.endpoints:
             mark = int(member.rate)
             if mark < self.marks.get(member.name, 0):
                 world.found.older += 1
@@ -313,16 +329,16 @@
             self.used[self.rng.randrange(len(self.used))] = self.rng.randrange(world.plan.destinations + 5)
         destination = self.rng.choice(self.used)
         world.found.calls += 1
-        if not reader.here(destination):
+        if not reader.is_resident(destination):
             self.wanted.setdefault(destination, now)
-            reader.want(now, destination, now + self.rng.choice((1.0, 5.0, 30.0)))
+            reader.request(now, destination, now + self.rng.choice((1.0, 5.0, 30.0)))
             return
-        reader.use(now, destination)
-        if not reader.current(now, destination):
+        reader.touch(now, destination)
+        if not reader.is_current(now, destination):
             world.found.blocked += 1
             if world.could(self, now, STUCK_S):
                 world.found.stuck += 1
-                world.note(f"{now:.1f} {self.name}: held back for {destination}: {reader.told(now)}")
+                world.note(f"{now:.1f} {self.name}: held back for {destination}: {reader.status(now)}")
             return
         for known in list(self.directory.by_name.values()):
             if known.entry.destination == destination and known.ready:
@@ -378,7 +394,7 @@
         cut = self.cuts.get((reader, keeper))
         return cut is None or cut[way] <= self.now
 
-    def carry(self, side: ReaderSide, name: str, ask: Ask) -> None:
+    def carry(self, side: ReaderSide, name: str, ask: ShardRequest) -> None:
         """An ask, over a connection."""
         sent, keeper, ended = self.now, self.keepers[name], [False]
 
@@ -395,7 +411,7 @@
                 return
             word = keeper.asked(side.name, ask)
             side.bytes += 600
-            if isinstance(word, Answer):
+            if isinstance(word, ShardResponse):
                 size = sum(64 * len(getattr(part, "rows", ())) for part in word.parts)
                 keeper.bytes[int(self.now)] += size
                 side.bytes += size + 60
@@ -403,13 +419,13 @@
             if self.rng.random() < 0.05:  # doubled, and out of order
                 self.at(self.now + self.rng.uniform(0.001, 6.0), lambda: twice(word))
 
-        def back(word: Answer | Busy | Other) -> None:
+        def back(word: ShardResponse | Overloaded | LayoutMismatch) -> None:
             if not self.open(side.name, name, 1) or ended[0] or self.now - sent > PATIENCE_S:
                 return
             ended[0] = True
             side.do(lambda: side.reader.answered(self.now, name, word))
 
-        def twice(word: Answer | Busy | Other) -> None:
+        def twice(word: ShardResponse | Overloaded | LayoutMismatch) -> None:
             side.do(lambda: side.reader.answered(self.now, name, word))
 
         self.at(sent + self.rng.uniform(0.001, 0.1), arrive)
@@ -547,7 +563,7 @@
     def _compare(self, side: ReaderSide) -> None:
         """After the quiet end the directory has of each destination in use what there is."""
         for destination in set(side.used):
-            if side.reader.here(destination):
+            if side.reader.is_resident(destination):
                 has = {
                     (known.name, int(known.entry.rate))
                     for known in side.directory.by_name.values()
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,9 +24,9 @@
 from typing import Any
 from zlib import crc32
 
-from linnetstile.store.files import FolderFiles
-from linnetstile.store.journal import Entry, Journal, JournalError
-from linnetstile.store.recovery import recover
+from message_relay.store.file_store import DirectoryFileStore
+from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.recovery import recover
 
 from .report import report
 
@@ -96,7 +96,7 @@
         gc.collect()
         gc.disable()  # its pauses are the process's, not the journal's
         begun = time.perf_counter()
-        mix.run(journal, Entry, folder, messages)
+        mix.run(journal, JournalEntry, folder, messages)
         took = time.perf_counter() - begun
         size, live = on_disk(folder), len(journal.entries)
         copied, written = getattr(journal, "copied", 0), getattr(journal, "written", 1)
@@ -127,14 +127,16 @@
     with tempfile.TemporaryDirectory() as name:
         journal = Journal(Path(name), 4 * total + 3000 * (total // size))  # its reserve
         for n in range(total // size):
-            journal.take(Entry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(size)))
+            journal.append_accepted(
+                JournalEntry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(size))
+            )
         journal.close()
         paths = sorted(Path(name).iterdir())
         begun = time.perf_counter()
         read = sum(len(data) for data in (path.read_bytes() for path in paths) if crc32(data) >= 0)
         floor = time.perf_counter() - begun
         begun = time.perf_counter()
-        found = recover(FolderFiles(Path(name)))
+        found = recover(DirectoryFileStore(Path(name)))
         took = time.perf_counter() - begun
         assert len(found.entries) == total // size
         return {
@@ -157,7 +159,7 @@
         (Path(name) / "benchmarks").mkdir()
         for part in ("__init__.py", "report.py", "store.py"):
             (Path(name) / "benchmarks" / part).symlink_to(here / "benchmarks" / part)
-        (Path(name) / "linnetstile").symlink_to(folder / "linnetstile")
+        (Path(name) / "message_relay").symlink_to(folder / "message_relay")
         done = subprocess.run(
             [sys.executable, "-c", code],
             cwd=name,
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.stores [--json] [--messages 10000] [--rounds 2]
 
-- `segments`: what the relay has (linnetstile.store).
+- `segments`: what the relay has (message_relay.store).
 - `generations`: a file for each second of `due`, unlinked when that is past; a message's records go to its
 own. - `sqlite`: WAL mode, synchronous off, one row a message, a transaction for each call. - `lmdb`: no
 sync, one key a message, a transaction for each call (the extra `lab` has it).
@@ -25,8 +25,8 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from linnetstile.store.journal import Entry, Journal
-from linnetstile.store.records import PACK, Attempt, snapshot
+from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.records import PACK, Attempt, snapshot
 
 from .report import report
 from .store import BUDGET, Mix
@@ -35,17 +35,17 @@
 class Store(Protocol):
     """The calls that the relay makes, as `Mix` makes them."""
 
-    def take(self, entry: Entry) -> None: ...
+    def append_accepted(self, entry: JournalEntry) -> None: ...
 
-    def tried(self, entry: Entry, at: float, endpoint: str, zone: int) -> None: ...
+    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None: ...
 
-    def outcome(self, entry: Entry, may_have_run: bool) -> None: ...
+    def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None: ...
 
-    def ended(self, entry: Entry, state: str, after_ms: float = 0.0) -> None: ...
+    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None: ...
 
-    def told(self, idents: list[str]) -> None: ...
+    def append_notified(self, idents: list[str]) -> None: ...
 
-    def tidy(self, now: float) -> None: ...
+    def compact(self, now: float) -> None: ...
 
     def close(self) -> None: ...
 
@@ -54,36 +54,36 @@
     """Keeps the latest snapshot of each message under its id."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, JournalEntry] = {}
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: JournalEntry) -> None:
         raise NotImplementedError
 
     def drop(self, idents: list[str]) -> None:
         raise NotImplementedError
 
-    def take(self, entry: Entry) -> None:
+    def append_accepted(self, entry: JournalEntry) -> None:
         self.entries[entry.id] = entry
         self.put(entry)
 
-    def tried(self, entry: Entry, at: float, endpoint: str, zone: int) -> None:
+    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
         entry.tries, entry.out = entry.tries + 1, Attempt(at, endpoint, zone)
         self.put(entry)
 
-    def outcome(self, entry: Entry, may_have_run: bool) -> None:
+    def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
         entry.out = None
         self.put(entry)
 
-    def ended(self, entry: Entry, state: str, after_ms: float = 0.0) -> None:
+    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         entry.end, entry.after_ms, entry.body = state, after_ms, b""
         self.put(entry)
 
-    def told(self, idents: list[str]) -> None:
+    def append_notified(self, idents: list[str]) -> None:
         for ident in idents:
             self.entries[ident].told = True
             self.put(self.entries[ident])
 
-    def tidy(self, now: float) -> None:
+    def compact(self, now: float) -> None:
         old = [ident for ident, entry in self.entries.items() if entry.end and entry.due < now]
         for ident in old:
             del self.entries[ident]
@@ -102,7 +102,7 @@
         ):
             self.db.execute(text)
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: JournalEntry) -> None:
         """The body in a column of its own would still be written with its row: SQLite writes whole pages."""
         self.db.execute("INSERT OR REPLACE INTO m VALUES (?, ?, ?)", (entry.id, snapshot(entry), b""))
 
@@ -122,7 +122,7 @@
             str(folder), map_size=64 << 20, sync=False, metasync=False, lock=False
         )
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: JournalEntry) -> None:
         with self.db.begin(write=True) as work:
             work.put(entry.id.encode(), snapshot(entry))
 
@@ -140,34 +140,34 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.files = folder, dict[int, int]()
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, JournalEntry] = {}
 
-    def record(self, entry: Entry, payload: bytes) -> None:
+    def record(self, entry: JournalEntry, payload: bytes) -> None:
         when = int(entry.due // 1000)
         if when not in self.files:
             path = self.folder / f"gen-{when:012}"
             self.files[when] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         os.write(self.files[when], entry.id.encode() + len(payload).to_bytes(4, "little") + payload)
 
-    def take(self, entry: Entry) -> None:
+    def append_accepted(self, entry: JournalEntry) -> None:
         self.entries[entry.id] = entry
         self.record(entry, snapshot(entry))
 
-    def tried(self, entry: Entry, at: float, endpoint: str, zone: int) -> None:
+    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
         self.record(entry, PACK([at, endpoint, zone]))
 
-    def outcome(self, entry: Entry, may_have_run: bool) -> None:
+    def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
         self.record(entry, PACK(may_have_run))
 
-    def ended(self, entry: Entry, state: str, after_ms: float = 0.0) -> None:
+    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         entry.end = state
         self.record(entry, PACK([state, after_ms]))
 
-    def told(self, idents: list[str]) -> None:
+    def append_notified(self, idents: list[str]) -> None:
         for ident in idents:
             self.record(self.entries[ident], b"")
 
-    def tidy(self, now: float) -> None:
+    def compact(self, now: float) -> None:
         for when in [when for when in self.files if when * 1000 + 1000 < now]:
             os.close(self.files.pop(when))
             (self.folder / f"gen-{when:012}").unlink()
@@ -189,7 +189,7 @@
         gc.collect()
         gc.disable()
         before, begun = through_writes(), time.perf_counter()
-        mix.run(store, Entry, Path(folder), messages)
+        mix.run(store, JournalEntry, Path(folder), messages)
         took, wrote = time.perf_counter() - begun, through_writes() - before
         gc.enable()
         store.close()
--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The partners modelled without I/O. Never imported by linnetstile; `standins` puts it behind sockets."""
+"""The partners modelled without I/O. Never imported by message_relay; `fakes` puts it behind sockets."""
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -8,6 +8,6 @@
     try:
         from .commands import main
     except ModuleNotFoundError as error:
-        print(f"emulator: {error.name} is missing: pip install 'linnetstile[lab]'", file=sys.stderr)
+        print(f"emulator: {error.name} is missing: pip install 'message_relay[lab]'", file=sys.stderr)
         sys.exit(2)
     main()
--- a/emulator/capacity/agreement.py
+++ b/emulator/capacity/agreement.py
@@ -5,18 +5,18 @@
 
 import math
 
-from linnetstile.failover.evidence import CELLS
+from message_relay.failover.observations import CELLS
 
 from . import budgets as b
 from .rows import Formula, Kind, Reckoner, Role, Unit, When
 from .steps import ASSIGN, BESIDE, CAP, COUNTING, LAYERS, PARTS, PLANNER
 from .terms import DAY_S, changes_s, datagrams_s, members, needed, renewals_s, stretch, told_of
 
-GRANTING, RULES = "linnetstile/accord/granting.py", "linnetstile/accord/rules.py"
-NODE, LOG = "linnetstile/accord/node.py", "linnetstile/accord/log.py"
-HEARTBEAT_S, ELECTION_S = 0.15, 1.2  # as accord/log.py has them, which needs the extra `fleet`
-DECIDES = "linnetstile/failover/decider.py"
-FAILOVER = "linnetstile/failover/node.py"
+GRANTING, RULES = "message_relay/consensus/lease_grantor.py", "message_relay/consensus/rules.py"
+NODE, LOG = "message_relay/consensus/instance.py", "message_relay/consensus/replicated_log.py"
+HEARTBEAT_S, ELECTION_S = 0.15, 1.2  # as consensus/replicated_log.py has them, which needs the extra `fleet`
+DECIDES = "message_relay/failover/controller.py"
+FAILOVER = "message_relay/failover/node.py"
 
 
 def renewing(m: Reckoner, relays: float) -> float:
@@ -101,7 +101,7 @@
         Unit.RATE,
         lambda m: changes_s(m) * version_bytes(m),
         "changes x bytes of a version",
-        "linnetstile/accord/disk.py",
+        "message_relay/consensus/raft_storage.py",
         step=PARTS,
     ),
     Formula(
@@ -265,7 +265,7 @@
         Unit.COUNT,
         lambda m: float(m.size.fleet.relays + m.size.control.machines - 1),
         "relays + machines of control - 1",
-        "linnetstile/accord/settings.py",
+        "message_relay/consensus/settings.py",
         b.NUMBERS,
         CAP,
     ),
@@ -345,7 +345,7 @@
         Unit.SECONDS,
         lambda m: m.at("peers.start.seed_bytes", members(m)) / (m.assume("link_mb_s") * b.MB),
         "bytes of a seed among so many / link",
-        "linnetstile/peers/swim.py",
+        "message_relay/gossip/swim.py",
         b.FORCE,
         LAYERS,
     ),
@@ -612,7 +612,7 @@
         Unit.SECONDS,
         lambda m: m.at("planner.zones.solved_cpu_ms", m.size.fleet.zones),
         "processor time at so many zones",
-        "linnetstile/failover/solver.py",
+        "message_relay/failover/solver.py",
         b.WINDOW,
     ),
     Formula(
--- a/emulator/capacity/budgets.py
+++ b/emulator/capacity/budgets.py
@@ -4,18 +4,20 @@
 
 import msgspec
 
-from linnetstile.accord.granting import RELAYS_MAX
-from linnetstile.accord.rules import NAMES
-from linnetstile.accord.settings import AccordPart
-from linnetstile.failover.evidence import CELLS, RELAYS
-from linnetstile.fleet.operator import FleetPart
-from linnetstile.http.agent import ANSWER_BYTES
-from linnetstile.peers.swim import MEMBERS_MAX
+from message_relay.consensus.lease_grantor import RELAYS_MAX
+from message_relay.consensus.rules import NAMES
+from message_relay.consensus.settings import ConsensusSettings
+from message_relay.failover.observations import CELLS, RELAYS
+from message_relay.fleet.operator import FleetPart
+from message_relay.gossip.swim import MEMBERS_MAX
+from message_relay.http.agent import ANSWER_BYTES
 
 from .rows import Budget
 
 MB, KB = 1e6, 1e3
-ANSWERS_BYTES_S = 4e6  # of one keeper, as shards/keeping.py bounds it, which needs the extra `fleet`
+ANSWERS_BYTES_S = (
+    4e6  # of one keeper, as sharded_directory/shard_server.py bounds it, which needs the extra `fleet`
+)
 MORE_MB = 64.0  # that a relay may take more with keepers, beside 256 MB for all of control
 
 
@@ -65,4 +67,4 @@
 CELLS_OF = Budget("cap: evidence.CELLS", lambda it: CELLS)
 NAMED = Budget("cap: rules.NAMES", lambda it: NAMES)
 INSTANCES = Budget("cap: fleet.instances", lambda it: bound(FleetPart, "instances"))
-NUMBERS = Budget("cap: accord.voters", lambda it: bound(AccordPart, "voters"))
+NUMBERS = Budget("cap: accord.voters", lambda it: bound(ConsensusSettings, "voters"))
--- a/emulator/capacity/control.py
+++ b/emulator/capacity/control.py
@@ -19,11 +19,11 @@
     told_of,
 )
 
-HOST = "linnetstile/core/host.py"
-LIST, REGISTER = "linnetstile/core/directory.py", "linnetstile/http/register.py"
-AGENT = "linnetstile/http/agent.py"
-SWIM, HOLDING = "linnetstile/peers/swim.py", "linnetstile/accord/holding.py"
-RULES = "linnetstile/accord/rules.py"
+HOST = "message_relay/core/relay.py"
+LIST, REGISTER = "message_relay/core/directory.py", "message_relay/http/discovery_client.py"
+AGENT = "message_relay/http/agent.py"
+SWIM, HOLDING = "message_relay/gossip/swim.py", "message_relay/consensus/lease_holder.py"
+RULES = "message_relay/consensus/rules.py"
 
 
 def renewal_bytes(m: Reckoner) -> float:
@@ -698,7 +698,7 @@
         Unit.COUNT,
         members,
         "relays + machines of control",
-        "linnetstile/fleet/operator.py",
+        "message_relay/fleet/operator.py",
         b.INSTANCES,
         CAP,
     ),
--- a/emulator/capacity/data_path.py
+++ b/emulator/capacity/data_path.py
@@ -4,7 +4,7 @@
 
 import math
 
-from linnetstile.accord.terms import Terms
+from message_relay.consensus.lease_protocol import LeaseTerms
 
 from . import budgets as b
 from .rows import Formula, Kind, Reckoner, Role, Unit, When
@@ -21,8 +21,8 @@
 from .terms import again_s, in_use, needed, of_rack, of_zone, rate
 
 MEASURED_BODY = 300  # bytes, of each measure of the store: benchmarks/capacity/store.py
-HORIZON_S = Terms().horizon  # as deploy/relay.toml has it
-CONTROL, STATE = "linnetstile/decisions/control.py", "linnetstile/decisions/state.py"
+HORIZON_S = LeaseTerms().horizon  # as deploy/relay.toml has it
+CONTROL, STATE = "message_relay/decisions/scheduler.py", "message_relay/decisions/pending.py"
 
 
 def backlog(m: Reckoner) -> float:
@@ -91,7 +91,7 @@
         Unit.EACH_S,
         rate,
         "events a second / relays",
-        "linnetstile/http/intake.py",
+        "message_relay/http/client_connection.py",
     ),
     Formula(
         "relay.held",
@@ -320,7 +320,7 @@
         Unit.COUNT,
         lambda m: rate(m) * max(0.0, m.size.failures.regions_apart_s - HORIZON_S),
         "events x (time apart - horizon)",
-        "linnetstile/accord/holding.py",
+        "message_relay/consensus/lease_holder.py",
         step=BACKLOG,
     ),
     Formula(
--- a/emulator/capacity/facts.py
+++ b/emulator/capacity/facts.py
@@ -1,6 +1,6 @@
 """Puts what was run once, and is no slope, into the report as single figures.
 
-    python -m benchmarks.shards --json --budget > /tmp/shards.json
+    python -m benchmarks.sharded_directory --json --budget > /tmp/shards.json
     python -m emulator.capacity.facts shards /tmp/shards.json --into docs/reports/capacity.json
 
 Each number of the file becomes a fact by its path: `shards.budget.1000_in_use.plan.bytes_s`. Facts of an
--- a/emulator/capacity/keepers.py
+++ b/emulator/capacity/keepers.py
@@ -8,8 +8,8 @@
 from .steps import ANSWERS, ASSIGN
 from .terms import DAY_S, changes_s, listeners, of_rack, of_zone, shards_in_use
 
-KEEPING, NODE = "linnetstile/shards/keeping.py", "linnetstile/shards/node.py"
-SOURCE = "linnetstile/shards/source.py"
+KEEPING, NODE = "message_relay/sharded_directory/shard_server.py", "message_relay/sharded_directory/node.py"
+SOURCE = "message_relay/sharded_directory/source.py"
 
 
 def shard_bytes(m: Reckoner) -> float:
--- a/emulator/capacity/machines.py
+++ b/emulator/capacity/machines.py
@@ -8,8 +8,8 @@
 from .steps import ALL
 from .terms import DAY_S
 
-SUPERVISED, PLAN = "linnetstile/fleet/supervisor.py", "linnetstile/fleet/plan.py"
-STATUS = "linnetstile/cli/status.py"
+SUPERVISED, PLAN = "message_relay/fleet/supervisor.py", "message_relay/fleet/plan.py"
+STATUS = "message_relay/cli/status.py"
 
 SUPERVISOR = [
     Formula(
@@ -156,6 +156,6 @@
         Unit.EACH_S,
         lambda m: m.size.changes.a_day / DAY_S,
         "changes / day",
-        "linnetstile/cli/rules.py",
+        "message_relay/cli/rules.py",
     ),
 ]
--- a/emulator/capacity/rows.py
+++ b/emulator/capacity/rows.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-import linnetstile
+import message_relay
 
 from .size import Size
 from .slopes import Report, Slope
 
-ROOT = Path(linnetstile.__file__).parent.parent  # mechanisms are named from here
+ROOT = Path(message_relay.__file__).parent.parent  # mechanisms are named from here
 MISSING = "missing"
 SAME = 1e-9  # of a figure: so near to its slope's it is the slope's own
 
--- a/emulator/capacity/size.py
+++ b/emulator/capacity/size.py
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import Meta
 
-from linnetstile.accord.settings import MOST_VOTERS
-from linnetstile.fleet.operator import faults
+from message_relay.consensus.settings import MOST_VOTERS
+from message_relay.fleet.operator import faults
 
 MISSING = re.compile(r"^(.*?)Object missing required field `(.+?)`.*$")
 MOST = 1e15  # of any figure: beyond it is a slip of the keyboard, or infinity
--- a/emulator/capacity/terms.py
+++ b/emulator/capacity/terms.py
@@ -4,13 +4,13 @@
 
 import math
 
-from linnetstile.accord.terms import Terms
-from linnetstile.failover.evidence import CELLS
+from message_relay.consensus.lease_protocol import LeaseTerms
+from message_relay.failover.observations import CELLS
 
 from .rows import Reckoner
 
 DAY_S = 86_400.0
-RENEWED_EARLY = 0.9  # of a renewal's period, on average: accord/node.py pauses 0.8 to all of it
+RENEWED_EARLY = 0.9  # of a renewal's period, on average: consensus/instance.py pauses 0.8 to all of it
 
 
 def rate(m: Reckoner) -> float:
@@ -33,7 +33,7 @@
 
 def renewals_s(m: Reckoner) -> float:
     """Of one relay to one voter."""
-    return 1 / (Terms(bound=m.assume("bound_s")).renew * RENEWED_EARLY)
+    return 1 / (LeaseTerms(bound=m.assume("bound_s")).renew * RENEWED_EARLY)
 
 
 def datagrams_s(m: Reckoner) -> float:
--- a/emulator/commands.py
+++ b/emulator/commands.py
@@ -170,7 +170,7 @@
     as_json: bool,
 ) -> None:
     """Hand in messages at RELAYS (HOST:PORT), open loop; waits count from the intended moment."""
-    from linnetstile.config import address
+    from message_relay.config import address
 
     from .load import Plan
     from .load import run as carry
--- a/emulator/accord/model.py
+++ b/emulator/consensus/model.py
@@ -1,6 +1,6 @@
 """The leases of agreed rules as a small machine, all of whose states are looked at.
 
-    python -m emulator.accord.model [--without GUARD] [--json]
+    python -m emulator.consensus.model [--without GUARD] [--json]
 
 Three voters, one relay that acts by version 1, and version 2, which forbids what 1 allows. Time goes in
 ticks; any message may be late, lost or overtaken, a voter may stop and start again at any moment, also
@@ -8,7 +8,8 @@
 voters has cleared it: from then on another relay may act on it. The bound is broken if the relay then
 sends a call that 2 forbids.
 
-Each guard of linnetstile/accord can be taken out; then the shortest path to a broken bound is told. What is
+Each guard of message_relay/consensus can be taken out; then the shortest path to a broken bound is told.
+What is
 simplified: ages are counted up to what matters; the relay's moves beyond letting go of 1 are left out,
 since what it does with 2 breaks nothing; two messages are on their way for each voter at most."""
 
@@ -224,7 +225,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="emulator.accord.model")
+    parser = argparse.ArgumentParser(prog="emulator.consensus.model")
     parser.add_argument("--without", choices=sorted(GUARDS))
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
--- a/emulator/accord/world.py
+++ b/emulator/consensus/world.py
@@ -1,6 +1,7 @@
 """Agreed rules under faults in virtual time: the real leases and books, a log that commits with a majority.
 
-    python -m emulator.accord.world [--schedules 1000] [--first 1] [--processes 8] [--without GUARD] [--json]
+    python -m emulator.consensus.world [--schedules 1000] [--first 1] [--processes 8] [--without GUARD]
+            [--json]
 
 A schedule is drawn from its seed: relays of which the first vote, clocks that drift apart, messages that
 are late, lost or come twice, links cut one way or both, processes that stand still or start anew, and
@@ -26,15 +27,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from linnetstile.accord.book import Book, Propose, Version, Withdraw
-from linnetstile.accord.granting import Granting
-from linnetstile.accord.holding import Acting, Holding, Tier
-from linnetstile.accord.rules import ANY, Destination, Rules, encoded, within
-from linnetstile.accord.terms import Grant, Renew, Terms
+from message_relay.consensus.lease_grantor import LeaseGrantor
+from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder, LeaseTier
+from message_relay.consensus.lease_protocol import Grant, LeaseTerms, Renew
+from message_relay.consensus.rules import ANY, Destination, Rules, encoded, within
+from message_relay.consensus.version_history import Propose, Version, VersionHistory, Withdraw
 
 RELAYS, VOTERS = 5, 3
 FAULTS_S, QUIET_S = 10.0, 9.0  # faults, and then time to come together
-TERMS = Terms(bound=1.0, horizon=3.0, drift=0.06, share=0.9)
+TERMS = LeaseTerms(bound=1.0, horizon=3.0, drift=0.06, share=0.9)
 CLOCK = 0.028  # of a clock, at most: two of them stay under the drift
 SETS = (
     Rules(),
@@ -56,12 +57,12 @@
     nonce: int = 0
     frozen_until: float = 0.0
     down: bool = False
-    holding: Holding | None = None
-    granting: Granting | None = None
-    book: Book | None = None
+    holding: LeaseHolder | None = None
+    granting: LeaseGrantor | None = None
+    book: VersionHistory | None = None
     applied: int = 0
     cleared: int = 0  # on its disk
-    looked: Acting | None = None  # what it would go by if it did not look before the first byte
+    looked: ActiveRules | None = None  # what it would go by if it did not look before the first byte
 
     def clock(self, now: float) -> float:
         return self.offset + now * self.rate
@@ -85,7 +86,7 @@
         self.twice = self.rng.choice((0.0, 0.1))
         self.late = self.rng.choice((0.02, 0.1, 0.4))
         drift = 0.0 if self.without == "drift" else TERMS.drift
-        self.terms = Terms(TERMS.bound, TERMS.horizon, drift, TERMS.share)
+        self.terms = LeaseTerms(TERMS.bound, TERMS.horizon, drift, TERMS.share)
         spread = 0.12 if self.without == "drift" else CLOCK
         self.relays = [
             Relay(f"n{n}", 1 + self.rng.uniform(-spread, spread), self.rng.uniform(0, 1e5))
@@ -93,7 +94,7 @@
         ]
         self.voters = [relay.name for relay in self.relays[:VOTERS]]
         self.by_name = {relay.name: relay for relay in self.relays}
-        self.truth = Book(Rules(), tuple(self.voters))
+        self.truth = VersionHistory(Rules(), tuple(self.voters))
         self.log: list[Propose] = []
         self.agreed_at = {1: 0.0}
         self.cleared_by: dict[int, set[str]] = {}
@@ -155,16 +156,16 @@
         relay.nonce = self.rng.getrandbits(40)
         now = relay.clock(self.now)
         first = "first"
-        relay.holding = Holding(relay.boot, relay.nonce, first, self.terms)
-        relay.holding.know(Book(Rules(), tuple(self.voters)).newest)
+        relay.holding = LeaseHolder(relay.boot, relay.nonce, first, self.terms)
+        relay.holding.know(VersionHistory(Rules(), tuple(self.voters)).newest)
         if self.without == "asked":
             self._from_answer(relay.holding)
         if self.without == "majority":
             relay.holding._majority = _any(relay.holding)  # type: ignore[method-assign]
         if relay.name in self.voters:
-            relay.book, relay.applied = Book(Rules(), tuple(self.voters)), 0
+            relay.book, relay.applied = VersionHistory(Rules(), tuple(self.voters)), 0
             cleared = 0 if self.without == "kept" else relay.cleared
-            granting = relay.granting = Granting(relay.name, relay.book, self.terms, first, cleared, now)
+            granting = relay.granting = LeaseGrantor(relay.name, relay.book, self.terms, first, cleared, now)
             granting.fresh = relay.boot == 1 or self.without == "start"
             if self.without == "wait":
                 granting._within = lambda *_: True  # type: ignore[method-assign]
@@ -178,7 +179,7 @@
         self.at(self.now, lambda b=relay.boot: self.call(relay, b))  # type: ignore[misc]
 
     @staticmethod
-    def _from_answer(holding: Holding) -> None:
+    def _from_answer(holding: LeaseHolder) -> None:
         heard = holding.heard
 
         def late(now: float, voter: str, grant: Grant) -> bool:
@@ -309,9 +310,13 @@
         if agreed_at is not None:
             self.activated.append(self.now - agreed_at)
 
-    def judge(self, relay: Relay, acting: Acting) -> None:
+    def judge(self, relay: Relay, acting: ActiveRules) -> None:
         self.calls += 1
-        if acting.tier is Tier.LEASE and len(acting.versions) == 1 and acting.versions[0] < self.force.number:
+        if (
+            acting.tier is LeaseTier.LEASE
+            and len(acting.versions) == 1
+            and acting.versions[0] < self.force.number
+        ):
             late = self.now - self.force_at
             self.worst = max(self.worst, late)
             if late > self.terms.bound:
@@ -411,7 +416,7 @@
         self.log.append(told)
 
 
-def _any(holding: Holding) -> Callable[..., float]:
+def _any(holding: LeaseHolder) -> Callable[..., float]:
     def majority(voters: tuple[str, ...], number: int = 0) -> float:
         words = [holding.words[name] for name in voters if name in holding.words]
         times = [
@@ -451,7 +456,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="emulator.accord.world")
+    parser = argparse.ArgumentParser(prog="emulator.consensus.world")
     parser.add_argument("--schedules", type=int, default=1000)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--processes", type=int, default=8)
--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -1,7 +1,7 @@
 """The real decision module behind one small interface: this version in the process, another one beside it.
 
-Another version is a checkout or an installed copy: `emulator.peer` runs in a process whose `linnetstile` is
-that one, and both sides pass the public events and actions of `linnetstile.decisions.interface` by name and
+Another version is a checkout or an installed copy: `emulator.peer` runs in a process whose `message_relay` is
+that one, and both sides pass the public events and actions of `message_relay.decisions.model` by name and
 field, as msgpack. An event or a field that the other version does not know is told as an error, not passed
 over."""
 
@@ -15,30 +15,51 @@
 import sys
 from collections.abc import Iterable, Mapping
 from pathlib import Path
+from types import SimpleNamespace
 from typing import TYPE_CHECKING, Any, Protocol
 
 import msgspec
 
-MODULES = ("control", "paces", "members", "endings", "effects", "state", "share", "index")  # that decide
+# Modules of the decision package whose constants a variant of an experiment may set.
+MODULES = (
+    "scheduler",
+    "rate_control",
+    "endpoint_registry",
+    "expiry",
+    "idempotency",
+    "pending",
+    "rate_slots",
+    "priority_index",
+)
+# How experiment files spell these modules: kept, since the files belong to those who run experiments.
+CONSTANT_PREFIXES = ("control", "paces", "members", "endings", "effects", "state", "share", "index")
 
 
 def decisions(name: str) -> Any:
-    """A module of the decisions. Before they had a folder of their own they lay at the package's root: there
-    an earlier version still has them, beside which this file is run."""
-    try:
-        return importlib.import_module(f"linnetstile.decisions.{name}")
-    except ModuleNotFoundError:
-        return importlib.import_module(f"linnetstile.{name}")
+    """A module of the decision package that stands on this process's path."""
+    return importlib.import_module(f"message_relay.decisions.{name}")
 
 
 if TYPE_CHECKING:
-    from linnetstile.decisions import interface as api
-    from linnetstile.decisions.control import Relay
-    from linnetstile.decisions.settings import settings_from
+    from message_relay.decisions.actions import Action
+    from message_relay.decisions.events import Event, Message, RestoredDestination
+    from message_relay.decisions.model import Fleet
+    from message_relay.decisions.scheduler import DeliveryScheduler
+    from message_relay.decisions.settings import settings_from
 else:
-    api, Relay = decisions("interface"), decisions("control").Relay
+    DeliveryScheduler = decisions("scheduler").DeliveryScheduler
     settings_from = decisions("settings").settings_from
 
+# Every public event, action and record that may pass between two versions, by its name.
+VOCABULARY = SimpleNamespace(
+    **{
+        name: value
+        for module in ("model", "events", "actions")
+        for name, value in vars(decisions(module)).items()
+        if isinstance(value, type)
+    }
+)
+
 SIZE = struct.Struct("<I")
 KEEP = {"fleet"}  # of Settings, what is not in the platform's text
 
@@ -46,19 +67,19 @@
 class Engine(Protocol):
     """Instances of one version of the decision module, by number."""
 
-    def start(self, number: int, settings: bytes, seed: int, fleet: api.Fleet | None) -> None:
+    def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
         """A new process of this instance: it knows nothing. `settings`: the platform's text."""
 
-    def handle(self, number: int, now: float, events: list[api.Event]) -> list[api.Action]: ...
+    def handle(self, number: int, now: float, events: list[Event]) -> list[Action]: ...
 
     def may_write(self, number: int, now: float, ident: int) -> bool:
         """Asked right before a call's first byte."""
 
-    def turned_away(self, number: int, now: float, message: api.Message, holding: int) -> float | None:
+    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
         """Asked before a message is taken on, while so many are held: in how many ms to come instead, if so.
         A version without that question turns nothing away."""
 
-    def learned(self, number: int, now: float) -> list[api.Learned]:
+    def learned(self, number: int, now: float) -> list[RestoredDestination]:
         """What the next process should know."""
 
     def close(self) -> None: ...
@@ -68,23 +89,22 @@
     """This version, in this process."""
 
     def __init__(self) -> None:
-        self.relays: dict[int, Relay] = {}
+        self.relays: dict[int, DeliveryScheduler] = {}
 
-    def start(self, number: int, settings: bytes, seed: int, fleet: api.Fleet | None) -> None:
+    def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
         told = dataclasses.replace(settings_from(settings), fleet=fleet)
-        self.relays[number] = Relay(told, seed)
+        self.relays[number] = DeliveryScheduler(told, seed)
 
-    def handle(self, number: int, now: float, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, number: int, now: float, events: list[Event]) -> list[Action]:
         return self.relays[number].handle(now, events)
 
     def may_write(self, number: int, now: float, ident: int) -> bool:
         return self.relays[number].may_write(now, ident)
 
-    def turned_away(self, number: int, now: float, message: api.Message, holding: int) -> float | None:
-        asked: Any = getattr(self.relays[number], "turned_away", None)  # an earlier version has none
-        return None if asked is None else asked(now, message, holding)
+    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
+        return self.relays[number].rejection_delay_ms(now, message, holding)
 
-    def learned(self, number: int, now: float) -> list[api.Learned]:
+    def learned(self, number: int, now: float) -> list[RestoredDestination]:
         return self.relays[number].learned(now)
 
     def close(self) -> None:
@@ -100,7 +120,7 @@
 
     def __init__(self, folder: Path, constants: Mapping[str, float]) -> None:
         here = Path(__file__).parents[1]
-        # Not on the path: this repository's linnetstile must not stand before the other one's.
+        # Not on the path: this repository's message_relay must not stand before the other one's.
         self.process = subprocess.Popen(
             [sys.executable, "-P", str(here / "emulator" / "peer.py")],
             stdin=subprocess.PIPE,
@@ -126,21 +146,24 @@
             pass
         raise PeerError(f"{self.folder}: its process ended with {self.process.wait()}")
 
-    def start(self, number: int, settings: bytes, seed: int, fleet: api.Fleet | None) -> None:
+    def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
         self._ask("start", number, settings, seed, packed(fleet))
 
-    def handle(self, number: int, now: float, events: list[api.Event]) -> list[api.Action]:
-        return [unpacked(each, api) for each in self._ask("handle", number, now, [packed(e) for e in events])]
+    def handle(self, number: int, now: float, events: list[Event]) -> list[Action]:
+        return [
+            unpacked(each, VOCABULARY)
+            for each in self._ask("handle", number, now, [packed(e) for e in events])
+        ]
 
     def may_write(self, number: int, now: float, ident: int) -> bool:
         return bool(self._ask("may_write", number, now, ident))
 
-    def turned_away(self, number: int, now: float, message: api.Message, holding: int) -> float | None:
+    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
         told: float | None = self._ask("turned_away", number, now, packed(message), holding)
         return told
 
-    def learned(self, number: int, now: float) -> list[api.Learned]:
-        return [unpacked(each, api) for each in self._ask("learned", number, now)]
+    def learned(self, number: int, now: float) -> list[RestoredDestination]:
+        return [unpacked(each, VOCABULARY) for each in self._ask("learned", number, now)]
 
     def close(self) -> None:
         assert self.process.stdin is not None
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-from linnetstile.fleet.operator import faults
+from message_relay.fleet.operator import faults
 
 from . import engines, spec
 
@@ -24,7 +24,7 @@
 Share = Annotated[float, Meta(ge=0, le=1)]
 Number = Annotated[int, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
-CONSTANTS = engines.MODULES  # whose constants a variant may set
+CONSTANTS = engines.CONSTANT_PREFIXES  # whose constants a variant may set
 USUAL_MULTIPLE = 2.0  # told to relays of a partner that does not collapse, as the platform tells it
 MOST_VARIANTS = 200  # of a grid: more are days of work by mistake
 
@@ -329,11 +329,11 @@
         traffic = msgspec.structs.replace(traffic, trace=str(folder / traffic.trace))
     for n, variant in enumerate(variants):
         if variant.version:
-            package = folder / variant.version / "linnetstile"
-            if not any((package / at / "control.py").is_file() for at in ("decisions", "")):
+            package = folder / variant.version / "message_relay"
+            if not (package / "decisions" / "scheduler.py").is_file():
                 raise ExperimentError(
                     f"{path}: variants.{variant.name}.version: {variant.version!r} holds no "
-                    "linnetstile/control.py"
+                    "message_relay/decisions/scheduler.py"
                 )
             variants[n] = msgspec.structs.replace(variant, version=str((folder / variant.version).resolve()))
     return msgspec.structs.replace(told, traffic=traffic, variants=variants)
--- a/emulator/live.py
+++ b/emulator/live.py
@@ -1,6 +1,7 @@
 """An experiment with real relay processes over loopback: the same traffic, partners, clients and restarts.
 
-Each partner is `standins.partner` with the same model, the register is `standins.agent`, in this process, as
+Each partner is `fakes.endpoint` with the same model, the register is `fakes.discovery_agent`, in this
+process, as
 are the clients. It runs in real time, a seed at a time. What it measures are the same figures as the virtual
 fleet's (`measures.Record`), from what the partners' ledgers say."""
 
@@ -22,8 +23,8 @@
 
 import msgspec
 
-from linnetstile.core.tasks import woken
-from standins.agent import Agent
+from fakes.discovery_agent import Agent
+from message_relay.core.tasks import wait_for_event
 
 from .clients import Address, Clients, Said, request
 from .draws import Draws
@@ -73,7 +74,7 @@
         asked = int(target.partition("from=")[2].split("&")[0])
         hold_ms = int(target.partition("hold_ms=")[2].split("&")[0] or 0)
         if asked == self.generation:
-            await woken(self.changed, hold_ms / 1000)
+            await wait_for_event(self.changed, hold_ms / 1000)
         missed = self.generation - asked
         entries = self.changes[-missed:] if 0 < missed <= len(self.changes) else []
         return 200, json.dumps({"generation": self.generation, "reset": False, "instances": entries}).encode()
@@ -112,7 +113,7 @@
                 env={**os.environ, **(env or {})},
             )
         self.processes[name] = process
-        if not args[0].startswith("standins"):
+        if not args[0].startswith("fakes"):
             return ""
         assert process.stdout is not None
         line = (await asyncio.wait_for(process.stdout.readline(), READY_S)).decode().split()
@@ -127,7 +128,7 @@
             spec.write_bytes(msgspec.json.encode(partner))
             at = await self._start(
                 f"partner{n}",
-                "standins.partner",
+                "fakes.endpoint",
                 "--spec",
                 str(spec),
                 "--armed",
@@ -192,7 +193,7 @@
         }
         if self.variant.version:
             env["PYTHONPATH"] = self.variant.version
-        await self._start(f"relay{n}", "linnetstile", env=env)
+        await self._start(f"relay{n}", "message_relay", env=env)
 
     async def _ready(self, n: int) -> None:
         ends = time.monotonic() + READY_S
@@ -391,7 +392,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet(it: Experiment, variant: Variant, seed: int) -> AsyncIterator[Live]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-live-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-live-") as folder:
         live = Live(it.of(variant), variant, seed, Path(folder))
         try:
             await live.set_up()
--- a/emulator/peer.py
+++ b/emulator/peer.py
@@ -1,4 +1,4 @@
-"""The other side of `emulator.engines.Beside`: run with another version's `linnetstile` on the path.
+"""The other side of `emulator.engines.Beside`: run with another version's `message_relay` on the path.
 
 Frames on standard input and output: u32 length, msgpack [what, arguments] and {"value"} or {"error"}. Takes
 from this repository nothing but the file beside it, and from the other one its public interface."""
@@ -24,24 +24,24 @@
 
 
 def answer(engine: Any, parts: Any, told: list[Any]) -> Any:
-    api = parts.api
+    vocabulary = parts.VOCABULARY
     what, *args = told
     if what == "constants":
         parts.set_constants(args[0].items())
         return True
     if what == "start":
         number, settings, seed, fleet = args
-        engine.start(number, settings, seed, None if fleet is None else parts.unpacked(fleet, api))
+        engine.start(number, settings, seed, None if fleet is None else parts.unpacked(fleet, vocabulary))
         return True
     if what == "handle":
         number, now, events = args
         return [
             parts.packed(each)
-            for each in engine.handle(number, now, [parts.unpacked(each, api) for each in events])
+            for each in engine.handle(number, now, [parts.unpacked(each, vocabulary) for each in events])
         ]
     if what == "turned_away":
         number, now, message, holding = args
-        return engine.turned_away(number, now, parts.unpacked(message, api), holding)
+        return engine.turned_away(number, now, parts.unpacked(message, vocabulary), holding)
     if what == "learned":
         return [parts.packed(each) for each in engine.learned(*args)]
     return getattr(engine, what)(*args)
--- a/emulator/runs.py
+++ b/emulator/runs.py
@@ -64,7 +64,7 @@
 def fingerprint(folder: Path) -> str:
     """Of the sources of a version's package: what it decides by."""
     total = hashlib.blake2b(digest_size=8)
-    for path in sorted((folder / "linnetstile").glob("*.py")):
+    for path in sorted((folder / "message_relay").glob("*.py")):
         total.update(path.name.encode() + b"\0" + path.read_bytes())
     return total.hexdigest()
 
--- a/emulator/trace.py
+++ b/emulator/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traffic: reading what `linnetstile.fleet.recording` writes, plain or gzipped, a line at a time.
+"""Recorded traffic: reading what `message_relay.fleet.recording` writes, plain or gzipped, a line at a time.
 
 What was cut off at the end is passed over, as is any line that cannot be read; both are counted. Clocks jump
 and lines of several threads come out of order: lines are put in order within WINDOW of them, and one that is
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -17,7 +17,17 @@
 
 import msgspec
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.actions import Fail, Reject, SetTimer, StartAttempt
+from message_relay.decisions.events import (
+    AttemptCompleted,
+    EndpointList,
+    Event,
+    Message,
+    RestoredDestination,
+    ShutdownScheduled,
+    TimerFired,
+)
+from message_relay.decisions.model import Endpoint, Fleet, Listing, ListKind, Outcome
 
 from .draws import Common, Draws, Luck, stream
 from .engines import Beside, Engine, Here
@@ -27,18 +37,18 @@
 from .spec import Fault
 from .traffic import Job, arrivals
 
-RETRY_S = 1.0  # told to a client that finds the hold full, as core/messages.py tells it
-SERVE_ON_MS, CALLS_END_MS, GONE_MS = 500.0, 3000.0, 3400.0  # of an orderly stop, as core/host.py has it
-CAREFUL_MS = 25.0  # a call that must not run twice holds its last byte back (http/calls.py)
+RETRY_S = 1.0  # told to a client that finds the hold full, as core/message_lifecycle.py tells it
+SERVE_ON_MS, CALLS_END_MS, GONE_MS = 500.0, 3000.0, 3400.0  # of an orderly stop, as core/relay.py has it
+CAREFUL_MS = 25.0  # a call that must not run twice holds its last byte back (http/endpoint_client.py)
 AWAY_MS = 600.0  # from the end of a process to the start of the next
 STARTING_MS = 340.0  # until it takes messages (measured: docs/design/fleet.md)
 AFTER_MS = 2000.0  # the world goes on so long after the last message's time
 Act = Callable[[float], None]
 OUTCOMES = {
-    Reply.OK: api.Outcome.OK,
-    Reply.ERROR: api.Outcome.ERROR,
-    Reply.FULL: api.Outcome.FULL,
-    Reply.RESET: api.Outcome.RESET,
+    Reply.OK: Outcome.OK,
+    Reply.ERROR: Outcome.ERROR,
+    Reply.FULL: Outcome.FULL,
+    Reply.RESET: Outcome.RESET,
 }
 
 
@@ -77,8 +87,8 @@
     held: dict[int, int] = field(default_factory=dict)  # the module's number of a message -> message
     latest: int = 0  # of the module's numbers; none is used again
     attempts: dict[int, int] = field(default_factory=dict)  # the module's number -> attempts of this process
-    learned: list[api.Learned] = field(default_factory=list)
-    events: list[api.Event] = field(default_factory=list)
+    learned: list[RestoredDestination] = field(default_factory=list)
+    events: list[Event] = field(default_factory=list)
     life: int = 0  # grows with each process: what belongs to an earlier one is passed over
     last: float = -math.inf
     turn: bool = False
@@ -98,7 +108,7 @@
         self.record = Record(self.it)
         self.settings = msgspec.json.encode(settings_of(self.it))
         self.partners = [self._partner(n) for n in range(len(self.it.partners))]
-        self.listing: dict[int, api.Endpoint] = {}
+        self.listing: dict[int, Endpoint] = {}
         self.engines: list[Engine] = []
         self.nodes: list[Node] = []
         self.up: list[Node] = []
@@ -158,7 +168,7 @@
         """Number of the partner that stands behind it, from 1."""
         return self.listing[endpoint].destination
 
-    def _seen(self, node: Node, entry: api.Endpoint) -> api.Endpoint:
+    def _seen(self, node: Node, entry: Endpoint) -> Endpoint:
         """As this relay's decisions are to see it."""
         return entry
 
@@ -173,7 +183,7 @@
     def _took(self, node: Node, life: Life) -> None:
         """It has taken a message on."""
 
-    def _outcome(self, this: Try, outcome: api.Outcome, took_ms: float, wait_ms: float, now: float) -> None:
+    def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
         """Of a call whose first byte went out, or that never came up."""
 
     def _set_up(self) -> None:
@@ -193,10 +203,10 @@
                 rate = 0.0 if partner.rate is None else partner.rate.per_s
             for k in range(partner.endpoints):
                 ident += 1
-                self.listing[ident] = api.Endpoint(ident, n + 1, api.Listing.READY, rate=rate)
+                self.listing[ident] = Endpoint(ident, n + 1, Listing.READY, rate=rate)
                 for change in partner.changes:
                     if change.endpoint == k + 1:
-                        self.at(change.at_s * 1000, self._change(ident, api.Listing(change.listing)))
+                        self.at(change.at_s * 1000, self._change(ident, Listing(change.listing)))
 
     def _next_job(self) -> None:
         """One ahead at a time: a trace of a million messages is never held whole."""
@@ -239,7 +249,7 @@
         left = due - now
         if left <= 0:
             return
-        message = api.Message(0, life.destination, life.class_, left, again=life.tries > 1)
+        message = Message(0, life.destination, life.class_, left, again=life.tries > 1)
         come_ms = node.engine.turned_away(node.number, now, message, len(node.held))
         if come_ms is not None:
             self.record.refused += 1
@@ -258,7 +268,7 @@
         node.latest += 1
         number, life = node.latest, node.kept[message].life
         node.held[number] = message
-        node.events.append(api.Message(number, life.destination, life.class_, left, again=again, **resumed))  # type: ignore[arg-type]
+        node.events.append(Message(number, life.destination, life.class_, left, again=again, **resumed))  # type: ignore[arg-type]
 
     def _again(self, life: Life, now: float, told_ms: float) -> None:
         """Refused, or given back: the client comes again if it has tries and time."""
@@ -277,18 +287,18 @@
         node.life += 1
         node.alive, node.turn, node.last, node.timer = True, False, -math.inf, node.timer + 1
         node.held, node.attempts, node.events = {}, {}, []
-        share = api.Fleet(node.number, fleet.relays, 0.0) if fleet.share_rates else None
+        share = Fleet(node.number, fleet.relays, 0.0) if fleet.share_rates else None
         seed = int(stream(self.seed, "relay", node.number, node.life, *self.salt).integers(1 << 30))
         node.engine.start(node.number, self._settings(node), seed, share)
         listing = self.listing.values()
-        entries = tuple(self._seen(node, each) for each in listing if each.listing is not api.Listing.GONE)
-        node.events.append(api.EndpointList(api.ListKind.WHOLE, entries))
+        entries = tuple(self._seen(node, each) for each in listing if each.listing is not Listing.GONE)
+        node.events.append(EndpointList(ListKind.WHOLE, entries))
         node.events += node.learned
         for message, kept in node.kept.items():
             risk_at = kept.risk
             risk = None
             if risk_at is not None:
-                risk = api.Endpoint(risk_at[1], kept.life.destination, api.Listing.READY)
+                risk = Endpoint(risk_at[1], kept.life.destination, Listing.READY)
             self._hold(
                 node,
                 message,
@@ -315,13 +325,13 @@
         self.record.turns += 1
         for act in node.engine.handle(node.number, now, events):
             match act:
-                case api.Send(ident, endpoint, until):
+                case StartAttempt(ident, endpoint, until):
                     self._send(node, ident, endpoint, until, now)
-                case api.Refuse(ident, stay):
+                case Reject(ident, stay):
                     self._over(node, ident, "returned", stay, now)
-                case api.Fail(ident):
+                case Fail(ident):
                     self._over(node, ident, "failed", 0.0, now)
-                case api.SetTimer(delay):
+                case SetTimer(delay):
                     self._set(node, now + delay)
                 case _:
                     pass  # probes and cancels are off here, lists are told anyway
@@ -332,7 +342,7 @@
 
         def fires(now: float) -> None:
             if node.life == of and node.timer == mine and node.alive:
-                node.events.append(api.TimerFired(0))
+                node.events.append(TimerFired(0))
                 self._soon(node, now)
 
         self.at(when, fires)
@@ -365,7 +375,7 @@
             or not node.engine.may_write(node.number, now, ident)
             or not self._permits(node, node.kept[message], endpoint, now)
         ):
-            self.at(now, lambda now: self._ended(this, api.Outcome.NOT_SENT, 0.0, now))
+            self.at(now, lambda now: self._ended(this, Outcome.NOT_SENT, 0.0, now))
             return
         kept, net = node.kept[message], self.it.fleet.net_ms
         if kept.out is not None:
@@ -375,7 +385,7 @@
         if silent or partner.trouble(now + net, Fault.DOWN):
             self.record.tries_while_out += 1
             comes = min(until, now + self.it.fleet.connect_timeout_ms) if silent else now + 2 * net
-            self.at(comes, lambda now: self._ended(this, api.Outcome.CONNECT_FAILED, 0.0, now))
+            self.at(comes, lambda now: self._ended(this, Outcome.CONNECT_FAILED, 0.0, now))
             return
         kept.out, this.begun = (now, endpoint), now
         kept.tries += 1
@@ -392,9 +402,9 @@
             return
         partner = self.partners[self._place(this.endpoint) - 1]
         if partner.trouble(now, Fault.DOWN):
-            self._ended(this, api.Outcome.CONNECT_FAILED, 0.0, now)
+            self._ended(this, Outcome.CONNECT_FAILED, 0.0, now)
         elif not node.engine.may_write(node.number, now, this.ident):
-            self._ended(this, api.Outcome.NOT_SENT, 0.0, now)
+            self._ended(this, Outcome.NOT_SENT, 0.0, now)
         else:
             self._arrives_there(this, kept, now)
 
@@ -407,7 +417,7 @@
         self.record.called(place, now)
         answer = partner.call(now + net, Call(name, name, str(this.node.number)))
         if answer.reply in (Reply.NOTHING, Reply.NO_CONNECTION) or answer.at + net > this.until:
-            comes, outcome, wait = this.until, api.Outcome.TIMEOUT, 0.0
+            comes, outcome, wait = this.until, Outcome.TIMEOUT, 0.0
             if answer.reply is Reply.OK:  # its effect is there, and nobody hears of it
                 self.record.unheard += 1
         else:
@@ -415,12 +425,12 @@
             self.record.answered(place, answer.reply, now)
         self.at(max(now, comes), lambda now: self._ended(this, outcome, wait, now))
 
-    def _ended(self, this: Try, outcome: api.Outcome, wait: float, now: float) -> None:
+    def _ended(self, this: Try, outcome: Outcome, wait: float, now: float) -> None:
         node, begun = this.node, this.begun
         if node.life != this.of or not node.alive:
             return  # its outcome died with the process
         message = node.held.get(this.ident)
-        finished = outcome is api.Outcome.OK
+        finished = outcome is Outcome.OK
         self._outcome(this, outcome, 0.0 if begun is None else now - begun, wait, now)
         if message is not None:
             kept = node.kept[message]
@@ -434,7 +444,7 @@
                 kept.life.ends += 1
                 self.record.delivered(kept.life, now)
         node.events.append(
-            api.AttemptEnded(
+            AttemptCompleted(
                 this.ident,
                 this.attempt,
                 this.endpoint,
@@ -448,7 +458,7 @@
 
     # -- the register, and restarts ----------------------------------------------------------------------
 
-    def _change(self, ident: int, listing: api.Listing) -> Act:
+    def _change(self, ident: int, listing: Listing) -> Act:
         def act(now: float) -> None:
             entry = self.listing[ident] = replace(self.listing[ident], listing=listing)
             for node in self.nodes:
@@ -457,12 +467,10 @@
 
         return act
 
-    def _told(self, node: Node, entry: api.Endpoint, now: float) -> None:
-        self.record.learnt[node.number, entry.id] = (
-            now if entry.listing is not api.Listing.READY else math.inf
-        )
+    def _told(self, node: Node, entry: Endpoint, now: float) -> None:
+        self.record.learnt[node.number, entry.id] = now if entry.listing is not Listing.READY else math.inf
         if node.alive:
-            node.events.append(api.EndpointList(api.ListKind.CHANGES, (self._seen(node, entry),)))
+            node.events.append(EndpointList(ListKind.CHANGES, (self._seen(node, entry),)))
             self._soon(node, now)
 
     def _drained(self, node: Node, endpoint: int, now: float) -> None:
@@ -482,7 +490,7 @@
             if restart.how == "kill":
                 self._dies(node, now)
                 return
-            node.events.append(api.Closing(now + CALLS_END_MS))
+            node.events.append(ShutdownScheduled(now + CALLS_END_MS))
             self._soon(node, now)
             self.at(now + SERVE_ON_MS, lambda now: self._opens(node, False) if node.life == of else None)
             self.at(now + CALLS_END_MS, lambda now: self._stops(node, of, now))
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -1,8 +1,9 @@
 """A fleet in zones and regions, in virtual time: partners with a place in each zone, ways between zones that
 are cut, relays that tell each other what they saw with delay and loss, and plans that reach each relay at a
-moment of its own. The real evidence, verdicts, planner and gate (linnetstile/failover, accord/gate.py) stand
+moment of its own. The real evidence, verdicts, planner and gate (message_relay/failover,
+consensus/rule_enforcement.py) stand
 around the real decision module; only the agreement itself is not played here but taken by its measured
-times (docs/design/agreed-rules.md, and emulator/accord/world.py, which plays that alone).
+times (docs/design/agreed-rules.md, and emulator/consensus/world.py, which plays that alone).
 
 Three ways to live through the same faults: `alone`, as without plans; `plans`; and `static`, a switch that
 moves all of a lost zone's traffic at once after a while, and back at once.
@@ -17,14 +18,15 @@
 
 import msgspec
 
-from linnetstile.accord.gate import Gate
-from linnetstile.accord.holding import Acting, Tier
-from linnetstile.accord.rules import Rules, normal
-from linnetstile.core.seams import Call
-from linnetstile.decisions import interface as api
-from linnetstile.failover.decider import Decider
-from linnetstile.failover.evidence import Counting, Evidence, Report
-from linnetstile.failover.settings import FailoverPart
+from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.rule_enforcement import RuleEnforcer
+from message_relay.consensus.rules import Rules, normalized
+from message_relay.core.ports import CallContext
+from message_relay.decisions.events import EndpointList
+from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
+from message_relay.failover.controller import FailoverController
+from message_relay.failover.observations import CallCounter, Observations, Report
+from message_relay.failover.settings import FailoverSettings
 
 from .draws import Draws
 from .experiment import Experiment, settings_of
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    part: FailoverPart
+    part: FailoverSettings
     mode: Mode = "plans"
     outages: tuple[Outage, ...] = ()
     cuts: tuple[Cut, ...] = ()
@@ -98,16 +100,16 @@
         self.partners = [
             self._in_zone(n, zone, outages) for n in range(len(self.it.partners)) for zone in self.zones
         ]
-        self.counting = [Counting(self._name(n), 1, self._zone(n)) for n in range(self.it.fleet.relays)]
+        self.counting = [CallCounter(self._name(n), 1, self._zone(n)) for n in range(self.it.fleet.relays)]
         self.rules = [(0, Rules()) for _ in self.counting]
         self.gates = [
-            Gate(self._acting(n), len(self.counting), lambda: self.now, self._name(n), self._zone(n))
+            RuleEnforcer(self._acting(n), len(self.counting), lambda: self.now, self._name(n), self._zone(n))
             for n in range(len(self.counting))
         ]
         for gate in self.gates:
             gate.stays = self._stays(gate.zone)
         self.latest, self.left = Rules(), set[str]()
-        self.evidence = Evidence(place.part.window_s)
+        self.evidence = Observations(place.part.window_s)
         self.decider = self._decider()
 
     @property
@@ -130,18 +132,18 @@
     def _zone(self, n: int) -> str:
         return self.zones[n % len(self.zones)]
 
-    def _acting(self, n: int) -> Callable[[], Acting]:
-        def acting() -> Acting:
+    def _acting(self, n: int) -> Callable[[], ActiveRules]:
+        def acting() -> ActiveRules:
             number, rules = self.rules[n]
-            return Acting(rules, (number,), Tier.LEASE)
+            return ActiveRules(rules, (number,), LeaseTier.LEASE)
 
         return acting
 
     def _stays(self, zone: str) -> Callable[[str, str], bool]:
         return lambda class_, target: self.place.part.allowed(class_, zone, target)
 
-    def _decider(self) -> Decider:
-        return Decider(self.place.part, self.evidence, None, lambda: 0.0)
+    def _decider(self) -> FailoverController:
+        return FailoverController(self.place.part, self.evidence, None, lambda: 0.0)
 
     # -- what is another way here ----------------------------------------------------------------------------
 
@@ -157,7 +159,7 @@
             rate = 0.0 if partner.rate is None else partner.rate.per_s * self.count
             for zone in range(self.count):
                 ident += 1  # one endpoint each: the place's number
-                self.listing[ident] = api.Endpoint(ident, n + 1, api.Listing.READY, zone=zone, rate=rate)
+                self.listing[ident] = Endpoint(ident, n + 1, Listing.READY, zone=zone, rate=rate)
         if self.place.mode == "plans":
             for n in range(len(self.counting)):
                 self.at(self._window() * self.luck.random(), self._tells(n))
@@ -174,16 +176,16 @@
     def _place(self, endpoint: int) -> int:
         return endpoint
 
-    def _seen(self, node: Node, entry: api.Endpoint) -> api.Endpoint:
+    def _seen(self, node: Node, entry: Endpoint) -> Endpoint:
         zone = self.zones[entry.zone]
         if zone in self.left:
-            return replace(entry, listing=api.Listing.DRAINING)
-        return self.gates[node.number].entry(str(entry.id), zone, entry)
+            return replace(entry, listing=Listing.DRAINING)
+        return self.gates[node.number].constrained_endpoint(str(entry.id), zone, entry)
 
     def _permits(self, node: Node, kept: Kept, endpoint: int, now: float) -> bool:
         gate, entry = self.gates[node.number], self.listing[endpoint]
         class_ = self.it.classes[kept.life.class_]
-        call = Call(
+        call = CallContext(
             str(kept.life.number),
             entry.destination,
             str(endpoint),
@@ -193,7 +195,7 @@
             kept.risk is not None,
             class_.effect == "by_key",
         )
-        if gate.may(now / 1000, call) is None:
+        if gate.authorize(now / 1000, call) is None:
             return False
         self.moves.by[gate.zone, call.zone] += 1
         if not self.place.part.allowed(class_.name, gate.zone, call.zone):
@@ -211,10 +213,10 @@
         name = self.it.classes[life.class_].name
         self.counting[node.number].asked(life.destination, self.place.part.group(name))
 
-    def _outcome(self, this: Try, outcome: api.Outcome, took_ms: float, wait_ms: float, now: float) -> None:
+    def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
         entry, number = self.listing[this.endpoint], this.node.number
-        if outcome is not api.Outcome.NOT_SENT or this.begun is not None:  # the gate had let it out
-            self.gates[number].ended(entry.destination)
+        if outcome is not Outcome.NOT_SENT or this.begun is not None:  # the gate had let it out
+            self.gates[number].release(entry.destination)
         self.counting[number].outcome(entry.destination, self.zones[entry.zone], outcome, took_ms)
 
     # -- evidence, and who decides ---------------------------------------------------------------------------
@@ -255,7 +257,7 @@
         found = self.decider.plans(problems)
         rules = self.decider.next(now / 1000, self.latest, rooms, relays, problems, found)
         if rules is not None:
-            self._agreed(normal(rules), now)
+            self._agreed(normalized(rules), now)
         self.at(now + self._window(), self._decides)
 
     def _agreed(self, rules: Rules, now: float) -> None:
@@ -276,7 +278,7 @@
     def _retell(self, node: Node, now: float) -> None:
         if node.alive:
             entries = tuple(self._seen(node, entry) for entry in self.listing.values())
-            node.events.append(api.EndpointList(api.ListKind.CHANGES, entries))
+            node.events.append(EndpointList(ListKind.CHANGES, entries))
             self._soon(node, now)
 
     def _evacuates(self, word: str) -> Act:
@@ -284,7 +286,7 @@
             out, zone = self.latest.policies.evacuated, word.removeprefix("-")
             out = out - {zone} if word.startswith("-") else out | {zone}
             policies = msgspec.structs.replace(self.latest.policies, evacuated=out)
-            self._agreed(normal(msgspec.structs.replace(self.latest, policies=policies)), now)
+            self._agreed(normalized(msgspec.structs.replace(self.latest, policies=policies)), now)
 
         return act
 
--- a/standins/amqp.py
+++ b/fakes/amqp_broker.py
@@ -1,6 +1,7 @@
 """An AMQP 0-9-1 broker on loopback, strict about the protocol, with faults by chance or by a script.
 
-    python -m standins.amqp --listen 127.0.0.1:0 [--ledger FILE] [--seed 1] [--user guest --password guest]
+    python -m fakes.amqp_broker --listen 127.0.0.1:0 [--ledger FILE] [--seed 1] [--user guest --password
+            guest]
                             [--queue NAME[=DEAD_LETTER_EXCHANGE]]... [--drop 0.1] [--nack 0.1] [--refuse 0.1]
                             [--stall 0.1 --stall-ms 500] [--close-before 0.01] [--close-after 0.01]
                             [--cut-before 0.01] [--cut-after 0.01] [--half 0.01] [--wrong 0.01]
--- a/standins/agent.py
+++ b/fakes/discovery_agent.py
@@ -1,6 +1,6 @@
 """The platform's agent: one list of endpoints that does not change, and notices, counted.
 
-    python -m standins.agent --listen 127.0.0.1:0 --list FILE [--ledger FILE]
+    python -m fakes.discovery_agent --listen 127.0.0.1:0 --list FILE [--ledger FILE]
 
 FILE holds the list in discovery's form. A watch is held for as long as it asks to be; notices get 204, and a
 line each in the ledger, as they came."""
--- a/standins/partner.py
+++ b/fakes/endpoint.py
@@ -1,6 +1,6 @@
 """A partner's endpoint on sockets: emulator.partner decides what comes back, and when.
 
-    python -m standins.partner --listen 127.0.0.1:0 [--answer-ms 2] [--refuse 0.1] [--error 0.1] [--hang 0.1]
+    python -m fakes.endpoint --listen 127.0.0.1:0 [--answer-ms 2] [--refuse 0.1] [--error 0.1] [--hang 0.1]
                                [--reset 0.1] [--slots 8 --queue 4] [--seed 1] [--ledger FILE] [--calls FILE]
                                [--rate 60] [--down 10:4,30:2] [--cold 0.18] [--warm-s 11] [--armed]
                                [--spec FILE] [--unheard]
--- a/standins/net.py
+++ b/fakes/fault_proxy.py
@@ -1,6 +1,6 @@
 """A network between processes, in which faults are put: named links, TCP and UDP, by script, seed or command.
 
-    python -m standins.net --plan FILE [--listen 127.0.0.1:0] [--script FILE] [--seed 1] [--log FILE]
+    python -m fakes.fault_proxy --plan FILE [--listen 127.0.0.1:0] [--script FILE] [--seed 1] [--log FILE]
 
 PLAN (JSON) names the nodes and, where a node can't be told by its own address, doors:
 
@@ -120,7 +120,7 @@
         )
 
 
-class Net:
+class FaultProxy:
     def __init__(self, plan: Plan, seed: int, log: TextIO | None = None) -> None:
         self.plan, self.rng, self.log = plan, random.Random(seed), log
         self.links: dict[tuple[str, str], Held] = {}  # those on which something holds
@@ -303,7 +303,7 @@
 
 
 class Udp(asyncio.DatagramProtocol):
-    def __init__(self, net: Net, node: NodePlan) -> None:
+    def __init__(self, net: FaultProxy, node: NodePlan) -> None:
         self.net, self.name, self.bind = net, node.name, address(node.bind)
 
     def connection_made(self, transport: Any) -> None:
@@ -327,7 +327,7 @@
         script: list[Command] = msgspec.json.decode(raw, type=list[Command])
     except msgspec.MsgspecError as error:
         parser.error(str(error))
-    net = Net(plan, args.seed, args.log)
+    net = FaultProxy(plan, args.seed, args.log)
 
     async def start() -> asyncio.Server:
         server = await net.start(address(args.listen))
--- a/standins/manager.py
+++ b/fakes/service_manager.py
@@ -1,6 +1,6 @@
 """A service manager's side: starts a program, holds its listening socket, hears what it says, and ends it.
 
-    python -m standins.manager --listen 127.0.0.1:PORT --folder DIR [--watchdog-s N] -- PROGRAM ARGS
+    python -m fakes.service_manager --listen 127.0.0.1:PORT --folder DIR [--watchdog-s N] -- PROGRAM ARGS
 
 Speaks sd_notify(3) and sd_listen_fds(3) as their pages describe them. What the program says is printed, a
 line each; SIGHUP and SIGTERM are passed on, and a program that ends by itself is started again.
@@ -22,7 +22,7 @@
 LAUNCH = "import os,sys; os.environ['LISTEN_PID']=str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])"
 
 
-class Manager:
+class ServiceManager:
     def __init__(self, folder: Path, listen: tuple[str, int], watchdog_s: float = 0.0) -> None:
         self.path, self.watchdog_s = folder / "notify", watchdog_s
         self.path.unlink(missing_ok=True)
@@ -103,7 +103,7 @@
 
 
 async def manage(folder: Path, listen: tuple[str, int], watchdog_s: float, program: Sequence[str]) -> None:
-    manager, stop = Manager(folder, listen, watchdog_s), asyncio.Event()
+    manager, stop = ServiceManager(folder, listen, watchdog_s), asyncio.Event()
     manager.read()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/standins/serving.py
+++ b/fakes/serving.py
@@ -9,7 +9,7 @@
 
 
 def arguments(name: str) -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog=f"standins.{name}")
+    parser = argparse.ArgumentParser(prog=f"fakes.{name}")
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     return parser
 
--- a/linnetstile/cli/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The commands: `python -m linnetstile COMMAND`, one file each. Needs the extra `ops`."""
--- a/linnetstile/__main__.py
+++ b/message_relay/__main__.py
@@ -1,5 +1,5 @@
-"""`python -m linnetstile`: one instance, configured by the RELAY_ variables; with a command, that
-(linnetstile/cli)."""
+"""`python -m message_relay`: one instance, configured by the RELAY_ variables; with a command, that
+(message_relay/cli)."""
 
 from __future__ import annotations
 
--- a/linnetstile/amqp/link.py
+++ b/message_relay/amqp/connection.py
@@ -10,8 +10,8 @@
 
 from pamqp import commands
 
-from . import machine as m
-from .machine import Fate, Login, Machine, Publish
+from . import protocol as m
+from .protocol import ConnectionProtocol, Fate, Login, Publish
 
 Properties = commands.Basic.Properties
 STALE = 256  # publishes given up, past which the channel is made anew, once nothing else is out on it
@@ -28,14 +28,14 @@
         """Of the consumer, its channel or the connection; told once."""
 
 
-class NoLink(Exception):
+class NotConnectedError(Exception):
     """There is no connection, so that nothing was written."""
 
 
-class Link(asyncio.Protocol):
+class BrokerConnection(asyncio.Protocol):
     def __init__(self, login: Login, ended: Callable[[str], None], late: Callable[[Publish], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.machine = Machine(login, self.loop.time())
+        self.machine = ConnectionProtocol(login, self.loop.time())
         self.on_end, self.on_late = ended, late
         self.transport: asyncio.Transport | None = None
         self.ready: asyncio.Future[int] = self.loop.create_future()  # the channel to publish on
@@ -129,7 +129,7 @@
             return
         self.over = True
         if not self.ready.done():
-            self.ready.set_exception(NoLink(why))
+            self.ready.set_exception(NotConnectedError(why))
             self.ready.exception()  # somebody may wait for it, or nobody
         for future in self.waiting.values():
             if not future.done():
--- a/linnetstile/amqp/intake.py
+++ b/message_relay/amqp/intake.py
@@ -31,12 +31,12 @@
 from pamqp import commands
 
 from ..config import Config
-from ..core.seams import Desk, End, Malformed, Offer
-from ..core.tasks import Tasks
-from ..logs import Note
-from .life import Reconnect
-from .link import Link, NoLink
-from .machine import Delivered, Fate, MachineError
+from ..core.ports import FinalOutcome, InvalidMessageError, MessageAcceptor, Submission
+from ..core.tasks import BackgroundTasks
+from ..structured_logging import LogEvent
+from .connection import BrokerConnection, NotConnectedError
+from .protocol import Delivered, Fate, ProtocolUsageError
+from .reconnect_policy import ReconnectPolicy
 from .settings import QueuePart
 from .transport import Broker
 
@@ -62,11 +62,16 @@
     """One queue: its consumer, and what waits for room."""
 
     def __init__(
-        self, part: QueuePart, broker: Broker, desk: Desk, longest: Mapping[str, float], rng: Random
+        self,
+        part: QueuePart,
+        broker: Broker,
+        desk: MessageAcceptor,
+        longest: Mapping[str, float],
+        rng: Random,
     ) -> None:
         self.part, self.broker, self.desk, self.longest = part, broker, desk, longest
-        self.life = Reconnect(1, rng)
-        self.link: Link | None = None
+        self.life = ReconnectPolicy(1, rng)
+        self.link: BrokerConnection | None = None
         self.channel = 0
         self.epoch = 0  # of consumers: a channel's number, and its tags, come again with the next one
         self.waiting: deque[Delivered] = deque()  # no more than prefetch
@@ -89,8 +94,11 @@
                 self.channel = self.link.consume(self.part.prefetch, self)
                 self.life.opened(loop.time())
                 await self.ended.wait()
-            except (NoLink, MachineError) as error:  # one that ended just now, or has no channel left
-                log.warning(Note("queue: cannot be consumed", queue=self.part.queue, why=error))
+            except (
+                NotConnectedError,
+                ProtocolUsageError,
+            ) as error:  # one that ended just now, or has no channel left
+                log.warning(LogEvent("queue: cannot be consumed", queue=self.part.queue, why=error))
             self.link = None
             self.waiting.clear()  # not acknowledged: it comes again
             await asyncio.sleep(self.life.ended(loop.time()))
@@ -101,7 +109,7 @@
 
     def over(self, why: str) -> None:
         if not self.stopped:
-            log.warning(Note("queue: not consumed any more", queue=self.part.queue, why=why))
+            log.warning(LogEvent("queue: not consumed any more", queue=self.part.queue, why=why))
         self.ended.set()
 
     def delivered(self, delivery: Delivered) -> None:
@@ -114,16 +122,16 @@
         """Takes what there is room for, in its order."""
         while self.waiting and not self.stopped:
             delivery = self.waiting[0]
-            if not self.desk.roomy:
+            if not self.desk.has_capacity:
                 self._later()
                 return
             try:
-                receipt = self.desk.take(self.offer(delivery))
-            except Malformed as error:
+                receipt = self.desk.accept(self.offer(delivery))
+            except InvalidMessageError as error:
                 self.waiting.popleft()
                 self.rejected += 1
                 log.warning(
-                    Note(
+                    LogEvent(
                         "queue: a message is rejected",
                         queue=self.part.queue,
                         id=str(delivery.properties.message_id)[:200],
@@ -132,16 +140,16 @@
                 )
                 self.settle(delivery, False)
                 continue
-            if not receipt.taken:
+            if not receipt.accepted:
                 self._later()
                 return
             self.waiting.popleft()
             self.life.worked = True
-            if receipt.when is None:
+            if receipt.durable is None:
                 self.settle(delivery, True)
             else:
                 self.journalling += 1
-                receipt.when.add_done_callback(partial(self._safe, delivery, self.epoch))
+                receipt.durable.add_done_callback(partial(self._safe, delivery, self.epoch))
 
     def _later(self) -> None:
         if self.look is None:
@@ -162,19 +170,19 @@
         if self.link is not None and delivery.channel == self.channel and not self.ended.is_set():
             self.link.settle(delivery.channel, delivery.tag, taken)
 
-    def offer(self, delivery: Delivered) -> Offer:
+    def offer(self, delivery: Delivered) -> Submission:
         """Raises Malformed."""
         told = delivery.properties
         headers = told.headers or {}
         if delivery.too_long:
-            raise Malformed("body", f"{delivery.too_long} bytes are too many")
+            raise InvalidMessageError("body", f"{delivery.too_long} bytes are too many")
         class_ = told.message_type or ""
         try:
             dest = int(str(headers.get("destination", "")))
         except ValueError:
-            raise Malformed("dest", "header destination must be a number") from None
+            raise InvalidMessageError("dest", "header destination must be a number") from None
         key = headers.get("idempotency-key")
-        return Offer(
+        return Submission(
             str(told.message_id or ""),
             class_,
             str(headers.get("tenant", "")),
@@ -191,7 +199,7 @@
         if text is None or text == "":
             return int(self.longest.get(class_, 0.0))
         if not text.isdecimal() or len(text) > 9:
-            raise Malformed("left", f"expiration {text[:20]!r} is no number of ms")
+            raise InvalidMessageError("left", f"expiration {text[:20]!r} is no number of ms")
         left = int(text)
         if told.timestamp is not None:
             age = time.time() - told.timestamp.timestamp()
@@ -206,57 +214,57 @@
         self.ended.set()
 
 
-class Intake:
+class QueueIntake:
     """All queues of the operator's file, and the answers to what came by them."""
 
     def __init__(
         self,
         parts: list[QueuePart],
         brokers: Mapping[str, Broker],
-        desk: Desk,
+        desk: MessageAcceptor,
         longest: Mapping[str, float],
         rng: Random,
     ) -> None:
-        self.brokers, self.desk, self.rng, self.tasks = brokers, desk, rng, Tasks()
+        self.brokers, self.desk, self.rng, self.tasks = brokers, desk, rng, BackgroundTasks()
         self.queues = [Queue(part, brokers[part.broker], desk, longest, rng) for part in parts]
-        self.ends: dict[str, End] = {}  # that are still to be passed on
+        self.ends: dict[str, FinalOutcome] = {}  # that are still to be passed on
         self.out = asyncio.Semaphore(ANSWERS)
 
     async def open(self) -> None:
         for queue in self.queues:
             self.tasks.start(queue.run())
 
-    def end(self, end: End) -> None:
+    def notify_outcome(self, end: FinalOutcome) -> None:
         if end.id in self.ends:
             return
         if " " not in end.origin:
-            self.desk.told([end.id])  # nobody asked for an answer
+            self.desk.mark_notified([end.id])  # nobody asked for an answer
             return
         self.ends[end.id] = end
         self.tasks.start(self._answer(end))
 
-    async def _answer(self, end: End) -> None:
+    async def _answer(self, end: FinalOutcome) -> None:
         """Until it is confirmed, or nobody's queue takes it."""
         _, broker_name, reply, correlation = (unquote(part) for part in end.origin.split(" "))
-        broker, life = self.brokers.get(broker_name), Reconnect(1, self.rng)
+        broker, life = self.brokers.get(broker_name), ReconnectPolicy(1, self.rng)
         if broker is None:  # it stays in the journal until that broker is named again
-            log.error(Note("an end waits for a broker that is not named", id=end.id, broker=broker_name))
+            log.error(LogEvent("an end waits for a broker that is not named", id=end.id, broker=broker_name))
             return
         while True:
             async with self.out:
                 fate = await self._publish(broker, end, reply, correlation)
             if fate in (Fate.ACKED, Fate.RETURNED):
                 if fate is Fate.RETURNED:
-                    log.warning(Note("an answer finds no queue", id=end.id, queue=reply))
+                    log.warning(LogEvent("an answer finds no queue", id=end.id, queue=reply))
                 self.ends.pop(end.id, None)
-                self.desk.told([end.id])
+                self.desk.mark_notified([end.id])
                 return
             await asyncio.sleep(life.ended(asyncio.get_running_loop().time()))
 
-    async def _publish(self, broker: Broker, end: End, reply: str, correlation: str) -> Fate:
+    async def _publish(self, broker: Broker, end: FinalOutcome, reply: str, correlation: str) -> Fate:
         told: dict[str, object] = {"id": end.id, "state": end.state}
-        if end.after_ms > 0:
-            told["after_ms"] = round(end.after_ms)
+        if end.retry_after_ms > 0:
+            told["after_ms"] = round(end.retry_after_ms)
         properties = commands.Basic.Properties(
             content_type="application/json",
             correlation_id=correlation,
@@ -273,7 +281,7 @@
                     f"end-{end.id}", "", reply, msgspec.json.encode(told), properties
                 )
                 return await confirmed
-        except (NoLink, TimeoutError):
+        except (NotConnectedError, TimeoutError):
             return Fate.LOST
         finally:
             if link is not None and publish is not None and publish.fate is Fate.OUT:
@@ -287,11 +295,11 @@
             queue.stop()
 
     @property
-    def reading(self) -> int:
+    def open_requests(self) -> int:
         return sum(queue.journalling for queue in self.queues)
 
     @property
-    def unsettled(self) -> int:
+    def pending_outcomes(self) -> int:
         return len(self.ends)
 
     async def close(self) -> None:
--- a/linnetstile/amqp/machine.py
+++ b/message_relay/amqp/protocol.py
@@ -209,11 +209,11 @@
     name: str = "linnetstile"
 
 
-class MachineError(RuntimeError):
+class ProtocolUsageError(RuntimeError):
     """It was called for what its state does not allow: a fault of the caller."""
 
 
-class Machine:
+class ConnectionProtocol:
     def __init__(self, login: Login, now: float) -> None:
         """`now`, here and below: seconds of any clock that never falls."""
         self.login, self.state = login, State.START
@@ -393,7 +393,7 @@
     @staticmethod
     def _need(ok: bool, text: str) -> None:
         if not ok:
-            raise MachineError(text)
+            raise ProtocolUsageError(text)
 
     # -- frames ------------------------------------------------------------------------------------------
 
--- a/linnetstile/amqp/life.py
+++ b/message_relay/amqp/reconnect_policy.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Reconnect:
+class ReconnectPolicy:
     hosts: int  # addresses that the broker has, tried in turn
     rng: Random
     failures: int = 0  # in a row
--- a/linnetstile/amqp/settings.py
+++ b/message_relay/amqp/settings.py
@@ -67,7 +67,7 @@
     prefetch: Annotated[int, Meta(ge=1, le=1000)] = 20  # deliveries that are not acknowledged yet, at most
 
 
-class AmqpPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AmqpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     brokers: list[BrokerPart] = []
     endpoints: list[TargetPart] = []
     queues: list[QueuePart] = []
--- a/linnetstile/amqp/source.py
+++ b/message_relay/amqp/source.py
@@ -5,19 +5,19 @@
 import asyncio
 
 from ..config import Config
-from ..core.seams import Member, Told, Update
-from ..decisions.interface import Listing
-from .settings import PREFIX, AmqpPart
+from ..core.ports import EndpointRecord, EndpointUpdate, EndpointUpdateCallback
+from ..decisions.model import Listing
+from .settings import PREFIX, AmqpSettings
 
 NAME = "amqp"
 
 
-class Named:
-    def __init__(self, part: AmqpPart) -> None:
-        self.update = Update(
+class ConfiguredEndpoints:
+    def __init__(self, part: AmqpSettings) -> None:
+        self.update = EndpointUpdate(
             True,
             tuple(
-                Member(
+                EndpointRecord(
                     f"{PREFIX}{each.name}",
                     each.destination,
                     Listing.READY,
@@ -29,7 +29,7 @@
             source=NAME,
         )
 
-    async def run(self, told: Told) -> None:
+    async def run(self, told: EndpointUpdateCallback) -> None:
         told(self.update)
         await asyncio.Event().wait()
 
--- a/linnetstile/amqp/transport.py
+++ b/message_relay/amqp/transport.py
@@ -21,13 +21,13 @@
 from pamqp import commands
 
 from ..config import Address
-from ..core.seams import Attempt, Key, Result
-from ..decisions.interface import Outcome
-from ..logs import Note
-from .life import Reconnect
-from .link import Link, NoLink
-from .machine import Fate, Login, Publish
-from .settings import PREFIX, AmqpPart, BrokerPart, TargetPart, context, credentials
+from ..core.ports import Attempt, AttemptResult, EndpointKey
+from ..decisions.model import Outcome
+from ..structured_logging import LogEvent
+from .connection import BrokerConnection, NotConnectedError
+from .protocol import Fate, Login, Publish
+from .reconnect_policy import ReconnectPolicy
+from .settings import PREFIX, AmqpSettings, BrokerPart, TargetPart, context, credentials
 
 log = logging.getLogger(__name__)
 
@@ -50,13 +50,13 @@
         for host in part.hosts:
             name, _, port = host.rpartition(":")
             self.addresses.append((name.strip("[]"), int(port)))
-        self.life = Reconnect(len(self.addresses), rng)
-        self.link: Link | None = None
-        self.opening: asyncio.Task[Link] | None = None
+        self.life = ReconnectPolicy(len(self.addresses), rng)
+        self.link: BrokerConnection | None = None
+        self.opening: asyncio.Task[BrokerConnection] | None = None
         self.closed = False
         self.late = 0  # confirms that came after their publish was given up
 
-    async def linked(self) -> Link:
+    async def linked(self) -> BrokerConnection:
         """A connection with its channel open. Raises NoLink at once while it is not to be tried again."""
         if self.link is not None and not self.link.over:
             await asyncio.shield(self.link.ready)
@@ -64,39 +64,41 @@
         if self.opening is None:
             now = asyncio.get_running_loop().time()
             if self.closed or not self.life.may_try(now):
-                raise NoLink(f"{self.part.name} is tried again in {self.life.not_before - now:.1f} s")
+                raise NotConnectedError(
+                    f"{self.part.name} is tried again in {self.life.not_before - now:.1f} s"
+                )
             self.opening = asyncio.ensure_future(self._open())
             self.opening.add_done_callback(self._opened)
         return await asyncio.shield(self.opening)
 
-    async def _open(self) -> Link:
+    async def _open(self) -> BrokerConnection:
         loop = asyncio.get_running_loop()
         host, port = self.addresses[self.life.at]
-        link: Link | None = None
+        link: BrokerConnection | None = None
         try:
             async with asyncio.timeout(CONNECT_S):
                 _, link = await loop.create_connection(
-                    lambda: Link(self.login, self._ended, self._late),
+                    lambda: BrokerConnection(self.login, self._ended, self._late),
                     host,
                     port,
                     ssl=self.tls,
                     server_hostname=None if self.part.tls is None else self.part.tls.server_name or host,
                 )
                 await asyncio.shield(link.ready)
-        except (OSError, TimeoutError, NoLink) as error:
+        except (OSError, TimeoutError, NotConnectedError) as error:
             why = str(error) or "it does not answer"
             if link is not None and not link.over:
                 link.on_end = lambda why: None  # told here
                 link.close()
-            if link is None or not isinstance(error, NoLink):
+            if link is None or not isinstance(error, NotConnectedError):
                 self._ended(why)
-            raise NoLink(f"{self.part.name} at {host}:{port}: {why}") from None
+            raise NotConnectedError(f"{self.part.name} at {host}:{port}: {why}") from None
         self.life.opened(loop.time())
-        log.info(Note("broker: connected", broker=self.part.name, host=f"{host}:{port}"))
+        log.info(LogEvent("broker: connected", broker=self.part.name, host=f"{host}:{port}"))
         self.link = link
         return link
 
-    def _opened(self, task: asyncio.Task[Link]) -> None:
+    def _opened(self, task: asyncio.Task[BrokerConnection]) -> None:
         self.opening = None
         if not task.cancelled():
             task.exception()  # those that wait have it; there may be none
@@ -105,12 +107,14 @@
         self.link = None
         if not self.closed:
             wait = self.life.ended(asyncio.get_running_loop().time())
-            log.warning(Note("broker: no connection", broker=self.part.name, why=why, wait_s=round(wait, 2)))
+            log.warning(
+                LogEvent("broker: no connection", broker=self.part.name, why=why, wait_s=round(wait, 2))
+            )
 
     def _late(self, publish: Publish) -> None:
         self.late += 1
         log.warning(
-            Note(
+            LogEvent(
                 "broker: a confirm came after its time",
                 broker=self.part.name,
                 id=publish.ident,
@@ -126,26 +130,26 @@
             self.link.close()
 
 
-class Publishing:
+class BrokerPublisher:
     """The transport of all endpoints that are brokers' (core.seams.Transport)."""
 
-    def __init__(self, part: AmqpPart, rng: Random) -> None:
+    def __init__(self, part: AmqpSettings, rng: Random) -> None:
         """Raises ValueError."""
         self.brokers = {each.name: Broker(each, rng) for each in part.brokers}  # fronts use them too
         self.targets: Mapping[str, TargetPart] = {PREFIX + each.name: each for each in part.endpoints}
 
-    async def attempt(self, attempt: Attempt) -> Result:
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
         target = self.targets.get(attempt.address[0])
         if target is None:
-            return Result(Outcome.CONNECT_FAILED)
+            return AttemptResult(Outcome.CONNECT_FAILED)
         broker, link, publish = self.brokers[target.broker], None, None
         try:
             async with asyncio.timeout_at(attempt.give_up_at):
                 link = await broker.linked()
                 if not link.may_publish():
-                    return Result(Outcome.FULL, wait_ms=BLOCKED_MS if link.blocked else BUSY_MS)
+                    return AttemptResult(Outcome.FULL, wait_ms=BLOCKED_MS if link.blocked else BUSY_MS)
                 if not attempt.may_write():
-                    return Result(Outcome.NOT_SENT)
+                    return AttemptResult(Outcome.NOT_SENT)
                 publish, confirmed = link.publish(
                     attempt.trace_id,
                     target.exchange,
@@ -156,10 +160,10 @@
                 fate = await confirmed
                 broker.life.worked = broker.life.worked or fate is Fate.ACKED
                 return answered(fate, target)
-        except NoLink:
-            return Result(Outcome.CONNECT_FAILED)
+        except NotConnectedError:
+            return AttemptResult(Outcome.CONNECT_FAILED)
         except TimeoutError:
-            return Result(Outcome.CONNECT_FAILED if publish is None else Outcome.TIMEOUT)
+            return AttemptResult(Outcome.CONNECT_FAILED if publish is None else Outcome.TIMEOUT)
         finally:
             if link is not None and publish is not None and publish.fate is Fate.OUT:
                 link.give_up(publish)
@@ -175,10 +179,10 @@
             expiration=str(max(1, round(left * 1000))),
         )
 
-    def keep_only(self, listed: set[Key]) -> None:
+    def retain_only(self, listed: set[EndpointKey]) -> None:
         """A broker's connection stands for all of its endpoints: nothing to drop."""
 
-    def changed(self, key: Key, listed: bool) -> None:
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
         """As above."""
 
     def sweep(self) -> None:
@@ -189,16 +193,16 @@
             broker.close()
 
 
-def answered(fate: Fate, target: TargetPart) -> Result:
+def answered(fate: Fate, target: TargetPart) -> AttemptResult:
     """The table above, for what came back."""
     match fate:
         case Fate.ACKED:
-            return Result(Outcome.OK, over=True)
+            return AttemptResult(Outcome.OK, finished=True)
         case Fate.NACKED:
-            return Result(Outcome.FULL if target.nack == "never_ran" else Outcome.ERROR)
+            return AttemptResult(Outcome.FULL if target.nack == "never_ran" else Outcome.ERROR)
         case Fate.RETURNED:
-            return Result(Outcome.FULL)
+            return AttemptResult(Outcome.FULL)
         case Fate.UNWRITTEN:
-            return Result(Outcome.CONNECT_FAILED)
+            return AttemptResult(Outcome.CONNECT_FAILED)
         case _:
-            return Result(Outcome.RESET)
+            return AttemptResult(Outcome.RESET)
--- /dev/null
+++ b/message_relay/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The commands: `python -m message_relay COMMAND`, one file each. Needs the extra `ops`."""
--- a/linnetstile/cli/check.py
+++ b/message_relay/cli/check.py
@@ -9,10 +9,10 @@
 import click
 
 from ..config import ConfigError, load
-from ..fleet.operator import Operator, OperatorError, read
+from ..fleet.operator import OperatorConfig, OperatorError, read
 
 
-def faults(file: Path) -> tuple[Operator | None, list[str]]:
+def faults(file: Path) -> tuple[OperatorConfig | None, list[str]]:
     """What it says, and each fault as a line."""
     try:
         told = read(file)
--- a/linnetstile/cli/demo.py
+++ b/message_relay/cli/demo.py
@@ -88,7 +88,7 @@
             stderr=None if os.environ.get("DEMO_LOG") else asyncio.subprocess.DEVNULL,
         )
         self.processes.append(process)
-        if args[0] == "linnetstile":
+        if args[0] == "message_relay":
             return ""
         assert process.stdout is not None
         line = (await asyncio.wait_for(process.stdout.readline(), START_S)).decode()
@@ -101,9 +101,9 @@
         down = f"{self.seconds * DOWN_FROM:.1f}:{self.seconds * DOWN_FOR:.1f}"
         ledgers = [("--ledger", str(self.folder / f"partner-{n}")) for n in (1, 2)]
         partners = [
-            await self.start("standins.partner", "--answer-ms", "30", "--rate", "30", *ledgers[0]),
+            await self.start("fakes.endpoint", "--answer-ms", "30", "--rate", "30", *ledgers[0]),
             await self.start(
-                "standins.partner",
+                "fakes.endpoint",
                 "--answer-ms",
                 "30",
                 "--rate",
@@ -131,7 +131,7 @@
         known = {"generation": 1, "reset": True, "instances": entries}
         (self.folder / "list.json").write_text(json.dumps(known))
         agent = await self.start(
-            "standins.agent",
+            "fakes.discovery_agent",
             "--list",
             str(self.folder / "list.json"),
             "--ledger",
@@ -153,7 +153,7 @@
         )
         (self.folder / "relay.toml").write_text(f'[status]\nfolder = "{self.folder}"\n')
         await self.start(
-            "linnetstile",
+            "message_relay",
             "run",
             "--config",
             str(self.folder / "relay.toml"),
@@ -255,7 +255,7 @@
 
 @contextlib.asynccontextmanager
 async def prepared(seconds: float) -> AsyncIterator[Demo]:
-    with tempfile.TemporaryDirectory(prefix="linnetstile-demo-") as folder:
+    with tempfile.TemporaryDirectory(prefix="message_relay-demo-") as folder:
         it = Demo(Path(folder), seconds)
         try:
             await it.set_up()
--- a/linnetstile/cli/fleet.py
+++ b/message_relay/cli/fleet.py
@@ -13,15 +13,15 @@
 from ..fleet.operator import INSTANCES, LogPart, OperatorError, read
 from ..fleet.status import folder_of
 from ..fleet.supervisor import Supervisor
-from ..logs import plain, structured
-from ..peers.settings import INSTANCES_MAX
+from ..gossip.settings import INSTANCES_MAX
+from ..structured_logging import configure_plain_logging, configure_structured_logging
 
 
 async def supervise(file: Path) -> None:
     """Raises OperatorError, or OSError where a port or a folder cannot be had."""
     told = read(file)
     if told.log != LogPart():
-        structured(told.log.format, told.log.level, told.log.lines)
+        configure_structured_logging(told.log.format, told.log.level, told.log.lines)
     folder = folder_of(told.status.folder)
     if folder is not None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -40,7 +40,7 @@
 
     SIGHUP reads the file again, SIGUSR2 restarts all one by one, SIGTERM ends all.
     """
-    plain()
+    configure_plain_logging()
     if instances is not None:
         os.environ[INSTANCES] = str(instances)
     try:
--- a/linnetstile/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -11,9 +11,9 @@
 import click
 import msgspec
 
-from ..store.files import FolderFiles
-from ..store.frame import NewerFormat
-from ..store.records import CENSUS, Kind
+from ..store.file_store import DirectoryFileStore
+from ..store.record_format import UnsupportedFormatError
+from ..store.records import CENSUS, RecordType
 from ..store.recovery import Found, Line, lines, recover
 
 NAMES = (
@@ -35,7 +35,7 @@
 TRIES = 5  # a relay may give up a segment between the look at the folder and the read of the file
 
 
-class Reading(FolderFiles):
+class Reading(DirectoryFileStore):
     """A folder in which nothing is ever written."""
 
     def append(self, name: str, data: bytes) -> None:
@@ -51,7 +51,7 @@
             return recover(Reading(folder))
         except FileNotFoundError:
             continue
-        except (OSError, NewerFormat) as error:
+        except (OSError, UnsupportedFormatError) as error:
             raise click.ClickException(f"{folder}: {error}") from error
     raise click.ClickException(f"{folder}: its segments change too quickly; try again")
 
@@ -135,8 +135,13 @@
     sys.exit(0 if mine or entry is not None else 1)
 
 
+# Keys of `journal show --json` that differ from the fields' names; scripts of operators read them.
+JSON_KEYS = {"destination": "dest", "class_name": "class_", "resubmission": "again"}
+
+
 def _plain(entry: object) -> dict[str, object]:
-    raw: dict[str, object] = msgspec.to_builtins(entry, builtin_types=(bytes,))
+    fields: dict[str, object] = msgspec.to_builtins(entry, builtin_types=(bytes,))
+    raw = {JSON_KEYS.get(name, name): value for name, value in fields.items()}
     body = raw.pop("body")
     raw["body_bytes"] = len(body) if isinstance(body, bytes) else 0
     return raw
@@ -153,7 +158,7 @@
     told_ = {
         "segments": len(found.segments),
         "bytes": sum(each.on_disk for each in found.segments),
-        "records": {kind.name.lower(): kinds[kind.name.lower()] for kind in Kind},
+        "records": {kind.name.lower(): kinds[kind.name.lower()] for kind in RecordType},
         "open": sum(not each.end for each in found.entries.values()),
         "notices_owed": sum(each.owes_notice for each in found.entries.values()),
         "ended": Counter(each.end for each in found.entries.values() if each.end),
--- a/linnetstile/cli/main.py
+++ b/message_relay/cli/main.py
@@ -27,5 +27,5 @@
 
 
 def main() -> int:
-    group(prog_name="linnetstile")  # ends the process
+    group(prog_name="message_relay")  # ends the process
     return 0
--- a/linnetstile/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -14,11 +14,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from ..accord.control import question
-from ..accord.rules import RulesError, check, decoded, difference
+from ..consensus.admin_socket import question
+from ..consensus.rules import RulesError, check, decoded, difference
 from ..fleet.operator import OperatorError, read
 from ..fleet.status import StatusError, folder_of
-from ..peers.settings import INSTANCES_MAX
+from ..gossip.settings import INSTANCES_MAX
 
 Asked = Callable[..., dict[str, Any]]
 
--- a/linnetstile/config.py
+++ b/message_relay/config.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .decisions.interface import Settings
+from .decisions.model import Settings
 from .decisions.settings import SettingsError, settings_from
 
 Address = tuple[str, int]
@@ -110,7 +110,7 @@
             raise ConfigError(f"{path}: {missing[0]} is missing")
         settings = settings_from(bytes(raw.settings))
         zones: _Zones = msgspec.json.decode(raw.settings, type=_Zones)
-        carried(settings.hold, raw.limits.memory_mb)
+        carried(settings.max_pending_messages, raw.limits.memory_mb)
         return Config(
             name=str(told["name"]),
             listen=address(told["listen"]),
--- a/linnetstile/accord/control.py
+++ b/message_relay/consensus/admin_socket.py
@@ -11,15 +11,15 @@
 import msgspec
 
 from ..fleet.status import MOST, StatusError, UnixSocket
-from .book import Guard
 from .rules import RULES_BYTES, RulesError
+from .version_history import Guard
 
 log = logging.getLogger(__name__)
 
 READ_S, ANSWER_S = 2.0, 15.0
 
 
-class Question(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AdminRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What an operator's command asks of an instance."""
 
     ask: str  # status, propose, promote, withdraw, revert, voters, forget, explain, history, version
@@ -36,8 +36,8 @@
     message: str = ""
 
 
-class ControlSocket(UnixSocket):
-    def __init__(self, path: Path, take: Callable[[Question], Awaitable[dict[str, Any]]]) -> None:
+class AdminSocket(UnixSocket):
+    def __init__(self, path: Path, take: Callable[[AdminRequest], Awaitable[dict[str, Any]]]) -> None:
         super().__init__(path)
         self.take = take
 
@@ -59,7 +59,7 @@
 
     async def _answer(self, raw: bytes) -> dict[str, Any]:
         try:
-            return await self.take(msgspec.json.decode(raw, type=Question))
+            return await self.take(msgspec.json.decode(raw, type=AdminRequest))
         except (RulesError, msgspec.MsgspecError) as error:
             return {"number": 0, "refused": str(error)}
 
--- a/linnetstile/accord/guard.py
+++ b/message_relay/consensus/canary_guard.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .book import Guard, Version
-from .granting import Record, in_trial
-from .terms import Counts
+from .lease_grantor import Record, in_trial
+from .lease_protocol import Counts
+from .version_history import Guard, Version
 
 
 class Verdict(Enum):
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Watch:
+class CanaryWatch:
     """Over one version, from the moment at which it was first seen in force."""
 
     version: Version
