--- a/linnetstile/accord/node.py
+++ b/message_relay/consensus/instance.py
@@ -13,41 +13,41 @@
 
 import msgspec
 
-from ..core.seams import Call
-from ..core.tasks import Tasks, woken
-from ..decisions import interface as api
-from ..logs import Note
-from ..peers.identity import Identity, written
-from ..peers.node import Hello, Node
-from ..peers.wire import Claim
-from . import caps
-from .book import (
+from ..core.ports import CallContext
+from ..core.tasks import BackgroundTasks, wait_for_event
+from ..decisions.model import Endpoint, Outcome, Settings
+from ..gossip.identity import Identity, written
+from ..gossip.node import GossipNode, Hello
+from ..gossip.wire import Claim
+from ..structured_logging import LogEvent
+from . import capabilities
+from .admin_socket import AdminRequest
+from .canary_guard import CanaryWatch, Recent, Verdict
+from .clock import Clock
+from .lease_grantor import LeaseGrantor
+from .lease_holder import ActiveRules, LeaseHolder
+from .lease_protocol import Counts, Grant, Renew
+from .process_epochs import ProcessEpochs
+from .raft_storage import JOURNAL, removed
+from .replicated_log import ReplicatedLog
+from .rule_enforcement import RuleEnforcer
+from .rules import Rules, RulesError, check, decoded, digest, encoded, within
+from .settings import ConsensusSettings
+from .version_fetch import Sought, VersionFetcher, first_pause
+from .version_history import (
     FIRST,
     Answer,
-    Book,
     Command,
     Forget,
     Promote,
     Propose,
     Stage,
     Version,
+    VersionHistory,
     Voters,
     Withdraw,
     command,
 )
-from .boots import Boots
-from .clock import Clock
-from .control import Question
-from .disk import JOURNAL, removed
-from .fetching import Fetching, Sought, first_pause
-from .gate import Gate
-from .granting import Granting
-from .guard import Recent, Verdict, Watch
-from .holding import Acting, Holding
-from .log import Log
-from .rules import Rules, RulesError, check, decoded, digest, encoded, within
-from .settings import AccordPart
-from .terms import Counts, Grant, Renew
 
 log = logging.getLogger(__name__)
 
@@ -65,40 +65,40 @@
 STANDING = "standing.json"  # what has to outlast a voter's process
 
 
-class Standing(msgspec.Struct, forbid_unknown_fields=True):
+class VoterState(msgspec.Struct, forbid_unknown_fields=True):
     cleared: int = 0
     boots: dict[str, int] = {}  # identity -> highest boot seen
     voted: bool = False  # the log was begun in this folder
     voters: tuple[str, ...] = ()  # as the newest version says that was heard of; () at first
 
 
-class Watching(Protocol):
+class CallObserver(Protocol):
     """What takes part in the rules beside the operators: plans of failover."""
 
     def asked(self, destination: int, class_: str) -> None:
         """A message was handed in."""
 
-    def ended(self, call: Call, outcome: api.Outcome, latency_ms: float, wait_ms: float) -> None:
+    def ended(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
         """A call has ended, or did not come about."""
 
     def status(self) -> dict[str, Any]:
         """For people."""
 
-    def plan(self, question: Question) -> dict[str, Any]:
+    def plan(self, question: AdminRequest) -> dict[str, Any]:
         """What would be planned. Raises RulesError."""
 
 
-class Accord:
+class ConsensusInstance:
     """Begins with `start`; the host asks `gate`, and is told by `retell` when the decisions should look
     anew."""
 
     def __init__(
         self,
-        part: AccordPart,
-        peers: Node,
+        part: ConsensusSettings,
+        peers: GossipNode,
         folder: Path,
         identity: Identity,
-        settings: api.Settings,
+        settings: Settings,
         zones: tuple[str, ...],
         instances: int,
         retell: Callable[[], None],
@@ -107,34 +107,36 @@
         """Raises OSError where the folder can't be read."""
         self.part, self.peers, self.folder, self.identity = part, peers, folder, identity
         self.classes, self.zones = [cls.name for cls in settings.classes], zones
-        self.retell, self.counts = retell, counts
+        self.on_rules_changed, self.counts = retell, counts
         self.terms, self.clock = part.terms(), Clock.of_environment()
         self.me = identity.name
         self.voters = tuple(f"n{number}" for number in sorted(part.voters))
-        self.book = Book(part.first, self.voters)
+        self.history = VersionHistory(part.first, self.voters)
         self.first = digest(part.first) + "/" + ",".join(self.voters)
         self.voting: asyncio.Task[None] | None = None
         self.gone = False  # it has said so: a further renewal would be granted, and waited for
         self.looked = False  # whether the others have seen a later process of this folder
-        self.holding = Holding(identity.boot, peers.swim.me.nonce, self.first, self.terms, part.floor)
-        self.holding.know(self.book.newest)
+        self.lease_holder = LeaseHolder(
+            identity.boot, peers.swim.me.nonce, self.first, self.terms, part.floor
+        )
+        self.lease_holder.know(self.history.newest)
         zone = zones[settings.zone] if settings.zone < len(zones) else ""
-        self.gate = Gate(self.acting, instances, lambda: time.time() * 1000, self.me, zone)
-        self.standing = self._stood()
-        self.boots = Boots(self.standing.boots)
-        self.granting: Granting | None = None
+        self.gate = RuleEnforcer(self.acting, instances, lambda: time.time() * 1000, self.me, zone)
+        self.voter_state = self._stood()
+        self.boots = ProcessEpochs(self.voter_state.boots)
+        self.lease_grantor: LeaseGrantor | None = None
         # When the voters last changed: their proposer's stamp, and when this process saw it by its own clock.
         # Only the second is reckoned with: a wall clock may step, and a relay's majority hangs on the wait.
         self.voters_seen = (0.0, -math.inf)
-        self.log: Log | None = None
+        self.log: ReplicatedLog | None = None
         self.mute = ""  # why this voter does not vote
-        self.fetching = Fetching(peers.rng)
-        self.watch: Watch | None = None
-        self.watching: Watching | None = None
+        self.fetching = VersionFetcher(peers.rng)
+        self.watch: CanaryWatch | None = None
+        self.watching: CallObserver | None = None
         self.recent = Recent()
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self.wake = asyncio.Event()
-        self.shown: Acting | None = None
+        self.shown: ActiveRules | None = None
         self.file_seen = ""
         peers.rebooted.append(self._rebooted)
         peers.refused.append(self._refused)
@@ -152,10 +154,10 @@
 
     def leave(self) -> None:
         """Lets go of what it acts by: nobody has to wait for it. Nothing is allowed from now on."""
-        told = self.holding.renew(self.clock.now(), self.counts(), leaving=True)
+        told = self.lease_holder.renew(self.clock.now(), self.counts(), leaving=True)
         for name in self._asked():
-            self.peers.say(name, RENEW, msgspec.msgpack.encode(told))
-        self.holding.left()
+            self.peers.send_datagram(name, RENEW, msgspec.msgpack.encode(told))
+        self.lease_holder.left()
         self.gone = True
 
     async def close(self) -> None:
@@ -163,41 +165,41 @@
         if self.log is not None:
             await self.log.close()
 
-    def _stood(self) -> Standing:
+    def _stood(self) -> VoterState:
         try:
-            return msgspec.json.decode((self.folder / STANDING).read_bytes(), type=Standing)
+            return msgspec.json.decode((self.folder / STANDING).read_bytes(), type=VoterState)
         except FileNotFoundError:
-            return Standing()
+            return VoterState()
         except msgspec.MsgspecError as error:
-            log.error(Note("what this voter had cleared can't be read: it begins anew", why=error))
-            return Standing()
+            log.error(LogEvent("what this voter had cleared can't be read: it begins anew", why=error))
+            return VoterState()
 
     def _keep(self) -> None:
-        written(self.folder / STANDING, self.standing)
+        written(self.folder / STANDING, self.voter_state)
 
     # -- the voter's part ------------------------------------------------------------------------------------
 
     def voting_now(self) -> tuple[str, ...]:
         """Who votes, as far as is known here: an instance may have been added or removed since its file was
         written, also by versions that this process has not heard of yet."""
-        latest = self.holding.latest
+        latest = self.lease_holder.latest
         if latest is not None and latest.number > FIRST:
             return latest.voters
-        return self.standing.voters or self.voters
+        return self.voter_state.voters or self.voters
 
     def _station(self) -> None:
         """Begins to vote, or ends it, as the newest version says."""
         voters = self.voting_now()
-        if voters != (self.standing.voters or self.voters):
-            self.standing.voters = voters
+        if voters != (self.voter_state.voters or self.voters):
+            self.voter_state.voters = voters
             try:
                 self._keep()
             except OSError as error:
-                log.error(Note("who votes is not written down", why=error))
+                log.error(LogEvent("who votes is not written down", why=error))
         if self.me in voters and self.voting is None:
             self.voting = self.tasks.start(self._vote())
         elif self.me not in voters and self.voting is not None:
-            log.info(Note("this instance votes no more", voters=",".join(voters)))
+            log.info(LogEvent("this instance votes no more", voters=",".join(voters)))
             self.voting.cancel()
             self.voting, self.mute = None, ""
             self.tasks.start(self._retired())
@@ -207,10 +209,10 @@
         await self._closed()
         try:
             removed(self.folder)
-            self.standing.voted = False
+            self.voter_state.voted = False
             self._keep()
         except OSError as error:
-            log.error(Note("the log of one that votes no more is not removed", why=error))
+            log.error(LogEvent("the log of one that votes no more is not removed", why=error))
 
     async def _vote(self) -> None:
         """Votes, unless the others have seen a later process of this folder, or its log can't be believed.
@@ -219,7 +221,7 @@
         self.looked = True  # the others know this boot from now on
         if seen >= self.identity.boot:
             self.peers.reboot(seen)
-        elif self.standing.voted and not (self.folder / JOURNAL).exists():
+        elif self.voter_state.voted and not (self.folder / JOURNAL).exists():
             self._mute("its log is gone")
         while not self.mute:
             try:
@@ -227,7 +229,7 @@
                 assert self.log is not None
                 await self.log.run()
             except OSError as error:
-                log.error(Note("the log's disk has failed: it is opened again", why=error))
+                log.error(LogEvent("the log's disk has failed: it is opened again", why=error))
                 self.mute = f"its disk has failed, and is tried again: {error}"
             except Exception as error:  # a torn journal or dump: whatever the library makes of it
                 log.exception("the log has failed")
@@ -240,29 +242,29 @@
 
     def _open(self) -> None:
         """Raises Torn, OSError, and what the library makes of a file that is torn."""
-        self.standing.voted = True
+        self.voter_state.voted = True
         self._keep()
         others = [name for name in self.voting_now() if name != self.me]
-        self.book = Book(self.part.first, self.voters)
-        self.log = Log(self.folder, self.peers, self.me, others, self.book, self._applied)
-        self.granting = Granting(
-            self.me, self.book, self.terms, self.first, self.standing.cleared, self.clock.now()
+        self.history = VersionHistory(self.part.first, self.voters)
+        self.log = ReplicatedLog(self.folder, self.peers, self.me, others, self.history, self._applied)
+        self.lease_grantor = LeaseGrantor(
+            self.me, self.history, self.terms, self.first, self.voter_state.cleared, self.clock.now()
         )
 
     async def _closed(self) -> None:
-        closing, self.log, self.granting = self.log, None, None
+        closing, self.log, self.lease_grantor = self.log, None, None
         if closing is not None:
             await closing.close()
 
     def _rebooted(self, identity: Identity) -> None:
         """The folder is older than what others have seen of it: what it knows may be old too."""
         self.identity = identity
-        self.holding.began(identity.boot)
+        self.lease_holder.began(identity.boot)
         self._mute(f"its folder is older than one seen with boot {identity.boot - 1}")
 
     def _refused(self, why: str) -> None:
         """Another process is this instance: nothing is sent from now on."""
-        self.holding.left()
+        self.lease_holder.left()
         self._mute(why)
 
     def _mute(self, why: str) -> None:
@@ -270,7 +272,7 @@
         if self.voting is None:
             return
         self.mute = why
-        log.error(Note("this voter does not vote: remove it from the voters and add it anew", why=why))
+        log.error(LogEvent("this voter does not vote: remove it from the voters and add it anew", why=why))
         if self.log is not None:
             self.voting.cancel()
             self.tasks.start(self._closed())
@@ -287,7 +289,7 @@
                     raw = msgspec.msgpack.encode((self.identity.id, self.identity.boot))
                     try:
                         told[name] = msgspec.msgpack.decode(
-                            await self.peers.ask(name, BOOT, raw, ASK_S), type=int
+                            await self.peers.request(name, BOOT, raw, ASK_S), type=int
                         )
                     except (OSError, TimeoutError, msgspec.MsgspecError):
                         continue
@@ -298,73 +300,73 @@
         """The highest boot that was seen of an identity before the process that asks."""
         told: tuple[str, int] = msgspec.msgpack.decode(raw, type=tuple[str, int])
         ident, boot = told
-        kept = self.standing.boots.get(ident)
+        kept = self.voter_state.boots.get(ident)
         before = self.boots.told(ident, boot, hello.nonce)
-        if self.standing.boots.get(ident) != kept:
+        if self.voter_state.boots.get(ident) != kept:
             try:
                 self._keep()
             except OSError as error:
-                log.error(Note("the boot of a peer is not written", why=error))
+                log.error(LogEvent("the boot of a peer is not written", why=error))
                 self.boots.back(ident, kept)
         return msgspec.msgpack.encode(before)
 
     def _applied(self) -> None:
         """The log has moved on."""
-        for version in self.book.versions:
-            self.holding.know(version)
-        if self.book.voters_at_ms != self.voters_seen[0]:
-            self.voters_seen = self.book.voters_at_ms, self.clock.now()
+        for version in self.history.versions:
+            self.lease_holder.know(version)
+        if self.history.voters_at_ms != self.voters_seen[0]:
+            self.voters_seen = self.history.voters_at_ms, self.clock.now()
         self._clear()
         self._hint()
         self.wake.set()
 
     def _clear(self) -> None:
-        granting = self.granting
+        granting = self.lease_grantor
         if granting is None or not granting.clear(self.clock.now()):
             return
-        before, self.standing.cleared = self.standing.cleared, granting.cleared
+        before, self.voter_state.cleared = self.voter_state.cleared, granting.cleared
         try:
             self._keep()
         except OSError as error:
             # Guards against a voter that has cleared what its next process does not know of.
-            granting.cleared = self.standing.cleared = before
-            log.error(Note("a version is not cleared: it can't be written down", why=error))
+            granting.cleared = self.voter_state.cleared = before
+            log.error(LogEvent("a version is not cleared: it can't be written down", why=error))
             return
         self._hint()
         self.wake.set()
 
     def _hint(self) -> None:
         """Something has changed: relays ask now and not at their next renewal."""
-        if self.granting is not None:
-            for name in self.granting.records:
-                self.peers.say(name, HINT, b"")
+        if self.lease_grantor is not None:
+            for name in self.lease_grantor.records:
+                self.peers.send_datagram(name, HINT, b"")
 
     def _renewed(self, sender: str, raw: bytes) -> None:
-        if self.granting is None:
+        if self.lease_grantor is None:
             return
         told: Renew = msgspec.msgpack.decode(raw, type=Renew)
         grant = self._grant(sender, told)
-        self.peers.say(sender, GRANT, msgspec.msgpack.encode(grant))
+        self.peers.send_datagram(sender, GRANT, msgspec.msgpack.encode(grant))
 
     def _grant(self, sender: str, told: Renew) -> Grant:
-        assert self.granting is not None
+        assert self.lease_grantor is not None
         self._clear()  # written down before any answer can say so
-        grant = self.granting.renewed(self.clock.now(), sender, told)
+        grant = self.lease_grantor.renewed(self.clock.now(), sender, told)
         self._clear()
         return grant
 
     def _version(self, hello: Hello, raw: bytes) -> bytes:
         number: int = msgspec.msgpack.decode(raw, type=int)
-        version = self.book.get(number)
+        version = self.history.get(number)
         return b"" if version is None else msgspec.msgpack.encode(version)
 
     # -- the relay's part ------------------------------------------------------------------------------------
 
-    def acting(self) -> Acting:
-        return self.holding.acting(self.clock.now())
+    def acting(self) -> ActiveRules:
+        return self.lease_holder.acting(self.clock.now())
 
     def _asked(self) -> list[str]:
-        return sorted({*self.voters, *self.standing.voters, *self.voting_now()})
+        return sorted({*self.voters, *self.voter_state.voters, *self.voting_now()})
 
     async def _renewals(self) -> None:
         while True:
@@ -374,27 +376,27 @@
                 log.exception("a renewal failed")  # and the next one comes
             self.wake.clear()
             pause = self.terms.renew * self.peers.rng.uniform(0.8, 1.0)
-            if await woken(self.wake, pause):
+            if await wait_for_event(self.wake, pause):
                 await asyncio.sleep(0)
 
     def _renew(self) -> None:
         if self.gone:
             return
-        told = self.holding.renew(self.clock.now(), self.counts())
+        told = self.lease_holder.renew(self.clock.now(), self.counts())
         raw = msgspec.msgpack.encode(told)
         for name in self._asked():
             if name != self.me:
-                self.peers.say(name, RENEW, raw)
-            elif self.granting is not None:
+                self.peers.send_datagram(name, RENEW, raw)
+            elif self.lease_grantor is not None:
                 self._take(name, self._grant(name, told))
 
     def _granted(self, sender: str, raw: bytes) -> None:
         self._take(sender, msgspec.msgpack.decode(raw, type=Grant))
 
     def _take(self, voter: str, grant: Grant) -> None:
-        if self.holding.heard(self.clock.now(), voter, grant):
+        if self.lease_holder.heard(self.clock.now(), voter, grant):
             self.wake.set()
-        if missing := self.holding.wants(grant):
+        if missing := self.lease_holder.wants(grant):
             sought = self.fetching.told(missing, voter)
             if sought is not None:
                 self.tasks.start(self._fetch(missing, sought))
@@ -404,7 +406,7 @@
         try:
             relays = len(self.peers.swim.members)
             await asyncio.sleep(first_pause(self.peers.rng, relays, len(self.voting_now())))
-            while number not in self.holding.versions and (voter := sought.next()) is not None:
+            while number not in self.lease_holder.versions and (voter := sought.next()) is not None:
                 if await self._had(number, voter):
                     return
                 await asyncio.sleep(sought.pause())
@@ -414,16 +416,16 @@
     async def _had(self, number: int, voter: str) -> bool:
         """Whether this voter's answer brought it."""
         try:
-            raw = await self.peers.ask(voter, VERSION, msgspec.msgpack.encode(number), ASK_S)
+            raw = await self.peers.request(voter, VERSION, msgspec.msgpack.encode(number), ASK_S)
             if not raw:
                 return False
             version: Version = msgspec.msgpack.decode(raw, type=Version)
             if version.number != number or digest(decoded(version.rules)) != version.digest:
                 raise RulesError(f"version {number}: {voter} told one that is not it")
         except (OSError, TimeoutError, msgspec.MsgspecError, RulesError) as error:
-            log.warning(Note("a version can't be had", number=number, voter=voter, why=repr(error)))
+            log.warning(LogEvent("a version can't be had", number=number, voter=voter, why=repr(error)))
             return False
-        self.holding.know(version)
+        self.lease_holder.know(version)
         self.wake.set()
         return True
 
@@ -437,38 +439,38 @@
             acting = self.acting()
             if self.shown is None or acting.label != self.shown.label:
                 log.info(
-                    Note(
+                    LogEvent(
                         "acts by other rules",
                         version=acting.label,
                         before="-" if self.shown is None else self.shown.label,
                     )
                 )
                 self.shown = acting
-                self.retell()
+                self.on_rules_changed()
             await asyncio.sleep(LOOK_S)
 
-    # -- what the host asks (core/seams.py: Permits) ---------------------------------------------------------
+    # -- what the host asks (core/ports.py: Permits) ---------------------------------------------------------
 
-    def may(self, call: Call) -> str | None:
-        return self.gate.may(self.clock.now(), call)
+    def authorize(self, call: CallContext) -> str | None:
+        return self.gate.authorize(self.clock.now(), call)
 
-    def still(self, call: Call) -> bool:
-        return self.gate.still(call)
+    def is_still_authorized(self, call: CallContext) -> bool:
+        return self.gate.is_still_authorized(call)
 
-    def over(self, destination: int) -> None:
-        self.gate.ended(destination)
+    def release(self, destination: int) -> None:
+        self.gate.release(destination)
 
-    def seen(self, call: Call, outcome: api.Outcome, latency_ms: float, wait_ms: float) -> None:
+    def record_outcome(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
         if self.watching is not None:
             self.watching.ended(call, outcome, latency_ms, wait_ms)
 
-    def bars(self, destination: int, class_: str) -> str:
+    def denial_reason(self, destination: int, class_: str) -> str:
         if self.watching is not None:
             self.watching.asked(destination, class_)
-        return self.gate.bars(destination, class_)
+        return self.gate.denial_reason(destination, class_)
 
-    def entry(self, name: str, zone: str, entry: api.Endpoint) -> api.Endpoint:
-        return self.gate.entry(name, zone, entry)
+    def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
+        return self.gate.constrained_endpoint(name, zone, entry)
 
     # -- the guard -------------------------------------------------------------------------------------------
 
@@ -477,20 +479,24 @@
             await asyncio.sleep(GUARD_S)
             try:
                 self._clear()
-                if self.log is not None and self.granting is not None:
+                if self.log is not None and self.lease_grantor is not None:
                     await self._guard()
             except Exception:
                 log.exception("a look at the guard failed")
 
     async def _guard(self) -> None:
         """Only the leader speaks, and what it says names the version: a late word changes nothing."""
-        assert self.granting is not None and self.log is not None
-        now, newest, records = self.clock.now(), self.book.newest, self.granting.records
+        assert self.lease_grantor is not None and self.log is not None
+        now, newest, records = self.clock.now(), self.history.newest, self.lease_grantor.records
         if self.watch is None or self.watch.version.number != newest.number:
-            if newest.stage is Stage.CURRENT and newest.share >= 1 and self.granting.cleared < newest.number:
+            if (
+                newest.stage is Stage.CURRENT
+                and newest.share >= 1
+                and self.lease_grantor.cleared < newest.number
+            ):
                 return  # not in force yet
             least = newest.guard.least_count if newest.guard is not None else 1
-            self.watch = Watch(newest, now, self.recent.share(least))
+            self.watch = CanaryWatch(newest, now, self.recent.share(least))
             self.recent = Recent(self.recent.span)
         self.recent.take(now, records.values())
         if not self.log.leads or newest.guard is None or newest.stage is Stage.WITHDRAWN:
@@ -508,16 +514,16 @@
         """To the version before this one, as a new one."""
         older = [
             each
-            for each in self.book.versions
+            for each in self.history.versions
             if each.number < version.number
             and each.stage is not Stage.WITHDRAWN
             and each.digest != version.digest
         ]
-        found = self.book.get(to) if to else (older[-1] if older else None)
+        found = self.history.get(to) if to else (older[-1] if older else None)
         if found is None:
             raise RulesError(f"there is no version {to or 'before this one'} to go back to")
         return Propose(
-            self.book.newest.number, found.rules, author, cause, time.time() * 1000, of=found.number
+            self.history.newest.number, found.rules, author, cause, time.time() * 1000, of=found.number
         )
 
     # -- operators -------------------------------------------------------------------------------------------
@@ -531,7 +537,7 @@
         answer = Answer(refused="no voter can be reached")
         for name in self._asked():
             try:
-                said = await self.peers.ask(name, COMMAND, raw, PROPOSE_S + ASK_S)
+                said = await self.peers.request(name, COMMAND, raw, PROPOSE_S + ASK_S)
                 answer = ANSWER.decode(said)
             except (OSError, TimeoutError, msgspec.MsgspecError):
                 continue
@@ -561,7 +567,7 @@
                         "rules: they forbid what accord.floor allows an instance that is cut off"
                     )
                 for claim in self.peers.swim.there():
-                    lacking = caps.lacking(rules, claim.caps)
+                    lacking = capabilities.lacking(rules, claim.caps)
                     if lacking:
                         raise RulesError(
                             f"rules: {claim.name} runs a build that does not know "
@@ -578,7 +584,7 @@
         except RulesError as error:
             return str(error)
 
-    async def asked(self, question: Question) -> dict[str, Any]:
+    async def asked(self, question: AdminRequest) -> dict[str, Any]:
         """An operator's question, and its answer. RulesError where it makes no sense."""
         now = time.time() * 1000
         if question.ask in COMMANDS:
@@ -607,12 +613,12 @@
 
     def _known(self) -> list[Version]:
         """By the log where it votes, which may be a moment behind what another voter has told."""
-        found = dict(self.holding.versions)
+        found = dict(self.lease_holder.versions)
         if self.log is not None:
-            found |= {each.number: each for each in self.book.versions}
+            found |= {each.number: each for each in self.history.versions}
         return [found[number] for number in sorted(found)]
 
-    async def _meant(self, question: Question, now: float) -> Command:
+    async def _meant(self, question: AdminRequest, now: float) -> Command:
         match question.ask:
             case "propose":
                 rules = self._planned(decoded(bytes(question.rules)))
@@ -704,13 +710,13 @@
         told = Propose(base, raw, f"{self.me}:plan", why, time.time() * 1000)
         return (await self._agree(told)).refused
 
-    async def _base(self, question: Question) -> int:
+    async def _base(self, question: AdminRequest) -> int:
         if question.base is not None:
             return question.base
         return max((each.number for each in self._known()), default=FIRST)
 
     def status(self) -> dict[str, Any]:
-        acting, holding = self.acting(), self.holding
+        acting, holding = self.acting(), self.lease_holder
         now = self.clock.now()
         return {
             "name": self.me,
@@ -722,8 +728,8 @@
             "votes": self.log is not None,
             "mute": self.mute,
             "leader": self.log.leader if self.log is not None else "",
-            "cleared": self.granting.cleared if self.granting is not None else 0,
-            "waits for": self.granting.blocked if self.granting is not None else [],
+            "cleared": self.lease_grantor.cleared if self.lease_grantor is not None else 0,
+            "waits for": self.lease_grantor.blocked if self.lease_grantor is not None else [],
             "bound s": self.terms.bound,
             "refused calls": dict(self.gate.counts),
             "members": {
@@ -745,7 +751,7 @@
                 if told == self.file_seen:
                     continue
                 self.file_seen = told
-                latest = self.holding.latest
+                latest = self.lease_holder.latest
                 if latest is not None and latest.digest == told:
                     continue
                 answer = await self._agree(
@@ -758,11 +764,13 @@
                     )
                 )
                 if answer.refused:
-                    log.error(Note("the rules of the folder are not taken", file=path, why=answer.refused))
+                    log.error(
+                        LogEvent("the rules of the folder are not taken", file=path, why=answer.refused)
+                    )
             except FileNotFoundError:
                 continue
             except (OSError, RulesError) as error:
-                log.error(Note("the rules of the folder can't be used", file=path, why=error))
+                log.error(LogEvent("the rules of the folder can't be used", file=path, why=error))
 
     def member_changed(self, claim: Claim) -> None:
         self.wake.set()
--- a/linnetstile/accord/granting.py
+++ b/message_relay/consensus/lease_grantor.py
@@ -26,10 +26,10 @@
 import zlib
 from dataclasses import dataclass, field
 
-from ..peers.settings import INSTANCES_MAX
-from .book import Book, Stage, Version
-from .rules import Rules, meet_all, standby, within
-from .terms import Counts, Grant, Renew, Terms
+from ..gossip.settings import INSTANCES_MAX
+from .lease_protocol import Counts, Grant, LeaseTerms, Renew
+from .rules import Rules, intersect_all, standby, within
+from .version_history import Stage, Version, VersionHistory
 
 RELAYS_MAX = INSTANCES_MAX  # as many as peers are known: a record of each, and a walk over them to clear
 LOOKS = 8  # in the time of a lease: so often all relays are looked at while a version waits
@@ -55,8 +55,10 @@
         return [(self.acts, self.acts_at), *found] if self.acts else found
 
 
-class Granting:
-    def __init__(self, name: str, book: Book, terms: Terms, first: str, cleared: int, now: float) -> None:
+class LeaseGrantor:
+    def __init__(
+        self, name: str, book: VersionHistory, terms: LeaseTerms, first: str, cleared: int, now: float
+    ) -> None:
         """`first`: digest of the first version and its voters; `cleared`: as an earlier process of this voter
         left it, 0 if there was none."""
         self.name, self.book, self.terms, self.first = name, book, terms, first
@@ -165,7 +167,7 @@
             versions = [self.book.get(number) for number in acts]
             if None in versions:
                 return None
-            found = meet_all(each.set for each in versions if each is not None)
+            found = intersect_all(each.set for each in versions if each is not None)
             if len(self.met) >= MET:
                 self.met.clear()
             self.met[acts] = found
--- a/linnetstile/accord/holding.py
+++ b/message_relay/consensus/lease_holder.py
@@ -22,32 +22,36 @@
 
 import msgspec
 
-from .book import Version
-from .rules import NOTHING, Rules, meet, meet_all, standby
-from .terms import Counts, Grant, Renew, Terms
+from .lease_protocol import Counts, Grant, LeaseTerms, Renew
+from .rules import NOTHING, Rules, intersect, intersect_all, standby
+from .version_history import Version
 
 ASKED = 64  # renewals whose answers still count: eight leases' worth and more
 BEFORE = float("-inf")
 NO_COUNTS = Counts()
 
 
-class Tier(Enum):
+class LeaseTier(Enum):
     LEASE = "lease"
     STANDBY = "standby"
     FLOOR = "floor"
 
 
-class Acting(msgspec.Struct, frozen=True):
+class ActiveRules(msgspec.Struct, frozen=True):
     rules: Rules
     versions: tuple[int, ...]  # more than one: by their meet
-    tier: Tier
+    tier: LeaseTier
 
     @property
     def label(self) -> str:
         """For people and for partners' ledgers: `7`, `7+8`, `7/standby`, `floor`."""
         told = "+".join(map(str, self.versions))
         return (
-            told if self.tier is Tier.LEASE else f"{told}/standby" if self.tier is Tier.STANDBY else "floor"
+            told
+            if self.tier is LeaseTier.LEASE
+            else f"{told}/standby"
+            if self.tier is LeaseTier.STANDBY
+            else "floor"
         )
 
 
@@ -65,8 +69,8 @@
     heard_at: float = BEFORE
 
 
-class Holding:
-    def __init__(self, boot: int, nonce: int, first: str, terms: Terms, floor: Rules = NOTHING) -> None:
+class LeaseHolder:
+    def __init__(self, boot: int, nonce: int, first: str, terms: LeaseTerms, floor: Rules = NOTHING) -> None:
         self.boot, self.nonce, self.first, self.terms, self.floor = boot, nonce, first, terms, floor
         self.versions: OrderedDict[int, Version] = OrderedDict()  # known with their rules
         self.acts: tuple[int, ...] = ()
@@ -78,7 +82,9 @@
         self.base = BEFORE  # when the renewal was sent that a majority noted last
         self.last = BEFORE
         self.why = ""  # the latest word of a voter that allowed nothing
-        self._made: tuple[tuple[int, ...], float, float, Acting] | None = None  # acts, base, until, and what
+        self._made: tuple[tuple[int, ...], float, float, ActiveRules] | None = (
+            None  # acts, base, until, and what
+        )
 
     # -- asking ----------------------------------------------------------------------------------------------
 
@@ -253,14 +259,14 @@
 
     # -- acting ----------------------------------------------------------------------------------------------
 
-    def tier(self, now: float) -> Tier:
+    def tier(self, now: float) -> LeaseTier:
         self._clock(now)
         age = now - self.base
         if not self.acts or age > self.terms.held(self.terms.horizon):
-            return Tier.FLOOR
-        return Tier.LEASE if age <= self.terms.held(self.terms.lease) else Tier.STANDBY
+            return LeaseTier.FLOOR
+        return LeaseTier.LEASE if age <= self.terms.held(self.terms.lease) else LeaseTier.STANDBY
 
-    def acting(self, now: float) -> Acting:
+    def acting(self, now: float) -> ActiveRules:
         """Asked right before a call's first byte, and for each message: as long as nothing that it rests on
         has changed, and time has not run out, it is as it was told last."""
         made = self._made
@@ -274,14 +280,14 @@
         self._made = self.acts, self.base, self.until(now), acting
         return acting
 
-    def _acting(self, tier: Tier) -> Acting:
-        if tier is Tier.FLOOR:
-            return Acting(self.floor, self.acts, tier)
-        rules = meet_all(self.versions[number].set for number in self.acts)
-        if tier is Tier.STANDBY:
+    def _acting(self, tier: LeaseTier) -> ActiveRules:
+        if tier is LeaseTier.FLOOR:
+            return ActiveRules(self.floor, self.acts, tier)
+        rules = intersect_all(self.versions[number].set for number in self.acts)
+        if tier is LeaseTier.STANDBY:
             rules = standby(rules, self.terms.share)
-            rules = meet(rules, rules)  # one form, whatever the share has made of it
-        return Acting(rules, self.acts, tier)
+            rules = intersect(rules, rules)  # one form, whatever the share has made of it
+        return ActiveRules(rules, self.acts, tier)
 
     def until(self, now: float) -> float:
         """When its tier changes unless something is heard."""
--- a/linnetstile/accord/terms.py
+++ b/message_relay/consensus/lease_protocol.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class LeaseTerms:
     bound: float = 2.0  # T
     horizon: float = 30.0  # a relay that hears of no majority stops so long after it last did
     drift: float = 0.05  # between any two clocks, in s a second
--- a/linnetstile/accord/boots.py
+++ b/message_relay/consensus/process_epochs.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 
-class Boots:
+class ProcessEpochs:
     def __init__(self, seen: dict[str, int]) -> None:
         """`seen`: identity -> highest boot; the caller writes it down when it has changed."""
         self.seen = seen
--- a/linnetstile/accord/disk.py
+++ b/message_relay/consensus/raft_storage.py
@@ -24,7 +24,7 @@
 SEAL = 8
 
 
-class Torn(Exception):
+class TornWriteError(Exception):
     """What lies there can't be believed."""
 
 
@@ -36,29 +36,29 @@
 def unsealed(raw: bytes) -> bytes:
     """Raises Torn."""
     if hashlib.sha256(raw[SEAL:]).digest()[:SEAL] != raw[:SEAL]:
-        raise Torn("an entry of its log has another sum")
+        raise TornWriteError("an entry of its log has another sum")
     return raw[SEAL:]
 
 
 def entries(raw: bytes) -> list[tuple[int, int, bytes]]:
     """Number, term and command of each record of a journal. Raises Torn."""
     if len(raw) < HEAD:
-        raise Torn(f"its journal is {len(raw)} bytes long")
+        raise TornWriteError(f"its journal is {len(raw)} bytes long")
     name, _, form, last = HEADER.unpack(raw[:HEAD])
     if name.rstrip(b"\0") != NAME or form != FORM:
-        raise Torn("its journal is of another form")
+        raise TornWriteError("its journal is of another form")
     if not HEAD <= last <= len(raw):
-        raise Torn(f"its journal ends at {last} of {len(raw)} bytes")
+        raise TornWriteError(f"its journal ends at {last} of {len(raw)} bytes")
     found: list[tuple[int, int, bytes]] = []
     at = HEAD
     while at < last:
         size = SIZE.unpack_from(raw, at)[0] if at + SIZE.size <= last else 0
         ends = at + size + 2 * SIZE.size
         if size <= PLACE.size or ends > last or SIZE.unpack_from(raw, ends - SIZE.size)[0] != size:
-            raise Torn(f"its journal is torn at byte {at}")
+            raise TornWriteError(f"its journal is torn at byte {at}")
         number, term = PLACE.unpack_from(raw, at + SIZE.size)
         if found and (number != found[-1][0] + 1 or term < found[-1][1]):
-            raise Torn(f"its journal has entry {number} of term {term} after {found[-1][:2]}")
+            raise TornWriteError(f"its journal has entry {number} of term {term} after {found[-1][:2]}")
         found.append((number, term, raw[at + SIZE.size + PLACE.size : ends - SIZE.size]))
         at = ends
     return found
@@ -69,9 +69,9 @@
     try:
         told = pickle.loads(raw)
     except Exception as error:  # whatever a torn pickle makes of itself
-        raise Torn(f"its vote can't be read: {error!r}") from error
+        raise TornWriteError(f"its vote can't be read: {error!r}") from error
     if not isinstance(told, dict) or not isinstance(told.get("currentTerm", 0), int):
-        raise Torn("its vote can't be read")
+        raise TornWriteError("its vote can't be read")
     return told
 
 
@@ -87,7 +87,7 @@
     except FileNotFoundError:
         term = 0
     if term < latest:
-        raise Torn(f"its vote is of term {term} and its journal of term {latest}")
+        raise TornWriteError(f"its vote is of term {term} and its journal of term {latest}")
 
 
 def removed(folder: Path) -> None:
@@ -96,7 +96,7 @@
         (folder / name).unlink(missing_ok=True)
 
 
-class Disk:
+class RaftStorage:
     """Knows whether the log has written since it was synced last, by two short reads."""
 
     def __init__(self, folder: Path) -> None:
--- a/linnetstile/accord/log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -21,11 +21,11 @@
 from pysyncobj.node import Node as RaftNode
 from pysyncobj.transport import Transport
 
-from ..core.tasks import Tasks, woken
-from ..logs import Note
-from ..peers.node import Hello, Node, Stream
-from .book import Answer, Book, Command, command
-from .disk import DUMP, JOURNAL, Disk, check, sealed, unsealed
+from ..core.tasks import BackgroundTasks, wait_for_event
+from ..gossip.node import GossipNode, Hello, Stream
+from ..structured_logging import LogEvent
+from .raft_storage import DUMP, JOURNAL, RaftStorage, check, sealed, unsealed
+from .version_history import Answer, Command, VersionHistory, command
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,9 @@
 class Wire(Transport):  # type: ignore[misc]
     """pysyncobj's transport over the streams of a peers' node."""
 
-    def __init__(self, node: Node, me: RaftNode, others: list[RaftNode], tasks: Tasks) -> None:
+    def __init__(
+        self, node: GossipNode, me: RaftNode, others: list[RaftNode], tasks: BackgroundTasks
+    ) -> None:
         super().__init__(None, me, others)
         self.node, self.tasks = node, tasks
         self.nodes: dict[str, RaftNode] = {}
@@ -121,7 +123,7 @@
             try:
                 message = pickle.loads(raw)
             except Exception as error:  # whatever a torn pickle makes of itself
-                log.warning(Note("a voter's message is passed over", sender=sender, why=repr(error)))
+                log.warning(LogEvent("a voter's message is passed over", sender=sender, why=repr(error)))
                 continue
             self._onMessageReceived(node, message)
 
@@ -138,7 +140,7 @@
         others: list[RaftNode],
         conf: SyncObjConf,
         wire: Wire,
-        book: Book,
+        book: VersionHistory,
         applied: Callable[[], None],
     ) -> None:
         self._book_of = book
@@ -156,16 +158,22 @@
         return answer.number, answer.refused
 
 
-class Log:
+class ReplicatedLog:
     """One voter's part in it."""
 
     def __init__(
-        self, folder: Path, node: Node, me: str, others: list[str], book: Book, changed: Callable[[], None]
+        self,
+        folder: Path,
+        node: GossipNode,
+        me: str,
+        others: list[str],
+        book: VersionHistory,
+        changed: Callable[[], None],
     ) -> None:
         """Raises Torn where what lies in the folder can't be believed, OSError where it can't be written."""
         check(folder)
-        self.book, self.changed, self.tasks = book, changed, Tasks()
-        self.disk = Disk(folder)
+        self.book, self.changed, self.tasks = book, changed, BackgroundTasks()
+        self.disk = RaftStorage(folder)
         own = RaftNode(me)
         rest = [RaftNode(name) for name in others]
         self.wire = Wire(node, own, rest, self.tasks)
@@ -211,7 +219,7 @@
             if self.wire.held and self.disk.changed():  # nothing is told by what is not on the disk
                 await loop.run_in_executor(None, self.disk.sync)
             self.wire.flush()
-            await woken(self.wire.news, TICK_S)
+            await wait_for_event(self.wire.news, TICK_S)
 
     @property
     def leader(self) -> str:
@@ -286,4 +294,4 @@
         try:
             self.raft.destroy()
         except (OSError, ValueError) as error:
-            log.warning(Note("a log is not closed in order", why=repr(error)))
+            log.warning(LogEvent("a log is not closed in order", why=repr(error)))
--- a/linnetstile/accord/gate.py
+++ b/message_relay/consensus/rule_enforcement.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from ..core.seams import Call
-from ..decisions.interface import Endpoint, Listing
-from .holding import Acting, Tier
+from ..core.ports import CallContext
+from ..decisions.model import Endpoint, Listing
+from .lease_holder import ActiveRules, LeaseTier
 from .rules import ANY, Rules
 
 TOLD = 2000  # the latest calls are remembered, for `explain`
@@ -36,10 +36,10 @@
     why: str  # empty: it was allowed
 
 
-class Gate:
+class RuleEnforcer:
     def __init__(
         self,
-        acting: Callable[[], Acting],
+        acting: Callable[[], ActiveRules],
         instances: int,
         unix_ms: Callable[[], float],
         name: str = "",
@@ -52,10 +52,10 @@
         self.told: deque[Told] = deque(maxlen=TOLD)
         self.counts: Counter[str] = Counter()  # refusals by reason
         self.stays: Callable[[str, str], bool] | None = None  # whether a class may go to a zone
-        self.seen: Acting | None = None  # whose answer `barring` is
+        self.seen: ActiveRules | None = None  # whose answer `barring` is
         self.barring = False
 
-    def may(self, now: float, call: Call) -> str | None:
+    def authorize(self, now: float, call: CallContext) -> str | None:
         """The label of what it acts by, if this call may be made now (`now` in s); None if not."""
         acting = self.acting()
         why = self._against(acting, call) or self._paced(now, call, acting)
@@ -66,13 +66,13 @@
         self.out[call.destination] += 1
         return acting.label
 
-    def still(self, call: Call) -> bool:
+    def is_still_authorized(self, call: CallContext) -> bool:
         """Whether a call that was allowed may go on: asked before its last byte, if that was held back."""
         return not self._against(self.acting(), call, begun=True)
 
-    def _against(self, acting: Acting, call: Call, begun: bool = False) -> str:
+    def _against(self, acting: ActiveRules, call: CallContext, begun: bool = False) -> str:
         rules = acting.rules
-        here, class_ = rules.destination(str(call.destination)), rules.class_(call.class_)
+        here, class_ = rules.destination(str(call.destination)), rules.class_(call.class_name)
         if here.nothing:
             return "the destination is closed"
         if class_.closed:
@@ -81,17 +81,17 @@
             return "the endpoint is not in the list"
         if rules.policies.zones is not None and call.zone not in rules.policies.zones:
             return "the zone may not be called"
-        if self.stays is not None and not self.stays(call.class_, call.zone):
+        if self.stays is not None and not self.stays(call.class_name, call.zone):
             return "the class has to stay near"
-        if class_.attempts is not None and call.tries >= class_.attempts:
+        if class_.attempts is not None and call.previous_attempts >= class_.attempts:
             return "it has had all its attempts"
-        if call.risk and (class_.effect == "unsafe" or class_.effect == "keyed" and not call.key):
+        if call.may_have_run and (class_.effect == "unsafe" or class_.effect == "keyed" and not call.has_key):
             return "an earlier attempt may have run"
         if here.slots is not None and self.out[call.destination] >= here.slots + begun:
             return "all slots there are taken"
         return ""
 
-    def _paced(self, now: float, call: Call, acting: Acting) -> str:
+    def _paced(self, now: float, call: CallContext, acting: ActiveRules) -> str:
         """Takes a call from each of its buckets, if there is one in all."""
         rules = acting.rules
         rate = rules.destination(str(call.destination)).rate
@@ -121,13 +121,13 @@
         left, at = self.buckets.get(key, (most if not key[1] else 1.0, now))
         return min(most, left + pace * max(0.0, now - at))
 
-    def ended(self, destination: int) -> None:
+    def release(self, destination: int) -> None:
         """A call that was allowed is over."""
         self.out[destination] -= 1
         if self.out[destination] <= 0:
             del self.out[destination]
 
-    def bars(self, destination: int, class_: str) -> str:
+    def denial_reason(self, destination: int, class_: str) -> str:
         """Why no new message is taken for there; empty: it may be. A relay that only waits for word takes it:
         its time may well last until then."""
         acting = self.acting()
@@ -141,7 +141,7 @@
             return f"class {class_} is closed by version {acting.label} of the rules"
         return ""
 
-    def entry(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
+    def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
         """An endpoint as the decisions are to see it."""
         rules = self.acting().rules
         here = rules.destination(str(entry.destination))
@@ -206,9 +206,9 @@
     return zlib.crc32(f"{destination} {zone} {name}".encode()) / 2**32
 
 
-def _bars(acting: Acting) -> bool:
+def _bars(acting: ActiveRules) -> bool:
     """Whether any message could be barred by it: asked once, and not for each message."""
-    if not acting.versions or acting.tier is Tier.FLOOR:
+    if not acting.versions or acting.tier is LeaseTier.FLOOR:
         return False
     rules = acting.rules
     return any(each.nothing for each in rules.destinations.values()) or any(
--- a/linnetstile/accord/rules.py
+++ b/message_relay/consensus/rules.py
@@ -233,7 +233,7 @@
 # ---------------------------------------------------------------------------------------------
 
 
-def meet(a: Rules, b: Rules) -> Rules:
+def intersect(a: Rules, b: Rules) -> Rules:
     """The loosest set that both allow: commutative, associative, idempotent."""
     destinations = {
         name: meet_destination(a.destination(name), b.destination(name))
@@ -245,7 +245,7 @@
     policies = Policies(
         _both(a.policies.zones, b.policies.zones), a.policies.evacuated | b.policies.evacuated
     )
-    return normal(Rules(destinations, classes, policies, flows, zones))
+    return normalized(Rules(destinations, classes, policies, flows, zones))
 
 
 def within(a: Rules, b: Rules) -> bool:
@@ -274,13 +274,13 @@
     )
 
 
-def meet_all(sets: Iterable[Rules]) -> Rules:
+def intersect_all(sets: Iterable[Rules]) -> Rules:
     """Of no sets: nothing is known to be allowed."""
     found = list(sets)
-    return reduce(meet, found) if found else NOTHING
+    return reduce(intersect, found) if found else NOTHING
 
 
-def normal(rules: Rules) -> Rules:
+def normalized(rules: Rules) -> Rules:
     """One form for sets that allow the same: names that say what `*` says anyway are left out."""
     if _shut(rules):
         return NOTHING
@@ -335,7 +335,7 @@
 
 def encoded(rules: Rules) -> bytes:
     """The same bytes for equal sets, on every build."""
-    return _ENCODER.encode(normal(rules))
+    return _ENCODER.encode(normalized(rules))
 
 
 def digest(rules: Rules) -> str:
--- a/linnetstile/accord/settings.py
+++ b/message_relay/consensus/settings.py
@@ -7,15 +7,15 @@
 import msgspec
 from msgspec import Meta
 
-from ..peers.settings import INSTANCES_MAX
+from ..gossip.settings import INSTANCES_MAX
+from .lease_protocol import LeaseTerms
 from .rules import NOTHING, Rules, RulesError, check
-from .terms import Terms
 
 Number = Annotated[int, Meta(ge=0, le=INSTANCES_MAX - 1)]
 MOST_VOTERS = 9  # more cost more messages for each version and outlive no likelier fault
 
 
-class AccordPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ConsensusSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Versions of rules on which all instances agree. Needs [peers]."""
 
     voters: tuple[Number, ...] = ()  # instance numbers, the same in each file
@@ -46,5 +46,5 @@
     def on(self) -> bool:
         return bool(self.voters)
 
-    def terms(self) -> Terms:
-        return Terms(self.bound_s, self.horizon_s, self.drift, self.standby)
+    def terms(self) -> LeaseTerms:
+        return LeaseTerms(self.bound_s, self.horizon_s, self.drift, self.standby)
--- a/linnetstile/accord/fetching.py
+++ b/message_relay/consensus/version_fetch.py
@@ -21,7 +21,7 @@
 
 import random
 
-from ..core.growing import Growing
+from ..core.backoff import ExponentialBackoff
 
 ANSWERS_S = 200.0  # that a voter is asked for: a quarter of what it could give, for it has renewals to answer
 FIRST_MOST_S = 4.0  # however many there are (4,096 relays at five voters): so little is told later than this
@@ -41,7 +41,7 @@
     """One version that is sought: the voters that have it, in the order in which they are asked."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.pauses = rng, Growing(RETRY_S, RETRY_MOST_S, rng)
+        self.rng, self.pauses = rng, ExponentialBackoff(RETRY_S, RETRY_MOST_S, rng)
         self.line: list[str] = []
         self.asked = 0
 
@@ -63,7 +63,7 @@
         return self.pauses.next()
 
 
-class Fetching:
+class VersionFetcher:
     """All versions that are sought."""
 
     def __init__(self, rng: random.Random) -> None:
--- a/linnetstile/accord/book.py
+++ b/message_relay/consensus/version_history.py
@@ -134,7 +134,7 @@
         raise RulesError(f"command: {error}") from error
 
 
-class Book:
+class VersionHistory:
     def __init__(self, first: Rules, voters: tuple[str, ...]) -> None:
         """All instances begin with the same first version, by their operator's file."""
         self.versions = [
--- a/linnetstile/core/growing.py
+++ b/message_relay/core/backoff.py
@@ -8,7 +8,7 @@
 LEAST, MOST = 0.7, 1.3  # of a pause, by chance: those that failed together do not come back together
 
 
-class Growing:
+class ExponentialBackoff:
     def __init__(self, first: float, most: float, rng: random.Random) -> None:
         self.first, self.most, self.rng, self.fails = first, most, rng, 0
 
--- a/linnetstile/core/directory.py
+++ b/message_relay/core/directory.py
@@ -5,12 +5,13 @@
 from dataclasses import dataclass, replace
 
 from ..config import Address
-from ..decisions.interface import Endpoint, EndpointList, Listing, ListKind, Settings
-from .seams import Key, Member, Update
+from ..decisions.events import EndpointList
+from ..decisions.model import Endpoint, Listing, ListKind, Settings
+from .ports import EndpointKey, EndpointRecord, EndpointUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownEndpoint:
     """An endpoint as listed; its number is ours and stays with its name while it is listed."""
 
     name: str
@@ -19,7 +20,7 @@
     kind: str = ""  # as listed, also one that the settings do not name
 
     @property
-    def key(self) -> Key:
+    def key(self) -> EndpointKey:
         return self.entry.id, self.address
 
     @property
@@ -27,11 +28,11 @@
         return self.entry.listing is Listing.READY
 
 
-class Directory:
+class EndpointDirectory:
     def __init__(self, settings: Settings, zones: tuple[str, ...]) -> None:
         self.kinds, self.zones = tuple(kind.name for kind in settings.kinds), zones
-        self.by_name: dict[str, Known] = {}
-        self.by_number: dict[int, Known] = {}
+        self.by_name: dict[str, KnownEndpoint] = {}
+        self.by_number: dict[int, KnownEndpoint] = {}
         self.listed: dict[int, int] = {}  # destination -> how many endpoints are listed for it, none at 0
         self.numbers = 0
 
@@ -41,18 +42,18 @@
             self.numbers += 1
         return self.numbers if known is None else known.entry.id
 
-    def apply(self, update: Update) -> tuple[EndpointList, list[tuple[Key, bool]], set[int]]:
+    def apply(self, update: EndpointUpdate) -> tuple[EndpointList, list[tuple[EndpointKey, bool]], set[int]]:
         """Takes what a source tells: the event for the decisions, what no longer stands or newly does, and
         the destinations that any of it concerns."""
-        found = [self._known(member) for member in update.members]
+        found = [self._known(member) for member in update.endpoints]
         found += [
             replace(known, entry=replace(known.entry, listing=listing))
-            for name, listing in update.lives
+            for name, listing in update.status_changes
             if (known := self.by_name.get(name)) is not None
         ]
-        changed: dict[Key, bool] = {}
+        changed: dict[EndpointKey, bool] = {}
         concerned = {known.entry.destination for known in found}
-        if update.whole:
+        if update.is_full:
             changed = {known.key: False for known in self.by_name.values()}
             concerned.update(self.listed)
             self.by_name.clear()
@@ -69,7 +70,7 @@
                 self.by_name[known.name] = self.by_number[known.entry.id] = known
                 changed[known.key] = known.ready
                 self._count(known.entry.destination, 1)
-        kind = ListKind.WHOLE if update.whole else ListKind.CHANGES
+        kind = ListKind.WHOLE if update.is_full else ListKind.CHANGES
         return EndpointList(kind, tuple(known.entry for known in found)), list(changed.items()), concerned
 
     def _count(self, destination: int, more: int) -> None:
@@ -80,7 +81,7 @@
         else:
             del self.listed[destination]
 
-    def _known(self, member: Member) -> Known:
+    def _known(self, member: EndpointRecord) -> KnownEndpoint:
         entry = Endpoint(
             id=self.number(member.name),
             destination=member.destination,
@@ -89,4 +90,4 @@
             zone=self.zones.index(member.zone) if member.zone in self.zones else 0,
             rate=member.rate,
         )
-        return Known(member.name, entry, member.address, member.kind or "")
+        return KnownEndpoint(member.name, entry, member.address, member.kind or "")
--- a/linnetstile/core/messages.py
+++ b/message_relay/core/message_lifecycle.py
@@ -10,11 +10,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions import interface as api
-from ..decisions.endings import CROWDED
-from ..logs import Note
-from ..store.journal import Attempt, Entry, Journal, JournalError
-from .seams import End, Interest, Malformed, Offer, Receipt
+from ..decisions.events import Event, Message, MessageCancelled
+from ..decisions.expiry import CROWDED
+from ..decisions.model import FOREVER, Effect, Endpoint, Listing, Settings
+from ..store.journal import Attempt, Journal, JournalEntry, JournalError
+from ..structured_logging import LogEvent
+from .ports import DestinationInterest, FinalOutcome, InvalidMessageError, Submission, SubmissionResult
 
 log = logging.getLogger(__name__)
 
@@ -27,147 +28,157 @@
 DEST_MS = 60_000.0  # a destination without endpoints is known for so long: past any message's time
 
 
-def unix_ms() -> float:
+def unix_time_ms() -> float:
     return time.time() * 1000
 
 
 @dataclass(slots=True)
-class Held:
+class AcceptedMessage:
     """A message that the module holds, or for which a call is out."""
 
-    entry: Entry
+    entry: JournalEntry
     attempts: int = 0  # sends of this process, as the module counts them
     cancel: Callable[[], object] | None = None  # gives up the call that is out
     claims: int = 1  # times that somebody was told, or waits to be told, that it is taken on
 
 
-class Messages:
+class MessageLifecycle:
     """Takes, holds and ends; which endpoint and whether again is not decided here."""
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         journal: Journal,
         now: Callable[[], float],
-        feed: Callable[[api.Event], None],
-        pass_on: Callable[[str, End], None],
-        turned_away: Callable[[api.Message, int], float | None] = lambda message, held: None,
+        feed: Callable[[Event], None],
+        pass_on: Callable[[str, FinalOutcome], None],
+        turned_away: Callable[[Message, int], float | None] = lambda message, held: None,
     ) -> None:
         """`turned_away`: the decisions' word on one that is offered while so many are held: when to come
         instead (ms), or None."""
-        self.settings, self.journal, self.turned_away = settings, journal, turned_away
+        self.settings, self.journal, self.rejection_delay_ms = settings, journal, turned_away
         self.now, self.feed, self.pass_on = now, feed, pass_on
         self.classes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self.dests: dict[int, float] = {}  # each destination listed of late, and until when it is known
         self.leaving: deque[tuple[float, int]] = deque()  # not listed, earliest first: DEST_MS of changes
-        self.held: dict[int, Held] = {}
+        self.accepted: dict[int, AcceptedMessage] = {}
         # Left by an earlier process, and taken up by `resume`: the earliest end first.
         self.left = sorted((one for one in journal.entries.values() if not one.end), key=lambda one: one.due)
         self.numbers: dict[str, int] = {}
         self.last_number = 0
-        self.unsaid: list[Entry] = []  # ended, but the journal does not take it yet: no more than are held
-        self.offered: Callable[[Offer], None] | None = None  # hears of each message that comes
+        self.unwritten_outcomes: list[
+            JournalEntry
+        ] = []  # ended, but the journal does not take it yet: no more than are held
+        self.offered: Callable[[Submission], None] | None = None  # hears of each message that comes
         self.ready = False
         self.tally: Counter[str] = Counter()  # of this process: messages by how they ended
         self.retiring = False  # takes nothing new, for good
-        self.bars: Callable[[int, str], str] | None = None  # why none is taken for a destination and class
-        self.interest: Interest | None = None  # None: all destinations are known
+        self.denial_reason: Callable[[int, str], str] | None = (
+            None  # why none is taken for a destination and class
+        )
+        self.interest: DestinationInterest | None = None  # None: all destinations are known
         self.bound_for: dict[int, set[int]] = {}  # with interest: what is held, by destination
 
     # -- the desk ----------------------------------------------------------------------------------------
 
     @property
-    def holding(self) -> int:
-        return len(self.held) + len(self.left)
+    def pending_count(self) -> int:
+        return len(self.accepted) + len(self.left)
 
-    def owed(self) -> list[Entry]:
+    def pending_entries(self) -> list[JournalEntry]:
         """All that are held, what an earlier process left too."""
-        return [held.entry for held in self.held.values()] + self.left
+        return [held.entry for held in self.accepted.values()] + self.left
 
     @property
-    def roomy(self) -> bool:
-        return self.holding + 1 < CROWDED * self.settings.hold and not self.retiring
+    def has_capacity(self) -> bool:
+        return self.pending_count + 1 < CROWDED * self.settings.max_pending_messages and not self.retiring
 
-    def take(self, offer: Offer) -> Receipt:
+    def accept(self, offer: Submission) -> SubmissionResult:
         """All of it happens before the next event of the loop."""
         self._check(offer)
         if self.offered is not None:
             self.offered(offer)
         if offer.id in self.journal.entries:  # also while it is under way: it is one, however often it comes
             if (number := self.numbers.get(offer.id)) is not None:
-                self.held[number].claims += 1
-            return Receipt(True, when=self.journal.barrier())
+                self.accepted[number].claims += 1
+            return SubmissionResult(True, durable=self.journal.barrier())
         if self.retiring:
-            return Receipt(False, why="this relay is being taken out of service", retry_s=RETRY_S)
-        barred = self.bars(offer.dest, offer.class_) if self.bars is not None else ""
+            return SubmissionResult(
+                False, reason="this relay is being taken out of service", retry_after_s=RETRY_S
+            )
+        barred = (
+            self.denial_reason(offer.destination, offer.class_name) if self.denial_reason is not None else ""
+        )
         if barred:
-            return Receipt(False, why=barred, retry_s=RETRY_S)
-        if self.holding >= self.settings.hold:
-            return Receipt(False, why="this relay holds as many messages as it may", retry_s=RETRY_S)
-        message = self._message(offer, float(offer.left_ms))
-        come_ms = self.turned_away(message, self.holding)
+            return SubmissionResult(False, reason=barred, retry_after_s=RETRY_S)
+        if self.pending_count >= self.settings.max_pending_messages:
+            return SubmissionResult(
+                False, reason="this relay holds as many messages as it may", retry_after_s=RETRY_S
+            )
+        message = self._message(offer, float(offer.remaining_ms))
+        come_ms = self.rejection_delay_ms(message, self.pending_count)
         if come_ms is not None:
             self.tally["turned away"] += 1
             wait = max(TURNED_AWAY_S, come_ms / 1000)
-            return Receipt(False, why="others that are held come first", retry_s=wait)
-        now = unix_ms()
-        entry = Entry(
+            return SubmissionResult(False, reason="others that are held come first", retry_after_s=wait)
+        now = unix_time_ms()
+        entry = JournalEntry(
             offer.id,
-            offer.class_,
+            offer.class_name,
             offer.tenant,
-            offer.dest,
+            offer.destination,
             offer.key,
             now,
-            now + offer.left_ms,
-            offer.again[:16],
+            now + offer.remaining_ms,
+            offer.resubmission[:16],
             offer.body,
             origin=offer.origin,
         )
         try:
-            self.journal.take(entry)
+            self.journal.append_accepted(entry)
         except JournalError as error:
-            log.warning(Note("a message is refused", id=offer.id, why=error))
-            return Receipt(False, why=str(error), retry_s=RETRY_S)
+            log.warning(LogEvent("a message is refused", id=offer.id, why=error))
+            return SubmissionResult(False, reason=str(error), retry_after_s=RETRY_S)
         self._hold(entry, message)
-        return Receipt(True, new=True, when=self.journal.barrier())
+        return SubmissionResult(True, is_new=True, durable=self.journal.barrier())
 
-    def _check(self, offer: Offer) -> None:
-        class_ = self.classes.get(offer.class_)
+    def _check(self, offer: Submission) -> None:
+        class_ = self.classes.get(offer.class_name)
         if class_ is None:
-            raise Malformed("class", f"{offer.class_!r} is none of {', '.join(self.classes)}")
+            raise InvalidMessageError("class", f"{offer.class_name!r} is none of {', '.join(self.classes)}")
         for name, text in (("id", offer.id), ("key", "-" if offer.key is None else offer.key)):
             if not 0 < len(text) <= NAME_BYTES or not text.isascii() or not text.isprintable():
-                raise Malformed(name, f"1 to {NAME_BYTES} printable ASCII characters are needed")
-        if offer.key is None and self.settings.classes[class_].effect is api.Effect.KEYED:
-            raise Malformed("key", f"class {offer.class_} needs one")
+                raise InvalidMessageError(name, f"1 to {NAME_BYTES} printable ASCII characters are needed")
+        if offer.key is None and self.settings.classes[class_].effect is Effect.KEYED:
+            raise InvalidMessageError("key", f"class {offer.class_name} needs one")
         if len(offer.tenant) > NAME_BYTES:
-            raise Malformed("tenant", f"{NAME_BYTES} characters at most")
+            raise InvalidMessageError("tenant", f"{NAME_BYTES} characters at most")
         if self.tenants and offer.tenant not in self.tenants:
-            raise Malformed("tenant", f"{offer.tenant!r} is not known")
-        if not 0 <= offer.left_ms <= LEFT_MS:
-            raise Malformed("left", f"0 to {LEFT_MS} ms are needed")
-        if offer.dest not in self.dests and self._nowhere(offer.dest):
-            raise Malformed("dest", f"destination {offer.dest} is not known")
+            raise InvalidMessageError("tenant", f"{offer.tenant!r} is not known")
+        if not 0 <= offer.remaining_ms <= LEFT_MS:
+            raise InvalidMessageError("left", f"0 to {LEFT_MS} ms are needed")
+        if offer.destination not in self.dests and self._nowhere(offer.destination):
+            raise InvalidMessageError("dest", f"destination {offer.destination} is not known")
         if len(offer.body) > BODY_BYTES:
-            raise Malformed("body", f"holds {BODY_BYTES} bytes at most")
+            raise InvalidMessageError("body", f"holds {BODY_BYTES} bytes at most")
 
-    def withdraw(self, ident: str) -> bool:
+    def cancel(self, ident: str) -> bool:
         """Its client never read the answer, and hands it in again under another id."""
         number = self.numbers.get(ident)
-        untried = number is not None and not self.held[number].attempts
+        untried = number is not None and not self.accepted[number].attempts
         if number is not None:
-            held = self.held[number]
+            held = self.accepted[number]
             held.claims -= 1
             if held.claims > 0:  # Guards whoever handed it in on another connection, and has heard
                 return False
-            self.write(lambda: self.journal.withdrawn(held.entry))
+            self.write(lambda: self.journal.append_cancelled(held.entry))
             self.let_go(number)
-            self.feed(api.Withdrawn(number))
+            self.feed(MessageCancelled(number))
         return untried
 
-    def told(self, idents: list[str]) -> None:
-        self.write(lambda: self.journal.told(idents))
+    def mark_notified(self, idents: list[str]) -> None:
+        self.write(lambda: self.journal.append_notified(idents))
 
     # -- their life --------------------------------------------------------------------------------------
 
@@ -175,17 +186,17 @@
         """Those that an earlier process wrote, and nobody has confirmed."""
         for entry in list(self.journal.entries.values()):
             if entry.owes_notice:
-                self.pass_on(entry.origin, End(entry.id, entry.end, entry.after_ms, entry.origin))
+                self.pass_on(entry.origin, FinalOutcome(entry.id, entry.end, entry.after_ms, entry.origin))
 
     def resume(self, number_of: Callable[[str], int]) -> None:
         """Takes up what an earlier process left: it owes each message its end. Ages and times to go are as
         they are now, so that what waited for a list is no younger by it."""
-        now = unix_ms()
+        now = unix_time_ms()
         left, self.left = self.left, []
         for entry in left:
             if self.journal.entries.get(entry.id) is not entry:
                 continue
-            if entry.class_ not in self.classes:
+            if entry.class_name not in self.classes:
                 self.end(entry, "failed")  # the settings no longer know its class
             else:
                 risk = entry.risk
@@ -199,12 +210,12 @@
                         risk_age_ms=None if risk is None else self._age(risk, now),
                         risk=None
                         if risk is None
-                        else api.Endpoint(
-                            number_of(risk.endpoint), entry.dest, api.Listing.READY, zone=risk.zone
+                        else Endpoint(
+                            number_of(risk.endpoint), entry.destination, Listing.READY, zone=risk.zone
                         ),
                     ),
                 )
-                self.held[self.last_number].claims += 1  # the earlier process said so
+                self.accepted[self.last_number].claims += 1  # the earlier process said so
 
     def _age(self, risk: Attempt, now: float) -> float:
         """How long ago an attempt of an earlier process was made, the time spent dead included. Guards key
@@ -212,63 +223,63 @@
         unless the machine has started anew. In doubt it is past any window."""
         since = self.now() - risk.up if 0 <= risk.up <= self.now() else -1.0
         if now < risk.at and since < 0:
-            return api.FOREVER
+            return FOREVER
         return max(0.0, now - risk.at, since)
 
-    def _hold(self, entry: Entry, message: api.Message) -> None:
+    def _hold(self, entry: JournalEntry, message: Message) -> None:
         self.last_number = message.id
-        self.held[message.id] = Held(entry)
+        self.accepted[message.id] = AcceptedMessage(entry)
         self.numbers[entry.id] = message.id
         self.feed(message)
         if self.interest is not None:
-            self.bound_for.setdefault(entry.dest, set()).add(message.id)
+            self.bound_for.setdefault(entry.destination, set()).add(message.id)
             self._interested(self.interest, entry)
 
-    def _message(self, it: Offer | Entry, left_ms: float, **resumed: Any) -> api.Message:
+    def _message(self, it: Submission | JournalEntry, left_ms: float, **resumed: Any) -> Message:
         """As the decisions hear of it, under the next number."""
-        return api.Message(
+        return Message(
             self.last_number + 1,
-            it.dest,
-            self.classes[it.class_],
+            it.destination,
+            self.classes[it.class_name],
             left_ms,
             self.tenants.get(it.tenant, 0),
-            again=it.again == "1",
-            from_dead_relay=it.again == "again",
+            again=it.resubmission == "1",
+            from_dead_relay=it.resubmission == "again",
             **resumed,
         )
 
-    def effect(self, entry: Entry) -> api.Effect:
-        return self.settings.classes[self.classes[entry.class_]].effect
+    def effect(self, entry: JournalEntry) -> Effect:
+        return self.settings.classes[self.classes[entry.class_name]].effect
 
     def over(self, number: int, state: str, after_ms: float = 0.0) -> None:
         """The module has given it up."""
-        held = self.held.get(number)
+        held = self.accepted.get(number)
         if held is not None:
             self.let_go(number)
             self.end(held.entry, state, after_ms)
 
     def let_go(self, number: int) -> None:
         """No end is owed any more; a call that is out keeps its own reference."""
-        held = self.held.pop(number, None)
+        held = self.accepted.pop(number, None)
         if held is not None:
             self.numbers.pop(held.entry.id, None)
             held.entry.body = b""
-            if (bound := self.bound_for.get(held.entry.dest)) is not None:
+            if (bound := self.bound_for.get(held.entry.destination)) is not None:
                 bound.discard(number)
                 if not bound:
-                    del self.bound_for[held.entry.dest]
+                    del self.bound_for[held.entry.destination]
 
-    def end(self, entry: Entry, state: str, after_ms: float = 0.0) -> None:
+    def end(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         self.tally[state] += 1
-        written = self.write(lambda: self.journal.ended(entry, state, after_ms))
+        written = self.write(lambda: self.journal.append_final_outcome(entry, state, after_ms))
         if not entry.owes_notice:
             return
         if written:
             self._tell(entry)
         else:
             # Guards against a process that is killed now, takes the message up again and says something else.
-            self.unsaid.append(entry)
-            if len(self.unsaid) == 1:
+            self.unwritten_outcomes.append(entry)
+            if len(self.unwritten_outcomes) == 1:
                 asyncio.get_running_loop().call_later(AGAIN_S, self.say)
 
     def say(self) -> None:
@@ -276,13 +287,13 @@
         if not self.write(self.journal.catch_up):
             asyncio.get_running_loop().call_later(AGAIN_S, self.say)
             return
-        unsaid, self.unsaid = self.unsaid, []
+        unsaid, self.unwritten_outcomes = self.unwritten_outcomes, []
         for entry in unsaid:
             self._tell(entry)
 
-    def _tell(self, entry: Entry) -> None:
+    def _tell(self, entry: JournalEntry) -> None:
         """Its end is written: passes it on, once that outlasts what it has to."""
-        end = End(entry.id, entry.end, entry.after_ms, entry.origin)
+        end = FinalOutcome(entry.id, entry.end, entry.after_ms, entry.origin)
         safe = self.journal.barrier()
         if safe is None:
             self.pass_on(entry.origin, end)
@@ -295,14 +306,14 @@
             write()
             return True
         except JournalError as error:
-            log.error(Note("a record is not written", why=error))
+            log.error(LogEvent("a record is not written", why=error))
             return False
 
     # -- destinations ------------------------------------------------------------------------------------
 
-    def know(self, listed: Iterable[int]) -> None:
+    def add_destinations(self, listed: Iterable[int]) -> None:
         """These are listed, and known from now on."""
-        self.dests.update(dict.fromkeys(listed, api.FOREVER))
+        self.dests.update(dict.fromkeys(listed, FOREVER))
 
     def still_know(self, dests: Iterable[int]) -> None:
         """These are not listed. One whose endpoints are all being replaced is still known for a while."""
@@ -321,13 +332,13 @@
 
     def _nowhere(self, dest: int) -> bool:
         """Whether it may be said that there is none. Only by what has come."""
-        return self.interest is None or self.interest.here(dest) and not self.interest.knows(dest)
+        return self.interest is None or self.interest.is_resident(dest) and not self.interest.contains(dest)
 
-    def _interested(self, interest: Interest, entry: Entry) -> None:
-        if interest.here(entry.dest):
-            interest.use(entry.dest)
+    def _interested(self, interest: DestinationInterest, entry: JournalEntry) -> None:
+        if interest.is_resident(entry.destination):
+            interest.touch(entry.destination)
         else:
-            interest.want(entry.dest, (self.now() + entry.due - unix_ms()) / 1000)
+            interest.request(entry.destination, (self.now() + entry.due - unix_time_ms()) / 1000)
 
     def ask_for_left(self) -> None:
         """What an earlier process left is to go as soon as it can: the earliest end first."""
@@ -335,9 +346,9 @@
             if self.interest is not None:
                 self._interested(self.interest, entry)
 
-    def absent(self, dest: int) -> None:
+    def fail_unknown_destination(self, dest: int) -> None:
         """What there is of it has come, and there is none: what was taken before that ends at once."""
         for number in list(self.bound_for.get(dest, ())):
-            if self.held[number].cancel is None:  # a call that is out has its outcome first
+            if self.accepted[number].cancel is None:  # a call that is out has its outcome first
                 self.over(number, "failed")
-                self.feed(api.Withdrawn(number))
+                self.feed(MessageCancelled(number))
--- a/linnetstile/core/recall.py
+++ b/message_relay/core/restored_state.py
@@ -6,24 +6,25 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ..decisions.interface import Endpoint, Learned
-from ..decisions.members import GONE_MS
+from ..decisions.endpoint_registry import GONE_MS
+from ..decisions.events import RestoredDestination
+from ..decisions.model import Endpoint
 
 
-class Recall:
+class RestoredState:
     """No more than the file holds that they are from; each for GONE_MS, as lanes without endpoints are."""
 
     def __init__(self) -> None:
-        self.lanes: dict[int, tuple[float, Learned]] = {}  # and since when
+        self.lanes: dict[int, tuple[float, RestoredDestination]] = {}  # and since when
 
-    def keep(self, now: float, lane: Learned) -> None:
+    def keep(self, now: float, lane: RestoredDestination) -> None:
         self.lanes[lane.destination] = now, lane
 
     def has(self, now: float, destination: int) -> bool:
         kept = self.lanes.get(destination)
         return kept is not None and now < kept[0] + GONE_MS
 
-    def come(self, now: float, entries: Iterable[Endpoint]) -> list[Learned]:
+    def come(self, now: float, entries: Iterable[Endpoint]) -> list[RestoredDestination]:
         """What is to be told of those that have come."""
         if not self.lanes:
             return []
@@ -38,13 +39,13 @@
     def _at(self, now: float, destination: int) -> float | None:
         return self.lanes[destination][0] if self.has(now, destination) else None
 
-    def kept(self, now: float) -> list[Learned]:
+    def kept(self, now: float) -> list[RestoredDestination]:
         """As it is to be written for the next process."""
         self.lanes = {dest: kept for dest, kept in self.lanes.items() if now < kept[0] + GONE_MS}
         return [aged(lane, now - at) for at, lane in self.lanes.values()]
 
 
-def aged(lane: Learned, ms: float) -> Learned:
+def aged(lane: RestoredDestination, ms: float) -> RestoredDestination:
     return replace(
         lane,
         wait_ms=max(0.0, lane.wait_ms - ms),
--- a/linnetstile/core/turns.py
+++ b/message_relay/core/scheduler_driver.py
@@ -6,20 +6,21 @@
 import logging
 from collections.abc import Callable
 
-from ..decisions import interface as api
-from ..decisions.control import Relay
+from ..decisions.actions import Action, SetTimer
+from ..decisions.events import Event, TimerFired
+from ..decisions.scheduler import DeliveryScheduler
 
 log = logging.getLogger(__name__)
 
 AFTER_FAULT_MS = 1000.0
 
 
-class Turns:
+class SchedulerDriver:
     """Feeds a `Relay`, a tick apart at the least, and has its actions carried out by `act`."""
 
-    def __init__(self, relay: Relay, tick_ms: float, act: Callable[[api.Action], None]) -> None:
+    def __init__(self, relay: DeliveryScheduler, tick_ms: float, act: Callable[[Action], None]) -> None:
         self.relay, self.tick_ms, self.act = relay, tick_ms, act
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.turn: asyncio.TimerHandle | None = None
         self.last = 0.0
         self.timer: asyncio.TimerHandle | None = None
@@ -29,7 +30,7 @@
     def now() -> float:
         return asyncio.get_running_loop().time() * 1000
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         """All that comes within a tick is one turn: a busy relay takes few long turns for many short ones.
         After the end nothing is decided any more: what the end itself cut off is the next process's."""
         if self.stopped:
@@ -49,9 +50,9 @@
         except Exception:
             # A fault in one turn must not stop all later ones.
             log.exception("the module failed on %r", events)
-            actions = [api.SetTimer(AFTER_FAULT_MS, 0)]
+            actions = [SetTimer(AFTER_FAULT_MS, 0)]
         for action in actions:
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, SetTimer):
                 self._set(action.delay_ms)
                 continue
             try:
@@ -67,7 +68,7 @@
 
     def _wake(self) -> None:
         self.timer = None
-        self.feed(api.TimerFired(0))
+        self.feed(TimerFired(0))
 
     def stop(self) -> None:
         self.stopped = True
--- a/linnetstile/core/tasks.py
+++ b/message_relay/core/tasks.py
@@ -10,7 +10,7 @@
 log = logging.getLogger(__name__)
 
 
-class Tasks:
+class BackgroundTasks:
     """Keeps a reference to each task, and logs the one that fails."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         await asyncio.gather(*self.running, return_exceptions=True)
 
 
-async def woken(event: asyncio.Event, seconds: float) -> bool:
+async def wait_for_event(event: asyncio.Event, seconds: float) -> bool:
     """Until it is set, at most this long; whether it was set. Not `asyncio.wait_for`: before Python 3.12 that
     loses a cancellation which comes in the turn of the event, and a task that waits in a loop never ends
     (CPython issue 86296)."""
--- a/linnetstile/core/transports.py
+++ b/message_relay/core/transport_router.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Mapping
 
-from .seams import Attempt, Key, Result, Transport
+from .ports import Attempt, AttemptResult, EndpointKey, Transport
 
 
-class Transports:
+class TransportRouter:
     def __init__(self, usual: Transport, others: Mapping[str, Transport]) -> None:
         """`others` by the beginning of an address's host, up to its colon, which no host name has."""
         self.usual, self.others = usual, dict(others)
 
-    def of(self, key: Key) -> Transport:
+    def of(self, key: EndpointKey) -> Transport:
         scheme, colon, _ = key[1][0].partition(":")
         return self.others.get(scheme, self.usual) if colon else self.usual
 
-    async def attempt(self, attempt: Attempt) -> Result:
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
         return await self.of((attempt.endpoint, attempt.address)).attempt(attempt)
 
-    def keep_only(self, listed: set[Key]) -> None:
+    def retain_only(self, listed: set[EndpointKey]) -> None:
         for each in (self.usual, *self.others.values()):
-            each.keep_only({key for key in listed if self.of(key) is each})
+            each.retain_only({key for key in listed if self.of(key) is each})
 
-    def changed(self, key: Key, listed: bool) -> None:
-        self.of(key).changed(key, listed)
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
+        self.of(key).endpoint_changed(key, listed)
 
     def sweep(self) -> None:
         for each in (self.usual, *self.others.values()):
--- a/linnetstile/decisions/members.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -5,32 +5,23 @@
 import heapq
 from dataclasses import replace
 
-from .interface import (
-    FOREVER,
-    NEVER,
-    Endpoint,
-    EndpointList,
-    Fleet,
-    Learned,
-    Listing,
-    ListKind,
-    Rates,
-)
-from .paces import BURST, FADE_MS, RETRY_MS, Paces
-from .share import Share
-from .state import Board, Door, Lane
+from .events import EndpointList, RestoredDestination
+from .model import FOREVER, NEVER, Endpoint, Fleet, Listing, ListKind, Rates
+from .pending import DestinationState, EndpointState, PendingMessages
+from .rate_control import BURST, FADE_MS, RETRY_MS, RateController
+from .rate_slots import TimeSlotShare
 
 GONE_MS = 60000.0  # a lane without endpoints is remembered for so long: past any outage seen
 START = 0.5  # calls a second of each relay at a destination with no listed rate, until one is refused
 
 
-class Members:
-    def __init__(self, paces: Paces, board: Board) -> None:
+class EndpointRegistry:
+    def __init__(self, paces: RateController, board: PendingMessages) -> None:
         self.paces, self.rng, self.board = paces, paces.rng, board
         self.fading: list[tuple[float, int]] = []  # heap: when lanes without endpoints may be forgotten
-        self.lanes: dict[int, dict[int, Lane]] = {}  # destination -> its lanes
-        self.doors: dict[int, Door] = {}
-        self.ask_at = 0.0 if paces.s.ask_for_list else FOREVER
+        self.lanes: dict[int, dict[int, DestinationState]] = {}  # destination -> its lanes
+        self.doors: dict[int, EndpointState] = {}
+        self.ask_at = 0.0 if paces.s.polls_discovery else FOREVER
         self.ask_fails = 0
 
     def asks(self, now: float) -> bool:
@@ -58,7 +49,7 @@
         while self.fading and self.fading[0][0] <= now:
             self._fade(now, heapq.heappop(self.fading)[1])
 
-    def _drop(self, now: float, door: Door, unneeded: bool) -> None:
+    def _drop(self, now: float, door: EndpointState, unneeded: bool) -> None:
         """Nothing new goes there; a lane goes with its last trace, at once if unneeded: that is no outage."""
         dest = door.entry.destination
         del door.lane.doors[door.entry.id]
@@ -92,9 +83,9 @@
         if key not in lanes:
             total = listed or START * self.paces.s.relays
             pace = total / self.paces.s.relays
-            lanes[key] = Lane(*self.paces.usual, total, pace, BURST, now, listed=bool(listed))
+            lanes[key] = DestinationState(*self.paces.usual, total, pace, BURST, now, listed=bool(listed))
             if self.paces.s.fleet is not None and listed:
-                lanes[key].share = Share(self.paces.s.fleet, listed, self.paces.s.safety)
+                lanes[key].share = TimeSlotShare(self.paces.s.fleet, listed, self.paces.s.safety)
         lane, door = lanes[key], self.doors.get(entry.id)
         if listed and listed != lane.total:
             lane.pace, lane.total = lane.pace * listed / lane.total, listed  # keeps what was learned
@@ -104,7 +95,7 @@
         if door is None:
             if not lane.doors and lane.bad_since is not None:  # replaced late: the new endpoint is cold
                 self.paces.cold(now, lane)
-            self.doors[entry.id] = lane.doors[entry.id] = Door(entry, lane)
+            self.doors[entry.id] = lane.doors[entry.id] = EndpointState(entry, lane)
             self.board.look(dest)
         else:
             door.entry = entry
@@ -113,15 +104,15 @@
         apart = entry.kind < len(self.paces.s.kinds) and self.paces.s.kinds[entry.kind].routes_apart
         return entry.destination, entry.id if apart else -1
 
-    def learned(self, now: float) -> list[Learned]:
+    def learned(self, now: float) -> list[RestoredDestination]:
         """Outages, cold returns, told waits. Not of routes apart: their endpoints get other numbers."""
-        found, noted, self.board.noted = list[Learned](), self.board.noted, {}
+        found, noted, self.board.noted = list[RestoredDestination](), self.board.noted, {}
         for dest, lane in [(dest, self.lanes[dest][-1]) for dest in noted if -1 in self.lanes.get(dest, ())]:
             cold = now - lane.cold_since if now < lane.cold_since + self.paces.s.safety.cold_ms else None
             if lane.sick or cold is not None or now < lane.wait_until:
                 self.board.noted[dest] = None
                 bad = None if lane.bad_since is None else max(0.0, now - lane.bad_since)
-                found.append(Learned(dest, max(0.0, lane.wait_until - now), lane.sick, bad, cold))
+                found.append(RestoredDestination(dest, max(0.0, lane.wait_until - now), lane.sick, bad, cold))
         return found
 
     def resized(self, fleet: Fleet) -> None:
@@ -132,7 +123,7 @@
                 lane.share.resized(fleet)
         self.board.due.update(dict.fromkeys(self.board.queues, True))
 
-    def recall(self, now: float, event: Learned) -> None:
+    def recall(self, now: float, event: RestoredDestination) -> None:
         """Guards a returning destination, and told waits, against a process that has seen nothing of them."""
         lane = self.lanes.get(event.destination, {}).get(-1)
         if lane is None or lane.out or lane.answers:  # gone, or this process knows better by now
--- /dev/null
+++ b/message_relay/decisions/events.py
@@ -0,0 +1,100 @@
+"""Events: what the delivery scheduler is told. Times are in milliseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Union
+
+from .model import Endpoint, Fleet, ListKind, Outcome, require
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointList:
+    kind: ListKind
+    entries: tuple[Endpoint, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Message:
+    id: int
+    destination: int
+    class_: int
+    left_ms: float
+    tenant: int = 0
+    key: int = 0  # 0 = none
+    work_ms: float | None = None
+    again: bool = False
+    from_dead_relay: bool = False
+    # Resumed after a restart of this relay: what the journal knows of it.
+    age_ms: float | None = None  # since it was first handed in
+    tries: int = 0
+    risk_age_ms: float | None = None  # since the first try that may have run
+    risk: Endpoint | None = None  # and where that went
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptCompleted:
+    id: int
+    attempt: int
+    endpoint: int
+    outcome: Outcome
+    latency_ms: float = 0.0
+    finished: bool = False
+    wait_ms: float = 0.0  # told with Outcome.FULL
+    no_slot: bool = False  # with Outcome.NOT_SENT
+    report: tuple[float, ...] = ()
+    withheld: bool = False  # nothing of it went out, with Outcome.NOT_SENT: no try
+
+
+@dataclass(frozen=True, slots=True)
+class ProbeCompleted:
+    endpoint: int
+    outcome: Outcome
+    latency_ms: float = 0.0
+    report: tuple[float, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class MessageCancelled:
+    id: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class ShutdownScheduled:
+    """The process ends soon: a call still out then would have no known outcome."""
+
+    at_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class RestoredDestination:
+    """What an earlier process knew of a destination; no clock outlasts it, so times are told as ages."""
+
+    destination: int
+    wait_ms: float = 0.0  # a told wait that still runs
+    out: bool = False
+    bad_ms: float | None = None  # since the first call that failed without an answer after it
+    cold_ms: float | None = None  # since it was back
+
+    def __post_init__(self) -> None:
+        for field in ("wait_ms", "bad_ms", "cold_ms"):
+            value = getattr(self, field)
+            require(value is None or value >= 0, f"learned.{field}", "must not be negative")
+
+
+Event = Union[
+    EndpointList,
+    Message,
+    AttemptCompleted,
+    ProbeCompleted,
+    MessageCancelled,
+    TimerFired,
+    ShutdownScheduled,
+    RestoredDestination,
+    Fleet,
+]
--- a/linnetstile/decisions/endings.py
+++ b/message_relay/decisions/expiry.py
@@ -4,12 +4,12 @@
 
 import heapq
 
-from .effects import may_refuse, until
-from .index import Index
-from .interface import Action, Fail, Refuse
-from .members import Members
-from .paces import suspect
-from .state import Held, Queue
+from .actions import Action, Fail, Reject
+from .endpoint_registry import EndpointRegistry
+from .idempotency import can_reject_safely, retry_deadline
+from .pending import DestinationQueue, PendingMessage
+from .priority_index import PriorityIndex
+from .rate_control import suspect
 
 MARGIN_MS = 20.0  # messages are closed so long before their time is up
 ENDING_MS, ENDING_MAX_MS = 0.05, 1000.0  # and earlier by what ending all that is held takes, each so long
@@ -21,7 +21,7 @@
 
 
 class Endings:
-    def __init__(self, members: Members, index: Index) -> None:
+    def __init__(self, members: EndpointRegistry, index: PriorityIndex) -> None:
         self.members, self.paces, self.board = members, members.paces, members.board
         self.s, self.index = members.paces.s, index
         self.ends: list[tuple[float, int]] = []  # heap: when a message can no longer be delivered
@@ -29,18 +29,18 @@
         self.crowded = False  # more than one turn may refuse
         self.unknown = 0.01  # calls a second, nearly none, at a destination without any endpoint
 
-    def expect(self, now: float, held: Held) -> None:
+    def expect(self, now: float, held: PendingMessage) -> None:
         """Sets when a message is closed that has not been delivered by then."""
         early = MARGIN_MS + min(ENDING_MAX_MS, ENDING_MS * len(self.board.held))
-        close = min(until(self.s, held), held.due - early - 2 * self.s.tick_ms)
+        close = min(retry_deadline(self.s, held), held.due - early - 2 * self.s.tick_ms)
         heapq.heappush(self.ends, (close, held.msg.id))
         if len(self.ends) > 64 + 4 * len(self.board.held):  # most are of messages that have ended
             self.ends = [end for end in self.ends if end[1] in self.board.held]
             heapq.heapify(self.ends)
 
-    def end(self, now: float, held: Held, acts: list[Action]) -> None:
+    def end(self, now: float, held: PendingMessage, acts: list[Action]) -> None:
         ident, dest = held.msg.id, held.msg.destination
-        acts.append(Refuse(ident, self.advice(now, dest)) if may_refuse(held) else Fail(ident))
+        acts.append(Reject(ident, self.advice(now, dest)) if can_reject_safely(held) else Fail(ident))
         self.board.remove(held)
 
     def drained(self, now: float, dest: int, more: int = 0) -> float:
@@ -64,7 +64,7 @@
     def make_room(self, acts: list[Action], now: float) -> None:
         """Before the hold fills (a full one turns newcomers away), refuses what will be worth least when
         its queue has drained, so that a destination that is out or slow pays for itself."""
-        excess = len(self.board.held) - int(CROWDED * self.s.hold)
+        excess = len(self.board.held) - int(CROWDED * self.s.max_pending_messages)
         self.crowded = excess > REFUSALS
         for _ in range(min(REFUSALS, excess)):
             if (least := self.least(now)) is None:
@@ -72,7 +72,7 @@
                 return
             self.end(now, least[2], acts)
 
-    def least(self, now: float) -> tuple[float, float, Held] | None:
+    def least(self, now: float) -> tuple[float, float, PendingMessage] | None:
         """Compares the queues that changed, those known as poorest, and some in turn, as worth falls."""
         queues, unsure = self.board.queues, self.board.unsure
         some = dict.fromkeys([unsure.popitem(last=False)[0] for _ in range(min(LOOKS, len(unsure)))])
@@ -84,7 +84,7 @@
         for _ in range(min(ROLLING + POOR, len(queues)) - len(some)):
             queues.move_to_end(next(iter(queues)))
             some[next(reversed(queues))] = None
-        found = list[tuple[float, float, Held]]()
+        found = list[tuple[float, float, PendingMessage]]()
         for dest in some:
             poorest = self.poorest(now, queues[dest])
             queues[dest].poorest = poorest and poorest[:2]
@@ -96,9 +96,9 @@
             heapq.heapify(self.poor)
         return min(found, key=lambda each: each[:2]) if found else None
 
-    def poorest(self, now: float, queue: Queue) -> tuple[float, float, Held] | None:
+    def poorest(self, now: float, queue: DestinationQueue) -> tuple[float, float, PendingMessage] | None:
         """What ending it now loses, its worth now, and the message for which both are least."""
-        drained, found = self.drained(now, queue.dest), list[tuple[float, float, Held]]()
+        drained, found = self.drained(now, queue.dest), list[tuple[float, float, PendingMessage]]()
         for course in queue.courses.values():
             for held in course.oldest() if course.refusable else ():
                 lost = BROKEN * held.worth if now < held.since + EARLY * (held.due - held.since) else 0.0
--- a/linnetstile/decisions/effects.py
+++ b/message_relay/decisions/idempotency.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from .interface import NEVER, Effect, Endpoint, Scope, Settings
-from .state import Bound, Held
+from .model import NEVER, Effect, Endpoint, Scope, Settings
+from .pending import PendingMessage, RetryAffinity
 
 
-def bound(held: Held) -> Bound | None:
+def retry_affinity(held: PendingMessage) -> RetryAffinity | None:
     """Where another try may go, if not to any endpoint: where the key of the first is known."""
     if held.risk is None or held.cls.effect is not Effect.KEYED or held.cls.key_scope is Scope.ALL:
         return None
@@ -14,24 +14,24 @@
     return zone, held.risk.zone if zone else held.risk.id
 
 
-def fits(where: Bound | None, entry: Endpoint) -> bool:
+def allows_endpoint(where: RetryAffinity | None, entry: Endpoint) -> bool:
     return where is None or where[1] == (entry.zone if where[0] else entry.id)
 
 
-def may_refuse(held: Held) -> bool:
+def can_reject_safely(held: PendingMessage) -> bool:
     """A refusal promises that coming again is harmless: after an unclear attempt, only by effect."""
     if held.first_risk is None or held.cls.effect is Effect.SAFE:
         return True
     return held.cls.effect is Effect.KEYED and held.cls.key_scope is Scope.ALL
 
 
-def window(s: Settings, held: Held) -> float:
+def idempotency_window_end(s: Settings, held: PendingMessage) -> float:
     """Until when it may run without taking effect twice."""
     if held.first_risk is None or held.cls.effect is Effect.SAFE:
         return held.due
     return NEVER if held.cls.effect is Effect.UNSAFE else held.first_risk + held.cls.key_window_ms - s.tick_ms
 
 
-def until(s: Settings, held: Held) -> float:
+def retry_deadline(s: Settings, held: PendingMessage) -> float:
     """Until when another try is allowed."""
-    return NEVER if held.tries >= s.attempts else window(s, held)
+    return NEVER if held.tries >= s.max_attempts else idempotency_window_end(s, held)
--- /dev/null
+++ b/message_relay/decisions/model.py
@@ -0,0 +1,224 @@
+"""The vocabulary of linnetstile: what a relay is told (settings, events) and what it may do (actions)."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+NEVER, FOREVER = float("-inf"), float("inf")  # times: before all others, and after them
+
+
+class Effect(Enum):
+    """What repeating a message may do at its destination."""
+
+    SAFE = "safe"  # repeating changes nothing
+    KEYED = "keyed"  # the destination drops repeats of its key for a while
+    UNSAFE = "unsafe"  # every run has an effect
+
+
+class Scope(Enum):
+    """Which endpoints of a destination share the memory of a key."""
+
+    ALL = "all"
+    ZONE = "zone"
+    ENDPOINT = "endpoint"
+
+
+class Outcome(Enum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not_sent"
+
+    @property
+    def proves_no_effect(self) -> bool:
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+
+
+class Listing(Enum):
+    """What the list of endpoints says of one of them."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+    UNNEEDED = "unneeded"  # it may well be there, but nobody here needs to know it any more
+
+
+class ListKind(Enum):
+    CHANGES = "changes"
+    WHOLE = "whole"
+    CACHED = "cached"
+    FAILED = "failed"
+
+
+class Rates(Enum):
+    """What the listed rates are worth."""
+
+    NONE = "none"
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+
+
+class Decay(Enum):
+    """How worth falls once the aim has passed."""
+
+    LINE = "line"
+    HALVES = "halves"
+
+
+def require(ok: bool, field: str, text: str) -> None:
+    """Raises ValueError that names the field, unless the condition holds."""
+    if not ok:
+        raise ValueError(f"{field}: {text}")
+
+
+@dataclass(frozen=True, slots=True)
+class MessageClass:
+    name: str
+    effect: Effect
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float = 1.0
+    late_share: float = 0.0
+    key_window_ms: float = 0.0
+    key_scope: Scope = Scope.ALL
+    in_order: bool = False
+
+    def __post_init__(self) -> None:
+        require(self.latency_objective_ms > 0, "classes.aim_ms", "must be above 0")
+        require(self.deadline_ms > 0, "classes.deadline_ms", "must be above 0")
+        require(self.priority_weight >= 0, "classes.worth", "must not be negative")
+        require(0 <= self.late_share <= 1, "classes.late_share", "must lie in 0 to 1")
+        require(self.key_window_ms >= 0, "classes.window_ms", "must not be negative")
+        if self.effect is Effect.KEYED:
+            require(self.key_window_ms > 0, "classes.window_ms", f"of {self.name}, keyed: must be above 0")
+
+
+@dataclass(frozen=True, slots=True)
+class Tenant:
+    name: str
+    quota_per_s: float  # over all relays
+
+    def __post_init__(self) -> None:
+        require(self.quota_per_s >= 0, "orgs.quota_per_s", f"of {self.name}: must not be negative")
+
+
+@dataclass(frozen=True, slots=True)
+class DestinationKind:
+    name: str
+    batch: int = 1  # messages in one call, at most
+    routes_apart: bool = False  # each endpoint has its own limit, pace and outages
+
+    def __post_init__(self) -> None:
+        require(self.batch >= 1, "kinds.batch", "must be 1 or more")
+
+
+@dataclass(frozen=True, slots=True)
+class Safety:
+    """Figures of the rules."""
+
+    answer_slack_ms: float = 0.0
+    drain_grace_ms: float = 0.0
+    cold_share: float = 1.0  # capacity left right after an outage
+    cold_ms: float = 0.0
+    fall_multiple: float = 1.0
+    fall_ms: float = 1000.0
+    ask_within_ms: float = 0.0
+    key_rest_ms: float = 0.0
+
+    def __post_init__(self) -> None:
+        for field in self.__slots__:
+            require(getattr(self, field) >= 0, f"safety.{field}", "must not be negative")
+
+
+@dataclass(frozen=True, slots=True)
+class Goal:
+    """Weights of the parts of the result."""
+
+    whole: float = 1.0
+    worst_window: float = 0.0
+    worst_class: float = 0.0
+    worst_tenant: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Fleet:
+    """Which of how many instances this is, where each partner's agreed rate is to be kept by all together. As
+    an event: from now on."""
+
+    number: int  # from 0
+    size: int
+    clock_ms: float = 0.0  # to be added to the relay's clock for the one that all machines read
+
+    def __post_init__(self) -> None:
+        require(self.size >= 1, "fleet.size", "must be 1 or more")
+        require(0 <= self.number < self.size, "fleet.number", f"must lie in 0 to {self.size - 1}")
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    classes: tuple[MessageClass, ...]
+    kinds: tuple[DestinationKind, ...]
+    max_concurrent_attempts: int  # calls out at once
+    max_pending_messages: int  # messages held at once
+    max_attempts: int  # tries of one message
+    relays: int = 1
+    zone: int = 0
+    tenants: tuple[Tenant, ...] = ()
+    over_quota_weight: float = 1.0
+    decay: Decay = Decay.LINE
+    rates: Rates = Rates.NONE
+    polls_discovery: bool = False
+    probing: bool = False
+    cancelling: bool = False
+    streams_per_connection: int = 1
+    idle_ms: float = 0.0
+    connect_timeout_ms: float = 0.0
+    tick_ms: float = 1.0
+    marks_repeats: bool = False  # clients mark what they hand in again
+    longest_advice_ms: float = 0.0  # longest stay-away a client heeds; 0 = no advice
+    cross_zone_price: float = 0.0
+    route_fees: tuple[float, ...] = ()  # by zone
+    report_fields: tuple[str, ...] = ()  # what answers may report, in this order
+    limit_report: tuple[int, int] | None = None  # where a report holds share left and limit a second
+    safety: Safety = Safety()
+    goal: Goal = Goal()
+    fleet: Fleet | None = None  # None: each instance paces itself by what it learns
+
+    def __post_init__(self) -> None:
+        require(bool(self.classes), "classes", "there must be at least one")
+        # The names that an error gives are those of the settings, which operators know.
+        counts = {
+            "slots": self.max_concurrent_attempts,
+            "hold": self.max_pending_messages,
+            "attempts": self.max_attempts,
+            "relays": self.relays,
+            "streams_per_connection": self.streams_per_connection,
+        }
+        for field, count in counts.items():
+            require(count >= 1, field, "must be 1 or more")
+        amounts = {
+            "idle_ms": self.idle_ms,
+            "connect_timeout_ms": self.connect_timeout_ms,
+            "longest_advice_ms": self.longest_advice_ms,
+            "over_share_worth": self.over_quota_weight,
+        }
+        for field, amount in amounts.items():
+            require(amount >= 0, field, "must not be negative")
+        require(self.tick_ms > 0, "tick_ms", "must be above 0")
+
+
+@dataclass(frozen=True, slots=True)
+class Endpoint:
+    id: int
+    destination: int
+    listing: Listing
+    kind: int = 0
+    zone: int = 0
+    rate: float = 0.0  # listed calls a second for its destination (or route); see Rates
--- a/linnetstile/decisions/state.py
+++ b/message_relay/decisions/pending.py
@@ -9,8 +9,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from .interface import FOREVER, NEVER, Decay, Endpoint, Message, MessageClass
-from .share import Share
+from .events import Message
+from .model import FOREVER, NEVER, Decay, Endpoint, MessageClass
+from .rate_slots import TimeSlotShare
 
 COURSES = 32  # different courses at a destination, above which times to live are taken in steps
 FULL_VIEW = 4  # a course of so many is entered whole: nothing has to be looked at anew as it ages
@@ -18,7 +19,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingMessage:
     """One message, from its arrival until it has ended and nothing is out for it."""
 
     msg: Message
@@ -28,15 +29,15 @@
     worth: float
     ready: float  # no try before
     tries: int = 0
-    out: Door | None = None
+    out: EndpointState | None = None
     out_since: float = 0.0
     first_risk: float | None = None  # send of the first attempt that may have run
     risk: Endpoint | None = None
     withdrawn: bool = False
     late: bool = False  # it was held back since its connection had come late, and goes on the next
     refusable: bool = True  # it may make room: a refusal would be true, and it was not left untried
-    bound: Bound | None = None
-    course: Course | None = None  # where it waits
+    bound: RetryAffinity | None = None
+    course: PriorityBucket | None = None  # where it waits
     ripe_at: float = NEVER  # until when it waits there unready
 
     @property
@@ -48,32 +49,34 @@
         return self.worth * kept(self.cls, decay, at - self.since) if at < self.due else 0.0
 
 
-Bound = tuple[bool, int]  # the only endpoints it may still go to: (True, a zone) or (False, an endpoint's id)
+RetryAffinity = tuple[
+    bool, int
+]  # the only endpoints it may still go to: (True, a zone) or (False, an endpoint's id)
 
 
 def kept(cls: MessageClass, decay: Decay, age: float) -> float:
     """Share of its worth that a message of this age still has, until it is due."""
-    late = age - cls.aim_ms
+    late = age - cls.latency_objective_ms
     if late <= 0:
         return 1.0
     if decay is Decay.HALVES:
-        return max(cls.late_share, float(0.5 ** (late / cls.aim_ms)))
-    return 1 - (1 - cls.late_share) * late / max(cls.deadline_ms - cls.aim_ms, 1e-9)
+        return max(cls.late_share, float(0.5 ** (late / cls.latency_objective_ms)))
+    return 1 - (1 - cls.late_share) * late / max(cls.deadline_ms - cls.latency_objective_ms, 1e-9)
 
 
 @dataclass(slots=True)
-class Door:
+class EndpointState:
     """One endpoint as this relay sees it."""
 
     entry: Endpoint
-    lane: Lane
+    lane: DestinationState
     out: int = 0
     faults: dict[int, float] = field(default_factory=dict)  # class -> latest failure, if none answered since
     warm: list[float] = field(default_factory=list)  # when each idle connection was last used
 
 
 @dataclass(slots=True, eq=False)
-class Lane:
+class DestinationState:
     """One destination (or route apart): pace, health, latency."""
 
     mean: float
@@ -82,8 +85,8 @@
     pace: float
     credit: float
     credit_at: float
-    doors: dict[int, Door] = field(default_factory=dict)
-    out: dict[int, Held] = field(default_factory=dict)  # in the order in which they were sent
+    doors: dict[int, EndpointState] = field(default_factory=dict)
+    out: dict[int, PendingMessage] = field(default_factory=dict)  # in the order in which they were sent
     answers: int = 0
     last_ok: float = NEVER
     stretch: float = 1.0  # of the time-out
@@ -100,14 +103,14 @@
     knowers: float = 1.0  # relays that may know of the latest outage
     next_trickle: float = 0.0
     listed: bool = True  # `total` is what the list says; else the highest pace that nobody refused
-    share: Share | None = None  # of an agreed rate, where instances keep it together
+    share: TimeSlotShare | None = None  # of an agreed rate, where instances keep it together
 
 
-Waiting = tuple[float, int, Held]  # since, id: in this order
-CourseKey = tuple[int, float, float, bool, bool, Bound | None]
+Waiting = tuple[float, int, PendingMessage]  # since, id: in this order
+CourseKey = tuple[int, float, float, bool, bool, RetryAffinity | None]
 
 
-class Course:
+class PriorityBucket:
     """Messages of one destination whose worth is the same function of their age, oldest first."""
 
     __slots__ = (
@@ -124,24 +127,24 @@
         "worth",
     )
 
-    def __init__(self, queue: Queue, held: Held, key: CourseKey) -> None:
+    def __init__(self, queue: DestinationQueue, held: PendingMessage, key: CourseKey) -> None:
         self.queue, self.key, self.cls, self.class_ = queue, key, held.cls, held.msg.class_
         _, self.worth, self.life, self.refusable, self.hurried, self.bound = key
         self.ready: list[Waiting] = []
         self.parked: list[Waiting] = []  # not before a pause is over, or another of its key has ended
 
-    def oldest(self) -> list[Held]:
+    def oldest(self) -> list[PendingMessage]:
         """Of the ready and of the others: nothing else here is worth less, now or later."""
         return [place[0][2] for place in (self.ready, self.parked) if place]
 
 
 @dataclass(slots=True, eq=False)
-class Queue:
+class DestinationQueue:
     """What waits for one destination."""
 
     dest: int
-    courses: dict[CourseKey, Course] = field(default_factory=dict)
-    fresh: list[Held] = field(default_factory=list)  # came since the latest look, and may go
+    courses: dict[CourseKey, PriorityBucket] = field(default_factory=dict)
+    fresh: list[PendingMessage] = field(default_factory=list)  # came since the latest look, and may go
     length: int = 0
     look_at: float = NEVER  # when its next look is set for
     seen: float = NEVER  # its latest look
@@ -152,12 +155,12 @@
         return self.length
 
 
-class Board:
+class PendingMessages:
     """The messages held: by id, those that wait by destination, and those in order by key."""
 
     def __init__(self) -> None:
-        self.held: dict[int, Held] = {}
-        self.queues: OrderedDict[int, Queue] = OrderedDict()
+        self.held: dict[int, PendingMessage] = {}
+        self.queues: OrderedDict[int, DestinationQueue] = OrderedDict()
         self.lines: dict[int, OrderedDict[int, None]] = {}
         self.key_rest: dict[int, float] = {}  # in-order key -> end of its rest
         self.resting: list[tuple[float, int]] = []  # heap over it
@@ -167,7 +170,7 @@
         self.unsure: OrderedDict[int, None] = OrderedDict()  # those whose poorest message may be another now
         self.noted: dict[int, None] = {}  # destinations of which there may be something to remember
 
-    def add(self, held: Held) -> None:
+    def add(self, held: PendingMessage) -> None:
         self.held[held.msg.id] = held
         if held.key:
             line = self.lines.setdefault(held.key, OrderedDict())
@@ -175,7 +178,7 @@
             if len(line) == 2:
                 self._refile(line)  # its first is followed from now on
 
-    def remove(self, held: Held) -> None:
+    def remove(self, held: PendingMessage) -> None:
         del self.held[held.msg.id]
         self.unqueue(held)
         if not held.key:
@@ -191,10 +194,10 @@
         if len(line) == 1:
             self._refile(line)
 
-    def followed(self, held: Held) -> bool:
+    def followed(self, held: PendingMessage) -> bool:
         return bool(held.key) and len(self.lines[held.key]) > 1
 
-    def turn(self, held: Held) -> float:
+    def turn(self, held: PendingMessage) -> float:
         """When a message may go by the order of its key: the first of its key after the key's rest."""
         if held.key and next(iter(self.lines[held.key])) != held.msg.id:
             return FOREVER
@@ -209,11 +212,11 @@
             if self.key_rest.get(old) == at:
                 del self.key_rest[old]
 
-    def queue(self, held: Held, now: float) -> None:
+    def queue(self, held: PendingMessage, now: float) -> None:
         dest = held.msg.destination
         queue = self.queues.get(dest)
         if queue is None:
-            queue = self.queues[dest] = Queue(dest)
+            queue = self.queues[dest] = DestinationQueue(dest)
             if len(self.queues) == 2:
                 self.look(next(iter(self.queues)))  # it has company now, which narrows its part of the slots
         queue.length += 1
@@ -230,19 +233,19 @@
         # What was found there stands: the newcomer is added, unless others stand for all of the course.
         self.due[dest] = self.due.get(dest, False) or len(course.ready) > FULL_VIEW
 
-    def _course(self, queue: Queue, held: Held) -> Course:
+    def _course(self, queue: DestinationQueue, held: PendingMessage) -> PriorityBucket:
         """Guards looks against many different times to live: beyond some they are taken in steps."""
-        hurried = held.due < held.since + held.cls.aim_ms or self.followed(held)
+        hurried = held.due < held.since + held.cls.latency_objective_ms or self.followed(held)
         life = float(round(held.due - held.since))
         if life != held.cls.deadline_ms and len(queue.courses) >= COURSES:
             step = held.cls.deadline_ms / STEPS
             life = max(1.0, min(STEPS, life // step)) * step
         key = (held.msg.class_, held.worth, life, held.refusable, hurried, held.bound)
         if key not in queue.courses:
-            queue.courses[key] = Course(queue, held, key)
+            queue.courses[key] = PriorityBucket(queue, held, key)
         return queue.courses[key]
 
-    def unqueue(self, held: Held) -> None:
+    def unqueue(self, held: PendingMessage) -> None:
         course = held.course
         if course is None:
             return
@@ -270,7 +273,7 @@
             self.unqueue(first)
             self.queue(first, NEVER if parked else FOREVER)
 
-    def _ripen(self, held: Held, at: float) -> None:
+    def _ripen(self, held: PendingMessage, at: float) -> None:
         held.ripe_at = at
         if at < FOREVER:
             heapq.heappush(self.ripe, (at, held.msg.id))
@@ -298,7 +301,7 @@
         if dest in self.queues:
             self.due[dest], self.unsure[dest] = True, None
 
-    def look_later(self, queue: Queue, at: float) -> None:
+    def look_later(self, queue: DestinationQueue, at: float) -> None:
         queue.look_at = at
         if at < FOREVER:
             heapq.heappush(self.looks, (at, queue.dest))
--- a/linnetstile/decisions/index.py
+++ b/message_relay/decisions/priority_index.py
@@ -10,8 +10,16 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from .interface import FOREVER, Decay, MessageClass, Settings
-from .state import FULL_VIEW, STEPS, Course, Held, Lane, Queue, kept
+from .model import FOREVER, Decay, MessageClass, Settings
+from .pending import (
+    FULL_VIEW,
+    STEPS,
+    DestinationQueue,
+    DestinationState,
+    PendingMessage,
+    PriorityBucket,
+    kept,
+)
 
 AHEAD_MS = 1000.0  # what waiting would cost is reckoned over so long
 BANDS, MOST_BANDS = 16, 256  # of age: in the time of an aim, and in a whole life
@@ -20,11 +28,13 @@
 
 
 Key = tuple[int, float, float, int]  # class, worth, time to live or minus a step of it, band of age
-Entry = tuple[float, int, Held, Lane, Queue, int]  # cost, a number, ..., stamp of the queue's look
+Entry = tuple[
+    float, int, PendingMessage, DestinationState, DestinationQueue, int
+]  # cost, a number, ..., stamp of the queue's look
 
 
 @dataclass(slots=True, eq=False)
-class Cell:
+class IndexBucket:
     key: Key
     entries: list[Entry] = field(default_factory=list)  # heap: least cost first
     bound: float = 0.0  # at a cost of 1, until the bounds are renewed
@@ -36,20 +46,20 @@
     from `low` to `high` and any time to live from `least` to `most`."""
     best = 0.0
     if low + AHEAD_MS < most:  # rises until the aim, falls after it
-        at = min(max(low, cls.aim_ms), high)
+        at = min(max(low, cls.latency_objective_ms), high)
         best = 2 * kept(cls, decay, at) - kept(cls, decay, at + AHEAD_MS)
     if high + AHEAD_MS >= least and low < most:  # nothing would be left a second later: all of it is to win
         best = max(best, 2 * kept(cls, decay, max(low, least - AHEAD_MS)))
     return best
 
 
-def edges(course: Course, lane: Lane, now: float) -> tuple[list[Held], float]:
+def edges(course: PriorityBucket, lane: DestinationState, now: float) -> tuple[list[PendingMessage], float]:
     """The only messages of a course that can be its best, and when others may be; all of them, if few."""
     ready, at = course.ready, now + lane.mean
     if len(ready) <= FULL_VIEW:
         return [each[2] for each in ready], FOREVER
     brink = course.life - AHEAD_MS
-    young = min(course.cls.aim_ms, brink)
+    young = min(course.cls.latency_objective_ms, brink)
     rising = bisect_right(ready, (at - young, FOREVER))
     last = bisect_right(ready, (at - brink, FOREVER), 0, rising)  # those before it are on the brink
     spent = bisect_right(ready, (at - course.life, FOREVER), 0, last)
@@ -69,19 +79,26 @@
     return found, change - lane.mean
 
 
-class Index:
+class PriorityIndex:
     def __init__(self, settings: Settings) -> None:
         self.classes, self.decay = settings.classes, settings.decay
-        self.width = [max(cls.aim_ms / BANDS, cls.deadline_ms / MOST_BANDS) for cls in settings.classes]
+        self.width = [
+            max(cls.latency_objective_ms / BANDS, cls.deadline_ms / MOST_BANDS) for cls in settings.classes
+        ]
         self.step = [cls.deadline_ms / STEPS for cls in settings.classes]  # of other times to live
-        self.cells: dict[Key, Cell] = {}
-        self.tops: list[tuple[float, int, Cell]] = []  # heap: minus a bound
+        self.cells: dict[Key, IndexBucket] = {}
+        self.tops: list[tuple[float, int, IndexBucket]] = []  # heap: minus a bound
         self.numbers = count()
         self.good_until = 0.0  # the bounds
         self.steps = 0  # messages and cells looked at so far
 
     def enter(
-        self, now: float, course: Course, lane: Lane, cost: float, newcomer: Held | None = None
+        self,
+        now: float,
+        course: PriorityBucket,
+        lane: DestinationState,
+        cost: float,
+        newcomer: PendingMessage | None = None,
     ) -> float:
         """Takes up what may be sent on this lane, or only the newcomer; when to look at it anew."""
         if now >= self.good_until:
@@ -95,14 +112,14 @@
             key = class_, course.worth, life, int((held.since - lane.mean) // width)
             cell = cells.get(key)
             if cell is None:
-                cell = cells[key] = Cell(key)
+                cell = cells[key] = IndexBucket(key)
                 cell.bound = self._bound(key, now)
             heapq.heappush(cell.entries, (cost, next(self.numbers), held, lane, queue, stamp))
             if cell.bound / cost > cell.top:
                 self._rank(cell)
         return change
 
-    def _rank(self, cell: Cell) -> None:
+    def _rank(self, cell: IndexBucket) -> None:
         cell.top = cell.bound / cell.entries[0][0]
         heapq.heappush(self.tops, (-cell.top, next(self.numbers), cell))
 
@@ -127,14 +144,14 @@
                 del self.cells[cell.key]
 
     @staticmethod
-    def _clean(cell: Cell) -> bool:
+    def _clean(cell: IndexBucket) -> bool:
         """Whether it holds something that still stands; entries of earlier looks are dropped."""
         entries = cell.entries
         while entries and (entries[0][5] != entries[0][4].stamp or entries[0][2].course is None):
             heapq.heappop(entries)
         return bool(entries)
 
-    def worth(self, now: float, held: Held, lane: Lane) -> float:
+    def worth(self, now: float, held: PendingMessage, lane: DestinationState) -> float:
         """Exactly, at a cost of 1."""
         at = now + lane.mean
         return 2 * held.worth_at(at, self.decay) - held.worth_at(at + AHEAD_MS, self.decay)
@@ -146,7 +163,7 @@
             self._renew(now)
         best: Entry | None = None
         most = -1.0
-        others: list[tuple[Cell, Entry]] = []
+        others: list[tuple[IndexBucket, Entry]] = []
         while len(others) < EXACT and (cell := self._top(most)) is not None:
             entry = heapq.heappop(cell.entries)
             self.steps += 1
@@ -164,7 +181,7 @@
                     self._rank(cell)
         return best
 
-    def _top(self, most: float) -> Cell | None:
+    def _top(self, most: float) -> IndexBucket | None:
         """The cell with the highest bound, if that lies above the best so far."""
         while self.tops and -self.tops[0][0] > most:
             top, _, cell = heapq.heappop(self.tops)
--- a/linnetstile/decisions/paces.py
+++ b/message_relay/decisions/rate_control.py
@@ -4,8 +4,9 @@
 
 import random
 
-from .interface import FOREVER, AttemptEnded, Outcome, Rates, Settings
-from .state import Door, Held, Lane
+from .events import AttemptCompleted
+from .model import FOREVER, Outcome, Rates, Settings
+from .pending import DestinationState, EndpointState, PendingMessage
 
 FADE_MS = 10000.0  # older evidence counts no more: an answer or a failure of so long ago
 HOLD_MS, HOLD_MAX_MS = 4000.0, 16000.0  # a refusal paces for so long: a clump's time; doubles while refused
@@ -38,18 +39,18 @@
     return mean + gain * (took - mean), dev + gain * (abs(took - mean) - dev)
 
 
-def doubt(door: Door, now: float, class_: int) -> float:
+def doubt(door: EndpointState, now: float, class_: int) -> float:
     """Guards against an endpoint that fails, or fails one class: others go first until that fades."""
     recent = [c for c, at in door.faults.items() if now - at < FADE_MS]
     return 8.0 * (class_ in recent) + 2.0 * len(recent)
 
 
-def overdue_ms(lane: Lane) -> float:
+def overdue_ms(lane: DestinationState) -> float:
     """After how long a call there should have been answered."""
     return max(LEAST_MS, (lane.mean + OVERDUE * lane.dev) * lane.stretch)
 
 
-def suspect(lane: Lane, now: float) -> bool:
+def suspect(lane: DestinationState, now: float) -> bool:
     """Out, or each endpoint owes an answer that is overdue, and none came since: hung, gone or slow."""
     if lane.sick or not lane.out:
         return lane.sick
@@ -65,7 +66,7 @@
     return bool(owing) and owing.issuperset(lane.doors)
 
 
-class Paces:
+class RateController:
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.s, self.rng = settings, rng
         self.usual = USUAL_MS  # latency over all destinations: what one not yet seen is taken for
@@ -75,13 +76,13 @@
         """So many relays that one of them meets few of the refusals."""
         return self.s.relays * EVEN > FEW
 
-    def knowers(self, now: float, lane: Lane) -> float:
+    def knowers(self, now: float, lane: DestinationState) -> float:
         """How many relays may have met the outage: no more than there are, nor than calls it failed."""
         since = now if lane.bad_since is None else lane.bad_since
         since = max(min(since, lane.last_ok), since - FADE_MS)  # it may have begun at the last answer
         return min(float(self.s.relays), 1 + MET * lane.total * (now - since) / 1000)
 
-    def pace(self, now: float, lane: Lane, out: bool) -> tuple[float, float]:
+    def pace(self, now: float, lane: DestinationState, out: bool) -> tuple[float, float]:
         """Calls a second and in one go: the learned pace; for a destination that is out or cold, this relay's
         part of what it can take cold, so that all relays that know of the outage stay within the budget."""
         safety, total = self.s.safety, lane.total / (ROUGH if self.s.rates is Rates.ROUGH else 1.0)
@@ -100,7 +101,7 @@
             return min(pace, cold * (1 + warmth / max(safety.cold_share, 0.01)) / lane.knowers), 1.0
         return pace, max(BURST, pace * BURST_S)
 
-    def room_at(self, now: float, lane: Lane, out: bool) -> tuple[float, float]:
+    def room_at(self, now: float, lane: DestinationState, out: bool) -> tuple[float, float]:
         """When this lane takes another call, and when it takes one that overdraws its pace."""
         pace, burst = self.pace(now, lane, out)
         lane.credit, lane.credit_at = min(burst, lane.credit + pace * (now - lane.credit_at) / 1000), now
@@ -114,12 +115,14 @@
         at = now + max(0.0, ENOUGH - lane.credit) / pace * 1000
         return at, at if burst == 1.0 else at - BURST / pace * 1000
 
-    def cold(self, now: float, lane: Lane) -> None:
+    def cold(self, now: float, lane: DestinationState) -> None:
         """It is back: from here on the cold budget holds, shared by the relays that may know of it."""
         lane.knowers = self.knowers(now, lane)
         lane.sick, lane.cold_since, lane.credit, lane.bad_since = False, now, 0.0, None
 
-    def answered(self, now: float, door: Door, held: Held, took: float, waiting: bool) -> None:
+    def answered(
+        self, now: float, door: EndpointState, held: PendingMessage, took: float, waiting: bool
+    ) -> None:
         """`waiting`: there is more for this destination."""
         lane = door.lane
         self.usual = averaged(*self.usual, took, 0.05)
@@ -144,7 +147,7 @@
                 lane.total = max(lane.total, pace * self.s.relays)
             lane.pace = min(lane.total, pace, most * lane.total / self.s.relays)
 
-    def failed(self, now: float, door: Door, held: Held, event: AttemptEnded) -> None:
+    def failed(self, now: float, door: EndpointState, held: PendingMessage, event: AttemptCompleted) -> None:
         lane, shut = door.lane, event.wait_ms > SHUT_MS
         lane.bad_since = held.out_since if lane.bad_since is None else lane.bad_since
         lane.ran_nothing = event.outcome.proves_no_effect
@@ -178,14 +181,14 @@
             gap = 1000 / self.pace(lane.wait_until, lane, True)[0]
             lane.next_trickle = lane.wait_until + gap * self.rng.random()
 
-    def reported(self, lane: Lane, left: float, limit: float) -> None:
+    def reported(self, lane: DestinationState, left: float, limit: float) -> None:
         if limit > 0:
             part, lane.pace, lane.total = limit / self.s.relays, lane.pace * limit / lane.total, limit
             change = 1 + GROWTH * (4 * left - 2)
             if change < 1 or lane.credit < 1:
                 lane.pace = min(limit, max(lane.pace * change, part / 3))
 
-    def paced_until(self, now: float, lane: Lane) -> float:
+    def paced_until(self, now: float, lane: DestinationState) -> float:
         """Until when its pace does not rise without an event."""
         if now < lane.cold_since + self.s.safety.cold_ms:
             return now + LOOK_MS
--- a/linnetstile/decisions/share.py
+++ b/message_relay/decisions/rate_slots.py
@@ -6,7 +6,7 @@
 
 import math
 
-from .interface import NEVER, Fleet, Safety
+from .model import NEVER, Fleet, Safety
 
 GUARD = 0.97  # of the agreed rate: a call may go out late in its slot, and a window may begin anywhere
 LATE_MS = 20.0  # so much later than its slot begins a call may still go out
@@ -19,7 +19,7 @@
 GOLDEN = (math.sqrt(5) - 1) / 2
 
 
-class Share:
+class TimeSlotShare:
     """One instance's slots at one partner."""
 
     def __init__(self, fleet: Fleet, rate: float, safety: Safety) -> None:
--- a/linnetstile/decisions/control.py
+++ b/message_relay/decisions/scheduler.py
@@ -8,32 +8,40 @@
 import random
 from typing import NamedTuple
 
-from .effects import bound, fits, may_refuse, until, window
-from .endings import CROWDED, LOOKS, Endings
-from .index import Index
-from .interface import (
-    FOREVER,
-    NEVER,
-    Action,
-    AttemptEnded,
-    Closing,
-    Effect,
+from .actions import Action, SetTimer, StartAttempt, WatchEndpoints
+from .endpoint_registry import EndpointRegistry
+from .events import (
+    AttemptCompleted,
     EndpointList,
     Event,
-    Fleet,
-    Learned,
     Message,
-    Outcome,
-    Send,
-    SetTimer,
-    Settings,
+    MessageCancelled,
+    RestoredDestination,
+    ShutdownScheduled,
     TimerFired,
-    WatchList,
-    Withdrawn,
 )
-from .members import Members
-from .paces import DEVIATIONS, FADE_MS, LEAST_MS, RETRY_MAX_MS, RETRY_MS, Paces, doubt, overdue_ms, suspect
-from .state import Board, Door, Held, Lane
+from .expiry import CROWDED, LOOKS, Endings
+from .idempotency import (
+    allows_endpoint,
+    can_reject_safely,
+    idempotency_window_end,
+    retry_affinity,
+    retry_deadline,
+)
+from .model import FOREVER, NEVER, Effect, Fleet, Outcome, Settings
+from .pending import DestinationState, EndpointState, PendingMessage, PendingMessages
+from .priority_index import PriorityIndex
+from .rate_control import (
+    DEVIATIONS,
+    FADE_MS,
+    LEAST_MS,
+    RETRY_MAX_MS,
+    RETRY_MS,
+    RateController,
+    doubt,
+    overdue_ms,
+    suspect,
+)
 
 LAST = 3.0  # the last try a message can have waits so many times longer: a late answer still saves it
 QUOTA_S, QUOTA_LEAST = 2.0, 4.0  # a tenant's share saved up: seconds of it, and messages at least
@@ -41,16 +49,16 @@
 TRUSTED = 0.25  # blame below which an unsafe message may be risked again
 
 
-def counted(settings: Settings) -> list[float]:
+def scheduling_weights(settings: Settings) -> list[float]:
     """By class: that of least worth is served worst, and counts more by what the goal gives for that."""
-    worths, goal = [cls.worth for cls in settings.classes], settings.goal
+    worths, goal = [cls.priority_weight for cls in settings.classes], settings.goal
     least = min(worths)
     most = min((worth for worth in worths if worth > least), default=least)
     more = sum(worths) * goal.worst_class / max(goal.whole + goal.worst_window, 0.01)  # as many of each class
     return [min(most, worth + more) if worth == least else worth for worth in worths]
 
 
-class Gate(NamedTuple):
+class SendWindow(NamedTuple):
     """From when on a lane takes calls."""
 
     room_at: float
@@ -59,18 +67,18 @@
     cost: float  # slot time for one delivery, failed calls counted
 
 
-class Relay:
+class DeliveryScheduler:
     """Decides for one relay: feed it events with `handle`, carry out the actions that it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.rng, self.board, self.index = random.Random(seed), Board(), Index(settings)
-        self.paces = Paces(settings, self.rng)
-        self.members = Members(self.paces, self.board)
+        self.rng, self.board, self.index = random.Random(seed), PendingMessages(), PriorityIndex(settings)
+        self.paces = RateController(settings, self.rng)
+        self.members = EndpointRegistry(self.paces, self.board)
         self.endings = Endings(self.members, self.index)
         self.lanes, self.doors = self.members.lanes, self.members.doors
         self.learned = self.members.learned
         self.shares = [(FOREVER, 0.0)] * len(settings.tenants)  # full from the first look at it
-        self.counted = counted(settings)
+        self.counted = scheduling_weights(settings)
         self.busy = 0
         self.timer_at = 0.0
         self.closing_at = float("inf")  # a planned restart: no call may still be out then
@@ -81,23 +89,23 @@
             match event:
                 case Message():
                     self._accept(now_ms, event)
-                case AttemptEnded():
+                case AttemptCompleted():
                     self._ended(now_ms, event)
                 case EndpointList():
                     self.members.listed(now_ms, event)
-                case Learned():
+                case RestoredDestination():
                     self.members.recall(now_ms, event)
-                case Withdrawn():
+                case MessageCancelled():
                     self._withdraw(event.id)
                 case TimerFired():
                     self.timer_at = 0.0
-                case Closing():
+                case ShutdownScheduled():
                     self.closing_at = event.at_ms
                     self.board.due.update(dict.fromkeys(self.board.queues, True))
                 case Fleet():
                     self.members.resized(event)
         if self.members.asks(now_ms):
-            acts.append(WatchList())
+            acts.append(WatchEndpoints())
         self.endings.close_late(now_ms, acts)
         self._dispatch(now_ms, acts)
         self.endings.make_room(acts, now_ms)
@@ -113,28 +121,28 @@
 
     def _next_at(self, now: float) -> float:
         """When there is something to do that no event will tell."""
-        free = self.busy < self.s.slots  # else the outcome that frees a slot comes first
+        free = self.busy < self.s.max_concurrent_attempts  # else the outcome that frees a slot comes first
         if self.endings.crowded or free and self.board.due:
             return now
         wakes = [self.members.ask_at, *(end[0] for end in self.endings.ends[:1])]
         return min(wakes + ([self.board.next_at()] if free else []))
 
-    def turned_away(self, now: float, msg: Message, holding: int) -> float | None:
+    def rejection_delay_ms(self, now: float, msg: Message, holding: int) -> float | None:
         """Asked before a message is taken on, while so many are held: in how many ms it is to come instead,
         where making room would lose more than it wins: what was taken on has waited, and is promised."""
-        if holding < int(CROWDED * self.s.hold):
+        if holding < int(CROWDED * self.s.max_pending_messages):
             return None
         new, least = self._held(now, msg, self._quota(now, msg)), self.endings.least(now)
         won = new.worth_at(self.endings.drained(now, msg.destination, 1), self.s.decay)
         return None if least is not None and won > least[0] else self.endings.advice(now, msg.destination)
 
-    def _held(self, now: float, msg: Message, left: float) -> Held:
+    def _held(self, now: float, msg: Message, left: float) -> PendingMessage:
         cls = self.s.classes[msg.class_]
         # An unmarked first try is new however little time it has left: some clients are just in a hurry.
         old = msg.again or msg.from_dead_relay or not self.s.marks_repeats
         since = now + msg.left_ms - cls.deadline_ms if old else now - (msg.age_ms or 0.0)
-        worth = self.counted[msg.class_] * (1.0 if left >= 1 else self.s.over_share_worth)
-        return Held(msg, cls, since, now + msg.left_ms, worth, now, msg.tries)
+        worth = self.counted[msg.class_] * (1.0 if left >= 1 else self.s.over_quota_weight)
+        return PendingMessage(msg, cls, since, now + msg.left_ms, worth, now, msg.tries)
 
     def _quota(self, now: float, msg: Message) -> float:
         """How many messages its tenant may still hand in within its share."""
@@ -155,19 +163,21 @@
         self.board.add(held)
         self._wait(now, held)
 
-    def _wait(self, now: float, held: Held) -> None:
+    def _wait(self, now: float, held: PendingMessage) -> None:
         """Puts a message into its queue, until a send or its last moment, whichever comes first."""
         self.endings.expect(now, held)
         left = held.msg.age_ms is not None and not held.tries  # by an earlier process: it has its try
-        held.refusable, held.bound = may_refuse(held) and not left, bound(held)
+        held.refusable, held.bound = can_reject_safely(held) and not left, retry_affinity(held)
         self.board.queue(held, now)
 
-    def _may_send(self, now: float, held: Held, door: Door) -> bool:
+    def _may_send(self, now: float, held: PendingMessage, door: EndpointState) -> bool:
         """The one gate of every send: attempts, drain, told wait, time, order, effect and key window."""
         lane, entry = door.lane, door.entry
-        free = held.out is None and entry.id in self.doors and now < until(self.s, held)
+        free = held.out is None and entry.id in self.doors and now < retry_deadline(self.s, held)
         due = max(lane.wait_until, self.board.turn(held)) <= now < held.due - lane.mean / 4
-        return free and due and now + overdue_ms(lane) <= self.closing_at and fits(held.bound, entry)
+        return (
+            free and due and now + overdue_ms(lane) <= self.closing_at and allows_endpoint(held.bound, entry)
+        )
 
     def may_write(self, now: float, ident: int) -> bool:
         """Asked right before a call's first byte: connecting took time, in which its endpoint may have
@@ -176,7 +186,7 @@
         held = self.board.held.get(ident)
         if held is None or held.out is None or held.withdrawn:
             return False
-        door, until = held.out, min(held.due, window(self.s, held), self.closing_at)
+        door, until = held.out, min(held.due, idempotency_window_end(self.s, held), self.closing_at)
         late = now - held.out_since > LATE_MS and (door.lane.sick or door.lane.cold_since > held.out_since)
         if late and not held.late:
             held.late = True
@@ -189,12 +199,12 @@
             if held.out is None:
                 self.board.remove(held)
 
-    def _ended(self, now: float, event: AttemptEnded) -> None:
+    def _ended(self, now: float, event: AttemptCompleted) -> None:
         held = self.board.held.get(event.id)
         if held is None or held.out is None:
             return
         door, held.out = held.out, None
-        held.tries -= event.held_back
+        held.tries -= event.withheld
         self.busy -= 1
         door.out -= 1
         door.lane.out.pop(event.id, None)
@@ -218,10 +228,10 @@
         else:
             self._wait(now, held)
 
-    def _door(self, now: float, held: Held, lane: Lane) -> Door | None:
+    def _door(self, now: float, held: PendingMessage, lane: DestinationState) -> EndpointState | None:
         """The endpoint to use: not doubted, little busy, with a warm connection, cheap."""
 
-        def rank(door: Door) -> tuple[float, float, int]:
+        def rank(door: EndpointState) -> tuple[float, float, int]:
             zone = door.entry.zone
             fee = self.s.route_fees[zone] if zone < len(self.s.route_fees) else 0.0
             fee += self.s.cross_zone_price * (zone != self.s.zone)
@@ -234,11 +244,11 @@
 
     def _dispatch(self, now: float, acts: list[Action]) -> None:
         """Sends what has most worth per slot time while there are slots; reads only queues that are due."""
-        if self.busy >= self.s.slots:
+        if self.busy >= self.s.max_concurrent_attempts:
             return
         self.board.wake(now)
         looks = 0
-        while self.busy < self.s.slots:
+        while self.busy < self.s.max_concurrent_attempts:
             while self.board.due and looks < LOOKS:
                 self._look(now, *self.board.due.popitem(last=False))
                 looks += 1
@@ -251,21 +261,21 @@
             elif (door := self._door(now, held, lane)) is not None:
                 self._send(now, held, door, acts)
 
-    def _still(self, now: float, held: Held, lane: Lane) -> bool:
+    def _still(self, now: float, held: PendingMessage, lane: DestinationState) -> bool:
         """Whether it may go now: since the look at its queue its calls may have become overdue."""
         gate = self._gate(now, lane)
         return gate is not None and self._opens(gate, lane, held) <= now
 
     @staticmethod
-    def _opens(gate: Gate, lane: Lane, held: Held) -> float:
+    def _opens(gate: SendWindow, lane: DestinationState, held: PendingMessage) -> float:
         hurried = held.course is not None and held.course.hurried
         at = max(lane.wait_until, gate.overdraw_at if hurried else gate.room_at)
         return max(at, gate.unsafe_at) if held.cls.effect is Effect.UNSAFE else at
 
-    def _gate(self, now: float, lane: Lane) -> Gate | None:
+    def _gate(self, now: float, lane: DestinationState) -> SendWindow | None:
         """What this lane takes, and from when on; nothing until its next outcome or company."""
         out = suspect(lane, now)
-        cap = max(1, self.s.slots // (4 if out else 2))
+        cap = max(1, self.s.max_concurrent_attempts // (4 if out else 2))
         if not lane.doors or len(lane.out) >= cap and (out or len(self.board.queues) > 1):
             return None
         if now + overdue_ms(lane) > self.closing_at:
@@ -274,7 +284,7 @@
         cost = lane.mean + lane.blame * (lane.mean + DEVIATIONS * lane.dev) / (1 - lane.blame)
         barred = (out or lane.blame > TRUSTED) and not lane.ran_nothing
         unsafe_at = lane.failed_at + FADE_MS if barred else NEVER  # an unclear outcome would be final
-        return Gate(*self.paces.room_at(now, lane, out), unsafe_at, cost)
+        return SendWindow(*self.paces.room_at(now, lane, out), unsafe_at, cost)
 
     def _look(self, now: float, dest: int, whole: bool) -> None:
         """Enters what a queue could send now, or what is new of it, and sets when to look at it again."""
@@ -291,12 +301,12 @@
             if gate is None:
                 continue
             for course in courses.values():
-                here = (fits(course.bound, door.entry) for door in lane.doors.values())
+                here = (allows_endpoint(course.bound, door.entry) for door in lane.doors.values())
                 if not course.ready or not any(here):
                     continue
                 at = self._opens(gate, lane, course.ready[0][2])
                 if at <= now:
-                    new: list[Held | None] = [held for held in fresh if held.course is course]
+                    new: list[PendingMessage | None] = [held for held in fresh if held.course is course]
                     for held in [None] if whole else new:
                         at = self.index.enter(now, course, lane, gate.cost, held)
                 elif at > lane.wait_until:  # by a pace, which may change with time
@@ -306,10 +316,10 @@
         if whole or again < queue.look_at or queue.look_at <= now:
             self.board.look_later(queue, again)
 
-    def _send(self, now: float, held: Held, door: Door, acts: list[Action]) -> None:
+    def _send(self, now: float, held: PendingMessage, door: EndpointState, acts: list[Action]) -> None:
         lane, until = door.lane, held.due
         patience = max(2 * LEAST_MS, (lane.mean + DEVIATIONS * lane.dev) * lane.stretch)
-        last = held.tries + 1 >= self.s.attempts or held.cls.effect is Effect.UNSAFE
+        last = held.tries + 1 >= self.s.max_attempts or held.cls.effect is Effect.UNSAFE
         if held.cls.effect is Effect.KEYED:
             risk = held.first_risk if held.first_risk is not None else now
             last = last or now + patience + RETRY_MS * 2**held.tries > risk + held.cls.key_window_ms
@@ -329,4 +339,4 @@
         if lane.share is not None:
             lane.share.sent()
         self.busy += 1
-        acts.append(Send(held.msg.id, door.entry.id, until))
+        acts.append(StartAttempt(held.msg.id, door.entry.id, until))
--- a/linnetstile/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from . import interface as api
+from .model import Decay, DestinationKind, Effect, Goal, MessageClass, Rates, Safety, Scope, Settings, Tenant
 
 
 class SettingsError(ValueError):
@@ -115,15 +115,15 @@
 
 
 EFFECTS = {
-    _Effect.REPEATABLE: api.Effect.SAFE,
-    _Effect.BY_KEY: api.Effect.KEYED,
-    _Effect.ONCE: api.Effect.UNSAFE,
+    _Effect.REPEATABLE: Effect.SAFE,
+    _Effect.BY_KEY: Effect.KEYED,
+    _Effect.ONCE: Effect.UNSAFE,
 }
-SCOPES = {_Scope.ALL: api.Scope.ALL, _Scope.ZONE: api.Scope.ZONE, _Scope.CELL: api.Scope.ENDPOINT}
-RATES = {"nominal": api.Rates.NOMINAL, "rough": api.Rates.ROUGH}
+SCOPES = {_Scope.ALL: Scope.ALL, _Scope.ZONE: Scope.ZONE, _Scope.CELL: Scope.ENDPOINT}
+RATES = {"nominal": Rates.NOMINAL, "rough": Rates.ROUGH}
 
 
-def settings_from(text: bytes | str) -> api.Settings:
+def settings_from(text: bytes | str) -> Settings:
     """Translates the settings text. Raises SettingsError, which names the field."""
     try:
         raw: _Settings = msgspec.json.decode(text, type=_Settings, strict=False)
@@ -132,25 +132,25 @@
         raise SettingsError(f"settings: {error}") from error
 
 
-def _translated(raw: _Settings) -> api.Settings:
+def _translated(raw: _Settings) -> Settings:
     extra, limits, fields = raw.extra, raw.limits, raw.feedback.fields
     named = {"classes": [each.name for each in raw.classes], "orgs": [org.name for org in raw.orgs]}
     for field, names in named.items():
         if len(set(names)) < len(names):
             raise ValueError(f"{field}: each name must be there once")
-    return api.Settings(
+    return Settings(
         classes=tuple(_class(item) for item in raw.classes),
         kinds=tuple(_kind(name, n, extra) for n, name in enumerate(raw.kinds)),
-        slots=extra.call_slots,
-        hold=limits.open_cap,
-        attempts=limits.try_limit,
+        max_concurrent_attempts=extra.call_slots,
+        max_pending_messages=limits.open_cap,
+        max_attempts=limits.try_limit,
         relays=raw.balancers,
         zone=raw.az,
-        tenants=tuple(api.Tenant(org.name, org.quota_per_s) for org in raw.orgs),
-        over_share_worth=raw.over_share_worth,
-        decay=api.Decay.HALVES if extra.loses_worth == "halves" else api.Decay.LINE,
-        rates=RATES.get(raw.weight_kind, api.Rates.NONE),
-        ask_for_list=raw.registry_mode == "ask",
+        tenants=tuple(Tenant(org.name, org.quota_per_s) for org in raw.orgs),
+        over_quota_weight=raw.over_share_worth,
+        decay=Decay.HALVES if extra.loses_worth == "halves" else Decay.LINE,
+        rates=RATES.get(raw.weight_kind, Rates.NONE),
+        polls_discovery=raw.registry_mode == "ask",
         probing=limits.probing,
         cancelling=limits.cancelling,
         streams_per_connection=limits.streams_per_conn,
@@ -164,17 +164,17 @@
         report_fields=tuple(fields),
         limit_report=(fields.index("x0"), fields.index("x1")) if {"x0", "x1"} <= set(fields) else None,
         safety=_safety(raw.safety),
-        goal=api.Goal(raw.goal.whole, raw.goal.worst_window, raw.goal.worst_class, raw.goal.worst_tenant),
+        goal=Goal(raw.goal.whole, raw.goal.worst_window, raw.goal.worst_class, raw.goal.worst_tenant),
     )
 
 
-def _class(raw: _Class) -> api.MessageClass:
-    return api.MessageClass(
+def _class(raw: _Class) -> MessageClass:
+    return MessageClass(
         name=raw.name,
         effect=EFFECTS[raw.effect],
-        aim_ms=raw.aim_ms,
+        latency_objective_ms=raw.aim_ms,
         deadline_ms=raw.deadline_ms,
-        worth=raw.worth,
+        priority_weight=raw.worth,
         late_share=raw.late_share,
         key_window_ms=raw.window_ms,
         key_scope=SCOPES[raw.dedup_scope],
@@ -182,15 +182,15 @@
     )
 
 
-def _kind(name: str, number: int, extra: _Extra) -> api.DestinationKind:
+def _kind(name: str, number: int, extra: _Extra) -> DestinationKind:
     batches, apart = extra.per_call, extra.separate_routes
-    return api.DestinationKind(
+    return DestinationKind(
         name, batches[number] if number < len(batches) else 1, apart[number] if number < len(apart) else False
     )
 
 
-def _safety(raw: _Safety) -> api.Safety:
-    return api.Safety(
+def _safety(raw: _Safety) -> Safety:
+    return Safety(
         answer_slack_ms=raw.answer_slack_ms,
         drain_grace_ms=raw.drain_grace_ms,
         cold_share=raw.cold_from,
--- a/linnetstile/membership/rule.py
+++ b/message_relay/endpoint_discovery/merge_policy.py
@@ -15,10 +15,10 @@
 from collections.abc import Iterable
 from enum import IntEnum
 
-from ..decisions.interface import Listing
+from ..decisions.model import Listing
 
 
-class Word(IntEnum):
+class EndpointStatus(IntEnum):
     """The graver, the higher."""
 
     UNKNOWN = 0
@@ -27,12 +27,16 @@
     GONE = 3
 
 
-WORDS = {Listing.READY: Word.READY, Listing.DRAINING: Word.DRAINING, Listing.GONE: Word.GONE}
+WORDS = {
+    Listing.READY: EndpointStatus.READY,
+    Listing.DRAINING: EndpointStatus.DRAINING,
+    Listing.GONE: EndpointStatus.GONE,
+}
 LISTINGS = {word: listing for listing, word in WORDS.items()}
 
 
-def together(words: Iterable[Word]) -> Word:
-    return max(words, default=Word.UNKNOWN)
+def most_severe(words: Iterable[EndpointStatus]) -> EndpointStatus:
+    return max(words, default=EndpointStatus.UNKNOWN)
 
 
 LEFT = 0.5  # a list with less than this part of what it had is a sudden shrink
@@ -41,7 +45,7 @@
 TOLD = 3  # or one that was told so often in a row
 
 
-class Shrink:
+class ShrinkGuard:
     """Whether a whole list that has suddenly shrunk is believed: a cut answer, or an empty one, is not "all
     gone". Until then its missing endpoints are as they were; what it says outright always counts."""
 
--- a/linnetstile/membership/asking.py
+++ b/message_relay/endpoint_discovery/poll_schedule.py
@@ -14,7 +14,7 @@
 
 import random
 
-from ..core.growing import MOST, Growing
+from ..core.backoff import MOST, ExponentialBackoff
 
 KNOWN_MS = 6000.0  # what discovery has counts as told so long after it could be asked for it
 ANSWER_MS = 500.0  # an answer that waits for nothing takes no longer, on the way and in this process
@@ -31,7 +31,7 @@
 SPREAD = 40  # relays at most for which pauses grow: a larger fleet has to be answered within these too
 
 
-class Asking:
+class PollSchedule:
     """One relay's calls for the list. All times in ms."""
 
     def __init__(self, relays: int, rng: random.Random, shared: bool = True) -> None:
@@ -48,7 +48,7 @@
             first, most = max(LEAST_FIRST_MS, FIRST_MS * spread), max(LEAST_MOST_MS, MOST_MS * spread)
             # A call given up, the pause and the next answer fit into the bound.
             most = min(most, (KNOWN_MS - self.answer_ms - ANSWER_MS) / MOST)
-        self.pauses = Growing(first, most, rng)
+        self.pauses = ExponentialBackoff(first, most, rng)
 
     def first(self) -> float:
         """The pause before a process's first call."""
@@ -74,7 +74,7 @@
         self.reached = True
         self.pauses.reset()
 
-    def anew(self) -> None:
+    def restart(self) -> None:
         """Another register or agent: what the earlier one did says nothing of it."""
         self.reached = False
         self.pauses.reset()
--- a/linnetstile/membership/merge.py
+++ b/message_relay/endpoint_discovery/source_merge.py
@@ -12,15 +12,15 @@
 from dataclasses import dataclass, field, replace
 
 from ..config import Address
-from ..core.seams import Member, Update
-from ..decisions.interface import Listing
-from .rule import LISTINGS, WORDS, Shrink, Word, together
+from ..core.ports import EndpointRecord, EndpointUpdate
+from ..decisions.model import Listing
+from .merge_policy import LISTINGS, WORDS, EndpointStatus, ShrinkGuard, most_severe
 
 Identity = tuple[int, Address]
 KEPT = 10_000  # endpoints that are gone and still remembered by a source: past any that come back
 
 
-def identity(member: Member) -> Identity:
+def identity(member: EndpointRecord) -> Identity:
     return member.destination, member.address
 
 
@@ -30,43 +30,45 @@
 
     name: str
     doubted: bool = False  # a sudden shrink of its list is not believed at once
-    members: dict[Identity, Member] = field(default_factory=dict)  # with its latest word, gone ones too
+    members: dict[Identity, EndpointRecord] = field(
+        default_factory=dict
+    )  # with its latest word, gone ones too
     by_name: dict[str, Identity] = field(default_factory=dict)
     gone: dict[Identity, None] = field(default_factory=dict)  # of the members, the latest word last
-    shrink: Shrink = field(default_factory=Shrink)
+    shrink: ShrinkGuard = field(default_factory=ShrinkGuard)
 
-    def word(self, at: Identity) -> Word:
+    def word(self, at: Identity) -> EndpointStatus:
         member = self.members.get(at)
-        return Word.UNKNOWN if member is None else WORDS[member.listing]
+        return EndpointStatus.UNKNOWN if member is None else WORDS[member.listing]
 
-    def take(self, update: Update, now: float) -> set[Identity]:
+    def take(self, update: EndpointUpdate, now: float) -> set[Identity]:
         """Of which endpoints its word may have changed."""
         touched: set[Identity] = set()
-        if update.whole:
-            listed = {identity(member) for member in update.members}
+        if update.is_full:
+            listed = {identity(member) for member in update.endpoints}
             had = {at for at, member in self.members.items() if member.listing is not Listing.GONE}
             missing = had - listed
             if not self.doubted or self.shrink.believed(now, len(had), len(had & listed)):
                 for at in missing:
                     touched |= self._says(replace(self.members[at], listing=Listing.GONE))
-        for member in update.members:
+        for member in update.endpoints:
             touched |= self._moved(member)
             touched |= self._says(member)
-        for name, listing in update.lives:
+        for name, listing in update.status_changes:
             at_name = self.by_name.get(name)
             if at_name is not None:
                 touched |= self._says(replace(self.members[at_name], listing=listing))
         self._forget()
         return touched
 
-    def _moved(self, member: Member) -> set[Identity]:
+    def _moved(self, member: EndpointRecord) -> set[Identity]:
         """The same name at another address: what was at the old one is gone."""
         before = self.by_name.get(member.name)
         if before is None or before == identity(member) or before not in self.members:
             return set()
         return self._says(replace(self.members[before], listing=Listing.GONE))
 
-    def _says(self, member: Member) -> set[Identity]:
+    def _says(self, member: EndpointRecord) -> set[Identity]:
         at = identity(member)
         self.members[at] = member
         self.gone.pop(at, None)
@@ -84,17 +86,17 @@
                 del self.by_name[member.name]
 
 
-class Merge:
+class SourceMerge:
     def __init__(self, sources: Iterable[str], doubted: Iterable[str] = ()) -> None:
         """`sources` by name, the first one's word on rate, kind and zone first."""
         doubts = set(doubted)
         self.sources = {name: Source(name, name in doubts) for name in sources}
         self.names: dict[Identity, str] = {}  # under which the directory knows each that stands
         self.taken: Counter[str] = Counter()  # those names, and by how many: none is there with 0
-        self.told: dict[Identity, Member] = {}  # as it was last passed on
+        self.told: dict[Identity, EndpointRecord] = {}  # as it was last passed on
         self.began = False
 
-    def take(self, update: Update, now: float) -> Update | None:
+    def merge(self, update: EndpointUpdate, now: float) -> EndpointUpdate | None:
         """What the directory has to hear now; None: nothing has changed. `now` in s. KeyError for a source
         that was not named."""
         touched = self.sources[update.source].take(update, now)
@@ -111,18 +113,18 @@
         if not changed and self.began:
             return None
         whole, self.began = not self.began, True
-        return Update(whole, tuple(changed))
+        return EndpointUpdate(whole, tuple(changed))
 
-    def _together(self, at: Identity) -> Member | None:
+    def _together(self, at: Identity) -> EndpointRecord | None:
         """None: it is gone, and nobody had heard of it."""
-        word = together(source.word(at) for source in self.sources.values())
-        if word is Word.GONE and at not in self.told:
+        word = most_severe(source.word(at) for source in self.sources.values())
+        if word is EndpointStatus.GONE and at not in self.told:
             return None
         first = next(
             (
                 source.members[at]
                 for source in self.sources.values()
-                if source.word(at) in (Word.READY, Word.DRAINING)
+                if source.word(at) in (EndpointStatus.READY, EndpointStatus.DRAINING)
             ),
             None,
         )
@@ -135,7 +137,7 @@
             self.taken[self.names[at]] += 1
         return replace(first, name=self.names[at], listing=LISTINGS[word])
 
-    def _name(self, member: Member) -> str:
+    def _name(self, member: EndpointRecord) -> str:
         """Its own, unless another endpoint that stands has it: two sources may name things alike."""
         if member.name not in self.taken:
             return member.name
--- a/linnetstile/failover/decider.py
+++ b/message_relay/failover/controller.py
@@ -4,8 +4,8 @@
 Whoever leads the log decides; all voters hear the evidence. A decider that takes over begins with the plan
 in force, never anew: what was being left stays left, a ramp goes on from its step (`Judge.resume`).
 
-A plan is put as rules (accord/rules.py): a bound for what goes from zone to zone, and advice which share of
-a zone's relays may use which zone now. Kept, whatever the evidence says:
+A plan is put as rules (consensus/rules.py): a bound for what goes from zone to zone, and advice which
+share of a zone's relays may use which zone now. Kept, whatever the evidence says:
 - what may go into a zone from all others together lies within its room beside what its own relays send;
 - a zone that comes back cold gets what it can do cold;
 - `spare` of each zone's room is given to no plan: relays that are cut off go on with that, and so each
@@ -21,12 +21,12 @@
 
 import msgspec
 
-from ..accord.gate import turn
-from ..accord.rules import Flow, Rules
-from .evidence import OTHERS, Evidence, Matrix, Pair, Seen, Series, total
+from ..consensus.rule_enforcement import turn
+from ..consensus.rules import Flow, Rules
+from .observations import OTHERS, Aggregate, Matrix, Observations, Pair, Series, total
 from .planner import Group, Plan, Problem, Solver, Way, plans
-from .settings import FailoverPart
-from .verdicts import RAMP, Judge, Standing, State
+from .settings import FailoverSettings
+from .zone_health import RAMP, State, ZoneHealth, ZoneHealthJudge
 
 CHANGE = 0.2  # of a bound: less than that is no reason for a version
 HEADROOM = 0.5  # of the room that a plan leaves goes to what flows there; the rest is its own relays'
@@ -37,11 +37,13 @@
 DESTINATIONS = 5000  # judged at once: as many as a set of rules names
 UNUSED_S = 120.0  # a destination of which nothing was heard for so long is judged no more
 
-Rooms = dict[int, dict[str, float]]  # calls a second that the endpoints of a destination in a zone can take
+Capacities = dict[
+    int, dict[str, float]
+]  # calls a second that the endpoints of a destination in a zone can take
 
 
 @dataclass
-class Told:
+class PlanExplanation:
     """Why a destination has the plan that it has: for `zone plan --explain`."""
 
     how: str
@@ -51,14 +53,14 @@
 
 
 @dataclass
-class Decider:
-    part: FailoverPart
-    evidence: Evidence
+class FailoverController:
+    part: FailoverSettings
+    evidence: Observations
     solver: Solver | None
     clock: Callable[[], float]  # of the planner's budget
-    judges: dict[int, Judge] = field(default_factory=dict)
+    judges: dict[int, ZoneHealthJudge] = field(default_factory=dict)
     heard: dict[int, float] = field(default_factory=dict)
-    told: dict[int, Told] = field(default_factory=dict)
+    told: dict[int, PlanExplanation] = field(default_factory=dict)
     proposed_at: float = -math.inf
     resumed: bool = False
 
@@ -72,7 +74,7 @@
         self.heard.clear()
         self.resumed = False
 
-    def look(self, now: float, rules: Rules, rooms: Rooms) -> dict[int, Problem]:
+    def look(self, now: float, rules: Rules, rooms: Capacities) -> dict[int, Problem]:
         """Takes what is known now; what there is to plan, for `plans`."""
         self.evidence.sweep(now)
         if not self.resumed:
@@ -88,7 +90,7 @@
         self,
         now: float,
         rules: Rules,
-        rooms: Rooms,
+        rooms: Capacities,
         relays: dict[str, list[str]],
         problems: dict[int, Problem],
         found: dict[int, Plan],
@@ -114,9 +116,9 @@
                 shares = {(a, b): part for a, row in flow.share.items() for b, part in row.items()}
                 self._judge_of(int(name), now).resume(now, shares)
 
-    def _judge_of(self, destination: int, now: float) -> Judge:
+    def _judge_of(self, destination: int, now: float) -> ZoneHealthJudge:
         self.heard[destination] = now
-        return self.judges.setdefault(destination, Judge(self.evidence, destination))
+        return self.judges.setdefault(destination, ZoneHealthJudge(self.evidence, destination))
 
     def _judge(self, now: float) -> None:
         series = self.evidence.series(now)
@@ -132,7 +134,9 @@
     def _returning(self, now: float, series: dict[int, Series]) -> Matrix:
         """Of pairs that most of the destinations which use them have lost of late: what was seen of those,
         lost ones not counted, in the latest windows."""
-        found: dict[Pair, list[Seen]] = {pair: [] for pair in self._together(lambda standing: standing.back)}
+        found: dict[Pair, list[Aggregate]] = {
+            pair: [] for pair in self._together(lambda standing: standing.back)
+        }
         for destination, judge in self.judges.items():
             for pair, standing in judge.pairs.items():
                 if pair in found and standing.back and standing.state is not State.LOST:
@@ -143,7 +147,7 @@
         """Pairs that most of the destinations which use them have lost: the others need not find out."""
         return self._together(lambda standing: standing.state is State.LOST)
 
-    def _together(self, lost: Callable[[Standing], bool]) -> set[Pair]:
+    def _together(self, lost: Callable[[ZoneHealth], bool]) -> set[Pair]:
         """Pairs of which that is true for most of the destinations that are judged, and enough are."""
         judged: Counter[Pair] = Counter()
         so: Counter[Pair] = Counter()
@@ -168,7 +172,7 @@
 
     # -- plans -----------------------------------------------------------------------------------------------
 
-    def problems(self, now: float, rooms: Rooms, evacuated: Iterable[str] = ()) -> dict[int, Problem]:
+    def problems(self, now: float, rooms: Capacities, evacuated: Iterable[str] = ()) -> dict[int, Problem]:
         """Of the destinations that can't have everything at home."""
         demand, together = self.evidence.demand(now), self.lost_together()
         price = {(a, b): self.part.price(a, b) for a in self.zones for b in self.zones}
@@ -199,7 +203,7 @@
             )
         return found
 
-    def _short(self, sources: dict[tuple[str, str], float], rooms: Rooms, destination: int) -> bool:
+    def _short(self, sources: dict[tuple[str, str], float], rooms: Capacities, destination: int) -> bool:
         """Whether some zone's own relays ask for more than it has."""
         asked: dict[str, float] = {}
         for (zone, _), rate in sources.items():
@@ -207,7 +211,7 @@
         room = rooms.get(destination, {})
         return any(rate > room.get(zone, math.inf) for zone, rate in asked.items())
 
-    def _room(self, judge: Judge | None, zone: str, room: float) -> float:
+    def _room(self, judge: ZoneHealthJudge | None, zone: str, room: float) -> float:
         """Without what is spared; of a zone whose partners were down, what they can do cold."""
         room *= 1.0 - self.part.spare
         if judge is None or not judge.down(zone):
@@ -235,7 +239,7 @@
         destination: int,
         plan: Plan | None,
         problems: dict[int, Problem],
-        rooms: Rooms,
+        rooms: Capacities,
         relays: dict[str, list[str]],
     ) -> Flow | None:
         """What the rules say of it; None: nothing."""
@@ -249,7 +253,7 @@
             self.told.pop(destination, None)
             return Flow(spare=spare) if spare else None
         problem = problems[destination]
-        self.told[destination] = Told(plan.how, plan.flows, plan.shed(problem), problem.room)
+        self.told[destination] = PlanExplanation(plan.how, plan.flows, plan.shed(problem), problem.room)
         share: dict[str, dict[str, float]] = {}
         for (source, target), part in sorted(problem.part.items()):
             if part > 0:  # one of them at least, or nothing would ever be heard of it again
--- a/linnetstile/failover/node.py
+++ b/message_relay/failover/node.py
@@ -10,19 +10,19 @@
 
 import msgspec
 
-from ..accord.control import Question
-from ..accord.node import Accord
-from ..accord.rules import RulesError
-from ..core.host import Host
-from ..core.seams import Call
-from ..core.tasks import Tasks
-from ..decisions.interface import Listing, Outcome
-from ..logs import Note
-from ..peers.node import Node
-from .decider import Decider, Rooms
-from .evidence import REPORTS, Counting, Evidence, Report
+from ..consensus.admin_socket import AdminRequest
+from ..consensus.instance import ConsensusInstance
+from ..consensus.rules import RulesError
+from ..core.ports import CallContext
+from ..core.relay import Relay
+from ..core.tasks import BackgroundTasks
+from ..decisions.model import Listing, Outcome
+from ..gossip.node import GossipNode
+from ..structured_logging import LogEvent
+from .controller import Capacities, FailoverController
+from .observations import REPORTS, CallCounter, Observations, Report
 from .planner import Solver
-from .settings import FailoverPart
+from .settings import FailoverSettings
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
     try:
         from .solver import solved
     except ImportError as error:
-        log.warning(Note("plans are made without a solver: it needs the extra 'failover'", why=error))
+        log.warning(LogEvent("plans are made without a solver: it needs the extra 'failover'", why=error))
         return None
     return solved
 
@@ -43,16 +43,18 @@
 class Failover:
     """Begins with `start`."""
 
-    def __init__(self, part: FailoverPart, peers: Node, accord: Accord, host: Host) -> None:
+    def __init__(
+        self, part: FailoverSettings, peers: GossipNode, accord: ConsensusInstance, host: Relay
+    ) -> None:
         self.part, self.peers, self.accord, self.host = part, peers, accord, host
         zone = peers.swim.me.zone
-        self.counting = Counting(accord.me, peers.swim.me.nonce, zone)
-        self.evidence = Evidence(part.window_s)
-        self.decider = Decider(part, self.evidence, solver(), time.perf_counter)
+        self.counting = CallCounter(accord.me, peers.swim.me.nonce, zone)
+        self.evidence = Observations(part.window_s)
+        self.decider = FailoverController(part, self.evidence, solver(), time.perf_counter)
         self.window_began = 0.0
         self.why = ""  # the latest proposal was not taken
         self.surplus = 0  # reports that were not kept, as it was said last
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         peers.datagrams[EVIDENCE] = self._heard
         accord.watching = self
         accord.gate.stays = lambda class_, target: part.allowed(class_, zone, target)
@@ -70,7 +72,7 @@
     def asked(self, destination: int, class_: str) -> None:
         self.counting.asked(destination, self.part.group(class_))
 
-    def ended(self, call: Call, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
+    def ended(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
         self.counting.outcome(call.destination, call.zone, outcome, latency_ms)
 
     async def _windows(self) -> None:
@@ -89,7 +91,7 @@
     def _tell(self) -> None:
         now = self._now()
         seconds, self.window_began = max(0.001, now - self.window_began), now
-        load = self.host.messages.holding / max(1, self.host.messages.settings.hold)
+        load = self.host.messages.pending_count / max(1, self.host.messages.settings.max_pending_messages)
         voters = [name for name in self.accord.voting_now() if name != self.accord.me]
         mine = self.counting.reports(seconds, load)
         forwarded: list[Report] = []
@@ -104,20 +106,20 @@
                 *mine,
                 *(each for each in forwarded if each.origin not in (name, self.accord.me)),
             ):
-                self.peers.say(name, EVIDENCE, msgspec.msgpack.encode(report))
+                self.peers.send_datagram(name, EVIDENCE, msgspec.msgpack.encode(report))
 
     def _heard(self, sender: str, raw: bytes) -> None:
         try:
             report: Report = msgspec.msgpack.decode(raw, type=Report)
         except (msgspec.MsgspecError, ValueError) as error:
-            log.warning(Note("a report is passed over", sender=sender, why=error))
+            log.warning(LogEvent("a report is passed over", sender=sender, why=error))
             return
         if report.zone in self.part.zones and math.isfinite(report.age_s):
             self.evidence.take(self._now(), report)
         if self.evidence.surplus > 2 * self.surplus:  # the first, third, seventh ...: more may come
             self.surplus = self.evidence.surplus
             log.warning(
-                Note(
+                LogEvent(
                     "a report is not kept: there are as many as may be",
                     sender=self.evidence.turned_away,
                     most=REPORTS,
@@ -127,7 +129,7 @@
 
     # -- deciding --------------------------------------------------------------------------------------------
 
-    def rooms(self) -> Rooms:
+    def rooms(self) -> Capacities:
         """By the list: what each zone's endpoints are agreed to take for a destination. Of one rate for all
         of them (listed with each) a zone has its part."""
         count: dict[int, dict[str, int]] = {}
@@ -140,7 +142,7 @@
                 here[zones[entry.zone]] = here.get(zones[entry.zone], 0) + 1
                 if entry.rate > 0:
                     rates[entry.destination] = max(rates.get(entry.destination, 0.0), entry.rate)
-        found: Rooms = {}
+        found: Capacities = {}
         for destination, zones_there in count.items():
             rate = self._agreed(destination, rates.get(destination, math.inf))
             total = sum(zones_there.values())
@@ -159,7 +161,7 @@
 
     async def _decide(self) -> None:
         now, rooms = self._now(), self.rooms()
-        newest = self.accord.book.newest
+        newest = self.accord.history.newest
         problems = self.decider.look(now, newest.set, rooms)
         found = {}
         if problems:
@@ -169,7 +171,9 @@
         if rules is None:
             return
         self.why = await self.accord.planned(rules, newest.number, self._cause())
-        log.info(Note("a plan is proposed", base=newest.number, destinations=len(found), refused=self.why))
+        log.info(
+            LogEvent("a plan is proposed", base=newest.number, destinations=len(found), refused=self.why)
+        )
 
     def _cause(self) -> str:
         """What the verdicts are, for people: the versions' history tells it."""
@@ -222,7 +226,7 @@
             },
         }
 
-    def plan(self, question: Question) -> dict[str, Any]:
+    def plan(self, question: AdminRequest) -> dict[str, Any]:
         """What would be planned if a zone were left: by the evidence that this instance has."""
         if question.name and question.name not in self.part.zones:
             raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.decider.zones)}")
--- a/linnetstile/failover/evidence.py
+++ b/message_relay/failover/observations.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from ..decisions.interface import Outcome
-from ..peers.settings import INSTANCES_MAX
+from ..decisions.model import Outcome
+from ..gossip.settings import INSTANCES_MAX
 
 WINDOW_S = 1.0
 KEPT = 10  # windows that count
@@ -34,15 +34,15 @@
 
 Pair = tuple[str, str]  # from zone, to zone
 Name = tuple[str, int, int, int]  # of a report: origin, process, window, part
-Matrix = dict[Pair, "Seen"]
-Series = dict[Pair, list["Seen"]]  # by window, the latest one first
+Matrix = dict[Pair, "Aggregate"]
+Series = dict[Pair, list["Aggregate"]]  # by window, the latest one first
 
 
 def bucket(latency_ms: float) -> int:
     return min(BUCKETS - 1, max(0, round(2 * math.log2(max(1.0, latency_ms)))))
 
 
-class Cell(msgspec.Struct, frozen=True, array_like=True):
+class WindowSample(msgspec.Struct, frozen=True, array_like=True):
     """One relay's calls to one destination in one zone that ended in one window."""
 
     destination: int
@@ -82,7 +82,7 @@
     age_s: float  # since the window's end, when this was sent
     load: float  # held, as a share of what it can hold
     demand: tuple[Demand, ...] = ()
-    cells: tuple[Cell, ...] = ()
+    cells: tuple[WindowSample, ...] = ()
 
     @property
     def name(self) -> Name:
@@ -90,7 +90,7 @@
 
 
 @dataclass
-class Seen:
+class Aggregate:
     """A sum of cells."""
 
     calls: int = 0
@@ -101,7 +101,7 @@
     shunning: dict[str, int] = field(default_factory=dict)  # relays, and how many calls had failed them
     sketch: Counter[int] = field(default_factory=Counter)
 
-    def add(self, origin: str, cell: Cell) -> None:
+    def add(self, origin: str, cell: WindowSample) -> None:
         self.calls += cell.calls
         self.good += cell.good
         self.proven += cell.proven
@@ -128,8 +128,8 @@
         return 0.0
 
 
-def total(row: Iterable[Seen]) -> Seen:
-    found = Seen()
+def total(row: Iterable[Aggregate]) -> Aggregate:
+    found = Aggregate()
     for seen in row:
         if not seen.calls and not seen.shunning:
             continue  # windows in which nothing was seen are most of them
@@ -145,7 +145,7 @@
     return found
 
 
-class Counting:
+class CallCounter:
     """One relay's own windows."""
 
     def __init__(self, origin: str, nonce: int, zone: str) -> None:
@@ -189,7 +189,7 @@
         begins. One without calls is told too: that there was no demand is news."""
         self.number += 1
         ranked = sorted(self.cells, key=lambda key: (-self.cells[key][0], key))
-        told: list[Demand | Cell] = [
+        told: list[Demand | WindowSample] = [
             Demand(*key, round(count / seconds, 3))
             for key, count in sorted(self.offered.items(), key=lambda item: (-item[1], item[0]))[:CELLS]
         ]
@@ -198,7 +198,7 @@
         told += self._rest(ranked[CELLS:])
         told += self._shunned()
         self.cells, self.sketches, self.offered = {}, {}, Counter()
-        parts: list[list[Demand | Cell]] = [[]]
+        parts: list[list[Demand | WindowSample]] = [[]]
         size = 0
         for each in told:
             length = len(msgspec.msgpack.encode(each))
@@ -209,14 +209,14 @@
             size += length
         return [self._part(n, part, load) for n, part in enumerate(parts[:PARTS])]
 
-    def _part(self, part: int, told: list[Demand | Cell], load: float) -> Report:
+    def _part(self, part: int, told: list[Demand | WindowSample], load: float) -> Report:
         demand = tuple(each for each in told if isinstance(each, Demand))
-        cells = tuple(each for each in told if isinstance(each, Cell))
+        cells = tuple(each for each in told if isinstance(each, WindowSample))
         return Report(
             self.origin, self.nonce, self.number, part, self.zone, 0.0, round(load, 3), demand, cells
         )
 
-    def _shunned(self) -> list[Cell]:
+    def _shunned(self) -> list[WindowSample]:
         """Where it has called nothing in this window, though it could have, since calls had failed there."""
         asked = {destination for destination, _ in self.offered}
         asked |= {destination for destination, _ in self.cells}
@@ -227,10 +227,10 @@
                 continue
             self.failing[key] = failed, windows + 1
             if key not in self.cells and key[0] in asked:
-                found.append(Cell(*key, shunned=failed))
+                found.append(WindowSample(*key, shunned=failed))
         return found[:CELLS]
 
-    def _rest(self, keys: Iterable[tuple[int, str]]) -> list[Cell]:
+    def _rest(self, keys: Iterable[tuple[int, str]]) -> list[WindowSample]:
         sums: dict[str, list[int]] = {}
         for destination, zone in keys:
             total = sums.setdefault(zone, [0, 0, 0, 0])
@@ -239,12 +239,12 @@
         return [_cell((OTHERS, zone), total) for zone, total in sorted(sums.items())]
 
 
-def _cell(key: tuple[int, str], counts: list[int], sketch: tuple[tuple[int, int], ...] = ()) -> Cell:
+def _cell(key: tuple[int, str], counts: list[int], sketch: tuple[tuple[int, int], ...] = ()) -> WindowSample:
     calls, good, proven, waits = counts
-    return Cell(*key, calls, good, proven, waits, sketch)
+    return WindowSample(*key, calls, good, proven, waits, sketch)
 
 
-class Evidence:
+class Observations:
     """All reports that still count. `merge` is commutative, associative and idempotent."""
 
     def __init__(self, window_s: float = WINDOW_S) -> None:
@@ -279,7 +279,7 @@
         self.reports[report.name] = kept, max(known[1], ended)
         return False
 
-    def merge(self, other: Evidence) -> None:
+    def merge(self, other: Observations) -> None:
         for report, ended in list(other.reports.values()):
             self._put(report, ended)
 
@@ -314,7 +314,7 @@
                 rows = found.setdefault(cell.destination, {})
                 row = rows.setdefault((report.zone, cell.zone), [])
                 while len(row) <= at:
-                    row.append(Seen())
+                    row.append(Aggregate())
                 row[at].add(report.origin, cell)
         return found
 
--- a/linnetstile/failover/planner.py
+++ b/message_relay/failover/planner.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from .evidence import Pair
+from .observations import Pair
 
 STAY = 0.01  # of the worth of a call: what it must gain before it is planned elsewhere than in the last plan
 TINY = 1e-9
--- a/linnetstile/failover/settings.py
+++ b/message_relay/failover/settings.py
@@ -19,7 +19,7 @@
     stay: Stay = "anywhere"  # where it may be sent: its relay's zone or region; it waits or ends there
 
 
-class FailoverPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FailoverSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Traffic near while that is safe, elsewhere by a plan that all agree on."""
 
     zones: dict[str, ZonePart] = {}  # as the platform names them; none: there are no plans
--- a/linnetstile/failover/verdicts.py
+++ b/message_relay/failover/zone_health.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .evidence import KEPT, Evidence, Matrix, Pair, Seen, Series, total
+from .observations import KEPT, Aggregate, Matrix, Observations, Pair, Series, total
 
 Z = 2.6  # of the interval: one verdict in a hundred is wrong at the bound itself
 LOST_UNDER, GREY_UNDER = 0.5, 0.9
@@ -59,7 +59,7 @@
     return min(share, max(0.0, middle - half)), max(share, min(1.0, middle + half))
 
 
-def streak(row: list[Seen]) -> int:
+def streak(row: list[Aggregate]) -> int:
     """Calls since the last good one: relays that have found out by themselves call hardly any more."""
     found = 0
     for seen in row:
@@ -69,7 +69,7 @@
     return found
 
 
-def shunned(row: list[Seen]) -> bool:
+def shunned(row: list[Aggregate]) -> bool:
     """Each relay of the zone that has called there has left it by itself, after calls that failed: few
     relays find out with fewer calls than a streak, and then make none at all."""
     callers = total(row).relays
@@ -78,11 +78,11 @@
     return bool(callers) and callers <= latest.shunning.keys() and failed >= SHUNNED_CALLS
 
 
-def _grey(seen: Seen) -> bool:
+def _grey(seen: Aggregate) -> bool:
     return seen.tried - seen.good >= GREY_CALLS and interval(seen.good, seen.tried)[1] < GREY_UNDER
 
 
-def _fall(row: list[Seen], into: list[Seen]) -> float:
+def _fall(row: list[Aggregate], into: list[Aggregate]) -> float:
     """The best that this pair may still be. One of which nothing comes good is as its target is for all:
     few calls would be long in saying so."""
     mine, whole = total(row), total(into)
@@ -92,19 +92,19 @@
     return high
 
 
-def _into(series: Series) -> dict[str, list[Seen]]:
-    found: dict[str, list[Seen]] = {}
+def _into(series: Series) -> dict[str, list[Aggregate]]:
+    found: dict[str, list[Aggregate]] = {}
     for (_, target), row in series.items():
         sums = found.setdefault(target, [])
         for n, seen in enumerate(row):
             if n == len(sums):
-                sums.append(Seen())
+                sums.append(Aggregate())
             sums[n] = total((sums[n], seen))
     return found
 
 
 @dataclass
-class Standing:
+class ZoneHealth:
     """What is thought of one pair."""
 
     state: State = State.WELL
@@ -128,26 +128,26 @@
                 return RAMP[self.step]
 
 
-class Judge:
+class ZoneHealthJudge:
     """Of one destination."""
 
-    def __init__(self, evidence: Evidence, destination: int) -> None:
+    def __init__(self, evidence: Observations, destination: int) -> None:
         self.evidence, self.destination = evidence, destination
-        self.pairs: dict[Pair, Standing] = {}
+        self.pairs: dict[Pair, ZoneHealth] = {}
         self.together: Matrix = {}
 
-    def standing(self, pair: Pair) -> Standing:
-        return self.pairs.get(pair, Standing())
+    def standing(self, pair: Pair) -> ZoneHealth:
+        return self.pairs.get(pair, ZoneHealth())
 
-    def hold_off(self, standing: Standing) -> float:
+    def hold_off(self, standing: ZoneHealth) -> float:
         return HOLD_WINDOWS * self.evidence.window_s * float(1 << min(standing.flaps, FLAPS_MOST))
 
-    def lately(self, now: float, pair: Pair, series: Series) -> Seen:
+    def lately(self, now: float, pair: Pair, series: Series) -> Aggregate:
         """Of a pair, since its step began: what came good before it was lost says nothing."""
         windows = min(TOGETHER_WINDOWS, self._windows(now, self.standing(pair)))
         return total(series.get(pair, [])[:windows])
 
-    def _windows(self, now: float, standing: Standing) -> int:
+    def _windows(self, now: float, standing: ZoneHealth) -> int:
         """Since its state or step began, those that count."""
         return min(KEPT, int((now - standing.since) / self.evidence.window_s))
 
@@ -157,10 +157,10 @@
             if share >= 1.0 or pair in self.pairs:
                 continue
             if share <= 0.0:
-                self.pairs[pair] = Standing(State.LOST, now, back=True)
+                self.pairs[pair] = ZoneHealth(State.LOST, now, back=True)
             else:
                 step = max((n for n, each in enumerate(RAMP) if each <= share + 1e-9), default=0)
-                self.pairs[pair] = Standing(State.TRIAL, now, step, back=True)
+                self.pairs[pair] = ZoneHealth(State.TRIAL, now, step, back=True)
 
     def look(self, now: float, series: Series, together: Matrix | None = None) -> list[Pair]:
         """Takes what is known now; the pairs whose share has changed. `together`: of pairs that most
@@ -171,17 +171,23 @@
         into = _into(series)
         changed = []
         for pair in sorted({*series, *self.pairs}):
-            standing = self.pairs.setdefault(pair, Standing(since=now))
+            standing = self.pairs.setdefault(pair, ZoneHealth(since=now))
             before = standing.share
             self._judge(now, pair, standing, matrix, series.get(pair, []), into.get(pair[1], []))
             if standing.share != before:
                 changed.append(pair)
-            if standing == Standing(since=standing.since) and pair not in series:
+            if standing == ZoneHealth(since=standing.since) and pair not in series:
                 del self.pairs[pair]
         return changed
 
     def _judge(
-        self, now: float, pair: Pair, standing: Standing, matrix: Matrix, row: list[Seen], into: list[Seen]
+        self,
+        now: float,
+        pair: Pair,
+        standing: ZoneHealth,
+        matrix: Matrix,
+        row: list[Aggregate],
+        into: list[Aggregate],
     ) -> None:
         windows = self._windows(now, standing)
         if standing.state is State.WELL and not standing.back:
@@ -215,7 +221,14 @@
                 self._tried(now, pair, standing, seen, windows, low, bad)
 
     def _tried(
-        self, now: float, pair: Pair, standing: Standing, seen: Seen, windows: int, low: float, bad: bool
+        self,
+        now: float,
+        pair: Pair,
+        standing: ZoneHealth,
+        seen: Aggregate,
+        windows: int,
+        low: float,
+        bad: bool,
     ) -> None:
         if bad and seen.tried >= SLOW_CALLS:
             self._to(now, standing, State.GREY)
@@ -237,13 +250,13 @@
         seen = self.together.get(pair)
         return seen is not None and seen.tried >= TOGETHER_CALLS and seen.good >= TOGETHER_GOOD * seen.tried
 
-    def _climb(self, now: float, standing: Standing, steps: int = 1) -> None:
+    def _climb(self, now: float, standing: ZoneHealth, steps: int = 1) -> None:
         standing.step, standing.since = standing.step + steps, now
         if standing.step >= len(RAMP) - 1:
             self._to(now, standing, State.WELL)
 
     @staticmethod
-    def _slow(pair: Pair, seen: Seen, matrix: Matrix) -> bool:
+    def _slow(pair: Pair, seen: Aggregate, matrix: Matrix) -> bool:
         """Ten times slower is grey, also where each call comes good. Of what is near against what is near
         elsewhere: a long link is no fault of the zone."""
         if pair[0] != pair[1] or sum(seen.sketch.values()) < SLOW_CALLS:
@@ -253,7 +266,7 @@
             return False
         return seen.quantile_ms(0.5) > SLOW * others.quantile_ms(0.5)
 
-    def _lost(self, now: float, standing: Standing) -> None:
+    def _lost(self, now: float, standing: ZoneHealth) -> None:
         # A first step that fails is the same outage still: only what had begun to come back has flapped.
         if standing.back and (standing.state is not State.TRIAL or standing.step > 0):
             standing.flaps = min(FLAPS_MOST, standing.flaps + 1)
@@ -261,7 +274,7 @@
         self._to(now, standing, State.LOST)
 
     @staticmethod
-    def _to(now: float, standing: Standing, state: State) -> None:
+    def _to(now: float, standing: ZoneHealth, state: State) -> None:
         standing.state, standing.since, standing.step = state, now, 0
 
     # -- which side it is ------------------------------------------------------------------------------------
--- a/linnetstile/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -8,26 +8,26 @@
 from typing import TYPE_CHECKING
 
 from ..config import Config, ConfigError
-from ..core.host import Host
-from ..logs import Note
-from ..peers.identity import IdentityError, claimed
-from ..peers.node import Node
-from .operator import Operator
+from ..core.relay import Relay
+from ..gossip.identity import IdentityError, claimed
+from ..gossip.node import GossipNode
+from ..structured_logging import LogEvent
+from .operator import OperatorConfig
 from .status import StatusError, folder_of
 
 if TYPE_CHECKING:
-    from ..accord.control import ControlSocket
-    from ..accord.node import Accord
+    from ..consensus.admin_socket import AdminSocket
+    from ..consensus.instance import ConsensusInstance
     from ..failover.node import Failover
-    from ..shards.node import Shards
+    from ..sharded_directory.node import ShardedDirectory
 
 log = logging.getLogger(__name__)
 
 FOLDER = "peers"  # in the state folder
 
 
-class Common:
-    def __init__(self, told: Operator, number: int, config: Config, host: Host) -> None:
+class SharedSubsystems:
+    def __init__(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
         """Raises ConfigError; nothing listens yet. From here on nothing is sent that no rules allow."""
         folder = config.state / FOLDER
         try:
@@ -36,26 +36,26 @@
             raise ConfigError(str(error)) from error
         zone = config.zones[config.settings.zone] if config.settings.zone < len(config.zones) else ""
         try:
-            from ..accord.caps import HERE
+            from ..consensus.capabilities import HERE
 
-            self.peers = Node(told.peers, self.identity, folder, number, zone, HERE)
+            self.peers = GossipNode(told.peers, self.identity, folder, number, zone, HERE)
         except (OSError, ValueError) as error:
             raise ConfigError(f"peers.{error}") from error
-        self.accord: Accord | None = None
-        self.control: ControlSocket | None = None
+        self.accord: ConsensusInstance | None = None
+        self.control: AdminSocket | None = None
         self.failover: Failover | None = None
         self.closing: asyncio.Task[None] | None = None
-        self.shards: Shards | None = None
+        self.shards: ShardedDirectory | None = None
         if told.shards.on:
             self._keep(told, number, config, host)
         if told.accord.on:
             self._agree(told, number, config, host)
 
-    def _agree(self, told: Operator, number: int, config: Config, host: Host) -> None:
+    def _agree(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
         try:
-            from ..accord.control import ControlSocket
-            from ..accord.node import Accord
-            from ..accord.terms import Counts
+            from ..consensus.admin_socket import AdminSocket
+            from ..consensus.instance import ConsensusInstance
+            from ..consensus.lease_protocol import Counts
         except ImportError as error:
             raise ConfigError(f"accord: needs the extra 'fleet' ({error})") from error
         tally = host.messages.tally
@@ -64,7 +64,7 @@
             delivered = tally["delivered"]
             return Counts(delivered, delivered + tally["failed"] + tally["returned"])
 
-        self.accord = Accord(
+        self.accord = ConsensusInstance(
             told.accord,
             self.peers,
             config.state / FOLDER,
@@ -72,26 +72,26 @@
             config.settings,
             config.zones,
             told.fleet.instances,
-            host.retell,
+            host.reapply_rules,
             counts,
         )
-        host.rule(self.accord)
+        host.set_call_policy(self.accord)
         self.peers.changed.append(self.accord.member_changed)
         if told.failover.on:
             self._plan(told, config, host)
         folder = folder_of(told.status.folder)
         if folder is not None:
-            self.control = ControlSocket(folder / f"{number}.rules", self.accord.asked)
+            self.control = AdminSocket(folder / f"{number}.rules", self.accord.asked)
 
-    def _keep(self, told: Operator, number: int, config: Config, host: Host) -> None:
+    def _keep(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
         try:
-            from ..shards.node import Shards  # only where it is on
+            from ..sharded_directory.node import ShardedDirectory  # only where it is on
         except ImportError as error:
             raise ConfigError(f"shards: needs the extra 'fleet' ({error})") from error
-        self.shards = Shards(told.shards, self.peers, host, number, config)
-        host.by_interest(self.shards, self.shards)
+        self.shards = ShardedDirectory(told.shards, self.peers, host, number, config)
+        host.use_destination_interest(self.shards, self.shards)
 
-    def _plan(self, told: Operator, config: Config, host: Host) -> None:
+    def _plan(self, told: OperatorConfig, config: Config, host: Relay) -> None:
         from ..failover.node import Failover  # only where it is on
 
         unknown = sorted({*told.failover.zones} ^ {*config.zones})
@@ -119,7 +119,7 @@
             try:
                 await self.control.open()
             except StatusError as error:  # one that can't be asked still serves
-                log.error(Note("no questions on rules are answered", why=error))
+                log.error(LogEvent("no questions on rules are answered", why=error))
 
     def close(self) -> None:
         """Called as the process ends: says so to the others, and lets go."""
--- a/linnetstile/fleet/size.py
+++ b/message_relay/fleet/fleet_size.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ..decisions.interface import Fleet
+from ..decisions.model import Fleet
 
 STEP_MS = (
     5.0  # the shared clock has been set if it moved by more against ours: slots are 17 ms and more apart
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Place:
+class FleetSize:
     """This instance's number, and how many it takes part among."""
 
     number: int
