--- a/linnetstile/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from ..config import Config, ConfigError, load
-from ..core.messages import unix_ms
-from ..logs import Note, structured
-from ..process import Life, Signals
-from . import lifeline, operator, report
-from .notify import Notifier
+from ..core.message_lifecycle import unix_time_ms
+from ..process import ProcessSignals, RelayProcess
+from ..structured_logging import LogEvent, configure_structured_logging
+from . import operator, parent_watch, report
+from .fleet_size import FleetSize
 from .recording import Recorder
-from .size import Place
 from .status import LoopLag, StatusError, StatusSocket, folder_of
+from .systemd_notify import SystemdNotifier
 
 log = logging.getLogger(__name__)
 
@@ -27,18 +27,18 @@
 
 def clock_ms() -> float:
     """What is to be added to the loop's clock for the one that all machines read."""
-    return unix_ms() - asyncio.get_running_loop().time() * 1000
+    return unix_time_ms() - asyncio.get_running_loop().time() * 1000
 
 
-def operated(signals: Signals, notifier: Notifier) -> OperatedLife:
+def operated(signals: ProcessSignals, notifier: SystemdNotifier) -> OperatedRelayProcess:
     """As the environment says. Raises ConfigError, where the operator's file makes no sense too."""
     try:
         told = operator.named()
         assert told is not None
         number = operator.instance(told)
-        lifeline.hold()
+        parent_watch.hold()
         if told.log.format != "plain" or told.log != operator.LogPart():
-            structured(told.log.format, told.log.level, told.log.lines)
+            configure_structured_logging(told.log.format, told.log.level, told.log.lines)
     except ImportError as error:
         raise ConfigError(f"log.format: needs the extra 'ops' ({error})") from error
     except ValueError as error:
@@ -46,7 +46,7 @@
     config = load()
     if told.state.own:
         owned(config)
-    return OperatedLife(config, signals, notifier, told, number)
+    return OperatedRelayProcess(config, signals, notifier, told, number)
 
 
 def owned(config: Config) -> None:
@@ -62,30 +62,35 @@
         )
 
 
-class OperatedLife(Life):
+class OperatedRelayProcess(RelayProcess):
     def __init__(
-        self, config: Config, signals: Signals, notifier: Notifier, told: operator.Operator, number: int
+        self,
+        config: Config,
+        signals: ProcessSignals,
+        notifier: SystemdNotifier,
+        told: operator.OperatorConfig,
+        number: int,
     ) -> None:
         self.told, self.number, self.began = told, number, time.time()
         clock = clock_ms()
-        self.place = Place(number, max(told.fleet.instances, number + 1), clock)
+        self.place = FleetSize(number, max(told.fleet.instances, number + 1), clock)
         settings = operator.applied(config.settings, told, number, clock)
         config = replace(config, settings=settings, sync_ms=told.state.every_ms)
         super().__init__(config, signals, notifier, told.amqp)
         self.common = None
         if told.peers.on:
-            from .common import Common  # not imported where instances share nothing
+            from .common import SharedSubsystems  # not imported where instances share nothing
 
-            self.common = Common(told, number, config, self.host)
+            self.common = SharedSubsystems(told, number, config, self.relay)
         self.recorder: Recorder | None = None
         self.state, self.lag = "starting", LoopLag()
         folder = folder_of(told.status.folder)
         self.status = None if folder is None else StatusSocket(folder / f"{number}.sock", self.report)
 
     def report(self) -> report.Report:
-        shards = None if self.common is None or self.common.shards is None else self.common.shards.told()
+        shards = None if self.common is None or self.common.shards is None else self.common.shards.status()
         return report.of(
-            self.host,
+            self.relay,
             self.number,
             self.state,
             self.began,
@@ -94,7 +99,7 @@
             shards,
         )
 
-    async def serving(self) -> None:
+    async def on_serving(self) -> None:
         self.state = "serving"
         self.record()
         if self.status is not None:
@@ -102,10 +107,10 @@
             try:
                 await self.status.open()
             except StatusError as error:  # one without a report still serves
-                log.error(Note("no report is given", why=error))
+                log.error(LogEvent("no report is given", why=error))
         if self.common is not None:
             await self.common.start()
-        self.host.tasks.start(self.look())
+        self.relay.tasks.start(self.look())
         if self.number >= self.told.fleet.instances:
             self.retire()
 
@@ -117,13 +122,13 @@
         try:
             self.recorder = Recorder(path, part.mb)
         except OSError as error:  # one without a recording still serves
-            log.error(Note("no recording is made", file=path, why=error))
+            log.error(LogEvent("no recording is made", file=path, why=error))
             return
-        self.host.messages.offered = self.recorder.offered
+        self.relay.messages.offered = self.recorder.offered
 
-    def ended(self) -> None:
+    def on_stopped(self) -> None:
         if self.recorder is not None:
-            self.host.messages.offered = None
+            self.relay.messages.offered = None
             self.recorder.close()
         self.lag.stop()
         if self.status is not None:
@@ -134,11 +139,13 @@
     async def look(self) -> None:
         """Follows the shared clock and the fleet's size."""
         while True:
-            now = self.host.turns.now()
+            now = self.relay.driver.now()
             fleet = self.place.look(now, clock_ms())
             if fleet is not None:
-                log.info(Note("the fleet has changed", instances=fleet.size, clock_ms=round(fleet.clock_ms)))
-                self.host.turns.feed(fleet)
+                log.info(
+                    LogEvent("the fleet has changed", instances=fleet.size, clock_ms=round(fleet.clock_ms))
+                )
+                self.relay.driver.feed(fleet)
             await asyncio.sleep(LOOK_S)
 
     def reload(self) -> None:
@@ -148,24 +155,24 @@
             raise ConfigError(str(error)) from error
         assert told is not None
         if told.fleet.share_rates != self.told.fleet.share_rates:
-            log.warning(Note("a change of fleet.share_rates waits for a restart"))
+            log.warning(LogEvent("a change of fleet.share_rates waits for a restart"))
         if told.shards != self.told.shards:
-            log.warning(Note("a change of [shards] waits for a restart"))
+            log.warning(LogEvent("a change of [shards] waits for a restart"))
         super().reload()
         self.told = told
         logging.getLogger().setLevel(told.log.level.upper())
-        if not self.place.told(self.host.turns.now(), told.fleet.instances, told.fleet.settle_s * 1000):
+        if not self.place.told(self.relay.driver.now(), told.fleet.instances, told.fleet.settle_s * 1000):
             self.retire()
 
     def retire(self) -> None:
         """It is not one of the fleet any more: takes nothing new, ends what it holds, and then itself."""
         if self.state != "retiring":
             self.state = "retiring"
-            log.info(Note("retiring", held=self.host.messages.holding))
-            self.host.retire()
-            self.host.tasks.start(self.retired())
+            log.info(LogEvent("retiring", held=self.relay.messages.pending_count))
+            self.relay.retire()
+            self.relay.tasks.start(self.retired())
 
     async def retired(self) -> None:
-        while not self.host.idle:
+        while not self.relay.idle:
             await asyncio.sleep(RETIRED_S)
         self.signals.stop.set()
--- a/linnetstile/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -18,12 +18,12 @@
 import msgspec
 from msgspec import Meta
 
-from ..accord.settings import AccordPart
-from ..amqp.settings import AmqpPart
-from ..decisions.interface import Fleet, Settings
-from ..failover.settings import FailoverPart
-from ..peers.settings import INSTANCES_MAX, PeersPart
-from ..shards.settings import ShardsPart
+from ..amqp.settings import AmqpSettings
+from ..consensus.settings import ConsensusSettings
+from ..decisions.model import Fleet, Settings
+from ..failover.settings import FailoverSettings
+from ..gossip.settings import INSTANCES_MAX, GossipSettings
+from ..sharded_directory.settings import ShardedDirectorySettings
 
 VARIABLE, NUMBER = "RELAY_OPERATOR", "RELAY_INSTANCE"
 INSTANCES = "RELAY_INSTANCES"  # goes before fleet.instances
@@ -104,18 +104,18 @@
             )
 
 
-class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     fleet: FleetPart = FleetPart()
     log: LogPart = LogPart()
     status: StatusPart = StatusPart()
     state: StatePart = StatePart()
     record: RecordPart = RecordPart()
-    amqp: AmqpPart = AmqpPart()
+    amqp: AmqpSettings = AmqpSettings()
     supervisor: SupervisorPart = SupervisorPart()
-    peers: PeersPart = PeersPart()
-    accord: AccordPart = AccordPart()
-    failover: FailoverPart = FailoverPart()
-    shards: ShardsPart = ShardsPart()
+    peers: GossipSettings = GossipSettings()
+    accord: ConsensusSettings = ConsensusSettings()
+    failover: FailoverSettings = FailoverSettings()
+    shards: ShardedDirectorySettings = ShardedDirectorySettings()
 
     def __post_init__(self) -> None:
         if self.peers.on:
@@ -176,7 +176,7 @@
             )
 
 
-def read(path: Path, env: Mapping[str, str] = os.environ) -> Operator:
+def read(path: Path, env: Mapping[str, str] = os.environ) -> OperatorConfig:
     """Raises OperatorError with all faults of the file, a line each."""
     try:
         raw = tomllib.loads(path.read_text())
@@ -192,11 +192,11 @@
     return decoded(raw, str(path))
 
 
-def decoded(raw: Mapping[str, Any], where: str) -> Operator:
-    found = list(faults(raw, Operator, ""))
+def decoded(raw: Mapping[str, Any], where: str) -> OperatorConfig:
+    found = list(faults(raw, OperatorConfig, ""))
     if found:
         raise OperatorError("\n".join(f"{where}: {fault}" for fault in found))
-    return msgspec.convert(raw, Operator)
+    return msgspec.convert(raw, OperatorConfig)
 
 
 def faults(raw: object, shape: type[msgspec.Struct], path: str) -> Iterator[str]:
@@ -264,13 +264,13 @@
     return str(error).partition(" - at `")[0]
 
 
-def named(env: Mapping[str, str] = os.environ) -> Operator | None:
+def named(env: Mapping[str, str] = os.environ) -> OperatorConfig | None:
     """What the environment names; None: there is no such file, as on the platform. Raises OperatorError."""
     path = env.get(VARIABLE, "")
     return read(Path(path), env) if path else None
 
 
-def instance(operator: Operator, env: Mapping[str, str] = os.environ) -> int:
+def instance(operator: OperatorConfig, env: Mapping[str, str] = os.environ) -> int:
     """Which one this is; raises OperatorError unless it is one of the fleet, or retires from it."""
     size = operator.fleet.instances
     text = env.get(NUMBER, "")
@@ -285,7 +285,7 @@
     return int(text)
 
 
-def applied(settings: Settings, operator: Operator, number: int, clock_ms: float) -> Settings:
+def applied(settings: Settings, operator: OperatorConfig, number: int, clock_ms: float) -> Settings:
     """The platform's settings with what the operator's file says of the fleet."""
     size = max(
         operator.fleet.instances, number + 1
--- a/linnetstile/fleet/plan.py
+++ b/message_relay/fleet/plan.py
@@ -32,14 +32,14 @@
     GONE = "gone"
 
 
-class Do(Enum):
+class SupervisorAction(Enum):
     START = "start"
     RELOAD = "reload"
     TERM = "term"
     KILL = "kill"
 
 
-Step = tuple[Do, int]
+Step = tuple[SupervisorAction, int]
 
 
 @dataclass
@@ -163,7 +163,7 @@
 
     def _reload(self, n: int) -> None:
         self.all[n].reloading, self.all[n].outdated = True, False
-        self.steps.append((Do.RELOAD, n))
+        self.steps.append((SupervisorAction.RELOAD, n))
 
     def told_to_roll(self, now: float) -> None:
         """Restarts all, one at a time; told again while one goes on, all come again."""
@@ -226,7 +226,7 @@
             )
             if late:
                 one.killed = True
-                self.steps.append((Do.KILL, n))
+                self.steps.append((SupervisorAction.KILL, n))
                 self._note("an instance is killed", instance=n, why=late)
 
     def _roll(self, now: float) -> None:
@@ -255,7 +255,7 @@
 
     def _start(self, now: float) -> None:
         starting = sum(one.state is State.STARTING for one in self.all.values())
-        # Newcomers wait until those that are there count with them: see fleet/size.py.
+        # Newcomers wait until those that are there count with them: see fleet/fleet_size.py.
         heard = not any(one.reloading for one in self.all.values())
         for n in sorted(self.all):
             one = self.all[n]
@@ -267,11 +267,11 @@
                 starting += 1
                 self.last_start = now
                 one.to(State.STARTING, now)
-                self.steps.append((Do.START, n))
+                self.steps.append((SupervisorAction.START, n))
 
     def _term(self, n: int, now: float) -> None:
         self.all[n].to(State.ENDING, now)
-        self.steps.append((Do.TERM, n))
+        self.steps.append((SupervisorAction.TERM, n))
 
     def _note(self, event: str, **fields: object) -> None:
         self.notes.append((event, fields))
--- a/linnetstile/fleet/recording.py
+++ b/message_relay/fleet/recording.py
@@ -20,8 +20,8 @@
 
 import msgspec
 
-from ..core.seams import Offer
-from ..logs import Note
+from ..core.ports import Submission
+from ..structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         self.writing: Future[None] | None = None
         self._add({"v": VERSION, "begun": round(self.begun), "salt": os.urandom(4).hex()})
 
-    def offered(self, offer: Offer) -> None:
+    def offered(self, offer: Submission) -> None:
         """A message was handed in, whatever becomes of it."""
         if self.closed:
             self.dropped += 1
@@ -50,11 +50,11 @@
         self._add(
             [
                 round(time.time() * 1000 - self.begun, 1),
-                offer.class_,
-                offer.dest,
+                offer.class_name,
+                offer.destination,
                 self._hidden(offer.tenant, 4),
                 len(offer.body),
-                offer.left_ms,
+                offer.remaining_ms,
                 self._hidden(offer.id, 8),
             ]
         )
@@ -83,7 +83,7 @@
                 data = data[os.write(self.file, data) :]
         except OSError as error:
             if not self.closed:
-                log.error(Note("recording: cannot be written: it ends here", why=error))
+                log.error(LogEvent("recording: cannot be written: it ends here", why=error))
             self.closed = True
 
     def close(self) -> None:
--- a/linnetstile/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ..core.host import Host
-from ..decisions.state import Lane
+from ..core.relay import Relay
+from ..decisions.pending import DestinationState
 
 VERSION = 1
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -105,7 +105,7 @@
 
 
 def of(
-    host: Host,
+    host: Relay,
     number: int,
     state: str,
     began: float,
@@ -114,9 +114,11 @@
     shards: dict[str, Any] | None = None,
 ) -> Report:
     """`began`: Unix time in s; `most` destinations are told one by one."""
-    now, messages, settings = host.turns.now(), host.messages, host.relay.s
-    counts = Counter(entry.class_ for entry in messages.owed())
-    lanes = [(dest, key, lane) for dest, routes in host.relay.lanes.items() for key, lane in routes.items()]
+    now, messages, settings = host.driver.now(), host.messages, host.scheduler.s
+    counts = Counter(entry.class_name for entry in messages.pending_entries())
+    lanes = [
+        (dest, key, lane) for dest, routes in host.scheduler.lanes.items() for key, lane in routes.items()
+    ]
     waiting = _waiting(host)
     told = heapq.nlargest(most, lanes, key=lambda item: (waiting(item[0]), len(item[2].out), item[2].blame))
     return Report(
@@ -127,13 +129,13 @@
         state=state,
         at_ms=time.time() * 1000,
         up_s=time.time() - began,
-        held=messages.holding,
-        hold=settings.hold,
+        held=messages.pending_count,
+        hold=settings.max_pending_messages,
         by_class={cls.name: counts[cls.name] for cls in settings.classes},
-        slots_out=host.relay.busy,
-        slots=settings.slots,
-        ends_waiting=host.unsettled,
-        reading=host.reading,
+        slots_out=host.scheduler.busy,
+        slots=settings.max_concurrent_attempts,
+        ends_waiting=host.pending_outcomes,
+        reading=host.open_requests,
         journal_bytes=host.journal.size,
         journal_live=host.journal.live,
         journal_limit=host.journal.budget,
@@ -146,12 +148,14 @@
     )
 
 
-def _waiting(host: Host) -> Callable[[int], int]:
-    queues = host.relay.board.queues
+def _waiting(host: Relay) -> Callable[[int], int]:
+    queues = host.scheduler.board.queues
     return lambda dest: len(queues[dest]) if dest in queues else 0
 
 
-def _destination(host: Host, dest: int, key: int, lane: Lane, held: int, now: float) -> Destination:
+def _destination(
+    host: Relay, dest: int, key: int, lane: DestinationState, held: int, now: float
+) -> Destination:
     cold = now - lane.cold_since
     return Destination(
         destination=dest,
@@ -164,6 +168,6 @@
         blame=round(lane.blame, 3),
         down=lane.sick,
         wait_ms=round(max(0.0, lane.wait_until - now)),
-        cold_ms=round(cold) if cold < host.relay.s.safety.cold_ms else None,
+        cold_ms=round(cold) if cold < host.scheduler.s.safety.cold_ms else None,
         latency_ms=round(lane.mean, 1),
     )
--- a/linnetstile/fleet/handover.py
+++ b/message_relay/fleet/socket_activation.py
@@ -15,11 +15,13 @@
 CLIENTS = "clients"  # the name of the one on which messages are taken
 
 
-class HandoverError(ValueError):
+class SocketActivationError(ValueError):
     """What was handed over makes no sense."""
 
 
-def handed_over(env: MutableMapping[str, str] = os.environ, first: int = FIRST) -> dict[str, socket.socket]:
+def inherited_sockets(
+    env: MutableMapping[str, str] = os.environ, first: int = FIRST
+) -> dict[str, socket.socket]:
     """The sockets by name, if they are meant for this process; a single one without a name is for clients.
     Removes the variables, so that no child takes them for its own. Raises HandoverError."""
     pid, number = env.pop("LISTEN_PID", ""), env.pop("LISTEN_FDS", "")
@@ -27,10 +29,10 @@
     if not number or pid != str(os.getpid()):
         return {}
     if not number.isdecimal() or not 0 < int(number) <= MOST:
-        raise HandoverError(f"LISTEN_FDS: {number!r} must be a number from 1 to {MOST}")
+        raise SocketActivationError(f"LISTEN_FDS: {number!r} must be a number from 1 to {MOST}")
     named = names.split(":") if names else []
     if len(named) not in (0, int(number)) or len(set(named)) != len(named):
-        raise HandoverError(f"LISTEN_FDNAMES: {names!r} must give {number} different names, or none")
+        raise SocketActivationError(f"LISTEN_FDNAMES: {names!r} must give {number} different names, or none")
     found: dict[str, socket.socket] = {}
     for n in range(int(number)):
         try:
@@ -38,9 +40,11 @@
             sock = socket.socket(fileno=first + n)
             listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         except OSError as error:
-            raise HandoverError(f"LISTEN_FDS: descriptor {first + n} is no socket: {error}") from error
+            raise SocketActivationError(
+                f"LISTEN_FDS: descriptor {first + n} is no socket: {error}"
+            ) from error
         if sock.type != socket.SOCK_STREAM or not listens:
-            raise HandoverError(f"LISTEN_FDS: descriptor {first + n} is no listening stream socket")
+            raise SocketActivationError(f"LISTEN_FDS: descriptor {first + n} is no listening stream socket")
         found[named[n] if named else CLIENTS if n == 0 else str(n)] = sock
     if CLIENTS not in found and len(found) == 1 and named in (["unknown"], ["connection"]):
         return {CLIENTS: next(iter(found.values()))}
--- a/linnetstile/fleet/supervisor.py
+++ b/message_relay/fleet/supervisor.py
@@ -1,9 +1,10 @@
 """Many instances under one command, where there is no service manager: carries out what `plan` decides.
 
 Each instance is a process of its own, and hears of the others through nothing. The supervisor holds their
-listening sockets (so a restart refuses no connection), hears their notifications (fleet/notify.py), and holds
-the lifeline on which they end with it (fleet/lifeline.py). SIGHUP: reads the operator's file again. SIGUSR2:
-a rolling restart. SIGTERM, SIGINT: ends all, and then itself."""
+listening sockets (so a restart refuses no connection), hears their notifications
+(fleet/systemd_notify.py), and holds
+the lifeline on which they end with it (fleet/parent_watch.py). SIGHUP: reads the operator's file again.
+SIGUSR2: a rolling restart. SIGTERM, SIGINT: ends all, and then itself."""
 
 from __future__ import annotations
 
@@ -21,12 +22,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..logs import Note
-from .handover import CLIENTS, FIRST
-from .lifeline import VARIABLE as LIFELINE
-from .operator import NUMBER, RETIRE, VARIABLE, Operator, OperatorError, read
-from .plan import Do, Plan, State
+from ..structured_logging import LogEvent
+from .operator import NUMBER, RETIRE, VARIABLE, OperatorConfig, OperatorError, read
+from .parent_watch import VARIABLE as LIFELINE
+from .plan import Plan, State, SupervisorAction
 from .report import FleetReport, InstanceLine
+from .socket_activation import CLIENTS, FIRST
 from .status import StatusError, StatusSocket
 
 log = logging.getLogger(__name__)
@@ -34,7 +35,11 @@
 BACKLOG = 512
 HIGH = 10  # descriptors for instances lie here and above: FIRST is where the socket goes
 DATAGRAM = 4096
-SIGNALS = {Do.RELOAD: signal.SIGHUP, Do.TERM: signal.SIGTERM, Do.KILL: signal.SIGKILL}
+SIGNALS = {
+    SupervisorAction.RELOAD: signal.SIGHUP,
+    SupervisorAction.TERM: signal.SIGTERM,
+    SupervisorAction.KILL: signal.SIGKILL,
+}
 # Puts the listening socket where LISTEN_FDS says, and becomes the program. SIGHUP is ignored until the
 # program has a handler: its default would end it.
 LAUNCH = """
@@ -65,7 +70,7 @@
 
 
 class Supervisor:
-    def __init__(self, file: Path, operator: Operator, runtime: Path | None) -> None:
+    def __init__(self, file: Path, operator: OperatorConfig, runtime: Path | None) -> None:
         """Raises OSError where a port cannot be had. `runtime`: where sockets of `status` go, if anywhere."""
         self.file, self.operator, self.runtime = file, operator, runtime
         self.clock = time.monotonic
@@ -77,7 +82,7 @@
         )
         self.children: dict[int, Child] = {}
         self.turned = asyncio.Event()
-        self.folder = tempfile.TemporaryDirectory(prefix="linnetstile-")
+        self.folder = tempfile.TemporaryDirectory(prefix="message_relay-")
         reading, self.lifeline = os.pipe()
         self.theirs = fcntl.fcntl(reading, fcntl.F_DUPFD_CLOEXEC, HIGH)
         os.close(reading)
@@ -133,7 +138,7 @@
         try:
             await self.status.open()
         except StatusError as error:
-            log.error(Note("no report is given", why=error))
+            log.error(LogEvent("no report is given", why=error))
 
     def close(self) -> None:
         """Leaves nothing behind, also after a fault of its own."""
@@ -173,7 +178,7 @@
                 self.operator = before
                 raise
         except (OperatorError, OSError) as error:
-            log.error(Note("the new operator's file is passed over", why=error))
+            log.error(LogEvent("the new operator's file is passed over", why=error))
             return
         self.plan.told_to_reload(
             self.clock(), operator.supervisor, operator.fleet.instances, operator.fleet.settle_s
@@ -182,8 +187,8 @@
 
     # -- what the plan says ------------------------------------------------------------------------------
 
-    def _do(self, do: Do, n: int) -> None:
-        if do is Do.START:
+    def _do(self, do: SupervisorAction, n: int) -> None:
+        if do is SupervisorAction.START:
             self._start(n)
             return
         process = self.children[n].process
@@ -223,7 +228,7 @@
                     str(child.listener.fileno()),
                     sys.executable,
                     "-m",
-                    "linnetstile",
+                    "message_relay",
                 ],
                 env=env,
                 pass_fds=(child.listener.fileno(), self.theirs),
@@ -231,7 +236,7 @@
             )
             child.pidfd = os.pidfd_open(child.process.pid)
         except OSError as error:
-            log.error(Note("an instance cannot be started", instance=n, why=error))
+            log.error(LogEvent("an instance cannot be started", instance=n, why=error))
             if child.process is not None:
                 child.process.kill()
                 child.process.wait()
@@ -274,7 +279,7 @@
 
     def _log(self) -> None:
         for event, fields in self.plan.notes:
-            log.warning(Note(event, **fields))
+            log.warning(LogEvent(event, **fields))
         self.plan.notes.clear()
 
     def report(self) -> FleetReport:
--- a/linnetstile/fleet/notify.py
+++ b/message_relay/fleet/systemd_notify.py
@@ -17,7 +17,7 @@
 from collections.abc import MutableMapping
 from dataclasses import dataclass, field
 
-from ..logs import Note
+from ..structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Notifier:
+class SystemdNotifier:
     address: str = ""  # empty: nobody listens
     watchdog_s: float = 0.0  # 0: not watched
     waiting: dict[str, str] = field(default_factory=dict)  # lines not yet said, by name
@@ -38,7 +38,7 @@
     socket: socket.socket | None = None
 
     @classmethod
-    def of(cls, env: MutableMapping[str, str] = os.environ) -> Notifier:
+    def of(cls, env: MutableMapping[str, str] = os.environ) -> SystemdNotifier:
         """Reads and removes the variables, so that no child speaks for this process. Raises NotifyError."""
         address, usec = env.pop("NOTIFY_SOCKET", ""), env.pop("WATCHDOG_USEC", "")
         pid = env.pop("WATCHDOG_PID", "")
@@ -107,5 +107,5 @@
             if "retry" not in self.timers:
                 self.timers["retry"] = asyncio.get_running_loop().call_later(RETRY_S, self._retry)
         except OSError as error:
-            log.warning(Note("the service manager does not listen", at=self.address, why=error))
+            log.warning(LogEvent("the service manager does not listen", at=self.address, why=error))
             self.waiting.clear()
--- a/linnetstile/garbage.py
+++ b/message_relay/gc_policy.py
@@ -17,7 +17,7 @@
 QUIET = 500  # so many messages held are little: a pass takes some milliseconds
 
 
-async def tend(held: Callable[[], int]) -> None:
+async def run_gc_policy(held: Callable[[], int]) -> None:
     """Never ends. `held` tells how many messages are held."""
     gc.collect()
     gc.freeze()  # the program itself is no garbage
--- a/linnetstile/peers/news.py
+++ b/message_relay/gossip/dissemination_queue.py
@@ -9,7 +9,7 @@
 from itertools import chain, islice
 
 
-class News:
+class DisseminationQueue:
     def __init__(self) -> None:
         self.times: dict[str, int] = {}  # name -> how often it was told
         self.levels: list[dict[str, None]] = []  # names by that number, the one that waits longest first
--- a/linnetstile/peers/roll.py
+++ b/message_relay/gossip/member_table.py
@@ -32,7 +32,7 @@
     return int.from_bytes(told.digest(), "little")
 
 
-class Roll:
+class MemberTable:
     """Each change costs the same, however many members there are; the sum over everything is made anew when
     it is asked for after a change."""
 
--- a/linnetstile/peers/node.py
+++ b/message_relay/gossip/node.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from ..core.tasks import Tasks
-from ..logs import Note
+from ..core.tasks import BackgroundTasks
+from ..structured_logging import LogEvent
 from .identity import Identity, IdentityError, raised
-from .settings import PeersPart, place
+from .settings import GossipSettings, place
 from .swim import MEMBERS_MAX, Swim
-from .wire import SEAL_BYTES, Address, App, Body, Claim, Packet, State, Unreadable, opened, sealed
+from .wire import SEAL_BYTES, Address, App, Body, Claim, Packet, State, UnreadablePacketError, opened, sealed
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
 class Stream:
     """A connection to one peer for one kind of message, kept up; what can't go is dropped."""
 
-    def __init__(self, node: Node, name: str, kind: str) -> None:
+    def __init__(self, node: GossipNode, name: str, kind: str) -> None:
         self.node, self.name, self.kind = node, name, kind
         self.writer: asyncio.StreamWriter | None = None
         self.up = False
@@ -100,11 +100,11 @@
             await asyncio.sleep(self.node.rng.uniform(0.05, 0.15))
 
 
-class Node(asyncio.DatagramProtocol):
+class GossipNode(asyncio.DatagramProtocol):
     """Begins with `start`; `hear` and `serve` name who takes which kind of message."""
 
     def __init__(
-        self, part: PeersPart, identity: Identity, folder: Path, number: int, zone: str, caps: int
+        self, part: GossipSettings, identity: Identity, folder: Path, number: int, zone: str, caps: int
     ) -> None:
         """`folder`: where the identity lies. Raises ValueError and OSError where the secret can't be read."""
         self.identity, self.folder = identity, folder
@@ -135,7 +135,7 @@
         self.changed: list[Callable[[Claim], None]] = []
         self.counts: Counter[str] = Counter()
         self.said: tuple[tuple[str, bytes, int], bytes] = ("", b"", 0), b""  # the latest, as it went out
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
@@ -197,13 +197,13 @@
         if self.swim.refused is not None and self.refusal is None:
             self.refusal = self.swim.refused
             why = f"another process at {self.refusal.host}:{self.refusal.port} is {self.refusal.name}"
-            log.error(Note("this process is not the one that counts", why=why))
+            log.error(LogEvent("this process is not the one that counts", why=why))
             for refused in self.refused:
                 refused(why)
         if self.swim.surplus > 2 * self.counts["surplus"]:  # the first, third, seventh ...: they come again
             self.counts["surplus"] = self.swim.surplus
             log.warning(
-                Note(
+                LogEvent(
                     "a member is not taken: there are as many as may be",
                     member=self.swim.turned_away,
                     most=MEMBERS_MAX,
@@ -212,7 +212,7 @@
             )
         changes, self.swim.changes = self.swim.changes, []
         for claim in changes:
-            log.info(Note("a member has changed", member=claim.name, state=claim.state.name.lower()))
+            log.info(LogEvent("a member has changed", member=claim.name, state=claim.state.name.lower()))
             for hear in self.changed:
                 hear(claim)
 
@@ -221,10 +221,10 @@
         try:
             self.identity = raised(self.folder, self.identity, seen)
         except (IdentityError, OSError) as error:
-            log.error(Note("the boot can't be raised", why=error))
+            log.error(LogEvent("the boot can't be raised", why=error))
             self.swim.behind = 0
             return
-        log.error(Note("the state folder is older than what others have seen", boot=seen))
+        log.error(LogEvent("the state folder is older than what others have seen", boot=seen))
         self.swim.reboot(self.identity.boot)
         for hear in self.rebooted:
             hear(self.identity)
@@ -241,10 +241,10 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         try:
             packet = opened(data, self.secret)
-        except Unreadable as error:
+        except UnreadablePacketError as error:
             self.counts["unreadable"] += 1
             if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
-                log.warning(Note("a packet is passed over", why=error, so_far=self.counts["unreadable"]))
+                log.warning(LogEvent("a packet is passed over", why=error, so_far=self.counts["unreadable"]))
             return
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
@@ -265,7 +265,7 @@
 
     # -- messages --------------------------------------------------------------------------------------------
 
-    def say(self, name: str, kind: str, body: bytes) -> None:
+    def send_datagram(self, name: str, kind: str, body: bytes) -> None:
         """One datagram; it may be lost, come twice or late."""
         at = self.where(name)
         if at is not None:
@@ -282,7 +282,7 @@
     def hello(self, kind: str) -> bytes:
         return msgspec.msgpack.encode(Hello(self.swim.me.name, kind, self.swim.me.nonce))
 
-    async def ask(self, name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
+    async def request(self, name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
         """One message and its answer on a connection of its own. Raises OSError or TimeoutError."""
         at = self.where(name)
         if at is None:
@@ -329,7 +329,7 @@
             pass
         except (ValueError, msgspec.MsgspecError) as error:
             self.counts["unreadable"] += 1
-            log.warning(Note("a connection is ended", why=repr(error)))
+            log.warning(LogEvent("a connection is ended", why=repr(error)))
         except Exception:
             log.exception("a conversation failed")
         finally:
--- a/linnetstile/peers/answers.py
+++ b/message_relay/gossip/paced_replies.py
@@ -16,7 +16,7 @@
 AT_ONCE = 8  # answers that are under way: a second's worth of them for 3,500 members
 
 
-class Answers:
+class PacedReplies:
     def __init__(self) -> None:
         self.going: dict[Address, Iterator[Sync]] = {}
         self.at = 0.0  # when the next spurt is due, where one is
--- a/linnetstile/peers/settings.py
+++ b/message_relay/gossip/settings.py
@@ -14,7 +14,7 @@
 INSTANCES_MAX = 4096
 
 
-class PeersPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GossipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Instances that know each other, by UDP and TCP at one address each."""
 
     listen: str = ""  # HOST:PORT; `{n}` becomes the instance's number, without it N listens on port + N
--- a/linnetstile/peers/swim.py
+++ b/message_relay/gossip/swim.py
@@ -34,9 +34,9 @@
 
 import msgspec
 
-from .answers import Answers
-from .news import News
-from .roll import Roll
+from .dissemination_queue import DisseminationQueue
+from .member_table import MemberTable
+from .paced_replies import PacedReplies
 from .settings import INSTANCES_MAX
 from .wire import Ack, Address, App, Body, Claim, Nack, Ping, PingFor, Refused, State, Sync, size
 
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class Errand:
+class IndirectProbe:
     """A ping for another member."""
 
     asker: str
@@ -100,7 +100,7 @@
     seeds: tuple[Address, ...]
     rng: random.Random
     period: float = 1.0
-    roll: Roll = field(default_factory=Roll)
+    roll: MemberTable = field(default_factory=MemberTable)
     outbox: list[tuple[Address, Body]] = field(default_factory=list)
     changes: list[Claim] = field(default_factory=list)
     refused: Claim | None = None  # another process is who this one says it is
@@ -110,15 +110,15 @@
     def __post_init__(self) -> None:
         self.doubt = 0
         self.seq = 0
-        self.news = News()
-        self.answers = Answers()
+        self.news = DisseminationQueue()
+        self.answers = PacedReplies()
         self.learned = 0  # words that were new, from others' answers since this one asked
         self.asked = self.rng.randrange(len(self.seeds)) if self.seeds else 0  # the seed that is asked next
         self.suspicions: dict[str, Suspicion] = {}
         self.suspicion_at = math.inf  # none ends before that
         self.ring: list[str] = []
         self.probe: Probe | None = None
-        self.errands: dict[int, Errand] = {}
+        self.errands: dict[int, IndirectProbe] = {}
         self.period_at = self.sync_at = self.due = 0.0
         self.surplus, self.turned_away = 0, ""  # words on members past the most there may be; the latest name
         self.synced = not self.seeds
@@ -365,7 +365,7 @@
                 self._words(now, claims)
                 if target in self.members and len(self.errands) < MEMBERS_MAX:
                     self.seq += 1
-                    self.errands[self.seq] = Errand(sender, seq, now + ASK_SHARE * self.period * 0.6)
+                    self.errands[self.seq] = IndirectProbe(sender, seq, now + ASK_SHARE * self.period * 0.6)
                     self._to(target, Ping(self.seq, target, self._claims(target)))
             case Nack(seq):
                 if self.probe is not None and self.probe.seq == seq:
--- a/linnetstile/peers/wire.py
+++ b/message_relay/gossip/wire.py
@@ -86,7 +86,7 @@
     want: bool
     claims: tuple[Claim, ...]
     same: int = 0  # a sum over what the sender knows
-    slices: bytes = b""  # sums over parts of it (peers/roll.py): the answer holds those that differ
+    slices: bytes = b""  # sums over parts of it (gossip/member_table.py): the answer holds those that differ
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="r"):
@@ -111,7 +111,7 @@
     body: Body
 
 
-class Unreadable(ValueError):
+class UnreadablePacketError(ValueError):
     """What came is no packet of a member's; the text says why."""
 
 
@@ -132,17 +132,17 @@
 def opened(raw: bytes, secret: bytes) -> Packet:
     """Raises Unreadable."""
     if len(raw) > PACKET_BYTES:
-        raise Unreadable(f"{len(raw)} bytes: {PACKET_BYTES} at most")
+        raise UnreadablePacketError(f"{len(raw)} bytes: {PACKET_BYTES} at most")
     if secret:
         seal, raw = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
         if not hmac.compare_digest(seal, hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES]):
-            raise Unreadable("its seal is not of this fleet's secret")
+            raise UnreadablePacketError("its seal is not of this fleet's secret")
     try:
         packet = _DECODER.decode(raw)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Unreadable(str(error)) from error
+        raise UnreadablePacketError(str(error)) from error
     if not 0 < len(packet.sender) <= NAME_BYTES:
-        raise Unreadable(f"the sender's name has {len(packet.sender)} letters: 1 to {NAME_BYTES}")
+        raise UnreadablePacketError(f"the sender's name has {len(packet.sender)} letters: 1 to {NAME_BYTES}")
     return packet
 
 
--- a/linnetstile/http/agent.py
+++ b/message_relay/http/agent.py
@@ -6,8 +6,8 @@
 import random
 
 from ..config import Address
-from ..core.growing import Growing
-from .link import Link, LinkLost
+from ..core.backoff import ExponentialBackoff
+from .connection import ConnectionLostError, EndpointConnection
 
 # A list of some 26,000 endpoints, at most: it takes 2 KB of memory for each, of 192 MB, and holds up the loop
 # for half a second. A longer one is refused, and what is known goes on serving.
@@ -18,24 +18,24 @@
     """No answer came in time, or none that can be used."""
 
 
-class Agent:
+class AgentClient:
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.link: Link | None = None
+        self.link: EndpointConnection | None = None
 
-    async def ask(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
+    async def request(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
         """Safe to repeat at will: the agent takes each of its requests any number of times."""
         try:
             async with asyncio.timeout(seconds):
                 if self.link is None or not self.link.usable:
-                    self.link = await Link.open(self.address, ANSWER_BYTES)
+                    self.link = await EndpointConnection.open(self.address, ANSWER_BYTES)
                 host = f"{self.address[0]}:{self.address[1]}"
-                head, answer = await self.link.ask(method, target, [("Host", host)], body)
+                head, answer = await self.link.request(method, target, [("Host", host)], body)
                 return head.status, answer
         except TimeoutError as error:
             self.close()
             raise AgentError(f"no answer within {seconds:.1f} s") from error
-        except LinkLost as error:
+        except ConnectionLostError as error:
             self.close()
             raise AgentError(str(error)) from error
 
@@ -45,7 +45,7 @@
             self.link = None
 
 
-class Backoff(Growing):
+class Backoff(ExponentialBackoff):
     """Pauses between failed requests, in seconds, so that a returning agent is not hammered."""
 
     def __init__(self, first_s: float, most_s: float) -> None:
--- a/linnetstile/http/intake.py
+++ b/message_relay/http/client_connection.py
@@ -19,7 +19,7 @@
 
 import h11
 
-from .link import named, polled
+from .connection import named, polled
 from .listener import Listener
 
 log = logging.getLogger(__name__)
@@ -146,7 +146,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    def __init__(self, server: Clients) -> None:
+    def __init__(self, server: ClientListener) -> None:
         self.server = server
         self.http: h11.Connection | None = None  # made with the first byte: many never say anything
         self.transport: asyncio.Transport | None = None
@@ -412,7 +412,7 @@
             self.transport.close()
 
 
-class Clients:
+class ClientListener:
     """All connections of clients, `most` at once, and which of them makes room for another."""
 
     def __init__(self, handle: Handler, withdraw: Withdraw, most: int, roomy: int) -> None:
--- a/linnetstile/http/front.py
+++ b/message_relay/http/client_intake.py
@@ -6,11 +6,11 @@
 import socket
 
 from ..config import Config
-from ..core.seams import Desk, End, Malformed, Offer
-from ..core.tasks import Tasks
-from .agent import Agent
-from .intake import Clients, Reply, Request
-from .notices import Notices
+from ..core.ports import FinalOutcome, InvalidMessageError, MessageAcceptor, Submission
+from ..core.tasks import BackgroundTasks
+from .agent import AgentClient
+from .client_connection import ClientListener, Reply, Request
+from .outcome_notifier import OutcomeNotifier
 
 NAME = "http"
 FIELDS = {
@@ -22,16 +22,21 @@
 }  # what a client calls the fields of an offer
 
 
-class Front:
+class ClientIntake:
     """`most` connections of clients at once; so many idle ones as `roomy` says are few."""
 
     def __init__(
-        self, desk: Desk, config: Config, most: int, roomy: int, handed: socket.socket | None = None
+        self,
+        desk: MessageAcceptor,
+        config: Config,
+        most: int,
+        roomy: int,
+        handed: socket.socket | None = None,
     ) -> None:
         self.desk, self.listen, self.handed = desk, config.listen, handed
-        self.clients = Clients(self.take, desk.withdraw, most, roomy)
-        self.notices = Notices(Agent(config.discovery), desk.told)
-        self.tasks = Tasks()
+        self.clients = ClientListener(self.take, desk.cancel, most, roomy)
+        self.notices = OutcomeNotifier(AgentClient(config.discovery), desk.mark_notified)
+        self.tasks = BackgroundTasks()
         self.telling: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
@@ -39,25 +44,25 @@
         self.tasks.start(self.clients.watch())
         self.clients.listen(*self.listen, self.handed)
 
-    def end(self, end: End) -> None:
-        self.notices.add(end.id, end.state, end.after_ms)
+    def notify_outcome(self, end: FinalOutcome) -> None:
+        self.notices.add(end.id, end.state, end.retry_after_ms)
 
     def reload(self, config: Config) -> None:
         if self.telling is not None:
             self.telling.cancel()
         self.notices.agent.close()
-        self.notices.move(Agent(config.discovery))
+        self.notices.move(AgentClient(config.discovery))
         self.telling = self.tasks.start(self.notices.run())
 
     def stop(self) -> None:
         self.clients.stop()
 
     @property
-    def reading(self) -> int:
+    def open_requests(self) -> int:
         return len(self.clients.connections)
 
     @property
-    def unsettled(self) -> int:
+    def pending_outcomes(self) -> int:
         return len(self.notices.waiting)
 
     async def close(self) -> None:
@@ -74,24 +79,24 @@
             return Reply(405, "POST a message, or GET /healthz")
         try:
             offer = offer_of(request, path)
-            receipt = self.desk.take(offer)
-        except Malformed as error:
+            receipt = self.desk.accept(offer)
+        except InvalidMessageError as error:
             return Reply(400, f"{FIELDS.get(error.field, error.field)}: {error.text}")
-        if receipt.taken:
-            return Reply(202, accepted=offer.id, when=receipt.when)
-        return Reply(503, receipt.why, retry_s=receipt.retry_s)
+        if receipt.accepted:
+            return Reply(202, accepted=offer.id, when=receipt.durable)
+        return Reply(503, receipt.reason, retry_s=receipt.retry_after_s)
 
 
-def offer_of(request: Request, path: str) -> Offer:
+def offer_of(request: Request, path: str) -> Submission:
     """Raises Malformed where a header cannot be read; what it means is the desk's to check."""
     get = request.headers.get
     class_ = path.strip("/").partition("/")[0]
     if get("x-qos", "") != class_:
-        raise Malformed("class", f"path {path!r} and X-Qos {get('x-qos', '')!r} must name the same")
+        raise InvalidMessageError("class", f"path {path!r} and X-Qos {get('x-qos', '')!r} must name the same")
     left = get("x-expires-in-ms", "")
     if not (left.isascii() and left.isdecimal() and len(left) <= 9):
-        raise Malformed("left", "whole milliseconds are needed")
-    return Offer(
+        raise InvalidMessageError("left", "whole milliseconds are needed")
+    return Submission(
         get("x-trace-id", ""),
         class_,
         get("x-customer", ""),
@@ -109,4 +114,4 @@
         name, _, value = part.strip().partition("=")
         if name == "dest" and value.isascii() and value.isdecimal() and len(value) < 10:
             return int(value)
-    raise Malformed("dest", "dest=NUMBER is needed")
+    raise InvalidMessageError("dest", "dest=NUMBER is needed")
--- a/linnetstile/http/link.py
+++ b/message_relay/http/connection.py
@@ -28,7 +28,7 @@
 ASKED = [("Host", "x")]  # h11 only has to know that something was asked
 
 
-class LinkLost(Exception):
+class ConnectionLostError(Exception):
     """The connection cannot be used, or broke, or the other side does not speak HTTP."""
 
 
@@ -67,7 +67,7 @@
         f"Content-Length: {len(body)}\r\n\r\n",
     ]
     if any(LINE_BREAK.search(value) for _, value in headers):
-        raise LinkLost("a header's value holds a line break")
+        raise ConnectionLostError("a header's value holds a line break")
     return "".join(lines).encode("latin-1") + body
 
 
@@ -81,7 +81,7 @@
     return bool(poll.poll(0))
 
 
-class Link(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """Built on a bare protocol: streams hide when the last byte was written, and keep stray answers."""
 
     def __init__(self, body_bytes: int) -> None:
@@ -106,13 +106,13 @@
         self.kind = ""  # of the endpoint that it leads to
 
     @classmethod
-    async def open(cls, address: Address, body_bytes: int) -> Link:
+    async def open(cls, address: Address, body_bytes: int) -> EndpointConnection:
         try:
             loop = asyncio.get_running_loop()
             _, link = await loop.create_connection(lambda: cls(body_bytes), *address)
             return link
         except OSError as error:
-            raise LinkLost(f"cannot connect to {address[0]}:{address[1]}: {error}") from error
+            raise ConnectionLostError(f"cannot connect to {address[0]}:{address[1]}: {error}") from error
 
     @property
     def usable(self) -> bool:
@@ -132,7 +132,7 @@
         """Returns once the last byte is written; LinkLost means that it was not. If it is to be held back,
         only what comes before it is written, and `finish` is still to be called."""
         if not self.usable or self.transport is None:
-            raise LinkLost("the connection is closed")
+            raise ConnectionLostError("the connection is closed")
         loop = asyncio.get_running_loop()
         self.busy, self.pieces, self.calls = True, 0, self.calls + 1
         self.status, self.head, self.whole = loop.create_future(), loop.create_future(), loop.create_future()
@@ -145,14 +145,14 @@
             await self._write(self.transport, data[:-1], last=False)
             await asyncio.wait([self.status], timeout=hold_s)
             if self.status.done():
-                raise LinkLost("the connection broke before the request was whole")
+                raise ConnectionLostError("the connection broke before the request was whole")
         else:
             await self._write(self.transport, data, last=True)
 
     async def finish(self) -> None:
         """Writes what `send` held back."""
         if self.transport is None or self.status.done():
-            raise LinkLost("the connection broke before the request was whole")
+            raise ConnectionLostError("the connection broke before the request was whole")
         last, self.last_byte = self.last_byte, b""
         if last:
             await self._write(self.transport, last, last=True)
@@ -163,14 +163,16 @@
         transport.write(data)
         # A first write that fails closes the transport at once, and has not taken the whole request.
         if transport.is_closing():
-            raise LinkLost("the connection broke while the request was written")
+            raise ConnectionLostError("the connection broke while the request was written")
         if transport.get_write_buffer_size():
             self.flushed = asyncio.get_running_loop().create_future()
             await self.flushed
         else:
             self.sent = last
 
-    async def ask(self, method: str, target: str, headers: Headers, body: bytes = b"") -> tuple[Head, bytes]:
+    async def request(
+        self, method: str, target: str, headers: Headers, body: bytes = b""
+    ) -> tuple[Head, bytes]:
         """One request and its whole answer."""
         await self.send(method, target, headers, body)
         head = await self.head
@@ -284,5 +286,5 @@
         self.close()
         for future in (self.flushed, self.status, self.head, self.whole):
             if future is not None and not future.done():
-                future.set_exception(LinkLost(why))
+                future.set_exception(ConnectionLostError(why))
                 future.exception()  # nobody may be waiting for it
--- a/linnetstile/http/register.py
+++ b/message_relay/http/discovery_client.py
@@ -10,18 +10,18 @@
 from typing import Any
 
 from ..config import Address, Config, address
-from ..core.seams import Member, Told, Update
-from ..decisions.interface import Listing
-from ..logs import Note
-from ..membership.asking import Asking
-from .agent import Agent, AgentError
+from ..core.ports import EndpointRecord, EndpointUpdate, EndpointUpdateCallback
+from ..decisions.model import Listing
+from ..endpoint_discovery.poll_schedule import PollSchedule
+from ..structured_logging import LogEvent
+from .agent import AgentClient, AgentError
 
 log = logging.getLogger(__name__)
 
 LISTINGS = {"ready": Listing.READY, "gone": Listing.GONE}  # whatever else gets nothing new
 
 
-def read(raw: dict[str, Any]) -> tuple[int, Update]:
+def read(raw: dict[str, Any]) -> tuple[int, EndpointUpdate]:
     """An answer's version and what it tells, but for entries that cannot be read; ValueError says that it is
     no list at all."""
     try:
@@ -29,7 +29,10 @@
         items = list(raw["instances"])
     except (KeyError, TypeError, OverflowError) as error:
         raise ValueError(f"malformed list: {error!r}") from error
-    members, lives = dict[str, Member](), dict[str, Listing]()  # of one that comes twice the later holds
+    members, lives = (
+        dict[str, EndpointRecord](),
+        dict[str, Listing](),
+    )  # of one that comes twice the later holds
     for item in items:
         try:
             member = _member(item)
@@ -38,7 +41,7 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
             # Guards the others against one entry that cannot be read: where its endpoint is known already,
             # that stands, but for what it says of its life.
-            log.warning(Note("discovery: an entry is passed over", why=repr(error)))
+            log.warning(LogEvent("discovery: an entry is passed over", why=repr(error)))
             if isinstance(item, dict) and "instanceId" in item:
                 name = str(item["instanceId"])
                 listing = LISTINGS.get(str(item.get("lifecycle")), Listing.DRAINING)
@@ -46,15 +49,15 @@
                     members[name] = replace(members[name], listing=listing)
                 else:
                     lives[name] = listing
-    return version, Update(whole, tuple(members.values()), tuple(lives.items()))
+    return version, EndpointUpdate(whole, tuple(members.values()), tuple(lives.items()))
 
 
-def _member(item: dict[str, Any]) -> Member:
+def _member(item: dict[str, Any]) -> EndpointRecord:
     name, kind, zone = str(item["instanceId"]), item.get("machineType"), item.get("zone")
     rate = float(item.get("weight", 0.0))
     if not 0 <= rate < 1e9:
         raise ValueError(f"{name}: weight {rate} makes no sense")
-    return Member(
+    return EndpointRecord(
         name,
         int(item["cell"]),
         LISTINGS.get(item["lifecycle"], Listing.DRAINING),
@@ -65,16 +68,16 @@
     )
 
 
-class Register:
+class DiscoveryClient:
     """Keeps the list current; what fails keeps the version, so that nothing is missed."""
 
     def __init__(self, at: Address, relays: int = 1, seed: int = 0, shared: bool = True) -> None:
         """`relays`: how many ask, `shared`: the same register; `seed`: of this relay's own pauses."""
-        self.agent = Agent(at)
+        self.agent = AgentClient(at)
         self.version = -1
-        self.asking = Asking(relays, random.Random(seed), shared)
+        self.asking = PollSchedule(relays, random.Random(seed), shared)
 
-    def known(self, raw: dict[str, Any]) -> Update:
+    def known(self, raw: dict[str, Any]) -> EndpointUpdate:
         """The list as the configuration has it: it may be old, but its version says how old."""
         self.version, update = read(raw)
         return update
@@ -82,13 +85,13 @@
     def reload(self, config: Config) -> None:
         """Another agent counts its versions anew: what it has is asked for whole."""
         self.agent.close()
-        self.agent, self.version = Agent(config.discovery), -1
-        self.asking.anew()
+        self.agent, self.version = AgentClient(config.discovery), -1
+        self.asking.restart()
 
     def close(self) -> None:
         self.agent.close()
 
-    async def run(self, told: Told) -> None:
+    async def run(self, told: EndpointUpdateCallback) -> None:
         """A process that knows a list waits for its turn; after a reload none is known: it asks at once."""
         if self.version >= 0:
             await asyncio.sleep(self.asking.first() / 1000)
@@ -99,7 +102,7 @@
                 self.version = version
                 self.asking.answered()
             except (AgentError, ValueError) as error:
-                log.warning(Note("discovery failed", why=error))
+                log.warning(LogEvent("discovery failed", why=error))
                 self.agent.close()
                 await asyncio.sleep(self.asking.failed(refused=isinstance(error, ValueError)) / 1000)
             except Exception:
@@ -111,7 +114,7 @@
         hold_ms = round(self.asking.hold()) if known else 0
         target = "/v1/servers" + (f"?from={self.version}&hold_ms={hold_ms}" if known else "")
         seconds = self.asking.patience(hold_ms) / 1000
-        status, body = await self.agent.ask("GET", target, b"", seconds)
+        status, body = await self.agent.request("GET", target, b"", seconds)
         raw = json.loads(body) if status == 200 else None
         if not isinstance(raw, dict):
             raise ValueError(f"status {status}, {len(body)} bytes that are no list")
--- a/linnetstile/http/calls.py
+++ b/message_relay/http/endpoint_client.py
@@ -7,10 +7,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass, replace
 
-from ..core.seams import Attempt, Key, Result
-from ..decisions.interface import Outcome
-from .keeping import Keeping, no_place
-from .link import Head, Link, LinkLost
+from ..core.ports import Attempt, AttemptResult, EndpointKey
+from ..decisions.model import Outcome
+from .connection import ConnectionLostError, EndpointConnection, Head
+from .keep_alive import KeepAlivePolicy, connection_rejected
 
 IDLE_SHARE = 0.8  # of the idle limit: an older connection may be closed while a call is written to it
 BODY_S = 1.0  # a body that takes longer costs its connection, and a refusal its proof
@@ -20,24 +20,24 @@
 WARY_S = 10.0  # so long after one that was kept has broken
 
 
-def answer_of(head: Head) -> Result:
+def answer_of(head: Head) -> AttemptResult:
     """Each row of the protocol's table in which an answer came back."""
-    wait = told_wait(head.headers.get("x-ratelimit-wait-ms", ""))
+    wait = retry_after_ms(head.headers.get("x-ratelimit-wait-ms", ""))
     match head.status:
         case 200:
-            return Result(Outcome.OK, over=True)
+            return AttemptResult(Outcome.OK, finished=True)
         case 429:
-            return Result(Outcome.FULL, wait_ms=wait)
+            return AttemptResult(Outcome.FULL, wait_ms=wait)
         case 503 if head.headers.get("x-over-slots") == "1":
-            return Result(Outcome.NOT_SENT, no_slot=True)
+            return AttemptResult(Outcome.NOT_SENT, no_slot=True)
         case 503:  # the protocol names no wait here, but one that is told is kept
-            return Result(Outcome.FULL, wait_ms=wait)
+            return AttemptResult(Outcome.FULL, wait_ms=wait)
         case 504:
-            return Result(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         case 410:
-            return Result(Outcome.NOT_SENT, over=True)
+            return AttemptResult(Outcome.NOT_SENT, finished=True)
         case _:  # 500, and whatever else the protocol does not name: it may have run
-            return Result(Outcome.ERROR)
+            return AttemptResult(Outcome.ERROR)
 
 
 def report_of(head: Head, fields: tuple[str, ...]) -> tuple[float, ...]:
@@ -54,7 +54,7 @@
     return found if all(math.isfinite(value) and value >= 0 for value in found) else ()
 
 
-def told_wait(text: str) -> float:
+def retry_after_ms(text: str) -> float:
     try:
         wait = float(text)
     except ValueError:
@@ -66,14 +66,14 @@
 class Out:
     """The connection that one call is on."""
 
-    link: Link | None = None
+    link: EndpointConnection | None = None
 
     @property
     def may_run(self) -> bool:
         """Its last byte has left. Before that the endpoint never had the whole call."""
         return self.link is not None and self.link.sent
 
-    def take(self, link: Link) -> Link:
+    def take(self, link: EndpointConnection) -> EndpointConnection:
         self.link, link.sent = link, False  # what was sent on it before is over
         return link
 
@@ -83,7 +83,7 @@
             self.link = None
 
 
-class Calls:
+class EndpointClient:
     def __init__(
         self,
         idle_ms: float,
@@ -92,32 +92,36 @@
         most_ending: int = 16,
         report_fields: tuple[str, ...] = (),
     ) -> None:
-        self.report_fields, self.keeping = report_fields, Keeping()
+        self.report_fields, self.keeping = report_fields, KeepAlivePolicy()
         self.idle_s = IDLE_SHARE * idle_ms / 1000
         self.connect_s = connect_timeout_ms / 1000 or None
         self.most_idle = most_idle
-        self.idle: dict[Key, list[Link]] = {}  # each list and all of them: longest idle first
-        self.aged: OrderedDict[Link, Key] = OrderedDict()
-        self.listed: set[Key] | None = None  # None: not told yet
-        self.ending: dict[Link, None] = {}  # answered, but their bodies have not come; oldest first
+        self.idle: dict[
+            EndpointKey, list[EndpointConnection]
+        ] = {}  # each list and all of them: longest idle first
+        self.aged: OrderedDict[EndpointConnection, EndpointKey] = OrderedDict()
+        self.listed: set[EndpointKey] | None = None  # None: not told yet
+        self.ending: dict[
+            EndpointConnection, None
+        ] = {}  # answered, but their bodies have not come; oldest first
         self.most_ending = most_ending
         self.broke_at = -WARY_S  # when a connection that was kept broke before its call was answered
 
-    async def attempt(self, attempt: Attempt) -> Result:
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
         """Makes one call; giving up closes its connection, which frees the slot at the endpoint."""
         out, key, wait = Out(), (attempt.endpoint, attempt.address), 0.0
         try:
             async with asyncio.timeout_at(attempt.give_up_at):
                 link = await self._written(attempt, key, out)
                 if link is None:
-                    return Result(Outcome.NOT_SENT, held_back=True)
+                    return AttemptResult(Outcome.NOT_SENT, withheld=True)
                 if await link.status == 200:
                     # True also if the rest of the answer is spoilt: the message is over.
-                    answer = Result(Outcome.OK, over=True, report=self._report(link))
+                    answer = AttemptResult(Outcome.OK, finished=True, report=self._report(link))
                 else:
                     head = await link.head
                     answer = replace(answer_of(head), report=report_of(head, self.report_fields))
-                    if no_place(head.status, head.headers, link.calls, answer.wait_ms):
+                    if connection_rejected(head.status, head.headers, link.calls, answer.wait_ms):
                         self._no_place(attempt.kind)
                 if answer.outcome.proves_no_effect:
                     # Guards unsafe messages: what looks like a refusal but does not end as one is spoilt,
@@ -129,15 +133,15 @@
             self._after_body(key, link)
             return answer
         except TimeoutError:
-            return Result(Outcome.TIMEOUT if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
-        except LinkLost:
+            return AttemptResult(Outcome.TIMEOUT if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
+        except ConnectionLostError:
             if out.link is not None and out.may_run and out.link.calls > 1:
                 self.broke_at = asyncio.get_running_loop().time()
-            return Result(Outcome.RESET if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
+            return AttemptResult(Outcome.RESET if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
         finally:
             out.drop()
 
-    def _report(self, link: Link) -> tuple[float, ...]:
+    def _report(self, link: EndpointConnection) -> tuple[float, ...]:
         """Of an answer whose first line is enough, as far as the rest has come."""
         come = link.head.done() and link.head.exception() is None
         return report_of(link.head.result(), self.report_fields) if come else ()
@@ -149,7 +153,7 @@
                 self._remove(link, key)
                 link.close()
 
-    async def _written(self, attempt: Attempt, key: Key, out: Out) -> Link | None:
+    async def _written(self, attempt: Attempt, key: EndpointKey, out: Out) -> EndpointConnection | None:
         """A connection with the whole call on it; None if it may not go out after all. One that was kept and
         breaks before the last byte tells nothing of the endpoint: the call goes on another at once."""
         for may_be_kept in (True, True, False):
@@ -168,28 +172,28 @@
                         return None
                     await link.finish()
                 return link
-            except LinkLost:
+            except ConnectionLostError:
                 if not kept or out.may_run:
                     raise
                 self.broke_at = asyncio.get_running_loop().time()
                 out.drop()
-        raise LinkLost("no connection stays up")
+        raise ConnectionLostError("no connection stays up")
 
     def _hold_s(self, attempt: Attempt, kept: bool) -> float:
         """Guards against resets that say nothing: a call begins with its last byte, so a connection that
         breaks before it, as one does that had ended unnoticed, proves that nothing ran."""
-        if attempt.careful:
+        if attempt.ambiguity_is_final:
             return CAREFUL_HOLD_S
         wary = kept and asyncio.get_running_loop().time() < self.broke_at + WARY_S
         return HOLD_S if wary else 0.0
 
-    def keep_only(self, listed: set[Key]) -> None:
+    def retain_only(self, listed: set[EndpointKey]) -> None:
         """Closes the idle connections to endpoints that drain, are gone or have moved."""
         self.listed = listed
         for key in set(self.idle) - listed:
             self._drop_all(key)
 
-    def changed(self, key: Key, listed: bool) -> None:
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
         """The same for one endpoint, at no cost for the others."""
         if self.listed is None:
             self.listed = set()
@@ -200,9 +204,9 @@
             self._drop_all(key)
 
     def close(self) -> None:
-        self.keep_only(set())
+        self.retain_only(set())
 
-    def _drop_all(self, key: Key) -> None:
+    def _drop_all(self, key: EndpointKey) -> None:
         for link in self.idle.pop(key, ()):
             del self.aged[link]
             link.close()
@@ -214,7 +218,7 @@
                 self._remove(link, key)
                 link.close()
 
-    def _remove(self, link: Link, key: Key) -> None:
+    def _remove(self, link: EndpointConnection, key: EndpointKey) -> None:
         del self.aged[link]
         links = self.idle[key]
         links.remove(link)
@@ -233,10 +237,10 @@
             headers.append(("X-Rules", attempt.mark()))
         return headers if attempt.key is None else [*headers, ("Idempotency-Key", attempt.key)]
 
-    def _fresh(self, link: Link) -> bool:
+    def _fresh(self, link: EndpointConnection) -> bool:
         return link.usable and asyncio.get_running_loop().time() - link.idle_since < self.idle_s
 
-    def _pooled(self, key: Key) -> Link | None:
+    def _pooled(self, key: EndpointKey) -> EndpointConnection | None:
         while links := self.idle.get(key):
             link = links[-1]
             self._remove(link, key)
@@ -245,13 +249,13 @@
             link.close()
         return None
 
-    async def _connect(self, attempt: Attempt) -> Link:
+    async def _connect(self, attempt: Attempt) -> EndpointConnection:
         async with asyncio.timeout(self.connect_s):
-            link = await Link.open(attempt.address, BODY_BYTES)
+            link = await EndpointConnection.open(attempt.address, BODY_BYTES)
         link.kind = attempt.kind
         return link
 
-    def _keep(self, key: Key, link: Link) -> None:
+    def _keep(self, key: EndpointKey, link: EndpointConnection) -> None:
         wanted = self.listed is None or key in self.listed
         if not (link.usable and wanted and self.keeping.keeps(link.kind, asyncio.get_running_loop().time())):
             link.close()
@@ -263,7 +267,7 @@
         self.aged[link] = key
         self.idle.setdefault(key, []).append(link)
 
-    def _after_body(self, key: Key, link: Link) -> None:
+    def _after_body(self, key: EndpointKey, link: EndpointConnection) -> None:
         """The outcome is known before the body; the connection is free once the body has come."""
         if link.whole.done():
             self._keep(key, link)
--- a/linnetstile/http/keeping.py
+++ b/message_relay/http/keep_alive.py
@@ -12,7 +12,7 @@
 SCARCE_S = 60.0  # after the latest connection that was turned away: longer than such a day's quiet spells
 
 
-class Keeping:
+class KeepAlivePolicy:
     def __init__(self) -> None:
         self.turned_away: dict[str, float] = {}  # kind of endpoint -> when; no more of them than are listed
 
@@ -28,7 +28,7 @@
         return kept
 
 
-def no_place(status: int, headers: dict[str, str], calls: int, wait_ms: float) -> bool:
+def connection_rejected(status: int, headers: dict[str, str], calls: int, wait_ms: float) -> bool:
     """An answer by which an endpoint turns a connection away, and not a call: 503 to its first request, with
     no time to come again, and an end of the connection, which no refusal above a limit brings."""
     options = {option.strip().lower() for option in headers.get("connection", "").split(",")}
--- a/linnetstile/http/listener.py
+++ b/message_relay/http/listener.py
@@ -10,8 +10,8 @@
 import socket
 from collections.abc import Callable
 
-from ..core.tasks import Tasks
-from ..logs import Note
+from ..core.tasks import BackgroundTasks
+from ..structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         self.sockets: list[socket.socket] = []
         self.coming = 0  # taken from the system, and not yet announced to their protocol
         self.paused = False
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
 
     def listen(self, host: str, port: int, handed: socket.socket | None = None) -> None:
         """At an address, or on a socket that was handed over. Raises OSError."""
@@ -83,7 +83,7 @@
             except OSError as error:
                 if error.errno not in NO_ROOM:
                     raise
-                log.warning(Note("no connection can be taken for now", why=error))
+                log.warning(LogEvent("no connection can be taken for now", why=error))
                 self._pause()
                 return
             taken.setblocking(False)
--- a/linnetstile/http/notices.py
+++ b/message_relay/http/outcome_notifier.py
@@ -7,9 +7,8 @@
 import logging
 from collections.abc import Callable
 
-from .agent import Agent, AgentError, Backoff
-
-from ..logs import Note
+from ..structured_logging import LogEvent
+from .agent import AgentClient, AgentError, Backoff
 
 log = logging.getLogger(__name__)
 
@@ -22,10 +21,10 @@
 PAUSE_S, PAUSE_MAX_S = 0.05, 0.5  # between failed requests
 
 
-class Notices:
+class OutcomeNotifier:
     """Sends each notice until it is answered 204: at least once, also over a restart (see the journal)."""
 
-    def __init__(self, agent: Agent, told: Callable[[list[str]], None]) -> None:
+    def __init__(self, agent: AgentClient, told: Callable[[list[str]], None]) -> None:
         self.agent, self.told = agent, told
         self.waiting: dict[str, str] = {}
         self.wake = asyncio.Event()
@@ -39,7 +38,7 @@
         self.waiting[ident] = json.dumps(line) + "\n"
         self.wake.set()
 
-    def move(self, agent: Agent) -> None:
+    def move(self, agent: AgentClient) -> None:
         """What waits, or was out unanswered, goes to this agent: a notice told twice does no harm."""
         self.agent = agent
         if self.waiting:
@@ -55,7 +54,7 @@
                     await self._send(list(self.waiting)[: self.batch])
                     backoff.reset()
                 except AgentError as error:
-                    log.warning(Note("notices failed", waiting=len(self.waiting), why=error))
+                    log.warning(LogEvent("notices failed", waiting=len(self.waiting), why=error))
                     self.patience = min(ANSWER_MAX_S, 2 * self.patience)
                     await backoff.pause()
                 except Exception:
@@ -66,7 +65,7 @@
         body = "".join(self.waiting[ident] for ident in idents).encode()
         clock = asyncio.get_running_loop().time
         begun = clock()
-        status, _ = await self.agent.ask("POST", "/v1/outcomes", body, self.patience)
+        status, _ = await self.agent.request("POST", "/v1/outcomes", body, self.patience)
         self.patience = min(ANSWER_MAX_S, max(ANSWER_S, SLOW * (clock() - begun)))
         if status != 204:
             # Guards the others against one line that is not taken: from here on, one by one and in turn.
--- a/linnetstile/process.py
+++ b/message_relay/process.py
@@ -8,15 +8,15 @@
 import signal
 import sys
 
-from .amqp.settings import AmqpPart
-from .assembly import assemble
+from .amqp.settings import AmqpSettings
+from .composition import compose
 from .config import Config, ConfigError, load
-from .fleet.handover import HandoverError, handed_over
-from .fleet.notify import Notifier, NotifyError
-from .garbage import tend
-from .logs import Note, plain
-from .store.frame import NewerFormat
-from .store.lock import FolderBusy
+from .fleet.socket_activation import SocketActivationError, inherited_sockets
+from .fleet.systemd_notify import NotifyError, SystemdNotifier
+from .gc_policy import run_gc_policy
+from .store.lock import DirectoryLockedError
+from .store.record_format import UnsupportedFormatError
+from .structured_logging import LogEvent, configure_plain_logging
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 REFUSED, FAILED = 2, 1  # exit codes: the configuration makes no sense; something cannot be had
 
 
-class Signals:
+class ProcessSignals:
     """What the system has told this process, from its first moment on."""
 
     def __init__(self) -> None:
@@ -35,36 +35,42 @@
             loop.add_signal_handler(number, self.stop.set)
 
 
-class Life:
+class RelayProcess:
     """From its start to its stop, as on the platform; fleet/instance.py adds what an operator's file sets."""
 
     def __init__(
-        self, config: Config, signals: Signals, notifier: Notifier, amqp: AmqpPart | None = None
+        self,
+        config: Config,
+        signals: ProcessSignals,
+        notifier: SystemdNotifier,
+        amqp: AmqpSettings | None = None,
     ) -> None:
         self.signals, self.notifier = signals, notifier
-        self.built = assemble(config, handed_over(), amqp)
-        self.host = self.built.host
+        self.built = compose(config, inherited_sockets(), amqp)
+        self.relay = self.built.relay
 
     async def run(self) -> None:
         self.notifier.start()
         await self.built.start()
-        await self.serving()
+        await self.on_serving()
         self.notifier.ready()
-        log.info(Note("serving", name=self.host.config.name, listen="{}:{}".format(*self.host.config.listen)))
-        self.host.tasks.start(self.follow())
-        self.host.tasks.start(tend(lambda: self.host.messages.holding))
+        log.info(
+            LogEvent("serving", name=self.relay.config.name, listen="{}:{}".format(*self.relay.config.listen))
+        )
+        self.relay.tasks.start(self.follow())
+        self.relay.tasks.start(run_gc_policy(lambda: self.relay.messages.pending_count))
         await self.signals.stop.wait()
         self.notifier.stopping()
         try:
-            await self.host.stop()
+            await self.relay.stop()
         finally:
-            self.ended()
+            self.on_stopped()
             self.notifier.close()
 
-    async def serving(self) -> None:
+    async def on_serving(self) -> None:
         """Messages are taken from now on."""
 
-    def ended(self) -> None:
+    def on_stopped(self) -> None:
         """They no longer are."""
 
     async def follow(self) -> None:
@@ -75,39 +81,39 @@
             self.notifier.reloading()
             try:
                 self.reload()
-                log.info(Note("the configuration is read again"))
+                log.info(LogEvent("the configuration is read again"))
             except (ConfigError, ValueError) as error:
-                log.error(Note("the new configuration is passed over", why=error))
+                log.error(LogEvent("the new configuration is passed over", why=error))
                 self.notifier.status(f"the new configuration is passed over: {error}")
             self.notifier.ready()
 
     def reload(self) -> None:
         """Raises ConfigError or ValueError where a file makes no sense: then nothing has changed."""
-        self.host.reload(load())
+        self.relay.reload(load())
 
 
 async def serve() -> None:
-    signals = Signals()
-    notifier = Notifier.of()
+    signals = ProcessSignals()
+    notifier = SystemdNotifier.of()
     if os.environ.get(OPERATOR):
         from .fleet.instance import operated
 
         await operated(signals, notifier).run()
     else:
-        await Life(load(), signals, notifier).run()
+        await RelayProcess(load(), signals, notifier).run()
 
 
 def main() -> int:
     """Runs one instance until it is told to stop; the exit code (docs/daemon.md)."""
     # Guards against the default action, which ends the process, until the loop has a handler of its own.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    plain()
+    configure_plain_logging()
     try:
         asyncio.run(serve())
-    except (ConfigError, HandoverError, NotifyError, NewerFormat) as error:
+    except (ConfigError, SocketActivationError, NotifyError, UnsupportedFormatError) as error:
         print(f"linnetstile: {error}", file=sys.stderr)
         return REFUSED
-    except (OSError, FolderBusy) as error:
+    except (OSError, DirectoryLockedError) as error:
         print(f"linnetstile: {error}", file=sys.stderr)
         return FAILED
     finally:
--- a/linnetstile/shards/staging.py
+++ b/message_relay/sharded_directory/bulk_load.py
@@ -8,14 +8,12 @@
 
 from collections.abc import Callable, Iterable
 
-
 import msgspec
 
-from .ring import shard_of
-from .table import EMPTY, Edit, Table, name_mark
+from .rendezvous_hash import shard_of
+from .shard_table import EMPTY, Edit, Table, name_mark
 from .wire import GONE, SUM_MASK, Row, Version, row_sum
 
-
 STEP_ROWS = 2_000  # read and compared in one step: some 4 ms
 STEP_SHARDS = 2_048  # looked at in one step, nearly all alike: below a millisecond
 HEAD = b"\xdd"  # of a msgpack array with four bytes of length
--- a/linnetstile/shards/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -14,17 +14,28 @@
 import msgspec
 
 from ..config import Config
-from ..core.host import Host
-from ..core.seams import Told
-from ..core.tasks import Tasks
-from ..logs import Note
-from ..peers.node import Hello, Node
-from ..peers.wire import Claim
-from .keeping import Keeper
-from .reading import Reader
-from .settings import ShardsPart
+from ..core.ports import EndpointUpdateCallback
+from ..core.relay import Relay
+from ..core.tasks import BackgroundTasks
+from ..gossip.node import GossipNode, Hello
+from ..gossip.wire import Claim
+from ..structured_logging import LogEvent
+from .settings import ShardedDirectorySettings
+from .shard_client import ShardClient
+from .shard_server import ShardServer
 from .source import FileSource, RegisterSource
-from .wire import Answer, Ask, Busy, Digest, Layout, Other, Unreadable, Word, packed, read
+from .wire import (
+    Digest,
+    Layout,
+    LayoutMismatch,
+    Overloaded,
+    ShardRequest,
+    ShardResponse,
+    UnreadableFrameError,
+    Word,
+    packed,
+    read,
+)
 
 log = logging.getLogger(__name__)
 
@@ -35,19 +46,21 @@
 AGAIN_S = 1.0  # after a turn that failed
 
 
-class Shards:
+class ShardedDirectory:
     """The host's `Interest`, and its one source of members."""
 
-    def __init__(self, part: ShardsPart, peers: Node, host: Host, number: int, config: Config) -> None:
+    def __init__(
+        self, part: ShardedDirectorySettings, peers: GossipNode, host: Relay, number: int, config: Config
+    ) -> None:
         self.peers, self.host, self.me = peers, host, peers.swim.me.name
         rng = random.Random(secrets.randbits(64))
         self.layout = Layout(part.count, tuple(sorted(part.keepers)))
         self.keepers = frozenset(f"n{keeper}" for keeper in part.keepers)
-        self.reader = Reader(self.me, self.layout, rng, part.bound_s, part.idle_s)
-        self.keeper: Keeper | None = None
+        self.reader = ShardClient(self.me, self.layout, rng, part.bound_s, part.idle_s)
+        self.keeper: ShardServer | None = None
         self.source: RegisterSource | FileSource | None = None
         if number in part.keepers:
-            self.keeper = Keeper(self.layout, part.epoch, rng)
+            self.keeper = ShardServer(self.layout, part.epoch, rng)
             self.source = (
                 FileSource(self.keeper, part.epoch, Path(part.file))
                 if part.file
@@ -58,13 +71,13 @@
                         config.discovery,
                         len(part.keepers),
                         config.seed,
-                        config.settings.ask_for_list,
+                        config.settings.polls_discovery,
                     )
                 )
             )
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self.counts: Counter[str] = Counter()
-        self.listener: Told = host.listed
+        self.listener: EndpointUpdateCallback = host.on_endpoint_update
         self.timer: asyncio.TimerHandle | None = None
         self.running = False
         self.news = asyncio.Event()
@@ -92,29 +105,29 @@
 
     # -- for the core ----------------------------------------------------------------------------------------
 
-    def here(self, destination: int) -> bool:
-        return self.reader.here(destination)
+    def is_resident(self, destination: int) -> bool:
+        return self.reader.is_resident(destination)
 
-    def knows(self, destination: int) -> bool:
-        return self.reader.knows(destination)
+    def contains(self, destination: int) -> bool:
+        return self.reader.contains(destination)
 
-    def want(self, destination: int, due: float) -> None:
-        self.reader.want(self.now(), destination, due)
+    def request(self, destination: int, due: float) -> None:
+        self.reader.request(self.now(), destination, due)
         self._due(self.now() + LEAST_S)
 
-    def use(self, destination: int) -> None:
-        self.reader.use(self.now(), destination)
+    def touch(self, destination: int) -> None:
+        self.reader.touch(self.now(), destination)
         if self.reader.updates or self.reader.next_at() <= self.now():
             self._due(self.now() + LEAST_S)
 
-    def current(self, destination: int) -> bool:
-        return self.reader.current(self.now(), destination)
+    def is_current(self, destination: int) -> bool:
+        return self.reader.is_current(self.now(), destination)
 
-    async def renewed(self) -> None:
+    async def wait_for_renewal(self) -> None:
         self._due(self.now() + LEAST_S)  # what has to be asked is asked now: one that was frozen is late
         await self.news.wait()
 
-    async def run(self, told: Told) -> None:
+    async def run(self, told: EndpointUpdateCallback) -> None:
         """As a source: tells for as long as it runs. What is told meanwhile is told at `host.listed` too."""
         self.listener = told
         await asyncio.get_running_loop().create_future()
@@ -147,13 +160,13 @@
         self.timer = None
         now = self.now()
         try:
-            self.reader.tick(now, self.host.in_use)
+            self.reader.tick(now, self.host.is_in_use)
             if self.keeper is not None:
                 for name, digest in self.keeper.digests(now):
                     if name == self.me:
                         self.reader.digest(now, name, digest)
                     else:
-                        self.peers.say(name, KIND, packed(digest))
+                        self.peers.send_datagram(name, KIND, packed(digest))
             self._carry_out()
             next_at = self.reader.next_at()
             if self.keeper is not None:
@@ -174,7 +187,7 @@
             self.listener(update)
         absent, self.reader.absent = self.reader.absent, []
         for destination in absent:
-            self.host.messages.absent(destination)
+            self.host.messages.fail_unknown_destination(destination)
 
     def _renew(self) -> None:
         """`current` may have changed."""
@@ -185,16 +198,16 @@
 
     # -- words -----------------------------------------------------------------------------------------------
 
-    async def _ask(self, keeper: str, ask: Ask) -> None:
-        word: Answer | Busy | Other | None = None
+    async def _ask(self, keeper: str, ask: ShardRequest) -> None:
+        word: ShardResponse | Overloaded | LayoutMismatch | None = None
         try:
             if keeper == self.me and self.keeper is not None:
                 await asyncio.sleep(0)  # in a turn of its own
                 word = self.keeper.asked(self.now(), self.me, ask)
             else:
-                came = read(await self.peers.ask(keeper, KIND, packed(ask), ASK_S))
-                if not isinstance(came, Answer | Busy | Other):
-                    raise Unreadable(f"{type(came).__name__} is no answer")
+                came = read(await self.peers.request(keeper, KIND, packed(ask), ASK_S))
+                if not isinstance(came, ShardResponse | Overloaded | LayoutMismatch):
+                    raise UnreadableFrameError(f"{type(came).__name__} is no answer")
                 word = came
         except ValueError as error:
             self._unreadable(keeper, error)
@@ -215,13 +228,13 @@
         """A frame; ValueError for what is no ask: the peers' node ends its connection."""
         try:
             ask = read(raw)
-            if not isinstance(ask, Ask):
-                raise Unreadable(f"{type(ask).__name__} is no ask")
+            if not isinstance(ask, ShardRequest):
+                raise UnreadableFrameError(f"{type(ask).__name__} is no ask")
         except ValueError as error:
             self._unreadable(hello.sender, error)
             raise
         if self.keeper is None:
-            return packed(Other(ask.number, self.layout))
+            return packed(LayoutMismatch(ask.number, self.layout))
         answer: Word = self.keeper.asked(self.now(), hello.sender, ask)
         self._due(max(self.keeper.next_at(), self.now() + LEAST_S))
         return packed(answer)
@@ -231,7 +244,7 @@
         try:
             digest = read(raw)
             if not isinstance(digest, Digest):
-                raise Unreadable(f"{type(digest).__name__} is no digest")
+                raise UnreadableFrameError(f"{type(digest).__name__} is no digest")
         except ValueError as error:
             self._unreadable(sender, error)
             return
@@ -243,7 +256,7 @@
         self.counts["unreadable"] += 1
         if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
             log.warning(
-                Note(
+                LogEvent(
                     "a word on the directory is passed over",
                     sender=sender,
                     why=error,
@@ -269,13 +282,13 @@
 
     # -- for people ------------------------------------------------------------------------------------------
 
-    def told(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         told = {
-            "reader": msgspec.to_builtins(self.reader.told(self.now())) | dict(self.counts),
+            "reader": msgspec.to_builtins(self.reader.status(self.now())) | dict(self.counts),
             "peers": {name: self.peers.counts[name] for name in ("sent_bytes", "received_bytes")},
         }
         if self.keeper is not None and self.source is not None:
-            told["keeper"] = msgspec.to_builtins(self.keeper.told(self.now())) | {
+            told["keeper"] = msgspec.to_builtins(self.keeper.status(self.now())) | {
                 "source_failures": self.source.failures,
                 "entries_passed_over": self.source.passed.count,
             }
--- a/linnetstile/shards/settings.py
+++ b/message_relay/sharded_directory/settings.py
@@ -12,7 +12,7 @@
 KEEPERS_MOST = 16  # as ring.KEEPERS_MOST: so many can be tried within the bound
 
 
-class ShardsPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ShardedDirectorySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Relays know the destinations that they need, and not all. Needs [peers]; not with [amqp] or
     [failover]."""
 
--- a/linnetstile/shards/holding.py
+++ b/message_relay/sharded_directory/shard_cache.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from ..core.seams import Member, Update
-from ..decisions.interface import Listing
+from ..core.ports import EndpointRecord, EndpointUpdate
+from ..decisions.model import Listing
 from . import bits
-from .ring import shard_of
+from .rendezvous_hash import shard_of
 from .wire import GONE, LISTINGS, NONE, SUM_MASK, Row, Version, row_sum, shard_mark
 
 CHECKS_TICK = 64  # shards looked at for idleness in one tick, of some destinations in use each: below 1 ms
@@ -42,13 +42,13 @@
     )
 
 
-def member(row: Row) -> Member:
-    return Member(
+def member(row: Row) -> EndpointRecord:
+    return EndpointRecord(
         row.name, row.destination, LISTINGS[row.listing], (row.host, row.port), row.kind, row.zone, row.rate
     )
 
 
-class Held:
+class CachedShard:
     """A shard that is here."""
 
     __slots__ = ("blob", "sum", "as_of", "used", "present", "told", "used_at", "waits", "bad")
@@ -65,23 +65,23 @@
         self.waits = False  # something in it is not told before it is as of `top`
 
 
-class Holdings:
+class ShardCache:
     def __init__(self, shards: int, idle_s: float) -> None:
         self.shards, self.idle_s = shards, idle_s
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, CachedShard] = {}
         self.bits = self.sum = self.set_sum = 0
         self.base = NONE  # all are as of this or a later version
         self.top = NONE
         self.mark = NONE  # of an answer in pieces: shards that have reached it aren't asked from `base`
         self.names: dict[str, int] = {}  # that the directory has: from which shard
-        self.updates: list[Update] = []
+        self.updates: list[EndpointUpdate] = []
         self.checks: deque[tuple[float, int]] = deque()  # (when, shard) to look whether it is idle, in order
         self.behind: set[int] = set()  # shards that wait for `top`
         self.unreadable = 0  # entries
         self.endpoints = 0
         self.read_rows = 0  # for tests of what an answer costs
 
-    def as_of(self, held: Held) -> Version:
+    def as_of(self, held: CachedShard) -> Version:
         return max(held.as_of, self.base)
 
     def settled(self, shard: int) -> bool:
@@ -96,7 +96,7 @@
         `top`."""
         if not self.held:
             self.base = version
-        held = self.held[shard] = Held(now)
+        held = self.held[shard] = CachedShard(now)
         self.bits |= 1 << shard
         self.set_sum = self.set_sum + shard_mark(shard) & SUM_MASK
         self.checks.append((now + self.idle_s / CHECKS_IDLE, shard))
@@ -118,7 +118,7 @@
         self._put(shard, held, list(known.values()), version)
         return len(_ENCODER.encode(rows))
 
-    def _put(self, shard: int, held: Held, rows: list[Row], version: Version) -> int:
+    def _put(self, shard: int, held: CachedShard, rows: list[Row], version: Version) -> int:
         before = held.sum
         held.blob = _ENCODER.encode(rows)
         held.sum = sum(map(row_sum, rows)) & SUM_MASK
@@ -169,14 +169,14 @@
         found = [shard for shard, held in self.held.items() if held.as_of >= self.mark]
         return sum(1 << shard for shard in found)
 
-    def _read(self, held: Held) -> list[Row]:
+    def _read(self, held: CachedShard) -> list[Row]:
         rows = _ROWS.decode(held.blob) if held.blob else []
         self.read_rows += len(rows)
         return rows
 
     # -- what the directory hears ----------------------------------------------------------------------------
 
-    def _settle(self, shard: int, held: Held) -> None:
+    def _settle(self, shard: int, held: CachedShard) -> None:
         if held.waits and self.as_of(held) >= self.top:
             self.tell(shard)
 
@@ -227,7 +227,7 @@
         (self.behind.add if held.waits else self.behind.discard)(shard)
         self._update(members, lives)
 
-    def _takes_over(self, shard: int, held: Held, name: str) -> bool:
+    def _takes_over(self, shard: int, held: CachedShard, name: str) -> bool:
         """The name was told from another shard, of an earlier version: it has moved here."""
         at = self.names.get(name)
         if at is None or at == shard or self.as_of(self.held[at]) >= self.as_of(held):
@@ -236,9 +236,9 @@
         self.endpoints -= 1
         return True
 
-    def _update(self, members: list[Member], lives: list[tuple[str, Listing]]) -> None:
+    def _update(self, members: list[EndpointRecord], lives: list[tuple[str, Listing]]) -> None:
         if members or lives:
-            self.updates.append(Update(False, tuple(members), tuple(lives)))
+            self.updates.append(EndpointUpdate(False, tuple(members), tuple(lives)))
 
     # -- use -------------------------------------------------------------------------------------------------
 
@@ -287,7 +287,7 @@
             self.checks.append((now + self.idle_s / CHECKS_IDLE, shard))
         return any_given
 
-    def _give_up(self, shard: int, held: Held) -> None:
+    def _give_up(self, shard: int, held: CachedShard) -> None:
         for name in held.told:
             del self.names[name]
         self.endpoints -= len(held.told)
--- a/linnetstile/shards/reading.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -20,24 +20,24 @@
 
 import msgspec
 
-from ..core.growing import Growing
-from ..core.seams import Update
-from .freshness import BEFORE, Freshness
-from .holding import Holdings
-from .ring import ranked, shard_of
+from ..core.backoff import ExponentialBackoff
+from ..core.ports import EndpointUpdate
+from .rendezvous_hash import ranked, shard_of
+from .shard_cache import ShardCache
+from .staleness import BEFORE, Freshness
 from .wire import (
-    Answer,
-    Ask,
-    Busy,
     NONE,
     Digest,
+    FullShard,
     Layout,
-    Other,
+    LayoutMismatch,
+    Overloaded,
     Part,
     Same,
+    ShardRequest,
+    ShardResponse,
     Version,
-    Want,
-    Whole,
+    WantedShard,
     layout_sum,
     packed_bits,
 )
@@ -103,7 +103,7 @@
         self.sums, self.wants = sums, wants
 
 
-class Keeper:
+class ServerState:
     """What a reader knows of one."""
 
     __slots__ = (
@@ -122,12 +122,12 @@
         self.name, self.rank = name, rank
         self.out: Out | None = None
         self.paused_until = self.behind_until = self.asked_at = BEFORE
-        self.pauses = Growing(PAUSE_S, PAUSE_MOST_S, rng)
+        self.pauses = ExponentialBackoff(PAUSE_S, PAUSE_MOST_S, rng)
         self.failing = False
         self.news = False  # it has more to tell
 
 
-class Reader:
+class ShardClient:
     def __init__(
         self,
         me: str,
@@ -144,16 +144,16 @@
         self.refresh_s = min(REFRESH * digest_s, max(REFRESH_LEAST * digest_s, bound_s - trying))
         self.layout_sum = layout_sum(layout)
         names = ranked(me, (f"n{number}" for number in layout.keepers))
-        self.keepers = {name: Keeper(name, rank, rng) for rank, name in enumerate(names)}
+        self.keepers = {name: ServerState(name, rank, rng) for rank, name in enumerate(names)}
         self.here_now = set(names)  # among the peers' members
         self.fresh = Freshness(names, bound_s - ROOM_S)
-        self.store = Holdings(layout.shards, idle_s)
+        self.store = ShardCache(layout.shards, idle_s)
         self.wants: dict[int, Wanted] = {}
         self.queue: list[tuple[float, int]] = []  # (due, shard) of those to ask for, a heap
         self.late: set[int] = set()  # of these: such as are here, and not as they have to be
         self.compare: dict[int, None] = {}  # shards to compare by their sums, in order
         self.suspected_at = BEFORE
-        self.asks: list[tuple[str, Ask]] = []
+        self.asks: list[tuple[str, ShardRequest]] = []
         self.absent: list[int] = []
         self.number = 0
         self.due = BEFORE  # when tick has something to do
@@ -161,7 +161,7 @@
         self.failures = self.busy = self.stale_refused = self.other_layout = self.unasked = self.bytes_in = 0
 
     @property
-    def updates(self) -> list[Update]:
+    def updates(self) -> list[EndpointUpdate]:
         """For the directory; the caller takes them out after whatever it has called here, before any call is
         made: `current` speaks of what is in them. Also after `want` and `use`: a destination whose
         shard is here, but was in no use, is told then."""
@@ -169,7 +169,7 @@
 
     # -- messages --------------------------------------------------------------------------------------------
 
-    def want(self, now: float, destination: int, due: float) -> None:
+    def request(self, now: float, destination: int, due: float) -> None:
         """A message for it is held, and it isn't `here`: an update or `absent` follows, perhaps at once."""
         shard = shard_of(destination, self.layout.shards)
         wanted = self.wants.get(shard)
@@ -187,24 +187,24 @@
         wanted.destinations.add(destination)
         self.due = min(self.due, now)
 
-    def use(self, now: float, destination: int) -> None:
+    def touch(self, now: float, destination: int) -> None:
         """A message for it was taken, a call made."""
         if not self.store.touch(now, destination):
             shard = shard_of(destination, self.layout.shards)
             if shard in self.store.held:
-                self.want(now, destination, now + NO_DUE_MS / 1e3)
+                self.request(now, destination, now + NO_DUE_MS / 1e3)
 
-    def here(self, destination: int) -> bool:
+    def is_resident(self, destination: int) -> bool:
         """Whether what there is of it is with the directory."""
         held = self.store.held.get(shard_of(destination, self.layout.shards))
         return held is not None and destination in held.used
 
-    def knows(self, destination: int) -> bool:
+    def contains(self, destination: int) -> bool:
         """Whether it is here, and there is such a destination."""
         held = self.store.held.get(shard_of(destination, self.layout.shards))
         return held is not None and destination in held.used and destination in held.present
 
-    def current(self, now: float, destination: int) -> bool:
+    def is_current(self, now: float, destination: int) -> bool:
         """Whether a first byte may go out by what is known of it. Else an ask is on its way."""
         held = self.store.held.get(shard_of(destination, self.layout.shards))
         if held is None:
@@ -230,7 +230,7 @@
         self.here_now = found
         self.due = min(self.due, now)
 
-    def answered(self, now: float, keeper: str, word: Answer | Busy | Other) -> None:
+    def answered(self, now: float, keeper: str, word: ShardResponse | Overloaded | LayoutMismatch) -> None:
         """How an ask ended. One that wasn't asked, or is not waited for any more, is passed over."""
         told = self.keepers.get(keeper)
         if told is None or told.out is None or told.out.number != word.number:
@@ -238,12 +238,12 @@
             return
         out = self._ended(told)
         self.due = min(self.due, now)
-        if isinstance(word, Busy):
+        if isinstance(word, Overloaded):
             self.busy += 1
             told.news = True  # whatever it was asked for is still to be asked
             after = word.after_ms / 1e3
             told.paused_until = now + (min(max(after, SHORT_S), PAUSE_MOST_S) if isfinite(after) else PAUSE_S)
-        elif isinstance(word, Other):
+        elif isinstance(word, LayoutMismatch):
             self.other_layout += not word.loading
             self._fails(now, told, out)
         else:
@@ -256,7 +256,7 @@
             self._fails(now, told, self._ended(told))
             self.due = min(self.due, now)
 
-    def _ended(self, keeper: Keeper) -> Out:
+    def _ended(self, keeper: ServerState) -> Out:
         out = keeper.out
         assert out is not None
         keeper.out = None
@@ -267,13 +267,13 @@
                 heapq.heappush(self.queue, (wanted.due, shard))
         return out
 
-    def _fails(self, now: float, keeper: Keeper, out: Out) -> None:
+    def _fails(self, now: float, keeper: ServerState, out: Out) -> None:
         self.failures += 1
         keeper.failing, keeper.news = True, False
         keeper.paused_until = now + keeper.pauses.next()
         self.fresh.failed(keeper.name, out.sent_at)
 
-    def _answer(self, now: float, keeper: Keeper, out: Out, answer: Answer) -> None:
+    def _answer(self, now: float, keeper: ServerState, out: Out, answer: ShardResponse) -> None:
         keeper.failing, keeper.news = False, False
         keeper.pauses.reset()
         age = max(0.0, answer.source_age_ms / 1e3) if isfinite(answer.source_age_ms) else 1e9
@@ -305,12 +305,12 @@
             keeper.paused_until = now + keeper.pauses.next()  # it gave none: not again at once
         self._arrived(now)
 
-    def _part(self, now: float, keeper: Keeper, out: Out, version: Version, part: Part) -> bool:
+    def _part(self, now: float, keeper: ServerState, out: Out, version: Version, part: Part) -> bool:
         """Whether it was taken: older never replaces newer."""
         store, shard = self.store, part.shard
         held = store.held.get(shard)
         if held is None:
-            if not isinstance(part, Whole) or shard not in out.wants or shard not in self.wants:
+            if not isinstance(part, FullShard) or shard not in out.wants or shard not in self.wants:
                 return False
             if version < store.top:
                 self.stale_refused += 1
@@ -326,14 +326,14 @@
             if out.sums.get(shard) != held.sum:
                 return False
             store.confirm(shard, version)
-        elif isinstance(part, Whole):
+        elif isinstance(part, FullShard):
             self._got(now, store.replace(shard, part.rows, version))
         else:
             self._got(now, store.change(shard, part.rows, version))
         self.compare.pop(shard, None)
         return True
 
-    def _others(self, now: float, keeper: Keeper) -> bool:
+    def _others(self, now: float, keeper: ServerState) -> bool:
         """Whether another one may know more than this, which is behind."""
         return any(
             not each.failing and each.behind_until <= now and each.name in self.here_now
@@ -442,7 +442,7 @@
             found[heapq.heappop(self.queue)[1]] = None
         return list(found)
 
-    def _reason(self, now: float, keeper: Keeper, place: int, wants: bool) -> bool:
+    def _reason(self, now: float, keeper: ServerState, place: int, wants: bool) -> bool:
         if wants or keeper.news:
             return True
         if not self.store.held:
@@ -464,7 +464,7 @@
             )
         return bool(self.late) and place < 2 and tried >= PAUSE_S
 
-    def _ask(self, now: float, keeper: Keeper, wants: list[int]) -> None:
+    def _ask(self, now: float, keeper: ServerState, wants: list[int]) -> None:
         store = self.store
         self.number += 1
         sums = {shard: store.held[shard].sum for shard in list(self.compare)[:SUMS_ASK]}
@@ -476,12 +476,12 @@
         self.asks.append(
             (
                 keeper.name,
-                Ask(
+                ShardRequest(
                     number=self.number,
                     layout=self.layout,
                     version=store.base if store.held else store.top,
                     holds=packed_bits(store.bits, self.layout.shards),
-                    wants=tuple(Want(shard, self._due_ms(now, shard)) for shard in wants),
+                    wants=tuple(WantedShard(shard, self._due_ms(now, shard)) for shard in wants),
                     sums=tuple(sums.items()),
                     ahead=store.mark if ahead else NONE,
                     further=packed_bits(ahead, self.layout.shards) if ahead else b"",
@@ -496,7 +496,7 @@
         """When tick has something to do."""
         return self.due
 
-    def told(self, now: float) -> ReaderStatus:
+    def status(self, now: float) -> ReaderStatus:
         store = self.store
         at = self.fresh.confirmed(store.base)
         return ReaderStatus(
--- a/linnetstile/shards/keeping.py
+++ b/message_relay/sharded_directory/shard_server.py
@@ -16,24 +16,24 @@
 
 import msgspec
 
-from .audience import DIGESTS_CALL, Audience
-from .staging import Change, Load, Staging
-from .table import Table, name_mark
+from .bulk_load import Change, Load, Staging
+from .shard_table import Table, name_mark
+from .subscribers import DIGESTS_CALL, Subscribers
 from .wire import (
     NONE,
-    Answer,
-    Ask,
-    Busy,
     Changes,
     Digest,
+    FullShard,
     Layout,
-    Other,
+    LayoutMismatch,
+    Overloaded,
     Part,
     Row,
     Same,
-    Unreadable,
+    ShardRequest,
+    ShardResponse,
+    UnreadableFrameError,
     Version,
-    Whole,
     layout_sum,
     read_bits,
 )
@@ -66,13 +66,13 @@
     behind: int  # asks of readers that know a later version
 
 
-class Keeper:
+class ShardServer:
     def __init__(self, layout: Layout, epoch: int, rng: random.Random) -> None:
         self.layout, self.epoch, self.rng = layout, epoch, rng
         self.layout_sum = layout_sum(layout)
         self.boot = rng.getrandbits(53)
         self.table = Table(layout.shards)
-        self.audience = Audience(layout.shards, rng)
+        self.audience = Subscribers(layout.shards, rng)
         self.confirmed_at = float("-inf")
         self.doubted = False  # the source went back: what it confirms isn't what is told here
         self.tokens_at: float | None = None
@@ -157,21 +157,23 @@
 
     # -- readers ---------------------------------------------------------------------------------------------
 
-    def asked(self, now: float, reader: str, ask: Ask) -> Answer | Busy | Other:
+    def asked(
+        self, now: float, reader: str, ask: ShardRequest
+    ) -> ShardResponse | Overloaded | LayoutMismatch:
         """Raises Unreadable."""
         if ask.layout != self.layout:
-            return Other(ask.number, self.layout)
+            return LayoutMismatch(ask.number, self.layout)
         if not self.loaded:
-            return Other(ask.number, self.layout, loading=True)
+            return LayoutMismatch(ask.number, self.layout, loading=True)
         holds = read_bits(ask.holds, self.layout.shards)
         further = read_bits(ask.further, self.layout.shards) if ask.further else 0
         for shard in (*(want.shard for want in ask.wants), *(shard for shard, _ in ask.sums)):
             if not 0 <= shard < self.layout.shards:
-                raise Unreadable(f"shard {shard}: there are {self.layout.shards}")
+                raise UnreadableFrameError(f"shard {shard}: there are {self.layout.shards}")
         after = self._too_much(now, ask)
         if after is not None:
             self.busy += 1
-            return Busy(ask.number, after * 1e3)
+            return Overloaded(ask.number, after * 1e3)
         parts, complete, reached, size = self._parts(ask, holds, further)
         for part in parts:
             holds |= 1 << part.shard  # it will: if this answer is lost, the sets differ, and it asks
@@ -180,7 +182,7 @@
         self.bytes_out += size
         self.tokens -= 1.0
         self.bytes_left -= size
-        return Answer(
+        return ShardResponse(
             ask.number,
             self.version,
             tuple(parts),
@@ -192,7 +194,7 @@
             reached,
         )
 
-    def _parts(self, ask: Ask, holds: int, further: int) -> tuple[list[Part], bool, Version, int]:
+    def _parts(self, ask: ShardRequest, holds: int, further: int) -> tuple[list[Part], bool, Version, int]:
         """What it gets, whether that is all, how far all is then, and how many bytes that is about."""
         parts: list[Part] = []
         if self.version < ask.version:
@@ -205,7 +207,7 @@
                 more = len(self.table.blobs[want.shard])
                 if parts and size + more > WANTS_BYTES:
                     break
-                parts.append(Whole(want.shard, tuple(self.table.rows(want.shard))))
+                parts.append(FullShard(want.shard, tuple(self.table.rows(want.shard))))
                 told |= bit
                 size += more
         since = (self.epoch, self.table.start)
@@ -217,7 +219,7 @@
             more = SAME_BYTES if same else len(self.table.blobs[shard])
             if parts and size + more > ANSWER_BYTES:
                 break
-            parts.append(Same(shard) if same else Whole(shard, tuple(self.table.rows(shard))))
+            parts.append(Same(shard) if same else FullShard(shard, tuple(self.table.rows(shard))))
             told |= bit
             size += more
         if ask.version < since:
@@ -243,10 +245,10 @@
         rows = self.table.changes(shard, generation)
         whole = len(self.table.blobs[shard])
         if rows is None:
-            return Whole(shard, tuple(self.table.rows(shard))), whole
+            return FullShard(shard, tuple(self.table.rows(shard))), whole
         return Changes(shard, rows), whole * len(rows) // max(1, self.table.counts[shard])
 
-    def _too_much(self, now: float, ask: Ask) -> float | None:
+    def _too_much(self, now: float, ask: ShardRequest) -> float | None:
         """None: it is answered. Else when to come again: by how many are on their way back already, so that
         they don't all come at once; those whose messages end soon come sooner, and find what others leave."""
         if self.tokens_at is not None:
@@ -289,7 +291,7 @@
     def _age_ms(self, now: float) -> float:
         return min(1e12, max(0.0, now - self.confirmed_at) * 1e3)
 
-    def told(self, now: float) -> KeeperStatus:
+    def status(self, now: float) -> KeeperStatus:
         return KeeperStatus(
             version=self.version,
             destinations=sum(self.table.destinations),
--- a/linnetstile/shards/source.py
+++ b/message_relay/sharded_directory/source.py
@@ -18,14 +18,14 @@
 import msgspec
 
 from ..config import Address
-from ..core.seams import Member
-from ..decisions.interface import Listing
-from ..http.register import LISTINGS, _member
-from ..logs import Note
-from ..membership.asking import Asking
+from ..core.ports import EndpointRecord
+from ..decisions.model import Listing
+from ..endpoint_discovery.poll_schedule import PollSchedule
+from ..http.discovery_client import LISTINGS, _member
+from ..structured_logging import LogEvent
 from . import wire
-from .keeping import Keeper
-from .staging import Change, Load
+from .bulk_load import Change, Load
+from .shard_server import ShardServer
 from .wire import Row
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
     """More than are taken in one turn."""
 
 
-def row(member: Member) -> Row:
+def row(member: EndpointRecord) -> Row:
     return Row(
         member.name,
         member.destination,
@@ -199,7 +199,9 @@
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 self.count += 1
                 if self.count.bit_count() == 1:
-                    log.warning(Note("the list: an entry is passed over", why=repr(error), so_far=self.count))
+                    log.warning(
+                        LogEvent("the list: an entry is passed over", why=repr(error), so_far=self.count)
+                    )
                 if isinstance(item, dict) and "instanceId" in item:
                     listing = LISTINGS.get(str(item.get("lifecycle")), Listing.DRAINING)
                     lives.append((str(item["instanceId"]), NUMBERS[listing]))
@@ -210,7 +212,7 @@
     """One list on its way from the source to the keeper."""
 
     def __init__(
-        self, keeper: Keeper, epoch: int, passed: Passed, asked_at: float, least: int | None
+        self, keeper: ShardServer, epoch: int, passed: Passed, asked_at: float, least: int | None
     ) -> None:
         """`asked_at`: on the loop's clock; `least`: the generation from which on changes were asked for,
         None: all was asked for."""
@@ -328,7 +330,7 @@
 class Source:
     """What both kinds have in common: what fails is told, and changes nothing."""
 
-    def __init__(self, keeper: Keeper, epoch: int) -> None:
+    def __init__(self, keeper: ShardServer, epoch: int) -> None:
         self.keeper, self.epoch, self.passed = keeper, epoch, Passed()
         self.generation: int | None = None
         self.failures = 0
@@ -348,23 +350,23 @@
 
     def _failed(self, why: object) -> None:
         self.failures += 1
-        log.warning(Note("the list can't be taken", why=why, so_far=self.failures))
+        log.warning(LogEvent("the list can't be taken", why=why, so_far=self.failures))
 
 
 class RegisterSource(Source):
     """The register: its list whole, then what changes."""
 
     def __init__(
-        self, keeper: Keeper, epoch: int, at: Address, keepers: int, seed: int, shared: bool
+        self, keeper: ShardServer, epoch: int, at: Address, keepers: int, seed: int, shared: bool
     ) -> None:
         super().__init__(keeper, epoch)
-        self.at, self.asking = at, Asking(keepers, random.Random(seed), shared)
+        self.at, self.asking = at, PollSchedule(keepers, random.Random(seed), shared)
 
     def reload(self, at: Address) -> None:
         """Another register: what it has is asked for whole."""
         if at != self.at:
             self.at, self.generation = at, None
-            self.asking.anew()
+            self.asking.restart()
 
     async def run(self) -> None:
         """Never ends by itself."""
@@ -397,7 +399,7 @@
 class FileSource(Source):
     """A file with the whole list; replaced (or written anew) with a higher generation where it changes."""
 
-    def __init__(self, keeper: Keeper, epoch: int, path: Path) -> None:
+    def __init__(self, keeper: ShardServer, epoch: int, path: Path) -> None:
         super().__init__(keeper, epoch)
         self.path = path
         self.read: tuple[int, int, int] | None = None  # what it was when it was read last
--- a/linnetstile/shards/audience.py
+++ b/message_relay/sharded_directory/subscribers.py
@@ -33,7 +33,7 @@
         self.known = True  # `sum` is right
 
 
-class Audience:
+class Subscribers:
     def __init__(self, shards: int, rng: random.Random) -> None:
         self.rng = rng
         self.masks = [0] * shards  # of each shard: by slot, who holds it
--- a/linnetstile/shards/wire.py
+++ b/message_relay/sharded_directory/wire.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-from ..decisions.interface import Listing
+from ..decisions.model import Listing
 
 Version = tuple[int, int]  # epoch, generation
 NONE: Version = (0, -1)  # below every version
@@ -47,27 +47,27 @@
     keepers: tuple[int, ...]  # instance numbers, ascending
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True):
+class WantedShard(msgspec.Struct, frozen=True, array_like=True):
     """A shard that the reader does not have."""
 
     shard: int
     due_ms: float  # until the earliest message for it runs out of time; large: none waits
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class ShardRequest(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     """All that a reader says to a keeper. It is answered by one `Answer` or `Busy` or `Other`."""
 
     number: int  # grows with each ask of a reader's process
     layout: Layout
     version: Version  # all shards of `holds` are as of this or a later one
     holds: bytes  # shards that it holds: a bitmap of layout.shards bits, zlib
-    wants: tuple[Want, ...] = ()
+    wants: tuple[WantedShard, ...] = ()
     sums: tuple[tuple[int, int], ...] = ()  # (shard, its sum): to compare, a slice at a time
     ahead: Version = NONE  # shards of `further` are as of this or later: of an answer in pieces
     further: bytes = b""  # as `holds`; empty: none
 
 
-class Whole(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class FullShard(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """A shard as it is."""
 
     shard: int
@@ -87,10 +87,10 @@
     shard: int
 
 
-Part = Union[Whole, Changes, Same]
+Part = Union[FullShard, Changes, Same]
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag="A"):
+class ShardResponse(msgspec.Struct, frozen=True, array_like=True, tag="A"):
     """As of `version` the parts are so. `complete`: nothing else of what the reader holds is newer, so
     that all of it is as of this version now; else it asks on. What changed before `since` this keeper
     can't tell (it has started later): shards that are as of an older version are compared by their
@@ -107,14 +107,14 @@
     reached: Version = NONE  # where it isn't complete: all that the reader holds is as of this or later now
 
 
-class Busy(msgspec.Struct, frozen=True, array_like=True, tag="B"):
+class Overloaded(msgspec.Struct, frozen=True, array_like=True, tag="B"):
     """Too much is asked of this keeper: come again."""
 
     number: int
     after_ms: float
 
 
-class Other(msgspec.Struct, frozen=True, array_like=True, tag="O"):
+class LayoutMismatch(msgspec.Struct, frozen=True, array_like=True, tag="O"):
     """This keeper's layout, which is not the asker's; or it has no list yet (`loading`)."""
 
     number: int
@@ -134,7 +134,7 @@
     clock_ms: float
 
 
-Word = Union[Ask, Answer, Busy, Other, Digest]
+Word = Union[ShardRequest, ShardResponse, Overloaded, LayoutMismatch, Digest]
 
 LISTINGS = (Listing.READY, Listing.DRAINING, Listing.GONE)  # by `Row.listing`
 READY, DRAINING, GONE = range(3)
@@ -168,13 +168,13 @@
     try:
         found = opened.decompress(raw, size + 1)  # a few bytes may claim to be gigabytes
     except zlib.error as error:
-        raise Unreadable(f"holds: {error}") from error
+        raise UnreadableFrameError(f"holds: {error}") from error
     if len(found) != size or not opened.eof:
-        raise Unreadable(f"holds: {len(found)} bytes, must be {size}")
+        raise UnreadableFrameError(f"holds: {len(found)} bytes, must be {size}")
     return int.from_bytes(found, "little")
 
 
-class Unreadable(ValueError):
+class UnreadableFrameError(ValueError):
     """What came is no word of a keeper's or a reader's; the text says why."""
 
 
@@ -187,4 +187,4 @@
     try:
         return _DECODER.decode(raw)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Unreadable(str(error)) from error
+        raise UnreadableFrameError(str(error)) from error
--- a/linnetstile/wirehost.py
+++ b/message_relay/simulator_adapter.py
@@ -7,22 +7,42 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from .decisions import interface as api
-from .decisions.control import Relay
+from .decisions.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Log,
+    Probe,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from .decisions.events import (
+    AttemptCompleted,
+    EndpointList,
+    Event,
+    Message,
+    MessageCancelled,
+    ProbeCompleted,
+    TimerFired,
+)
+from .decisions.model import Endpoint, Listing, ListKind, Outcome
+from .decisions.scheduler import DeliveryScheduler
 from .decisions.settings import SettingsError, settings_from
 
 OUTCOMES = (
-    api.Outcome.ERROR,
-    api.Outcome.OK,
-    api.Outcome.FULL,
-    api.Outcome.TIMEOUT,
-    api.Outcome.CONNECT_FAILED,
-    api.Outcome.RESET,
-    api.Outcome.CANCELLED,
-    api.Outcome.NOT_SENT,
+    Outcome.ERROR,
+    Outcome.OK,
+    Outcome.FULL,
+    Outcome.TIMEOUT,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
+    Outcome.CANCELLED,
+    Outcome.NOT_SENT,
 )
-LISTINGS = {1: api.Listing.READY, 2: api.Listing.GONE, 3: api.Listing.DRAINING}
-LIST_KINDS = (api.ListKind.CHANGES, api.ListKind.WHOLE, api.ListKind.CACHED, api.ListKind.FAILED)
+LISTINGS = {1: Listing.READY, 2: Listing.GONE, 3: Listing.DRAINING}
+LIST_KINDS = (ListKind.CHANGES, ListKind.WHOLE, ListKind.CACHED, ListKind.FAILED)
 ENTRY = struct.Struct("<BfdHBHI")
 IGNORED = (10, 90)  # Begun (no class here streams) and NeighbourSays (peers share nothing)
 
@@ -35,12 +55,12 @@
     """One `Relay` an instance, and the numbered lists that the whole process shares."""
 
     def __init__(self) -> None:
-        self.relays: dict[int, Relay] = {}
-        self.lists: dict[int, tuple[api.Endpoint, ...]] = {}
+        self.relays: dict[int, DeliveryScheduler] = {}
+        self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def batch(self, now: float, count: int, body: bytes) -> bytes:
         """One batch of events in, one reply frame out."""
-        events: dict[int, list[api.Event]] = {}
+        events: dict[int, list[Event]] = {}
         for code, data in self._records(count, body):
             self._take(code, data, events)
         out: list[bytes] = []
@@ -63,7 +83,7 @@
         if at != len(body):
             raise WireError(f"frame holds {len(body) - at} bytes after its last record")
 
-    def _take(self, code: int, data: bytes, events: dict[int, list[api.Event]]) -> None:
+    def _take(self, code: int, data: bytes, events: dict[int, list[Event]]) -> None:
         if code == 20:
             number, size = struct.unpack_from("<BI", data)
             if len(data) != 5 + size * ENTRY.size:
@@ -75,7 +95,7 @@
             seed, size = struct.unpack_from("<QI", data, 4)
             if len(data) != 16 + size:
                 raise WireError("settings are cut short")
-            self.relays[instance] = Relay(settings_from(data[16:]), seed)
+            self.relays[instance] = DeliveryScheduler(settings_from(data[16:]), seed)
             events[instance] = []
         elif code == 50:
             self.relays.pop(instance, None)
@@ -83,14 +103,14 @@
         elif code not in IGNORED:
             event = self._event(code, data)
             relay = self.relays.get(instance)
-            if isinstance(event, api.Message) and relay and event.class_ >= len(relay.s.classes):
+            if isinstance(event, Message) and relay and event.class_ >= len(relay.s.classes):
                 raise WireError(f"message {event.id} is of class {event.class_}, which the settings lack")
             events.setdefault(instance, []).append(event)
 
-    def _event(self, code: int, data: bytes) -> api.Event:
+    def _event(self, code: int, data: bytes) -> Event:
         if code == 110:
             tid, lane, tenant, key, left, hint, dest, opts = struct.unpack_from("<IBIQddfB", data, 4)
-            return api.Message(
+            return Message(
                 tid,
                 int(dest),
                 lane,
@@ -105,8 +125,8 @@
             tid, go, endpoint, result, cost, done, wait, n = struct.unpack_from("<IHIBdBIB", data, 4)
             report = struct.unpack_from(f"<{n}f", data, 29)
             outcome = outcome_of(result)
-            full = outcome is api.Outcome.FULL
-            return api.AttemptEnded(
+            full = outcome is Outcome.FULL
+            return AttemptCompleted(
                 tid,
                 go,
                 endpoint,
@@ -114,7 +134,7 @@
                 cost,
                 bool(done),
                 wait if full else 0.0,
-                bool(wait) and outcome is api.Outcome.NOT_SENT,
+                bool(wait) and outcome is Outcome.NOT_SENT,
                 report,
             )
         if code == 30:
@@ -122,52 +142,52 @@
             if kind >= len(LIST_KINDS):
                 raise WireError(f"unknown list kind {kind}")
             listed = LIST_KINDS[kind]
-            if listed is api.ListKind.FAILED:
-                return api.EndpointList(listed)
+            if listed is ListKind.FAILED:
+                return EndpointList(listed)
             if number not in self.lists:
                 raise WireError(f"list {number} was never sent")
-            return api.EndpointList(listed, self.lists[number])
+            return EndpointList(listed, self.lists[number])
         if code == 40:
-            return api.TimerFired(struct.unpack_from("<Q", data, 4)[0])
+            return TimerFired(struct.unpack_from("<Q", data, 4)[0])
         if code == 60:
             endpoint, result, cost, n = struct.unpack_from("<IBdB", data, 4)
-            return api.ProbeEnded(endpoint, outcome_of(result), cost, struct.unpack_from(f"<{n}f", data, 18))
+            return ProbeCompleted(endpoint, outcome_of(result), cost, struct.unpack_from(f"<{n}f", data, 18))
         if code == 70:
-            return api.Withdrawn(struct.unpack_from("<I", data, 4)[0])
+            return MessageCancelled(struct.unpack_from("<I", data, 4)[0])
         raise WireError(f"unknown event code {code}")
 
 
-def outcome_of(code: int) -> api.Outcome:
+def outcome_of(code: int) -> Outcome:
     if code >= len(OUTCOMES):
         raise WireError(f"unknown outcome {code}")
     return OUTCOMES[code]
 
 
-def entry(row: tuple[Any, ...]) -> api.Endpoint:
+def entry(row: tuple[Any, ...]) -> Endpoint:
     status, weight, _, kind, zone, destination, ident = row
     if status not in LISTINGS:
         raise WireError(f"unknown endpoint status {status}")
-    return api.Endpoint(ident, destination, LISTINGS[status], kind, zone, weight)
+    return Endpoint(ident, destination, LISTINGS[status], kind, zone, weight)
 
 
-def encode(instance: int, now: float, action: api.Action) -> bytes:
+def encode(instance: int, now: float, action: Action) -> bytes:
     """One action as a record."""
     match action:
-        case api.Send(ident, endpoint, until):
+        case StartAttempt(ident, endpoint, until):
             code, body = 10, struct.pack("<IIId", instance, ident, endpoint, until)
-        case api.Refuse(ident, stay):
+        case Reject(ident, stay):
             code, body = 20, struct.pack("<IId", instance, ident, stay)
-        case api.Fail(ident):
+        case Fail(ident):
             code, body = 30, struct.pack("<II", instance, ident)
-        case api.Cancel(ident, attempt):
+        case Cancel(ident, attempt):
             code, body = 40, struct.pack("<IIH", instance, ident, attempt)
-        case api.SetTimer(delay, token):
+        case SetTimer(delay, token):
             code, body = 50, struct.pack("<IdQ", instance, delay, token)
-        case api.Probe(endpoint):
+        case Probe(endpoint):
             code, body = 60, struct.pack("<II", instance, endpoint)
-        case api.WatchList():
+        case WatchEndpoints():
             code, body = 110, struct.pack("<IB", instance, 1)
-        case api.Log(text):
+        case Log(text):
             line = text.encode()[:65535]
             code, body = 90, struct.pack("<IH", instance, len(line)) + line
     return struct.pack("<BI", code, len(body)) + body
--- a/linnetstile/store/room.py
+++ b/message_relay/store/capacity.py
@@ -27,7 +27,7 @@
     return -(-size // BLOCK) * BLOCK
 
 
-class Room:
+class DiskCapacity:
     def __init__(self, budget: int) -> None:
         """`budget`: bytes on the disk, over all segments."""
         self.budget = budget // BLOCK * BLOCK
--- a/linnetstile/store/learned.py
+++ b/message_relay/store/destination_snapshot.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ..decisions.interface import Learned
-from ..logs import Note
+from ..decisions.events import RestoredDestination
+from ..structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
@@ -37,12 +37,12 @@
     lanes: list[_Lane]
 
 
-class LearnedFile:
+class DestinationSnapshotFile:
     def __init__(self, folder: Path) -> None:
         self.path, self.spare = folder / "learned", folder / "learned.new"
-        self.lanes: list[Learned] = []  # as last written
+        self.lanes: list[RestoredDestination] = []  # as last written
 
-    def load(self, now: float) -> list[Learned]:
+    def load(self, now: float) -> list[RestoredDestination]:
         """With the time since it was written taken into account; `now` in Unix ms. Never raises."""
         try:
             raw: _File = msgspec.json.decode(self.path.read_bytes(), type=_File)
@@ -53,7 +53,7 @@
         except FileNotFoundError:
             return []
         except (OSError, ValueError) as error:  # msgspec's own errors are ValueErrors
-            log.warning(Note("what was learned is passed over", path=self.path, why=error))
+            log.warning(LogEvent("what was learned is passed over", path=self.path, why=error))
             return []
         return (
             lanes
@@ -62,8 +62,8 @@
         )
 
     @staticmethod
-    def _aged(lane: _Lane, age: float) -> Learned:
-        return Learned(
+    def _aged(lane: _Lane, age: float) -> RestoredDestination:
+        return RestoredDestination(
             lane.destination,
             max(0.0, lane.wait_ms - age),
             lane.out,
@@ -71,7 +71,7 @@
             None if lane.cold_ms is None else lane.cold_ms + age,
         )
 
-    def save(self, now: float, lanes: list[Learned]) -> None:
+    def save(self, now: float, lanes: list[RestoredDestination]) -> None:
         """Only where there is something to tell, or was; what does not fit is left out. Never raises."""
         if not lanes and not self.lanes:
             return
@@ -81,11 +81,11 @@
         for item in items:
             size += len(item) + 1
             if size > FILE_BYTES:
-                log.warning(Note("lanes have no room", path=self.path, left_out=len(items) - len(kept)))
+                log.warning(LogEvent("lanes have no room", path=self.path, left_out=len(items) - len(kept)))
                 break
             kept.append(item)
         try:
             self.spare.write_bytes(head + b",".join(kept) + b"]}")
             os.replace(self.spare, self.path)
         except OSError as error:
-            log.warning(Note("what was learned cannot be written", path=self.path, why=error))
+            log.warning(LogEvent("what was learned cannot be written", path=self.path, why=error))
--- a/linnetstile/store/durability.py
+++ b/message_relay/store/durability.py
@@ -19,8 +19,8 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from ..logs import Note
-from .files import Files
+from ..structured_logging import LogEvent
+from .file_store import FileStore
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
 
 class Durability:
-    def __init__(self, files: Files, sync_ms: float) -> None:
+    def __init__(self, files: FileStore, sync_ms: float) -> None:
         """`sync_ms`: between one sync and the next; 0: whenever something waits, and all wait for it."""
         self.files, self.group, self.every_s = files, sync_ms <= 0, sync_ms / 1000
         self.written = self.durable = 0  # sequence of the latest record that is appended, and that is safe
@@ -69,7 +69,7 @@
             try:
                 await loop.run_in_executor(self.thread, self.sync, names)
             except OSError as error:
-                log.error(Note("journal: a sync failed: all is written anew", why=error))
+                log.error(LogEvent("journal: a sync failed: all is written anew", why=error))
                 await asyncio.sleep(AGAIN_S)
                 self.anew()
                 self.wake.set()
@@ -106,7 +106,7 @@
         try:
             await asyncio.wait_for(work, seconds)
         except (OSError, TimeoutError) as error:
-            log.error(Note("journal: the last sync did not come to its end", why=error))
+            log.error(LogEvent("journal: the last sync did not come to its end", why=error))
 
     def close(self) -> None:
         """What still waits is never done: its promise was not made."""
--- a/linnetstile/store/files.py
+++ b/message_relay/store/file_store.py
@@ -12,7 +12,7 @@
 READ_BYTES = 1 << 16  # a part that cannot be read costs no more than this of a file
 
 
-class Files(Protocol):
+class FileStore(Protocol):
     """Every call may raise OSError; then nothing has changed, but for what its text says."""
 
     def sizes(self) -> dict[str, int]:
@@ -36,7 +36,7 @@
         """No call comes after it."""
 
 
-class FolderFiles:
+class DirectoryFileStore:
     """A real folder. Keeps the file open that was appended to last."""
 
     def __init__(self, folder: Path) -> None:
--- a/linnetstile/store/legacy.py
+++ b/message_relay/store/format_v1.py
@@ -8,14 +8,25 @@
 import base64
 import re
 import zlib
+
 import msgspec
 
-from .records import PACK, Attempt, Ended, Entry, Kind, Tried, change, only_known_by_id, worst
+from .records import (
+    PACK,
+    Attempt,
+    AttemptRecord,
+    FinalOutcomeRecord,
+    JournalEntry,
+    RecordType,
+    change,
+    only_known_by_id,
+    worst,
+)
 
 NAMES = ("journal", "journal.new")
 IDENT = re.compile(rb'"id":"((?:[^"\\]|\\.){1,400})"')
 
-KINDS = {"try": Kind.TRY, "out": Kind.OUT, "end": Kind.END, "told": Kind.TOLD}
+KINDS = {"try": RecordType.TRY, "out": RecordType.OUT, "end": RecordType.END, "told": RecordType.TOLD}
 Tuple = tuple[float, str, int]
 
 
@@ -56,9 +67,9 @@
     return None if raw is None else Attempt(*raw)
 
 
-def _apply(entries: dict[str, Entry], line: Line) -> None:
+def _apply(entries: dict[str, JournalEntry], line: Line) -> None:
     if line.k == "take":
-        entries[line.id] = Entry(
+        entries[line.id] = JournalEntry(
             line.id,
             line.class_,
             line.tenant,
@@ -80,17 +91,17 @@
         del entries[line.id]
     else:
         payloads = {
-            "try": Tried(round(line.at), line.ep, line.zone),
+            "try": AttemptRecord(round(line.at), line.ep, line.zone),
             "out": line.ran,
-            "end": Ended(line.state, line.after),
+            "end": FinalOutcomeRecord(line.state, line.after),
             "told": None,
         }
         change(entries[line.id], KINDS[line.k], PACK(payloads[line.k]))
 
 
-def read(data: bytes) -> tuple[dict[str, Entry], list[str]]:
+def read(data: bytes) -> tuple[dict[str, JournalEntry], list[str]]:
     """What the file says, and each fault of it as a line."""
-    entries: dict[str, Entry] = {}
+    entries: dict[str, JournalEntry] = {}
     findings: list[str] = []
     hurt: dict[str, None] = {}
     for number, text in enumerate(data[: data.rfind(b"\n") + 1].splitlines(), 1):
--- a/linnetstile/store/journal.py
+++ b/message_relay/store/journal.py
@@ -17,14 +17,24 @@
 from pathlib import Path
 from zlib import crc32
 
-from ..logs import Note
-from . import legacy
+from ..structured_logging import LogEvent
+from . import format_v1
+from .capacity import BLOCK, CENSUS, COUNTED, OPEN, OWED, SLICE, DiskCapacity, blocks
 from .durability import Durability
-from .files import Files, FolderFiles
-from .frame import HEADER_BYTES, Header, NewerFormat, frame, frame_bytes
-from .records import PACK, Attempt, Book, Ended, Entry, Kind, Tried, change, snapshot
+from .file_store import DirectoryFileStore, FileStore
+from .record_format import HEADER_BYTES, Header, UnsupportedFormatError, frame, frame_bytes
+from .records import (
+    PACK,
+    Attempt,
+    AttemptRecord,
+    FinalOutcomeRecord,
+    JournalEntry,
+    MessageTable,
+    RecordType,
+    change,
+    snapshot,
+)
 from .recovery import Found, Segment, name_of, recover
-from .room import BLOCK, CENSUS, COUNTED, OPEN, OWED, SLICE, Room, blocks
 
 log = logging.getLogger(__name__)
 
@@ -36,21 +46,21 @@
 ASIDE_PART = 8  # such a part of the room they may take together
 MADE = "seg.new"  # what takes the place of the old file at one stroke
 
-__all__ = ["Attempt", "Entry", "Journal", "JournalError", "JournalFull"]
+__all__ = ["Attempt", "JournalEntry", "Journal", "JournalError", "JournalFullError"]
 
 
 class JournalError(Exception):
     """A record could not be written: what it says must not be promised."""
 
 
-class JournalFull(JournalError):
+class JournalFullError(JournalError):
     """The folder's limit leaves no room for another message."""
 
 
-def space(entry: Entry) -> int:
+def space(entry: JournalEntry) -> int:
     """At most what its snapshot takes with all records that may still come; of one that is open, the attempts
     count as such records."""
-    names = f"{entry.class_}{entry.tenant}{entry.key}{entry.again}{entry.origin}"
+    names = f"{entry.class_name}{entry.tenant}{entry.key}{entry.resubmission}{entry.origin}"
     payload = FIXED + len(names.encode())
     if not entry.end:
         return frame_bytes(len(entry.id.encode()), payload + len(entry.body)) + OPEN
@@ -61,19 +71,19 @@
 
 class Journal:
     def __init__(
-        self, folder: Path, disk_bytes: int, files: Files | None = None, sync_ms: float | None = None
+        self, folder: Path, disk_bytes: int, files: FileStore | None = None, sync_ms: float | None = None
     ) -> None:
         """`disk_bytes`: of the folder, for the journal; `sync_ms`: see durability.py, None: no syncs.
         Raises NewerFormat; OSError if the folder can't be used."""
-        self.files: Files = files or FolderFiles(folder)
+        self.files: FileStore = files or DirectoryFileStore(folder)
         self.durability = None if sync_ms is None else Durability(self.files, sync_ms)
         if self.durability is not None:
             self.durability.anew = self._anew
-        self.room = Room(disk_bytes)
+        self.capacity = DiskCapacity(disk_bytes)
         # bytes to begin one, at most
-        self.new_segment = 2 * BLOCK + HEADER_BYTES + self.room.segment // CENSUS
-        self.book = Book()
-        self.entries = self.book.entries
+        self.new_segment = 2 * BLOCK + HEADER_BYTES + self.capacity.segment // CENSUS
+        self.messages = MessageTable()
+        self.entries = self.messages.entries
         self.home: dict[str, Segment] = {}  # where the latest snapshot of each lies
         self.dying: list[tuple[float, str]] = []  # heap: ended and told, and until when they are remembered
         self.behind: dict[str, None] = {}  # messages of which memory knows more than the disk
@@ -90,7 +100,7 @@
 
     @property
     def budget(self) -> int:
-        return self.room.budget
+        return self.capacity.budget
 
     @property
     def size(self) -> int:
@@ -99,61 +109,63 @@
 
     @property
     def live(self) -> int:
-        return self.book.total
+        return self.messages.total
 
     # -- records -----------------------------------------------------------------------------------------
 
-    def take(self, entry: Entry) -> None:
+    def append_accepted(self, entry: JournalEntry) -> None:
         """Must come before the client's answer."""
         size = space(entry)
-        if not self.room.takes(self.live, size):
+        if not self.capacity.takes(self.live, size):
             self._drop_ended()
-            if not self.room.takes(self.live, size):
-                raise JournalFull("no room for another message")
+            if not self.capacity.takes(self.live, size):
+                raise JournalFullError("no room for another message")
         if self.behind:
             self.catch_up()  # Raises: the disk does not take what is owed, so that it takes nothing new
-        self._append(Kind.TAKE, entry.id, snapshot(entry))
+        self._append(RecordType.TAKE, entry.id, snapshot(entry))
         self._settle(entry)
         self._move(entry.id)
         self._give_up_some()
 
-    def tried(self, entry: Entry, at: float, endpoint: str, zone: int, up: float = -1.0) -> None:
+    def append_attempt(
+        self, entry: JournalEntry, at: float, endpoint: str, zone: int, up: float = -1.0
+    ) -> None:
         """Must come before the attempt's first byte. Times in whole ms, rounded down: a window that runs from
         them ends no later for it."""
-        self._record(entry, Kind.TRY, PACK(Tried(int(at), endpoint[:NAME], zone, int(up))))
+        self._record(entry, RecordType.TRY, PACK(AttemptRecord(int(at), endpoint[:NAME], zone, int(up))))
 
-    def outcome(self, entry: Entry, may_have_run: bool) -> None:
-        self._record(entry, Kind.OUT, PACK(may_have_run))
+    def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
+        self._record(entry, RecordType.OUT, PACK(may_have_run))
 
-    def ended(self, entry: Entry, state: str, after_ms: float = 0.0) -> None:
+    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         """Must come before the end is told: if it can't be written, `behind` names it until `catch_up`."""
-        self._record(entry, Kind.END, PACK(Ended(state, after_ms)))
+        self._record(entry, RecordType.END, PACK(FinalOutcomeRecord(state, after_ms)))
 
-    def told(self, idents: list[str]) -> None:
+    def append_notified(self, idents: list[str]) -> None:
         failed: JournalError | None = None
         for ident in idents:
             try:
                 if ident in self.entries:
-                    self._record(self.entries[ident], Kind.TOLD, b"")
+                    self._record(self.entries[ident], RecordType.TOLD, b"")
             except JournalError as error:  # it holds in memory, and for the others too
                 failed = error
         if failed is not None:
             raise failed
 
-    def withdrawn(self, entry: Entry) -> None:
-        self._record(entry, Kind.DROP, b"")
+    def append_cancelled(self, entry: JournalEntry) -> None:
+        self._record(entry, RecordType.DROP, b"")
 
     def catch_up(self) -> None:
         """Writes what could not be written when it happened. Raises JournalError if it still can't be."""
         for ident in list(self.behind):
             entry = self.entries.get(ident)
             if entry is None:
-                self._append(Kind.DROP, ident, b"")
+                self._append(RecordType.DROP, ident, b"")
             else:
                 self._copy(entry)
             del self.behind[ident]
 
-    def tidy(self, now: float) -> None:
+    def compact(self, now: float) -> None:
         """Forgets the ended whose time is up (until then a repeated id gets its answer again)."""
         while self.dying and self.dying[0][0] < now:
             _, ident = heapq.heappop(self.dying)
@@ -162,9 +174,9 @@
                 self._forget(ident)
         try:
             self.catch_up()
-            self._give_up_some(self.room.segment // 8)
+            self._give_up_some(self.capacity.segment // 8)
         except JournalError as error:
-            log.error(Note("journal: cannot tidy", why=error))
+            log.error(LogEvent("journal: cannot tidy", why=error))
 
     def barrier(self) -> asyncio.Future[None] | None:
         """Done when all that is written may be promised; None: it may now."""
@@ -175,7 +187,7 @@
             self._begin()
             self._mend()
         except JournalError as error:
-            log.error(Note("journal: cannot be written anew", why=error))
+            log.error(LogEvent("journal: cannot be written anew", why=error))
 
     def close(self) -> None:
         if self.durability is not None:
@@ -184,34 +196,34 @@
 
     # -- memory ------------------------------------------------------------------------------------------
 
-    def _record(self, entry: Entry, kind: Kind, payload: bytes) -> None:
+    def _record(self, entry: JournalEntry, kind: RecordType, payload: bytes) -> None:
         """The change holds in memory also if it can't be written: it is then written later, and what a kill
         leaves is safe, since a try without an outcome may have run. A try is not: it must not be made."""
         if self.entries.get(entry.id) is not entry:
             # Guards whoever has its id now: a late word of a call must not be read as one of the new message.
-            if kind is Kind.TRY:
+            if kind is RecordType.TRY:
                 raise JournalError(f"journal: message {entry.id} is over")
             return
         try:
             self._append(kind, entry.id, payload)
         except JournalError:
-            if kind is not Kind.TRY:
+            if kind is not RecordType.TRY:
                 self._change(entry, kind, payload)
                 self.behind[entry.id] = None
             raise
         self._change(entry, kind, payload)
         self._give_up_some()
 
-    def _change(self, entry: Entry, kind: Kind, payload: bytes) -> None:
-        if kind is Kind.DROP:
+    def _change(self, entry: JournalEntry, kind: RecordType, payload: bytes) -> None:
+        if kind is RecordType.DROP:
             self._forget(entry.id)
             return
         change(entry, kind, payload)
-        if kind in (Kind.END, Kind.TOLD) and entry.id in self.entries:
+        if kind in (RecordType.END, RecordType.TOLD) and entry.id in self.entries:
             self._settle(entry)
 
-    def _settle(self, entry: Entry) -> None:
-        self.book.put(entry, space(entry))
+    def _settle(self, entry: JournalEntry) -> None:
+        self.messages.put(entry, space(entry))
         if not entry.owed:
             heapq.heappush(self.dying, (entry.due, entry.id))
 
@@ -224,7 +236,7 @@
         self.segments[-1].homes[ident] = None
 
     def _forget(self, ident: str) -> None:
-        self.book.forget(ident)
+        self.messages.forget(ident)
         self.home.pop(ident).homes.pop(ident, None)
 
     def _drop_ended(self) -> None:
@@ -235,14 +247,14 @@
 
     # -- the log -----------------------------------------------------------------------------------------
 
-    def _append(self, kind: Kind, ident: str, payload: bytes, copying: bool = False) -> None:
+    def _append(self, kind: RecordType, ident: str, payload: bytes, copying: bool = False) -> None:
         """Raises JournalError; then nothing has changed."""
         name = ident.encode()
         need = frame_bytes(len(name), len(payload))
-        if not copying and self.room.short(self.used, need + self.new_segment):
+        if not copying and self.capacity.short(self.used, need + self.new_segment):
             self._give_up_all(need)
         head = self.segments[-1]
-        if head.damaged or head.size + need > self.room.segment and head.size > self.began:
+        if head.damaged or head.size + need > self.capacity.segment and head.size > self.began:
             self._begin(copying)
             head = self.segments[-1]
         data = frame(head.salt, self.sequence, kind, name, payload)
@@ -289,13 +301,13 @@
         new = Segment(before.number + 1, salt=int.from_bytes(os.urandom(4), "little"))
         data = Header(new.number, self.sequence, before.size, before.check, new.salt).encode()
         origins: dict[str, list[str]] = {}
-        owed = self.book.owed
+        owed = self.messages.owed
         for ident, origin in owed.items() if len(owed) <= COUNTED else ():
             origins.setdefault(origin, []).append(ident)
         census = PACK(origins)
-        counted = len(owed) <= COUNTED and len(census) <= self.room.segment // CENSUS
+        counted = len(owed) <= COUNTED and len(census) <= self.capacity.segment // CENSUS
         if counted:
-            data += frame(new.salt, self.sequence, Kind.CENSUS, b"", census)
+            data += frame(new.salt, self.sequence, RecordType.CENSUS, b"", census)
         try:
             self.files.unlink(new.name)  # what an attempt to begin it has left
         except FileNotFoundError:
@@ -310,18 +322,18 @@
 
     # -- giving up old segments --------------------------------------------------------------------------
 
-    def _copy(self, entry: Entry) -> None:
-        self._append(Kind.TAKE, entry.id, snapshot(entry), copying=True)
+    def _copy(self, entry: JournalEntry) -> None:
+        self._append(RecordType.TAKE, entry.id, snapshot(entry), copying=True)
         self._move(entry.id)
 
     def _give_up_some(self, bytes_: int | None = None) -> None:
         """A part in proportion to what was written; a failure costs nothing but the room."""
         written, self.last_written = self.written - self.last_written, self.written
-        quota = self.room.quota(self.used, self.live, len(self.segments), bytes_ or written)
+        quota = self.capacity.quota(self.used, self.live, len(self.segments), bytes_ or written)
         if not quota:
             self.credit = 0
             return
-        self.credit = min(self.credit + quota, self.room.segment)
+        self.credit = min(self.credit + quota, self.capacity.segment)
         left = SLICE
         try:
             while min(self.credit, left) > 0 and len(self.segments) > 1:
@@ -331,8 +343,8 @@
                     self._retire(oldest)
                     return  # a file at a time: each unlink takes a while
                 entry = self.entries[ident]
-                size = self.book.sizes[ident]
-                if size > self.credit and self.credit < self.room.segment // 2:
+                size = self.messages.sizes[ident]
+                if size > self.credit and self.credit < self.capacity.segment // 2:
                     return  # its turn comes when there is credit for it
                 if size > left < SLICE:
                     return
@@ -340,7 +352,7 @@
                 left -= size
                 self._copy(entry)
         except JournalError as error:
-            log.error(Note("journal: a segment cannot be given up", why=error))
+            log.error(LogEvent("journal: a segment cannot be given up", why=error))
 
     def _give_up_all(self, need: int) -> None:
         """As many of the oldest as it takes; those kept for people go first."""
@@ -348,17 +360,17 @@
             self._drop_aside(name)
         last = self.segments[-1].number
         more = need + self.new_segment
-        if self.leaving and not self.room.short(self.used - self.leaving, more):
-            raise JournalFull("journal: room comes with the next sync")
-        while self.room.short(self.used - self.leaving, more) and self.segments[0].number <= last:
+        if self.leaving and not self.capacity.short(self.used - self.leaving, more):
+            raise JournalFullError("journal: room comes with the next sync")
+        while self.capacity.short(self.used - self.leaving, more) and self.segments[0].number <= last:
             if len(self.segments) == 1:
                 self._begin()
             oldest = self.segments[0]
             for ident in list(oldest.homes):
                 self._copy(self.entries[ident])
             self._retire(oldest)
-        if self.room.short(self.used, need):
-            raise JournalFull("journal: the folder's limit is reached")
+        if self.capacity.short(self.used, need):
+            raise JournalFullError("journal: the folder's limit is reached")
 
     def _retire(self, oldest: Segment) -> None:
         """What was copied out of it must outlast all that it does not: a power cut too, where that counts."""
@@ -375,7 +387,7 @@
         try:
             self._unlink(oldest)
         except JournalError as error:  # its room is missing until the next start, which finds it
-            log.error(Note("journal: a segment cannot be removed", why=error))
+            log.error(LogEvent("journal: a segment cannot be removed", why=error))
 
     def _unlink(self, oldest: Segment) -> None:
         try:
@@ -391,8 +403,10 @@
     def _restore(self) -> None:
         try:
             found = recover(self.files)
-        except NewerFormat as error:
-            raise NewerFormat(f"journal: {error}: start one that does, or name another folder") from None
+        except UnsupportedFormatError as error:
+            raise UnsupportedFormatError(
+                f"journal: {error}: start one that does, or name another folder"
+            ) from None
         self._take_over(found)
         for name in found.empty:
             self.files.unlink(name)
@@ -408,9 +422,9 @@
             self.home.setdefault(entry.id, Segment(0))  # one of which only the id is left
         self.findings = found.findings
         if found.torn:
-            log.warning(Note("journal: a torn record at its end is dropped", bytes=found.torn))
+            log.warning(LogEvent("journal: a torn record at its end is dropped", bytes=found.torn))
         for text in found.findings[:TOLD]:
-            log.error(Note("journal: damage", what=text, of=len(found.findings)))
+            log.error(LogEvent("journal: damage", what=text, of=len(found.findings)))
         try:
             self._begin()
             if found.findings:
@@ -418,7 +432,7 @@
         except JournalError as error:  # it refuses new messages until there is room
             if isinstance(error.__cause__, OSError) and error.__cause__.errno in HOPELESS:
                 raise error.__cause__ from None
-            log.error(Note("journal: cannot begin a segment", why=error))
+            log.error(LogEvent("journal: cannot begin a segment", why=error))
             if not self.segments:
                 self.segments.append(Segment(0, damaged=True))
             self.segments[-1].damaged = True
@@ -428,14 +442,14 @@
         sizes = self.files.sizes()
         if "journal" in sizes and not found.segments:
             data, whole = self.files.read("journal")
-            entries, findings = legacy.read(data)
+            entries, findings = format_v1.read(data)
             found.findings += [] if whole else ["journal: parts cannot be read from the disk"]
             found.findings += findings
             found.entries.update(entries)
             salt = int.from_bytes(os.urandom(4), "little")
             text = Header(1, 1, 0, 0, salt).encode()
             for n, entry in enumerate(entries.values()):
-                text += frame(salt, 1 + n, Kind.TAKE, entry.id.encode(), snapshot(entry))
+                text += frame(salt, 1 + n, RecordType.TAKE, entry.id.encode(), snapshot(entry))
             if MADE in sizes:
                 self.files.unlink(MADE)
             self.files.append(MADE, text)
@@ -443,8 +457,8 @@
             self.files.rename(MADE, name_of(1))
             found.segments.append(Segment(1, len(text), len(text), crc32(text), salt, dict.fromkeys(entries)))
             found.sequence = 1 + len(entries)
-            log.info(Note("journal: taken over from an earlier version", messages=len(entries)))
-        for name in (*legacy.NAMES, MADE):
+            log.info(LogEvent("journal: taken over from an earlier version", messages=len(entries)))
+        for name in (*format_v1.NAMES, MADE):
             if name in self.files.sizes():
                 self.files.unlink(name)
 
@@ -469,7 +483,7 @@
                 self._retire(oldest)
 
     def _drop_aside(self, name: str) -> None:
-        log.error(Note("journal: a damaged segment is dropped: its room is needed", name=name))
+        log.error(LogEvent("journal: a damaged segment is dropped: its room is needed", name=name))
         try:
             self.files.unlink(name)
         except OSError as error:
--- a/linnetstile/store/lock.py
+++ b/message_relay/store/lock.py
@@ -8,16 +8,16 @@
 import os
 from pathlib import Path
 
-from ..logs import Note
+from ..structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
 
-class FolderBusy(Exception):
+class DirectoryLockedError(Exception):
     """Another process works in the folder."""
 
 
-class FolderLock:
+class DirectoryLock:
     """An advisory lock (flock) on the folder itself: takes no room in it, and ends with its process however
     that ends, so that none is ever left behind by a dead one."""
 
@@ -29,11 +29,11 @@
         except OSError as error:
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
                 self.release()
-                raise FolderBusy(
+                raise DirectoryLockedError(
                     f"{folder}: another process works in it; end that one first, " "or name another folder"
                 ) from error
             log.warning(
-                Note(
+                LogEvent(
                     "a folder cannot be locked: see to it that one process works in it",
                     folder=folder,
                     why=error,
--- a/linnetstile/store/frame.py
+++ b/message_relay/store/record_format.py
@@ -39,7 +39,7 @@
 PAYLOAD_BYTES = 1 << 20  # no payload is longer: a length above it is damage
 
 
-class NewerFormat(Exception):
+class UnsupportedFormatError(Exception):
     """The folder was written by a later version."""
 
 
@@ -67,7 +67,7 @@
             continue
         magic, version, _, *rest = HEADER.unpack(one)
         if magic == MAGIC and version > VERSION:
-            raise NewerFormat(f"its format is {version}, and this program knows {VERSION} at most")
+            raise UnsupportedFormatError(f"its format is {version}, and this program knows {VERSION} at most")
         if magic == MAGIC:
             return Header(*rest)
     return None
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hurt:
+class CorruptRecord:
     """One record whose payload can't be read: whom it concerns, and of which kind it was, is known."""
 
     sequence: int
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
+class UnreadableRange:
     """Bytes that can't be read at all, and how many records were in them, at least as far as can be told."""
 
     at: int
@@ -134,14 +134,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Torn:
+class TornWrite:
     """The end of the last write, which did not become whole."""
 
     at: int
     end: int
 
 
-Piece = Record | Hurt | Gap | Torn
+Piece = Record | CorruptRecord | UnreadableRange | TornWrite
 
 
 def scan(data: bytes, salt: int, sequence: int, last: bool, at: int = HEADER_BYTES) -> Iterator[Piece]:
@@ -165,11 +165,11 @@
             if CHECK.unpack_from(data, begin + payload)[0] == crc(body, salt):
                 yield Record(number, kind, ident, body, at, end)
             else:
-                yield Hurt(number, kind, ident, at, end)
+                yield CorruptRecord(number, kind, ident, at, end)
             at, sequence = end, sequence + 1
             continue
         if whole is False and last and number == sequence:
-            yield Torn(at, size)
+            yield TornWrite(at, size)
             return
         found = _next(data, salt, sequence, at + (whole is not True))
         if found is None:
@@ -178,13 +178,13 @@
         then, number = found
         hurt = _tail_before(data, salt, then, at)
         if hurt is not None and number == sequence + 1:
-            yield Hurt(sequence, hurt[0], hurt[1], at, then)
+            yield CorruptRecord(sequence, hurt[0], hurt[1], at, then)
         else:
             if hurt is not None:
-                yield Gap(at, then, number - sequence - 1)
-                yield Hurt(number - 1, hurt[0], hurt[1], then, then)
+                yield UnreadableRange(at, then, number - sequence - 1)
+                yield CorruptRecord(number - 1, hurt[0], hurt[1], then, then)
             else:
-                yield Gap(at, then, number - sequence)
+                yield UnreadableRange(at, then, number - sequence)
         at, sequence = then, number
 
 
@@ -192,11 +192,11 @@
     """Nothing whole comes any more."""
     hurt = _tail_before(data, salt, len(data), at)
     if hurt is not None:  # a whole record was there: this is no torn write
-        yield Hurt(sequence, hurt[0], hurt[1], at, len(data))
+        yield CorruptRecord(sequence, hurt[0], hurt[1], at, len(data))
     elif last:
-        yield Torn(at, len(data))
+        yield TornWrite(at, len(data))
     else:
-        yield Gap(at, len(data), 1)
+        yield UnreadableRange(at, len(data), 1)
 
 
 def _next(data: bytes, salt: int, sequence: int, at: int) -> tuple[int, int] | None:
--- a/linnetstile/store/records.py
+++ b/message_relay/store/records.py
@@ -10,7 +10,7 @@
 UNKNOWN = "?"  # an endpoint that no record names: no endpoint has this name
 
 
-class Kind(IntEnum):
+class RecordType(IntEnum):
     TAKE = 1  # all that is known of a message: at its start, and again when its segment is given up
     TRY = 2
     OUT = 3
@@ -20,7 +20,12 @@
     CENSUS = 7  # the ids of all messages that are owed something, at the beginning of a segment
 
 
-TRY, OUT, END, TOLD = int(Kind.TRY), int(Kind.OUT), int(Kind.END), int(Kind.TOLD)  # compared for each record
+TRY, OUT, END, TOLD = (
+    int(RecordType.TRY),
+    int(RecordType.OUT),
+    int(RecordType.END),
+    int(RecordType.TOLD),
+)  # compared for each record
 
 
 @dataclass(slots=True)
@@ -32,17 +37,17 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class JournalEntry:
     """A message taken on: what a client said of it, and what has become of it."""
 
     id: str
-    class_: str
+    class_name: str
     tenant: str
-    dest: int
+    destination: int
     key: str | None
     since: float  # Unix ms, when it came in
     due: float
-    again: str
+    resubmission: str
     body: bytes
     tries: int = 0
     out: Attempt | None = None
@@ -62,14 +67,14 @@
         return not self.end or self.owes_notice
 
 
-class Tried(msgspec.Struct, array_like=True, frozen=True):
+class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
     at: int
     endpoint: str
     zone: int
     up: int = -1  # journals of earlier versions have none; those versions pass it over
 
 
-class Taken(msgspec.Struct, array_like=True, frozen=True):
+class AcceptedRecord(msgspec.Struct, array_like=True, frozen=True):
     class_: str
     tenant: str
     dest: int
@@ -78,8 +83,8 @@
     due: int
     again: str
     tries: int
-    out: Tried | None
-    risk: Tried | None
+    out: AttemptRecord | None
+    risk: AttemptRecord | None
     end: str
     after_ms: float
     told: bool
@@ -87,41 +92,41 @@
     body: bytes
 
 
-class Ended(msgspec.Struct, array_like=True, frozen=True):
+class FinalOutcomeRecord(msgspec.Struct, array_like=True, frozen=True):
     state: str
     after_ms: float
 
 
 PACK = msgspec.msgpack.Encoder().encode
 Decoder = msgspec.msgpack.Decoder
-TAKEN: Decoder[Taken] = Decoder(Taken)
-TRIED: Decoder[Tried] = Decoder(Tried)
-ENDED: Decoder[Ended] = Decoder(Ended)
+TAKEN: Decoder[AcceptedRecord] = Decoder(AcceptedRecord)
+TRIED: Decoder[AttemptRecord] = Decoder(AttemptRecord)
+ENDED: Decoder[FinalOutcomeRecord] = Decoder(FinalOutcomeRecord)
 RAN: Decoder[bool] = Decoder(bool)
 CENSUS: Decoder[dict[str, list[str]]] = Decoder(dict[str, list[str]])  # front -> ids
 
 
-def _flat(attempt: Attempt | None) -> Tried | None:
+def _flat(attempt: Attempt | None) -> AttemptRecord | None:
     if attempt is None:
         return None
-    return Tried(int(attempt.at), attempt.endpoint, attempt.zone, int(attempt.up))
+    return AttemptRecord(int(attempt.at), attempt.endpoint, attempt.zone, int(attempt.up))
 
 
-def _attempt(tried: Tried | None) -> Attempt | None:
+def _attempt(tried: AttemptRecord | None) -> Attempt | None:
     return None if tried is None else Attempt(float(tried.at), tried.endpoint, tried.zone, float(tried.up))
 
 
-def snapshot(entry: Entry) -> bytes:
+def snapshot(entry: JournalEntry) -> bytes:
     """All that is known of a message; one that has ended needs its body no more."""
     return PACK(
-        Taken(
-            entry.class_,
+        AcceptedRecord(
+            entry.class_name,
             entry.tenant,
-            entry.dest,
+            entry.destination,
             entry.key,
             round(entry.since),
             round(entry.due),
-            entry.again,
+            entry.resubmission,
             entry.tries,
             _flat(entry.out),
             _flat(entry.risk),
@@ -134,10 +139,10 @@
     )
 
 
-def entry_of(ident: str, payload: bytes) -> Entry:
+def entry_of(ident: str, payload: bytes) -> JournalEntry:
     """ValueError if it is not a snapshot."""
     raw = TAKEN.decode(payload)
-    return Entry(
+    return JournalEntry(
         ident,
         raw.class_,
         raw.tenant,
@@ -157,7 +162,7 @@
     )
 
 
-def change(entry: Entry, kind: int, payload: bytes) -> None:
+def change(entry: JournalEntry, kind: int, payload: bytes) -> None:
     """What a record of a message that is known does to it; the same when it is written and when it is read
     back. ValueError if it can't be read."""
     if kind == TRY:
@@ -181,40 +186,40 @@
         raise ValueError(f"record of kind {kind} is not known")
 
 
-def worst(entry: Entry) -> None:
+def worst(entry: JournalEntry) -> None:
     """A record about it may be lost: then an attempt may have been made, as early as it could have been."""
     if not entry.end and entry.risk is None:
         entry.risk = Attempt(entry.since, UNKNOWN, -1)
 
 
-def worst_of(entry: Entry, kind: int) -> None:
+def worst_of(entry: JournalEntry, kind: int) -> None:
     """A record of this kind was there, and can't be read: whatever it may have said holds at its worst."""
     match kind:
-        case Kind.TRY | Kind.OUT:
-            entry.tries += kind == Kind.TRY
+        case RecordType.TRY | RecordType.OUT:
+            entry.tries += kind == RecordType.TRY
             worst(entry)
             entry.out = None
-        case Kind.END:  # however it ended, it is not to be sent again, and a failure promises nothing
+        case RecordType.END:  # however it ended, it is not to be sent again, and a failure promises nothing
             entry.end, entry.after_ms, entry.body = "failed", 0.0, b""
         case _:
             pass  # told: it is told again, which does no harm
 
 
-def only_known_by_id(ident: str, origin: str = "http") -> Entry:
+def only_known_by_id(ident: str, origin: str = "http") -> JournalEntry:
     """A message of which nothing else is left: it gets its `failed` all the same."""
-    return Entry(ident, "", "", 0, None, 0.0, 0.0, "", b"", end="failed", origin=origin)
+    return JournalEntry(ident, "", "", 0, None, 0.0, 0.0, "", b"", end="failed", origin=origin)
 
 
 @dataclass(slots=True)
-class Book:
+class MessageTable:
     """All messages that are known, and what they take on the disk."""
 
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, JournalEntry] = field(default_factory=dict)
     sizes: dict[str, int] = field(default_factory=dict)  # of each snapshot with what may still come: at most
     owed: dict[str, str] = field(default_factory=dict)  # id -> front, of those that are owed something
     total: int = 0
 
-    def put(self, entry: Entry, size: int) -> None:
+    def put(self, entry: JournalEntry, size: int) -> None:
         self.total += size - self.sizes.get(entry.id, 0)
         self.entries[entry.id], self.sizes[entry.id] = entry, size
         if entry.owed:
--- a/linnetstile/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -12,12 +12,27 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from .files import Files
-from .frame import HEADER_BYTES, Gap, Header, Hurt, Piece, Record, Torn, header_of, salvaged, scan
-from .records import CENSUS, Entry, Kind, change, entry_of, only_known_by_id, worst, worst_of
-from .room import blocks
-
-TAKE, DROP, COUNT = int(Kind.TAKE), int(Kind.DROP), int(Kind.CENSUS)  # plain: compared for each record
+from .capacity import blocks
+from .file_store import FileStore
+from .record_format import (
+    HEADER_BYTES,
+    CorruptRecord,
+    Header,
+    Piece,
+    Record,
+    TornWrite,
+    UnreadableRange,
+    header_of,
+    salvaged,
+    scan,
+)
+from .records import CENSUS, JournalEntry, RecordType, change, entry_of, only_known_by_id, worst, worst_of
+
+TAKE, DROP, COUNT = (
+    int(RecordType.TAKE),
+    int(RecordType.DROP),
+    int(RecordType.CENSUS),
+)  # plain: compared for each record
 NAME = re.compile(r"seg-(\d{10})")
 
 
@@ -47,7 +62,7 @@
 
 @dataclass(slots=True)
 class Found:
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, JournalEntry] = field(default_factory=dict)
     segments: list[Segment] = field(default_factory=list)
     sequence: int = 1  # of the next record
     findings: list[str] = field(default_factory=list)  # damage, for people
@@ -65,7 +80,7 @@
     whole: bool
 
 
-def load(files: Files, name: str) -> Loaded:
+def load(files: FileStore, name: str) -> Loaded:
     """Raises NewerFormat."""
     data, whole = files.read(name)
     found = NAME.fullmatch(name)
@@ -79,9 +94,11 @@
     def __init__(self) -> None:
         self.found = Found()
         self.entries = self.found.entries
-        self.partial: dict[str, Entry] = {}  # of messages whose snapshot was not seen, what records say
+        self.partial: dict[
+            str, JournalEntry
+        ] = {}  # of messages whose snapshot was not seen, what records say
 
-    def read(self, files: Files) -> Found:
+    def read(self, files: FileStore) -> Found:
         sizes = files.sizes()
         names = [name for name in sorted(sizes) if NAME.fullmatch(name)]
         if names and sizes[names[-1]] < HEADER_BYTES:  # its first write did not become whole
@@ -137,7 +154,7 @@
 
     def _piece(self, segment: Segment, piece: Piece) -> None:
         match piece:
-            case Hurt():
+            case CorruptRecord():
                 self.found.sequence = piece.sequence + 1
                 ident = piece.ident.decode(errors="replace")
                 self._damage(
@@ -146,14 +163,14 @@
                     f"message {ident} cannot be read",
                 )
                 self._hurt(segment, ident, piece.kind)
-            case Gap():
+            case UnreadableRange():
                 self.found.sequence += piece.lost
                 self._damage(
                     segment,
                     f"bytes {piece.at} to {piece.end} cannot be read, " f"{piece.lost} records at least",
                 )
                 self._all_at_worst()
-            case Torn():
+            case TornWrite():
                 self.found.torn += piece.end - piece.at
                 return
         segment.size = piece.end
@@ -177,12 +194,12 @@
             self._damage(segment, f"bytes {record.at} to {record.end}: {error}")
             self._hurt(segment, record.ident.decode(errors="replace"), record.kind)
 
-    def _snapshot(self, segment: Segment, entry: Entry) -> None:
+    def _snapshot(self, segment: Segment, entry: JournalEntry) -> None:
         self.partial.pop(entry.id, None)
         self.entries[entry.id] = entry
         segment.homes[entry.id] = None
 
-    def _part(self, ident: str) -> Entry:
+    def _part(self, ident: str) -> JournalEntry:
         if ident not in self.partial:
             part = only_known_by_id(ident)
             part.end = ""
@@ -190,16 +207,16 @@
         return self.partial[ident]
 
     def _hurt(self, segment: Segment, ident: str, kind: int) -> None:
-        if kind == Kind.CENSUS:
+        if kind == RecordType.CENSUS:
             return
-        if kind == Kind.DROP:
+        if kind == RecordType.DROP:
             self.entries.pop(ident, None)
             self.partial.pop(ident, None)
             return
         entry = self.entries.get(ident)
-        if kind == Kind.TOLD and entry is None:
+        if kind == RecordType.TOLD and entry is None:
             self._part(ident).told = True
-        elif kind == Kind.TAKE and entry is not None:
+        elif kind == RecordType.TAKE and entry is not None:
             worst(entry)  # an older snapshot is there
         else:
             worst_of(entry or self._part(ident), kind)
@@ -230,7 +247,7 @@
                 homes[ident].homes[ident] = None
 
 
-def recover(files: Files) -> Found:
+def recover(files: FileStore) -> Found:
     """Raises NewerFormat; OSError where the folder itself can't be read."""
     return Reader().read(files)
 
@@ -248,15 +265,17 @@
     well: bool
 
 
-def lines(files: Files) -> Iterator[Line]:
+def lines(files: FileStore) -> Iterator[Line]:
     """All records that are there, damaged ones with what is known of them."""
     for name in sorted(name for name in files.sizes() if NAME.fullmatch(name)):
         one = load(files, name)
         if one.header is None:
             continue
         for piece in scan(one.data, one.header.salt, one.header.first, last=True):
-            if isinstance(piece, Record | Hurt):
-                kind = Kind(piece.kind).name.lower() if piece.kind in set(Kind) else str(piece.kind)
+            if isinstance(piece, Record | CorruptRecord):
+                kind = (
+                    RecordType(piece.kind).name.lower() if piece.kind in set(RecordType) else str(piece.kind)
+                )
                 payload = piece.payload if isinstance(piece, Record) else b""
                 ident = piece.ident.decode(errors="replace")
                 yield Line(
--- a/linnetstile/logs.py
+++ b/message_relay/structured_logging.py
@@ -19,7 +19,7 @@
 LINE_BYTES = 8192  # a longer line is cut: one record must not fill the buffer
 
 
-class Note:
+class LogEvent:
     """An event's name with its fields; as text only where a line of it is written."""
 
     __slots__ = ("event", "fields")
@@ -31,7 +31,7 @@
         return " ".join((self.event, *(f"{name}={value}" for name, value in self.fields.items())))
 
 
-class BoundedWriter(logging.Handler):
+class BoundedLogWriter(logging.Handler):
     """Lines for a descriptor, written by a thread; `most` wait at the most, others are dropped and told."""
 
     def __init__(self, descriptor: int, most: int) -> None:
@@ -72,14 +72,16 @@
         super().close()
 
 
-def plain(level: str = "info") -> None:
+def configure_plain_logging(level: str = "info") -> None:
     """Lines to standard error, as on the platform."""
     logging.basicConfig(level=level.upper(), format="%(asctime)s %(levelname)s %(name)s: %(message)s")
 
 
-def structured(format_: str, level: str, most: int, descriptor: int = 2) -> BoundedWriter:
+def configure_structured_logging(
+    format_: str, level: str, most: int, descriptor: int = 2
+) -> BoundedLogWriter:
     """Replaces whatever was set up. Raises ImportError where structlog is not installed."""
-    writer = BoundedWriter(descriptor, most)
+    writer = BoundedLogWriter(descriptor, most)
     if format_ == "plain":
         writer.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s: %(message)s"))
     else:
@@ -117,7 +119,7 @@
 def _fields(_: object, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """A record's `Note` as fields of the line; the names that every line has are the line's."""
     note = event["_record"].msg
-    if isinstance(note, Note):
+    if isinstance(note, LogEvent):
         event["event"] = note.event
         for name, value in note.fields.items():
             event.setdefault(name, value)
--- a/tests/amqp/peer.py
+++ b/tests/amqp/peer.py
@@ -4,7 +4,7 @@
 
 from pamqp import base, body, commands, frame, header
 
-from linnetstile.amqp.machine import Event, Login, Machine
+from message_relay.amqp.protocol import ConnectionProtocol, Event, Login
 
 Properties = commands.Basic.Properties
 
@@ -28,21 +28,21 @@
     return raw(commands.Connection.Tune(channel_max, frame_max, heartbeat))
 
 
-def feed(machine: Machine, data: bytes, now: float = 0.0) -> list[Event]:
+def feed(machine: ConnectionProtocol, data: bytes, now: float = 0.0) -> list[Event]:
     """And all that it has to say is written."""
     events = machine.received(data, now)
     machine.wrote(len(machine.take(now)))
     return events
 
 
-def opened(**tuned: int) -> Machine:
-    machine = Machine(Login(), 0.0)
+def opened(**tuned: int) -> ConnectionProtocol:
+    machine = ConnectionProtocol(Login(), 0.0)
     machine.wrote(len(machine.take(0.0)))
     feed(machine, START + tune(**tuned) + raw(commands.Connection.OpenOk()))
     return machine
 
 
-def ready(prefetch: int = 0, **tuned: int) -> Machine:
+def ready(prefetch: int = 0, **tuned: int) -> ConnectionProtocol:
     """With channel 1 for publishing, or for consuming."""
     machine = opened(**tuned)
     machine.open_channel(prefetch)
--- a/tests/amqp/test_broker.py
+++ b/tests/amqp/test_broker.py
@@ -12,7 +12,7 @@
 import pika
 import pytest
 
-from standins.amqp import Broker, Faults, Session
+from fakes.amqp_broker import Broker, Faults, Session
 
 from ..loopback import run
 
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -13,29 +13,29 @@
 import msgspec
 import pytest
 
-from linnetstile.amqp.life import FIRST_S, JITTER, MOST_S, Reconnect
-from linnetstile.amqp.settings import AmqpPart, BrokerPart, TargetPart, credentials
-from linnetstile.amqp.transport import Publishing, answered
-from linnetstile.core.seams import Attempt, Offer
-from linnetstile.fleet.operator import decoded
-from linnetstile.decisions.interface import Outcome
-from standins.amqp import Broker, Faults
+from fakes.amqp_broker import Broker, Faults
+from message_relay.amqp.reconnect_policy import FIRST_S, JITTER, MOST_S, ReconnectPolicy
+from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart, credentials
+from message_relay.amqp.transport import BrokerPublisher, answered
+from message_relay.core.ports import Attempt, Submission
+from message_relay.decisions.model import Outcome
+from message_relay.fleet.operator import decoded
 
 from ..loopback import SETTINGS, Agent, Running, host_of, run, until
 from .test_broker import serving
 
 
-def part(port: int, **more: Any) -> AmqpPart:
-    return AmqpPart(
+def part(port: int, **more: Any) -> AmqpSettings:
+    return AmqpSettings(
         [BrokerPart("b", [f"127.0.0.1:{port}"], **more)], [TargetPart("jobs", 7, "b", "q", rate=2000.0)]
     )
 
 
 @contextlib.asynccontextmanager
-async def publishing(broker: Broker, **more: Any) -> AsyncIterator[Publishing]:
+async def publishing(broker: Broker, **more: Any) -> AsyncIterator[BrokerPublisher]:
     broker.declare("q")
     async with serving(broker) as port:
-        out = Publishing(part(port, **more), random.Random(1))
+        out = BrokerPublisher(part(port, **more), random.Random(1))
         try:
             yield out
         finally:
@@ -71,7 +71,7 @@
             if effects:
                 assert not got.outcome.proves_no_effect
             if outcome is Outcome.OK:
-                assert got.over and broker.effects == [("m1", "km1")]
+                assert got.finished and broker.effects == [("m1", "km1")]
                 message = broker.queues["q"].waiting[0]
                 assert message.properties.delivery_mode == 2 and message.body == b"x" * 60_000
                 assert 0 < int(message.properties.expiration or "0") <= 5000
@@ -81,7 +81,7 @@
 
 def test_what_is_not_there_or_says_nothing_could_not_be_reached() -> None:
     async def work() -> None:
-        out = Publishing(part(9), random.Random(1))
+        out = BrokerPublisher(part(9), random.Random(1))
         assert (await out.attempt(attempt())).outcome is Outcome.CONNECT_FAILED
         begun = asyncio.get_running_loop().time()
         assert (await out.attempt(attempt())).outcome is Outcome.CONNECT_FAILED  # it is not tried again yet
@@ -153,7 +153,7 @@
 
 
 def test_waits_between_connections_grow_with_jitter_and_addresses_take_turns() -> None:
-    life = Reconnect(2, random.Random(1))
+    life = ReconnectPolicy(2, random.Random(1))
     waits, places = [], []
     for n in range(30):
         places.append(life.at)
@@ -173,7 +173,7 @@
 
 
 def test_a_nack_means_what_the_operator_says() -> None:
-    from linnetstile.amqp.machine import Fate
+    from message_relay.amqp.protocol import Fate
 
     never = TargetPart("a", 1, "b", "q", nack="never_ran")
     assert answered(Fate.NACKED, never).outcome is Outcome.FULL
@@ -232,10 +232,10 @@
     rng = random.Random(5)
     for n in range(count):
         name = rng.choice(("keyed", "unsafe", "safe"))
-        offer = Offer(
+        offer = Submission(
             f"m{n}", name, "t", 7, f"k{n}", LEFT_MS[name], "", b"x" * rng.choice((10, 300, 9000)), "http"
         )
-        while not relay.messages.take(offer).taken:
+        while not relay.messages.accept(offer).accepted:
             await asyncio.sleep(0.02)
         taken[offer.id] = name
         if n % 8 == 0:
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -14,10 +14,10 @@
 import pytest
 from pamqp import commands
 
-from linnetstile.amqp import intake as front
-from linnetstile.amqp.machine import Delivered
-from linnetstile.amqp.settings import AmqpPart, BrokerPart, QueuePart, TargetPart
-from standins.amqp import Broker, Faults, Message, Queue
+from fakes.amqp_broker import Broker, Faults, Message, Queue
+from message_relay.amqp import intake as front
+from message_relay.amqp.protocol import Delivered
+from message_relay.amqp.settings import AmqpSettings, BrokerPart, QueuePart, TargetPart
 
 from ..loopback import PATIENCE_S, Agent, Running, host_of, run, until
 from .test_broker import serving
@@ -37,8 +37,8 @@
     broker.route(Message("", queue, Properties(**told), body))
 
 
-def both(inward: int, outward: int, prefetch: int = 20) -> AmqpPart:
-    return AmqpPart(
+def both(inward: int, outward: int, prefetch: int = 20) -> AmqpSettings:
+    return AmqpSettings(
         [BrokerPart("a", [f"127.0.0.1:{inward}"]), BrokerPart("b", [f"127.0.0.1:{outward}"])],
         [TargetPart("jobs", 7, "b", "q", rate=2000.0)],
         [QueuePart("a", "in", prefetch)],
@@ -64,7 +64,7 @@
     )
 
 
-async def relay_of(tmp_path: Path, amqp: AmqpPart, **more: Any) -> Running:
+async def relay_of(tmp_path: Path, amqp: AmqpSettings, **more: Any) -> Running:
     agent = await Agent().start()
     (tmp_path / "state").mkdir(exist_ok=True)
     relay = host_of(
@@ -162,7 +162,7 @@
             inward.do("block", {})
             put(inward, "two", expiration="700", reply_to="answers", correlation_id="c2")
             await until(lambda: "two" in relay.journal.entries and bool(relay.journal.entries["two"].end))
-            assert relay.host.unsettled == 1
+            assert relay.host.pending_outcomes == 1
             await relay.close()
             inward.blocked = False
             inward.do("unblock", {})
--- a/tests/amqp/test_machine.py
+++ b/tests/amqp/test_machine.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from pamqp import base, body, commands, frame, header
 
-from linnetstile.amqp import machine as m
-from linnetstile.amqp.frames import FrameError, FrameReader
-from linnetstile.amqp.machine import Fate, Login, Machine, State
+from message_relay.amqp import protocol as m
+from message_relay.amqp.frames import FrameError, FrameReader
+from message_relay.amqp.protocol import ConnectionProtocol, Fate, Login, State
 
 from .peer import START, Properties, content, feed, opened, raw, ready, tune
 
@@ -20,7 +20,7 @@
 Made = Callable[[int], bytes]
 
 
-def publish(machine: Machine, ident: str, size: int = 10, write: bool = True) -> m.Publish:
+def publish(machine: ConnectionProtocol, ident: str, size: int = 10, write: bool = True) -> m.Publish:
     out = machine.publish(1, ident, "", "q", b"x" * size, Properties(message_id=ident))
     if write:
         machine.wrote(len(machine.take(0.0)))
@@ -32,13 +32,13 @@
 
 
 def test_it_opens_with_the_lower_of_both_limits() -> None:
-    machine = Machine(Login(heartbeat_s=20), 0.0)
+    machine = ConnectionProtocol(Login(heartbeat_s=20), 0.0)
     assert machine.take(0.0) == b"AMQP\x00\x00\x09\x01"
     events = feed(machine, START + tune(8192, 7, 5) + raw(commands.Connection.OpenOk()))
     assert events == [m.Opened(7.0, 8192)] and machine.state is State.OPEN and machine.channel_max == 5
     for _ in range(5):
         machine.open_channel()
-    with pytest.raises(m.MachineError, match="all 5 channels"):
+    with pytest.raises(m.ProtocolUsageError, match="all 5 channels"):
         machine.open_channel()
 
 
@@ -61,7 +61,7 @@
     ],
 )
 def test_nonsense_breaks_the_connection_and_says_why(data: bytes, text: str) -> None:
-    machine = Machine(Login(), 0.0)
+    machine = ConnectionProtocol(Login(), 0.0)
     events = feed(machine, data)
     assert isinstance(events[-1], m.Ended) and text in events[-1].why and machine.state is State.BROKEN
     assert feed(machine, START) == [] and machine.due() is None
@@ -176,7 +176,7 @@
     machine = ready()
     feed(machine, raw(commands.Connection.Blocked("disk")))
     assert not machine.may_publish(1)
-    with pytest.raises(m.MachineError, match="takes no publish now"):
+    with pytest.raises(m.ProtocolUsageError, match="takes no publish now"):
         publish(machine, "m1")
     assert feed(machine, raw(commands.Connection.Unblocked())) == [m.Blocked(False)] and machine.may_publish(
         1
@@ -338,7 +338,7 @@
                 data[at:at] = rng.randbytes(rng.randint(1, 9))
             case _:
                 data[at:at] = data[max(0, at - 30) : at]
-    machine, sent = Machine(Login(), 0.0), list[m.Publish]()
+    machine, sent = ConnectionProtocol(Login(), 0.0), list[m.Publish]()
     machine.wrote(len(machine.take(0.0)))
     at = 0
     while at < len(data):
--- a/tests/amqp/test_tls.py
+++ b/tests/amqp/test_tls.py
@@ -12,10 +12,10 @@
 import pytest
 import trustme
 
-from linnetstile.amqp.settings import AmqpPart, BrokerPart, TargetPart, TlsPart, context
-from linnetstile.amqp.transport import Publishing
-from linnetstile.decisions.interface import Outcome
-from standins.amqp import Broker, Session
+from fakes.amqp_broker import Broker, Session
+from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart, TlsPart, context
+from message_relay.amqp.transport import BrokerPublisher
+from message_relay.decisions.model import Outcome
 
 from ..loopback import run
 from .test_delivery import attempt
@@ -44,7 +44,7 @@
 
 
 async def outcome(part: BrokerPart) -> Outcome:
-    out = Publishing(AmqpPart([part], [TargetPart("jobs", 7, "b", "q")]), random.Random(1))
+    out = BrokerPublisher(AmqpSettings([part], [TargetPart("jobs", 7, "b", "q")]), random.Random(1))
     try:
         return (await out.attempt(attempt())).outcome
     finally:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -4,7 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.actions import Action, Fail, Reject, StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, MessageCancelled
+from message_relay.decisions.model import Effect, Endpoint, Listing, ListKind, Outcome, Scope, Settings
 
 
 class Breach(AssertionError):
@@ -13,9 +15,9 @@
 
 @dataclass
 class Seen:
-    msg: api.Message
+    msg: Message
     due: float
-    attempts: list[tuple[float, int, api.Outcome | None]] = field(default_factory=list)
+    attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)
     over: bool = False
     past: tuple[float, int] | None = None  # when and where an earlier process tried it, if that may have run
     tries: int = 0  # of earlier processes
@@ -23,9 +25,9 @@
 
 @dataclass
 class Checker:
-    settings: api.Settings
+    settings: Settings
     seen: dict[int, Seen] = field(default_factory=dict)
-    endpoints: dict[int, api.Endpoint] = field(default_factory=dict)
+    endpoints: dict[int, Endpoint] = field(default_factory=dict)
     drained: dict[int, float] = field(default_factory=dict)
     waits: dict[int, float] = field(default_factory=dict)
     rests: dict[int, float] = field(default_factory=dict)
@@ -37,16 +39,16 @@
         entry = self.endpoints[endpoint]
         return -1 - endpoint if self.settings.kinds[entry.kind].routes_apart else entry.destination
 
-    def event(self, now: float, event: api.Event) -> None:
+    def event(self, now: float, event: Event) -> None:
         match event:
-            case api.Message():
+            case Message():
                 seen = self.seen[event.id] = Seen(event, now + event.left_ms, tries=event.tries)
                 if event.risk is not None and event.risk_age_ms is not None:
                     seen.past = now - event.risk_age_ms, event.risk.id
                     self.endpoints.setdefault(event.risk.id, event.risk)
-            case api.EndpointList(kind, entries) if kind is not api.ListKind.FAILED:
-                named = {e.id for e in entries if e.listing is api.Listing.READY}
-                if kind is api.ListKind.CHANGES:
+            case EndpointList(kind, entries) if kind is not ListKind.FAILED:
+                named = {e.id for e in entries if e.listing is Listing.READY}
+                if kind is ListKind.CHANGES:
                     gone = {e.id for e in entries} - named
                 else:
                     gone = set(self.endpoints) - named
@@ -56,23 +58,23 @@
                     self.drained.setdefault(ident, now)
                 for ident in named:
                     self.drained.pop(ident, None)
-            case api.Withdrawn(ident):
+            case MessageCancelled(ident):
                 self.seen[ident].over = True
-            case api.AttemptEnded():
+            case AttemptCompleted():
                 seen = self.seen[event.id]
                 sent, endpoint, _ = seen.attempts[event.attempt]
                 seen.attempts[event.attempt] = (sent, endpoint, event.outcome)
                 seen.over |= event.finished
                 lane = self.lane(endpoint)
-                if event.outcome is api.Outcome.CONNECT_FAILED:
+                if event.outcome is Outcome.CONNECT_FAILED:
                     self.streak[lane] = self.streak.get(lane, 0) + 1
-                elif event.outcome is api.Outcome.OK:
+                elif event.outcome is Outcome.OK:
                     if self.streak.get(lane, 0) >= 3:
                         self.cold[lane] = now
                     self.streak[lane] = 0
                 if event.wait_ms:
                     self.waits[lane] = max(self.waits.get(lane, 0.0), now + event.wait_ms)
-                lingers = event.outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
+                lingers = event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
                 if lingers and self.settings.classes[seen.msg.class_].in_order:
                     self.rests[seen.msg.key] = now + self.settings.safety.key_rest_ms
 
@@ -80,22 +82,22 @@
         past = [] if seen.past is None else [seen.past]
         return past + [(at, e) for at, e, out in seen.attempts if out is None or not out.proves_no_effect]
 
-    def action(self, now: float, action: api.Action) -> None:
+    def action(self, now: float, action: Action) -> None:
         match action:
-            case api.Send(ident, endpoint, _):
+            case StartAttempt(ident, endpoint, _):
                 self.send(now, self.seen[ident], endpoint)
-            case api.Refuse(ident) | api.Fail(ident):
+            case Reject(ident) | Fail(ident):
                 seen = self.seen[ident]
                 if seen.over:
                     raise Breach("lost: a second final answer")
                 effect = self.settings.classes[seen.msg.class_].effect
                 if (
-                    isinstance(action, api.Refuse)
+                    isinstance(action, Reject)
                     and self.risks(seen)
                     and (
-                        effect is api.Effect.UNSAFE
-                        or effect is api.Effect.KEYED
-                        and self.settings.classes[seen.msg.class_].key_scope is not api.Scope.ALL
+                        effect is Effect.UNSAFE
+                        or effect is Effect.KEYED
+                        and self.settings.classes[seen.msg.class_].key_scope is not Scope.ALL
                     )
                 ):
                     raise Breach("twice: refused though it may have run")
@@ -110,16 +112,16 @@
             raise Breach("fault: not an endpoint of its destination")
         if any(out is None for _, _, out in seen.attempts):
             raise Breach("twice: two attempts out at once")
-        if seen.tries + len(seen.attempts) >= self.settings.attempts:
+        if seen.tries + len(seen.attempts) >= self.settings.max_attempts:
             raise Breach("fault: too many attempts")
         for at, other in self.risks(seen):
-            if cls.effect is api.Effect.UNSAFE:
+            if cls.effect is Effect.UNSAFE:
                 raise Breach("twice: unsafe message may have run")
-            if cls.effect is api.Effect.KEYED:
+            if cls.effect is Effect.KEYED:
                 zones = self.endpoints[other].zone == entry.zone
                 if now - at > cls.key_window_ms:
                     raise Breach("twice: outside the key's window")
-                if cls.key_scope is api.Scope.ZONE and not zones:
+                if cls.key_scope is Scope.ZONE and not zones:
                     raise Breach("twice: outside the key's zone")
         if endpoint in self.drained and now > self.drained[endpoint] + self.settings.safety.drain_grace_ms:
             raise Breach("drain: sent to a draining endpoint")
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -6,15 +6,24 @@
 
 import msgspec
 
-from linnetstile.accord import caps
-from linnetstile.accord.book import Answer as CommandAnswer
-from linnetstile.accord.book import Book, Command, Forget, Guard, Promote, Propose, Version, Voters
-from linnetstile.accord.control import Question
-from linnetstile.accord.granting import Granting, in_trial
-from linnetstile.accord.holding import Holding
-from linnetstile.accord.rules import NOTHING, Rules, RulesError, decoded, difference, digest
-from linnetstile.accord.terms import Grant, Renew, Terms
-from linnetstile.failover.evidence import Cell, Counting, Demand, Report
+from message_relay.consensus import capabilities
+from message_relay.consensus.admin_socket import AdminRequest
+from message_relay.consensus.lease_grantor import LeaseGrantor, in_trial
+from message_relay.consensus.lease_holder import LeaseHolder
+from message_relay.consensus.lease_protocol import Grant, LeaseTerms, Renew
+from message_relay.consensus.rules import NOTHING, Rules, RulesError, decoded, difference, digest
+from message_relay.consensus.version_history import Answer as CommandAnswer
+from message_relay.consensus.version_history import (
+    Command,
+    Forget,
+    Guard,
+    Promote,
+    Propose,
+    Version,
+    VersionHistory,
+    Voters,
+)
+from message_relay.failover.observations import CallCounter, Demand, Report, WindowSample
 
 Values = dict[str, Any]
 
@@ -107,7 +116,7 @@
     return {"version": answer.number, "refusal": answer.refused}
 
 
-def question_values(question: Question) -> Values:
+def question_values(question: AdminRequest) -> Values:
     return {
         "question": question.ask,
         "rules text": bytes(question.rules).decode(),
@@ -169,12 +178,12 @@
 
 def rules_capabilities(text: str, bits: int) -> list[Any]:
     rules = decoded(text.encode())
-    return [caps.HERE, caps.needed(rules), caps.lacking(rules, bits)]
+    return [capabilities.HERE, capabilities.needed(rules), capabilities.lacking(rules, bits)]
 
 
 def trial_members(number: int, rules_text: str, share: float, names: list[str]) -> list[str]:
     """Who tries a version, of these."""
-    book = Book(Rules(), ("n0",))
+    book = VersionHistory(Rules(), ("n0",))
     rules = rules_text.encode()
     book.apply(Propose(1, rules, "operator", "a trial", 5.0, share))
     version = msgspec.structs.replace(book.newest, number=number)
@@ -183,7 +192,7 @@
 
 def book_after(rules_text: str) -> tuple[list[str], str]:
     """A log of commands: each answer, and the whole state that is handed to another voter."""
-    book, rules = Book(Rules(), ("n1", "n0")), rules_text.encode()
+    book, rules = VersionHistory(Rules(), ("n1", "n0")), rules_text.encode()
     told = (
         Propose(1, rules, "operator", "stricter", 5.0, 0.25, Guard(0.8, 10, 5.0, True)),
         Promote(2, "operator"),
@@ -198,11 +207,11 @@
 
 def lease_round(rules_text: str) -> list[str]:
     """A relay renews, a voter grants, before and after a second version, and the relay leaves."""
-    book, terms = Book(Rules(), ("n0",)), Terms()
+    book, terms = VersionHistory(Rules(), ("n0",)), LeaseTerms()
     first = digest(Rules()) + "/n0"
-    relay = Holding(3, 77, first, terms, NOTHING)
+    relay = LeaseHolder(3, 77, first, terms, NOTHING)
     relay.know(book.newest)
-    voter = Granting("n0", book, terms, first, 0, 100.0)
+    voter = LeaseGrantor("n0", book, terms, first, 0, 100.0)
     voter.clear(100.0)
     frames: list[str] = []
 
@@ -223,7 +232,7 @@
 # -- evidence ----------------------------------------------------------------------------------------------
 
 
-def _cell(cell: Cell) -> Values:
+def _cell(cell: WindowSample) -> Values:
     return {
         "destination": cell.destination,
         "zone": cell.zone,
@@ -256,7 +265,7 @@
 
 def evidence_of_calls() -> list[str]:
     """Two windows of one relay, as sent: calls that went well, failed, and were left out."""
-    counting = Counting("n1", 9, "z-1")
+    counting = CallCounter("n1", 9, "z-1")
     counting.asked(7, "anywhere 1")
     counting.ended(7, "z-1", True, False, False, 12.5)
     counting.ended(7, "z-2", False, True, False, 0.0)
