--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -8,14 +8,13 @@
 
 from pamqp import commands
 
-from linnetstile.amqp.intake import Intake
-from linnetstile.amqp.link import Link
-from linnetstile.amqp.machine import Delivered, Login, Machine
-from linnetstile.amqp.settings import BrokerPart, QueuePart, TargetPart
-from linnetstile.amqp.source import Named
-from linnetstile.amqp.settings import AmqpPart
-from linnetstile.amqp.transport import Broker, Publishing
-from linnetstile.core.seams import Attempt, End, Offer, Receipt
+from message_relay.amqp.connection import BrokerConnection
+from message_relay.amqp.intake import QueueIntake
+from message_relay.amqp.protocol import ConnectionProtocol, Delivered, Login
+from message_relay.amqp.settings import AmqpSettings, BrokerPart, QueuePart, TargetPart
+from message_relay.amqp.source import ConfiguredEndpoints
+from message_relay.amqp.transport import Broker, BrokerPublisher
+from message_relay.core.ports import Attempt, FinalOutcome, Submission, SubmissionResult
 
 Values = dict[str, Any]
 Properties = commands.Basic.Properties
@@ -25,7 +24,7 @@
     """A connection without a socket: a broker's bytes in, ours out."""
 
     def __init__(self, user: str, password: str, host: str, external: bool) -> None:
-        self._machine = Machine(Login(user, password, host, external), 0.0)
+        self._machine = ConnectionProtocol(Login(user, password, host, external), 0.0)
 
     def sent(self) -> bytes:
         data = self._machine.take(0.0)
@@ -78,7 +77,7 @@
     """Of a publish whose time is up, so that what is left of it is the least there is. Needs a loop."""
     now = asyncio.get_running_loop().time()
     attempt = Attempt(1, ("amqp:x", 0), trace_id, key, b"", now, lambda: True)
-    return Publishing._properties(attempt)
+    return BrokerPublisher._properties(attempt)
 
 
 class _Written(asyncio.Transport):
@@ -109,7 +108,7 @@
 class _Subscriber:
     """Asks for a queue's deliveries as soon as its channel stands."""
 
-    def __init__(self, link: Link, queue: str) -> None:
+    def __init__(self, link: BrokerConnection, queue: str) -> None:
         self.link, self.queue = link, queue
 
     def ready(self, channel: int) -> None:
@@ -126,7 +125,7 @@
     """A connection that has been opened by these bytes of a broker; channel 1 is for publishing."""
 
     def __init__(self, opening: bytes, channel_opening: bytes) -> None:
-        self._link = Link(Login(), lambda why: None, lambda publish: None)
+        self._link = BrokerConnection(Login(), lambda why: None, lambda publish: None)
         self._transport = _Written()
         self._link.connection_made(self._transport)
         self._link.data_received(opening)
@@ -145,8 +144,8 @@
         """All that is sent to tell the end of a message that came by a queue."""
         broker = Broker(BrokerPart("b", ["127.0.0.1:5672"]), Random(0))
         broker.link = self._link
-        intake = Intake([], {"b": broker}, _Desk(), {}, Random(0))
-        end = End(ident, state, after_ms)
+        intake = QueueIntake([], {"b": broker}, _Desk(), {}, Random(0))
+        end = FinalOutcome(ident, state, after_ms)
         telling = asyncio.create_task(intake._publish(broker, end, reply, correlation))
         while not self._transport.data:
             await asyncio.sleep(0)
@@ -161,31 +160,31 @@
 class _Desk:
     """Takes all."""
 
-    ready = roomy = True
+    ready = has_capacity = True
 
-    def take(self, offer: Offer) -> Receipt:
-        return Receipt(True)
+    def accept(self, offer: Submission) -> SubmissionResult:
+        return SubmissionResult(True)
 
-    def withdraw(self, ident: str) -> bool:
+    def cancel(self, ident: str) -> bool:
         return True
 
-    def told(self, idents: list[str]) -> None:
+    def mark_notified(self, idents: list[str]) -> None:
         """Nothing is owed here."""
 
 
 def offer_of_delivery(properties: Properties, body: bytes) -> Values:
     """A message as it is read from a queue's delivery."""
     broker = Broker(BrokerPart("b", ["127.0.0.1:5672"]), Random(0))
-    intake = Intake([QueuePart("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
+    intake = QueueIntake([QueuePart("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
     offer = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
     return {
         "id": offer.id,
-        "class": offer.class_,
+        "class": offer.class_name,
         "tenant": offer.tenant,
-        "destination": offer.dest,
+        "destination": offer.destination,
         "key": offer.key,
-        "left ms": offer.left_ms,
-        "handed in again": offer.again,
+        "left ms": offer.remaining_ms,
+        "handed in again": offer.resubmission,
         "body": offer.body.decode(),
         "front": offer.origin,
     }
@@ -194,6 +193,12 @@
 def members_of_file() -> list[Any]:
     """An endpoint of the operator's file as a member: its name and address stand in the journal and in
     rules."""
-    part = AmqpPart([BrokerPart("b", ["h:5672"])], [TargetPart("t", 7, "b", "k", rate=2.0)])
-    (member,) = Named(part).update.members
-    return [Named(part).update.source, member.name, member.destination, *member.address, member.rate]
+    part = AmqpSettings([BrokerPart("b", ["h:5672"])], [TargetPart("t", 7, "b", "k", rate=2.0)])
+    (member,) = ConfiguredEndpoints(part).update.endpoints
+    return [
+        ConfiguredEndpoints(part).update.source,
+        member.name,
+        member.destination,
+        *member.address,
+        member.rate,
+    ]
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -13,54 +13,54 @@
 
 from emulator.experiment import decoded
 from emulator.runs import one
-from linnetstile.decisions import interface
-from linnetstile.decisions.control import Relay
-from linnetstile.decisions.effects import until, window
-from linnetstile.decisions.index import edges
-from linnetstile.decisions.paces import doubt, overdue_ms, suspect
-from linnetstile.decisions.state import Course, Held, Lane
+from message_relay.decisions import actions, events, model
+from message_relay.decisions.idempotency import idempotency_window_end, retry_deadline
+from message_relay.decisions.pending import DestinationState, PendingMessage, PriorityBucket
+from message_relay.decisions.priority_index import edges
+from message_relay.decisions.rate_control import doubt, overdue_ms, suspect
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 from .decision_scenarios import InstancePlace, Scenario
 
-Scheduler = Relay
-Event = interface.Event
-Endpoint = interface.Endpoint
-Message = interface.Message
+Scheduler = DeliveryScheduler
+Event = events.Event
+Endpoint = model.Endpoint
+Message = events.Message
 
 EFFECTS = {
-    "safe": interface.Effect.SAFE,
-    "keyed": interface.Effect.KEYED,
-    "unsafe": interface.Effect.UNSAFE,
+    "safe": model.Effect.SAFE,
+    "keyed": model.Effect.KEYED,
+    "unsafe": model.Effect.UNSAFE,
 }
-SCOPES = {"all": interface.Scope.ALL, "zone": interface.Scope.ZONE, "endpoint": interface.Scope.ENDPOINT}
+SCOPES = {"all": model.Scope.ALL, "zone": model.Scope.ZONE, "endpoint": model.Scope.ENDPOINT}
 OUTCOMES = {
-    "ok": interface.Outcome.OK,
-    "error": interface.Outcome.ERROR,
-    "full": interface.Outcome.FULL,
-    "timeout": interface.Outcome.TIMEOUT,
-    "connect_failed": interface.Outcome.CONNECT_FAILED,
-    "reset": interface.Outcome.RESET,
-    "cancelled": interface.Outcome.CANCELLED,
-    "not_sent": interface.Outcome.NOT_SENT,
+    "ok": model.Outcome.OK,
+    "error": model.Outcome.ERROR,
+    "full": model.Outcome.FULL,
+    "timeout": model.Outcome.TIMEOUT,
+    "connect_failed": model.Outcome.CONNECT_FAILED,
+    "reset": model.Outcome.RESET,
+    "cancelled": model.Outcome.CANCELLED,
+    "not_sent": model.Outcome.NOT_SENT,
 }
 LISTINGS = {
-    "ready": interface.Listing.READY,
-    "draining": interface.Listing.DRAINING,
-    "gone": interface.Listing.GONE,
-    "unneeded": interface.Listing.UNNEEDED,
+    "ready": model.Listing.READY,
+    "draining": model.Listing.DRAINING,
+    "gone": model.Listing.GONE,
+    "unneeded": model.Listing.UNNEEDED,
 }
 LIST_KINDS = {
-    "changes": interface.ListKind.CHANGES,
-    "whole": interface.ListKind.WHOLE,
-    "cached": interface.ListKind.CACHED,
-    "failed": interface.ListKind.FAILED,
+    "changes": model.ListKind.CHANGES,
+    "whole": model.ListKind.WHOLE,
+    "cached": model.ListKind.CACHED,
+    "failed": model.ListKind.FAILED,
 }
 RATES = {
-    "none": interface.Rates.NONE,
-    "nominal": interface.Rates.NOMINAL,
-    "rough": interface.Rates.ROUGH,
+    "none": model.Rates.NONE,
+    "nominal": model.Rates.NOMINAL,
+    "rough": model.Rates.ROUGH,
 }
-DECAYS = {"line": interface.Decay.LINE, "half_life": interface.Decay.HALVES}
+DECAYS = {"line": model.Decay.LINE, "half_life": model.Decay.HALVES}
 
 SNAPSHOT_ROWS = 12  # rows of each table in one snapshot
 
@@ -87,15 +87,15 @@
 # -- settings ----------------------------------------------------------------------------------------------
 
 
-def _place(place: InstancePlace) -> interface.Fleet:
-    return interface.Fleet(place.number, place.size, place.clock_ms)
+def _place(place: InstancePlace) -> model.Fleet:
+    return model.Fleet(place.number, place.size, place.clock_ms)
 
 
-def _settings(scenario: Scenario) -> interface.Settings:
+def _settings(scenario: Scenario) -> model.Settings:
     limits, goal = scenario.limits, scenario.goal_weights
-    return interface.Settings(
+    return model.Settings(
         classes=tuple(
-            interface.MessageClass(
+            model.MessageClass(
                 each.name,
                 EFFECTS[each.effect],
                 each.target_ms,
@@ -109,18 +109,18 @@
             for each in scenario.classes
         ),
         kinds=tuple(
-            interface.DestinationKind(each.name, each.batch, each.separate_routes) for each in scenario.kinds
+            model.DestinationKind(each.name, each.batch, each.separate_routes) for each in scenario.kinds
         ),
-        slots=scenario.slots,
-        hold=scenario.hold,
-        attempts=scenario.attempts,
+        max_concurrent_attempts=scenario.slots,
+        max_pending_messages=scenario.hold,
+        max_attempts=scenario.attempts,
         relays=scenario.instances,
         zone=scenario.zone,
-        tenants=tuple(interface.Tenant(each.name, each.per_second) for each in scenario.tenants),
-        over_share_worth=scenario.over_quota_value,
+        tenants=tuple(model.Tenant(each.name, each.per_second) for each in scenario.tenants),
+        over_quota_weight=scenario.over_quota_value,
         decay=DECAYS[scenario.decay],
         rates=RATES[scenario.rates],
-        ask_for_list=scenario.ask_for_list,
+        polls_discovery=scenario.ask_for_list,
         idle_ms=scenario.idle_ms,
         tick_ms=scenario.tick_ms,
         marks_repeats=scenario.marks_repeats,
@@ -129,7 +129,7 @@
         route_fees=scenario.zone_fees,
         report_fields=("left", "limit") if scenario.reports_limit else (),
         limit_report=(0, 1) if scenario.reports_limit else None,
-        safety=interface.Safety(
+        safety=model.Safety(
             limits.answer_slack_ms,
             limits.drain_grace_ms,
             limits.cold_fraction,
@@ -139,24 +139,24 @@
             limits.ask_within_ms,
             limits.key_rest_ms,
         ),
-        goal=interface.Goal(*goal),
+        goal=model.Goal(*goal),
         fleet=None if scenario.agreed is None else _place(scenario.agreed),
     )
 
 
 def new_scheduler(scenario: Scenario, seed: int) -> Scheduler:
-    return Relay(_settings(scenario), seed)
+    return DeliveryScheduler(_settings(scenario), seed)
 
 
 # -- events ------------------------------------------------------------------------------------------------
 
 
 def endpoint(number: int, destination: int, listing: str, kind: int, zone: int, rate: float) -> Endpoint:
-    return interface.Endpoint(number, destination, LISTINGS[listing], kind, zone, rate)
+    return model.Endpoint(number, destination, LISTINGS[listing], kind, zone, rate)
 
 
 def endpoint_list(kind: str, entries: Sequence[Endpoint]) -> Event:
-    return interface.EndpointList(LIST_KINDS[kind], tuple(entries))
+    return events.EndpointList(LIST_KINDS[kind], tuple(entries))
 
 
 def message(
@@ -170,7 +170,7 @@
     again: bool,
     from_dead_instance: bool,
 ) -> Message:
-    return interface.Message(
+    return events.Message(
         number, destination, class_number, left_ms, tenant, key, work_ms, again, from_dead_instance
     )
 
@@ -188,7 +188,7 @@
     risk: Endpoint | None,
 ) -> Message:
     """One that an earlier process took on."""
-    return interface.Message(
+    return events.Message(
         number,
         destination,
         class_number,
@@ -218,7 +218,7 @@
     report: tuple[float, ...],
     held_back: bool,
 ) -> Event:
-    return interface.AttemptEnded(
+    return events.AttemptCompleted(
         number,
         attempt,
         endpoint_number,
@@ -233,23 +233,23 @@
 
 
 def probe_ended(endpoint_number: int, outcome: str, latency_ms: float) -> Event:
-    return interface.ProbeEnded(endpoint_number, OUTCOMES[outcome], latency_ms)
+    return events.ProbeCompleted(endpoint_number, OUTCOMES[outcome], latency_ms)
 
 
 def withdrawn(number: int) -> Event:
-    return interface.Withdrawn(number)
+    return events.MessageCancelled(number)
 
 
 def timer_fired(token: int) -> Event:
-    return interface.TimerFired(token)
+    return events.TimerFired(token)
 
 
 def closing(at_ms: float) -> Event:
-    return interface.Closing(at_ms)
+    return events.ShutdownScheduled(at_ms)
 
 
 def recalled(it: Knowledge) -> Event:
-    return interface.Learned(it.destination, it.wait_ms, it.out, it.failing_for_ms, it.back_for_ms)
+    return events.RestoredDestination(it.destination, it.wait_ms, it.out, it.failing_for_ms, it.back_for_ms)
 
 
 def resized(place: InstancePlace) -> Event:
@@ -259,23 +259,23 @@
 # -- calls -------------------------------------------------------------------------------------------------
 
 
-def _neutral(action: interface.Action) -> Action:
+def _neutral(action: actions.Action) -> Action:
     match action:
-        case interface.Send():
+        case actions.StartAttempt():
             return Action("send", action.id, action.endpoint, action.give_up_at_ms)
-        case interface.Refuse():
+        case actions.Reject():
             return Action("refuse", action.id, 0, action.stay_away_ms)
-        case interface.Fail():
+        case actions.Fail():
             return Action("fail", action.id)
-        case interface.Cancel():
+        case actions.Cancel():
             return Action("cancel", action.id, action.attempt)
-        case interface.SetTimer():
+        case actions.SetTimer():
             return Action("timer", action.token, 0, action.delay_ms)
-        case interface.Probe():
+        case actions.Probe():
             return Action("probe", 0, action.endpoint)
-        case interface.WatchList():
+        case actions.WatchEndpoints():
             return Action("ask_for_list")
-        case interface.Log():
+        case actions.Log():
             return Action("log")
 
 
@@ -284,7 +284,7 @@
 
 
 def turned_away(scheduler: Scheduler, now_ms: float, offered: Message, holding: int) -> float | None:
-    return scheduler.turned_away(now_ms, offered, holding)
+    return scheduler.rejection_delay_ms(now_ms, offered, holding)
 
 
 def may_write(scheduler: Scheduler, now_ms: float, number: int) -> bool:
@@ -303,7 +303,7 @@
 Row = tuple[str | int | float | bool | None, ...]
 
 
-def _lane_row(destination: int, route: int, lane: Lane) -> Row:
+def _lane_row(destination: int, route: int, lane: DestinationState) -> Row:
     share = lane.share
     slot: Row = (
         () if share is None else (share.frame_ms, share.used, share.turn, share.since, share.good_until)
@@ -317,7 +317,7 @@
     )
 
 
-def _pace_row(scheduler: Scheduler, now_ms: float, destination: int, lane: Lane) -> Row:
+def _pace_row(scheduler: Scheduler, now_ms: float, destination: int, lane: DestinationState) -> Row:
     paces, out = scheduler.paces, suspect(lane, now_ms)
     doubts = (doubt(door, now_ms, 0) for door in lane.doors.values())
     return (
@@ -327,15 +327,19 @@
     )
 
 
-def _held_row(scheduler: Scheduler, now_ms: float, held: Held) -> Row:
+def _held_row(scheduler: Scheduler, now_ms: float, held: PendingMessage) -> Row:
     return (
         *("held", held.msg.id, held.since, held.due, held.worth, held.ready, held.tries, held.first_risk),
         *(held.withdrawn, held.late, held.refusable, held.ripe_at, held.out is not None),
-        *(until(scheduler.s, held), window(scheduler.s, held), held.worth_at(now_ms, scheduler.s.decay)),
+        *(
+            retry_deadline(scheduler.s, held),
+            idempotency_window_end(scheduler.s, held),
+            held.worth_at(now_ms, scheduler.s.decay),
+        ),
     )
 
 
-def _course_row(now_ms: float, course: Course, lane: Lane) -> Row:
+def _course_row(now_ms: float, course: PriorityBucket, lane: DestinationState) -> Row:
     found, change = edges(course, lane, now_ms)
     return (
         "course",
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -5,9 +5,21 @@
 from random import Random
 from typing import Any
 
-from linnetstile.peers.node import Hello, framed
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import Ack, App, Claim, Nack, Packet, Ping, PingFor, Refused, State, Sync, sealed
+from message_relay.gossip.node import Hello, framed
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import (
+    Ack,
+    App,
+    Claim,
+    Nack,
+    Packet,
+    Ping,
+    PingFor,
+    Refused,
+    State,
+    Sync,
+    sealed,
+)
 
 Values = dict[str, Any]
 
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import Any
 
-from linnetstile.config import Config, load
-from linnetstile.core.seams import Attempt, Malformed, Offer, Receipt, Result
-from linnetstile.http.agent import Agent
-from linnetstile.http.calls import Calls, report_of
-from linnetstile.http.front import Front
-from linnetstile.http.intake import Clients
-from linnetstile.http.link import Head
-from linnetstile.http.notices import Notices
-from linnetstile.http.register import Register, read
+from message_relay.config import Config, load
+from message_relay.core.ports import Attempt, AttemptResult, InvalidMessageError, Submission, SubmissionResult
+from message_relay.http.agent import AgentClient
+from message_relay.http.client_connection import ClientListener
+from message_relay.http.client_intake import ClientIntake
+from message_relay.http.connection import Head
+from message_relay.http.discovery_client import DiscoveryClient, read
+from message_relay.http.endpoint_client import EndpointClient, report_of
+from message_relay.http.outcome_notifier import OutcomeNotifier
 
 Values = dict[str, Any]
 Address = tuple[str, int]
@@ -23,9 +23,9 @@
 
 
 async def ask_agent(address: Address, method: str, target: str, body: bytes) -> int:
-    agent = Agent(address)
+    agent = AgentClient(address)
     try:
-        status, _ = await agent.ask(method, target, body, CALL_S)
+        status, _ = await agent.request(method, target, body, CALL_S)
         return status
     finally:
         agent.close()
@@ -33,7 +33,7 @@
 
 async def ask_for_list(address: Address, known: Values | None, watch: bool) -> Values:
     """One question for the list of endpoints, where this list is known already."""
-    register = Register(address, 1, 0)
+    register = DiscoveryClient(address, 1, 0)
     if known is not None:
         register.known(known)
     if watch:
@@ -49,7 +49,7 @@
     version, update = read(answer)
     return {
         "version": version,
-        "whole": update.whole,
+        "whole": update.is_full,
         "members": [
             {
                 "name": each.name,
@@ -61,9 +61,9 @@
                 "zone": each.zone,
                 "rate": each.rate,
             }
-            for each in update.members
+            for each in update.endpoints
         ],
-        "lives": [[name, listing.value] for name, listing in update.lives],
+        "lives": [[name, listing.value] for name, listing in update.status_changes],
     }
 
 
@@ -71,7 +71,7 @@
     """Passes ends on until they are answered; the ids that count as told."""
     loop = asyncio.get_running_loop()
     done: asyncio.Future[list[str]] = loop.create_future()
-    notices = Notices(Agent(address), done.set_result)
+    notices = OutcomeNotifier(AgentClient(address), done.set_result)
     for ident, state, after_ms in ends:
         notices.add(ident, state, after_ms)
     running = asyncio.create_task(notices.run())
@@ -86,7 +86,7 @@
     address: Address, trace_id: str, key: str | None, body: bytes, rules_mark: str | None, careful: bool
 ) -> Values:
     """One call to an endpoint, and what its answer means."""
-    calls = Calls(1000.0, 1000.0, 4, 4, ("x0", "x1"))
+    calls = EndpointClient(1000.0, 1000.0, 4, 4, ("x0", "x1"))
     attempt = Attempt(
         endpoint=3,
         address=address,
@@ -95,7 +95,7 @@
         body=body,
         give_up_at=asyncio.get_running_loop().time() + CALL_S,
         may_write=lambda: True,
-        careful=careful,
+        ambiguity_is_final=careful,
         mark=None if rules_mark is None else lambda: rules_mark,
         kind="k",
     )
@@ -105,13 +105,13 @@
         calls.close()
 
 
-def _result(result: Result) -> Values:
+def _result(result: AttemptResult) -> Values:
     return {
         "outcome": result.outcome.value,
         "wait ms": result.wait_ms,
         "no slot": result.no_slot,
-        "over": result.over,
-        "held back": result.held_back,
+        "over": result.finished,
+        "held back": result.withheld,
         "load report": list(result.report),
     }
 
@@ -125,21 +125,21 @@
 
     def __init__(self) -> None:
         self.ready = True
-        self.roomy = True
-        self.offers: list[Offer] = []
+        self.has_capacity = True
+        self.offers: list[Submission] = []
 
-    def take(self, offer: Offer) -> Receipt:
+    def accept(self, offer: Submission) -> SubmissionResult:
         self.offers.append(offer)
         if offer.id == "refused":
-            return Receipt(False, why="there is no room", retry_s=1.25)
+            return SubmissionResult(False, reason="there is no room", retry_after_s=1.25)
         if offer.id == "malformed":
-            raise Malformed("key", "is needed")
-        return Receipt(True, True)
+            raise InvalidMessageError("key", "is needed")
+        return SubmissionResult(True, True)
 
-    def withdraw(self, ident: str) -> bool:
+    def cancel(self, ident: str) -> bool:
         return True
 
-    def told(self, idents: list[str]) -> None:
+    def mark_notified(self, idents: list[str]) -> None:
         """Ends are not looked at here."""
 
 
@@ -150,10 +150,10 @@
         config: Config = load({"RELAY_CONFIG": str(config_file)})
         self._desk = _Desk()
         self._desk.ready = ready
-        self._front = Front(self._desk, replace(config, listen=("127.0.0.1", 0)), 8, 8)
+        self._front = ClientIntake(self._desk, replace(config, listen=("127.0.0.1", 0)), 8, 8)
 
     def listen(self) -> int:
-        clients: Clients = self._front.clients
+        clients: ClientListener = self._front.clients
         clients.listen("127.0.0.1", 0)
         return clients.port
 
@@ -167,12 +167,12 @@
         return [
             {
                 "id": each.id,
-                "class": each.class_,
+                "class": each.class_name,
                 "tenant": each.tenant,
-                "destination": each.dest,
+                "destination": each.destination,
                 "key": each.key,
-                "left ms": each.left_ms,
-                "handed in again": each.again,
+                "left ms": each.remaining_ms,
+                "handed in again": each.resubmission,
                 "body": each.body.decode(),
                 "front": each.origin,
             }
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -9,20 +9,20 @@
 
 import msgspec
 
-from linnetstile.accord.clock import Clock
-from linnetstile.accord.settings import AccordPart
-from linnetstile.amqp.settings import AmqpPart, BrokerPart
-from linnetstile.config import Config, ConfigError, _File, _Zones, load
-from linnetstile.decisions.interface import Settings
-from linnetstile.decisions.settings import SettingsError, _Settings, settings_from
-from linnetstile.failover.settings import FailoverPart
-from linnetstile.fleet.handover import CLIENTS, HandoverError, handed_over
-from linnetstile.fleet.lifeline import hold
-from linnetstile.fleet.notify import Notifier, NotifyError
-from linnetstile.fleet.operator import Operator, OperatorError, decoded, instance, named, read
-from linnetstile.fleet.status import folder_of
-from linnetstile.peers.settings import PeersPart
-from linnetstile.shards.settings import ShardsPart
+from message_relay.amqp.settings import AmqpSettings, BrokerPart
+from message_relay.config import Config, ConfigError, _File, _Zones, load
+from message_relay.consensus.clock import Clock
+from message_relay.consensus.settings import ConsensusSettings
+from message_relay.decisions.model import Settings
+from message_relay.decisions.settings import SettingsError, _Settings, settings_from
+from message_relay.failover.settings import FailoverSettings
+from message_relay.fleet.operator import OperatorConfig, OperatorError, decoded, instance, named, read
+from message_relay.fleet.parent_watch import hold
+from message_relay.fleet.socket_activation import CLIENTS, SocketActivationError, inherited_sockets
+from message_relay.fleet.status import folder_of
+from message_relay.fleet.systemd_notify import NotifyError, SystemdNotifier
+from message_relay.gossip.settings import GossipSettings
+from message_relay.sharded_directory.settings import ShardedDirectorySettings
 
 from .agreement_binding import rules_values
 
@@ -56,7 +56,7 @@
     }
 
 
-def _fleet(told: Operator) -> Values:
+def _fleet(told: OperatorConfig) -> Values:
     return {
         "instances": told.fleet.instances,
         "rates kept together": told.fleet.share_rates,
@@ -64,7 +64,7 @@
     }
 
 
-def _supervisor(told: Operator) -> Values:
+def _supervisor(told: OperatorConfig) -> Values:
     part = told.supervisor
     return {
         "platform file": part.config,
@@ -83,7 +83,7 @@
     }
 
 
-def _amqp(part: AmqpPart) -> Values:
+def _amqp(part: AmqpSettings) -> Values:
     return {
         "brokers": [_broker(each) for each in part.brokers],
         "endpoints": [
@@ -119,7 +119,7 @@
     }
 
 
-def _peers(part: PeersPart) -> Values:
+def _peers(part: GossipSettings) -> Values:
     return {
         "listens at": part.listen,
         "reached at": part.address,
@@ -131,7 +131,7 @@
     }
 
 
-def _agreement(part: AccordPart) -> Values:
+def _agreement(part: ConsensusSettings) -> Values:
     return {
         "voters": list(part.voters),
         "bound s": part.bound_s,
@@ -144,7 +144,7 @@
     }
 
 
-def _failover(part: FailoverPart) -> Values:
+def _failover(part: FailoverSettings) -> Values:
     return {
         "regions": {name: each.region for name, each in part.zones.items()},
         "worths": {name: each.worth for name, each in part.classes.items()},
@@ -158,7 +158,7 @@
     }
 
 
-def _shards(part: ShardsPart) -> Values:
+def _shards(part: ShardedDirectorySettings) -> Values:
     return {
         "keepers": list(part.keepers),
         "count": part.count,
@@ -171,7 +171,7 @@
 
 def operator_keys() -> list[str]:
     """Every key of the file, as a dotted path."""
-    return sorted(_keys(msgspec.inspect.type_info(Operator), ""))
+    return sorted(_keys(msgspec.inspect.type_info(OperatorConfig), ""))
 
 
 def platform_keys() -> list[str]:
@@ -257,9 +257,9 @@
             {
                 "name": each.name,
                 "effect": each.effect.value,
-                "aim ms": each.aim_ms,
+                "aim ms": each.latency_objective_ms,
                 "deadline ms": each.deadline_ms,
-                "worth": each.worth,
+                "worth": each.priority_weight,
                 "late share": each.late_share,
                 "key window ms": each.key_window_ms,
                 "key scope": each.key_scope.value,
@@ -269,15 +269,15 @@
         ],
         "kinds": [[each.name, each.batch, each.routes_apart] for each in told.kinds],
         "tenants": [[each.name, each.quota_per_s] for each in told.tenants],
-        "calls at once": told.slots,
-        "messages held": told.hold,
-        "attempts": told.attempts,
+        "calls at once": told.max_concurrent_attempts,
+        "messages held": told.max_pending_messages,
+        "attempts": told.max_attempts,
         "relays": told.relays,
         "zone": told.zone,
-        "worth over the share": told.over_share_worth,
+        "worth over the share": told.over_quota_weight,
         "decay": told.decay.value,
         "rates": told.rates.value,
-        "asks for the list": told.ask_for_list,
+        "asks for the list": told.polls_discovery,
         "probing": told.probing,
         "cancelling": told.cancelling,
         "streams of a connection": told.streams_per_connection,
@@ -339,22 +339,22 @@
 def service_manager_fault(env: dict[str, str]) -> str:
     """Why what the service manager tells is refused."""
     try:
-        handed_over(env)
-        Notifier.of(env)
-    except (HandoverError, NotifyError) as error:
+        inherited_sockets(env)
+        SystemdNotifier.of(env)
+    except (SocketActivationError, NotifyError) as error:
         return str(error)
     return ""
 
 
 def notifier_values(env: dict[str, str]) -> list[Any]:
     """Where the service manager listens, and how often it wants to hear; what is left of the variables."""
-    notifier = Notifier.of(env)
+    notifier = SystemdNotifier.of(env)
     return [notifier.address, notifier.watchdog_s, sorted(env)]
 
 
 def notify_through_a_life(address: str) -> None:
     """Tells the service manager of a start, a reload, a status and a stop."""
-    notifier = Notifier.of({"NOTIFY_SOCKET": address})
+    notifier = SystemdNotifier.of({"NOTIFY_SOCKET": address})
     notifier.start()
     notifier.ready()
     notifier.reloading()
--- a/tests/compatibility/shard_binding.py
+++ b/tests/compatibility/shard_binding.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from linnetstile.shards import ring, table
-from linnetstile.shards import wire as shard_wire
+from message_relay.sharded_directory import rendezvous_hash, shard_table
+from message_relay.sharded_directory import wire as shard_wire
 
 Values = dict[str, Any]
 
@@ -31,7 +31,7 @@
 
 def _shard_part(part: shard_wire.Part) -> Values:
     match part:
-        case shard_wire.Whole():
+        case shard_wire.FullShard():
             return {"whole shard": part.shard, "rows": [row_values(row) for row in part.rows]}
         case shard_wire.Changes():
             return {"changed shard": part.shard, "rows": [row_values(row) for row in part.rows]}
@@ -41,7 +41,7 @@
 
 def shard_message_values(word: shard_wire.Word) -> Values:
     match word:
-        case shard_wire.Ask():
+        case shard_wire.ShardRequest():
             return {
                 "request": word.number,
                 "layout": layout_values(word.layout),
@@ -52,7 +52,7 @@
                 "partly at": list(word.ahead),
                 "part held": word.further.hex(),
             }
-        case shard_wire.Answer():
+        case shard_wire.ShardResponse():
             return {
                 "answer": word.number,
                 "version": list(word.version),
@@ -64,9 +64,9 @@
                 "clock ms": word.clock_ms,
                 "reached": list(word.reached),
             }
-        case shard_wire.Busy():
+        case shard_wire.Overloaded():
             return {"busy": word.number, "after ms": word.after_ms}
-        case shard_wire.Other():
+        case shard_wire.LayoutMismatch():
             return {
                 "other layout": word.number,
                 "layout": layout_values(word.layout),
@@ -91,9 +91,9 @@
         "row": shard_wire.row_sum(msgspec.convert(row, shard_wire.Row)),
         "layout": shard_wire.layout_sum(msgspec.convert(layout, shard_wire.Layout)),
         "shard": shard_wire.shard_mark(4097),
-        "name": table.name_mark(name),
-        "shard of destination": ring.shard_of(123456, 8192),
-        "keepers in order": ring.ranked("n7", ["n0", "n1", "n2", "n3"]),
+        "name": shard_table.name_mark(name),
+        "shard of destination": rendezvous_hash.shard_of(123456, 8192),
+        "keepers in order": rendezvous_hash.ranked("n7", ["n0", "n1", "n2", "n3"]),
         "bitmap": shard_wire.read_bits(bits, 16),
         "listing numbers": {each.value: number for number, each in enumerate(shard_wire.LISTINGS)},
     }
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -18,37 +18,48 @@
 
 import msgspec
 
-from linnetstile.accord.book import (
+from message_relay.consensus.instance import ConsensusInstance
+from message_relay.consensus.lease_protocol import Counts
+from message_relay.consensus.raft_storage import TornWriteError, check, entries, unsealed, voted
+from message_relay.consensus.replicated_log import ReplicatedLog
+from message_relay.consensus.rules import Rules, decoded, digest, encoded
+from message_relay.consensus.settings import ConsensusSettings
+from message_relay.consensus.version_history import (
     Answer,
-    Book,
     Command,
     Forget,
     Guard,
     Promote,
     Propose,
     Version,
+    VersionHistory,
     Voters,
     Withdraw,
     command,
 )
-from linnetstile.accord.disk import Torn, check, entries, unsealed, voted
-from linnetstile.accord.log import Log
-from linnetstile.accord.node import Accord
-from linnetstile.accord.rules import Rules, decoded, digest, encoded
-from linnetstile.accord.settings import AccordPart
-from linnetstile.accord.terms import Counts
-from linnetstile.core.recall import Recall
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.fleet.common import FOLDER
-from linnetstile.peers.identity import Identity, IdentityError, claimed, raised
-from linnetstile.peers.node import Hello
-from linnetstile.store.files import FolderFiles
-from linnetstile.store.frame import Header, NewerFormat, frame
-from linnetstile.store.journal import Journal
-from linnetstile.store.learned import LearnedFile
-from linnetstile.store.records import Attempt, Entry
-from linnetstile.store.recovery import lines, recover
+from message_relay.core.restored_state import RestoredState
+from message_relay.decisions.events import EndpointList, RestoredDestination
+from message_relay.decisions.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Rates,
+    Safety,
+    Settings,
+)
+from message_relay.decisions.scheduler import DeliveryScheduler
+from message_relay.fleet.common import FOLDER
+from message_relay.gossip.identity import Identity, IdentityError, claimed, raised
+from message_relay.gossip.node import Hello
+from message_relay.store.destination_snapshot import DestinationSnapshotFile
+from message_relay.store.file_store import DirectoryFileStore
+from message_relay.store.journal import Journal
+from message_relay.store.record_format import Header, UnsupportedFormatError, frame
+from message_relay.store.records import Attempt, JournalEntry
+from message_relay.store.recovery import lines, recover
 
 Plain = dict[str, Any]
 Step = Sequence[Any]
@@ -74,16 +85,16 @@
     }
 
 
-def _plain_message(entry: Entry) -> Plain:
+def _plain_message(entry: JournalEntry) -> Plain:
     return {
         "message": entry.id,
-        "class": entry.class_,
+        "class": entry.class_name,
         "tenant": entry.tenant,
-        "destination": entry.dest,
+        "destination": entry.destination,
         "order_key": entry.key,
         "arrived_ms": entry.since,
         "due_ms": entry.due,
-        "repeat": entry.again,
+        "repeat": entry.resubmission,
         "body": entry.body.hex(),
         "attempts": entry.tries,
         "attempt_without_outcome": _plain_attempt(entry.out),
@@ -111,21 +122,23 @@
         journal = self.journal
         match step:
             case ["accept", message, class_, tenant, destination, key, arrived, due, repeat, body, front]:
-                journal.take(
-                    Entry(message, class_, tenant, destination, key, arrived, due, repeat, body, origin=front)
+                journal.append_accepted(
+                    JournalEntry(
+                        message, class_, tenant, destination, key, arrived, due, repeat, body, origin=front
+                    )
                 )
             case ["attempt", message, at_ms, endpoint, zone, uptime_ms]:
-                journal.tried(journal.entries[message], at_ms, endpoint, zone, uptime_ms)
+                journal.append_attempt(journal.entries[message], at_ms, endpoint, zone, uptime_ms)
             case ["outcome", message, may_have_run]:
-                journal.outcome(journal.entries[message], may_have_run)
+                journal.append_outcome(journal.entries[message], may_have_run)
             case ["end", message, how, after_ms]:
-                journal.ended(journal.entries[message], how, after_ms)
+                journal.append_final_outcome(journal.entries[message], how, after_ms)
             case ["notified", *messages]:
-                journal.told(messages)
+                journal.append_notified(messages)
             case ["withdraw", message]:
-                journal.withdrawn(journal.entries[message])
+                journal.append_cancelled(journal.entries[message])
             case ["tidy", now_ms]:
-                journal.tidy(now_ms)
+                journal.compact(now_ms)
             case ["reopen"]:
                 journal.close()
                 self.journal = self._open()
@@ -167,7 +180,7 @@
 
 def read_journal(folder: Path) -> Plain:
     """What a start would find, without a change to the folder."""
-    found = recover(FolderFiles(folder))
+    found = recover(DirectoryFileStore(folder))
     return {
         "messages": [_plain_message(entry) for entry in found.entries.values()],
         "next_sequence": found.sequence,
@@ -201,7 +214,7 @@
             "payload": line.payload.hex(),
             "readable": line.well,
         }
-        for line in lines(FolderFiles(folder))
+        for line in lines(DirectoryFileStore(folder))
     ]
 
 
@@ -209,7 +222,7 @@
     """Why the folder's format is refused; empty if it is not."""
     try:
         Journal(folder, disk_bytes).close()
-    except NewerFormat as error:
+    except UnsupportedFormatError as error:
         return str(error)
     return ""
 
@@ -225,35 +238,35 @@
 # -- what was learned of destinations ------------------------------------------------------------------------
 
 
-def _lane(lane: Step) -> api.Learned:
+def _lane(lane: Step) -> RestoredDestination:
     """Of destination, wait, outage, age of the first failure and age of the return."""
     destination, wait_ms, out, failing_ms, returned_ms = lane
-    return api.Learned(destination, wait_ms, out, failing_ms, returned_ms)
+    return RestoredDestination(destination, wait_ms, out, failing_ms, returned_ms)
 
 
-def _plain_lane(lane: api.Learned) -> list[Any]:
+def _plain_lane(lane: RestoredDestination) -> list[Any]:
     return [lane.destination, lane.wait_ms, lane.out, lane.bad_ms, lane.cold_ms]
 
 
 def write_learned(folder: Path, saves: Iterable[tuple[float, Sequence[Step]]]) -> None:
     """One process that writes its file more than once."""
-    file = LearnedFile(folder)
+    file = DestinationSnapshotFile(folder)
     for now_ms, lanes in saves:
         file.save(now_ms, [_lane(lane) for lane in lanes])
 
 
 def read_learned(folder: Path, now_ms: float) -> list[list[Any]]:
-    return [_plain_lane(lane) for lane in LearnedFile(folder).load(now_ms)]
+    return [_plain_lane(lane) for lane in DestinationSnapshotFile(folder).load(now_ms)]
 
 
 def recalled(
     kept: Iterable[tuple[float, Step]], arrival_ms: float, destinations: Iterable[int], later_ms: float
 ) -> Plain:
     """Lanes of destinations that are not known yet: told when they come, and what is kept of the others."""
-    memory = Recall()
+    memory = RestoredState()
     for now_ms, lane in kept:
         memory.keep(now_ms, _lane(lane))
-    come = [api.Endpoint(100 + destination, destination, api.Listing.READY) for destination in destinations]
+    come = [Endpoint(100 + destination, destination, Listing.READY) for destination in destinations]
     told = memory.come(arrival_ms, come)
     return {
         "told": [_plain_lane(lane) for lane in told],
@@ -261,27 +274,27 @@
     }
 
 
-def _settings() -> api.Settings:
-    safe = api.MessageClass("safe", api.Effect.SAFE, 1000.0, 10000.0, 1.0, 0.5, 3000.0)
-    return api.Settings(
+def _settings() -> Settings:
+    safe = MessageClass("safe", Effect.SAFE, 1000.0, 10000.0, 1.0, 0.5, 3000.0)
+    return Settings(
         classes=(safe,),
-        kinds=(api.DestinationKind("kind"),),
-        slots=8,
-        hold=40,
-        attempts=5,
+        kinds=(DestinationKind("kind"),),
+        max_concurrent_attempts=8,
+        max_pending_messages=40,
+        max_attempts=5,
         relays=2,
-        rates=api.Rates.NOMINAL,
+        rates=Rates.NOMINAL,
         idle_ms=10000.0,
         tick_ms=5.0,
-        safety=api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
+        safety=Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
     )
 
 
 def learned_by_next_process(lanes: Sequence[Step], now_ms: float, later_ms: float) -> list[list[Any]]:
     """What a process writes in its turn that was told these lanes and has seen nothing itself."""
-    relay = Relay(_settings(), 1)
-    entries_ = tuple(api.Endpoint(100 + lane[0], lane[0], api.Listing.READY, 0, 0, 20.0) for lane in lanes)
-    relay.handle(now_ms, [api.EndpointList(api.ListKind.CACHED, entries_)])
+    relay = DeliveryScheduler(_settings(), 1)
+    entries_ = tuple(Endpoint(100 + lane[0], lane[0], Listing.READY, 0, 0, 20.0) for lane in lanes)
+    relay.handle(now_ms, [EndpointList(ListKind.CACHED, entries_)])
     relay.handle(now_ms, [_lane(lane) for lane in lanes])
     return [_plain_lane(lane) for lane in relay.learned(later_ms)]
 
@@ -383,7 +396,7 @@
     }
 
 
-def _plain_book(book: Book) -> Plain:
+def _plain_book(book: VersionHistory) -> Plain:
     trial = book.trial
     return {
         "versions": [_plain_version(version) for version in book.versions],
@@ -428,14 +441,14 @@
 
 def apply_commands(first_rules: str, voters: Iterable[str], raws: Iterable[str]) -> Plain:
     """What becomes of encoded commands, the state machine after them, and its dump."""
-    book = Book(decoded(first_rules.encode()), tuple(voters))
+    book = VersionHistory(decoded(first_rules.encode()), tuple(voters))
     answers = [_plain_answer(book.apply(command(raw.encode()))) for raw in raws]
     return {"answers": answers, "book": _plain_book(book), "dump": book.dumped().decode()}
 
 
 def load_dump(first_rules: str, voters: Iterable[str], dump: str) -> Plain:
     """The state machine as a dump has it, and the dump written anew."""
-    book = Book(decoded(first_rules.encode()), tuple(voters))
+    book = VersionHistory(decoded(first_rules.encode()), tuple(voters))
     book.load(dump.encode())
     return {"book": _plain_book(book), "dump": book.dumped().decode()}
 
@@ -473,13 +486,13 @@
     ) -> None:
         """`names`: all who vote, of whom some may not run here."""
         self.clock = clock
-        self.books: dict[str, Book] = {}
-        self.logs: dict[str, Log] = {}
+        self.books: dict[str, VersionHistory] = {}
+        self.logs: dict[str, ReplicatedLog] = {}
         self.peers = {name: _Peers() for name in folders}
         for name, folder in folders.items():
-            self.books[name] = Book(decoded(first_rules.encode()), tuple(names))
+            self.books[name] = VersionHistory(decoded(first_rules.encode()), tuple(names))
             others = [other for other in names if other != name]
-            self.logs[name] = Log(
+            self.logs[name] = ReplicatedLog(
                 folder,
                 self.peers[name],  # type: ignore[arg-type]
                 name,
@@ -588,7 +601,7 @@
     """Why the log in the folder is not believed; empty if it is."""
     try:
         check(folder)
-    except Torn as error:
+    except TornWriteError as error:
         return str(error)
     return ""
 
@@ -609,7 +622,7 @@
 # -- agreed rules: what outlasts a voter's process -----------------------------------------------------------
 
 
-def _accord(folder: Path) -> Accord:
+def _accord(folder: Path) -> ConsensusInstance:
     peers: Any = SimpleNamespace(
         swim=SimpleNamespace(me=SimpleNamespace(nonce=1)),
         rng=random.Random(1),
@@ -619,8 +632,8 @@
         frames={},
     )
     identity = Identity("0011223344556677", "n0", 3, 1, 2)
-    return Accord(
-        AccordPart(voters=(0, 1, 2)),
+    return ConsensusInstance(
+        ConsensusSettings(voters=(0, 1, 2)),
         peers,
         folder,
         identity,
@@ -632,8 +645,8 @@
     )
 
 
-def _plain_standing(accord: Accord) -> Plain:
-    standing = accord.standing
+def _plain_standing(accord: ConsensusInstance) -> Plain:
+    standing = accord.voter_state
     return {
         "cleared": standing.cleared,
         "boots": dict(standing.boots),
@@ -650,7 +663,7 @@
     folder: Path, cleared: int, boots: dict[str, int], log_was_begun: bool, voters: Iterable[str]
 ) -> Plain:
     accord = _accord(folder)
-    standing = accord.standing
+    standing = accord.voter_state
     standing.cleared, standing.voted, standing.voters = cleared, log_was_begun, tuple(voters)
     standing.boots.update(boots)
     accord._keep()
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -18,35 +18,35 @@
 from click.testing import CliRunner
 from rich.console import Console
 
-from linnetstile import process
-from linnetstile.accord.book import Book
-from linnetstile.accord.control import ControlSocket
-from linnetstile.accord.disk import sealed
-from linnetstile.accord.holding import Acting, Tier
-from linnetstile.accord.log import KIND, Log
-from linnetstile.accord.rules import Rules
-from linnetstile.assembly import assemble
-from linnetstile.cli.main import group
-from linnetstile.cli.status import as_json, prometheus, shown
-from linnetstile.config import load
-from linnetstile.core.seams import Call, Offer
-from linnetstile.failover.evidence import Cell, Demand
-from linnetstile.failover.evidence import Report as Evidence
-from linnetstile.failover.verdicts import State as PairState
-from linnetstile.fleet import report
-from linnetstile.fleet.common import Common
-from linnetstile.fleet.operator import Operator, decoded
-from linnetstile.fleet.plan import State as InstanceState
-from linnetstile.fleet.report import FleetReport, Lag, Report
-from linnetstile.fleet.status import StatusSocket, ask
-from linnetstile.fleet.recording import Recorder
-from linnetstile.logs import BoundedWriter, Note, structured
-from linnetstile.peers.node import Hello
-from linnetstile.store.journal import Journal
-from linnetstile.store.records import Entry
+from message_relay import process
+from message_relay.cli.main import group
+from message_relay.cli.status import as_json, prometheus, shown
+from message_relay.composition import compose
+from message_relay.config import load
+from message_relay.consensus.admin_socket import AdminSocket
+from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.raft_storage import sealed
+from message_relay.consensus.replicated_log import KIND, ReplicatedLog
+from message_relay.consensus.rules import Rules
+from message_relay.consensus.version_history import VersionHistory
+from message_relay.core.ports import CallContext, Submission
+from message_relay.failover.observations import Demand, WindowSample
+from message_relay.failover.observations import Report as Evidence
+from message_relay.failover.zone_health import State as PairState
+from message_relay.fleet import report
+from message_relay.fleet.common import SharedSubsystems
+from message_relay.fleet.operator import OperatorConfig, decoded
+from message_relay.fleet.plan import State as InstanceState
+from message_relay.fleet.recording import Recorder
+from message_relay.fleet.report import FleetReport, Lag, Report
+from message_relay.fleet.status import StatusSocket, ask
+from message_relay.gossip.node import Hello
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
+from message_relay.structured_logging import BoundedLogWriter, LogEvent, configure_structured_logging
 
 Values = dict[str, Any]
-MODULE = "linnetstile"  # what `python -m` starts
+MODULE = "message_relay"  # what `python -m` starts
 
 
 # -- reports -----------------------------------------------------------------------------------------------
@@ -104,8 +104,13 @@
 
 def rules_labels() -> list[str]:
     """By which rules a call is made, as partners and operators are told."""
-    acted = (((7,), Tier.LEASE), ((7, 8), Tier.LEASE), ((7,), Tier.STANDBY), ((), Tier.FLOOR))
-    return [Acting(Rules(), versions, tier).label for versions, tier in acted]
+    acted = (
+        ((7,), LeaseTier.LEASE),
+        ((7, 8), LeaseTier.LEASE),
+        ((7,), LeaseTier.STANDBY),
+        ((), LeaseTier.FLOOR),
+    )
+    return [ActiveRules(Rules(), versions, tier).label for versions, tier in acted]
 
 
 # -- a whole instance --------------------------------------------------------------------------------------
@@ -115,23 +120,23 @@
     """The parts of instance 0 that talk to peers and operators, put together and not started."""
 
     def __init__(self, config_file: Path, operator: Values) -> None:
-        self.operator: Operator = decoded(operator, "relay.toml")
+        self.operator: OperatorConfig = decoded(operator, "relay.toml")
         config = load({"RELAY_CONFIG": str(config_file)})
         settings = replace(config.settings, relays=self.operator.fleet.instances)
-        self.parts = assemble(replace(config, settings=settings))
-        self.common = Common(self.operator, 0, config, self.parts.host)
+        self.parts = compose(replace(config, settings=settings))
+        self.common = SharedSubsystems(self.operator, 0, config, self.parts.relay)
 
     def message_kinds(self) -> list[list[str]]:
         """Of datagrams, and of frames of connections."""
         return [sorted(self.common.peers.datagrams), sorted(self.common.peers.frames)]
 
     def report(self) -> Values:
-        told = report.of(self.parts.host, 0, "serving", 0.0, Lag(), 10)
+        told = report.of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
         return dict(msgspec.to_builtins(told))
 
     def shards_report(self) -> Values:
         assert self.common.shards is not None
-        return dict(msgspec.to_builtins(self.common.shards.told()))
+        return dict(msgspec.to_builtins(self.common.shards.status()))
 
     async def frame_answer(self, kind: str, payload: bytes) -> bytes:
         """To a message on a connection of another instance."""
@@ -143,7 +148,7 @@
     async def operators_answer(self, asked: Values) -> Values:
         """To a question, as JSON on the socket."""
         assert self.common.control is not None
-        control: ControlSocket = self.common.control
+        control: AdminSocket = self.common.control
         await control.open()
         try:
             reader, writer = await asyncio.open_unix_connection(str(control.path))
@@ -163,8 +168,8 @@
     def allow_a_call(self, message: str) -> None:
         """A call is asked for, so that there is something to explain."""
         assert self.common.accord is not None
-        call = Call(message, 7, "e", "z", "safe", 0, False, False)
-        self.common.accord.gate.may(0.0, call)
+        call = CallContext(message, 7, "e", "z", "safe", 0, False, False)
+        self.common.accord.gate.authorize(0.0, call)
 
     def see_a_zone_fail(self) -> None:
         """All calls into one zone fail, and a plan is made of that."""
@@ -173,7 +178,7 @@
         now, rooms = asyncio.get_running_loop().time(), {7: {"z": 50.0, "y": 50.0}}
         for window in range(10):
             for name in ("n0", "n1", "n2"):
-                cells = (Cell(7, "z", 40, 0, 40), Cell(7, "y", 40, 40, 0, 0, ((4, 40),)))
+                cells = (WindowSample(7, "z", 40, 0, 40), WindowSample(7, "y", 40, 40, 0, 0, ((4, 40),)))
                 demand = (Demand(7, "anywhere 1", 40.0),)
                 told = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, cells)
                 failover.evidence.take(now, told)
@@ -183,14 +188,14 @@
         failover.decider.next(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
 
     async def close(self) -> None:
-        await self.parts.host.close()
+        await self.parts.relay.close()
 
 
 def log_command(folder: Path, raw: bytes) -> tuple[str, bytes]:
     """The kind of frames in which voters send each other the log, and a command as it stands in it."""
     entries: list[bytes] = []
     node: Any = _FramesOnly()
-    log = Log(folder, node, "n0", [], Book(Rules(), ("n0",)), lambda: None)
+    log = ReplicatedLog(folder, node, "n0", [], VersionHistory(Rules(), ("n0",)), lambda: None)
     log.raft._applyCommand = lambda entry, *more: entries.append(entry)
     log.raft.take(sealed(raw))
     log.raft.destroy()
@@ -282,19 +287,19 @@
     journal = Journal(folder, 3_000_000)
     for number, (ident, key) in enumerate((("m-1", "k-1"), ("m-2", None), ("m-3", None))):
         since = 1_700_000_000_000.0 + number
-        journal.take(Entry(ident, "pay", "t", 7, key, since, since + 5000, "1", b"hello"))
+        journal.append_accepted(JournalEntry(ident, "pay", "t", 7, key, since, since + 5000, "1", b"hello"))
     risky, failed = journal.entries["m-1"], journal.entries["m-2"]
-    journal.tried(risky, 1_700_000_000_100.0, "e-1", 2, 55.0)
-    journal.outcome(risky, True)
-    journal.tried(risky, 1_700_000_000_200.0, "e-2", 1, 65.0)
-    journal.ended(failed, "returned", 250.0)
+    journal.append_attempt(risky, 1_700_000_000_100.0, "e-1", 2, 55.0)
+    journal.append_outcome(risky, True)
+    journal.append_attempt(risky, 1_700_000_000_200.0, "e-2", 1, 65.0)
+    journal.append_final_outcome(failed, "returned", 250.0)
     journal.close()
 
 
 def recorded_lines(path: Path) -> list[Any]:
     """A recording of one message that is handed in."""
     recorder = Recorder(path, 1.0)
-    recorder.offered(Offer("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
+    recorder.offered(Submission("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
     recorder.close()
     return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
 
@@ -308,9 +313,9 @@
     handlers, level = root.handlers[:], root.level
     reading, writing = os.pipe()
     root.handlers[:] = []
-    writer: BoundedWriter = structured(format_, "info", 10, writing)
+    writer: BoundedLogWriter = configure_structured_logging(format_, "info", 10, writing)
     try:
-        logging.getLogger(logger).warning(Note(event, **fields))
+        logging.getLogger(logger).warning(LogEvent(event, **fields))
         writer.close()
         return os.read(reading, 65536).decode()
     finally:
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -14,33 +14,33 @@
 from collections.abc import Callable
 from itertools import count, product
 
-from linnetstile.accord.book import Book, Guard, Promote, Propose, Withdraw
-from linnetstile.accord.boots import Boots
-from linnetstile.accord.gate import Gate
-from linnetstile.accord.granting import Granting, Record
-from linnetstile.accord.guard import Recent, Verdict, Watch
-from linnetstile.accord.holding import Acting, Holding, Tier
-from linnetstile.accord.rules import ANY, Class, Destination, Flow, Rules, encoded
-from linnetstile.accord.terms import Counts, Terms
-from linnetstile.core.seams import Call, Member, Update
-from linnetstile.decisions.interface import Endpoint, Fleet, Listing, Safety
-from linnetstile.decisions.share import Share
-from linnetstile.failover.evidence import Evidence, Pair, Seen
-from linnetstile.failover.planner import Group, Problem, greedy, near
-from linnetstile.failover.verdicts import Judge, interval
-from linnetstile.failover.verdicts import State as Standing
-from linnetstile.fleet.operator import SupervisorPart
-from linnetstile.fleet.plan import Do, Plan
-from linnetstile.fleet.size import Place
-from linnetstile.http.keeping import Keeping
-from linnetstile.membership.asking import Asking
-from linnetstile.membership.merge import Merge
-from linnetstile.membership.rule import Shrink, Word, together
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import Claim, Packet, opened, sealed
-from linnetstile.peers.wire import State as Presence
-from linnetstile.shards.freshness import Freshness
-from linnetstile.shards.ring import ranked, shard_of
+from message_relay.consensus.canary_guard import CanaryWatch, Recent, Verdict
+from message_relay.consensus.lease_grantor import LeaseGrantor, Record
+from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder, LeaseTier
+from message_relay.consensus.lease_protocol import Counts, LeaseTerms
+from message_relay.consensus.process_epochs import ProcessEpochs
+from message_relay.consensus.rule_enforcement import RuleEnforcer
+from message_relay.consensus.rules import ANY, Class, Destination, Flow, Rules, encoded
+from message_relay.consensus.version_history import Guard, Promote, Propose, VersionHistory, Withdraw
+from message_relay.core.ports import CallContext, EndpointRecord, EndpointUpdate
+from message_relay.decisions.model import Endpoint, Fleet, Listing, Safety
+from message_relay.decisions.rate_slots import TimeSlotShare
+from message_relay.endpoint_discovery.merge_policy import EndpointStatus, ShrinkGuard, most_severe
+from message_relay.endpoint_discovery.poll_schedule import PollSchedule
+from message_relay.endpoint_discovery.source_merge import SourceMerge
+from message_relay.failover.observations import Aggregate, Observations, Pair
+from message_relay.failover.planner import Group, Problem, greedy, near
+from message_relay.failover.zone_health import State as Standing
+from message_relay.failover.zone_health import ZoneHealthJudge, interval
+from message_relay.fleet.fleet_size import FleetSize
+from message_relay.fleet.operator import SupervisorPart
+from message_relay.fleet.plan import Plan, SupervisorAction
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import Claim, Packet, opened, sealed
+from message_relay.gossip.wire import State as Presence
+from message_relay.http.keep_alive import KeepAlivePolicy
+from message_relay.sharded_directory.rendezvous_hash import ranked, shard_of
+from message_relay.sharded_directory.staleness import Freshness
 
 Row = tuple[str | int | float | bool | None, ...]
 
@@ -54,7 +54,7 @@
 
 def agreed_rate_slots(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 1e6, list[Row]()
-    share = Share(Fleet(2, 7, 12.5), 40.0, Safety(cold_share=0.2, cold_ms=9000.0))
+    share = TimeSlotShare(Fleet(2, 7, 12.5), 40.0, Safety(cold_share=0.2, cold_ms=9000.0))
     for _ in range(600):
         now += draw.expovariate(1 / 120.0)
         at = share.next_at(now)
@@ -79,10 +79,18 @@
 
 
 def words_on_endpoints(seed: int) -> list[Row]:
-    words = {Word.UNKNOWN: "unknown", Word.READY: "ready", Word.DRAINING: "draining", Word.GONE: "gone"}
-    rows: list[Row] = [(*map(words.__getitem__, each), words[together(each)]) for each in product(Word, Word)]
-    rows.append((words[together(())],))
-    draw, shrink, now, had = random.Random(seed), Shrink(), 0.0, 20
+    words = {
+        EndpointStatus.UNKNOWN: "unknown",
+        EndpointStatus.READY: "ready",
+        EndpointStatus.DRAINING: "draining",
+        EndpointStatus.GONE: "gone",
+    }
+    rows: list[Row] = [
+        (*map(words.__getitem__, each), words[most_severe(each)])
+        for each in product(EndpointStatus, EndpointStatus)
+    ]
+    rows.append((words[most_severe(())],))
+    draw, shrink, now, had = random.Random(seed), ShrinkGuard(), 0.0, 20
     for _ in range(400):
         now += draw.expovariate(0.8)
         has = draw.randint(0, had)
@@ -92,9 +100,9 @@
     return rows
 
 
-def _member(draw: random.Random) -> Member:
+def _member(draw: random.Random) -> EndpointRecord:
     number = draw.randint(1, 12)
-    return Member(
+    return EndpointRecord(
         f"e{number}",
         1 + number % 3,
         draw.choice((Listing.READY, Listing.READY, Listing.DRAINING, Listing.GONE)),
@@ -107,18 +115,18 @@
 
 def merged_lists(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
-    merge = Merge(("file", "register", "peers"), ("register",))
+    merge = SourceMerge(("file", "register", "peers"), ("register",))
     for _ in range(400):
         now += draw.expovariate(1.0)
         members = {each.name: each for each in (_member(draw) for _ in range(draw.randint(0, 9)))}
         lives = ((f"e{draw.randint(1, 12)}", draw.choice((Listing.READY, Listing.DRAINING))),)
         source = draw.choice(("file", "register", "peers"))
-        told = Update(
+        told = EndpointUpdate(
             draw.random() < 0.4, tuple(members.values()), lives if draw.random() < 0.3 else (), source
         )
-        found = merge.take(told, now)
-        rows.append((now, source, None if found is None else found.whole))
-        for each in () if found is None else found.members:
+        found = merge.merge(told, now)
+        rows.append((now, source, None if found is None else found.is_full))
+        for each in () if found is None else found.endpoints:
             listing = LISTINGS[each.listing]
             rows.append(
                 (each.name, each.destination, listing, *each.address, each.kind, each.zone, each.rate)
@@ -130,7 +138,7 @@
     rows: list[Row] = []
     for instances, shared in ((1, True), (1, False), (3, True), (40, True), (200, True), (200, False)):
         draw = random.Random(seed * 1000 + instances)
-        asking = Asking(instances, random.Random(seed), shared)
+        asking = PollSchedule(instances, random.Random(seed), shared)
         rows.append((instances, shared, asking.first()))
         for _ in range(60):
             hold = asking.hold()
@@ -141,12 +149,12 @@
             elif drawn < 0.95:
                 rows.append((asking.failed(draw.random() < 0.5),))
             else:
-                asking.anew()
+                asking.restart()
     return rows
 
 
 def kept_connections(seed: int) -> list[Row]:
-    draw, keeping, now, rows = random.Random(seed), Keeping(), 0.0, list[Row]()
+    draw, keeping, now, rows = random.Random(seed), KeepAlivePolicy(), 0.0, list[Row]()
     for _ in range(400):
         now += draw.expovariate(1 / 9.0)
         kind = draw.choice(("x", "y", "z"))
@@ -160,11 +168,11 @@
 # -- failover between zones --------------------------------------------------------------------------------
 
 
-def _window(draw: random.Random, health: float, there: bool) -> Seen:
+def _window(draw: random.Random, health: float, there: bool) -> Aggregate:
     calls = draw.randint(0, 12) if there else 0
     good = sum(draw.random() < health for _ in range(calls))
     waits = draw.randint(0, calls - good)
-    seen = Seen(calls, good, waits, waits, {"r1", "r2"} if calls else set())
+    seen = Aggregate(calls, good, waits, waits, {"r1", "r2"} if calls else set())
     if not calls and draw.random() < 0.3:
         seen.shunning = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
     for _ in range(good):
@@ -183,10 +191,10 @@
     rows: list[Row] = [
         (good, tried, *interval(good, tried)) for tried in range(0, 40, 3) for good in range(0, tried + 1, 2)
     ]
-    judge = Judge(Evidence(), 1)
+    judge = ZoneHealthJudge(Observations(), 1)
     judge.resume(now, {("a", "b"): 0.3, ("a", "c"): 0.0})
     pairs: list[Pair] = [(source, target) for source in "abc" for target in "abc"]
-    history: dict[Pair, list[Seen]] = {pair: [] for pair in pairs}
+    history: dict[Pair, list[Aggregate]] = {pair: [] for pair in pairs}
     health = dict.fromkeys(pairs, 1.0)
     for _ in range(300):
         now += 1.0
@@ -360,7 +368,7 @@
 
 def fleet_size(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
-    place = Place(2, 5, 0.0)
+    place = FleetSize(2, 5, 0.0)
     for _ in range(400):
         now += draw.expovariate(1 / 400.0)
         if draw.random() < 0.2:
@@ -371,7 +379,12 @@
 
 
 def supervisor_steps(seed: int) -> list[Row]:
-    words = {Do.START: "start", Do.RELOAD: "reload", Do.TERM: "terminate", Do.KILL: "kill"}
+    words = {
+        SupervisorAction.START: "start",
+        SupervisorAction.RELOAD: "reload",
+        SupervisorAction.TERM: "terminate",
+        SupervisorAction.KILL: "kill",
+    }
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
     part = SupervisorPart(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
     plan = Plan(part, 6, now, seed)
@@ -404,7 +417,7 @@
 
 
 def seen_boots(seed: int) -> list[Row]:
-    draw, boots, rows = random.Random(seed), Boots({"a": 3}), list[Row]()
+    draw, boots, rows = random.Random(seed), ProcessEpochs({"a": 3}), list[Row]()
     for _ in range(400):
         name, boot = draw.choice("abc"), draw.randint(1, 12)
         if draw.random() < 0.05:
@@ -431,19 +444,19 @@
 
 
 def permitted_calls(seed: int) -> list[Row]:
-    draw, now, rows, acting = random.Random(seed), 0.0, list[Row](), list[Acting]()
-    acting.append(Acting(Rules(), (1,), Tier.LEASE))
-    gate = Gate(lambda: acting[-1], 4, lambda: 0.0, "n3", "a")
+    draw, now, rows, acting = random.Random(seed), 0.0, list[Row](), list[ActiveRules]()
+    acting.append(ActiveRules(Rules(), (1,), LeaseTier.LEASE))
+    gate = RuleEnforcer(lambda: acting[-1], 4, lambda: 0.0, "n3", "a")
     sets = _rule_sets()
     for _ in range(1200):
         now += draw.expovariate(20.0)
         if draw.random() < 0.02:
             number = draw.randrange(len(sets))
-            acting.append(Acting(sets[number], (number + 1,), draw.choice(list(Tier))))
+            acting.append(ActiveRules(sets[number], (number + 1,), draw.choice(list(LeaseTier))))
         destination, zone = draw.randint(1, 3), draw.choice("abc")
         class_ = draw.choice(("order", "pay", "status"))
         endpoint = f"e{draw.randint(1, 3)}"
-        call = Call(
+        call = CallContext(
             "m",
             destination,
             endpoint,
@@ -453,12 +466,14 @@
             draw.random() < 0.2,
             draw.random() < 0.5,
         )
-        allowed = gate.may(now, call) is not None
-        rows.append((now, allowed, gate.still(call), bool(gate.bars(destination, class_))))
-        seen = gate.entry(endpoint, zone, Endpoint(9, destination, Listing.READY, 0, 0, 30.0))
+        allowed = gate.authorize(now, call) is not None
+        rows.append(
+            (now, allowed, gate.is_still_authorized(call), bool(gate.denial_reason(destination, class_)))
+        )
+        seen = gate.constrained_endpoint(endpoint, zone, Endpoint(9, destination, Listing.READY, 0, 0, 30.0))
         rows.append((LISTINGS[seen.listing], seen.rate))
         if allowed and draw.random() < 0.9:
-            gate.ended(destination)
+            gate.release(destination)
     rows.append(tuple(value for _, value in sorted(gate.counts.items())))
     return rows
 
@@ -467,10 +482,10 @@
     words = {Verdict.WAIT: "wait", Verdict.HARM: "harm", Verdict.WELL: "well"}
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
     for share in (0.3, 1.0):
-        book = Book(Rules(), ("n0", "n1", "n2"))
+        book = VersionHistory(Rules(), ("n0", "n1", "n2"))
         guard = Guard(least_ratio=0.9, least_count=30, watch_s=20.0)
         book.apply(Propose(1, encoded(_rule_sets()[1]), "ana", "", 0.0, share, guard))
-        recent, watch = Recent(), Watch(book.newest, now, 0.95)
+        recent, watch = Recent(), CanaryWatch(book.newest, now, 0.95)
         counts = {f"n{number}": (0, 0) for number in range(12)}
         for _ in range(80):
             now += draw.expovariate(2.0)
@@ -491,12 +506,13 @@
 
     def __init__(self, seed: int) -> None:
         self.draw, self.now, self.rows = random.Random(seed), 100.0, list[Row]()
-        self.terms = Terms(bound=2.0, horizon=6.0)
-        self.books = {name: Book(Rules(), self.VOTERS) for name in self.VOTERS}
+        self.terms = LeaseTerms(bound=2.0, horizon=6.0)
+        self.books = {name: VersionHistory(Rules(), self.VOTERS) for name in self.VOTERS}
         self.granting = {
-            name: Granting(name, book, self.terms, "first", 0, self.now) for name, book in self.books.items()
+            name: LeaseGrantor(name, book, self.terms, "first", 0, self.now)
+            for name, book in self.books.items()
         }
-        self.holding = {f"n{n}": Holding(1, 7 + n, "first", self.terms) for n in range(3, 7)}
+        self.holding = {f"n{n}": LeaseHolder(1, 7 + n, "first", self.terms) for n in range(3, 7)}
         self.boots = dict.fromkeys(self.holding, 1)
 
     def changes(self) -> None:
@@ -530,7 +546,7 @@
             it.left()
 
     def run(self) -> list[Row]:
-        names = {Tier.LEASE: "lease", Tier.STANDBY: "standby", Tier.FLOOR: "floor"}
+        names = {LeaseTier.LEASE: "lease", LeaseTier.STANDBY: "standby", LeaseTier.FLOOR: "floor"}
         for _ in range(700):
             self.now += self.draw.expovariate(6.0) + 8.0 * (self.draw.random() < 0.01)
             if self.draw.random() < 0.03:
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-from linnetstile.accord.book import Answer as CommandAnswer
-from linnetstile.accord.book import Command, Version, command
-from linnetstile.accord.control import Question
-from linnetstile.accord.rules import Rules, decoded, encoded
-from linnetstile.accord.terms import Grant, Renew
-from linnetstile.failover.evidence import Report
-from linnetstile.peers.node import Hello
-from linnetstile.peers.wire import Packet, opened, sealed
-from linnetstile.shards import wire as shard_wire
+from message_relay.consensus.admin_socket import AdminRequest
+from message_relay.consensus.lease_protocol import Grant, Renew
+from message_relay.consensus.rules import Rules, decoded, encoded
+from message_relay.consensus.version_history import Answer as CommandAnswer
+from message_relay.consensus.version_history import Command, Version, command
+from message_relay.failover.observations import Report
+from message_relay.gossip.node import Hello
+from message_relay.gossip.wire import Packet, opened, sealed
+from message_relay.sharded_directory import wire as shard_wire
 
 from .agreement_binding import (
     command_answer_values,
@@ -79,7 +79,7 @@
     "version": _msgpack(Version, version_values),
     "command": _json(Command, command_values, command),
     "command answer": _json(CommandAnswer, command_answer_values),
-    "operator's question": _json(Question, question_values),
+    "operator's question": _json(AdminRequest, question_values),
     "rules": _Format(Rules, encoded, decoded, rules_values),
     "evidence": _msgpack(Report, report_values),
     "shards": _Format(shard_wire.Word, shard_wire.packed, shard_wire.read, shard_message_values),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,60 +7,71 @@
 
 from hypothesis import settings as hypothesis_settings
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from message_relay.decisions.actions import Action, Fail, Reject, StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, TimerFired
+from message_relay.decisions.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Rates,
+    Safety,
+    Settings,
+)
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
 hypothesis_settings.load_profile("fixed")
 
-CLASSES = tuple(
-    api.MessageClass(effect.value, effect, 1000.0, 10000.0, 1.0, 0.5, 3000.0) for effect in api.Effect
-)
+CLASSES = tuple(MessageClass(effect.value, effect, 1000.0, 10000.0, 1.0, 0.5, 3000.0) for effect in Effect)
 SAFE, KEYED, UNSAFE = range(3)
-UNCLEAR = (api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET)
+UNCLEAR = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
 
 
-def make_settings(**more: Any) -> api.Settings:
+def make_settings(**more: Any) -> Settings:
     values: dict[str, Any] = {
         "classes": CLASSES,
-        "kinds": (api.DestinationKind("k"),),
-        "slots": 8,
-        "hold": 40,
-        "attempts": 5,
+        "kinds": (DestinationKind("k"),),
+        "max_concurrent_attempts": 8,
+        "max_pending_messages": 40,
+        "max_attempts": 5,
         "relays": 2,
-        "rates": api.Rates.NOMINAL,
+        "rates": Rates.NOMINAL,
         "idle_ms": 10000.0,
         "tick_ms": 5.0,
-        "safety": api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
+        "safety": Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
     }
-    return api.Settings(**{**values, **more})
+    return Settings(**{**values, **more})
 
 
 @dataclass
 class Driver:
     """A relay, a clock, and what has been sent and ended so far."""
 
-    settings: api.Settings = field(default_factory=make_settings)
+    settings: Settings = field(default_factory=make_settings)
     now: float = 1000.0
     seed: int = 1
-    sent: list[tuple[float, api.Send]] = field(default_factory=list)
-    ended: dict[int, api.Action] = field(default_factory=dict)
-    other: list[tuple[float, api.Action]] = field(default_factory=list)
+    sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
+    ended: dict[int, Action] = field(default_factory=dict)
+    other: list[tuple[float, Action]] = field(default_factory=list)
     tries: dict[int, int] = field(default_factory=dict)
     ids: int = 0
-    out: dict[int, api.Send] = field(default_factory=dict)  # calls without an outcome
+    out: dict[int, StartAttempt] = field(default_factory=dict)  # calls without an outcome
 
     def __post_init__(self) -> None:
-        self.relay = Relay(self.settings, self.seed)
+        self.relay = DeliveryScheduler(self.settings, self.seed)
 
-    def feed(self, *events: api.Event) -> list[api.Action]:
+    def feed(self, *events: Event) -> list[Action]:
         acts = self.relay.handle(self.now, list(events))
         for act in acts:
-            if isinstance(act, api.Send):
+            if isinstance(act, StartAttempt):
                 self.sent.append((self.now, act))
                 self.tries[act.id] = self.tries.get(act.id, 0) + 1
                 self.out[act.id] = act
-            elif isinstance(act, api.Refuse | api.Fail):
+            elif isinstance(act, Reject | Fail):
                 assert act.id not in self.ended, "a message ended twice"
                 self.ended[act.id] = act
             else:
@@ -69,9 +80,9 @@
 
     def listed(self, *entries: tuple[int, int], rate: float = 20.0, kind: int = 0) -> None:
         self.feed(
-            api.EndpointList(
-                api.ListKind.CACHED,
-                tuple(api.Endpoint(ident, dest, api.Listing.READY, kind, 0, rate) for ident, dest in entries),
+            EndpointList(
+                ListKind.CACHED,
+                tuple(Endpoint(ident, dest, Listing.READY, kind, 0, rate) for ident, dest in entries),
             )
         )
 
@@ -79,35 +90,35 @@
         self, class_: int = SAFE, dest: int = 1, left: float = 1e4, key: int = 0, tenant: int = 0
     ) -> int:
         self.ids += 1
-        self.feed(api.Message(self.ids, dest, class_, left, tenant, key))
+        self.feed(Message(self.ids, dest, class_, left, tenant, key))
         return self.ids
 
     def pass_time(self, ms: float, step: float = 5.0) -> None:
         end = self.now + ms
         while self.now < end:
             self.now += step
-            self.feed(api.TimerFired(0))
+            self.feed(TimerFired(0))
 
-    def last(self, ident: int) -> tuple[float, api.Send]:
+    def last(self, ident: int) -> tuple[float, StartAttempt]:
         return [entry for entry in self.sent if entry[1].id == ident][-1]
 
     def answer(
         self,
         ident: int,
-        outcome: api.Outcome = api.Outcome.OK,
+        outcome: Outcome = Outcome.OK,
         wait: float = 0.0,
         took: float = 100.0,
         report: tuple[float, ...] = (),
-    ) -> list[api.Action]:
+    ) -> list[Action]:
         send = self.out.pop(ident)
         return self.feed(
-            api.AttemptEnded(
+            AttemptCompleted(
                 ident,
                 self.tries[ident] - 1,
                 send.endpoint,
                 outcome,
                 took,
-                outcome is api.Outcome.OK,
+                outcome is Outcome.OK,
                 wait,
                 report=report,
             )
--- a/tests/accord/test_apart.py
+++ b/tests/consensus/test_apart.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.town import Town, town
-from linnetstile.fleet.status import StatusError
+from benchmarks.cluster_harness import ClusterHarness, cluster
+from message_relay.fleet.status import StatusError
 
-from .test_town import CLOSED, OPEN, go, leader, served
+from .test_cluster import CLOSED, OPEN, go, leader, served
 
 CLASSES: dict[str, Any] = {"destinations": {"1": {"rate": 500}}, "classes": {"pay": {"attempts": 3}}}
 
@@ -20,8 +20,8 @@
 APART = """
 import os, time
 if os.environ.get("TOWN_OLDER"):
-    from linnetstile.accord import caps
-    caps.HERE = caps.DESTINATIONS
+    from message_relay.consensus import capabilities
+    capabilities.HERE = capabilities.DESTINATIONS
 if os.environ.get("TOWN_CLOCK"):
     real, place = time.time, os.environ["TOWN_CLOCK"]
     def stepped():
@@ -39,7 +39,9 @@
 def test_a_rolling_upgrade_agrees_on_a_new_field_only_once_the_last_build_knows_it(tmp_path: Path) -> None:
     async def work() -> None:
         older = {**apart(tmp_path), "TOWN_OLDER": "1"}
-        async with town(5, bound=1.0, horizon=3.0, deadline_share=0.3, more_env={3: older, 4: older}) as it:
+        async with cluster(
+            5, bound=1.0, horizon=3.0, deadline_share=0.3, more_env={3: older, 4: older}
+        ) as it:
             await it.acting("1")
             async with served(it) as clients:
                 number = 1
@@ -63,7 +65,7 @@
     go(work())
 
 
-async def taken(it: Town, rules: dict[str, Any]) -> dict[str, Any]:
+async def taken(it: ClusterHarness, rules: dict[str, Any]) -> dict[str, Any]:
     """Proposed until it is taken: that the last old build is gone may be news to the voter."""
     async with asyncio.timeout(20.0):
         while True:
@@ -80,7 +82,7 @@
         clock.write_text("0")
         env = {**apart(tmp_path), "TOWN_CLOCK": str(clock)}
         more = {n: env for n in range(3)}
-        async with town(4, bound=1.0, horizon=8.0, deadline_share=0.3, more_env=more) as it:
+        async with cluster(4, bound=1.0, horizon=8.0, deadline_share=0.3, more_env=more) as it:
             await it.acting("1")
             async with served(it):
                 await voters(it, "", add=3)
@@ -97,7 +99,7 @@
     go(work())
 
 
-async def voters(it: Town, wanted: str, **more: Any) -> str:
+async def voters(it: ClusterHarness, wanted: str, **more: Any) -> str:
     """Asks whoever leads until the answer is the one wanted (empty: taken), or that they are changed already:
     a leader may be on its way out, or a member not known yet."""
     async with asyncio.timeout(40.0):
--- a/tests/accord/test_town.py
+++ b/tests/consensus/test_cluster.py
@@ -14,10 +14,10 @@
 import pytest
 from click.testing import CliRunner
 
+from benchmarks.cluster_harness import ClusterHarness, cluster
 from benchmarks.processes import Clients
-from benchmarks.town import Town, town
-from linnetstile.cli.main import group
-from linnetstile.fleet.operator import OperatorError, decoded
+from message_relay.cli.main import group
+from message_relay.fleet.operator import OperatorError, decoded
 
 OPEN: dict[str, Any] = {"destinations": {"1": {"rate": 500}}}
 CLOSED: dict[str, Any] = {"destinations": {"1": {"closed": True}}}
@@ -28,7 +28,7 @@
 
 
 @contextlib.asynccontextmanager
-async def served(it: Town, rate: float = 40.0) -> Any:
+async def served(it: ClusterHarness, rate: float = 40.0) -> Any:
     """Traffic to all that goes on meanwhile; afterwards nothing is lost or doubled."""
     clients = Clients(it.port, it.instances, deadline_share=0.3)
     work = asyncio.ensure_future(clients.run(rate, 600.0))
@@ -39,12 +39,12 @@
         clients.close()
 
 
-async def leader(it: Town) -> int:
+async def leader(it: ClusterHarness) -> int:
     told = await it.wait_for(lambda told: bool(told["leader"]), 0)
     return int(told["leader"][1:])
 
 
-def forbidden(it: Town, after: float) -> list[tuple[float, str, str]]:
+def forbidden(it: ClusterHarness, after: float) -> list[tuple[float, str, str]]:
     """Calls that were made after this moment (Unix ms)."""
     return [line for line in it.labels() if line[0] > after]
 
@@ -54,7 +54,7 @@
     right before the first byte, so that not one call goes out by the old rules."""
 
     async def work() -> None:
-        async with town(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
+        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
             await it.acting("1")
             async with served(it) as clients:
                 first = await leader(it)
@@ -77,7 +77,7 @@
 
 def test_halves_with_and_without_a_majority_and_a_cut_one_way_only() -> None:
     async def work() -> None:
-        async with town(5, bound=1.0, horizon=4.0, deadline_share=0.3) as it:
+        async with cluster(5, bound=1.0, horizon=4.0, deadline_share=0.3) as it:
             await it.acting("1")
             async with served(it) as clients:
                 await it.cut([0, 3])
@@ -104,7 +104,7 @@
 
 def test_all_restart_at_once_one_voter_with_an_older_folder() -> None:
     async def work() -> None:
-        async with town(5, voters=5, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
+        async with cluster(5, voters=5, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
             await it.acting("1")
             it.keep_folder(2)
             await it.kill(2)
@@ -132,7 +132,7 @@
 
 def test_a_full_disk_at_the_vote_a_torn_log_and_a_voter_in_its_place() -> None:
     async def work() -> None:
-        async with town(4, bound=1.0, horizon=2.5, deadline_share=0.3) as it:
+        async with cluster(4, bound=1.0, horizon=2.5, deadline_share=0.3) as it:
             await it.acting("1")
             async with served(it) as clients:
                 first = await leader(it)
@@ -189,7 +189,7 @@
 
 def test_two_operators_a_build_that_lacks_a_field_and_a_version_that_harms(tmp_path: Path) -> None:
     async def work() -> None:
-        async with town(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
+        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
             await it.acting("1")
             first, second = await asyncio.gather(it.propose(0, OPEN, base=1), it.propose(3, CLOSED, base=1))
             refused = [each for each in (first, second) if each["refused"]]
@@ -243,7 +243,7 @@
     """A renewal after the word that it leaves would be granted, and each contrary version wait a horizon."""
 
     async def work() -> None:
-        async with town(12, bound=1.0, horizon=10.0) as it:
+        async with cluster(12, bound=1.0, horizon=10.0) as it:
             await it.acting("1")
             assert not (await it.propose(0, OPEN))["refused"]
             await it.acting("2")
@@ -260,7 +260,7 @@
 ) -> None:
     async def work() -> None:
         file = tmp_path / "rules.json"
-        async with town(3, bound=1.0, horizon=3.0, first=f'folder = "{tmp_path}"\n') as it:
+        async with cluster(3, bound=1.0, horizon=3.0, first=f'folder = "{tmp_path}"\n') as it:
             await it.acting("1")
             file.write_text(json.dumps(OPEN))
             await it.acting("2")
@@ -296,8 +296,9 @@
     import sys
 
     code = (
-        "import sys, linnetstile.process, linnetstile.assembly\n"
-        "own = ('linnetstile.accord', 'linnetstile.peers', 'linnetstile.failover', 'linnetstile.shards',\n"
+        "import sys, message_relay.process, message_relay.composition\n"
+        "own = ('message_relay.consensus', 'message_relay.gossip', 'message_relay.failover',\n"
+        "       'message_relay.sharded_directory',\n"
         "       'pysyncobj', 'scipy', 'xxhash')\n"
         "print([m for m in sys.modules if m.startswith(own)])"
     )
--- a/tests/accord/test_commands.py
+++ b/tests/consensus/test_commands.py
@@ -9,10 +9,10 @@
 import msgspec
 import pytest
 
-from linnetstile.accord import node
-from linnetstile.accord.book import Answer, Withdraw
-from linnetstile.accord.node import COMMAND, Accord
-from linnetstile.peers.node import Hello
+from message_relay.consensus import instance
+from message_relay.consensus.instance import COMMAND, ConsensusInstance
+from message_relay.consensus.version_history import Answer, Withdraw
+from message_relay.gossip.node import Hello
 
 SILENT, STARTING = "silent", "starting"
 TOLD = Withdraw(2, "test", "a test")
@@ -24,19 +24,21 @@
     def __init__(self, voters: dict[str, str | Answer]) -> None:
         self.voters, self.asked = voters, list[str]()
 
-    async def ask(self, name: str, kind: int, raw: bytes, seconds: float) -> bytes:
+    async def request(self, name: str, kind: int, raw: bytes, seconds: float) -> bytes:
         self.asked.append(name)
         said = self.voters[name]
         if said == SILENT:
             raise TimeoutError
         if said == STARTING:  # as a voter itself says it: its log is not open yet, or not any more
-            return await Accord._command(cast(Accord, SimpleNamespace(log=None)), Hello("n9", COMMAND), raw)
+            return await ConsensusInstance._command(
+                cast(ConsensusInstance, SimpleNamespace(log=None)), Hello("n9", COMMAND), raw
+            )
         return msgspec.json.encode(said)
 
 
 def agreed(peers: Peers) -> Answer:
     asking = SimpleNamespace(log=None, peers=peers, _asked=lambda: sorted(peers.voters))
-    return asyncio.run(Accord._agree(cast(Accord, asking), TOLD))
+    return asyncio.run(ConsensusInstance._agree(cast(ConsensusInstance, asking), TOLD))
 
 
 @pytest.mark.parametrize(
@@ -45,7 +47,7 @@
         ({"n0": STARTING, "n1": Answer(number=3), "n2": Answer(number=4)}, 3, "", ["n0", "n1"]),
         ({"n0": SILENT, "n1": STARTING, "n2": Answer(number=4)}, 4, "", ["n0", "n1", "n2"]),
         ({"n0": STARTING, "n1": Answer(refused="no"), "n2": Answer(number=4)}, 0, "no", ["n0", "n1"]),
-        ({"n0": STARTING, "n1": SILENT}, 0, node.NO_VOTE, ["n0", "n1"]),
+        ({"n0": STARTING, "n1": SILENT}, 0, instance.NO_VOTE, ["n0", "n1"]),
         ({"n0": SILENT, "n1": SILENT}, 0, "no voter can be reached", ["n0", "n1"]),
     ],
 )
--- a/tests/accord/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from emulator.accord import model
-from emulator.accord.world import World
-from linnetstile.accord.book import Book, Propose, Version
-from linnetstile.accord.granting import Granting
-from linnetstile.accord.holding import Holding, Tier
-from linnetstile.accord.rules import ANY, NOTHING, Destination, Rules, encoded
-from linnetstile.accord.terms import Terms
-
-TERMS = Terms(bound=2.0, horizon=6.0)
+from emulator.consensus import model
+from emulator.consensus.world import World
+from message_relay.consensus.lease_grantor import LeaseGrantor
+from message_relay.consensus.lease_holder import LeaseHolder, LeaseTier
+from message_relay.consensus.lease_protocol import LeaseTerms
+from message_relay.consensus.rules import ANY, NOTHING, Destination, Rules, encoded
+from message_relay.consensus.version_history import Propose, Version, VersionHistory
+
+TERMS = LeaseTerms(bound=2.0, horizon=6.0)
 VOTERS = ("n0", "n1", "n2")
 STRICT = Rules({ANY: Destination(rate=5.0)})
 
@@ -22,13 +22,13 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.books = {name: Book(Rules(), VOTERS) for name in VOTERS}
+        self.books = {name: VersionHistory(Rules(), VOTERS) for name in VOTERS}
         self.voters = {
-            name: Granting(name, book, TERMS, "f", 0, self.now) for name, book in self.books.items()
+            name: LeaseGrantor(name, book, TERMS, "f", 0, self.now) for name, book in self.books.items()
         }
         for voter in self.voters.values():
             voter.clear(self.now)
-        self.relay = Holding(1, 7, "f", TERMS)
+        self.relay = LeaseHolder(1, 7, "f", TERMS)
         self.know("n0")
 
     def know(self, of: str) -> None:
@@ -62,7 +62,7 @@
     it.renew("n0", "n2")
     assert it.label == "1"
     it.now += TERMS.held(TERMS.lease) + 0.01
-    assert it.relay.tier(it.now) is Tier.STANDBY
+    assert it.relay.tier(it.now) is LeaseTier.STANDBY
     it.now += TERMS.horizon
     assert it.label == "floor"
     it.renew()
@@ -173,10 +173,10 @@
 def test_another_process_under_a_name_begins_anew_and_an_older_one_is_not_heard() -> None:
     it = Three()
     it.renew()
-    again = Holding(2, 8, "f", TERMS)
+    again = LeaseHolder(2, 8, "f", TERMS)
     assert it.voters["n0"].renewed(it.now, "n9", again.renew(it.now)).noted
     assert "another process" in it.voters["n0"].renewed(it.now, "n9", it.relay.renew(it.now)).why
-    other = Holding(3, 9, "other file", TERMS)
+    other = LeaseHolder(3, 9, "other file", TERMS)
     assert "differ" in it.voters["n0"].renewed(it.now, "n9", other.renew(it.now)).why
 
 
--- a/tests/accord/test_boots.py
+++ b/tests/consensus/test_process_epochs.py
@@ -11,26 +11,26 @@
 import pytest
 
 from benchmarks.processes import free_ports
-from linnetstile.accord import node as accord
-from linnetstile.accord.boots import Boots
-from linnetstile.accord.node import BOOT, Accord
-from linnetstile.accord.settings import AccordPart
-from linnetstile.accord.terms import Counts
-from linnetstile.peers.identity import claimed
-from linnetstile.peers.node import Hello, Node
-from linnetstile.peers.settings import PeersPart
+from message_relay.consensus import instance as accord
+from message_relay.consensus.instance import BOOT, ConsensusInstance
+from message_relay.consensus.lease_protocol import Counts
+from message_relay.consensus.process_epochs import ProcessEpochs
+from message_relay.consensus.settings import ConsensusSettings
+from message_relay.gossip.identity import claimed
+from message_relay.gossip.node import GossipNode, Hello
+from message_relay.gossip.settings import GossipSettings
 
 from ..conftest import make_settings
 
 
 def test_one_that_asks_again_is_not_told_of_itself() -> None:
-    it = Boots({"a": 4})
+    it = ProcessEpochs({"a": 4})
     assert it.told("a", 5, 77) == 4
     assert it.told("a", 5, 77) == 4 and it.told("a", 5, 77) == 4
 
 
 def test_another_process_of_the_same_boot_is_told_of_the_first() -> None:
-    it = Boots({})
+    it = ProcessEpochs({})
     assert it.told("a", 5, 77) == 0
     assert it.told("a", 5, 78) == 5  # a folder put back runs from the same number
     assert it.told("a", 5, 0) == 5  # a build that tells no nonce may be any process
@@ -39,7 +39,7 @@
 
 
 def test_what_could_not_be_written_was_never_heard() -> None:
-    it = Boots({"a": 4})
+    it = ProcessEpochs({"a": 4})
     assert it.told("a", 5, 77) == 4
     it.back("a", 4)
     assert it.seen == {"a": 4} and it.told("a", 5, 78) == 4
@@ -49,23 +49,23 @@
 
 
 def test_a_nonce_of_0_is_a_nonce_of_nobody() -> None:
-    it = Boots({})
+    it = ProcessEpochs({})
     assert it.told("a", 5, 0) == 0 and it.told("a", 5, 0) == 5
 
 
 @contextlib.asynccontextmanager
-async def voters(folder: Path) -> AsyncIterator[list[Accord]]:
+async def voters(folder: Path) -> AsyncIterator[list[ConsensusInstance]]:
     """Two of three voters on loopback, which know each other; neither has begun to vote."""
     port = free_ports(2)
-    made: list[Accord] = []
+    made: list[ConsensusInstance] = []
     for n in range(2):
-        part = PeersPart(listen=f"127.0.0.1:{port + n}", seeds=(f"127.0.0.1:{port}",), period_s=0.1)
+        part = GossipSettings(listen=f"127.0.0.1:{port + n}", seeds=(f"127.0.0.1:{port}",), period_s=0.1)
         state = folder / str(n)
         identity = claimed(state, f"n{n}")
-        peers = Node(part, identity, state, n, "z", 0)
+        peers = GossipNode(part, identity, state, n, "z", 0)
         made.append(
-            Accord(
-                AccordPart(voters=(0, 1, 2)),
+            ConsensusInstance(
+                ConsensusSettings(voters=(0, 1, 2)),
                 peers,
                 state,
                 identity,
--- a/tests/accord/test_disk.py
+++ b/tests/consensus/test_raft_storage.py
@@ -11,10 +11,20 @@
 import pytest
 from pysyncobj.journal import FileJournal
 
-from linnetstile.accord.book import Book
-from linnetstile.accord.disk import JOURNAL, META, Disk, Torn, check, entries, removed, sealed, unsealed
-from linnetstile.accord.log import Log
-from linnetstile.accord.rules import Rules
+from message_relay.consensus.raft_storage import (
+    JOURNAL,
+    META,
+    RaftStorage,
+    TornWriteError,
+    check,
+    entries,
+    removed,
+    sealed,
+    unsealed,
+)
+from message_relay.consensus.replicated_log import ReplicatedLog
+from message_relay.consensus.rules import Rules
+from message_relay.consensus.version_history import VersionHistory
 
 VOTERS = ("n0", "n1", "n2")
 
@@ -44,7 +54,7 @@
     whole = (tmp_path / JOURNAL).read_bytes()
     last = int.from_bytes(whole[36:40], "little")
     for length in range(last):
-        with pytest.raises(Torn):
+        with pytest.raises(TornWriteError):
             entries(whole[:length])
     good = entries(whole)
     silent = 0
@@ -55,12 +65,12 @@
             (tmp_path / JOURNAL).write_bytes(raw)
             try:
                 check(tmp_path)
-            except Torn:
+            except TornWriteError:
                 continue
             told = entries(bytes(raw))
             for one, other in zip(good, told, strict=True):
                 if one[2][1:] != other[2][1:]:
-                    with pytest.raises(Torn):
+                    with pytest.raises(TornWriteError):
                         unsealed(other[2][1:])
                 elif one != other:
                     silent += 1  # a term by less than a step, the kind of an entry, the first one's number
@@ -71,10 +81,10 @@
 def test_a_vote_that_cannot_be_read_is_no_vote_that_was_not_given(tmp_path: Path, raw: bytes) -> None:
     written(tmp_path)
     (tmp_path / META).write_bytes(raw)
-    with pytest.raises(Torn, match="its vote can't be read"):
+    with pytest.raises(TornWriteError, match="its vote can't be read"):
         check(tmp_path)
     (tmp_path / META).unlink()
-    with pytest.raises(Torn, match="of term 0 and its journal of term 3"):
+    with pytest.raises(TornWriteError, match="of term 0 and its journal of term 3"):
         check(tmp_path)
 
 
@@ -91,12 +101,12 @@
         uniform = staticmethod(lambda a, b: a)
 
 
-def begun(folder: Path, did: list[str]) -> Log:
+def begun(folder: Path, did: list[str]) -> ReplicatedLog:
     def say(what: str, raw: bytes) -> bool:
         did.append(what)
         return True
 
-    log = Log(folder, Stub(), "n0", ["n1", "n2"], Book(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
+    log = ReplicatedLog(folder, Stub(), "n0", ["n1", "n2"], VersionHistory(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
     for name, stream in log.wire.streams.items():
         stream.up = True
         log.wire._changed(name, True)
@@ -136,7 +146,7 @@
     tmp_path: Path,
 ) -> None:
     journal = FileJournal(str(tmp_path / JOURNAL))
-    disk = Disk(tmp_path)
+    disk = RaftStorage(tmp_path)
     assert disk.changed()
     disk.sync()
     for number, term in ((1, 0), (2, 1)):
--- a/tests/accord/test_rules.py
+++ b/tests/consensus/test_rules.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.accord import caps
-from linnetstile.accord.rules import (
+from message_relay.consensus import capabilities
+from message_relay.consensus.rules import (
     NOTHING,
     Class,
     Destination,
@@ -20,8 +20,8 @@
     difference,
     digest,
     encoded,
-    meet,
-    normal,
+    intersect,
+    normalized,
     standby,
     within,
 )
@@ -60,19 +60,23 @@
 @settings(max_examples=400, deadline=None)
 @given(sets, sets, sets)
 def test_the_meet_is_a_meet(a: Rules, b: Rules, c: Rules) -> None:
-    both = meet(a, b)
-    assert both == meet(b, a) and meet(both, c) == meet(a, meet(b, c)) and meet(a, a) == normal(a)
+    both = intersect(a, b)
+    assert (
+        both == intersect(b, a)
+        and intersect(both, c) == intersect(a, intersect(b, c))
+        and intersect(a, a) == normalized(a)
+    )
     assert within(both, a) and within(both, b)
     if within(c, a) and within(c, b):
         assert within(c, both)  # the loosest that both allow
-    assert within(a, b) == (meet(a, b) == normal(a))
+    assert within(a, b) == (intersect(a, b) == normalized(a))
     assert within(NOTHING, a) and within(a, Rules())
 
 
 @settings(max_examples=200, deadline=None)
 @given(sets, sets)
 def test_one_form_for_what_allows_the_same(a: Rules, b: Rules) -> None:
-    assert decoded(encoded(a)) == normal(a) and encoded(normal(a)) == encoded(a)
+    assert decoded(encoded(a)) == normalized(a) and encoded(normalized(a)) == encoded(a)
     assert (digest(a) == digest(b)) == (within(a, b) and within(b, a))
     assert within(standby(a, 0.9), a)
 
@@ -105,5 +109,8 @@
 
 def test_what_a_build_lacks_and_what_changes_is_told() -> None:
     rules = Rules({"1": Destination(rate=5)}, {"pay": Class(attempts=1)})
-    assert caps.lacking(rules, caps.DESTINATIONS) == ["classes"] and caps.lacking(rules, caps.HERE) == []
+    assert (
+        capabilities.lacking(rules, capabilities.DESTINATIONS) == ["classes"]
+        and capabilities.lacking(rules, capabilities.HERE) == []
+    )
     assert difference(Rules(), rules) == ["destinations.1.rate: - -> 5", "classes.pay.attempts: - -> 1"]
--- a/tests/accord/test_fetching.py
+++ b/tests/consensus/test_version_fetch.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from linnetstile.accord.fetching import FIRST_MOST_S, ROUNDS, SOUGHT, Fetching, first_pause
-from linnetstile.peers.node import STREAMS
+from message_relay.consensus.version_fetch import FIRST_MOST_S, ROUNDS, SOUGHT, VersionFetcher, first_pause
+from message_relay.gossip.node import STREAMS
 
 ANSWER_S = 0.02  # of a conversation with a voter that has others to answer: 3,200 a second at the most
 FEW = 40  # relays that the voter heard of first may answer alone
@@ -40,7 +40,7 @@
     """All relays hear of a version at 0 from voter 0, of the others within HINTS_S: when each has it."""
     rng, them, had = random.Random(seed), Voters(voters), list[float]()
     turns: list[tuple[float, int, str]] = []
-    lacking = {n: Fetching(random.Random(rng.random())) for n in range(relays)}
+    lacking = {n: VersionFetcher(random.Random(rng.random())) for n in range(relays)}
     for n in range(relays):
         heapq.heappush(turns, (0.0, n, "0"))
         for voter in range(1, voters):
@@ -83,7 +83,7 @@
 
 
 def test_one_that_is_refused_by_all_is_given_up_and_begun_anew_by_the_next_word() -> None:
-    it = Fetching(random.Random(1))
+    it = VersionFetcher(random.Random(1))
     sought = it.told(7, "n0")
     assert sought is not None and it.told(7, "n1") is None
     asked = [sought.next() for _ in range(2 * ROUNDS)]
@@ -93,7 +93,7 @@
 
 
 def test_pauses_grow_and_end_and_orders_differ() -> None:
-    sought = Fetching(random.Random(2)).told(7, "n0")
+    sought = VersionFetcher(random.Random(2)).told(7, "n0")
     assert sought is not None
     for n in range(1, 5):
         sought.has(f"n{n}")
@@ -104,7 +104,7 @@
     assert all(low < high for low, high in zip(pauses, pauses[2:4], strict=False)) and max(pauses) <= 0.8
     orders = set()
     for seed in range(20):
-        fetching = Fetching(random.Random(seed))
+        fetching = VersionFetcher(random.Random(seed))
         one = fetching.told(1, "n0")
         assert one is not None
         for n in range(1, 5):
@@ -114,7 +114,7 @@
 
 
 def test_versions_that_are_sought_at_once_are_bounded() -> None:
-    it = Fetching(random.Random(3))
+    it = VersionFetcher(random.Random(3))
     assert all(it.told(n, "n0") is not None for n in range(SOUGHT))
     assert it.told(SOUGHT, "n0") is None and len(it.sought) == SOUGHT
     it.over(0)
--- a/tests/accord/test_book.py
+++ b/tests/consensus/test_version_history.py
@@ -4,15 +4,25 @@
 
 import pytest
 
-from linnetstile.accord.book import KEPT, Book, Forget, Promote, Propose, Stage, Voters, Withdraw, command
-from linnetstile.accord.rules import ANY, Destination, Rules, RulesError, encoded
+from message_relay.consensus.rules import ANY, Destination, Rules, RulesError, encoded
+from message_relay.consensus.version_history import (
+    KEPT,
+    Forget,
+    Promote,
+    Propose,
+    Stage,
+    VersionHistory,
+    Voters,
+    Withdraw,
+    command,
+)
 
 STRICT = Rules({ANY: Destination(rate=5.0)})
 LOOSE = Rules({ANY: Destination(rate=50.0)})
 
 
-def book() -> Book:
-    return Book(Rules(), ("n0", "n1", "n2"))
+def book() -> VersionHistory:
+    return VersionHistory(Rules(), ("n0", "n1", "n2"))
 
 
 def propose(base: int, rules: Rules, share: float = 1.0) -> Propose:
--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -14,8 +14,8 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from emulator.capacity.command import BEGIN, END, PageError, between, renewed
 from emulator.capacity import agreement, budgets
+from emulator.capacity.command import BEGIN, END, PageError, between, renewed
 from emulator.capacity.facts import flattened, taken
 from emulator.capacity.roles import AS_ELSEWHERE, FORMULAS
 from emulator.capacity.rows import ROOT, Role, Row, When, rows
@@ -82,7 +82,7 @@
         unit,
         [sample(each, cost(each)) for each in FIT],
         sample(LARGEST, off * cost(LARGEST)),
-        "linnetstile/core/directory.py",
+        "message_relay/core/directory.py",
     )
 
 
@@ -383,8 +383,8 @@
 
 def test_a_mechanism_whose_file_is_not_there_is_missing() -> None:
     formula = next(each for each in FORMULAS if each.name == "relay.events")
-    gone = replace(formula, mechanism="linnetstile/nothing.py")
-    assert rows([gone], small(), MADE_UP)[0].mechanism == "missing (linnetstile/nothing.py)"
+    gone = replace(formula, mechanism="message_relay/nothing.py")
+    assert rows([gone], small(), MADE_UP)[0].mechanism == "missing (message_relay/nothing.py)"
 
 
 def test_each_role_tells_of_each_event_once_a_figure_or_why_there_is_none() -> None:
@@ -401,17 +401,22 @@
 
 
 def test_the_keepers_bound_is_that_of_the_keeper() -> None:
-    if not (ROOT / "linnetstile/shards/keeping.py").exists():
+    if not (ROOT / "message_relay/sharded_directory/shard_server.py").exists():
         assert row("keeper.memory").mechanism.startswith("missing")
         return
-    keeping = importlib.import_module("linnetstile.shards.keeping")
+    keeping = importlib.import_module("message_relay.sharded_directory.shard_server")
     assert budgets.ANSWERS_BYTES_S == keeping.BYTES_S
 
 
 def test_the_logs_times_are_those_of_the_log() -> None:
-    from linnetstile.accord import log  # needs the extra `fleet`, which the command does without
+    from message_relay.consensus import (
+        replicated_log,  # needs the extra `fleet`, which the command does without
+    )
 
-    assert (log.HEARTBEAT_S, log.ELECTION_S[1]) == (agreement.HEARTBEAT_S, agreement.ELECTION_S)
+    assert (replicated_log.HEARTBEAT_S, replicated_log.ELECTION_S[1]) == (
+        agreement.HEARTBEAT_S,
+        agreement.ELECTION_S,
+    )
 
 
 def test_what_was_reckoned_by_hand_is_corrected_where_it_is_off() -> None:
@@ -600,7 +605,7 @@
         "bytes a destination",
         "run at 100 to 1,600",
         "exponent 1.00 +- 0.00",
-        "`linnetstile/core/directory.py`; would: directory by interest",
+        "`message_relay/core/directory.py`; would: directory by interest",
         "reckoned",
     ):
         assert part in line, part
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -233,7 +233,7 @@
 
 def test_the_relay_imports_nothing_of_the_laboratory() -> None:
     code = (
-        "import sys, linnetstile, linnetstile.process, linnetstile.fleet.instance\n"
+        "import sys, message_relay, message_relay.process, message_relay.fleet.instance\n"
         "print([name for name in ('numpy', 'scipy', 'matplotlib', 'hdrh', 'click', 'rich', 'emulator',"
         " 'structlog') if name in sys.modules])"
     )
--- a/tests/emulator/test_shell.py
+++ b/tests/emulator/test_shell.py
@@ -9,7 +9,7 @@
 
 from emulator.partner import Call, Partner, Reply
 from emulator.spec import Cold, Fault, Rate, Service, Spec, Trouble
-from standins.partner import Endpoint
+from fakes.endpoint import Endpoint
 
 CALLS, LINES = 10_000, 8
 SPEC = Spec(
--- a/tests/emulator/test_size.py
+++ b/tests/emulator/test_size.py
@@ -8,7 +8,7 @@
 
 from emulator.experiment import decoded
 from emulator.world import World
-from linnetstile.decisions import paces
+from message_relay.decisions import rate_control
 
 RATE = 48.0
 FORTY: dict[str, Any] = {
@@ -49,8 +49,10 @@
     """Without an end to each relay's pace all of them pass the limit at once, and what they lose by refused
     calls is not won back for long."""
     kept = [delivered(seed) for seed in (1, 2, 3)]
-    monkeypatch.setattr(paces, "EVEN", 40.0)
-    monkeypatch.setattr(paces, "CREEP", paces.RISE)  # which holds those back that go beyond their part
+    monkeypatch.setattr(rate_control, "EVEN", 40.0)
+    monkeypatch.setattr(
+        rate_control, "CREEP", rate_control.RISE
+    )  # which holds those back that go beyond their part
     free = [delivered(seed) for seed in (1, 2, 3)]
     assert sum(kept) / 3 > sum(free) / 3 + 0.05
 
--- a/tests/emulator/test_trace.py
+++ b/tests/emulator/test_trace.py
@@ -18,8 +18,8 @@
 from emulator.draws import stream
 from emulator.experiment import decoded
 from emulator.traffic import drawn, from_trace
-from linnetstile.core.seams import Offer
-from linnetstile.fleet.recording import Recorder
+from message_relay.core.ports import Submission
+from message_relay.fleet.recording import Recorder
 
 HEAD = trace.Head(trace.VERSION)
 
@@ -28,8 +28,8 @@
     return trace.Line(at, "order", dest, "t", 100, 16000.0, ident)
 
 
-def offer(n: int) -> Offer:
-    return Offer(f"id-{n}", "order", "Firma Unu", 7, "secret-key", 16000, "", b"the body", "http")
+def offer(n: int) -> Submission:
+    return Submission(f"id-{n}", "order", "Firma Unu", 7, "secret-key", 16000, "", b"the body", "http")
 
 
 def test_a_recording_has_what_is_played_and_nothing_that_names_anybody(tmp_path: Path) -> None:
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -9,12 +9,14 @@
 import numpy as np
 import pytest
 
-from emulator.engines import Beside, PeerError, packed, set_constants, unpacked
+from emulator.engines import VOCABULARY, Beside, PeerError, packed, set_constants, unpacked
 from emulator.experiment import Experiment, decoded, settings_of
 from emulator.measures import Record
 from emulator.world import World
-from linnetstile.decisions import paces
-from linnetstile.decisions import interface as api
+from message_relay.decisions import rate_control
+from message_relay.decisions.actions import SetTimer, StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Message, RestoredDestination
+from message_relay.decisions.model import Endpoint, Fleet, Listing, ListKind, Outcome
 
 HERE = Path(__file__).parents[2]
 
@@ -74,7 +76,7 @@
 
 def test_the_record_sees_what_breaks_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """A module that calls a risked message proven, and one that goes on after a drain."""
-    monkeypatch.setattr(api.Outcome, "proves_no_effect", property(lambda self: self is not api.Outcome.OK))
+    monkeypatch.setattr(Outcome, "proves_no_effect", property(lambda self: self is not Outcome.OK))
     record, _ = play(experiment(**ROUGH))
     assert any("took effect 2 times" in text for text in record.broken)
 
@@ -162,11 +164,11 @@
 
 
 def test_constants_hold_for_a_variant_only() -> None:
-    usual = paces.RETRY_MS
+    usual = rate_control.RETRY_MS
     before = set_constants({"control.RETRY_MS": 5.0}.items())
-    assert paces.RETRY_MS == 5.0
+    assert rate_control.RETRY_MS == 5.0
     set_constants(before.items())
-    assert usual == paces.RETRY_MS
+    assert usual == rate_control.RETRY_MS
     with pytest.raises(ValueError, match="control.NO_SUCH: is no number"):
         set_constants({"control.NO_SUCH": 1.0}.items())
 
@@ -212,14 +214,12 @@
 
 def test_events_and_actions_come_back_as_they_went() -> None:
     for value in (
-        api.Message(1, 2, 0, 50.0, age_ms=3.0, risk=api.Endpoint(4, 2, api.Listing.READY, rate=2.5)),
-        api.EndpointList(
-            api.ListKind.WHOLE, (api.Endpoint(1, 1, api.Listing.GONE), api.Endpoint(2, 1, api.Listing.READY))
-        ),
-        api.AttemptEnded(1, 0, 2, api.Outcome.FULL, 1.0, False, 20.0),
-        api.Learned(3, 1.0, True),
-        api.Fleet(1, 3, 5.0),
-        api.Send(1, 2, 3.0),
-        api.SetTimer(1.0, 0),
+        Message(1, 2, 0, 50.0, age_ms=3.0, risk=Endpoint(4, 2, Listing.READY, rate=2.5)),
+        EndpointList(ListKind.WHOLE, (Endpoint(1, 1, Listing.GONE), Endpoint(2, 1, Listing.READY))),
+        AttemptCompleted(1, 0, 2, Outcome.FULL, 1.0, False, 20.0),
+        RestoredDestination(3, 1.0, True),
+        Fleet(1, 3, 5.0),
+        StartAttempt(1, 2, 3.0),
+        SetTimer(1.0, 0),
     ):
-        assert unpacked(msgspec.msgpack.decode(msgspec.msgpack.encode(packed(value))), api) == value
+        assert unpacked(msgspec.msgpack.decode(msgspec.msgpack.encode(packed(value))), VOCABULARY) == value
--- a/tests/membership/test_asking.py
+++ b/tests/endpoint_discovery/test_poll_schedule.py
@@ -9,7 +9,14 @@
 
 import pytest
 
-from linnetstile.membership.asking import ANSWER_MS, KNOWN_MS, LEAST_HOLD_MS, MOST_HOLD_MS, QUEUE_MS, Asking
+from message_relay.endpoint_discovery.poll_schedule import (
+    ANSWER_MS,
+    KNOWN_MS,
+    LEAST_HOLD_MS,
+    MOST_HOLD_MS,
+    QUEUE_MS,
+    PollSchedule,
+)
 
 COST_MS = 133.0  # what an answer costs the register: 40 relays take 5.3 s
 PATIENCE_MS = 2000.0  # a call that would wait longer for its answer is turned away at once
@@ -20,7 +27,7 @@
 
     def __init__(self, relays: int, seed: int, answer_ms: float = COST_MS) -> None:
         self.answer_ms = answer_ms
-        self.askers = [Asking(relays, random.Random(seed * 1000 + n)) for n in range(relays)]
+        self.askers = [PollSchedule(relays, random.Random(seed * 1000 + n)) for n in range(relays)]
         self.free_at, self.version = 0.0, 1
         self.knows = [1] * relays
         self.learnt: dict[tuple[int, int], float] = {}
@@ -102,7 +109,7 @@
 
 def test_a_steady_fleet_stays_below_what_the_register_can_answer() -> None:
     for relays in (40, 100):
-        askers = [Asking(relays, random.Random(n)) for n in range(relays)]
+        askers = [PollSchedule(relays, random.Random(n)) for n in range(relays)]
         for asker in askers:
             asker.answered()
         mean = sum(asker.hold() for asker in askers for _ in range(50)) / (50 * relays)
@@ -111,13 +118,13 @@
 
 
 def test_a_small_fleet_hears_soon_that_its_agent_has_lost_a_watch() -> None:
-    asking = Asking(3, random.Random(1))
+    asking = PollSchedule(3, random.Random(1))
     asking.answered()
     assert {asking.hold() for _ in range(20)} == {LEAST_HOLD_MS}
     assert asking.first() <= 200.0
 
 
-def known_after(asking: Asking, rng: random.Random, silent_watch: bool) -> float:
+def known_after(asking: PollSchedule, rng: random.Random, silent_watch: bool) -> float:
     """One chain in virtual time: discovery fails this relay in every way, and from some moment on answers.
     How long after that moment the relay knows what discovery has. Without `silent_watch` the chain begins
     with a call that has failed; with it, with a watch that falls silent in the moment it is opened."""
@@ -141,7 +148,7 @@
 
 def worst(relays: int, shared: bool, silent_watch: bool) -> float:
     return max(
-        known_after(Asking(relays, random.Random(n), shared), random.Random(-n), silent_watch)
+        known_after(PollSchedule(relays, random.Random(n), shared), random.Random(-n), silent_watch)
         for n in range(3000)
     )
 
@@ -162,7 +169,7 @@
 @pytest.mark.parametrize("relays", (40, 200))
 def test_a_silent_watch_of_a_shared_register_costs_its_wait_and_two_seconds(relays: int) -> None:
     for n in range(500):
-        asking = Asking(relays, random.Random(n))
+        asking = PollSchedule(relays, random.Random(n))
         asking.answered()
         hold = asking.hold()
         assert asking.patience(hold) + asking.failed() + ANSWER_MS <= hold + QUEUE_MS + ANSWER_MS
@@ -173,7 +180,7 @@
     """Each is refused at once for 30 s, all from one moment on."""
     calls: list[float] = []
     for n in range(relays):
-        asking, now = Asking(relays, random.Random(n)), 0.0
+        asking, now = PollSchedule(relays, random.Random(n)), 0.0
         while (now := now + asking.failed(refused=True)) < 30_000.0:
             calls.append(now)
     late = [at for at in calls if at > 10_000.0]
@@ -183,7 +190,7 @@
 
 
 def test_a_call_after_a_failure_or_another_agent_does_not_wait_on_the_far_side() -> None:
-    asking = Asking(200, random.Random(1))
+    asking = PollSchedule(200, random.Random(1))
     assert asking.hold() == 0.0
     asking.answered()
     assert asking.hold() > 0.0
@@ -192,19 +199,19 @@
     asking.failed(refused=True)  # a shared register that refuses is there: a watch costs it least
     assert asking.hold() > 0.0
     asking.answered()
-    asking.anew()
+    asking.restart()
     assert asking.hold() == 0.0
 
 
 def test_a_process_asks_before_the_grace_of_a_drain_is_over() -> None:
     """What its agent has counts as told from its start on. Seen to fail with first calls spread over 4 s: an
     endpoint got a message 0.42 s after it drained."""
-    assert max(Asking(200, random.Random(n)).first() for n in range(200)) < 250.0
-    assert Asking(200, random.Random(1), shared=False).first() == 0.0  # its own agent answers at once
+    assert max(PollSchedule(200, random.Random(n)).first() for n in range(200)) < 250.0
+    assert PollSchedule(200, random.Random(1), shared=False).first() == 0.0  # its own agent answers at once
 
 
 def test_pauses_grow_are_jittered_and_bounded_and_begin_anew_after_an_answer() -> None:
-    asking = Asking(40, random.Random(1))
+    asking = PollSchedule(40, random.Random(1))
     pauses = [asking.failed() for _ in range(40)]
     assert pauses[0] <= 1300 < pauses[3] and max(pauses) <= 8000 * 1.3
     assert len(set(pauses)) == 40
@@ -214,4 +221,4 @@
 
 def test_a_fleet_of_none_is_refused() -> None:
     with pytest.raises(ValueError, match="relays"):
-        Asking(0, random.Random(1))
+        PollSchedule(0, random.Random(1))
--- a/tests/failover/test_decider.py
+++ b/tests/failover/test_controller.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from linnetstile.accord.gate import Gate
-from linnetstile.accord.holding import Acting, Tier
-from linnetstile.accord.rules import Flow, Policies, Rules, normal, standby, within
-from linnetstile.core.seams import Call
-from linnetstile.decisions.interface import Endpoint, Listing
-from linnetstile.failover.decider import Decider, Rooms
-from linnetstile.failover.evidence import Counting, Evidence
-from linnetstile.failover.settings import ClassPart, FailoverPart, ZonePart
+from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.rule_enforcement import RuleEnforcer
+from message_relay.consensus.rules import Flow, Policies, Rules, normalized, standby, within
+from message_relay.core.ports import CallContext
+from message_relay.decisions.model import Endpoint, Listing
+from message_relay.failover.controller import Capacities, FailoverController
+from message_relay.failover.observations import CallCounter, Observations
+from message_relay.failover.settings import ClassPart, FailoverSettings, ZonePart
 
 ZONES = ("a", "b", "c")
-PART = FailoverPart(
+PART = FailoverSettings(
     {"a": ZonePart("east"), "b": ZonePart("east"), "c": ZonePart("west")},
     {"pay": ClassPart(5.0, "region"), "*": ClassPart()},
     spare=0.2,
@@ -27,12 +27,12 @@
 class Town:
     """Relays that hand in what they are told and call as the plan lets them; the partners of `down` fail."""
 
-    def __init__(self, seed: int, rooms: Rooms) -> None:
+    def __init__(self, seed: int, rooms: Capacities) -> None:
         self.rng, self.rooms, self.now = random.Random(seed), rooms, 0.0
-        self.evidence = Evidence()
-        self.decider = Decider(PART, self.evidence, None, lambda: 0.0)
+        self.evidence = Observations()
+        self.decider = FailoverController(PART, self.evidence, None, lambda: 0.0)
         self.rules, self.versions = Rules(), [Rules()]
-        self.counting = {zone: Counting(f"n{zone}", 1, zone) for zone in ZONES}
+        self.counting = {zone: CallCounter(f"n{zone}", 1, zone) for zone in ZONES}
         self.down: set[str] = set()
         self.rate = 60
 
@@ -54,7 +54,7 @@
         found = self.decider.plans(problems)
         rules = self.decider.next(self.now, self.rules, self.rooms, RELAYS, problems, found)
         if rules is not None:
-            self.rules = normal(rules)
+            self.rules = normalized(rules)
             self.versions.append(self.rules)
 
     def run(self, seconds: int) -> None:
@@ -73,13 +73,13 @@
                     assert flow.bound[source][target] >= flow.spare[target] - 0.001
 
 
-ROOMS: Rooms = {1: {"a": 100.0, "b": 100.0, "c": 100.0}}
+ROOMS: Capacities = {1: {"a": 100.0, "b": 100.0, "c": 100.0}}
 
 
 def test_relays_that_come_and_go_one_by_one_are_no_reason_for_a_version_each() -> None:
     """A fleet of 375 that joined had a version a second, each against the one before: half of it was still at
     the floor after a minute. What is told is never fewer than there are: a bound is divided by it."""
-    decider = Decider(PART, Evidence(), None, lambda: 0.0)
+    decider = FailoverController(PART, Observations(), None, lambda: 0.0)
     rules, versions, now = Rules(), 0, 0.0
     for count in (*range(1, 701), *range(700, 600, -1), *range(600, 701)):
         now += 2.0
@@ -117,7 +117,9 @@
     town.down = {"b"}
     town.run(2)
     before = town.rules.flow("1")
-    town.decider = Decider(PART, town.evidence, None, lambda: 0.0)  # another process, by the same version
+    town.decider = FailoverController(
+        PART, town.evidence, None, lambda: 0.0
+    )  # another process, by the same version
     town.run(1)
     assert town.rules.flow("1").share.keys() >= before.share.keys()
     assert town.rules.flow("1").part("b", "b") < 0.3
@@ -135,24 +137,24 @@
     assert all(way[2] == "c" or way[1] != "region 5" for way in told.flows if way[0] == "c")
 
 
-def gate(rules: Rules, name: str = "n1", zone: str = "a") -> Gate:
-    acting = Acting(rules, (1,), Tier.LEASE)
-    found = Gate(lambda: acting, 12, lambda: 0.0, name, zone)
+def gate(rules: Rules, name: str = "n1", zone: str = "a") -> RuleEnforcer:
+    acting = ActiveRules(rules, (1,), LeaseTier.LEASE)
+    found = RuleEnforcer(lambda: acting, 12, lambda: 0.0, name, zone)
     found.stays = lambda class_, target: PART.allowed(class_, zone, target)
     return found
 
 
-def call(zone: str, class_: str = "post") -> Call:
-    return Call("m", 1, "p", zone, class_, 0, False, False)
+def call(zone: str, class_: str = "post") -> CallContext:
+    return CallContext("m", 1, "p", zone, class_, 0, False, False)
 
 
 def test_a_bound_is_kept_by_each_relay_and_a_class_stays_in_its_region_whatever_the_plan() -> None:
     rules = Rules(flows={"1": Flow({"a": {"b": 40.0}})}, zones={"a": 4})
     one = gate(rules)
-    took = sum(one.may(n / 100, call("b")) is not None for n in range(1000))
+    took = sum(one.authorize(n / 100, call("b")) is not None for n in range(1000))
     assert 100 <= took <= 102  # 10 a second of 40, and one that was saved up
-    assert all(one.may(10.0, call("a")) for _ in range(50)) and one.may(10.0, call("c"))
-    assert one.may(11.0, call("c", "pay")) is None and one.may(11.0, call("b", "pay"))
+    assert all(one.authorize(10.0, call("a")) for _ in range(50)) and one.authorize(10.0, call("c"))
+    assert one.authorize(11.0, call("c", "pay")) is None and one.authorize(11.0, call("b", "pay"))
     assert one.told[-2].why == "the class has to stay near"
 
 
@@ -167,10 +169,10 @@
         used = [
             zone
             for zone in "bc"
-            if one.entry("p", zone, Endpoint(1, 1, Listing.READY)).listing is Listing.READY
+            if one.constrained_endpoint("p", zone, Endpoint(1, 1, Listing.READY)).listing is Listing.READY
         ]
         assert len(used) == 1
-        calls[used[0]] += sum(one.may(k / 100, call(used[0])) is not None for k in range(1000))
+        calls[used[0]] += sum(one.authorize(k / 100, call(used[0])) is not None for k in range(1000))
     for zone, room in rooms.items():
         assert 0.6 * room * 10 < calls[zone] <= room * 10 * 1.02 + 16, (zone, calls)
 
@@ -183,7 +185,7 @@
         return {
             name
             for name in (f"n{n}" for n in range(400))
-            if gate(rules, name).entry("p", "a", entry).listing is Listing.READY
+            if gate(rules, name).constrained_endpoint("p", "a", entry).listing is Listing.READY
         }
 
     sets = [used(part) for part in (0.0, 0.1, 0.3, 0.6, 1.0)]
@@ -200,4 +202,4 @@
 )
 def test_a_faulty_part_is_told_by_its_field(told: dict[str, object], said: str) -> None:
     with pytest.raises(ValueError, match=said):
-        FailoverPart(**told)  # type: ignore[arg-type]
+        FailoverSettings(**told)  # type: ignore[arg-type]
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.failover.planner import Group, Plan, Problem, greedy, near, plans
-from linnetstile.failover.solver import solved
+from message_relay.failover.planner import Group, Plan, Problem, greedy, near, plans
+from message_relay.failover.solver import solved
 
 ALL = ("a", "b", "c", "d")
 PLANNERS: list[Callable[[Problem], Plan | None]] = [greedy, lambda problem: solved(problem, 5.0)]
--- a/tests/failover/test_verdicts.py
+++ b/tests/failover/test_zone_health.py
@@ -9,8 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.failover.evidence import CELLS, KEPT, OTHERS, Cell, Counting, Evidence, Report
-from linnetstile.failover.verdicts import RAMP, Judge, State, interval
+from message_relay.failover.observations import (
+    CELLS,
+    KEPT,
+    OTHERS,
+    CallCounter,
+    Observations,
+    Report,
+    WindowSample,
+)
+from message_relay.failover.zone_health import RAMP, State, ZoneHealthJudge, interval
 
 ZONES = ("a", "b", "c")
 drawn = st.lists(
@@ -27,15 +35,15 @@
 
 def reports(rows: list[tuple[str, int, int, int, float]]) -> list[Report]:
     return [
-        Report(origin, nonce, number, 0, "a", age, 0.0, (), (Cell(1, "b", calls, calls),))
+        Report(origin, nonce, number, 0, "a", age, 0.0, (), (WindowSample(1, "b", calls, calls),))
         for origin, nonce, number, calls, age in rows
     ]
 
 
-def together(*parts: list[Report]) -> Evidence:
-    found = Evidence()
+def together(*parts: list[Report]) -> Observations:
+    found = Observations()
     for part in parts:
-        one = Evidence()
+        one = Observations()
         for report in part:
             one.take(100.0, report)
         found.merge(one)
@@ -50,17 +58,17 @@
     one, other = together(x, y, z), together(z, x, y)
     assert one.reports == other.reports
     assert one.matrices(100.0) == other.matrices(100.0)
-    by_one = Evidence()
+    by_one = Observations()
     for report in [*y, *z, *x]:
         by_one.take(100.0, report)
     assert by_one.reports == one.reports
 
 
 def test_a_report_ages_and_one_relay_weighs_no_more_than_its_calls() -> None:
-    evidence = Evidence()
-    assert evidence.take(100.0, Report("n1", 1, 1, 0, "a", 2.0, 0.0, (), (Cell(1, "b", 1, 0),)))
-    assert not evidence.take(100.0, Report("n1", 1, 1, 0, "a", 2.0, 0.0, (), (Cell(1, "b", 1, 0),)))
-    assert evidence.take(100.0, Report("n2", 1, 1, 0, "a", 0.0, 0.0, (), (Cell(1, "b", 99, 99),)))
+    evidence = Observations()
+    assert evidence.take(100.0, Report("n1", 1, 1, 0, "a", 2.0, 0.0, (), (WindowSample(1, "b", 1, 0),)))
+    assert not evidence.take(100.0, Report("n1", 1, 1, 0, "a", 2.0, 0.0, (), (WindowSample(1, "b", 1, 0),)))
+    assert evidence.take(100.0, Report("n2", 1, 1, 0, "a", 0.0, 0.0, (), (WindowSample(1, "b", 99, 99),)))
     assert not evidence.take(100.0, Report("n3", 1, 1, 0, "a", float(KEPT), 0.0))
     seen = evidence.matrix(100.0, 1)["a", "b"]
     assert (seen.calls, seen.good, len(seen.relays)) == (100, 99, 2)
@@ -70,7 +78,7 @@
 
 
 def test_what_a_window_has_is_told_in_datagrams_and_its_counts_add_up() -> None:
-    counting = Counting("n1", 7, "a")
+    counting = CallCounter("n1", 7, "a")
     for destination in range(CELLS + 50):
         counting.asked(destination, "anywhere 1")
         counting.ended(
@@ -78,7 +86,7 @@
         )
     told = counting.reports(1.0, 0.5)
     assert max(len(msgspec.msgpack.encode(each)) for each in told) < 1100
-    evidence = Evidence()
+    evidence = Observations()
     for report in told:
         assert evidence.take(0.0, msgspec.msgpack.decode(msgspec.msgpack.encode(report), type=Report))
     sums = [matrix["a", "b"] for matrix in evidence.matrices(0.0).values()]
@@ -87,7 +95,7 @@
     counting.reports(1.0, 0.5)
     assert len(counting.reports(1.0, 0.0)) == 1  # that there was nothing is told too
     with pytest.raises(ValueError, match="counts do not add up"):
-        Cell(1, "b", 1, 2)
+        WindowSample(1, "b", 1, 2)
 
 
 class Play:
@@ -95,9 +103,9 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.now, self.rng = 0.0, random.Random(seed)
-        self.evidence = Evidence()
-        self.judge = Judge(self.evidence, 1)
-        self.counting = {zone: Counting(f"n{zone}", 1, zone) for zone in ZONES}
+        self.evidence = Observations()
+        self.judge = ZoneHealthJudge(self.evidence, 1)
+        self.counting = {zone: CallCounter(f"n{zone}", 1, zone) for zone in ZONES}
         self.works: dict[tuple[str, str], float] = {}
         self.slow: dict[str, float] = {}
         self.history: list[tuple[float, tuple[str, str], State, float]] = []
@@ -181,9 +189,9 @@
     slow.slow = {"c": 100.0}
     slow.run(10)
     assert slow.judge.standing(("c", "c")).state is State.GREY
-    few = Evidence()
-    few.take(1.0, Report("n1", 1, 1, 0, "a", 0.0, 0.0, (), (Cell(1, "a", 3, 2, 1),)))
-    judge = Judge(few, 1)
+    few = Observations()
+    few.take(1.0, Report("n1", 1, 1, 0, "a", 0.0, 0.0, (), (WindowSample(1, "a", 3, 2, 1),)))
+    judge = ZoneHealthJudge(few, 1)
     assert judge.look(1.0, few.series(1.0)[1]) == []
 
 
@@ -205,8 +213,8 @@
 def few(relays: int, failed: int, windows: int = 8, at: int = 3) -> State:
     """Relays with two calls a window each; from window `at` on the zone is down, and each relay leaves it by
     itself after so many failed calls."""
-    evidence, counting = Evidence(), [Counting(f"n{n}", 1, "a") for n in range(relays)]
-    judge = Judge(evidence, 1)
+    evidence, counting = Observations(), [CallCounter(f"n{n}", 1, "a") for n in range(relays)]
+    judge = ZoneHealthJudge(evidence, 1)
     left = [failed] * relays
     for window in range(windows):
         for n, one in enumerate(counting):
@@ -234,8 +242,8 @@
 
 
 def test_one_relay_that_leaves_a_zone_which_others_use_is_no_outage() -> None:
-    evidence, judge = Evidence(), Judge(Evidence(), 1)
-    counting = [Counting(f"n{n}", 1, "a") for n in range(2)]
+    evidence, judge = Observations(), ZoneHealthJudge(Observations(), 1)
+    counting = [CallCounter(f"n{n}", 1, "a") for n in range(2)]
     for window in range(6):
         for n, one in enumerate(counting):
             one.asked(1, "")
@@ -247,4 +255,4 @@
     assert judge.standing(("a", "a")).state is State.WELL
     assert evidence.matrix(5.01, 1)["a", "a"].shunning == {"n0": 1}
     with pytest.raises(ValueError, match="was not shunned"):
-        Cell(1, "b", 1, 1, shunned=1)
+        WindowSample(1, "b", 1, 1, shunned=1)
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -14,9 +14,9 @@
 import pytest
 from click.testing import CliRunner
 
+from benchmarks.cluster_harness import ClusterHarness, cluster
 from benchmarks.processes import Clients
-from benchmarks.town import Town, town
-from linnetstile.cli.main import group
+from message_relay.cli.main import group
 
 ZONES = ("a", "b", "c")
 PARTS = """[failover]
@@ -32,7 +32,7 @@
 
 @contextlib.asynccontextmanager
 async def zones(instances: int, rate: float, **more: Any) -> Any:
-    async with town(
+    async with cluster(
         instances,
         voters=3,
         bound=1.0,
@@ -57,7 +57,7 @@
 
 
 async def until(
-    it: Town, true: Any, seconds: float = 20.0, of: tuple[int, ...] = (0, 1, 2)
+    it: ClusterHarness, true: Any, seconds: float = 20.0, of: tuple[int, ...] = (0, 1, 2)
 ) -> dict[str, Any]:
     """The status of plans of whoever decides."""
     async with asyncio.timeout(seconds):
@@ -76,18 +76,18 @@
     )
 
 
-async def left(it: Town, n: int, zone: str) -> bool:
+async def left(it: ClusterHarness, n: int, zone: str) -> bool:
     """Whether the newest version has the zone's own instances leave it."""
     told = await it.rules(n, "version", number=(await it.status(n))["newest"])
     shares = told["rules"].get("flows", {}).get("1", {}).get("share", {})
     return zone in shares.get(zone, {})
 
 
-def after(it: Town, zone: str, since: float) -> int:
+def after(it: ClusterHarness, zone: str, since: float) -> int:
     return sum(at > since for at in it.calls_at(zone))
 
 
-async def called(it: Town, zones: str, since: float, calls: int, seconds: float = 30.0) -> None:
+async def called(it: ClusterHarness, zones: str, since: float, calls: int, seconds: float = 30.0) -> None:
     """Until partners of these zones together were called so often since: how fast is not asked here."""
     async with asyncio.timeout(seconds):
         while sum(after(it, zone, since) for zone in zones) < calls:
@@ -220,5 +220,5 @@
     go(work())
 
 
-def lines_of(it: Town, zone: str) -> list[str]:
+def lines_of(it: ClusterHarness, zone: str) -> list[str]:
     return (it.folder / f"calls {zone}").read_text().splitlines()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -1,4 +1,4 @@
-"""The relay under a service manager (standins.manager): what it says, when, and what it is handed."""
+"""The relay under a service manager (fakes.service_manager): what it says, when, and what it is handed."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 import pytest
 
-from linnetstile.fleet.handover import HandoverError, handed_over
-from linnetstile.fleet.notify import RETRY_S, Notifier, NotifyError
-from standins.manager import Manager
+from fakes.service_manager import ServiceManager
+from message_relay.fleet.socket_activation import SocketActivationError, inherited_sockets
+from message_relay.fleet.systemd_notify import RETRY_S, NotifyError, SystemdNotifier
 
 from ..loopback import Agent, Client, Server, message, raw_config, run, until
 
@@ -25,7 +25,7 @@
 class World:
     def __init__(self, folder: Path, watchdog_s: float = 0.0) -> None:
         self.folder, self.agent, self.server = folder, Agent(), Server()
-        self.manager = Manager(folder, ("127.0.0.1", 0), watchdog_s)
+        self.manager = ServiceManager(folder, ("127.0.0.1", 0), watchdog_s)
         self.config = folder / "config.json"
 
     async def prepare(self) -> None:
@@ -39,7 +39,9 @@
         self.config.write_text(json.dumps(raw))
 
     async def start(self) -> None:
-        await self.manager.start(sys.executable, "-m", "linnetstile", env={"RELAY_CONFIG": str(self.config)})
+        await self.manager.start(
+            sys.executable, "-m", "message_relay", env={"RELAY_CONFIG": str(self.config)}
+        )
 
     async def serve(self) -> None:
         """Starts it under a manager that listens, and waits until it is ready."""
@@ -170,8 +172,8 @@
 
 def test_what_cannot_be_said_at_once_is_said_later_and_does_not_pile_up(tmp_path: Path) -> None:
     async def work() -> None:
-        manager = Manager(tmp_path, ("127.0.0.1", 0))
-        notifier = Notifier(str(manager.path))
+        manager = ServiceManager(tmp_path, ("127.0.0.1", 0))
+        notifier = SystemdNotifier(str(manager.path))
         notifier.start()
         manager.fill()
         notifier.ready()
@@ -190,7 +192,7 @@
 
 def test_a_manager_that_has_gone_is_no_fault(tmp_path: Path) -> None:
     async def work() -> None:
-        notifier = Notifier(str(tmp_path / "nowhere"))
+        notifier = SystemdNotifier(str(tmp_path / "nowhere"))
         notifier.start()
         notifier.ready()
         assert not notifier.waiting
@@ -209,17 +211,17 @@
 )
 def test_an_environment_that_makes_no_sense_names_its_variable(env: dict[str, str], says: str) -> None:
     with pytest.raises(NotifyError, match=says):
-        Notifier.of(env)
+        SystemdNotifier.of(env)
 
 
 def test_the_variables_are_taken_out_and_meant_for_one_process() -> None:
     env = {"NOTIFY_SOCKET": "@x", "WATCHDOG_USEC": "500000", "WATCHDOG_PID": "1", "OTHER": "y"}
-    notifier = Notifier.of(env)
+    notifier = SystemdNotifier.of(env)
     assert env == {"OTHER": "y"} and notifier.address == "@x" and notifier.watchdog_s == 0.0
     mine = {"WATCHDOG_USEC": "500000", "WATCHDOG_PID": str(os.getpid())}
-    assert Notifier.of(mine).watchdog_s == 0.5
+    assert SystemdNotifier.of(mine).watchdog_s == 0.5
     env = {"LISTEN_PID": "1", "LISTEN_FDS": "1", "LISTEN_FDNAMES": "clients"}
-    assert handed_over(env) == {} and env == {}
+    assert inherited_sockets(env) == {} and env == {}
 
 
 @pytest.mark.parametrize(
@@ -233,8 +235,8 @@
     ],
 )
 def test_a_handover_that_makes_no_sense_is_told(number: str, names: str, says: str) -> None:
-    with pytest.raises(HandoverError, match=says):
-        handed_over({"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": number, "LISTEN_FDNAMES": names})
+    with pytest.raises(SocketActivationError, match=says):
+        inherited_sockets({"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": number, "LISTEN_FDNAMES": names})
 
 
 def test_only_listening_sockets_are_taken() -> None:
@@ -242,10 +244,10 @@
         return {"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": "1"}
 
     with socket.socket() as idle, open("/dev/null") as null, socket.create_server(("127.0.0.1", 0)) as good:
-        with pytest.raises(HandoverError, match="no socket"):
-            handed_over(env(), first=os.dup(null.fileno()))
-        with pytest.raises(HandoverError, match="no listening"):
-            handed_over(env(), first=os.dup(idle.fileno()))
-        ((name, sock),) = handed_over(env(), first=os.dup(good.fileno())).items()
+        with pytest.raises(SocketActivationError, match="no socket"):
+            inherited_sockets(env(), first=os.dup(null.fileno()))
+        with pytest.raises(SocketActivationError, match="no listening"):
+            inherited_sockets(env(), first=os.dup(idle.fileno()))
+        ((name, sock),) = inherited_sockets(env(), first=os.dup(good.fileno())).items()
         assert name == "clients" and sock.getsockname() == good.getsockname()
         sock.close()
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -14,9 +14,9 @@
 from click.testing import CliRunner
 
 from benchmarks.processes import Clients, Fleet, expected, fleet, over
-from linnetstile.cli import demo
-from linnetstile.cli.main import group
-from linnetstile.fleet.report import FleetReport, InstanceLine
+from message_relay.cli import demo
+from message_relay.cli.main import group
+from message_relay.fleet.report import FleetReport, InstanceLine
 
 from ..loopback import until
 
@@ -160,7 +160,7 @@
             os.kill(pids[2], signal.SIGCONT)
             await until(lambda: not alive(pids[2]))
             # What they held is still there, and the next supervisor's instances owe its end.
-            await it.start("fleet", "linnetstile", "fleet", "--config", str(it.folder / "relay.toml"))
+            await it.start("fleet", "message_relay", "fleet", "--config", str(it.folder / "relay.toml"))
             await it.until(lambda told: told.up == 3)
             await it.drained(40.0)
             assert it.broken(clients.taken) == [] and clients.taken
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -11,11 +11,11 @@
 import pytest
 from click.testing import CliRunner
 
-from linnetstile.cli.main import group
-from linnetstile.config import load
-from linnetstile.fleet.operator import Operator, OperatorError, applied, instance, read
-from linnetstile.fleet.size import STEP_MS, Place
-from linnetstile.decisions.interface import Fleet
+from message_relay.cli.main import group
+from message_relay.config import load
+from message_relay.decisions.model import Fleet
+from message_relay.fleet.fleet_size import STEP_MS, FleetSize
+from message_relay.fleet.operator import OperatorConfig, OperatorError, applied, instance, read
 
 from ..conftest import make_settings
 from ..loopback import Agent, raw_config
@@ -33,9 +33,9 @@
 
 def test_the_file_that_is_shown_has_every_field_with_its_default() -> None:
     text = (DEPLOY / "relay.toml").read_text()
-    assert read(DEPLOY / "relay.toml", {}) == Operator()
-    for part in Operator.__struct_fields__:
-        for field in getattr(Operator(), part).__struct_fields__:
+    assert read(DEPLOY / "relay.toml", {}) == OperatorConfig()
+    for part in OperatorConfig.__struct_fields__:
+        for field in getattr(OperatorConfig(), part).__struct_fields__:
             assert re.search(rf"^{field} = ", text, re.MULTILINE), f"{part}.{field}"
 
 
@@ -124,7 +124,7 @@
 
 def test_a_bare_import_and_a_bare_run_load_no_tool() -> None:
     code = (
-        "import sys, linnetstile, linnetstile.process, linnetstile.assembly;"
+        "import sys, message_relay, message_relay.process, message_relay.composition;"
         "tools = ('click', 'rich', 'structlog', 'prometheus_client', 'tomllib');"
         "print([name for name in tools if name in sys.modules])"
     )
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize(
     ("template", "digits", "last", "first_port"),
-    [("linnetstile", 3, 999, 7000), ("linnetstile4", 4, 4095, 10000)],
+    [("message-relay", 3, 999, 7000), ("message-relay4", 4, 4095, 10000)],
 )
 def test_units_give_each_instance_a_port_and_a_number_of_its_own(
     template: str, digits: int, last: int, first_port: int
@@ -150,7 +150,7 @@
     """Guards against 700%i, which is port 70010 for instance 10."""
     socket_, service = units(template)
     ports = set()
-    fleet = Operator(fleet=Operator().fleet.__class__(instances=last + 1))
+    fleet = OperatorConfig(fleet=OperatorConfig().fleet.__class__(instances=last + 1))
     for n in range(last + 1):
         name = f"{n:0{digits}}"
         listen = re.search(r"^ListenStream=\S+:(\S+)$", socket_.replace("%i", name), re.MULTILINE)
@@ -171,8 +171,8 @@
 @pytest.mark.parametrize(
     ("template", "good", "wrong", "says"),
     [
-        ("linnetstile", "003", ("03", "3", "0003", "x03"), "three digits are needed"),
-        ("linnetstile4", "0003", ("003", "3", "00003", "x003"), "four digits are needed"),
+        ("message-relay", "003", ("03", "3", "0003", "x03"), "three digits are needed"),
+        ("message-relay4", "0003", ("003", "3", "00003", "x003"), "four digits are needed"),
     ],
 )
 def test_units_say_which_digits_they_need(
@@ -194,12 +194,12 @@
         lines = text.replace(f"127.0.0.1:{digit}%i", "PORT").replace(f"{template}@%i", "UNIT").splitlines()
         return [line for line in lines if not line.startswith(("#", "ExecStartPre="))]
 
-    for three, four in zip(units("linnetstile"), units("linnetstile4"), strict=True):
-        assert plain(three, "7", "linnetstile") == plain(four, "1", "linnetstile4")
+    for three, four in zip(units("message-relay"), units("message-relay4"), strict=True):
+        assert plain(three, "7", "message-relay") == plain(four, "1", "message-relay4")
 
 
 def test_a_smaller_part_is_taken_up_at_once_and_a_larger_one_when_all_have_heard() -> None:
-    place = Place(3, 40, 0.0)
+    place = FleetSize(3, 40, 0.0)
     assert place.told(1000.0, 50, 20_000.0) and place.look(1000.0, 0.0) == Fleet(3, 50, 0.0)
     assert place.told(2000.0, 30, 20_000.0) and place.look(21_999.0, 0.0) is None
     assert place.told(3000.0, 30, 20_000.0)  # told again: it does not begin anew
@@ -208,6 +208,6 @@
 
 
 def test_a_clock_that_was_set_is_followed_and_one_that_drifts_a_little_is_not() -> None:
-    place = Place(0, 4, 100.0)
+    place = FleetSize(0, 4, 100.0)
     assert place.look(0.0, 100.0 + STEP_MS) is None
     assert place.look(1.0, 100.0 - STEP_MS - 1) == Fleet(0, 4, 94.0)
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.fleet.operator import SupervisorPart
-from linnetstile.fleet.plan import Do, Plan, State
+from message_relay.fleet.operator import SupervisorPart
+from message_relay.fleet.plan import Plan, State, SupervisorAction
 
 PART = SupervisorPart(
     together=3,
@@ -26,7 +26,7 @@
 def up(count: int = 3) -> Plan:
     """All are up at 0."""
     plan = Plan(PART, count, 0.0, 1)
-    while started := [n for do, n in plan.next(0.0) if do is Do.START]:
+    while started := [n for do, n in plan.next(0.0) if do is SupervisorAction.START]:
         for n in started:
             plan.ready(n, 0.0)
     assert all(one.state is State.UP for one in plan.all.values())
@@ -35,15 +35,19 @@
 
 def test_few_start_at_once_and_the_others_when_those_are_ready() -> None:
     plan = Plan(PART, 5, 0.0, 1)
-    assert plan.next(0.0) == [(Do.START, 0), (Do.START, 1), (Do.START, 2)] and plan.next(0.1) == []
+    assert (
+        plan.next(0.0)
+        == [(SupervisorAction.START, 0), (SupervisorAction.START, 1), (SupervisorAction.START, 2)]
+        and plan.next(0.1) == []
+    )
     plan.ready(1, 0.2)
-    assert plan.next(0.2) == [(Do.START, 3)]
+    assert plan.next(0.2) == [(SupervisorAction.START, 3)]
 
 
 def test_one_start_comes_after_the_other() -> None:
     plan = Plan(SupervisorPart(stagger_s=0.5), 2, 0.0, 1)
-    assert plan.next(0.0) == [(Do.START, 0)] and plan.wake(0.0) == 0.5
-    assert plan.next(0.4) == [] and plan.next(0.5) == [(Do.START, 1)]
+    assert plan.next(0.0) == [(SupervisorAction.START, 0)] and plan.wake(0.0) == 0.5
+    assert plan.next(0.4) == [] and plan.next(0.5) == [(SupervisorAction.START, 1)]
 
 
 def test_waits_after_crashes_grow_with_jitter_and_a_loop_is_told() -> None:
@@ -55,7 +59,7 @@
         assert plan.loops(0, now) == (n >= 2)
         assert plan.next(one.at - 0.001) == []
         now = one.at
-        assert plan.next(now) == [(Do.START, 0)]
+        assert plan.next(now) == [(SupervisorAction.START, 0)]
     for want, wait in zip((0.5, 1, 2, 4, 4, 4), waits, strict=True):
         assert 0.7 * want <= wait <= 1.3 * want
     assert len({round(wait, 6) for wait in waits[3:]}) == 3  # by chance
@@ -69,21 +73,21 @@
     plan = up()
     plan.exited(1, 1.0, 2)
     plan.told_to_reload(2.0, PART, 3, 20.0)
-    assert (Do.START, 1) in plan.next(2.0)  # it was one of them before
+    assert (SupervisorAction.START, 1) in plan.next(2.0)  # it was one of them before
 
 
 def test_one_that_is_not_ready_hangs_or_does_not_end_is_killed_once() -> None:
     plan = Plan(PART, 1, 0.0, 1)
     plan.next(0.0)
-    assert plan.next(4.9) == [] and plan.next(5.1) == [(Do.KILL, 0)] and plan.next(5.2) == []
+    assert plan.next(4.9) == [] and plan.next(5.1) == [(SupervisorAction.KILL, 0)] and plan.next(5.2) == []
     plan = up(1)
     plan.beat(0, 3.0)
-    assert plan.next(6.9) == [] and plan.next(7.1) == [(Do.KILL, 0)]
+    assert plan.next(6.9) == [] and plan.next(7.1) == [(SupervisorAction.KILL, 0)]
     plan.exited(0, 7.1, -9)
     assert plan.all[0].state is State.DOWN and "killed" in plan.all[0].why
     plan = up(1)
     plan.told_to_stop(1.0)
-    assert plan.next(1.0) == [(Do.TERM, 0)] and plan.next(3.1) == [(Do.KILL, 0)]
+    assert plan.next(1.0) == [(SupervisorAction.TERM, 0)] and plan.next(3.1) == [(SupervisorAction.KILL, 0)]
     plan.exited(0, 3.2, -9)
     assert plan.done
 
@@ -92,9 +96,9 @@
     plan = up(3)
     plan.told_to_roll(1.0)
     for n in range(3):
-        assert plan.next(1.0) == [(Do.TERM, n)] and plan.next(1.1) == []
+        assert plan.next(1.0) == [(SupervisorAction.TERM, n)] and plan.next(1.1) == []
         plan.exited(n, 1.2, 0)
-        assert plan.next(1.2) == [(Do.START, n)] and plan.next(1.3) == []
+        assert plan.next(1.2) == [(SupervisorAction.START, n)] and plan.next(1.3) == []
         plan.ready(n, 1.4)
     assert plan.next(1.5) == [] and not plan.rolling
     assert [event for event, _ in plan.notes][-1] == "the rolling restart is done"
@@ -115,7 +119,11 @@
 def test_fewer_retire_and_more_come_only_when_all_have_counted_anew() -> None:
     plan = up(3)
     plan.told_to_reload(1.0, PART, 2, 20.0)
-    assert plan.next(1.0) == [(Do.RELOAD, 0), (Do.RELOAD, 1), (Do.RELOAD, 2)] and plan.all[2].retiring
+    assert (
+        plan.next(1.0)
+        == [(SupervisorAction.RELOAD, 0), (SupervisorAction.RELOAD, 1), (SupervisorAction.RELOAD, 2)]
+        and plan.all[2].retiring
+    )
     for n in range(3):
         plan.ready(n, 1.1)
     for n in (0, 1):
@@ -125,11 +133,11 @@
     for n in (0, 1):
         plan.beat(n, 6.0)
     plan.told_to_reload(6.0, PART, 4, 20.0)
-    assert plan.next(6.0) == [(Do.RELOAD, 0), (Do.RELOAD, 1)]
+    assert plan.next(6.0) == [(SupervisorAction.RELOAD, 0), (SupervisorAction.RELOAD, 1)]
     plan.ready(0, 6.1)
     assert plan.next(6.1) == []
     plan.ready(1, 6.2)
-    assert plan.next(6.2) == [(Do.START, 2), (Do.START, 3)]
+    assert plan.next(6.2) == [(SupervisorAction.START, 2), (SupervisorAction.START, 3)]
 
 
 def test_one_that_crashes_while_it_retires_comes_back_to_end_what_it_holds() -> None:
@@ -139,10 +147,12 @@
     plan.exited(1, 1.5, -9)
     plan.ready(0, 1.6)
     assert plan.all[1].state is State.DOWN and plan.all[1].retiring
-    assert (Do.START, 1) in plan.next(plan.all[1].at)
+    assert (SupervisorAction.START, 1) in plan.next(plan.all[1].at)
     plan.ready(1, 2.5)
     plan.beat(0, 4.0)
-    assert plan.next(4.1) == [(Do.TERM, 1)]  # its time is up: what it holds stays in its journal
+    assert plan.next(4.1) == [
+        (SupervisorAction.TERM, 1)
+    ]  # its time is up: what it holds stays in its journal
     plan.exited(1, 4.2, 0)
     assert plan.all[1].state.value == "gone"
 
@@ -153,7 +163,7 @@
     plan.told_to_reload(0.1, PART, 1, 20.0)
     assert plan.next(0.1) == []  # a signal now could end it
     plan.ready(0, 0.5)
-    assert plan.next(0.5) == [(Do.RELOAD, 0)]
+    assert plan.next(0.5) == [(SupervisorAction.RELOAD, 0)]
 
 
 @settings(max_examples=150)
@@ -178,16 +188,16 @@
                 plan.exited(n, now, rng.choice((0, 0, 1, 2, -9)))
                 term.discard(n)
         for do, n in plan.next(now):
-            if do is Do.START:
+            if do is SupervisorAction.START:
                 assert n not in running and not plan.stopping
                 running[n] = now
-            elif do is Do.KILL:
+            elif do is SupervisorAction.KILL:
                 running.pop(n)
                 term.discard(n)
                 plan.exited(n, now, -9)
             else:
                 assert n in running
-                if do is Do.TERM:
+                if do is SupervisorAction.TERM:
                     term.add(n)
         assert sum(plan.all[n].state is State.STARTING for n in plan.all) <= PART.together
         if plan.rolling and not plan.stopping:
@@ -196,8 +206,8 @@
     for _ in range(20):
         now += 3.0
         for do, n in plan.next(now):
-            assert do is not Do.START
-            if do is Do.KILL:
+            assert do is not SupervisorAction.START
+            if do is SupervisorAction.KILL:
                 running.pop(n)
                 plan.exited(n, now, -9)
     assert plan.done and not running
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -15,15 +15,15 @@
 
 import pytest
 
-from linnetstile import config
-from linnetstile.assembly import assemble
-from linnetstile.config import ConfigError
-from linnetstile.fleet import lifeline, report
-from linnetstile.fleet.instance import owned
-from linnetstile.fleet.report import Report
-from linnetstile.fleet.status import MOST, LoopLag, StatusError, StatusSocket, ask, folder_of
-from linnetstile.decisions.interface import Fleet
-from linnetstile.logs import BoundedWriter, Note, structured
+from message_relay import config
+from message_relay.composition import compose
+from message_relay.config import ConfigError
+from message_relay.decisions.model import Fleet
+from message_relay.fleet import parent_watch, report
+from message_relay.fleet.instance import owned
+from message_relay.fleet.report import Report
+from message_relay.fleet.status import MOST, LoopLag, StatusError, StatusSocket, ask, folder_of
+from message_relay.structured_logging import BoundedLogWriter, LogEvent, configure_structured_logging
 
 from ..loopback import Agent, Client, Server, answer, message, raw_config, run, until
 
@@ -46,16 +46,16 @@
     (tmp_path / "state").mkdir()
     (tmp_path / "c.json").write_text(json.dumps(raw_config(tmp_path / "state", agent, server)))
     told = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
-    parts = assemble(replace(told, settings=replace(told.settings, fleet=fleet)))
+    parts = compose(replace(told, settings=replace(told.settings, fleet=fleet)))
     await parts.start()
-    async with Client(parts.host.intakes["http"].clients.port) as client:  # type: ignore[attr-defined]
+    async with Client(parts.relay.intakes["http"].clients.port) as client:  # type: ignore[attr-defined]
         assert await client.ask(message("a")) == 202
-        await until(lambda: bool(server.seen) and not parts.host.relay.busy)
+        await until(lambda: bool(server.seen) and not parts.relay.scheduler.busy)
         assert [await client.ask(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
-    await until(lambda: len(parts.host.relay.board.held) == 3)
-    found = report.of(parts.host, 0, "serving", 0.0, report.Lag(), 10)
-    assert report.of(parts.host, 0, "serving", 0.0, report.Lag(), 0).more == 1
-    await parts.host.close()
+    await until(lambda: len(parts.relay.scheduler.board.held) == 3)
+    found = report.of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
+    assert report.of(parts.relay, 0, "serving", 0.0, report.Lag(), 0).more == 1
+    await parts.relay.close()
     return found
 
 
@@ -129,8 +129,10 @@
 
 def test_lines_have_the_events_name_and_fields(root_log: None) -> None:
     reading, writing = os.pipe()
-    handler = structured("json", "info", 100, writing)
-    logging.getLogger("x").info(Note("a message is refused", id="m1", why=ValueError("full"), level="odd"))
+    handler = configure_structured_logging("json", "info", 100, writing)
+    logging.getLogger("x").info(
+        LogEvent("a message is refused", id="m1", why=ValueError("full"), level="odd")
+    )
     logging.getLogger("x").warning("old %s", "style")
     logging.getLogger("x").debug("not told")
     handler.close()
@@ -138,14 +140,14 @@
     assert [line["event"] for line in lines] == ["a message is refused", "old style"]
     assert lines[0]["id"] == "m1" and lines[0]["why"] == "full" and lines[0]["logger"] == "x"
     assert lines[1]["level"] == "warning" and "timestamp" in lines[1]
-    assert str(Note("e", a=1, b="c")) == "e a=1 b=c"
+    assert str(LogEvent("e", a=1, b="c")) == "e a=1 b=c"
     os.close(reading)
     os.close(writing)
 
 
 def test_a_reader_that_has_stopped_costs_lines_and_they_are_counted() -> None:
     reading, writing = os.pipe()
-    writer = BoundedWriter(writing, 10)
+    writer = BoundedLogWriter(writing, 10)
     writer.setFormatter(logging.Formatter("%(message)s"))
     for n in range(3000):  # the pipe and the buffer are full long before
         writer.emit(logging.LogRecord("x", logging.INFO, "", 0, f"{n:06}" + "x" * 200, (), None))
@@ -190,7 +192,7 @@
             code = 1
             try:
                 os.setuid(65534)
-                assemble(told)
+                compose(told)
             except PermissionError:
                 code = 42
             finally:
@@ -202,9 +204,9 @@
     async def work() -> None:
         reading, writing = os.pipe()
         code = (
-            "import time, signal; from linnetstile.fleet import lifeline; lifeline.STOP_S = 0.2;"
+            "import time, signal; from message_relay.fleet import parent_watch; parent_watch.STOP_S = 0.2;"
             "signal.signal(signal.SIGTERM, lambda *_: print('told', flush=True));"
-            "lifeline.hold(); print('ready', flush=True)\nwhile True: time.sleep(0.01)"
+            "parent_watch.hold(); print('ready', flush=True)\nwhile True: time.sleep(0.01)"
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -212,7 +214,7 @@
             code,
             stdout=asyncio.subprocess.PIPE,
             pass_fds=(reading,),
-            env={**os.environ, lifeline.VARIABLE: str(reading)},
+            env={**os.environ, parent_watch.VARIABLE: str(reading)},
         )
         os.close(reading)
         assert process.stdout is not None and await process.stdout.readline() == b"ready\n"
@@ -221,4 +223,4 @@
 
     run(work())
     with pytest.raises(ValueError, match="must be a descriptor"):
-        lifeline.hold({lifeline.VARIABLE: "x"})
+        parent_watch.hold({parent_watch.VARIABLE: "x"})
--- a/tests/peers/test_swim.py
+++ b/tests/gossip/test_swim.py
@@ -13,10 +13,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.peers.identity import IdentityError, claimed, raised
-from linnetstile.peers.settings import PeersPart
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import (
+from message_relay.gossip.identity import IdentityError, claimed, raised
+from message_relay.gossip.settings import GossipSettings
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import (
     PACKET_BYTES,
     App,
     Claim,
@@ -24,7 +24,7 @@
     Ping,
     State,
     Sync,
-    Unreadable,
+    UnreadablePacketError,
     opened,
     sealed,
 )
@@ -259,12 +259,12 @@
     raw = sealed(Packet("n1", 5, App("k", b"x")), secret)
     assert opened(raw, secret).body == App("k", b"x")
     for bad in (raw[:-1], b"", raw[1:], b"\x93\x00", raw + b"x", b"x" * (PACKET_BYTES + 1)):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadablePacketError):
             opened(bad, secret)
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadablePacketError):
         opened(raw, b"t" * 16)
     for n in range(300):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadablePacketError):
             opened(random.Random(n).randbytes(n % 90), b"")
     assert isinstance(opened(sealed(Packet("n1", 5, Ping(1, "n2")), b""), b"").body, Ping)
 
@@ -279,4 +279,4 @@
 )
 def test_a_faulty_part_is_told_by_its_field(part: dict[str, object], said: str) -> None:
     with pytest.raises(ValueError, match=said):
-        PeersPart(**part)  # type: ignore[arg-type]
+        GossipSettings(**part)  # type: ignore[arg-type]
--- a/tests/http/test_calls.py
+++ b/tests/http/test_calls.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from linnetstile.core.seams import Attempt, Result
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.interface import Outcome
-from linnetstile.http.calls import Calls, report_of
-from linnetstile.http.keeping import SCARCE_S, Keeping, no_place
-from linnetstile.http.link import Head, Link
+from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.decisions.events import AttemptCompleted, EndpointList
+from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
+from message_relay.http.connection import EndpointConnection, Head
+from message_relay.http.endpoint_client import EndpointClient, report_of
+from message_relay.http.keep_alive import SCARCE_S, KeepAlivePolicy, connection_rejected
 
 from ..conftest import Driver, make_settings
 from ..loopback import OK, Server, answer, run, until
@@ -44,18 +44,18 @@
     claimed, which proves that nothing ran, and the endpoint had the whole call."""
     size = 8 << 20
     limits: list[asyncio.Timeout] = []
-    timeout_at, resume = asyncio.timeout_at, Link.resume_writing
+    timeout_at, resume = asyncio.timeout_at, EndpointConnection.resume_writing
 
     def noted(when: float | None) -> asyncio.Timeout:
         limits.append(timeout_at(when))
         return limits[-1]
 
-    def up_now(self: Link) -> None:
+    def up_now(self: EndpointConnection) -> None:
         limits[0].reschedule(asyncio.get_running_loop().time() - 1)
         resume(self)
 
     monkeypatch.setattr(asyncio, "timeout_at", noted)
-    monkeypatch.setattr(Link, "resume_writing", up_now)
+    monkeypatch.setattr(EndpointConnection, "resume_writing", up_now)
 
     async def work() -> None:
         got, gate = asyncio.Queue[int](), asyncio.Event()
@@ -70,7 +70,7 @@
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=sock, limit=1 << 16)
         made = asyncio.ensure_future(
-            Calls(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), b"x" * size))
+            EndpointClient(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), b"x" * size))
         )
         await until(lambda: bool(limits))
         gate.set()
@@ -88,10 +88,10 @@
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
         sock.listen()
-        result = await Calls(60000.0, 20000.0, 10).attempt(
+        result = await EndpointClient(60000.0, 20000.0, 10).attempt(
             attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2)
         )
-        assert result == Result(Outcome.CONNECT_FAILED)
+        assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.close()
 
     run(work())
@@ -108,8 +108,8 @@
         for each in crowd:
             each.setblocking(False)
             each.connect_ex(sock.getsockname())
-        result = await Calls(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), seconds=0.3))
-        assert result == Result(Outcome.CONNECT_FAILED)
+        result = await EndpointClient(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), seconds=0.3))
+        assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.setblocking(False)
         loop, came = asyncio.get_running_loop(), list[bytes]()
         for _ in crowd:
@@ -142,7 +142,9 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        result = await Calls(60000.0, 20000.0, 10).attempt(attempt(server.sockets[0].getsockname()[:2]))
+        result = await EndpointClient(60000.0, 20000.0, 10).attempt(
+            attempt(server.sockets[0].getsockname()[:2])
+        )
         assert result.outcome is outcome and not result.outcome.proves_no_effect
         server.close()
 
@@ -155,14 +157,14 @@
 def test_a_call_held_back_by_a_drain_is_no_try() -> None:
     """Ten endpoints drain while connections to them come up: the message has all its attempts left, and
     goes to the next. Seen to fail where each of them counted: after five of five it was failed."""
-    driver = Driver(make_settings(attempts=5))
+    driver = Driver(make_settings(max_attempts=5))
     driver.listed(*((n, 1) for n in range(1, 12)))
     ident = driver.message()
     for _ in range(10):
         send = driver.out[ident]
-        ended = api.AttemptEnded(ident, 0, send.endpoint, Outcome.NOT_SENT, held_back=True)
+        ended = AttemptCompleted(ident, 0, send.endpoint, Outcome.NOT_SENT, withheld=True)
         driver.feed(
-            api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(send.endpoint, 1, api.Listing.DRAINING),)),
+            EndpointList(ListKind.CHANGES, (Endpoint(send.endpoint, 1, Listing.DRAINING),)),
             ended,
         )
         del driver.out[ident]
@@ -171,11 +173,11 @@
 
 
 def test_a_call_that_an_endpoint_turned_away_unsent_is_one() -> None:
-    driver = Driver(make_settings(attempts=3))
+    driver = Driver(make_settings(max_attempts=3))
     driver.listed((1, 1))
     ident = driver.message()
     for _ in range(3):
-        driver.feed(api.AttemptEnded(ident, 0, driver.out.pop(ident).endpoint, Outcome.NOT_SENT))
+        driver.feed(AttemptCompleted(ident, 0, driver.out.pop(ident).endpoint, Outcome.NOT_SENT))
         driver.pass_time(3000)
     assert ident in driver.ended
 
@@ -209,11 +211,11 @@
         return OK
 
 
-async def calls_of(relays: list[Calls], *servers: Server) -> int:
+async def calls_of(relays: list[EndpointClient], *servers: Server) -> int:
     """Each relay calls each endpoint, beginning with another one, again and again until all have had an
     answer; how many were turned away meanwhile."""
 
-    async def one(first: int, calls: Calls) -> int:
+    async def one(first: int, calls: EndpointClient) -> int:
         refused = 0
         for n in [(first + step) % len(servers) for step in range(len(servers))]:
             server = servers[n]
@@ -234,7 +236,7 @@
         narrow = [Narrow(3), Narrow(3)]
         for server in narrow:
             await server.start()
-        relays = [Calls(60000.0, 20000.0, 10) for _ in range(6)]
+        relays = [EndpointClient(60000.0, 20000.0, 10) for _ in range(6)]
         for _ in range(3):
             await calls_of(relays, *narrow)
         assert not any(calls.aged for calls in relays)
@@ -251,7 +253,7 @@
         roomy, full, other = Server(), Server(usual=NO_PLACE), Server()
         for server in (roomy, full, other):
             await server.start()
-        calls = Calls(60000.0, 20000.0, 10)
+        calls = EndpointClient(60000.0, 20000.0, 10)
         await calls.attempt(attempt(roomy.address, endpoint=1, kind="small"))
         await calls.attempt(attempt(other.address, endpoint=2, kind="large"))
         await until(lambda: len(calls.aged) == 2)
@@ -265,15 +267,17 @@
 
 
 def test_other_refusals_leave_connections_alone() -> None:
-    assert no_place(503, {"connection": "Close"}, 1, 0.0)
-    assert not no_place(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
-    assert not no_place(503, {"connection": "close"}, 2, 0.0)  # it had a place
-    assert not no_place(503, {"connection": "close"}, 1, 300.0)  # told when to come: no matter of places
-    assert not no_place(429, {"connection": "close"}, 1, 0.0)
+    assert connection_rejected(503, {"connection": "Close"}, 1, 0.0)
+    assert not connection_rejected(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
+    assert not connection_rejected(503, {"connection": "close"}, 2, 0.0)  # it had a place
+    assert not connection_rejected(
+        503, {"connection": "close"}, 1, 300.0
+    )  # told when to come: no matter of places
+    assert not connection_rejected(429, {"connection": "close"}, 1, 0.0)
 
 
 def test_places_are_scarce_for_a_while() -> None:
-    keeping = Keeping()
+    keeping = KeepAlivePolicy()
     assert keeping.keeps("k", 0.0) and keeping.refused("k", 10.0) and not keeping.refused("k", 20.0)
     assert not keeping.keeps("k", 20.0 + SCARCE_S) and keeping.keeps("k", 20.1 + SCARCE_S)
     assert keeping.keeps("other", 20.0)
@@ -306,7 +310,7 @@
 def test_any_answer_may_carry_a_report(status: int) -> None:
     async def work() -> None:
         server = await Server(usual=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")).start()
-        calls = Calls(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
+        calls = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
         assert (await calls.attempt(attempt(server.address))).report == (0.4, 25.0)
         calls.close()
 
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from linnetstile.config import Config
-from linnetstile.core import host as core_host
-from linnetstile.core.messages import unix_ms
-from linnetstile.http.agent import Agent as AgentLink
-from linnetstile.http.register import Register
-from linnetstile.store.journal import Entry, Journal
+from message_relay.config import Config
+from message_relay.core import relay as core_host
+from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.http.agent import AgentClient as AgentLink
+from message_relay.http.discovery_client import DiscoveryClient
+from message_relay.store.journal import Journal, JournalEntry
 
 from ..loopback import Agent, Client, Running, Server, answer, host_of, listing, message, relay, run, until
 
@@ -25,9 +25,9 @@
     """What an earlier process took on and did not get to."""
     state = folder / "state"
     state.mkdir()
-    journal, now = Journal(state, 3_000_000), unix_ms()
+    journal, now = Journal(state, 3_000_000), unix_time_ms()
     for n in range(count):
-        journal.take(Entry(f"m{n}", "safe", "t", 7, None, now, now + 8000, "", b"hello"))
+        journal.append_accepted(JournalEntry(f"m{n}", "safe", "t", 7, None, now, now + 8000, "", b"hello"))
     journal.close()
     return state
 
@@ -194,7 +194,7 @@
 
 def test_a_register_asks_another_agent_for_all_it_has(tmp_path: Path) -> None:
     async def work() -> None:
-        register = Register(("127.0.0.1", 1), 3, 1, shared=False)
+        register = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
         register.version = 7
         register.asking.answered()
         assert isinstance(register.agent, AgentLink)
@@ -216,10 +216,10 @@
     async def work() -> None:
         state = tmp_path / "state"
         state.mkdir()
-        journal, now = Journal(state, 3_000_000), unix_ms()
-        entry = Entry("k", "keyed", "t", 7, "key", now - 5000, now + 9000, "", b"hello")
-        journal.take(entry)
-        journal.tried(entry, now - 3800.0, "s-old", 0)  # window 4 s: over before the wait is
+        journal, now = Journal(state, 3_000_000), unix_time_ms()
+        entry = JournalEntry("k", "keyed", "t", 7, "key", now - 5000, now + 9000, "", b"hello")
+        journal.append_accepted(entry)
+        journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # window 4 s: over before the wait is
         journal.close()
         agent, old, _ = await old_and_new()
         agent.silent = True
@@ -236,7 +236,7 @@
         agent, old, _ = await old_and_new()
         agent.silent = True
         lane = {"destination": 7, "wait_ms": 30000.0, "out": False, "bad_ms": None, "cold_ms": None}
-        text = json.dumps({"version": 1, "at": unix_ms(), "lanes": [lane]})
+        text = json.dumps({"version": 1, "at": unix_time_ms(), "lanes": [lane]})
         (state / "learned").write_text(text)
         host = host_of(state, agent, old)
         await host.start()
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -4,17 +4,18 @@
 
 import asyncio
 
-from linnetstile.core.seams import Attempt, Result
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import LATE_MS
-from linnetstile.http.calls import Calls
-from standins.partner import unheard
+from fakes.endpoint import unheard
+from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.decisions.events import AttemptCompleted
+from message_relay.decisions.model import Outcome
+from message_relay.decisions.scheduler import LATE_MS
+from message_relay.http.endpoint_client import EndpointClient
 
 from ..conftest import SAFE, Driver, make_settings
 from ..loopback import OK, Server, run
 
 RELAYS = 20
-HELD_BACK = {"outcome": api.Outcome.NOT_SENT, "held_back": True}
+HELD_BACK = {"outcome": Outcome.NOT_SENT, "withheld": True}
 
 
 def sent_while_out(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
@@ -23,7 +24,7 @@
     d.listed((11, 1), rate=60.0)
     first = d.message()
     d.pass_time(20)
-    d.answer(first, api.Outcome.CONNECT_FAILED)
+    d.answer(first, Outcome.CONNECT_FAILED)
     assert d.relay.lanes[1][-1].sick
     calls = len(d.sent)
     while len(d.sent) == calls:
@@ -38,7 +39,7 @@
     d.now += LATE_MS + 1
     assert not d.relay.may_write(d.now, ident)
     tries, made = d.relay.board.held[ident].tries, len(d.sent)
-    d.feed(api.AttemptEnded(ident, 0, send.endpoint, **HELD_BACK))  # type: ignore[arg-type]
+    d.feed(AttemptCompleted(ident, 0, send.endpoint, **HELD_BACK))  # type: ignore[arg-type]
     assert d.relay.board.held[ident].tries == tries - 1  # it is no try
     trickle = d.relay.lanes[1][-1].next_trickle
     while len(d.sent) == made:
@@ -75,9 +76,9 @@
         made = [sent_while_out(seed=seed) for seed in range(RELAYS)]
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        calls = [Calls(10_000.0, 8000.0, 8) for _ in made]
+        calls = [EndpointClient(10_000.0, 8000.0, 8) for _ in made]
 
-        async def call(n: int) -> Result:
+        async def call(n: int) -> AttemptResult:
             d, ident = made[n]
 
             def may() -> bool:
@@ -92,7 +93,7 @@
         server = await Server(OK).start(address[1])
         results = await asyncio.gather(*work)
         assert loop.time() - begun > LATE_MS / 1000
-        assert [result for result in results if not result.held_back] == [] and server.seen == []
+        assert [result for result in results if not result.withheld] == [] and server.seen == []
         assert all(len(each.aged) == 1 for each in calls)  # the next call there needs no new connection
         for each in calls:
             each.close()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,11 +14,11 @@
 
 import h11
 
-from linnetstile import config
-from linnetstile.decisions import interface as api
-from linnetstile.amqp.settings import AmqpPart
-from linnetstile.assembly import assemble
-from linnetstile.http.register import read
+from message_relay import config
+from message_relay.amqp.settings import AmqpSettings
+from message_relay.composition import compose
+from message_relay.decisions.events import Event
+from message_relay.http.discovery_client import read
 
 PATIENCE_S = 60.0  # nothing here takes long; only a hang reaches it
 SETTINGS: dict[str, Any] = {
@@ -213,13 +213,13 @@
 class Running:
     """A relay put together as the program does it, and its parts as tests look at them."""
 
-    def __init__(self, settings: config.Config, amqp: AmqpPart | None = None) -> None:
-        self.parts = assemble(settings, None, amqp)
-        self.host, self.front, self.register = self.parts.host, self.parts.front, self.parts.register
-        self.ingress, self.notices, self.egress = self.front.clients, self.front.notices, self.parts.calls
-        self.messages, self.turns, self.directory = self.host.messages, self.host.turns, self.host.directory
-        self.relay, self.settings, self.journal = self.host.relay, self.host.settings, self.host.journal
-        self.held, self.tasks, self.now = self.messages.held, self.host.tasks, self.turns.now
+    def __init__(self, settings: config.Config, amqp: AmqpSettings | None = None) -> None:
+        self.parts = compose(settings, None, amqp)
+        self.host, self.front, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
+        self.ingress, self.notices, self.egress = self.front.clients, self.front.notices, self.parts.transport
+        self.messages, self.turns, self.directory = self.host.messages, self.host.driver, self.host.directory
+        self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
+        self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.turns.now
         self.start, self.stop, self.close = self.parts.start, self.host.stop, self.host.close
         self.reload = self.host.reload
 
@@ -232,17 +232,17 @@
         return self.messages.dests
 
     @property
-    def events(self) -> list[api.Event]:
+    def events(self) -> list[Event]:
         return self.turns.events
 
     def tell(self, raw: dict[str, Any]) -> None:
         """As if discovery had."""
         self.register.version, update = read(raw)
-        self.host.listed(update)
+        self.host.on_endpoint_update(update)
 
 
 def host_of(
-    state: Path, agent: Server, *servers: Server, amqp: AmqpPart | None = None, **more: Any
+    state: Path, agent: Server, *servers: Server, amqp: AmqpSettings | None = None, **more: Any
 ) -> Running:
     path = state.parent / "config.json"
     path.write_text(json.dumps(raw_config(state, agent, *servers, **more)))
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -5,41 +5,48 @@
 
 from typing import Any
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import TRUSTED, Relay
-from linnetstile.decisions.effects import may_refuse
-from linnetstile.decisions.endings import BROKEN, EARLY
-from linnetstile.decisions.index import EXACT, Entry
-from linnetstile.decisions.interface import FOREVER
-from linnetstile.decisions.paces import DEVIATIONS, FADE_MS, suspect
-from linnetstile.decisions.state import Held, Lane
+from message_relay.decisions.expiry import BROKEN, EARLY
+from message_relay.decisions.idempotency import can_reject_safely
+from message_relay.decisions.model import FOREVER, Effect, Settings
+from message_relay.decisions.pending import DestinationState, PendingMessage
+from message_relay.decisions.priority_index import EXACT, Entry
+from message_relay.decisions.rate_control import DEVIATIONS, FADE_MS, suspect
+from message_relay.decisions.scheduler import TRUSTED, DeliveryScheduler
 
 
-def waiting(relay: Relay) -> dict[int, list[Held]]:
+def waiting(relay: DeliveryScheduler) -> dict[int, list[PendingMessage]]:
     """By destination, from the messages held alone: nothing of the index is believed."""
-    queues: dict[int, list[Held]] = {}
+    queues: dict[int, list[PendingMessage]] = {}
     for held in relay.board.held.values():
         if held.out is None:
             queues.setdefault(held.msg.destination, []).append(held)
     return queues
 
 
-def opens(relay: Relay, now: float, held: Held, lane: Lane, queues: dict[int, list[Held]]) -> float:
+def opens(
+    relay: DeliveryScheduler,
+    now: float,
+    held: PendingMessage,
+    lane: DestinationState,
+    queues: dict[int, list[PendingMessage]],
+) -> float:
     out = suspect(lane, now)
-    cap = max(1, relay.s.slots // (4 if out else 2))
+    cap = max(1, relay.s.max_concurrent_attempts // (4 if out else 2))
     if len(lane.out) >= cap and (out or len(queues) > 1):
         return FOREVER
     room_at, overdraw_at = relay.paces.room_at(now, lane, out)
     line = [h for h in relay.board.held.values() if h.key and h.key == held.key]
-    hurried = held.due < held.since + held.cls.aim_ms or len(line) > 1
+    hurried = held.due < held.since + held.cls.latency_objective_ms or len(line) > 1
     turn = FOREVER if line and line[0] is not held else relay.board.key_rest.get(held.key, 0.0)
     at = max(held.ready, lane.wait_until, overdraw_at if hurried else room_at, turn)
-    if (out or lane.blame > TRUSTED) and not lane.ran_nothing and held.cls.effect is api.Effect.UNSAFE:
+    if (out or lane.blame > TRUSTED) and not lane.ran_nothing and held.cls.effect is Effect.UNSAFE:
         at = max(at, lane.failed_at + FADE_MS)
     return at
 
 
-def best(relay: Relay, now: float, queues: dict[int, list[Held]]) -> list[tuple[float, Held, Lane]]:
+def best(
+    relay: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
+) -> list[tuple[float, PendingMessage, DestinationState]]:
     """All that may be sent now, the best first."""
     found = []
     for dest, queue in queues.items():
@@ -53,29 +60,31 @@
     return sorted(found, key=lambda each: -each[0])
 
 
-def poorest(relay: Relay, now: float, queues: dict[int, list[Held]]) -> tuple[float, float] | None:
+def poorest(
+    relay: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
+) -> tuple[float, float] | None:
     found = []
     for dest, queue in queues.items():
         drained = now + 1000 * len(queue) / relay.endings.speed(now, dest)
         found += [
             (lost(relay, now, drained, held), held.worth_at(now, relay.s.decay))
             for held in queue
-            if may_refuse(held) and not left_untried(held)
+            if can_reject_safely(held) and not left_untried(held)
         ]
     return min(found, default=None)
 
 
-def left_untried(held: Held) -> bool:
+def left_untried(held: PendingMessage) -> bool:
     """By an earlier process: it has its try before it makes room for others."""
     return held.msg.age_ms is not None and not held.tries
 
 
-def lost(relay: Relay, now: float, drained: float, held: Held) -> float:
+def lost(relay: DeliveryScheduler, now: float, drained: float, held: PendingMessage) -> float:
     early = now < held.since + EARLY * (held.due - held.since)
     return held.worth_at(drained, relay.s.decay) + (BROKEN * held.worth if early else 0.0)
 
 
-class Watched(Relay):
+class Watched(DeliveryScheduler):
     """A relay each of whose choices is held against the plain scan over the state in which it was made.
 
     The one difference allowed: where more than EXACT candidates lie within the width of a band and of the
@@ -84,7 +93,7 @@
     then may have more room than the index knows of.
     """
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.choices = self.evictions = self.spared = 0
         self.index.best, self._find = self._checked, self.index.best  # type: ignore[method-assign]
@@ -109,13 +118,13 @@
             assert not better, f"{value} was chosen, {better[0]} is best"
         return entry
 
-    def _unseen(self, now: float, lane: Lane, held: Held) -> bool:
+    def _unseen(self, now: float, lane: DestinationState, held: PendingMessage) -> bool:
         queue = self.board.queues[held.msg.destination]
         cold = now < lane.cold_since + self.s.safety.cold_ms
         rising = self.paces.many and now < lane.free_at
         return (cold or rising) and queue.look_at > now and queue.dest not in self.board.due
 
-    def _least(self, now: float) -> tuple[float, float, Held] | None:
+    def _least(self, now: float) -> tuple[float, float, PendingMessage] | None:
         least, plain = self._found(now), poorest(self, now, waiting(self))
         self.evictions += 1
         if least is None:
@@ -130,5 +139,5 @@
         return least
 
 
-def watched(settings: api.Settings, **more: Any) -> Watched:
+def watched(settings: Settings, **more: Any) -> Watched:
     return Watched(settings, **{"seed": 5, **more})
--- a/tests/scale/counting.py
+++ b/tests/scale/counting.py
@@ -17,7 +17,6 @@
 from types import FrameType
 from typing import Any, TypeVar
 
-
 K = TypeVar("K")
 V = TypeVar("V")
 
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -7,17 +7,17 @@
 import pytest
 from click.testing import CliRunner
 
-from linnetstile.accord.book import Book
-from linnetstile.accord.granting import RELAYS_MAX, Granting
-from linnetstile.accord.rules import Rules
-from linnetstile.accord.settings import AccordPart
-from linnetstile.accord.terms import Renew, Terms
-from linnetstile.cli.main import group
-from linnetstile.failover.evidence import KEPT, RELAYS, REPORTS, Evidence, Report
-from linnetstile.fleet.operator import FleetPart, Operator, OperatorError, decoded, instance
-from linnetstile.peers.settings import INSTANCES_MAX, PeersPart
-from linnetstile.peers.swim import MEMBERS_MAX, Swim
-from linnetstile.peers.wire import Claim, State, Sync
+from message_relay.cli.main import group
+from message_relay.consensus.lease_grantor import RELAYS_MAX, LeaseGrantor
+from message_relay.consensus.lease_protocol import LeaseTerms, Renew
+from message_relay.consensus.rules import Rules
+from message_relay.consensus.settings import ConsensusSettings
+from message_relay.consensus.version_history import VersionHistory
+from message_relay.failover.observations import KEPT, RELAYS, REPORTS, Observations, Report
+from message_relay.fleet.operator import FleetPart, OperatorConfig, OperatorError, decoded, instance
+from message_relay.gossip.settings import INSTANCES_MAX, GossipSettings
+from message_relay.gossip.swim import MEMBERS_MAX, Swim
+from message_relay.gossip.wire import Claim, State, Sync
 
 PLANNED = 3500  # relays of the largest plan there is: each cap holds them with room
 
@@ -44,7 +44,7 @@
 
 
 def test_a_voter_grants_to_as_many_relays_as_there_may_be_and_tells_the_next_one_why() -> None:
-    it = Granting("n0", Book(Rules(), ("n0",)), Terms(), "f", 0, 0.0)
+    it = LeaseGrantor("n0", VersionHistory(Rules(), ("n0",)), LeaseTerms(), "f", 0, 0.0)
     it.clear(0.0)
     for n in range(RELAYS_MAX):
         grant = it.renewed(1.0, f"n{n}", Renew(1, n, 1, "f", (), 0))
@@ -55,7 +55,7 @@
 
 
 def test_reports_of_all_relays_and_windows_are_kept_and_the_next_one_is_named() -> None:
-    it = Evidence()
+    it = Observations()
     for n in range(RELAYS):
         for window in range(KEPT):
             assert it.take(100.0, Report(f"n{n}", 1, window, 0, "a", 0.0, 0.0))
@@ -78,12 +78,16 @@
         with pytest.raises(OperatorError, match=rf"f: {where}: .*<= {INSTANCES_MAX - (part == 'accord')}"):
             decoded(wrong, "f")
     with pytest.raises(ValueError, match="is not among fleet.instances = 3"):
-        Operator(fleet=FleetPart(instances=3), peers=PeersPart("127.0.0.1:9000"), accord=AccordPart((last,)))
+        OperatorConfig(
+            fleet=FleetPart(instances=3),
+            peers=GossipSettings("127.0.0.1:9000"),
+            accord=ConsensusSettings((last,)),
+        )
 
 
 @pytest.mark.parametrize("text", ["4095", "004095", "0000004095"[-9:]])
 def test_an_instance_of_four_digits_and_more(text: str) -> None:
-    fleet = Operator(fleet=FleetPart(instances=INSTANCES_MAX))
+    fleet = OperatorConfig(fleet=FleetPart(instances=INSTANCES_MAX))
     assert instance(fleet, {"RELAY_INSTANCE": text}) == 4095
     with pytest.raises(OperatorError, match="4096 is not among fleet.instances = 4096: 0 to 4095 are"):
         instance(fleet, {"RELAY_INSTANCE": "4096"})
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -16,13 +16,13 @@
 from benchmarks.capacity.hollow import facts, fit, slopes
 from benchmarks.capacity.hollow_figures import Bins, of, rates
 from benchmarks.capacity.hollow_fleet import FIRST, HollowFleet, begun, hollow_fleet
-from benchmarks.town import Town
+from benchmarks.cluster_harness import ClusterHarness
 from emulator.capacity.slopes import Report
-from linnetstile.peers import node as peers
-from linnetstile.peers.identity import Identity
-from linnetstile.peers.settings import PeersPart
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import App, Claim, Packet, State, opened, sealed
+from message_relay.gossip import node as peers
+from message_relay.gossip.identity import Identity
+from message_relay.gossip.settings import GossipSettings
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import App, Claim, Packet, State, opened, sealed
 
 INSTANCES, PROCESSES, STRETCH = 30, 2, 0.5
 PATIENCE_S = 60.0  # what has not come by then does not come: nothing here takes a tenth of it
@@ -105,7 +105,7 @@
 
 
 def test_zones_are_spread_and_one_may_be_larger() -> None:
-    it = Town(Path("."), 8, 1.0, False, partners=("a", "b", "c", "d", "e"))
+    it = ClusterHarness(Path("."), 8, 1.0, False, partners=("a", "b", "c", "d", "e"))
     them = HollowFleet(it, 3000, 8, 1.0, zone_of=700)
     counts = Counter(them.zone(n) for n in them.numbers)
     assert counts[0] == 700 and min(counts.values()) > 500 and len(counts) == 5
@@ -113,9 +113,9 @@
     assert Counter(even.zone(FIRST + n) for n in range(100)) == dict.fromkeys(range(5), 20)
 
 
-def node(tmp_path: Path, port: int = 7400) -> peers.Node:
+def node(tmp_path: Path, port: int = 7400) -> peers.GossipNode:
     identity = Identity("n0", "id0", 1, 0, 0)
-    return peers.Node(PeersPart(listen=f"127.0.0.1:{port}"), identity, tmp_path, 0, "z", 0)
+    return peers.GossipNode(GossipSettings(listen=f"127.0.0.1:{port}"), identity, tmp_path, 0, "z", 0)
 
 
 def test_a_datagram_of_another_part_walks_over_no_members(
@@ -158,9 +158,9 @@
     monkeypatch.setattr(peers, "sealed", counted)
     monkeypatch.setattr(it, "_send", lambda to, raw: sent.append(raw))
     for n in range(1, 6):
-        it.say(f"n{n}", "renew", b"one")
-    it.say("n1", "renew", b"two")
-    it.say("n2", "grant", b"two")
+        it.send_datagram(f"n{n}", "renew", b"one")
+    it.send_datagram("n1", "renew", b"two")
+    it.send_datagram("n2", "grant", b"two")
     assert seals == 3 and len(sent) == 7 and len(set(sent)) == 3
     told = [opened(raw, b"").body for raw in sent]
     assert told[-2:] == [App("renew", b"two"), App("grant", b"two")]
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from linnetstile.http.agent import ANSWER_BYTES, Agent, AgentError
-from linnetstile.http.link import PIECE_BYTES, PIECES
+from message_relay.http.agent import ANSWER_BYTES, AgentClient, AgentError
+from message_relay.http.connection import PIECE_BYTES, PIECES
 
 from ..loopback import Agent as FakeAgent
 from ..loopback import Client, Server, answer, host_of, listing, message, run, until
@@ -57,8 +57,8 @@
             writer.write(head + chunk * count + b"0\r\n\r\n")
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        agent = Agent(server.sockets[0].getsockname()[:2])
-        asked = agent.ask("GET", "/", b"", 30.0)
+        agent = AgentClient(server.sockets[0].getsockname()[:2])
+        asked = agent.request("GET", "/", b"", 30.0)
         if size == 1:
             with pytest.raises(AgentError, match="too many pieces"):
                 await asked
