--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -17,18 +17,19 @@
 import msgspec
 import pytest
 
-from benchmarks.capacity import accord, peers
-from benchmarks.capacity.evidence import packets, taken as reported
-from linnetstile.accord.book import Propose
-from linnetstile.accord.granting import LOOKS, Granting, Record
-from linnetstile.accord.rules import ANY, Destination, Rules, encoded
-from linnetstile.accord.terms import Renew
-from linnetstile.failover.evidence import Evidence, Report
-from linnetstile.peers.answers import AT_ONCE, SPURT, SPURT_S
-from linnetstile.peers.news import News
-from linnetstile.peers.roll import SLICES, Roll, part
-from linnetstile.peers.swim import Swim
-from linnetstile.peers.wire import App, Body, Claim, Packet, Ping, State, Sync, opened, sealed
+from benchmarks.capacity import consensus, gossip
+from benchmarks.capacity.observations import packets
+from benchmarks.capacity.observations import taken as reported
+from message_relay.consensus.lease_grantor import LOOKS, LeaseGrantor, Record
+from message_relay.consensus.lease_protocol import Renew
+from message_relay.consensus.rules import ANY, Destination, Rules, encoded
+from message_relay.consensus.version_history import Propose
+from message_relay.failover.observations import Observations, Report
+from message_relay.gossip.dissemination_queue import DisseminationQueue
+from message_relay.gossip.member_table import SLICES, MemberTable, part
+from message_relay.gossip.paced_replies import AT_ONCE, SPURT, SPURT_S
+from message_relay.gossip.swim import Swim
+from message_relay.gossip.wire import App, Body, Claim, Packet, Ping, State, Sync, opened, sealed
 
 SMALL, LARGE = 50, 3500
 
@@ -83,7 +84,7 @@
     least."""
     datagrams, sizes = [], []
     for count in (50, 100, 200, 400):
-        fleet = peers.Fleet(count, settled=True)
+        fleet = gossip.Fleet(count, settled=True)
         fleet.run(1.0)
         sent, of_all = sum(fleet.sent), sum(fleet.bytes)
         fleet.run(15.0)  # one exchange of all that is known, of each
@@ -96,7 +97,7 @@
 def test_while_a_fleet_joins_a_member_sends_in_proportion_to_their_number() -> None:
     """Linear: the law of peers.start. Each has to hear of each; a word has some 80 bytes."""
     for count in (25, 50, 100, 200):
-        fleet = peers.Fleet(count)
+        fleet = gossip.Fleet(count)
         assert fleet.joined() < 40.0
         assert sum(fleet.bytes) / count < 6000.0 + 450.0 * count
         # In an even share, and a seed no more than its spurts are.
@@ -105,13 +106,13 @@
 
 def test_one_change_is_told_by_what_differs_and_not_by_all() -> None:
     """One member of 800 restarts: bytes of an answer to who has not heard of it."""
-    words = [peers.claim(n, State.ALIVE) for n in range(800)]
+    words = [gossip.claim(n, State.ALIVE) for n in range(800)]
     one, other = (Swim(words[n], (), random.Random(n)) for n in (0, 1))
     for it in (one, other):
         it.receive(0.0, "n2", 1, Sync(False, tuple(each for each in words if each.name != it.me.name)))
         it.news.clear()
     assert not answers(other, one._ask())
-    one.receive(0.0, "n2", 1, Ping(1, "nobody", (peers.claim(7, State.ALIVE, boot=2),)))
+    one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, State.ALIVE, boot=2),)))
     one.outbox.clear()
     told = answers(one, other._ask(), 1.0)
     names = {claim.name for body in told for claim in body.claims}
@@ -132,7 +133,7 @@
 
 def test_builds_without_slices_are_answered_and_answer() -> None:
     """An old build asks with a sum, and is told all unless it is the same; what it does not know it skips."""
-    words = [peers.claim(n, State.ALIVE) for n in range(100)]
+    words = [gossip.claim(n, State.ALIVE) for n in range(100)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
     old = Swim(words[1], (), random.Random(1))
@@ -155,7 +156,7 @@
 
 
 def test_slices_that_are_no_slices_are_answered_with_all() -> None:
-    words = [peers.claim(n, State.ALIVE) for n in range(30)]
+    words = [gossip.claim(n, State.ALIVE) for n in range(30)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
     told = answers(it, Sync(True, (words[1],), it.roll.same(it.me) ^ 1, b"xyz"))
@@ -165,29 +166,29 @@
 def test_members_that_change_alike_change_the_sum_of_their_slice() -> None:
     """Guards against a checksum in place of a digest: those are linear, and two members that go from joining
     to alive left the sum as it was. A fleet of 100 never came to know each other's states."""
-    roll = Roll()
+    roll = MemberTable()
     names = [n for n in range(1000) if part(f"n{n}") == 5]
-    me = peers.claim(10_000)
+    me = gossip.claim(10_000)
     for n in names:
-        roll.put(0.0, peers.claim(n, State.JOINING))
+        roll.put(0.0, gossip.claim(n, State.JOINING))
     before = roll.slices(me)
     for one, other in zip(names[::2], names[1::2], strict=False):
-        roll.put(0.0, peers.claim(one, State.ALIVE))
-        roll.put(0.0, peers.claim(other, State.ALIVE))
+        roll.put(0.0, gossip.claim(one, State.ALIVE))
+        roll.put(0.0, gossip.claim(other, State.ALIVE))
         assert roll.slices(me) != before
         before = roll.slices(me)
 
 
 def test_a_seed_answers_a_crowd_in_spurts() -> None:
     """All are answered, few with everything, and no moment has more packets than a socket holds."""
-    it = Swim(peers.claim(0, State.ALIVE), (), random.Random(1))
-    words = [peers.claim(n, State.ALIVE) for n in range(1, 2000)]
+    it = Swim(gossip.claim(0, State.ALIVE), (), random.Random(1))
+    words = [gossip.claim(n, State.ALIVE) for n in range(1, 2000)]
     it.receive(0.0, "n2", 1, Sync(False, tuple(words)))
     it.news.clear()
     it.period_at = it.sync_at = 1e9
     firsts = []
     for n in range(300):
-        new = peers.claim(5000 + n)
+        new = gossip.claim(5000 + n)
         it.receive(0.0, new.name, 1, Sync(True, (new,)))
         firsts.append(len(it.outbox))
         it.outbox.clear()
@@ -209,31 +210,33 @@
 # -- steps of a renewal ------------------------------------------------------------------------------------
 
 
-def voter(count: int) -> tuple[Granting, int]:
+def voter(count: int) -> tuple[LeaseGrantor, int]:
     """All relays have renewed and act by the newest version."""
-    it, _ = accord.voter(count)
+    it, _ = consensus.voter(count)
     newest = it.book.newest.number
-    accord.round_of(it, 1.0, 1, count, (newest,))
+    consensus.round_of(it, 1.0, 1, count, (newest,))
     it.records = Walked(it.records)
     return it, newest
 
 
-def proposed(it: Granting, rate: float) -> None:
+def proposed(it: LeaseGrantor, rate: float) -> None:
     """A version that forbids what the one before it allows."""
     raw = encoded(Rules({ANY: Destination(rate=rate)}))
     assert not it.book.apply(Propose(it.book.newest.number, raw, "test", "", 0.0)).refused
 
 
-def renewed(it: Granting, now: float, seq: int, acts: tuple[int, ...]) -> Callable[[], object]:
-    raw = accord.asked(7, seq, acts, seq)
-    return lambda: accord.answered(it, now, raw)
+def renewed(it: LeaseGrantor, now: float, seq: int, acts: tuple[int, ...]) -> Callable[[], object]:
+    raw = consensus.asked(7, seq, acts, seq)
+    return lambda: consensus.answered(it, now, raw)
 
 
 def test_a_renewal_costs_the_same_steps_at_50_and_at_3500_relays() -> None:
     found = []
     for count in (SMALL, LARGE):
         it, newest = voter(count)
-        accord.answered(it, 1.4, accord.asked(7, 5, (newest,), 1))  # what is computed of versions is computed
+        consensus.answered(
+            it, 1.4, consensus.asked(7, 5, (newest,), 1)
+        )  # what is computed of versions is computed
         found.append(steps(renewed(it, 1.5, 6, (newest,))))
         assert isinstance(it.records, Walked) and not it.records.walks
     assert found[0] == found[1]
@@ -246,13 +249,13 @@
         it, newest = voter(count)
         proposed(it, 1.0)
         assert not it.clear(2.0) and isinstance(it.records, Walked)
-        accord.answered(it, 2.0, accord.asked(7, 5, (newest, newest + 1), 5))
+        consensus.answered(it, 2.0, consensus.asked(7, 5, (newest, newest + 1), 5))
         it.records.walks = 0
         found.append(steps(renewed(it, 2.01, 6, (newest, newest + 1))))
         assert it.records.walks == 0 and len(it.blocked) == count - 1 and "n7" not in it.waits
         # All renew, four times in the time of a lease: the looks at all are as many as that time has.
         for n in range(4):
-            accord.round_of(it, 2.1 + n * it.terms.renew, 10 + n, count - 1, (newest, newest + 1), 10 + n)
+            consensus.round_of(it, 2.1 + n * it.terms.renew, 10 + n, count - 1, (newest, newest + 1), 10 + n)
         assert it.blocked == [f"n{count - 1}"] and it.records.walks <= LOOKS + 2
     assert found[0] == found[1]
 
@@ -263,15 +266,15 @@
     proposed(it, 1.0)
     assert not it.clear(2.0)
     for n in range(3):
-        it.renewed(2.01, f"n{n}", Renew(1, n, 5, accord.FIRST, (newest, newest + 1), 5))
+        it.renewed(2.01, f"n{n}", Renew(1, n, 5, consensus.FIRST, (newest, newest + 1), 5))
         assert it.clear(2.01) is (n == 2)
     # One that begins to hold something else again is waited for, before the next look too.
     newest += 1
     proposed(it, 0.5)
     for n in range(2):
-        it.renewed(2.02, f"n{n}", Renew(1, n, 6, accord.FIRST, (newest, newest + 1), 6))
+        it.renewed(2.02, f"n{n}", Renew(1, n, 6, consensus.FIRST, (newest, newest + 1), 6))
     it.records["n0"].acts = (newest,)
-    it.renewed(2.03, "n2", Renew(1, 2, 6, accord.FIRST, (newest, newest + 1), 6))
+    it.renewed(2.03, "n2", Renew(1, 2, 6, consensus.FIRST, (newest, newest + 1), 6))
     assert not it.clear(2.03) and it.blocked == ["n0"]
 
 
@@ -279,7 +282,7 @@
 
 
 def settled(count: int) -> Swim:
-    words = [peers.claim(n, State.ALIVE) for n in range(count)]
+    words = [gossip.claim(n, State.ALIVE) for n in range(count)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n1", 1, Sync(False, tuple(words[1:])))
     it.news.clear()
@@ -295,11 +298,11 @@
 
 
 def taken(it: Swim, now: float, body: Body) -> Callable[[], object]:
-    """As peers/node.py has it."""
-    raw = sealed(Packet("n1", 1, body), peers.SECRET)
+    """As gossip/node.py has it."""
+    raw = sealed(Packet("n1", 1, body), gossip.SECRET)
 
     def what() -> None:
-        packet = opened(raw, peers.SECRET)
+        packet = opened(raw, gossip.SECRET)
         it.receive(now, packet.sender, packet.nonce, packet.body)
         it.next_at()
 
@@ -315,7 +318,7 @@
 
 
 def ping(it: Swim) -> Ping:
-    return Ping(5, it.me.name, (peers.claim(9, State.ALIVE),))
+    return Ping(5, it.me.name, (gossip.claim(9, State.ALIVE),))
 
 
 CASES: dict[str, Callable[[Swim], Callable[[], object]]] = {
@@ -328,7 +331,7 @@
 
 
 def suspect(n: int) -> Claim:
-    return msgspec.structs.replace(peers.claim(n, State.SUSPECT), by="n3")
+    return msgspec.structs.replace(gossip.claim(n, State.SUSPECT), by="n3")
 
 
 @pytest.mark.parametrize("case", CASES)
@@ -379,7 +382,7 @@
 
 
 def test_news_are_told_least_first_each_so_often_and_no_more() -> None:
-    it, rng, told = News(), random.Random(3), dict[str, int]()
+    it, rng, told = DisseminationQueue(), random.Random(3), dict[str, int]()
     for n in range(100):
         it.add(f"n{n}")
     while it:
@@ -402,7 +405,7 @@
 def test_a_report_costs_a_decider_the_same_steps_at_50_and_at_3500_relays() -> None:
     found = []
     for count in (SMALL, LARGE):
-        it = Evidence()
+        it = Observations()
         for n in range(count):
             it.take(1.0, Report(f"n{n}", 1, 1, 0, "zone-0", 0.0, 0.0))
         it.reports = Walked(it.reports)  # type: ignore[assignment]
@@ -415,7 +418,7 @@
 
 def test_what_is_passed_on_is_the_youngest_of_different_relays() -> None:
     """Against a plain way: all sorted, and the first of each relay."""
-    rng, it = random.Random(4), Evidence()
+    rng, it = random.Random(4), Observations()
     for _ in range(500):
         age = rng.choice((0.0, 0.5, 1.0, rng.uniform(0.0, 9.0)))
         it.take(10.0, Report(f"n{rng.randrange(60)}", 1, rng.randrange(20), rng.randrange(3), "a", age, 0.0))
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -11,11 +11,11 @@
 
 from benchmarks.capacity.directory import answer, in_service, item, take
 from benchmarks.decisions import Load
-from linnetstile.assembly import Assembly
-from linnetstile.core.seams import Member, Update
-from linnetstile.decisions.interface import Listing
-from linnetstile.membership.merge import Merge
-from linnetstile.store.journal import Entry, Journal
+from message_relay.composition import ComposedRelay
+from message_relay.core.ports import EndpointRecord, EndpointUpdate
+from message_relay.decisions.model import Listing
+from message_relay.endpoint_discovery.source_merge import SourceMerge
+from message_relay.store.journal import Journal, JournalEntry
 
 from .counting import Walked, Work, counted, usual
 
@@ -30,13 +30,13 @@
     assert many.bytes <= few.bytes + BYTES, (few, many)
 
 
-def at(size: int, work: Callable[[Assembly, int], Work]) -> Work:
+def at(size: int, work: Callable[[ComposedRelay, int], Work]) -> Work:
     """With a list of so many destinations taken whole, and its first second over."""
     found: list[Work] = []
 
-    def there(built: Assembly) -> dict[str, float]:
+    def there(built: ComposedRelay) -> dict[str, float]:
         take(built, answer(size))
-        built.host.tidy()
+        built.relay.run_maintenance()
         found.append(work(built, size))
         return {}
 
@@ -44,7 +44,7 @@
     return found[0]
 
 
-def changes(built: Assembly, size: int) -> Work:
+def changes(built: ComposedRelay, size: int) -> Work:
     bodies = [
         f'{{"generation":2,"reset":false,"instances":[{item(n, what, port)}]}}'.encode()
         for n in range(100, 100 + TIMES)
@@ -53,8 +53,8 @@
     return usual(partial(take, built, body) for body in bodies)
 
 
-def seconds(built: Assembly, size: int) -> Work:
-    return usual([built.host.tidy] * TIMES)
+def seconds(built: ComposedRelay, size: int) -> Work:
+    return usual([built.relay.run_maintenance] * TIMES)
 
 
 def test_a_change_of_one_endpoint_costs_the_same_beside_1_000_and_20_000() -> None:
@@ -66,10 +66,10 @@
 
 
 def test_no_change_and_no_second_goes_through_all_that_is_listed() -> None:
-    def there(built: Assembly) -> dict[str, float]:
-        host, members = built.host, built.host.relay.members
+    def there(built: ComposedRelay) -> dict[str, float]:
+        host, members = built.relay, built.relay.scheduler.members
         take(built, answer(FEW))
-        host.tidy()
+        host.run_maintenance()
         maps: dict[str, Walked[Any, Any]] = {}
         for owner, name in (
             (host.directory, "by_name"),
@@ -81,7 +81,7 @@
         ):
             maps[name] = Walked(getattr(owner, name))
             setattr(owner, name, maps[name])
-        host.relay.lanes, host.relay.doors = maps["lanes"], maps["doors"]
+        host.scheduler.lanes, host.scheduler.doors = maps["lanes"], maps["doors"]
         changes(built, FEW)
         seconds(built, FEW)
         assert {name: each.walks for name, each in maps.items() if each.walks} == {}
@@ -92,11 +92,15 @@
 
 def test_a_change_told_by_one_of_several_sources_costs_the_same_beside_1_000_and_20_000() -> None:
     def told(size: int) -> Work:
-        merge = Merge(["a", "b"])
-        members = tuple(Member(f"x{n}", n, Listing.READY, ("h", 1)) for n in range(size))
-        merge.take(Update(True, members, source="a"), 0.0)
+        merge = SourceMerge(["a", "b"])
+        members = tuple(EndpointRecord(f"x{n}", n, Listing.READY, ("h", 1)) for n in range(size))
+        merge.merge(EndpointUpdate(True, members, source="a"), 0.0)
         return usual(
-            partial(merge.take, Update(False, (Member(f"x{n}", n, what, ("h", port)),), source="a"), 1.0)
+            partial(
+                merge.merge,
+                EndpointUpdate(False, (EndpointRecord(f"x{n}", n, what, ("h", port)),), source="a"),
+                1.0,
+            )
             for n in range(TIMES)
             for what, port in ((Listing.DRAINING, 1), (Listing.READY, 2))
         )
@@ -122,7 +126,9 @@
             room = 6_000 * records + 10_000_000
             journal = Journal(Path(name), room)
             for n in range(records):
-                journal.take(Entry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(300)))
+                journal.append_accepted(
+                    JournalEntry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(300))
+                )
             journal.close()
             return counted(lambda: Journal(Path(name), room).close()).steps / records
 
--- a/tests/shards/common.py
+++ b/tests/sharded_directory/common.py
@@ -5,20 +5,20 @@
 import random
 from collections.abc import Iterable
 
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import (
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import (
     GONE,
     NONE,
     SUM_MASK,
-    Answer,
-    Ask,
     Changes,
+    FullShard,
     Layout,
     Row,
+    ShardRequest,
+    ShardResponse,
     Version,
-    Want,
-    Whole,
+    WantedShard,
     packed_bits,
     row_sum,
 )
@@ -31,13 +31,13 @@
 
 def filled(
     layout: Layout, rows: Iterable[Row], generation: int = 1, now: float = 0.0, seed: int = 1
-) -> Keeper:
-    keeper = Keeper(layout, 1, random.Random(seed))
+) -> ShardServer:
+    keeper = ShardServer(layout, 1, random.Random(seed))
     assert load(keeper, rows, generation, now)
     return keeper
 
 
-def load(keeper: Keeper, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
+def load(keeper: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
     begun = keeper.begin(now, (epoch, generation))
     begun.add(rows)
     if not begun.end(now):
@@ -55,14 +55,18 @@
     sums: Iterable[tuple[int, int]] = (),
     due_ms: float = 1000.0,
     number: int = 1,
-) -> Ask:
+) -> ShardRequest:
     bits = packed_bits(sum(1 << shard for shard in set(holds)), layout.shards)
-    return Ask(number, layout, version, bits, tuple(Want(shard, due_ms) for shard in wants), tuple(sums))
+    return ShardRequest(
+        number, layout, version, bits, tuple(WantedShard(shard, due_ms) for shard in wants), tuple(sums)
+    )
 
 
-def asked(keeper: Keeper, told: Ask, now: float = 1000.0, reader: str = "n100") -> Answer:
+def asked(
+    keeper: ShardServer, told: ShardRequest, now: float = 1000.0, reader: str = "n100"
+) -> ShardResponse:
     answer = keeper.asked(now, reader, told)
-    assert isinstance(answer, Answer), answer
+    assert isinstance(answer, ShardResponse), answer
     return answer
 
 
@@ -77,10 +81,10 @@
     return sum(map(row_sum, rows)) & SUM_MASK
 
 
-def followed(shards: dict[int, dict[str, Row]], answer: Answer) -> None:
+def followed(shards: dict[int, dict[str, Row]], answer: ShardResponse) -> None:
     """The plainest reader there is."""
     for part in answer.parts:
-        if isinstance(part, Whole):
+        if isinstance(part, FullShard):
             shards[part.shard] = {each.name: each for each in part.rows}
         elif isinstance(part, Changes):
             for each in part.rows:
--- a/tests/shards/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -13,16 +13,16 @@
 from typing import Any
 
 from benchmarks.processes import free_ports
-from linnetstile import config
-from linnetstile.core.host import Host
-from linnetstile.core.seams import Attempt, Result
-from linnetstile.decisions.interface import Outcome
-from linnetstile.peers.identity import claimed
-from linnetstile.peers.node import Node
-from linnetstile.peers.settings import PeersPart
-from linnetstile.shards.node import Shards
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.settings import ShardsPart
+from message_relay import config
+from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.core.relay import Relay
+from message_relay.decisions.model import Outcome
+from message_relay.gossip.identity import claimed
+from message_relay.gossip.node import GossipNode
+from message_relay.gossip.settings import GossipSettings
+from message_relay.sharded_directory.node import ShardedDirectory
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.settings import ShardedDirectorySettings
 
 from ..loopback import Agent, raw_config
 from ..test_seams import Carrier, Front
@@ -69,40 +69,40 @@
         self.connecting = 0
         self.held_back = 0
 
-    async def attempt(self, attempt: Attempt) -> Result:
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
         self.connecting += 1
         await self.connects.wait()
         if not attempt.may_write():
             self.held_back += 1
-            return Result(Outcome.NOT_SENT, held_back=True)
+            return AttemptResult(Outcome.NOT_SENT, withheld=True)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
-        return Result(outcome, over=outcome is Outcome.OK)
+        return AttemptResult(outcome, finished=outcome is Outcome.OK)
 
 
-def made(folder: Path, front: Front, carrier: Carrier) -> Host:
+def made(folder: Path, front: Front, carrier: Carrier) -> Relay:
     (folder / "state").mkdir(exist_ok=True, parents=True)
     raw = copy.deepcopy(raw_config(folder / "state", Agent(address=("127.0.0.1", 1))))
     raw["settings"]["limits"]["open-cap"] = HOLD
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
-    host = Host(config.load({"RELAY_CONFIG": str(path)}))
-    host.plug_in({"fake": front}, carrier, [])
+    host = Relay(config.load({"RELAY_CONFIG": str(path)}))
+    host.connect({"fake": front}, carrier, [])
     return host
 
 
 class Instance:
     """One relay; a keeper too, if its number is among the part's."""
 
-    def __init__(self, number: int, part: ShardsPart, folder: Path, port: int) -> None:
+    def __init__(self, number: int, part: ShardedDirectorySettings, folder: Path, port: int) -> None:
         self.front, self.carrier = Front(), Slow()
         self.folder = folder / str(number)
         self.host = made(self.folder, self.front, self.carrier)
-        peers = PeersPart(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
+        peers = GossipSettings(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
         home = self.folder / "peers"
-        self.node = Node(peers, claimed(home, f"n{number}"), home, number, "z", 0)
-        self.shards = Shards(part, self.node, self.host, number, self.host.config)
-        self.host.by_interest(self.shards, self.shards)
+        self.node = GossipNode(peers, claimed(home, f"n{number}"), home, number, "z", 0)
+        self.shards = ShardedDirectory(part, self.node, self.host, number, self.host.config)
+        self.host.use_destination_interest(self.shards, self.shards)
         self.messages, self.entries = self.host.messages, self.host.journal.entries
 
     async def start(self) -> None:
@@ -121,7 +121,7 @@
         self.shards.close()
         await self.node.close()
         await self.host.tasks.cancel()
-        self.host.turns.stop()
+        self.host.driver.stop()
         self.host.journal.close()
         self.host.lock.release()
 
@@ -130,7 +130,7 @@
     def __init__(self, folder: Path, entries: list[dict[str, Any]], keepers: int = 1, **more: Any) -> None:
         self.folder, self.file, self.generation = folder, folder / "list.json", 0
         self.port = free_ports(8, 3)
-        self.part = ShardsPart(tuple(range(keepers)), SHARDS, file=str(self.file), **more)
+        self.part = ShardedDirectorySettings(tuple(range(keepers)), SHARDS, file=str(self.file), **more)
         self.instances: dict[int, Instance] = {}
         self.tell(entries)
 
--- a/tests/shards/model.py
+++ b/tests/sharded_directory/model.py
@@ -5,7 +5,7 @@
 never. The reader may wait 5 s (what it asked and was not told has failed), or be frozen for 13 s with all
 that it has out. Chance is taken out, so that the same state is found to be the same.
 
-    python -m tests.shards.model [--depth N]
+    python -m tests.sharded_directory.model [--depth N]
 """
 
 from __future__ import annotations
@@ -16,11 +16,20 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from linnetstile.core.directory import Directory
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import DRAINING, Answer, Ask, Busy, Digest, Layout, Other, Row
+from message_relay.core.directory import EndpointDirectory
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import (
+    DRAINING,
+    Digest,
+    Layout,
+    LayoutMismatch,
+    Overloaded,
+    Row,
+    ShardRequest,
+    ShardResponse,
+)
 
 from ..conftest import make_settings
 from .common import load, row
@@ -61,16 +70,18 @@
     def __init__(self, rows: dict[int, list[Row]], shards: int, destinations: Sequence[int]) -> None:
         self.rows, self.destinations, self.now = rows, destinations, 100.0
         layout = Layout(shards, (1, 2))
-        self.keepers: dict[str, Keeper] = {}
+        self.keepers: dict[str, ShardServer] = {}
         self.learned = {name: {1: self.now} for name in ("n1", "n2")}
         self.failed_at = dict.fromkeys(("n1", "n2"), 0.0)
         for boot, name in enumerate(self.learned):
-            self.keepers[name] = Keeper(layout, 1, Middle(boot))
+            self.keepers[name] = ShardServer(layout, 1, Middle(boot))
             load(self.keepers[name], rows[1], 1, self.now)
-        self.reader = Reader("n100", layout, Middle(9), idle_s=25.0)
-        self.directory = Directory(make_settings(), ("z",))
-        self.asks: list[tuple[str, Ask]] = []
-        self.answers: list[tuple[int, str, Answer | Busy | Other]] = []  # (times delivered, keeper, ...)
+        self.reader = ShardClient("n100", layout, Middle(9), idle_s=25.0)
+        self.directory = EndpointDirectory(make_settings(), ("z",))
+        self.asks: list[tuple[str, ShardRequest]] = []
+        self.answers: list[
+            tuple[int, str, ShardResponse | Overloaded | LayoutMismatch]
+        ] = []  # (times delivered, keeper, ...)
         self.digests: list[tuple[int, str, Digest]] = []
         self.mark = 0  # the latest that the directory had
         self.wrong = ""
@@ -79,9 +90,9 @@
 
     def want(self) -> None:
         for destination in self.destinations:
-            self.reader.use(self.now, destination)
-            if not self.reader.here(destination):
-                self.reader.want(self.now, destination, self.now + 60.0)
+            self.reader.touch(self.now, destination)
+            if not self.reader.is_resident(destination):
+                self.reader.request(self.now, destination, self.now + 60.0)
 
     # -- what may happen -------------------------------------------------------------------------------------
 
@@ -174,7 +185,7 @@
         self.reader.asks.clear()
         self.reader.absent.clear()
         for update in self.reader.updates:
-            for member in update.members:
+            for member in update.endpoints:
                 if int(member.rate) < self.mark:
                     self.wrong = self.wrong or f"{member} after one of {self.mark}"
                 self.mark = max(self.mark, int(member.rate))
@@ -185,7 +196,7 @@
 
     def check(self) -> None:
         for destination in self.destinations:
-            if not self.reader.here(destination) or not self.reader.current(self.now, destination):
+            if not self.reader.is_resident(destination) or not self.reader.is_current(self.now, destination):
                 continue
             for known in self.directory.by_name.values():
                 if known.entry.destination == destination and known.ready:
@@ -226,9 +237,9 @@
         if has != is_:
             return f"has {has}, is {is_}"
         if not all(
-            self.reader.current(self.now, destination)
+            self.reader.is_current(self.now, destination)
             for destination in self.destinations
-            if self.reader.here(destination)
+            if self.reader.is_resident(destination)
         ):
             return "not current"
         return self.wrong
--- a/tests/shards/test_town.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -1,4 +1,4 @@
-"""Real relays and keepers with a net between them. The plays of benchmarks/shards.py in small."""
+"""Real relays and keepers with a net between them. The plays of benchmarks/sharded_directory.py in small."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from click.testing import CliRunner
 
-from benchmarks.shards_town import Clients, shards_town, traffic
-from linnetstile.cli.main import group
+from benchmarks.sharded_directory_cluster import Clients, shards_town, traffic
+from message_relay.cli.main import group
 
 
 def go(work: Coroutine[Any, Any, None]) -> None:
--- a/tests/shards/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import Answer, Ask, Layout, packed, read
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import Layout, ShardRequest, ShardResponse, packed, read
 
 from .common import ask, asked, filled, row
 
@@ -17,7 +17,7 @@
 NOW = 100.0
 
 
-def keeper_of(size: tuple[int, int], readers: int = 0) -> Keeper:
+def keeper_of(size: tuple[int, int], readers: int = 0) -> ShardServer:
     destinations, shards = size
     keeper = filled(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
     for number in range(readers):
@@ -68,11 +68,13 @@
     assert 100 < len(list(keeper.table.since(1))) <= 300
 
 
-def reader_of(size: tuple[int, int], used: int) -> tuple[Keeper, Reader, list[tuple[str, Ask]]]:
+def reader_of(
+    size: tuple[int, int], used: int
+) -> tuple[ShardServer, ShardClient, list[tuple[str, ShardRequest]]]:
     keeper = keeper_of(size)
-    reader = Reader("n100", keeper.layout, random.Random(1))
+    reader = ShardClient("n100", keeper.layout, random.Random(1))
     for destination in range(used):
-        reader.want(NOW, destination, NOW + 9.0)
+        reader.request(NOW, destination, NOW + 9.0)
     now, asks = NOW, []
     for _ in range(600):
         now += 0.1
@@ -83,9 +85,9 @@
             answer = keeper.asked(now, "n100", told)
             reader.answered(now, name, answer)
         reader.asks.clear()
-        if not reader.told(now).waiting:
+        if not reader.status(now).waiting:
             break
-    assert reader.told(now).waiting == 0
+    assert reader.status(now).waiting == 0
     return keeper, reader, asks
 
 
@@ -100,7 +102,7 @@
         ((name, told),) = reader.asks
         reader.asks.clear()
         answer = read(packed(keeper.asked(now, "n100", told)))
-        assert isinstance(answer, Answer) and answer.complete and len(answer.parts) == 1
+        assert isinstance(answer, ShardResponse) and answer.complete and len(answer.parts) == 1
         reader.answered(now, name, answer)
         costs.append(reader.store.read_rows - before)
     assert costs[0] == costs[1] < 80
@@ -108,11 +110,11 @@
 
 def test_the_directory_hears_of_what_is_used_and_not_of_all_that_shares_its_shards() -> None:
     _, reader, _ = reader_of(LARGE, 50)
-    assert reader.told(NOW).shards > 40 and reader.told(NOW).endpoints == 50
-    assert sum(len(update.members) for update in reader.updates) == 50
+    assert reader.status(NOW).shards > 40 and reader.status(NOW).endpoints == 50
+    assert sum(len(update.endpoints) for update in reader.updates) == 50
 
 
 def test_wanted_shards_come_in_few_asks() -> None:
     _, reader, asks = reader_of(LARGE, 2_000)
-    assert reader.told(NOW).shards > 450
-    assert len(asks) < 2 * (reader.told(NOW).bytes_in / (36 << 10) + 2)
+    assert reader.status(NOW).shards > 450
+    assert len(asks) < 2 * (reader.status(NOW).bytes_in / (36 << 10) + 2)
--- a/tests/shards/test_model.py
+++ b/tests/sharded_directory/test_model.py
@@ -1,4 +1,4 @@
-"""The small model, explored in every order; `python -m tests.shards.model --depth N` goes deeper."""
+"""The small model, explored in every order; deeper: `python -m tests.sharded_directory.model --depth N`."""
 
 from __future__ import annotations
 
--- a/tests/shards/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from linnetstile.core import attempts, host
-from linnetstile.core.seams import Malformed
-from linnetstile.decisions.interface import Outcome
-from linnetstile.peers.node import Hello
-from linnetstile.shards.node import KIND
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import Ask, Busy, Other, packed, read
+from message_relay.core import attempt_runner, relay
+from message_relay.core.ports import InvalidMessageError
+from message_relay.decisions.model import Outcome
+from message_relay.gossip.node import Hello
+from message_relay.sharded_directory.node import KIND
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.wire import LayoutMismatch, Overloaded, ShardRequest, packed, read
 
 from ..loopback import run
 from ..test_seams import offer
@@ -27,7 +27,7 @@
 
 async def learned(relay: Instance, dest: int, ident: str = "first") -> None:
     """A message for it went, so that its shard is here."""
-    assert relay.messages.take(offer(ident, dest=dest)).new
+    assert relay.messages.accept(offer(ident, destination=dest)).is_new
     await until(lambda: relay.entries[ident].end == "delivered")
     relay.carrier.attempts.clear()
 
@@ -38,7 +38,7 @@
     async def ask(*_: object) -> bytes:
         raise OSError("cut off")
 
-    relay.node.ask = ask  # type: ignore[method-assign, assignment]
+    relay.node.request = ask  # type: ignore[method-assign, assignment]
     relay.node.datagrams.clear()
 
 
@@ -46,14 +46,14 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:  # the keeper is not there yet
             relay = it.instances[1]
-            receipt = relay.messages.take(offer("m"))
-            assert receipt.taken and receipt.new and not relay.entries["m"].end
+            receipt = relay.messages.accept(offer("m"))
+            assert receipt.accepted and receipt.is_new and not relay.entries["m"].end
             await asyncio.sleep(0.3)
-            assert not relay.carrier.connecting and relay.host.relay.board.queues[7].length == 1
+            assert not relay.carrier.connecting and relay.host.scheduler.board.queues[7].length == 1
             await it.begin(0)
             await until(lambda: relay.entries["m"].end == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
-            assert relay.shards.knows(7) and not relay.messages.bound_for
+            assert relay.shards.contains(7) and not relay.messages.bound_for
 
     run(work())
 
@@ -62,12 +62,12 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
-            assert relay.messages.take(offer("m", dest=8)).taken
+            assert relay.messages.accept(offer("m", destination=8)).accepted
             await until(lambda: bool(relay.front.ends))
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
             assert relay.entries["m"].due > 0 and not relay.carrier.connecting
-            await until(lambda: not relay.host.relay.board.held, 3.0)  # nothing is left of it
-            assert not relay.messages.held and not relay.messages.bound_for
+            await until(lambda: not relay.host.scheduler.board.held, 3.0)  # nothing is left of it
+            assert not relay.messages.accepted and not relay.messages.bound_for
 
     run(work())
 
@@ -79,12 +79,14 @@
             await learned(relay, 7)
             it.tell([])
             await it.loaded()
-            await until(lambda: not relay.shards.knows(7))
-            assert relay.shards.here(7)
-            assert relay.messages.take(offer("m")).taken  # all its endpoints may be on their way to others
+            await until(lambda: not relay.shards.contains(7))
+            assert relay.shards.is_resident(7)
+            assert relay.messages.accept(
+                offer("m")
+            ).accepted  # all its endpoints may be on their way to others
             relay.messages.dests.clear()  # a minute later
-            with pytest.raises(Malformed) as caught:
-                relay.messages.take(offer("n"))
+            with pytest.raises(InvalidMessageError) as caught:
+                relay.messages.accept(offer("n"))
             assert caught.value.field == "dest" and "n" not in relay.entries
 
     run(work())
@@ -99,20 +101,22 @@
             relay = it.instances[1]
             for n, dest in enumerate(dests):
                 left = 60_000 - 1_000 * n  # the last one that comes ends first
-                assert relay.messages.take(offer(f"m{n}", "keyed", dest=dest, left_ms=left)).taken
+                assert relay.messages.accept(
+                    offer(f"m{n}", "keyed", destination=dest, remaining_ms=left)
+                ).accepted
             await it.end(1)
             relay = await it.begin(1)
             asked: list[list[int]] = []
-            ask = relay.node.ask
+            ask = relay.node.request
 
             async def noted(name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
                 word = read(raw)
-                assert isinstance(word, Ask)
+                assert isinstance(word, ShardRequest)
                 asked.append([want.shard for want in word.wants])
                 return await ask(name, kind, raw, seconds)
 
-            relay.node.ask = noted  # type: ignore[method-assign]
-            assert relay.messages.holding == 50
+            relay.node.request = noted  # type: ignore[method-assign]
+            assert relay.messages.pending_count == 50
             assert not relay.host.open and len(relay.shards.reader.wants) == 50  # before all else
             await it.begin(0)
             await until(lambda: all(each.end == "delivered" for each in relay.entries.values()))
@@ -129,18 +133,18 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its shard has come before it is taken up."""
-    monkeypatch.setattr(host, "FIRST_LIST_S", 3.0)
+    monkeypatch.setattr(relay, "FIRST_LIST_S", 3.0)
 
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
-            it.instances[1].messages.take(offer("m", dest=8))
+            it.instances[1].messages.accept(offer("m", destination=8))
             await it.end(1)
             await it.begin(0)
             relay = await it.begin(1)
             await until(lambda: not relay.shards.reader.wants)
             assert not relay.host.open
             await until(lambda: [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")])
-            assert not relay.messages.holding
+            assert not relay.messages.pending_count
 
     run(work())
 
@@ -149,7 +153,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
             relay = it.instances[1]
-            relay.messages.take(offer("m"))
+            relay.messages.accept(offer("m"))
             it.tell(listed(7, port=2))
             await it.begin(0)
             await until(lambda: relay.entries["m"].end == "delivered")
@@ -166,7 +170,7 @@
             relay = it.instances[1]
             await learned(relay, 7)
             relay.carrier.connects.clear()
-            relay.messages.take(offer("m"))
+            relay.messages.accept(offer("m"))
             begun = relay.carrier.connecting
             await until(lambda: relay.carrier.connecting > begun)
             it.tell(listed(7, port=2))
@@ -183,13 +187,15 @@
 def test_one_that_was_frozen_sends_no_byte_before_it_has_heard_what_is_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(attempts, "CURRENT_S", 9.0)  # it goes on as soon as it may, and not when that is over
+    monkeypatch.setattr(
+        attempt_runner, "CURRENT_S", 9.0
+    )  # it goes on as soon as it may, and not when that is over
 
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            ask, datagrams = relay.node.ask, dict(relay.node.datagrams)
+            ask, datagrams = relay.node.request, dict(relay.node.datagrams)
             relay.node.datagrams.clear()  # what comes while it stands still
             relay.shards.running = False
             if relay.shards.timer is not None:
@@ -202,11 +208,11 @@
                 await asyncio.sleep(0.4)
                 return await ask(*args)
 
-            relay.node.ask = slow  # type: ignore[method-assign, assignment]
+            relay.node.request = slow  # type: ignore[method-assign, assignment]
             relay.node.datagrams.update(datagrams)
             relay.shards.running = True
             connecting = relay.carrier.connecting
-            relay.messages.take(offer("m"))
+            relay.messages.accept(offer("m"))
             await asyncio.sleep(0.2)
             assert relay.carrier.connecting == connecting  # it waits, and isn't made again and again
             await until(lambda: relay.entries["m"].end == "delivered", 6.0)
@@ -221,7 +227,7 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            waiting = [asyncio.ensure_future(relay.shards.renewed()) for _ in range(3)]
+            waiting = [asyncio.ensure_future(relay.shards.wait_for_renewal()) for _ in range(3)]
             await until(lambda: all(each.done() for each in waiting))
 
     run(work())
@@ -233,17 +239,17 @@
             relay = it.instances[1]
             await learned(relay, 7)
             relay.carrier.connects.clear()
-            relay.messages.take(offer("m"))
+            relay.messages.accept(offer("m"))
             begun = relay.carrier.connecting
             await until(lambda: relay.carrier.connecting > begun)
-            current = relay.shards.reader.current
-            relay.shards.reader.current = lambda *_: False  # type: ignore[method-assign]
+            current = relay.shards.reader.is_current
+            relay.shards.reader.is_current = lambda *_: False  # type: ignore[method-assign]
             relay.carrier.connects.set()
             await until(lambda: relay.carrier.held_back == 1)
             assert relay.entries["m"].tries == 0 and not relay.carrier.attempts
             await asyncio.sleep(1.5)
             assert relay.carrier.connecting <= begun + 3  # a wait of a second each time, no spin
-            relay.shards.reader.current = current  # type: ignore[method-assign]
+            relay.shards.reader.is_current = current  # type: ignore[method-assign]
             await until(lambda: relay.entries["m"].end == "delivered")
             assert len(relay.carrier.attempts) == 1
 
@@ -259,12 +265,14 @@
             cut(relay)
             await asyncio.sleep(7.0)
             for n in range(3):
-                relay.messages.take(offer(f"m{n}"))
+                relay.messages.accept(offer(f"m{n}"))
                 await until(lambda n=n: relay.entries[f"m{n}"].end == "delivered")  # type: ignore[misc]
-            told = relay.shards.told()["reader"]
+            told = relay.shards.status()["reader"]
             assert told["behind"] is False or told["age_s"] > 5.0
             assert 5.0 < told["age_s"] < 20.0 and told["failures"] > 0
-            assert relay.messages.take(offer("x", dest=8)).taken  # nobody can say that there is none
+            assert relay.messages.accept(
+                offer("x", destination=8)
+            ).accepted  # nobody can say that there is none
             await asyncio.sleep(0.3)
             assert not relay.front.ends and not relay.entries["x"].end
 
@@ -277,10 +285,10 @@
             relay = it.instances[1]
             await learned(relay, 7)
             await until(lambda: not relay.host.directory.by_name)
-            await until(lambda: 7 not in relay.host.relay.lanes)
-            assert not relay.shards.here(7) and not relay.shards.reader.store.held
+            await until(lambda: 7 not in relay.host.scheduler.lanes)
+            assert not relay.shards.is_resident(7) and not relay.shards.reader.store.held
             await learned(relay, 7, "second")
-            lane = relay.host.relay.lanes[7][-1]
+            lane = relay.host.scheduler.lanes[7][-1]
             assert lane.cold_since < 0 and lane.bad_since is None
 
     run(work())
@@ -293,14 +301,14 @@
             relay.carrier.script = [Outcome.FULL]
             await learned(relay, 8)
             relay.carrier.connects.clear()
-            relay.messages.take(offer("m"))  # its call is out
-            await until(lambda: relay.shards.here(7))
-            await until(lambda: not relay.shards.here(8))
+            relay.messages.accept(offer("m"))  # its call is out
+            await until(lambda: relay.shards.is_resident(7))
+            await until(lambda: not relay.shards.is_resident(8))
             await asyncio.sleep(2.0)
-            assert relay.shards.here(7) and relay.host.in_use(7) and not relay.host.in_use(8)
+            assert relay.shards.is_resident(7) and relay.host.is_in_use(7) and not relay.host.is_in_use(8)
             relay.carrier.connects.set()
             await until(lambda: relay.entries["m"].end == "delivered")
-            assert not relay.host.in_use(7)
+            assert not relay.host.is_in_use(7)
 
     run(work())
 
@@ -311,12 +319,12 @@
             relay = it.instances[1]
             await learned(relay, 7)
             await learned(relay, 8, "other")
-            relay.host.relay.lanes[7][-1].wait_until = relay.host.turns.now() + 4000.0
-            relay.host.relay.board.look(7)
-            await until(lambda: not relay.shards.here(8))
-            assert relay.shards.here(7)
+            relay.host.scheduler.lanes[7][-1].wait_until = relay.host.driver.now() + 4000.0
+            relay.host.scheduler.board.look(7)
+            await until(lambda: not relay.shards.is_resident(8))
+            assert relay.shards.is_resident(7)
             begun = asyncio.get_running_loop().time()
-            await until(lambda: not relay.shards.here(7))
+            await until(lambda: not relay.shards.is_resident(7))
             assert asyncio.get_running_loop().time() - begun > 1.0
 
     run(work())
@@ -329,7 +337,7 @@
 
     async def work() -> None:
         async with fleet(tmp_path, [], 0) as it:
-            assert it.instances[0].host.relay.endings.drained(1000.0, 5, 1) == 3000.0
+            assert it.instances[0].host.scheduler.endings.drained(1000.0, 5, 1) == 3000.0
 
     run(work())
 
@@ -339,20 +347,20 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            lane = relay.host.relay.lanes[7][-1]
-            lane.wait_until = relay.host.turns.now() + 4000.0
-            relay.host.relay.board.look(7)
+            lane = relay.host.scheduler.lanes[7][-1]
+            lane.wait_until = relay.host.driver.now() + 4000.0
+            relay.host.scheduler.board.look(7)
             await it.end(0)
             await it.end(1, killed=False)
             relay = await it.begin(1)
             await until(lambda: relay.host.open)
-            assert relay.host.in_use(7) and 7 not in relay.host.relay.lanes
+            assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.lanes
             relay.host._keep_learned()
             assert [lane.destination for lane in relay.host.learned.lanes] == [7]  # for the next process too
-            relay.messages.take(offer("m"))
+            relay.messages.accept(offer("m"))
             begun = asyncio.get_running_loop().time()
             await it.begin(0)
-            await until(lambda: 7 in relay.host.relay.lanes)
+            await until(lambda: 7 in relay.host.scheduler.lanes)
             await until(lambda: relay.entries["m"].end == "delivered")
             assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
 
@@ -364,21 +372,21 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay, keeper = it.instances[1], it.instances[0]
             await learned(relay, 7)
-            for raw in (b"", b"\xff", b"\x93\xa1d", packed(Busy(1, 1.0))):
+            for raw in (b"", b"\xff", b"\x93\xa1d", packed(Overloaded(1, 1.0))):
                 relay.shards._said("n0", raw)
                 with pytest.raises(OSError):
-                    await relay.node.ask("n0", "shards", raw, 1.0)
+                    await relay.node.request("n0", "shards", raw, 1.0)
             assert relay.shards.counts["unreadable"] == 4 and keeper.shards.counts["unreadable"] == 4
-            ask = relay.node.ask
+            ask = relay.node.request
 
             async def spoilt(*args: Any) -> bytes:
-                relay.node.ask = ask  # type: ignore[method-assign]
+                relay.node.request = ask  # type: ignore[method-assign]
                 return b"\x91\xa1x"
 
-            relay.node.ask = spoilt  # type: ignore[method-assign, assignment]
-            relay.messages.take(offer("m", dest=8))
+            relay.node.request = spoilt  # type: ignore[method-assign, assignment]
+            relay.messages.accept(offer("m", destination=8))
             await until(lambda: bool(relay.front.ends))
-            assert relay.shards.counts["unreadable"] == 5 and relay.shards.knows(7)
+            assert relay.shards.counts["unreadable"] == 5 and relay.shards.contains(7)
 
     run(work())
 
@@ -409,7 +417,7 @@
         async with fleet(tmp_path, listed(7), 0) as it:
             keeper = it.instances[0]
             await learned(keeper, 7)
-            told = keeper.shards.told()
+            told = keeper.shards.status()
             assert told["reader"]["shards"] == 1 and told["keeper"]["endpoints"] == 1
 
     run(work())
@@ -418,9 +426,9 @@
 def test_an_instance_that_keeps_nothing_says_so_when_it_is_asked(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
-            ask = Ask(5, it.instances[1].shards.layout, (0, -1), b"")
+            ask = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
             raw = it.instances[1].shards._asked(Hello("n0", KIND), packed(ask))
-            assert read(raw) == Other(5, it.instances[1].shards.layout)
+            assert read(raw) == LayoutMismatch(5, it.instances[1].shards.layout)
 
     run(work())
 
@@ -431,11 +439,11 @@
             relay = it.instances[1]
             await learned(relay, 7)
             known: list[set[int]] = []
-            relay.messages.know = known.append  # type: ignore[method-assign, assignment]
+            relay.messages.add_destinations = known.append  # type: ignore[method-assign, assignment]
             relay.carrier.script = [Outcome.FULL]
             await learned(relay, 7, "second")
-            relay.host.relay.lanes[7][-1].wait_until = relay.host.turns.now() + 3000.0
-            relay.host.relay.board.look(7)
+            relay.host.scheduler.lanes[7][-1].wait_until = relay.host.driver.now() + 3000.0
+            relay.host.scheduler.board.look(7)
             await until(lambda: relay.host.remembered == {7})
             await until(lambda: not relay.host.remembered)
             assert not known
@@ -447,7 +455,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
-            relay.messages.take(offer("m", dest=8))
+            relay.messages.accept(offer("m", destination=8))
             await until(lambda: bool(relay.front.ends))
             await it.end(1)
             again = await it.begin(1)
--- a/tests/shards/test_schedules.py
+++ b/tests/sharded_directory/test_schedules.py
@@ -1,11 +1,12 @@
-"""Seeded schedules in virtual time: benchmarks/shards_schedules.py plays thousands, these are some dozens."""
+"""Seeded schedules in virtual time: benchmarks/sharded_directory_schedules.py plays thousands, these are
+some dozens."""
 
 from __future__ import annotations
 
 import pytest
 
-from benchmarks.shards_schedules import BOUND_S, Found, Plan, World, played
-from linnetstile.shards import keeping
+from benchmarks.sharded_directory_schedules import BOUND_S, Found, Plan, World, played
+from message_relay.sharded_directory import shard_server
 
 
 def sound(found: Found) -> None:
@@ -35,7 +36,7 @@
 def test_a_return_is_not_run_over_and_the_most_needed_come_first(monkeypatch: pytest.MonkeyPatch) -> None:
     """All keepers are away, 150 readers come to need 60 shards each, then one keeper returns alone, with a
     quarter of the bytes a second, so that they press on it as 600 would."""
-    monkeypatch.setattr(keeping, "BYTES_S", 1e6)
+    monkeypatch.setattr(shard_server, "BYTES_S", 1e6)
     plan = Plan(
         7,
         readers=150,
@@ -60,12 +61,12 @@
             for each in side.rng.sample(range(6_000), 60):
                 urgent = place % 10 == 0
                 wanted.append((side.name, each, urgent))
-                side.reader.want(world.now, each, world.now + (21.0 if urgent else 300.0))
+                side.reader.request(world.now, each, world.now + (21.0 if urgent else 300.0))
             side.drain()
 
     def look() -> None:
         for one in list(wanted):
-            if world.readers[one[0]].reader.here(one[1]):
+            if world.readers[one[0]].reader.is_resident(one[1]):
                 wanted.remove(one)
                 waits[one[2]].append(world.now - 20.0)
         world.at(world.now + 0.1, look)
@@ -78,7 +79,7 @@
     assert not wanted
     assert found.busy > 0
     assert world.keepers["n1"].keeper.bytes_out <= 1e6 * (max(map(max, waits.values())) + 2.0)
-    assert found.answers_s <= keeping.ANSWERS_S * (1 + keeping.BURST_S)
+    assert found.answers_s <= shard_server.ANSWERS_S * (1 + shard_server.BURST_S)
     median = {kind: sorted(each)[len(each) // 2] for kind, each in waits.items()}
     assert median[True] < median[False] and max(waits[True]) < 10.0
 
--- a/tests/shards/test_settings.py
+++ b/tests/sharded_directory/test_settings.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from linnetstile.fleet.operator import Operator, OperatorError, decoded, read
-from linnetstile.shards.ring import KEEPERS_MOST, SHARDS_MOST
-from linnetstile.shards.settings import COUNT_MOST, ShardsPart
-from linnetstile.shards import settings
+from message_relay.fleet.operator import OperatorConfig, OperatorError, decoded, read
+from message_relay.sharded_directory import settings
+from message_relay.sharded_directory.rendezvous_hash import KEEPERS_MOST, SHARDS_MOST
+from message_relay.sharded_directory.settings import COUNT_MOST, ShardedDirectorySettings
 
 HERE = {"peers": {"listen": "127.0.0.1:7000"}, "fleet": {"instances": 3}}
 BROKER = {"name": "b", "hosts": ["127.0.0.1:5672"]}
@@ -20,12 +20,14 @@
 
 def test_what_is_given_stands_and_without_keepers_it_is_off() -> None:
     part = {"keepers": [0, 2], "count": 64, "epoch": 3, "file": "list.json", "idle_s": 9.0, "bound_s": 20.0}
-    assert decoded({**HERE, "shards": part}, "f").shards == ShardsPart((0, 2), 64, 3, "list.json", 9.0, 20.0)
-    assert not Operator().shards.on and not decoded({"shards": {"count": 64}}, "f").shards.on
+    assert decoded({**HERE, "shards": part}, "f").shards == ShardedDirectorySettings(
+        (0, 2), 64, 3, "list.json", 9.0, 20.0
+    )
+    assert not OperatorConfig().shards.on and not decoded({"shards": {"count": 64}}, "f").shards.on
 
 
 def test_the_example_file_has_each_field_with_its_default() -> None:
-    assert read(Path("deploy/relay.toml"), {}).shards == ShardsPart()
+    assert read(Path("deploy/relay.toml"), {}).shards == ShardedDirectorySettings()
     assert "[shards]" in Path("deploy/relay.toml").read_text()
 
 
--- a/tests/shards/test_reading.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -11,25 +11,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.core.directory import Directory
-from linnetstile.core.seams import Update
-from linnetstile.decisions.interface import Listing
-from linnetstile.shards import reading
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.ring import KEEPERS_MOST, ranked, shard_of
-from linnetstile.shards.wire import (
+from message_relay.core.directory import EndpointDirectory
+from message_relay.core.ports import EndpointUpdate
+from message_relay.decisions.model import Listing
+from message_relay.sharded_directory import shard_client
+from message_relay.sharded_directory.rendezvous_hash import KEEPERS_MOST, ranked, shard_of
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import (
     DRAINING,
     GONE,
-    Answer,
-    Ask,
-    Busy,
     Changes,
     Digest,
+    FullShard,
     Layout,
-    Other,
+    LayoutMismatch,
+    Overloaded,
     Row,
-    Whole,
+    ShardRequest,
+    ShardResponse,
     layout_sum,
     packed,
     read,
@@ -50,13 +50,13 @@
     def __init__(self, rows: list[Row], layout: Layout = LAYOUT, now: float = 100.0, **more: Any) -> None:
         self.layout, self.now = layout, now
         self.keepers = {f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.keepers}
-        self.reader = Reader("n100", layout, random.Random(1), **more)
-        self.directory = Directory(make_settings(), ("z",))
-        self.updates: list[Update] = []
+        self.reader = ShardClient("n100", layout, random.Random(1), **more)
+        self.directory = EndpointDirectory(make_settings(), ("z",))
+        self.updates: list[EndpointUpdate] = []
         self.absent: list[int] = []
         self.in_use: set[int] = set()
         self.down: set[str] = set()
-        self.served: list[tuple[str, Ask]] = []
+        self.served: list[tuple[str, ShardRequest]] = []
         self.behind: set[str] = set()  # whose source is silent
 
     def changed(
@@ -73,7 +73,7 @@
         self.absent += self.reader.absent
         self.reader.absent.clear()
 
-    def turn(self) -> list[tuple[str, Ask]]:
+    def turn(self) -> list[tuple[str, ShardRequest]]:
         """A tick; its asks are left to the caller."""
         self.reader.tick(self.now, self.in_use.__contains__)
         self.apply()
@@ -81,16 +81,16 @@
         self.reader.asks.clear()
         return asks
 
-    def serve(self, asks: list[tuple[str, Ask]]) -> None:
+    def serve(self, asks: list[tuple[str, ShardRequest]]) -> None:
         for name, told in asks:
             self.served.append((name, told))
             if name in self.down:
                 self.reader.failed(self.now, name)
             else:
                 sent = read(packed(told))
-                assert isinstance(sent, Ask)
+                assert isinstance(sent, ShardRequest)
                 word = read(packed(self.keepers[name].asked(self.now, "n100", sent)))
-                assert isinstance(word, Answer | Busy | Other)
+                assert isinstance(word, ShardResponse | Overloaded | LayoutMismatch)
                 self.reader.answered(self.now, name, word)
             self.apply()
 
@@ -115,7 +115,7 @@
 
     def want(self, *destinations: int, due: float = 10.0) -> None:
         for destination in destinations:
-            self.reader.want(self.now, destination, self.now + due)
+            self.reader.request(self.now, destination, self.now + due)
         self.apply()
 
     def has(self, name: str) -> Any:
@@ -130,18 +130,18 @@
 def test_a_wanted_shard_comes_and_only_the_destinations_in_use_are_told() -> None:
     a, b, c = in_shard(0, 3)
     world = World([row("a", a), row("b", b), row("a2", a)])
-    assert not world.reader.here(a)
+    assert not world.reader.is_resident(a)
     world.want(a, c)
-    assert not world.reader.here(a) and not world.reader.current(world.now, a)
+    assert not world.reader.is_resident(a) and not world.reader.is_current(world.now, a)
     world.settle()
     # The second one is only told what is held, so that it tells digests as well.
     assert [(name, len(told.wants)) for name, told in world.served] == [(FIRST, 1), (SECOND, 0)]
     assert set(world.directory.by_name) == {"a", "a2"} and world.absent == [c]
-    assert world.reader.here(a) and world.reader.knows(a) and world.reader.current(world.now, a)
-    assert not world.reader.here(b) and not world.reader.knows(b)
+    assert world.reader.is_resident(a) and world.reader.contains(a) and world.reader.is_current(world.now, a)
+    assert not world.reader.is_resident(b) and not world.reader.contains(b)
     world.want(b)  # its shard is here: at once
     assert set(world.directory.by_name) == {"a", "a2", "b"} and len(world.served) == 2
-    assert world.reader.here(b) and world.reader.told(world.now).endpoints == 3
+    assert world.reader.is_resident(b) and world.reader.status(world.now).endpoints == 3
 
 
 def test_use_of_a_destination_whose_shard_is_here_tells_it() -> None:
@@ -149,7 +149,7 @@
     world = World([row("a", a), row("b", b)])
     world.want(a)
     world.settle()
-    world.reader.use(world.now, b)
+    world.reader.touch(world.now, b)
     world.apply()
     assert set(world.directory.by_name) == {"a", "b"}
 
@@ -158,17 +158,17 @@
     layout = Layout(512, (1, 2, 3))
     world = World([row(f"e{i}", i) for i in range(600)], layout)
     for destination in range(400):
-        world.reader.want(world.now, destination, world.now + 100.0 - destination / 10.0)
+        world.reader.request(world.now, destination, world.now + 100.0 - destination / 10.0)
     asks = world.turn()
     assert [name for name, _ in asks] == [FIRST, SECOND]
     shards = [want.shard for _, each in asks for want in each.wants]
-    assert len(shards) == len(set(shards)) == 2 * reading.WANTS_ASK
+    assert len(shards) == len(set(shards)) == 2 * shard_client.WANTS_ASK
     due = [want.due_ms for _, each in asks for want in each.wants]
     assert due == sorted(due) and due[0] <= 60_200.0
     assert not world.turn()  # two at most, one a keeper
     world.serve(asks)
     world.settle(1.0)
-    assert world.reader.told(world.now).waiting == 0 and len(world.directory.by_name) == 400
+    assert world.reader.status(world.now).waiting == 0 and len(world.directory.by_name) == 400
 
 
 def test_a_keeper_that_fails_is_left_for_the_next_and_asked_again_after_growing_pauses() -> None:
@@ -177,7 +177,7 @@
     world.want(1)
     world.settle(0.1)
     assert [name for name, _ in world.served] == [FIRST, SECOND, THIRD]
-    assert world.reader.knows(1)
+    assert world.reader.contains(1)
     world.settle(60.0)
     times = sum(name == FIRST for name, _ in world.served)
     assert 10 <= times <= 40  # whether it is back; 4 s at most between two, by chance 0.7 to 1.3 of that
@@ -185,7 +185,7 @@
     world.served.clear()
     world.settle(30.0)
     assert FIRST in {name for name, _ in world.served}
-    assert world.reader.told(world.now).failures > 20
+    assert world.reader.status(world.now).failures > 20
 
 
 def test_a_change_comes_within_two_digests_and_costs_a_few_rows() -> None:
@@ -197,12 +197,12 @@
     world.changed(2, [row("a", 1, port=99)])
     world.settle(4.0)
     assert world.directory.by_name["a"].address == ("host", 99)
-    assert world.reader.told(world.now).version == (1, 2)
+    assert world.reader.status(world.now).version == (1, 2)
     assert world.keepers[FIRST].bytes_out + world.keepers[SECOND].bytes_out - bytes_before < 300
     world.served.clear()
     world.changed(3, [row("x", in_shard((shard_of(1, 4) + 1) % 4, 1)[0])])  # in no shard that is here
     world.settle(4.0)
-    assert world.reader.told(world.now).version == (1, 3) and not world.served
+    assert world.reader.status(world.now).version == (1, 3) and not world.served
 
 
 # -- older never replaces newer ------------------------------------------------------------------------------
@@ -216,11 +216,11 @@
     world.changed(2, [], [("c", DRAINING)], FIRST)
     world.want(a)
     world.settle()
-    assert world.reader.told(world.now).version == (1, 2)
+    assert world.reader.status(world.now).version == (1, 2)
     world.down = {FIRST}
     world.want(c)
     world.settle(3.0)
-    assert not world.reader.here(c) and world.reader.told(world.now).stale_refused > 0
+    assert not world.reader.is_resident(c) and world.reader.status(world.now).stale_refused > 0
     assert {SECOND, THIRD} <= {name for name, _ in world.served}
     world.changed(2, [], [("c", DRAINING)], THIRD)
     world.settle(6.0)
@@ -239,7 +239,7 @@
     for name, told in world.turn():
         world.reader.answered(world.now, name, msgspec.structs.replace(old, number=told.number))
         world.apply()
-    assert world.has("a").listing is Listing.DRAINING and world.reader.told(world.now).stale_refused > 0
+    assert world.has("a").listing is Listing.DRAINING and world.reader.status(world.now).stale_refused > 0
 
 
 def test_after_a_shard_was_given_up_it_is_not_taken_older() -> None:
@@ -249,11 +249,11 @@
     world.settle()
     assert world.has("a").listing is Listing.DRAINING
     world.settle(30.0)
-    assert world.has("a") is None and world.reader.told(world.now).shards == 0
+    assert world.has("a") is None and world.reader.status(world.now).shards == 0
     world.down = {FIRST}
     world.want(1)
     world.settle(3.0)
-    assert world.has("a") is None and not world.reader.here(1)
+    assert world.has("a") is None and not world.reader.is_resident(1)
     world.changed(2, [], [("a", DRAINING)], SECOND)
     world.settle(6.0)
     assert world.has("a").listing is Listing.DRAINING
@@ -266,13 +266,13 @@
     answer = asked(world.keepers[first[0]], first[1], world.now)
     world.reader.failed(world.now, first[0])
     world.reader.answered(world.now, first[0], answer)  # came too late
-    assert not world.reader.here(1) and world.reader.unasked == 1
+    assert not world.reader.is_resident(1) and world.reader.unasked == 1
     world.settle(1.0)
-    before = world.reader.told(world.now)
+    before = world.reader.status(world.now)
     for _ in range(2):
         world.reader.answered(world.now, first[0], answer)
         world.reader.answered(world.now, "n55", answer)
-    after = world.reader.told(world.now)
+    after = world.reader.status(world.now)
     assert after.unasked == 5 and after.version == before.version and not world.reader.updates
 
 
@@ -288,8 +288,8 @@
         world.want(b)  # who had asked for it before it came was told that there is none
         assert (world.has("x").destination, world.has("x").rate) == (b, 2.0)
         world.settle(4.0)
-        assert world.has("x").destination == b and world.reader.knows(b) and not world.reader.knows(a)
-        assert world.reader.told(world.now).endpoints == 1
+        assert world.has("x").destination == b and world.reader.contains(b) and not world.reader.contains(a)
+        assert world.reader.status(world.now).endpoints == 1
 
 
 def test_a_name_that_moved_is_not_told_at_its_old_place_by_a_shard_that_is_behind() -> None:
@@ -309,7 +309,7 @@
     world.apply()
     assert world.has("x").rate == 2.0
     world.want(a)
-    assert not world.reader.here(a) and world.has("x").rate == 2.0
+    assert not world.reader.is_resident(a) and world.has("x").rate == 2.0
     world.settle(1.0)
     assert world.absent == [a] and world.has("x").rate == 2.0
 
@@ -321,7 +321,7 @@
     world = World([row("a", 1)], ONE)
     world.want(1)
     world.settle(4.0)
-    assert world.reader.current(world.now, 1)
+    assert world.reader.is_current(world.now, 1)
     old = []
     for step in range(40):  # what its socket holds meanwhile
         for keeper in world.keepers.values():
@@ -333,14 +333,14 @@
         ]
     world.now += 40.0
     world.changed(2, [], [("a", DRAINING)])
-    assert not world.reader.current(world.now, 1)
+    assert not world.reader.is_current(world.now, 1)
     early = [each for each in old if each[1].clock_ms < (world.now - 11.0) * 1e3]
     assert len(early) > 5
     for name, digest in early + early:  # dated by their keepers' clocks, when they came is nothing
         world.reader.digest(world.now, name, digest)
-    assert not world.reader.current(world.now, 1)
+    assert not world.reader.is_current(world.now, 1)
     world.settle()
-    assert world.reader.current(world.now, 1) and world.has("a").listing is Listing.DRAINING
+    assert world.reader.is_current(world.now, 1) and world.has("a").listing is Listing.DRAINING
 
 
 def test_digests_alone_keep_it_current_and_three_may_be_lost() -> None:
@@ -349,9 +349,9 @@
     world.settle(0.5)
     world.served.clear()
     world.settle(25.0)
-    assert world.reader.current(world.now, 1) and not world.served
+    assert world.reader.is_current(world.now, 1) and not world.served
     world.settle(25.0, digests=False)
-    assert world.reader.current(world.now, 1) and 4 <= len(world.served) <= 10
+    assert world.reader.is_current(world.now, 1) and 4 <= len(world.served) <= 10
 
 
 def test_no_keeper_reachable_what_is_known_serves_once_all_were_tried() -> None:
@@ -361,17 +361,17 @@
     world.down = set(world.keepers)
     for _ in range(60):
         world.settle(1.0)
-        assert world.reader.current(world.now, 1)
-    told = world.reader.told(world.now)
+        assert world.reader.is_current(world.now, 1)
+    told = world.reader.status(world.now)
     assert told.age_s > 55.0 and told.shards == 1
     assert len(world.served) < 120
     world.now += 30.0  # frozen, and wakes
-    assert not world.reader.current(world.now, 1)
+    assert not world.reader.is_current(world.now, 1)
     world.settle(0.1)
     tried = {name for name, _ in world.served[-3:]}
-    assert tried == set(world.keepers) or not world.reader.current(world.now, 1)
+    assert tried == set(world.keepers) or not world.reader.is_current(world.now, 1)
     world.settle(6.0)
-    assert world.reader.current(world.now, 1)
+    assert world.reader.is_current(world.now, 1)
     world.down = {FIRST, SECOND}
     world.changed(2, [], [("a", DRAINING)])
     world.settle(9.0)
@@ -386,11 +386,11 @@
     cut_at = world.now
     world.changed(2, [], [("a", DRAINING)], SECOND, THIRD)
     while world.has("a").listing is Listing.READY:
-        assert world.now - cut_at < 12.0 or not world.reader.current(world.now, 1)
+        assert world.now - cut_at < 12.0 or not world.reader.is_current(world.now, 1)
         world.settle(0.5)
     assert world.now - cut_at < 12.0
     world.settle(5.0)
-    assert world.reader.current(world.now, 1)
+    assert world.reader.is_current(world.now, 1)
 
 
 def test_a_keeper_whose_source_lags_without_knowing_is_found_out_by_the_other() -> None:
@@ -404,7 +404,7 @@
         world.settle(4.0)
         assert world.has("a").listing is Listing.DRAINING and world.now - changed_at < 12.0
         world.settle(20.0)
-        assert world.has("a").listing is Listing.DRAINING and world.reader.current(world.now, 1)
+        assert world.has("a").listing is Listing.DRAINING and world.reader.is_current(world.now, 1)
 
 
 def test_all_behind_serve_what_is_known_and_give_what_is_wanted() -> None:
@@ -413,10 +413,10 @@
     world.settle(1.0)
     world.behind = set(world.keepers)
     world.settle(40.0)
-    assert world.reader.current(world.now, 1) and world.reader.told(world.now).age_s > 30.0
+    assert world.reader.is_current(world.now, 1) and world.reader.status(world.now).age_s > 30.0
     world.want(2)
     world.settle(5.0)
-    assert world.reader.knows(2)
+    assert world.reader.contains(2)
 
 
 def test_a_keeper_that_is_behind_is_asked_last_for_what_is_not_here() -> None:
@@ -428,7 +428,7 @@
     world.settle(0.2)
     # Its first answer told its age, and what it gave was left for another to say.
     assert [(name, len(told.wants)) for name, told in world.served][:2] == [(FIRST, 1), (SECOND, 1)]
-    assert world.reader.knows(a)
+    assert world.reader.contains(a)
     world.settle(3.0)
     world.served.clear()
     world.want(b)
@@ -448,11 +448,11 @@
     world.settle()
     for _ in range(6):
         world.settle(5.0)
-        world.reader.use(world.now, a)
-    assert set(world.directory.by_name) == {"a", "c"} and world.reader.told(world.now).shards == 2
+        world.reader.touch(world.now, a)
+    assert set(world.directory.by_name) == {"a", "c"} and world.reader.status(world.now).shards == 2
     world.in_use.clear()
     world.settle(30.0)
-    assert not world.directory.by_name and world.reader.told(world.now).shards == 0
+    assert not world.directory.by_name and world.reader.status(world.now).shards == 0
     assert (world.reader.store.sum, world.reader.store.set_sum, world.reader.store.bits) == (0, 0, 0)
     world.want(a)
     world.settle()
@@ -466,28 +466,28 @@
     world = World([row("a", 1)], ONE)
     world.want(1)
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], Other(told[1].number, Layout(2, (1,))))
-    assert world.reader.told(world.now).other_layout == 1
+    world.reader.answered(world.now, told[0], LayoutMismatch(told[1].number, Layout(2, (1,))))
+    assert world.reader.status(world.now).other_layout == 1
     asks = world.turn()
     assert asks[0][0] == SECOND
     world.serve(asks)
     world.settle(3.0)
     digest = Digest(layout_sum(Layout(2, (1,))), (9, 9), 0, 0, 0.0, 1, 1.0)
     world.reader.digest(world.now, FIRST, digest)
-    assert world.reader.told(world.now).other_layout == 2
-    assert world.reader.told(world.now).version == (1, 1)
+    assert world.reader.status(world.now).other_layout == 2
+    assert world.reader.status(world.now).version == (1, 1)
 
 
 def test_a_keeper_that_is_loading_or_busy_is_asked_again_later() -> None:
     world = World([row("a", 1)], ONE)
     world.want(1)
     (first,) = world.turn()
-    world.reader.answered(world.now, first[0], Other(first[1].number, ONE, loading=True))
+    world.reader.answered(world.now, first[0], LayoutMismatch(first[1].number, ONE, loading=True))
     (second,) = world.turn()
     assert (first[0], second[0]) == (FIRST, SECOND)
-    world.reader.answered(world.now, second[0], Busy(second[1].number, 2_000.0))
+    world.reader.answered(world.now, second[0], Overloaded(second[1].number, 2_000.0))
     world.settle()
-    assert world.reader.knows(1) and [name for name, _ in world.served] == [THIRD]
+    assert world.reader.contains(1) and [name for name, _ in world.served] == [THIRD]
 
 
 @pytest.mark.parametrize("after_ms", [float("nan"), float("inf"), -5.0, 1e300])
@@ -496,9 +496,9 @@
     world.down = {SECOND, THIRD}
     world.want(1)
     (first,) = world.turn()
-    world.reader.answered(world.now, first[0], Busy(first[1].number, after_ms))
+    world.reader.answered(world.now, first[0], Overloaded(first[1].number, after_ms))
     world.settle(8.0)
-    assert world.reader.knows(1)
+    assert world.reader.contains(1)
 
 
 @pytest.mark.parametrize(
@@ -522,8 +522,8 @@
     world.want(1)
     world.settle(4.0)
     assert set(world.directory.by_name) == {"a"}
-    assert world.reader.told(world.now).unreadable == 1
-    assert world.reader.told(world.now).version == (1, 1)  # the sums are alike
+    assert world.reader.status(world.now).unreadable == 1
+    assert world.reader.status(world.now).version == (1, 1)  # the sums are alike
 
 
 @pytest.mark.parametrize(("listing", "stands"), [(0, Listing.READY), (1, Listing.DRAINING)])
@@ -547,14 +547,14 @@
     (told,) = world.turn()
     answer = asked(world.keepers[told[0]], told[1], world.now)
     parts = (
-        Whole(0, (row("a", a), row("wrong", b))),
-        Whole(999, (row("y", 5),)),
-        Whole(-1, ()),
+        FullShard(0, (row("a", a), row("wrong", b))),
+        FullShard(999, (row("y", 5),)),
+        FullShard(-1, ()),
         Changes(2, (row("z", 5),)),
     )
     world.reader.answered(world.now, told[0], msgspec.structs.replace(answer, parts=parts))
     world.apply()
-    assert set(world.directory.by_name) == {"a"} and world.reader.told(world.now).shards == 1
+    assert set(world.directory.by_name) == {"a"} and world.reader.status(world.now).shards == 1
 
 
 def test_two_things_under_one_version_are_found_by_their_sums() -> None:
@@ -573,15 +573,15 @@
     world = World(rows, layout)
     world.want(*range(2_000))
     world.settle(8.0)
-    here = world.reader.told(world.now).shards
+    here = world.reader.status(world.now).shards
     world.updates.clear()
     changed = {i: row(f"e{i}", i, DRAINING) for i in range(0, 2_000, 500)}
     for name in world.keepers:
-        world.keepers[name] = Keeper(layout, 1, random.Random(name))
+        world.keepers[name] = ShardServer(layout, 1, random.Random(name))
         assert load(world.keepers[name], [changed.get(i, each) for i, each in enumerate(rows)], 5, world.now)
     world.settle(15.0)
-    assert world.reader.told(world.now).version == (1, 5) and world.reader.told(world.now).shards == here
-    assert {each.name for update in world.updates for each in update.members} == {f"e{i}" for i in changed}
+    assert world.reader.status(world.now).version == (1, 5) and world.reader.status(world.now).shards == here
+    assert {each.name for update in world.updates for each in update.endpoints} == {f"e{i}" for i in changed}
     assert sum(keeper.bytes_out for keeper in world.keepers.values()) < 40_000
 
 
@@ -590,31 +590,31 @@
     world.changed(50, [row("b", 2)])
     world.want(1)
     world.settle(1.0)
-    assert world.reader.told(world.now).version == (1, 50)
+    assert world.reader.status(world.now).version == (1, 50)
     for keeper in world.keepers.values():
         assert load(keeper, [row("a", 1, DRAINING)], 3, world.now, epoch=2)
     world.settle(5.0)
-    assert world.reader.told(world.now).version == (2, 3) and world.has("a").listing is Listing.DRAINING
+    assert world.reader.status(world.now).version == (2, 3) and world.has("a").listing is Listing.DRAINING
 
 
 def test_its_own_traffic_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reading, "BYTES_S", 20_000.0)
-    monkeypatch.setattr(reading, "BYTES_BURST", 50_000.0)
+    monkeypatch.setattr(shard_client, "BYTES_S", 20_000.0)
+    monkeypatch.setattr(shard_client, "BYTES_BURST", 50_000.0)
     layout = Layout(256, (1, 2, 3))
     world = World([row(f"a-name-of-usual-length-{i}", i) for i in range(256 * 44)], layout)
     world.want(*range(800))
     world.settle(2.0)
-    assert world.reader.told(world.now).bytes_in <= 2 * 20_000 + 50_000 + 2 * 48_000
+    assert world.reader.status(world.now).bytes_in <= 2 * 20_000 + 50_000 + 2 * 48_000
     world.settle(40.0)
-    assert world.reader.told(world.now).bytes_in > 500_000
-    assert world.reader.told(world.now).waiting == 0
+    assert world.reader.status(world.now).bytes_in > 500_000
+    assert world.reader.status(world.now).waiting == 0
 
 
 def test_next_at_is_soon_where_something_waits() -> None:
     world = World([row("a", 1)], ONE)
     world.settle()
     assert world.now < world.reader.next_at() <= world.now + 1.0
-    world.reader.want(world.now, 1, world.now + 1.0)
+    world.reader.request(world.now, 1, world.now + 1.0)
     assert world.reader.next_at() <= world.now
     world.settle()
     assert world.now < world.reader.next_at() <= world.now + 1.0
@@ -647,9 +647,9 @@
         self.rows: list[dict[str, Row]] = [{}, {name: row(name, i, mark=1.0) for i, name in enumerate(NAMES)}]
         first = list(self.rows[1].values())
         self.keepers = {f"n{i}": filled(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
-        self.reader = Reader("n100", self.layout, random.Random(3), idle_s=10.0)
-        self.directory = Directory(make_settings(), ("z",))
-        self.asks: list[tuple[str, Ask]] = []
+        self.reader = ShardClient("n100", self.layout, random.Random(3), idle_s=10.0)
+        self.directory = EndpointDirectory(make_settings(), ("z",))
+        self.asks: list[tuple[str, ShardRequest]] = []
         self.answers: list[tuple[str, Any]] = []
         self.digests: list[tuple[str, Digest]] = []
         self.marks: dict[str, int] = {}
@@ -683,7 +683,7 @@
         self.reader.absent.clear()
         for update in self.reader.updates:
             evidence = self.evidence
-            for member in update.members:
+            for member in update.endpoints:
                 mark = int(member.rate)
                 assert mark >= self.marks.get(member.name, 0), "older than it was"
                 if member.name not in self.directory.by_name:
@@ -717,9 +717,9 @@
             keeper, digest = self.digests[-1 - pick % len(self.digests)]
             self.reader.digest(self.now, keeper, digest)
         elif op == "w":
-            self.reader.want(self.now, pick % 5, self.now + 5.0)
+            self.reader.request(self.now, pick % 5, self.now + 5.0)
         elif op == "g":
-            self.reader.use(self.now, pick % 5)
+            self.reader.touch(self.now, pick % 5)
         elif op == "f":
             self.reader.failed(self.now, name)
         elif op == "i":
@@ -737,9 +737,9 @@
                 if self.reader.keepers[name].out is not None and self.asks and self.asks[-1][0] != name:
                     self.reader.failed(self.now, name)
             for destination in range(5):
-                self.reader.use(self.now, destination)
-                if not self.reader.here(destination):
-                    self.reader.want(self.now, destination, self.now + 5.0)
+                self.reader.touch(self.now, destination)
+                if not self.reader.is_resident(destination):
+                    self.reader.request(self.now, destination, self.now + 5.0)
             self.after()
             while self.asks:
                 keeper, told = self.asks.pop()
@@ -766,17 +766,21 @@
     shards = by_shard(drawn.rows[-1], 2)
     for shard, held in drawn.reader.store.held.items():
         assert len(drawn.reader.store._read(held)) == len(shards[shard])
-    assert drawn.reader.told(drawn.now).endpoints == len(has)
+    assert drawn.reader.status(drawn.now).endpoints == len(has)
 
 
 # -- what a keeper that errs may say -------------------------------------------------------------------------
 
 
 def answer_to(
-    told: tuple[str, Ask], version: tuple[int, int], parts: Any = (), complete: bool = True, now: float = 0.0
-) -> Answer:
+    told: tuple[str, ShardRequest],
+    version: tuple[int, int],
+    parts: Any = (),
+    complete: bool = True,
+    now: float = 0.0,
+) -> ShardResponse:
     """Of a keeper that does not look at what it is asked."""
-    return Answer(told[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
+    return ShardResponse(told[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
 
 
 def test_a_shard_that_is_not_here_is_refused_below_the_latest_version() -> None:
@@ -787,10 +791,10 @@
     world.settle()
     world.want(b)
     (told,) = world.turn()
-    old = Whole(shard_of(b, 4), (row("b", b),))
+    old = FullShard(shard_of(b, 4), (row("b", b),))
     world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [old]))
     world.apply()
-    assert world.has("b") is None and world.reader.told(world.now).stale_refused == 2
+    assert world.has("b") is None and world.reader.status(world.now).stale_refused == 2
     asks = world.turn()
     assert [name for name, _ in asks] == [SECOND]  # another is asked, at once
     world.serve(asks)
@@ -804,10 +808,10 @@
     world.changed(5, [], [("a", DRAINING)])
     world.want(1)
     world.settle(30.0)
-    assert world.reader.told(world.now).shards == 0
+    assert world.reader.status(world.now).shards == 0
     world.want(1)
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [Whole(0, (row("a", 1),))]))
+    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
     assert world.has("a") is None
 
@@ -820,7 +824,7 @@
     keeper = world.keepers[FIRST]
     old = Digest(layout_sum(ONE), (1, 4), world.reader.store.set_sum, 7, 0.0, keeper.boot, world.now * 1e3)
     world.reader.digest(world.now, FIRST, old)
-    assert world.reader.told(world.now).stale_refused == 1
+    assert world.reader.status(world.now).stale_refused == 1
     assert not world.turn() and not world.reader.compare
 
 
@@ -831,12 +835,12 @@
     world.settle(1.0)
     world.now += 7.0
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [Whole(0, (row("a", 1),))]))
+    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
     assert world.has("a").listing is Listing.DRAINING
-    assert world.reader.told(world.now).stale_refused == 2  # the shard, and the answer
-    assert world.reader.told(world.now).version == (1, 5)
-    assert not world.reader.current(world.now + 6.0, 1)
+    assert world.reader.status(world.now).stale_refused == 2  # the shard, and the answer
+    assert world.reader.status(world.now).version == (1, 5)
+    assert not world.reader.is_current(world.now + 6.0, 1)
     assert world.turn()[0][0] == SECOND
 
 
@@ -850,13 +854,13 @@
     world.changed(2, [row("x", a, mark=2.0)])
     world.want(a)
     (told,) = world.turn()
-    whole = Whole(shard_of(a, 4), (row("x", a, mark=2.0),))
+    whole = FullShard(shard_of(a, 4), (row("x", a, mark=2.0),))
     world.reader.answered(world.now, told[0], answer_to(told, (1, 2), [whole], False, world.now))
     world.apply()
     assert world.has("x").rate == 2.0
-    world.reader.use(world.now, b)
+    world.reader.touch(world.now, b)
     world.apply()
-    assert world.has("x").rate == 2.0 and not world.reader.here(b)
+    assert world.has("x").rate == 2.0 and not world.reader.is_resident(b)
     world.settle(1.0)
     assert world.has("x").rate == 2.0 and world.absent == [b]
 
@@ -868,7 +872,7 @@
     world.settle(1.0)
     world.want(a)
     (told,) = world.turn()
-    parts = [Whole(shard_of(a, 4), (row("p", a, mark=9.0),))]
+    parts = [FullShard(shard_of(a, 4), (row("p", a, mark=9.0),))]
     world.reader.answered(world.now, told[0], answer_to(told, (1, 9), parts, False, world.now))
     world.now += 0.5
     (told,) = world.turn()
@@ -895,7 +899,7 @@
     world.want(b)
     world.settle(1.0)
     world.want(a)
-    partly(world, (1, 9), Whole(0, (row("x", unused, mark=9.0),)))
+    partly(world, (1, 9), FullShard(0, (row("x", unused, mark=9.0),)))
     assert world.has("x") is None  # it is elsewhere by now
     partly(world, (1, 8), Changes(1, (row("y", b, DRAINING, mark=8.0),)))
     assert world.has("y").rate == 8.0 and world.has("x") is None
@@ -907,7 +911,7 @@
     world.want(b)
     world.settle(1.0)
     world.want(a)
-    partly(world, (1, 9), Whole(0, (row("x", a, mark=9.0),)))
+    partly(world, (1, 9), FullShard(0, (row("x", a, mark=9.0),)))
     assert (world.has("x").destination, world.has("x").rate) == (a, 9.0)
     partly(world, (1, 8), Changes(1, (row("x", b, GONE, mark=1.0),)))
     assert world.has("x").destination == a
@@ -919,10 +923,10 @@
     world.want(b)
     world.settle(1.0)
     world.want(a)
-    partly(world, (1, 9), Whole(0, (row("x", a),)))
+    partly(world, (1, 9), FullShard(0, (row("x", a),)))
     world.want(c)
-    partly(world, (1, 8), Whole(2, (row("z", c),)))
-    assert not world.reader.here(c) and world.has("z") is None
+    partly(world, (1, 8), FullShard(2, (row("z", c),)))
+    assert not world.reader.is_resident(c) and world.has("z") is None
 
 
 def test_an_ask_that_was_out_while_it_was_frozen_does_not_count_as_tried() -> None:
@@ -933,10 +937,10 @@
     (told,) = world.turn()
     world.now += 30.0
     world.reader.failed(world.now, told[0])  # its time ran out while this process stood
-    assert not world.reader.current(world.now, 1)
+    assert not world.reader.is_current(world.now, 1)
     world.down = {"n1"}
     world.settle(2.0)
-    assert world.reader.current(world.now, 1)
+    assert world.reader.is_current(world.now, 1)
 
 
 def test_what_a_keeper_is_known_to_have_newer_holds_calls_back_until_it_came_or_it_fails() -> None:
@@ -950,12 +954,12 @@
         for _, digest in keeper.digests(world.now):
             world.reader.digest(world.now, "n1", digest)
         for name, told in world.turn():
-            world.reader.answered(world.now, name, Busy(told.number, 500.0))
+            world.reader.answered(world.now, name, Overloaded(told.number, 500.0))
         world.now += 0.1
-        assert world.reader.current(world.now, 1) == (world.now < began + 12.0) or world.now < began + 12.0
+        assert world.reader.is_current(world.now, 1) == (world.now < began + 12.0) or world.now < began + 12.0
     world.down = {"n1"}
     world.settle(3.0)
-    assert world.reader.current(world.now, 1)
+    assert world.reader.is_current(world.now, 1)
 
 
 def test_an_answer_to_an_earlier_ask_is_not_taken_for_that_to_the_one_that_is_out() -> None:
@@ -972,14 +976,14 @@
     assert world.turn()
     world.now += 20.0
     world.reader.answered(world.now, "n1", late)
-    assert world.reader.unasked == 1 and not world.reader.current(world.now, 1)
+    assert world.reader.unasked == 1 and not world.reader.is_current(world.now, 1)
 
 
 def test_readers_that_lose_their_keepers_together_do_not_come_back_together() -> None:
     readers = []
     for number in range(60):
-        reader = Reader(f"n{100 + number}", LAYOUT, random.Random(number))
-        reader.want(100.0, 1, 200.0)
+        reader = ShardClient(f"n{100 + number}", LAYOUT, random.Random(number))
+        reader.request(100.0, 1, 200.0)
         readers.append(reader)
     asked_at: list[float] = []
     for step in range(300):
@@ -1000,7 +1004,7 @@
             keeper.paused_until = now + 60.0
         reader.reachable(now, reader.keepers)
     back = sorted(min(keeper.paused_until for keeper in reader.keepers.values()) - now for reader in readers)
-    assert back[-1] <= reading.RETURN_S and back[15] > 0.1 and back[45] > 0.4
+    assert back[-1] <= shard_client.RETURN_S and back[15] > 0.1 and back[45] > 0.4
 
 
 def test_an_answer_that_lay_in_a_buffer_is_as_old_as_its_ask() -> None:
@@ -1013,9 +1017,9 @@
     world.now += 30.0  # frozen, with the answer in its socket's buffer
     world.changed(2, [row("a", 1, DRAINING)])
     world.reader.answered(world.now, told[0], answer)
-    assert world.reader.unasked == 0 and not world.reader.current(world.now, 1)
+    assert world.reader.unasked == 0 and not world.reader.is_current(world.now, 1)
     world.settle()
-    assert world.reader.current(world.now, 1) and world.has("a").listing is Listing.DRAINING
+    assert world.reader.is_current(world.now, 1) and world.has("a").listing is Listing.DRAINING
 
 
 def test_an_answer_speaks_for_what_was_held_when_it_was_asked_and_not_for_what_came_since() -> None:
@@ -1029,14 +1033,14 @@
     (second,) = world.turn()
     assert {first[0], second[0]} == {FIRST, SECOND}
     world.serve([first])
-    assert world.reader.here(a)
+    assert world.reader.is_resident(a)
     world.changed(9, [row("x", a, DRAINING, mark=9.0)])
-    parts = [Whole(2, (row("z", c),))]
+    parts = [FullShard(2, (row("z", c),))]
     world.reader.answered(world.now, second[0], answer_to(second, (1, 9), parts, True, world.now))
     world.apply()
-    assert world.reader.told(world.now).version == (1, 1)  # a is as of that still
+    assert world.reader.status(world.now).version == (1, 1)  # a is as of that still
     world.settle(4.0)
-    assert world.has("x").listing is Listing.DRAINING and world.reader.told(world.now).version == (1, 9)
+    assert world.has("x").listing is Listing.DRAINING and world.reader.status(world.now).version == (1, 9)
 
 
 @pytest.mark.parametrize("back", range(8))
@@ -1061,7 +1065,7 @@
                 assert world.now < began + 48.0
                 return
             out.append((world.now, name))
-        assert world.reader.current(world.now, 1)  # what is known serves, all being tried in turn
+        assert world.reader.is_current(world.now, 1)  # what is known serves, all being tried in turn
     raise AssertionError("never asked")
 
 
@@ -1083,4 +1087,4 @@
             assert world.now - last[name] < 11.0
             last[name] = max(last[name], world.now)
         if world.now > began + 20.0:
-            assert world.reader.current(world.now, 1)
+            assert world.reader.is_current(world.now, 1)
--- a/tests/shards/test_keeping.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -10,22 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.shards import audience, keeping, staging, table
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.ring import ranked, shard_of
-from linnetstile.shards.wire import (
+from message_relay.sharded_directory import bulk_load, shard_server, shard_table, subscribers
+from message_relay.sharded_directory.rendezvous_hash import ranked, shard_of
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import (
     GONE,
     NONE,
     SUM_MASK,
-    Ask,
-    Busy,
     Changes,
+    FullShard,
     Layout,
-    Other,
+    LayoutMismatch,
+    Overloaded,
     Row,
     Same,
-    Unreadable,
-    Whole,
+    ShardRequest,
+    UnreadableFrameError,
     packed,
     packed_bits,
     read,
@@ -75,10 +75,10 @@
     log_shard: int, log_rows: int, step_rows: int, steps: list[Any], data: st.DataObject
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(table, "LOG_SHARD", log_shard)
-        patch.setattr(table, "LOG_ROWS", log_rows)
-        patch.setattr(staging, "STEP_ROWS", step_rows)
-        oracle, keeper = Oracle(), Keeper(LAYOUT, 1, random.Random(1))
+        patch.setattr(shard_table, "LOG_SHARD", log_shard)
+        patch.setattr(shard_table, "LOG_ROWS", log_rows)
+        patch.setattr(bulk_load, "STEP_ROWS", step_rows)
+        oracle, keeper = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
         oracle.take("load", [], [], 0)
         assert load(keeper, [], 0)
         for generation, (what, rows, lives) in enumerate(steps, 1):
@@ -96,17 +96,17 @@
         assert all(len(log.rows) <= log_shard for log in keeper.table.logs.values())
 
 
-def check_table(keeper: Keeper, now: list[dict[str, Row]]) -> None:
+def check_table(keeper: ShardServer, now: list[dict[str, Row]]) -> None:
     for shard, rows in enumerate(now):
         assert {each.name: each for each in keeper.table.rows(shard)} == rows
         assert keeper.table.sums[shard] == sum_of(rows.values())
         assert keeper.table.counts[shard] == len(rows)
         assert keeper.table.destinations[shard] == len({each.destination for each in rows.values()})
-    there = {table.name_mark(name): shard for shard, rows in enumerate(now) for name in rows}
+    there = {shard_table.name_mark(name): shard for shard, rows in enumerate(now) for name in rows}
     assert keeper.table.names == there
 
 
-def check_since(keeper: Keeper, oracle: Oracle, holds: set[int]) -> None:
+def check_since(keeper: ShardServer, oracle: Oracle, holds: set[int]) -> None:
     for generation, before in oracle.versions.items():
         has = {shard: dict(before[shard]) for shard in holds}
         answer = asked(keeper, ask(LAYOUT, (1, generation), holds))
@@ -119,8 +119,8 @@
             assert keeper.table.changed[part.shard] > generation
 
 
-def check_digest(keeper: Keeper, now: list[dict[str, Row]], holds: set[int], at: float) -> None:
-    told = [digest for name, digest in keeper.digests(at + audience.DIGEST_S) if name == "n200"]
+def check_digest(keeper: ShardServer, now: list[dict[str, Row]], holds: set[int], at: float) -> None:
+    told = [digest for name, digest in keeper.digests(at + subscribers.DIGEST_S) if name == "n200"]
     for digest in told:
         assert digest.sum == sum(sum_of(now[shard].values()) for shard in holds) & SUM_MASK
         assert digest.set_sum == sum(map(shard_mark, holds)) & SUM_MASK
@@ -135,10 +135,10 @@
     (part,) = asked(keeper, ask(layout, (1, 1), [0])).parts
     assert isinstance(part, Changes)
     assert {(each.name, each.listing) for each in part.rows} == {("e1", 1), ("e2", GONE)}
-    many = [row(f"e{i}", i, 1) for i in range(100, 100 + table.LOG_SHARD)]
+    many = [row(f"e{i}", i, 1) for i in range(100, 100 + shard_table.LOG_SHARD)]
     keeper.changed(0.0, 3, [row("e1", 1, 0), *many])
     (part,) = asked(keeper, ask(layout, (1, 1), [0])).parts
-    assert isinstance(part, Whole) and len(part.rows) == 199  # the log does not reach back
+    assert isinstance(part, FullShard) and len(part.rows) == 199  # the log does not reach back
     keeper.changed(0.0, 4, [row("e1", 1, 1)])
     (part,) = asked(keeper, ask(layout, (1, 3), [0])).parts
     assert isinstance(part, Changes) and len(part.rows) == 1
@@ -151,7 +151,7 @@
     answer = asked(keeper, ask(LAYOUT, (1, 5), range(4)))
     assert (answer.complete, answer.parts, answer.since) == (False, (), (1, 9))
     answer = asked(keeper, ask(LAYOUT, (1, 5), range(4), sums=sums[:3]))
-    assert [(type(part), part.shard) for part in answer.parts] == [(Same, 0), (Same, 1), (Whole, 2)]
+    assert [(type(part), part.shard) for part in answer.parts] == [(Same, 0), (Same, 1), (FullShard, 2)]
     assert not answer.complete
     assert asked(keeper, ask(LAYOUT, (1, 5), range(4), sums=sums)).complete
 
@@ -173,11 +173,11 @@
     assert not keeper.changed(20.0, 3, [row("e1", 1)])
     assert keeper.refused == 2
     keeper.confirmed(20.0)
-    assert keeper.told(21.0).source_age_s == 11.0
+    assert keeper.status(21.0).source_age_s == 11.0
     assert [each.rate for each in keeper.table.rows(shard_of(1, 4))] == [1.0]
     assert load(keeper, [row("e1", 1)], 1, epoch=2, now=30.0)  # unless the operator says that it counts anew
     keeper.confirmed(31.0)
-    assert keeper.version == (2, 1) and keeper.told(31.0).source_age_s == 0.0
+    assert keeper.version == (2, 1) and keeper.status(31.0).source_age_s == 0.0
     assert asked(keeper, ask(LAYOUT, (1, 5), range(4))).since == (2, 1)
 
 
@@ -190,7 +190,7 @@
 def test_until_a_list_is_done_the_old_one_answers_and_one_given_up_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(staging, "STEP_ROWS", 3)
+    monkeypatch.setattr(bulk_load, "STEP_ROWS", 3)
     rows = [row(f"e{i}", i) for i in range(40)]
     keeper = filled(LAYOUT, rows)
     before = list(keeper.table.blobs), dict(keeper.table.names), keeper.version
@@ -202,10 +202,10 @@
         steps += 1
         assert (list(keeper.table.blobs), keeper.table.names, keeper.version) == before
     assert steps > 3 and begun.taken and keeper.version == (1, 2)
-    assert keeper.told(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
-    assert keeper.told(2.0).endpoints == 30
+    assert keeper.status(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
+    assert keeper.status(2.0).endpoints == 30
     keeper.begin(3.0, (1, 3)).add([row("e1", 1)])
-    assert keeper.version == (1, 2) and keeper.told(2.0).endpoints == 30
+    assert keeper.version == (1, 2) and keeper.status(2.0).endpoints == 30
 
 
 def test_a_change_beside_a_list_that_is_being_read() -> None:
@@ -229,28 +229,28 @@
 
 
 def test_another_layout_and_a_keeper_without_a_list() -> None:
-    keeper = Keeper(LAYOUT, 1, random.Random(1))
+    keeper = ShardServer(LAYOUT, 1, random.Random(1))
     told = keeper.asked(1.0, "n100", ask(LAYOUT))
-    assert isinstance(told, Other) and told.loading
+    assert isinstance(told, LayoutMismatch) and told.loading
     load(keeper, [], 1)
     for other in (Layout(8, (1, 2)), Layout(4, (1, 3))):
         told = keeper.asked(1.0, "n100", ask(other))
-        assert told == Other(1, LAYOUT) and read(packed(told)) == told
+        assert told == LayoutMismatch(1, LAYOUT) and read(packed(told)) == told
 
 
 @pytest.mark.parametrize(
     "wrong",
     [
-        Ask(1, LAYOUT, NONE, b"no zlib"),
-        Ask(1, LAYOUT, NONE, packed_bits(0, 1 << 20)),
+        ShardRequest(1, LAYOUT, NONE, b"no zlib"),
+        ShardRequest(1, LAYOUT, NONE, packed_bits(0, 1 << 20)),
         ask(LAYOUT, wants=[4]),
         ask(LAYOUT, wants=[-1]),
         ask(LAYOUT, sums=[(9, 0)]),
     ],
 )
-def test_an_ask_that_cannot_be_read_changes_nothing(wrong: Ask) -> None:
+def test_an_ask_that_cannot_be_read_changes_nothing(wrong: ShardRequest) -> None:
     keeper = filled(LAYOUT, [])
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableFrameError):
         keeper.asked(1.0, "n100", wrong)
     assert not keeper.audience.readers and keeper.answers == 0
 
@@ -264,7 +264,7 @@
         wants=tuple(msgspec.structs.replace(want, due_ms=1e4 - 100.0 * want.shard) for want in told.wants),
     )
     answer = asked(keeper, told)
-    assert len(packed(answer)) <= keeping.ANSWER_BYTES + 4_000
+    assert len(packed(answer)) <= shard_server.ANSWER_BYTES + 4_000
     assert [part.shard for part in answer.parts] == list(range(63, 63 - len(answer.parts), -1))
     assert len(answer.parts) > 8
     # Changes are told beside shards that are wanted; and in pieces, if they are many.
@@ -274,7 +274,7 @@
         bits = packed_bits(sum(1 << shard for shard in has), 64)
         more = msgspec.structs.replace(ask(layout, (1, 1), range(64)), ahead=(1, 2), further=bits)
         answer = asked(keeper, more)
-        assert len(packed(answer)) <= keeping.ANSWER_BYTES + 4_000
+        assert len(packed(answer)) <= shard_server.ANSWER_BYTES + 4_000
         assert not has & {part.shard for part in answer.parts}
         has |= {part.shard for part in answer.parts}
         if answer.complete:
@@ -294,18 +294,18 @@
     now, answers, after = 50.0, 0, []
     for number in range(2_000):
         told = keeper.asked(now, f"n{number}", ask(LAYOUT, holds=[0], wants=[1], due_ms=30_000.0))
-        if isinstance(told, Busy):
+        if isinstance(told, Overloaded):
             after.append(told.after_ms)
         else:
             answers += 1
-    assert answers <= keeping.ANSWERS_S * keeping.BURST_S
-    assert answers == keeping.ANSWERS_S * (1 - keeping.RESERVED)
-    assert min(after) >= 50.0 and max(after) <= 1.3 * keeping.BUSY_MOST_S * 1e3
+    assert answers <= shard_server.ANSWERS_S * shard_server.BURST_S
+    assert answers == shard_server.ANSWERS_S * (1 - shard_server.RESERVED)
+    assert min(after) >= 50.0 and max(after) <= 1.3 * shard_server.BUSY_MOST_S * 1e3
     assert max(after) > 10 * min(after) and len(set(after)) > 1_000  # spread: who comes later waits longer
     urgent = [keeper.asked(now, f"n{i}", ask(LAYOUT, wants=[1], due_ms=500.0)) for i in range(200)]
-    assert sum(not isinstance(told, Busy) for told in urgent) == 100
+    assert sum(not isinstance(told, Overloaded) for told in urgent) == 100
     told = keeper.asked(now + 1.0, "n1", ask(LAYOUT, holds=[0], wants=[1]))
-    assert not isinstance(told, Busy)
+    assert not isinstance(told, Overloaded)
 
 
 def test_bytes_a_second_are_bounded() -> None:
@@ -314,7 +314,9 @@
     for step in range(3_000):
         keeper.asked(step / 300.0, f"n{step % 10}", ask(layout, wants=range(64), due_ms=100.0))
     assert keeper.busy > 0
-    assert keeper.bytes_out <= keeping.BYTES_S * (10.0 + keeping.BURST_S) + keeping.ANSWER_BYTES
+    assert (
+        keeper.bytes_out <= shard_server.BYTES_S * (10.0 + shard_server.BURST_S) + shard_server.ANSWER_BYTES
+    )
 
 
 def test_digests_go_to_those_that_asked_of_late_spread_and_bounded() -> None:
@@ -325,7 +327,7 @@
     now = 0.0
     while now < 30.0:
         found = keeper.digests(now)
-        assert len(found) <= audience.DIGESTS_CALL
+        assert len(found) <= subscribers.DIGESTS_CALL
         for name, _ in found:
             times.setdefault(name, []).append(now)
         now = max(now + 0.01, min(keeper.next_at(), now + 1.0))
@@ -335,14 +337,14 @@
     for told in times.values():
         gaps = [b - a for a, b in zip(told, told[1:], strict=False)]
         assert all(2.6 <= gap <= 3.4 for gap in gaps) and len(gaps) >= 6
-    now = 10.0 + audience.READER_S
+    now = 10.0 + subscribers.READER_S
     for _ in range(20):
         keeper.digests(now)
     assert not keeper.audience.readers and not any(keeper.audience.masks)
 
 
 def test_more_readers_than_are_remembered_still_get_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(audience, "READERS_MOST", 3)
+    monkeypatch.setattr(subscribers, "READERS_MOST", 3)
     keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     for number in range(5):
         assert asked(keeper, ask(LAYOUT, wants=[1]), reader=f"n{number}").parts
@@ -350,7 +352,7 @@
 
 
 def test_many_shards_at_once_and_the_digest_is_still_right(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(audience, "SUMS_MOST", 2)
+    monkeypatch.setattr(subscribers, "SUMS_MOST", 2)
     keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     keeper.asked(0.0, "n1", ask(LAYOUT, holds=[0, 1, 2]))
     keeper.changed(1.0, 2, [row(f"e{i}", i, 1) for i in range(40)])
@@ -381,8 +383,8 @@
 def test_what_was_made_ready_is_compared_anew_if_something_else_was_taken_meanwhile(
     whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(staging, "STEP_ROWS", 1)
-    monkeypatch.setattr(staging, "STEP_SHARDS", 1)
+    monkeypatch.setattr(bulk_load, "STEP_ROWS", 1)
+    monkeypatch.setattr(bulk_load, "STEP_SHARDS", 1)
     before = [row(f"e{i}", i) for i in range(40)]
     after = [row(f"e{i}", i, 1) for i in range(40)]
     keeper = filled(LAYOUT, before)
--- a/tests/shards/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from linnetstile.shards import source
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.source import (
+from message_relay.sharded_directory import source
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.source import (
     ENTRIES_A_TURN,
     FileSource,
     Passed,
@@ -25,14 +25,14 @@
     Taking,
     TooManyChanges,
 )
-from linnetstile.shards.wire import Layout, Row
+from message_relay.sharded_directory.wire import Layout, Row
 
 from ..loopback import Agent, answer, run
 from .loopback import entry, listing, until
 
 
-def keeper(shards: int = 64) -> Keeper:
-    return Keeper(Layout(shards, (0,)), 1, random.Random(1))
+def keeper(shards: int = 64) -> ShardServer:
+    return ShardServer(Layout(shards, (0,)), 1, random.Random(1))
 
 
 async def pieces(raw: bytes, size: int = source.PIECE_BYTES) -> AsyncIterator[bytes]:
@@ -41,7 +41,7 @@
 
 
 async def taken(
-    it: Keeper, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.PIECE_BYTES
+    it: ShardServer, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.PIECE_BYTES
 ) -> Taking:
     raw = told if isinstance(told, bytes) else json.dumps(told).encode()
     taking = Taking(it, 1, Passed(), 5.0, least)
@@ -49,7 +49,7 @@
     return taking
 
 
-def rows(it: Keeper) -> dict[str, Row]:
+def rows(it: ShardServer) -> dict[str, Row]:
     return {row.name: row for shard in range(it.layout.shards) for row in it.table.rows(shard)}
 
 
@@ -93,7 +93,7 @@
         beside = asyncio.ensure_future(others())
         taking = await taken(it, raw)
         beside.cancel()
-        assert it.told(5.0).endpoints == 140_000
+        assert it.status(5.0).endpoints == 140_000
         assert taking.longest <= ENTRIES_A_TURN
         assert turns > 140_000 / ENTRIES_A_TURN / 2  # in between all else has its turn
 
@@ -209,7 +209,7 @@
 
 
 def test_many_changes_are_taken_in_steps_and_come_into_force_in_one() -> None:
-    from linnetstile.shards.staging import STEP_ROWS
+    from message_relay.sharded_directory.bulk_load import STEP_ROWS
 
     it, count = keeper(8192), 5 * STEP_ROWS
     change = it.change(1.0, 2)
@@ -240,7 +240,7 @@
             await taken(it, listing(many(5), 6))
         with pytest.raises(Refused):
             await taken(it, listing(many(1), 6, False), 7)
-        assert it.version == (1, 7) and len(rows(it)) == 10 and it.told(5.0).refused == 2
+        assert it.version == (1, 7) and len(rows(it)) == 10 and it.status(5.0).refused == 2
 
     run(work())
 
@@ -251,9 +251,9 @@
     async def work() -> None:
         it = keeper()
         await taken(it, listing(many(10)))
-        assert it.told(9.0).source_age_s == 4.0
+        assert it.status(9.0).source_age_s == 4.0
         await taken(it, listing([], 1, False), 1)
-        assert it.told(9.0).source_age_s == 4.0
+        assert it.status(9.0).source_age_s == 4.0
 
     run(work())
 
@@ -268,7 +268,7 @@
 # -- the register ------------------------------------------------------------------------------------------
 
 
-def registered(it: Keeper, agent: Agent) -> RegisterSource:
+def registered(it: ShardServer, agent: Agent) -> RegisterSource:
     return RegisterSource(it, 1, agent.address, 8, 1, shared=True)
 
 
@@ -297,7 +297,7 @@
 
 
 def test_a_list_past_the_agents_own_cap_is_taken() -> None:
-    from linnetstile.http.agent import ANSWER_BYTES
+    from message_relay.http.agent import ANSWER_BYTES
 
     count = ANSWER_BYTES // 140  # each takes some 155 bytes
 
--- a/tests/shards/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -12,19 +12,19 @@
 import msgspec
 import pytest
 
-from linnetstile.shards import table
-from linnetstile.shards.keeping import Keeper
-from linnetstile.shards.reading import Reader
-from linnetstile.shards.ring import shard_of
-from linnetstile.shards.wire import (
+from message_relay.sharded_directory import shard_table
+from message_relay.sharded_directory.rendezvous_hash import shard_of
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.shard_server import ShardServer
+from message_relay.sharded_directory.wire import (
     NONE,
-    Answer,
-    Ask,
     Changes,
     Digest,
+    FullShard,
     Layout,
     Row,
-    Whole,
+    ShardRequest,
+    ShardResponse,
     packed,
     packed_bits,
 )
@@ -48,12 +48,12 @@
         self.layout = Layout(shards, (0, 1))
         self.rows = {f"e{n}": row(f"e{n}", n) for n in range(DESTS)}
         self.keepers = {f"n{n}": filled(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
-        self.reader = Reader(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
+        self.reader = ShardClient(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
         self.reader.reachable(0.0, self.keepers)
         self.used = random.Random(5).sample(range(DESTS), USED)
         self.generations = count(2)
-        self.asks: list[Ask] = []
-        self.answers: list[Answer] = []
+        self.asks: list[ShardRequest] = []
+        self.answers: list[ShardResponse] = []
         self.digests = 0
         self.cut = False
         self.old_s = 0.0  # how old what is known was, at most
@@ -81,7 +81,7 @@
             self.asks.append(told)
             self.at(now + WAY_S, partial(self.answer, name, told))
         reader.asks.clear()
-        self.old_s = max(self.old_s, reader.told(now).age_s)
+        self.old_s = max(self.old_s, reader.status(now).age_s)
         if now + 0.01 <= until:
             self.at(now + 0.01, lambda: self.turn(until))
 
@@ -90,12 +90,12 @@
             self.reader.digest(self.now, name, digest)
 
     def wants(self, destination: int) -> None:
-        self.reader.want(self.now, destination, self.now + 30.0)
+        self.reader.request(self.now, destination, self.now + 30.0)
 
-    def hears(self, keeper: Keeper, generation: int, rows: list[Row]) -> None:
+    def hears(self, keeper: ShardServer, generation: int, rows: list[Row]) -> None:
         keeper.changed(self.now, generation, rows)
 
-    def answer(self, name: str, told: Ask) -> None:
+    def answer(self, name: str, told: ShardRequest) -> None:
         if self.cut:
             self.at(self.now + 1.0, lambda: self.reader.failed(self.now, name))
             return
@@ -116,7 +116,7 @@
         for n, destination in enumerate(self.used):
             self.at(n * 0.01, partial(self.wants, destination))
         self.run(WITHOUT_S)
-        assert self.reader.told(self.now).waiting == 0
+        assert self.reader.status(self.now).waiting == 0
         self.asks, self.answers, self.digests, self.old_s = [], [], 0, 0.0
         changed = random.Random(6).sample(range(DESTS), STORM)
         for n in range(PIECES):
@@ -193,7 +193,7 @@
 def test_a_log_that_was_given_up_begins_anew_where_its_shard_changed_last(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(table, "LOG_ROWS", 1)
+    monkeypatch.setattr(shard_table, "LOG_ROWS", 1)
     layout = Layout(SHARDS, (1,))
     keeper = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
     other = next(n for n in range(2_000) if shard_of(n, SHARDS) != shard_of(0, SHARDS))
@@ -204,17 +204,19 @@
     shard = shard_of(0, SHARDS)
     (before,) = asked(keeper, ask(layout, (1, 1), [shard])).parts
     (after,) = asked(keeper, ask(layout, (1, 2), [shard])).parts
-    assert isinstance(before, Whole)
+    assert isinstance(before, FullShard)
     assert after == Changes(shard, (row("e0", 0, mark=5.0),))
 
 
 def test_an_answer_in_many_pieces_goes_on_where_it_was_though_versions_come_faster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(table, "LOG_ROWS", 600)  # nine generations: who was cut off longer gets wholes
+    monkeypatch.setattr(shard_table, "LOG_ROWS", 600)  # nine generations: who was cut off longer gets wholes
     it = Storm()
     it.play(cut_s=10.0)
-    wholes = Counter(part.shard for answer in it.answers for part in answer.parts if isinstance(part, Whole))
+    wholes = Counter(
+        part.shard for answer in it.answers for part in answer.parts if isinstance(part, FullShard)
+    )
     assert len(wholes) > 250  # many pieces of 18 or so
     assert max(wholes.values()) <= 2  # at most once of each keeper
     assert it.reader.store.base == (1, PIECES + 1)
--- a/tests/store/disk.py
+++ b/tests/store/disk.py
@@ -1,5 +1,5 @@
 """A folder in memory that a test can crash, fill or spoil at any call. It is a model of
-linnetstile.store.files."""
+message_relay.store.file_store."""
 
 from __future__ import annotations
 
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from linnetstile.store.journal import Entry, Journal, JournalError
-from linnetstile.store.records import UNKNOWN
+from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.records import UNKNOWN
 
 from .disk import Crash, Disk
 
@@ -50,20 +50,22 @@
                 if entry.out is not None and choice < 0.5:
                     ran = rng.random() < 0.5
                     self.proven.update([entry.id] if not ran and entry.risk is None else [])
-                    journal.outcome(entry, ran)
+                    journal.append_outcome(entry, ran)
                 elif entry.out is None and choice < 0.6:
-                    journal.tried(entry, now, "s-1", 0)
+                    journal.append_attempt(entry, now, "s-1", 0)
                     self.tried.add(entry.id)  # its first byte goes out now
                     self.proven.discard(entry.id)
                 elif choice < 0.9:
                     self.end(entry, rng.choice(("delivered", "failed", "returned")))
                 elif choice < 0.92:
                     self.gone.add(entry.id)
-                    journal.withdrawn(entry)
+                    journal.append_cancelled(entry)
                 elif choice < 0.97:  # long after its end
-                    journal.told([each.id for each in journal.entries.values() if each.owes_notice][:2])
+                    journal.append_notified(
+                        [each.id for each in journal.entries.values() if each.owes_notice][:2]
+                    )
                 else:
-                    journal.tidy(now)
+                    journal.compact(now)
                     self.gone |= set(self.taken) - set(journal.entries)
             except JournalError:
                 pass
@@ -72,20 +74,20 @@
     def take(self, ident: str, rng: Random, now: float, largest: int) -> None:
         class_ = rng.choice(("plata", "stare"))
         body = bytes(rng.choice((20, 200, largest)))
-        entry = Entry(ident, class_, "t", 7, None, now, now + 2000.0, "", body)
+        entry = JournalEntry(ident, class_, "t", 7, None, now, now + 2000.0, "", body)
         try:
-            self.journal.take(entry)
+            self.journal.append_accepted(entry)
             self.taken[ident] = class_
         except JournalError:
             self.refused += 1
 
-    def end(self, entry: Entry, state: str) -> None:
+    def end(self, entry: JournalEntry, state: str) -> None:
         if state == "returned" and (entry.risk or entry.out):
             state = "failed"
-        self.journal.ended(entry, state)
+        self.journal.append_final_outcome(entry, state)
         self.ended[entry.id] = state  # after this it may be told
         if state != "delivered" and len(self.ended) % 3 == 0:
-            self.journal.told([entry.id])
+            self.journal.append_notified([entry.id])
 
     def check(self, disk: Disk, lost_may_be: bool = False) -> Journal:
         """What the next process makes of it. `lost_may_be`: records may have been lost to damage."""
@@ -150,7 +152,7 @@
             world = World(disk, 5)
             journal = world.run(200)
             disk.fail = lambda call, name, number: None
-            journal.tidy(0.0)
+            journal.compact(0.0)
             assert not journal.behind
             world.check(disk.after_crash())
 
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from linnetstile.store.journal import Entry, Journal, JournalError
+from message_relay.store.journal import Journal, JournalEntry, JournalError
 
 from ..loopback import Agent, Client, Server, host_of, message, run, until
 from .disk import Disk
@@ -43,8 +43,8 @@
         return Disk({name: data for name, data in self.synced.items() if not unlinked or name in self.files})
 
 
-def entry(ident: str, size: int) -> Entry:
-    return Entry(ident, "plata", "t", 7, None, 1000.0, 9000.0, "", bytes(size))
+def entry(ident: str, size: int) -> JournalEntry:
+    return JournalEntry(ident, "plata", "t", 7, None, 1000.0, 9000.0, "", bytes(size))
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -58,7 +58,7 @@
         for n in range(250):
             one = entry(f"m{n}", rng.choice((30, 300, 9000)))
             try:
-                journal.take(one)
+                journal.append_accepted(one)
             except JournalError:
                 await asyncio.sleep(0.001)  # room comes with the next sync
             if one.id in journal.entries and rng.random() < 0.6:
@@ -71,7 +71,7 @@
                 one = rng.choice(open_)
                 try:
                     if one.out is None and rng.random() < 0.5:
-                        journal.tried(one, 1500.0, "s", 0)
+                        journal.append_attempt(one, 1500.0, "s", 0)
                         mark, into = one.id, tried.add
                         safe = journal.barrier()
                         if safe is not None:
@@ -79,19 +79,19 @@
                         into(mark)
                     else:
                         ending.add(one.id)
-                        journal.ended(one, "failed")
+                        journal.append_final_outcome(one, "failed")
                         safe = journal.barrier()
                         if safe is not None:
                             await safe
                         ended[one.id] = "failed"
-                        journal.told([one.id])
+                        journal.append_notified([one.id])
                 except JournalError:
                     continue
             if n % 10 == 0:
                 disk.go.clear()  # syncs hang, while segments are given up
                 for k in range(6):
                     with contextlib.suppress(JournalError):
-                        journal.take(entry(f"unheard{n}-{k}", 9000))
+                        journal.append_accepted(entry(f"unheard{n}-{k}", 9000))
                 for unlinked in (True, False):
                     after = Journal(NOWHERE, BUDGET * 4, disk.cut(unlinked)).entries
                     for ident in taken:
@@ -103,7 +103,7 @@
                 disk.go.set()
                 for each in [each for each in journal.entries.values() if each.id.startswith("unheard")]:
                     with contextlib.suppress(JournalError):
-                        journal.withdrawn(each)
+                        journal.append_cancelled(each)
         assert journal.segments[0].number > 3 and len(taken) > 50 and tried and ended
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
@@ -119,7 +119,7 @@
         assert journal.durability is not None
         syncing = asyncio.ensure_future(journal.durability.run())
         disk.failing = 1
-        journal.take(entry("m", 100))
+        journal.append_accepted(entry("m", 100))
         safe = journal.barrier()
         assert safe is not None
         before = journal.segments[-1].name
@@ -139,7 +139,7 @@
         journal = Journal(NOWHERE, BUDGET, disk, sync_ms=5)
         assert journal.durability is not None
         syncing = asyncio.ensure_future(journal.durability.run())
-        journal.take(entry("m", 100))
+        journal.append_accepted(entry("m", 100))
         assert journal.barrier() is None
         await until(lambda: "m" in Journal(NOWHERE, BUDGET, disk.cut(True)).entries)
         syncing.cancel()
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -10,26 +10,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetstile.store.files import FolderFiles
-from linnetstile.store.frame import CHECK, HEADER, HEADER_BYTES, NewerFormat, frame
-from linnetstile.store.journal import Attempt, Entry, Journal, JournalError, JournalFull
-from linnetstile.store.records import PACK, Ended, Kind
-from linnetstile.store.recovery import lines
-from linnetstile.store.room import BLOCK
+from message_relay.store.capacity import BLOCK
+from message_relay.store.file_store import DirectoryFileStore
+from message_relay.store.journal import Attempt, Journal, JournalEntry, JournalError, JournalFullError
+from message_relay.store.record_format import CHECK, HEADER, HEADER_BYTES, UnsupportedFormatError, frame
+from message_relay.store.records import PACK, FinalOutcomeRecord, RecordType
+from message_relay.store.recovery import lines
 
 DISK = 400_000
 
 
-def entry(ident: str, body: bytes = b"body", due: float = 9000.0) -> Entry:
-    return Entry(ident, "safe", "t", 7, None, 1000.0, due, "", body)
+def entry(ident: str, body: bytes = b"body", due: float = 9000.0) -> JournalEntry:
+    return JournalEntry(ident, "safe", "t", 7, None, 1000.0, due, "", body)
 
 
 def fill(folder: Path) -> Journal:
     journal = Journal(folder, DISK)
     for n in range(3):
-        journal.take(entry(f"m{n}"))
-    journal.tried(journal.entries["m1"], 1500.0, "s-1", 0)
-    journal.ended(journal.entries["m2"], "failed")
+        journal.append_accepted(entry(f"m{n}"))
+    journal.append_attempt(journal.entries["m1"], 1500.0, "s-1", 0)
+    journal.append_final_outcome(journal.entries["m2"], "failed")
     return journal
 
 
@@ -41,7 +41,7 @@
     fill(tmp_path).close()
     (only,) = segments(tmp_path)
     whole = only.read_bytes()
-    last = max(line.at for line in lines(FolderFiles(tmp_path)))
+    last = max(line.at for line in lines(DirectoryFileStore(tmp_path)))
     for cut in range(last + 1, len(whole)):
         folder = tmp_path / str(cut)
         folder.mkdir()
@@ -49,7 +49,7 @@
         journal = Journal(folder, DISK)
         assert set(journal.entries) == {"m0", "m1", "m2"} and journal.entries["m2"].end == ""
         assert not journal.findings
-        journal.ended(journal.entries["m0"], "delivered")
+        journal.append_final_outcome(journal.entries["m0"], "delivered")
         journal.close()
         again = Journal(folder, DISK)
         assert again.entries["m0"].end == "delivered" and again.entries["m1"].risk is not None
@@ -64,7 +64,7 @@
     (only,) = segments(tmp_path)
     data, lost = (
         bytearray(only.read_bytes()),
-        [line for line in lines(FolderFiles(tmp_path)) if line.kind == "try"],
+        [line for line in lines(DirectoryFileStore(tmp_path)) if line.kind == "try"],
     )
     data[lost[0].at + 24] ^= 4  # in what it says
     only.write_bytes(data)
@@ -88,20 +88,20 @@
         data[at + 4] = 9
         data[at + HEADER.size : at + HEADER.size + 4] = CHECK.pack(crc32(data[at : at + HEADER.size]))
     only.write_bytes(data)
-    with pytest.raises(NewerFormat, match="its format is 9, and this program knows 2 at most"):
+    with pytest.raises(UnsupportedFormatError, match="its format is 9, and this program knows 2 at most"):
         Journal(tmp_path, DISK)
 
 
 def test_a_body_that_looks_like_a_record_is_none(tmp_path: Path) -> None:
     """A client that knows the format must not be able to have its bytes read as records after damage."""
-    fake = frame(0, 3, Kind.END, b"m0", PACK(Ended("delivered", 0.0)))
+    fake = frame(0, 3, RecordType.END, b"m0", PACK(FinalOutcomeRecord("delivered", 0.0)))
     journal = Journal(tmp_path, DISK)
     for n in range(3):
-        journal.take(entry(f"m{n}", fake * 5))
+        journal.append_accepted(entry(f"m{n}", fake * 5))
     journal.close()
     (only,) = segments(tmp_path)
     data = bytearray(only.read_bytes())
-    places = [line.at for line in lines(FolderFiles(tmp_path)) if line.kind == "take"]
+    places = [line.at for line in lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
     data[places[1]] ^= 1  # the reader has to look for the next frame, through that body
     only.write_bytes(data)
     again = Journal(tmp_path, DISK)
@@ -114,9 +114,9 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda file, data: write(file, data[:20]))
         with pytest.raises(JournalError):
-            journal.take(entry("lost"))
+            journal.append_accepted(entry("lost"))
     assert "lost" not in journal.entries
-    journal.take(entry("kept"))
+    journal.append_accepted(entry("kept"))
     journal.close()
     again = Journal(tmp_path, DISK)
     assert set(again.entries) == {"m0", "m1", "m2", "kept"} and not again.findings
@@ -128,7 +128,7 @@
     journal = fill(tmp_path)
     journal.close()
     with open(tmp_path / "other", "wb"), pytest.raises(JournalError):
-        journal.ended(journal.entries["m0"], "failed")
+        journal.append_final_outcome(journal.entries["m0"], "failed")
     assert (tmp_path / "other").read_bytes() == b""
 
 
@@ -140,15 +140,15 @@
     journal, full = Journal(tmp_path, DISK), 0
     for n in range(300):
         try:
-            journal.take(entry(f"m{n}", b"x" * (65536 if n % 3 else 100)))
-        except JournalFull:
+            journal.append_accepted(entry(f"m{n}", b"x" * (65536 if n % 3 else 100)))
+        except JournalFullError:
             full += 1
             held = next(each for each in journal.entries.values() if not each.end)
             for _ in range(8):
-                journal.tried(held, 1500.0, "s-1", 0)
-                journal.outcome(held, False)
-            journal.ended(held, "failed")
-            journal.told([held.id])
+                journal.append_attempt(held, 1500.0, "s-1", 0)
+                journal.append_outcome(held, False)
+            journal.append_final_outcome(held, "failed")
+            journal.append_notified([held.id])
         assert disk(tmp_path) == journal.size <= DISK
     assert full > 10 and journal.segments[0].number > 10
     held_now = {ident for ident, each in journal.entries.items() if not each.end}
@@ -165,34 +165,34 @@
         folder = tmp_path / str(size)
         folder.mkdir()
         journal = Journal(folder, DISK)
-        with pytest.raises(JournalFull):
+        with pytest.raises(JournalFullError):
             for n in range(1000):
-                journal.take(entry(f"m{n}", b"x" * size))
+                journal.append_accepted(entry(f"m{n}", b"x" * size))
         held = list(journal.entries.values())
         assert len(held) >= 3 and (size < 60000 or len(held) * size > DISK // 4)
         for _ in range(8):
             for one in held:
-                journal.tried(one, 1500.0, "a-name-of-an-endpoint", 0)
-                journal.outcome(one, True)
+                journal.append_attempt(one, 1500.0, "a-name-of-an-endpoint", 0)
+                journal.append_outcome(one, True)
         for one in held:
-            journal.ended(one, "failed")
+            journal.append_final_outcome(one, "failed")
         for one in held:
-            journal.told([one.id])
+            journal.append_notified([one.id])
         assert disk(folder) == journal.size <= DISK and not journal.behind
-        journal.take(entry("more", b"x" * size))  # there is room again
+        journal.append_accepted(entry("more", b"x" * size))  # there is room again
         journal.close()
 
 
 def test_notices_owed_for_long_are_kept_while_the_log_goes_on(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     for n in range(20):
-        journal.take(entry(f"owed{n}"))
-        journal.ended(journal.entries[f"owed{n}"], "returned", 25.0)
+        journal.append_accepted(entry(f"owed{n}"))
+        journal.append_final_outcome(journal.entries[f"owed{n}"], "returned", 25.0)
     for n in range(3000):
         one = entry(f"m{n}", b"x" * 400, due=9000.0 + n)
-        journal.take(one)
-        journal.ended(one, "delivered")
-        journal.tidy(9000.0 + n)
+        journal.append_accepted(one)
+        journal.append_final_outcome(one, "delivered")
+        journal.compact(9000.0 + n)
     assert journal.segments[0].number > 10 and journal.copied < 0.5 * journal.written
     journal.close()
     again = Journal(tmp_path, DISK)
@@ -227,13 +227,13 @@
 
 def test_the_ended_are_forgotten_when_their_time_is_up_and_not_before_their_notice(tmp_path: Path) -> None:
     journal = fill(tmp_path)
-    journal.ended(journal.entries["m0"], "delivered")
-    journal.tidy(8000.0)
+    journal.append_final_outcome(journal.entries["m0"], "delivered")
+    journal.compact(8000.0)
     assert set(journal.entries) == {"m0", "m1", "m2"}
-    journal.tidy(9001.0)
+    journal.compact(9001.0)
     assert set(journal.entries) == {"m1", "m2"}
-    journal.told(["m2"])
-    journal.tidy(9001.0)
+    journal.append_notified(["m2"])
+    journal.compact(9001.0)
     assert set(journal.entries) == {"m1"}
 
 
@@ -254,21 +254,21 @@
     for step, n in steps:
         held = journal.entries.get(f"m{n}")
         if step == "take" and held is None:
-            journal.take(entry(f"m{n}", bytes([n]) * n))
+            journal.append_accepted(entry(f"m{n}", bytes([n]) * n))
         elif step == "compact":
             journal._begin()
             journal._mend()
         elif held is not None:
             if step == "try":
-                journal.tried(held, 1500.0, "s-1", 1)
+                journal.append_attempt(held, 1500.0, "s-1", 1)
             elif step in ("out", "ran"):
-                journal.outcome(held, step == "ran")
+                journal.append_outcome(held, step == "ran")
             elif step == "end":
-                journal.ended(held, "failed", 25.0)
+                journal.append_final_outcome(held, "failed", 25.0)
             elif step == "told":
-                journal.told([held.id])
+                journal.append_notified([held.id])
             elif step == "drop":
-                journal.withdrawn(held)
+                journal.append_cancelled(held)
     for held in journal.entries.values():  # a call that was out may have run
         held.risk, held.out = held.risk or held.out, None
     journal.close()
@@ -287,18 +287,18 @@
     zone."""
     folder = tmp_path_factory.mktemp("state")
     journal = Journal(folder, DISK)
-    journal.take(entry("m"))
+    journal.append_accepted(entry("m"))
     first: float | None = None
     for n, how in enumerate(ends):
         at = 1500.0 + n
-        journal.tried(journal.entries["m"], at, f"s-{n}", n)
+        journal.append_attempt(journal.entries["m"], at, f"s-{n}", n)
         if how != "not" and first is None:
             first = at
         if how == "killed":
             journal.close()
             journal = Journal(folder, DISK)
         else:
-            journal.outcome(journal.entries["m"], how == "ran")
+            journal.append_outcome(journal.entries["m"], how == "ran")
     journal.close()
     risk = Journal(folder, DISK).entries["m"].risk
     assert (None if risk is None else risk.at) == first
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from linnetstile.store.journal import Entry, Journal, JournalError
+from message_relay.store.journal import Journal, JournalEntry, JournalError
 
 from .disk import Crash, Disk
 
@@ -92,24 +92,26 @@
         choice, size = rng.random(), rng.choice((30, 900, 6000))
         with contextlib.suppress(JournalError):  # no room before the next sync
             if choice < 0.4 or not open_:
-                journal.take(Entry(ident, "plata", "t", 7, None, 1000.0, 9000.0, "", bytes(size)))
+                journal.append_accepted(
+                    JournalEntry(ident, "plata", "t", 7, None, 1000.0, 9000.0, "", bytes(size))
+                )
                 self.promise(journal, lambda: self.taken.add(ident))
                 return
             one = max(rng.choices(open_, k=4), key=lambda each: len(each.body))  # small ones live on
             name = one.id
             if one.out is not None and name not in self.unsent and choice < 0.55:
                 self.proven.update([name] if one.risk is None else [])
-                journal.outcome(one, False)
+                journal.append_outcome(one, False)
             elif one.out is None and choice < 0.7:
-                journal.tried(one, 1500.0, "s-1", 0)
+                journal.append_attempt(one, 1500.0, "s-1", 0)
                 self.unsent.add(name)
                 self.promise(journal, lambda: self.first_byte(name))
             elif choice < 0.95:
                 self.ending.add(name)
-                journal.ended(one, rng.choice(("delivered", "failed")))
+                journal.append_final_outcome(one, rng.choice(("delivered", "failed")))
                 self.promise(journal, lambda: self.ended.add(name))
             else:
-                journal.told(
+                journal.append_notified(
                     [
                         each.id
                         for each in journal.entries.values()
@@ -173,7 +175,7 @@
     def run(self, steps: int) -> None:
         rng, now = Random(4), 1000.0
         journal = Journal(NOWHERE, BUDGET, self.disk)
-        late = list[Entry]()  # of earlier lives, with a call that is still out
+        late = list[JournalEntry]()  # of earlier lives, with a call that is still out
         for _ in range(steps):
             now += 100.0
             ident, choice = f"m{rng.randrange(9)}", rng.random()
@@ -182,31 +184,33 @@
                 for told in (self.taken, self.tried):
                     told.discard(ident)
                 self.ended.pop(ident, None)
-                journal.take(
-                    Entry(ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(rng.choice((30, 9000))))
+                journal.append_accepted(
+                    JournalEntry(
+                        ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(rng.choice((30, 9000)))
+                    )
                 )
                 self.taken.add(ident)
                 self.lives += 1
             elif entry.end:
-                journal.told([ident])
-                journal.tidy(now)
+                journal.append_notified([ident])
+                journal.compact(now)
             elif entry.out is None and choice < 0.5:
-                journal.tried(entry, now, "s-1", 0)
+                journal.append_attempt(entry, now, "s-1", 0)
                 self.tried.add(ident)
             elif choice < 0.8:
                 late.append(entry)
-                journal.ended(entry, "failed")
+                journal.append_final_outcome(entry, "failed")
                 self.ended[ident] = "failed"
             else:
                 late.append(entry)
                 self.taken.discard(ident)
-                journal.withdrawn(entry)
+                journal.append_cancelled(entry)
             if late and rng.random() < 0.4:
                 old = late.pop(0)
-                journal.outcome(old, False)  # its call ends now, when its id may be another message's
+                journal.append_outcome(old, False)  # its call ends now, when its id may be another message's
                 if journal.entries.get(old.id) is not old:
                     with pytest.raises(JournalError, match="is over"):
-                        journal.tried(old, now, "s-1", 0)
+                        journal.append_attempt(old, now, "s-1", 0)
         journal.close()
 
     def check(self, files: dict[str, bytes]) -> None:
--- a/tests/store/test_tool.py
+++ b/tests/store/test_tool.py
@@ -10,10 +10,10 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from linnetstile.cli.main import group
-from linnetstile.store.files import READ_BYTES, FolderFiles
-from linnetstile.store.journal import Entry, Journal, JournalError
-from linnetstile.store.recovery import recover
+from message_relay.cli.main import group
+from message_relay.store.file_store import READ_BYTES, DirectoryFileStore
+from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.recovery import recover
 
 
 def tool(*words: object) -> Result:
@@ -23,11 +23,13 @@
 def filled(folder: Path) -> Journal:
     journal = Journal(folder, 400_000)
     for n in range(40):
-        journal.take(Entry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"a secret" * 100))
-    journal.tried(journal.entries["m3"], 1500.0, "s-1", 0)
-    journal.outcome(journal.entries["m3"], True)
-    journal.ended(journal.entries["m3"], "failed")
-    journal.ended(journal.entries["m4"], "delivered")
+        journal.append_accepted(
+            JournalEntry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"a secret" * 100)
+        )
+    journal.append_attempt(journal.entries["m3"], 1500.0, "s-1", 0)
+    journal.append_outcome(journal.entries["m3"], True)
+    journal.append_final_outcome(journal.entries["m3"], "failed")
+    journal.append_final_outcome(journal.entries["m4"], "delivered")
     return journal
 
 
@@ -48,7 +50,9 @@
     assert counts["records"]["take"] == 40 and counts["body_bytes"] == 38 * 800
     assert "notices owed" in tool("stats", tmp_path).stdout
     assert tool("show", tmp_path, "nobody").exit_code == 1 and tool("verify", tmp_path / "no").exit_code == 2
-    journal.take(Entry("more", "plata", "t", 7, None, 1000.0, 9000.0, "", b""))  # it was only read
+    journal.append_accepted(
+        JournalEntry("more", "plata", "t", 7, None, 1000.0, 9000.0, "", b"")
+    )  # it was only read
     journal.close()
 
 
@@ -69,7 +73,7 @@
 ) -> None:
     journal = Journal(tmp_path, 4_000_000)
     for n in range(300):
-        journal.take(Entry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"x" * 800))
+        journal.append_accepted(JournalEntry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"x" * 800))
     journal.close()
     pread = os.pread
 
@@ -79,7 +83,7 @@
         return pread(file, size, at)
 
     monkeypatch.setattr(os, "pread", bad)
-    found = recover(FolderFiles(tmp_path))
+    found = recover(DirectoryFileStore(tmp_path))
     lost = [ident for ident, entry in found.entries.items() if entry.end == "failed"]
     well = [entry for entry in found.entries.values() if not entry.end]
     assert found.findings and 150 < len(well) < 260 and len(well) + len(lost) <= 300
@@ -96,10 +100,10 @@
             resource.setrlimit(resource.RLIMIT_FSIZE, (9_000, 9_000))
             journal, refused = Journal(tmp_path, 400_000), 0
             for n in range(60):
-                entry = Entry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"x" * 700)
+                entry = JournalEntry(f"m{n}", "plata", "t", 7, None, 1000.0, 9000.0, "", b"x" * 700)
                 for _ in range(2):
                     try:
-                        journal.take(entry)
+                        journal.append_accepted(entry)
                         break
                     except JournalError:
                         refused += 1
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from linnetstile import config
+from message_relay import config
 
 from .loopback import SETTINGS, Agent, listing, raw_config, run, until
 from .test_process import world
@@ -62,7 +62,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(tmp_path, BAD[8][0])))
     done = subprocess.run(
-        [sys.executable, "-m", "linnetstile"],
+        [sys.executable, "-m", "message_relay"],
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -29,5 +29,5 @@
 
 
 def test_the_whole_relay_delivers_under_load_and_fails_no_client() -> None:
-    row = asyncio.run(relay.measure("linnetstile", 64, 0.5, 20.0))
+    row = asyncio.run(relay.measure("message_relay", 64, 0.5, 20.0))
     assert row.delivered_a_s > 0 and row.failed == 0 and row.p50_ms > 0 and row.open_p50_ms > 0
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from linnetstile.http import intake as ingress
+from message_relay.http import client_connection as ingress
 
 from .loopback import Agent, Client, Running, Server, message, relay, run, until
 
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from linnetstile.decisions.interface import Outcome
-from linnetstile.http import calls as egress_module
-from linnetstile.core.seams import Attempt, Result
-from linnetstile.http.calls import Calls
+from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.decisions.model import Outcome
+from message_relay.http import endpoint_client as egress_module
+from message_relay.http.endpoint_client import EndpointClient
 
 from .loopback import OK, Server, answer, run, until
 
@@ -28,32 +28,32 @@
     return Attempt(endpoint, address, "id", "key", body, until, may, careful)
 
 
-def egress(idle_ms: float = 60000.0, connect_ms: float = 20000.0, most: int = 10) -> Calls:
-    return Calls(idle_ms, connect_ms, most)
+def egress(idle_ms: float = 60000.0, connect_ms: float = 20000.0, most: int = 10) -> EndpointClient:
+    return EndpointClient(idle_ms, connect_ms, most)
 
 
 @pytest.mark.parametrize(
     ("reply", "expected"),
     [
-        (OK, Result(Outcome.OK, over=True)),
-        (answer(500), Result(Outcome.ERROR)),
-        (answer(429, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
-        (answer(429), Result(Outcome.FULL)),
-        (answer(429, "X-RateLimit-Wait-Ms: nan"), Result(Outcome.FULL)),
-        (answer(429, "X-RateLimit-Wait-Ms: 7200000.5"), Result(Outcome.FULL, wait_ms=7200000.5)),
-        (answer(503), Result(Outcome.FULL)),
-        (answer(503, "X-RateLimit-Wait-Ms: 350"), Result(Outcome.FULL, wait_ms=350.0)),
-        (answer(503, "X-Over-Slots: 1"), Result(Outcome.NOT_SENT, no_slot=True)),
-        (answer(504), Result(Outcome.NOT_SENT)),
-        (answer(410), Result(Outcome.NOT_SENT, over=True)),
-        (answer(400), Result(Outcome.ERROR)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
-        (b"rubbish\r\n\r\n", Result(Outcome.RESET)),
-        ("reset", Result(Outcome.RESET)),
-        ("close", Result(Outcome.RESET)),
+        (OK, AttemptResult(Outcome.OK, finished=True)),
+        (answer(500), AttemptResult(Outcome.ERROR)),
+        (answer(429, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, wait_ms=350.0)),
+        (answer(429), AttemptResult(Outcome.FULL)),
+        (answer(429, "X-RateLimit-Wait-Ms: nan"), AttemptResult(Outcome.FULL)),
+        (answer(429, "X-RateLimit-Wait-Ms: 7200000.5"), AttemptResult(Outcome.FULL, wait_ms=7200000.5)),
+        (answer(503), AttemptResult(Outcome.FULL)),
+        (answer(503, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, wait_ms=350.0)),
+        (answer(503, "X-Over-Slots: 1"), AttemptResult(Outcome.NOT_SENT, no_slot=True)),
+        (answer(504), AttemptResult(Outcome.NOT_SENT)),
+        (answer(410), AttemptResult(Outcome.NOT_SENT, finished=True)),
+        (answer(400), AttemptResult(Outcome.ERROR)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, AttemptResult(Outcome.OK, finished=True)),
+        (b"rubbish\r\n\r\n", AttemptResult(Outcome.RESET)),
+        ("reset", AttemptResult(Outcome.RESET)),
+        ("close", AttemptResult(Outcome.RESET)),
     ],
 )
-def test_an_answer_or_an_end_after_the_last_byte(reply: bytes | str, expected: Result) -> None:
+def test_an_answer_or_an_end_after_the_last_byte(reply: bytes | str, expected: AttemptResult) -> None:
     async def work() -> None:
         server = await Server().start()
         server.script.append(reply)
@@ -73,30 +73,42 @@
     ("reply", "expected"),
     [
         # The first line tells the truth, whatever comes after it.
-        (HEAD + b"Content-Length: x\r\n\r\n", Result(Outcome.OK, over=True)),
-        (HEAD + b"Content-Length: -1\r\n\r\n", Result(Outcome.OK, over=True)),
-        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", Result(Outcome.OK, over=True)),
-        (HEAD + b"Content-Length: 9\r\n\r\nx", Result(Outcome.OK, over=True)),
-        (HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.OK, over=True)),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000, Result(Outcome.OK, over=True)),
-        (HEAD + b"\x00\xff: \x01\r\n\r\n", Result(Outcome.OK, over=True)),
-        (HEAD + b"X-A: " + b"a" * 40000, Result(Outcome.OK, over=True)),
-        (HEAD + b"X-A: it goes on, but not now", Result(Outcome.OK, over=True)),
-        (b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" * 3 + HEAD + b"\xff\r\n\r\n", Result(Outcome.OK, over=True)),
-        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, Result(Outcome.OK, over=True)),
+        (HEAD + b"Content-Length: x\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"Content-Length: -1\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.OK, finished=True)),
+        (
+            HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000,
+            AttemptResult(Outcome.OK, finished=True),
+        ),
+        (
+            HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000,
+            AttemptResult(Outcome.OK, finished=True),
+        ),
+        (HEAD + b"\x00\xff: \x01\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"X-A: " + b"a" * 40000, AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"X-A: it goes on, but not now", AttemptResult(Outcome.OK, finished=True)),
+        (
+            b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" * 3 + HEAD + b"\xff\r\n\r\n",
+            AttemptResult(Outcome.OK, finished=True),
+        ),
+        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, AttemptResult(Outcome.OK, finished=True)),
         # Without that, it is a call that may have run: noise never proves a refusal.
-        (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", Result(Outcome.RESET)),
-        (b"HTTP/1.1 2000 X\r\n\r\n", Result(Outcome.RESET)),
-        (b"X-A: HTTP/1.1 200 X\r\n" * 3000, Result(Outcome.RESET)),
-        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", Result(Outcome.RESET)),
-        (b"HTTP/1.1 100 X\r\n\r\n" * 3000 + OK, Result(Outcome.RESET)),
-        (b"HTTP/1.1 503 X\r\nContent-Length: x\r\n\r\n", Result(Outcome.RESET)),
-        (b"HTTP/1.1 503 X\r\n" + b"X-A: " + b"a" * 40000, Result(Outcome.RESET)),
-        (FULL + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000, Result(Outcome.RESET, wait_ms=350.0)),
-        (FULL + b"Content-Length: 9\r\n\r\nx", Result(Outcome.TIMEOUT, wait_ms=350.0)),
+        (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", AttemptResult(Outcome.RESET)),
+        (b"HTTP/1.1 2000 X\r\n\r\n", AttemptResult(Outcome.RESET)),
+        (b"X-A: HTTP/1.1 200 X\r\n" * 3000, AttemptResult(Outcome.RESET)),
+        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", AttemptResult(Outcome.RESET)),
+        (b"HTTP/1.1 100 X\r\n\r\n" * 3000 + OK, AttemptResult(Outcome.RESET)),
+        (b"HTTP/1.1 503 X\r\nContent-Length: x\r\n\r\n", AttemptResult(Outcome.RESET)),
+        (b"HTTP/1.1 503 X\r\n" + b"X-A: " + b"a" * 40000, AttemptResult(Outcome.RESET)),
+        (
+            FULL + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000,
+            AttemptResult(Outcome.RESET, wait_ms=350.0),
+        ),
+        (FULL + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.TIMEOUT, wait_ms=350.0)),
     ],
 )
-def test_a_spoilt_answer(monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: Result) -> None:
+def test_a_spoilt_answer(monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: AttemptResult) -> None:
     """The endpoint leaves the connection open; nothing more is ever sent on it."""
     monkeypatch.setattr(egress_module, "BODY_S", 0.1)
 
@@ -104,7 +116,7 @@
         server, calls = await Server().start(), egress()
         server.script.append(reply)
         assert await calls.attempt(call(server.address)) == expected
-        assert await calls.attempt(call(server.address)) == Result(Outcome.OK, over=True)
+        assert await calls.attempt(call(server.address)) == AttemptResult(Outcome.OK, finished=True)
         assert [seen.connection for seen in server.seen] == [1, 2]
         await until(lambda: server.readers[0].at_eof() or server.readers[0].exception() is not None)
 
@@ -166,7 +178,7 @@
         address = await server.start()
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
         got = await calls.attempt(call(address, careful=True, may=may))
-        assert got == Result(Outcome.OK, over=True)
+        assert got == AttemptResult(Outcome.OK, finished=True)
         assert server.whole == server.opened == 2 and len(asked) == 3
 
     run(work())
@@ -192,9 +204,9 @@
 
     async def work() -> None:
         server, calls, may = await Server().start(), egress(), iter([True, False])
-        assert await calls.attempt(call(server.address, careful=True, may=lambda: next(may))) == Result(
-            Outcome.NOT_SENT, held_back=True
-        )
+        assert await calls.attempt(
+            call(server.address, careful=True, may=lambda: next(may))
+        ) == AttemptResult(Outcome.NOT_SENT, withheld=True)
         await until(server.left)
         assert server.opened == 1 and not server.seen and not calls.idle
 
@@ -226,7 +238,7 @@
         server.script += [OK, b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na"]
         await asyncio.gather(*(calls.attempt(call(server.address)) for _ in range(2)))
         assert (await calls.attempt(call(server.address, endpoint=2))).outcome is Outcome.OK
-        calls.keep_only({(2, server.address)})
+        calls.retain_only({(2, server.address)})
         server.writers[1].write(b"a")
         await until(
             lambda: all(reader.at_eof() or reader.exception() is not None for reader in server.readers[:2])
@@ -307,7 +319,7 @@
     async def work() -> None:
         server, calls = await Server().start(), egress()
         got = await calls.attempt(call(server.address, may=lambda: False))
-        assert got == Result(Outcome.NOT_SENT, held_back=True)
+        assert got == AttemptResult(Outcome.NOT_SENT, withheld=True)
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
 
@@ -409,7 +421,7 @@
         for server in (kept, left):
             assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         (link,) = calls.idle[1, left.address]
-        calls.keep_only({(1, kept.address)})
+        calls.retain_only({(1, kept.address)})
         assert set(calls.idle) == {(1, kept.address)} and not link.usable
 
     run(work())
--- a/tests/test_goal.py
+++ b/tests/test_goal.py
@@ -6,42 +6,52 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import counted
+from message_relay.decisions.model import Goal, MessageClass
+from message_relay.decisions.scheduler import scheduling_weights
 
 from .conftest import CLASSES, Driver, make_settings
 
-GOAL = api.Goal(whole=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
+GOAL = Goal(whole=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
 
 
-def classes(*worths: float) -> tuple[api.MessageClass, ...]:
-    return tuple(replace(cls, worth=worth) for cls, worth in zip(CLASSES, worths, strict=False))
+def classes(*worths: float) -> tuple[MessageClass, ...]:
+    return tuple(replace(cls, priority_weight=worth) for cls, worth in zip(CLASSES, worths, strict=False))
 
 
 @pytest.mark.parametrize(
     ("worths", "goal", "expected"),
     [
         ((2.0, 1.0, 4.0), GOAL, [2.0, 2.0, 4.0]),  # no more than the next
-        ((2.0, 1.0, 4.0), api.Goal(), [2.0, 1.0, 4.0]),  # the goal gives nothing for it
+        ((2.0, 1.0, 4.0), Goal(), [2.0, 1.0, 4.0]),  # the goal gives nothing for it
         ((20.0, 1.0, 4.0), replace(GOAL, worst_class=0.01), [20.0, 1.0 + 25 * 0.01 / 0.7, 4.0]),
         ((2.0, 2.0, 2.0), GOAL, [2.0, 2.0, 2.0]),  # none is given up first
         ((3.0,), GOAL, [3.0]),
         ((1.0, 1.0, 4.0), GOAL, [1.0 + 6 * 0.2 / 0.7, 1.0 + 6 * 0.2 / 0.7, 4.0]),
-        ((2.0, 1.0, 4.0), api.Goal(0.0, 0.0, 1.0, 0.0), [2.0, 2.0, 4.0]),
+        ((2.0, 1.0, 4.0), Goal(0.0, 0.0, 1.0, 0.0), [2.0, 2.0, 4.0]),
         ((0.0, 0.0), GOAL, [0.0, 0.0]),
     ],
 )
 def test_what_a_message_of_each_class_counts(
-    worths: tuple[float, ...], goal: api.Goal, expected: list[float]
+    worths: tuple[float, ...], goal: Goal, expected: list[float]
 ) -> None:
-    assert counted(make_settings(classes=classes(*worths), goal=goal)) == pytest.approx(expected)
+    assert scheduling_weights(make_settings(classes=classes(*worths), goal=goal)) == pytest.approx(expected)
 
 
-def served(goal: api.Goal) -> dict[int, int]:
+def served(goal: Goal) -> dict[int, int]:
     """Two classes at a destination that takes half of what comes: what goes out of each."""
     first, second, third = classes(2.0, 1.0, 4.0)
-    second = replace(second, aim_ms=0.75 * first.aim_ms)  # wanted sooner, as payments are
-    d = Driver(make_settings(classes=(first, second, third), goal=goal, slots=2, hold=400, relays=1))
+    second = replace(
+        second, latency_objective_ms=0.75 * first.latency_objective_ms
+    )  # wanted sooner, as payments are
+    d = Driver(
+        make_settings(
+            classes=(first, second, third),
+            goal=goal,
+            max_concurrent_attempts=2,
+            max_pending_messages=400,
+            relays=1,
+        )
+    )
     d.listed((11, 1), rate=10.0)
     of: dict[int, int] = {}
     went = {0: 0, 1: 0}
@@ -56,7 +66,7 @@
 
 def test_the_class_of_least_worth_is_not_left_out_where_the_goal_counts_the_worst_served() -> None:
     """Broken by hand: counted by worth alone, the class of less worth gets next to nothing."""
-    by_worth, by_goal = served(api.Goal()), served(GOAL)
+    by_worth, by_goal = served(Goal()), served(GOAL)
     assert by_worth[1] < 0.05 * by_worth[0]
     assert min(by_goal.values()) > 0.2 * max(by_goal.values())
     assert sum(by_goal.values()) > 0.95 * sum(by_worth.values())  # and no slot is lost by it
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
-from linnetstile.membership import asking
-from linnetstile.http.agent import Agent as AgentLink
-
-from linnetstile.core.messages import unix_ms
-from linnetstile.store.journal import Entry, Journal
-from linnetstile.http.notices import Notices
+from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.decisions.events import EndpointList
+from message_relay.decisions.model import ListKind
+from message_relay.endpoint_discovery import poll_schedule
+from message_relay.http.agent import AgentClient as AgentLink
+from message_relay.http.outcome_notifier import OutcomeNotifier
+from message_relay.store.journal import Journal, JournalEntry
 
 from .loopback import Agent, Client, Server, answer, host_of, listing, message, relay, run, until
 
@@ -108,9 +108,11 @@
         agent, server = await pair()
         server.usual = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            got = [await client.ask(message(f"m{n}")) for n in range(host.settings.hold + 1)]
+            got = [await client.ask(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)]
             assert got[:15] == [202] * 15  # from there on the module makes room by refusing some itself
-            host.held.update({-n: next(iter(host.held.values())) for n in range(1, host.settings.hold)})
+            host.held.update(
+                {-n: next(iter(host.held.values())) for n in range(1, host.settings.max_pending_messages)}
+            )
             assert await client.ask(message("more")) == 503 and "retry-after: 1.000" in client.head
         tight = {"sockets": 256, "disk_mb": 0.27}
         for path in state.glob("seg-*"):
@@ -231,8 +233,8 @@
 def test_discovery_keeps_its_version_over_malformed_answers_and_silence(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(asking, "AGENT_HOLD_MS", 100.0)
-    monkeypatch.setattr(asking, "ANSWER_MS", 100.0)
+    monkeypatch.setattr(poll_schedule, "AGENT_HOLD_MS", 100.0)
+    monkeypatch.setattr(poll_schedule, "ANSWER_MS", 100.0)
 
     async def work() -> None:
         agent, server = await pair()
@@ -282,7 +284,7 @@
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the long day: each map has a moment at which its entries leave."""
-    monkeypatch.setattr("linnetstile.core.messages.DEST_MS", 0.0)
+    monkeypatch.setattr("message_relay.core.message_lifecycle.DEST_MS", 0.0)
 
     async def work() -> None:
         agent, server = await pair()
@@ -296,15 +298,15 @@
                     assert await client.ask(message(f"m{turn}", "keyed", X_Addressing=dest)) == 202
                     await until(lambda: not host.held)
             await until(lambda: not host.ingress.connections and not host.relay.board.held)
-            host.journal.tidy(unix_ms() + 1e6)
+            host.journal.compact(unix_time_ms() + 1e6)
             host.messages.forget()
-            host.messages.know({39})
+            host.messages.add_destinations({39})
             directory, ingress, relay_ = host.directory, host.ingress, host.relay
             sizes: dict[str, Sized] = {
                 "held": host.held,
                 "numbers": host.numbers,
                 "entries": host.journal.entries,
-                "sizes": host.journal.book.sizes,
+                "sizes": host.journal.messages.sizes,
                 "home": host.journal.home,
                 "dying": host.journal.dying,
                 "silent": ingress.silent,
@@ -324,7 +326,7 @@
             assert len(directory.by_name) == len(directory.by_number) == len(host.egress.idle) == 1
             assert list(host.dests) == [39] and len(relay_.doors) == 1
             assert len(relay_.lanes) == 38  # what they have learned fades in a minute, and then goes
-            relay_.handle(host.now() + 61_000.0, [api.EndpointList(api.ListKind.CHANGES)])
+            relay_.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
             assert len(relay_.lanes) == 1
             assert len(host.tasks.running) == len(host.front.tasks.running) == 2  # each watches and sweeps
 
@@ -350,7 +352,7 @@
         agent = Agent()
         await agent.start()
         told: list[str] = []
-        notices = Notices(AgentLink(agent.address), told.extend)
+        notices = OutcomeNotifier(AgentLink(agent.address), told.extend)
         for n in range(3):
             notices.add(f"m{n}", "returned", 250.0)
         agent.script += [answer(400), answer(204), answer(204), answer(204)]
@@ -383,9 +385,9 @@
 # -- restarts: what each step leaves in the journal, and what the next process makes of it -----------------
 
 
-def entry(class_: str, age_ms: float = 1000.0, left_ms: float = 8000.0) -> Entry:
-    now = unix_ms()
-    return Entry(
+def entry(class_: str, age_ms: float = 1000.0, left_ms: float = 8000.0) -> JournalEntry:
+    now = unix_time_ms()
+    return JournalEntry(
         "m", class_, "t", 7, "k-m" if class_ == "keyed" else None, now - age_ms, now + left_ms, "", b"kept"
     )
 
@@ -416,17 +418,17 @@
         agent, server = await pair()
         name, before = f"s-{server.address[1]}", Journal(state, 3_000_000)
         it = entry(class_, left_ms=more.get("left_ms", 8000.0))
-        before.take(it)
+        before.append_accepted(it)
         for _ in range({"taken": 0, "tried out": 8}.get(step, 1)):
-            before.tried(it, unix_ms() - more.get("tried_ago", 100.0), name, 0)
+            before.append_attempt(it, unix_time_ms() - more.get("tried_ago", 100.0), name, 0)
             if step not in ("tried", "tried out"):
-                before.outcome(it, step != "refused")
+                before.append_outcome(it, step != "refused")
             elif step == "tried out":
-                before.outcome(it, False)
+                before.append_outcome(it, False)
         if step in ("ended", "failed", "told"):
-            before.ended(it, "delivered" if step == "ended" else "failed")
+            before.append_final_outcome(it, "delivered" if step == "ended" else "failed")
         if step == "told":
-            before.told(["m"])
+            before.append_notified(["m"])
         before.close()
         async with relay(state, agent, server) as host:
             if end == "delivered":
@@ -444,7 +446,7 @@
 def test_a_stop_lets_the_call_that_is_out_end_and_finishes_requests_in_use(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("linnetstile.core.host.SERVE_ON_S", 0.05)
+    monkeypatch.setattr("message_relay.core.relay.SERVE_ON_S", 0.05)
 
     async def work() -> None:
         agent, server = await pair()
--- a/tests/test_hundreds.py
+++ b/tests/test_hundreds.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.events import Message
+from message_relay.decisions.model import Outcome, Tenant
 
 from .conftest import SAFE, Driver, make_settings
 
@@ -12,7 +13,10 @@
 
 
 def drivers(count: int, rate: float, **more: object) -> list[Driver]:
-    made = [Driver(make_settings(relays=RELAYS, hold=200, **more), seed=seed) for seed in range(count)]
+    made = [
+        Driver(make_settings(relays=RELAYS, max_pending_messages=200, **more), seed=seed)
+        for seed in range(count)
+    ]
     for d in made:
         d.listed((11, 1), rate=rate)
     return made
@@ -22,7 +26,7 @@
     """With two calls saved up for each, 42 relays of 60 made 679 calls in a second, and 434 were refused."""
     at_once = 0
     for d in drivers(50, rate=20.0):
-        d.feed(*(api.Message(n, 1, SAFE, 9000.0, age_ms=1000.0) for n in range(1, 9)))
+        d.feed(*(Message(n, 1, SAFE, 9000.0, age_ms=1000.0) for n in range(1, 9)))
         d.pass_time(200)
         at_once += len(d.sent)
     assert at_once <= 10
@@ -33,7 +37,7 @@
     for d in drivers(20, rate=130.0):
         first = d.message()
         d.pass_time(50)
-        d.answer(first, api.Outcome.FULL)
+        d.answer(first, Outcome.FULL)
         refused, lane = d.now, d.relay.lanes[1][-1]
         for _ in range(20):
             d.message()
@@ -46,7 +50,7 @@
     d = drivers(1, rate=2000.0)[0]
     first = d.message()
     d.pass_time(50)
-    d.answer(first, api.Outcome.FULL)
+    d.answer(first, Outcome.FULL)
     lane = d.relay.lanes[1][-1]
     left = lane.free_at - d.now
     paces = [d.relay.paces.pace(d.now + part * left, lane, False)[0] for part in (0.0, 0.5, 0.9, 1.01)]
@@ -55,7 +59,7 @@
 
 def test_calls_above_the_equal_part_grow_slowly() -> None:
     """Where all relays are bound, all that go on above their part at once break the limit together."""
-    d = drivers(1, rate=400.0, slots=20)[0]
+    d = drivers(1, rate=400.0, max_concurrent_attempts=20)[0]
     lane = d.relay.lanes[1][-1]
     for _ in range(40):
         d.message()
@@ -85,7 +89,7 @@
 
 def test_a_small_tenants_messages_count_as_inside_its_share() -> None:
     """A two-hundredth of its share, saved up for two seconds, was less than one message."""
-    d = Driver(make_settings(relays=RELAYS, tenants=(api.Tenant("small", 80.0),), over_share_worth=0.1))
+    d = Driver(make_settings(relays=RELAYS, tenants=(Tenant("small", 80.0),), over_quota_weight=0.1))
     worths = []
     for _ in range(12):
         ident = d.message(tenant=0)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,20 +10,40 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.decisions.endings import CLOSES, LOOKS, REFUSALS
-from linnetstile.core.messages import Messages
-from linnetstile.core.seams import Offer
-from linnetstile.decisions.index import EXACT
-from linnetstile.decisions.state import FULL_VIEW
-from linnetstile.store.journal import Journal
+from message_relay.core.message_lifecycle import MessageLifecycle
+from message_relay.core.ports import Submission
+from message_relay.decisions.actions import Action, Fail, Reject, SetTimer, StartAttempt
+from message_relay.decisions.events import (
+    AttemptCompleted,
+    EndpointList,
+    Event,
+    Message,
+    MessageCancelled,
+    ShutdownScheduled,
+    TimerFired,
+)
+from message_relay.decisions.expiry import CLOSES, LOOKS, REFUSALS
+from message_relay.decisions.model import (
+    Decay,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Settings,
+    Tenant,
+)
+from message_relay.decisions.pending import FULL_VIEW
+from message_relay.decisions.priority_index import EXACT
+from message_relay.decisions.scheduler import DeliveryScheduler
+from message_relay.store.journal import Journal
 
 from .checker import Checker
 from .conftest import SAFE, make_settings
 from .plain import watched
 
-LONG = tuple(api.MessageClass(e.value, e, 1000.0, 120_000.0, 1.0, 0.5, 3000.0) for e in api.Effect)
+LONG = tuple(MessageClass(e.value, e, 1000.0, 120_000.0, 1.0, 0.5, 3000.0) for e in Effect)
 A_TURN = LOOKS * FULL_VIEW * 3 + REFUSALS * 40 + 4 * EXACT + 400  # a bound on all that one turn looks at
 
 
@@ -31,30 +51,30 @@
 class Big:
     """A relay that is fed one event a turn, each turn counted, and watched by the checker of the rules."""
 
-    settings: api.Settings
+    settings: Settings
     now: float = 1000.0
     ids: int = 0
     most: int = 0  # looked at in one turn
-    out: dict[int, api.Send] = field(default_factory=dict)
-    sent: list[tuple[float, api.Send]] = field(default_factory=list)
-    ended: dict[int, api.Action] = field(default_factory=dict)
+    out: dict[int, StartAttempt] = field(default_factory=dict)
+    sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
+    ended: dict[int, Action] = field(default_factory=dict)
     timer: float = 0.0
 
     def __post_init__(self) -> None:
-        self.relay, self.watch = Relay(self.settings, 1), Checker(self.settings)
+        self.relay, self.watch = DeliveryScheduler(self.settings, 1), Checker(self.settings)
 
-    def feed(self, *events: api.Event) -> int:
+    def feed(self, *events: Event) -> int:
         for event in events:
             self.watch.event(self.now, event)
         before, ends = self.relay.index.steps, len(self.ended)
         for act in self.relay.handle(self.now, list(events)):
             self.watch.action(self.now, act)
-            if isinstance(act, api.Send):
+            if isinstance(act, StartAttempt):
                 self.out[act.id] = act
                 self.sent.append((self.now, act))
-            elif isinstance(act, api.Refuse | api.Fail):
+            elif isinstance(act, Reject | Fail):
                 self.ended[act.id] = act
-            elif isinstance(act, api.SetTimer):
+            elif isinstance(act, SetTimer):
                 self.timer = self.now + act.delay_ms
         steps = self.relay.index.steps - before
         self.most = max(self.most, steps)
@@ -63,33 +83,41 @@
 
     def take(self, dest: int = 1, class_: int = SAFE, left: float = 120_000.0, **more: Any) -> int:
         self.ids += 1
-        self.feed(api.Message(self.ids, dest, class_, left, **more))
+        self.feed(Message(self.ids, dest, class_, left, **more))
         return self.ids
 
-    def end(self, ident: int, outcome: api.Outcome = api.Outcome.OK, wait: float = 0.0) -> int:
+    def end(self, ident: int, outcome: Outcome = Outcome.OK, wait: float = 0.0) -> int:
         send = self.out.pop(ident)
         tries = len(self.watch.seen[ident].attempts)
         return self.feed(
-            api.AttemptEnded(ident, tries - 1, send.endpoint, outcome, 50.0, outcome is api.Outcome.OK, wait)
+            AttemptCompleted(ident, tries - 1, send.endpoint, outcome, 50.0, outcome is Outcome.OK, wait)
         )
 
-    def listed(
-        self, *entries: tuple[int, int], rate: float = 50.0, listing: api.Listing = api.Listing.READY
-    ) -> None:
-        kind = api.ListKind.CHANGES
-        self.feed(api.EndpointList(kind, tuple(api.Endpoint(e, d, listing, rate=rate) for e, d in entries)))
+    def listed(self, *entries: tuple[int, int], rate: float = 50.0, listing: Listing = Listing.READY) -> None:
+        kind = ListKind.CHANGES
+        self.feed(EndpointList(kind, tuple(Endpoint(e, d, listing, rate=rate) for e, d in entries)))
 
     def ticks(self, ms: float) -> Iterator[None]:
         """Turns at the relay's own timers, until so much time has passed."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, max(self.timer, self.now + self.settings.tick_ms))
-            self.feed(api.TimerFired(0))
+            self.feed(TimerFired(0))
             yield
 
 
 def big(**more: Any) -> Big:
-    return Big(make_settings(**{"classes": LONG, "hold": 30_000, "slots": 64, "relays": 1, **more}))
+    return Big(
+        make_settings(
+            **{
+                "classes": LONG,
+                "max_pending_messages": 30_000,
+                "max_concurrent_attempts": 64,
+                "relays": 1,
+                **more,
+            }
+        )
+    )
 
 
 def test_a_destination_with_20000_messages_is_out_for_a_minute_and_comes_back() -> None:
@@ -102,7 +130,7 @@
     for _ in b.ticks(60_000):
         for ident, send in list(b.out.items()):
             if b.now >= min(send.give_up_at_ms, b.sent[-1][0] + 500.0):
-                b.end(ident, api.Outcome.CONNECT_FAILED)
+                b.end(ident, Outcome.CONNECT_FAILED)
     while_out, back = len(b.sent), b.now
     for _ in b.ticks(15_000):  # the checker watches the budget of the returning destination
         for ident in list(b.out):
@@ -112,7 +140,7 @@
 
 
 def test_a_clump_of_one_key_costs_no_more_while_its_head_is_out() -> None:
-    classes = (api.MessageClass("o", api.Effect.SAFE, 1000.0, 120_000.0, in_order=True),)
+    classes = (MessageClass("o", Effect.SAFE, 1000.0, 120_000.0, in_order=True),)
     b = big(classes=classes)
     b.watch.send = lambda *_: None  # type: ignore[method-assign]  # it is quadratic; the order is checked here
     b.listed((11, 1))
@@ -133,7 +161,7 @@
     b = big()
     b.listed((11, 1))
     first = b.take()
-    b.end(first, api.Outcome.FULL, wait=2000.0)
+    b.end(first, Outcome.FULL, wait=2000.0)
     told = b.now + 2000.0
     for _ in range(5000):
         b.take()
@@ -146,11 +174,11 @@
 
 
 def test_the_last_endpoint_drains_with_10000_queued() -> None:
-    b = big(slots=4)
+    b = big(max_concurrent_attempts=4)
     b.listed((11, 1))
     for _ in range(10_000):
         b.take()
-    b.listed((11, 1), listing=api.Listing.DRAINING)
+    b.listed((11, 1), listing=Listing.DRAINING)
     drained = b.now
     for _ in b.ticks(30_000.0):
         for ident in list(b.out):
@@ -166,68 +194,66 @@
 def test_one_whose_worth_halves_is_overtaken_by_a_younger_one_of_another_class() -> None:
     """Worth 4 and an aim of 1.5 s against worth 2 and 4 s: the first leads, until it has lost enough."""
     classes = (
-        api.MessageClass("status", api.Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
-        api.MessageClass("order", api.Effect.SAFE, 4000.0, 20_000.0, 2.0, 0.5),
+        MessageClass("status", Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
+        MessageClass("order", Effect.SAFE, 4000.0, 20_000.0, 2.0, 0.5),
     )
     for age, leads in ((0.0, 0), (1500.0, 0), (4200.0, 1), (8000.0, 1)):
-        relay = watched(make_settings(classes=classes, slots=1, decay=api.Decay.HALVES))
-        relay.handle(
-            0.0, [api.EndpointList(api.ListKind.CACHED, (api.Endpoint(11, 1, api.Listing.READY, rate=50.0),))]
-        )
-        (send,) = [a for a in relay.handle(0.0, [api.Message(1, 1, 0, 20_000.0)]) if isinstance(a, api.Send)]
-        relay.handle(1.0, [api.Message(2, 1, 0, 20_000.0)])
-        relay.handle(1.0 + age, [api.Message(3, 1, 1, 20_000.0)])
-        acts = relay.handle(2.0 + age, [api.AttemptEnded(1, 0, send.endpoint, api.Outcome.OK, 50.0, True)])
-        assert [a.id for a in acts if isinstance(a, api.Send)] == [2 + leads], age
+        relay = watched(make_settings(classes=classes, max_concurrent_attempts=1, decay=Decay.HALVES))
+        relay.handle(0.0, [EndpointList(ListKind.CACHED, (Endpoint(11, 1, Listing.READY, rate=50.0),))])
+        (send,) = [a for a in relay.handle(0.0, [Message(1, 1, 0, 20_000.0)]) if isinstance(a, StartAttempt)]
+        relay.handle(1.0, [Message(2, 1, 0, 20_000.0)])
+        relay.handle(1.0 + age, [Message(3, 1, 1, 20_000.0)])
+        acts = relay.handle(2.0 + age, [AttemptCompleted(1, 0, send.endpoint, Outcome.OK, 50.0, True)])
+        assert [a.id for a in acts if isinstance(a, StartAttempt)] == [2 + leads], age
 
 
 def test_a_message_gains_when_its_last_second_begins_without_an_event() -> None:
     """Nothing would be left of it a second later, so it is worth twice as much to send: nobody tells the
     index, since nothing has happened at its destination."""
-    classes = (api.MessageClass("c", api.Effect.SAFE, 1000.0, 8000.0, 1.0, 0.1),)
+    classes = (MessageClass("c", Effect.SAFE, 1000.0, 8000.0, 1.0, 0.1),)
     relay = watched(
         make_settings(
             classes=classes,
-            slots=1,
-            decay=api.Decay.HALVES,
-            over_share_worth=0.14,
-            tenants=(api.Tenant("rich", 1e6), api.Tenant("over its share", 1e-6)),
+            max_concurrent_attempts=1,
+            decay=Decay.HALVES,
+            over_quota_weight=0.14,
+            tenants=(Tenant("rich", 1e6), Tenant("over its share", 1e-6)),
         )
     )
 
     def ended(ident: int, now: float) -> list[int]:
-        acts = relay.handle(now, [api.AttemptEnded(ident, 0, 12, api.Outcome.OK, 500.0, True)])
-        return [act.id for act in acts if isinstance(act, api.Send)]
+        acts = relay.handle(now, [AttemptCompleted(ident, 0, 12, Outcome.OK, 500.0, True)])
+        return [act.id for act in acts if isinstance(act, StartAttempt)]
 
     relay.handle(
         0.0,
         [
-            api.EndpointList(
-                api.ListKind.CACHED,
-                tuple(api.Endpoint(10 + dest, dest, api.Listing.READY, rate=50.0) for dest in (1, 2)),
+            EndpointList(
+                ListKind.CACHED,
+                tuple(Endpoint(10 + dest, dest, Listing.READY, rate=50.0) for dest in (1, 2)),
             )
         ],
     )
     relay.shares[1] = 0.0, 0.0  # the second one has used up what it could save
-    relay.handle(0.0, [api.Message(100, 2, 0, 8000.0)])  # takes the slot
-    relay.handle(0.0, [api.Message(99, 3, 0, 8000.0)])  # or a queue left alone would be looked at for that
+    relay.handle(0.0, [Message(100, 2, 0, 8000.0)])  # takes the slot
+    relay.handle(0.0, [Message(99, 3, 0, 8000.0)])  # or a queue left alone would be looked at for that
     for n in range(6):  # more than are entered whole; they lie on the floor of their worth, 0.1, before long
-        relay.handle(n * 100.0, [api.Message(n, 1, 0, 8000.0)])
-    relay.handle(5990.0, [api.Message(101, 2, 0, 8000.0, 1)])
+        relay.handle(n * 100.0, [Message(n, 1, 0, 8000.0)])
+    relay.handle(5990.0, [Message(101, 2, 0, 8000.0, 1)])
     assert ended(100, 6000.0) == [101]  # 0.14 goes before 0.1; destination 1 has been looked at
-    relay.handle(6690.0, [api.Message(102, 2, 0, 8000.0, 1)])
+    relay.handle(6690.0, [Message(102, 2, 0, 8000.0, 1)])
     (ident,) = ended(101, 6700.0)
     assert ident in (0, 1, 2) and relay.choices >= 3  # their answers would come at 7.0 to 7.2 s of 8
 
 
 def test_5000_destinations_are_due_in_one_tick() -> None:
-    b = big(hold=30_000)
+    b = big(max_pending_messages=30_000)
     b.listed(*((d, d) for d in range(1, 5001)))
     for dest in range(1, 5001):
         for _ in range(4):
             b.take(dest)
     assert len(b.relay.board.held) == 20_000 and len(b.out) == 64 and b.most <= A_TURN
-    b.feed(api.Closing(b.now + 1e9))  # all queues are to be looked at
+    b.feed(ShutdownScheduled(b.now + 1e9))  # all queues are to be looked at
     assert len(b.relay.board.due) >= 4900
     turns = 0
     while len(b.relay.board.due) > 1:  # but for the one that has just got its call
@@ -241,7 +267,7 @@
 def test_what_an_event_looks_at_does_not_grow_with_what_is_held() -> None:
     means = {}
     for held, dests in ((70, 1), (2000, 500), (8000, 2000)):
-        b = big(slots=32)
+        b = big(max_concurrent_attempts=32)
         b.listed(*((d, d) for d in range(1, dests + 1)), rate=1e4)
         for n in range(held):
             b.take(1 + n % dests, left=60_000.0 + n % 7)
@@ -273,7 +299,7 @@
     relay = b.relay
     empty = tracemalloc.get_traced_memory()[0]
     for n in range(4000):
-        relay.handle(b.now, [api.Message(n, 1 + n % dests, SAFE, 60_000.0)])
+        relay.handle(b.now, [Message(n, 1 + n % dests, SAFE, 60_000.0)])
     full = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert (full - empty - 3000 * dests) / 4000 < 1600 and empty / dests < 3000 + 200_000 / dests
@@ -281,49 +307,57 @@
 
 def test_memory_for_each_message_in_all(tmp_path: Path) -> None:
     """What docs/sizing.md states, with a body of 300 bytes: under 4 KB held, under 1.5 KB once it ended."""
-    settings = make_settings(hold=30_000, slots=64)
-    relay, count = Relay(settings, 1), 4000
+    settings = make_settings(max_pending_messages=30_000, max_concurrent_attempts=64)
+    relay, count = DeliveryScheduler(settings, 1), 4000
 
-    def feed(event: api.Event) -> None:
+    def feed(event: Event) -> None:
         relay.handle(1000.0, [event])
 
-    desk = Messages(settings, Journal(tmp_path, 2 * 10**9), lambda: 0.0, feed, lambda origin, end: None)
-    desk.know({1})
+    desk = MessageLifecycle(
+        settings, Journal(tmp_path, 2 * 10**9), lambda: 0.0, feed, lambda origin, end: None
+    )
+    desk.add_destinations({1})
     tracemalloc.start()
     empty = tracemalloc.get_traced_memory()[0]
     for n in range(count):
         body = b"%08d" % n + b"x" * 292
-        assert desk.take(Offer(f"{n:016x}", "safe", "", 1, f"{n:032x}", 9000, "", body, "http")).new
+        assert desk.accept(Submission(f"{n:016x}", "safe", "", 1, f"{n:032x}", 9000, "", body, "http")).is_new
     full = tracemalloc.get_traced_memory()[0]
-    for number in list(desk.held):
+    for number in list(desk.accepted):
         desk.over(number, "returned")
-        relay.handle(1000.0, [api.Withdrawn(number)])
+        relay.handle(1000.0, [MessageCancelled(number)])
     ended = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert 300 < (full - empty) / count < 4000 and 0 < (ended - empty) / count < 1500
 
 
 def test_10000_destinations_that_come_and_go_leave_nothing() -> None:
-    relay, now, ids = Relay(make_settings(classes=LONG, slots=64, hold=1000), 1), 1000.0, 0
+    relay, now, ids = (
+        DeliveryScheduler(
+            make_settings(classes=LONG, max_concurrent_attempts=64, max_pending_messages=1000), 1
+        ),
+        1000.0,
+        0,
+    )
     for first in range(0, 10_000, 100):
-        entries = tuple(api.Endpoint(first + n, first + n, api.Listing.READY, rate=50.0) for n in range(100))
-        relay.handle(now, [api.EndpointList(api.ListKind.CHANGES, entries)])
-        acts = relay.handle(now, [api.Message(ids + n, first + n, SAFE, 9000.0) for n in range(100)])
+        entries = tuple(Endpoint(first + n, first + n, Listing.READY, rate=50.0) for n in range(100))
+        relay.handle(now, [EndpointList(ListKind.CHANGES, entries)])
+        acts = relay.handle(now, [Message(ids + n, first + n, SAFE, 9000.0) for n in range(100)])
         ids += 100
-        while sends := [act for act in acts if isinstance(act, api.Send)]:
+        while sends := [act for act in acts if isinstance(act, StartAttempt)]:
             now += 5.0
             acts = relay.handle(
                 now,
-                [api.AttemptEnded(send.id, 0, send.endpoint, api.Outcome.OK, 20.0, True) for send in sends],
+                [AttemptCompleted(send.id, 0, send.endpoint, Outcome.OK, 20.0, True) for send in sends],
             )
-        gone = tuple(api.Endpoint(e.id, e.destination, api.Listing.GONE) for e in entries)
-        relay.handle(now, [api.EndpointList(api.ListKind.CHANGES, gone)])
+        gone = tuple(Endpoint(e.id, e.destination, Listing.GONE) for e in entries)
+        relay.handle(now, [EndpointList(ListKind.CHANGES, gone)])
         now += 1000.0
         assert len(relay.lanes) <= 6200  # what was learned in the last minute
     now += 61_000.0
-    relay.handle(now, [api.EndpointList(api.ListKind.CHANGES)])
-    relay.handle(now, [api.Message(ids, 1, SAFE, 9000.0)])  # the bounds of the index are renewed
-    relay.handle(now + 9000.0, [api.TimerFired(0)])
+    relay.handle(now, [EndpointList(ListKind.CHANGES)])
+    relay.handle(now, [Message(ids, 1, SAFE, 9000.0)])  # the bounds of the index are renewed
+    relay.handle(now + 9000.0, [TimerFired(0)])
     board, index = relay.board, relay.index
     left: dict[str, Sized] = {
         "lanes": relay.lanes,
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-
 import json
 from pathlib import Path
 
 import pytest
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.decisions.interface import Learned
-from linnetstile.store.learned import FILE_BYTES, OLD_MS, LearnedFile
+from message_relay.decisions.events import Message, RestoredDestination
+from message_relay.decisions.model import Outcome
+from message_relay.decisions.scheduler import DeliveryScheduler
+from message_relay.store.destination_snapshot import FILE_BYTES, OLD_MS, DestinationSnapshotFile
 
 from .conftest import SAFE, Driver, make_settings
 from .loopback import Agent, Client, Server, answer, host_of, message, run, until
@@ -19,17 +18,17 @@
 
 def restarted(before: Driver, away_ms: float, folder: Path) -> Driver:
     """The next process, on what the file holds of the one before."""
-    LearnedFile(folder).save(1e12, before.relay.learned(before.now))
+    DestinationSnapshotFile(folder).save(1e12, before.relay.learned(before.now))
     after = Driver(before.settings, now=5e6, seed=2)
     after.listed((11, 1), rate=10.0)
-    after.feed(*LearnedFile(folder).load(1e12 + away_ms))
+    after.feed(*DestinationSnapshotFile(folder).load(1e12 + away_ms))
     return after
 
 
 def test_a_told_wait_is_kept_to_its_end_over_a_restart(tmp_path: Path) -> None:
     d = Driver()
     d.listed((11, 1), rate=10.0)
-    d.answer(d.message(), api.Outcome.FULL, wait=5000.0)
+    d.answer(d.message(), Outcome.FULL, wait=5000.0)
     left = d.relay.learned(d.now)[0].wait_ms
     assert left >= 5000.0
     after = restarted(d, 600.0, tmp_path)
@@ -48,7 +47,7 @@
     for _ in range(2):
         ident = d.message()
         d.pass_time(3000, 50)
-        d.answer(ident, api.Outcome.CONNECT_FAILED)
+        d.answer(ident, Outcome.CONNECT_FAILED)
     assert d.relay.lanes[1][-1].sick
     fresh = Driver(settings, seed=2)
     fresh.listed((11, 1), rate=10.0)
@@ -66,7 +65,7 @@
     for _ in range(2):
         ident = d.message()
         d.pass_time(3000, 50)
-        d.answer(ident, api.Outcome.CONNECT_FAILED)
+        d.answer(ident, Outcome.CONNECT_FAILED)
     while d.relay.lanes[1][-1].sick:
         for ident in list(d.out):
             d.answer(ident)
@@ -81,7 +80,7 @@
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.warm_up()
-    d.feed(Learned(1, 9000.0, True, 500.0, None), Learned(77, 9000.0))
+    d.feed(RestoredDestination(1, 9000.0, True, 500.0, None), RestoredDestination(77, 9000.0))
     lane = d.relay.lanes[1][-1]
     assert not lane.sick and lane.wait_until < d.now and 77 not in d.relay.lanes
 
@@ -90,7 +89,7 @@
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.warm_up()
-    LearnedFile(tmp_path).save(1e12, d.relay.learned(d.now))
+    DestinationSnapshotFile(tmp_path).save(1e12, d.relay.learned(d.now))
     assert d.relay.learned(d.now) == [] and not list(tmp_path.iterdir())
 
 
@@ -112,19 +111,21 @@
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "learned").write_text(text)
-    assert LearnedFile(tmp_path).load(1e12) == [] and "passed over" in caplog.text
+    assert DestinationSnapshotFile(tmp_path).load(1e12) == [] and "passed over" in caplog.text
 
 
 def test_of_old_knowledge_only_waits_count(tmp_path: Path) -> None:
-    LearnedFile(tmp_path).save(1e12, [Learned(1, 2 * OLD_MS, True, 10.0, None), Learned(2, 0.0, True, 10.0)])
-    assert LearnedFile(tmp_path).load(1e12 + OLD_MS + 1) == [Learned(1, OLD_MS - 1)]
+    DestinationSnapshotFile(tmp_path).save(
+        1e12, [RestoredDestination(1, 2 * OLD_MS, True, 10.0, None), RestoredDestination(2, 0.0, True, 10.0)]
+    )
+    assert DestinationSnapshotFile(tmp_path).load(1e12 + OLD_MS + 1) == [RestoredDestination(1, OLD_MS - 1)]
 
 
 def test_it_keeps_to_its_room(tmp_path: Path) -> None:
-    lanes = [Learned(n, 1234.567, True, 1234.567, 1234.567) for n in range(2000)]
-    LearnedFile(tmp_path).save(1e12, lanes)
+    lanes = [RestoredDestination(n, 1234.567, True, 1234.567, 1234.567) for n in range(2000)]
+    DestinationSnapshotFile(tmp_path).save(1e12, lanes)
     assert (tmp_path / "learned").stat().st_size <= FILE_BYTES
-    kept = LearnedFile(tmp_path).load(1e12)
+    kept = DestinationSnapshotFile(tmp_path).load(1e12)
     assert 50 < len(kept) < 2000 and kept == lanes[: len(kept)]
     assert json.loads((tmp_path / "learned").read_text())["version"] == 1
 
@@ -156,7 +157,7 @@
 
 def test_learned_that_makes_no_sense_names_its_field() -> None:
     with pytest.raises(ValueError, match="learned.wait_ms"):
-        Learned(1, -1.0)
-    relay = Relay(make_settings(), 1)
-    relay.handle(0.0, [Learned(1, 5.0), api.Message(1, 1, SAFE, 9000.0)])
+        RestoredDestination(1, -1.0)
+    relay = DeliveryScheduler(make_settings(), 1)
+    relay.handle(0.0, [RestoredDestination(1, 5.0), Message(1, 1, SAFE, 9000.0)])
     assert not relay.lanes
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -11,8 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import linnetstile
-from linnetstile.decisions import interface as api
+import message_relay
+from message_relay.decisions.actions import Action
+from message_relay.decisions.events import AttemptCompleted, Event, Message, TimerFired
+from message_relay.decisions.model import DestinationKind, Effect, MessageClass, Outcome, Scope, Tenant
 
 from .conftest import Driver, make_settings
 
@@ -36,20 +38,20 @@
 
 
 @st.composite
-def classes_of(draw: st.DrawFn) -> list[api.MessageClass]:
+def classes_of(draw: st.DrawFn) -> list[MessageClass]:
     made = []
     for number in range(draw(st.integers(1, 4))):
         deadline = draw(st.floats(1000, 20000))
         made.append(
-            api.MessageClass(
+            MessageClass(
                 f"c{number}",
-                draw(st.sampled_from(api.Effect)),
+                draw(st.sampled_from(Effect)),
                 draw(st.floats(300, 0.9 * deadline)),
                 deadline,
-                worth=draw(st.integers(1, 9)) + number / 8,
+                priority_weight=draw(st.integers(1, 9)) + number / 8,
                 late_share=draw(st.floats(0, 0.9)),
                 key_window_ms=draw(st.floats(1000, 30000)),
-                key_scope=draw(st.sampled_from((api.Scope.ALL, api.Scope.ZONE))),
+                key_scope=draw(st.sampled_from((Scope.ALL, Scope.ZONE))),
             )
         )
     return made
@@ -59,44 +61,42 @@
 
 
 def played(
-    classes: tuple[api.MessageClass, ...],
+    classes: tuple[MessageClass, ...],
     number: list[int],
     kinds: tuple[str, ...],
     tenants: tuple[str, ...],
     steps: list[Step],
     seed: int,
-) -> list[tuple[float, api.Action]]:
+) -> list[tuple[float, Action]]:
     """All that a relay does; `number`: of each class in these settings."""
     driver = Driver(
         make_settings(
             classes=classes,
-            slots=3,
-            hold=12,
+            max_concurrent_attempts=3,
+            max_pending_messages=12,
             relays=3,
-            kinds=tuple(api.DestinationKind(each) for each in kinds),
-            tenants=tuple(api.Tenant(each, 4.0) for each in tenants),
-            over_share_worth=0.25,
+            kinds=tuple(DestinationKind(each) for each in kinds),
+            tenants=tuple(Tenant(each, 4.0) for each in tenants),
+            over_quota_weight=0.25,
         ),
         seed=seed,
     )
     driver.listed((1, 1), (2, 1), (3, 2), rate=6.0)
-    did: list[tuple[float, api.Action]] = []
-    outcomes = list(api.Outcome)
+    did: list[tuple[float, Action]] = []
+    outcomes = list(Outcome)
     for ident, (class_, dest, end) in enumerate(steps, 1):
-        events: list[api.Event] = [
-            api.Message(ident, dest, number[class_ % len(number)], 4000.0, tenant=ident % len(tenants))
+        events: list[Event] = [
+            Message(ident, dest, number[class_ % len(number)], 4000.0, tenant=ident % len(tenants))
         ]
         if driver.out and end < len(outcomes):
             oldest = next(iter(driver.out))
             send = driver.out.pop(oldest)
             events.append(
-                api.AttemptEnded(
-                    oldest, 0, send.endpoint, outcomes[end], 80.0, outcomes[end] is api.Outcome.OK
-                )
+                AttemptCompleted(oldest, 0, send.endpoint, outcomes[end], 80.0, outcomes[end] is Outcome.OK)
             )
         did += [(driver.now, act) for act in driver.feed(*events)]
         driver.now += 60.0
-        did += [(driver.now, act) for act in driver.feed(api.TimerFired(0))]
+        did += [(driver.now, act) for act in driver.feed(TimerFired(0))]
     return did
 
 
@@ -109,7 +109,7 @@
     st.integers(0, 99),
 )
 def test_classes_that_are_renamed_and_reordered_are_decided_alike(
-    classes: list[api.MessageClass], chance: object, names: list[str], steps: list[Step], seed: int
+    classes: list[MessageClass], chance: object, names: list[str], steps: list[Step], seed: int
 ) -> None:
     assert isinstance(chance, Random)
     order = list(range(len(classes)))
@@ -124,7 +124,7 @@
 
 def test_no_name_of_a_deployment_stands_in_the_program() -> None:
     found = []
-    for path in Path(linnetstile.__path__[0]).rglob("*.py"):
+    for path in Path(message_relay.__path__[0]).rglob("*.py"):
         text = path.read_text().lower()
         found += [(path.name, each) for each in NAMES if re.search(rf"\b{re.escape(each)}\b", text)]
     assert found == []
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from standins.net import Command, Net, Plan
+from fakes.fault_proxy import Command, FaultProxy, Plan
 
 from .loopback import until
 
@@ -24,7 +24,7 @@
         self.got.append(data)
 
 
-async def peers(net: Net, port: int) -> list[tuple[asyncio.DatagramTransport, Peer]]:
+async def peers(net: FaultProxy, port: int) -> list[tuple[asyncio.DatagramTransport, Peer]]:
     await net.start(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
     made = [await loop.create_datagram_endpoint(Peer, (f"{BLOCK}.1.{n}", port)) for n in range(3)]
@@ -45,7 +45,7 @@
 
 def test_packets_are_cut_one_way_lost_doubled_and_late_by_link() -> None:
     async def work() -> None:
-        net = Net(plan(7411), 3)
+        net = FaultProxy(plan(7411), 3)
         (a, got_a), (b, got_b), (c, got_c) = await peers(net, 7411)
 
         async def say(source: asyncio.DatagramTransport, to: int, *words: bytes) -> None:
@@ -81,7 +81,7 @@
 
 def test_connections_wait_on_a_cut_link_and_end_on_a_reset() -> None:
     async def work() -> None:
-        net = Net(plan(7412), 3)
+        net = FaultProxy(plan(7412), 3)
         made = await peers(net, 7412)
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -119,7 +119,7 @@
     ],
 )
 def test_a_faulty_command_is_told_and_changes_nothing(told: Command, said: str) -> None:
-    net = Net(plan(7413), 1)
+    net = FaultProxy(plan(7413), 1)
     with pytest.raises(ValueError, match=said):
         net.command(told)
     assert net.links == {}
