--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -10,18 +10,20 @@
 
 import pytest
 
-from linnetstile.core import host as core_host
-from linnetstile.core.growing import MOST
-from linnetstile.core.messages import unix_ms
-from linnetstile.core.seams import Attempt, Result
-from linnetstile.core.turns import Turns
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.http import notices as http_notices
-from linnetstile.http.agent import Agent as AgentLink
-from linnetstile.http.agent import AgentError
-from linnetstile.http.link import polled
-from linnetstile.http.notices import Notices
+from message_relay.core import relay as core_host
+from message_relay.core.backoff import MOST
+from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.core.scheduler_driver import SchedulerDriver
+from message_relay.decisions.actions import Action, Fail, SetTimer, StartAttempt
+from message_relay.decisions.events import AttemptCompleted, Event, TimerFired
+from message_relay.decisions.model import Outcome
+from message_relay.decisions.scheduler import DeliveryScheduler
+from message_relay.http import outcome_notifier as http_notices
+from message_relay.http.agent import AgentClient as AgentLink
+from message_relay.http.agent import AgentError
+from message_relay.http.connection import polled
+from message_relay.http.outcome_notifier import OutcomeNotifier
 
 from .conftest import make_settings
 from .loopback import Agent, Client, Server, answer, message, relay, run, until
@@ -36,7 +38,7 @@
     def __init__(self, silent: int) -> None:
         self.silent, self.waited, self.asked = silent, list[float](), 0
 
-    async def ask(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
+    async def request(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
         self.asked += 1
         if self.asked <= self.silent:
             self.waited.append(seconds)
@@ -49,7 +51,7 @@
 
     async def work() -> None:
         agent, told = Silent(1), list[str]()
-        notices = Notices(agent, told.extend)  # type: ignore[arg-type]
+        notices = OutcomeNotifier(agent, told.extend)  # type: ignore[arg-type]
         notices.add("m", "failed")
         task = asyncio.ensure_future(notices.run())
         await until(lambda: told == ["m"])
@@ -62,7 +64,7 @@
 def test_a_slow_agent_is_waited_for_longer_and_longer_and_not_for_good() -> None:
     async def work() -> None:
         agent, told = Silent(6), list[str]()
-        notices = Notices(agent, told.extend)  # type: ignore[arg-type]
+        notices = OutcomeNotifier(agent, told.extend)  # type: ignore[arg-type]
         notices.add("m", "failed")
         task = asyncio.ensure_future(notices.run())
         await until(lambda: told == ["m"])
@@ -81,7 +83,7 @@
         await agent.start()
         agent.script += [None]
         told = list[str]()
-        notices = Notices(AgentLink(agent.address), told.extend)
+        notices = OutcomeNotifier(AgentLink(agent.address), told.extend)
         notices.add("m", "failed")
         task = asyncio.ensure_future(notices.run())
         await until(lambda: told == ["m"])
@@ -101,7 +103,7 @@
             client.writer.write(text[:40])
             await until(lambda: any(not each.idle for each in host.ingress.connections))
             await asyncio.sleep(0.2)
-            whole = unix_ms()
+            whole = unix_time_ms()
             client.writer.write(text[40:])
             assert await client.status() == 202
             entry = host.journal.entries["m"]
@@ -110,14 +112,14 @@
     run(work())
 
 
-class Scripted(Relay):
+class Scripted(DeliveryScheduler):
     """Says what it is told to."""
 
-    def __init__(self, *acts: api.Action) -> None:
+    def __init__(self, *acts: Action) -> None:
         super().__init__(make_settings(), 1)
         self.acts = list(acts)
 
-    def handle(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
         acts, self.acts = self.acts, []
         return acts
 
@@ -128,17 +130,17 @@
     """Seen to fail without the guard: all that stood behind it was dropped, and nothing woke the module."""
 
     async def work() -> None:
-        done = list[api.Action]()
+        done = list[Action]()
 
-        def act(action: api.Action) -> None:
-            if isinstance(action, api.Send):
+        def act(action: Action) -> None:
+            if isinstance(action, StartAttempt):
                 raise KeyError(action.id)
             done.append(action)
 
-        turns = Turns(Scripted(api.Send(1, 2, 3.0), api.Fail(4), api.SetTimer(60_000.0, 0)), 5.0, act)
-        turns.feed(api.TimerFired(0))
+        turns = SchedulerDriver(Scripted(StartAttempt(1, 2, 3.0), Fail(4), SetTimer(60_000.0, 0)), 5.0, act)
+        turns.feed(TimerFired(0))
         await until(lambda: turns.timer is not None)
-        assert done == [api.Fail(4)] and "KeyError" in caplog.text
+        assert done == [Fail(4)] and "KeyError" in caplog.text
         turns.stop()
 
     with caplog.at_level(logging.ERROR):
@@ -152,7 +154,7 @@
         world = World(tmp_path)
         async with world as host, Client(host.ingress.port) as client:
             world.server.usual = None
-            ended = list[api.Event]()
+            ended = list[Event]()
             begin, feed = host.host.attempts.begin, host.turns.feed
 
             def at_once(number: int, endpoint: int, until_ms: float) -> None:
@@ -161,16 +163,16 @@
                 assert cancel is not None
                 cancel()
 
-            def heard(event: api.Event) -> None:
+            def heard(event: Event) -> None:
                 ended.append(event)
                 feed(event)
 
             host.host.attempts.begin = at_once  # type: ignore[method-assign]
             host.turns.feed = heard  # type: ignore[method-assign]
             assert await client.ask(message("m")) == 202
-            await until(lambda: any(isinstance(each, api.AttemptEnded) for each in ended))
-            outcome = next(each for each in ended if isinstance(each, api.AttemptEnded))
-            assert outcome.outcome is api.Outcome.CANCELLED
+            await until(lambda: any(isinstance(each, AttemptCompleted) for each in ended))
+            outcome = next(each for each in ended if isinstance(each, AttemptCompleted))
+            assert outcome.outcome is Outcome.CANCELLED
 
     run(work())
 
@@ -222,7 +224,7 @@
             assert await client.ask(message("m", "unsafe")) == 202
             await until(lambda: bool(server.seen))
             if server.usual is not None:
-                await until(lambda: host.host.unsettled == 1)
+                await until(lambda: host.host.pending_outcomes == 1)
             begun = loop.time()
             await host.stop()
             assert loop.time() - begun < core_host.GONE_S + 3.0  # it does not wait for what hangs
@@ -248,7 +250,7 @@
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             began = asyncio.Event()
 
-            async def attempt(attempt: Attempt) -> Result:
+            async def attempt(attempt: Attempt) -> AttemptResult:
                 began.set()
                 await asyncio.Event().wait()  # its connection never comes up
                 raise AssertionError
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from linnetstile.store.journal import Journal
+from message_relay.store.journal import Journal
 
 from .loopback import Agent, Client, Server, answer, listing, message, raw_config, run, until
 
@@ -27,7 +27,7 @@
 
 
 class Process:
-    """`python -m linnetstile`, started again at will on one folder and one port."""
+    """`python -m message_relay`, started again at will on one folder and one port."""
 
     def __init__(self, folder: Path, agent: Agent, *servers: Server) -> None:
         self.port, self.config, self.state = free_port(), folder / "config.json", folder / "state"
@@ -40,7 +40,7 @@
 
     async def start(self, **more: str) -> None:
         env = {**os.environ, "RELAY_CONFIG": str(self.config), **more}
-        self.process = await asyncio.create_subprocess_exec(sys.executable, "-m", "linnetstile", env=env)
+        self.process = await asyncio.create_subprocess_exec(sys.executable, "-m", "message_relay", env=env)
         while True:
             try:
                 async with Client(self.port) as client:
@@ -224,7 +224,7 @@
         path.write_text(json.dumps({**raw, **change}))
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     done = subprocess.run(
-        [sys.executable, "-m", "linnetstile"],
+        [sys.executable, "-m", "message_relay"],
         capture_output=True,
         text=True,
         timeout=60,
@@ -244,7 +244,7 @@
         await process.hand_in(message("m"))
         env = {**os.environ, "RELAY_CONFIG": str(process.config), "RELAY_LISTEN": f"127.0.0.1:{free_port()}"}
         second = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "linnetstile", env=env, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-m", "message_relay", env=env, stderr=asyncio.subprocess.PIPE
         )
         _, errors = await second.communicate()
         assert second.returncode == 1 and errors.count(b"\n") == 1
@@ -263,6 +263,6 @@
     (tmp_path / "config.json").write_text(json.dumps(raw))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
     done = subprocess.run(
-        [sys.executable, "-m", "linnetstile"], capture_output=True, text=True, timeout=60, env=env
+        [sys.executable, "-m", "message_relay"], capture_output=True, text=True, timeout=60, env=env
     )
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "nowhere" in done.stderr
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,9 +16,10 @@
 
 import pytest
 
-from linnetstile.core.messages import unix_ms
-from linnetstile.decisions import interface as api
-from linnetstile.store.journal import Entry, Journal
+from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.decisions.events import Message
+from message_relay.decisions.model import Effect, Endpoint, Listing, MessageClass
+from message_relay.store.journal import Journal, JournalEntry
 
 from .conftest import Driver, make_settings
 from .loopback import SETTINGS, Agent, Client, Server, answer, host_of, listing, message, run, until
@@ -48,9 +49,11 @@
 
     async def work() -> None:
         agent, server, process = await world(tmp_path, settings=settings_of(**{"open-cap": LEFT}))
-        journal, now = Journal(process.state, 3_000_000), unix_ms()
+        journal, now = Journal(process.state, 3_000_000), unix_time_ms()
         for n in range(LEFT):
-            journal.take(Entry(f"m{n}", "unsafe", "t", 7, None, now - 8000, now + 8000 + n, "", b"hello"))
+            journal.append_accepted(
+                JournalEntry(f"m{n}", "unsafe", "t", 7, None, now - 8000, now + 8000 + n, "", b"hello")
+            )
         journal.close()
         raw = listing(server)
         raw["instances"][0]["weight"] = 200.0
@@ -69,10 +72,10 @@
         settings = copy.deepcopy(SETTINGS)
         settings["extra"]["call-slots"] = 1
         agent, server, process = await world(tmp_path, settings=settings)
-        journal, now = Journal(process.state, 3_000_000), unix_ms()
+        journal, now = Journal(process.state, 3_000_000), unix_time_ms()
         for n in (3, 1, 4, 0, 2):
-            journal.take(
-                Entry(f"m{n}", "unsafe", "t", 7, None, now - 100 + n, now + 15_900 + n, "", b"hello")
+            journal.append_accepted(
+                JournalEntry(f"m{n}", "unsafe", "t", 7, None, now - 100 + n, now + 15_900 + n, "", b"hello")
             )
         journal.close()
         await process.start()
@@ -91,11 +94,11 @@
     dead_ms: float, goes: bool
 ) -> None:
     """The time spent dead counts, from the first byte of the attempt that was out at the kill."""
-    classes = (api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 1000.0),)
+    classes = (MessageClass("k", Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 1000.0),)
     driver = Driver(make_settings(classes=classes))
     driver.listed((1, 1))
     driver.feed(
-        api.Message(
+        Message(
             1,
             1,
             0,
@@ -103,7 +106,7 @@
             age_ms=dead_ms + 100,
             tries=1,
             risk_age_ms=dead_ms,
-            risk=api.Endpoint(1, 1, api.Listing.READY),
+            risk=Endpoint(1, 1, Listing.READY),
         )
     )
     driver.pass_time(3000)
@@ -122,10 +125,10 @@
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 1000.0
         agent, server, process = await world(tmp_path, settings=settings)
-        journal, now = Journal(process.state, 3_000_000), unix_ms() - step_ms
-        entry = Entry("k", "keyed", "t", 7, "key", now - 2000, now + 3_700_000, "", b"hello")
-        journal.take(entry)
-        journal.tried(entry, now - 1500, "s-old", 0)  # 1.5 s ago in truth: past its window
+        journal, now = Journal(process.state, 3_000_000), unix_time_ms() - step_ms
+        entry = JournalEntry("k", "keyed", "t", 7, "key", now - 2000, now + 3_700_000, "", b"hello")
+        journal.append_accepted(entry)
+        journal.append_attempt(entry, now - 1500, "s-old", 0)  # 1.5 s ago in truth: past its window
         journal.close()
         await process.start()
         assert (await agent.notices.get())["id"] == "k"
@@ -157,11 +160,11 @@
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 5000.0  # long enough for the start of a process
         agent, server, process = await world(tmp_path, settings=settings)
-        journal, now = Journal(process.state, 3_000_000), unix_ms()
-        entry = Entry("k", "keyed", "t", 7, "key", now - 9000, now + 7000, "", b"hello")
-        journal.take(entry)
+        journal, now = Journal(process.state, 3_000_000), unix_time_ms()
+        entry = JournalEntry("k", "keyed", "t", 7, "key", now - 9000, now + 7000, "", b"hello")
+        journal.append_accepted(entry)
         up = -1.0 if up_ago is None else time.monotonic() * 1000 - up_ago
-        journal.tried(entry, now - wall_ago, "s-old", 0, up)
+        journal.append_attempt(entry, now - wall_ago, "s-old", 0, up)
         journal.close()
         await process.start()
         if goes:
@@ -189,11 +192,11 @@
         server.usual = None if step in ("byte",) else answer(500)
         agent.script.extend([answer(503)] * 1000 if step == "ended" else [])
         if step in ("taken", "tried"):  # what such a kill leaves in the folder
-            journal, now = Journal(process.state, 3_000_000), unix_ms()
-            entry = Entry("m", class_, "t", 7, None, now, now + 8000, "", b"hello")
-            journal.take(entry)
+            journal, now = Journal(process.state, 3_000_000), unix_time_ms()
+            entry = JournalEntry("m", class_, "t", 7, None, now, now + 8000, "", b"hello")
+            journal.append_accepted(entry)
             if step == "tried":
-                journal.tried(entry, now, f"s-{server.address[1]}", 0)
+                journal.append_attempt(entry, now, f"s-{server.address[1]}", 0)
             journal.close()
         else:
             await process.start()
@@ -232,7 +235,7 @@
     """A process that the system lets hold few descriptors."""
 
     async def start(self, **more: str) -> None:
-        command = f"ulimit -n {SOCKETS}; exec {sys.executable} -m linnetstile"
+        command = f"ulimit -n {SOCKETS}; exec {sys.executable} -m message_relay"
         env = {**os.environ, "RELAY_CONFIG": str(self.config), **more}
         self.process = await asyncio.create_subprocess_exec("sh", "-c", command, env=env)
         while not await self._ready():
@@ -290,13 +293,13 @@
         agent, server = await Agent(silent=True).start(), await Server().start()
         state = tmp_path / "state"
         state.mkdir()
-        journal, now = Journal(state, 3_000_000), unix_ms()
-        journal.take(Entry("m", "safe", "t", 7, None, now, now + 8000, "", b"hello"))
+        journal, now = Journal(state, 3_000_000), unix_time_ms()
+        journal.append_accepted(JournalEntry("m", "safe", "t", 7, None, now, now + 8000, "", b"hello"))
         journal.close()
         host = host_of(state, agent, server)
         await host.start()
-        assert not host.held and host.messages.holding == 1 and not host.host.idle
-        assert [entry.id for entry in host.messages.owed()] == ["m"]
+        assert not host.held and host.messages.pending_count == 1 and not host.host.idle
+        assert [entry.id for entry in host.messages.pending_entries()] == ["m"]
         stopping = asyncio.ensure_future(host.stop())
         await until(lambda: len(server.seen) == 1)  # it has its try, in the drain of the stop
         await stopping
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,16 +2,27 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.actions import Fail, Reject, WatchEndpoints
+from message_relay.decisions.events import EndpointList, MessageCancelled
+from message_relay.decisions.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Scope,
+)
 
 from .conftest import CLASSES, KEYED, SAFE, UNCLEAR, UNSAFE, Driver, make_settings
 
-PROOFS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+PROOFS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @pytest.mark.parametrize("class_", [SAFE, KEYED, UNSAFE])
-@pytest.mark.parametrize("outcome", [*UNCLEAR, api.Outcome.CANCELLED, *PROOFS])
-def test_what_each_outcome_permits(class_: int, outcome: api.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [*UNCLEAR, Outcome.CANCELLED, *PROOFS])
+def test_what_each_outcome_permits(class_: int, outcome: Outcome) -> None:
     d = Driver()
     d.listed((11, 1))
     d.warm_up()
@@ -21,7 +32,7 @@
     first = d.last(ident)[0]
     d.pass_time(9900)
     if class_ == UNSAFE and outcome not in PROOFS:
-        assert d.tries[ident] == 1 and isinstance(d.ended[ident], api.Fail)
+        assert d.tries[ident] == 1 and isinstance(d.ended[ident], Fail)
     else:
         assert d.tries[ident] == 2
         if class_ == KEYED and outcome not in PROOFS:
@@ -39,9 +50,9 @@
     for ident in [*ids, nowhere]:
         if ident not in sent and ident not in d.ended:
             assert d.last(ident)[1].give_up_at_ms <= 3000.0
-    assert isinstance(d.ended[nowhere], api.Refuse)
+    assert isinstance(d.ended[nowhere], Reject)
     for ident in {e[1].id for e in d.sent} - set(d.ended):
-        d.answer(ident, api.Outcome.TIMEOUT)
+        d.answer(ident, Outcome.TIMEOUT)
     assert set(d.ended) == {*ids, nowhere}
 
 
@@ -61,30 +72,28 @@
         if ident in d.ended:
             break
         d.pass_time(900)
-        d.answer(ident, api.Outcome.TIMEOUT)
+        d.answer(ident, Outcome.TIMEOUT)
     assert all(at - start < CLASSES[KEYED].key_window_ms for at, send in d.sent)
     assert len(d.sent) >= 2 and ident in d.ended
 
 
-@pytest.mark.parametrize("scope", [api.Scope.ZONE, api.Scope.ENDPOINT])
-def test_key_window_of_one_zone_binds_the_repeat_to_it(scope: api.Scope) -> None:
-    keyed = api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 6000.0, scope)
+@pytest.mark.parametrize("scope", [Scope.ZONE, Scope.ENDPOINT])
+def test_key_window_of_one_zone_binds_the_repeat_to_it(scope: Scope) -> None:
+    keyed = MessageClass("k", Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 6000.0, scope)
     d = Driver(make_settings(classes=(keyed,)))
     d.feed(
-        api.EndpointList(
-            api.ListKind.CACHED,
-            tuple(
-                api.Endpoint(ident, 1, api.Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1))
-            ),
+        EndpointList(
+            ListKind.CACHED,
+            tuple(Endpoint(ident, 1, Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1))),
         )
     )
     ident = d.message(0)
     first = d.last(ident)[1].endpoint
     d.pass_time(100)
-    d.answer(ident, api.Outcome.RESET)
-    d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(first, 1, api.Listing.DRAINING),)))
+    d.answer(ident, Outcome.RESET)
+    d.feed(EndpointList(ListKind.CHANGES, (Endpoint(first, 1, Listing.DRAINING),)))
     d.pass_time(9900)
-    assert d.tries[ident] == 1 and isinstance(d.ended[ident], api.Fail)
+    assert d.tries[ident] == 1 and isinstance(d.ended[ident], Fail)
 
 
 def test_told_wait_binds_the_whole_destination() -> None:
@@ -93,7 +102,7 @@
     d.warm_up()
     ident = d.message(SAFE)
     d.pass_time(50)
-    d.answer(ident, api.Outcome.FULL, wait=800.0)
+    d.answer(ident, Outcome.FULL, wait=800.0)
     told = d.now
     for _ in range(4):
         d.message(SAFE)
@@ -103,26 +112,26 @@
 
 
 def test_told_wait_binds_one_route_where_routes_are_apart() -> None:
-    d = Driver(make_settings(kinds=(api.DestinationKind("k", routes_apart=True),)))
+    d = Driver(make_settings(kinds=(DestinationKind("k", routes_apart=True),)))
     d.listed((11, 1), (12, 1))
     ident = d.message(SAFE)
     route = d.last(ident)[1].endpoint
     d.pass_time(50)
-    d.answer(ident, api.Outcome.FULL, wait=2000.0)
+    d.answer(ident, Outcome.FULL, wait=2000.0)
     told = d.now
     d.pass_time(1500)
     assert d.last(ident)[0] > told and d.last(ident)[1].endpoint != route
 
 
-@pytest.mark.parametrize("listing", [api.Listing.DRAINING, api.Listing.GONE, None])
-def test_drains_act_at_once(listing: api.Listing | None) -> None:
+@pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE, None])
+def test_drains_act_at_once(listing: Listing | None) -> None:
     d = Driver()
     d.listed((11, 1), (12, 1))
     d.warm_up()
     if listing is None:
-        d.feed(api.EndpointList(api.ListKind.WHOLE, (api.Endpoint(12, 1, api.Listing.READY, 0, 0, 20.0),)))
+        d.feed(EndpointList(ListKind.WHOLE, (Endpoint(12, 1, Listing.READY, 0, 0, 20.0),)))
     else:
-        d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(11, 1, listing),)))
+        d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, listing),)))
     start = len(d.sent)
     for _ in range(8):
         d.message()
@@ -131,7 +140,7 @@
 
 
 def test_order_per_key_with_its_rest() -> None:
-    ordered = api.MessageClass("o", api.Effect.SAFE, 1000.0, 10000.0, 1.0, 0.5, 0.0, in_order=True)
+    ordered = MessageClass("o", Effect.SAFE, 1000.0, 10000.0, 1.0, 0.5, 0.0, in_order=True)
     d = Driver(make_settings(classes=(ordered,)))
     d.listed((11, 1), (12, 2))
     d.warm_up(1)
@@ -139,10 +148,10 @@
     first, second, other = d.message(0, 1, key=5), d.message(0, 2, key=5), d.message(0, 2, key=6)
     d.pass_time(300)
     assert d.tries.get(first) == 1 and second not in d.tries and d.tries.get(other) == 1
-    d.feed(api.Withdrawn(first))
+    d.feed(MessageCancelled(first))
     d.pass_time(300)
     assert second not in d.tries  # the earlier one still has a call out
-    d.answer(first, api.Outcome.TIMEOUT)
+    d.answer(first, Outcome.TIMEOUT)
     told = d.now
     d.pass_time(1000)
     assert d.last(second)[0] >= told + 100.0
@@ -156,7 +165,7 @@
         ident = d.message(SAFE)
         d.pass_time(400)
         if d.tries.get(ident):
-            d.answer(ident, api.Outcome.CONNECT_FAILED)
+            d.answer(ident, Outcome.CONNECT_FAILED)
     for _ in range(30):
         d.message(SAFE)
     back = d.now
@@ -176,12 +185,12 @@
 
 
 def test_ask_mode_asks_at_start_and_again_after_failure() -> None:
-    d = Driver(make_settings(ask_for_list=True))
-    assert d.feed() and isinstance(d.other[0][1], api.WatchList)
+    d = Driver(make_settings(polls_discovery=True))
+    assert d.feed() and isinstance(d.other[0][1], WatchEndpoints)
     for _ in range(4):
         before = d.now
-        asked = len([1 for _, a in d.other if isinstance(a, api.WatchList)])
-        d.feed(api.EndpointList(api.ListKind.FAILED))
+        asked = len([1 for _, a in d.other if isinstance(a, WatchEndpoints)])
+        d.feed(EndpointList(ListKind.FAILED))
         d.pass_time(3000)
-        later = [at for at, a in d.other if isinstance(a, api.WatchList)]
+        later = [at for at, a in d.other if isinstance(a, WatchEndpoints)]
         assert len(later) > asked and later[asked] > before
--- a/tests/test_scan.py
+++ b/tests/test_scan.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.model import Settings
 
 from .plain import watched
 from .test_machine import drive, setups
@@ -13,7 +13,7 @@
 
 @settings(max_examples=120)
 @given(setups(), st.integers(0, 2**32))
-def test_each_choice_is_that_of_the_plain_scan(setup: api.Settings, seed: int) -> None:
+def test_each_choice_is_that_of_the_plain_scan(setup: Settings, seed: int) -> None:
     relay = watched(setup)
     drive(relay, setup, seed, dests=5)
     assert relay.choices > 0
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -10,41 +10,41 @@
 
 import pytest
 
-from linnetstile import config
-from linnetstile.core.host import Host
-from linnetstile.core.seams import (
+from message_relay import config
+from message_relay.core.ports import (
     Attempt,
-    End,
+    AttemptResult,
+    EndpointKey,
+    EndpointRecord,
+    EndpointSource,
+    EndpointUpdate,
+    EndpointUpdateCallback,
+    FinalOutcome,
     Intake,
-    Key,
-    Malformed,
-    Member,
-    Membership,
-    Offer,
-    Result,
-    Told,
+    InvalidMessageError,
+    Submission,
     Transport,
-    Update,
 )
-from linnetstile.decisions.interface import Listing, Outcome
-from linnetstile.store.journal import Journal
+from message_relay.core.relay import Relay
+from message_relay.decisions.model import Listing, Outcome
+from message_relay.store.journal import Journal
 
 from .loopback import Agent, raw_config, run, until
 from .store.disk import Disk
 
-HERE = Member("a", 7, Listing.READY, ("queue", 1), rate=50.0)
+HERE = EndpointRecord("a", 7, Listing.READY, ("queue", 1), rate=50.0)
 
 
 class Front:
     def __init__(self) -> None:
-        self.ends: list[End] = []
+        self.ends: list[FinalOutcome] = []
         self.open_ = self.stopped = self.closed = False
         self.reloads = 0
 
     async def open(self) -> None:
         self.open_ = True
 
-    def end(self, end: End) -> None:
+    def notify_outcome(self, end: FinalOutcome) -> None:
         self.ends.append(end)
 
     def reload(self, config: config.Config) -> None:
@@ -54,11 +54,11 @@
         self.stopped = True
 
     @property
-    def reading(self) -> int:
+    def open_requests(self) -> int:
         return 0
 
     @property
-    def unsettled(self) -> int:
+    def pending_outcomes(self) -> int:
         return 0
 
     async def close(self) -> None:
@@ -70,20 +70,20 @@
 
     def __init__(self, *script: Outcome) -> None:
         self.script, self.attempts = list(script), list[Attempt]()
-        self.listed: set[Key] = set()
-        self.gone: list[Key] = []
+        self.listed: set[EndpointKey] = set()
+        self.gone: list[EndpointKey] = []
 
-    async def attempt(self, attempt: Attempt) -> Result:
+    async def attempt(self, attempt: Attempt) -> AttemptResult:
         if not attempt.may_write():
-            return Result(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
-        return Result(outcome, over=outcome is Outcome.OK)
+        return AttemptResult(outcome, finished=outcome is Outcome.OK)
 
-    def keep_only(self, listed: set[Key]) -> None:
+    def retain_only(self, listed: set[EndpointKey]) -> None:
         self.listed = set(listed)
 
-    def changed(self, key: Key, listed: bool) -> None:
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
         (self.listed.add if listed else self.listed.discard)(key)
         if not listed:
             self.gone.append(key)
@@ -96,13 +96,13 @@
 
 
 class Source:
-    def __init__(self, *updates: Update) -> None:
-        self.updates: asyncio.Queue[Update] = asyncio.Queue()
+    def __init__(self, *updates: EndpointUpdate) -> None:
+        self.updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         for update in updates:
             self.updates.put_nowait(update)
         self.reloads = 0
 
-    async def run(self, told: Told) -> None:
+    async def run(self, told: EndpointUpdateCallback) -> None:
         while True:
             told(await self.updates.get())
 
@@ -113,47 +113,53 @@
         pass
 
 
-def made(folder: Path, front: Intake, carrier: Transport, *sources: Membership, name: str = "fake") -> Host:
+def made(
+    folder: Path, front: Intake, carrier: Transport, *sources: EndpointSource, name: str = "fake"
+) -> Relay:
     (folder / "state").mkdir(exist_ok=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(folder / "state", Agent(address=("127.0.0.1", 1)))))
-    host = Host(config.load({"RELAY_CONFIG": str(path)}))
-    host.plug_in({name: front}, carrier, list(sources))
+    host = Relay(config.load({"RELAY_CONFIG": str(path)}))
+    host.connect({name: front}, carrier, list(sources))
     return host
 
 
-def offer(ident: str, class_: str = "safe", **more: object) -> Offer:
+def offer(ident: str, class_: str = "safe", **more: object) -> Submission:
     values = {
         "id": ident,
-        "class_": class_,
+        "class_name": class_,
         "tenant": "t",
-        "dest": 7,
+        "destination": 7,
         "key": f"k-{ident}",
-        "left_ms": 8000,
-        "again": "",
+        "remaining_ms": 8000,
+        "resubmission": "",
         "body": b"b",
         "origin": "fake",
     }
-    return Offer(**{**values, **more})  # type: ignore[arg-type]
+    return Submission(**{**values, **more})  # type: ignore[arg-type]
 
 
 def test_a_message_passes_through_other_kinds_of_each_seam(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = Front(), Carrier(Outcome.FULL, Outcome.OK), Source(Update(True, (HERE,)))
+        front, carrier, source = (
+            Front(),
+            Carrier(Outcome.FULL, Outcome.OK),
+            Source(EndpointUpdate(True, (HERE,))),
+        )
         host = made(tmp_path, front, carrier, source)
         await host.start()
         assert front.open_ and host.messages.ready
         await until(lambda: 7 in host.messages.dests)
         assert carrier.listed == {(1, ("queue", 1))}
-        receipt = host.messages.take(offer("m"))
-        assert receipt.taken and receipt.new and not host.messages.take(offer("m")).new
+        receipt = host.messages.accept(offer("m"))
+        assert receipt.accepted and receipt.is_new and not host.messages.accept(offer("m")).is_new
         await until(lambda: host.journal.entries["m"].end == "delivered")
         assert [(a.trace_id, a.key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
         carrier.script = [Outcome.RESET]
-        host.messages.take(offer("u", "unsafe"))
-        await until(lambda: front.ends == [End("u", "failed", 0.0, "fake")])
+        host.messages.accept(offer("u", "unsafe"))
+        await until(lambda: front.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
         assert not host.journal.entries["u"].told
-        host.messages.told(["u"])
+        host.messages.mark_notified(["u"])
         assert host.journal.entries["u"].told
         await host.close()
         assert front.stopped and front.closed
@@ -163,19 +169,21 @@
 
 def test_what_a_source_takes_back_is_told_to_the_transport_and_gets_nothing_new(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = Front(), Carrier(), Source(Update(True, (HERE,)))
+        front, carrier, source = Front(), Carrier(), Source(EndpointUpdate(True, (HERE,)))
         host = made(tmp_path, front, carrier, source)
         await host.start()
         await until(lambda: 7 in host.messages.dests)
-        source.updates.put_nowait(Update(False, lives=(("a", Listing.DRAINING), ("unknown", Listing.GONE))))
+        source.updates.put_nowait(
+            EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.GONE)))
+        )
         await until(lambda: carrier.gone == [(1, ("queue", 1))])
-        host.messages.take(offer("m", left_ms=200))
+        host.messages.accept(offer("m", remaining_ms=200))
         await until(lambda: bool(front.ends))
         assert front.ends[0].state == "returned" and not carrier.attempts
-        moved = Member("a", 7, Listing.READY, ("queue", 2), rate=50.0)
-        source.updates.put_nowait(Update(False, (moved,)))
+        moved = EndpointRecord("a", 7, Listing.READY, ("queue", 2), rate=50.0)
+        source.updates.put_nowait(EndpointUpdate(False, (moved,)))
         await until(lambda: carrier.listed == {(1, ("queue", 2))})
-        host.messages.take(offer("n"))
+        host.messages.accept(offer("n"))
         await until(lambda: [a.address for a in carrier.attempts] == [("queue", 2)])
         host.reload(host.config)
         assert source.reloads == front.reloads == 1
@@ -187,10 +195,10 @@
 def test_an_end_waits_in_the_journal_for_the_front_that_its_message_came_by(tmp_path: Path) -> None:
     async def work() -> None:
         first = Front()
-        host = made(tmp_path, first, Carrier(Outcome.RESET), Source(Update(True, (HERE,))))
+        host = made(tmp_path, first, Carrier(Outcome.RESET), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
         await until(lambda: 7 in host.messages.dests)
-        host.messages.take(offer("u", "unsafe"))
+        host.messages.accept(offer("u", "unsafe"))
         await until(lambda: bool(first.ends))
         await host.close()  # before it was confirmed
         other = Front()
@@ -201,7 +209,7 @@
         again = Front()
         host = made(tmp_path, again, Carrier())
         await host.start()
-        assert again.ends == [End("u", "failed", 0.0, "fake")]
+        assert again.ends == [FinalOutcome("u", "failed", 0.0, "fake")]
         await host.close()
 
     run(work())
@@ -210,27 +218,27 @@
 @pytest.mark.parametrize(
     ("more", "field"),
     [
-        ({"class_": "x"}, "class"),
+        ({"class_name": "x"}, "class"),
         ({"id": ""}, "id"),
         ({"id": "a\nb"}, "id"),
         ({"id": "x" * 201}, "id"),
         ({"key": "é"}, "key"),
-        ({"class_": "keyed", "key": None}, "key"),
+        ({"class_name": "keyed", "key": None}, "key"),
         ({"tenant": "x"}, "tenant"),
-        ({"left_ms": -1}, "left"),
-        ({"left_ms": 10**9}, "left"),
-        ({"dest": 8}, "dest"),
+        ({"remaining_ms": -1}, "left"),
+        ({"remaining_ms": 10**9}, "left"),
+        ({"destination": 8}, "dest"),
         ({"body": b"x" * 65537}, "body"),
     ],
 )
 def test_each_front_gets_the_same_checks(tmp_path: Path, more: dict[str, object], field: str) -> None:
     async def work() -> None:
-        host = made(tmp_path, Front(), Carrier(), Source(Update(True, (HERE,))))
+        host = made(tmp_path, Front(), Carrier(), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
         await until(lambda: 7 in host.messages.dests)
-        with pytest.raises(Malformed) as caught:
-            host.messages.take(replace(offer("m"), **more))  # type: ignore[arg-type]
-        assert caught.value.field == field and not host.journal.entries and not host.messages.held
+        with pytest.raises(InvalidMessageError) as caught:
+            host.messages.accept(replace(offer("m"), **more))  # type: ignore[arg-type]
+        assert caught.value.field == field and not host.journal.entries and not host.messages.accepted
         await host.close()
 
     run(work())
@@ -241,22 +249,24 @@
 
     async def work() -> None:
         front, disk, carrier = Front(), Disk(), Carrier()
-        host = made(tmp_path, front, carrier, Source(Update(True, (HERE,))))
+        host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (HERE,))))
         host.journal = host.messages.journal = Journal(tmp_path / "other", 3_000_000, disk)
         await host.start()
         await until(lambda: 7 in host.messages.dests)
         disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written > 400 else None
-        host.messages.take(offer("m", "unsafe", left_ms=900))
-        while not host.messages.unsaid:
+        host.messages.accept(offer("m", "unsafe", remaining_ms=900))
+        while not host.messages.unwritten_outcomes:
             host.journal.written = 1000
             await asyncio.sleep(0.005)
         end = host.journal.entries["m"].end  # its attempt could not be written down, so that none was made
         assert end == "returned" and not carrier.attempts and not front.ends
-        assert not host.messages.take(offer("n")).taken  # nothing new while what is owed can't be written
+        assert not host.messages.accept(
+            offer("n")
+        ).accepted  # nothing new while what is owed can't be written
         disk.fail = lambda call, name, number: None
         await until(lambda: [end.id for end in front.ends] == ["m"])
         assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].end == end
-        assert host.messages.take(offer("n")).taken
+        assert host.messages.accept(offer("n")).accepted
         await host.close()
 
     run(work())
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -12,22 +12,24 @@
 
 from emulator.experiment import decoded
 from emulator.world import World
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.decisions.share import GUARD, LATE_MS, SILENCE_MS, WARMING, Share, spread
+from message_relay.decisions.actions import StartAttempt
+from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, TimerFired
+from message_relay.decisions.model import Endpoint, Fleet, Listing, ListKind, Outcome, Safety
+from message_relay.decisions.rate_slots import GUARD, LATE_MS, SILENCE_MS, WARMING, TimeSlotShare, spread
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 from .conftest import make_settings
 
-SAFETY = api.Safety(cold_share=0.18, cold_ms=11_000.0)
+SAFETY = Safety(cold_share=0.18, cold_ms=11_000.0)
 
 
 def share(
     number: int = 0, size: int = 40, rate: float = 60.0, clock: float = 0.0, cold: float = 0.18
-) -> Share:
-    return Share(api.Fleet(number, size, clock), rate, api.Safety(cold_share=cold, cold_ms=11_000.0))
+) -> TimeSlotShare:
+    return TimeSlotShare(Fleet(number, size, clock), rate, Safety(cold_share=cold, cold_ms=11_000.0))
 
 
-def sends(one: Share, begin: float, end: float, late: random.Random | None = None) -> list[float]:
+def sends(one: TimeSlotShare, begin: float, end: float, late: random.Random | None = None) -> list[float]:
     """All that it may send in a time, each as late as chance has it, and answered at once."""
     out, now = [], begin
     while (at := one.next_at(now)) < end:
@@ -126,27 +128,25 @@
 )
 def test_a_fleet_that_makes_no_sense_names_its_field(number: int, size: int, says: str) -> None:
     with pytest.raises(ValueError, match=says):
-        api.Fleet(number, size)
+        Fleet(number, size)
 
 
 def test_a_relay_sends_in_its_slots_only_and_without_a_fleet_as_before() -> None:
-    for fleet in (None, api.Fleet(2, 10, 12_345.0)):
-        relay = Relay(make_settings(fleet=fleet, safety=SAFETY, hold=100), 1)
+    for fleet in (None, Fleet(2, 10, 12_345.0)):
+        relay = DeliveryScheduler(make_settings(fleet=fleet, safety=SAFETY, max_pending_messages=100), 1)
         now = 1000.0
-        relay.handle(
-            now, [api.EndpointList(api.ListKind.WHOLE, (api.Endpoint(1, 1, api.Listing.READY, rate=50.0),))]
-        )
+        relay.handle(now, [EndpointList(ListKind.WHOLE, (Endpoint(1, 1, Listing.READY, rate=50.0),))])
         at: list[float] = []
-        acts = relay.handle(now, [api.Message(n, 1, 0, 9000.0) for n in range(30)])
+        acts = relay.handle(now, [Message(n, 1, 0, 9000.0) for n in range(30)])
         while now < 9000.0:
-            at += [now] * sum(isinstance(act, api.Send) for act in acts)
-            ends: list[api.Event] = [
-                api.AttemptEnded(act.id, 0, 1, api.Outcome.OK, 1.0, True)
+            at += [now] * sum(isinstance(act, StartAttempt) for act in acts)
+            ends: list[Event] = [
+                AttemptCompleted(act.id, 0, 1, Outcome.OK, 1.0, True)
                 for act in acts
-                if isinstance(act, api.Send)
+                if isinstance(act, StartAttempt)
             ]
             now += 5.0
-            acts = relay.handle(now, ends or [api.TimerFired(0)])
+            acts = relay.handle(now, ends or [TimerFired(0)])
         if fleet is None:
             assert len(at) == 30 and at[:3] == [1000.0, 1000.0, at[2]] and at[2] > 1000.0  # BURST at once
         else:
@@ -207,7 +207,7 @@
             sent += sends(one, begin - clock, min(heard, end) - clock, rng)
             if number >= other:
                 continue  # it has left
-            one.resized(api.Fleet(number, other, clock))
+            one.resized(Fleet(number, other, clock))
         else:
             one, heard = share(number, other, rate, clock, cold=1.0), begin
         sent += sends(one, heard - clock, end - clock, rng)
@@ -217,18 +217,18 @@
 def test_a_clock_that_is_set_costs_no_second_call_in_a_frame() -> None:
     one = share(5, 40, 60.0, cold=1.0)
     sent = sends(one, 0.0, 5000.0)
-    one.resized(api.Fleet(5, 40, -150.0))
+    one.resized(Fleet(5, 40, -150.0))
     later = sends(one, 5000.0, 9000.0)
     assert later[0] + 150.0 - sent[-1] >= one.frame_ms - 0.01
 
 
 def test_the_relay_follows_another_size() -> None:
-    relay = Relay(make_settings(fleet=api.Fleet(2, 10), safety=SAFETY), 1)
-    entry = api.Endpoint(1, 1, api.Listing.READY, rate=50.0)
-    relay.handle(0.0, [api.EndpointList(api.ListKind.WHOLE, (entry,))])
-    relay.handle(5.0, [api.Fleet(2, 20)])
+    relay = DeliveryScheduler(make_settings(fleet=Fleet(2, 10), safety=SAFETY), 1)
+    entry = Endpoint(1, 1, Listing.READY, rate=50.0)
+    relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
+    relay.handle(5.0, [Fleet(2, 20)])
     lane = relay.lanes[1][-1]
     assert relay.s.relays == 20 and lane.share is not None and lane.share.fleet.size == 20
-    alone = Relay(make_settings(), 1)
-    alone.handle(5.0, [api.Fleet(2, 20)])
+    alone = DeliveryScheduler(make_settings(), 1)
+    alone.handle(5.0, [Fleet(2, 20)])
     assert alone.s.relays == 20 and alone.s.fleet is None
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator_adapter.py
@@ -9,8 +9,27 @@
 
 import pytest
 
-from linnetstile.decisions import interface as api
-from linnetstile import wirehost
+from message_relay import simulator_adapter
+from message_relay.decisions.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Log,
+    Probe,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from message_relay.decisions.events import (
+    AttemptCompleted,
+    EndpointList,
+    Event,
+    Message,
+    MessageCancelled,
+    TimerFired,
+)
+from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
 
 SETTINGS: dict[str, Any] = {
     "az": 0,
@@ -60,7 +79,9 @@
 
 
 def listing() -> bytes:
-    entries = wirehost.ENTRY.pack(1, 8.0, 0.0, 0, 0, 57, 11) + wirehost.ENTRY.pack(1, 8.0, 0.0, 0, 0, 57, 12)
+    entries = simulator_adapter.ENTRY.pack(1, 8.0, 0.0, 0, 0, 57, 11) + simulator_adapter.ENTRY.pack(
+        1, 8.0, 0.0, 0, 0, 57, 12
+    )
     return record(20, struct.pack("<BI", 0, 2) + entries) + b""
 
 
@@ -74,7 +95,7 @@
 
 def run(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-m", "linnetstile.wirehost"],
+        [sys.executable, "-m", "message_relay.simulator_adapter"],
         input=data,
         capture_output=True,
         timeout=60,
@@ -83,30 +104,30 @@
 
 
 def test_documented_events_are_decoded() -> None:
-    host = wirehost.Host()
+    host = simulator_adapter.Host()
     data = bytes.fromhex(
         "03000000c4913a5d0000000000640ad2557c3bf091" "0000000000006e4000000000000028400000644201"
     )
-    assert host._event(110, data) == api.Message(
+    assert host._event(110, data) == Message(
         0x5D3A91C4, 57, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0, False, False
     )
-    assert host._event(40, bytes.fromhex("030000004d00000000000000")) == api.TimerFired(77)
-    assert host._event(70, bytes.fromhex("05000000192b6f0e")) == api.Withdrawn(0x0E6F2B19)
+    assert host._event(40, bytes.fromhex("030000004d00000000000000")) == TimerFired(77)
+    assert host._event(70, bytes.fromhex("05000000192b6f0e")) == MessageCancelled(0x0E6F2B19)
     done = bytes.fromhex("03000000c4913a5d0000074a12030100000000008032400100000000" + "00")
-    assert host._event(100, done) == api.AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18.5, True, 0.0, False, ()
+    assert host._event(100, done) == AttemptCompleted(
+        0x5D3A91C4, 0, 0x03124A07, Outcome.OK, 18.5, True, 0.0, False, ()
     )
-    events: dict[int, list[api.Event]] = {}
+    events: dict[int, list[Event]] = {}
     rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
     rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
     host._take(20, b"\0" + bytes.fromhex(rows), events)
     host._take(30, bytes.fromhex("0300000002290000000000000000"), events)
     assert events[3] == [
-        api.EndpointList(
-            api.ListKind.CACHED,
+        EndpointList(
+            ListKind.CACHED,
             (
-                api.Endpoint(0x03124A07, 57, api.Listing.READY, 0, 0, 1.0),
-                api.Endpoint(0x2C9011F2, 57, api.Listing.READY, 0, 0, 1.5),
+                Endpoint(0x03124A07, 57, Listing.READY, 0, 0, 1.0),
+                Endpoint(0x2C9011F2, 57, Listing.READY, 0, 0, 1.5),
             ),
         )
     ]
@@ -115,17 +136,17 @@
 @pytest.mark.parametrize(
     ("action", "wire"),
     [
-        (api.Send(0x5D3A91C4, 0x03124A07, 8512.25), None),
-        (api.Refuse(0x0E6F2B19, 250.0), "1410000000030000 00192b6f0e0000000000406f40"),
-        (api.Fail(0x0E6F2B19), "1e0800000003000000192b6f0e"),
-        (api.Cancel(0x5D3A91C4, 0), "280a00000003000000c4913a5d0000"),
-        (api.SetTimer(500.0, 77), "3214000000030000000000000000407f404d00000000000000"),
-        (api.Probe(0x2C9011F2), "3c0800000003000000f211902c"),
-        (api.WatchList(), "6e050000000300000001"),
+        (StartAttempt(0x5D3A91C4, 0x03124A07, 8512.25), None),
+        (Reject(0x0E6F2B19, 250.0), "1410000000030000 00192b6f0e0000000000406f40"),
+        (Fail(0x0E6F2B19), "1e0800000003000000192b6f0e"),
+        (Cancel(0x5D3A91C4, 0), "280a00000003000000c4913a5d0000"),
+        (SetTimer(500.0, 77), "3214000000030000000000000000407f404d00000000000000"),
+        (Probe(0x2C9011F2), "3c0800000003000000f211902c"),
+        (WatchEndpoints(), "6e050000000300000001"),
     ],
 )
-def test_documented_actions_are_encoded(action: api.Action, wire: str | None) -> None:
-    coded = wirehost.encode(3, 0.0, action)
+def test_documented_actions_are_encoded(action: Action, wire: str | None) -> None:
+    coded = simulator_adapter.encode(3, 0.0, action)
     if wire is None:
         assert coded.hex() == "0a1400000003000000c4913a5d074a1203" + struct.pack("<d", 8512.25).hex()
     else:
@@ -134,7 +155,7 @@
 
 def test_debug_line_is_encoded() -> None:
     wire = "5a1700000005000000110074776f2073657276657273206b6e6f776e"
-    assert wirehost.encode(5, 0.0, api.Log("two servers known")).hex() == wire
+    assert simulator_adapter.encode(5, 0.0, Log("two servers known")).hex() == wire
 
 
 def conversation() -> bytes:
@@ -155,7 +176,7 @@
     while at < len(data):
         size, count = struct.unpack_from("<II", data, at)
         at += 8
-        records = list(wirehost.Host._records(count, data[at : at + size]))
+        records = list(simulator_adapter.Host._records(count, data[at : at + size]))
         out.append(records)
         at += size
     return out
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -1,6 +1,17 @@
 """What the module does, and must not do, under each kind of symptom."""
 
-from linnetstile.decisions import interface as api
+from message_relay.decisions.actions import Fail, Reject
+from message_relay.decisions.events import EndpointList, Message, MessageCancelled, ShutdownScheduled
+from message_relay.decisions.model import (
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Scope,
+    Tenant,
+)
 
 from .conftest import KEYED, SAFE, UNSAFE, Driver, make_settings
 
@@ -28,23 +39,23 @@
 
 
 def test_sick_destination_pays_for_the_room_it_takes() -> None:
-    d = Driver(make_settings(hold=20))
+    d = Driver(make_settings(max_pending_messages=20))
     d.listed((11, 1), (12, 2))
     d.warm_up(1)
     d.warm_up(2)
     for _ in range(2):
         ident = d.message(SAFE, 1)
         d.pass_time(400)
-        d.answer(ident, api.Outcome.CONNECT_FAILED)
+        d.answer(ident, Outcome.CONNECT_FAILED)
     stuck = [d.message(KEYED, 1) for _ in range(14)]
     well = [d.message(SAFE, 2) for _ in range(8)]
     assert not set(well) & set(d.ended) and set(d.ended) & set(stuck)
-    assert all(isinstance(d.ended[ident], api.Refuse) for ident in set(d.ended) & set(stuck))
+    assert all(isinstance(d.ended[ident], Reject) for ident in set(d.ended) & set(stuck))
 
 
 def test_a_busy_destination_with_some_broken_calls_is_not_taken_as_out() -> None:
     """Resets and failed connects among many answers: taken for an outage, each would slow it for 11 s."""
-    d = Driver(make_settings(slots=20))
+    d = Driver(make_settings(max_concurrent_attempts=20))
     d.listed((11, 1), rate=200.0)
     d.warm_up(calls=20)
     calls = 0
@@ -54,28 +65,28 @@
         d.pass_time(20)
         for ident in list(d.out):
             calls += 1
-            broken = api.Outcome.RESET if calls % 2 else api.Outcome.CONNECT_FAILED
-            d.answer(ident, broken if calls % 9 < 2 else api.Outcome.OK)  # two in a row
+            broken = Outcome.RESET if calls % 2 else Outcome.CONNECT_FAILED
+            d.answer(ident, broken if calls % 9 < 2 else Outcome.OK)  # two in a row
     (lane,) = d.relay.lanes[1].values()
     assert not lane.sick and lane.cold_since < 0
     for _ in range(40):  # but when all of them break, it is
         d.message(SAFE)
         d.pass_time(20)
         for ident in list(d.out):
-            d.answer(ident, api.Outcome.RESET)
+            d.answer(ident, Outcome.RESET)
     assert lane.sick
 
 
 def test_a_refusal_tells_when_to_come_again() -> None:
-    d = Driver(make_settings(hold=20, longest_advice_ms=3000.0))
+    d = Driver(make_settings(max_pending_messages=20, longest_advice_ms=3000.0))
     d.listed((11, 1), (12, 2))
     d.warm_up(1)
     first = d.message(SAFE, 1)
     d.pass_time(400)
-    d.answer(first, api.Outcome.FULL, wait=1500.0)
+    d.answer(first, Outcome.FULL, wait=1500.0)
     for _ in range(18):
         d.message(KEYED, 1)
-    told = [act.stay_away_ms for act in d.ended.values() if isinstance(act, api.Refuse)]
+    told = [act.stay_away_ms for act in d.ended.values() if isinstance(act, Reject)]
     assert told and all(1400.0 < wait <= 3000.0 for wait in told)
 
 
@@ -111,14 +122,14 @@
 
 
 def test_scarce_slots_go_to_the_destination_that_answers() -> None:
-    d = Driver(make_settings(slots=4))
+    d = Driver(make_settings(max_concurrent_attempts=4))
     d.listed((11, 1), (12, 2), (13, 3), rate=200.0)
     for dest in (1, 2, 3):
         d.warm_up(dest)
     ident = d.message(SAFE, 1)
     d.pass_time(50)
-    d.answer(ident, api.Outcome.ERROR)  # one failed call at destination 1 is no outage
-    d.feed(api.Withdrawn(ident))
+    d.answer(ident, Outcome.ERROR)  # one failed call at destination 1 is no outage
+    d.feed(MessageCancelled(ident))
     busy = [d.message(SAFE, 3) for _ in range(4)]
     failing, well = d.message(SAFE, 1), d.message(SAFE, 2)
     d.pass_time(50)
@@ -136,7 +147,7 @@
         d.pass_time(100)
         if d.tries.get(ident):
             bad = d.last(ident)[1].endpoint == 11
-            d.answer(ident, api.Outcome.RESET if bad else api.Outcome.OK)
+            d.answer(ident, Outcome.RESET if bad else Outcome.OK)
         d.pass_time(200)
     later = [send.endpoint for _, send in d.sent[start + 10 :]]
     assert later.count(12) > 4 * later.count(11)
@@ -167,13 +178,13 @@
     first = d.message(SAFE)
     quick = d.out[first].give_up_at_ms - d.now
     d.pass_time(600)
-    d.answer(first, api.Outcome.TIMEOUT)
+    d.answer(first, Outcome.TIMEOUT)
     d.pass_time(1000)
     at, again = d.last(first)
     assert again.give_up_at_ms - at >= 2 * quick  # it is asked again soon, and given more time
 
 
-def calls_in(d: Driver, ms: float, outcome: api.Outcome = api.Outcome.OK) -> int:
+def calls_in(d: Driver, ms: float, outcome: Outcome = Outcome.OK) -> int:
     """Keeps messages coming for a while, answering each call after 50 ms; how many calls were made."""
     start, end = len(d.sent), d.now + ms
     while d.now < end:
@@ -191,18 +202,23 @@
     d.warm_up()
     calls_in(d, 4000)
     before = calls_in(d, 4000)
-    calls_in(d, 1000, api.Outcome.FULL)
+    calls_in(d, 1000, Outcome.FULL)
     slowed = calls_in(d, 2000)
     calls_in(d, 15000)
     assert 2 * slowed < 0.7 * before and calls_in(d, 4000) > 0.9 * before
 
 
 def test_settings_that_make_no_sense_name_their_field() -> None:
-    for field, value in (("classes", ()), ("slots", 0), ("hold", 0), ("tick_ms", -1.0)):
+    for field, spelling, value in (
+        ("classes", "classes", ()),
+        ("max_concurrent_attempts", "slots", 0),
+        ("max_pending_messages", "hold", 0),
+        ("tick_ms", "tick_ms", -1.0),
+    ):
         try:
             make_settings(**{field: value})
         except ValueError as error:
-            assert field in str(error)
+            assert spelling in str(error)
         else:
             raise AssertionError(f"{field}={value} was taken")
 
@@ -231,7 +247,7 @@
         d.pass_time(idle, 500)
         lost = d.message()
         d.pass_time(500)
-        d.answer(lost, api.Outcome.TIMEOUT)
+        d.answer(lost, Outcome.TIMEOUT)
         d.pass_time(200)
         assert d.tries[lost] == 2
         later = d.message()
@@ -253,8 +269,8 @@
         used.append((turn % 2, send.endpoint))
         swallowed = turn % 2 and send.endpoint == 11
         d.pass_time(900 if swallowed else 10)
-        d.answer(ident, api.Outcome.TIMEOUT if swallowed else api.Outcome.OK)
-        d.feed(api.Withdrawn(ident))
+        d.answer(ident, Outcome.TIMEOUT if swallowed else Outcome.OK)
+        d.feed(MessageCancelled(ident))
     keyed = [endpoint for odd, endpoint in used if odd]
     assert len(used) >= 22 and keyed.count(11) <= 3  # no false outage, and the class stays away
 
@@ -265,7 +281,7 @@
         d = Driver(make_settings(relays=40), seed=seed)
         d.listed((11, 1), rate=10.0)
         ident = d.message()
-        d.answer(ident, api.Outcome.FULL, wait=6000.0)
+        d.answer(ident, Outcome.FULL, wait=6000.0)
         told = d.now + 6000
         d.pass_time(9900, 50)
         firsts += [at - told for at, _ in d.sent if at > d.now - 9900 + 1]
@@ -286,7 +302,7 @@
 
 def test_a_pace_far_below_the_equal_part_comes_back_within_a_few_successes() -> None:
     """Guards many relays after a limit was lowered for a while: each has few calls to find it back."""
-    d = Driver(make_settings(relays=40, hold=200, slots=4))
+    d = Driver(make_settings(relays=40, max_pending_messages=200, max_concurrent_attempts=4))
     d.listed((11, 1), rate=400.0)
     d.warm_up()
     lane = d.relay.lanes[1][-1]
@@ -294,8 +310,8 @@
         ident = d.message()
         while ident not in d.out:
             d.pass_time(5)
-        d.answer(ident, api.Outcome.FULL)
-        d.feed(api.Withdrawn(ident))
+        d.answer(ident, Outcome.FULL)
+        d.feed(MessageCancelled(ident))
     for _ in range(60):
         d.message()
     successes = 0
@@ -327,10 +343,10 @@
     sizes = []
     for generation in range(60):
         d.feed(
-            api.EndpointList(
-                api.ListKind.WHOLE,
+            EndpointList(
+                ListKind.WHOLE,
                 tuple(
-                    api.Endpoint(100 * generation + n, 50 * generation + n, api.Listing.READY, 0, 0, 20.0)
+                    Endpoint(100 * generation + n, 50 * generation + n, Listing.READY, 0, 0, 20.0)
                     for n in range(5)
                 ),
             )
@@ -348,7 +364,7 @@
     d.listed((11, 1), rate=8.0)
     d.warm_up()
     calls_in(d, 4000)
-    calls_in(d, 1000, api.Outcome.FULL)
+    calls_in(d, 1000, Outcome.FULL)
     slowed = calls_in(d, 1000)
     d.listed((11, 1), rate=8.2)
     assert calls_in(d, 1000) <= slowed + 3
@@ -361,19 +377,19 @@
         d.listed((11, 1))
         d.warm_up()
         if gap:
-            d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(11, 1, api.Listing.GONE),)))
+            d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.GONE),)))
         for _ in range(12):
             d.message()
         d.pass_time(gap)
         start = len(d.sent) if gap else 0
-        d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(12, 1, api.Listing.READY, 0, 0, 20.0),)))
+        d.feed(EndpointList(ListKind.CHANGES, (Endpoint(12, 1, Listing.READY, 0, 0, 20.0),)))
         d.pass_time(600)
         sends.append(len([1 for _, send in d.sent[start:] if send.id > 6]))
     assert 1 <= sends[1] < sends[0]
 
 
 def test_a_head_that_others_of_its_key_wait_for_goes_before_the_pace_allows() -> None:
-    ordered = api.MessageClass("o", api.Effect.UNSAFE, 1000.0, 10000.0, 1.0, 0.5, 0.0, in_order=True)
+    ordered = MessageClass("o", Effect.UNSAFE, 1000.0, 10000.0, 1.0, 0.5, 0.0, in_order=True)
     waits = []
     for followers in (0, 2):
         d = Driver(make_settings(classes=(ordered,), relays=200))
@@ -381,7 +397,7 @@
         head = d.message(0, key=7)
         for _ in range(followers):
             d.message(0, key=7)
-        d.answer(head, api.Outcome.FULL)
+        d.answer(head, Outcome.FULL)
         refused = d.now
         d.pass_time(4000)
         waits.append(d.last(head)[0] - refused)
@@ -394,7 +410,7 @@
         d = Driver(make_settings(relays=200), seed=seed)
         d.listed((11, 1), rate=60.0)
         ident = d.message()
-        d.answer(ident, api.Outcome.FULL)
+        d.answer(ident, Outcome.FULL)
         refused = d.now
         d.pass_time(9900, 50)
         agains.append(d.last(ident)[0] - refused)
@@ -411,8 +427,8 @@
             ident = d.message()
             d.pass_time(3000, 50)
             if ident in d.out:
-                d.answer(ident, api.Outcome.CONNECT_FAILED)
-            d.feed(api.Withdrawn(ident))
+                d.answer(ident, Outcome.CONNECT_FAILED)
+            d.feed(MessageCancelled(ident))
         d.pass_time(30000, 500)
         start = len(d.sent)
         d.message()
@@ -431,13 +447,13 @@
         d.pass_time(50)
         assert {ident, other} <= set(d.out) and d.relay.may_write(d.now, ident)
         if change == "drained":
-            d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(11, 1, api.Listing.DRAINING),)))
+            d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.DRAINING),)))
         elif change == "told":
-            d.answer(other, api.Outcome.FULL, wait=300.0)
+            d.answer(other, Outcome.FULL, wait=300.0)
         elif change == "closing":
-            d.feed(api.Closing(d.now))
+            d.feed(ShutdownScheduled(d.now))
         elif change == "withdrawn":
-            d.feed(api.Withdrawn(ident))
+            d.feed(MessageCancelled(ident))
         assert d.relay.may_write(d.now + 9000 * (change == "late"), ident) == (change == "none")
 
 
@@ -447,7 +463,7 @@
     d.warm_up()
     ident = d.message(KEYED)
     at, _ = d.last(ident)
-    d.answer(ident, api.Outcome.ERROR)
+    d.answer(ident, Outcome.ERROR)
     d.pass_time(1000)
     assert d.tries[ident] == 2
     assert d.relay.may_write(at + 2990, ident) and not d.relay.may_write(at + 3000, ident)
@@ -458,27 +474,27 @@
     d = Driver()
     d.listed((11, 1))
     resumed = {
-        "fresh": api.Message(1, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1),
-        "risky": api.Message(2, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
-        "in its window": api.Message(3, 1, KEYED, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
-        "past its window": api.Message(4, 1, KEYED, 8000.0, age_ms=4000.0, tries=1, risk_age_ms=3000.0),
-        "used up": api.Message(5, 1, SAFE, 8000.0, age_ms=2000.0, tries=5),
-        "expired": api.Message(6, 1, SAFE, -10.0, age_ms=10010.0),
+        "fresh": Message(1, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1),
+        "risky": Message(2, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
+        "in its window": Message(3, 1, KEYED, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
+        "past its window": Message(4, 1, KEYED, 8000.0, age_ms=4000.0, tries=1, risk_age_ms=3000.0),
+        "used up": Message(5, 1, SAFE, 8000.0, age_ms=2000.0, tries=5),
+        "expired": Message(6, 1, SAFE, -10.0, age_ms=10010.0),
     }
     for event in resumed.values():
         d.feed(event)
     d.pass_time(100)
     assert set(d.out) == {1, 3}
     ends = {ident: type(act) for ident, act in d.ended.items()}
-    assert ends == {2: api.Fail, 4: api.Refuse, 5: api.Refuse, 6: api.Refuse}
+    assert ends == {2: Fail, 4: Reject, 5: Reject, 6: Reject}
 
 
 def test_a_resumed_key_stays_in_its_scope() -> None:
-    keyed = api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 3000.0, api.Scope.ENDPOINT)
+    keyed = MessageClass("k", Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 3000.0, Scope.ENDPOINT)
     d = Driver(make_settings(classes=(keyed,)))
     d.listed((11, 1), (12, 1))
     d.feed(
-        api.Message(
+        Message(
             1,
             1,
             0,
@@ -486,11 +502,11 @@
             age_ms=1000.0,
             tries=1,
             risk_age_ms=500.0,
-            risk=api.Endpoint(12, 1, api.Listing.READY),
+            risk=Endpoint(12, 1, Listing.READY),
         )
     )
     d.feed(
-        api.Message(
+        Message(
             2,
             1,
             0,
@@ -498,7 +514,7 @@
             age_ms=1000.0,
             tries=1,
             risk_age_ms=500.0,
-            risk=api.Endpoint(99, 1, api.Listing.READY),
+            risk=Endpoint(99, 1, Listing.READY),
         )
     )
     d.pass_time(100)
@@ -509,7 +525,7 @@
     d = Driver()
     d.listed((11, 1))
     d.warm_up()
-    d.feed(api.Closing(d.now + 3000))
+    d.feed(ShutdownScheduled(d.now + 3000))
     soon = d.message(UNSAFE)
     assert d.out[soon].give_up_at_ms <= d.now + 3000
     d.answer(soon)
@@ -522,7 +538,7 @@
 def test_messages_resumed_at_a_restart_are_no_surge_of_their_tenant() -> None:
     """Guards what was held over a restart: taken for a surge, most of it would count as over its share."""
     for age, within in ((1000.0, True), (None, False)):
-        d = Driver(make_settings(tenants=(api.Tenant("t", 2.0),), over_share_worth=0.1))
+        d = Driver(make_settings(tenants=(Tenant("t", 2.0),), over_quota_weight=0.1))
         for ident in range(1, 20):
-            d.feed(api.Message(ident, 1, SAFE, 8000.0, age_ms=age))
+            d.feed(Message(ident, 1, SAFE, 8000.0, age_ms=age))
         assert all(held.worth == 1.0 for held in d.relay.board.held.values()) == within
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,17 +4,17 @@
 
 import asyncio
 
-from linnetstile.core.tasks import Tasks, woken
+from message_relay.core.tasks import BackgroundTasks, wait_for_event
 
 
 def test_a_task_that_is_woken_and_cancelled_in_one_turn_ends() -> None:
     async def work() -> None:
-        event, tasks = asyncio.Event(), Tasks()
+        event, tasks = asyncio.Event(), BackgroundTasks()
 
         async def loop() -> None:
             while True:
                 event.clear()
-                assert await woken(event, 5.0)
+                assert await wait_for_event(event, 5.0)
 
         tasks.start(loop())
         await asyncio.sleep(0.01)
@@ -23,6 +23,6 @@
         async with asyncio.timeout(2.0):
             await tasks.cancel()
         assert not tasks.running
-        assert not await woken(asyncio.Event(), 0.01)
+        assert not await wait_for_event(asyncio.Event(), 0.01)
 
     asyncio.run(work())
