--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -94,7 +94,7 @@
             elif what != "wake":
                 assert isinstance(more, Message | AttemptCompleted)
                 failed = isinstance(more, AttemptCompleted) and more.outcome is not Outcome.OK
-                self.knows[n] = self.knows[n] or failed and now < BACK_MS
+                self.knows[n] = self.knows[n] or (failed and now < BACK_MS)
                 self._handle(now, n, [more])
             elif self.wakes[n] == now:
                 self._handle(now, n, [TimerFired(0)])
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -68,7 +68,7 @@
                 if type(error).__name__ not in ("JournalFull", "JournalError"):
                     raise
                 self.refused += 1
-            while len(waiting) > OPEN or waiting and rng.random() < 0.5:
+            while len(waiting) > OPEN or (waiting and rng.random() < 0.5):
                 self.end(journal, waiting.popleft(), now)
             if n % 120 == 0:
                 self.timed(self.others, journal.tidy, now)
--- a/emulator/capacity/interest.py
+++ b/emulator/capacity/interest.py
@@ -81,7 +81,8 @@
                 ASSIGN,
             ),
         ]
-    return found + [
+    return [
+        *found,
         Formula(
             f"relay.real_{size}_memory",
             Role.CONTROL,
@@ -94,7 +95,7 @@
             READING,
             b.MORE,
             ASSIGN,
-        )
+        ),
     ]
 
 
--- a/emulator/partner.py
+++ b/emulator/partner.py
@@ -130,7 +130,7 @@
                 lost = each.fault is Fault.DOWN
                 return Answer(Reply.RESET if lost else Reply.NOTHING, each.begin_ms if lost else math.inf)
         failing = self.trouble(now, Fault.FAILING)
-        if chance < self.spec.error or failing is not None and other < failing.size:
+        if chance < self.spec.error or (failing is not None and other < failing.size):
             if self.rng.random() < 0.5:
                 self._effect(now, call)
             return Answer(Reply.ERROR, finish)
--- a/fakes/amqp_broker.py
+++ b/fakes/amqp_broker.py
@@ -181,8 +181,7 @@
             if (
                 channel is None
                 or channel.closing
-                or channel.prefetch
-                and len(channel.unacked) >= channel.prefetch
+                or (channel.prefetch and len(channel.unacked) >= channel.prefetch)
             ):
                 idle += 1
                 continue
--- a/fakes/fault_proxy.py
+++ b/fakes/fault_proxy.py
@@ -85,7 +85,7 @@
     flap_ms: float = 0.0
 
     def silent(self, now: float) -> bool:
-        return self.cut or bool(self.flap_ms) and int(now * 1000 / self.flap_ms) % 2 == 1
+        return self.cut or (bool(self.flap_ms) and int(now * 1000 / self.flap_ms) % 2 == 1)
 
 
 WELL = Held()
@@ -217,8 +217,7 @@
         held = self.links.get((source, to), WELL)
         if (
             held.silent(time.monotonic())
-            or held.loss
-            and self.rng.random() < held.loss
+            or (held.loss and self.rng.random() < held.loss)
             or self.waiting > WAIT
         ):
             self.counts["packets lost"] += 1
--- a/message_relay/http/client_connection.py
+++ b/message_relay/http/client_connection.py
@@ -235,7 +235,8 @@
         """For one that was taken on, but must not be told so: it is dropped before its client hears the
         end."""
         taken, self.unsent = self.unsent, []
-        if all([self.server.withdraw(ident) for ident in taken]):
+        cancelled = [self.server.withdraw(ident) for ident in taken]  # each of them, whatever the first says
+        if all(cancelled):
             return Reply(503, "the message could not be kept")
         return Reply(500, "the message could not be kept")  # a call was out: it may run
 
--- a/message_relay/store/journal.py
+++ b/message_relay/store/journal.py
@@ -356,7 +356,7 @@
 
     def _give_up_all(self, need: int) -> None:
         """As many of the oldest as it takes; those kept for people go first."""
-        for name in [name for name in self.aside]:
+        for name in list(self.aside):
             self._drop_aside(name)
         last = self.segments[-1].number
         more = need + self.new_segment
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, ClassVar
 
 import pytest
 from pamqp import commands
@@ -196,7 +196,7 @@
     """Its record became safe late, and the next consumer's channel has the same number."""
 
     class Acks:
-        told: list[int] = []
+        told: ClassVar[list[int]] = []
 
         def settle(self, channel: int, tag: int, taken: bool) -> None:
             self.told.append(tag)
@@ -230,7 +230,7 @@
             for queue in relay.host.intakes.values():
                 queue.stop()
             await until(lambda: len(inward.queues["in"].waiting) == 26)
-            assert [str(each.properties.message_id) for each in inward.queues["in"].waiting][0] == "m4"
+            assert next(str(each.properties.message_id) for each in inward.queues["in"].waiting) == "m4"
             await relay.close()
             outward.blocked = False
             relay = await relay_of(tmp_path, both(a, b))
--- a/tests/amqp/test_machine.py
+++ b/tests/amqp/test_machine.py
@@ -285,7 +285,7 @@
             events = machine.lost("cut")
         elif step in OK:
             if machine.state is State.OPEN and 1 in machine.channels and 1 <= n <= len(sent):
-                covers = {each for each in open_ if each == n or step.endswith("s") and each <= n}
+                covers = {each for each in open_ if each == n or (step.endswith("s") and each <= n)}
                 acked |= covers if step.startswith("ack") else set()
                 nacked |= covers if step.startswith("nack") else set()
                 returned |= {n} & open_ if step == "return" else set()
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -96,8 +96,10 @@
                     and self.risks(seen)
                     and (
                         effect is Effect.UNSAFE
-                        or effect is Effect.KEYED
-                        and self.settings.classes[seen.msg.class_].key_scope is not Scope.ALL
+                        or (
+                            effect is Effect.KEYED
+                            and self.settings.classes[seen.msg.class_].key_scope is not Scope.ALL
+                        )
                     )
                 ):
                     raise Breach("twice: refused though it may have run")
--- a/tests/consensus/test_apart.py
+++ b/tests/consensus/test_apart.py
@@ -106,6 +106,6 @@
         while True:
             with contextlib.suppress(StatusError):
                 said = str((await it.rules(await leader(it), "voters", author="test", **more))["refused"])
-                if said == wanted or wanted and (wanted in said or not said):
+                if said == wanted or (wanted and (wanted in said or not said)):
                     return said
             await asyncio.sleep(0.1)
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import random
 
 import pytest
@@ -189,7 +190,7 @@
         }
 
     sets = [used(part) for part in (0.0, 0.1, 0.3, 0.6, 1.0)]
-    assert all(one < other for one, other in zip(sets, sets[1:], strict=False))
+    assert all(one < other for one, other in itertools.pairwise(sets))
     assert not sets[0] and len(sets[4]) == 400 and 20 < len(sets[1]) < 60
 
 
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -105,8 +105,6 @@
 )
 def test_commands_refuse_numbers_past_the_edge(words: list[str]) -> None:
     done = CliRunner().invoke(group, words)
-    assert (
-        done.exit_code == 2
-        and "4096 is not in the range 0<=x<=4095" in done.output + done.stderr
-        or ("4097 is not in the range 1<=x<=4096" in done.output + done.stderr)
+    assert (done.exit_code == 2 and "4096 is not in the range 0<=x<=4095" in done.output + done.stderr) or (
+        "4097 is not in the range 1<=x<=4096" in done.output + done.stderr
     )
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -44,7 +44,7 @@
         assert not math.isnan(await them.all_known(PATIENCE_S)), "and known as back"
         assert not math.isnan(await them.all_act(PATIENCE_S)), "who came back acts by the rules"
         await them.heard()
-        assert {key for key in them.expected} == {f"n{n}/1" for n in third}
+        assert set(them.expected) == {f"n{n}/1" for n in third}
         counts = await them.counts()
         assert counts["counts"]["sent"] > 0 and counts["counts"]["received_bytes"] > 0
         assert counts["counts"]["asked"] >= INSTANCES  # each has asked for a version once at the least
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import random
 from typing import Any
 
@@ -335,7 +336,7 @@
     first = sorted(told[0] for told in times.values())
     assert first[75] > 0.4 and first[225] < 2.6  # those that came at once are not told at once
     for told in times.values():
-        gaps = [b - a for a, b in zip(told, told[1:], strict=False)]
+        gaps = [b - a for a, b in itertools.pairwise(told)]
         assert all(2.6 <= gap <= 3.4 for gap in gaps) and len(gaps) >= 6
     now = 10.0 + subscribers.READER_S
     for _ in range(20):
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -9,7 +9,7 @@
 
 from message_relay.http import client_connection, connection
 
-NAMES = sorted(client_connection.PLAIN) + ["Connection", "Transfer-Encoding", "Expect", "Upgrade", "X-Other"]
+NAMES = [*sorted(client_connection.PLAIN), "Connection", "Transfer-Encoding", "Expect", "Upgrade", "X-Other"]
 ODD = st.sampled_from(
     [
         "",
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import math
 import random
 from bisect import bisect_right
@@ -153,7 +154,7 @@
             frame = 1000 * 10 / (50 * GUARD)
             places = [(when + 12_345.0 - 2 * frame / 10) % frame for when in at]
             assert 5 <= len(at) < 30 and max(places) <= LATE_MS
-            assert min(b - a for a, b in zip(at, at[1:], strict=False)) > 0.8 * frame
+            assert min(b - a for a, b in itertools.pairwise(at)) > 0.8 * frame
 
 
 def test_a_fleet_spares_a_returning_partner_and_keeps_the_agreed_rate() -> None:
