--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -49,7 +49,7 @@
         told = {
             "cpu_ms": 1e3 * cpu,
             "memory_bytes": 1e6 * (rss_mb() - before),
-            "disk_bytes": float(journal.size),
+            "disk_bytes": float(journal.disk_bytes),
         }
         journal.close()
         return told
@@ -73,7 +73,7 @@
         journal = filled(Path(name), size)
         gc.collect()
         gc.freeze()  # as the daemon does
-        written, copied, cpu = journal.written, journal.copied, time.process_time()
+        written, copied, cpu = journal.written_bytes, journal.copied_bytes, time.process_time()
         now = 1e6
         for each in entries(size, EVENTS):
             journal.append_accepted(each)
@@ -81,7 +81,7 @@
             journal.append_final_outcome(each, "returned", 500.0)
             journal.append_notified([each.id])
         cpu = time.process_time() - cpu
-        disk = journal.written - written + journal.copied - copied
+        disk = journal.written_bytes - written + journal.copied_bytes - copied
         journal.close()
         return {"disk_bytes": disk / EVENTS, "cpu_us": 1e6 * cpu / EVENTS}
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -99,7 +99,7 @@
         mix.run(journal, JournalEntry, folder, messages)
         took = time.perf_counter() - begun
         size, live = on_disk(folder), len(journal.entries)
-        copied, written = getattr(journal, "copied", 0), getattr(journal, "written", 1)
+        copied, written = getattr(journal, "copied_bytes", 0), getattr(journal, "written_bytes", 1)
         journal.close()
         begun = time.perf_counter()
         again: Any = Journal(folder, BUDGET)
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -67,24 +67,26 @@
         self.put(entry)
 
     def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
-        entry.tries, entry.out = entry.tries + 1, Attempt(at, endpoint, zone)
+        entry.attempt_count, entry.attempt_in_flight = entry.attempt_count + 1, Attempt(at, endpoint, zone)
         self.put(entry)
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
-        entry.out = None
+        entry.attempt_in_flight = None
         self.put(entry)
 
     def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        entry.end, entry.after_ms, entry.body = state, after_ms, b""
+        entry.final_state, entry.after_ms, entry.body = state, after_ms, b""
         self.put(entry)
 
     def append_notified(self, idents: list[str]) -> None:
         for ident in idents:
-            self.entries[ident].told = True
+            self.entries[ident].is_notified = True
             self.put(self.entries[ident])
 
     def compact(self, now: float) -> None:
-        old = [ident for ident, entry in self.entries.items() if entry.end and entry.due < now]
+        old = [
+            ident for ident, entry in self.entries.items() if entry.final_state and entry.deadline_ms < now
+        ]
         for ident in old:
             del self.entries[ident]
         self.drop(old)
@@ -143,7 +145,7 @@
         self.entries: dict[str, JournalEntry] = {}
 
     def record(self, entry: JournalEntry, payload: bytes) -> None:
-        when = int(entry.due // 1000)
+        when = int(entry.deadline_ms // 1000)
         if when not in self.files:
             path = self.folder / f"gen-{when:012}"
             self.files[when] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
@@ -160,7 +162,7 @@
         self.record(entry, PACK(may_have_run))
 
     def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        entry.end = state
+        entry.final_state = state
         self.record(entry, PACK([state, after_ms]))
 
     def append_notified(self, idents: list[str]) -> None:
@@ -201,7 +203,7 @@
             "peak": mix.peak,
             "p99 ms": sorted(mix.takes)[int(0.99 * len(mix.takes))],
             "pause ms": every[-1],
-            "written": getattr(store, "written", 0),
+            "written": getattr(store, "written_bytes", 0),
         }
 
 
--- a/message_relay/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import sys
 import time
 from collections import Counter
@@ -13,7 +14,7 @@
 
 from ..store.file_store import DirectoryFileStore
 from ..store.record_format import UnsupportedFormatError
-from ..store.records import CENSUS, RecordType
+from ..store.records import CENSUS, RECORD_TYPE_LABELS, Attempt, JournalEntry
 from ..store.recovery import Found, Line, lines, recover
 
 NAMES = (
@@ -118,7 +119,7 @@
     mine = [line for line in lines_of(folder) if line.ident == ident]
     entry = found_in(folder).entries.get(ident)
     if json_:
-        now = None if entry is None else _plain(entry)
+        now = None if entry is None else _entry_document(entry)
         click.echo(
             msgspec.json.encode(
                 {
@@ -131,20 +132,45 @@
         for line in mine:
             click.echo(f"{line.segment} {line.sequence:8} {line.kind:7} {told(line)}")
         if entry is not None:
-            click.echo("now: " + " ".join(f"{name}={value}" for name, value in _plain(entry).items()))
+            click.echo(
+                "now: " + " ".join(f"{name}={value}" for name, value in _entry_document(entry).items())
+            )
     sys.exit(0 if mine or entry is not None else 1)
 
 
-# Keys of `journal show --json` that differ from the fields' names; scripts of operators read them.
-JSON_KEYS = {"destination": "dest", "class_name": "class_", "resubmission": "again"}
-
-
-def _plain(entry: object) -> dict[str, object]:
-    fields: dict[str, object] = msgspec.to_builtins(entry, builtin_types=(bytes,))
-    raw = {JSON_KEYS.get(name, name): value for name, value in fields.items()}
-    body = raw.pop("body")
-    raw["body_bytes"] = len(body) if isinstance(body, bytes) else 0
-    return raw
+# Keys of `journal show` that differ from the fields' names; scripts of operators read them.
+ENTRY_KEYS = {
+    "class_name": "class_",
+    "destination": "dest",
+    "accepted_at_ms": "since",
+    "deadline_ms": "due",
+    "resubmission": "again",
+    "attempt_count": "tries",
+    "attempt_in_flight": "out",
+    "uncertain_attempt": "risk",
+    "final_state": "end",
+    "is_notified": "told",
+}
+ATTEMPT_KEYS = {"started_at_ms": "at", "uptime_ms": "up"}
+
+
+def _attempt_document(attempt: Attempt) -> dict[str, object]:
+    """An attempt under the keys of the tool's output."""
+    fields: dict[str, object] = msgspec.to_builtins(attempt)
+    return {ATTEMPT_KEYS.get(name, name): value for name, value in fields.items()}
+
+
+def _entry_document(entry: JournalEntry) -> dict[str, object]:
+    """A message under the keys of the tool's output: its body is replaced by the body's length."""
+    document: dict[str, object] = {}
+    for field in dataclasses.fields(entry):
+        value = getattr(entry, field.name)
+        if isinstance(value, Attempt):
+            value = _attempt_document(value)
+        document[ENTRY_KEYS.get(field.name, field.name)] = value
+    del document["body"]
+    document["body_bytes"] = len(entry.body)
+    return document
 
 
 @journal.command()
@@ -158,11 +184,13 @@
     told_ = {
         "segments": len(found.segments),
         "bytes": sum(each.on_disk for each in found.segments),
-        "records": {kind.name.lower(): kinds[kind.name.lower()] for kind in RecordType},
-        "open": sum(not each.end for each in found.entries.values()),
-        "notices_owed": sum(each.owes_notice for each in found.entries.values()),
-        "ended": Counter(each.end for each in found.entries.values() if each.end),
-        "may_have_run": sum(each.risk is not None for each in found.entries.values() if not each.end),
+        "records": {label: kinds[label] for label in RECORD_TYPE_LABELS.values()},
+        "open": sum(not each.final_state for each in found.entries.values()),
+        "notices_owed": sum(each.needs_notification for each in found.entries.values()),
+        "ended": Counter(each.final_state for each in found.entries.values() if each.final_state),
+        "may_have_run": sum(
+            each.uncertain_attempt is not None for each in found.entries.values() if not each.final_state
+        ),
         "body_bytes": sum(len(each.body) for each in found.entries.values()),
     }
     if json_:
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -100,7 +100,7 @@
         except Exception:
             # A fault of ours must not leave the message without an outcome.
             log.exception("a call failed")
-            result = AttemptResult(Outcome.RESET if entry.out else Outcome.CONNECT_FAILED)
+            result = AttemptResult(Outcome.RESET if entry.attempt_in_flight else Outcome.CONNECT_FAILED)
         if permit is not None:
             permit.over(result, self.turns.now() - begun)
         self._ended(
@@ -162,8 +162,8 @@
             known.name,
             zones[zone] if zone < len(zones) else "",
             entry.class_name,
-            entry.tries,
-            entry.risk is not None,
+            entry.attempt_count,
+            entry.uncertain_attempt is not None,
             entry.key is not None,
         )
 
@@ -194,7 +194,7 @@
             if event.finished:
                 messages.let_go(number)
                 messages.end(entry, "delivered" if event.outcome is Outcome.OK else "over")
-            elif entry.out is not None:
+            elif entry.attempt_in_flight is not None:
                 ran = not event.outcome.proves_no_effect
                 messages.write(lambda: messages.journal.append_outcome(entry, ran))
         self.turns.feed(event)
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -64,7 +64,9 @@
         self.leaving: deque[tuple[float, int]] = deque()  # not listed, earliest first: DEST_MS of changes
         self.accepted: dict[int, AcceptedMessage] = {}
         # Left by an earlier process, and taken up by `resume`: the earliest end first.
-        self.left = sorted((one for one in journal.entries.values() if not one.end), key=lambda one: one.due)
+        self.left = sorted(
+            (one for one in journal.entries.values() if not one.final_state), key=lambda one: one.deadline_ms
+        )
         self.numbers: dict[str, int] = {}
         self.last_number = 0
         self.unwritten_outcomes: list[
@@ -185,8 +187,10 @@
     def pass_on_ends(self) -> None:
         """Those that an earlier process wrote, and nobody has confirmed."""
         for entry in list(self.journal.entries.values()):
-            if entry.owes_notice:
-                self.pass_on(entry.origin, FinalOutcome(entry.id, entry.end, entry.after_ms, entry.origin))
+            if entry.needs_notification:
+                self.pass_on(
+                    entry.origin, FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
+                )
 
     def resume(self, number_of: Callable[[str], int]) -> None:
         """Takes up what an earlier process left: it owes each message its end. Ages and times to go are as
@@ -199,14 +203,14 @@
             if entry.class_name not in self.classes:
                 self.end(entry, "failed")  # the settings no longer know its class
             else:
-                risk = entry.risk
+                risk = entry.uncertain_attempt
                 self._hold(
                     entry,
                     self._message(
                         entry,
-                        entry.due - now,
-                        age_ms=max(0.0, now - entry.since),
-                        tries=entry.tries,
+                        entry.deadline_ms - now,
+                        age_ms=max(0.0, now - entry.accepted_at_ms),
+                        tries=entry.attempt_count,
                         risk_age_ms=None if risk is None else self._age(risk, now),
                         risk=None
                         if risk is None
@@ -221,10 +225,10 @@
         """How long ago an attempt of an earlier process was made, the time spent dead included. Guards key
         windows against a wall clock that was set back meanwhile: the clock that never steps goes before it,
         unless the machine has started anew. In doubt it is past any window."""
-        since = self.now() - risk.up if 0 <= risk.up <= self.now() else -1.0
-        if now < risk.at and since < 0:
+        since = self.now() - risk.uptime_ms if 0 <= risk.uptime_ms <= self.now() else -1.0
+        if now < risk.started_at_ms and since < 0:
             return FOREVER
-        return max(0.0, now - risk.at, since)
+        return max(0.0, now - risk.started_at_ms, since)
 
     def _hold(self, entry: JournalEntry, message: Message) -> None:
         self.last_number = message.id
@@ -272,7 +276,7 @@
     def end(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         self.tally[state] += 1
         written = self.write(lambda: self.journal.append_final_outcome(entry, state, after_ms))
-        if not entry.owes_notice:
+        if not entry.needs_notification:
             return
         if written:
             self._tell(entry)
@@ -284,7 +288,7 @@
 
     def say(self) -> None:
         """Passes on the ends that could not be written when they came, once they are."""
-        if not self.write(self.journal.catch_up):
+        if not self.write(self.journal.write_overdue):
             asyncio.get_running_loop().call_later(AGAIN_S, self.say)
             return
         unsaid, self.unwritten_outcomes = self.unwritten_outcomes, []
@@ -293,7 +297,7 @@
 
     def _tell(self, entry: JournalEntry) -> None:
         """Its end is written: passes it on, once that outlasts what it has to."""
-        end = FinalOutcome(entry.id, entry.end, entry.after_ms, entry.origin)
+        end = FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
         safe = self.journal.barrier()
         if safe is None:
             self.pass_on(entry.origin, end)
@@ -338,7 +342,7 @@
         if interest.is_resident(entry.destination):
             interest.touch(entry.destination)
         else:
-            interest.request(entry.destination, (self.now() + entry.due - unix_time_ms()) / 1000)
+            interest.request(entry.destination, (self.now() + entry.deadline_ms - unix_time_ms()) / 1000)
 
     def ask_for_left(self) -> None:
         """What an earlier process left is to go as soon as it can: the earliest end first."""
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -48,7 +48,7 @@
 def aged(lane: RestoredDestination, ms: float) -> RestoredDestination:
     return replace(
         lane,
-        wait_ms=max(0.0, lane.wait_ms - ms),
-        bad_ms=None if lane.bad_ms is None else lane.bad_ms + ms,
-        cold_ms=None if lane.cold_ms is None else lane.cold_ms + ms,
+        retry_after_ms=max(0.0, lane.retry_after_ms - ms),
+        failing_for_ms=None if lane.failing_for_ms is None else lane.failing_for_ms + ms,
+        warming_up_for_ms=None if lane.warming_up_for_ms is None else lane.warming_up_for_ms + ms,
     )
--- a/message_relay/decisions/endpoint_registry.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -128,13 +128,15 @@
         lane = self.lanes.get(event.destination, {}).get(-1)
         if lane is None or lane.out or lane.answers:  # gone, or this process knows better by now
             return
-        lane.wait_until = max(lane.wait_until, now + event.wait_ms if event.wait_ms > 0 else NEVER)
-        lane.bad_since = None if event.bad_ms is None else now - event.bad_ms
-        if event.out:
+        lane.wait_until = max(
+            lane.wait_until, now + event.retry_after_ms if event.retry_after_ms > 0 else NEVER
+        )
+        lane.bad_since = None if event.failing_for_ms is None else now - event.failing_for_ms
+        if event.is_ejected:
             lane.sick, lane.blame, lane.failed_at = True, 0.7, now
             lane.next_trickle = now + 1000 / self.paces.pace(now, lane, True)[0] * self.rng.random()
             lane.credit = 0.0
-        elif event.cold_ms is not None:
-            lane.cold_since, lane.credit = now - event.cold_ms, 0.0
+        elif event.warming_up_for_ms is not None:
+            lane.cold_since, lane.credit = now - event.warming_up_for_ms, 0.0
             lane.knowers = float(self.paces.s.relays)  # how many know of it is not known any more: all may
         self.board.look(event.destination)
--- a/message_relay/decisions/events.py
+++ b/message_relay/decisions/events.py
@@ -76,15 +76,20 @@
     """What an earlier process knew of a destination; no clock outlasts it, so times are told as ages."""
 
     destination: int
-    wait_ms: float = 0.0  # a told wait that still runs
-    out: bool = False
-    bad_ms: float | None = None  # since the first call that failed without an answer after it
-    cold_ms: float | None = None  # since it was back
+    retry_after_ms: float = 0.0  # a told wait that still runs
+    is_ejected: bool = False
+    failing_for_ms: float | None = None  # since the first call that failed without an answer after it
+    warming_up_for_ms: float | None = None  # since it was back
 
     def __post_init__(self) -> None:
-        for field in ("wait_ms", "bad_ms", "cold_ms"):
-            value = getattr(self, field)
-            require(value is None or value >= 0, f"learned.{field}", "must not be negative")
+        # Errors name the fields as the file `learned` does.
+        ages = {
+            "wait_ms": self.retry_after_ms,
+            "bad_ms": self.failing_for_ms,
+            "cold_ms": self.warming_up_for_ms,
+        }
+        for name, value in ages.items():
+            require(value is None or value >= 0, f"learned.{name}", "must not be negative")
 
 
 Event = Union[
--- a/message_relay/store/destination_snapshot.py
+++ b/message_relay/store/destination_snapshot.py
@@ -40,7 +40,7 @@
 class DestinationSnapshotFile:
     def __init__(self, folder: Path) -> None:
         self.path, self.spare = folder / "learned", folder / "learned.new"
-        self.lanes: list[RestoredDestination] = []  # as last written
+        self.destinations: list[RestoredDestination] = []  # as last written
 
     def load(self, now: float) -> list[RestoredDestination]:
         """With the time since it was written taken into account; `now` in Unix ms. Never raises."""
@@ -58,7 +58,21 @@
         return (
             lanes
             if age < OLD_MS
-            else [replace(lane, out=False, bad_ms=None, cold_ms=None) for lane in lanes if lane.wait_ms > 0]
+            else [
+                replace(lane, is_ejected=False, failing_for_ms=None, warming_up_for_ms=None)
+                for lane in lanes
+                if lane.retry_after_ms > 0
+            ]
+        )
+
+    @staticmethod
+    def _record(restored: RestoredDestination) -> _Lane:
+        return _Lane(
+            restored.destination,
+            restored.retry_after_ms,
+            restored.is_ejected,
+            restored.failing_for_ms,
+            restored.warming_up_for_ms,
         )
 
     @staticmethod
@@ -73,10 +87,10 @@
 
     def save(self, now: float, lanes: list[RestoredDestination]) -> None:
         """Only where there is something to tell, or was; what does not fit is left out. Never raises."""
-        if not lanes and not self.lanes:
+        if not lanes and not self.destinations:
             return
-        self.lanes = lanes
-        items = [msgspec.json.encode(lane) for lane in lanes]
+        self.destinations = lanes
+        items = [msgspec.json.encode(self._record(lane)) for lane in lanes]
         head, size, kept = f'{{"version":{VERSION},"at":{now:.0f},"lanes":['.encode(), 64, list[bytes]()
         for item in items:
             size += len(item) + 1
--- a/message_relay/store/durability.py
+++ b/message_relay/store/durability.py
@@ -31,7 +31,9 @@
     def __init__(self, files: FileStore, sync_ms: float) -> None:
         """`sync_ms`: between one sync and the next; 0: whenever something waits, and all wait for it."""
         self.files, self.group, self.every_s = files, sync_ms <= 0, sync_ms / 1000
-        self.written = self.durable = 0  # sequence of the latest record that is appended, and that is safe
+        self.appended_sequence = self.durable_sequence = (
+            0  # sequence of the latest record that is appended, and that is safe
+        )
         self.dirty: dict[str, None] = {}  # files with records that are not
         self.waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
         self.later: deque[tuple[int, Callable[[], None]]] = deque()
@@ -41,22 +43,22 @@
 
     def appended(self, name: str, sequence: int) -> None:
         self.dirty[name] = None
-        self.written = sequence
+        self.appended_sequence = sequence
         self.wake.set()
 
     def barrier(self) -> asyncio.Future[None] | None:
         """Done when all that is written by now outlasts a power cut; None: nothing has to wait."""
-        if not self.group or self.durable >= self.written:
+        if not self.group or self.durable_sequence >= self.appended_sequence:
             return None
-        if self.waiting and self.waiting[-1][0] == self.written:
+        if self.waiting and self.waiting[-1][0] == self.appended_sequence:
             return self.waiting[-1][1]
         future = asyncio.get_running_loop().create_future()
-        self.waiting.append((self.written, future))
+        self.waiting.append((self.appended_sequence, future))
         return future
 
     def after(self, call: Callable[[], None]) -> None:
         """Once what is written by now is safe."""
-        self.later.append((self.written, call))
+        self.later.append((self.appended_sequence, call))
 
     async def run(self) -> None:
         """Never ends by itself."""
@@ -65,34 +67,34 @@
             await self.wake.wait()
             if not self.group:
                 await asyncio.sleep(self.every_s)
-            names, upto = self.begin()
+            names, upto = self.start_sync()
             try:
-                await loop.run_in_executor(self.thread, self.sync, names)
+                await loop.run_in_executor(self.thread, self.sync_files, names)
             except OSError as error:
                 log.error(LogEvent("journal: a sync failed: all is written anew", why=error))
                 await asyncio.sleep(AGAIN_S)
                 self.anew()
                 self.wake.set()
                 continue
-            self.safe(upto)
+            self.mark_durable(upto)
 
     # -- one round, in three steps: a test takes them by itself ------------------------------------------
 
-    def begin(self) -> tuple[list[str], int]:
+    def start_sync(self) -> tuple[list[str], int]:
         """Files that the next sync has to cover, and the record up to which all is safe then."""
         self.wake.clear()
-        names, upto = list(self.dirty), self.written
+        names, upto = list(self.dirty), self.appended_sequence
         self.dirty.clear()
         return names, upto
 
-    def sync(self, names: list[str]) -> None:
+    def sync_files(self, names: list[str]) -> None:
         """On the thread."""
         for name in names:
             with contextlib.suppress(FileNotFoundError):  # given up: what was in it lies in a later one
                 self.files.sync(name)
 
-    def safe(self, upto: int) -> None:
-        self.durable = upto
+    def mark_durable(self, upto: int) -> None:
+        self.durable_sequence = upto
         while self.waiting and self.waiting[0][0] <= upto:
             future = self.waiting.popleft()[1]
             if not future.done():
@@ -102,7 +104,7 @@
 
     async def finish(self, seconds: float = 1.0) -> None:
         """The last sync of a process that stops in an orderly way; takes no longer than told."""
-        work = asyncio.get_running_loop().run_in_executor(self.thread, self.sync, list(self.dirty))
+        work = asyncio.get_running_loop().run_in_executor(self.thread, self.sync_files, list(self.dirty))
         try:
             await asyncio.wait_for(work, seconds)
         except (OSError, TimeoutError) as error:
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -26,7 +26,12 @@
 NAMES = ("journal", "journal.new")
 IDENT = re.compile(rb'"id":"((?:[^"\\]|\\.){1,400})"')
 
-KINDS = {"try": RecordType.TRY, "out": RecordType.OUT, "end": RecordType.END, "told": RecordType.TOLD}
+KINDS = {
+    "try": RecordType.ATTEMPT,
+    "out": RecordType.OUTCOME,
+    "end": RecordType.FINAL_OUTCOME,
+    "told": RecordType.NOTIFIED,
+}
 Tuple = tuple[float, str, int]
 
 
@@ -117,6 +122,9 @@
         if ident not in entries:
             entries[ident] = only_known_by_id(ident)
     for entry in entries.values():
-        if entry.out is not None:
-            entry.risk, entry.out = entry.risk or entry.out, None
+        if entry.attempt_in_flight is not None:
+            entry.uncertain_attempt, entry.attempt_in_flight = (
+                entry.uncertain_attempt or entry.attempt_in_flight,
+                None,
+            )
     return entries, findings
--- a/message_relay/store/journal.py
+++ b/message_relay/store/journal.py
@@ -62,11 +62,11 @@
     count as such records."""
     names = f"{entry.class_name}{entry.tenant}{entry.key}{entry.resubmission}{entry.origin}"
     payload = FIXED + len(names.encode())
-    if not entry.end:
+    if not entry.final_state:
         return frame_bytes(len(entry.id.encode()), payload + len(entry.body)) + OPEN
-    if entry.risk is not None:
-        payload += 24 + len(entry.risk.endpoint.encode())
-    return frame_bytes(len(entry.id.encode()), payload) + (OWED if entry.owes_notice else 0)
+    if entry.uncertain_attempt is not None:
+        payload += 24 + len(entry.uncertain_attempt.endpoint.encode())
+    return frame_bytes(len(entry.id.encode()), payload) + (OWED if entry.needs_notification else 0)
 
 
 class Journal:
@@ -84,13 +84,15 @@
         self.new_segment = 2 * BLOCK + HEADER_BYTES + self.capacity.segment // CENSUS
         self.messages = MessageTable()
         self.entries = self.messages.entries
-        self.home: dict[str, Segment] = {}  # where the latest snapshot of each lies
-        self.dying: list[tuple[float, str]] = []  # heap: ended and told, and until when they are remembered
-        self.behind: dict[str, None] = {}  # messages of which memory knows more than the disk
+        self.segment_of: dict[str, Segment] = {}  # where the latest snapshot of each lies
+        self.retained: list[
+            tuple[float, str]
+        ] = []  # heap: ended and told, and until when they are remembered
+        self.overdue: dict[str, None] = {}  # messages of which memory knows more than the disk
         self.credit = 0  # bytes that may be copied by now
-        self.copied = self.written = 0  # bytes, since the start
+        self.copied_bytes = self.written_bytes = 0  # bytes, since the start
         self.segments: deque[Segment] = deque()
-        self.aside: dict[str, int] = {}  # blocks of each damaged segment that is kept
+        self.quarantined: dict[str, int] = {}  # blocks of each damaged segment that is kept
         self.leaving = 0  # of them, in segments that go with the next sync
         self.used = 0  # bytes on the disk, in whole blocks
         self.sequence = 1  # of the next record
@@ -99,30 +101,30 @@
         self._restore()
 
     @property
-    def budget(self) -> int:
+    def budget_bytes(self) -> int:
         return self.capacity.budget
 
     @property
-    def size(self) -> int:
+    def disk_bytes(self) -> int:
         """Bytes on the disk, in whole blocks."""
         return self.used
 
     @property
-    def live(self) -> int:
-        return self.messages.total
+    def live_bytes(self) -> int:
+        return self.messages.total_bytes
 
     # -- records -----------------------------------------------------------------------------------------
 
     def append_accepted(self, entry: JournalEntry) -> None:
         """Must come before the client's answer."""
         size = space(entry)
-        if not self.capacity.takes(self.live, size):
+        if not self.capacity.takes(self.live_bytes, size):
             self._drop_ended()
-            if not self.capacity.takes(self.live, size):
+            if not self.capacity.takes(self.live_bytes, size):
                 raise JournalFullError("no room for another message")
-        if self.behind:
-            self.catch_up()  # Raises: the disk does not take what is owed, so that it takes nothing new
-        self._append(RecordType.TAKE, entry.id, snapshot(entry))
+        if self.overdue:
+            self.write_overdue()  # Raises: the disk does not take what is owed, so that it takes nothing new
+        self._append(RecordType.ACCEPTED, entry.id, snapshot(entry))
         self._settle(entry)
         self._move(entry.id)
         self._give_up_some()
@@ -132,48 +134,48 @@
     ) -> None:
         """Must come before the attempt's first byte. Times in whole ms, rounded down: a window that runs from
         them ends no later for it."""
-        self._record(entry, RecordType.TRY, PACK(AttemptRecord(int(at), endpoint[:NAME], zone, int(up))))
+        self._record(entry, RecordType.ATTEMPT, PACK(AttemptRecord(int(at), endpoint[:NAME], zone, int(up))))
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
-        self._record(entry, RecordType.OUT, PACK(may_have_run))
+        self._record(entry, RecordType.OUTCOME, PACK(may_have_run))
 
     def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         """Must come before the end is told: if it can't be written, `behind` names it until `catch_up`."""
-        self._record(entry, RecordType.END, PACK(FinalOutcomeRecord(state, after_ms)))
+        self._record(entry, RecordType.FINAL_OUTCOME, PACK(FinalOutcomeRecord(state, after_ms)))
 
     def append_notified(self, idents: list[str]) -> None:
         failed: JournalError | None = None
         for ident in idents:
             try:
                 if ident in self.entries:
-                    self._record(self.entries[ident], RecordType.TOLD, b"")
+                    self._record(self.entries[ident], RecordType.NOTIFIED, b"")
             except JournalError as error:  # it holds in memory, and for the others too
                 failed = error
         if failed is not None:
             raise failed
 
     def append_cancelled(self, entry: JournalEntry) -> None:
-        self._record(entry, RecordType.DROP, b"")
+        self._record(entry, RecordType.CANCELLED, b"")
 
-    def catch_up(self) -> None:
+    def write_overdue(self) -> None:
         """Writes what could not be written when it happened. Raises JournalError if it still can't be."""
-        for ident in list(self.behind):
+        for ident in list(self.overdue):
             entry = self.entries.get(ident)
             if entry is None:
-                self._append(RecordType.DROP, ident, b"")
+                self._append(RecordType.CANCELLED, ident, b"")
             else:
                 self._copy(entry)
-            del self.behind[ident]
+            del self.overdue[ident]
 
     def compact(self, now: float) -> None:
         """Forgets the ended whose time is up (until then a repeated id gets its answer again)."""
-        while self.dying and self.dying[0][0] < now:
-            _, ident = heapq.heappop(self.dying)
+        while self.retained and self.retained[0][0] < now:
+            _, ident = heapq.heappop(self.retained)
             entry = self.entries.get(ident)
-            if entry is not None and not entry.owed and entry.due < now:
+            if entry is not None and not entry.is_unfinished and entry.deadline_ms < now:
                 self._forget(ident)
         try:
-            self.catch_up()
+            self.write_overdue()
             self._give_up_some(self.capacity.segment // 8)
         except JournalError as error:
             log.error(LogEvent("journal: cannot tidy", why=error))
@@ -201,49 +203,49 @@
         leaves is safe, since a try without an outcome may have run. A try is not: it must not be made."""
         if self.entries.get(entry.id) is not entry:
             # Guards whoever has its id now: a late word of a call must not be read as one of the new message.
-            if kind is RecordType.TRY:
+            if kind is RecordType.ATTEMPT:
                 raise JournalError(f"journal: message {entry.id} is over")
             return
         try:
             self._append(kind, entry.id, payload)
         except JournalError:
-            if kind is not RecordType.TRY:
+            if kind is not RecordType.ATTEMPT:
                 self._change(entry, kind, payload)
-                self.behind[entry.id] = None
+                self.overdue[entry.id] = None
             raise
         self._change(entry, kind, payload)
         self._give_up_some()
 
     def _change(self, entry: JournalEntry, kind: RecordType, payload: bytes) -> None:
-        if kind is RecordType.DROP:
+        if kind is RecordType.CANCELLED:
             self._forget(entry.id)
             return
         change(entry, kind, payload)
-        if kind in (RecordType.END, RecordType.TOLD) and entry.id in self.entries:
+        if kind in (RecordType.FINAL_OUTCOME, RecordType.NOTIFIED) and entry.id in self.entries:
             self._settle(entry)
 
     def _settle(self, entry: JournalEntry) -> None:
         self.messages.put(entry, space(entry))
-        if not entry.owed:
-            heapq.heappush(self.dying, (entry.due, entry.id))
+        if not entry.is_unfinished:
+            heapq.heappush(self.retained, (entry.deadline_ms, entry.id))
 
     def _move(self, ident: str) -> None:
         """Its latest snapshot lies in the head now."""
-        before = self.home.get(ident)
+        before = self.segment_of.get(ident)
         if before is not None:
             before.homes.pop(ident, None)
-        self.home[ident] = self.segments[-1]
+        self.segment_of[ident] = self.segments[-1]
         self.segments[-1].homes[ident] = None
 
     def _forget(self, ident: str) -> None:
-        self.messages.forget(ident)
-        self.home.pop(ident).homes.pop(ident, None)
+        self.messages.remove(ident)
+        self.segment_of.pop(ident).homes.pop(ident, None)
 
     def _drop_ended(self) -> None:
-        for _, ident in self.dying:
-            if ident in self.entries and not self.entries[ident].owed:
+        for _, ident in self.retained:
+            if ident in self.entries and not self.entries[ident].is_unfinished:
                 self._forget(ident)
-        self.dying.clear()
+        self.retained.clear()
 
     # -- the log -----------------------------------------------------------------------------------------
 
@@ -261,13 +263,13 @@
         self._put(head, data)
         self.sequence += 1
         if copying:
-            self.copied += need
+            self.copied_bytes += need
         else:
-            self.written += need
+            self.written_bytes += need
 
     def _put(self, head: Segment, data: bytes) -> None:
         more = blocks(head.size + len(data)) - blocks(head.size)
-        if self.used + more > self.budget:
+        if self.used + more > self.budget_bytes:
             raise JournalError("journal: the folder's limit is reached")
         try:
             self.files.append(head.name, data)
@@ -301,13 +303,13 @@
         new = Segment(before.number + 1, salt=int.from_bytes(os.urandom(4), "little"))
         data = Header(new.number, self.sequence, before.size, before.check, new.salt).encode()
         origins: dict[str, list[str]] = {}
-        owed = self.messages.owed
+        owed = self.messages.unfinished
         for ident, origin in owed.items() if len(owed) <= COUNTED else ():
             origins.setdefault(origin, []).append(ident)
         census = PACK(origins)
         counted = len(owed) <= COUNTED and len(census) <= self.capacity.segment // CENSUS
         if counted:
-            data += frame(new.salt, self.sequence, RecordType.CENSUS, b"", census)
+            data += frame(new.salt, self.sequence, RecordType.UNFINISHED_IDS, b"", census)
         try:
             self.files.unlink(new.name)  # what an attempt to begin it has left
         except FileNotFoundError:
@@ -323,13 +325,13 @@
     # -- giving up old segments --------------------------------------------------------------------------
 
     def _copy(self, entry: JournalEntry) -> None:
-        self._append(RecordType.TAKE, entry.id, snapshot(entry), copying=True)
+        self._append(RecordType.ACCEPTED, entry.id, snapshot(entry), copying=True)
         self._move(entry.id)
 
     def _give_up_some(self, bytes_: int | None = None) -> None:
         """A part in proportion to what was written; a failure costs nothing but the room."""
-        written, self.last_written = self.written - self.last_written, self.written
-        quota = self.capacity.quota(self.used, self.live, len(self.segments), bytes_ or written)
+        written, self.last_written = self.written_bytes - self.last_written, self.written_bytes
+        quota = self.capacity.quota(self.used, self.live_bytes, len(self.segments), bytes_ or written)
         if not quota:
             self.credit = 0
             return
@@ -356,7 +358,7 @@
 
     def _give_up_all(self, need: int) -> None:
         """As many of the oldest as it takes; those kept for people go first."""
-        for name in list(self.aside):
+        for name in list(self.quarantined):
             self._drop_aside(name)
         last = self.segments[-1].number
         more = need + self.new_segment
@@ -411,15 +413,15 @@
         for name in found.empty:
             self.files.unlink(name)
         sizes = self.files.sizes()
-        self.aside = {name: blocks(size) for name, size in sizes.items() if name.startswith(ASIDE)}
+        self.quarantined = {name: blocks(size) for name, size in sizes.items() if name.startswith(ASIDE)}
         self.segments.extend(found.segments)
         self.sequence = found.sequence
-        self.used = sum(self.aside.values()) + sum(blocks(each.on_disk) for each in self.segments)
+        self.used = sum(self.quarantined.values()) + sum(blocks(each.on_disk) for each in self.segments)
         for segment in self.segments:
-            self.home.update(dict.fromkeys(segment.homes, segment))
+            self.segment_of.update(dict.fromkeys(segment.homes, segment))
         for entry in found.entries.values():
             self._settle(entry)
-            self.home.setdefault(entry.id, Segment(0))  # one of which only the id is left
+            self.segment_of.setdefault(entry.id, Segment(0))  # one of which only the id is left
         self.findings = found.findings
         if found.torn:
             log.warning(LogEvent("journal: a torn record at its end is dropped", bytes=found.torn))
@@ -449,7 +451,7 @@
             salt = int.from_bytes(os.urandom(4), "little")
             text = Header(1, 1, 0, 0, salt).encode()
             for n, entry in enumerate(entries.values()):
-                text += frame(salt, 1 + n, RecordType.TAKE, entry.id.encode(), snapshot(entry))
+                text += frame(salt, 1 + n, RecordType.ACCEPTED, entry.id.encode(), snapshot(entry))
             if MADE in sizes:
                 self.files.unlink(MADE)
             self.files.append(MADE, text)
@@ -472,13 +474,13 @@
             if oldest.homes:
                 break
             size = oldest.blocks
-            if oldest.damaged and sum(self.aside.values()) + size <= self.budget // ASIDE_PART:
+            if oldest.damaged and sum(self.quarantined.values()) + size <= self.budget_bytes // ASIDE_PART:
                 try:
                     self.files.rename(oldest.name, ASIDE + oldest.name)
                 except OSError as error:
                     raise JournalError(f"journal: {error}") from error
                 self.segments.popleft()
-                self.aside[ASIDE + oldest.name] = size
+                self.quarantined[ASIDE + oldest.name] = size
             else:
                 self._retire(oldest)
 
@@ -488,4 +490,4 @@
             self.files.unlink(name)
         except OSError as error:
             raise JournalError(f"journal: {error}") from error
-        self.used -= self.aside.pop(name)
+        self.used -= self.quarantined.pop(name)
--- a/message_relay/store/records.py
+++ b/message_relay/store/records.py
@@ -11,29 +11,40 @@
 
 
 class RecordType(IntEnum):
-    TAKE = 1  # all that is known of a message: at its start, and again when its segment is given up
-    TRY = 2
-    OUT = 3
-    END = 4
-    TOLD = 5
-    DROP = 6
-    CENSUS = 7  # the ids of all messages that are owed something, at the beginning of a segment
-
+    ACCEPTED = 1  # all that is known of a message: at its start, and again when its segment is given up
+    ATTEMPT = 2
+    OUTCOME = 3
+    FINAL_OUTCOME = 4
+    NOTIFIED = 5
+    CANCELLED = 6
+    UNFINISHED_IDS = 7  # the ids of all messages that are owed something, at the beginning of a segment
+
+
+# Words for record types in the output of the `journal` commands: scripts of operators compare them.
+RECORD_TYPE_LABELS: dict[int, str] = {
+    RecordType.ACCEPTED: "take",
+    RecordType.ATTEMPT: "try",
+    RecordType.OUTCOME: "out",
+    RecordType.FINAL_OUTCOME: "end",
+    RecordType.NOTIFIED: "told",
+    RecordType.CANCELLED: "drop",
+    RecordType.UNFINISHED_IDS: "census",
+}
 
 TRY, OUT, END, TOLD = (
-    int(RecordType.TRY),
-    int(RecordType.OUT),
-    int(RecordType.END),
-    int(RecordType.TOLD),
+    int(RecordType.ATTEMPT),
+    int(RecordType.OUTCOME),
+    int(RecordType.FINAL_OUTCOME),
+    int(RecordType.NOTIFIED),
 )  # compared for each record
 
 
 @dataclass(slots=True)
 class Attempt:
-    at: float  # Unix ms, right before its first byte
+    started_at_ms: float  # Unix ms, right before its first byte
     endpoint: str
     zone: int
-    up: float = -1.0  # the same moment on the system's clock that never steps, in ms; -1: not known
+    uptime_ms: float = -1.0  # the same moment on the system's clock that never steps, in ms; -1: not known
 
 
 @dataclass(slots=True)
@@ -45,26 +56,26 @@
     tenant: str
     destination: int
     key: str | None
-    since: float  # Unix ms, when it came in
-    due: float
+    accepted_at_ms: float  # Unix ms, when it came in
+    deadline_ms: float
     resubmission: str
     body: bytes
-    tries: int = 0
-    out: Attempt | None = None
-    risk: Attempt | None = None  # the first attempt that may have run
-    end: str = ""  # how it ended: delivered, failed, returned or over
+    attempt_count: int = 0
+    attempt_in_flight: Attempt | None = None
+    uncertain_attempt: Attempt | None = None  # the first attempt that may have run
+    final_state: str = ""  # how it ended: delivered, failed, returned or over
     after_ms: float = 0.0
-    told: bool = False  # the platform has its notice
+    is_notified: bool = False  # the platform has its notice
     origin: str = "http"  # the front by which it came
 
     @property
-    def owes_notice(self) -> bool:
-        return self.end in ("failed", "returned") and not self.told
+    def needs_notification(self) -> bool:
+        return self.final_state in ("failed", "returned") and not self.is_notified
 
     @property
-    def owed(self) -> bool:
+    def is_unfinished(self) -> bool:
         """Something is still to be done about it."""
-        return not self.end or self.owes_notice
+        return not self.final_state or self.needs_notification
 
 
 class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
@@ -109,7 +120,7 @@
 def _flat(attempt: Attempt | None) -> AttemptRecord | None:
     if attempt is None:
         return None
-    return AttemptRecord(int(attempt.at), attempt.endpoint, attempt.zone, int(attempt.up))
+    return AttemptRecord(int(attempt.started_at_ms), attempt.endpoint, attempt.zone, int(attempt.uptime_ms))
 
 
 def _attempt(tried: AttemptRecord | None) -> Attempt | None:
@@ -124,17 +135,17 @@
             entry.tenant,
             entry.destination,
             entry.key,
-            round(entry.since),
-            round(entry.due),
+            round(entry.accepted_at_ms),
+            round(entry.deadline_ms),
             entry.resubmission,
-            entry.tries,
-            _flat(entry.out),
-            _flat(entry.risk),
-            entry.end,
+            entry.attempt_count,
+            _flat(entry.attempt_in_flight),
+            _flat(entry.uncertain_attempt),
+            entry.final_state,
             entry.after_ms,
-            entry.told,
+            entry.is_notified,
             entry.origin,
-            b"" if entry.end else entry.body,
+            b"" if entry.final_state else entry.body,
         )
     )
 
@@ -167,47 +178,48 @@
     back. ValueError if it can't be read."""
     if kind == TRY:
         raw = TRIED.decode(payload)
-        if entry.risk is None:
+        if entry.uncertain_attempt is None:
             # Guards against a second restart: one that was out when a process ended has no outcome in the
             # log, though the next process, which knew that it may have run, made another after it.
-            entry.risk = entry.out
-        entry.out = Attempt(float(raw.at), raw.endpoint, raw.zone, float(raw.up))
-        entry.tries += 1
+            entry.uncertain_attempt = entry.attempt_in_flight
+        entry.attempt_in_flight = Attempt(float(raw.at), raw.endpoint, raw.zone, float(raw.up))
+        entry.attempt_count += 1
     elif kind == OUT:
-        if RAN.decode(payload) and entry.risk is None:
-            entry.risk = entry.out
-        entry.out = None
+        if RAN.decode(payload) and entry.uncertain_attempt is None:
+            entry.uncertain_attempt = entry.attempt_in_flight
+        entry.attempt_in_flight = None
     elif kind == END:
         ended = ENDED.decode(payload)
-        entry.end, entry.after_ms, entry.body = ended.state, ended.after_ms, b""
+        entry.final_state, entry.after_ms, entry.body = ended.state, ended.after_ms, b""
     elif kind == TOLD:
-        entry.told = True
+        entry.is_notified = True
     else:
         raise ValueError(f"record of kind {kind} is not known")
 
 
 def worst(entry: JournalEntry) -> None:
     """A record about it may be lost: then an attempt may have been made, as early as it could have been."""
-    if not entry.end and entry.risk is None:
-        entry.risk = Attempt(entry.since, UNKNOWN, -1)
+    if not entry.final_state and entry.uncertain_attempt is None:
+        entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN, -1)
 
 
 def worst_of(entry: JournalEntry, kind: int) -> None:
     """A record of this kind was there, and can't be read: whatever it may have said holds at its worst."""
     match kind:
-        case RecordType.TRY | RecordType.OUT:
-            entry.tries += kind == RecordType.TRY
+        case RecordType.ATTEMPT | RecordType.OUTCOME:
+            entry.attempt_count += kind == RecordType.ATTEMPT
             worst(entry)
-            entry.out = None
-        case RecordType.END:  # however it ended, it is not to be sent again, and a failure promises nothing
-            entry.end, entry.after_ms, entry.body = "failed", 0.0, b""
+            entry.attempt_in_flight = None
+        case RecordType.FINAL_OUTCOME:
+            # Whatever the outcome was, the message must not be sent again, and `failed` promises nothing.
+            entry.final_state, entry.after_ms, entry.body = "failed", 0.0, b""
         case _:
             pass  # told: it is told again, which does no harm
 
 
 def only_known_by_id(ident: str, origin: str = "http") -> JournalEntry:
     """A message of which nothing else is left: it gets its `failed` all the same."""
-    return JournalEntry(ident, "", "", 0, None, 0.0, 0.0, "", b"", end="failed", origin=origin)
+    return JournalEntry(ident, "", "", 0, None, 0.0, 0.0, "", b"", final_state="failed", origin=origin)
 
 
 @dataclass(slots=True)
@@ -216,18 +228,18 @@
 
     entries: dict[str, JournalEntry] = field(default_factory=dict)
     sizes: dict[str, int] = field(default_factory=dict)  # of each snapshot with what may still come: at most
-    owed: dict[str, str] = field(default_factory=dict)  # id -> front, of those that are owed something
-    total: int = 0
+    unfinished: dict[str, str] = field(default_factory=dict)  # id -> front, of those that are owed something
+    total_bytes: int = 0
 
     def put(self, entry: JournalEntry, size: int) -> None:
-        self.total += size - self.sizes.get(entry.id, 0)
+        self.total_bytes += size - self.sizes.get(entry.id, 0)
         self.entries[entry.id], self.sizes[entry.id] = entry, size
-        if entry.owed:
-            self.owed[entry.id] = entry.origin
+        if entry.is_unfinished:
+            self.unfinished[entry.id] = entry.origin
         else:
-            self.owed.pop(entry.id, None)
+            self.unfinished.pop(entry.id, None)
 
-    def forget(self, ident: str) -> None:
+    def remove(self, ident: str) -> None:
         del self.entries[ident]
-        self.owed.pop(ident, None)
-        self.total -= self.sizes.pop(ident)
+        self.unfinished.pop(ident, None)
+        self.total_bytes -= self.sizes.pop(ident)
--- a/message_relay/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -26,12 +26,22 @@
     salvaged,
     scan,
 )
-from .records import CENSUS, JournalEntry, RecordType, change, entry_of, only_known_by_id, worst, worst_of
+from .records import (
+    CENSUS,
+    RECORD_TYPE_LABELS,
+    JournalEntry,
+    RecordType,
+    change,
+    entry_of,
+    only_known_by_id,
+    worst,
+    worst_of,
+)
 
 TAKE, DROP, COUNT = (
-    int(RecordType.TAKE),
-    int(RecordType.DROP),
-    int(RecordType.CENSUS),
+    int(RecordType.ACCEPTED),
+    int(RecordType.CANCELLED),
+    int(RecordType.UNFINISHED_IDS),
 )  # plain: compared for each record
 NAME = re.compile(r"seg-(\d{10})")
 
@@ -202,21 +212,21 @@
     def _part(self, ident: str) -> JournalEntry:
         if ident not in self.partial:
             part = only_known_by_id(ident)
-            part.end = ""
+            part.final_state = ""
             self.partial[ident] = part
         return self.partial[ident]
 
     def _hurt(self, segment: Segment, ident: str, kind: int) -> None:
-        if kind == RecordType.CENSUS:
+        if kind == RecordType.UNFINISHED_IDS:
             return
-        if kind == RecordType.DROP:
+        if kind == RecordType.CANCELLED:
             self.entries.pop(ident, None)
             self.partial.pop(ident, None)
             return
         entry = self.entries.get(ident)
-        if kind == RecordType.TOLD and entry is None:
-            self._part(ident).told = True
-        elif kind == RecordType.TAKE and entry is not None:
+        if kind == RecordType.NOTIFIED and entry is None:
+            self._part(ident).is_notified = True
+        elif kind == RecordType.ACCEPTED and entry is not None:
             worst(entry)  # an older snapshot is there
         else:
             worst_of(entry or self._part(ident), kind)
@@ -231,12 +241,17 @@
 
     def _finish(self) -> None:
         for ident, part in self.partial.items():
-            if part.owed and not part.told:  # told: it had its end, in a segment that is given up
+            if (
+                part.is_unfinished and not part.is_notified
+            ):  # told: it had its end, in a segment that is given up
                 self.found.findings.append(f"message {ident}: only its id is left, so that it fails")
                 self.entries[ident] = only_known_by_id(ident, part.origin)
         for entry in self.entries.values():
-            if entry.out is not None:  # its outcome died with the process: it may have run
-                entry.risk, entry.out = entry.risk or entry.out, None
+            if entry.attempt_in_flight is not None:  # its outcome died with the process: it may have run
+                entry.uncertain_attempt, entry.attempt_in_flight = (
+                    entry.uncertain_attempt or entry.attempt_in_flight,
+                    None,
+                )
         homes: dict[str, Segment] = {}
         for segment in self.found.segments:
             homes.update(dict.fromkeys(segment.homes, segment))
@@ -273,9 +288,7 @@
             continue
         for piece in scan(one.data, one.header.salt, one.header.first, last=True):
             if isinstance(piece, Record | CorruptRecord):
-                kind = (
-                    RecordType(piece.kind).name.lower() if piece.kind in set(RecordType) else str(piece.kind)
-                )
+                kind = RECORD_TYPE_LABELS.get(piece.kind, str(piece.kind))
                 payload = piece.payload if isinstance(piece, Record) else b""
                 ident = piece.ident.decode(errors="replace")
                 yield Line(
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -161,7 +161,9 @@
             inward.blocked = True
             inward.do("block", {})
             put(inward, "two", expiration="700", reply_to="answers", correlation_id="c2")
-            await until(lambda: "two" in relay.journal.entries and bool(relay.journal.entries["two"].end))
+            await until(
+                lambda: "two" in relay.journal.entries and bool(relay.journal.entries["two"].final_state)
+            )
             assert relay.host.pending_outcomes == 1
             await relay.close()
             inward.blocked = False
@@ -257,7 +259,9 @@
         async with serving(inward) as a, serving(outward) as b:
             relay = await relay_of(tmp_path, both(a, b))
             await until(lambda: len(relay.journal.entries) == 3)
-            lives = {ident: each.due - each.since for ident, each in relay.journal.entries.items()}
+            lives = {
+                ident: each.deadline_ms - each.accepted_at_ms for ident, each in relay.journal.entries.items()
+            }
             assert 4000 <= lives["old"] <= 5100 and 8900 <= lives["new"] <= 9000 and lives["plain"] == 16000
             await relay.close()
 
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -293,7 +293,7 @@
 
 def knowledge(scheduler: Scheduler, now_ms: float) -> list[Knowledge]:
     return [
-        Knowledge(it.destination, it.wait_ms, it.out, it.bad_ms, it.cold_ms)
+        Knowledge(it.destination, it.retry_after_ms, it.is_ejected, it.failing_for_ms, it.warming_up_for_ms)
         for it in scheduler.learned(now_ms)
     ]
 
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -78,10 +78,10 @@
     if attempt is None:
         return None
     return {
-        "at_ms": attempt.at,
+        "at_ms": attempt.started_at_ms,
         "endpoint": attempt.endpoint,
         "zone": attempt.zone,
-        "uptime_ms": attempt.up,
+        "uptime_ms": attempt.uptime_ms,
     }
 
 
@@ -92,19 +92,19 @@
         "tenant": entry.tenant,
         "destination": entry.destination,
         "order_key": entry.key,
-        "arrived_ms": entry.since,
-        "due_ms": entry.due,
+        "arrived_ms": entry.accepted_at_ms,
+        "due_ms": entry.deadline_ms,
         "repeat": entry.resubmission,
         "body": entry.body.hex(),
-        "attempts": entry.tries,
-        "attempt_without_outcome": _plain_attempt(entry.out),
-        "first_attempt_that_may_have_run": _plain_attempt(entry.risk),
-        "end": entry.end,
+        "attempts": entry.attempt_count,
+        "attempt_without_outcome": _plain_attempt(entry.attempt_in_flight),
+        "first_attempt_that_may_have_run": _plain_attempt(entry.uncertain_attempt),
+        "end": entry.final_state,
         "end_after_ms": entry.after_ms,
-        "notified": entry.told,
+        "notified": entry.is_notified,
         "front": entry.origin,
-        "notice_is_owed": entry.owes_notice,
-        "anything_is_owed": entry.owed,
+        "notice_is_owed": entry.needs_notification,
+        "anything_is_owed": entry.is_unfinished,
     }
 
 
@@ -152,19 +152,19 @@
         durability = self.journal.durability
         assert durability is not None
         durability.anew()
-        names, upto = durability.begin()
-        durability.sync(names)
-        durability.safe(upto)
+        names, upto = durability.start_sync()
+        durability.sync_files(names)
+        durability.mark_durable(upto)
 
     def close(self) -> Plain:
         journal = self.journal
         told = {
             "messages": [_plain_message(entry) for entry in journal.entries.values()],
             "damage": list(journal.findings),
-            "live_bytes": journal.live,
-            "disk_bytes": journal.size,
-            "copied_bytes": journal.copied,
-            "written_bytes": journal.written,
+            "live_bytes": journal.live_bytes,
+            "disk_bytes": journal.disk_bytes,
+            "copied_bytes": journal.copied_bytes,
+            "written_bytes": journal.written_bytes,
         }
         journal.close()
         return told
@@ -245,7 +245,13 @@
 
 
 def _plain_lane(lane: RestoredDestination) -> list[Any]:
-    return [lane.destination, lane.wait_ms, lane.out, lane.bad_ms, lane.cold_ms]
+    return [
+        lane.destination,
+        lane.retry_after_ms,
+        lane.is_ejected,
+        lane.failing_for_ms,
+        lane.warming_up_for_ms,
+    ]
 
 
 def write_learned(folder: Path, saves: Iterable[tuple[float, Sequence[Step]]]) -> None:
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -28,7 +28,7 @@
 async def learned(relay: Instance, dest: int, ident: str = "first") -> None:
     """A message for it went, so that its shard is here."""
     assert relay.messages.accept(offer(ident, destination=dest)).is_new
-    await until(lambda: relay.entries[ident].end == "delivered")
+    await until(lambda: relay.entries[ident].final_state == "delivered")
     relay.carrier.attempts.clear()
 
 
@@ -47,11 +47,11 @@
         async with fleet(tmp_path, listed(7), 1) as it:  # the keeper is not there yet
             relay = it.instances[1]
             receipt = relay.messages.accept(offer("m"))
-            assert receipt.accepted and receipt.is_new and not relay.entries["m"].end
+            assert receipt.accepted and receipt.is_new and not relay.entries["m"].final_state
             await asyncio.sleep(0.3)
             assert not relay.carrier.connecting and relay.host.scheduler.board.queues[7].length == 1
             await it.begin(0)
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
             assert relay.shards.contains(7) and not relay.messages.bound_for
 
@@ -65,7 +65,7 @@
             assert relay.messages.accept(offer("m", destination=8)).accepted
             await until(lambda: bool(relay.front.ends))
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
-            assert relay.entries["m"].due > 0 and not relay.carrier.connecting
+            assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connecting
             await until(lambda: not relay.host.scheduler.board.held, 3.0)  # nothing is left of it
             assert not relay.messages.accepted and not relay.messages.bound_for
 
@@ -119,7 +119,7 @@
             assert relay.messages.pending_count == 50
             assert not relay.host.open and len(relay.shards.reader.wants) == 50  # before all else
             await it.begin(0)
-            await until(lambda: all(each.end == "delivered" for each in relay.entries.values()))
+            await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
             wanted = next(each for each in asked if each)
             assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(wanted)]
             assert sorted(each.trace_id for each in relay.carrier.attempts) == sorted(
@@ -156,7 +156,7 @@
             relay.messages.accept(offer("m"))
             it.tell(listed(7, port=2))
             await it.begin(0)
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
 
     run(work())
@@ -176,10 +176,10 @@
             it.tell(listed(7, port=2))
             await until(lambda: relay.host.directory.by_name["e7"].address == ("h", 2))
             relay.carrier.connects.set()
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert relay.carrier.held_back == 1
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
-            assert relay.entries["m"].tries == 1  # what was held back is no try
+            assert relay.entries["m"].attempt_count == 1  # what was held back is no try
 
     run(work())
 
@@ -215,7 +215,7 @@
             relay.messages.accept(offer("m"))
             await asyncio.sleep(0.2)
             assert relay.carrier.connecting == connecting  # it waits, and isn't made again and again
-            await until(lambda: relay.entries["m"].end == "delivered", 6.0)
+            await until(lambda: relay.entries["m"].final_state == "delivered", 6.0)
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
             assert relay.carrier.connecting == connecting + 1
 
@@ -246,11 +246,11 @@
             relay.shards.reader.is_current = lambda *_: False  # type: ignore[method-assign]
             relay.carrier.connects.set()
             await until(lambda: relay.carrier.held_back == 1)
-            assert relay.entries["m"].tries == 0 and not relay.carrier.attempts
+            assert relay.entries["m"].attempt_count == 0 and not relay.carrier.attempts
             await asyncio.sleep(1.5)
             assert relay.carrier.connecting <= begun + 3  # a wait of a second each time, no spin
             relay.shards.reader.is_current = current  # type: ignore[method-assign]
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert len(relay.carrier.attempts) == 1
 
     run(work())
@@ -266,7 +266,7 @@
             await asyncio.sleep(7.0)
             for n in range(3):
                 relay.messages.accept(offer(f"m{n}"))
-                await until(lambda n=n: relay.entries[f"m{n}"].end == "delivered")  # type: ignore[misc]
+                await until(lambda n=n: relay.entries[f"m{n}"].final_state == "delivered")  # type: ignore[misc]
             told = relay.shards.status()["reader"]
             assert told["behind"] is False or told["age_s"] > 5.0
             assert 5.0 < told["age_s"] < 20.0 and told["failures"] > 0
@@ -274,7 +274,7 @@
                 offer("x", destination=8)
             ).accepted  # nobody can say that there is none
             await asyncio.sleep(0.3)
-            assert not relay.front.ends and not relay.entries["x"].end
+            assert not relay.front.ends and not relay.entries["x"].final_state
 
     run(work())
 
@@ -307,7 +307,7 @@
             await asyncio.sleep(2.0)
             assert relay.shards.is_resident(7) and relay.host.is_in_use(7) and not relay.host.is_in_use(8)
             relay.carrier.connects.set()
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert not relay.host.is_in_use(7)
 
     run(work())
@@ -356,12 +356,14 @@
             await until(lambda: relay.host.open)
             assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.lanes
             relay.host._keep_learned()
-            assert [lane.destination for lane in relay.host.learned.lanes] == [7]  # for the next process too
+            assert [lane.destination for lane in relay.host.learned.destinations] == [
+                7
+            ]  # for the next process too
             relay.messages.accept(offer("m"))
             begun = asyncio.get_running_loop().time()
             await it.begin(0)
             await until(lambda: 7 in relay.host.scheduler.lanes)
-            await until(lambda: relay.entries["m"].end == "delivered")
+            await until(lambda: relay.entries["m"].final_state == "delivered")
             assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
 
     run(work())
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -40,18 +40,18 @@
         self.journal = journal = Journal(NOWHERE, BUDGET, self.disk)
         for step in range(steps):
             now += 40.0
-            open_ = [e for e in journal.entries.values() if not e.end]
+            open_ = [e for e in journal.entries.values() if not e.final_state]
             choice = rng.random()
             if choice < 0.34 or not open_:
                 self.take(f"m{self.seed}-{step}", rng, now, largest)
                 continue
             entry = rng.choice(open_)
             try:
-                if entry.out is not None and choice < 0.5:
+                if entry.attempt_in_flight is not None and choice < 0.5:
                     ran = rng.random() < 0.5
-                    self.proven.update([entry.id] if not ran and entry.risk is None else [])
+                    self.proven.update([entry.id] if not ran and entry.uncertain_attempt is None else [])
                     journal.append_outcome(entry, ran)
-                elif entry.out is None and choice < 0.6:
+                elif entry.attempt_in_flight is None and choice < 0.6:
                     journal.append_attempt(entry, now, "s-1", 0)
                     self.tried.add(entry.id)  # its first byte goes out now
                     self.proven.discard(entry.id)
@@ -62,7 +62,7 @@
                     journal.append_cancelled(entry)
                 elif choice < 0.97:  # long after its end
                     journal.append_notified(
-                        [each.id for each in journal.entries.values() if each.owes_notice][:2]
+                        [each.id for each in journal.entries.values() if each.needs_notification][:2]
                     )
                 else:
                     journal.compact(now)
@@ -82,7 +82,7 @@
             self.refused += 1
 
     def end(self, entry: JournalEntry, state: str) -> None:
-        if state == "returned" and (entry.risk or entry.out):
+        if state == "returned" and (entry.uncertain_attempt or entry.attempt_in_flight):
             state = "failed"
         self.journal.append_final_outcome(entry, state)
         self.ended[entry.id] = state  # after this it may be told
@@ -99,10 +99,12 @@
                 assert ident in self.gone or ident in self.ended, f"{ident} is lost"
                 continue
             if ident in self.ended and not lost_may_be:
-                assert entry.end == self.ended[ident], ident
+                assert entry.final_state == self.ended[ident], ident
             if class_ == "plata" and (ident in self.tried - self.proven or ident in self.ended):
-                assert entry.end or entry.risk is not None, f"{ident} could be sent twice"
-        assert after.size <= BUDGET
+                assert (
+                    entry.final_state or entry.uncertain_attempt is not None
+                ), f"{ident} could be sent twice"
+        assert after.disk_bytes <= BUDGET
         return after
 
 
@@ -153,7 +155,7 @@
             journal = world.run(200)
             disk.fail = lambda call, name, number: None
             journal.compact(0.0)
-            assert not journal.behind
+            assert not journal.overdue
             world.check(disk.after_crash())
 
 
@@ -186,8 +188,13 @@
         assert any("missing" in text for text in after.findings)
         for ident in world.taken:
             entry = after.entries.get(ident)
-            if entry is not None and not entry.end and entry.risk is not None and ident not in world.tried:
-                assert entry.risk.endpoint == UNKNOWN
+            if (
+                entry is not None
+                and not entry.final_state
+                and entry.uncertain_attempt is not None
+                and ident not in world.tried
+            ):
+                assert entry.uncertain_attempt.endpoint == UNKNOWN
         again = world.check(Disk(dict(after.files.files)), lost_may_be=True)  # type: ignore[attr-defined]
         assert not again.findings  # it was mended
 
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -66,11 +66,11 @@
                 assert safe is not None
                 await safe
                 taken.add(one.id)
-            open_ = [each for each in journal.entries.values() if not each.end]
+            open_ = [each for each in journal.entries.values() if not each.final_state]
             if open_ and rng.random() < 0.9:
                 one = rng.choice(open_)
                 try:
-                    if one.out is None and rng.random() < 0.5:
+                    if one.attempt_in_flight is None and rng.random() < 0.5:
                         journal.append_attempt(one, 1500.0, "s", 0)
                         mark, into = one.id, tried.add
                         safe = journal.barrier()
@@ -96,10 +96,10 @@
                     after = Journal(NOWHERE, BUDGET * 4, disk.cut(unlinked)).entries
                     for ident in taken:
                         known = after.get(ident)  # gone only where it had its end, and room was needed
-                        assert ident in ended if known is None else known.end or ident not in ended
-                        assert known is None or not known.end or ident in ending, f"{ident} is lost"
+                        assert ident in ended if known is None else known.final_state or ident not in ended
+                        assert known is None or not known.final_state or ident in ending, f"{ident} is lost"
                     for ident in tried & after.keys():
-                        assert after[ident].end or after[ident].risk is not None
+                        assert after[ident].final_state or after[ident].uncertain_attempt is not None
                 disk.go.set()
                 for each in [each for each in journal.entries.values() if each.id.startswith("unheard")]:
                     with contextlib.suppress(JournalError):
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -47,12 +47,15 @@
         folder.mkdir()
         (folder / only.name).write_bytes(whole[:cut])
         journal = Journal(folder, DISK)
-        assert set(journal.entries) == {"m0", "m1", "m2"} and journal.entries["m2"].end == ""
+        assert set(journal.entries) == {"m0", "m1", "m2"} and journal.entries["m2"].final_state == ""
         assert not journal.findings
         journal.append_final_outcome(journal.entries["m0"], "delivered")
         journal.close()
         again = Journal(folder, DISK)
-        assert again.entries["m0"].end == "delivered" and again.entries["m1"].risk is not None
+        assert (
+            again.entries["m0"].final_state == "delivered"
+            and again.entries["m1"].uncertain_attempt is not None
+        )
         assert not again.findings
         again.close()
 
@@ -70,13 +73,16 @@
     only.write_bytes(data)
     journal = Journal(tmp_path, DISK)
     assert "a record of kind 2 of message m1 cannot be read" in caplog.text
-    assert journal.entries["m1"].risk is not None and journal.entries["m0"].risk is None
-    assert journal.entries["m2"].end == "failed"
+    assert (
+        journal.entries["m1"].uncertain_attempt is not None
+        and journal.entries["m0"].uncertain_attempt is None
+    )
+    assert journal.entries["m2"].final_state == "failed"
     journal.close()
     assert (tmp_path / f"aside-{only.name}").read_bytes() == data
     caplog.clear()
     again = Journal(tmp_path, DISK)
-    assert not again.findings and again.entries["m1"].risk is not None
+    assert not again.findings and again.entries["m1"].uncertain_attempt is not None
     again.close()
 
 
@@ -94,7 +100,7 @@
 
 def test_a_body_that_looks_like_a_record_is_none(tmp_path: Path) -> None:
     """A client that knows the format must not be able to have its bytes read as records after damage."""
-    fake = frame(0, 3, RecordType.END, b"m0", PACK(FinalOutcomeRecord("delivered", 0.0)))
+    fake = frame(0, 3, RecordType.FINAL_OUTCOME, b"m0", PACK(FinalOutcomeRecord("delivered", 0.0)))
     journal = Journal(tmp_path, DISK)
     for n in range(3):
         journal.append_accepted(entry(f"m{n}", fake * 5))
@@ -105,7 +111,11 @@
     data[places[1]] ^= 1  # the reader has to look for the next frame, through that body
     only.write_bytes(data)
     again = Journal(tmp_path, DISK)
-    assert again.findings and again.entries["m0"].end == "" and again.entries["m1"].end == "failed"
+    assert (
+        again.findings
+        and again.entries["m0"].final_state == ""
+        and again.entries["m1"].final_state == "failed"
+    )
     again.close()
 
 
@@ -143,18 +153,18 @@
             journal.append_accepted(entry(f"m{n}", b"x" * (65536 if n % 3 else 100)))
         except JournalFullError:
             full += 1
-            held = next(each for each in journal.entries.values() if not each.end)
+            held = next(each for each in journal.entries.values() if not each.final_state)
             for _ in range(8):
                 journal.append_attempt(held, 1500.0, "s-1", 0)
                 journal.append_outcome(held, False)
             journal.append_final_outcome(held, "failed")
             journal.append_notified([held.id])
-        assert disk(tmp_path) == journal.size <= DISK
+        assert disk(tmp_path) == journal.disk_bytes <= DISK
     assert full > 10 and journal.segments[0].number > 10
-    held_now = {ident for ident, each in journal.entries.items() if not each.end}
+    held_now = {ident for ident, each in journal.entries.items() if not each.final_state}
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert {ident for ident, each in again.entries.items() if not each.end} == held_now
+    assert {ident for ident, each in again.entries.items() if not each.final_state} == held_now
     assert all(len(again.entries[ident].body) in (100, 65536) for ident in held_now)
     again.close()
 
@@ -178,7 +188,7 @@
             journal.append_final_outcome(one, "failed")
         for one in held:
             journal.append_notified([one.id])
-        assert disk(folder) == journal.size <= DISK and not journal.behind
+        assert disk(folder) == journal.disk_bytes <= DISK and not journal.overdue
         journal.append_accepted(entry("more", b"x" * size))  # there is room again
         journal.close()
 
@@ -193,10 +203,10 @@
         journal.append_accepted(one)
         journal.append_final_outcome(one, "delivered")
         journal.compact(9000.0 + n)
-    assert journal.segments[0].number > 10 and journal.copied < 0.5 * journal.written
+    assert journal.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert sum(each.owes_notice and each.after_ms == 25.0 for each in again.entries.values()) == 20
+    assert sum(each.needs_notification and each.after_ms == 25.0 for each in again.entries.values()) == 20
     again.close()
 
 
@@ -205,9 +215,13 @@
     (tmp_path / "journal.new").write_bytes(b"of a compaction that was cut off")
     journal = Journal(tmp_path, DISK)
     got = journal.entries
-    assert [got[f"m{n}"].end for n in range(6)] == ["", "", "", "failed", "returned", "delivered"]
-    assert got["m1"].risk == Attempt(1500.0, "s-1", 0) and got["m2"].tries == 1 and got["m2"].risk is not None
-    assert got["m4"].told and got["m0"].body == bytes(10) and got["m2"].key == "k2"
+    assert [got[f"m{n}"].final_state for n in range(6)] == ["", "", "", "failed", "returned", "delivered"]
+    assert (
+        got["m1"].uncertain_attempt == Attempt(1500.0, "s-1", 0)
+        and got["m2"].attempt_count == 1
+        and got["m2"].uncertain_attempt is not None
+    )
+    assert got["m4"].is_notified and got["m0"].body == bytes(10) and got["m2"].key == "k2"
     journal.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["seg-0000000001", "seg-0000000002"]
     again = Journal(tmp_path, DISK)
@@ -220,8 +234,8 @@
     lines_[0] = lines_[0].replace(b'"tenant":"t"', b'"tenant":"u"')
     (tmp_path / "journal").write_bytes(b"\n".join([*lines_, b""]))
     journal = Journal(tmp_path, DISK)
-    assert journal.entries["m0"].end == "failed" and journal.entries["m0"].owes_notice
-    assert journal.findings and not journal.entries["m2"].end
+    assert journal.entries["m0"].final_state == "failed" and journal.entries["m0"].needs_notification
+    assert journal.findings and not journal.entries["m2"].final_state
     journal.close()
 
 
@@ -270,11 +284,14 @@
             elif step == "drop":
                 journal.append_cancelled(held)
     for held in journal.entries.values():  # a call that was out may have run
-        held.risk, held.out = held.risk or held.out, None
+        held.uncertain_attempt, held.attempt_in_flight = (
+            held.uncertain_attempt or held.attempt_in_flight,
+            None,
+        )
     journal.close()
     again = Journal(folder, DISK)
-    assert again.entries == journal.entries and again.live == journal.live
-    assert again.size == disk(folder)
+    assert again.entries == journal.entries and again.live_bytes == journal.live_bytes
+    assert again.disk_bytes == disk(folder)
     again.close()
 
 
@@ -300,5 +317,5 @@
         else:
             journal.append_outcome(journal.entries["m"], how == "ran")
     journal.close()
-    risk = Journal(folder, DISK).entries["m"].risk
-    assert (None if risk is None else risk.at) == first
+    risk = Journal(folder, DISK).entries["m"].uncertain_attempt
+    assert (None if risk is None else risk.started_at_ms) == first
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -76,10 +76,10 @@
             for step in range(steps):
                 self.step(journal, f"m{step}", rng)
                 if rng.random() < 0.15:
-                    names, upto = durability.begin()
+                    names, upto = durability.start_sync()
                     self.step(journal, f"w{step}", rng)  # the loop goes on while the sync runs
-                    durability.sync(names)
-                    durability.safe(upto)
+                    durability.sync_files(names)
+                    durability.mark_durable(upto)
                     for need, promise in [each for each in self.waiting if each[0] <= upto]:
                         self.waiting.remove((need, promise))
                         promise()
@@ -88,7 +88,7 @@
         return journal
 
     def step(self, journal: Journal, ident: str, rng: Random) -> None:
-        open_ = [each for each in journal.entries.values() if not each.end]
+        open_ = [each for each in journal.entries.values() if not each.final_state]
         choice, size = rng.random(), rng.choice((30, 900, 6000))
         with contextlib.suppress(JournalError):  # no room before the next sync
             if choice < 0.4 or not open_:
@@ -99,10 +99,10 @@
                 return
             one = max(rng.choices(open_, k=4), key=lambda each: len(each.body))  # small ones live on
             name = one.id
-            if one.out is not None and name not in self.unsent and choice < 0.55:
-                self.proven.update([name] if one.risk is None else [])
+            if one.attempt_in_flight is not None and name not in self.unsent and choice < 0.55:
+                self.proven.update([name] if one.uncertain_attempt is None else [])
                 journal.append_outcome(one, False)
-            elif one.out is None and choice < 0.7:
+            elif one.attempt_in_flight is None and choice < 0.7:
                 journal.append_attempt(one, 1500.0, "s-1", 0)
                 self.unsent.add(name)
                 self.promise(journal, lambda: self.first_byte(name))
@@ -115,7 +115,7 @@
                     [
                         each.id
                         for each in journal.entries.values()
-                        if each.owes_notice and each.id in self.ended
+                        if each.needs_notification and each.id in self.ended
                     ][:2]
                 )
 
@@ -126,7 +126,7 @@
 
     def promise(self, journal: Journal, done: Callable[[], object]) -> None:
         assert journal.durability is not None
-        self.waiting.append((journal.durability.written, done))
+        self.waiting.append((journal.durability.appended_sequence, done))
 
     def check(self, files: dict[str, bytes]) -> None:
         """What the next process makes of it; and the one after that."""
@@ -138,10 +138,12 @@
                 if known is None:
                     assert ident in self.ending, f"{ident} is lost"
                     continue
-                assert known.end or ident not in self.ended, f"{ident} was told its end"
-                assert not known.end or ident in self.ending, f"{ident} fails: only its id is left"
+                assert known.final_state or ident not in self.ended, f"{ident} was told its end"
+                assert not known.final_state or ident in self.ending, f"{ident} fails: only its id is left"
                 if ident in self.tried - self.proven:
-                    assert known.end or known.risk is not None, f"{ident} could be sent twice"
+                    assert (
+                        known.final_state or known.uncertain_attempt is not None
+                    ), f"{ident} could be sent twice"
             disk = disk.after_crash()
 
 
@@ -150,7 +152,7 @@
     steps, seed = 300, 8
     whole = Promises(Synced(), seed)
     journal = whole.run(steps)
-    assert journal.segments[0].number > 3 and journal.copied > COPIED
+    assert journal.segments[0].number > 3 and journal.copied_bytes > COPIED
     assert len(whole.ended) > 15 and whole.tried
     for at in range(1, whole.disk.calls + 1):
         world = Promises(Synced(crash_at=at, torn=at % 3 * 40), seed)
@@ -191,10 +193,10 @@
                 )
                 self.taken.add(ident)
                 self.lives += 1
-            elif entry.end:
+            elif entry.final_state:
                 journal.append_notified([ident])
                 journal.compact(now)
-            elif entry.out is None and choice < 0.5:
+            elif entry.attempt_in_flight is None and choice < 0.5:
                 journal.append_attempt(entry, now, "s-1", 0)
                 self.tried.add(ident)
             elif choice < 0.8:
@@ -218,9 +220,11 @@
         for ident in self.taken:
             entry = after.get(ident)
             if entry is None or ident in self.ended:
-                assert ident in self.ended and (entry is None or entry.end == "failed"), ident
+                assert ident in self.ended and (entry is None or entry.final_state == "failed"), ident
             elif ident in self.tried:
-                assert entry.end or entry.risk is not None, f"{ident} could be sent twice"
+                assert (
+                    entry.final_state or entry.uncertain_attempt is not None
+                ), f"{ident} could be sent twice"
 
 
 def test_ids_that_come_again_with_a_kill_at_every_call() -> None:
--- a/tests/store/test_tool.py
+++ b/tests/store/test_tool.py
@@ -84,10 +84,12 @@
 
     monkeypatch.setattr(os, "pread", bad)
     found = recover(DirectoryFileStore(tmp_path))
-    lost = [ident for ident, entry in found.entries.items() if entry.end == "failed"]
-    well = [entry for entry in found.entries.values() if not entry.end]
+    lost = [ident for ident, entry in found.entries.items() if entry.final_state == "failed"]
+    well = [entry for entry in found.entries.values() if not entry.final_state]
     assert found.findings and 150 < len(well) < 260 and len(well) + len(lost) <= 300
-    assert all(entry.risk is not None for entry in well if int(entry.id[1:]) < 70)  # open then: maybe tried
+    assert all(
+        entry.uncertain_attempt is not None for entry in well if int(entry.id[1:]) < 70
+    )  # open then: maybe tried
 
 
 def test_a_real_limit_on_a_files_size_costs_a_segment_and_nothing_else(tmp_path: Path) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -306,7 +306,7 @@
             await until(lambda: len(host.ingress.connections) == 1)
             assert len(host.held) == 1
             world.server.hold.set()
-            await until(lambda: host.journal.entries["m"].end == "delivered")
+            await until(lambda: host.journal.entries["m"].final_state == "delivered")
         assert [seen.body for seen in world.server.seen] == [b"hello"]
 
     run(work())
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -46,7 +46,7 @@
             seen = await server.came.get()
             assert (seen.target, seen.body) == ("/inbox", body)
             assert (seen.headers["x-trace-id"], seen.headers["idempotency-key"]) == ("m1", "k-m1")
-            await until(lambda: host.journal.entries["m1"].end == "delivered")
+            await until(lambda: host.journal.entries["m1"].final_state == "delivered")
             assert not host.held and agent.notices.empty()
 
     run(work())
@@ -94,10 +94,10 @@
         agent, server = await pair()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == await client.ask(message("m")) == 202
-            await until(lambda: host.journal.entries["m"].end == "delivered")
+            await until(lambda: host.journal.entries["m"].final_state == "delivered")
             assert await client.ask(message("m")) == 202
             assert await client.ask(message("n")) == 202
-            await until(lambda: host.journal.entries["n"].end == "delivered")
+            await until(lambda: host.journal.entries["n"].final_state == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["m", "n"]
 
     run(work())
@@ -139,7 +139,7 @@
                 patch.setattr(os, "write", no_space)
                 assert await client.ask(message("m")) == 503
             assert not host.held and await client.ask(message("n")) == 202
-            await until(lambda: host.journal.entries["n"].end == "delivered")
+            await until(lambda: host.journal.entries["n"].final_state == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["n"]
 
     run(work())
@@ -156,7 +156,7 @@
                 gone.sendall(message("gone"))
             async with Client(host.ingress.port) as client:
                 assert await client.ask(message("here")) == 202
-                await until(lambda: host.journal.entries["here"].end == "delivered")
+                await until(lambda: host.journal.entries["here"].final_state == "delivered")
             await until(lambda: not host.ingress.connections)
             assert list(host.journal.entries) == ["here"]
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["here"]
@@ -201,7 +201,7 @@
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
             told = (await server.came.get()).at
-            await until(lambda: host.journal.entries["a"].out is None)
+            await until(lambda: host.journal.entries["a"].attempt_in_flight is None)
             assert await client.ask(message("b")) == 202
             assert min((await server.came.get()).at, (await server.came.get()).at) >= told + 0.4
 
@@ -307,8 +307,8 @@
                 "numbers": host.numbers,
                 "entries": host.journal.entries,
                 "sizes": host.journal.messages.sizes,
-                "home": host.journal.home,
-                "dying": host.journal.dying,
+                "home": host.journal.segment_of,
+                "dying": host.journal.retained,
                 "silent": ingress.silent,
                 "resting": ingress.resting,
                 "visiting": ingress.visiting,
@@ -341,7 +341,7 @@
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m", "unsafe")) == 202
             assert await agent.notices.get() == {"id": "m", "state": "failed"}
-            await until(lambda: host.journal.entries["m"].told)
+            await until(lambda: host.journal.entries["m"].is_notified)
         assert len(server.seen) == 1
 
     run(work())
@@ -377,7 +377,7 @@
             assert "ZeroDivisionError" in caplog.text
             async with Client(host.ingress.port) as other:
                 assert await other.ask(message("n")) == 202
-                await until(lambda: host.journal.entries["n"].end == "delivered")
+                await until(lambda: host.journal.entries["n"].final_state == "delivered")
 
     run(work())
 
@@ -433,10 +433,10 @@
         async with relay(state, agent, server) as host:
             if end == "delivered":
                 assert (await server.came.get()).body == b"kept"
-                await until(lambda: host.journal.entries["m"].end == "delivered")
+                await until(lambda: host.journal.entries["m"].final_state == "delivered")
             elif end:
                 assert await agent.notices.get() == {"id": "m", "state": end}
-                await until(lambda: host.journal.entries["m"].told)
+                await until(lambda: host.journal.entries["m"].is_notified)
             assert not host.held and bool(server.seen) == (end == "delivered")
             assert agent.notices.empty()
 
@@ -466,7 +466,7 @@
             server.hold.set()
             await stopping
         after = Journal(state, 3_000_000).entries
-        assert after["m"].end == after["late"].end == "delivered"
+        assert after["m"].final_state == after["late"].final_state == "delivered"
 
     run(work())
 
@@ -482,6 +482,11 @@
             await server.came.get()
             await host.stop()
         (left,) = Journal(state, 3_000_000).entries.values()
-        assert left.end == "" and left.tries == 1 and left.risk is not None and left.body == b"hello"
+        assert (
+            left.final_state == ""
+            and left.attempt_count == 1
+            and left.uncertain_attempt is not None
+            and left.body == b"hello"
+        )
 
     run(work())
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -29,7 +29,7 @@
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.answer(d.message(), Outcome.FULL, wait=5000.0)
-    left = d.relay.learned(d.now)[0].wait_ms
+    left = d.relay.learned(d.now)[0].retry_after_ms
     assert left >= 5000.0
     after = restarted(d, 600.0, tmp_path)
     start = after.now
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -107,7 +107,7 @@
             client.writer.write(text[40:])
             assert await client.status() == 202
             entry = host.journal.entries["m"]
-            assert entry.since >= whole and abs(entry.due - entry.since - 5000) < 1
+            assert entry.accepted_at_ms >= whole and abs(entry.deadline_ms - entry.accepted_at_ms - 5000) < 1
 
     run(work())
 
@@ -201,7 +201,7 @@
                 assert await again.status() == 202
                 assert "m" in host.journal.entries
                 world.server.hold.set()
-                await until(lambda: host.journal.entries["m"].end == "delivered")
+                await until(lambda: host.journal.entries["m"].final_state == "delivered")
 
     run(work())
 
@@ -228,11 +228,11 @@
             begun = loop.time()
             await host.stop()
             assert loop.time() - begun < core_host.GONE_S + 3.0  # it does not wait for what hangs
-            assert host.journal.entries["m"].owed
+            assert host.journal.entries["m"].is_unfinished
         agent.script.clear()
         async with relay(state, agent, server) as host:
             assert (await agent.notices.get())["state"] == "failed"
-            await until(lambda: host.journal.entries["m"].told)
+            await until(lambda: host.journal.entries["m"].is_notified)
         assert len(server.seen) == 1
 
     run(work())
@@ -259,9 +259,9 @@
             assert await client.ask(message("m", "unsafe")) == 202
             await began.wait()
             await until(lambda: host.now() > host.turns.last + 2 * host.settings.tick_ms)
-        assert host.journal.entries["m"].end == ""
+        assert host.journal.entries["m"].final_state == ""
         async with relay(state, agent, server) as host:
-            await until(lambda: host.journal.entries["m"].end == "delivered")
+            await until(lambda: host.journal.entries["m"].final_state == "delivered")
         assert len(server.seen) == 1
 
     run(work())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -95,7 +95,9 @@
         await process.start()
         await until(lambda: {seen.headers["x-trace-id"] for seen in server.seen} == {"m0", "m1", "m2"})
         await process.end(signal.SIGTERM)
-        assert all(each.end == "delivered" for each in Journal(process.state, 3_000_000).entries.values())
+        assert all(
+            each.final_state == "delivered" for each in Journal(process.state, 3_000_000).entries.values()
+        )
 
     run(work())
 
@@ -129,7 +131,9 @@
         await server.came.get()
         server.hold.set()
         assert await process.process.wait() == 0
-        assert {ident: each.end for ident, each in Journal(process.state, 3_000_000).entries.items()} == {
+        assert {
+            ident: each.final_state for ident, each in Journal(process.state, 3_000_000).entries.items()
+        } == {
             "u": "delivered",
             "v": "delivered",
         }
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -221,7 +221,7 @@
         if class_ == "unsafe":
             assert len(server.seen) <= 1
         entries = Journal(process.state, 3_000_000).entries
-        assert all(each.end and not each.owed for each in entries.values())
+        assert all(each.final_state and not each.is_unfinished for each in entries.values())
 
     run(work())
 
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -153,14 +153,14 @@
         assert carrier.listed == {(1, ("queue", 1))}
         receipt = host.messages.accept(offer("m"))
         assert receipt.accepted and receipt.is_new and not host.messages.accept(offer("m")).is_new
-        await until(lambda: host.journal.entries["m"].end == "delivered")
+        await until(lambda: host.journal.entries["m"].final_state == "delivered")
         assert [(a.trace_id, a.key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
         carrier.script = [Outcome.RESET]
         host.messages.accept(offer("u", "unsafe"))
         await until(lambda: front.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
-        assert not host.journal.entries["u"].told
+        assert not host.journal.entries["u"].is_notified
         host.messages.mark_notified(["u"])
-        assert host.journal.entries["u"].told
+        assert host.journal.entries["u"].is_notified
         await host.close()
         assert front.stopped and front.closed
 
@@ -253,19 +253,21 @@
         host.journal = host.messages.journal = Journal(tmp_path / "other", 3_000_000, disk)
         await host.start()
         await until(lambda: 7 in host.messages.dests)
-        disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written > 400 else None
+        disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
         host.messages.accept(offer("m", "unsafe", remaining_ms=900))
         while not host.messages.unwritten_outcomes:
-            host.journal.written = 1000
+            host.journal.written_bytes = 1000
             await asyncio.sleep(0.005)
-        end = host.journal.entries["m"].end  # its attempt could not be written down, so that none was made
+        end = host.journal.entries[
+            "m"
+        ].final_state  # its attempt could not be written down, so that none was made
         assert end == "returned" and not carrier.attempts and not front.ends
         assert not host.messages.accept(
             offer("n")
         ).accepted  # nothing new while what is owed can't be written
         disk.fail = lambda call, name, number: None
         await until(lambda: [end.id for end in front.ends] == ["m"])
-        assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].end == end
+        assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].final_state == end
         assert host.messages.accept(offer("n")).accepted
         await host.close()
 
