--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -59,7 +59,7 @@
     }
     (folder / "config.json").write_text(json.dumps(raw))
     built = compose(config.load({"RELAY_CONFIG": str(folder / "config.json")}))
-    built.relay.open = True  # as after the first list: what is listed goes to the decisions
+    built.relay.is_dispatching = True  # as after the first list: what is listed goes to the decisions
     return built
 
 
@@ -83,7 +83,7 @@
     _, update = read(json.loads(body))
     built.relay.on_endpoint_update(update)
     then = time.perf_counter()
-    built.relay.driver.step()
+    built.relay.driver.run_turn()
     return 1e3 * (then - begun), 1e3 * (time.perf_counter() - then)
 
 
--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -341,8 +341,8 @@
                 world.note(f"{now:.1f} {self.name}: held back for {destination}: {reader.status(now)}")
             return
         for known in list(self.directory.by_name.values()):
-            if known.entry.destination == destination and known.ready:
-                self.late(known.name, int(known.entry.rate))
+            if known.endpoint.destination == destination and known.is_ready:
+                self.late(known.name, int(known.endpoint.rate))
 
     def late(self, name: str, mark: int) -> None:
         world, now = self.world, self.world.now
@@ -565,9 +565,9 @@
         for destination in set(side.used):
             if side.reader.is_resident(destination):
                 has = {
-                    (known.name, int(known.entry.rate))
+                    (known.name, int(known.endpoint.rate))
                     for known in side.directory.by_name.values()
-                    if known.entry.destination == destination
+                    if known.endpoint.destination == destination
                 }
                 is_ = {
                     (row.name, int(row.rate))
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -199,7 +199,7 @@
             return False
         self.moves.by[gate.zone, call.zone] += 1
         if not self.place.part.allowed(class_.name, gate.zone, call.zone):
-            self.moves.outside.append(call.message)
+            self.moves.outside.append(call.message_id)
         return True
 
     def _cut(self, node: Node, endpoint: int, now: float) -> bool:
--- a/message_relay/amqp/transport.py
+++ b/message_relay/amqp/transport.py
@@ -144,10 +144,10 @@
             return AttemptResult(Outcome.CONNECT_FAILED)
         broker, link, publish = self.brokers[target.broker], None, None
         try:
-            async with asyncio.timeout_at(attempt.give_up_at):
+            async with asyncio.timeout_at(attempt.deadline_s):
                 link = await broker.linked()
                 if not link.may_publish():
-                    return AttemptResult(Outcome.FULL, wait_ms=BLOCKED_MS if link.blocked else BUSY_MS)
+                    return AttemptResult(Outcome.FULL, retry_after_ms=BLOCKED_MS if link.blocked else BUSY_MS)
                 if not attempt.may_write():
                     return AttemptResult(Outcome.NOT_SENT)
                 publish, confirmed = link.publish(
@@ -170,8 +170,8 @@
 
     @staticmethod
     def _properties(attempt: Attempt) -> commands.Basic.Properties:
-        left = attempt.give_up_at - asyncio.get_running_loop().time()
-        headers = {} if attempt.key is None else {"idempotency-key": attempt.key}
+        left = attempt.deadline_s - asyncio.get_running_loop().time()
+        headers = {} if attempt.idempotency_key is None else {"idempotency-key": attempt.idempotency_key}
         return commands.Basic.Properties(
             delivery_mode=PERSISTENT,
             message_id=attempt.trace_id,
--- a/message_relay/consensus/rule_enforcement.py
+++ b/message_relay/consensus/rule_enforcement.py
@@ -63,7 +63,7 @@
         """The label of what it acts by, if this call may be made now (`now` in s); None if not."""
         acting = self.active_rules()
         why = self._refusal_reason(acting, call) or self._consume_tokens(now, call, acting)
-        self.decisions.append(CallDecision(call.message, self.unix_ms(), acting.label, why))
+        self.decisions.append(CallDecision(call.message_id, self.unix_ms(), acting.label, why))
         if why:
             self.refusal_counts[why] += 1
             return None
@@ -89,7 +89,9 @@
             return "the class has to stay near"
         if class_.attempts is not None and call.previous_attempts >= class_.attempts:
             return "it has had all its attempts"
-        if call.may_have_run and (class_.effect == "unsafe" or class_.effect == "keyed" and not call.has_key):
+        if call.may_have_run and (
+            class_.effect == "unsafe" or class_.effect == "keyed" and not call.has_idempotency_key
+        ):
             return "an earlier attempt may have run"
         if here.slots is not None and self.in_flight[call.destination] >= here.slots + begun:
             return "all slots there are taken"
--- a/message_relay/consensus/version_fetch.py
+++ b/message_relay/consensus/version_fetch.py
@@ -60,7 +60,7 @@
 
     def pause(self) -> float:
         """Seconds until the next one is asked, after one that did not answer."""
-        return self.pauses.next()
+        return self.pauses.next_delay()
 
 
 class VersionFetcher:
--- a/message_relay/core/backoff.py
+++ b/message_relay/core/backoff.py
@@ -10,14 +10,14 @@
 
 class ExponentialBackoff:
     def __init__(self, first: float, most: float, rng: random.Random) -> None:
-        self.first, self.most, self.rng, self.fails = first, most, rng, 0
+        self.initial, self.maximum, self.rng, self.failures = first, most, rng, 0
 
-    def next(self) -> float:
+    def next_delay(self) -> float:
         """The pause after one more failure in a row."""
-        pause = min(self.most, self.first * 2.0 ** min(self.fails, DOUBLINGS))
-        self.fails += 1
+        pause = min(self.maximum, self.initial * 2.0 ** min(self.failures, DOUBLINGS))
+        self.failures += 1
         return pause * self.rng.uniform(LEAST, MOST)
 
     def reset(self) -> None:
         """What was tried has worked."""
-        self.fails = 0
+        self.failures = 0
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -57,55 +57,57 @@
         """`turned_away`: the decisions' word on one that is offered while so many are held: when to come
         instead (ms), or None."""
         self.settings, self.journal, self.rejection_delay_ms = settings, journal, turned_away
-        self.now, self.feed, self.pass_on = now, feed, pass_on
+        self.now, self.on_event, self.on_outcome = now, feed, pass_on
         self.classes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
-        self.dests: dict[int, float] = {}  # each destination listed of late, and until when it is known
+        self.known_destinations: dict[
+            int, float
+        ] = {}  # each destination listed of late, and until when it is known
         self.leaving: deque[tuple[float, int]] = deque()  # not listed, earliest first: DEST_MS of changes
         self.accepted: dict[int, AcceptedMessage] = {}
         # Left by an earlier process, and taken up by `resume`: the earliest end first.
-        self.left = sorted(
+        self.unresumed = sorted(
             (one for one in journal.entries.values() if not one.final_state), key=lambda one: one.deadline_ms
         )
-        self.numbers: dict[str, int] = {}
+        self.numbers_by_id: dict[str, int] = {}
         self.last_number = 0
         self.unwritten_outcomes: list[
             JournalEntry
         ] = []  # ended, but the journal does not take it yet: no more than are held
-        self.offered: Callable[[Submission], None] | None = None  # hears of each message that comes
-        self.ready = False
-        self.tally: Counter[str] = Counter()  # of this process: messages by how they ended
-        self.retiring = False  # takes nothing new, for good
+        self.on_submission: Callable[[Submission], None] | None = None  # hears of each message that comes
+        self.is_ready = False
+        self.outcome_counts: Counter[str] = Counter()  # of this process: messages by how they ended
+        self.is_retiring = False  # takes nothing new, for good
         self.denial_reason: Callable[[int, str], str] | None = (
             None  # why none is taken for a destination and class
         )
-        self.interest: DestinationInterest | None = None  # None: all destinations are known
-        self.bound_for: dict[int, set[int]] = {}  # with interest: what is held, by destination
+        self.destination_interest: DestinationInterest | None = None  # None: all destinations are known
+        self.pending_by_destination: dict[int, set[int]] = {}  # with interest: what is held, by destination
 
     # -- the desk ----------------------------------------------------------------------------------------
 
     @property
     def pending_count(self) -> int:
-        return len(self.accepted) + len(self.left)
+        return len(self.accepted) + len(self.unresumed)
 
     def pending_entries(self) -> list[JournalEntry]:
         """All that are held, what an earlier process left too."""
-        return [held.entry for held in self.accepted.values()] + self.left
+        return [held.entry for held in self.accepted.values()] + self.unresumed
 
     @property
     def has_capacity(self) -> bool:
-        return self.pending_count + 1 < CROWDED * self.settings.max_pending_messages and not self.retiring
+        return self.pending_count + 1 < CROWDED * self.settings.max_pending_messages and not self.is_retiring
 
     def accept(self, offer: Submission) -> SubmissionResult:
         """All of it happens before the next event of the loop."""
         self._check(offer)
-        if self.offered is not None:
-            self.offered(offer)
+        if self.on_submission is not None:
+            self.on_submission(offer)
         if offer.id in self.journal.entries:  # also while it is under way: it is one, however often it comes
-            if (number := self.numbers.get(offer.id)) is not None:
+            if (number := self.numbers_by_id.get(offer.id)) is not None:
                 self.accepted[number].claims += 1
             return SubmissionResult(True, durable=self.journal.barrier())
-        if self.retiring:
+        if self.is_retiring:
             return SubmissionResult(
                 False, reason="this relay is being taken out of service", retry_after_s=RETRY_S
             )
@@ -121,7 +123,7 @@
         message = self._message(offer, float(offer.remaining_ms))
         come_ms = self.rejection_delay_ms(message, self.pending_count)
         if come_ms is not None:
-            self.tally["turned away"] += 1
+            self.outcome_counts["turned away"] += 1
             wait = max(TURNED_AWAY_S, come_ms / 1000)
             return SubmissionResult(False, reason="others that are held come first", retry_after_s=wait)
         now = unix_time_ms()
@@ -130,7 +132,7 @@
             offer.class_name,
             offer.tenant,
             offer.destination,
-            offer.key,
+            offer.idempotency_key,
             now,
             now + offer.remaining_ms,
             offer.resubmission[:16],
@@ -149,10 +151,13 @@
         class_ = self.classes.get(offer.class_name)
         if class_ is None:
             raise InvalidMessageError("class", f"{offer.class_name!r} is none of {', '.join(self.classes)}")
-        for name, text in (("id", offer.id), ("key", "-" if offer.key is None else offer.key)):
+        for name, text in (
+            ("id", offer.id),
+            ("key", "-" if offer.idempotency_key is None else offer.idempotency_key),
+        ):
             if not 0 < len(text) <= NAME_BYTES or not text.isascii() or not text.isprintable():
                 raise InvalidMessageError(name, f"1 to {NAME_BYTES} printable ASCII characters are needed")
-        if offer.key is None and self.settings.classes[class_].effect is Effect.KEYED:
+        if offer.idempotency_key is None and self.settings.classes[class_].effect is Effect.KEYED:
             raise InvalidMessageError("key", f"class {offer.class_name} needs one")
         if len(offer.tenant) > NAME_BYTES:
             raise InvalidMessageError("tenant", f"{NAME_BYTES} characters at most")
@@ -160,35 +165,35 @@
             raise InvalidMessageError("tenant", f"{offer.tenant!r} is not known")
         if not 0 <= offer.remaining_ms <= LEFT_MS:
             raise InvalidMessageError("left", f"0 to {LEFT_MS} ms are needed")
-        if offer.destination not in self.dests and self._nowhere(offer.destination):
+        if offer.destination not in self.known_destinations and self._nowhere(offer.destination):
             raise InvalidMessageError("dest", f"destination {offer.destination} is not known")
         if len(offer.body) > BODY_BYTES:
             raise InvalidMessageError("body", f"holds {BODY_BYTES} bytes at most")
 
     def cancel(self, ident: str) -> bool:
         """Its client never read the answer, and hands it in again under another id."""
-        number = self.numbers.get(ident)
+        number = self.numbers_by_id.get(ident)
         untried = number is not None and not self.accepted[number].attempts
         if number is not None:
             held = self.accepted[number]
             held.claims -= 1
             if held.claims > 0:  # Guards whoever handed it in on another connection, and has heard
                 return False
-            self.write(lambda: self.journal.append_cancelled(held.entry))
-            self.let_go(number)
-            self.feed(MessageCancelled(number))
+            self.try_write(lambda: self.journal.append_cancelled(held.entry))
+            self.release(number)
+            self.on_event(MessageCancelled(number))
         return untried
 
     def mark_notified(self, idents: list[str]) -> None:
-        self.write(lambda: self.journal.append_notified(idents))
+        self.try_write(lambda: self.journal.append_notified(idents))
 
     # -- their life --------------------------------------------------------------------------------------
 
-    def pass_on_ends(self) -> None:
+    def notify_recorded_outcomes(self) -> None:
         """Those that an earlier process wrote, and nobody has confirmed."""
         for entry in list(self.journal.entries.values()):
             if entry.needs_notification:
-                self.pass_on(
+                self.on_outcome(
                     entry.origin, FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
                 )
 
@@ -196,12 +201,12 @@
         """Takes up what an earlier process left: it owes each message its end. Ages and times to go are as
         they are now, so that what waited for a list is no younger by it."""
         now = unix_time_ms()
-        left, self.left = self.left, []
+        left, self.unresumed = self.unresumed, []
         for entry in left:
             if self.journal.entries.get(entry.id) is not entry:
                 continue
             if entry.class_name not in self.classes:
-                self.end(entry, "failed")  # the settings no longer know its class
+                self.record_outcome(entry, "failed")  # the settings no longer know its class
             else:
                 risk = entry.uncertain_attempt
                 self._hold(
@@ -233,11 +238,11 @@
     def _hold(self, entry: JournalEntry, message: Message) -> None:
         self.last_number = message.id
         self.accepted[message.id] = AcceptedMessage(entry)
-        self.numbers[entry.id] = message.id
-        self.feed(message)
-        if self.interest is not None:
-            self.bound_for.setdefault(entry.destination, set()).add(message.id)
-            self._interested(self.interest, entry)
+        self.numbers_by_id[entry.id] = message.id
+        self.on_event(message)
+        if self.destination_interest is not None:
+            self.pending_by_destination.setdefault(entry.destination, set()).add(message.id)
+            self._interested(self.destination_interest, entry)
 
     def _message(self, it: Submission | JournalEntry, left_ms: float, **resumed: Any) -> Message:
         """As the decisions hear of it, under the next number."""
@@ -255,27 +260,27 @@
     def effect(self, entry: JournalEntry) -> Effect:
         return self.settings.classes[self.classes[entry.class_name]].effect
 
-    def over(self, number: int, state: str, after_ms: float = 0.0) -> None:
+    def finish(self, number: int, state: str, after_ms: float = 0.0) -> None:
         """The module has given it up."""
         held = self.accepted.get(number)
         if held is not None:
-            self.let_go(number)
-            self.end(held.entry, state, after_ms)
+            self.release(number)
+            self.record_outcome(held.entry, state, after_ms)
 
-    def let_go(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """No end is owed any more; a call that is out keeps its own reference."""
         held = self.accepted.pop(number, None)
         if held is not None:
-            self.numbers.pop(held.entry.id, None)
+            self.numbers_by_id.pop(held.entry.id, None)
             held.entry.body = b""
-            if (bound := self.bound_for.get(held.entry.destination)) is not None:
+            if (bound := self.pending_by_destination.get(held.entry.destination)) is not None:
                 bound.discard(number)
                 if not bound:
-                    del self.bound_for[held.entry.destination]
+                    del self.pending_by_destination[held.entry.destination]
 
-    def end(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        self.tally[state] += 1
-        written = self.write(lambda: self.journal.append_final_outcome(entry, state, after_ms))
+    def record_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
+        self.outcome_counts[state] += 1
+        written = self.try_write(lambda: self.journal.append_final_outcome(entry, state, after_ms))
         if not entry.needs_notification:
             return
         if written:
@@ -284,12 +289,12 @@
             # Guards against a process that is killed now, takes the message up again and says something else.
             self.unwritten_outcomes.append(entry)
             if len(self.unwritten_outcomes) == 1:
-                asyncio.get_running_loop().call_later(AGAIN_S, self.say)
+                asyncio.get_running_loop().call_later(AGAIN_S, self.retry_unwritten_outcomes)
 
-    def say(self) -> None:
+    def retry_unwritten_outcomes(self) -> None:
         """Passes on the ends that could not be written when they came, once they are."""
-        if not self.write(self.journal.write_overdue):
-            asyncio.get_running_loop().call_later(AGAIN_S, self.say)
+        if not self.try_write(self.journal.write_overdue):
+            asyncio.get_running_loop().call_later(AGAIN_S, self.retry_unwritten_outcomes)
             return
         unsaid, self.unwritten_outcomes = self.unwritten_outcomes, []
         for entry in unsaid:
@@ -300,12 +305,14 @@
         end = FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
         safe = self.journal.barrier()
         if safe is None:
-            self.pass_on(entry.origin, end)
+            self.on_outcome(entry.origin, end)
         else:
-            safe.add_done_callback(lambda done: None if done.cancelled() else self.pass_on(entry.origin, end))
+            safe.add_done_callback(
+                lambda done: None if done.cancelled() else self.on_outcome(entry.origin, end)
+            )
 
     @staticmethod
-    def write(write: Callable[[], None]) -> bool:
+    def try_write(write: Callable[[], None]) -> bool:
         try:
             write()
             return True
@@ -317,26 +324,30 @@
 
     def add_destinations(self, listed: Iterable[int]) -> None:
         """These are listed, and known from now on."""
-        self.dests.update(dict.fromkeys(listed, FOREVER))
+        self.known_destinations.update(dict.fromkeys(listed, FOREVER))
 
-    def still_know(self, dests: Iterable[int]) -> None:
+    def unlist_destinations(self, dests: Iterable[int]) -> None:
         """These are not listed. One whose endpoints are all being replaced is still known for a while."""
         until = self.now() + DEST_MS
         for dest in dests:
-            self.dests[dest] = until
+            self.known_destinations[dest] = until
             self.leaving.append((until, dest))
 
-    def forget(self) -> None:
+    def expire_destinations(self) -> None:
         """One long gone is forgotten."""
         now = self.now()
         while self.leaving and self.leaving[0][0] <= now:
             until, dest = self.leaving.popleft()
-            if self.dests.get(dest) == until:
-                del self.dests[dest]
+            if self.known_destinations.get(dest) == until:
+                del self.known_destinations[dest]
 
     def _nowhere(self, dest: int) -> bool:
         """Whether it may be said that there is none. Only by what has come."""
-        return self.interest is None or self.interest.is_resident(dest) and not self.interest.contains(dest)
+        return (
+            self.destination_interest is None
+            or self.destination_interest.is_resident(dest)
+            and not self.destination_interest.contains(dest)
+        )
 
     def _interested(self, interest: DestinationInterest, entry: JournalEntry) -> None:
         if interest.is_resident(entry.destination):
@@ -344,15 +355,15 @@
         else:
             interest.request(entry.destination, (self.now() + entry.deadline_ms - unix_time_ms()) / 1000)
 
-    def ask_for_left(self) -> None:
+    def request_unresumed_destinations(self) -> None:
         """What an earlier process left is to go as soon as it can: the earliest end first."""
-        for entry in self.left:
-            if self.interest is not None:
-                self._interested(self.interest, entry)
+        for entry in self.unresumed:
+            if self.destination_interest is not None:
+                self._interested(self.destination_interest, entry)
 
     def fail_unknown_destination(self, dest: int) -> None:
         """What there is of it has come, and there is none: what was taken before that ends at once."""
-        for number in list(self.bound_for.get(dest, ())):
+        for number in list(self.pending_by_destination.get(dest, ())):
             if self.accepted[number].cancel is None:  # a call that is out has its outcome first
-                self.over(number, "failed")
-                self.feed(MessageCancelled(number))
+                self.finish(number, "failed")
+                self.on_event(MessageCancelled(number))
--- a/message_relay/core/ports.py
+++ b/message_relay/core/ports.py
@@ -26,7 +26,7 @@
     class_name: str
     tenant: str
     destination: int
-    key: str | None
+    idempotency_key: str | None
     remaining_ms: int  # how long it may still be delivered
     resubmission: str  # "1": handed in again after a refusal; "again": a relay that had it died
     body: bytes
@@ -68,7 +68,7 @@
     """Where every intake hands in. It answers at once, before the next event of the loop."""
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """False until what an earlier process left is taken up."""
 
     @property
@@ -121,14 +121,14 @@
 class CallContext:
     """What is known of a call before its first byte."""
 
-    message: str
+    message_id: str
     destination: int
     endpoint: str
     zone: str
     class_name: str
     previous_attempts: int  # before this one
     may_have_run: bool  # one of those may have run
-    has_key: bool
+    has_idempotency_key: bool
 
 
 class CallPolicy(Protocol):
@@ -192,12 +192,12 @@
     endpoint: int
     address: Address
     trace_id: str
-    key: str | None
+    idempotency_key: str | None
     body: bytes
-    give_up_at: float  # on the loop's clock, in seconds
+    deadline_s: float  # on the loop's clock, in seconds
     may_write: Callable[[], bool]  # asked right before the first byte, and the last if it is held back
     ambiguity_is_final: bool = False  # an unclear outcome would be final
-    mark: Callable[[], str] | None = None  # by which rules it is made, if there are any
+    policy_label: Callable[[], str] | None = None  # by which rules it is made, if there are any
     kind: str = ""  # of the endpoint, as it is listed
 
 
@@ -206,11 +206,11 @@
     """How an attempt ended. What `outcome.proves_no_effect` says must be true: see interface.Outcome."""
 
     outcome: Outcome
-    wait_ms: float = 0.0
-    no_slot: bool = False
+    retry_after_ms: float = 0.0
+    no_connection_slot: bool = False
     finished: bool = False  # the endpoint says that nothing more is owed
     withheld: bool = False  # nothing of it went out: with Outcome.NOT_SENT
-    report: tuple[float, ...] = ()  # what the endpoint says of its load, in the order of the settings
+    load_report: tuple[float, ...] = ()  # what the endpoint says of its load, in the order of the settings
 
 
 class Transport(Protocol):
@@ -265,7 +265,7 @@
 class EndpointSource(Protocol):
     """A source of endpoints. What it has been told counts as told to the relay."""
 
-    async def run(self, told: EndpointUpdateCallback) -> None:
+    async def run(self, on_update: EndpointUpdateCallback) -> None:
         """Tells what changes, for as long as it runs; never ends by itself."""
 
     def reload(self, config: Config) -> None:
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -15,34 +15,36 @@
     """No more than the file holds that they are from; each for GONE_MS, as lanes without endpoints are."""
 
     def __init__(self) -> None:
-        self.lanes: dict[int, tuple[float, RestoredDestination]] = {}  # and since when
+        self.destinations: dict[int, tuple[float, RestoredDestination]] = {}  # and since when
 
-    def keep(self, now: float, lane: RestoredDestination) -> None:
-        self.lanes[lane.destination] = now, lane
+    def add(self, now: float, lane: RestoredDestination) -> None:
+        self.destinations[lane.destination] = now, lane
 
-    def has(self, now: float, destination: int) -> bool:
-        kept = self.lanes.get(destination)
+    def contains(self, now: float, destination: int) -> bool:
+        kept = self.destinations.get(destination)
         return kept is not None and now < kept[0] + GONE_MS
 
-    def come(self, now: float, entries: Iterable[Endpoint]) -> list[RestoredDestination]:
+    def pop_listed(self, now: float, entries: Iterable[Endpoint]) -> list[RestoredDestination]:
         """What is to be told of those that have come."""
-        if not self.lanes:
+        if not self.destinations:
             return []
         here = dict.fromkeys(entry.destination for entry in entries)
         return [
             aged(lane, now - at)
             for dest in here
             if (at := self._at(now, dest)) is not None
-            for lane in [self.lanes.pop(dest)[1]]
+            for lane in [self.destinations.pop(dest)[1]]
         ]
 
     def _at(self, now: float, destination: int) -> float | None:
-        return self.lanes[destination][0] if self.has(now, destination) else None
+        return self.destinations[destination][0] if self.contains(now, destination) else None
 
-    def kept(self, now: float) -> list[RestoredDestination]:
+    def remaining(self, now: float) -> list[RestoredDestination]:
         """As it is to be written for the next process."""
-        self.lanes = {dest: kept for dest, kept in self.lanes.items() if now < kept[0] + GONE_MS}
-        return [aged(lane, now - at) for at, lane in self.lanes.values()]
+        self.destinations = {
+            dest: kept for dest, kept in self.destinations.items() if now < kept[0] + GONE_MS
+        }
+        return [aged(lane, now - at) for at, lane in self.destinations.values()]
 
 
 def aged(lane: RestoredDestination, ms: float) -> RestoredDestination:
--- a/message_relay/core/transport_router.py
+++ b/message_relay/core/transport_router.py
@@ -10,26 +10,26 @@
 class TransportRouter:
     def __init__(self, usual: Transport, others: Mapping[str, Transport]) -> None:
         """`others` by the beginning of an address's host, up to its colon, which no host name has."""
-        self.usual, self.others = usual, dict(others)
+        self.default, self.by_scheme = usual, dict(others)
 
-    def of(self, key: EndpointKey) -> Transport:
+    def transport_for(self, key: EndpointKey) -> Transport:
         scheme, colon, _ = key[1][0].partition(":")
-        return self.others.get(scheme, self.usual) if colon else self.usual
+        return self.by_scheme.get(scheme, self.default) if colon else self.default
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
-        return await self.of((attempt.endpoint, attempt.address)).attempt(attempt)
+        return await self.transport_for((attempt.endpoint, attempt.address)).attempt(attempt)
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
-        for each in (self.usual, *self.others.values()):
-            each.retain_only({key for key in listed if self.of(key) is each})
+        for each in (self.default, *self.by_scheme.values()):
+            each.retain_only({key for key in listed if self.transport_for(key) is each})
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
-        self.of(key).endpoint_changed(key, listed)
+        self.transport_for(key).endpoint_changed(key, listed)
 
     def sweep(self) -> None:
-        for each in (self.usual, *self.others.values()):
+        for each in (self.default, *self.by_scheme.values()):
             each.sweep()
 
     def close(self) -> None:
-        for each in (self.usual, *self.others.values()):
+        for each in (self.default, *self.by_scheme.values()):
             each.close()
--- a/message_relay/endpoint_discovery/poll_schedule.py
+++ b/message_relay/endpoint_discovery/poll_schedule.py
@@ -83,4 +83,4 @@
         """The pause before the next call: growing, and jittered, to spare a returning register. One that has
         refused is there, and a watch costs it less than to be asked again and again."""
         self.reached = refused and self.shared
-        return self.pauses.next()
+        return self.pauses.next_delay()
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -136,7 +136,7 @@
         rates: dict[int, float] = {}
         zones = self.host.directory.zones
         for known in self.host.directory.by_number.values():
-            entry = known.entry
+            entry = known.endpoint
             if entry.listing is Listing.READY and entry.zone < len(zones):
                 here = count.setdefault(entry.destination, {})
                 here[zones[entry.zone]] = here.get(zones[entry.zone], 0) + 1
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -124,11 +124,11 @@
         except OSError as error:  # one without a recording still serves
             log.error(LogEvent("no recording is made", file=path, why=error))
             return
-        self.relay.messages.offered = self.recorder.offered
+        self.relay.messages.on_submission = self.recorder.offered
 
     def on_stopped(self) -> None:
         if self.recorder is not None:
-            self.relay.messages.offered = None
+            self.relay.messages.on_submission = None
             self.recorder.close()
         self.lag.stop()
         if self.status is not None:
@@ -173,6 +173,6 @@
             self.relay.tasks.start(self.retired())
 
     async def retired(self) -> None:
-        while not self.relay.idle:
+        while not self.relay.is_idle:
             await asyncio.sleep(RETIRED_S)
         self.signals.stop.set()
--- a/message_relay/http/agent.py
+++ b/message_relay/http/agent.py
@@ -52,4 +52,4 @@
         super().__init__(first_s, most_s, random.Random())
 
     async def pause(self) -> None:
-        await asyncio.sleep(self.next())
+        await asyncio.sleep(self.next_delay())
--- a/message_relay/http/client_intake.py
+++ b/message_relay/http/client_intake.py
@@ -74,7 +74,7 @@
         """One request of a client."""
         path = request.target.partition("?")[0]
         if request.method == "GET" and path == "/healthz":
-            return Reply(200 if self.desk.ready else 503)
+            return Reply(200 if self.desk.is_ready else 503)
         if request.method != "POST":
             return Reply(405, "POST a message, or GET /healthz")
         try:
--- a/message_relay/http/endpoint_client.py
+++ b/message_relay/http/endpoint_client.py
@@ -27,11 +27,11 @@
         case 200:
             return AttemptResult(Outcome.OK, finished=True)
         case 429:
-            return AttemptResult(Outcome.FULL, wait_ms=wait)
+            return AttemptResult(Outcome.FULL, retry_after_ms=wait)
         case 503 if head.headers.get("x-over-slots") == "1":
-            return AttemptResult(Outcome.NOT_SENT, no_slot=True)
+            return AttemptResult(Outcome.NOT_SENT, no_connection_slot=True)
         case 503:  # the protocol names no wait here, but one that is told is kept
-            return AttemptResult(Outcome.FULL, wait_ms=wait)
+            return AttemptResult(Outcome.FULL, retry_after_ms=wait)
         case 504:
             return AttemptResult(Outcome.NOT_SENT)
         case 410:
@@ -111,33 +111,37 @@
         """Makes one call; giving up closes its connection, which frees the slot at the endpoint."""
         out, key, wait = Out(), (attempt.endpoint, attempt.address), 0.0
         try:
-            async with asyncio.timeout_at(attempt.give_up_at):
+            async with asyncio.timeout_at(attempt.deadline_s):
                 link = await self._written(attempt, key, out)
                 if link is None:
                     return AttemptResult(Outcome.NOT_SENT, withheld=True)
                 if await link.status == 200:
                     # True also if the rest of the answer is spoilt: the message is over.
-                    answer = AttemptResult(Outcome.OK, finished=True, report=self._report(link))
+                    answer = AttemptResult(Outcome.OK, finished=True, load_report=self._report(link))
                 else:
                     head = await link.head
-                    answer = replace(answer_of(head), report=report_of(head, self.report_fields))
-                    if connection_rejected(head.status, head.headers, link.calls, answer.wait_ms):
+                    answer = replace(answer_of(head), load_report=report_of(head, self.report_fields))
+                    if connection_rejected(head.status, head.headers, link.calls, answer.retry_after_ms):
                         self._no_place(attempt.kind)
                 if answer.outcome.proves_no_effect:
                     # Guards unsafe messages: what looks like a refusal but does not end as one is spoilt,
                     # and a spoilt answer's request has run.
-                    wait = answer.wait_ms
+                    wait = answer.retry_after_ms
                     async with asyncio.timeout(BODY_S):
                         await link.whole
             out.link = None
             self._after_body(key, link)
             return answer
         except TimeoutError:
-            return AttemptResult(Outcome.TIMEOUT if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
+            return AttemptResult(
+                Outcome.TIMEOUT if out.may_run else Outcome.CONNECT_FAILED, retry_after_ms=wait
+            )
         except ConnectionLostError:
             if out.link is not None and out.may_run and out.link.calls > 1:
                 self.broke_at = asyncio.get_running_loop().time()
-            return AttemptResult(Outcome.RESET if out.may_run else Outcome.CONNECT_FAILED, wait_ms=wait)
+            return AttemptResult(
+                Outcome.RESET if out.may_run else Outcome.CONNECT_FAILED, retry_after_ms=wait
+            )
         finally:
             out.drop()
 
@@ -227,15 +231,19 @@
 
     @staticmethod
     def _headers(attempt: Attempt) -> list[tuple[str, str]]:
-        left = max(1, int((attempt.give_up_at - asyncio.get_running_loop().time()) * 1000))
+        left = max(1, int((attempt.deadline_s - asyncio.get_running_loop().time()) * 1000))
         headers = [
             ("Host", f"{attempt.address[0]}:{attempt.address[1]}"),
             ("X-Trace-Id", attempt.trace_id),
             ("X-Expires-In-Ms", str(left)),
         ]
-        if attempt.mark is not None:
-            headers.append(("X-Rules", attempt.mark()))
-        return headers if attempt.key is None else [*headers, ("Idempotency-Key", attempt.key)]
+        if attempt.policy_label is not None:
+            headers.append(("X-Rules", attempt.policy_label()))
+        return (
+            headers
+            if attempt.idempotency_key is None
+            else [*headers, ("Idempotency-Key", attempt.idempotency_key)]
+        )
 
     def _fresh(self, link: EndpointConnection) -> bool:
         return link.usable and asyncio.get_running_loop().time() - link.idle_since < self.idle_s
--- a/message_relay/process.py
+++ b/message_relay/process.py
@@ -28,9 +28,9 @@
     """What the system has told this process, from its first moment on."""
 
     def __init__(self) -> None:
-        self.stop, self.change = asyncio.Event(), asyncio.Event()
+        self.stop, self.reload = asyncio.Event(), asyncio.Event()
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self.change.set)  # before a file is read: no change is missed
+        loop.add_signal_handler(signal.SIGHUP, self.reload.set)  # before a file is read: no change is missed
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
 
@@ -46,18 +46,18 @@
         amqp: AmqpSettings | None = None,
     ) -> None:
         self.signals, self.notifier = signals, notifier
-        self.built = compose(config, inherited_sockets(), amqp)
-        self.relay = self.built.relay
+        self.composed = compose(config, inherited_sockets(), amqp)
+        self.relay = self.composed.relay
 
     async def run(self) -> None:
         self.notifier.start()
-        await self.built.start()
+        await self.composed.start()
         await self.on_serving()
         self.notifier.ready()
         log.info(
             LogEvent("serving", name=self.relay.config.name, listen="{}:{}".format(*self.relay.config.listen))
         )
-        self.relay.tasks.start(self.follow())
+        self.relay.tasks.start(self.watch_reloads())
         self.relay.tasks.start(run_gc_policy(lambda: self.relay.messages.pending_count))
         await self.signals.stop.wait()
         self.notifier.stopping()
@@ -73,11 +73,11 @@
     def on_stopped(self) -> None:
         """They no longer are."""
 
-    async def follow(self) -> None:
+    async def watch_reloads(self) -> None:
         """Takes over what a replaced configuration says, also while the relay is stopping."""
         while True:
-            await self.signals.change.wait()
-            self.signals.change.clear()
+            await self.signals.reload.wait()
+            self.signals.reload.clear()
             self.notifier.reloading()
             try:
                 self.reload()
--- a/message_relay/sharded_directory/shard_client.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -270,7 +270,7 @@
     def _fails(self, now: float, keeper: ServerState, out: Out) -> None:
         self.failures += 1
         keeper.failing, keeper.news = True, False
-        keeper.paused_until = now + keeper.pauses.next()
+        keeper.paused_until = now + keeper.pauses.next_delay()
         self.fresh.failed(keeper.name, out.sent_at)
 
     def _answer(self, now: float, keeper: ServerState, out: Out, answer: ShardResponse) -> None:
@@ -302,7 +302,7 @@
             if not self.compare:
                 store.rebase()
         if out.wants and not any(shard in store.held or shard not in self.wants for shard in out.wants):
-            keeper.paused_until = now + keeper.pauses.next()  # it gave none: not again at once
+            keeper.paused_until = now + keeper.pauses.next_delay()  # it gave none: not again at once
         self._arrived(now)
 
     def _part(self, now: float, keeper: ServerState, out: Out, version: Version, part: Part) -> bool:
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -109,7 +109,7 @@
             assert link is not None
             await until(lambda: link.blocked)
             got = await out.attempt(attempt("b"))
-            assert got.outcome is Outcome.FULL and got.wait_ms == 1000.0
+            assert got.outcome is Outcome.FULL and got.retry_after_ms == 1000.0
             broker.do("unblock", {})
             await until(lambda: not link.blocked)
             broker.faults.chances = {"close-before": 1.0}
@@ -271,7 +271,7 @@
             await relay.start()
             await until(lambda: 7 in relay.dests)
             await hand_in(relay, 5000, taken)
-            await until(lambda: not relay.held and relay.host.idle)
+            await until(lambda: not relay.held and relay.host.is_idle)
             await relay.close()
         ends: dict[str, set[str]] = {}
         while not agent.notices.empty():
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -153,7 +153,7 @@
             put(inward, "one", expiration="900", reply_to="answers", correlation_id="c 1")
             put(inward, "nobody", expiration="900")
             put(inward, "gone", expiration="900", reply_to="no-such-queue")
-            await until(lambda: len(answers) == 1 and relay.host.idle)
+            await until(lambda: len(answers) == 1 and relay.host.is_idle)
             got = json.loads(answers[0].body)
             assert got["id"] == "one" and got["state"] in ("returned", "failed")
             assert answers[0].properties.correlation_id == "c 1"
@@ -169,7 +169,7 @@
             inward.blocked = False
             inward.do("unblock", {})
             relay = await relay_of(tmp_path, both(a, b))
-            await until(lambda: len(answers) == 2 and relay.host.idle)
+            await until(lambda: len(answers) == 2 and relay.host.is_idle)
             assert json.loads(answers[1].body)["id"] == "two" and answers[1].properties.correlation_id == "c2"
             await relay.close()
 
--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -160,7 +160,7 @@
 class _Desk:
     """Takes all."""
 
-    ready = has_capacity = True
+    is_ready = has_capacity = True
 
     def accept(self, offer: Submission) -> SubmissionResult:
         return SubmissionResult(True)
@@ -182,7 +182,7 @@
         "class": offer.class_name,
         "tenant": offer.tenant,
         "destination": offer.destination,
-        "key": offer.key,
+        "key": offer.idempotency_key,
         "left ms": offer.remaining_ms,
         "handed in again": offer.resubmission,
         "body": offer.body.decode(),
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -91,12 +91,12 @@
         endpoint=3,
         address=address,
         trace_id=trace_id,
-        key=key,
+        idempotency_key=key,
         body=body,
-        give_up_at=asyncio.get_running_loop().time() + CALL_S,
+        deadline_s=asyncio.get_running_loop().time() + CALL_S,
         may_write=lambda: True,
         ambiguity_is_final=careful,
-        mark=None if rules_mark is None else lambda: rules_mark,
+        policy_label=None if rules_mark is None else lambda: rules_mark,
         kind="k",
     )
     try:
@@ -108,11 +108,11 @@
 def _result(result: AttemptResult) -> Values:
     return {
         "outcome": result.outcome.value,
-        "wait ms": result.wait_ms,
-        "no slot": result.no_slot,
+        "wait ms": result.retry_after_ms,
+        "no slot": result.no_connection_slot,
         "over": result.finished,
         "held back": result.withheld,
-        "load report": list(result.report),
+        "load report": list(result.load_report),
     }
 
 
@@ -124,7 +124,7 @@
     """Takes what it is told to take, and keeps what was handed in."""
 
     def __init__(self) -> None:
-        self.ready = True
+        self.is_ready = True
         self.has_capacity = True
         self.offers: list[Submission] = []
 
@@ -149,7 +149,7 @@
     def __init__(self, config_file: Path, ready: bool) -> None:
         config: Config = load({"RELAY_CONFIG": str(config_file)})
         self._desk = _Desk()
-        self._desk.ready = ready
+        self._desk.is_ready = ready
         self._front = ClientIntake(self._desk, replace(config, listen=("127.0.0.1", 0)), 8, 8)
 
     def listen(self) -> int:
@@ -170,7 +170,7 @@
                 "class": each.class_name,
                 "tenant": each.tenant,
                 "destination": each.destination,
-                "key": each.key,
+                "key": each.idempotency_key,
                 "left ms": each.remaining_ms,
                 "handed in again": each.resubmission,
                 "body": each.body.decode(),
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -271,12 +271,12 @@
     """Lanes of destinations that are not known yet: told when they come, and what is kept of the others."""
     memory = RestoredState()
     for now_ms, lane in kept:
-        memory.keep(now_ms, _lane(lane))
+        memory.add(now_ms, _lane(lane))
     come = [Endpoint(100 + destination, destination, Listing.READY) for destination in destinations]
-    told = memory.come(arrival_ms, come)
+    told = memory.pop_listed(arrival_ms, come)
     return {
         "told": [_plain_lane(lane) for lane in told],
-        "kept": [_plain_lane(lane) for lane in memory.kept(later_ms)],
+        "kept": [_plain_lane(lane) for lane in memory.remaining(later_ms)],
     }
 
 
--- a/tests/endpoint_discovery/test_source_merge.py
+++ b/tests/endpoint_discovery/test_source_merge.py
@@ -174,7 +174,7 @@
         update = merge.merge(EndpointUpdate(is_whole, members, source=source), float(n))
         if update is not None:
             directory.apply(update)
-        seen = {known.address[1]: known.entry.listing for known in directory.by_name.values()}
+        seen = {known.address[1]: known.endpoint.listing for known in directory.by_name.values()}
         expected = {}
         for port in range(4):
             word = most_severe(words[each].get(port, U) for each in "ab")
--- a/tests/http/test_calls.py
+++ b/tests/http/test_calls.py
@@ -311,7 +311,7 @@
     async def work() -> None:
         server = await Server(usual=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")).start()
         calls = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
-        assert (await calls.attempt(attempt(server.address))).report == (0.4, 25.0)
+        assert (await calls.attempt(attempt(server.address))).load_report == (0.4, 25.0)
         calls.close()
 
     run(work())
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -118,9 +118,9 @@
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             if moment == "pause":
-                host.register.asking.pauses.most = host.register.asking.pauses.first = 60_000.0
+                host.register.asking.pauses.maximum = host.register.asking.pauses.initial = 60_000.0
                 agent.changes.put_nowait(answer(500))
-                await until(lambda: host.register.asking.pauses.fails > 0)
+                await until(lambda: host.register.asking.pauses.failures > 0)
             else:
                 await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
             host.reload(_at(host.host.config, other))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -225,15 +225,15 @@
 
     @property
     def numbers(self) -> dict[str, int]:
-        return self.messages.numbers
+        return self.messages.numbers_by_id
 
     @property
     def dests(self) -> dict[int, float]:
-        return self.messages.dests
+        return self.messages.known_destinations
 
     @property
     def events(self) -> list[Event]:
-        return self.turns.events
+        return self.turns.pending_events
 
     def tell(self, raw: dict[str, Any]) -> None:
         """As if discovery had."""
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -74,8 +74,8 @@
         for owner, name in (
             (host.directory, "by_name"),
             (host.directory, "by_number"),
-            (host.directory, "listed"),
-            (host.messages, "dests"),
+            (host.directory, "listed_counts"),
+            (host.messages, "known_destinations"),
             (members, "lanes"),
             (members, "doors"),
         ):
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -199,8 +199,8 @@
             if not self.reader.is_resident(destination) or not self.reader.is_current(self.now, destination):
                 continue
             for known in self.directory.by_name.values():
-                if known.entry.destination == destination and known.ready:
-                    self.late(int(known.entry.rate) + 1)
+                if known.endpoint.destination == destination and known.is_ready:
+                    self.late(int(known.endpoint.rate) + 1)
 
     def late(self, replaced: int) -> None:
         for name, learned in self.learned.items():
@@ -226,7 +226,7 @@
             self.check()
             self.now += 2.0
         has = {
-            (known.name, known.entry.destination, known.entry.rate)
+            (known.name, known.endpoint.destination, known.endpoint.rate)
             for known in self.directory.by_name.values()
         }
         is_ = {
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -53,7 +53,7 @@
             await it.begin(0)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
-            assert relay.shards.contains(7) and not relay.messages.bound_for
+            assert relay.shards.contains(7) and not relay.messages.pending_by_destination
 
     run(work())
 
@@ -67,7 +67,7 @@
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
             assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connecting
             await until(lambda: not relay.host.scheduler.board.held, 3.0)  # nothing is left of it
-            assert not relay.messages.accepted and not relay.messages.bound_for
+            assert not relay.messages.accepted and not relay.messages.pending_by_destination
 
     run(work())
 
@@ -84,7 +84,7 @@
             assert relay.messages.accept(
                 offer("m")
             ).accepted  # all its endpoints may be on their way to others
-            relay.messages.dests.clear()  # a minute later
+            relay.messages.known_destinations.clear()  # a minute later
             with pytest.raises(InvalidMessageError) as caught:
                 relay.messages.accept(offer("n"))
             assert caught.value.field == "dest" and "n" not in relay.entries
@@ -117,7 +117,7 @@
 
             relay.node.request = noted  # type: ignore[method-assign]
             assert relay.messages.pending_count == 50
-            assert not relay.host.open and len(relay.shards.reader.wants) == 50  # before all else
+            assert not relay.host.is_dispatching and len(relay.shards.reader.wants) == 50  # before all else
             await it.begin(0)
             await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
             wanted = next(each for each in asked if each)
@@ -142,7 +142,7 @@
             await it.begin(0)
             relay = await it.begin(1)
             await until(lambda: not relay.shards.reader.wants)
-            assert not relay.host.open
+            assert not relay.host.is_dispatching
             await until(lambda: [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")])
             assert not relay.messages.pending_count
 
@@ -353,10 +353,10 @@
             await it.end(0)
             await it.end(1, killed=False)
             relay = await it.begin(1)
-            await until(lambda: relay.host.open)
+            await until(lambda: relay.host.is_dispatching)
             assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.lanes
-            relay.host._keep_learned()
-            assert [lane.destination for lane in relay.host.learned.destinations] == [
+            relay.host._save_snapshot()
+            assert [lane.destination for lane in relay.host.snapshot_file.destinations] == [
                 7
             ]  # for the next process too
             relay.messages.accept(offer("m"))
@@ -446,8 +446,8 @@
             await learned(relay, 7, "second")
             relay.host.scheduler.lanes[7][-1].wait_until = relay.host.driver.now() + 3000.0
             relay.host.scheduler.board.look(7)
-            await until(lambda: relay.host.remembered == {7})
-            await until(lambda: not relay.host.remembered)
+            await until(lambda: relay.host.learned_destinations == {7})
+            await until(lambda: not relay.host.learned_destinations)
             assert not known
 
     run(work())
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -120,7 +120,7 @@
 
     def has(self, name: str) -> Any:
         known = self.directory.by_name.get(name)
-        return None if known is None else known.entry
+        return None if known is None else known.endpoint
 
 
 def in_shard(shard: int, count: int, shards: int = 4) -> list[int]:
@@ -534,7 +534,7 @@
     world.changed(2, [row("a", 1, listing, port=0)])
     world.settle(4.0)
     known = world.directory.by_name["a"]
-    assert known.entry.listing is stands and known.address == ("host", 8080)
+    assert known.endpoint.listing is stands and known.address == ("host", 8080)
     world.changed(3, [], [("a", GONE)])
     world.settle(4.0)
     assert not world.directory.by_name
@@ -755,7 +755,7 @@
         drawn.do(op, pick)
     drawn.quiet()
     has = {
-        name: (known.entry.destination, known.entry.rate, known.entry.listing)
+        name: (known.endpoint.destination, known.endpoint.rate, known.endpoint.listing)
         for name, known in drawn.directory.by_name.items()
     }
     is_ = {
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -37,13 +37,16 @@
     [
         (OK, AttemptResult(Outcome.OK, finished=True)),
         (answer(500), AttemptResult(Outcome.ERROR)),
-        (answer(429, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, wait_ms=350.0)),
+        (answer(429, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, retry_after_ms=350.0)),
         (answer(429), AttemptResult(Outcome.FULL)),
         (answer(429, "X-RateLimit-Wait-Ms: nan"), AttemptResult(Outcome.FULL)),
-        (answer(429, "X-RateLimit-Wait-Ms: 7200000.5"), AttemptResult(Outcome.FULL, wait_ms=7200000.5)),
+        (
+            answer(429, "X-RateLimit-Wait-Ms: 7200000.5"),
+            AttemptResult(Outcome.FULL, retry_after_ms=7200000.5),
+        ),
         (answer(503), AttemptResult(Outcome.FULL)),
-        (answer(503, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, wait_ms=350.0)),
-        (answer(503, "X-Over-Slots: 1"), AttemptResult(Outcome.NOT_SENT, no_slot=True)),
+        (answer(503, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, retry_after_ms=350.0)),
+        (answer(503, "X-Over-Slots: 1"), AttemptResult(Outcome.NOT_SENT, no_connection_slot=True)),
         (answer(504), AttemptResult(Outcome.NOT_SENT)),
         (answer(410), AttemptResult(Outcome.NOT_SENT, finished=True)),
         (answer(400), AttemptResult(Outcome.ERROR)),
@@ -103,9 +106,9 @@
         (b"HTTP/1.1 503 X\r\n" + b"X-A: " + b"a" * 40000, AttemptResult(Outcome.RESET)),
         (
             FULL + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000,
-            AttemptResult(Outcome.RESET, wait_ms=350.0),
+            AttemptResult(Outcome.RESET, retry_after_ms=350.0),
         ),
-        (FULL + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.TIMEOUT, wait_ms=350.0)),
+        (FULL + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.TIMEOUT, retry_after_ms=350.0)),
     ],
 )
 def test_a_spoilt_answer(monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: AttemptResult) -> None:
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -299,7 +299,7 @@
                     await until(lambda: not host.held)
             await until(lambda: not host.ingress.connections and not host.relay.board.held)
             host.journal.compact(unix_time_ms() + 1e6)
-            host.messages.forget()
+            host.messages.expire_destinations()
             host.messages.add_destinations({39})
             directory, ingress, relay_ = host.directory, host.ingress, host.relay
             sizes: dict[str, Sized] = {
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -324,7 +324,7 @@
         assert desk.accept(Submission(f"{n:016x}", "safe", "", 1, f"{n:032x}", 9000, "", body, "http")).is_new
     full = tracemalloc.get_traced_memory()[0]
     for number in list(desk.accepted):
-        desk.over(number, "returned")
+        desk.finish(number, "returned")
         relay.handle(1000.0, [MessageCancelled(number)])
     ended = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -139,7 +139,7 @@
 
         turns = SchedulerDriver(Scripted(StartAttempt(1, 2, 3.0), Fail(4), SetTimer(60_000.0, 0)), 5.0, act)
         turns.feed(TimerFired(0))
-        await until(lambda: turns.timer is not None)
+        await until(lambda: turns.timer_handle is not None)
         assert done == [Fail(4)] and "KeyError" in caplog.text
         turns.stop()
 
@@ -155,7 +155,7 @@
         async with world as host, Client(host.ingress.port) as client:
             world.server.usual = None
             ended = list[Event]()
-            begin, feed = host.host.attempts.begin, host.turns.feed
+            begin, feed = host.host.attempt_runner.start, host.turns.feed
 
             def at_once(number: int, endpoint: int, until_ms: float) -> None:
                 begin(number, endpoint, until_ms)
@@ -167,7 +167,7 @@
                 ended.append(event)
                 feed(event)
 
-            host.host.attempts.begin = at_once  # type: ignore[method-assign]
+            host.host.attempt_runner.start = at_once  # type: ignore[method-assign]
             host.turns.feed = heard  # type: ignore[method-assign]
             assert await client.ask(message("m")) == 202
             await until(lambda: any(isinstance(each, AttemptCompleted) for each in ended))
@@ -258,7 +258,7 @@
             host.host.transport.attempt = attempt  # type: ignore[method-assign]
             assert await client.ask(message("m", "unsafe")) == 202
             await began.wait()
-            await until(lambda: host.now() > host.turns.last + 2 * host.settings.tick_ms)
+            await until(lambda: host.now() > host.turns.last_turn_ms + 2 * host.settings.tick_ms)
         assert host.journal.entries["m"].final_state == ""
         async with relay(state, agent, server) as host:
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -298,7 +298,7 @@
         journal.close()
         host = host_of(state, agent, server)
         await host.start()
-        assert not host.held and host.messages.pending_count == 1 and not host.host.idle
+        assert not host.held and host.messages.pending_count == 1 and not host.host.is_idle
         assert [entry.id for entry in host.messages.pending_entries()] == ["m"]
         stopping = asyncio.ensure_future(host.stop())
         await until(lambda: len(server.seen) == 1)  # it has its try, in the drain of the stop
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -130,7 +130,7 @@
         "class_name": class_,
         "tenant": "t",
         "destination": 7,
-        "key": f"k-{ident}",
+        "idempotency_key": f"k-{ident}",
         "remaining_ms": 8000,
         "resubmission": "",
         "body": b"b",
@@ -148,13 +148,13 @@
         )
         host = made(tmp_path, front, carrier, source)
         await host.start()
-        assert front.open_ and host.messages.ready
-        await until(lambda: 7 in host.messages.dests)
+        assert front.open_ and host.messages.is_ready
+        await until(lambda: 7 in host.messages.known_destinations)
         assert carrier.listed == {(1, ("queue", 1))}
         receipt = host.messages.accept(offer("m"))
         assert receipt.accepted and receipt.is_new and not host.messages.accept(offer("m")).is_new
         await until(lambda: host.journal.entries["m"].final_state == "delivered")
-        assert [(a.trace_id, a.key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
+        assert [(a.trace_id, a.idempotency_key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
         carrier.script = [Outcome.RESET]
         host.messages.accept(offer("u", "unsafe"))
         await until(lambda: front.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
@@ -172,7 +172,7 @@
         front, carrier, source = Front(), Carrier(), Source(EndpointUpdate(True, (HERE,)))
         host = made(tmp_path, front, carrier, source)
         await host.start()
-        await until(lambda: 7 in host.messages.dests)
+        await until(lambda: 7 in host.messages.known_destinations)
         source.updates.put_nowait(
             EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.GONE)))
         )
@@ -197,7 +197,7 @@
         first = Front()
         host = made(tmp_path, first, Carrier(Outcome.RESET), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
-        await until(lambda: 7 in host.messages.dests)
+        await until(lambda: 7 in host.messages.known_destinations)
         host.messages.accept(offer("u", "unsafe"))
         await until(lambda: bool(first.ends))
         await host.close()  # before it was confirmed
@@ -222,8 +222,8 @@
         ({"id": ""}, "id"),
         ({"id": "a\nb"}, "id"),
         ({"id": "x" * 201}, "id"),
-        ({"key": "é"}, "key"),
-        ({"class_name": "keyed", "key": None}, "key"),
+        ({"idempotency_key": "é"}, "key"),
+        ({"class_name": "keyed", "idempotency_key": None}, "key"),
         ({"tenant": "x"}, "tenant"),
         ({"remaining_ms": -1}, "left"),
         ({"remaining_ms": 10**9}, "left"),
@@ -235,7 +235,7 @@
     async def work() -> None:
         host = made(tmp_path, Front(), Carrier(), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
-        await until(lambda: 7 in host.messages.dests)
+        await until(lambda: 7 in host.messages.known_destinations)
         with pytest.raises(InvalidMessageError) as caught:
             host.messages.accept(replace(offer("m"), **more))  # type: ignore[arg-type]
         assert caught.value.field == field and not host.journal.entries and not host.messages.accepted
@@ -252,7 +252,7 @@
         host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (HERE,))))
         host.journal = host.messages.journal = Journal(tmp_path / "other", 3_000_000, disk)
         await host.start()
-        await until(lambda: 7 in host.messages.dests)
+        await until(lambda: 7 in host.messages.known_destinations)
         disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
         host.messages.accept(offer("m", "unsafe", remaining_ms=900))
         while not host.messages.unwritten_outcomes:
