--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -13,15 +13,9 @@
 from message_relay.consensus.lease_grantor import LeaseGrantor
 from message_relay.consensus.lease_holder import LeaseHolder
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
-from message_relay.consensus.rules import (
-    ANY,
-    Destination,
-    Rules,
-    decode_rules,
-    digest,
-    encode_rules,
-    is_subset,
-)
+from message_relay.consensus.rules import ANY, DestinationRule, Rules
+from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
+from message_relay.consensus.rules_meet import is_subset
 from message_relay.consensus.version_history import KEPT, Propose, Version, VersionHistory
 from message_relay.gossip.wire import App, Packet, opened, sealed
 
@@ -41,7 +35,7 @@
     """One that holds as many versions as are kept, the newest cleared, and knows no relay yet."""
     book = VersionHistory(Rules(), VOTERS)
     for n in range(1, versions):
-        rules = Rules({str(n): Destination(rate=1000.0 - n)})
+        rules = Rules({str(n): DestinationRule(rate=1000.0 - n)})
         assert not book.apply(Propose(n, encode_rules(rules), "bench", "", 0.0)).refused
     it = LeaseGrantor("n0", book, LeaseTerms(), FIRST, 0, 0.0)
     it.has_never_granted = True
@@ -102,7 +96,7 @@
     tracemalloc.stop()
     each = quartile(it, 2.0, size, (newest,))
     # A version that one relay, which is cut off, does not let pass: all others renew as before.
-    strict = Rules({ANY: Destination(rate=1.0)})
+    strict = Rules({ANY: DestinationRule(rate=1.0)})
     assert not it.history.apply(Propose(newest, encode_rules(strict), "bench", "", 0.0)).refused
     waiting = []
     for n in range(ROUNDS):
@@ -122,7 +116,7 @@
     it, _ = voter(size)
     newest = it.history.newest.number
     round_of(it, 1.0, 1, size, (newest,))
-    strict = Rules({ANY: Destination(rate=1.0)})
+    strict = Rules({ANY: DestinationRule(rate=1.0)})
     assert not it.history.apply(Propose(newest, encode_rules(strict), "bench", "", 0.0)).refused
     times = []
     for n in range(LOOK):
@@ -137,7 +131,7 @@
 def written(size: int, rate: float) -> Rules:
     return Rules(
         {
-            str(n): Destination(
+            str(n): DestinationRule(
                 rate=rate,
                 endpoints=frozenset(f"10.0.{n % 250}.{m}:80" for m in range(ENDPOINTS))
                 if n % 10 == 0
@@ -161,7 +155,7 @@
     began = time.process_time()
     decode_rules(raw)
     assert is_subset(
-        Rules({ANY: Destination(closed=True)}), decode_rules(raw)
+        Rules({ANY: DestinationRule(closed=True)}), decode_rules(raw)
     )  # the floor: consensus/instance.py, _against
     assert not book.apply(Propose(1, raw, "bench", "", 0.0)).refused
     voter_s = time.process_time() - began
--- a/emulator/consensus/world.py
+++ b/emulator/consensus/world.py
@@ -30,7 +30,9 @@
 from message_relay.consensus.lease_grantor import LeaseGrantor
 from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder, LeaseTier
 from message_relay.consensus.lease_protocol import LeaseGrant, LeaseRenewal, LeaseTerms
-from message_relay.consensus.rules import ANY, Destination, Rules, encode_rules, is_subset
+from message_relay.consensus.rules import ANY, DestinationRule, Rules
+from message_relay.consensus.rules_codec import encode_rules
+from message_relay.consensus.rules_meet import is_subset
 from message_relay.consensus.version_history import Propose, Version, VersionHistory, Withdraw
 
 RELAYS, VOTERS = 5, 3
@@ -39,11 +41,11 @@
 CLOCK = 0.028  # of a clock, at most: two of them stay under the drift
 SETS = (
     Rules(),
-    Rules({ANY: Destination(rate=10.0)}),
-    Rules({ANY: Destination(rate=9.5)}),
-    Rules({ANY: Destination(endpoints=frozenset("a"))}),
-    Rules({ANY: Destination(endpoints=frozenset("b"))}),
-    Rules({ANY: Destination(rate=100.0, endpoints=frozenset("ab"))}),
+    Rules({ANY: DestinationRule(rate=10.0)}),
+    Rules({ANY: DestinationRule(rate=9.5)}),
+    Rules({ANY: DestinationRule(endpoints=frozenset("a"))}),
+    Rules({ANY: DestinationRule(endpoints=frozenset("b"))}),
+    Rules({ANY: DestinationRule(rate=100.0, endpoints=frozenset("ab"))}),
 )
 WITHOUT = ("majority", "kept", "start", "wait", "standby", "byte", "drift", "asked")
 
--- a/message_relay/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -15,7 +15,10 @@
 from rich.table import Table
 
 from ..consensus.admin_socket import question
-from ..consensus.rules import RulesError, decode_rules, diff_rules, validate_rules
+from ..consensus.rules import RulesError
+from ..consensus.rules_codec import decode_rules
+from ..consensus.rules_diff import diff_rules
+from ..consensus.rules_validation import validate_rules
 from ..fleet.operator import OperatorError, read
 from ..fleet.status import StatusError, folder_of
 from ..gossip.settings import INSTANCES_MAX
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -31,7 +31,10 @@
 from .raft_storage import JOURNAL, removed
 from .replicated_log import ReplicatedLog
 from .rule_enforcement import RuleEnforcer
-from .rules import Rules, RulesError, decode_rules, digest, encode_rules, is_subset, validate_rules
+from .rules import Rules, RulesError
+from .rules_codec import decode_rules, digest, encode_rules
+from .rules_meet import is_subset
+from .rules_validation import validate_rules
 from .settings import ConsensusSettings
 from .version_fetch import Sought, VersionFetcher, first_pause
 from .version_history import (
--- a/message_relay/consensus/lease_grantor.py
+++ b/message_relay/consensus/lease_grantor.py
@@ -28,7 +28,8 @@
 
 from ..gossip.settings import INSTANCES_MAX
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
-from .rules import Rules, intersect_all, is_subset, standby_rules
+from .rules import Rules
+from .rules_meet import intersect_all, is_subset, standby_rules
 from .version_history import Stage, Version, VersionHistory
 
 MAX_RELAYS = INSTANCES_MAX  # as many as peers are known: a record of each, and a walk over them to clear
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -23,7 +23,8 @@
 import msgspec
 
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
-from .rules import DENY_ALL, Rules, intersect, intersect_all, standby_rules
+from .rules import DENY_ALL, Rules
+from .rules_meet import intersect, intersect_all, standby_rules
 from .version_history import Version
 
 MAX_OUTSTANDING_RENEWALS = 64  # renewals whose answers still count: eight leases' worth and more
--- a/message_relay/consensus/settings.py
+++ b/message_relay/consensus/settings.py
@@ -9,7 +9,8 @@
 
 from ..gossip.settings import INSTANCES_MAX
 from .lease_protocol import LeaseTerms
-from .rules import DENY_ALL, Rules, RulesError, validate_rules
+from .rules import DENY_ALL, Rules, RulesError
+from .rules_validation import validate_rules
 
 InstanceNumber = Annotated[int, Meta(ge=0, le=INSTANCES_MAX - 1)]
 MAX_VOTERS = 9  # more cost more messages for each version and outlive no likelier fault
--- a/message_relay/consensus/version_history.py
+++ b/message_relay/consensus/version_history.py
@@ -21,7 +21,9 @@
 import msgspec
 from msgspec import Meta
 
-from .rules import Rules, RulesError, decode_rules, digest, encode_rules, is_subset
+from .rules import Rules, RulesError
+from .rules_codec import decode_rules, digest, encode_rules
+from .rules_meet import is_subset
 
 KEPT = 64  # versions with their rules: what a relay that is cut off may still hold lies among them
 TEXT = 500  # letters of a cause, at most
--- a/message_relay/failover/controller.py
+++ b/message_relay/failover/controller.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from ..consensus.rule_enforcement import hash_position
-from ..consensus.rules import Flow, Rules
+from ..consensus.rules import FlowRule, Rules
 from .observations import OTHERS, Aggregate, Matrix, Observations, Pair, Series, total
 from .planner import Group, Plan, Problem, Solver, Way, plans
 from .settings import FailoverSettings
@@ -241,7 +241,7 @@
         problems: dict[int, Problem],
         rooms: Capacities,
         relays: dict[str, list[str]],
-    ) -> Flow | None:
+    ) -> FlowRule | None:
         """What the rules say of it; None: nothing."""
         room = rooms.get(destination, {})
         spare = {
@@ -251,7 +251,7 @@
         }
         if plan is None:
             self.told.pop(destination, None)
-            return Flow(spare=spare) if spare else None
+            return FlowRule(spare=spare) if spare else None
         problem = problems[destination]
         self.told[destination] = PlanExplanation(plan.how, plan.flows, plan.shed(problem), problem.room)
         share: dict[str, dict[str, float]] = {}
@@ -262,7 +262,7 @@
                 )
                 part = min(1.0, max(part, round(first + 1e-6, 6)))
             share.setdefault(source, {})[target] = part
-        return Flow(self._bounds(plan, problem, spare), spare, share)
+        return FlowRule(self._bounds(plan, problem, spare), spare, share)
 
     def _bounds(self, plan: Plan, problem: Problem, spare: dict[str, float]) -> dict[str, dict[str, float]]:
         found: dict[str, dict[str, float]] = {}
@@ -282,7 +282,7 @@
                     found.setdefault(source, {})[target] = round(max(rate, spare.get(target, 0.0)), 3)
         return found
 
-    def _differs(self, rules: Rules, flows: dict[str, Flow], counts: dict[str, int]) -> bool:
+    def _differs(self, rules: Rules, flows: dict[str, FlowRule], counts: dict[str, int]) -> bool:
         if set(flows) != {name for name in rules.flows if name.isdecimal()}:
             return True
         if any(rules.zones.get(zone, 0) != count for zone, count in counts.items()):
@@ -302,7 +302,7 @@
     return before if before <= (1 + 2 * COUNTED) * now else now
 
 
-def _changed(old: Flow, new: Flow) -> bool:
+def _changed(old: FlowRule, new: FlowRule) -> bool:
     if old.share != new.share or set(old.bound) != set(new.bound) or set(old.spare) != set(new.spare):
         return True
     rows = [(old.spare, new.spare), *((old.bound[name], new.bound[name]) for name in new.bound)]
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -11,7 +11,9 @@
 from message_relay.consensus.lease_grantor import LeaseGrantor, is_in_canary
 from message_relay.consensus.lease_holder import LeaseHolder
 from message_relay.consensus.lease_protocol import LeaseGrant, LeaseTerms, LeaseRenewal
-from message_relay.consensus.rules import DENY_ALL, Rules, RulesError, decode_rules, diff_rules, digest
+from message_relay.consensus.rules import DENY_ALL, Rules, RulesError
+from message_relay.consensus.rules_codec import decode_rules, digest
+from message_relay.consensus.rules_diff import diff_rules
 from message_relay.consensus.version_history import Answer as CommandAnswer
 from message_relay.consensus.version_history import (
     Command,
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -22,7 +22,8 @@
 from message_relay.consensus.lease_protocol import DeliveryCounts
 from message_relay.consensus.raft_storage import TornWriteError, check, entries, unsealed, voted
 from message_relay.consensus.replicated_log import ReplicatedLog
-from message_relay.consensus.rules import Rules, decode_rules, digest, encode_rules
+from message_relay.consensus.rules import Rules
+from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
 from message_relay.consensus.settings import ConsensusSettings
 from message_relay.consensus.version_history import (
     Answer,
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -20,7 +20,8 @@
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseTerms
 from message_relay.consensus.process_epochs import ProcessEpochs
 from message_relay.consensus.rule_enforcement import RuleEnforcer
-from message_relay.consensus.rules import ANY, Class, Destination, Flow, Rules, encode_rules
+from message_relay.consensus.rules import ANY, ClassRule, DestinationRule, FlowRule, Rules
+from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import Guard, Promote, Propose, VersionHistory, Withdraw
 from message_relay.core.ports import CallContext, EndpointRecord, EndpointUpdate
 from message_relay.decisions.model import Endpoint, Fleet, Listing, Safety
@@ -431,13 +432,18 @@
 def _rule_sets() -> list[Rules]:
     return [
         Rules(),
-        Rules({ANY: Destination(rate=5.0)}),
-        Rules({"1": Destination(rate=12.0, slots=3), "2": Destination(endpoints=frozenset({"e1", "e2"}))}),
-        Rules({"3": Destination(closed=True)}, {"pay": Class(effect="unsafe", attempts=2)}),
+        Rules({ANY: DestinationRule(rate=5.0)}),
         Rules(
-            {"1": Destination(rate=40.0)},
-            {"order": Class(effect="keyed")},
-            flows={"1": Flow(bound={"a": {"b": 20.0, "c": 10.0}}, share={"a": {"b": 0.5}})},
+            {
+                "1": DestinationRule(rate=12.0, slots=3),
+                "2": DestinationRule(endpoints=frozenset({"e1", "e2"})),
+            }
+        ),
+        Rules({"3": DestinationRule(closed=True)}, {"pay": ClassRule(effect="unsafe", attempts=2)}),
+        Rules(
+            {"1": DestinationRule(rate=40.0)},
+            {"order": ClassRule(effect="keyed")},
+            flows={"1": FlowRule(bound={"a": {"b": 20.0, "c": 10.0}}, share={"a": {"b": 0.5}})},
             zones={"a": 4},
         ),
     ]
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -14,7 +14,8 @@
 
 from message_relay.consensus.admin_socket import AdminRequest
 from message_relay.consensus.lease_protocol import LeaseGrant, LeaseRenewal
-from message_relay.consensus.rules import Rules, decode_rules, encode_rules
+from message_relay.consensus.rules import Rules
+from message_relay.consensus.rules_codec import decode_rules, encode_rules
 from message_relay.consensus.version_history import Answer as CommandAnswer
 from message_relay.consensus.version_history import Command, Version, command
 from message_relay.failover.observations import Report
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -9,12 +9,13 @@
 from message_relay.consensus.lease_grantor import LeaseGrantor
 from message_relay.consensus.lease_holder import LeaseHolder, LeaseTier
 from message_relay.consensus.lease_protocol import LeaseTerms
-from message_relay.consensus.rules import ANY, DENY_ALL, Destination, Rules, encode_rules
+from message_relay.consensus.rules import ANY, DENY_ALL, DestinationRule, Rules
+from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import Propose, Version, VersionHistory
 
 TERMS = LeaseTerms(bound_s=2.0, horizon_s=6.0)
 VOTERS = ("n0", "n1", "n2")
-STRICT = Rules({ANY: Destination(rate=5.0)})
+STRICT = Rules({ANY: DestinationRule(rate=5.0)})
 
 
 class Three:
--- a/tests/consensus/test_rules.py
+++ b/tests/consensus/test_rules.py
@@ -9,33 +9,28 @@
 from message_relay.consensus import capabilities
 from message_relay.consensus.rules import (
     DENY_ALL,
-    Class,
-    Destination,
-    Flow,
+    ClassRule,
+    DestinationRule,
+    FlowRule,
     Policies,
     Rules,
     RulesError,
-    decode_rules,
-    diff_rules,
-    digest,
-    encode_rules,
-    intersect,
-    is_subset,
-    normalize,
-    standby_rules,
-    validate_rules,
 )
+from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
+from message_relay.consensus.rules_diff import diff_rules
+from message_relay.consensus.rules_meet import intersect, is_subset, normalize, standby_rules
+from message_relay.consensus.rules_validation import validate_rules
 
 some = st.one_of(st.none(), st.frozensets(st.sampled_from("abc")))
 destinations = st.builds(
-    Destination,
+    DestinationRule,
     st.one_of(st.none(), st.sampled_from([0.0, 0.5, 10.0, 100.0])),
     st.one_of(st.none(), st.integers(0, 3)),
     some,
     st.booleans(),
 )
 classes = st.builds(
-    Class,
+    ClassRule,
     st.sampled_from([None, "unsafe", "keyed", "safe"]),
     st.one_of(st.none(), st.integers(1, 3)),
     st.booleans(),
@@ -43,7 +38,7 @@
 rates = st.sampled_from([0.0, 0.5, 10.0])
 rows = st.dictionaries(st.sampled_from("abc"), rates, max_size=2)
 flows = st.builds(
-    Flow,
+    FlowRule,
     st.dictionaries(st.sampled_from("*abc"), rows, max_size=3),
     st.dictionaries(st.sampled_from("ab"), rates),
 )
@@ -100,7 +95,7 @@
 
 
 def test_names_are_held_against_those_that_are_known() -> None:
-    rules = Rules(classes={"pya": Class()}, policies=Policies(frozenset(["q"])))
+    rules = Rules(classes={"pya": ClassRule()}, policies=Policies(frozenset(["q"])))
     with pytest.raises(
         RulesError, match=r"classes.pya: is none of order, pay\npolicies.zones: 'q' is none of z"
     ):
@@ -108,7 +103,7 @@
 
 
 def test_what_a_build_lacks_and_what_changes_is_told() -> None:
-    rules = Rules({"1": Destination(rate=5)}, {"pay": Class(attempts=1)})
+    rules = Rules({"1": DestinationRule(rate=5)}, {"pay": ClassRule(attempts=1)})
     assert (
         capabilities.unsupported_fields(rules, capabilities.DESTINATIONS) == ["classes"]
         and capabilities.unsupported_fields(rules, capabilities.SUPPORTED) == []
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from message_relay.consensus.rules import ANY, Destination, Rules, RulesError, encode_rules
+from message_relay.consensus.rules import ANY, DestinationRule, Rules, RulesError
+from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import (
     KEPT,
     Forget,
@@ -17,8 +18,8 @@
     command,
 )
 
-STRICT = Rules({ANY: Destination(rate=5.0)})
-LOOSE = Rules({ANY: Destination(rate=50.0)})
+STRICT = Rules({ANY: DestinationRule(rate=5.0)})
+LOOSE = Rules({ANY: DestinationRule(rate=50.0)})
 
 
 def book() -> VersionHistory:
@@ -42,7 +43,7 @@
 def test_a_trial_is_stricter_and_ends_by_promotion_or_withdrawal() -> None:
     it = book()
     it.apply(propose(1, LOOSE))
-    assert "stricter" in it.apply(propose(2, Rules({ANY: Destination(rate=60.0)}), 0.2)).refused
+    assert "stricter" in it.apply(propose(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
     assert it.apply(propose(2, STRICT, 0.2)).number == 3
     assert it.trial is not None and it.current.number == 2
     assert "on trial" in it.apply(propose(3, LOOSE)).refused
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -9,7 +9,8 @@
 
 from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
 from message_relay.consensus.rule_enforcement import RuleEnforcer
-from message_relay.consensus.rules import Flow, Policies, Rules, is_subset, normalize, standby_rules
+from message_relay.consensus.rules import FlowRule, Policies, Rules
+from message_relay.consensus.rules_meet import is_subset, normalize, standby_rules
 from message_relay.core.ports import CallContext
 from message_relay.decisions.model import Endpoint, Listing
 from message_relay.failover.controller import Capacities, FailoverController
@@ -152,7 +153,7 @@
 
 
 def test_a_bound_is_kept_by_each_relay_and_a_class_stays_in_its_region_whatever_the_plan() -> None:
-    rules = Rules(flows={"1": Flow({"a": {"b": 40.0}})}, zones={"a": 4})
+    rules = Rules(flows={"1": FlowRule({"a": {"b": 40.0}})}, zones={"a": 4})
     one = gate(rules)
     took = sum(one.authorize(n / 100, call("b")) is not None for n in range(1000))
     assert 100 <= took <= 102  # 10 a second of 40, and one that was saved up
@@ -165,7 +166,7 @@
     """Left to themselves all choose the same one: seen on 24 real processes, 1.5 of one zone's rate while
     another's room was unused."""
     rooms = {"b": 30.0, "c": 10.0}
-    rules = Rules(flows={"1": Flow({"a": rooms})}, zones={"a": 16})
+    rules = Rules(flows={"1": FlowRule({"a": rooms})}, zones={"a": 16})
     calls = {"b": 0, "c": 0}
     for n in range(16):
         one = gate(rules, f"n{3 * n}")
@@ -184,7 +185,7 @@
     entry = Endpoint(1, 1, Listing.READY)
 
     def used(part: float) -> set[str]:
-        rules = Rules(flows={"1": Flow(share={"a": {"a": part}})})
+        rules = Rules(flows={"1": FlowRule(share={"a": {"a": part}})})
         return {
             name
             for name in (f"n{n}" for n in range(400))
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -22,7 +22,8 @@
 from benchmarks.capacity.observations import taken as reported
 from message_relay.consensus.lease_grantor import FULL_CHECKS_PER_LEASE, LeaseGrantor, RelayLease
 from message_relay.consensus.lease_protocol import LeaseRenewal
-from message_relay.consensus.rules import ANY, Destination, Rules, encode_rules
+from message_relay.consensus.rules import ANY, DestinationRule, Rules
+from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import Propose
 from message_relay.failover.observations import Observations, Report
 from message_relay.gossip.dissemination_queue import DisseminationQueue
@@ -221,7 +222,7 @@
 
 def proposed(it: LeaseGrantor, rate: float) -> None:
     """A version that forbids what the one before it allows."""
-    raw = encode_rules(Rules({ANY: Destination(rate=rate)}))
+    raw = encode_rules(Rules({ANY: DestinationRule(rate=rate)}))
     assert not it.history.apply(Propose(it.history.newest.number, raw, "test", "", 0.0)).refused
 
 
