--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -16,7 +16,7 @@
 from message_relay.consensus.rules import ANY, DestinationRule, Rules
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
 from message_relay.consensus.rules_meet import is_subset
-from message_relay.consensus.version_history import KEPT, Propose, Version, VersionHistory
+from message_relay.consensus.version_history import VERSIONS_RETAINED, Propose, Version, VersionHistory
 from message_relay.gossip.wire import App, Packet, opened, sealed
 
 from .form import Measure
@@ -31,7 +31,7 @@
 Names = list[str]
 
 
-def voter(size: int, versions: int = KEPT) -> tuple[LeaseGrantor, Names]:
+def voter(size: int, versions: int = VERSIONS_RETAINED) -> tuple[LeaseGrantor, Names]:
     """One that holds as many versions as are kept, the newest cleared, and knows no relay yet."""
     book = VersionHistory(Rules(), VOTERS)
     for n in range(1, versions):
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -116,8 +116,8 @@
         self.accord, retell = accord, accord.on_rules_changed
 
         def retold() -> None:
-            if accord.shown is not None:
-                watch.acting(number, accord.shown.label)
+            if accord.reported_rules is not None:
+                watch.acting(number, accord.reported_rules.label)
             retell()
 
         accord.on_rules_changed = retold
@@ -218,7 +218,7 @@
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
         news = [len(one.common.peers.swim.news) for one in self.instances.values()]
         late = [
-            f"{one.accord.me}: {one.accord.acting().label} {one.accord.lease_holder.denial_reason}"
+            f"{one.accord.name}: {one.accord.active_rules().label} {one.accord.lease_holder.denial_reason}"
             for number, one in self.instances.items()
             if max(self.watch.acts.get(number, {0: 0.0})) < version
         ]
--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_relay.consensus.admin_socket import question
+from message_relay.consensus.admin_socket import send_request
 from message_relay.fleet.status import StatusError
 
 from .processes import Fleet, free_ports, lines, settings
@@ -285,7 +285,7 @@
         await self.net("set", rest, mine, cut=True)
 
     async def rules(self, n: int, ask: str, **more: Any) -> dict[str, Any]:
-        return await question(self.folder / "run" / f"{n}.rules", {"ask": ask, **more})
+        return await send_request(self.folder / "run" / f"{n}.rules", {"ask": ask, **more})
 
     async def propose(self, n: int, rules: dict[str, Any], **more: Any) -> dict[str, Any]:
         return await self.rules(
--- a/emulator/consensus/world.py
+++ b/emulator/consensus/world.py
@@ -326,7 +326,7 @@
                     f"{self.now:.2f}: {relay.name} acts by {acting.label} "
                     f"{late:.2f} s after {self.force.number}"
                 )
-        if not is_subset(acting.rules, self.force.set):
+        if not is_subset(acting.rules, self.force.decoded_rules):
             self.broken.append(
                 f"{self.now:.2f}: {relay.name} sends by {acting.label} what {self.force.number} forbids"
             )
@@ -405,12 +405,12 @@
         for relay in self.relays:
             relay.frozen_until = min(relay.frozen_until, self.now)
         # A trial that nobody ended would stand for ever: the operators end it.
-        trial = self.truth.trial
+        trial = self.truth.canary
         if trial is not None:
             self.at(self.now + 1.0, self.settle)
 
     def settle(self) -> None:
-        trial = self.truth.trial
+        trial = self.truth.canary
         if trial is None:
             return
         told: Any = Withdraw(trial.number, "op", "the end")
--- a/message_relay/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from ..consensus.admin_socket import question
+from ..consensus.admin_socket import send_request
 from ..consensus.rules import RulesError
 from ..consensus.rules_codec import decode_rules
 from ..consensus.rules_diff import diff_rules
@@ -45,7 +45,7 @@
         why = "no instance has a socket there"
         for path in self.paths:
             try:
-                return asyncio.run(question(path, told))
+                return asyncio.run(send_request(path, told))
             except StatusError as error:
                 why = str(error)
         raise click.ClickException(why)
@@ -54,7 +54,7 @@
         found = []
         for path in self.paths:
             try:
-                found.append(asyncio.run(question(path, told)))
+                found.append(asyncio.run(send_request(path, told)))
             except StatusError as error:
                 found.append({"name": path.stem, "silent": str(error)})
         return found
--- a/message_relay/consensus/admin_socket.py
+++ b/message_relay/consensus/admin_socket.py
@@ -22,7 +22,9 @@
 class AdminRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What an operator's command asks of an instance."""
 
-    ask: str  # status, propose, promote, withdraw, revert, voters, forget, explain, history, version
+    operation: str = msgspec.field(
+        name="ask"
+    )  # status, propose, promote, withdraw, revert, voters, forget, explain, history, version
     rules: msgspec.Raw = msgspec.Raw(b"{}")
     author: str = ""
     cause: str = ""
@@ -39,14 +41,14 @@
 class AdminSocket(UnixSocket):
     def __init__(self, path: Path, take: Callable[[AdminRequest], Awaitable[dict[str, Any]]]) -> None:
         super().__init__(path)
-        self.take = take
+        self.on_request = take
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.asked += 1
         try:
             if self.asked <= MOST:
                 async with asyncio.timeout(READ_S):
-                    raw = await read(reader)
+                    raw = await read_request(reader)
                 writer.write(msgspec.json.encode(await self._answer(raw)))
                 await writer.drain()
         except (OSError, TimeoutError):
@@ -59,12 +61,12 @@
 
     async def _answer(self, raw: bytes) -> dict[str, Any]:
         try:
-            return await self.take(msgspec.json.decode(raw, type=AdminRequest))
+            return await self.on_request(msgspec.json.decode(raw, type=AdminRequest))
         except (RulesError, msgspec.MsgspecError) as error:
             return {"number": 0, "refused": str(error)}
 
 
-async def read(reader: asyncio.StreamReader) -> bytes:
+async def read_request(reader: asyncio.StreamReader) -> bytes:
     """Until the other side has said all. Raises RulesError where that is too much."""
     parts, length = [], 0
     while part := await reader.read(65536):
@@ -75,7 +77,7 @@
     return b"".join(parts)
 
 
-async def question(path: Path, told: dict[str, Any], seconds: float = ANSWER_S) -> dict[str, Any]:
+async def send_request(path: Path, told: dict[str, Any], seconds: float = ANSWER_S) -> dict[str, Any]:
     """Asks an instance. Raises StatusError where nobody answers in time."""
     try:
         async with asyncio.timeout(seconds):
--- a/message_relay/consensus/canary_guard.py
+++ b/message_relay/consensus/canary_guard.py
@@ -17,8 +17,8 @@
 
 class Verdict(Enum):
     WAIT = "wait"
-    HARM = "harm"
-    WELL = "well"
+    HARMFUL = "harm"
+    HEALTHY = "well"
 
 
 @dataclass
@@ -26,31 +26,31 @@
     """Over one version, from the moment at which it was first seen in force."""
 
     version: Version
-    since: float
-    before: float | None  # share of the fleet before it; None: too little was seen
-    at: dict[tuple[str, int], DeliveryCounts] = field(
+    started_at: float
+    baseline_share: float | None  # share of the fleet before it; None: too little was seen
+    initial_counts: dict[tuple[str, int], DeliveryCounts] = field(
         default_factory=dict
     )  # of each process, when it was first seen
 
-    def judged(self, now: float, records: Iterable[tuple[str, RelayLease]]) -> tuple[Verdict, str]:
+    def evaluate(self, now: float, records: Iterable[tuple[str, RelayLease]]) -> tuple[Verdict, str]:
         guard = self.version.guard
         if guard is None:
             return Verdict.WAIT, ""
         mine, others = self._sums(records)
         share = _share(mine, guard)
-        other = _share(others, guard) if self.version.share < 1 else self.before
+        other = _share(others, guard) if self.version.share < 1 else self.baseline_share
         if share is not None and other is not None and other > 0 and share / other < guard.least_ratio:
-            return Verdict.HARM, (
+            return Verdict.HARMFUL, (
                 f"delivered {share:.3f} of {mine.completed} with it, {other:.3f} without: under "
                 f"{guard.least_ratio:g}"
             )
-        done = now - self.since >= guard.watch_s
-        return (Verdict.WELL if done and share is not None else Verdict.WAIT), ""
+        done = now - self.started_at >= guard.watch_s
+        return (Verdict.HEALTHY if done and share is not None else Verdict.WAIT), ""
 
     def _sums(self, records: Iterable[tuple[str, RelayLease]]) -> tuple[DeliveryCounts, DeliveryCounts]:
         sums = [[0, 0], [0, 0]]
         for name, record in records:
-            first = self.at.setdefault((name, record.nonce), record.counts)
+            first = self.initial_counts.setdefault((name, record.nonce), record.counts)
             mine = self.version.share >= 1 or is_in_canary(name, self.version)
             sums[not mine][0] += record.counts.delivered - first.delivered
             sums[not mine][1] += record.counts.completed - first.completed
@@ -62,26 +62,26 @@
 
 
 @dataclass
-class Recent:
+class RecentOutcomes:
     """The fleet's share over the last while, for a change that goes at once."""
 
-    span: float = 20.0
-    seen: list[tuple[float, DeliveryCounts]] = field(default_factory=list)
+    span_s: float = 20.0
+    samples: list[tuple[float, DeliveryCounts]] = field(default_factory=list)
 
-    def take(self, now: float, records: Iterable[RelayLease]) -> None:
+    def add(self, now: float, records: Iterable[RelayLease]) -> None:
         told = list(records)
-        if self.seen and now - self.seen[-1][0] < self.span / 20:
+        if self.samples and now - self.samples[-1][0] < self.span_s / 20:
             return
         total = DeliveryCounts(
             sum(each.counts.delivered for each in told), sum(each.counts.completed for each in told)
         )
-        if self.seen and total.completed < self.seen[-1][1].completed:
-            self.seen.clear()  # a process has begun anew: differences would mislead
-        self.seen = [each for each in self.seen if each[0] > now - self.span] + [(now, total)]
+        if self.samples and total.completed < self.samples[-1][1].completed:
+            self.samples.clear()  # a process has begun anew: differences would mislead
+        self.samples = [each for each in self.samples if each[0] > now - self.span_s] + [(now, total)]
 
-    def share(self, least: int) -> float | None:
-        if len(self.seen) < 2:
+    def delivered_share(self, least: int) -> float | None:
+        if len(self.samples) < 2:
             return None
-        (_, first), (_, last) = self.seen[0], self.seen[-1]
+        (_, first), (_, last) = self.samples[0], self.samples[-1]
         ended = last.completed - first.completed
         return (last.delivered - first.delivered) / ended if ended >= least else None
--- a/message_relay/consensus/clock.py
+++ b/message_relay/consensus/clock.py
@@ -13,7 +13,7 @@
         self.rate = rate
 
     @classmethod
-    def of_environment(cls) -> Clock:
+    def from_environment(cls) -> Clock:
         return cls(float(os.environ.get("LINNETSTILE_CLOCK_RATE", "1")))
 
     def now(self) -> float:
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -22,13 +22,13 @@
 from ..structured_logging import LogEvent
 from . import capabilities
 from .admin_socket import AdminRequest
-from .canary_guard import CanaryWatch, Recent, Verdict
+from .canary_guard import CanaryWatch, RecentOutcomes, Verdict
 from .clock import Clock
 from .lease_grantor import LeaseGrantor
 from .lease_holder import ActiveRules, LeaseHolder
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal
 from .process_epochs import ProcessEpochs
-from .raft_storage import JOURNAL, removed
+from .raft_storage import JOURNAL, remove_log
 from .replicated_log import ReplicatedLog
 from .rule_enforcement import RuleEnforcer
 from .rules import Rules, RulesError
@@ -36,20 +36,20 @@
 from .rules_meet import is_subset
 from .rules_validation import validate_rules
 from .settings import ConsensusSettings
-from .version_fetch import Sought, VersionFetcher, first_pause
+from .version_fetch import VersionFetcher, VersionSearch, first_pause
 from .version_history import (
-    FIRST,
-    Answer,
+    FIRST_NUMBER,
+    ChangeVoters,
     Command,
+    CommandResult,
     Forget,
     Promote,
     Propose,
     Stage,
     Version,
     VersionHistory,
-    Voters,
     Withdraw,
-    command,
+    decode_command,
 )
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
 VERSION, COMMAND, BOOT = "version", "command", "boot"  # questions on a connection
 ASK_S, PROPOSE_S = 1.0, 5.0
 NO_VOTE = "this voter does not vote"
-ANSWER: msgspec.json.Decoder[Answer] = msgspec.json.Decoder(Answer)
+ANSWER: msgspec.json.Decoder[CommandResult] = msgspec.json.Decoder(CommandResult)
 LOOK_S = 0.05  # how often a change of what is acted on is looked for
 GUARD_S, FILE_S = 0.5, 1.0
 AGAIN_S = 2.0  # a log whose disk has failed is opened again so long after
@@ -70,18 +70,20 @@
 
 class VoterState(msgspec.Struct, forbid_unknown_fields=True):
     cleared: int = 0
-    boots: dict[str, int] = {}  # identity -> highest boot seen
-    voted: bool = False  # the log was begun in this folder
+    highest_epochs: dict[str, int] = msgspec.field(default_factory=dict, name="boots")  # by identity
+    log_started: bool = msgspec.field(default=False, name="voted")  # the log was begun in this folder
     voters: tuple[str, ...] = ()  # as the newest version says that was heard of; () at first
 
 
 class CallObserver(Protocol):
     """What takes part in the rules beside the operators: plans of failover."""
 
-    def asked(self, destination: int, class_: str) -> None:
+    def on_request(self, destination: int, class_: str) -> None:
         """A message was handed in."""
 
-    def ended(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
+    def on_call_completed(
+        self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
+    ) -> None:
         """A call has ended, or did not come about."""
 
     def status(self) -> dict[str, Any]:
@@ -111,8 +113,8 @@
         self.part, self.peers, self.folder, self.identity = part, peers, folder, identity
         self.classes, self.zones = [cls.name for cls in settings.classes], zones
         self.on_rules_changed, self.counts = retell, counts
-        self.terms, self.clock = part.lease_terms(), Clock.of_environment()
-        self.me = identity.name
+        self.terms, self.clock = part.lease_terms(), Clock.from_environment()
+        self.name = identity.name
         self.voters = tuple(f"n{number}" for number in sorted(part.voters))
         self.history = VersionHistory(part.first, self.voters)
         self.first = digest(part.first) + "/" + ",".join(self.voters)
@@ -124,22 +126,24 @@
         )
         self.lease_holder.add_version(self.history.newest)
         zone = zones[settings.zone] if settings.zone < len(zones) else ""
-        self.gate = RuleEnforcer(self.acting, instances, lambda: time.time() * 1000, self.me, zone)
+        self.rule_enforcer = RuleEnforcer(
+            self.active_rules, instances, lambda: time.time() * 1000, self.name, zone
+        )
         self.voter_state = self._stood()
-        self.boots = ProcessEpochs(self.voter_state.boots)
+        self.boots = ProcessEpochs(self.voter_state.highest_epochs)
         self.lease_grantor: LeaseGrantor | None = None
         # When the voters last changed: their proposer's stamp, and when this process saw it by its own clock.
         # Only the second is reckoned with: a wall clock may step, and a relay's majority hangs on the wait.
         self.voters_seen = (0.0, -math.inf)
-        self.log: ReplicatedLog | None = None
+        self.replicated_log: ReplicatedLog | None = None
         self.mute = ""  # why this voter does not vote
         self.fetching = VersionFetcher(peers.rng)
         self.watch: CanaryWatch | None = None
-        self.watching: CallObserver | None = None
-        self.recent = Recent()
+        self.call_observer: CallObserver | None = None
+        self.recent = RecentOutcomes()
         self.tasks = BackgroundTasks()
         self.wake = asyncio.Event()
-        self.shown: ActiveRules | None = None
+        self.reported_rules: ActiveRules | None = None
         self.file_seen = ""
         peers.rebooted.append(self._rebooted)
         peers.refused.append(self._refused)
@@ -165,8 +169,8 @@
 
     async def close(self) -> None:
         await self.tasks.cancel()
-        if self.log is not None:
-            await self.log.close()
+        if self.replicated_log is not None:
+            await self.replicated_log.close()
 
     def _stood(self) -> VoterState:
         try:
@@ -177,31 +181,31 @@
             log.error(LogEvent("what this voter had cleared can't be read: it begins anew", why=error))
             return VoterState()
 
-    def _keep(self) -> None:
+    def save_voter_state(self) -> None:
         written(self.folder / STANDING, self.voter_state)
 
     # -- the voter's part ------------------------------------------------------------------------------------
 
-    def voting_now(self) -> tuple[str, ...]:
+    def current_voters(self) -> tuple[str, ...]:
         """Who votes, as far as is known here: an instance may have been added or removed since its file was
         written, also by versions that this process has not heard of yet."""
         latest = self.lease_holder.latest_version
-        if latest is not None and latest.number > FIRST:
+        if latest is not None and latest.number > FIRST_NUMBER:
             return latest.voters
         return self.voter_state.voters or self.voters
 
     def _station(self) -> None:
         """Begins to vote, or ends it, as the newest version says."""
-        voters = self.voting_now()
+        voters = self.current_voters()
         if voters != (self.voter_state.voters or self.voters):
             self.voter_state.voters = voters
             try:
-                self._keep()
+                self.save_voter_state()
             except OSError as error:
                 log.error(LogEvent("who votes is not written down", why=error))
-        if self.me in voters and self.voting is None:
+        if self.name in voters and self.voting is None:
             self.voting = self.tasks.start(self._vote())
-        elif self.me not in voters and self.voting is not None:
+        elif self.name not in voters and self.voting is not None:
             log.info(LogEvent("this instance votes no more", voters=",".join(voters)))
             self.voting.cancel()
             self.voting, self.mute = None, ""
@@ -211,9 +215,9 @@
         """Its log is removed: added again, it begins anew."""
         await self._closed()
         try:
-            removed(self.folder)
-            self.voter_state.voted = False
-            self._keep()
+            remove_log(self.folder)
+            self.voter_state.log_started = False
+            self.save_voter_state()
         except OSError as error:
             log.error(LogEvent("the log of one that votes no more is not removed", why=error))
 
@@ -224,13 +228,13 @@
         self.looked = True  # the others know this boot from now on
         if seen >= self.identity.boot:
             self.peers.reboot(seen)
-        elif self.voter_state.voted and not (self.folder / JOURNAL).exists():
+        elif self.voter_state.log_started and not (self.folder / JOURNAL).exists():
             self._mute("its log is gone")
         while not self.mute:
             try:
                 self._open()
-                assert self.log is not None
-                await self.log.run()
+                assert self.replicated_log is not None
+                await self.replicated_log.run()
             except OSError as error:
                 log.error(LogEvent("the log's disk has failed: it is opened again", why=error))
                 self.mute = f"its disk has failed, and is tried again: {error}"
@@ -245,17 +249,19 @@
 
     def _open(self) -> None:
         """Raises Torn, OSError, and what the library makes of a file that is torn."""
-        self.voter_state.voted = True
-        self._keep()
-        others = [name for name in self.voting_now() if name != self.me]
+        self.voter_state.log_started = True
+        self.save_voter_state()
+        others = [name for name in self.current_voters() if name != self.name]
         self.history = VersionHistory(self.part.first, self.voters)
-        self.log = ReplicatedLog(self.folder, self.peers, self.me, others, self.history, self._applied)
+        self.replicated_log = ReplicatedLog(
+            self.folder, self.peers, self.name, others, self.history, self._applied
+        )
         self.lease_grantor = LeaseGrantor(
-            self.me, self.history, self.terms, self.first, self.voter_state.cleared, self.clock.now()
+            self.name, self.history, self.terms, self.first, self.voter_state.cleared, self.clock.now()
         )
 
     async def _closed(self) -> None:
-        closing, self.log, self.lease_grantor = self.log, None, None
+        closing, self.replicated_log, self.lease_grantor = self.replicated_log, None, None
         if closing is not None:
             await closing.close()
 
@@ -276,15 +282,15 @@
             return
         self.mute = why
         log.error(LogEvent("this voter does not vote: remove it from the voters and add it anew", why=why))
-        if self.log is not None:
+        if self.replicated_log is not None:
             self.voting.cancel()
             self.tasks.start(self._closed())
 
     async def _seen(self) -> int:
         """The highest boot that the others have seen of this folder; asks until a majority has answered."""
         told: dict[str, int] = {}
-        voters = self.voting_now()
-        others = [name for name in voters if name != self.me]
+        voters = self.current_voters()
+        others = [name for name in voters if name != self.name]
         ends = self.clock.now() + START_S
         while 2 * (len(told) + 1) <= len(voters) and self.clock.now() < ends:
             for name in others:
@@ -303,22 +309,22 @@
         """The highest boot that was seen of an identity before the process that asks."""
         told: tuple[str, int] = msgspec.msgpack.decode(raw, type=tuple[str, int])
         ident, boot = told
-        kept = self.voter_state.boots.get(ident)
-        before = self.boots.told(ident, boot, hello.nonce)
-        if self.voter_state.boots.get(ident) != kept:
+        kept = self.voter_state.highest_epochs.get(ident)
+        before = self.boots.observe(ident, boot, hello.nonce)
+        if self.voter_state.highest_epochs.get(ident) != kept:
             try:
-                self._keep()
+                self.save_voter_state()
             except OSError as error:
                 log.error(LogEvent("the boot of a peer is not written", why=error))
-                self.boots.back(ident, kept)
+                self.boots.undo_observe(ident, kept)
         return msgspec.msgpack.encode(before)
 
     def _applied(self) -> None:
         """The log has moved on."""
         for version in self.history.versions:
             self.lease_holder.add_version(version)
-        if self.history.voters_at_ms != self.voters_seen[0]:
-            self.voters_seen = self.history.voters_at_ms, self.clock.now()
+        if self.history.voters_changed_at_ms != self.voters_seen[0]:
+            self.voters_seen = self.history.voters_changed_at_ms, self.clock.now()
         self._clear()
         self._hint()
         self.wake.set()
@@ -329,7 +335,7 @@
             return
         before, self.voter_state.cleared = self.voter_state.cleared, granting.cleared_version
         try:
-            self._keep()
+            self.save_voter_state()
         except OSError as error:
             # Guards against a voter that has cleared what its next process does not know of.
             granting.cleared_version = self.voter_state.cleared = before
@@ -365,11 +371,11 @@
 
     # -- the relay's part ------------------------------------------------------------------------------------
 
-    def acting(self) -> ActiveRules:
+    def active_rules(self) -> ActiveRules:
         return self.lease_holder.active_rules(self.clock.now())
 
     def _asked(self) -> list[str]:
-        return sorted({*self.voters, *self.voter_state.voters, *self.voting_now()})
+        return sorted({*self.voters, *self.voter_state.voters, *self.current_voters()})
 
     async def _renewals(self) -> None:
         while True:
@@ -388,7 +394,7 @@
         told = self.lease_holder.renew(self.clock.now(), self.counts())
         raw = msgspec.msgpack.encode(told)
         for name in self._asked():
-            if name != self.me:
+            if name != self.name:
                 self.peers.send_datagram(name, RENEW, raw)
             elif self.lease_grantor is not None:
                 self._take(name, self._grant(name, told))
@@ -400,21 +406,21 @@
         if self.lease_holder.on_grant(self.clock.now(), voter, grant):
             self.wake.set()
         if missing := self.lease_holder.missing_version(grant):
-            sought = self.fetching.told(missing, voter)
+            sought = self.fetching.on_version_reported(missing, voter)
             if sought is not None:
                 self.tasks.start(self._fetch(missing, sought))
 
-    async def _fetch(self, number: int, sought: Sought) -> None:
+    async def _fetch(self, number: int, sought: VersionSearch) -> None:
         """Until it is here, also by another way: the log of one that votes, or a later version."""
         try:
             relays = len(self.peers.swim.members)
-            await asyncio.sleep(first_pause(self.peers.rng, relays, len(self.voting_now())))
-            while number not in self.lease_holder.versions and (voter := sought.next()) is not None:
+            await asyncio.sleep(first_pause(self.peers.rng, relays, len(self.current_voters())))
+            while number not in self.lease_holder.versions and (voter := sought.next_voter()) is not None:
                 if await self._had(number, voter):
                     return
-                await asyncio.sleep(sought.pause())
+                await asyncio.sleep(sought.next_pause())
         finally:
-            self.fetching.over(number)
+            self.fetching.finish(number)
 
     async def _had(self, number: int, voter: str) -> bool:
         """Whether this voter's answer brought it."""
@@ -439,41 +445,41 @@
         """Has the decisions look anew when what is acted on has changed."""
         while True:
             self._station()
-            acting = self.acting()
-            if self.shown is None or acting.label != self.shown.label:
+            acting = self.active_rules()
+            if self.reported_rules is None or acting.label != self.reported_rules.label:
                 log.info(
                     LogEvent(
                         "acts by other rules",
                         version=acting.label,
-                        before="-" if self.shown is None else self.shown.label,
+                        before="-" if self.reported_rules is None else self.reported_rules.label,
                     )
                 )
-                self.shown = acting
+                self.reported_rules = acting
                 self.on_rules_changed()
             await asyncio.sleep(LOOK_S)
 
     # -- what the host asks (core/ports.py: Permits) ---------------------------------------------------------
 
     def authorize(self, call: CallContext) -> str | None:
-        return self.gate.authorize(self.clock.now(), call)
+        return self.rule_enforcer.authorize(self.clock.now(), call)
 
     def is_still_authorized(self, call: CallContext) -> bool:
-        return self.gate.is_still_authorized(call)
+        return self.rule_enforcer.is_still_authorized(call)
 
     def release(self, destination: int) -> None:
-        self.gate.release(destination)
+        self.rule_enforcer.release(destination)
 
     def record_outcome(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
-        if self.watching is not None:
-            self.watching.ended(call, outcome, latency_ms, wait_ms)
+        if self.call_observer is not None:
+            self.call_observer.on_call_completed(call, outcome, latency_ms, wait_ms)
 
     def denial_reason(self, destination: int, class_: str) -> str:
-        if self.watching is not None:
-            self.watching.asked(destination, class_)
-        return self.gate.denial_reason(destination, class_)
+        if self.call_observer is not None:
+            self.call_observer.on_request(destination, class_)
+        return self.rule_enforcer.denial_reason(destination, class_)
 
     def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
-        return self.gate.constrained_endpoint(name, zone, entry)
+        return self.rule_enforcer.constrained_endpoint(name, zone, entry)
 
     # -- the guard -------------------------------------------------------------------------------------------
 
@@ -482,14 +488,14 @@
             await asyncio.sleep(GUARD_S)
             try:
                 self._clear()
-                if self.log is not None and self.lease_grantor is not None:
+                if self.replicated_log is not None and self.lease_grantor is not None:
                     await self._guard()
             except Exception:
                 log.exception("a look at the guard failed")
 
     async def _guard(self) -> None:
         """Only the leader speaks, and what it says names the version: a late word changes nothing."""
-        assert self.lease_grantor is not None and self.log is not None
+        assert self.lease_grantor is not None and self.replicated_log is not None
         now, newest, records = self.clock.now(), self.history.newest, self.lease_grantor.leases
         if self.watch is None or self.watch.version.number != newest.number:
             if (
@@ -499,18 +505,18 @@
             ):
                 return  # not in force yet
             least = newest.guard.least_count if newest.guard is not None else 1
-            self.watch = CanaryWatch(newest, now, self.recent.share(least))
-            self.recent = Recent(self.recent.span)
-        self.recent.take(now, records.values())
-        if not self.log.leads or newest.guard is None or newest.stage is Stage.WITHDRAWN:
+            self.watch = CanaryWatch(newest, now, self.recent.delivered_share(least))
+            self.recent = RecentOutcomes(self.recent.span_s)
+        self.recent.add(now, records.values())
+        if not self.replicated_log.is_leader or newest.guard is None or newest.stage is Stage.WITHDRAWN:
             return
-        verdict, why = self.watch.judged(now, records.items())
-        trial = newest.stage is Stage.TRIAL
-        if verdict is Verdict.HARM and trial:
+        verdict, why = self.watch.evaluate(now, records.items())
+        trial = newest.stage is Stage.CANARY
+        if verdict is Verdict.HARMFUL and trial:
             await self._agree(Withdraw(newest.number, "guard", why))
-        elif verdict is Verdict.HARM:
+        elif verdict is Verdict.HARMFUL:
             await self._agree(self._back(newest, "guard", why))
-        elif verdict is Verdict.WELL and trial and newest.guard.promote:
+        elif verdict is Verdict.HEALTHY and trial and newest.guard.promote:
             await self._agree(Promote(newest.number, "guard"))
 
     def _back(self, version: Version, author: str, cause: str, to: int = 0) -> Propose:
@@ -526,18 +532,25 @@
         if found is None:
             raise RulesError(f"there is no version {to or 'before this one'} to go back to")
         return Propose(
-            self.history.newest.number, found.rules, author, cause, time.time() * 1000, of=found.number
+            self.history.newest.number,
+            found.rules,
+            author,
+            cause,
+            time.time() * 1000,
+            restored_from=found.number,
         )
 
     # -- operators -------------------------------------------------------------------------------------------
 
-    async def _agree(self, told: Command) -> Answer:
+    async def _agree(self, told: Command) -> CommandResult:
         """Hands a command to the log, by way of a voter where this is none."""
         raw = msgspec.json.encode(told)
-        if self.log is not None:
+        if self.replicated_log is not None:
             why = self._against(told)
-            return Answer(refused=why) if why else await self.log.propose(told, raw, PROPOSE_S)
-        answer = Answer(refused="no voter can be reached")
+            return (
+                CommandResult(refused=why) if why else await self.replicated_log.propose(told, raw, PROPOSE_S)
+            )
+        answer = CommandResult(refused="no voter can be reached")
         for name in self._asked():
             try:
                 said = await self.peers.request(name, COMMAND, raw, PROPOSE_S + ASK_S)
@@ -550,13 +563,15 @@
 
     async def _command(self, hello: Hello, raw: bytes) -> bytes:
         try:
-            if self.log is None:
+            if self.replicated_log is None:
                 raise RulesError(NO_VOTE)
-            told = command(raw)
+            told = decode_command(raw)
             why = self._against(told)
-            answer = Answer(refused=why) if why else await self.log.propose(told, raw, PROPOSE_S)
+            answer = (
+                CommandResult(refused=why) if why else await self.replicated_log.propose(told, raw, PROPOSE_S)
+            )
         except RulesError as error:
-            answer = Answer(refused=str(error))
+            answer = CommandResult(refused=str(error))
         return msgspec.json.encode(answer)
 
     def _against(self, told: Command) -> str:
@@ -576,7 +591,7 @@
                             f"rules: {claim.name} runs a build that does not know "
                             f"{', '.join(lacking)}: upgrade it first"
                         )
-            if isinstance(told, Voters):
+            if isinstance(told, ChangeVoters):
                 since = self.clock.now() - self.voters_seen[1]
                 if since < self.terms.grantor_duration(self.terms.horizon_s):
                     raise RulesError(
@@ -587,44 +602,48 @@
         except RulesError as error:
             return str(error)
 
-    async def asked(self, question: AdminRequest) -> dict[str, Any]:
+    async def handle_admin_request(self, question: AdminRequest) -> dict[str, Any]:
         """An operator's question, and its answer. RulesError where it makes no sense."""
         now = time.time() * 1000
-        if question.ask in COMMANDS:
+        if question.operation in COMMANDS:
             answer = await self._agree(await self._meant(question, now))
             return {"number": answer.number, "refused": answer.refused}
-        if question.ask in ("zones", "plan"):
-            if self.watching is None:
+        if question.operation in ("zones", "plan"):
+            if self.call_observer is None:
                 raise RulesError("failover.zones: there are no plans here")
-            return self.watching.status() if question.ask == "zones" else self.watching.plan(question)
-        if question.ask == "status":
+            return (
+                self.call_observer.status()
+                if question.operation == "zones"
+                else self.call_observer.plan(question)
+            )
+        if question.operation == "status":
             return self.status()
-        if question.ask == "history":
+        if question.operation == "history":
             return {"versions": [_shown(each) for each in self._known()]}
-        if question.ask == "explain":
+        if question.operation == "explain":
             return {
                 "calls": [
                     msgspec.to_builtins(each)
-                    for each in self.gate.decisions
+                    for each in self.rule_enforcer.decisions
                     if each.message == question.message
                 ]
             }
-        if question.ask == "version":
+        if question.operation == "version":
             found = next((each for each in self._known() if each.number == question.number), None)
             if found is None:
                 raise RulesError(f"number: version {question.number} is not known here")
             return {**_shown(found), "rules": msgspec.json.decode(found.rules)}
-        raise RulesError(f"ask: {question.ask!r} is no question")
+        raise RulesError(f"ask: {question.operation!r} is no question")
 
     def _known(self) -> list[Version]:
         """By the log where it votes, which may be a moment behind what another voter has told."""
         found = dict(self.lease_holder.versions)
-        if self.log is not None:
+        if self.replicated_log is not None:
             found |= {each.number: each for each in self.history.versions}
         return [found[number] for number in sorted(found)]
 
     async def _meant(self, question: AdminRequest, now: float) -> Command:
-        match question.ask:
+        match question.operation:
             case "propose":
                 rules = self._planned(decode_rules(bytes(question.rules)))
                 return Propose(
@@ -650,25 +669,25 @@
                     question.author,
                     question.cause or f"back to {found.number}",
                     now,
-                    of=found.number,
+                    restored_from=found.number,
                 )
             case "evacuate" | "return":
                 return Propose(
                     await self._base(question),
-                    encode_rules(self._left(question.name, question.ask == "evacuate")),
+                    encode_rules(self._left(question.name, question.operation == "evacuate")),
                     question.author,
-                    question.cause or f"{question.ask} {question.name}",
+                    question.cause or f"{question.operation} {question.name}",
                     now,
                 )
             case "voters":
                 add = "" if question.add is None else f"n{question.add}"
                 remove = "" if question.remove is None else f"n{question.remove}"
-                if self.log is None:
+                if self.replicated_log is None:
                     raise RulesError("voters: ask an instance that votes")
                 if add and self.peers.where(add) is None:
                     raise RulesError(f"voters: {add} is no member just now")
-                told = Voters(await self._base(question), add, remove, question.author, now)
-                why = self._against(told) or await self.log.voters(add, remove, PROPOSE_S)
+                told = ChangeVoters(await self._base(question), add, remove, question.author, now)
+                why = self._against(told) or await self.replicated_log.change_voters(add, remove, PROPOSE_S)
                 if why:
                     raise RulesError(why)
                 return told
@@ -678,15 +697,15 @@
                     raise RulesError(f"name: {question.name!r} is no member")
                 return Forget(question.name, claim.boot, question.author, now)
 
-    def newest(self) -> Rules:
+    def newest_rules(self) -> Rules:
         """Of the newest version that is known here."""
         latest = self._known()[-1:]
-        return latest[0].set if latest else self.part.first
+        return latest[0].decoded_rules if latest else self.part.first
 
     def _planned(self, rules: Rules) -> Rules:
         """An operator's rules, with the plans that there are: those are not the operator's to write."""
-        newest = self.newest()
-        if self.watching is None or rules.flows:
+        newest = self.newest_rules()
+        if self.call_observer is None or rules.flows:
             return rules
         policies = rules.policies
         if not policies.evacuated:
@@ -695,9 +714,9 @@
 
     def _left(self, zone: str, out: bool) -> Rules:
         """The newest rules, but for a zone that is to be left or used again."""
-        newest = self.newest()
+        newest = self.newest_rules()
         now = newest.policies.evacuated
-        if self.watching is None:
+        if self.call_observer is None:
             raise RulesError("failover.zones: there are no plans here")
         if zone not in self.zones:
             raise RulesError(f"zone: {zone!r} is none of {', '.join(self.zones)}")
@@ -709,22 +728,22 @@
         policies = msgspec.structs.replace(newest.policies, evacuated=then)
         return msgspec.structs.replace(newest, policies=policies)
 
-    async def planned(self, rules: Rules, base: int, why: str) -> str:
+    async def propose_plan(self, rules: Rules, base: int, why: str) -> str:
         """Proposes the next plan; empty, or why it was not taken."""
         raw = encode_rules(rules)
-        told = Propose(base, raw, f"{self.me}:plan", why, time.time() * 1000)
+        told = Propose(base, raw, f"{self.name}:plan", why, time.time() * 1000)
         return (await self._agree(told)).refused
 
     async def _base(self, question: AdminRequest) -> int:
         if question.base is not None:
             return question.base
-        return max((each.number for each in self._known()), default=FIRST)
+        return max((each.number for each in self._known()), default=FIRST_NUMBER)
 
     def status(self) -> dict[str, Any]:
-        acting, holding = self.acting(), self.lease_holder
+        acting, holding = self.active_rules(), self.lease_holder
         now = self.clock.now()
         return {
-            "name": self.me,
+            "name": self.name,
             "acts by": acting.label,
             "tier": acting.tier.value,
             "newest": max(holding.versions, default=0),
@@ -732,13 +751,13 @@
             if acting.tier.value != "floor"
             else None,
             "why not": holding.denial_reason,
-            "votes": self.log is not None,
+            "votes": self.replicated_log is not None,
             "mute": self.mute,
-            "leader": self.log.leader if self.log is not None else "",
+            "leader": self.replicated_log.leader if self.replicated_log is not None else "",
             "cleared": self.lease_grantor.cleared_version if self.lease_grantor is not None else 0,
             "waits for": self.lease_grantor.blocking_relays if self.lease_grantor is not None else [],
             "bound s": self.terms.bound_s,
-            "refused calls": dict(self.gate.refusal_counts),
+            "refused calls": dict(self.rule_enforcer.refusal_counts),
             "members": {
                 claim.name: claim.state.name.lower()
                 for claim in (self.peers.swim.me, *self.peers.swim.members.values())
@@ -763,9 +782,9 @@
                     continue
                 answer = await self._agree(
                     Propose(
-                        latest.number if latest is not None else FIRST,
+                        latest.number if latest is not None else FIRST_NUMBER,
                         encode_rules(rules),
-                        f"{self.me}:{path.name}",
+                        f"{self.name}:{path.name}",
                         "the file has changed",
                         time.time() * 1000,
                     )
@@ -779,7 +798,7 @@
             except (OSError, RulesError) as error:
                 log.error(LogEvent("the rules of the folder can't be used", file=path, why=error))
 
-    def member_changed(self, claim: Claim) -> None:
+    def on_member_changed(self, claim: Claim) -> None:
         self.wake.set()
 
 
@@ -792,6 +811,6 @@
         "at_ms": version.at_ms,
         "stage": version.stage.value,
         "share": version.share,
-        "of": version.of,
+        "of": version.restored_from,
         "voters": list(version.voters),
     }
--- a/message_relay/consensus/lease_grantor.py
+++ b/message_relay/consensus/lease_grantor.py
@@ -134,7 +134,7 @@
                 for number, (seq, at) in record.grants.items()
                 if seq >= told.refused_before and at >= old
             }
-        trial = self.history.trial
+        trial = self.history.canary
         tried = trial is not None and is_in_canary(name, trial)
         granted = 0
         if (
@@ -184,7 +184,7 @@
             versions = [self.history.get(number) for number in acts]
             if None in versions:
                 return None
-            found = intersect_all(each.set for each in versions if each is not None)
+            found = intersect_all(each.decoded_rules for each in versions if each is not None)
             if len(self.intersections) >= MAX_CACHED_RESULTS:
                 self.intersections.clear()
             self.intersections[acts] = found
@@ -197,7 +197,9 @@
         if found is None:
             rules = self._intersection(acts)
             assert rules is not None
-            found = is_subset(standby_rules(rules, self.terms.standby_share) if alone else rules, version.set)
+            found = is_subset(
+                standby_rules(rules, self.terms.standby_share) if alone else rules, version.decoded_rules
+            )
             if len(self.subset_results) >= MAX_CACHED_RESULTS:
                 self.subset_results.clear()
             self.subset_results[key] = found
@@ -212,11 +214,15 @@
         if known.number <= self.cleared_version:
             self.blockers.clear()
             return False
-        if self.blockers and self.blockers_revision == self.history.applied and now < self.next_full_check:
+        if (
+            self.blockers
+            and self.blockers_revision == self.history.applied_count
+            and now < self.next_full_check
+        ):
             return False
         self.blockers = dict.fromkeys(self._find_blockers(now, known))
         self.blockers_revision, self.next_full_check = (
-            self.history.applied,
+            self.history.applied_count,
             now + self.terms.lease_s / FULL_CHECKS_PER_LEASE,
         )
         if self.blockers:
@@ -240,7 +246,7 @@
     def _find_blockers(self, now: float, version: Version) -> list[str]:
         found = [] if self._is_past_start(now, version) else ["what was held before this voter's start"]
         for name, record in list(self.leases.items()):
-            if record.epoch <= self.history.forgotten.get(name, -1):
+            if record.epoch <= self.history.forgotten_epochs.get(name, -1):
                 del self.leases[name]
             elif not self._permits_clearing(now, record, version):
                 found.append(name)
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -337,7 +337,7 @@
     def _compute_active_rules(self, tier: LeaseTier) -> ActiveRules:
         if tier is LeaseTier.FLOOR:
             return ActiveRules(self.floor, self.active_versions, tier)
-        rules = intersect_all(self.versions[number].set for number in self.active_versions)
+        rules = intersect_all(self.versions[number].decoded_rules for number in self.active_versions)
         if tier is LeaseTier.STANDBY:
             rules = standby_rules(rules, self.terms.standby_share)
             rules = intersect(rules, rules)  # one form, whatever the share has made of it
--- a/message_relay/consensus/process_epochs.py
+++ b/message_relay/consensus/process_epochs.py
@@ -18,22 +18,24 @@
 class ProcessEpochs:
     def __init__(self, seen: dict[str, int]) -> None:
         """`seen`: identity -> highest boot; the caller writes it down when it has changed."""
-        self.seen = seen
-        self.by: dict[str, int] = {}  # identity -> nonce of the process that told the highest boot
+        self.highest = seen
+        self.reporter_nonces: dict[
+            str, int
+        ] = {}  # identity -> nonce of the process that told the highest boot
 
-    def told(self, ident: str, boot: int, nonce: int) -> int:
+    def observe(self, ident: str, boot: int, nonce: int) -> int:
         """A process that runs from this folder asks: the highest boot that was seen before it."""
-        before = self.seen.get(ident, 0)
-        if boot == before and nonce and self.by.get(ident) == nonce:
+        before = self.highest.get(ident, 0)
+        if boot == before and nonce and self.reporter_nonces.get(ident) == nonce:
             return before - 1
         if boot > before:
-            self.seen[ident], self.by[ident] = boot, nonce
+            self.highest[ident], self.reporter_nonces[ident] = boot, nonce
         return before
 
-    def back(self, ident: str, boot: int | None) -> None:
+    def undo_observe(self, ident: str, boot: int | None) -> None:
         """What was told last could not be written down: it was never heard."""
-        self.by.pop(ident, None)
+        self.reporter_nonces.pop(ident, None)
         if boot is None:
-            self.seen.pop(ident, None)
+            self.highest.pop(ident, None)
         else:
-            self.seen[ident] = boot
+            self.highest[ident] = boot
--- a/message_relay/consensus/raft_storage.py
+++ b/message_relay/consensus/raft_storage.py
@@ -28,19 +28,19 @@
     """What lies there can't be believed."""
 
 
-def sealed(raw: bytes) -> bytes:
+def with_checksum(raw: bytes) -> bytes:
     """A command as it goes into the log: the journal has no sums of its own."""
     return hashlib.sha256(raw).digest()[:SEAL] + raw
 
 
-def unsealed(raw: bytes) -> bytes:
+def verified_payload(raw: bytes) -> bytes:
     """Raises Torn."""
     if hashlib.sha256(raw[SEAL:]).digest()[:SEAL] != raw[:SEAL]:
         raise TornWriteError("an entry of its log has another sum")
     return raw[SEAL:]
 
 
-def entries(raw: bytes) -> list[tuple[int, int, bytes]]:
+def parse_journal(raw: bytes) -> list[tuple[int, int, bytes]]:
     """Number, term and command of each record of a journal. Raises Torn."""
     if len(raw) < HEAD:
         raise TornWriteError(f"its journal is {len(raw)} bytes long")
@@ -64,7 +64,7 @@
     return found
 
 
-def voted(raw: bytes) -> dict[str, Any]:
+def parse_vote(raw: bytes) -> dict[str, Any]:
     """What was kept of the latest term and vote. Raises Torn."""
     try:
         told = pickle.loads(raw)
@@ -75,22 +75,22 @@
     return told
 
 
-def check(folder: Path) -> None:
+def verify_log(folder: Path) -> None:
     """Raises Torn where a log that lies there can't be believed, OSError where it can't be read."""
     try:
-        found = entries((folder / JOURNAL).read_bytes())
+        found = parse_journal((folder / JOURNAL).read_bytes())
     except FileNotFoundError:
         return
     latest = found[-1][1] if found else 0
     try:
-        term = voted((folder / META).read_bytes()).get("currentTerm", 0)
+        term = parse_vote((folder / META).read_bytes()).get("currentTerm", 0)
     except FileNotFoundError:
         term = 0
     if term < latest:
         raise TornWriteError(f"its vote is of term {term} and its journal of term {latest}")
 
 
-def removed(folder: Path) -> None:
+def remove_log(folder: Path) -> None:
     """As if it had never voted. Raises OSError."""
     for name in (JOURNAL, DUMP, META):
         (folder / name).unlink(missing_ok=True)
@@ -119,7 +119,7 @@
             os.close(handle)
         return meta, last, record
 
-    def changed(self) -> bool:
+    def has_unsynced_writes(self) -> bool:
         return self.state() != self.synced
 
     def sync(self) -> None:
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -24,18 +24,18 @@
 from ..core.tasks import BackgroundTasks, wait_for_event
 from ..gossip.node import GossipNode, Hello, Stream
 from ..structured_logging import LogEvent
-from .raft_storage import DUMP, JOURNAL, RaftStorage, check, sealed, unsealed
-from .version_history import Answer, Command, VersionHistory, command
+from .raft_storage import DUMP, JOURNAL, RaftStorage, verified_payload, verify_log, with_checksum
+from .version_history import Command, CommandResult, VersionHistory, decode_command
 
 log = logging.getLogger(__name__)
 
-KIND = "raft"
+FRAME_KIND = "raft"
 TICK_S = 0.075  # between two turns of the log without news: half a heartbeat
 ELECTION_S = 0.5, 1.2  # without a leader for so long, by chance between them
 HEARTBEAT_S = 0.15
 COMPACT_S, COMPACT_ENTRIES = 30, 200
 
-WORDS = {
+FAILURE_MESSAGES = {
     FAIL_REASON.QUEUE_FULL: "too many commands wait",
     FAIL_REASON.MISSING_LEADER: "there is no leader just now",
     FAIL_REASON.DISCARDED: "another leader has taken over: see whether it was taken, and propose again",
@@ -45,7 +45,7 @@
 }
 
 
-class Wire(Transport):  # type: ignore[misc]
+class GossipTransport(Transport):  # type: ignore[misc]
     """pysyncobj's transport over the streams of a peers' node."""
 
     def __init__(
@@ -61,7 +61,7 @@
         self.held: list[tuple[Stream, bytes]] = []  # of this turn
         for other in others:
             self.addNode(other)
-        node.frames[KIND] = self._frame
+        node.frames[FRAME_KIND] = self._frame
 
     ready = True
 
@@ -75,7 +75,7 @@
         if node.id in self.streams:
             return
         self.nodes[node.id] = node
-        stream = self.streams[node.id] = Stream(self.node, node.id, KIND)
+        stream = self.streams[node.id] = Stream(self.node, node.id, FRAME_KIND)
         self.work[node.id] = self.tasks.start(stream.run(self._changed))
 
     def dropNode(self, node: RaftNode) -> None:
@@ -101,7 +101,7 @@
     def destroy(self) -> None:
         for task in self.work.values():
             task.cancel()
-        self.node.frames.pop(KIND, None)
+        self.node.frames.pop(FRAME_KIND, None)
 
     def _changed(self, name: str, up: bool) -> None:
         node = self.nodes.get(name)
@@ -133,18 +133,18 @@
         keep(index)
 
 
-class Replicated(SyncObj):  # type: ignore[misc]
+class ReplicatedHistory(SyncObj):  # type: ignore[misc]
     def __init__(
         self,
         me: RaftNode,
         others: list[RaftNode],
         conf: SyncObjConf,
-        wire: Wire,
+        wire: GossipTransport,
         book: VersionHistory,
         applied: Callable[[], None],
     ) -> None:
-        self._book_of = book
-        self._applied = applied
+        self._history = book
+        self._on_applied = applied
         super().__init__(me, others, conf, nodeClass=RaftNode, transport=wire)
         # It writes its vote anew each second in which it was told how far the log is agreed on, which is each
         # second: a rename that holds the loop up for 8 ms, and a sync. Only what is new is kept for that.
@@ -152,9 +152,9 @@
         journal.setRaftCommitIndex = partial(_when_new, journal, journal.setRaftCommitIndex)
 
     @replicated  # type: ignore[misc]
-    def take(self, raw: bytes) -> tuple[int, str]:
-        answer = self._book_of.apply(command(unsealed(raw)))
-        self._applied()
+    def apply_command(self, raw: bytes) -> tuple[int, str]:
+        answer = self._history.apply(decode_command(verified_payload(raw)))
+        self._on_applied()
         return answer.number, answer.refused
 
 
@@ -171,12 +171,12 @@
         changed: Callable[[], None],
     ) -> None:
         """Raises Torn where what lies in the folder can't be believed, OSError where it can't be written."""
-        check(folder)
-        self.book, self.changed, self.tasks = book, changed, BackgroundTasks()
-        self.disk = RaftStorage(folder)
+        verify_log(folder)
+        self.history, self.on_applied, self.tasks = book, changed, BackgroundTasks()
+        self.storage = RaftStorage(folder)
         own = RaftNode(me)
         rest = [RaftNode(name) for name in others]
-        self.wire = Wire(node, own, rest, self.tasks)
+        self.transport = GossipTransport(node, own, rest, self.tasks)
         conf = SyncObjConf(
             autoTick=False,
             raftMinTimeout=ELECTION_S[0],
@@ -193,11 +193,11 @@
             serializer=self._dump,
             deserializer=self._load,
         )
-        self.raft = Replicated(own, rest, conf, self.wire, book, changed)
+        self.raft = ReplicatedHistory(own, rest, conf, self.transport, book, changed)
 
     def _dump(self, file: str, data: Any) -> None:
         """A snapshot: its own words beside the book, with a sum."""
-        raw = pickle.dumps((self.book.dumped(), data))
+        raw = pickle.dumps((self.history.dump(), data))
         Path(file).write_bytes(hashlib.sha256(raw).digest() + raw)
 
     def _load(self, file: str) -> Any:
@@ -205,21 +205,23 @@
         if hashlib.sha256(raw[32:]).digest() != raw[:32]:
             raise ValueError("the snapshot's sum is wrong")
         book, data = pickle.loads(raw[32:])
-        self.book.load(book)
-        self.changed()
+        self.history.load(book)
+        self.on_applied()
         return data
 
     async def run(self) -> None:
         """Takes its turns until one fails, and raises what that one raised: nothing of it has gone out."""
         loop = asyncio.get_running_loop()
         while True:
-            self.wire.news.clear()
-            self.wire.deliver()
+            self.transport.news.clear()
+            self.transport.deliver()
             self.raft.doTick(0.0)
-            if self.wire.held and self.disk.changed():  # nothing is told by what is not on the disk
-                await loop.run_in_executor(None, self.disk.sync)
-            self.wire.flush()
-            await wait_for_event(self.wire.news, TICK_S)
+            if (
+                self.transport.held and self.storage.has_unsynced_writes()
+            ):  # nothing is told by what is not on the disk
+                await loop.run_in_executor(None, self.storage.sync)
+            self.transport.flush()
+            await wait_for_event(self.transport.news, TICK_S)
 
     @property
     def leader(self) -> str:
@@ -227,37 +229,41 @@
         return "" if found is None else str(found.id)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return bool(self.raft._isLeader())
 
-    async def propose(self, told: Command, raw: bytes, seconds: float) -> Answer:
+    async def propose(self, told: Command, raw: bytes, seconds: float) -> CommandResult:
         """What became of it. One that was not answered in time may be taken yet."""
-        done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        done: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
 
         def over(result: tuple[int, str] | None, error: int) -> None:
             if done.done():
                 return
             if error != FAIL_REASON.SUCCESS or result is None:
-                done.set_result(Answer(refused=WORDS.get(error, f"it failed ({error})")))
+                done.set_result(CommandResult(refused=FAILURE_MESSAGES.get(error, f"it failed ({error})")))
             else:
-                done.set_result(Answer(*result))
+                done.set_result(CommandResult(*result))
 
-        self.raft.take(sealed(raw), callback=over)
-        self.wire.news.set()
+        self.raft.apply_command(with_checksum(raw), callback=over)
+        self.transport.news.set()
         try:
             return await asyncio.wait_for(done, seconds)
         except TimeoutError:
-            return Answer(
+            return CommandResult(
                 refused=f"no answer within {seconds:g} s: it may be taken yet; look before you try again"
             )
 
-    async def voters(self, add: str, remove: str, seconds: float) -> str:
+    async def change_voters(self, add: str, remove: str, seconds: float) -> str:
         """Changes who takes part, one at a time; empty, or why not. What is so already is no error: the book
         may not have heard of it."""
-        if add in self.wire.nodes or remove and remove not in (*self.wire.nodes, self.raft.selfNode.id):
+        if (
+            add in self.transport.nodes
+            or remove
+            and remove not in (*self.transport.nodes, self.raft.selfNode.id)
+        ):
             return ""
         if remove and remove == self.leader:
-            if not self.leads:
+            if not self.is_leader:
                 return f"{remove} leads just now: ask it (--instance)"
             if not await self._handed_over(seconds):  # a leader can't take itself out
                 return f"{remove} leads, and no other voter has taken over yet: try again"
@@ -275,13 +281,13 @@
             error = await asyncio.wait_for(done, seconds)
         except TimeoutError:
             return f"no answer within {seconds:g} s"
-        return "" if error == FAIL_REASON.SUCCESS else WORDS.get(error, f"it failed ({error})")
+        return "" if error == FAIL_REASON.SUCCESS else FAILURE_MESSAGES.get(error, f"it failed ({error})")
 
     async def _handed_over(self, seconds: float) -> bool:
         """Until another voter leads."""
         ends = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends:
-            if self.leads:
+            if self.is_leader:
                 self.raft.transferLeadership()
             elif self.leader:
                 return True
--- a/message_relay/consensus/version_fetch.py
+++ b/message_relay/consensus/version_fetch.py
@@ -23,44 +23,52 @@
 
 from ..core.backoff import ExponentialBackoff
 
-ANSWERS_S = 200.0  # that a voter is asked for: a quarter of what it could give, for it has renewals to answer
-FIRST_MOST_S = 4.0  # however many there are (4,096 relays at five voters): so little is told later than this
+ANSWERS_PER_S = (
+    200.0  # that a voter is asked for: a quarter of what it could give, for it has renewals to answer
+)
+FIRST_PAUSE_MAX_S = (
+    4.0  # however many there are (4,096 relays at five voters): so little is told later than this
+)
 SETTLE_S = 0.3  # the log's heartbeat twice: by then the other voters have it, and have said so
-RETRY_S, RETRY_MOST_S = 0.04, 0.6
+RETRY_S, RETRY_MAX_S = 0.04, 0.6
 ROUNDS = 2
-SOUGHT = 8  # versions at once: who lacks more gets the oldest first, and the others after them
+CONCURRENT_SEARCHES_MAX = (
+    8  # versions at once: who lacks more gets the oldest first, and the others after them
+)
 
 
 def first_pause(rng: random.Random, relays: int, voters: int) -> float:
     """Seconds before the first ask for a version."""
-    spread = min(FIRST_MOST_S, relays / (max(1, voters) * ANSWERS_S))
+    spread = min(FIRST_PAUSE_MAX_S, relays / (max(1, voters) * ANSWERS_PER_S))
     return spread * rng.random() + (SETTLE_S if spread > SETTLE_S else 0.0)
 
 
-class Sought:
+class VersionSearch:
     """One version that is sought: the voters that have it, in the order in which they are asked."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.pauses = rng, ExponentialBackoff(RETRY_S, RETRY_MOST_S, rng)
-        self.line: list[str] = []
-        self.asked = 0
+        self.rng, self.backoff = rng, ExponentialBackoff(RETRY_S, RETRY_MAX_S, rng)
+        self.voters: list[str] = []
+        self.requests_sent = 0
 
-    def has(self, voter: str) -> None:
+    def add_voter(self, voter: str) -> None:
         """This voter told of it. Those not asked yet are in an order that nobody shares."""
-        if voter not in self.line:
-            self.line.insert(self.rng.randint(min(self.asked, len(self.line)), len(self.line)), voter)
+        if voter not in self.voters:
+            self.voters.insert(
+                self.rng.randint(min(self.requests_sent, len(self.voters)), len(self.voters)), voter
+            )
 
-    def next(self) -> str | None:
+    def next_voter(self) -> str | None:
         """Whom to ask now; None: given up until somebody tells of it again."""
-        if self.asked >= ROUNDS * len(self.line):
+        if self.requests_sent >= ROUNDS * len(self.voters):
             return None
-        voter = self.line[self.asked % len(self.line)]
-        self.asked += 1
+        voter = self.voters[self.requests_sent % len(self.voters)]
+        self.requests_sent += 1
         return voter
 
-    def pause(self) -> float:
+    def next_pause(self) -> float:
         """Seconds until the next one is asked, after one that did not answer."""
-        return self.pauses.next_delay()
+        return self.backoff.next_delay()
 
 
 class VersionFetcher:
@@ -68,18 +76,18 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.sought: dict[int, Sought] = {}
+        self.searches: dict[int, VersionSearch] = {}
 
-    def told(self, number: int, voter: str) -> Sought | None:
+    def on_version_reported(self, number: int, voter: str) -> VersionSearch | None:
         """A voter tells of a version that is lacking: what is to be begun, if it is not sought yet."""
-        if number in self.sought:
-            self.sought[number].has(voter)
+        if number in self.searches:
+            self.searches[number].add_voter(voter)
             return None
-        if len(self.sought) >= SOUGHT:
+        if len(self.searches) >= CONCURRENT_SEARCHES_MAX:
             return None
-        found = self.sought[number] = Sought(self.rng)
-        found.has(voter)
+        found = self.searches[number] = VersionSearch(self.rng)
+        found.add_voter(voter)
         return found
 
-    def over(self, number: int) -> None:
-        self.sought.pop(number, None)
+    def finish(self, number: int) -> None:
+        self.searches.pop(number, None)
--- a/message_relay/consensus/version_history.py
+++ b/message_relay/consensus/version_history.py
@@ -25,13 +25,13 @@
 from .rules_codec import decode_rules, digest, encode_rules
 from .rules_meet import is_subset
 
-KEPT = 64  # versions with their rules: what a relay that is cut off may still hold lies among them
-TEXT = 500  # letters of a cause, at most
-FIRST = 1
+VERSIONS_RETAINED = 64  # with their rules: what a relay that is cut off may still hold lies among them
+CAUSE_CHARACTERS_MAX = 500  # letters of a cause, at most
+FIRST_NUMBER = 1
 
 
 class Stage(Enum):
-    TRIAL = "trial"
+    CANARY = "trial"
     CURRENT = "current"
     PAST = "past"
     WITHDRAWN = "withdrawn"
@@ -57,10 +57,10 @@
     stage: Stage
     share: float = 1.0  # of the relays, while on trial
     guard: Guard | None = None
-    of: int = 0  # the version whose rules it brings back
+    restored_from: int = msgspec.field(default=0, name="of")  # the version whose rules it brings back
 
     @property
-    def set(self) -> Rules:
+    def decoded_rules(self) -> Rules:
         return _set_of(self.rules)
 
 
@@ -70,7 +70,7 @@
 def _set_of(raw: bytes) -> Rules:
     found = _SETS.get(raw)
     if found is None:
-        if len(_SETS) > 4 * KEPT:
+        if len(_SETS) > 4 * VERSIONS_RETAINED:
             _SETS.clear()
         found = _SETS[raw] = decode_rules(raw)
     return found
@@ -84,7 +84,7 @@
     at_ms: float
     share: float = 1.0  # below 1: on trial
     guard: Guard | None = None
-    of: int = 0
+    restored_from: int = msgspec.field(default=0, name="of")
 
 
 class Promote(msgspec.Struct, frozen=True, tag="promote"):
@@ -98,7 +98,7 @@
     cause: str
 
 
-class Voters(msgspec.Struct, frozen=True, tag="voters"):
+class ChangeVoters(msgspec.Struct, frozen=True, tag="voters"):
     """One more or one less: two steps at once could have majorities that do not meet."""
 
     base: int
@@ -117,18 +117,18 @@
     at_ms: float
 
 
-Command = Union[Propose, Promote, Withdraw, Voters, Forget]
+Command = Union[Propose, Promote, Withdraw, ChangeVoters, Forget]
 _COMMAND: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
 
 
-class Answer(msgspec.Struct, frozen=True):
+class CommandResult(msgspec.Struct, frozen=True):
     """What became of a command."""
 
     number: int = 0  # the version that it made or changed
     refused: str = ""
 
 
-def command(raw: bytes) -> Command:
+def decode_command(raw: bytes) -> Command:
     """Raises RulesError."""
     try:
         return _COMMAND.decode(raw)
@@ -141,7 +141,7 @@
         """All instances begin with the same first version, by their operator's file."""
         self.versions = [
             Version(
-                FIRST,
+                FIRST_NUMBER,
                 digest(first),
                 encode_rules(first),
                 tuple(sorted(voters)),
@@ -151,9 +151,9 @@
                 Stage.CURRENT,
             )
         ]
-        self.forgotten: dict[str, int] = {}  # name -> boot up to which it was forgotten
-        self.applied = 0  # commands, and whole states that were loaded: another number, another state
-        self.voters_at_ms = 0.0  # when they last changed, by their proposer's clock
+        self.forgotten_epochs: dict[str, int] = {}  # name -> boot up to which it was forgotten
+        self.applied_count = 0  # commands, and whole states that were loaded: another number, another state
+        self.voters_changed_at_ms = 0.0  # when they last changed, by their proposer's clock
 
     # -- what it says ----------------------------------------------------------------------------------------
 
@@ -166,8 +166,8 @@
         return next(each for each in reversed(self.versions) if each.stage is Stage.CURRENT)
 
     @property
-    def trial(self) -> Version | None:
-        return self.newest if self.newest.stage is Stage.TRIAL else None
+    def canary(self) -> Version | None:
+        return self.newest if self.newest.stage is Stage.CANARY else None
 
     def get(self, number: int) -> Version | None:
         at = number - self.versions[0].number
@@ -175,8 +175,8 @@
 
     # -- commands --------------------------------------------------------------------------------------------
 
-    def apply(self, told: Command) -> Answer:
-        self.applied += 1
+    def apply(self, told: Command) -> CommandResult:
+        self.applied_count += 1
         try:
             match told:
                 case Propose():
@@ -185,13 +185,13 @@
                     return self._staged(number, Stage.CURRENT)
                 case Withdraw(number):
                     return self._staged(number, Stage.WITHDRAWN)
-                case Voters():
+                case ChangeVoters():
                     return self._voters(told)
                 case Forget(name, boot):
-                    self.forgotten[name] = max(boot, self.forgotten.get(name, 0))
-                    return Answer(self.newest.number)
+                    self.forgotten_epochs[name] = max(boot, self.forgotten_epochs.get(name, 0))
+                    return CommandResult(self.newest.number)
         except RulesError as error:
-            return Answer(refused=str(error))
+            return CommandResult(refused=str(error))
 
     def _fits(self, base: int) -> None:
         newest = self.newest
@@ -200,14 +200,14 @@
                 f"base: the newest version is {newest.number} (by {newest.author}: {newest.cause}), "
                 f"not {base}: look at it, and propose again"
             )
-        if newest.stage is Stage.TRIAL:
+        if newest.stage is Stage.CANARY:
             raise RulesError(f"version {newest.number} is on trial: promote or withdraw it first")
 
-    def _propose(self, told: Propose) -> Answer:
+    def _propose(self, told: Propose) -> CommandResult:
         self._fits(told.base)
         rules = decode_rules(told.rules)
         trial = told.share < 1.0
-        if trial and not is_subset(rules, self.current.set):
+        if trial and not is_subset(rules, self.current.decoded_rules):
             raise RulesError(
                 "share: only a version that is stricter than the current one in each field that "
                 "changes can be tried on a part of the relays; this one goes at once or not at all"
@@ -219,30 +219,30 @@
                 encode_rules(rules),
                 self.newest.voters,
                 told.author,
-                told.cause[:TEXT],
+                told.cause[:CAUSE_CHARACTERS_MAX],
                 told.at_ms,
-                Stage.TRIAL if trial else Stage.CURRENT,
+                Stage.CANARY if trial else Stage.CURRENT,
                 told.share,
                 told.guard,
-                told.of,
+                told.restored_from,
             )
         )
-        return Answer(self.newest.number)
+        return CommandResult(self.newest.number)
 
     def _add(self, version: Version) -> None:
         if version.stage is Stage.CURRENT:
             self._past()
         self.versions.append(version)
-        del self.versions[: max(0, len(self.versions) - KEPT)]
+        del self.versions[: max(0, len(self.versions) - VERSIONS_RETAINED)]
 
     def _past(self) -> None:
         for n, each in enumerate(self.versions):
             if each.stage is Stage.CURRENT:
                 self.versions[n] = msgspec.structs.replace(each, stage=Stage.PAST)
 
-    def _staged(self, number: int, stage: Stage) -> Answer:
+    def _staged(self, number: int, stage: Stage) -> CommandResult:
         newest = self.newest
-        if newest.number != number or newest.stage is not Stage.TRIAL:
+        if newest.number != number or newest.stage is not Stage.CANARY:
             found = self.get(number)
             raise RulesError(
                 f"version {number} is not on trial: "
@@ -251,9 +251,9 @@
         if stage is Stage.CURRENT:
             self._past()
         self.versions[-1] = msgspec.structs.replace(newest, stage=stage)
-        return Answer(number)
+        return CommandResult(number)
 
-    def _voters(self, told: Voters) -> Answer:
+    def _voters(self, told: ChangeVoters) -> CommandResult:
         self._fits(told.base)
         voters = set(self.newest.voters)
         if bool(told.add) == bool(told.remove):
@@ -273,7 +273,7 @@
                 number=newest.number + 1,
                 voters=tuple(sorted(voters)),
                 author=told.author,
-                of=0,
+                restored_from=0,
                 cause=f"voter {told.add or told.remove} {word}",
                 at_ms=told.at_ms,
                 stage=Stage.CURRENT,
@@ -283,17 +283,17 @@
                 digest=self.current.digest,
             )
         )
-        self.voters_at_ms = told.at_ms
-        return Answer(self.newest.number)
+        self.voters_changed_at_ms = told.at_ms
+        return CommandResult(self.newest.number)
 
     # -- as bytes --------------------------------------------------------------------------------------------
 
-    def dumped(self) -> bytes:
-        return msgspec.json.encode((self.versions, self.forgotten, self.voters_at_ms))
+    def dump(self) -> bytes:
+        return msgspec.json.encode((self.versions, self.forgotten_epochs, self.voters_changed_at_ms))
 
     def load(self, raw: bytes) -> None:
         """Raises msgspec.MsgspecError."""
         shape = tuple[list[Version], dict[str, int], float]
         told: tuple[list[Version], dict[str, int], float] = msgspec.json.decode(raw, type=shape)
-        self.versions, self.forgotten, self.voters_at_ms = told
-        self.applied += 1
+        self.versions, self.forgotten_epochs, self.voters_changed_at_ms = told
+        self.applied_count += 1
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.part, self.peers, self.accord, self.host = part, peers, accord, host
         zone = peers.swim.me.zone
-        self.counting = CallCounter(accord.me, peers.swim.me.nonce, zone)
+        self.counting = CallCounter(accord.name, peers.swim.me.nonce, zone)
         self.evidence = Observations(part.window_s)
         self.decider = FailoverController(part, self.evidence, solver(), time.perf_counter)
         self.window_began = 0.0
@@ -56,8 +56,8 @@
         self.surplus = 0  # reports that were not kept, as it was said last
         self.tasks = BackgroundTasks()
         peers.datagrams[EVIDENCE] = self._heard
-        accord.watching = self
-        accord.gate.may_use_zone = lambda class_, target: part.allowed(class_, zone, target)
+        accord.call_observer = self
+        accord.rule_enforcer.may_use_zone = lambda class_, target: part.allowed(class_, zone, target)
 
     def start(self) -> None:
         self.window_began = self._now()
@@ -69,10 +69,12 @@
 
     # -- what is seen here -----------------------------------------------------------------------------------
 
-    def asked(self, destination: int, class_: str) -> None:
+    def on_request(self, destination: int, class_: str) -> None:
         self.counting.asked(destination, self.part.group(class_))
 
-    def ended(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
+    def on_call_completed(
+        self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
+    ) -> None:
         self.counting.outcome(call.destination, call.zone, outcome, latency_ms)
 
     async def _windows(self) -> None:
@@ -81,7 +83,7 @@
             await asyncio.sleep(self.part.window_s * self.peers.rng.uniform(0.95, 1.05))
             try:
                 self._tell()
-                if self.accord.log is not None and self.accord.log.leads:
+                if self.accord.replicated_log is not None and self.accord.replicated_log.is_leader:
                     await self._decide()
                 else:
                     self.decider.follow()
@@ -92,10 +94,10 @@
         now = self._now()
         seconds, self.window_began = max(0.001, now - self.window_began), now
         load = self.host.messages.pending_count / max(1, self.host.messages.settings.max_pending_messages)
-        voters = [name for name in self.accord.voting_now() if name != self.accord.me]
+        voters = [name for name in self.accord.current_voters() if name != self.accord.name]
         mine = self.counting.reports(seconds, load)
         forwarded: list[Report] = []
-        if self.accord.log is not None:
+        if self.accord.replicated_log is not None:
             for report in mine:
                 self.evidence.take(now, report)
             self.evidence.sweep(now)
@@ -104,7 +106,7 @@
         for name in voters:
             for report in (
                 *mine,
-                *(each for each in forwarded if each.origin not in (name, self.accord.me)),
+                *(each for each in forwarded if each.origin not in (name, self.accord.name)),
             ):
                 self.peers.send_datagram(name, EVIDENCE, msgspec.msgpack.encode(report))
 
@@ -150,7 +152,7 @@
         return found
 
     def _agreed(self, destination: int, listed: float) -> float:
-        told = self.accord.newest().destination_for(str(destination)).rate
+        told = self.accord.newest_rules().destination_for(str(destination)).rate
         return listed if told is None else min(told, listed)
 
     def relays(self) -> dict[str, list[str]]:
@@ -162,15 +164,15 @@
     async def _decide(self) -> None:
         now, rooms = self._now(), self.rooms()
         newest = self.accord.history.newest
-        problems = self.decider.look(now, newest.set, rooms)
+        problems = self.decider.look(now, newest.decoded_rules, rooms)
         found = {}
         if problems:
             loop = asyncio.get_running_loop()
             found = await loop.run_in_executor(None, self.decider.plans, problems)
-        rules = self.decider.next(now, newest.set, rooms, self.relays(), problems, found)
+        rules = self.decider.next(now, newest.decoded_rules, rooms, self.relays(), problems, found)
         if rules is None:
             return
-        self.why = await self.accord.planned(rules, newest.number, self._cause())
+        self.why = await self.accord.propose_plan(rules, newest.number, self._cause())
         log.info(
             LogEvent("a plan is proposed", base=newest.number, destinations=len(found), refused=self.why)
         )
@@ -189,10 +191,10 @@
     # -- for operators ---------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        now, rules = self._now(), self.accord.newest()
+        now, rules = self._now(), self.accord.newest_rules()
         return {
-            "name": self.accord.me,
-            "decides": self.accord.log is not None and self.accord.log.leads,
+            "name": self.accord.name,
+            "decides": self.accord.replicated_log is not None and self.accord.replicated_log.is_leader,
             "evacuated": sorted(rules.policies.evacuated),
             "relays": {zone: len(names) for zone, names in sorted(self.relays().items())},
             "not taken": self.why,
@@ -230,9 +232,9 @@
         """What would be planned if a zone were left: by the evidence that this instance has."""
         if question.name and question.name not in self.part.zones:
             raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.decider.zones)}")
-        if self.accord.log is None:
+        if self.accord.replicated_log is None:
             raise RulesError("plan: ask an instance that votes: the others hear no evidence")
-        out = self.accord.newest().policies.evacuated | ({question.name} if question.name else set())
+        out = self.accord.newest_rules().policies.evacuated | ({question.name} if question.name else set())
         problems = self.decider.problems(self._now(), self.rooms(), out)
         found = self.decider.plans(problems)
         rows = []
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -76,12 +76,12 @@
             counts,
         )
         host.set_call_policy(self.accord)
-        self.peers.changed.append(self.accord.member_changed)
+        self.peers.changed.append(self.accord.on_member_changed)
         if told.failover.on:
             self._plan(told, config, host)
         folder = folder_of(told.status.folder)
         if folder is not None:
-            self.control = AdminSocket(folder / f"{number}.rules", self.accord.asked)
+            self.control = AdminSocket(folder / f"{number}.rules", self.accord.handle_admin_request)
 
     def _keep(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
         try:
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -14,7 +14,7 @@
 from message_relay.consensus.rules import DENY_ALL, Rules, RulesError
 from message_relay.consensus.rules_codec import decode_rules, digest
 from message_relay.consensus.rules_diff import diff_rules
-from message_relay.consensus.version_history import Answer as CommandAnswer
+from message_relay.consensus.version_history import CommandResult as CommandAnswer
 from message_relay.consensus.version_history import (
     Command,
     Forget,
@@ -23,7 +23,7 @@
     Propose,
     Version,
     VersionHistory,
-    Voters,
+    ChangeVoters,
 )
 from message_relay.failover.observations import CallCounter, Demand, Report, WindowSample
 
@@ -81,7 +81,7 @@
         "stage": version.stage.value,
         "trial share": version.share,
         "guard": _guard(version.guard),
-        "rules of version": version.of,
+        "rules of version": version.restored_from,
     }
 
 
@@ -96,11 +96,11 @@
                 "unix ms": told.at_ms,
                 "trial share": told.share,
                 "guard": _guard(told.guard),
-                "rules of version": told.of,
+                "rules of version": told.restored_from,
             }
         case Promote():
             return {"promotion of": told.number, "author": told.author}
-        case Voters():
+        case ChangeVoters():
             return {
                 "voters changed on": told.base,
                 "added": told.add,
@@ -120,7 +120,7 @@
 
 def question_values(question: AdminRequest) -> Values:
     return {
-        "question": question.ask,
+        "question": question.operation,
         "rules text": bytes(question.rules).decode(),
         "author": question.author,
         "cause": question.cause,
@@ -204,11 +204,11 @@
         Promote(2, "operator"),
         Promote(2, "operator"),
         Propose(1, rules, "another", "late", 6.0),
-        Voters(2, "n2", "", "operator", 7.0),
+        ChangeVoters(2, "n2", "", "operator", 7.0),
         Forget("n9", 4, "operator", 8.0),
     )
     answers = [msgspec.json.encode(book.apply(each)).decode() for each in told]
-    return answers, book.dumped().decode()
+    return answers, book.dump().decode()
 
 
 def lease_round(rules_text: str) -> list[str]:
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -325,7 +325,7 @@
 
 def clock_rate() -> float:
     """Of the clock of leases, by the process's environment."""
-    return Clock.of_environment().rate
+    return Clock.from_environment().rate
 
 
 def lifeline_fault(env: dict[str, str]) -> str:
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -20,13 +20,19 @@
 
 from message_relay.consensus.instance import ConsensusInstance
 from message_relay.consensus.lease_protocol import DeliveryCounts
-from message_relay.consensus.raft_storage import TornWriteError, check, entries, unsealed, voted
+from message_relay.consensus.raft_storage import (
+    TornWriteError,
+    verify_log,
+    parse_journal,
+    verified_payload,
+    parse_vote,
+)
 from message_relay.consensus.replicated_log import ReplicatedLog
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
 from message_relay.consensus.settings import ConsensusSettings
 from message_relay.consensus.version_history import (
-    Answer,
+    CommandResult,
     Command,
     Forget,
     Guard,
@@ -34,9 +40,9 @@
     Propose,
     Version,
     VersionHistory,
-    Voters,
+    ChangeVoters,
     Withdraw,
-    command,
+    decode_command,
 )
 from message_relay.core.restored_state import RestoredState
 from message_relay.decisions.events import EndpointList, RestoredDestination
@@ -399,16 +405,16 @@
         "stage": version.stage.value,
         "share": version.share,
         "guard": _plain_guard(version.guard),
-        "brings_back": version.of,
+        "brings_back": version.restored_from,
     }
 
 
 def _plain_book(book: VersionHistory) -> Plain:
-    trial = book.trial
+    trial = book.canary
     return {
         "versions": [_plain_version(version) for version in book.versions],
-        "forgotten_boots": dict(book.forgotten),
-        "voters_changed_at_ms": book.voters_at_ms,
+        "forgotten_boots": dict(book.forgotten_epochs),
+        "voters_changed_at_ms": book.voters_changed_at_ms,
         "current": book.current.number,
         "newest": book.newest.number,
         "on_trial": None if trial is None else trial.number,
@@ -425,7 +431,7 @@
         case ["withdraw", number, author, cause]:
             return Withdraw(number, author, cause)
         case ["voters", base, add, remove, author, at_ms]:
-            return Voters(base, add, remove, author, at_ms)
+            return ChangeVoters(base, add, remove, author, at_ms)
         case ["forget", name, boot, author, at_ms]:
             return Forget(name, boot, author, at_ms)
     raise AssertionError(f"unknown command: {step!r}")
@@ -442,22 +448,22 @@
     return {"normal": encode_rules(read).decode(), "digest": digest(read), "as_read": _plain_rules(read)}
 
 
-def _plain_answer(answer: Answer) -> list[Any]:
+def _plain_answer(answer: CommandResult) -> list[Any]:
     return [answer.number, answer.refused]
 
 
 def apply_commands(first_rules: str, voters: Iterable[str], raws: Iterable[str]) -> Plain:
     """What becomes of encoded commands, the state machine after them, and its dump."""
     book = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
-    answers = [_plain_answer(book.apply(command(raw.encode()))) for raw in raws]
-    return {"answers": answers, "book": _plain_book(book), "dump": book.dumped().decode()}
+    answers = [_plain_answer(book.apply(decode_command(raw.encode()))) for raw in raws]
+    return {"answers": answers, "book": _plain_book(book), "dump": book.dump().decode()}
 
 
 def load_dump(first_rules: str, voters: Iterable[str], dump: str) -> Plain:
     """The state machine as a dump has it, and the dump written anew."""
     book = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
     book.load(dump.encode())
-    return {"book": _plain_book(book), "dump": book.dumped().decode()}
+    return {"book": _plain_book(book), "dump": book.dump().decode()}
 
 
 # -- agreed rules: the replicated log ------------------------------------------------------------------------
@@ -511,11 +517,11 @@
 
     def connect(self) -> None:
         for sender, log in self.logs.items():
-            for receiver, stream in log.wire.streams.items():
+            for receiver, stream in log.transport.streams.items():
                 if receiver in self.logs:
                     stream.up = True
                     stream.say = partial(self._hand_over, sender, receiver)  # type: ignore[method-assign]
-                    log.wire._changed(receiver, True)
+                    log.transport._changed(receiver, True)
 
     def _hand_over(self, sender: str, receiver: str, raw: bytes) -> bool:
         for kind, heard in self.peers[receiver].frames.items():
@@ -524,9 +530,9 @@
 
     def turn(self) -> None:
         for log in self.logs.values():
-            log.wire.deliver()
+            log.transport.deliver()
             log.raft.doTick(0.0)
-            log.wire.flush()
+            log.transport.flush()
 
     def rounds(self, count: int = ROUNDS) -> None:
         for _ in range(count):
@@ -537,7 +543,7 @@
         """The first one: it is the first whose turn comes after the time-out."""
         self.clock.now += SECONDS_TO_ELECTION
         self.rounds()
-        assert self.logs[self.leader].leads
+        assert self.logs[self.leader].is_leader
 
     async def _answered(self, work: Awaitable[Any]) -> Any:
         asked = asyncio.ensure_future(work)
@@ -552,12 +558,12 @@
                 self.rounds(ROUNDS_TO_COMPACTION)
                 return None
             case ["member", add, remove]:
-                refused: str = await self._answered(log.voters(add, remove, SECONDS_TO_ANSWER))
+                refused: str = await self._answered(log.change_voters(add, remove, SECONDS_TO_ANSWER))
                 return refused
             case _:
                 told = _command(step)
                 raw = msgspec.json.encode(told)
-                answer: Answer = await self._answered(log.propose(told, raw, SECONDS_TO_ANSWER))
+                answer: CommandResult = await self._answered(log.propose(told, raw, SECONDS_TO_ANSWER))
                 return _plain_answer(answer)
 
     async def close(self) -> None:
@@ -594,7 +600,7 @@
         voters = _Voters({name: folder}, names, first_rules, clock)
         voters.turn()
         told = _plain_book(voters.books[name])
-        others = sorted(voters.logs[name].wire.streams)
+        others = sorted(voters.logs[name].transport.streams)
         await voters.close()
     return {"book": told, "other_voters": others}
 
@@ -607,7 +613,7 @@
 def believed(folder: Path) -> str:
     """Why the log in the folder is not believed; empty if it is."""
     try:
-        check(folder)
+        verify_log(folder)
     except TornWriteError as error:
         return str(error)
     return ""
@@ -615,15 +621,15 @@
 
 def raft_journal_entries(raw: bytes) -> list[tuple[int, int, bytes]]:
     """Number, term and content of each."""
-    return entries(raw)
+    return parse_journal(raw)
 
 
 def unsealed_command(raw: bytes) -> str:
-    return unsealed(raw).decode()
+    return verified_payload(raw).decode()
 
 
 def vote(raw: bytes) -> Plain:
-    return voted(raw)
+    return parse_vote(raw)
 
 
 # -- agreed rules: what outlasts a voter's process -----------------------------------------------------------
@@ -656,8 +662,8 @@
     standing = accord.voter_state
     return {
         "cleared": standing.cleared,
-        "boots": dict(standing.boots),
-        "log_was_begun": standing.voted,
+        "boots": dict(standing.highest_epochs),
+        "log_was_begun": standing.log_started,
         "voters": list(standing.voters),
     }
 
@@ -671,7 +677,7 @@
 ) -> Plain:
     accord = _accord(folder)
     standing = accord.voter_state
-    standing.cleared, standing.voted, standing.voters = cleared, log_was_begun, tuple(voters)
-    standing.boots.update(boots)
-    accord._keep()
+    standing.cleared, standing.log_started, standing.voters = cleared, log_was_begun, tuple(voters)
+    standing.highest_epochs.update(boots)
+    accord.save_voter_state()
     return _plain_standing(accord)
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -25,8 +25,8 @@
 from message_relay.config import load
 from message_relay.consensus.admin_socket import AdminSocket
 from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
-from message_relay.consensus.raft_storage import sealed
-from message_relay.consensus.replicated_log import KIND, ReplicatedLog
+from message_relay.consensus.raft_storage import with_checksum
+from message_relay.consensus.replicated_log import FRAME_KIND, ReplicatedLog
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.version_history import VersionHistory
 from message_relay.core.ports import CallContext, Submission
@@ -169,7 +169,7 @@
         """A call is asked for, so that there is something to explain."""
         assert self.common.accord is not None
         call = CallContext(message, 7, "e", "z", "safe", 0, False, False)
-        self.common.accord.gate.authorize(0.0, call)
+        self.common.accord.rule_enforcer.authorize(0.0, call)
 
     def see_a_zone_fail(self) -> None:
         """All calls into one zone fail, and a plan is made of that."""
@@ -182,7 +182,7 @@
                 demand = (Demand(7, "anywhere 1", 40.0),)
                 told = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, cells)
                 failover.evidence.take(now, told)
-        rules = accord.newest()
+        rules = accord.newest_rules()
         problems = failover.decider.look(now, rules, rooms)
         plans = failover.decider.plans(problems)
         failover.decider.next(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
@@ -197,9 +197,9 @@
     node: Any = _FramesOnly()
     log = ReplicatedLog(folder, node, "n0", [], VersionHistory(Rules(), ("n0",)), lambda: None)
     log.raft._applyCommand = lambda entry, *more: entries.append(entry)
-    log.raft.take(sealed(raw))
+    log.raft.apply_command(with_checksum(raw))
     log.raft.destroy()
-    return KIND, entries[0]
+    return FRAME_KIND, entries[0]
 
 
 class _FramesOnly:
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from itertools import count, product
 
-from message_relay.consensus.canary_guard import CanaryWatch, Recent, Verdict
+from message_relay.consensus.canary_guard import CanaryWatch, RecentOutcomes, Verdict
 from message_relay.consensus.lease_grantor import LeaseGrantor, RelayLease
 from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder, LeaseTier
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseTerms
@@ -422,10 +422,10 @@
     for _ in range(400):
         name, boot = draw.choice("abc"), draw.randint(1, 12)
         if draw.random() < 0.05:
-            boots.back(name, draw.choice((None, boot)))
+            boots.undo_observe(name, draw.choice((None, boot)))
         else:
-            rows.append((name, boot, boots.told(name, boot, draw.randint(0, 2))))
-        rows += [("seen", *each) for each in sorted(boots.seen.items())]
+            rows.append((name, boot, boots.observe(name, boot, draw.randint(0, 2))))
+        rows += [("seen", *each) for each in sorted(boots.highest.items())]
     return rows
 
 
@@ -485,13 +485,13 @@
 
 
 def harm_of_changes(seed: int) -> list[Row]:
-    words = {Verdict.WAIT: "wait", Verdict.HARM: "harm", Verdict.WELL: "well"}
+    words = {Verdict.WAIT: "wait", Verdict.HARMFUL: "harm", Verdict.HEALTHY: "well"}
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
     for share in (0.3, 1.0):
         book = VersionHistory(Rules(), ("n0", "n1", "n2"))
         guard = Guard(least_ratio=0.9, least_count=30, watch_s=20.0)
         book.apply(Propose(1, encode_rules(_rule_sets()[1]), "ana", "", 0.0, share, guard))
-        recent, watch = Recent(), CanaryWatch(book.newest, now, 0.95)
+        recent, watch = RecentOutcomes(), CanaryWatch(book.newest, now, 0.95)
         counts = {f"n{number}": (0, 0) for number in range(12)}
         for _ in range(80):
             now += draw.expovariate(2.0)
@@ -501,9 +501,9 @@
             records = [
                 (name, RelayLease(1, 7, counts=DeliveryCounts(*each))) for name, each in counts.items()
             ]
-            recent.take(now, [record for _, record in records])
-            verdict, why = watch.judged(now, records)
-            rows.append((now, words[verdict], bool(why), recent.share(40)))
+            recent.add(now, [record for _, record in records])
+            verdict, why = watch.evaluate(now, records)
+            rows.append((now, words[verdict], bool(why), recent.delivered_share(40)))
     return rows
 
 
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -16,8 +16,8 @@
 from message_relay.consensus.lease_protocol import LeaseGrant, LeaseRenewal
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.rules_codec import decode_rules, encode_rules
-from message_relay.consensus.version_history import Answer as CommandAnswer
-from message_relay.consensus.version_history import Command, Version, command
+from message_relay.consensus.version_history import CommandResult as CommandAnswer
+from message_relay.consensus.version_history import Command, Version, decode_command
 from message_relay.failover.observations import Report
 from message_relay.gossip.node import Hello
 from message_relay.gossip.wire import Packet, opened, sealed
@@ -78,7 +78,7 @@
     "boot answer": _msgpack(int, _itself),
     "version question": _msgpack(int, _itself),
     "version": _msgpack(Version, version_values),
-    "command": _json(Command, command_values, command),
+    "command": _json(Command, command_values, decode_command),
     "command answer": _json(CommandAnswer, command_answer_values),
     "operator's question": _json(AdminRequest, question_values),
     "rules": _Format(Rules, encode_rules, decode_rules, rules_values),
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -25,32 +25,32 @@
 
 def test_one_that_asks_again_is_not_told_of_itself() -> None:
     it = ProcessEpochs({"a": 4})
-    assert it.told("a", 5, 77) == 4
-    assert it.told("a", 5, 77) == 4 and it.told("a", 5, 77) == 4
+    assert it.observe("a", 5, 77) == 4
+    assert it.observe("a", 5, 77) == 4 and it.observe("a", 5, 77) == 4
 
 
 def test_another_process_of_the_same_boot_is_told_of_the_first() -> None:
     it = ProcessEpochs({})
-    assert it.told("a", 5, 77) == 0
-    assert it.told("a", 5, 78) == 5  # a folder put back runs from the same number
-    assert it.told("a", 5, 0) == 5  # a build that tells no nonce may be any process
-    assert it.told("a", 3, 77) == 5 and it.seen == {"a": 5}
-    assert it.told("a", 6, 79) == 5 and it.told("a", 5, 77) == 6
+    assert it.observe("a", 5, 77) == 0
+    assert it.observe("a", 5, 78) == 5  # a folder put back runs from the same number
+    assert it.observe("a", 5, 0) == 5  # a build that tells no nonce may be any process
+    assert it.observe("a", 3, 77) == 5 and it.highest == {"a": 5}
+    assert it.observe("a", 6, 79) == 5 and it.observe("a", 5, 77) == 6
 
 
 def test_what_could_not_be_written_was_never_heard() -> None:
     it = ProcessEpochs({"a": 4})
-    assert it.told("a", 5, 77) == 4
-    it.back("a", 4)
-    assert it.seen == {"a": 4} and it.told("a", 5, 78) == 4
-    assert it.told("b", 1, 1) == 0
-    it.back("b", None)
-    assert "b" not in it.seen
+    assert it.observe("a", 5, 77) == 4
+    it.undo_observe("a", 4)
+    assert it.highest == {"a": 4} and it.observe("a", 5, 78) == 4
+    assert it.observe("b", 1, 1) == 0
+    it.undo_observe("b", None)
+    assert "b" not in it.highest
 
 
 def test_a_nonce_of_0_is_a_nonce_of_nobody() -> None:
     it = ProcessEpochs({})
-    assert it.told("a", 5, 0) == 0 and it.told("a", 5, 0) == 5
+    assert it.observe("a", 5, 0) == 0 and it.observe("a", 5, 0) == 5
 
 
 @contextlib.asynccontextmanager
--- a/tests/consensus/test_raft_storage.py
+++ b/tests/consensus/test_raft_storage.py
@@ -16,11 +16,11 @@
     META,
     RaftStorage,
     TornWriteError,
-    check,
-    entries,
-    removed,
-    sealed,
-    unsealed,
+    parse_journal,
+    remove_log,
+    verified_payload,
+    verify_log,
+    with_checksum,
 )
 from message_relay.consensus.replicated_log import ReplicatedLog
 from message_relay.consensus.rules import Rules
@@ -32,20 +32,20 @@
 def written(folder: Path) -> FileJournal:
     journal = FileJournal(str(folder / JOURNAL))
     for number, term in ((1, 0), (2, 1), (3, 1), (4, 3)):
-        journal.add(b"\0" + sealed(b"command %d" % number), number, term)
+        journal.add(b"\0" + with_checksum(b"command %d" % number), number, term)
     journal.setCurrentTerm(3, "n1")
     journal._destroy()
     return journal
 
 
 def test_what_the_library_writes_is_believed_and_its_payloads_are_sealed(tmp_path: Path) -> None:
-    check(tmp_path)  # nothing lies there yet
+    verify_log(tmp_path)  # nothing lies there yet
     written(tmp_path)
-    check(tmp_path)
-    told = entries((tmp_path / JOURNAL).read_bytes())
+    verify_log(tmp_path)
+    told = parse_journal((tmp_path / JOURNAL).read_bytes())
     assert [(number, term) for number, term, _ in told] == [(1, 0), (2, 1), (3, 1), (4, 3)]
-    assert unsealed(told[2][2][1:]) == b"command 3"
-    removed(tmp_path)
+    assert verified_payload(told[2][2][1:]) == b"command 3"
+    remove_log(tmp_path)
     assert not list(tmp_path.iterdir())
 
 
@@ -55,8 +55,8 @@
     last = int.from_bytes(whole[36:40], "little")
     for length in range(last):
         with pytest.raises(TornWriteError):
-            entries(whole[:length])
-    good = entries(whole)
+            parse_journal(whole[:length])
+    good = parse_journal(whole)
     silent = 0
     for at in (*range(9), *range(32, last)):  # but for the library's version and the name's padding
         for flip in (0x01, 0x80, 0xFF):
@@ -64,14 +64,14 @@
             raw[at] ^= flip
             (tmp_path / JOURNAL).write_bytes(raw)
             try:
-                check(tmp_path)
+                verify_log(tmp_path)
             except TornWriteError:
                 continue
-            told = entries(bytes(raw))
+            told = parse_journal(bytes(raw))
             for one, other in zip(good, told, strict=True):
                 if one[2][1:] != other[2][1:]:
                     with pytest.raises(TornWriteError):
-                        unsealed(other[2][1:])
+                        verified_payload(other[2][1:])
                 elif one != other:
                     silent += 1  # a term by less than a step, the kind of an entry, the first one's number
     assert silent < 0.04 * 3 * last
@@ -82,10 +82,10 @@
     written(tmp_path)
     (tmp_path / META).write_bytes(raw)
     with pytest.raises(TornWriteError, match="its vote can't be read"):
-        check(tmp_path)
+        verify_log(tmp_path)
     (tmp_path / META).unlink()
     with pytest.raises(TornWriteError, match="of term 0 and its journal of term 3"):
-        check(tmp_path)
+        verify_log(tmp_path)
 
 
 class Stub:
@@ -107,17 +107,17 @@
         return True
 
     log = ReplicatedLog(folder, Stub(), "n0", ["n1", "n2"], VersionHistory(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
-    for name, stream in log.wire.streams.items():
+    for name, stream in log.transport.streams.items():
         stream.up = True
-        log.wire._changed(name, True)
+        log.transport._changed(name, True)
         stream.say = functools.partial(say, f"says to {name}")  # type: ignore[method-assign]
-    sync = log.disk.sync
+    sync = log.storage.sync
 
     def synced() -> None:
         did.append("syncs")
         sync()
 
-    log.disk.sync = synced  # type: ignore[method-assign]
+    log.storage.sync = synced  # type: ignore[method-assign]
     return log
 
 
@@ -130,7 +130,7 @@
             while "says to n2" not in did:
                 await asyncio.sleep(0.01)
         assert did[0] == "syncs" and pickle.loads((tmp_path / META).read_bytes())["currentTerm"] >= 1
-        assert not log.disk.changed()
+        assert not log.storage.has_unsynced_writes()
         before = len(did)
         (tmp_path / (META + ".tmp")).mkdir()  # from now on a vote can't be written
         async with asyncio.timeout(10.0):
@@ -147,13 +147,13 @@
 ) -> None:
     journal = FileJournal(str(tmp_path / JOURNAL))
     disk = RaftStorage(tmp_path)
-    assert disk.changed()
+    assert disk.has_unsynced_writes()
     disk.sync()
     for number, term in ((1, 0), (2, 1)):
         journal.add(b"\0" * 9, number, term)
-        assert disk.changed()
+        assert disk.has_unsynced_writes()
         disk.sync()
-        assert not disk.changed()
+        assert not disk.has_unsynced_writes()
     journal.deleteEntriesFrom(1)
     journal.add(b"\0" * 9, 2, 2)  # of another term, at the same place and as long
-    assert disk.changed()
+    assert disk.has_unsynced_writes()
--- a/tests/consensus/test_version_fetch.py
+++ b/tests/consensus/test_version_fetch.py
@@ -8,7 +8,13 @@
 
 import pytest
 
-from message_relay.consensus.version_fetch import FIRST_MOST_S, ROUNDS, SOUGHT, VersionFetcher, first_pause
+from message_relay.consensus.version_fetch import (
+    CONCURRENT_SEARCHES_MAX,
+    FIRST_PAUSE_MAX_S,
+    ROUNDS,
+    VersionFetcher,
+    first_pause,
+)
 from message_relay.gossip.node import STREAMS
 
 ANSWER_S = 0.02  # of a conversation with a voter that has others to answer: 3,200 a second at the most
@@ -51,19 +57,19 @@
         if fetching is None:
             continue
         if what != "ask":
-            if fetching.told(2, what) is not None:
+            if fetching.on_version_reported(2, what) is not None:
                 heapq.heappush(turns, (now + first_pause(rng, relays, voters), n, "ask"))
             heapq.heappush(turns, (now + HINTS_S, n, what))  # the next grant tells of it again
             continue
-        sought = fetching.sought[2]
-        asked = sought.next()
+        sought = fetching.searches[2]
+        asked = sought.next_voter()
         if asked is None:
-            fetching.over(2)
+            fetching.finish(2)
         elif int(asked) not in down and them.ask(now, int(asked)):
             had.append(now + ANSWER_S)
             del lacking[n]
         else:
-            heapq.heappush(turns, (now + sought.pause(), n, "ask"))
+            heapq.heappush(turns, (now + sought.next_pause(), n, "ask"))
     return them, had
 
 
@@ -73,7 +79,7 @@
         them, had = fetched(relays, 5, seed)
         assert len(had) == relays and sum(them.refused.values()) <= relays // 50
         assert max(them.answered.values()) <= max(relays / 5 * 1.3, FEW)
-        assert max(had) <= FIRST_MOST_S + 1.0 and (relays > 40 or max(had) < 0.2)
+        assert max(had) <= FIRST_PAUSE_MAX_S + 1.0 and (relays > 40 or max(had) < 0.2)
 
 
 def test_voters_that_do_not_answer_cost_one_pause_each_and_nobody_gives_up() -> None:
@@ -84,38 +90,41 @@
 
 def test_one_that_is_refused_by_all_is_given_up_and_begun_anew_by_the_next_word() -> None:
     it = VersionFetcher(random.Random(1))
-    sought = it.told(7, "n0")
-    assert sought is not None and it.told(7, "n1") is None
-    asked = [sought.next() for _ in range(2 * ROUNDS)]
-    assert Counter(asked) == {"n0": ROUNDS, "n1": ROUNDS} and sought.next() is None
-    it.over(7)
-    assert it.told(7, "n0") is not None
+    sought = it.on_version_reported(7, "n0")
+    assert sought is not None and it.on_version_reported(7, "n1") is None
+    asked = [sought.next_voter() for _ in range(2 * ROUNDS)]
+    assert Counter(asked) == {"n0": ROUNDS, "n1": ROUNDS} and sought.next_voter() is None
+    it.finish(7)
+    assert it.on_version_reported(7, "n0") is not None
 
 
 def test_pauses_grow_and_end_and_orders_differ() -> None:
-    sought = VersionFetcher(random.Random(2)).told(7, "n0")
+    sought = VersionFetcher(random.Random(2)).on_version_reported(7, "n0")
     assert sought is not None
     for n in range(1, 5):
-        sought.has(f"n{n}")
+        sought.add_voter(f"n{n}")
     pauses = []
     for _ in range(ROUNDS * 5):
-        sought.next()
-        pauses.append(sought.pause())
+        sought.next_voter()
+        pauses.append(sought.next_pause())
     assert all(low < high for low, high in zip(pauses, pauses[2:4], strict=False)) and max(pauses) <= 0.8
     orders = set()
     for seed in range(20):
         fetching = VersionFetcher(random.Random(seed))
-        one = fetching.told(1, "n0")
+        one = fetching.on_version_reported(1, "n0")
         assert one is not None
         for n in range(1, 5):
-            one.has(f"n{n}")
-        orders.add(tuple(one.line))
+            one.add_voter(f"n{n}")
+        orders.add(tuple(one.voters))
     assert len(orders) > 10 and len({order[0] for order in orders}) > 2
 
 
 def test_versions_that_are_sought_at_once_are_bounded() -> None:
     it = VersionFetcher(random.Random(3))
-    assert all(it.told(n, "n0") is not None for n in range(SOUGHT))
-    assert it.told(SOUGHT, "n0") is None and len(it.sought) == SOUGHT
-    it.over(0)
-    assert it.told(SOUGHT, "n0") is not None
+    assert all(it.on_version_reported(n, "n0") is not None for n in range(CONCURRENT_SEARCHES_MAX))
+    assert (
+        it.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is None
+        and len(it.searches) == CONCURRENT_SEARCHES_MAX
+    )
+    it.finish(0)
+    assert it.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is not None
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -7,15 +7,15 @@
 from message_relay.consensus.rules import ANY, DestinationRule, Rules, RulesError
 from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import (
-    KEPT,
+    VERSIONS_RETAINED,
+    ChangeVoters,
     Forget,
     Promote,
     Propose,
     Stage,
     VersionHistory,
-    Voters,
     Withdraw,
-    command,
+    decode_command,
 )
 
 STRICT = Rules({ANY: DestinationRule(rate=5.0)})
@@ -37,7 +37,7 @@
     assert answer.refused == (
         "base: the newest version is 2 (by ana: because), not 1: look at it, and propose again"
     )
-    assert it.current.set == STRICT and len(it.versions) == 2
+    assert it.current.decoded_rules == STRICT and len(it.versions) == 2
 
 
 def test_a_trial_is_stricter_and_ends_by_promotion_or_withdrawal() -> None:
@@ -45,9 +45,9 @@
     it.apply(propose(1, LOOSE))
     assert "stricter" in it.apply(propose(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
     assert it.apply(propose(2, STRICT, 0.2)).number == 3
-    assert it.trial is not None and it.current.number == 2
+    assert it.canary is not None and it.current.number == 2
     assert "on trial" in it.apply(propose(3, LOOSE)).refused
-    assert it.apply(Withdraw(3, "ana", "harm")).number == 3 and it.trial is None and it.current.number == 2
+    assert it.apply(Withdraw(3, "ana", "harm")).number == 3 and it.canary is None and it.current.number == 2
     assert "it is withdrawn" in it.apply(Promote(3, "ana")).refused
     assert it.apply(propose(3, STRICT, 0.2)).number == 4 and it.apply(Promote(4, "ana")).number == 4
     assert it.current.number == 4 and [each.stage for each in it.versions] == [
@@ -60,28 +60,32 @@
 
 def test_voters_change_one_at_a_time() -> None:
     it = book()
-    assert it.apply(Voters(1, "n3", "", "ana", 5.0)).number == 2
-    assert it.newest.voters == ("n0", "n1", "n2", "n3") and it.voters_at_ms == 5.0
+    assert it.apply(ChangeVoters(1, "n3", "", "ana", 5.0)).number == 2
+    assert it.newest.voters == ("n0", "n1", "n2", "n3") and it.voters_changed_at_ms == 5.0
     for told, why in (
-        (Voters(2, "n4", "n0", "ana", 6.0), "a step at a time"),
-        (Voters(2, "n3", "", "ana", 6.0), "already"),
-        (Voters(2, "", "n9", "ana", 6.0), "not among"),
+        (ChangeVoters(2, "n4", "n0", "ana", 6.0), "a step at a time"),
+        (ChangeVoters(2, "n3", "", "ana", 6.0), "already"),
+        (ChangeVoters(2, "", "n9", "ana", 6.0), "not among"),
     ):
         assert why in it.apply(told).refused
-    assert it.apply(Voters(2, "", "n0", "ana", 7.0)).number == 3 and it.newest.set == Rules()
+    assert it.apply(ChangeVoters(2, "", "n0", "ana", 7.0)).number == 3 and it.newest.decoded_rules == Rules()
 
 
 def test_it_is_the_same_after_a_snapshot_and_holds_so_many_versions() -> None:
     it, again = book(), book()
-    for n in range(KEPT + 10):
+    for n in range(VERSIONS_RETAINED + 10):
         it.apply(propose(n + 1, STRICT if n % 2 else LOOSE))
     it.apply(Forget("n2", 4, "ana", 0.0))
-    again.load(it.dumped())
-    assert again.dumped() == it.dumped() and len(it.versions) == KEPT and again.forgotten == {"n2": 4}
+    again.load(it.dump())
+    assert (
+        again.dump() == it.dump()
+        and len(it.versions) == VERSIONS_RETAINED
+        and again.forgotten_epochs == {"n2": 4}
+    )
     assert it.get(1) is None and it.get(it.newest.number) is it.newest
 
 
 @pytest.mark.parametrize("raw", [b"", b"{}", b'{"type": "propose"}', b'{"type": "no"}'])
 def test_a_faulty_command_changes_nothing(raw: bytes) -> None:
     with pytest.raises(RulesError, match="command: "):
-        command(raw)
+        decode_command(raw)
