--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -17,7 +17,7 @@
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
 from message_relay.consensus.rules_meet import is_subset
 from message_relay.consensus.version_history import VERSIONS_RETAINED, Propose, Version, VersionHistory
-from message_relay.gossip.wire import App, Packet, opened, sealed
+from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
 
 from .form import Measure
 
@@ -47,18 +47,18 @@
 def asked(n: int, seq: int, acts: tuple[int, ...], refuses: int) -> bytes:
     """A relay's renewal as it comes from the wire."""
     told = LeaseRenewal(1, n, seq, FIRST, acts, refuses, DeliveryCounts(1_000_000 + n, 1_000_100 + n))
-    return sealed(Packet(f"n{n}", n, App(RENEW, msgspec.msgpack.encode(told))), SECRET)
+    return seal_packet(Packet(f"n{n}", n, AppMessage(RENEW, msgspec.msgpack.encode(told))), SECRET)
 
 
 def answered(it: LeaseGrantor, now: float, raw: bytes) -> bytes:
     """As consensus/instance.py has it: clears before and after."""
-    packet = opened(raw, SECRET)
-    assert isinstance(packet.body, App)
+    packet = open_packet(raw, SECRET)
+    assert isinstance(packet.body, AppMessage)
     told: LeaseRenewal = msgspec.msgpack.decode(packet.body.body, type=LeaseRenewal)
     it.clear_current_version(now)
     grant = it.on_renewal(now, packet.sender, told)
     it.clear_current_version(now)
-    return sealed(Packet("n0", 1, App(GRANT, msgspec.msgpack.encode(grant))), SECRET)
+    return seal_packet(Packet("n0", 1, AppMessage(GRANT, msgspec.msgpack.encode(grant))), SECRET)
 
 
 def round_of(
--- a/benchmarks/capacity/gossip.py
+++ b/benchmarks/capacity/gossip.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from message_relay.gossip.swim import Swim
-from message_relay.gossip.wire import Claim, Packet, State, Sync, opened, sealed
+from message_relay.gossip.wire import Claim, MemberState, Packet, Sync, open_packet, seal_packet
 
 from .form import Measure
 
@@ -28,7 +28,7 @@
 SLACK_S = 0.005  # as gossip/node.py has it: timers closer than that are one
 
 
-def claim(n: int, state: State = State.JOINING, boot: int = 1) -> Claim:
+def claim(n: int, state: MemberState = MemberState.JOINING, boot: int = 1) -> Claim:
     """As large as a real one: an identity of 16 letters, a nonce of 48 bits, an address of a machine's."""
     host = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
     nonce = (n * 0x9E3779B97F4A7C15 + boot) & (1 << 48) - 1
@@ -59,13 +59,13 @@
         self.sent, self.bytes = [0] * count, [0] * count  # by member
         self.lost: Callable[[int, int], bool] = lambda a, b: False
         if settled:
-            words = [claim(n, State.ALIVE) for n in range(count)]
+            words = [claim(n, MemberState.ALIVE) for n in range(count)]
             for n, word in enumerate(words):
                 it = self._made(word)
                 it.receive(0.0, "n0", 1, Sync(False, tuple(each for each in words if each is not word)))
-                it.news.clear()
-                it.synced, it.sync_at = True, self.rng.uniform(0.0, 15.0)
-                it.period_at = self.rng.uniform(0.0, 1.0)
+                it.dissemination_queue.clear()
+                it.is_synced, it.next_sync_at = True, self.rng.uniform(0.0, 15.0)
+                it.next_period_at = self.rng.uniform(0.0, 1.0)
                 it.changes.clear()
                 self._schedule(n, it)
 
@@ -73,7 +73,7 @@
         n = word.port - FIRST_PORT
         seeds = [(each.host, each.port) for each in map(claim, range(SEEDS))]
         others = tuple(at for at in seeds if at != (word.host, word.port))
-        it = Swim(word, others, random.Random(n * 77 + word.boot))
+        it = Swim(word, others, random.Random(n * 77 + word.process_epoch))
         self.members[n], self.at[word.host, word.port] = it, n
         return it
 
@@ -102,7 +102,7 @@
     def _flush(self, n: int, it: Swim) -> None:
         outbox, it.outbox = it.outbox, []
         for to, body in outbox:
-            raw = sealed(Packet(it.me.name, it.me.nonce, body), SECRET)
+            raw = seal_packet(Packet(it.own_claim.name, it.own_claim.nonce, body), SECRET)
             self.sent[n] += 1
             self.bytes[n] += len(raw)
             other = self.at.get(to)
@@ -116,7 +116,7 @@
     def _take(self, n: int, raw: bytes) -> None:
         it = self.members.get(n)
         if it is not None:
-            packet = opened(raw, SECRET)
+            packet = open_packet(raw, SECRET)
             it.receive(self.now, packet.sender, packet.nonce, packet.body)
             self._flush(n, it)
             self._schedule(n, it)
@@ -131,9 +131,9 @@
     def knows_all(self) -> bool:
         count = len(self.members)
         return all(
-            it.me.state is State.ALIVE
+            it.own_claim.state is MemberState.ALIVE
             and len(it.members) == count - 1
-            and all(each.state is State.ALIVE for each in it.members.values())
+            and all(each.state is MemberState.ALIVE for each in it.members.values())
             for it in self.members.values()
         )
 
@@ -177,14 +177,15 @@
 def memory(size: int) -> float:
     """Of each member known, as one instance holds them: taken from packets."""
     it = Swim(claim(0), (), random.Random(1))
-    words = [claim(n + 1, State.ALIVE) for n in range(size)]
+    words = [claim(n + 1, MemberState.ALIVE) for n in range(size)]
     packets = [
-        sealed(Packet("n1", 1, Sync(False, tuple(words[n : n + 10]))), SECRET) for n in range(0, size, 10)
+        seal_packet(Packet("n1", 1, Sync(False, tuple(words[n : n + 10]))), SECRET)
+        for n in range(0, size, 10)
     ]
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for raw in packets:
-        it.receive(0.0, "n1", 1, opened(raw, SECRET).body)
+        it.receive(0.0, "n1", 1, open_packet(raw, SECRET).body)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (after - before) / len(it.members)
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -32,7 +32,7 @@
 from message_relay.fleet.operator import FleetPart, OperatorConfig, StatusPart
 from message_relay.fleet.status import LoopLag
 from message_relay.gc_policy import run_gc_policy
-from message_relay.gossip.wire import Claim, State
+from message_relay.gossip.wire import Claim, MemberState
 from message_relay.http.discovery_client import DiscoveryClient
 
 from .hollow_figures import Bins
@@ -88,10 +88,10 @@
             self.acts.setdefault(number, {}).setdefault(int(label), time.monotonic())
 
     def changed(self, claim: Claim) -> None:
-        key = f"{claim.name}/{claim.boot}"
-        if claim.state in (State.DEAD, State.LEFT):
+        key = f"{claim.name}/{claim.process_epoch}"
+        if claim.state in (MemberState.DEAD, MemberState.LEFT):
             self.deaths.setdefault(key, Bins()).add(time.monotonic())
-        elif claim.state is State.SUSPECT:
+        elif claim.state is MemberState.SUSPECT:
             self.suspects[key] += 1
         else:
             self.lives.setdefault(key, Bins()).add(time.monotonic())
@@ -110,7 +110,7 @@
                 config.known
             )
             self.host.on_endpoint_update(known)
-        self.common.peers.changed.append(watch.changed)
+        self.common.peers.on_member_changed.append(watch.changed)
         accord = self.common.accord
         assert accord is not None
         self.accord, retell = accord, accord.on_rules_changed
@@ -140,7 +140,7 @@
     @property
     def there(self) -> int:
         """Members that it knows to be there, itself included."""
-        return len(self.common.peers.swim.there())
+        return len(self.common.peers.swim.present_members())
 
 
 class Worker:
@@ -216,7 +216,7 @@
         version or a later one."""
         there = [one.there for one in self.instances.values()]
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
-        news = [len(one.common.peers.swim.news) for one in self.instances.values()]
+        news = [len(one.common.peers.swim.dissemination_queue) for one in self.instances.values()]
         late = [
             f"{one.accord.name}: {one.accord.active_rules().label} {one.accord.lease_holder.denial_reason}"
             for number, one in self.instances.items()
--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -13,7 +13,7 @@
 from message_relay.failover.node import EVIDENCE, FORWARDED
 from message_relay.failover.observations import KEPT, CallCounter, Observations, Report
 from message_relay.failover.settings import FailoverSettings, ZonePart
-from message_relay.gossip.wire import App, Packet, opened, sealed
+from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
 
 from .form import Measure
 
@@ -36,15 +36,15 @@
 
 def packets(reports: list[Report]) -> list[bytes]:
     return [
-        sealed(Packet(each.origin, 1, App(EVIDENCE, msgspec.msgpack.encode(each))), SECRET)
+        seal_packet(Packet(each.origin, 1, AppMessage(EVIDENCE, msgspec.msgpack.encode(each))), SECRET)
         for each in reports
     ]
 
 
 def taken(evidence: Observations, now: float, raws: list[bytes]) -> None:
     for raw in raws:
-        body = opened(raw, SECRET).body
-        assert isinstance(body, App)
+        body = open_packet(raw, SECRET).body
+        assert isinstance(body, AppMessage)
         evidence.take(now, msgspec.msgpack.decode(body.body, type=Report))
 
 
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -16,7 +16,7 @@
 from ..core.ports import CallContext
 from ..core.tasks import BackgroundTasks, wait_for_event
 from ..decisions.model import Endpoint, Outcome, Settings
-from ..gossip.identity import Identity, written
+from ..gossip.identity import Identity, write_atomically
 from ..gossip.node import GossipNode, Hello
 from ..gossip.wire import Claim
 from ..structured_logging import LogEvent
@@ -122,7 +122,7 @@
         self.gone = False  # it has said so: a further renewal would be granted, and waited for
         self.looked = False  # whether the others have seen a later process of this folder
         self.lease_holder = LeaseHolder(
-            identity.boot, peers.swim.me.nonce, self.first, self.terms, part.floor
+            identity.process_epoch, peers.swim.own_claim.nonce, self.first, self.terms, part.floor
         )
         self.lease_holder.add_version(self.history.newest)
         zone = zones[settings.zone] if settings.zone < len(zones) else ""
@@ -145,10 +145,10 @@
         self.wake = asyncio.Event()
         self.reported_rules: ActiveRules | None = None
         self.file_seen = ""
-        peers.rebooted.append(self._rebooted)
-        peers.refused.append(self._refused)
-        peers.datagrams |= {RENEW: self._renewed, GRANT: self._granted, HINT: self._hinted}
-        peers.frames |= {VERSION: self._version, COMMAND: self._command, BOOT: self._boot}
+        peers.on_epoch_raised.append(self._rebooted)
+        peers.on_identity_conflict.append(self._refused)
+        peers.datagram_handlers |= {RENEW: self._renewed, GRANT: self._granted, HINT: self._hinted}
+        peers.frame_handlers |= {VERSION: self._version, COMMAND: self._command, BOOT: self._boot}
 
     # -- life ------------------------------------------------------------------------------------------------
 
@@ -182,7 +182,7 @@
             return VoterState()
 
     def save_voter_state(self) -> None:
-        written(self.folder / STANDING, self.voter_state)
+        write_atomically(self.folder / STANDING, self.voter_state)
 
     # -- the voter's part ------------------------------------------------------------------------------------
 
@@ -226,8 +226,8 @@
         After a turn that failed it begins anew by what lies on the disk."""
         seen = 0 if self.looked else await self._seen()
         self.looked = True  # the others know this boot from now on
-        if seen >= self.identity.boot:
-            self.peers.reboot(seen)
+        if seen >= self.identity.process_epoch:
+            self.peers.raise_process_epoch(seen)
         elif self.voter_state.log_started and not (self.folder / JOURNAL).exists():
             self._mute("its log is gone")
         while not self.mute:
@@ -268,8 +268,8 @@
     def _rebooted(self, identity: Identity) -> None:
         """The folder is older than what others have seen of it: what it knows may be old too."""
         self.identity = identity
-        self.lease_holder.restart(identity.boot)
-        self._mute(f"its folder is older than one seen with boot {identity.boot - 1}")
+        self.lease_holder.restart(identity.process_epoch)
+        self._mute(f"its folder is older than one seen with boot {identity.process_epoch - 1}")
 
     def _refused(self, why: str) -> None:
         """Another process is this instance: nothing is sent from now on."""
@@ -295,7 +295,7 @@
         while 2 * (len(told) + 1) <= len(voters) and self.clock.now() < ends:
             for name in others:
                 if name not in told:
-                    raw = msgspec.msgpack.encode((self.identity.id, self.identity.boot))
+                    raw = msgspec.msgpack.encode((self.identity.id, self.identity.process_epoch))
                     try:
                         told[name] = msgspec.msgpack.decode(
                             await self.peers.request(name, BOOT, raw, ASK_S), type=int
@@ -584,8 +584,8 @@
                     raise RulesError(
                         "rules: they forbid what accord.floor allows an instance that is cut off"
                     )
-                for claim in self.peers.swim.there():
-                    lacking = capabilities.unsupported_fields(rules, claim.caps)
+                for claim in self.peers.swim.present_members():
+                    lacking = capabilities.unsupported_fields(rules, claim.capabilities)
                     if lacking:
                         raise RulesError(
                             f"rules: {claim.name} runs a build that does not know "
@@ -684,7 +684,7 @@
                 remove = "" if question.remove is None else f"n{question.remove}"
                 if self.replicated_log is None:
                     raise RulesError("voters: ask an instance that votes")
-                if add and self.peers.where(add) is None:
+                if add and self.peers.address_of(add) is None:
                     raise RulesError(f"voters: {add} is no member just now")
                 told = ChangeVoters(await self._base(question), add, remove, question.author, now)
                 why = self._against(told) or await self.replicated_log.change_voters(add, remove, PROPOSE_S)
@@ -695,7 +695,7 @@
                 claim = self.peers.swim.members.get(question.name)
                 if claim is None:
                     raise RulesError(f"name: {question.name!r} is no member")
-                return Forget(question.name, claim.boot, question.author, now)
+                return Forget(question.name, claim.process_epoch, question.author, now)
 
     def newest_rules(self) -> Rules:
         """Of the newest version that is known here."""
@@ -760,7 +760,7 @@
             "refused calls": dict(self.rule_enforcer.refusal_counts),
             "members": {
                 claim.name: claim.state.name.lower()
-                for claim in (self.peers.swim.me, *self.peers.swim.members.values())
+                for claim in (self.peers.swim.own_claim, *self.peers.swim.members.values())
             },
             "traffic": dict(self.peers.counts),
         }
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -61,7 +61,7 @@
         self.held: list[tuple[Stream, bytes]] = []  # of this turn
         for other in others:
             self.addNode(other)
-        node.frames[FRAME_KIND] = self._frame
+        node.frame_handlers[FRAME_KIND] = self._frame
 
     ready = True
 
@@ -88,7 +88,7 @@
     def send(self, node: RaftNode, message: Any) -> bool:
         """Held back until what it speaks of lies on the disk: `flush`."""
         stream = self.streams.get(node.id)
-        if stream is None or not stream.up:
+        if stream is None or not stream.is_connected:
             return False
         self.held.append((stream, pickle.dumps(message)))
         return True
@@ -96,12 +96,12 @@
     def flush(self) -> None:
         held, self.held = self.held, []
         for stream, raw in held:
-            stream.say(raw)
+            stream.send(raw)
 
     def destroy(self) -> None:
         for task in self.work.values():
             task.cancel()
-        self.node.frames.pop(FRAME_KIND, None)
+        self.node.frame_handlers.pop(FRAME_KIND, None)
 
     def _changed(self, name: str, up: bool) -> None:
         node = self.nodes.get(name)
--- a/message_relay/endpoint_discovery/merge_policy.py
+++ b/message_relay/endpoint_discovery/merge_policy.py
@@ -27,22 +27,22 @@
     GONE = 3
 
 
-WORDS = {
+STATUS_BY_LISTING = {
     Listing.READY: EndpointStatus.READY,
     Listing.DRAINING: EndpointStatus.DRAINING,
     Listing.GONE: EndpointStatus.GONE,
 }
-LISTINGS = {word: listing for listing, word in WORDS.items()}
+LISTING_BY_STATUS = {word: listing for listing, word in STATUS_BY_LISTING.items()}
 
 
 def most_severe(words: Iterable[EndpointStatus]) -> EndpointStatus:
     return max(words, default=EndpointStatus.UNKNOWN)
 
 
-LEFT = 0.5  # a list with less than this part of what it had is a sudden shrink
-FEWEST = 2  # endpoints that it had, under which no list can shrink suddenly
-BELIEVED_S = 5.0  # a shrink that is told again after so long is believed
-TOLD = 3  # or one that was told so often in a row
+SUDDEN_SHRINK_RATIO = 0.5  # a list with less than this part of what it had is a sudden shrink
+SHRINK_CHECK_MIN_ENDPOINTS = 2  # endpoints that it had, under which no list can shrink suddenly
+SHRINK_ACCEPTED_AFTER_S = 5.0  # a shrink that is told again after so long is believed
+SHRINK_ACCEPTED_AFTER_REPORTS = 3  # or one that was told so often in a row
 
 
 class ShrinkGuard:
@@ -50,17 +50,20 @@
     gone". Until then its missing endpoints are as they were; what it says outright always counts."""
 
     def __init__(self) -> None:
-        self.since: float | None = None  # s, of the first such list in a row
-        self.times = 0
+        self.suspicious_since: float | None = None  # s, of the first such list in a row
+        self.suspicious_reports = 0
 
-    def believed(self, now: float, had: int, has: int) -> bool:
+    def accepts(self, now: float, had: int, has: int) -> bool:
         """`had`: endpoints of the latest list that was believed, of which `has` are in this one."""
-        if had < FEWEST or has >= LEFT * had:
-            self.since, self.times = None, 0
+        if had < SHRINK_CHECK_MIN_ENDPOINTS or has >= SUDDEN_SHRINK_RATIO * had:
+            self.suspicious_since, self.suspicious_reports = None, 0
             return True
-        self.since = now if self.since is None else self.since
-        self.times += 1
-        if self.times < TOLD and now - self.since < BELIEVED_S:
+        self.suspicious_since = now if self.suspicious_since is None else self.suspicious_since
+        self.suspicious_reports += 1
+        if (
+            self.suspicious_reports < SHRINK_ACCEPTED_AFTER_REPORTS
+            and now - self.suspicious_since < SHRINK_ACCEPTED_AFTER_S
+        ):
             return False
-        self.since, self.times = None, 0
+        self.suspicious_since, self.suspicious_reports = None, 0
         return True
--- a/message_relay/endpoint_discovery/poll_schedule.py
+++ b/message_relay/endpoint_discovery/poll_schedule.py
@@ -16,19 +16,33 @@
 
 from ..core.backoff import MOST, ExponentialBackoff
 
-KNOWN_MS = 6000.0  # what discovery has counts as told so long after it could be asked for it
-ANSWER_MS = 500.0  # an answer that waits for nothing takes no longer, on the way and in this process
-AGENT_HOLD_MS = 3000.0  # a watch at an agent of one's own: one that has fallen silent is begun anew after it
-AGENT_FIRST_MS, AGENT_MOST_MS = 50.0, 200.0  # pauses there: what it learns after an outage counts at once
-FIRST_CALL_MS = 150.0  # a process's first call at a shared register comes within it: what drains gets nothing
+DISCOVERY_BOUND_MS = 6000.0  # what discovery has counts as told so long after it could be asked for it
+ANSWER_TIMEOUT_MS = 500.0  # an answer that waits for nothing takes no longer, on the way and in this process
+AGENT_WATCH_MS = 3000.0  # a watch at an agent of one's own: one that has fallen silent is begun anew after it
+AGENT_FIRST_PAUSE_MS, AGENT_MAX_PAUSE_MS = (
+    50.0,
+    200.0,
+)  # pauses there: what it learns after an outage counts at once
+FIRST_CALL_SPREAD_MS = (
+    150.0  # a process's first call at a shared register comes within it: what drains gets nothing
+)
 # new after 250 ms. Those that are turned away then spread by pauses
-QUEUE_MS = 2000.0  # a shared register lets a call wait so long for its turn; longer ones it turns away
-HOLD_MS = 500.0  # for each relay: a watch lasts half to all of it, so that the fleet makes 2.8 calls a second
-LEAST_HOLD_MS = 2000.0  # for a small fleet: a watch that its agent has lost is begun anew soon
-MOST_HOLD_MS = 60000.0  # the longest that the protocol knows
-FIRST_MS, MOST_MS = 25.0, 100.0  # for each relay: the first pause after a failed call, and the longest
-LEAST_FIRST_MS, LEAST_MOST_MS = 50.0, 500.0  # for a small fleet
-SPREAD = 40  # relays at most for which pauses grow: a larger fleet has to be answered within these too
+REGISTER_QUEUE_MS = (
+    2000.0  # a shared register lets a call wait so long for its turn; longer ones it turns away
+)
+WATCH_MS_PER_RELAY = (
+    500.0  # for each relay: a watch lasts half to all of it, so that the fleet makes 2.8 calls a second
+)
+MIN_WATCH_MS = 2000.0  # for a small fleet: a watch that its agent has lost is begun anew soon
+MAX_WATCH_MS = 60000.0  # the longest that the protocol knows
+FIRST_PAUSE_MS_PER_RELAY, MAX_PAUSE_MS_PER_RELAY = (
+    25.0,
+    100.0,
+)  # for each relay: the first pause after a failed call, and the longest
+FIRST_PAUSE_FLOOR_MS, MAX_PAUSE_FLOOR_MS = 50.0, 500.0  # for a small fleet
+BACKOFF_RELAYS_MAX = (
+    40  # relays at most for which pauses grow: a larger fleet has to be answered within these too
+)
 
 
 class PollSchedule:
@@ -39,48 +53,53 @@
         if there is none."""
         if relays < 1:
             raise ValueError(f"relays: {relays}, must be 1 or more")
-        self.relays, self.rng, self.shared = relays, rng, shared
-        self.answer_ms = ANSWER_MS + QUEUE_MS * shared
-        self.reached = False  # the latest call was answered: only then may the next one wait on the far side
-        first, most = AGENT_FIRST_MS, AGENT_MOST_MS
+        self.relays, self.rng, self.is_shared = relays, rng, shared
+        self.answer_timeout_ms = ANSWER_TIMEOUT_MS + REGISTER_QUEUE_MS * shared
+        self.is_reachable = (
+            False  # the latest call was answered: only then may the next one wait on the far side
+        )
+        first, most = AGENT_FIRST_PAUSE_MS, AGENT_MAX_PAUSE_MS
         if shared:
-            spread = min(relays, SPREAD)
-            first, most = max(LEAST_FIRST_MS, FIRST_MS * spread), max(LEAST_MOST_MS, MOST_MS * spread)
+            spread = min(relays, BACKOFF_RELAYS_MAX)
+            first, most = (
+                max(FIRST_PAUSE_FLOOR_MS, FIRST_PAUSE_MS_PER_RELAY * spread),
+                max(MAX_PAUSE_FLOOR_MS, MAX_PAUSE_MS_PER_RELAY * spread),
+            )
             # A call given up, the pause and the next answer fit into the bound.
-            most = min(most, (KNOWN_MS - self.answer_ms - ANSWER_MS) / MOST)
-        self.pauses = ExponentialBackoff(first, most, rng)
+            most = min(most, (DISCOVERY_BOUND_MS - self.answer_timeout_ms - ANSWER_TIMEOUT_MS) / MOST)
+        self.backoff = ExponentialBackoff(first, most, rng)
 
-    def first(self) -> float:
+    def first_delay_ms(self) -> float:
         """The pause before a process's first call."""
-        return self.rng.uniform(0.0, FIRST_CALL_MS if self.shared and self.relays > 1 else 0.0)
+        return self.rng.uniform(0.0, FIRST_CALL_SPREAD_MS if self.is_shared and self.relays > 1 else 0.0)
 
-    def hold(self) -> float:
+    def watch_duration_ms(self) -> float:
         """How long the next call may wait for something newer; 0: it is to be answered at once."""
-        if not self.reached:
+        if not self.is_reachable:
             return 0.0
-        if not self.shared:
-            return self.rng.uniform(0.75, 1.0) * AGENT_HOLD_MS
-        most = min(MOST_HOLD_MS, HOLD_MS * self.relays)
-        if most <= LEAST_HOLD_MS:
-            return LEAST_HOLD_MS
-        return max(LEAST_HOLD_MS, self.rng.uniform(0.5, 1.0) * most)
+        if not self.is_shared:
+            return self.rng.uniform(0.75, 1.0) * AGENT_WATCH_MS
+        most = min(MAX_WATCH_MS, WATCH_MS_PER_RELAY * self.relays)
+        if most <= MIN_WATCH_MS:
+            return MIN_WATCH_MS
+        return max(MIN_WATCH_MS, self.rng.uniform(0.5, 1.0) * most)
 
-    def patience(self, hold: float) -> float:
+    def call_timeout_ms(self, watch_ms: float) -> float:
         """After how long a call with this hold is given up."""
-        return hold + (ANSWER_MS if hold else self.answer_ms)
+        return watch_ms + (ANSWER_TIMEOUT_MS if watch_ms else self.answer_timeout_ms)
 
-    def answered(self) -> None:
+    def on_answered(self) -> None:
         """The next call comes at once: a later one would begin a new watch."""
-        self.reached = True
-        self.pauses.reset()
+        self.is_reachable = True
+        self.backoff.reset()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Another register or agent: what the earlier one did says nothing of it."""
-        self.reached = False
-        self.pauses.reset()
+        self.is_reachable = False
+        self.backoff.reset()
 
-    def failed(self, refused: bool = False) -> float:
+    def pause_after_failure_ms(self, is_refused: bool = False) -> float:
         """The pause before the next call: growing, and jittered, to spare a returning register. One that has
         refused is there, and a watch costs it less than to be asked again and again."""
-        self.reached = refused and self.shared
-        return self.pauses.next_delay()
+        self.is_reachable = is_refused and self.is_shared
+        return self.backoff.next_delay()
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -47,15 +47,15 @@
         self, part: FailoverSettings, peers: GossipNode, accord: ConsensusInstance, host: Relay
     ) -> None:
         self.part, self.peers, self.accord, self.host = part, peers, accord, host
-        zone = peers.swim.me.zone
-        self.counting = CallCounter(accord.name, peers.swim.me.nonce, zone)
+        zone = peers.swim.own_claim.zone
+        self.counting = CallCounter(accord.name, peers.swim.own_claim.nonce, zone)
         self.evidence = Observations(part.window_s)
         self.decider = FailoverController(part, self.evidence, solver(), time.perf_counter)
         self.window_began = 0.0
         self.why = ""  # the latest proposal was not taken
         self.surplus = 0  # reports that were not kept, as it was said last
         self.tasks = BackgroundTasks()
-        peers.datagrams[EVIDENCE] = self._heard
+        peers.datagram_handlers[EVIDENCE] = self._heard
         accord.call_observer = self
         accord.rule_enforcer.may_use_zone = lambda class_, target: part.allowed(class_, zone, target)
 
@@ -157,7 +157,7 @@
 
     def relays(self) -> dict[str, list[str]]:
         found: dict[str, list[str]] = {}
-        for claim in self.peers.swim.there():
+        for claim in self.peers.swim.present_members():
             found.setdefault(claim.zone, []).append(claim.name)
         return found
 
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -9,7 +9,7 @@
 
 from ..config import Config, ConfigError
 from ..core.relay import Relay
-from ..gossip.identity import IdentityError, claimed
+from ..gossip.identity import IdentityError, claim_identity
 from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
 from .operator import OperatorConfig
@@ -31,7 +31,7 @@
         """Raises ConfigError; nothing listens yet. From here on nothing is sent that no rules allow."""
         folder = config.state / FOLDER
         try:
-            self.identity = claimed(folder, f"n{number}")
+            self.identity = claim_identity(folder, f"n{number}")
         except (IdentityError, OSError) as error:
             raise ConfigError(str(error)) from error
         zone = config.zones[config.settings.zone] if config.settings.zone < len(config.zones) else ""
@@ -76,7 +76,7 @@
             counts,
         )
         host.set_call_policy(self.accord)
-        self.peers.changed.append(self.accord.on_member_changed)
+        self.peers.on_member_changed.append(self.accord.on_member_changed)
         if told.failover.on:
             self._plan(told, config, host)
         folder = folder_of(told.status.folder)
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -78,7 +78,7 @@
         config = replace(config, settings=settings, sync_ms=told.state.every_ms)
         super().__init__(config, signals, notifier, told.amqp)
         self.common = None
-        if told.peers.on:
+        if told.peers.is_enabled:
             from .common import SharedSubsystems  # not imported where instances share nothing
 
             self.common = SharedSubsystems(told, number, config, self.relay)
--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -118,13 +118,13 @@
     shards: ShardedDirectorySettings = ShardedDirectorySettings()
 
     def __post_init__(self) -> None:
-        if self.peers.on:
-            for at in (self.peers.at, self.peers.told):
+        if self.peers.is_enabled:
+            for at in (self.peers.listen_address, self.peers.advertised_address):
                 try:
                     at(self.fleet.instances - 1)
                 except ValueError as error:
                     raise ValueError(f"peers.{error}") from error
-        if self.accord.is_enabled and not self.peers.on:
+        if self.accord.is_enabled and not self.peers.is_enabled:
             raise ValueError("accord.voters: needs peers.listen: instances have to know each other")
         if self.accord.is_enabled and not self.peers.secret_file and not self.peers.listen.startswith("127."):
             raise ValueError(
@@ -152,7 +152,7 @@
         """What [shards] needs of the other parts."""
         if not self.shards.on:
             return
-        if not self.peers.on:
+        if not self.peers.is_enabled:
             raise ValueError("shards.keepers: needs peers.listen: relays ask keepers as their peers")
         if not self.peers.secret_file and not self.peers.listen.startswith("127."):
             raise ValueError(
--- a/message_relay/gossip/identity.py
+++ b/message_relay/gossip/identity.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-FILE = "identity.json"
-BOOT_MAX = 1 << 40
+IDENTITY_FILE = "identity.json"
+PROCESS_EPOCH_MAX = 1 << 40
 GET_GENERATION = 0x80087601  # FS_IOC_GETVERSION of linux/fs.h
 
 
@@ -30,13 +30,13 @@
 class Identity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     id: str
     name: str
-    boot: int  # starts of a process in this folder, this one included
+    process_epoch: int = msgspec.field(name="boot")  # processes started from this folder, this one included
     device: int
     inode: int
     generation: int = 0  # of the inode, where the file system tells it
 
 
-def place(folder: Path) -> tuple[int, int, int]:
+def folder_location(folder: Path) -> tuple[int, int, int]:
     """Device, inode and the inode's generation: ext4 gives a removed folder's inode number to the next one
     that is made, which a copy over a removed folder would pass by. Raises OSError."""
     at = folder.stat()
@@ -50,11 +50,11 @@
     return at.st_dev, at.st_ino, int(struct.unpack("=i", told[:4])[0])
 
 
-def claimed(folder: Path, name: str) -> Identity:
+def claim_identity(folder: Path, name: str) -> Identity:
     """The identity of the process that starts here now, written before it is used. Raises IdentityError, and
     OSError where the folder can't be written."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    path, here = folder / FILE, place(folder)
+    path, here = folder / IDENTITY_FILE, folder_location(folder)
     try:
         known: Identity | None = msgspec.json.decode(path.read_bytes(), type=Identity)
     except FileNotFoundError:
@@ -73,21 +73,23 @@
         )
     if known.name != name:
         raise IdentityError(f"{path}: the folder is {known.name!r}'s, and this instance is {name!r}")
-    now = msgspec.structs.replace(known, boot=known.boot + 1)
-    written(path, now)
+    now = msgspec.structs.replace(known, process_epoch=known.process_epoch + 1)
+    write_atomically(path, now)
     return now
 
 
-def raised(folder: Path, identity: Identity, seen: int) -> Identity:
+def raise_process_epoch(folder: Path, identity: Identity, seen: int) -> Identity:
     """Above a boot that others have seen: this folder has gone back in time."""
-    if not 0 < seen < BOOT_MAX:
-        raise IdentityError(f"boot: {seen} was told by another instance: 1 to {BOOT_MAX} makes sense")
-    now = msgspec.structs.replace(identity, boot=seen + 1)
-    written(folder / FILE, now)
+    if not 0 < seen < PROCESS_EPOCH_MAX:
+        raise IdentityError(
+            f"boot: {seen} was told by another instance: 1 to {PROCESS_EPOCH_MAX} makes sense"
+        )
+    now = msgspec.structs.replace(identity, process_epoch=seen + 1)
+    write_atomically(folder / IDENTITY_FILE, now)
     return now
 
 
-def written(path: Path, what: msgspec.Struct) -> None:
+def write_atomically(path: Path, what: msgspec.Struct) -> None:
     """Whole or not at all, also over a power cut. Raises OSError."""
     part = path.with_suffix(".part")
     with open(part, "wb") as file:
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -14,7 +14,7 @@
 import zlib
 from collections.abc import Iterator
 
-from .wire import Claim, State
+from .wire import Claim, MemberState
 
 SLICES = 64  # of 4 bytes: a fifth of a packet, and 55 of 3,500 members in each
 _SUMS = struct.Struct(f"<{SLICES}I")
@@ -26,9 +26,9 @@
 
 def _mark(claim: Claim) -> int:
     """No checksum: those are linear, so that two members which change alike would leave a sum as it was."""
-    if claim.gone:
+    if claim.is_gone:
         return 0
-    told = hashlib.blake2b(repr((claim.name, *claim.rank)).encode(), digest_size=4)
+    told = hashlib.blake2b(repr((claim.name, *claim.precedence)).encode(), digest_size=4)
     return int.from_bytes(told.digest(), "little")
 
 
@@ -57,7 +57,7 @@
         self._sums[part(claim.name)] ^= _mark(claim)
         self.members[claim.name] = claim
         self.gone_at.pop(claim.name, None)
-        if claim.gone:
+        if claim.is_gone:
             self.gone_at[claim.name] = now
         self._all = None
 
@@ -79,7 +79,7 @@
             self._all = None
         return found
 
-    def some(self, rng: random.Random, most: int, state: State, but: str = "") -> list[str]:
+    def some(self, rng: random.Random, most: int, state: MemberState, but: str = "") -> list[str]:
         """Members in that state, by chance: a few are drawn, and all are looked at only where few do."""
         drawn = rng.sample(self.names, min(len(self.names), 3 * most))
         found = [name for name in drawn if self.members[name].state is state and name != but]
@@ -93,7 +93,7 @@
     def same(self, me: Claim) -> int:
         """Equal where the same is known; never 0. As builds without slices have it."""
         if self._all is None or self._all[0] is not me:
-            known = sorted((each.name, *each.rank) for each in (me, *self.members.values()))
+            known = sorted((each.name, *each.precedence) for each in (me, *self.members.values()))
             self._all = me, zlib.crc32(repr(known).encode()) or 1
         return self._all[1]
 
--- a/message_relay/gossip/settings.py
+++ b/message_relay/gossip/settings.py
@@ -26,23 +26,23 @@
     def __post_init__(self) -> None:
         for name in ("listen", "address"):
             if getattr(self, name):
-                numbered(getattr(self, name), name, 0)
+                instance_address(getattr(self, name), name, 0)
         for seed in self.seeds:
-            place(seed, "seeds")
+            parse_address(seed, "seeds")
         if self.seeds and not self.listen:
             raise ValueError("listen: seeds need a place to listen: HOST:PORT")
 
     @property
-    def on(self) -> bool:
+    def is_enabled(self) -> bool:
         return bool(self.listen)
 
-    def at(self, number: int) -> tuple[str, int]:
+    def listen_address(self, number: int) -> tuple[str, int]:
         """Where instance `number` listens."""
-        return numbered(self.listen, "listen", number)
+        return instance_address(self.listen, "listen", number)
 
-    def told(self, number: int) -> tuple[str, int]:
+    def advertised_address(self, number: int) -> tuple[str, int]:
         """Where others reach it."""
-        return numbered(self.address or self.listen, "address", number)
+        return instance_address(self.address or self.listen, "address", number)
 
     def secret(self) -> bytes:
         """Raises ValueError or OSError."""
@@ -56,16 +56,16 @@
         return raw
 
 
-def numbered(text: str, field: str, number: int) -> tuple[str, int]:
+def instance_address(text: str, field: str, number: int) -> tuple[str, int]:
     if "{n}" in text:
-        return place(text.replace("{n}", str(number)), field)
-    host, port = place(text, field)
+        return parse_address(text.replace("{n}", str(number)), field)
+    host, port = parse_address(text, field)
     if port + number > 65535:
         raise ValueError(f"{field}: instance {number} would be at port {port + number}: 65535 at most")
     return host, port + number
 
 
-def place(text: str, field: str) -> tuple[str, int]:
+def parse_address(text: str, field: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= 65535:
         raise ValueError(f"{field}: {text!r} is not HOST:PORT")
--- a/message_relay/gossip/swim.py
+++ b/message_relay/gossip/swim.py
@@ -38,7 +38,20 @@
 from .member_table import MemberTable
 from .paced_replies import PacedReplies
 from .settings import INSTANCES_MAX
-from .wire import Ack, Address, App, Body, Claim, Nack, Ping, PingFor, Refused, State, Sync, size
+from .wire import (
+    Ack,
+    Address,
+    AppMessage,
+    Body,
+    Claim,
+    IdentityConflict,
+    IndirectPing,
+    MemberState,
+    Nack,
+    Ping,
+    Sync,
+    encoded_size,
+)
 
 CLAIMS_BYTES = 1000  # of words on members in one packet
 TELL = 3.0  # each word is sent so many times log2(members): all but few hear of it by then (SWIM, 4.1)
@@ -96,91 +109,98 @@
 
 @dataclass
 class Swim:
-    me: Claim
+    own_claim: Claim
     seeds: tuple[Address, ...]
     rng: random.Random
-    period: float = 1.0
-    roll: MemberTable = field(default_factory=MemberTable)
+    period_s: float = 1.0
+    member_table: MemberTable = field(default_factory=MemberTable)
     outbox: list[tuple[Address, Body]] = field(default_factory=list)
     changes: list[Claim] = field(default_factory=list)
-    refused: Claim | None = None  # another process is who this one says it is
-    behind: int = 0  # a boot of this folder that others have seen, where that is not below this one
-    seen: dict[str, int] = field(default_factory=dict)  # identity -> highest boot
+    identity_conflict: Claim | None = None  # another process is who this one says it is
+    newer_epoch_seen: int = 0  # a boot of this folder that others have seen, where that is not below this one
+    highest_epochs: dict[str, int] = field(default_factory=dict)  # identity -> highest boot
 
     def __post_init__(self) -> None:
-        self.doubt = 0
+        self.local_health_score = 0
         self.seq = 0
-        self.news = DisseminationQueue()
-        self.answers = PacedReplies()
-        self.learned = 0  # words that were new, from others' answers since this one asked
-        self.asked = self.rng.randrange(len(self.seeds)) if self.seeds else 0  # the seed that is asked next
+        self.dissemination_queue = DisseminationQueue()
+        self.paced_replies = PacedReplies()
+        self.claims_learned = 0  # words that were new, from others' answers since this one asked
+        self.next_seed = (
+            self.rng.randrange(len(self.seeds)) if self.seeds else 0
+        )  # the seed that is asked next
         self.suspicions: dict[str, Suspicion] = {}
         self.suspicion_at = math.inf  # none ends before that
-        self.ring: list[str] = []
+        self.probe_order: list[str] = []
         self.probe: Probe | None = None
-        self.errands: dict[int, IndirectProbe] = {}
-        self.period_at = self.sync_at = self.due = 0.0
-        self.surplus, self.turned_away = 0, ""  # words on members past the most there may be; the latest name
-        self.synced = not self.seeds
-        self.news.add(self.me.name)
+        self.indirect_probes: dict[int, IndirectProbe] = {}
+        self.next_period_at = self.next_sync_at = self.next_tick_due = 0.0
+        self.rejected_claims, self.last_rejected = (
+            0,
+            "",
+        )  # words on members past the most there may be; the latest name
+        self.is_synced = not self.seeds
+        self.dissemination_queue.add(self.own_claim.name)
 
     @property
     def members(self) -> dict[str, Claim]:
         """All that are known but this one."""
-        return self.roll.members
+        return self.member_table.members
 
     # -- time ------------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         """Does what is due; call it at `next_at` at the latest."""
-        if self.due and now > self.due + LATE_PERIODS * self.period:
+        if self.next_tick_due and now > self.next_tick_due + LATE_PERIODS * self.period_s:
             self._stood_still(now)
-        if not self.synced and now >= self.sync_at:
-            self.sync_at = now + JOIN_S * self.rng.uniform(0.8, 1.2)
-            self._out(self.seeds[self.asked % len(self.seeds)], Sync(True, (self.me,)))  # for all there is
-            self.asked += 1
-        elif self.synced and now >= self.sync_at:
+        if not self.is_synced and now >= self.next_sync_at:
+            self.next_sync_at = now + JOIN_S * self.rng.uniform(0.8, 1.2)
+            self._out(
+                self.seeds[self.next_seed % len(self.seeds)], Sync(True, (self.own_claim,))
+            )  # for all there is
+            self.next_seed += 1
+        elif self.is_synced and now >= self.next_sync_at:
             self._sync(now)
         self._errands(now)
-        self.outbox += self.answers.spurt(now)
+        self.outbox += self.paced_replies.spurt(now)
         self._probe(now)
         self._suspicions(now)
         self._forget(now)
-        self.due = self.next_at()
+        self.next_tick_due = self.next_at()
 
     def next_at(self) -> float:
-        times = [self.period_at, self.sync_at]
+        times = [self.next_period_at, self.next_sync_at]
         if self.probe is not None and not self.probe.asked and not self.probe.answered:
             times.append(self.probe.begun + self._answer_s())
-        if self.errands:
-            times.append(next(iter(self.errands.values())).nack_at)
+        if self.indirect_probes:
+            times.append(next(iter(self.indirect_probes.values())).nack_at)
         if self.suspicions:
             times.append(self.suspicion_at)
-        if self.answers.going:
-            times.append(self.answers.at)
+        if self.paced_replies.going:
+            times.append(self.paced_replies.at)
         return min(times)
 
     def _errands(self, now: float) -> None:
         """All have the same time, so that the first one is due first."""
-        while self.errands:
-            seq, errand = next(iter(self.errands.items()))
+        while self.indirect_probes:
+            seq, errand = next(iter(self.indirect_probes.items()))
             if now < errand.nack_at:
                 return
-            del self.errands[seq]
+            del self.indirect_probes[seq]
             self._to(errand.asker, Nack(errand.seq))
 
     def _stood_still(self, now: float) -> None:
         """Answers may lie unread: nobody is blamed for what this process missed."""
-        self.doubt = DOUBT_MAX
-        late = now - self.due
-        self.probe, self.period_at = None, now
-        self.errands.clear()
+        self.local_health_score = DOUBT_MAX
+        late = now - self.next_tick_due
+        self.probe, self.next_period_at = None, now
+        self.indirect_probes.clear()
         for suspicion in self.suspicions.values():
             suspicion.since += late
         self.suspicion_at += late
 
     def _span(self) -> float:
-        return self.period * (1 + self.doubt)
+        return self.period_s * (1 + self.local_health_score)
 
     def _answer_s(self) -> float:
         return ANSWER_SHARE * self._span()
@@ -192,7 +212,7 @@
         waits = probe is not None and not probe.answered and not probe.asked
         if waits and probe is not None and now >= probe.begun + self._answer_s():
             self._ask_others(probe)
-        if now < self.period_at:
+        if now < self.next_period_at:
             return
         if probe is not None:
             self._judge(now, probe)
@@ -202,37 +222,40 @@
             self.seq += 1
             self.probe = Probe(target, self.seq, now)
             self._to(target, Ping(self.seq, target, self._claims(target)))
-        self.period_at = now + self._span()
+        self.next_period_at = now + self._span()
 
     def _next_target(self) -> str | None:
-        while self.ring or self._refill():
-            name = self.ring.pop()
-            if name in self.members and not self.members[name].gone:
+        while self.probe_order or self._refill():
+            name = self.probe_order.pop()
+            if name in self.members and not self.members[name].is_gone:
                 return name
         return None
 
     def _refill(self) -> bool:
-        self.ring = [name for name, claim in self.members.items() if not claim.gone]
-        self.rng.shuffle(self.ring)
-        return bool(self.ring)
+        self.probe_order = [name for name, claim in self.members.items() if not claim.is_gone]
+        self.rng.shuffle(self.probe_order)
+        return bool(self.probe_order)
 
     def _ask_others(self, probe: Probe) -> None:
         probe.asked = True
-        helpers = self.roll.some(self.rng, OTHERS, State.ALIVE, probe.target)
+        helpers = self.member_table.some(self.rng, OTHERS, MemberState.ALIVE, probe.target)
         probe.helpers = len(helpers)
         for name in helpers:
-            self._to(name, PingFor(probe.seq, probe.target, self._claims(name)))
+            self._to(name, IndirectPing(probe.seq, probe.target, self._claims(name)))
 
     def _judge(self, now: float, probe: Probe) -> None:
         if probe.answered:
-            self.doubt = max(0, self.doubt - 1)
+            self.local_health_score = max(0, self.local_health_score - 1)
             return
         # A nack says that our link works; each that is missing says that it may be us.
         missing = probe.helpers - probe.nacks
-        self.doubt = min(DOUBT_MAX, self.doubt + (missing if probe.helpers else 1))
+        self.local_health_score = min(DOUBT_MAX, self.local_health_score + (missing if probe.helpers else 1))
         claim = self.members.get(probe.target)
-        if claim is not None and claim.state in (State.JOINING, State.ALIVE, State.SUSPECT):
-            self._take(now, msgspec.structs.replace(claim, state=State.SUSPECT, by=self.me.name))
+        if claim is not None and claim.state in (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT):
+            self._take(
+                now,
+                msgspec.structs.replace(claim, state=MemberState.SUSPECT, suspected_by=self.own_claim.name),
+            )
 
     # -- suspicion -------------------------------------------------------------------------------------------
 
@@ -242,130 +265,162 @@
         for name, suspicion in list(self.suspicions.items()):
             if now >= suspicion.ends():
                 claim = self.members[name]
-                self._take(now, msgspec.structs.replace(claim, state=State.DEAD, by=self.me.name))
+                self._take(
+                    now,
+                    msgspec.structs.replace(claim, state=MemberState.DEAD, suspected_by=self.own_claim.name),
+                )
         self.suspicion_at = min((each.ends() for each in self.suspicions.values()), default=math.inf)
 
     def _suspected(self, now: float, claim: Claim) -> None:
-        count = 1 + self.roll.there
-        least = SUSPICION * max(1.0, math.log10(max(1, count))) * self.period * (1 + self.doubt)
+        count = 1 + self.member_table.there
+        least = (
+            SUSPICION * max(1.0, math.log10(max(1, count))) * self.period_s * (1 + self.local_health_score)
+        )
         # With few members there is nobody to confirm: the least time has to do.
         most = least * (SUSPICION_MAX if count > CONFIRMS + 2 else 1.0)
-        suspicion = self.suspicions[claim.name] = Suspicion(now, {claim.by}, least, most)
+        suspicion = self.suspicions[claim.name] = Suspicion(now, {claim.suspected_by}, least, most)
         self.suspicion_at = min(self.suspicion_at, suspicion.ends())
 
     def _forget(self, now: float) -> None:
-        for name in self.roll.forget(now - FORGET_S):
-            self.news.drop(name)
+        for name in self.member_table.forget(now - FORGET_S):
+            self.dissemination_queue.drop(name)
 
     # -- words on members ------------------------------------------------------------------------------------
 
     def _take(self, now: float, claim: Claim, answer: bool = False) -> None:
         """One word: it stands if it is above what stood. `answer`: it came among all that another knows."""
-        if claim.name == self.me.name:
+        if claim.name == self.own_claim.name:
             self._of_me(claim)
             return
         known = self.members.get(claim.name)
-        if known is None and (claim.gone or self._full(claim)):
+        if known is None and (claim.is_gone or self._full(claim)):
             return
-        if known is not None and claim.id != known.id and not known.gone:
-            if not claim.gone:
-                self._out((claim.host, claim.port), Refused(known))
+        if known is not None and claim.id != known.id and not known.is_gone:
+            if not claim.is_gone:
+                self._out((claim.host, claim.port), IdentityConflict(known))
             return  # the name is another's, and that one lives
-        twin = known is not None and (claim.id, claim.boot) == (known.id, known.boot)
+        twin = known is not None and (claim.id, claim.process_epoch) == (known.id, known.process_epoch)
         if twin and known is not None and claim.nonce != known.nonce:
             # Two processes of one folder. The higher nonce stands for it; it will hear of the other.
             self._out(
                 (claim.host, claim.port) if claim.nonce < known.nonce else (known.host, known.port),
-                Refused(max(claim, known, key=lambda each: each.nonce)),
+                IdentityConflict(max(claim, known, key=lambda each: each.nonce)),
             )
             if claim.nonce < known.nonce:
                 return
-        elif known is not None and claim.id == known.id and claim.rank <= known.rank:
+        elif known is not None and claim.id == known.id and claim.precedence <= known.precedence:
             self._confirm(known, claim)
-            if claim.boot < known.boot and claim.nonce != known.nonce and not claim.gone:
-                self._out((claim.host, claim.port), Refused(known))  # its folder has gone back in time
+            if claim.process_epoch < known.process_epoch and claim.nonce != known.nonce and not claim.is_gone:
+                self._out(
+                    (claim.host, claim.port), IdentityConflict(known)
+                )  # its folder has gone back in time
             return
-        if claim.boot < self.seen.get(claim.id, 0):
+        if claim.process_epoch < self.highest_epochs.get(claim.id, 0):
             return
-        self.seen[claim.id] = claim.boot
-        self.roll.put(now, claim)
-        self.learned += answer
-        joined = claim.state <= State.ALIVE and (known is None or known.state is State.JOINING)
+        self.highest_epochs[claim.id] = claim.process_epoch
+        self.member_table.put(now, claim)
+        self.claims_learned += answer
+        joined = claim.state <= MemberState.ALIVE and (known is None or known.state is MemberState.JOINING)
         if not (answer and joined):
-            self.news.add(claim.name)
+            self.dissemination_queue.add(claim.name)
         self.suspicions.pop(claim.name, None)
-        if claim.state is State.SUSPECT:
+        if claim.state is MemberState.SUSPECT:
             self._suspected(now, claim)
-        if known is None or (known.state, known.boot, known.caps) != (claim.state, claim.boot, claim.caps):
+        if known is None or (known.state, known.process_epoch, known.capabilities) != (
+            claim.state,
+            claim.process_epoch,
+            claim.capabilities,
+        ):
             self.changes.append(claim)
 
     def _full(self, claim: Claim) -> bool:
         if len(self.members) < MEMBERS_MAX:
             return False
-        self.surplus, self.turned_away = self.surplus + 1, claim.name
+        self.rejected_claims, self.last_rejected = self.rejected_claims + 1, claim.name
         return True
 
     def _confirm(self, known: Claim, claim: Claim) -> None:
         suspicion = self.suspicions.get(claim.name)
-        if suspicion is None or claim.rank != known.rank or claim.by in suspicion.by:
+        if suspicion is None or claim.precedence != known.precedence or claim.suspected_by in suspicion.by:
             return
         if len(suspicion.by) <= CONFIRMS:
-            suspicion.by.add(claim.by)
+            suspicion.by.add(claim.suspected_by)
             self.suspicion_at = min(self.suspicion_at, suspicion.ends())
-            self.roll.confirmed(claim)  # goes on under the name of who confirmed it
-            self.news.add(claim.name)
+            self.member_table.confirmed(claim)  # goes on under the name of who confirmed it
+            self.dissemination_queue.add(claim.name)
 
     def _of_me(self, claim: Claim) -> None:
         """Refutes what is not so. A live word on another process under this name counts by boot and nonce; a
         later process of this folder that has ended says that the folder has gone back in time."""
-        other = claim.nonce != self.me.nonce
-        if other and claim.id == self.me.id and claim.gone and claim.boot >= self.me.boot:
-            self.behind = max(self.behind, claim.boot)
+        other = claim.nonce != self.own_claim.nonce
+        if (
+            other
+            and claim.id == self.own_claim.id
+            and claim.is_gone
+            and claim.process_epoch >= self.own_claim.process_epoch
+        ):
+            self.newer_epoch_seen = max(self.newer_epoch_seen, claim.process_epoch)
             return
-        if claim.id != self.me.id or (claim.boot, claim.nonce) > (self.me.boot, self.me.nonce):
-            if not claim.gone and (other or claim.id != self.me.id):
-                self.refused = claim
+        if claim.id != self.own_claim.id or (claim.process_epoch, claim.nonce) > (
+            self.own_claim.process_epoch,
+            self.own_claim.nonce,
+        ):
+            if not claim.is_gone and (other or claim.id != self.own_claim.id):
+                self.identity_conflict = claim
             return
-        blamed = claim.nonce == self.me.nonce and claim.state >= State.SUSPECT and not self.me.gone
-        if blamed and claim.incarnation >= self.me.incarnation:
-            self.doubt = min(DOUBT_MAX, self.doubt + 1)
+        blamed = (
+            claim.nonce == self.own_claim.nonce
+            and claim.state >= MemberState.SUSPECT
+            and not self.own_claim.is_gone
+        )
+        if blamed and claim.incarnation >= self.own_claim.incarnation:
+            self.local_health_score = min(DOUBT_MAX, self.local_health_score + 1)
             self._reborn(claim.incarnation + 1)
 
     def _reborn(self, incarnation: int) -> None:
-        self.me = msgspec.structs.replace(self.me, incarnation=incarnation)
-        self.news.add(self.me.name)
+        self.own_claim = msgspec.structs.replace(self.own_claim, incarnation=incarnation)
+        self.dissemination_queue.add(self.own_claim.name)
 
-    def reboot(self, boot: int) -> None:
+    def restart_as(self, process_epoch: int) -> None:
         """Above all processes of this folder that others have seen: joins anew."""
-        self.me = msgspec.structs.replace(self.me, boot=boot, incarnation=0, state=State.JOINING)
-        self.refused, self.behind, self.synced, self.sync_at = None, 0, not self.seeds, 0.0
-        self.news.add(self.me.name)
+        self.own_claim = msgspec.structs.replace(
+            self.own_claim, process_epoch=process_epoch, incarnation=0, state=MemberState.JOINING
+        )
+        self.identity_conflict, self.newer_epoch_seen, self.is_synced, self.next_sync_at = (
+            None,
+            0,
+            not self.seeds,
+            0.0,
+        )
+        self.dissemination_queue.add(self.own_claim.name)
 
     def leave(self) -> None:
         """Says so to some, who pass it on: for a stop that is meant."""
-        self.me = msgspec.structs.replace(self.me, state=State.LEFT)
-        self.news.add(self.me.name)
-        able = [name for name, claim in self.members.items() if not claim.gone]
+        self.own_claim = msgspec.structs.replace(self.own_claim, state=MemberState.LEFT)
+        self.dissemination_queue.add(self.own_claim.name)
+        able = [name for name, claim in self.members.items() if not claim.is_gone]
         for name in self.rng.sample(able, min(2 * OTHERS, len(able))):
-            self._to(name, Sync(False, (self.me,)))
+            self._to(name, Sync(False, (self.own_claim,)))
 
     # -- what comes ------------------------------------------------------------------------------------------
 
-    def receive(self, now: float, sender: str, nonce: int, body: Body) -> App | None:
+    def receive(self, now: float, sender: str, nonce: int, body: Body) -> AppMessage | None:
         """Takes one packet; what is for another part of the relay is handed back."""
         match body:
             case Ping(seq, target, claims):
                 self._words(now, claims)
-                if target == self.me.name and not self.me.gone:
+                if target == self.own_claim.name and not self.own_claim.is_gone:
                     self._to(sender, Ack(seq, self._claims(sender)))
             case Ack(seq, claims):
                 self._words(now, claims)
                 self._acked(seq, sender)
-            case PingFor(seq, target, claims):
+            case IndirectPing(seq, target, claims):
                 self._words(now, claims)
-                if target in self.members and len(self.errands) < MEMBERS_MAX:
+                if target in self.members and len(self.indirect_probes) < MEMBERS_MAX:
                     self.seq += 1
-                    self.errands[self.seq] = IndirectProbe(sender, seq, now + ASK_SHARE * self.period * 0.6)
+                    self.indirect_probes[self.seq] = IndirectProbe(
+                        sender, seq, now + ASK_SHARE * self.period_s * 0.6
+                    )
                     self._to(target, Ping(self.seq, target, self._claims(target)))
             case Nack(seq):
                 if self.probe is not None and self.probe.seq == seq:
@@ -376,9 +431,9 @@
                     self._answer(now, (claims[0].host, claims[0].port), same, slices)
                 elif not want:
                     self._answered(now)
-            case Refused(claim):
+            case IdentityConflict(claim):
                 self._of_me(claim)
-            case App():
+            case AppMessage():
                 return body
         return None
 
@@ -387,67 +442,82 @@
             self._take(now, claim, answer)
 
     def _acked(self, seq: int, sender: str) -> None:
-        errand = self.errands.pop(seq, None)
+        errand = self.indirect_probes.pop(seq, None)
         if errand is not None:
             self._to(errand.asker, Ack(errand.seq, self._claims(errand.asker)))
         elif self.probe is not None and self.probe.seq == seq:
             self.probe.answered = True
 
     def _joined(self) -> None:
-        self.synced = True
-        if self.me.state is State.JOINING:
-            self.me = msgspec.structs.replace(self.me, state=State.ALIVE)
-            self.news.add(self.me.name)
-            self.changes.append(self.me)
+        self.is_synced = True
+        if self.own_claim.state is MemberState.JOINING:
+            self.own_claim = msgspec.structs.replace(self.own_claim, state=MemberState.ALIVE)
+            self.dissemination_queue.add(self.own_claim.name)
+            self.changes.append(self.own_claim)
 
     def _answered(self, now: float) -> None:
-        if not self.synced:
+        if not self.is_synced:
             self._joined()
-        if self.learned:
-            periods = SOON_PERIODS if self.learned >= PACKET_FULL else LATER_PERIODS
-            self.sync_at = min(self.sync_at, now + periods * self.period * self.rng.uniform(0.5, 1.5))
+        if self.claims_learned:
+            periods = SOON_PERIODS if self.claims_learned >= PACKET_FULL else LATER_PERIODS
+            self.next_sync_at = min(
+                self.next_sync_at, now + periods * self.period_s * self.rng.uniform(0.5, 1.5)
+            )
 
     # -- what goes -------------------------------------------------------------------------------------------
 
     def _sync(self, now: float) -> None:
         """With one that is there, and with one that is not or a seed: halves find each other so."""
-        if self.me.state is State.JOINING:
+        if self.own_claim.state is MemberState.JOINING:
             self._joined()
-        self.sync_at = now + SYNC_PERIODS * self.period * self.rng.uniform(0.8, 1.2)
-        self.learned = 0
-        there = [claim for claim in self.members.values() if not claim.gone]
+        self.next_sync_at = now + SYNC_PERIODS * self.period_s * self.rng.uniform(0.8, 1.2)
+        self.claims_learned = 0
+        there = [claim for claim in self.members.values() if not claim.is_gone]
         if there:
             one = self.rng.choice(there)
             self._out((one.host, one.port), self._ask())
-        lost = [(claim.host, claim.port) for claim in self.members.values() if claim.state is State.DEAD]
-        known = {(claim.host, claim.port) for claim in there} | {(self.me.host, self.me.port)}
+        lost = [
+            (claim.host, claim.port) for claim in self.members.values() if claim.state is MemberState.DEAD
+        ]
+        known = {(claim.host, claim.port) for claim in there} | {(self.own_claim.host, self.own_claim.port)}
         lost += [seed for seed in self.seeds if seed not in known]
         if lost:
             self._out(self.rng.choice(lost), self._ask())
 
     def _ask(self) -> Sync:
-        return Sync(True, (self.me,), self.roll.same(self.me), self.roll.slices(self.me))
+        return Sync(
+            True,
+            (self.own_claim,),
+            self.member_table.same(self.own_claim),
+            self.member_table.slices(self.own_claim),
+        )
 
     def _answer(self, now: float, to: Address, same: int, slices: bytes) -> None:
         """With all that differs; one of a build without slices gets everything, unless it is the same."""
-        parts = self.roll.differing(self.me, slices) if slices else None
-        if parts is None and same and same == self.roll.same(self.me) or parts is not None and not parts:
+        parts = self.member_table.differing(self.own_claim, slices) if slices else None
+        if (
+            parts is None
+            and same
+            and same == self.member_table.same(self.own_claim)
+            or parts is not None
+            and not parts
+        ):
             return
-        if self.answers.begin(to, self._packets(self.roll.words(parts))):
-            self.outbox += self.answers.spurt(now)
+        if self.paced_replies.begin(to, self._packets(self.member_table.words(parts))):
+            self.outbox += self.paced_replies.spurt(now)
         else:  # enough to go on with, and to ask others
-            names = self.roll.some(self.rng, PACKET_WORDS, State.ALIVE)
+            names = self.member_table.some(self.rng, PACKET_WORDS, MemberState.ALIVE)
             self._out(to, next(self._packets(self.members[name] for name in names)))
 
     def _packets(self, words: Iterable[Claim]) -> Iterator[Sync]:
         """In as many as it takes."""
-        part: list[Claim] = [self.me]
-        room = CLAIMS_BYTES - size(self.me)
+        part: list[Claim] = [self.own_claim]
+        room = CLAIMS_BYTES - encoded_size(self.own_claim)
         for claim in words:
-            need = size(claim)
+            need = encoded_size(claim)
             if need > room:
                 yield Sync(False, tuple(part))
-                part, room = [self.me], CLAIMS_BYTES - size(self.me)
+                part, room = [self.own_claim], CLAIMS_BYTES - encoded_size(self.own_claim)
             part.append(claim)
             room -= need
         yield Sync(False, tuple(part))
@@ -457,23 +527,23 @@
         found: list[Claim] = []
         room = CLAIMS_BYTES
         own = self.members.get(to)
-        if own is not None and own.state is not State.ALIVE:
+        if own is not None and own.state is not MemberState.ALIVE:
             found.append(own)
-            room -= size(own)
+            room -= encoded_size(own)
         limit = math.ceil(TELL * math.log2(len(self.members) + 2))
-        for name in self.news.first(PACKET_WORDS):
-            claim = self.me if name == self.me.name else self.members.get(name)
+        for name in self.dissemination_queue.first(PACKET_WORDS):
+            claim = self.own_claim if name == self.own_claim.name else self.members.get(name)
             if claim is None:
-                self.news.drop(name)
+                self.dissemination_queue.drop(name)
                 continue
             if claim in found:
                 continue
-            need = size(claim)
+            need = encoded_size(claim)
             if need > room:
                 break
             found.append(claim)
             room -= need
-            self.news.told(name, limit)
+            self.dissemination_queue.told(name, limit)
         return tuple(found)
 
     def _to(self, name: str, body: Body) -> None:
@@ -482,11 +552,11 @@
             self._out((claim.host, claim.port), body)
 
     def _out(self, to: Address, body: Body) -> None:
-        if to != (self.me.host, self.me.port):
+        if to != (self.own_claim.host, self.own_claim.port):
             self.outbox.append((to, body))
 
     # -- for others ------------------------------------------------------------------------------------------
 
-    def there(self) -> list[Claim]:
+    def present_members(self) -> list[Claim]:
         """Members that are joining or alive, and suspects, this one too: nobody is gone before it is dead."""
-        return [self.me, *(claim for claim in self.members.values() if not claim.gone)]
+        return [self.own_claim, *(claim for claim in self.members.values() if not claim.is_gone)]
--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -20,7 +20,7 @@
 Address = tuple[str, int]
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What is held true of a member. Of two words of the same incarnation the higher one stands."""
 
     JOINING = 0  # it has not heard yet who is there
@@ -36,23 +36,23 @@
 
     name: str
     id: str
-    boot: int
+    process_epoch: int
     nonce: int
     incarnation: int
-    state: State
+    state: MemberState
     host: str
     port: int
     zone: str = ""
-    caps: int = 0  # what its build understands: one bit for each capability
-    by: str = ""  # of SUSPECT: who asked in vain
+    capabilities: int = 0  # what its build understands: one bit for each capability
+    suspected_by: str = ""  # of SUSPECT: who asked in vain
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        return self.boot, self.incarnation, int(self.state)
+    def precedence(self) -> tuple[int, int, int]:
+        return self.process_epoch, self.incarnation, int(self.state)
 
     @property
-    def gone(self) -> bool:
-        return self.state in (State.DEAD, State.LEFT)
+    def is_gone(self) -> bool:
+        return self.state in (MemberState.DEAD, MemberState.LEFT)
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p"):
@@ -66,7 +66,7 @@
     claims: tuple[Claim, ...] = ()
 
 
-class PingFor(msgspec.Struct, frozen=True, array_like=True, tag="f"):
+class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag="f"):
     """Ask this one for me: I get no answer."""
 
     seq: int
@@ -83,26 +83,28 @@
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """A slice of all that the sender knows. `want`: answer with all of yours, unless it comes to the same."""
 
-    want: bool
+    wants_reply: bool
     claims: tuple[Claim, ...]
-    same: int = 0  # a sum over what the sender knows
-    slices: bytes = b""  # sums over parts of it (gossip/member_table.py): the answer holds those that differ
+    checksum: int = 0  # a sum over what the sender knows
+    slice_checksums: bytes = (
+        b""  # sums over parts of it (gossip/member_table.py): the answer holds those that differ
+    )
 
 
-class Refused(msgspec.Struct, frozen=True, array_like=True, tag="r"):
+class IdentityConflict(msgspec.Struct, frozen=True, array_like=True, tag="r"):
     """You can't be who you say: the word on your name that stands here."""
 
     claim: Claim
 
 
-class App(msgspec.Struct, frozen=True, array_like=True, tag="x"):
+class AppMessage(msgspec.Struct, frozen=True, array_like=True, tag="x"):
     """Of another part of the relay."""
 
     kind: str
     body: bytes
 
 
-Body = Union[Ping, Ack, PingFor, Nack, Sync, Refused, App]
+Body = Union[Ping, Ack, IndirectPing, Nack, Sync, IdentityConflict, AppMessage]
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
@@ -119,7 +121,7 @@
 _DECODER: msgspec.msgpack.Decoder[Packet] = msgspec.msgpack.Decoder(Packet)
 
 
-def sealed(packet: Packet, secret: bytes) -> bytes:
+def seal_packet(packet: Packet, secret: bytes) -> bytes:
     """ValueError if it is longer than one datagram may be."""
     raw = _ENCODER.encode(packet)
     if secret:
@@ -129,8 +131,8 @@
     return raw
 
 
-def opened(raw: bytes, secret: bytes) -> Packet:
-    """Raises Unreadable."""
+def open_packet(raw: bytes, secret: bytes) -> Packet:
+    """Raises UnreadablePacketError."""
     if len(raw) > PACKET_BYTES:
         raise UnreadablePacketError(f"{len(raw)} bytes: {PACKET_BYTES} at most")
     if secret:
@@ -146,6 +148,6 @@
     return packet
 
 
-def size(claim: Claim) -> int:
+def encoded_size(claim: Claim) -> int:
     """Bytes in a packet."""
     return len(_ENCODER.encode(claim))
--- a/message_relay/http/discovery_client.py
+++ b/message_relay/http/discovery_client.py
@@ -86,7 +86,7 @@
         """Another agent counts its versions anew: what it has is asked for whole."""
         self.agent.close()
         self.agent, self.version = AgentClient(config.discovery), -1
-        self.asking.restart()
+        self.asking.reset()
 
     def close(self) -> None:
         self.agent.close()
@@ -94,26 +94,28 @@
     async def run(self, told: EndpointUpdateCallback) -> None:
         """A process that knows a list waits for its turn; after a reload none is known: it asks at once."""
         if self.version >= 0:
-            await asyncio.sleep(self.asking.first() / 1000)
+            await asyncio.sleep(self.asking.first_delay_ms() / 1000)
         while True:
             try:
                 version, update = read(await self._ask())
                 told(update)
                 self.version = version
-                self.asking.answered()
+                self.asking.on_answered()
             except (AgentError, ValueError) as error:
                 log.warning(LogEvent("discovery failed", why=error))
                 self.agent.close()
-                await asyncio.sleep(self.asking.failed(refused=isinstance(error, ValueError)) / 1000)
+                await asyncio.sleep(
+                    self.asking.pause_after_failure_ms(is_refused=isinstance(error, ValueError)) / 1000
+                )
             except Exception:
                 log.exception("discovery: a list could not be taken")
-                await asyncio.sleep(self.asking.failed() / 1000)
+                await asyncio.sleep(self.asking.pause_after_failure_ms() / 1000)
 
     async def _ask(self) -> dict[str, Any]:
         known = self.version >= 0
-        hold_ms = round(self.asking.hold()) if known else 0
+        hold_ms = round(self.asking.watch_duration_ms()) if known else 0
         target = "/v1/servers" + (f"?from={self.version}&hold_ms={hold_ms}" if known else "")
-        seconds = self.asking.patience(hold_ms) / 1000
+        seconds = self.asking.call_timeout_ms(hold_ms) / 1000
         status, body = await self.agent.request("GET", target, b"", seconds)
         raw = json.loads(body) if status == 200 else None
         if not isinstance(raw, dict):
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -52,7 +52,7 @@
     def __init__(
         self, part: ShardedDirectorySettings, peers: GossipNode, host: Relay, number: int, config: Config
     ) -> None:
-        self.peers, self.host, self.me = peers, host, peers.swim.me.name
+        self.peers, self.host, self.me = peers, host, peers.swim.own_claim.name
         rng = random.Random(secrets.randbits(64))
         self.layout = Layout(part.count, tuple(sorted(part.keepers)))
         self.keepers = frozenset(f"n{keeper}" for keeper in part.keepers)
@@ -81,9 +81,9 @@
         self.timer: asyncio.TimerHandle | None = None
         self.running = False
         self.news = asyncio.Event()
-        peers.frames[KIND] = self._asked
-        peers.datagrams[KIND] = self._said
-        peers.changed.append(self._member_changed)
+        peers.frame_handlers[KIND] = self._asked
+        peers.datagram_handlers[KIND] = self._said
+        peers.on_member_changed.append(self._member_changed)
 
     def start(self) -> None:
         """Once the peers' node has started."""
@@ -275,7 +275,7 @@
             [
                 name
                 for name in sorted(self.keepers)
-                if name == self.me or name in members and not members[name].gone
+                if name == self.me or name in members and not members[name].is_gone
             ],
         )
         self._due(self.now() + LEAST_S)
--- a/message_relay/sharded_directory/source.py
+++ b/message_relay/sharded_directory/source.py
@@ -366,32 +366,34 @@
         """Another register: what it has is asked for whole."""
         if at != self.at:
             self.at, self.generation = at, None
-            self.asking.restart()
+            self.asking.reset()
 
     async def run(self) -> None:
         """Never ends by itself."""
         while True:
             try:
                 await self._ask()
-                self.asking.answered()
+                self.asking.on_answered()
             except TooManyChanges:
                 self.generation = None  # all of it then, which is taken in pieces
             except (OSError, SourceError) as error:
                 self._failed(repr(error))
                 if isinstance(error, Refused):
                     self.generation = None  # it counts anew: all of it, and as soon as that may be taken
-                await asyncio.sleep(self.asking.failed(refused=isinstance(error, SourceError)) / 1000)
+                await asyncio.sleep(
+                    self.asking.pause_after_failure_ms(is_refused=isinstance(error, SourceError)) / 1000
+                )
             except Exception:
                 log.exception("the list could not be taken")
-                await asyncio.sleep(self.asking.failed() / 1000)
+                await asyncio.sleep(self.asking.pause_after_failure_ms() / 1000)
 
     async def _ask(self) -> None:
         hold_ms, target = 0, "/v1/servers"
         if self.generation is not None:
-            hold_ms = round(min(HOLD_MS, self.asking.hold()))
+            hold_ms = round(min(HOLD_MS, self.asking.watch_duration_ms()))
             target += f"?from={self.generation}&hold_ms={hold_ms}"
         at = self.at
-        await self._taken(answer(at, target, self.asking.patience(hold_ms) / 1000), self.now())
+        await self._taken(answer(at, target, self.asking.call_timeout_ms(hold_ms) / 1000), self.now())
         if at != self.at:  # another register meanwhile, which counts by itself
             self.generation = None
 
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -5,20 +5,20 @@
 from random import Random
 from typing import Any
 
-from message_relay.gossip.node import Hello, framed
+from message_relay.gossip.node import Hello, encode_frame
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import (
     Ack,
-    App,
+    AppMessage,
     Claim,
     Nack,
     Packet,
     Ping,
-    PingFor,
-    Refused,
-    State,
+    IndirectPing,
+    IdentityConflict,
+    MemberState,
     Sync,
-    sealed,
+    seal_packet,
 )
 
 Values = dict[str, Any]
@@ -28,15 +28,15 @@
     return {
         "name": claim.name,
         "identity": claim.id,
-        "boot": claim.boot,
+        "boot": claim.process_epoch,
         "process nonce": claim.nonce,
         "incarnation": claim.incarnation,
         "state number": int(claim.state),
         "host": claim.host,
         "port": claim.port,
         "zone": claim.zone,
-        "capability bits": claim.caps,
-        "suspected by": claim.by,
+        "capability bits": claim.capabilities,
+        "suspected by": claim.suspected_by,
     }
 
 
@@ -50,20 +50,20 @@
             return {"ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
         case Ack():
             return {"acknowledgement": body.seq, "claims": claims_values(body.claims)}
-        case PingFor():
+        case IndirectPing():
             return {"indirect ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
         case Nack():
             return {"negative acknowledgement": body.seq}
         case Sync():
             return {
-                "answer wanted": body.want,
+                "answer wanted": body.wants_reply,
                 "claims": claims_values(body.claims),
-                "sum of all": body.same,
-                "sums of parts": body.slices.hex(),
+                "sum of all": body.checksum,
+                "sums of parts": body.slice_checksums.hex(),
             }
-        case Refused():
+        case IdentityConflict():
             return {"refused for": claim_values(body.claim)}
-        case App():
+        case AppMessage():
             return {"application kind": body.kind, "payload": body.body.hex()}
     raise TypeError(type(body))
 
@@ -74,11 +74,11 @@
 
 def member_state_numbers() -> Values:
     return {
-        "joining": int(State.JOINING),
-        "alive": int(State.ALIVE),
-        "suspect": int(State.SUSPECT),
-        "dead": int(State.DEAD),
-        "left": int(State.LEFT),
+        "joining": int(MemberState.JOINING),
+        "alive": int(MemberState.ALIVE),
+        "suspect": int(MemberState.SUSPECT),
+        "dead": int(MemberState.DEAD),
+        "left": int(MemberState.LEFT),
     }
 
 
@@ -87,7 +87,9 @@
     members: dict[tuple[str, int], Swim] = {}
     for number in range(3):
         address = ("127.0.0.1", 4000 + number)
-        claim = Claim(f"n{number}", f"id-{number}", 1, 100 + number, 0, State.JOINING, *address, "z", 15)
+        claim = Claim(
+            f"n{number}", f"id-{number}", 1, 100 + number, 0, MemberState.JOINING, *address, "z", 15
+        )
         seeds = () if number == 0 else (("127.0.0.1", 4000),)
         members[address] = Swim(claim, seeds, Random(number))
     first: dict[str, str] = {}
@@ -101,15 +103,15 @@
             member.tick(now)
             outgoing, member.outbox = member.outbox, []
             for target, body in outgoing:
-                packet = Packet(member.me.name, member.me.nonce, body)
-                first.setdefault(str(type(body).__struct_config__.tag), sealed(packet, b"").hex())
+                packet = Packet(member.own_claim.name, member.own_claim.nonce, body)
+                first.setdefault(str(type(body).__struct_config__.tag), seal_packet(packet, b"").hex())
                 if target in members and not (target[1] == 4002 and step >= silent_from):
                     members[target].receive(now, packet.sender, packet.nonce, body)
     return first
 
 
 def connection_frame(payload: bytes, secret: bytes) -> bytes:
-    return framed(payload, secret)
+    return encode_frame(payload, secret)
 
 
 def hello_values(hello: Hello) -> Values:
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -37,7 +37,7 @@
     if known is not None:
         register.known(known)
     if watch:
-        register.asking.answered()
+        register.asking.on_answered()
     try:
         return await register._ask()
     finally:
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -126,8 +126,8 @@
         "seeds": list(part.seeds),
         "secret file": part.secret_file,
         "period s": part.period_s,
-        "place of instance 2": list(part.at(2)) if part.on else None,
-        "address of instance 2": list(part.told(2)) if part.on else None,
+        "place of instance 2": list(part.listen_address(2)) if part.is_enabled else None,
+        "address of instance 2": list(part.advertised_address(2)) if part.is_enabled else None,
     }
 
 
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -59,7 +59,8 @@
 )
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.fleet.common import FOLDER
-from message_relay.gossip.identity import Identity, IdentityError, claimed, raised
+from message_relay.gossip import identity as gossip_identity
+from message_relay.gossip.identity import Identity, IdentityError
 from message_relay.gossip.node import Hello
 from message_relay.store.destination_snapshot import DestinationSnapshotFile
 from message_relay.store.file_store import DirectoryFileStore
@@ -324,7 +325,7 @@
     return {
         "id": identity.id,
         "name": identity.name,
-        "boot": identity.boot,
+        "boot": identity.process_epoch,
         "device": identity.device,
         "inode": identity.inode,
         "generation": identity.generation,
@@ -334,7 +335,7 @@
 def claim_identity(folder: Path, name: str) -> Plain:
     """The identity, or why there is none."""
     try:
-        return _plain_identity(claimed(folder, name))
+        return _plain_identity(gossip_identity.claim_identity(folder, name))
     except IdentityError as error:
         return {"refused": str(error).replace(str(folder), "FOLDER")}
 
@@ -342,7 +343,8 @@
 def claim_and_raise_identity(folder: Path, name: str, seen_boot: int) -> Plain:
     """As where others have seen a later process of the folder."""
     try:
-        return _plain_identity(raised(folder, claimed(folder, name), seen_boot))
+        claimed = gossip_identity.claim_identity(folder, name)
+        return _plain_identity(gossip_identity.raise_process_epoch(folder, claimed, seen_boot))
     except IdentityError as error:
         return {"refused": str(error)}
 
@@ -483,10 +485,10 @@
     """A peers' node that reaches nobody by itself."""
 
     def __init__(self) -> None:
-        self.frames: dict[str, Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]] = {}
+        self.frame_handlers: dict[str, Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]] = {}
         self.rng = SimpleNamespace(uniform=lambda least, most: most)
 
-    def where(self, name: str) -> None:
+    def address_of(self, name: str) -> None:
         return None
 
 
@@ -519,12 +521,12 @@
         for sender, log in self.logs.items():
             for receiver, stream in log.transport.streams.items():
                 if receiver in self.logs:
-                    stream.up = True
-                    stream.say = partial(self._hand_over, sender, receiver)  # type: ignore[method-assign]
+                    stream.is_connected = True
+                    stream.send = partial(self._hand_over, sender, receiver)  # type: ignore[method-assign]
                     log.transport._changed(receiver, True)
 
     def _hand_over(self, sender: str, receiver: str, raw: bytes) -> bool:
-        for kind, heard in self.peers[receiver].frames.items():
+        for kind, heard in self.peers[receiver].frame_handlers.items():
             heard(Hello(sender, kind), raw)
         return True
 
@@ -637,12 +639,12 @@
 
 def _accord(folder: Path) -> ConsensusInstance:
     peers: Any = SimpleNamespace(
-        swim=SimpleNamespace(me=SimpleNamespace(nonce=1)),
+        swim=SimpleNamespace(own_claim=SimpleNamespace(nonce=1)),
         rng=random.Random(1),
-        rebooted=[],
-        refused=[],
-        datagrams={},
-        frames={},
+        on_epoch_raised=[],
+        on_identity_conflict=[],
+        datagram_handlers={},
+        frame_handlers={},
     )
     identity = Identity("0011223344556677", "n0", 3, 1, 2)
     return ConsensusInstance(
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -128,7 +128,7 @@
 
     def message_kinds(self) -> list[list[str]]:
         """Of datagrams, and of frames of connections."""
-        return [sorted(self.common.peers.datagrams), sorted(self.common.peers.frames)]
+        return [sorted(self.common.peers.datagram_handlers), sorted(self.common.peers.frame_handlers)]
 
     def report(self) -> Values:
         told = report.of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
@@ -140,7 +140,7 @@
 
     async def frame_answer(self, kind: str, payload: bytes) -> bytes:
         """To a message on a connection of another instance."""
-        answer = self.common.peers.frames[kind](Hello("n1", kind, 5), payload)
+        answer = self.common.peers.frame_handlers[kind](Hello("n1", kind, 5), payload)
         if answer is None or isinstance(answer, bytes):
             return answer or b""
         return await answer or b""
@@ -206,7 +206,7 @@
     """As much of a node of peers as a log without peers needs."""
 
     def __init__(self) -> None:
-        self.frames: dict[str, Any] = {}
+        self.frame_handlers: dict[str, Any] = {}
 
 
 # -- commands ----------------------------------------------------------------------------------------------
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -37,8 +37,8 @@
 from message_relay.fleet.operator import SupervisorPart
 from message_relay.fleet.plan import Plan, SupervisorAction
 from message_relay.gossip.swim import Swim
-from message_relay.gossip.wire import Claim, Packet, opened, sealed
-from message_relay.gossip.wire import State as Presence
+from message_relay.gossip.wire import Claim, Packet, open_packet, seal_packet
+from message_relay.gossip.wire import MemberState as Presence
 from message_relay.http.keep_alive import KeepAlivePolicy
 from message_relay.sharded_directory.rendezvous_hash import ranked, shard_of
 from message_relay.sharded_directory.staleness import Freshness
@@ -95,7 +95,7 @@
     for _ in range(400):
         now += draw.expovariate(0.8)
         has = draw.randint(0, had)
-        believed = shrink.believed(now, had, has)
+        believed = shrink.accepts(now, had, has)
         rows.append((now, had, has, believed))
         had = draw.randint(0, 20) if believed else had
     return rows
@@ -140,17 +140,17 @@
     for instances, shared in ((1, True), (1, False), (3, True), (40, True), (200, True), (200, False)):
         draw = random.Random(seed * 1000 + instances)
         asking = PollSchedule(instances, random.Random(seed), shared)
-        rows.append((instances, shared, asking.first()))
+        rows.append((instances, shared, asking.first_delay_ms()))
         for _ in range(60):
-            hold = asking.hold()
-            rows.append((hold, asking.patience(hold)))
+            hold = asking.watch_duration_ms()
+            rows.append((hold, asking.call_timeout_ms(hold)))
             drawn = draw.random()
             if drawn < 0.4:
-                asking.answered()
+                asking.on_answered()
             elif drawn < 0.95:
-                rows.append((asking.failed(draw.random() < 0.5),))
+                rows.append((asking.pause_after_failure_ms(draw.random() < 0.5),))
             else:
-                asking.restart()
+                asking.reset()
     return rows
 
 
@@ -291,7 +291,7 @@
 
     def tick(self, number: int, boot: int) -> None:
         it = self.members[number]
-        if it.me.boot != boot:
+        if it.own_claim.process_epoch != boot:
             return
         if self.now >= self.frozen.get(number, 0.0):
             it.tick(self.now)
@@ -302,18 +302,20 @@
         it = self.members[number]
         datagrams, it.outbox = it.outbox, []
         for (_, port), body in datagrams:
-            raw = sealed(Packet(it.me.name, it.me.nonce, body), b"")
+            raw = seal_packet(Packet(it.own_claim.name, it.own_claim.nonce, body), b"")
             self.rows.append((self.now, number, port, hashlib.sha256(raw).hexdigest()[:16]))
             if self.draw.random() > 0.12:
                 self.at(self.now + self.draw.uniform(0.001, 0.05), self.takes(port - self.FIRST_PORT, raw))
         changes, it.changes = it.changes, []
         for each in changes:
-            self.rows.append((self.now, number, each.name, each.boot, each.incarnation, int(each.state)))
+            self.rows.append(
+                (self.now, number, each.name, each.process_epoch, each.incarnation, int(each.state))
+            )
 
     def takes(self, number: int, raw: bytes) -> Callable[[], None]:
         def job() -> None:
             if self.now >= self.frozen.get(number, 0.0):
-                packet = opened(raw, b"")
+                packet = open_packet(raw, b"")
                 self.members[number].receive(self.now, packet.sender, packet.nonce, packet.body)
                 self.flush(number)
 
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -20,7 +20,7 @@
 from message_relay.consensus.version_history import Command, Version, decode_command
 from message_relay.failover.observations import Report
 from message_relay.gossip.node import Hello
-from message_relay.gossip.wire import Packet, opened, sealed
+from message_relay.gossip.wire import Packet, open_packet, seal_packet
 from message_relay.sharded_directory import wire as shard_wire
 
 from .agreement_binding import (
@@ -66,10 +66,13 @@
 
 _FORMATS: dict[str, _Format] = {
     "gossip": _Format(
-        Packet, lambda packet: sealed(packet, b""), lambda raw: opened(raw, b""), packet_values
+        Packet, lambda packet: seal_packet(packet, b""), lambda raw: open_packet(raw, b""), packet_values
     ),
     "sealed gossip": _Format(
-        Packet, lambda packet: sealed(packet, SECRET), lambda raw: opened(raw, SECRET), packet_values
+        Packet,
+        lambda packet: seal_packet(packet, SECRET),
+        lambda raw: open_packet(raw, SECRET),
+        packet_values,
     ),
     "hello": _msgpack(Hello, hello_values),
     "lease renewal": _msgpack(LeaseRenewal, renewal_values),
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -16,7 +16,7 @@
 from message_relay.consensus.lease_protocol import DeliveryCounts
 from message_relay.consensus.process_epochs import ProcessEpochs
 from message_relay.consensus.settings import ConsensusSettings
-from message_relay.gossip.identity import claimed
+from message_relay.gossip.identity import claim_identity
 from message_relay.gossip.node import GossipNode, Hello
 from message_relay.gossip.settings import GossipSettings
 
@@ -61,7 +61,7 @@
     for n in range(2):
         part = GossipSettings(listen=f"127.0.0.1:{port + n}", seeds=(f"127.0.0.1:{port}",), period_s=0.1)
         state = folder / str(n)
-        identity = claimed(state, f"n{n}")
+        identity = claim_identity(state, f"n{n}")
         peers = GossipNode(part, identity, state, n, "z", 0)
         made.append(
             ConsensusInstance(
@@ -80,7 +80,7 @@
         for one in made:
             await one.peers.start()
         async with asyncio.timeout(20.0):
-            while any(one.peers.where(f"n{1 - n}") is None for n, one in enumerate(made)):
+            while any(one.peers.address_of(f"n{1 - n}") is None for n, one in enumerate(made)):
                 await asyncio.sleep(0.02)
         yield made
     finally:
@@ -107,12 +107,12 @@
                     await asyncio.sleep(0.5)
                 return answer
 
-            asked.peers.frames[BOOT] = late
+            asked.peers.frame_handlers[BOOT] = late
             seen = await asyncio.wait_for(asking._seen(), 20.0)
-            assert len(questions) == 2 and seen < asking.identity.boot
+            assert len(questions) == 2 and seen < asking.identity.process_epoch
             # A second process of this folder, from the same boot: the folder was put back to an older state.
             other = Hello("n0", BOOT, 12345)
-            raw = msgspec.msgpack.encode((asking.identity.id, asking.identity.boot))
-            assert msgspec.msgpack.decode(asked._boot(other, raw)) == asking.identity.boot
+            raw = msgspec.msgpack.encode((asking.identity.id, asking.identity.process_epoch))
+            assert msgspec.msgpack.decode(asked._boot(other, raw)) == asking.identity.process_epoch
 
     asyncio.run(work())
--- a/tests/consensus/test_raft_storage.py
+++ b/tests/consensus/test_raft_storage.py
@@ -92,9 +92,9 @@
     """A peers' node that nobody can be reached by."""
 
     def __init__(self) -> None:
-        self.frames: dict[str, Any] = {}
+        self.frame_handlers: dict[str, Any] = {}
 
-    def where(self, name: str) -> None:
+    def address_of(self, name: str) -> None:
         return None
 
     class rng:
@@ -108,9 +108,9 @@
 
     log = ReplicatedLog(folder, Stub(), "n0", ["n1", "n2"], VersionHistory(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
     for name, stream in log.transport.streams.items():
-        stream.up = True
+        stream.is_connected = True
         log.transport._changed(name, True)
-        stream.say = functools.partial(say, f"says to {name}")  # type: ignore[method-assign]
+        stream.send = functools.partial(say, f"says to {name}")  # type: ignore[method-assign]
     sync = log.storage.sync
 
     def synced() -> None:
--- a/tests/consensus/test_version_fetch.py
+++ b/tests/consensus/test_version_fetch.py
@@ -15,7 +15,7 @@
     VersionFetcher,
     first_pause,
 )
-from message_relay.gossip.node import STREAMS
+from message_relay.gossip.node import INBOUND_CONNECTIONS_MAX
 
 ANSWER_S = 0.02  # of a conversation with a voter that has others to answer: 3,200 a second at the most
 FEW = 40  # relays that the voter heard of first may answer alone
@@ -32,7 +32,7 @@
 
     def ask(self, now: float, voter: int) -> bool:
         busy = self.busy[voter] = [ends for ends in self.busy[voter] if ends > now]
-        if len(busy) >= STREAMS:
+        if len(busy) >= INBOUND_CONNECTIONS_MAX:
             self.refused[voter] += 1
             return False
         busy.append(now + ANSWER_S)
--- a/tests/endpoint_discovery/test_poll_schedule.py
+++ b/tests/endpoint_discovery/test_poll_schedule.py
@@ -10,11 +10,11 @@
 import pytest
 
 from message_relay.endpoint_discovery.poll_schedule import (
-    ANSWER_MS,
-    KNOWN_MS,
-    LEAST_HOLD_MS,
-    MOST_HOLD_MS,
-    QUEUE_MS,
+    ANSWER_TIMEOUT_MS,
+    DISCOVERY_BOUND_MS,
+    MAX_WATCH_MS,
+    MIN_WATCH_MS,
+    REGISTER_QUEUE_MS,
     PollSchedule,
 )
 
@@ -41,7 +41,7 @@
 
     def play(self, start_ms: float, changes: list[float], end_ms: float) -> None:
         for n, asker in enumerate(self.askers):
-            self.at(start_ms + asker.first(), n, "ask")
+            self.at(start_ms + asker.first_delay_ms(), n, "ask")
         for when in changes:
             heapq.heappush(self.events, (when, next(self.numbers), -1, "change", 0))
         waiting: dict[int, int] = {}
@@ -58,12 +58,12 @@
                     self.serve(now, n)
                 else:
                     waiting[n] = self.calls[n]
-                    self.at(now + self.askers[n].hold(), n, "held")
+                    self.at(now + self.askers[n].watch_duration_ms(), n, "held")
             elif what == "held" and waiting.get(n) == call:
                 del waiting[n]
                 self.serve(now, n)
             elif what == "told":
-                self.askers[n].answered()
+                self.askers[n].on_answered()
                 self.answered += 1
                 self.knows[n] = self.version
                 self.learnt.setdefault((n, self.version), now)
@@ -72,7 +72,7 @@
     def serve(self, now: float, n: int) -> None:
         if self.free_at > now + PATIENCE_MS:
             self.turned_away += 1
-            self.at(now + self.askers[n].failed(refused=True), n, "ask")
+            self.at(now + self.askers[n].pause_after_failure_ms(is_refused=True), n, "ask")
         else:
             self.free_at = max(now, self.free_at) + self.answer_ms
             self.at(self.free_at, n, "told")
@@ -111,17 +111,17 @@
     for relays in (40, 100):
         askers = [PollSchedule(relays, random.Random(n)) for n in range(relays)]
         for asker in askers:
-            asker.answered()
-        mean = sum(asker.hold() for asker in askers for _ in range(50)) / (50 * relays)
+            asker.on_answered()
+        mean = sum(asker.watch_duration_ms() for asker in askers for _ in range(50)) / (50 * relays)
         assert relays / (mean / 1000) < 3.0  # calls a second of all
-        assert max(asker.hold() for asker in askers) <= MOST_HOLD_MS
+        assert max(asker.watch_duration_ms() for asker in askers) <= MAX_WATCH_MS
 
 
 def test_a_small_fleet_hears_soon_that_its_agent_has_lost_a_watch() -> None:
     asking = PollSchedule(3, random.Random(1))
-    asking.answered()
-    assert {asking.hold() for _ in range(20)} == {LEAST_HOLD_MS}
-    assert asking.first() <= 200.0
+    asking.on_answered()
+    assert {asking.watch_duration_ms() for _ in range(20)} == {MIN_WATCH_MS}
+    assert asking.first_delay_ms() <= 200.0
 
 
 def known_after(asking: PollSchedule, rng: random.Random, silent_watch: bool) -> float:
@@ -130,20 +130,20 @@
     with a call that has failed; with it, with a watch that falls silent in the moment it is opened."""
     now, reached = 0.0, rng.uniform(0.0, 30_000.0)
     if silent_watch:
-        asking.answered()
+        asking.on_answered()
     else:
-        asking.failed()
+        asking.pause_after_failure_ms()
     while True:
-        hold = asking.hold()
+        hold = asking.watch_duration_ms()
         if now >= reached:  # it is answered, at the latest when it need not wait any more
-            return now + ANSWER_MS * rng.random() - reached if not hold else float("inf")
-        most = asking.patience(hold)
+            return now + ANSWER_TIMEOUT_MS * rng.random() - reached if not hold else float("inf")
+        most = asking.call_timeout_ms(hold)
         silent, cut = most, rng.uniform(0.0, most)
-        if not (silent_watch and hold) and not asking.shared and rng.random() < 0.3:
-            now += asking.failed(refused=True)
+        if not (silent_watch and hold) and not asking.is_shared and rng.random() < 0.3:
+            now += asking.pause_after_failure_ms(is_refused=True)
             continue
         now += most if silent_watch and hold else rng.choice((silent, cut))
-        now += asking.failed()
+        now += asking.pause_after_failure_ms()
 
 
 def worst(relays: int, shared: bool, silent_watch: bool) -> float:
@@ -157,22 +157,25 @@
 @pytest.mark.parametrize("shared", (False, True))
 def test_one_bound_from_reachability_to_knowledge_over_any_chain(relays: int, shared: bool) -> None:
     """Seen to fail with a hold after a failed call, and with pauses of up to 4 s times 1.3."""
-    assert worst(relays, shared, silent_watch=False) <= KNOWN_MS
+    assert worst(relays, shared, silent_watch=False) <= DISCOVERY_BOUND_MS
 
 
 @pytest.mark.parametrize("relays", (1, 40, 200))
 def test_at_an_agent_of_ones_own_the_bound_holds_for_a_watch_that_falls_silent_too(relays: int) -> None:
     """Seen to fail with the hold of a shared register."""
-    assert worst(relays, False, silent_watch=True) <= KNOWN_MS
+    assert worst(relays, False, silent_watch=True) <= DISCOVERY_BOUND_MS
 
 
 @pytest.mark.parametrize("relays", (40, 200))
 def test_a_silent_watch_of_a_shared_register_costs_its_wait_and_two_seconds(relays: int) -> None:
     for n in range(500):
         asking = PollSchedule(relays, random.Random(n))
-        asking.answered()
-        hold = asking.hold()
-        assert asking.patience(hold) + asking.failed() + ANSWER_MS <= hold + QUEUE_MS + ANSWER_MS
+        asking.on_answered()
+        hold = asking.watch_duration_ms()
+        assert (
+            asking.call_timeout_ms(hold) + asking.pause_after_failure_ms() + ANSWER_TIMEOUT_MS
+            <= hold + REGISTER_QUEUE_MS + ANSWER_TIMEOUT_MS
+        )
 
 
 @pytest.mark.parametrize("relays", (40, 200))
@@ -181,7 +184,7 @@
     calls: list[float] = []
     for n in range(relays):
         asking, now = PollSchedule(relays, random.Random(n)), 0.0
-        while (now := now + asking.failed(refused=True)) < 30_000.0:
+        while (now := now + asking.pause_after_failure_ms(is_refused=True)) < 30_000.0:
             calls.append(now)
     late = [at for at in calls if at > 10_000.0]
     by_tenth = [sum(1 for at in late if start <= at < start + 100.0) for start in range(10_000, 30_000, 100)]
@@ -191,32 +194,36 @@
 
 def test_a_call_after_a_failure_or_another_agent_does_not_wait_on_the_far_side() -> None:
     asking = PollSchedule(200, random.Random(1))
-    assert asking.hold() == 0.0
-    asking.answered()
-    assert asking.hold() > 0.0
-    asking.failed()
-    assert asking.hold() == 0.0
-    asking.failed(refused=True)  # a shared register that refuses is there: a watch costs it least
-    assert asking.hold() > 0.0
-    asking.answered()
-    asking.restart()
-    assert asking.hold() == 0.0
+    assert asking.watch_duration_ms() == 0.0
+    asking.on_answered()
+    assert asking.watch_duration_ms() > 0.0
+    asking.pause_after_failure_ms()
+    assert asking.watch_duration_ms() == 0.0
+    asking.pause_after_failure_ms(
+        is_refused=True
+    )  # a shared register that refuses is there: a watch costs it least
+    assert asking.watch_duration_ms() > 0.0
+    asking.on_answered()
+    asking.reset()
+    assert asking.watch_duration_ms() == 0.0
 
 
 def test_a_process_asks_before_the_grace_of_a_drain_is_over() -> None:
     """What its agent has counts as told from its start on. Seen to fail with first calls spread over 4 s: an
     endpoint got a message 0.42 s after it drained."""
-    assert max(PollSchedule(200, random.Random(n)).first() for n in range(200)) < 250.0
-    assert PollSchedule(200, random.Random(1), shared=False).first() == 0.0  # its own agent answers at once
+    assert max(PollSchedule(200, random.Random(n)).first_delay_ms() for n in range(200)) < 250.0
+    assert (
+        PollSchedule(200, random.Random(1), shared=False).first_delay_ms() == 0.0
+    )  # its own agent answers at once
 
 
 def test_pauses_grow_are_jittered_and_bounded_and_begin_anew_after_an_answer() -> None:
     asking = PollSchedule(40, random.Random(1))
-    pauses = [asking.failed() for _ in range(40)]
+    pauses = [asking.pause_after_failure_ms() for _ in range(40)]
     assert pauses[0] <= 1300 < pauses[3] and max(pauses) <= 8000 * 1.3
     assert len(set(pauses)) == 40
-    asking.answered()
-    assert asking.failed() <= 1300
+    asking.on_answered()
+    assert asking.pause_after_failure_ms() <= 1300
 
 
 def test_a_fleet_of_none_is_refused() -> None:
--- a/tests/endpoint_discovery/test_source_merge.py
+++ b/tests/endpoint_discovery/test_source_merge.py
@@ -12,8 +12,8 @@
 from message_relay.core.ports import EndpointRecord, EndpointUpdate
 from message_relay.decisions.model import Listing
 from message_relay.endpoint_discovery.merge_policy import (
-    BELIEVED_S,
-    TOLD,
+    SHRINK_ACCEPTED_AFTER_REPORTS,
+    SHRINK_ACCEPTED_AFTER_S,
     EndpointStatus,
     ShrinkGuard,
     most_severe,
@@ -93,7 +93,7 @@
     assert merge.merge(whole("srv", member("srv-1", rate=9.0)), 2.0) is None  # the register still says gone
     back = merge.merge(changes("register", member("s-1", rate=5.0)), 3.0)
     assert back is not None and back.endpoints[0].listing is READY
-    assert merge.why((7, ("h", 1))) == {"register": "ready", "srv": "ready"}
+    assert merge.status_by_source((7, ("h", 1))) == {"register": "ready", "srv": "ready"}
 
 
 def test_a_name_that_moves_drains_the_old_place_and_two_of_one_name_stay_apart() -> None:
@@ -118,7 +118,7 @@
 
 
 def test_a_list_that_shrinks_suddenly_is_believed_when_it_is_told_again() -> None:
-    merge = SourceMerge(["srv"], doubted=["srv"])
+    merge = SourceMerge(["srv"], shrink_guarded=["srv"])
     every = [member(f"x{n}", n) for n in range(10)]
     merge.merge(whole("srv", *every), 0.0)
     assert merge.merge(whole("srv"), 1.0) is None  # an empty answer is not "all gone"
@@ -128,7 +128,7 @@
         and merge.merge(whole("srv", *every[:4]), 4.0) is None
     )
     update = merge.merge(whole("srv", *every[:4]), 5.0)
-    assert update is not None and len(update.endpoints) == 6 and TOLD == 3
+    assert update is not None and len(update.endpoints) == 6 and SHRINK_ACCEPTED_AFTER_REPORTS == 3
     assert {each.listing for each in update.endpoints} == {GONE}
     few = merge.merge(whole("srv", *every[:3]), 6.0)  # one of four less is no sudden shrink
     assert few is not None and len(few.endpoints) == 1
@@ -138,8 +138,8 @@
 
 def test_a_shrink_is_believed_after_its_time_too() -> None:
     shrink = ShrinkGuard()
-    assert not shrink.believed(10.0, 10, 2) and shrink.believed(10.0 + BELIEVED_S, 10, 2)
-    assert shrink.believed(20.0, 1, 0) and shrink.believed(21.0, 0, 0)
+    assert not shrink.accepts(10.0, 10, 2) and shrink.accepts(10.0 + SHRINK_ACCEPTED_AFTER_S, 10, 2)
+    assert shrink.accepts(20.0, 1, 0) and shrink.accepts(21.0, 0, 0)
 
 
 Steps = st.lists(
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -118,9 +118,9 @@
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             if moment == "pause":
-                host.register.asking.pauses.maximum = host.register.asking.pauses.initial = 60_000.0
+                host.register.asking.backoff.maximum = host.register.asking.backoff.initial = 60_000.0
                 agent.changes.put_nowait(answer(500))
-                await until(lambda: host.register.asking.pauses.failures > 0)
+                await until(lambda: host.register.asking.backoff.failures > 0)
             else:
                 await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
             host.reload(_at(host.host.config, other))
@@ -196,13 +196,13 @@
     async def work() -> None:
         register = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
         register.version = 7
-        register.asking.answered()
+        register.asking.on_answered()
         assert isinstance(register.agent, AgentLink)
         state = left_untried(tmp_path, 0)
         agent = await Agent().start()
         host: Running = host_of(state, agent)
         register.reload(host.host.config)
-        assert register.version == -1 and register.asking.hold() == 0.0
+        assert register.version == -1 and register.asking.watch_duration_ms() == 0.0
         assert register.agent.address == agent.address
         await host.close()
 
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -17,13 +17,13 @@
 from message_relay.fleet.operator import FleetPart, OperatorConfig, OperatorError, decoded, instance
 from message_relay.gossip.settings import INSTANCES_MAX, GossipSettings
 from message_relay.gossip.swim import MEMBERS_MAX, Swim
-from message_relay.gossip.wire import Claim, State, Sync
+from message_relay.gossip.wire import Claim, MemberState, Sync
 
 PLANNED = 3500  # relays of the largest plan there is: each cap holds them with room
 
 
 def claim(n: int) -> Claim:
-    return Claim(f"n{n}", f"id{n}", 1, n + 1, 0, State.ALIVE, "127.0.0.1", 7000 + n, "z", 15)
+    return Claim(f"n{n}", f"id{n}", 1, n + 1, 0, MemberState.ALIVE, "127.0.0.1", 7000 + n, "z", 15)
 
 
 def test_each_cap_holds_the_relays_that_are_planned() -> None:
@@ -35,12 +35,12 @@
     told = [claim(n + 1) for n in range(MEMBERS_MAX)]
     for n in range(0, len(told), 10):
         it.receive(0.0, "n1", 2, Sync(False, tuple(told[n : n + 10])))
-    assert len(it.members) == MEMBERS_MAX and it.turned_away == ""
+    assert len(it.members) == MEMBERS_MAX and it.last_rejected == ""
     it.receive(0.0, "n1", 2, Sync(False, (claim(MEMBERS_MAX + 1),)))
     assert len(it.members) == MEMBERS_MAX
-    assert (it.surplus, it.turned_away) == (1, f"n{MEMBERS_MAX + 1}")
+    assert (it.rejected_claims, it.last_rejected) == (1, f"n{MEMBERS_MAX + 1}")
     it.receive(0.0, "n1", 2, Sync(False, (claim(1),)))  # one that is known is heard as before
-    assert it.surplus == 1
+    assert it.rejected_claims == 1
 
 
 def test_a_voter_grants_to_as_many_relays_as_there_may_be_and_tells_the_next_one_why() -> None:
@@ -97,7 +97,7 @@
     with pytest.raises(OperatorError, match="peers.listen: instance 4095 would be at port 66095: 65535 at"):
         decoded({"fleet": {"instances": 4096}, "peers": {"listen": "127.0.0.1:62000"}}, "f")
     told = {"fleet": {"instances": 4096}, "peers": {"listen": "127.0.0.1:61440"}}
-    assert decoded(told, "f").peers.at(4095) == ("127.0.0.1", 65535)
+    assert decoded(told, "f").peers.listen_address(4095) == ("127.0.0.1", 65535)
 
 
 @pytest.mark.parametrize(
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -22,7 +22,7 @@
 from message_relay.gossip.identity import Identity
 from message_relay.gossip.settings import GossipSettings
 from message_relay.gossip.swim import Swim
-from message_relay.gossip.wire import App, Claim, Packet, State, opened, sealed
+from message_relay.gossip.wire import AppMessage, Claim, MemberState, Packet, open_packet, seal_packet
 
 INSTANCES, PROCESSES, STRETCH = 30, 2, 0.5
 PATIENCE_S = 60.0  # what has not come by then does not come: nothing here takes a tenth of it
@@ -124,9 +124,9 @@
     """Renewals come 12,600 times a second to a voter of 3,500 relays: what is due next in membership, a walk
     over all suspicions, is none of their business."""
     it, heard = node(tmp_path), list[tuple[str, bytes]]()
-    it.datagrams["renew"] = lambda sender, raw: heard.append((sender, raw))
+    it.datagram_handlers["renew"] = lambda sender, raw: heard.append((sender, raw))
     monkeypatch.setattr(it.swim, "next_at", lambda: pytest.fail("what is due next was looked for"))
-    it.datagram_received(sealed(Packet("n1", 5, App("renew", b"x")), b""), ("127.0.0.1", 1))
+    it.datagram_received(seal_packet(Packet("n1", 5, AppMessage("renew", b"x")), b""), ("127.0.0.1", 1))
     assert heard == [("n1", b"x")] and it.counts["received"] == 1
 
 
@@ -134,7 +134,7 @@
     """Each answers with all that it knows: 3,000 that join at once had five seeds send each of them 210
     packets, five times over."""
     seeds = tuple(("127.0.0.1", 7400 + n) for n in range(5))
-    me = Claim("n9", "id9", 1, 9, 0, State.JOINING, "127.0.0.1", 7409)
+    me = Claim("n9", "id9", 1, 9, 0, MemberState.JOINING, "127.0.0.1", 7409)
     it, asked = Swim(me, seeds, random.Random(1)), list[tuple[str, int]]()
     for turn in range(10):
         it.tick(1.0 * turn)
@@ -147,23 +147,23 @@
 def test_the_same_word_to_many_is_sealed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     it, sent = node(tmp_path), list[bytes]()
     for n in range(1, 6):
-        it.swim.members[f"n{n}"] = Claim(f"n{n}", f"id{n}", 1, n, 0, State.ALIVE, "127.0.0.1", 7400 + n)
+        it.swim.members[f"n{n}"] = Claim(f"n{n}", f"id{n}", 1, n, 0, MemberState.ALIVE, "127.0.0.1", 7400 + n)
     seals = 0
 
     def counted(packet: Packet, secret: bytes) -> bytes:
         nonlocal seals
         seals += 1
-        return sealed(packet, secret)
+        return seal_packet(packet, secret)
 
-    monkeypatch.setattr(peers, "sealed", counted)
+    monkeypatch.setattr(peers, "seal_packet", counted)
     monkeypatch.setattr(it, "_send", lambda to, raw: sent.append(raw))
     for n in range(1, 6):
         it.send_datagram(f"n{n}", "renew", b"one")
     it.send_datagram("n1", "renew", b"two")
     it.send_datagram("n2", "grant", b"two")
     assert seals == 3 and len(sent) == 7 and len(set(sent)) == 3
-    told = [opened(raw, b"").body for raw in sent]
-    assert told[-2:] == [App("renew", b"two"), App("grant", b"two")]
+    told = [open_packet(raw, b"").body for raw in sent]
+    assert told[-2:] == [AppMessage("renew", b"two"), AppMessage("grant", b"two")]
 
 
 def rows() -> list[dict[str, float]]:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -30,7 +30,17 @@
 from message_relay.gossip.member_table import SLICES, MemberTable, part
 from message_relay.gossip.paced_replies import AT_ONCE, SPURT, SPURT_S
 from message_relay.gossip.swim import Swim
-from message_relay.gossip.wire import App, Body, Claim, Packet, Ping, State, Sync, opened, sealed
+from message_relay.gossip.wire import (
+    AppMessage,
+    Body,
+    Claim,
+    MemberState,
+    Packet,
+    Ping,
+    Sync,
+    open_packet,
+    seal_packet,
+)
 
 SMALL, LARGE = 50, 3500
 
@@ -107,39 +117,43 @@
 
 def test_one_change_is_told_by_what_differs_and_not_by_all() -> None:
     """One member of 800 restarts: bytes of an answer to who has not heard of it."""
-    words = [gossip.claim(n, State.ALIVE) for n in range(800)]
+    words = [gossip.claim(n, MemberState.ALIVE) for n in range(800)]
     one, other = (Swim(words[n], (), random.Random(n)) for n in (0, 1))
     for it in (one, other):
-        it.receive(0.0, "n2", 1, Sync(False, tuple(each for each in words if each.name != it.me.name)))
-        it.news.clear()
+        it.receive(0.0, "n2", 1, Sync(False, tuple(each for each in words if each.name != it.own_claim.name)))
+        it.dissemination_queue.clear()
     assert not answers(other, one._ask())
-    one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, State.ALIVE, boot=2),)))
+    one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, boot=2),)))
     one.outbox.clear()
     told = answers(one, other._ask(), 1.0)
     names = {claim.name for body in told for claim in body.claims}
     assert "n7" in names and len(names) < 3 * 800 / SLICES
     for body in told:
         other.receive(0.0, "n0", 1, body)
-    assert other.members["n7"].boot == 2 and not answers(one, other._ask()) and not answers(other, one._ask())
+    assert (
+        other.members["n7"].process_epoch == 2
+        and not answers(one, other._ask())
+        and not answers(other, one._ask())
+    )
 
 
 def answers(it: Swim, asked: Sync, now: float = 0.0) -> list[Sync]:
     """Those of the first spurt."""
     it.outbox.clear()
     it.receive(now, asked.claims[0].name, 1, asked)
-    found = [body for _, body in it.outbox if isinstance(body, Sync) and not body.want]
+    found = [body for _, body in it.outbox if isinstance(body, Sync) and not body.wants_reply]
     it.outbox.clear()
     return found
 
 
 def test_builds_without_slices_are_answered_and_answer() -> None:
     """An old build asks with a sum, and is told all unless it is the same; what it does not know it skips."""
-    words = [gossip.claim(n, State.ALIVE) for n in range(100)]
+    words = [gossip.claim(n, MemberState.ALIVE) for n in range(100)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
     old = Swim(words[1], (), random.Random(1))
     old.receive(0.0, "n2", 1, Sync(False, (words[0], *words[2:])))
-    same = old.roll.same(old.me)
+    same = old.member_table.same(old.own_claim)
     assert not answers(it, Sync(True, (words[1],), same))
     assert {each.name for body in answers(it, Sync(True, (words[1],), same ^ 1)) for each in body.claims} == {
         each.name for each in words
@@ -151,16 +165,18 @@
         same: int = 0
 
     raw = msgspec.msgpack.encode(it._ask())
-    assert msgspec.msgpack.decode(raw, type=Before) == Before(True, (it.me,), it.roll.same(it.me))
-    raw = msgspec.msgpack.encode(Before(True, (it.me,), 5))
-    assert msgspec.msgpack.decode(raw, type=Sync) == Sync(True, (it.me,), 5)
+    assert msgspec.msgpack.decode(raw, type=Before) == Before(
+        True, (it.own_claim,), it.member_table.same(it.own_claim)
+    )
+    raw = msgspec.msgpack.encode(Before(True, (it.own_claim,), 5))
+    assert msgspec.msgpack.decode(raw, type=Sync) == Sync(True, (it.own_claim,), 5)
 
 
 def test_slices_that_are_no_slices_are_answered_with_all() -> None:
-    words = [gossip.claim(n, State.ALIVE) for n in range(30)]
+    words = [gossip.claim(n, MemberState.ALIVE) for n in range(30)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
-    told = answers(it, Sync(True, (words[1],), it.roll.same(it.me) ^ 1, b"xyz"))
+    told = answers(it, Sync(True, (words[1],), it.member_table.same(it.own_claim) ^ 1, b"xyz"))
     assert {each.name for body in told for each in body.claims} == {each.name for each in words}
 
 
@@ -171,32 +187,36 @@
     names = [n for n in range(1000) if part(f"n{n}") == 5]
     me = gossip.claim(10_000)
     for n in names:
-        roll.put(0.0, gossip.claim(n, State.JOINING))
+        roll.put(0.0, gossip.claim(n, MemberState.JOINING))
     before = roll.slices(me)
     for one, other in zip(names[::2], names[1::2], strict=False):
-        roll.put(0.0, gossip.claim(one, State.ALIVE))
-        roll.put(0.0, gossip.claim(other, State.ALIVE))
+        roll.put(0.0, gossip.claim(one, MemberState.ALIVE))
+        roll.put(0.0, gossip.claim(other, MemberState.ALIVE))
         assert roll.slices(me) != before
         before = roll.slices(me)
 
 
 def test_a_seed_answers_a_crowd_in_spurts() -> None:
     """All are answered, few with everything, and no moment has more packets than a socket holds."""
-    it = Swim(gossip.claim(0, State.ALIVE), (), random.Random(1))
-    words = [gossip.claim(n, State.ALIVE) for n in range(1, 2000)]
+    it = Swim(gossip.claim(0, MemberState.ALIVE), (), random.Random(1))
+    words = [gossip.claim(n, MemberState.ALIVE) for n in range(1, 2000)]
     it.receive(0.0, "n2", 1, Sync(False, tuple(words)))
-    it.news.clear()
-    it.period_at = it.sync_at = 1e9
+    it.dissemination_queue.clear()
+    it.next_period_at = it.next_sync_at = 1e9
     firsts = []
     for n in range(300):
         new = gossip.claim(5000 + n)
         it.receive(0.0, new.name, 1, Sync(True, (new,)))
         firsts.append(len(it.outbox))
         it.outbox.clear()
-    assert max(firsts) <= SPURT and sum(firsts) == SPURT + 300 - AT_ONCE and len(it.answers.going) == AT_ONCE
+    assert (
+        max(firsts) <= SPURT
+        and sum(firsts) == SPURT + 300 - AT_ONCE
+        and len(it.paced_replies.going) == AT_ONCE
+    )
     told: dict[tuple[str, int], set[str]] = {}
     now = 0.0
-    while it.answers.going:
+    while it.paced_replies.going:
         now = it.next_at()
         it.tick(now)
         assert len(it.outbox) <= SPURT
@@ -285,27 +305,27 @@
 
 
 def settled(count: int) -> Swim:
-    words = [gossip.claim(n, State.ALIVE) for n in range(count)]
+    words = [gossip.claim(n, MemberState.ALIVE) for n in range(count)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n1", 1, Sync(False, tuple(words[1:])))
-    it.news.clear()
+    it.dissemination_queue.clear()
     it.outbox.clear()
     it.changes.clear()
-    it.sync_at = 1e9  # an exchange looks at all, once in 15 periods
-    it.roll.members = Walked(it.roll.members)
+    it.next_sync_at = 1e9  # an exchange looks at all, once in 15 periods
+    it.member_table.members = Walked(it.member_table.members)
     it.tick(1.0)  # its ring is made
     it.outbox.clear()
-    assert isinstance(it.roll.members, Walked)
-    it.roll.members.walks = 0
+    assert isinstance(it.member_table.members, Walked)
+    it.member_table.members.walks = 0
     return it
 
 
 def taken(it: Swim, now: float, body: Body) -> Callable[[], object]:
     """As gossip/node.py has it."""
-    raw = sealed(Packet("n1", 1, body), gossip.SECRET)
+    raw = seal_packet(Packet("n1", 1, body), gossip.SECRET)
 
     def what() -> None:
-        packet = opened(raw, gossip.SECRET)
+        packet = open_packet(raw, gossip.SECRET)
         it.receive(now, packet.sender, packet.nonce, packet.body)
         it.next_at()
 
@@ -321,12 +341,12 @@
 
 
 def ping(it: Swim) -> Ping:
-    return Ping(5, it.me.name, (gossip.claim(9, State.ALIVE),))
+    return Ping(5, it.own_claim.name, (gossip.claim(9, MemberState.ALIVE),))
 
 
 CASES: dict[str, Callable[[Swim], Callable[[], object]]] = {
     "ping": lambda it: taken(it, 1.1, ping(it)),
-    "datagram": lambda it: taken(it, 1.1, App("renew", b"x" * 60)),
+    "datagram": lambda it: taken(it, 1.1, AppMessage("renew", b"x" * 60)),
     "suspect": lambda it: taken(it, 1.1, Ping(5, "n0", (suspect(9),))),
     "turn": lambda it: turned(it, 1.1),
     "period": lambda it: turned(it, 2.1),
@@ -334,7 +354,7 @@
 
 
 def suspect(n: int) -> Claim:
-    return msgspec.structs.replace(gossip.claim(n, State.SUSPECT), by="n3")
+    return msgspec.structs.replace(gossip.claim(n, MemberState.SUSPECT), suspected_by="n3")
 
 
 @pytest.mark.parametrize("case", CASES)
@@ -343,7 +363,7 @@
     for count in (SMALL, LARGE):
         it = settled(count)
         found.append(steps(CASES[case](it)))
-        assert isinstance(it.roll.members, Walked) and not it.roll.members.walks
+        assert isinstance(it.member_table.members, Walked) and not it.member_table.members.walks
     assert abs(found[0] - found[1]) <= 0.02 * found[0]  # a suspicion's time has a logarithm in it
 
 
@@ -354,7 +374,11 @@
         assert it.probe is not None
         probe = it.probe
         found.append(min(steps(lambda it=it, probe=probe: it._ask_others(probe)) for _ in range(5)))  # type: ignore[misc]
-        assert isinstance(it.roll.members, Walked) and not it.roll.members.walks and probe.helpers == 3
+        assert (
+            isinstance(it.member_table.members, Walked)
+            and not it.member_table.members.walks
+            and probe.helpers == 3
+        )
     assert found[1] <= 1.5 * found[0]  # which three it is decides how often is drawn
 
 
@@ -365,9 +389,9 @@
         it = settled(LARGE)
         for n in range(1000, 1000 + count):
             it.receive(1.0, "n1", 1, Ping(1, "n0", (suspect(n),)))
-        it.news.clear()
+        it.dissemination_queue.clear()
         it.outbox.clear()
-        found.append(steps(taken(it, 1.1, App("renew", b"x" * 60))))
+        found.append(steps(taken(it, 1.1, AppMessage("renew", b"x" * 60))))
         assert len(it.suspicions) == count
     assert found[0] == found[1]
 
@@ -377,10 +401,14 @@
     for count in (SMALL, LARGE):
         it = settled(LARGE)
         for n in range(1, count):
-            it.news.add(f"n{n}")
-        it.news.times = names = Walked(it.news.times)
+            it.dissemination_queue.add(f"n{n}")
+        it.dissemination_queue.times = names = Walked(it.dissemination_queue.times)
         found.append(steps(lambda it=it: it._claims("n1")))  # type: ignore[misc]
-        assert isinstance(it.roll.members, Walked) and not it.roll.members.walks and not names.walks
+        assert (
+            isinstance(it.member_table.members, Walked)
+            and not it.member_table.members.walks
+            and not names.walks
+        )
     assert found[1] <= 1.1 * found[0]
 
 
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -17,7 +17,7 @@
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.core.relay import Relay
 from message_relay.decisions.model import Outcome
-from message_relay.gossip.identity import claimed
+from message_relay.gossip.identity import claim_identity
 from message_relay.gossip.node import GossipNode
 from message_relay.gossip.settings import GossipSettings
 from message_relay.sharded_directory.node import ShardedDirectory
@@ -100,7 +100,7 @@
         self.host = made(self.folder, self.front, self.carrier)
         peers = GossipSettings(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
         home = self.folder / "peers"
-        self.node = GossipNode(peers, claimed(home, f"n{number}"), home, number, "z", 0)
+        self.node = GossipNode(peers, claim_identity(home, f"n{number}"), home, number, "z", 0)
         self.shards = ShardedDirectory(part, self.node, self.host, number, self.host.config)
         self.host.use_destination_interest(self.shards, self.shards)
         self.messages, self.entries = self.host.messages, self.host.journal.entries
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -39,7 +39,7 @@
         raise OSError("cut off")
 
     relay.node.request = ask  # type: ignore[method-assign, assignment]
-    relay.node.datagrams.clear()
+    relay.node.datagram_handlers.clear()
 
 
 def test_a_message_whose_shard_is_not_here_is_accepted_and_goes_when_it_comes(tmp_path: Path) -> None:
@@ -195,8 +195,8 @@
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            ask, datagrams = relay.node.request, dict(relay.node.datagrams)
-            relay.node.datagrams.clear()  # what comes while it stands still
+            ask, datagrams = relay.node.request, dict(relay.node.datagram_handlers)
+            relay.node.datagram_handlers.clear()  # what comes while it stands still
             relay.shards.running = False
             if relay.shards.timer is not None:
                 relay.shards.timer.cancel()
@@ -209,7 +209,7 @@
                 return await ask(*args)
 
             relay.node.request = slow  # type: ignore[method-assign, assignment]
-            relay.node.datagrams.update(datagrams)
+            relay.node.datagram_handlers.update(datagrams)
             relay.shards.running = True
             connecting = relay.carrier.connecting
             relay.messages.accept(offer("m"))
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -233,8 +233,8 @@
 def test_discovery_keeps_its_version_over_malformed_answers_and_silence(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(poll_schedule, "AGENT_HOLD_MS", 100.0)
-    monkeypatch.setattr(poll_schedule, "ANSWER_MS", 100.0)
+    monkeypatch.setattr(poll_schedule, "AGENT_WATCH_MS", 100.0)
+    monkeypatch.setattr(poll_schedule, "ANSWER_TIMEOUT_MS", 100.0)
 
     async def work() -> None:
         agent, server = await pair()
