--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -26,7 +26,7 @@
 from typing import Any, Protocol
 
 from message_relay.store.journal import Journal, JournalEntry
-from message_relay.store.records import PACK, Attempt, snapshot
+from message_relay.store.records import Attempt, encode_payload, encode_snapshot
 
 from .report import report
 from .store import BUDGET, Mix
@@ -75,7 +75,7 @@
         self.put(entry)
 
     def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        entry.final_state, entry.after_ms, entry.body = state, after_ms, b""
+        entry.final_state, entry.retry_after_ms, entry.body = state, after_ms, b""
         self.put(entry)
 
     def append_notified(self, idents: list[str]) -> None:
@@ -106,7 +106,7 @@
 
     def put(self, entry: JournalEntry) -> None:
         """The body in a column of its own would still be written with its row: SQLite writes whole pages."""
-        self.db.execute("INSERT OR REPLACE INTO m VALUES (?, ?, ?)", (entry.id, snapshot(entry), b""))
+        self.db.execute("INSERT OR REPLACE INTO m VALUES (?, ?, ?)", (entry.id, encode_snapshot(entry), b""))
 
     def drop(self, idents: list[str]) -> None:
         self.db.execute("BEGIN")
@@ -126,7 +126,7 @@
 
     def put(self, entry: JournalEntry) -> None:
         with self.db.begin(write=True) as work:
-            work.put(entry.id.encode(), snapshot(entry))
+            work.put(entry.id.encode(), encode_snapshot(entry))
 
     def drop(self, idents: list[str]) -> None:
         with self.db.begin(write=True) as work:
@@ -153,17 +153,17 @@
 
     def append_accepted(self, entry: JournalEntry) -> None:
         self.entries[entry.id] = entry
-        self.record(entry, snapshot(entry))
+        self.record(entry, encode_snapshot(entry))
 
     def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
-        self.record(entry, PACK([at, endpoint, zone]))
+        self.record(entry, encode_payload([at, endpoint, zone]))
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
-        self.record(entry, PACK(may_have_run))
+        self.record(entry, encode_payload(may_have_run))
 
     def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         entry.final_state = state
-        self.record(entry, PACK([state, after_ms]))
+        self.record(entry, encode_payload([state, after_ms]))
 
     def append_notified(self, idents: list[str]) -> None:
         for ident in idents:
--- a/benchmarks/uncompacted.py
+++ b/benchmarks/uncompacted.py
@@ -11,5 +11,5 @@
 from message_relay.store.capacity import DiskCapacity
 
 if __name__ == "__main__":
-    DiskCapacity.quota = lambda self, used, total, files, written: 0  # type: ignore[method-assign]
+    DiskCapacity.copy_quota = lambda self, used, total, files, written: 0  # type: ignore[method-assign]
     sys.exit(main())
--- a/message_relay/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -14,8 +14,8 @@
 
 from ..store.file_store import DirectoryFileStore
 from ..store.record_format import UnsupportedFormatError
-from ..store.records import CENSUS, RECORD_TYPE_LABELS, Attempt, JournalEntry
-from ..store.recovery import Found, Line, lines, recover
+from ..store.records import RECORD_TYPE_LABELS, UNFINISHED_IDS_DECODER, Attempt, JournalEntry
+from ..store.recovery import RecordLine, RecoveredState, record_lines, recover
 
 NAMES = (
     "class",
@@ -45,7 +45,7 @@
     rename = unlink = append  # type: ignore[assignment]
 
 
-def found_in(folder: Path) -> Found:
+def found_in(folder: Path) -> RecoveredState:
     """What a start would find. Ends the command where that can't be told."""
     for _ in range(TRIES):
         try:
@@ -57,22 +57,22 @@
     raise click.ClickException(f"{folder}: its segments change too quickly; try again")
 
 
-def lines_of(folder: Path) -> Iterator[Line]:
+def lines_of(folder: Path) -> Iterator[RecordLine]:
     for n in range(TRIES):
         try:
-            yield from list(lines(Reading(folder)))
+            yield from list(record_lines(Reading(folder)))
             return
         except FileNotFoundError:
             if n + 1 == TRIES:
                 raise click.ClickException(f"{folder}: its segments change too quickly") from None
 
 
-def told(line: Line) -> str:
+def told(line: RecordLine) -> str:
     """What a record says, without the body."""
-    if not line.well:
+    if not line.is_readable:
         return "cannot be read"
     if line.kind == "census":
-        owed = CENSUS.decode(line.payload)
+        owed = UNFINISHED_IDS_DECODER.decode(line.payload)
         return f"{sum(map(len, owed.values()))} messages are owed something"
     if not line.payload:
         return ""
@@ -100,12 +100,12 @@
 def verify(folder: Path) -> None:
     """Read all of it; 0 if it is well, 1 if there is damage, a line for each."""
     begun, found = time.perf_counter(), found_in(folder)
-    took, size = time.perf_counter() - begun, sum(each.on_disk for each in found.segments)
+    took, size = time.perf_counter() - begun, sum(each.file_size for each in found.segments)
     for text in found.findings:
         click.echo(text)
     click.echo(
         f"{len(found.segments)} segments, {size} bytes, {len(found.entries)} messages, "
-        f"{found.torn} bytes of a torn end, {len(found.findings)} findings, {took * 1000:.0f} ms"
+        f"{found.torn_bytes} bytes of a torn end, {len(found.findings)} findings, {took * 1000:.0f} ms"
     )
     sys.exit(1 if found.findings else 0)
 
@@ -116,7 +116,7 @@
 @JSON
 def show(folder: Path, ident: str, json_: bool) -> None:
     """Tell a message's whole history, and what a start would make of it; 1 if nothing names it."""
-    mine = [line for line in lines_of(folder) if line.ident == ident]
+    mine = [line for line in lines_of(folder) if line.message_id == ident]
     entry = found_in(folder).entries.get(ident)
     if json_:
         now = None if entry is None else _entry_document(entry)
@@ -148,6 +148,7 @@
     "attempt_count": "tries",
     "attempt_in_flight": "out",
     "uncertain_attempt": "risk",
+    "retry_after_ms": "after_ms",
     "final_state": "end",
     "is_notified": "told",
 }
@@ -183,7 +184,7 @@
         kinds[line.kind] += 1
     told_ = {
         "segments": len(found.segments),
-        "bytes": sum(each.on_disk for each in found.segments),
+        "bytes": sum(each.file_size for each in found.segments),
         "records": {label: kinds[label] for label in RECORD_TYPE_LABELS.values()},
         "open": sum(not each.final_state for each in found.entries.values()),
         "notices_owed": sum(each.needs_notification for each in found.entries.values()),
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -145,7 +145,7 @@
         """Where a record has to outlast a power cut before it counts, it is written before the connection is
         looked for; elsewhere right before the first byte."""
         durability = self.messages.journal.durability
-        if durability is None or not durability.group:
+        if durability is None or not durability.is_group_commit:
             return True
         if not gate():
             return False
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -194,7 +194,8 @@
         for entry in list(self.journal.entries.values()):
             if entry.needs_notification:
                 self.on_outcome(
-                    entry.origin, FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
+                    entry.origin,
+                    FinalOutcome(entry.id, entry.final_state, entry.retry_after_ms, entry.origin),
                 )
 
     def resume(self, number_of: Callable[[str], int]) -> None:
@@ -302,7 +303,7 @@
 
     def _tell(self, entry: JournalEntry) -> None:
         """Its end is written: passes it on, once that outlasts what it has to."""
-        end = FinalOutcome(entry.id, entry.final_state, entry.after_ms, entry.origin)
+        end = FinalOutcome(entry.id, entry.final_state, entry.retry_after_ms, entry.origin)
         safe = self.journal.barrier()
         if safe is None:
             self.on_outcome(entry.origin, end)
--- a/message_relay/core/relay.py
+++ b/message_relay/core/relay.py
@@ -12,7 +12,7 @@
 from ..decisions.model import ListKind
 from ..decisions.scheduler import DeliveryScheduler
 from ..endpoint_discovery.source_merge import SourceMerge
-from ..store.destination_snapshot import FILE_BYTES, DestinationSnapshotFile
+from ..store.destination_snapshot import MAX_FILE_BYTES, DestinationSnapshotFile
 from ..store.journal import Journal
 from ..store.lock import DirectoryLock
 from ..structured_logging import LogEvent
@@ -50,7 +50,7 @@
         self.scheduler = DeliveryScheduler(config.settings, config.seed)
         self.driver = SchedulerDriver(self.scheduler, config.settings.tick_ms, self._execute)
         self.lock = DirectoryLock(config.state)
-        self.journal = Journal(config.state, config.disk_bytes - 2 * FILE_BYTES, sync_ms=config.sync_ms)
+        self.journal = Journal(config.state, config.disk_bytes - 2 * MAX_FILE_BYTES, sync_ms=config.sync_ms)
         self.snapshot_file = DestinationSnapshotFile(config.state)
         self.directory = EndpointDirectory(config.settings, config.zones)
         self.messages = MessageLifecycle(
@@ -228,7 +228,7 @@
         for source in self.sources:
             source.close()
         if self.journal.durability is not None:
-            await self.journal.durability.finish()
+            await self.journal.durability.sync_remaining()
         self.journal.close()
         self.lock.release()
 
--- a/message_relay/store/capacity.py
+++ b/message_relay/store/capacity.py
@@ -8,48 +8,62 @@
 
 from __future__ import annotations
 
-BLOCK = 512
-LARGEST = 70 * 1024  # of a frame: a body of 64 KiB, names and numbers
-LEAST, MOST = 32 * 1024, 4 << 20  # bytes of a segment
-PARTS = 24  # a segment is such a part of the room
-CENSUS = 8  # a census takes such a part of a segment at most
+BLOCK_BYTES = 512
+MAX_RECORD_BYTES = 70 * 1024  # of a frame: a body of 64 KiB, names and numbers
+MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 32 * 1024, 4 << 20  # bytes of a segment
+SEGMENTS_PER_BUDGET = 24  # a segment is such a part of the room
+UNFINISHED_IDS_PER_SEGMENT = 8  # a census takes such a part of a segment at most
 # for the records of a message still open: 8 attempts, their ends, its own; of a notice
-COUNTED = 8000  # ids at the most, or there is no census: counting more takes too long for one turn
-OPEN, OWED = 2048, 128
-ROOMY = 384 * 1024  # nothing is given up below this, nor below FULL times what is known: most dies by itself
-FULL = 4
-SLICE = 12 * 1024  # bytes copied in one go, or one record: some 1 ms of the loop
-FILES = 32  # more segments than this are too many: each start makes one
-RATES = ((5 / 6, 4), (2 / 3, 2))  # above such a part of the room so many bytes are copied for one written
+MAX_UNFINISHED_IDS = 8000  # ids at the most, or there is no census: counting more takes too long for one turn
+OPEN_MESSAGE_RESERVE_BYTES, NOTIFICATION_RESERVE_BYTES = 2048, 128
+COMPACTION_FLOOR_BYTES = (
+    384 * 1024
+)  # nothing is given up below this, nor below FULL times what is known: most dies by itself
+COMPACTION_LIVE_FACTOR = 4
+COPY_SLICE_BYTES = 12 * 1024  # bytes copied in one go, or one record: some 1 ms of the loop
+MAX_SEGMENT_FILES = 32  # more segments than this are too many: each start makes one
+COPY_RATES = (
+    (5 / 6, 4),
+    (2 / 3, 2),
+)  # above such a part of the room so many bytes are copied for one written
 
 
-def blocks(size: int) -> int:
-    return -(-size // BLOCK) * BLOCK
+def rounded_to_blocks(size: int) -> int:
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
 class DiskCapacity:
     def __init__(self, budget: int) -> None:
         """`budget`: bytes on the disk, over all segments."""
-        self.budget = budget // BLOCK * BLOCK
-        self.segment = min(MOST, max(LEAST, self.budget // PARTS))
-        self.spare = self.segment + LARGEST + 4 * BLOCK
-        self.usable = self.budget - self.spare
-        self.roomy, self.high = min(ROOMY, self.budget // 2), self.budget * RATES[-1][0]
+        self.budget_bytes = budget // BLOCK_BYTES * BLOCK_BYTES
+        self.segment_bytes = min(
+            MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, self.budget_bytes // SEGMENTS_PER_BUDGET)
+        )
+        self.reserve_bytes = self.segment_bytes + MAX_RECORD_BYTES + 4 * BLOCK_BYTES
+        self.usable_bytes = self.budget_bytes - self.reserve_bytes
+        self.compaction_floor_bytes, self.high_water_bytes = (
+            min(COMPACTION_FLOOR_BYTES, self.budget_bytes // 2),
+            self.budget_bytes * COPY_RATES[-1][0],
+        )
 
-    def takes(self, total: int, more: int) -> bool:
+    def can_accept(self, total: int, more: int) -> bool:
         """Whether another message fits that takes so much, records to come included."""
         every = total + more
-        overhead = every // CENSUS + (every // self.segment + 4) * 2 * BLOCK
-        return every + overhead + self.spare <= self.budget
+        overhead = every // UNFINISHED_IDS_PER_SEGMENT + (every // self.segment_bytes + 4) * 2 * BLOCK_BYTES
+        return every + overhead + self.reserve_bytes <= self.budget_bytes
 
-    def short(self, used: int, more: int) -> bool:
+    def must_compact(self, used: int, more: int) -> bool:
         """Whether segments have to be given up before so much can be written."""
-        return used + more > self.usable
+        return used + more > self.usable_bytes
 
-    def quota(self, used: int, total: int, files: int, written: int) -> int:
+    def copy_quota(self, used: int, total: int, files: int, written: int) -> int:
         """How many bytes may be copied, now that so many were written; in proportion, so that no write waits
         for much of it, and more as room falls."""
-        if files <= FILES and used <= self.high and used <= max(self.roomy, FULL * total):
+        if (
+            files <= MAX_SEGMENT_FILES
+            and used <= self.high_water_bytes
+            and used <= max(self.compaction_floor_bytes, COMPACTION_LIVE_FACTOR * total)
+        ):
             return 0
-        rate = next((rate for part, rate in RATES if used > self.budget * part), 1)
+        rate = next((rate for part, rate in COPY_RATES if used > self.budget_bytes * part), 1)
         return rate * written
--- a/message_relay/store/destination_snapshot.py
+++ b/message_relay/store/destination_snapshot.py
@@ -19,8 +19,8 @@
 log = logging.getLogger(__name__)
 
 VERSION = 1
-FILE_BYTES = 16 * 1024  # at most, so that it and its successor have room beside the journal
-OLD_MS = 60_000.0  # older knowledge is no use: outages are shorter
+MAX_FILE_BYTES = 16 * 1024  # at most, so that it and its successor have room beside the journal
+MAX_AGE_MS = 60_000.0  # older knowledge is no use: outages are shorter
 
 
 class _Lane(msgspec.Struct, forbid_unknown_fields=True):
@@ -39,7 +39,7 @@
 
 class DestinationSnapshotFile:
     def __init__(self, folder: Path) -> None:
-        self.path, self.spare = folder / "learned", folder / "learned.new"
+        self.path, self.temporary_path = folder / "learned", folder / "learned.new"
         self.destinations: list[RestoredDestination] = []  # as last written
 
     def load(self, now: float) -> list[RestoredDestination]:
@@ -57,7 +57,7 @@
             return []
         return (
             lanes
-            if age < OLD_MS
+            if age < MAX_AGE_MS
             else [
                 replace(lane, is_ejected=False, failing_for_ms=None, warming_up_for_ms=None)
                 for lane in lanes
@@ -94,12 +94,12 @@
         head, size, kept = f'{{"version":{VERSION},"at":{now:.0f},"lanes":['.encode(), 64, list[bytes]()
         for item in items:
             size += len(item) + 1
-            if size > FILE_BYTES:
+            if size > MAX_FILE_BYTES:
                 log.warning(LogEvent("lanes have no room", path=self.path, left_out=len(items) - len(kept)))
                 break
             kept.append(item)
         try:
-            self.spare.write_bytes(head + b",".join(kept) + b"]}")
-            os.replace(self.spare, self.path)
+            self.temporary_path.write_bytes(head + b",".join(kept) + b"]}")
+            os.replace(self.temporary_path, self.path)
         except OSError as error:
             log.warning(LogEvent("what was learned cannot be written", path=self.path, why=error))
--- a/message_relay/store/durability.py
+++ b/message_relay/store/durability.py
@@ -30,50 +30,50 @@
 class Durability:
     def __init__(self, files: FileStore, sync_ms: float) -> None:
         """`sync_ms`: between one sync and the next; 0: whenever something waits, and all wait for it."""
-        self.files, self.group, self.every_s = files, sync_ms <= 0, sync_ms / 1000
+        self.files, self.is_group_commit, self.interval_s = files, sync_ms <= 0, sync_ms / 1000
         self.appended_sequence = self.durable_sequence = (
             0  # sequence of the latest record that is appended, and that is safe
         )
-        self.dirty: dict[str, None] = {}  # files with records that are not
-        self.waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
-        self.later: deque[tuple[int, Callable[[], None]]] = deque()
+        self.unsynced_files: dict[str, None] = {}  # files with records that are not
+        self.waiters: deque[tuple[int, asyncio.Future[None]]] = deque()
+        self.callbacks: deque[tuple[int, Callable[[], None]]] = deque()
         self.wake = asyncio.Event()
-        self.anew: Callable[[], None] = lambda: None  # writes all that is known once more
-        self.thread = ThreadPoolExecutor(1, "sync")
+        self.on_sync_failed: Callable[[], None] = lambda: None  # writes all that is known once more
+        self.executor = ThreadPoolExecutor(1, "sync")
 
-    def appended(self, name: str, sequence: int) -> None:
-        self.dirty[name] = None
+    def record_appended(self, name: str, sequence: int) -> None:
+        self.unsynced_files[name] = None
         self.appended_sequence = sequence
         self.wake.set()
 
     def barrier(self) -> asyncio.Future[None] | None:
         """Done when all that is written by now outlasts a power cut; None: nothing has to wait."""
-        if not self.group or self.durable_sequence >= self.appended_sequence:
+        if not self.is_group_commit or self.durable_sequence >= self.appended_sequence:
             return None
-        if self.waiting and self.waiting[-1][0] == self.appended_sequence:
-            return self.waiting[-1][1]
+        if self.waiters and self.waiters[-1][0] == self.appended_sequence:
+            return self.waiters[-1][1]
         future = asyncio.get_running_loop().create_future()
-        self.waiting.append((self.appended_sequence, future))
+        self.waiters.append((self.appended_sequence, future))
         return future
 
-    def after(self, call: Callable[[], None]) -> None:
+    def call_when_durable(self, call: Callable[[], None]) -> None:
         """Once what is written by now is safe."""
-        self.later.append((self.appended_sequence, call))
+        self.callbacks.append((self.appended_sequence, call))
 
     async def run(self) -> None:
         """Never ends by itself."""
         loop = asyncio.get_running_loop()
         while True:
             await self.wake.wait()
-            if not self.group:
-                await asyncio.sleep(self.every_s)
+            if not self.is_group_commit:
+                await asyncio.sleep(self.interval_s)
             names, upto = self.start_sync()
             try:
-                await loop.run_in_executor(self.thread, self.sync_files, names)
+                await loop.run_in_executor(self.executor, self.sync_files, names)
             except OSError as error:
                 log.error(LogEvent("journal: a sync failed: all is written anew", why=error))
                 await asyncio.sleep(AGAIN_S)
-                self.anew()
+                self.on_sync_failed()
                 self.wake.set()
                 continue
             self.mark_durable(upto)
@@ -83,8 +83,8 @@
     def start_sync(self) -> tuple[list[str], int]:
         """Files that the next sync has to cover, and the record up to which all is safe then."""
         self.wake.clear()
-        names, upto = list(self.dirty), self.appended_sequence
-        self.dirty.clear()
+        names, upto = list(self.unsynced_files), self.appended_sequence
+        self.unsynced_files.clear()
         return names, upto
 
     def sync_files(self, names: list[str]) -> None:
@@ -95,16 +95,18 @@
 
     def mark_durable(self, upto: int) -> None:
         self.durable_sequence = upto
-        while self.waiting and self.waiting[0][0] <= upto:
-            future = self.waiting.popleft()[1]
+        while self.waiters and self.waiters[0][0] <= upto:
+            future = self.waiters.popleft()[1]
             if not future.done():
                 future.set_result(None)
-        while self.later and self.later[0][0] <= upto:
-            self.later.popleft()[1]()
+        while self.callbacks and self.callbacks[0][0] <= upto:
+            self.callbacks.popleft()[1]()
 
-    async def finish(self, seconds: float = 1.0) -> None:
+    async def sync_remaining(self, seconds: float = 1.0) -> None:
         """The last sync of a process that stops in an orderly way; takes no longer than told."""
-        work = asyncio.get_running_loop().run_in_executor(self.thread, self.sync_files, list(self.dirty))
+        work = asyncio.get_running_loop().run_in_executor(
+            self.executor, self.sync_files, list(self.unsynced_files)
+        )
         try:
             await asyncio.wait_for(work, seconds)
         except (OSError, TimeoutError) as error:
@@ -112,6 +114,6 @@
 
     def close(self) -> None:
         """What still waits is never done: its promise was not made."""
-        for _, future in self.waiting:
+        for _, future in self.waiters:
             future.cancel()
-        self.thread.shutdown(wait=False)
+        self.executor.shutdown(wait=False)
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from .records import (
-    PACK,
     Attempt,
     AttemptRecord,
     FinalOutcomeRecord,
     JournalEntry,
     RecordType,
-    change,
-    only_known_by_id,
-    worst,
+    apply_record,
+    assume_attempted,
+    encode_payload,
+    failed_entry,
 )
 
 NAMES = ("journal", "journal.new")
@@ -101,7 +101,7 @@
             "end": FinalOutcomeRecord(line.state, line.after),
             "told": None,
         }
-        change(entries[line.id], KINDS[line.k], PACK(payloads[line.k]))
+        apply_record(entries[line.id], KINDS[line.k], encode_payload(payloads[line.k]))
 
 
 def read(data: bytes) -> tuple[dict[str, JournalEntry], list[str]]:
@@ -115,12 +115,12 @@
         except (ValueError, KeyError) as error:
             findings.append(f"journal: record {number} cannot be used: {error!r}")
             for entry in entries.values():
-                worst(entry)
+                assume_attempted(entry)
             if (found := IDENT.search(text)) is not None:
                 hurt[found[1].decode(errors="replace")] = None
     for ident in hurt:
         if ident not in entries:
-            entries[ident] = only_known_by_id(ident)
+            entries[ident] = failed_entry(ident)
     for entry in entries.values():
         if entry.attempt_in_flight is not None:
             entry.uncertain_attempt, entry.attempt_in_flight = (
--- a/message_relay/store/journal.py
+++ b/message_relay/store/journal.py
@@ -19,22 +19,31 @@
 
 from ..structured_logging import LogEvent
 from . import format_v1
-from .capacity import BLOCK, CENSUS, COUNTED, OPEN, OWED, SLICE, DiskCapacity, blocks
+from .capacity import (
+    BLOCK_BYTES,
+    COPY_SLICE_BYTES,
+    MAX_UNFINISHED_IDS,
+    NOTIFICATION_RESERVE_BYTES,
+    OPEN_MESSAGE_RESERVE_BYTES,
+    UNFINISHED_IDS_PER_SEGMENT,
+    DiskCapacity,
+    rounded_to_blocks,
+)
 from .durability import Durability
 from .file_store import DirectoryFileStore, FileStore
-from .record_format import HEADER_BYTES, Header, UnsupportedFormatError, frame, frame_bytes
+from .record_format import HEADER_BYTES, Header, UnsupportedFormatError, encode_frame, frame_size
 from .records import (
-    PACK,
     Attempt,
     AttemptRecord,
     FinalOutcomeRecord,
     JournalEntry,
     MessageTable,
     RecordType,
-    change,
-    snapshot,
+    apply_record,
+    encode_payload,
+    encode_snapshot,
 )
-from .recovery import Found, Segment, name_of, recover
+from .recovery import RecoveredState, Segment, recover, segment_name
 
 log = logging.getLogger(__name__)
 
@@ -63,10 +72,12 @@
     names = f"{entry.class_name}{entry.tenant}{entry.key}{entry.resubmission}{entry.origin}"
     payload = FIXED + len(names.encode())
     if not entry.final_state:
-        return frame_bytes(len(entry.id.encode()), payload + len(entry.body)) + OPEN
+        return frame_size(len(entry.id.encode()), payload + len(entry.body)) + OPEN_MESSAGE_RESERVE_BYTES
     if entry.uncertain_attempt is not None:
         payload += 24 + len(entry.uncertain_attempt.endpoint.encode())
-    return frame_bytes(len(entry.id.encode()), payload) + (OWED if entry.needs_notification else 0)
+    return frame_size(len(entry.id.encode()), payload) + (
+        NOTIFICATION_RESERVE_BYTES if entry.needs_notification else 0
+    )
 
 
 class Journal:
@@ -78,10 +89,12 @@
         self.files: FileStore = files or DirectoryFileStore(folder)
         self.durability = None if sync_ms is None else Durability(self.files, sync_ms)
         if self.durability is not None:
-            self.durability.anew = self._anew
+            self.durability.on_sync_failed = self._anew
         self.capacity = DiskCapacity(disk_bytes)
         # bytes to begin one, at most
-        self.new_segment = 2 * BLOCK + HEADER_BYTES + self.capacity.segment // CENSUS
+        self.new_segment = (
+            2 * BLOCK_BYTES + HEADER_BYTES + self.capacity.segment_bytes // UNFINISHED_IDS_PER_SEGMENT
+        )
         self.messages = MessageTable()
         self.entries = self.messages.entries
         self.segment_of: dict[str, Segment] = {}  # where the latest snapshot of each lies
@@ -102,7 +115,7 @@
 
     @property
     def budget_bytes(self) -> int:
-        return self.capacity.budget
+        return self.capacity.budget_bytes
 
     @property
     def disk_bytes(self) -> int:
@@ -118,34 +131,42 @@
     def append_accepted(self, entry: JournalEntry) -> None:
         """Must come before the client's answer."""
         size = space(entry)
-        if not self.capacity.takes(self.live_bytes, size):
+        if not self.capacity.can_accept(self.live_bytes, size):
             self._drop_ended()
-            if not self.capacity.takes(self.live_bytes, size):
+            if not self.capacity.can_accept(self.live_bytes, size):
                 raise JournalFullError("no room for another message")
         if self.overdue:
             self.write_overdue()  # Raises: the disk does not take what is owed, so that it takes nothing new
-        self._append(RecordType.ACCEPTED, entry.id, snapshot(entry))
+        self._append(RecordType.ACCEPTED, entry.id, encode_snapshot(entry))
         self._settle(entry)
         self._move(entry.id)
         self._give_up_some()
 
     def append_attempt(
-        self, entry: JournalEntry, at: float, endpoint: str, zone: int, up: float = -1.0
+        self, entry: JournalEntry, started_at_ms: float, endpoint: str, zone: int, uptime_ms: float = -1.0
     ) -> None:
         """Must come before the attempt's first byte. Times in whole ms, rounded down: a window that runs from
         them ends no later for it."""
-        self._record(entry, RecordType.ATTEMPT, PACK(AttemptRecord(int(at), endpoint[:NAME], zone, int(up))))
+        self._record(
+            entry,
+            RecordType.ATTEMPT,
+            encode_payload(AttemptRecord(int(started_at_ms), endpoint[:NAME], zone, int(uptime_ms))),
+        )
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
-        self._record(entry, RecordType.OUTCOME, PACK(may_have_run))
+        self._record(entry, RecordType.OUTCOME, encode_payload(may_have_run))
 
-    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
+    def append_final_outcome(
+        self, entry: JournalEntry, final_state: str, retry_after_ms: float = 0.0
+    ) -> None:
         """Must come before the end is told: if it can't be written, `behind` names it until `catch_up`."""
-        self._record(entry, RecordType.FINAL_OUTCOME, PACK(FinalOutcomeRecord(state, after_ms)))
+        self._record(
+            entry, RecordType.FINAL_OUTCOME, encode_payload(FinalOutcomeRecord(final_state, retry_after_ms))
+        )
 
-    def append_notified(self, idents: list[str]) -> None:
+    def append_notified(self, message_ids: list[str]) -> None:
         failed: JournalError | None = None
-        for ident in idents:
+        for ident in message_ids:
             try:
                 if ident in self.entries:
                     self._record(self.entries[ident], RecordType.NOTIFIED, b"")
@@ -176,7 +197,7 @@
                 self._forget(ident)
         try:
             self.write_overdue()
-            self._give_up_some(self.capacity.segment // 8)
+            self._give_up_some(self.capacity.segment_bytes // 8)
         except JournalError as error:
             log.error(LogEvent("journal: cannot tidy", why=error))
 
@@ -220,7 +241,7 @@
         if kind is RecordType.CANCELLED:
             self._forget(entry.id)
             return
-        change(entry, kind, payload)
+        apply_record(entry, kind, payload)
         if kind in (RecordType.FINAL_OUTCOME, RecordType.NOTIFIED) and entry.id in self.entries:
             self._settle(entry)
 
@@ -233,13 +254,13 @@
         """Its latest snapshot lies in the head now."""
         before = self.segment_of.get(ident)
         if before is not None:
-            before.homes.pop(ident, None)
+            before.live_ids.pop(ident, None)
         self.segment_of[ident] = self.segments[-1]
-        self.segments[-1].homes[ident] = None
+        self.segments[-1].live_ids[ident] = None
 
     def _forget(self, ident: str) -> None:
         self.messages.remove(ident)
-        self.segment_of.pop(ident).homes.pop(ident, None)
+        self.segment_of.pop(ident).live_ids.pop(ident, None)
 
     def _drop_ended(self) -> None:
         for _, ident in self.retained:
@@ -252,14 +273,14 @@
     def _append(self, kind: RecordType, ident: str, payload: bytes, copying: bool = False) -> None:
         """Raises JournalError; then nothing has changed."""
         name = ident.encode()
-        need = frame_bytes(len(name), len(payload))
-        if not copying and self.capacity.short(self.used, need + self.new_segment):
+        need = frame_size(len(name), len(payload))
+        if not copying and self.capacity.must_compact(self.used, need + self.new_segment):
             self._give_up_all(need)
         head = self.segments[-1]
-        if head.damaged or head.size + need > self.capacity.segment and head.size > self.began:
+        if head.is_damaged or head.size + need > self.capacity.segment_bytes and head.size > self.began:
             self._begin(copying)
             head = self.segments[-1]
-        data = frame(head.salt, self.sequence, kind, name, payload)
+        data = encode_frame(head.salt, self.sequence, kind, name, payload)
         self._put(head, data)
         self.sequence += 1
         if copying:
@@ -268,7 +289,7 @@
             self.written_bytes += need
 
     def _put(self, head: Segment, data: bytes) -> None:
-        more = blocks(head.size + len(data)) - blocks(head.size)
+        more = rounded_to_blocks(head.size + len(data)) - rounded_to_blocks(head.size)
         if self.used + more > self.budget_bytes:
             raise JournalError("journal: the folder's limit is reached")
         try:
@@ -276,40 +297,43 @@
         except OSError as error:
             # What was written of it may stand there: only what the next segment's header counts is read.
             self._look_at(head)
-            head.damaged = True  # nothing more goes to this file: its limit may be reached
+            head.is_damaged = True  # nothing more goes to this file: its limit may be reached
             raise JournalError(f"journal: {error}") from error
-        head.check = crc32(data, head.check)
+        head.checksum = crc32(data, head.checksum)
         head.size += len(data)
         self.used += more
         if self.durability is not None:
-            self.durability.appended(head.name, self.sequence)
+            self.durability.record_appended(head.name, self.sequence)
 
     def _look_at(self, head: Segment) -> None:
         """After a failed append: does anything of it stand there?"""
         try:
             size = self.files.sizes().get(head.name, 0)
         except OSError:
-            head.damaged = True
+            head.is_damaged = True
             return
         if size != head.size:
-            head.damaged = True
-            self.used += blocks(size) - head.blocks
-            head.on_disk = size
+            head.is_damaged = True
+            self.used += rounded_to_blocks(size) - head.disk_bytes
+            head.file_size = size
 
     def _begin(self, copying: bool = False) -> None:
         """A new head, with the ids of all that is owed: so that they are known if earlier records are
         lost."""
         before = self.segments[-1] if self.segments else Segment(0)
         new = Segment(before.number + 1, salt=int.from_bytes(os.urandom(4), "little"))
-        data = Header(new.number, self.sequence, before.size, before.check, new.salt).encode()
+        data = Header(new.number, self.sequence, before.size, before.checksum, new.salt).encode()
         origins: dict[str, list[str]] = {}
         owed = self.messages.unfinished
-        for ident, origin in owed.items() if len(owed) <= COUNTED else ():
+        for ident, origin in owed.items() if len(owed) <= MAX_UNFINISHED_IDS else ():
             origins.setdefault(origin, []).append(ident)
-        census = PACK(origins)
-        counted = len(owed) <= COUNTED and len(census) <= self.capacity.segment // CENSUS
+        census = encode_payload(origins)
+        counted = (
+            len(owed) <= MAX_UNFINISHED_IDS
+            and len(census) <= self.capacity.segment_bytes // UNFINISHED_IDS_PER_SEGMENT
+        )
         if counted:
-            data += frame(new.salt, self.sequence, RecordType.UNFINISHED_IDS, b"", census)
+            data += encode_frame(new.salt, self.sequence, RecordType.UNFINISHED_IDS, b"", census)
         try:
             self.files.unlink(new.name)  # what an attempt to begin it has left
         except FileNotFoundError:
@@ -317,7 +341,7 @@
         except OSError as error:
             raise JournalError(f"journal: {error}") from error
         self._put(new, data)
-        new.damaged = False
+        new.is_damaged = False
         self.segments.append(new)
         self.sequence += counted
         self.began = new.size
@@ -325,30 +349,30 @@
     # -- giving up old segments --------------------------------------------------------------------------
 
     def _copy(self, entry: JournalEntry) -> None:
-        self._append(RecordType.ACCEPTED, entry.id, snapshot(entry), copying=True)
+        self._append(RecordType.ACCEPTED, entry.id, encode_snapshot(entry), copying=True)
         self._move(entry.id)
 
     def _give_up_some(self, bytes_: int | None = None) -> None:
         """A part in proportion to what was written; a failure costs nothing but the room."""
         written, self.last_written = self.written_bytes - self.last_written, self.written_bytes
-        quota = self.capacity.quota(self.used, self.live_bytes, len(self.segments), bytes_ or written)
+        quota = self.capacity.copy_quota(self.used, self.live_bytes, len(self.segments), bytes_ or written)
         if not quota:
             self.credit = 0
             return
-        self.credit = min(self.credit + quota, self.capacity.segment)
-        left = SLICE
+        self.credit = min(self.credit + quota, self.capacity.segment_bytes)
+        left = COPY_SLICE_BYTES
         try:
             while min(self.credit, left) > 0 and len(self.segments) > 1:
                 oldest = self.segments[0]
-                ident = next(iter(oldest.homes), None)
+                ident = next(iter(oldest.live_ids), None)
                 if ident is None:
                     self._retire(oldest)
                     return  # a file at a time: each unlink takes a while
                 entry = self.entries[ident]
                 size = self.messages.sizes[ident]
-                if size > self.credit and self.credit < self.capacity.segment // 2:
+                if size > self.credit and self.credit < self.capacity.segment_bytes // 2:
                     return  # its turn comes when there is credit for it
-                if size > left < SLICE:
+                if size > left < COPY_SLICE_BYTES:
                     return
                 self.credit -= size
                 left -= size
@@ -362,16 +386,16 @@
             self._drop_aside(name)
         last = self.segments[-1].number
         more = need + self.new_segment
-        if self.leaving and not self.capacity.short(self.used - self.leaving, more):
+        if self.leaving and not self.capacity.must_compact(self.used - self.leaving, more):
             raise JournalFullError("journal: room comes with the next sync")
-        while self.capacity.short(self.used - self.leaving, more) and self.segments[0].number <= last:
+        while self.capacity.must_compact(self.used - self.leaving, more) and self.segments[0].number <= last:
             if len(self.segments) == 1:
                 self._begin()
             oldest = self.segments[0]
-            for ident in list(oldest.homes):
+            for ident in list(oldest.live_ids):
                 self._copy(self.entries[ident])
             self._retire(oldest)
-        if self.capacity.short(self.used, need):
+        if self.capacity.must_compact(self.used, need):
             raise JournalFullError("journal: the folder's limit is reached")
 
     def _retire(self, oldest: Segment) -> None:
@@ -381,11 +405,11 @@
             self.segments.popleft()
         else:
             self.segments.popleft()
-            self.leaving += oldest.blocks
-            self.durability.after(lambda: self._unlink_later(oldest))
+            self.leaving += oldest.disk_bytes
+            self.durability.call_when_durable(lambda: self._unlink_later(oldest))
 
     def _unlink_later(self, oldest: Segment) -> None:
-        self.leaving -= oldest.blocks
+        self.leaving -= oldest.disk_bytes
         try:
             self._unlink(oldest)
         except JournalError as error:  # its room is missing until the next start, which finds it
@@ -398,7 +422,7 @@
             pass  # somebody cleared it away
         except OSError as error:
             raise JournalError(f"journal: {error}") from error
-        self.used -= oldest.blocks
+        self.used -= oldest.disk_bytes
 
     # -- the start ---------------------------------------------------------------------------------------
 
@@ -410,21 +434,25 @@
                 f"journal: {error}: start one that does, or name another folder"
             ) from None
         self._take_over(found)
-        for name in found.empty:
+        for name in found.empty_files:
             self.files.unlink(name)
         sizes = self.files.sizes()
-        self.quarantined = {name: blocks(size) for name, size in sizes.items() if name.startswith(ASIDE)}
+        self.quarantined = {
+            name: rounded_to_blocks(size) for name, size in sizes.items() if name.startswith(ASIDE)
+        }
         self.segments.extend(found.segments)
-        self.sequence = found.sequence
-        self.used = sum(self.quarantined.values()) + sum(blocks(each.on_disk) for each in self.segments)
+        self.sequence = found.next_sequence
+        self.used = sum(self.quarantined.values()) + sum(
+            rounded_to_blocks(each.file_size) for each in self.segments
+        )
         for segment in self.segments:
-            self.segment_of.update(dict.fromkeys(segment.homes, segment))
+            self.segment_of.update(dict.fromkeys(segment.live_ids, segment))
         for entry in found.entries.values():
             self._settle(entry)
             self.segment_of.setdefault(entry.id, Segment(0))  # one of which only the id is left
         self.findings = found.findings
-        if found.torn:
-            log.warning(LogEvent("journal: a torn record at its end is dropped", bytes=found.torn))
+        if found.torn_bytes:
+            log.warning(LogEvent("journal: a torn record at its end is dropped", bytes=found.torn_bytes))
         for text in found.findings[:TOLD]:
             log.error(LogEvent("journal: damage", what=text, of=len(found.findings)))
         try:
@@ -436,10 +464,10 @@
                 raise error.__cause__ from None
             log.error(LogEvent("journal: cannot begin a segment", why=error))
             if not self.segments:
-                self.segments.append(Segment(0, damaged=True))
-            self.segments[-1].damaged = True
+                self.segments.append(Segment(0, is_damaged=True))
+            self.segments[-1].is_damaged = True
 
-    def _take_over(self, found: Found) -> None:
+    def _take_over(self, found: RecoveredState) -> None:
         """From the one file of earlier versions; it goes once a segment holds all that it said."""
         sizes = self.files.sizes()
         if "journal" in sizes and not found.segments:
@@ -451,14 +479,16 @@
             salt = int.from_bytes(os.urandom(4), "little")
             text = Header(1, 1, 0, 0, salt).encode()
             for n, entry in enumerate(entries.values()):
-                text += frame(salt, 1 + n, RecordType.ACCEPTED, entry.id.encode(), snapshot(entry))
+                text += encode_frame(
+                    salt, 1 + n, RecordType.ACCEPTED, entry.id.encode(), encode_snapshot(entry)
+                )
             if MADE in sizes:
                 self.files.unlink(MADE)
             self.files.append(MADE, text)
             self.files.sync(MADE)
-            self.files.rename(MADE, name_of(1))
+            self.files.rename(MADE, segment_name(1))
             found.segments.append(Segment(1, len(text), len(text), crc32(text), salt, dict.fromkeys(entries)))
-            found.sequence = 1 + len(entries)
+            found.next_sequence = 1 + len(entries)
             log.info(LogEvent("journal: taken over from an earlier version", messages=len(entries)))
         for name in (*format_v1.NAMES, MADE):
             if name in self.files.sizes():
@@ -471,10 +501,10 @@
             self._copy(entry)
         while len(self.segments) > 1 and self.segments[0].number < self.segments[-1].number:
             oldest = self.segments[0]
-            if oldest.homes:
+            if oldest.live_ids:
                 break
-            size = oldest.blocks
-            if oldest.damaged and sum(self.quarantined.values()) + size <= self.budget_bytes // ASIDE_PART:
+            size = oldest.disk_bytes
+            if oldest.is_damaged and sum(self.quarantined.values()) + size <= self.budget_bytes // ASIDE_PART:
                 try:
                     self.files.rename(oldest.name, ASIDE + oldest.name)
                 except OSError as error:
--- a/message_relay/store/record_format.py
+++ b/message_relay/store/record_format.py
@@ -45,20 +45,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    number: int
-    first: int  # sequence of its first record
-    before_bytes: int
-    before_check: int
+    segment_number: int
+    first_sequence: int  # sequence of its first record
+    previous_size: int
+    previous_checksum: int
     salt: int
 
     def encode(self) -> bytes:
         one = HEADER.pack(
-            MAGIC, VERSION, 0, self.number, self.first, self.before_bytes, self.before_check, self.salt
+            MAGIC,
+            VERSION,
+            0,
+            self.segment_number,
+            self.first_sequence,
+            self.previous_size,
+            self.previous_checksum,
+            self.salt,
         )
         return 2 * (one + CHECK.pack(crc32(one)))
 
 
-def header_of(data: bytes) -> Header | None:
+def decode_header(data: bytes) -> Header | None:
     """From whichever copy is well; None: neither. Raises NewerFormat."""
     for at in (0, HEADER_BYTES // 2):
         one = data[at : at + HEADER.size]
@@ -73,7 +80,7 @@
     return None
 
 
-def salvaged(data: bytes, number: int, sequence: int) -> Header | None:
+def salvage_header(data: bytes, number: int, sequence: int) -> Header | None:
     """Where both copies of a header are hurt: the salt is right under which frames are well. `sequence`: of
     the first record that is expected."""
     for at in (0, HEADER_BYTES // 2):
@@ -85,7 +92,7 @@
     return None
 
 
-def frame(salt: int, sequence: int, kind: int, ident: bytes, payload: bytes) -> bytes:
+def encode_frame(salt: int, sequence: int, kind: int, ident: bytes, payload: bytes) -> bytes:
     head = HEAD.pack(MARK, kind, len(ident), len(payload), sequence) + ident
     ends = ident + bytes((len(ident), kind))
     return b"".join(
@@ -100,16 +107,16 @@
     )
 
 
-def frame_bytes(ident: int, payload: int) -> int:
+def frame_size(ident: int, payload: int) -> int:
     return FRAME_BYTES + 2 * ident + payload
 
 
 class Record(NamedTuple):
     sequence: int
     kind: int
-    ident: bytes
+    message_id: bytes
     payload: bytes
-    at: int  # where its frame begins
+    offset: int  # where its frame begins
     end: int
 
 
@@ -119,8 +126,8 @@
 
     sequence: int
     kind: int
-    ident: bytes
-    at: int
+    message_id: bytes
+    offset: int
     end: int
 
 
@@ -128,23 +135,25 @@
 class UnreadableRange:
     """Bytes that can't be read at all, and how many records were in them, at least as far as can be told."""
 
-    at: int
+    offset: int
     end: int
-    lost: int
+    lost_records: int
 
 
 @dataclass(frozen=True, slots=True)
 class TornWrite:
     """The end of the last write, which did not become whole."""
 
-    at: int
+    offset: int
     end: int
 
 
-Piece = Record | CorruptRecord | UnreadableRange | TornWrite
+ScanResult = Record | CorruptRecord | UnreadableRange | TornWrite
 
 
-def scan(data: bytes, salt: int, sequence: int, last: bool, at: int = HEADER_BYTES) -> Iterator[Piece]:
+def scan_records(
+    data: bytes, salt: int, sequence: int, last: bool, at: int = HEADER_BYTES
+) -> Iterator[ScanResult]:
     """Everything behind the header. `sequence`: that of the first record; `last`: it may have a torn tail."""
     size, unpack, crc = len(data), HEAD.unpack_from, crc32
     while at < size:
@@ -188,7 +197,7 @@
         at, sequence = then, number
 
 
-def _rest(data: bytes, salt: int, sequence: int, last: bool, at: int) -> Iterator[Piece]:
+def _rest(data: bytes, salt: int, sequence: int, last: bool, at: int) -> Iterator[ScanResult]:
     """Nothing whole comes any more."""
     hurt = _tail_before(data, salt, len(data), at)
     if hurt is not None:  # a whole record was there: this is no torn write
--- a/message_relay/store/records.py
+++ b/message_relay/store/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-UNKNOWN = "?"  # an endpoint that no record names: no endpoint has this name
+UNKNOWN_ENDPOINT = "?"  # an endpoint that no record names: no endpoint has this name
 
 
 class RecordType(IntEnum):
@@ -64,7 +64,7 @@
     attempt_in_flight: Attempt | None = None
     uncertain_attempt: Attempt | None = None  # the first attempt that may have run
     final_state: str = ""  # how it ended: delivered, failed, returned or over
-    after_ms: float = 0.0
+    retry_after_ms: float = 0.0
     is_notified: bool = False  # the platform has its notice
     origin: str = "http"  # the front by which it came
 
@@ -108,13 +108,13 @@
     after_ms: float
 
 
-PACK = msgspec.msgpack.Encoder().encode
+encode_payload = msgspec.msgpack.Encoder().encode
 Decoder = msgspec.msgpack.Decoder
-TAKEN: Decoder[AcceptedRecord] = Decoder(AcceptedRecord)
-TRIED: Decoder[AttemptRecord] = Decoder(AttemptRecord)
-ENDED: Decoder[FinalOutcomeRecord] = Decoder(FinalOutcomeRecord)
-RAN: Decoder[bool] = Decoder(bool)
-CENSUS: Decoder[dict[str, list[str]]] = Decoder(dict[str, list[str]])  # front -> ids
+ACCEPTED_DECODER: Decoder[AcceptedRecord] = Decoder(AcceptedRecord)
+ATTEMPT_DECODER: Decoder[AttemptRecord] = Decoder(AttemptRecord)
+FINAL_OUTCOME_DECODER: Decoder[FinalOutcomeRecord] = Decoder(FinalOutcomeRecord)
+OUTCOME_DECODER: Decoder[bool] = Decoder(bool)
+UNFINISHED_IDS_DECODER: Decoder[dict[str, list[str]]] = Decoder(dict[str, list[str]])  # front -> ids
 
 
 def _flat(attempt: Attempt | None) -> AttemptRecord | None:
@@ -127,9 +127,9 @@
     return None if tried is None else Attempt(float(tried.at), tried.endpoint, tried.zone, float(tried.up))
 
 
-def snapshot(entry: JournalEntry) -> bytes:
+def encode_snapshot(entry: JournalEntry) -> bytes:
     """All that is known of a message; one that has ended needs its body no more."""
-    return PACK(
+    return encode_payload(
         AcceptedRecord(
             entry.class_name,
             entry.tenant,
@@ -142,7 +142,7 @@
             _flat(entry.attempt_in_flight),
             _flat(entry.uncertain_attempt),
             entry.final_state,
-            entry.after_ms,
+            entry.retry_after_ms,
             entry.is_notified,
             entry.origin,
             b"" if entry.final_state else entry.body,
@@ -150,9 +150,9 @@
     )
 
 
-def entry_of(ident: str, payload: bytes) -> JournalEntry:
+def decode_snapshot(ident: str, payload: bytes) -> JournalEntry:
     """ValueError if it is not a snapshot."""
-    raw = TAKEN.decode(payload)
+    raw = ACCEPTED_DECODER.decode(payload)
     return JournalEntry(
         ident,
         raw.class_,
@@ -173,11 +173,11 @@
     )
 
 
-def change(entry: JournalEntry, kind: int, payload: bytes) -> None:
+def apply_record(entry: JournalEntry, kind: int, payload: bytes) -> None:
     """What a record of a message that is known does to it; the same when it is written and when it is read
     back. ValueError if it can't be read."""
     if kind == TRY:
-        raw = TRIED.decode(payload)
+        raw = ATTEMPT_DECODER.decode(payload)
         if entry.uncertain_attempt is None:
             # Guards against a second restart: one that was out when a process ended has no outcome in the
             # log, though the next process, which knew that it may have run, made another after it.
@@ -185,39 +185,39 @@
         entry.attempt_in_flight = Attempt(float(raw.at), raw.endpoint, raw.zone, float(raw.up))
         entry.attempt_count += 1
     elif kind == OUT:
-        if RAN.decode(payload) and entry.uncertain_attempt is None:
+        if OUTCOME_DECODER.decode(payload) and entry.uncertain_attempt is None:
             entry.uncertain_attempt = entry.attempt_in_flight
         entry.attempt_in_flight = None
     elif kind == END:
-        ended = ENDED.decode(payload)
-        entry.final_state, entry.after_ms, entry.body = ended.state, ended.after_ms, b""
+        ended = FINAL_OUTCOME_DECODER.decode(payload)
+        entry.final_state, entry.retry_after_ms, entry.body = ended.state, ended.after_ms, b""
     elif kind == TOLD:
         entry.is_notified = True
     else:
         raise ValueError(f"record of kind {kind} is not known")
 
 
-def worst(entry: JournalEntry) -> None:
+def assume_attempted(entry: JournalEntry) -> None:
     """A record about it may be lost: then an attempt may have been made, as early as it could have been."""
     if not entry.final_state and entry.uncertain_attempt is None:
-        entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN, -1)
+        entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN_ENDPOINT, -1)
 
 
-def worst_of(entry: JournalEntry, kind: int) -> None:
+def assume_lost_record(entry: JournalEntry, kind: int) -> None:
     """A record of this kind was there, and can't be read: whatever it may have said holds at its worst."""
     match kind:
         case RecordType.ATTEMPT | RecordType.OUTCOME:
             entry.attempt_count += kind == RecordType.ATTEMPT
-            worst(entry)
+            assume_attempted(entry)
             entry.attempt_in_flight = None
         case RecordType.FINAL_OUTCOME:
             # Whatever the outcome was, the message must not be sent again, and `failed` promises nothing.
-            entry.final_state, entry.after_ms, entry.body = "failed", 0.0, b""
+            entry.final_state, entry.retry_after_ms, entry.body = "failed", 0.0, b""
         case _:
             pass  # told: it is told again, which does no harm
 
 
-def only_known_by_id(ident: str, origin: str = "http") -> JournalEntry:
+def failed_entry(ident: str, origin: str = "http") -> JournalEntry:
     """A message of which nothing else is left: it gets its `failed` all the same."""
     return JournalEntry(ident, "", "", 0, None, 0.0, 0.0, "", b"", final_state="failed", origin=origin)
 
--- a/message_relay/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -12,30 +12,30 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from .capacity import blocks
+from .capacity import rounded_to_blocks
 from .file_store import FileStore
 from .record_format import (
     HEADER_BYTES,
     CorruptRecord,
     Header,
-    Piece,
     Record,
+    ScanResult,
     TornWrite,
     UnreadableRange,
-    header_of,
-    salvaged,
-    scan,
+    decode_header,
+    salvage_header,
+    scan_records,
 )
 from .records import (
-    CENSUS,
     RECORD_TYPE_LABELS,
+    UNFINISHED_IDS_DECODER,
     JournalEntry,
     RecordType,
-    change,
-    entry_of,
-    only_known_by_id,
-    worst,
-    worst_of,
+    apply_record,
+    assume_attempted,
+    assume_lost_record,
+    decode_snapshot,
+    failed_entry,
 )
 
 TAKE, DROP, COUNT = (
@@ -46,7 +46,7 @@
 NAME = re.compile(r"seg-(\d{10})")
 
 
-def name_of(number: int) -> str:
+def segment_name(number: int) -> str:
     return f"seg-{number:010}"
 
 
@@ -54,68 +54,70 @@
 class Segment:
     number: int
     size: int = 0  # up to the end of its last whole record
-    on_disk: int = 0
-    check: int = 0  # of so much of it
+    file_size: int = 0
+    checksum: int = 0  # of so much of it
     salt: int = 0
-    homes: dict[str, None] = field(default_factory=dict)  # messages whose latest snapshot lies here
-    damaged: bool = False
+    live_ids: dict[str, None] = field(default_factory=dict)  # messages whose latest snapshot lies here
+    is_damaged: bool = False
 
     @property
     def name(self) -> str:
-        return name_of(self.number)
+        return segment_name(self.number)
 
     @property
-    def blocks(self) -> int:
+    def disk_bytes(self) -> int:
         """Bytes that its file takes on the disk."""
-        return blocks(max(self.on_disk, self.size))
+        return rounded_to_blocks(max(self.file_size, self.size))
 
 
 @dataclass(slots=True)
-class Found:
+class RecoveredState:
     entries: dict[str, JournalEntry] = field(default_factory=dict)
     segments: list[Segment] = field(default_factory=list)
-    sequence: int = 1  # of the next record
+    next_sequence: int = 1  # of the next record
     findings: list[str] = field(default_factory=list)  # damage, for people
-    torn: int = 0  # bytes of a write that did not become whole
-    empty: list[str] = field(default_factory=list)  # files that hold nothing: a segment that was never begun
+    torn_bytes: int = 0  # bytes of a write that did not become whole
+    empty_files: list[str] = field(
+        default_factory=list
+    )  # files that hold nothing: a segment that was never begun
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedSegment:
     """A segment's file as it was read."""
 
     segment: Segment
     data: bytes
     header: Header | None
-    whole: bool
+    is_complete: bool
 
 
-def load(files: FileStore, name: str) -> Loaded:
+def load_segment(files: FileStore, name: str) -> LoadedSegment:
     """Raises NewerFormat."""
     data, whole = files.read(name)
     found = NAME.fullmatch(name)
     assert found is not None
-    return Loaded(Segment(int(found[1]), on_disk=len(data)), data, header_of(data), whole)
+    return LoadedSegment(Segment(int(found[1]), file_size=len(data)), data, decode_header(data), whole)
 
 
-class Reader:
+class LogReader:
     """Goes through the segments once, and keeps what their records add up to."""
 
     def __init__(self) -> None:
-        self.found = Found()
-        self.entries = self.found.entries
+        self.state = RecoveredState()
+        self.entries = self.state.entries
         self.partial: dict[
             str, JournalEntry
         ] = {}  # of messages whose snapshot was not seen, what records say
 
-    def read(self, files: FileStore) -> Found:
+    def read(self, files: FileStore) -> RecoveredState:
         sizes = files.sizes()
         names = [name for name in sorted(sizes) if NAME.fullmatch(name)]
         if names and sizes[names[-1]] < HEADER_BYTES:  # its first write did not become whole
-            self.found.empty.append(names.pop())
-        ahead, before = load(files, names[0]) if names else None, None
+            self.state.empty_files.append(names.pop())
+        ahead, before = load_segment(files, names[0]) if names else None, None
         for following in [*names[1:], None]:  # two segments in memory at a time
-            one, ahead = ahead, None if following is None else load(files, following)
+            one, ahead = ahead, None if following is None else load_segment(files, following)
             if one is None:
                 break
             number = one.segment.number
@@ -125,93 +127,98 @@
             before = number
             self._segment(one, ahead)
         self._finish()
-        return self.found
+        return self.state
 
-    def _segment(self, one: Loaded, then: Loaded | None) -> None:
+    def _segment(self, one: LoadedSegment, then: LoadedSegment | None) -> None:
         segment = one.segment
-        self.found.segments.append(segment)
-        header = one.header or salvaged(one.data, segment.number, self.found.sequence)
+        self.state.segments.append(segment)
+        header = one.header or salvage_header(one.data, segment.number, self.state.next_sequence)
         if one.header is None:
             self._damage(segment, "its header cannot be read")
         if header is None:
             self._all_at_worst()
-            segment.size, segment.check = len(one.data), crc32(one.data)
+            segment.size, segment.checksum = len(one.data), crc32(one.data)
             return
         segment.salt = header.salt
         data, chained = one.data, None
         if then is not None and then.header is not None and then.segment.number == segment.number + 1:
             chained = then.header
-            data = data[: chained.before_bytes]  # behind it lies what an earlier process did not finish
-        if header.first > self.found.sequence and len(self.found.segments) > 1:
-            if not self.found.segments[-2].damaged:
-                self._damage(segment, f"records {self.found.sequence} to {header.first - 1} are missing")
+            data = data[: chained.previous_size]  # behind it lies what an earlier process did not finish
+        if header.first_sequence > self.state.next_sequence and len(self.state.segments) > 1:
+            if not self.state.segments[-2].is_damaged:
+                self._damage(
+                    segment, f"records {self.state.next_sequence} to {header.first_sequence - 1} are missing"
+                )
             self._all_at_worst()
-        if not one.whole:
+        if not one.is_complete:
             self._damage(segment, "parts of it cannot be read from the disk")
-        self.found.sequence = header.first
+        self.state.next_sequence = header.first_sequence
         segment.size = HEADER_BYTES
-        for piece in scan(data, segment.salt, header.first, last=then is None):
+        for piece in scan_records(data, segment.salt, header.first_sequence, last=then is None):
             if isinstance(piece, Record):  # nearly all are
                 self._record(segment, piece)
-                self.found.sequence, segment.size = piece.sequence + 1, piece.end
+                self.state.next_sequence, segment.size = piece.sequence + 1, piece.end
             else:
                 self._piece(segment, piece)
-        segment.check = crc32(data[: segment.size])
-        there = segment.size, segment.check
-        if chained and not segment.damaged and there != (chained.before_bytes, chained.before_check):
-            self._damage(segment, f"its end is missing: {there[0]} of {chained.before_bytes} bytes are there")
+        segment.checksum = crc32(data[: segment.size])
+        there = segment.size, segment.checksum
+        if chained and not segment.is_damaged and there != (chained.previous_size, chained.previous_checksum):
+            self._damage(
+                segment, f"its end is missing: {there[0]} of {chained.previous_size} bytes are there"
+            )
             self._all_at_worst()
 
-    def _piece(self, segment: Segment, piece: Piece) -> None:
+    def _piece(self, segment: Segment, piece: ScanResult) -> None:
         match piece:
             case CorruptRecord():
-                self.found.sequence = piece.sequence + 1
-                ident = piece.ident.decode(errors="replace")
+                self.state.next_sequence = piece.sequence + 1
+                ident = piece.message_id.decode(errors="replace")
                 self._damage(
                     segment,
-                    f"bytes {piece.at} to {piece.end}: a record of kind {piece.kind} of "
+                    f"bytes {piece.offset} to {piece.end}: a record of kind {piece.kind} of "
                     f"message {ident} cannot be read",
                 )
                 self._hurt(segment, ident, piece.kind)
             case UnreadableRange():
-                self.found.sequence += piece.lost
+                self.state.next_sequence += piece.lost_records
                 self._damage(
                     segment,
-                    f"bytes {piece.at} to {piece.end} cannot be read, " f"{piece.lost} records at least",
+                    f"bytes {piece.offset} to {piece.end} cannot be read, "
+                    f"{piece.lost_records} records at least",
                 )
                 self._all_at_worst()
             case TornWrite():
-                self.found.torn += piece.end - piece.at
+                self.state.torn_bytes += piece.end - piece.offset
                 return
         segment.size = piece.end
 
     def _record(self, segment: Segment, record: Record) -> None:
         try:
-            ident, kind = record.ident.decode(), record.kind
+            ident, kind = record.message_id.decode(), record.kind
             if kind == TAKE:
-                self._snapshot(segment, entry_of(ident, record.payload))
+                self._snapshot(segment, decode_snapshot(ident, record.payload))
             elif kind == DROP:
                 self.entries.pop(ident, None)
                 self.partial.pop(ident, None)
             elif kind == COUNT:
-                for origin, idents in CENSUS.decode(record.payload).items():
+                for origin, idents in UNFINISHED_IDS_DECODER.decode(record.payload).items():
                     for owed in idents:
                         if owed not in self.entries:
                             self._part(owed).origin = origin
             else:
-                change(self.entries.get(ident) or self._part(ident), kind, record.payload)
+                apply_record(self.entries.get(ident) or self._part(ident), kind, record.payload)
         except ValueError as error:  # its checksum is right: a fault of ours, or of another version
-            self._damage(segment, f"bytes {record.at} to {record.end}: {error}")
-            self._hurt(segment, record.ident.decode(errors="replace"), record.kind)
+            self._damage(segment, f"bytes {record.offset} to {record.end}: {error}")
+            self._hurt(segment, record.message_id.decode(errors="replace"), record.kind)
 
     def _snapshot(self, segment: Segment, entry: JournalEntry) -> None:
         self.partial.pop(entry.id, None)
         self.entries[entry.id] = entry
-        segment.homes[entry.id] = None
+        segment.live_ids[entry.id] = None
 
     def _part(self, ident: str) -> JournalEntry:
         if ident not in self.partial:
-            part = only_known_by_id(ident)
+            part = failed_entry(ident)
             part.final_state = ""
             self.partial[ident] = part
         return self.partial[ident]
@@ -227,25 +234,25 @@
         if kind == RecordType.NOTIFIED and entry is None:
             self._part(ident).is_notified = True
         elif kind == RecordType.ACCEPTED and entry is not None:
-            worst(entry)  # an older snapshot is there
+            assume_attempted(entry)  # an older snapshot is there
         else:
-            worst_of(entry or self._part(ident), kind)
+            assume_lost_record(entry or self._part(ident), kind)
 
     def _all_at_worst(self) -> None:
         for entry in self.entries.values():
-            worst(entry)
+            assume_attempted(entry)
 
     def _damage(self, segment: Segment, text: str) -> None:
-        segment.damaged = True
-        self.found.findings.append(f"{segment.name}: {text}")
+        segment.is_damaged = True
+        self.state.findings.append(f"{segment.name}: {text}")
 
     def _finish(self) -> None:
         for ident, part in self.partial.items():
             if (
                 part.is_unfinished and not part.is_notified
             ):  # told: it had its end, in a segment that is given up
-                self.found.findings.append(f"message {ident}: only its id is left, so that it fails")
-                self.entries[ident] = only_known_by_id(ident, part.origin)
+                self.state.findings.append(f"message {ident}: only its id is left, so that it fails")
+                self.entries[ident] = failed_entry(ident, part.origin)
         for entry in self.entries.values():
             if entry.attempt_in_flight is not None:  # its outcome died with the process: it may have run
                 entry.uncertain_attempt, entry.attempt_in_flight = (
@@ -253,47 +260,47 @@
                     None,
                 )
         homes: dict[str, Segment] = {}
-        for segment in self.found.segments:
-            homes.update(dict.fromkeys(segment.homes, segment))
-        for segment in self.found.segments:
-            segment.homes.clear()
+        for segment in self.state.segments:
+            homes.update(dict.fromkeys(segment.live_ids, segment))
+        for segment in self.state.segments:
+            segment.live_ids.clear()
         for ident in self.entries:
             if ident in homes:
-                homes[ident].homes[ident] = None
+                homes[ident].live_ids[ident] = None
 
 
-def recover(files: FileStore) -> Found:
+def recover(files: FileStore) -> RecoveredState:
     """Raises NewerFormat; OSError where the folder itself can't be read."""
-    return Reader().read(files)
+    return LogReader().read(files)
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class RecordLine:
     """A record as people look at it."""
 
     segment: str
-    at: int
+    offset: int
     sequence: int
     kind: str
-    ident: str
+    message_id: str
     payload: bytes
-    well: bool
+    is_readable: bool
 
 
-def lines(files: FileStore) -> Iterator[Line]:
+def record_lines(files: FileStore) -> Iterator[RecordLine]:
     """All records that are there, damaged ones with what is known of them."""
     for name in sorted(name for name in files.sizes() if NAME.fullmatch(name)):
-        one = load(files, name)
+        one = load_segment(files, name)
         if one.header is None:
             continue
-        for piece in scan(one.data, one.header.salt, one.header.first, last=True):
+        for piece in scan_records(one.data, one.header.salt, one.header.first_sequence, last=True):
             if isinstance(piece, Record | CorruptRecord):
                 kind = RECORD_TYPE_LABELS.get(piece.kind, str(piece.kind))
                 payload = piece.payload if isinstance(piece, Record) else b""
-                ident = piece.ident.decode(errors="replace")
-                yield Line(
+                ident = piece.message_id.decode(errors="replace")
+                yield RecordLine(
                     one.segment.name,
-                    piece.at,
+                    piece.offset,
                     piece.sequence,
                     kind,
                     ident,
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -65,9 +65,9 @@
 from message_relay.store.destination_snapshot import DestinationSnapshotFile
 from message_relay.store.file_store import DirectoryFileStore
 from message_relay.store.journal import Journal
-from message_relay.store.record_format import Header, UnsupportedFormatError, frame
+from message_relay.store.record_format import Header, UnsupportedFormatError, encode_frame
 from message_relay.store.records import Attempt, JournalEntry
-from message_relay.store.recovery import lines, recover
+from message_relay.store.recovery import record_lines, recover
 
 Plain = dict[str, Any]
 Step = Sequence[Any]
@@ -108,7 +108,7 @@
         "attempt_without_outcome": _plain_attempt(entry.attempt_in_flight),
         "first_attempt_that_may_have_run": _plain_attempt(entry.uncertain_attempt),
         "end": entry.final_state,
-        "end_after_ms": entry.after_ms,
+        "end_after_ms": entry.retry_after_ms,
         "notified": entry.is_notified,
         "front": entry.origin,
         "notice_is_owed": entry.needs_notification,
@@ -159,7 +159,7 @@
         """Copies all that is known to a new segment and gives up those before it."""
         durability = self.journal.durability
         assert durability is not None
-        durability.anew()
+        durability.on_sync_failed()
         names, upto = durability.start_sync()
         durability.sync_files(names)
         durability.mark_durable(upto)
@@ -191,20 +191,20 @@
     found = recover(DirectoryFileStore(folder))
     return {
         "messages": [_plain_message(entry) for entry in found.entries.values()],
-        "next_sequence": found.sequence,
+        "next_sequence": found.next_sequence,
         "damage": list(found.findings),
-        "torn_bytes": found.torn,
-        "files_never_begun": list(found.empty),
+        "torn_bytes": found.torn_bytes,
+        "files_never_begun": list(found.empty_files),
         "segments": [
             {
                 "file": segment.name,
                 "number": segment.number,
                 "size": segment.size,
-                "size_on_disk": segment.on_disk,
-                "checksum": segment.check,
+                "size_on_disk": segment.file_size,
+                "checksum": segment.checksum,
                 "salt": segment.salt,
-                "latest_snapshots": list(segment.homes),
-                "damaged": segment.damaged,
+                "latest_snapshots": list(segment.live_ids),
+                "damaged": segment.is_damaged,
             }
             for segment in found.segments
         ],
@@ -215,14 +215,14 @@
     return [
         {
             "file": line.segment,
-            "offset": line.at,
+            "offset": line.offset,
             "sequence": line.sequence,
             "kind": line.kind,
-            "message": line.ident,
+            "message": line.message_id,
             "payload": line.payload.hex(),
-            "readable": line.well,
+            "readable": line.is_readable,
         }
-        for line in lines(DirectoryFileStore(folder))
+        for line in record_lines(DirectoryFileStore(folder))
     ]
 
 
@@ -239,7 +239,7 @@
     """A segment without one before it, of records of which each has a kind, a message and a payload."""
     data = Header(number, first, 0, 0, salt).encode()
     for sequence, (kind, message, payload) in enumerate(records, first):
-        data += frame(salt, sequence, kind, message.encode(), payload)
+        data += encode_frame(salt, sequence, kind, message.encode(), payload)
     return data
 
 
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -12,7 +12,7 @@
 import pytest
 
 from message_relay.store.journal import Journal, JournalEntry, JournalError
-from message_relay.store.records import UNKNOWN
+from message_relay.store.records import UNKNOWN_ENDPOINT
 
 from .disk import Crash, Disk
 
@@ -194,7 +194,7 @@
                 and entry.uncertain_attempt is not None
                 and ident not in world.tried
             ):
-                assert entry.uncertain_attempt.endpoint == UNKNOWN
+                assert entry.uncertain_attempt.endpoint == UNKNOWN_ENDPOINT
         again = world.check(Disk(dict(after.files.files)), lost_may_be=True)  # type: ignore[attr-defined]
         assert not again.findings  # it was mended
 
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -10,12 +10,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from message_relay.store.capacity import BLOCK
+from message_relay.store.capacity import BLOCK_BYTES
 from message_relay.store.file_store import DirectoryFileStore
 from message_relay.store.journal import Attempt, Journal, JournalEntry, JournalError, JournalFullError
-from message_relay.store.record_format import CHECK, HEADER, HEADER_BYTES, UnsupportedFormatError, frame
-from message_relay.store.records import PACK, FinalOutcomeRecord, RecordType
-from message_relay.store.recovery import lines
+from message_relay.store.record_format import (
+    CHECK,
+    HEADER,
+    HEADER_BYTES,
+    UnsupportedFormatError,
+    encode_frame,
+)
+from message_relay.store.records import FinalOutcomeRecord, RecordType, encode_payload
+from message_relay.store.recovery import record_lines
 
 DISK = 400_000
 
@@ -41,7 +47,7 @@
     fill(tmp_path).close()
     (only,) = segments(tmp_path)
     whole = only.read_bytes()
-    last = max(line.at for line in lines(DirectoryFileStore(tmp_path)))
+    last = max(line.offset for line in record_lines(DirectoryFileStore(tmp_path)))
     for cut in range(last + 1, len(whole)):
         folder = tmp_path / str(cut)
         folder.mkdir()
@@ -67,9 +73,9 @@
     (only,) = segments(tmp_path)
     data, lost = (
         bytearray(only.read_bytes()),
-        [line for line in lines(DirectoryFileStore(tmp_path)) if line.kind == "try"],
+        [line for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "try"],
     )
-    data[lost[0].at + 24] ^= 4  # in what it says
+    data[lost[0].offset + 24] ^= 4  # in what it says
     only.write_bytes(data)
     journal = Journal(tmp_path, DISK)
     assert "a record of kind 2 of message m1 cannot be read" in caplog.text
@@ -100,14 +106,16 @@
 
 def test_a_body_that_looks_like_a_record_is_none(tmp_path: Path) -> None:
     """A client that knows the format must not be able to have its bytes read as records after damage."""
-    fake = frame(0, 3, RecordType.FINAL_OUTCOME, b"m0", PACK(FinalOutcomeRecord("delivered", 0.0)))
+    fake = encode_frame(
+        0, 3, RecordType.FINAL_OUTCOME, b"m0", encode_payload(FinalOutcomeRecord("delivered", 0.0))
+    )
     journal = Journal(tmp_path, DISK)
     for n in range(3):
         journal.append_accepted(entry(f"m{n}", fake * 5))
     journal.close()
     (only,) = segments(tmp_path)
     data = bytearray(only.read_bytes())
-    places = [line.at for line in lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
+    places = [line.offset for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
     data[places[1]] ^= 1  # the reader has to look for the next frame, through that body
     only.write_bytes(data)
     again = Journal(tmp_path, DISK)
@@ -143,7 +151,7 @@
 
 
 def disk(folder: Path) -> int:
-    return sum(-(-path.stat().st_size // BLOCK) * BLOCK for path in folder.iterdir())
+    return sum(-(-path.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for path in folder.iterdir())
 
 
 def test_the_folder_stays_under_its_limit_with_old_new_and_large_bodies(tmp_path: Path) -> None:
@@ -206,7 +214,9 @@
     assert journal.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert sum(each.needs_notification and each.after_ms == 25.0 for each in again.entries.values()) == 20
+    assert (
+        sum(each.needs_notification and each.retry_after_ms == 25.0 for each in again.entries.values()) == 20
+    )
     again.close()
 
 
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -10,7 +10,7 @@
 from message_relay.decisions.events import Message, RestoredDestination
 from message_relay.decisions.model import Outcome
 from message_relay.decisions.scheduler import DeliveryScheduler
-from message_relay.store.destination_snapshot import FILE_BYTES, OLD_MS, DestinationSnapshotFile
+from message_relay.store.destination_snapshot import MAX_AGE_MS, MAX_FILE_BYTES, DestinationSnapshotFile
 
 from .conftest import SAFE, Driver, make_settings
 from .loopback import Agent, Client, Server, answer, host_of, message, run, until
@@ -116,15 +116,18 @@
 
 def test_of_old_knowledge_only_waits_count(tmp_path: Path) -> None:
     DestinationSnapshotFile(tmp_path).save(
-        1e12, [RestoredDestination(1, 2 * OLD_MS, True, 10.0, None), RestoredDestination(2, 0.0, True, 10.0)]
+        1e12,
+        [RestoredDestination(1, 2 * MAX_AGE_MS, True, 10.0, None), RestoredDestination(2, 0.0, True, 10.0)],
     )
-    assert DestinationSnapshotFile(tmp_path).load(1e12 + OLD_MS + 1) == [RestoredDestination(1, OLD_MS - 1)]
+    assert DestinationSnapshotFile(tmp_path).load(1e12 + MAX_AGE_MS + 1) == [
+        RestoredDestination(1, MAX_AGE_MS - 1)
+    ]
 
 
 def test_it_keeps_to_its_room(tmp_path: Path) -> None:
     lanes = [RestoredDestination(n, 1234.567, True, 1234.567, 1234.567) for n in range(2000)]
     DestinationSnapshotFile(tmp_path).save(1e12, lanes)
-    assert (tmp_path / "learned").stat().st_size <= FILE_BYTES
+    assert (tmp_path / "learned").stat().st_size <= MAX_FILE_BYTES
     kept = DestinationSnapshotFile(tmp_path).load(1e12)
     assert 50 < len(kept) < 2000 and kept == lanes[: len(kept)]
     assert json.loads((tmp_path / "learned").read_text())["version"] == 1
