--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -26,7 +26,7 @@
 from message_relay.core.ports import Attempt, AttemptResult, EndpointKey, EndpointUpdate
 from message_relay.core.relay import Relay
 from message_relay.decisions.model import Outcome
-from message_relay.failover.node import solver
+from message_relay.failover.node import load_solver
 from message_relay.fleet import operator
 from message_relay.fleet.common import SharedSubsystems
 from message_relay.fleet.operator import FleetPart, OperatorConfig, StatusPart
@@ -274,7 +274,7 @@
         reader = asyncio.StreamReader(limit=LINE_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         self.lag.start()
-        solver()  # what it imports is the process's, not an instance's
+        load_solver()  # what it imports is the process's, not an instance's
         tending = loop.create_task(run_gc_policy(lambda: 0))
         say({"rss": _rss(), "pid": os.getpid()})
         while line := await reader.readline():
--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -10,8 +10,8 @@
 
 from message_relay.consensus.rules import Rules
 from message_relay.failover.controller import FailoverController
-from message_relay.failover.node import EVIDENCE, FORWARDED
-from message_relay.failover.observations import KEPT, CallCounter, Observations, Report
+from message_relay.failover.node import FORWARDED_REPORTS, OBSERVATIONS_KIND
+from message_relay.failover.observations import RETAINED_WINDOWS, CallCounter, ObservationReport, Observations
 from message_relay.failover.settings import FailoverSettings, ZonePart
 from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
 
@@ -25,18 +25,20 @@
 GROUP = "anywhere 1"
 
 
-def window(counting: CallCounter, rng: random.Random, destinations: list[int]) -> list[Report]:
+def window(counting: CallCounter, rng: random.Random, destinations: list[int]) -> list[ObservationReport]:
     for n in range(CALLS):
         destination = destinations[n % len(destinations)]
-        counting.asked(destination, GROUP)
+        counting.record_submission(destination, GROUP)
         good = rng.random() < 0.98
-        counting.ended(destination, counting.zone, good, not good, False, rng.lognormvariate(3.0, 0.5))
-    return counting.reports(1.0, 0.1)
+        counting.record_call(destination, counting.zone, good, not good, False, rng.lognormvariate(3.0, 0.5))
+    return counting.close_window(1.0, 0.1)
 
 
-def packets(reports: list[Report]) -> list[bytes]:
+def packets(reports: list[ObservationReport]) -> list[bytes]:
     return [
-        seal_packet(Packet(each.origin, 1, AppMessage(EVIDENCE, msgspec.msgpack.encode(each))), SECRET)
+        seal_packet(
+            Packet(each.relay, 1, AppMessage(OBSERVATIONS_KIND, msgspec.msgpack.encode(each))), SECRET
+        )
         for each in reports
     ]
 
@@ -45,7 +47,7 @@
     for raw in raws:
         body = open_packet(raw, SECRET).body
         assert isinstance(body, AppMessage)
-        evidence.take(now, msgspec.msgpack.decode(body.body, type=Report))
+        evidence.add(now, msgspec.msgpack.decode(body.body, type=ObservationReport))
 
 
 def timed(what: Callable[[], object]) -> float:
@@ -74,29 +76,29 @@
     relays = [CallCounter(f"n{n}", n, ZONES[n % len(ZONES)]) for n in range(size)]
     mine = [rng.sample(range(pool), DESTINATIONS) for _ in relays]
     now, took, length = 0.0, 0.0, 0
-    for number in range(KEPT):
+    for number in range(RETAINED_WINDOWS):
         now = number + 1.0
         for n, counting in enumerate(relays):
             for destination in mine[n]:  # some calls each: what counts here is the number of cells
-                counting.asked(destination, GROUP)
-                counting.ended(destination, counting.zone, True, False, False, 20.0)
-        raws = [raw for counting in relays for raw in packets(counting.reports(1.0, 0.1))]
+                counting.record_submission(destination, GROUP)
+                counting.record_call(destination, counting.zone, True, False, False, 20.0)
+        raws = [raw for counting in relays for raw in packets(counting.close_window(1.0, 0.1))]
         took, length = timed(lambda raws=raws, now=now: taken(evidence, now, raws)), sum(map(len, raws))  # type: ignore[misc]
     return evidence, took, length
 
 
 def total(size: int) -> Mapping[str, float]:
     evidence, took, length = filled(size)
-    now, decider = KEPT + 0.5, FailoverController(PART, evidence, None, lambda: 0.0)
-    first = timed(lambda: decider.look(now, Rules(), {}))
+    now, decider = RETAINED_WINDOWS + 0.5, FailoverController(PART, evidence, None, lambda: 0.0)
+    first = timed(lambda: decider.update(now, Rules(), {}))
     return {
         "take_cpu_ms": took,
         "take_bytes": length,
         "series_cpu_ms": timed(lambda: evidence.series(now)),
         "demand_cpu_ms": timed(lambda: evidence.demand(now)),
-        "news_cpu_ms": timed(lambda: evidence.news(now, 4 * FORWARDED)),
+        "news_cpu_ms": timed(lambda: evidence.latest_reports(now, 4 * FORWARDED_REPORTS)),
         "first_look_cpu_ms": first,
-        "look_cpu_ms": timed(lambda: decider.look(now + 0.2, Rules(), {})),
+        "look_cpu_ms": timed(lambda: decider.update(now + 0.2, Rules(), {})),
     }
 
 
--- a/emulator/capacity/agreement.py
+++ b/emulator/capacity/agreement.py
@@ -5,7 +5,7 @@
 
 import math
 
-from message_relay.failover.observations import CELLS
+from message_relay.failover.observations import MAX_SAMPLES
 
 from . import budgets as b
 from .rows import Formula, Kind, Reckoner, Role, Unit, When
@@ -534,7 +534,7 @@
         Kind.STATE,
         "calls of a window that get no cell of their own",
         Unit.SHARE,
-        lambda m: max(0.0, 1 - CELLS / needed(m, m.assume("window_s"))),
+        lambda m: max(0.0, 1 - MAX_SAMPLES / needed(m, m.assume("window_s"))),
         "1 - cells of a report / destinations called",
         COUNTING,
         step=ASSIGN,
--- a/emulator/capacity/budgets.py
+++ b/emulator/capacity/budgets.py
@@ -7,7 +7,7 @@
 from message_relay.consensus.lease_grantor import MAX_RELAYS
 from message_relay.consensus.rules import MAX_DESTINATIONS
 from message_relay.consensus.settings import ConsensusSettings
-from message_relay.failover.observations import CELLS, RELAYS
+from message_relay.failover.observations import MAX_REPORTING_RELAYS, MAX_SAMPLES
 from message_relay.fleet.operator import FleetPart
 from message_relay.gossip.swim import MEMBERS_MAX
 from message_relay.http.agent import ANSWER_BYTES
@@ -63,8 +63,8 @@
 ANSWER = Budget("cap: ANSWER_BYTES", lambda it: ANSWER_BYTES)
 MEMBERS = Budget("cap: MEMBERS_MAX", lambda it: MEMBERS_MAX)
 GRANTED = Budget("cap: RELAYS_MAX", lambda it: MAX_RELAYS)
-EVIDENCE = Budget("cap: evidence.RELAYS", lambda it: RELAYS)
-CELLS_OF = Budget("cap: evidence.CELLS", lambda it: CELLS)
+EVIDENCE = Budget("cap: evidence.RELAYS", lambda it: MAX_REPORTING_RELAYS)
+CELLS_OF = Budget("cap: evidence.CELLS", lambda it: MAX_SAMPLES)
 NAMED = Budget("cap: rules.NAMES", lambda it: MAX_DESTINATIONS)
 INSTANCES = Budget("cap: fleet.instances", lambda it: bound(FleetPart, "instances"))
 NUMBERS = Budget("cap: accord.voters", lambda it: bound(ConsensusSettings, "voters"))
--- a/emulator/capacity/terms.py
+++ b/emulator/capacity/terms.py
@@ -5,7 +5,7 @@
 import math
 
 from message_relay.consensus.lease_protocol import LeaseTerms
-from message_relay.failover.observations import CELLS
+from message_relay.failover.observations import MAX_SAMPLES
 
 from .rows import Reckoner
 
@@ -64,7 +64,7 @@
 
 def told_of(m: Reckoner) -> float:
     """Destinations that a relay's reports of one window name: no more than there are cells for."""
-    return min(float(CELLS), needed(m, m.assume("window_s")))
+    return min(float(MAX_SAMPLES), needed(m, m.assume("window_s")))
 
 
 def stretch(m: Reckoner) -> float:
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -26,7 +26,7 @@
 from message_relay.decisions.events import EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
 from message_relay.failover.controller import FailoverController
-from message_relay.failover.observations import CallCounter, Observations, Report
+from message_relay.failover.observations import CallCounter, ObservationReport, Observations
 from message_relay.failover.settings import FailoverSettings
 
 from .draws import Draws
@@ -212,13 +212,13 @@
 
     def _took(self, node: Node, life: Life) -> None:
         name = self.it.classes[life.class_].name
-        self.counting[node.number].asked(life.destination, self.place.part.group(name))
+        self.counting[node.number].record_submission(life.destination, self.place.part.group(name))
 
     def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
         entry, number = self.listing[this.endpoint], this.node.number
         if outcome is not Outcome.NOT_SENT or this.begun is not None:  # the gate had let it out
             self.gates[number].release(entry.destination)
-        self.counting[number].outcome(entry.destination, self.zones[entry.zone], outcome, took_ms)
+        self.counting[number].record_outcome(entry.destination, self.zones[entry.zone], outcome, took_ms)
 
     # -- evidence, and who decides ---------------------------------------------------------------------------
 
@@ -231,18 +231,18 @@
     def _tells(self, n: int) -> Act:
         def act(now: float) -> None:
             load = len(self.nodes[n].held) / self.it.fleet.hold
-            for report in self.counting[n].reports(self.place.part.window_s, load):
+            for report in self.counting[n].close_window(self.place.part.window_s, load):
                 if self.luck.random() >= self.place.loss:
                     self.at(now + self._between(self.place.tell_ms), self._heard(report, now))
             self.at(now + self._window() * (1 - JITTER + 2 * JITTER * self.luck.random()), act)
 
         return act
 
-    def _heard(self, report: Report, sent: float) -> Act:
+    def _heard(self, report: ObservationReport, sent: float) -> Act:
         """The evidence reckons with the window's end."""
 
         def act(now: float) -> None:
-            self.evidence.take(now / 1000, msgspec.structs.replace(report, age_s=(now - sent) / 1000))
+            self.evidence.add(now / 1000, msgspec.structs.replace(report, age_s=(now - sent) / 1000))
 
         return act
 
@@ -254,9 +254,9 @@
         for node in self.nodes:
             if node.alive:
                 relays.setdefault(self._zone(node.number), []).append(self._name(node.number))
-        problems = self.decider.look(now / 1000, self.latest, rooms)
-        found = self.decider.plans(problems)
-        rules = self.decider.next(now / 1000, self.latest, rooms, relays, problems, found)
+        problems = self.decider.update(now / 1000, self.latest, rooms)
+        found = self.decider.compute_plans(problems)
+        rules = self.decider.next_rules(now / 1000, self.latest, rooms, relays, problems, found)
         if rules is not None:
             self._agreed(normalize(rules), now)
         self.at(now + self._window(), self._decides)
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -20,17 +20,19 @@
 from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
 from .controller import Capacities, FailoverController
-from .observations import REPORTS, CallCounter, Observations, Report
+from .observations import MAX_REPORTS, CallCounter, ObservationReport, Observations
 from .planner import Solver
 from .settings import FailoverSettings
 
 log = logging.getLogger(__name__)
 
-EVIDENCE = "evidence"  # datagrams
-FORWARDED = 16  # reports that a voter passes on to each other one in a window: some reach only one of them
+OBSERVATIONS_KIND = "evidence"  # datagrams
+FORWARDED_REPORTS = (
+    16  # reports that a voter passes on to each other one in a window: some reach only one of them
+)
 
 
-def solver() -> Solver | None:
+def load_solver() -> Solver | None:
     """None without the extra `failover`: all plans are greedy then."""
     try:
         from .solver import solved
@@ -46,22 +48,22 @@
     def __init__(
         self, part: FailoverSettings, peers: GossipNode, accord: ConsensusInstance, host: Relay
     ) -> None:
-        self.part, self.peers, self.accord, self.host = part, peers, accord, host
+        self.settings, self.gossip, self.consensus, self.relay = part, peers, accord, host
         zone = peers.swim.own_claim.zone
-        self.counting = CallCounter(accord.name, peers.swim.own_claim.nonce, zone)
-        self.evidence = Observations(part.window_s)
-        self.decider = FailoverController(part, self.evidence, solver(), time.perf_counter)
+        self.call_counter = CallCounter(accord.name, peers.swim.own_claim.nonce, zone)
+        self.observations = Observations(part.window_s)
+        self.controller = FailoverController(part, self.observations, load_solver(), time.perf_counter)
         self.window_began = 0.0
-        self.why = ""  # the latest proposal was not taken
-        self.surplus = 0  # reports that were not kept, as it was said last
+        self.refusal = ""  # the latest proposal was not taken
+        self.logged_rejections = 0  # reports that were not kept, as it was said last
         self.tasks = BackgroundTasks()
-        peers.datagram_handlers[EVIDENCE] = self._heard
+        peers.datagram_handlers[OBSERVATIONS_KIND] = self._on_report
         accord.call_observer = self
         accord.rule_enforcer.may_use_zone = lambda class_, target: part.allowed(class_, zone, target)
 
     def start(self) -> None:
         self.window_began = self._now()
-        self.tasks.start(self._windows())
+        self.tasks.start(self._run_windows())
 
     @staticmethod
     def _now() -> float:
@@ -70,74 +72,76 @@
     # -- what is seen here -----------------------------------------------------------------------------------
 
     def on_request(self, destination: int, class_: str) -> None:
-        self.counting.asked(destination, self.part.group(class_))
+        self.call_counter.record_submission(destination, self.settings.group(class_))
 
     def on_call_completed(
         self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
     ) -> None:
-        self.counting.outcome(call.destination, call.zone, outcome, latency_ms)
+        self.call_counter.record_outcome(call.destination, call.zone, outcome, latency_ms)
 
-    async def _windows(self) -> None:
+    async def _run_windows(self) -> None:
         while True:
             # Not all in the same moment: the leader takes them one by one.
-            await asyncio.sleep(self.part.window_s * self.peers.rng.uniform(0.95, 1.05))
+            await asyncio.sleep(self.settings.window_s * self.gossip.rng.uniform(0.95, 1.05))
             try:
-                self._tell()
-                if self.accord.replicated_log is not None and self.accord.replicated_log.is_leader:
-                    await self._decide()
+                self._send_reports()
+                if self.consensus.replicated_log is not None and self.consensus.replicated_log.is_leader:
+                    await self._propose_plan()
                 else:
-                    self.decider.follow()
+                    self.controller.reset()
             except Exception:
                 log.exception("a window of evidence failed")  # and the next one comes
 
-    def _tell(self) -> None:
+    def _send_reports(self) -> None:
         now = self._now()
         seconds, self.window_began = max(0.001, now - self.window_began), now
-        load = self.host.messages.pending_count / max(1, self.host.messages.settings.max_pending_messages)
-        voters = [name for name in self.accord.current_voters() if name != self.accord.name]
-        mine = self.counting.reports(seconds, load)
-        forwarded: list[Report] = []
-        if self.accord.replicated_log is not None:
+        load = self.relay.messages.pending_count / max(1, self.relay.messages.settings.max_pending_messages)
+        voters = [name for name in self.consensus.current_voters() if name != self.consensus.name]
+        mine = self.call_counter.close_window(seconds, load)
+        forwarded: list[ObservationReport] = []
+        if self.consensus.replicated_log is not None:
             for report in mine:
-                self.evidence.take(now, report)
-            self.evidence.sweep(now)
-            known = self.evidence.news(now, FORWARDED * 4)
-            forwarded = self.peers.rng.sample(known, min(FORWARDED, len(known)))
+                self.observations.add(now, report)
+            self.observations.drop_expired(now)
+            known = self.observations.latest_reports(now, FORWARDED_REPORTS * 4)
+            forwarded = self.gossip.rng.sample(known, min(FORWARDED_REPORTS, len(known)))
         for name in voters:
             for report in (
                 *mine,
-                *(each for each in forwarded if each.origin not in (name, self.accord.name)),
+                *(each for each in forwarded if each.relay not in (name, self.consensus.name)),
             ):
-                self.peers.send_datagram(name, EVIDENCE, msgspec.msgpack.encode(report))
+                self.gossip.send_datagram(name, OBSERVATIONS_KIND, msgspec.msgpack.encode(report))
 
-    def _heard(self, sender: str, raw: bytes) -> None:
+    def _on_report(self, sender: str, raw: bytes) -> None:
         try:
-            report: Report = msgspec.msgpack.decode(raw, type=Report)
+            report: ObservationReport = msgspec.msgpack.decode(raw, type=ObservationReport)
         except (msgspec.MsgspecError, ValueError) as error:
             log.warning(LogEvent("a report is passed over", sender=sender, why=error))
             return
-        if report.zone in self.part.zones and math.isfinite(report.age_s):
-            self.evidence.take(self._now(), report)
-        if self.evidence.surplus > 2 * self.surplus:  # the first, third, seventh ...: more may come
-            self.surplus = self.evidence.surplus
+        if report.zone in self.settings.zones and math.isfinite(report.age_s):
+            self.observations.add(self._now(), report)
+        if (
+            self.observations.rejected_reports > 2 * self.logged_rejections
+        ):  # the first, third, seventh ...: more may come
+            self.logged_rejections = self.observations.rejected_reports
             log.warning(
                 LogEvent(
                     "a report is not kept: there are as many as may be",
-                    sender=self.evidence.turned_away,
-                    most=REPORTS,
-                    so_far=self.surplus,
+                    sender=self.observations.rejected_relay,
+                    most=MAX_REPORTS,
+                    so_far=self.logged_rejections,
                 )
             )
 
     # -- deciding --------------------------------------------------------------------------------------------
 
-    def rooms(self) -> Capacities:
+    def capacities(self) -> Capacities:
         """By the list: what each zone's endpoints are agreed to take for a destination. Of one rate for all
         of them (listed with each) a zone has its part."""
         count: dict[int, dict[str, int]] = {}
         rates: dict[int, float] = {}
-        zones = self.host.directory.zones
-        for known in self.host.directory.by_number.values():
+        zones = self.relay.directory.zones
+        for known in self.relay.directory.by_number.values():
             entry = known.endpoint
             if entry.listing is Listing.READY and entry.zone < len(zones):
                 here = count.setdefault(entry.destination, {})
@@ -146,41 +150,41 @@
                     rates[entry.destination] = max(rates.get(entry.destination, 0.0), entry.rate)
         found: Capacities = {}
         for destination, zones_there in count.items():
-            rate = self._agreed(destination, rates.get(destination, math.inf))
+            rate = self._agreed_rate(destination, rates.get(destination, math.inf))
             total = sum(zones_there.values())
             found[destination] = {zone: rate * n / total for zone, n in zones_there.items()}
         return found
 
-    def _agreed(self, destination: int, listed: float) -> float:
-        told = self.accord.newest_rules().destination_for(str(destination)).rate
+    def _agreed_rate(self, destination: int, listed: float) -> float:
+        told = self.consensus.newest_rules().destination_for(str(destination)).rate
         return listed if told is None else min(told, listed)
 
     def relays(self) -> dict[str, list[str]]:
         found: dict[str, list[str]] = {}
-        for claim in self.peers.swim.present_members():
+        for claim in self.gossip.swim.present_members():
             found.setdefault(claim.zone, []).append(claim.name)
         return found
 
-    async def _decide(self) -> None:
-        now, rooms = self._now(), self.rooms()
-        newest = self.accord.history.newest
-        problems = self.decider.look(now, newest.decoded_rules, rooms)
+    async def _propose_plan(self) -> None:
+        now, rooms = self._now(), self.capacities()
+        newest = self.consensus.history.newest
+        problems = self.controller.update(now, newest.decoded_rules, rooms)
         found = {}
         if problems:
             loop = asyncio.get_running_loop()
-            found = await loop.run_in_executor(None, self.decider.plans, problems)
-        rules = self.decider.next(now, newest.decoded_rules, rooms, self.relays(), problems, found)
+            found = await loop.run_in_executor(None, self.controller.compute_plans, problems)
+        rules = self.controller.next_rules(now, newest.decoded_rules, rooms, self.relays(), problems, found)
         if rules is None:
             return
-        self.why = await self.accord.propose_plan(rules, newest.number, self._cause())
+        self.refusal = await self.consensus.propose_plan(rules, newest.number, self._cause())
         log.info(
-            LogEvent("a plan is proposed", base=newest.number, destinations=len(found), refused=self.why)
+            LogEvent("a plan is proposed", base=newest.number, destinations=len(found), refused=self.refusal)
         )
 
     def _cause(self) -> str:
         """What the verdicts are, for people: the versions' history tells it."""
         states: dict[str, list[str]] = {}
-        for destination, judge in sorted(self.decider.judges.items()):
+        for destination, judge in sorted(self.controller.judges.items()):
             for (source, target), standing in sorted(judge.pairs.items()):
                 if standing.share < 1.0:
                     word = f"{source}>{target} {standing.state.value}"
@@ -191,14 +195,14 @@
     # -- for operators ---------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        now, rules = self._now(), self.accord.newest_rules()
+        now, rules = self._now(), self.consensus.newest_rules()
         return {
-            "name": self.accord.name,
-            "decides": self.accord.replicated_log is not None and self.accord.replicated_log.is_leader,
+            "name": self.consensus.name,
+            "decides": self.consensus.replicated_log is not None and self.consensus.replicated_log.is_leader,
             "evacuated": sorted(rules.policies.evacuated),
             "relays": {zone: len(names) for zone, names in sorted(self.relays().items())},
-            "not taken": self.why,
-            "heard of": sorted(set().union(*self.evidence.relays(now).values(), set())),
+            "not taken": self.refusal,
+            "heard of": sorted(set().union(*self.observations.relays(now).values(), set())),
             "pairs": [
                 {
                     "destination": destination,
@@ -208,35 +212,35 @@
                     "share": standing.share,
                     "since s": round(now - standing.since, 1),
                     "flaps": standing.flaps,
-                    "comes good": round(standing.ability, 3),
+                    "comes good": round(standing.success_share, 3),
                 }
-                for destination, judge in sorted(self.decider.judges.items())
+                for destination, judge in sorted(self.controller.judges.items())
                 for (source, target), standing in sorted(judge.pairs.items())
             ],
             "plans": {
                 str(destination): {
-                    "how": told.how,
+                    "how": told.method,
                     "flows": {" ".join(way): round(rate, 2) for way, rate in sorted(told.flows.items())},
                     "shed": {" ".join(who): round(rate, 2) for who, rate in sorted(told.shed.items())},
                     "room": {
                         zone: round(rate, 2)
-                        for zone, rate in sorted(told.room.items())
+                        for zone, rate in sorted(told.capacity.items())
                         if math.isfinite(rate)
                     },
                 }
-                for destination, told in sorted(self.decider.told.items())
+                for destination, told in sorted(self.controller.explanations.items())
             },
         }
 
     def plan(self, question: AdminRequest) -> dict[str, Any]:
         """What would be planned if a zone were left: by the evidence that this instance has."""
-        if question.name and question.name not in self.part.zones:
-            raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.decider.zones)}")
-        if self.accord.replicated_log is None:
+        if question.name and question.name not in self.settings.zones:
+            raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.controller.zones)}")
+        if self.consensus.replicated_log is None:
             raise RulesError("plan: ask an instance that votes: the others hear no evidence")
-        out = self.accord.newest_rules().policies.evacuated | ({question.name} if question.name else set())
-        problems = self.decider.problems(self._now(), self.rooms(), out)
-        found = self.decider.plans(problems)
+        out = self.consensus.newest_rules().policies.evacuated | ({question.name} if question.name else set())
+        problems = self.controller.problems(self._now(), self.capacities(), out)
+        found = self.controller.compute_plans(problems)
         rows = []
         for destination, plan in sorted(found.items()):
             problem = problems[destination]
--- a/message_relay/failover/observations.py
+++ b/message_relay/failover/observations.py
@@ -23,23 +23,27 @@
 from ..gossip.settings import INSTANCES_MAX
 
 WINDOW_S = 1.0
-KEPT = 10  # windows that count
-CELLS = 200  # of one report: 1,000 destinations change their zone together, so the most called ones do
-RELAYS = INSTANCES_MAX  # as many as peers are known
-REPORTS = RELAYS * KEPT  # parts kept at once: one a window of each relay; some have more, most a small one
-BUCKETS = 32  # of a sketch: by the square root of 2 from 1 ms to 46 s, each within a fifth of the truth
-REPORT_BYTES = 900  # of one part, so that it goes into one datagram
-PARTS = 64  # of one window
-OTHERS = -1  # the destination under which what has no cell of its own is summed up
+RETAINED_WINDOWS = 10  # windows that count
+MAX_SAMPLES = 200  # of one report: 1,000 destinations change their zone together, so the most called ones do
+MAX_REPORTING_RELAYS = INSTANCES_MAX  # as many as peers are known
+MAX_REPORTS = (
+    MAX_REPORTING_RELAYS * RETAINED_WINDOWS
+)  # parts kept at once: one a window of each relay; some have more, most a small one
+LATENCY_BUCKETS = (
+    32  # of a sketch: by the square root of 2 from 1 ms to 46 s, each within a fifth of the truth
+)
+MAX_REPORT_BYTES = 900  # of one part, so that it goes into one datagram
+MAX_PARTS = 64  # of one window
+OTHER_DESTINATIONS = -1  # the destination under which what has no cell of its own is summed up
 
-Pair = tuple[str, str]  # from zone, to zone
-Name = tuple[str, int, int, int]  # of a report: origin, process, window, part
-Matrix = dict[Pair, "Aggregate"]
-Series = dict[Pair, list["Aggregate"]]  # by window, the latest one first
+ZonePair = tuple[str, str]  # from zone, to zone
+ReportName = tuple[str, int, int, int]  # of a report: origin, process, window, part
+ZoneMatrix = dict[ZonePair, "Aggregate"]
+ZoneSeries = dict[ZonePair, list["Aggregate"]]  # by window, the latest one first
 
 
-def bucket(latency_ms: float) -> int:
-    return min(BUCKETS - 1, max(0, round(2 * math.log2(max(1.0, latency_ms)))))
+def latency_bucket(latency_ms: float) -> int:
+    return min(LATENCY_BUCKETS - 1, max(0, round(2 * math.log2(max(1.0, latency_ms)))))
 
 
 class WindowSample(msgspec.Struct, frozen=True, array_like=True):
@@ -48,18 +52,20 @@
     destination: int
     zone: str  # of the endpoints
     calls: int = 0
-    good: int = 0  # the partner answered as it should
-    proven: int = 0  # not good, with proof that nothing was done
-    waits: int = 0  # of those: the partner said that it is too much
-    sketch: tuple[tuple[int, int], ...] = ()  # bucket of the latency of good ones, and how many
-    shunned: int = 0  # it was not called, though there was demand: so many calls in a row had failed before
+    succeeded: int = 0  # the partner answered as it should
+    proven_no_effect: int = 0  # not good, with proof that nothing was done
+    overloaded: int = 0  # of those: the partner said that it is too much
+    latency_sketch: tuple[tuple[int, int], ...] = ()  # bucket of the latency of good ones, and how many
+    avoided_after: int = (
+        0  # it was not called, though there was demand: so many calls in a row had failed before
+    )
 
     def __post_init__(self) -> None:
-        if not 0 <= self.waits <= self.proven <= self.calls - self.good <= self.calls:
+        if not 0 <= self.overloaded <= self.proven_no_effect <= self.calls - self.succeeded <= self.calls:
             raise ValueError(f"cell of {self.destination}: counts do not add up: {self}")
-        if any(not 0 <= at < BUCKETS or n < 0 for at, n in self.sketch):
-            raise ValueError(f"cell of {self.destination}: sketch: buckets 0 to {BUCKETS - 1}")
-        if self.shunned < 0 or self.shunned and self.calls:
+        if any(not 0 <= at < LATENCY_BUCKETS or n < 0 for at, n in self.latency_sketch):
+            raise ValueError(f"cell of {self.destination}: sketch: buckets 0 to {LATENCY_BUCKETS - 1}")
+        if self.avoided_after < 0 or self.avoided_after and self.calls:
             raise ValueError(f"cell of {self.destination}: shunned: what was called was not shunned")
 
 
@@ -71,22 +77,22 @@
     rate: float  # a second
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True):
+class ObservationReport(msgspec.Struct, frozen=True, array_like=True):
     """Of one relay and window, or a part of that."""
 
-    origin: str
+    relay: str
     nonce: int  # of the process
-    number: int  # of the window, counted by that process
+    window: int  # of the window, counted by that process
     part: int
     zone: str
     age_s: float  # since the window's end, when this was sent
     load: float  # held, as a share of what it can hold
     demand: tuple[Demand, ...] = ()
-    cells: tuple[WindowSample, ...] = ()
+    samples: tuple[WindowSample, ...] = ()
 
     @property
-    def name(self) -> Name:
-        return self.origin, self.nonce, self.number, self.part
+    def name(self) -> ReportName:
+        return self.relay, self.nonce, self.window, self.part
 
 
 @dataclass
@@ -94,54 +100,56 @@
     """A sum of cells."""
 
     calls: int = 0
-    good: int = 0
-    proven: int = 0
-    waits: int = 0
+    succeeded: int = 0
+    proven_no_effect: int = 0
+    overloaded: int = 0
     relays: set[str] = field(default_factory=set)
-    shunning: dict[str, int] = field(default_factory=dict)  # relays, and how many calls had failed them
-    sketch: Counter[int] = field(default_factory=Counter)
+    avoiding_relays: dict[str, int] = field(
+        default_factory=dict
+    )  # relays, and how many calls had failed them
+    latency_sketch: Counter[int] = field(default_factory=Counter)
 
     def add(self, origin: str, cell: WindowSample) -> None:
         self.calls += cell.calls
-        self.good += cell.good
-        self.proven += cell.proven
-        self.waits += cell.waits
+        self.succeeded += cell.succeeded
+        self.proven_no_effect += cell.proven_no_effect
+        self.overloaded += cell.overloaded
         if cell.calls:
             self.relays.add(origin)
-        if cell.shunned:
-            self.shunning[origin] = max(cell.shunned, self.shunning.get(origin, 0))
-        for at, n in cell.sketch:
-            self.sketch[at] += n
+        if cell.avoided_after:
+            self.avoiding_relays[origin] = max(cell.avoided_after, self.avoiding_relays.get(origin, 0))
+        for at, n in cell.latency_sketch:
+            self.latency_sketch[at] += n
 
     @property
-    def tried(self) -> int:
+    def attempted(self) -> int:
         """Calls that say something of the zone: a partner that has too much to do is there."""
-        return self.calls - self.waits
+        return self.calls - self.overloaded
 
     def quantile_ms(self, share: float) -> float:
         """Of good calls; 0 without any."""
-        total, before = sum(self.sketch.values()), 0
-        for at in sorted(self.sketch):
-            before += self.sketch[at]
+        total, before = sum(self.latency_sketch.values()), 0
+        for at in sorted(self.latency_sketch):
+            before += self.latency_sketch[at]
             if before >= share * total:
                 return float(2 ** (at / 2))
         return 0.0
 
 
-def total(row: Iterable[Aggregate]) -> Aggregate:
+def summed(row: Iterable[Aggregate]) -> Aggregate:
     found = Aggregate()
     for seen in row:
-        if not seen.calls and not seen.shunning:
+        if not seen.calls and not seen.avoiding_relays:
             continue  # windows in which nothing was seen are most of them
         found.calls += seen.calls
-        found.good += seen.good
-        found.proven += seen.proven
-        found.waits += seen.waits
+        found.succeeded += seen.succeeded
+        found.proven_no_effect += seen.proven_no_effect
+        found.overloaded += seen.overloaded
         found.relays |= seen.relays
-        for origin, failed in seen.shunning.items():
-            found.shunning[origin] = max(failed, found.shunning.get(origin, 0))
-        for at, n in seen.sketch.items():
-            found.sketch[at] += n
+        for origin, failed in seen.avoiding_relays.items():
+            found.avoiding_relays[origin] = max(failed, found.avoiding_relays.get(origin, 0))
+        for at, n in seen.latency_sketch.items():
+            found.latency_sketch[at] += n
     return found
 
 
@@ -149,97 +157,103 @@
     """One relay's own windows."""
 
     def __init__(self, origin: str, nonce: int, zone: str) -> None:
-        self.origin, self.nonce, self.zone = origin, nonce, zone
-        self.number = 0
-        self.cells: dict[tuple[int, str], list[int]] = {}
+        self.relay, self.nonce, self.zone = origin, nonce, zone
+        self.window = 0
+        self.counts: dict[tuple[int, str], list[int]] = {}
         self.sketches: dict[tuple[int, str], Counter[int]] = {}
-        self.offered: Counter[tuple[int, str]] = Counter()
+        self.submitted: Counter[tuple[int, str]] = Counter()
         # Failed calls in a row, and windows since the latest one: what the relay leaves by itself has no
         # calls, and would look as if nothing were known of it.
-        self.failing: dict[tuple[int, str], tuple[int, int]] = {}
+        self.failure_runs: dict[tuple[int, str], tuple[int, int]] = {}
 
-    def asked(self, destination: int, group: str = "") -> None:
+    def record_submission(self, destination: int, group: str = "") -> None:
         """A message for it was handed in."""
-        self.offered[destination, group] += 1
+        self.submitted[destination, group] += 1
 
-    def outcome(self, destination: int, zone: str, outcome: Outcome, latency_ms: float) -> None:
+    def record_outcome(self, destination: int, zone: str, outcome: Outcome, latency_ms: float) -> None:
         """A call has ended, and how the transport has it."""
         if outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):  # those say nothing of the partner
             good, told = outcome is Outcome.OK, outcome is Outcome.FULL
-            self.ended(destination, zone, good, outcome.proves_no_effect, told, latency_ms)
+            self.record_call(destination, zone, good, outcome.proves_no_effect, told, latency_ms)
 
-    def ended(
+    def record_call(
         self, destination: int, zone: str, good: bool, proven: bool, told: bool, latency_ms: float
     ) -> None:
         """A call has ended. `told`: with a wait; that proves that nothing was done."""
         key = destination, zone
-        cell = self.cells.setdefault(key, [0, 0, 0, 0])
+        cell = self.counts.setdefault(key, [0, 0, 0, 0])
         cell[0] += 1
         cell[1] += good
         cell[2] += not good and (proven or told)
         cell[3] += not good and told
         if good:
-            self.failing.pop(key, None)
-            self.sketches.setdefault(key, Counter())[bucket(latency_ms)] += 1
+            self.failure_runs.pop(key, None)
+            self.sketches.setdefault(key, Counter())[latency_bucket(latency_ms)] += 1
         elif not told:  # one that has too much to do is there
-            self.failing[key] = self.failing.get(key, (0, 0))[0] + 1, 0
+            self.failure_runs[key] = self.failure_runs.get(key, (0, 0))[0] + 1, 0
 
-    def reports(self, seconds: float, load: float) -> list[Report]:
+    def close_window(self, seconds: float, load: float) -> list[ObservationReport]:
         """Of the window that ends now and was so long, in parts that fit into a datagram each; the next one
         begins. One without calls is told too: that there was no demand is news."""
-        self.number += 1
-        ranked = sorted(self.cells, key=lambda key: (-self.cells[key][0], key))
+        self.window += 1
+        ranked = sorted(self.counts, key=lambda key: (-self.counts[key][0], key))
         told: list[Demand | WindowSample] = [
             Demand(*key, round(count / seconds, 3))
-            for key, count in sorted(self.offered.items(), key=lambda item: (-item[1], item[0]))[:CELLS]
+            for key, count in sorted(self.submitted.items(), key=lambda item: (-item[1], item[0]))[
+                :MAX_SAMPLES
+            ]
         ]
-        for key in ranked[:CELLS]:
-            told.append(_cell(key, self.cells[key], tuple(sorted(self.sketches.get(key, Counter()).items()))))
-        told += self._rest(ranked[CELLS:])
-        told += self._shunned()
-        self.cells, self.sketches, self.offered = {}, {}, Counter()
+        for key in ranked[:MAX_SAMPLES]:
+            told.append(
+                _sample(key, self.counts[key], tuple(sorted(self.sketches.get(key, Counter()).items())))
+            )
+        told += self._remaining_samples(ranked[MAX_SAMPLES:])
+        told += self._avoided_samples()
+        self.counts, self.sketches, self.submitted = {}, {}, Counter()
         parts: list[list[Demand | WindowSample]] = [[]]
         size = 0
         for each in told:
             length = len(msgspec.msgpack.encode(each))
-            if size + length > REPORT_BYTES and parts[-1]:
+            if size + length > MAX_REPORT_BYTES and parts[-1]:
                 parts.append([])
                 size = 0
             parts[-1].append(each)
             size += length
-        return [self._part(n, part, load) for n, part in enumerate(parts[:PARTS])]
+        return [self._part(n, part, load) for n, part in enumerate(parts[:MAX_PARTS])]
 
-    def _part(self, part: int, told: list[Demand | WindowSample], load: float) -> Report:
+    def _part(self, part: int, told: list[Demand | WindowSample], load: float) -> ObservationReport:
         demand = tuple(each for each in told if isinstance(each, Demand))
         cells = tuple(each for each in told if isinstance(each, WindowSample))
-        return Report(
-            self.origin, self.nonce, self.number, part, self.zone, 0.0, round(load, 3), demand, cells
+        return ObservationReport(
+            self.relay, self.nonce, self.window, part, self.zone, 0.0, round(load, 3), demand, cells
         )
 
-    def _shunned(self) -> list[WindowSample]:
+    def _avoided_samples(self) -> list[WindowSample]:
         """Where it has called nothing in this window, though it could have, since calls had failed there."""
-        asked = {destination for destination, _ in self.offered}
-        asked |= {destination for destination, _ in self.cells}
+        asked = {destination for destination, _ in self.submitted}
+        asked |= {destination for destination, _ in self.counts}
         found = []
-        for key, (failed, windows) in list(self.failing.items()):
-            if windows >= KEPT:
-                del self.failing[key]  # by now the relay itself has forgotten
+        for key, (failed, windows) in list(self.failure_runs.items()):
+            if windows >= RETAINED_WINDOWS:
+                del self.failure_runs[key]  # by now the relay itself has forgotten
                 continue
-            self.failing[key] = failed, windows + 1
-            if key not in self.cells and key[0] in asked:
-                found.append(WindowSample(*key, shunned=failed))
-        return found[:CELLS]
+            self.failure_runs[key] = failed, windows + 1
+            if key not in self.counts and key[0] in asked:
+                found.append(WindowSample(*key, avoided_after=failed))
+        return found[:MAX_SAMPLES]
 
-    def _rest(self, keys: Iterable[tuple[int, str]]) -> list[WindowSample]:
+    def _remaining_samples(self, keys: Iterable[tuple[int, str]]) -> list[WindowSample]:
         sums: dict[str, list[int]] = {}
         for destination, zone in keys:
             total = sums.setdefault(zone, [0, 0, 0, 0])
-            for n, count in enumerate(self.cells[destination, zone]):
+            for n, count in enumerate(self.counts[destination, zone]):
                 total[n] += count
-        return [_cell((OTHERS, zone), total) for zone, total in sorted(sums.items())]
+        return [_sample((OTHER_DESTINATIONS, zone), total) for zone, total in sorted(sums.items())]
 
 
-def _cell(key: tuple[int, str], counts: list[int], sketch: tuple[tuple[int, int], ...] = ()) -> WindowSample:
+def _sample(
+    key: tuple[int, str], counts: list[int], sketch: tuple[tuple[int, int], ...] = ()
+) -> WindowSample:
     calls, good, proven, waits = counts
     return WindowSample(*key, calls, good, proven, waits, sketch)
 
@@ -249,27 +263,32 @@
 
     def __init__(self, window_s: float = WINDOW_S) -> None:
         self.window_s = window_s
-        self.reports: dict[Name, tuple[Report, float]] = {}  # and when its window ended, here
-        self.surplus, self.turned_away = 0, ""  # reports past the most there may be, and whose the latest was
+        self.reports: dict[
+            ReportName, tuple[ObservationReport, float]
+        ] = {}  # and when its window ended, here
+        self.rejected_reports, self.rejected_relay = (
+            0,
+            "",
+        )  # reports past the most there may be, and whose the latest was
 
     @property
-    def span(self) -> float:
-        return KEPT * self.window_s
+    def retention_s(self) -> float:
+        return RETAINED_WINDOWS * self.window_s
 
-    def take(self, now: float, report: Report) -> bool:
+    def add(self, now: float, report: ObservationReport) -> bool:
         """Whether it is new. One that is too old, or of too many relays, is not kept."""
         ended = now - max(0.0, report.age_s)
-        if ended <= now - self.span:
+        if ended <= now - self.retention_s:
             return False
         return self._put(report, ended)
 
-    def _put(self, report: Report, ended: float) -> bool:
+    def _put(self, report: ObservationReport, ended: float) -> bool:
         known = self.reports.get(report.name)
         if known is None:
-            if report.part >= PARTS:
+            if report.part >= MAX_PARTS:
                 return False
-            if len(self.reports) >= REPORTS:
-                self.surplus, self.turned_away = self.surplus + 1, report.origin
+            if len(self.reports) >= MAX_REPORTS:
+                self.rejected_reports, self.rejected_relay = self.rejected_reports + 1, report.relay
                 return False
             self.reports[report.name] = msgspec.structs.replace(report, age_s=0.0), ended
             return True
@@ -283,15 +302,15 @@
         for report, ended in list(other.reports.values()):
             self._put(report, ended)
 
-    def sweep(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """What is too old says nothing any more."""
         for name, (_, ended) in list(self.reports.items()):
-            if ended <= now - self.span:
+            if ended <= now - self.retention_s:
                 del self.reports[name]
 
-    def news(self, now: float, most: int) -> list[Report]:
+    def latest_reports(self, now: float, most: int) -> list[ObservationReport]:
         """The youngest ones, of as many different relays as may be, with their ages now: to be passed on."""
-        latest: dict[str, tuple[float, Name]] = {}
+        latest: dict[str, tuple[float, ReportName]] = {}
         for name, (_, ended) in self.reports.items():
             key, known = (-ended, name), latest.get(name[0])
             if known is None or key < known:
@@ -303,29 +322,29 @@
 
     # -- what they say together ------------------------------------------------------------------------------
 
-    def series(self, now: float) -> dict[int, Series]:
+    def series(self, now: float) -> dict[int, ZoneSeries]:
         """By destination: what each zone's relays saw of each zone, in each window, the latest one first."""
-        found: dict[int, Series] = {}
+        found: dict[int, ZoneSeries] = {}
         for report, ended in self.reports.values():
             at = int((now - ended) / self.window_s)
-            if not 0 <= at < KEPT:
+            if not 0 <= at < RETAINED_WINDOWS:
                 continue
-            for cell in report.cells:
+            for cell in report.samples:
                 rows = found.setdefault(cell.destination, {})
                 row = rows.setdefault((report.zone, cell.zone), [])
                 while len(row) <= at:
                     row.append(Aggregate())
-                row[at].add(report.origin, cell)
+                row[at].add(report.relay, cell)
         return found
 
-    def matrices(self, now: float, windows: int = KEPT) -> dict[int, Matrix]:
+    def matrices(self, now: float, windows: int = RETAINED_WINDOWS) -> dict[int, ZoneMatrix]:
         """By destination: the same, summed up over the latest windows."""
         return {
-            destination: {pair: total(row[:windows]) for pair, row in rows.items()}
+            destination: {pair: summed(row[:windows]) for pair, row in rows.items()}
             for destination, rows in self.series(now).items()
         }
 
-    def matrix(self, now: float, destination: int, windows: int = KEPT) -> Matrix:
+    def matrix(self, now: float, destination: int, windows: int = RETAINED_WINDOWS) -> ZoneMatrix:
         return self.matrices(now, windows).get(destination, {})
 
     def demand(self, now: float) -> dict[int, dict[tuple[str, str], float]]:
@@ -334,11 +353,11 @@
         sums: dict[tuple[int, str, str, str], float] = {}
         windows: dict[str, set[tuple[int, int]]] = {}
         for report, ended in self.reports.values():
-            if ended <= now - self.span:
+            if ended <= now - self.retention_s:
                 continue
-            windows.setdefault(report.origin, set()).add((report.nonce, report.number))
+            windows.setdefault(report.relay, set()).add((report.nonce, report.window))
             for told in report.demand:
-                key = told.destination, report.zone, told.group, report.origin
+                key = told.destination, report.zone, told.group, report.relay
                 sums[key] = sums.get(key, 0.0) + told.rate
         found: dict[int, dict[tuple[str, str], float]] = {}
         for (destination, zone, group, origin), total in sums.items():
@@ -350,6 +369,6 @@
         """Who has told something in the last windows, by zone."""
         found: dict[str, set[str]] = {}
         for report, ended in self.reports.values():
-            if ended > now - self.span:
-                found.setdefault(report.zone, set()).add(report.origin)
+            if ended > now - self.retention_s:
+                found.setdefault(report.zone, set()).add(report.relay)
         return found
--- a/message_relay/failover/planner.py
+++ b/message_relay/failover/planner.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from .observations import Pair
+from .observations import ZonePair
 
 STAY = 0.01  # of the worth of a call: what it must gain before it is planned elsewhere than in the last plan
 TINY = 1e-9
@@ -37,7 +37,7 @@
 
     name: str
     worth: float = 1.0  # of one call that is delivered
-    pairs: frozenset[Pair] | None = None  # where it may go; None: anywhere
+    pairs: frozenset[ZonePair] | None = None  # where it may go; None: anywhere
 
 
 @dataclass(frozen=True)
@@ -48,10 +48,10 @@
     groups: tuple[Group, ...]
     demand: dict[Source, float]
     room: dict[str, float]  # of a zone's endpoints: what is agreed, and what they can do cold
-    ability: dict[Pair, float] = field(default_factory=dict)  # share that comes good; not named: 1
-    price: dict[Pair, float] = field(default_factory=dict)  # share of a call's worth; not named: 0
+    ability: dict[ZonePair, float] = field(default_factory=dict)  # share that comes good; not named: 1
+    price: dict[ZonePair, float] = field(default_factory=dict)  # share of a call's worth; not named: 0
     last: dict[Way, float] = field(default_factory=dict)
-    part: dict[Pair, float] = field(
+    part: dict[ZonePair, float] = field(
         default_factory=dict
     )  # of a source's demand that may go there; not named: 1
 
@@ -66,7 +66,7 @@
         if any(not group.worth > 0 for group in self.groups):
             raise ValueError("groups: worth is above 0")
 
-    def score(self, group: Group, pair: Pair) -> float:
+    def score(self, group: Group, pair: ZonePair) -> float:
         """Of one call; 0 and less: it does not go there."""
         if group.pairs is not None and pair not in group.pairs:
             return 0.0
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -25,7 +25,7 @@
     VersionHistory,
     ChangeVoters,
 )
-from message_relay.failover.observations import CallCounter, Demand, Report, WindowSample
+from message_relay.failover.observations import CallCounter, Demand, ObservationReport, WindowSample
 
 Values = dict[str, Any]
 
@@ -243,11 +243,11 @@
         "destination": cell.destination,
         "zone": cell.zone,
         "calls": cell.calls,
-        "good": cell.good,
-        "proven harmless": cell.proven,
-        "told to wait": cell.waits,
-        "latency sketch": [list(pair) for pair in cell.sketch],
-        "avoided after failures": cell.shunned,
+        "good": cell.succeeded,
+        "proven harmless": cell.proven_no_effect,
+        "told to wait": cell.overloaded,
+        "latency sketch": [list(pair) for pair in cell.latency_sketch],
+        "avoided after failures": cell.avoided_after,
     }
 
 
@@ -255,28 +255,28 @@
     return {"destination": demand.destination, "group": demand.group, "per second": demand.rate}
 
 
-def report_values(report: Report) -> Values:
+def report_values(report: ObservationReport) -> Values:
     return {
-        "origin": report.origin,
+        "origin": report.relay,
         "process nonce": report.nonce,
-        "window": report.number,
+        "window": report.window,
         "part": report.part,
         "zone": report.zone,
         "age s": report.age_s,
         "load": report.load,
         "demand": [_demand(each) for each in report.demand],
-        "cells": [_cell(each) for each in report.cells],
+        "cells": [_cell(each) for each in report.samples],
     }
 
 
 def evidence_of_calls() -> list[str]:
     """Two windows of one relay, as sent: calls that went well, failed, and were left out."""
     counting = CallCounter("n1", 9, "z-1")
-    counting.asked(7, "anywhere 1")
-    counting.ended(7, "z-1", True, False, False, 12.5)
-    counting.ended(7, "z-2", False, True, False, 0.0)
-    counting.ended(7, "z-2", False, False, True, 0.0)
-    sent = counting.reports(2.0, 0.25)
-    counting.asked(7, "anywhere 1")
-    sent += counting.reports(2.0, 0.5)
+    counting.record_submission(7, "anywhere 1")
+    counting.record_call(7, "z-1", True, False, False, 12.5)
+    counting.record_call(7, "z-2", False, True, False, 0.0)
+    counting.record_call(7, "z-2", False, False, True, 0.0)
+    sent = counting.close_window(2.0, 0.25)
+    counting.record_submission(7, "anywhere 1")
+    sent += counting.close_window(2.0, 0.5)
     return [_pack(each).hex() for each in sent]
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -31,8 +31,8 @@
 from message_relay.consensus.version_history import VersionHistory
 from message_relay.core.ports import CallContext, Submission
 from message_relay.failover.observations import Demand, WindowSample
-from message_relay.failover.observations import Report as Evidence
-from message_relay.failover.zone_health import State as PairState
+from message_relay.failover.observations import ObservationReport as Evidence
+from message_relay.failover.zone_health import HealthState as PairState
 from message_relay.fleet import report
 from message_relay.fleet.common import SharedSubsystems
 from message_relay.fleet.operator import OperatorConfig, decoded
@@ -99,7 +99,9 @@
 
 def pair_states() -> list[str]:
     """Of a pair of zones, as plans of failover tell them."""
-    return [each.value for each in (PairState.WELL, PairState.GREY, PairState.LOST, PairState.TRIAL)]
+    return [
+        each.value for each in (PairState.HEALTHY, PairState.DEGRADED, PairState.LOST, PairState.RECOVERING)
+    ]
 
 
 def rules_labels() -> list[str]:
@@ -181,11 +183,11 @@
                 cells = (WindowSample(7, "z", 40, 0, 40), WindowSample(7, "y", 40, 40, 0, 0, ((4, 40),)))
                 demand = (Demand(7, "anywhere 1", 40.0),)
                 told = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, cells)
-                failover.evidence.take(now, told)
+                failover.observations.add(now, told)
         rules = accord.newest_rules()
-        problems = failover.decider.look(now, rules, rooms)
-        plans = failover.decider.plans(problems)
-        failover.decider.next(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
+        problems = failover.controller.update(now, rules, rooms)
+        plans = failover.controller.compute_plans(problems)
+        failover.controller.next_rules(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
 
     async def close(self) -> None:
         await self.parts.relay.close()
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -29,10 +29,10 @@
 from message_relay.endpoint_discovery.merge_policy import EndpointStatus, ShrinkGuard, most_severe
 from message_relay.endpoint_discovery.poll_schedule import PollSchedule
 from message_relay.endpoint_discovery.source_merge import SourceMerge
-from message_relay.failover.observations import Aggregate, Observations, Pair
+from message_relay.failover.observations import Aggregate, Observations, ZonePair
 from message_relay.failover.planner import Group, Problem, greedy, near
-from message_relay.failover.zone_health import State as Standing
-from message_relay.failover.zone_health import ZoneHealthJudge, interval
+from message_relay.failover.zone_health import HealthState as Standing
+from message_relay.failover.zone_health import ZoneHealthJudge, success_interval
 from message_relay.fleet.fleet_size import FleetSize
 from message_relay.fleet.operator import SupervisorPart
 from message_relay.fleet.plan import Plan, SupervisorAction
@@ -175,41 +175,56 @@
     waits = draw.randint(0, calls - good)
     seen = Aggregate(calls, good, waits, waits, {"r1", "r2"} if calls else set())
     if not calls and draw.random() < 0.3:
-        seen.shunning = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
+        seen.avoiding_relays = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
     for _ in range(good):
-        seen.sketch[draw.randint(8, 18 if health > 0.8 else 24)] += 1
+        seen.latency_sketch[draw.randint(8, 18 if health > 0.8 else 24)] += 1
     return seen
 
 
 def zone_verdicts(seed: int) -> list[Row]:
     words = {
-        Standing.WELL: "well",
-        Standing.GREY: "degraded",
+        Standing.HEALTHY: "well",
+        Standing.DEGRADED: "degraded",
         Standing.LOST: "lost",
-        Standing.TRIAL: "trial",
+        Standing.RECOVERING: "trial",
     }
     draw, now = random.Random(seed), 100.0
     rows: list[Row] = [
-        (good, tried, *interval(good, tried)) for tried in range(0, 40, 3) for good in range(0, tried + 1, 2)
+        (good, tried, *success_interval(good, tried))
+        for tried in range(0, 40, 3)
+        for good in range(0, tried + 1, 2)
     ]
     judge = ZoneHealthJudge(Observations(), 1)
     judge.resume(now, {("a", "b"): 0.3, ("a", "c"): 0.0})
-    pairs: list[Pair] = [(source, target) for source in "abc" for target in "abc"]
-    history: dict[Pair, list[Aggregate]] = {pair: [] for pair in pairs}
+    pairs: list[ZonePair] = [(source, target) for source in "abc" for target in "abc"]
+    history: dict[ZonePair, list[Aggregate]] = {pair: [] for pair in pairs}
     health = dict.fromkeys(pairs, 1.0)
     for _ in range(300):
         now += 1.0
         for pair in pairs:
             if draw.random() < 0.04:
                 health[pair] = draw.choice((0.0, 0.05, 0.6, 0.85, 1.0, 1.0))
-            window = _window(draw, health[pair], judge.standing(pair).share > draw.random())
+            window = _window(draw, health[pair], judge.health(pair).share > draw.random())
             history[pair] = [window, *history[pair]][:10]
         shared = {pair: history[pair][0] for pair in pairs} if draw.random() < 0.2 else None
-        changed = judge.look(now, {pair: list(row) for pair, row in history.items()}, shared)
+        changed = judge.update(now, {pair: list(row) for pair, row in history.items()}, shared)
         for pair in changed:
-            it = judge.standing(pair)
-            rows.append((now, *pair, words[it.state], it.step, it.flaps, it.share, it.ability, it.back))
-        rows.append((now, *(judge.down(zone) for zone in "abc"), *(judge.cut_off(zone) for zone in "abc")))
+            it = judge.health(pair)
+            rows.append(
+                (
+                    now,
+                    *pair,
+                    words[it.state],
+                    it.ramp_step,
+                    it.flaps,
+                    it.share,
+                    it.success_share,
+                    it.recently_lost,
+                )
+            )
+        rows.append(
+            (now, *(judge.is_down(zone) for zone in "abc"), *(judge.is_cut_off(zone) for zone in "abc"))
+        )
     return rows
 
 
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -18,7 +18,7 @@
 from message_relay.consensus.rules_codec import decode_rules, encode_rules
 from message_relay.consensus.version_history import CommandResult as CommandAnswer
 from message_relay.consensus.version_history import Command, Version, decode_command
-from message_relay.failover.observations import Report
+from message_relay.failover.observations import ObservationReport
 from message_relay.gossip.node import Hello
 from message_relay.gossip.wire import Packet, open_packet, seal_packet
 from message_relay.sharded_directory import wire as shard_wire
@@ -85,7 +85,7 @@
     "command answer": _json(CommandAnswer, command_answer_values),
     "operator's question": _json(AdminRequest, question_values),
     "rules": _Format(Rules, encode_rules, decode_rules, rules_values),
-    "evidence": _msgpack(Report, report_values),
+    "evidence": _msgpack(ObservationReport, report_values),
     "shards": _Format(shard_wire.Word, shard_wire.packed, shard_wire.read, shard_message_values),
     "shard rows": _msgpack(list[shard_wire.Row], lambda rows: [row_values(row) for row in rows]),
 }
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -44,17 +44,17 @@
         for zone in ZONES:
             counting = self.counting[zone]
             for _ in range(self.rate):
-                counting.asked(1, PART.group(self.rng.choice(("pay", "post"))))
+                counting.record_submission(1, PART.group(self.rng.choice(("pay", "post"))))
                 near = self.rng.random() < flow.allowed_share(zone, zone)
                 others = [each for each in ZONES if each != zone and flow.allowed_share(zone, each) > 0]
                 target = zone if near or not others else self.rng.choice(others)
                 good = target not in self.down
-                counting.ended(1, target, good, not good, False, 10.0)
-            for report in counting.reports(1.0, 0.0):
-                self.evidence.take(self.now, report)
-        problems = self.decider.look(self.now, self.rules, self.rooms)
-        found = self.decider.plans(problems)
-        rules = self.decider.next(self.now, self.rules, self.rooms, RELAYS, problems, found)
+                counting.record_call(1, target, good, not good, False, 10.0)
+            for report in counting.close_window(1.0, 0.0):
+                self.evidence.add(self.now, report)
+        problems = self.decider.update(self.now, self.rules, self.rooms)
+        found = self.decider.compute_plans(problems)
+        rules = self.decider.next_rules(self.now, self.rules, self.rooms, RELAYS, problems, found)
         if rules is not None:
             self.rules = normalize(rules)
             self.versions.append(self.rules)
@@ -86,7 +86,7 @@
     for count in (*range(1, 701), *range(700, 600, -1), *range(600, 701)):
         now += 2.0
         relays = {zone: [f"n{n}" for n in range(count)] for zone in ZONES}
-        found = decider.next(now, rules, ROOMS, relays, {}, {})
+        found = decider.next_rules(now, rules, ROOMS, relays, {}, {})
         if found is not None:
             rules, versions = found, versions + 1
         assert all(count <= rules.zones[zone] <= 1.25 * count for zone in ZONES)
@@ -137,7 +137,7 @@
     ) == 1.0
     assert well.rules.policies.evacuated == frozenset("c")
     # What may not leave its region is not planned elsewhere: it waits or is given up at home.
-    told = well.decider.told[1]
+    told = well.decider.explanations[1]
     assert all(way[2] == "c" or way[1] != "region 5" for way in told.flows if way[0] == "c")
 
 
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -13,7 +13,13 @@
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.settings import ConsensusSettings
 from message_relay.consensus.version_history import VersionHistory
-from message_relay.failover.observations import KEPT, RELAYS, REPORTS, Observations, Report
+from message_relay.failover.observations import (
+    MAX_REPORTING_RELAYS,
+    MAX_REPORTS,
+    RETAINED_WINDOWS,
+    ObservationReport,
+    Observations,
+)
 from message_relay.fleet.operator import FleetPart, OperatorConfig, OperatorError, decoded, instance
 from message_relay.gossip.settings import INSTANCES_MAX, GossipSettings
 from message_relay.gossip.swim import MEMBERS_MAX, Swim
@@ -27,7 +33,7 @@
 
 
 def test_each_cap_holds_the_relays_that_are_planned() -> None:
-    assert min(MEMBERS_MAX, MAX_RELAYS, RELAYS, INSTANCES_MAX) >= 1.1 * PLANNED
+    assert min(MEMBERS_MAX, MAX_RELAYS, MAX_REPORTING_RELAYS, INSTANCES_MAX) >= 1.1 * PLANNED
 
 
 def test_members_are_taken_up_to_the_most_and_the_next_one_is_named() -> None:
@@ -56,12 +62,12 @@
 
 def test_reports_of_all_relays_and_windows_are_kept_and_the_next_one_is_named() -> None:
     it = Observations()
-    for n in range(RELAYS):
-        for window in range(KEPT):
-            assert it.take(100.0, Report(f"n{n}", 1, window, 0, "a", 0.0, 0.0))
-    assert len(it.reports) == REPORTS and not it.surplus
-    assert not it.take(100.0, Report("over", 1, 1, 0, "a", 0.0, 0.0))
-    assert (it.surplus, it.turned_away) == (1, "over")
+    for n in range(MAX_REPORTING_RELAYS):
+        for window in range(RETAINED_WINDOWS):
+            assert it.add(100.0, ObservationReport(f"n{n}", 1, window, 0, "a", 0.0, 0.0))
+    assert len(it.reports) == MAX_REPORTS and not it.rejected_reports
+    assert not it.add(100.0, ObservationReport("over", 1, 1, 0, "a", 0.0, 0.0))
+    assert (it.rejected_reports, it.rejected_relay) == (1, "over")
 
 
 def test_numbers_of_voters_and_instances() -> None:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -25,7 +25,7 @@
 from message_relay.consensus.rules import ANY, DestinationRule, Rules
 from message_relay.consensus.rules_codec import encode_rules
 from message_relay.consensus.version_history import Propose
-from message_relay.failover.observations import Observations, Report
+from message_relay.failover.observations import ObservationReport, Observations
 from message_relay.gossip.dissemination_queue import DisseminationQueue
 from message_relay.gossip.member_table import SLICES, MemberTable, part
 from message_relay.gossip.paced_replies import AT_ONCE, SPURT, SPURT_S
@@ -438,9 +438,9 @@
     for count in (SMALL, LARGE):
         it = Observations()
         for n in range(count):
-            it.take(1.0, Report(f"n{n}", 1, 1, 0, "zone-0", 0.0, 0.0))
+            it.add(1.0, ObservationReport(f"n{n}", 1, 1, 0, "zone-0", 0.0, 0.0))
         it.reports = Walked(it.reports)  # type: ignore[assignment]
-        raws = packets([Report("n7", 1, 2, 0, "zone-0", 0.0, 0.0)])
+        raws = packets([ObservationReport("n7", 1, 2, 0, "zone-0", 0.0, 0.0)])
         reported(it, 1.4, raws)  # what is loaded at the first use is loaded
         found.append(steps(lambda it=it, raws=raws: reported(it, 1.5, raws)))  # type: ignore[misc]
         assert isinstance(it.reports, Walked) and not it.reports.walks
@@ -452,12 +452,15 @@
     rng, it = random.Random(4), Observations()
     for _ in range(500):
         age = rng.choice((0.0, 0.5, 1.0, rng.uniform(0.0, 9.0)))
-        it.take(10.0, Report(f"n{rng.randrange(60)}", 1, rng.randrange(20), rng.randrange(3), "a", age, 0.0))
-    found: dict[str, Report] = {}
+        it.add(
+            10.0,
+            ObservationReport(f"n{rng.randrange(60)}", 1, rng.randrange(20), rng.randrange(3), "a", age, 0.0),
+        )
+    found: dict[str, ObservationReport] = {}
     for report, ended in sorted(it.reports.values(), key=lambda item: (-item[1], item[0].name)):
-        if len(found) < 16 and report.origin not in found:
-            found[report.origin] = msgspec.structs.replace(report, age_s=max(0.0, 11.0 - ended))
-    assert it.news(11.0, 16) == list(found.values()) and len(found) == 16
+        if len(found) < 16 and report.relay not in found:
+            found[report.relay] = msgspec.structs.replace(report, age_s=max(0.0, 11.0 - ended))
+    assert it.latest_reports(11.0, 16) == list(found.values()) and len(found) == 16
 
 
 def test_steps_and_walks_are_seen() -> None:
