--- a/message_relay/endpoint_discovery/__init__.py
+++ b/message_relay/endpoint_discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints that several sources tell of: one rule where they disagree."""
+"""Endpoint discovery: merging the reports of several sources, and scheduling polls of the register."""
--- a/message_relay/endpoint_discovery/merge_policy.py
+++ b/message_relay/endpoint_discovery/merge_policy.py
@@ -1,14 +1,17 @@
-"""What two words about one endpoint come to. Decisions: no I/O. docs/membership.md has the table.
+"""Merge policy: how conflicting reports from several discovery sources about one endpoint are resolved.
 
-| a source's word | means |
+Pure decisions without I/O. docs/endpoint-discovery.md has the table for operators.
+
+| status | the source |
 | --- | --- |
-| unknown | it never told of it |
-| ready | it takes work |
-| draining | it finishes what it has |
-| gone | it was told so, or is missing from a list that had it |
+| unknown | never reported the endpoint |
+| ready | reports that it accepts work |
+| draining | reports that it only completes what it has |
+| gone | reported its removal, or omitted it from a full list that used to contain it |
 
-The gravest word counts: nobody is sent new work that any source calls draining or gone, and what only one
-source knows is as that one says."""
+The most severe status wins: an endpoint that any source calls draining or gone receives no new work, and an
+endpoint that only one source knows has the status that this source reports.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class EndpointStatus(IntEnum):
-    """The graver, the higher."""
+    """One source's status of an endpoint, ordered by severity."""
 
     UNKNOWN = 0
     READY = 1
@@ -32,38 +35,50 @@
     Listing.DRAINING: EndpointStatus.DRAINING,
     Listing.GONE: EndpointStatus.GONE,
 }
-LISTING_BY_STATUS = {word: listing for listing, word in STATUS_BY_LISTING.items()}
+LISTING_BY_STATUS = {status: listing for listing, status in STATUS_BY_LISTING.items()}
 
 
-def most_severe(words: Iterable[EndpointStatus]) -> EndpointStatus:
-    return max(words, default=EndpointStatus.UNKNOWN)
+def most_severe(statuses: Iterable[EndpointStatus]) -> EndpointStatus:
+    """Return the highest status, UNKNOWN if there is none."""
+    return max(statuses, default=EndpointStatus.UNKNOWN)
 
 
-SUDDEN_SHRINK_RATIO = 0.5  # a list with less than this part of what it had is a sudden shrink
-SHRINK_CHECK_MIN_ENDPOINTS = 2  # endpoints that it had, under which no list can shrink suddenly
-SHRINK_ACCEPTED_AFTER_S = 5.0  # a shrink that is told again after so long is believed
-SHRINK_ACCEPTED_AFTER_REPORTS = 3  # or one that was told so often in a row
+SUDDEN_SHRINK_RATIO = 0.5  # a list that retains less than this share of its endpoints has shrunk suddenly
+SHRINK_CHECK_MIN_ENDPOINTS = 2  # lists that were smaller than this are not checked
+SHRINK_ACCEPTED_AFTER_S = 5.0  # a shrink that is still reported after this time is accepted,
+SHRINK_ACCEPTED_AFTER_REPORTS = 3  # and so is one that was reported this many times in a row
 
 
 class ShrinkGuard:
-    """Whether a whole list that has suddenly shrunk is believed: a cut answer, or an empty one, is not "all
-    gone". Until then its missing endpoints are as they were; what it says outright always counts."""
+    """Rejects a full list that has shrunk suddenly, until it is confirmed by time or repetition.
+
+    Guards against truncated or empty answers being read as the removal of all endpoints. While a list is
+    rejected, the endpoints missing from it keep their status; what it reports explicitly always counts.
+    """
 
     def __init__(self) -> None:
-        self.suspicious_since: float | None = None  # s, of the first such list in a row
+        self.suspicious_since: float | None = None  # s, time of the first such list in a row
         self.suspicious_reports = 0
 
-    def accepts(self, now: float, had: int, has: int) -> bool:
-        """`had`: endpoints of the latest list that was believed, of which `has` are in this one."""
-        if had < SHRINK_CHECK_MIN_ENDPOINTS or has >= SUDDEN_SHRINK_RATIO * had:
-            self.suspicious_since, self.suspicious_reports = None, 0
+    def accepts(self, now: float, previous_count: int, retained_count: int) -> bool:
+        """Return whether the endpoints missing from a full list may be removed.
+
+        `now` is in seconds, `previous_count` the size of the last accepted list, and `retained_count` how
+        many of its endpoints the new list contains.
+        """
+        is_checked = previous_count >= SHRINK_CHECK_MIN_ENDPOINTS
+        if not is_checked or retained_count >= SUDDEN_SHRINK_RATIO * previous_count:
+            self._reset()
             return True
-        self.suspicious_since = now if self.suspicious_since is None else self.suspicious_since
+        if self.suspicious_since is None:
+            self.suspicious_since = now
         self.suspicious_reports += 1
-        if (
-            self.suspicious_reports < SHRINK_ACCEPTED_AFTER_REPORTS
-            and now - self.suspicious_since < SHRINK_ACCEPTED_AFTER_S
-        ):
-            return False
-        self.suspicious_since, self.suspicious_reports = None, 0
-        return True
+        is_repeated = self.suspicious_reports >= SHRINK_ACCEPTED_AFTER_REPORTS
+        if is_repeated or now - self.suspicious_since >= SHRINK_ACCEPTED_AFTER_S:
+            self._reset()
+            return True
+        return False
+
+    def _reset(self) -> None:
+        self.suspicious_since = None
+        self.suspicious_reports = 0
--- a/message_relay/endpoint_discovery/source_merge.py
+++ b/message_relay/endpoint_discovery/source_merge.py
@@ -1,8 +1,9 @@
-"""Several sources' tellings into one, for the directory. No I/O; the clock is passed in.
+"""Source merge: combines the updates of several discovery sources into one stream for the directory.
 
-An endpoint is the same in two sources if destination and address are: its name is the one under which it
-was first told, and stays while any source knows it, so that the decisions see one endpoint and not two. Rate,
-kind and zone are those of the first source, in the order in which they are named, that has it as not gone.
+No I/O; the clock is passed in. Two sources mean the same endpoint if destination and address are equal. Its
+name is the one under which it was first published, and stays for as long as any source lists it, so that the
+decisions see one endpoint and not two. Rate, kind and zone are those of the first source, in the configured
+order, that lists it as ready or draining.
 """
 
 from __future__ import annotations
@@ -16,143 +17,158 @@
 from ..decisions.model import Listing
 from .merge_policy import LISTING_BY_STATUS, STATUS_BY_LISTING, EndpointStatus, ShrinkGuard, most_severe
 
-EndpointKey = tuple[int, Address]
-REMEMBERED_GONE_MAX = (
-    10_000  # endpoints that are gone and still remembered by a source: past any that come back
-)
+EndpointKey = tuple[int, Address]  # destination and address
+# Removed endpoints that a source remembers, oldest evicted first. Guards against unbounded growth; above any
+# number of endpoints that come back.
+REMEMBERED_GONE_MAX = 10_000
 
 
-def endpoint_key(member: EndpointRecord) -> EndpointKey:
-    return member.destination, member.address
+def endpoint_key(endpoint: EndpointRecord) -> EndpointKey:
+    """Return what identifies an endpoint across sources."""
+    return endpoint.destination, endpoint.address
 
 
 @dataclass
 class SourceState:
-    """What one of them has told."""
+    """The latest report of one source on each of its endpoints."""
 
     name: str
-    is_shrink_guarded: bool = False  # a sudden shrink of its list is not believed at once
-    endpoints: dict[EndpointKey, EndpointRecord] = field(
-        default_factory=dict
-    )  # with its latest word, gone ones too
+    is_shrink_guarded: bool = False  # a full list that has shrunk suddenly needs confirmation
+    endpoints: dict[EndpointKey, EndpointRecord] = field(default_factory=dict)  # removed ones included
     keys_by_name: dict[str, EndpointKey] = field(default_factory=dict)
-    gone_keys: dict[EndpointKey, None] = field(default_factory=dict)  # of the members, the latest word last
+    gone_keys: dict[EndpointKey, None] = field(default_factory=dict)  # those removed, the latest last
     shrink_guard: ShrinkGuard = field(default_factory=ShrinkGuard)
 
-    def status(self, at: EndpointKey) -> EndpointStatus:
-        member = self.endpoints.get(at)
-        return EndpointStatus.UNKNOWN if member is None else STATUS_BY_LISTING[member.listing]
+    def status(self, key: EndpointKey) -> EndpointStatus:
+        """Return this source's status of an endpoint."""
+        endpoint = self.endpoints.get(key)
+        return EndpointStatus.UNKNOWN if endpoint is None else STATUS_BY_LISTING[endpoint.listing]
 
     def apply(self, update: EndpointUpdate, now: float) -> set[EndpointKey]:
-        """Of which endpoints its word may have changed."""
+        """Apply an update at `now` (seconds); return the endpoints whose status may have changed."""
         touched: set[EndpointKey] = set()
         if update.is_full:
-            listed = {endpoint_key(member) for member in update.endpoints}
-            had = {at for at, member in self.endpoints.items() if member.listing is not Listing.GONE}
-            missing = had - listed
-            if not self.is_shrink_guarded or self.shrink_guard.accepts(now, len(had), len(had & listed)):
-                for at in missing:
-                    touched |= self._record(replace(self.endpoints[at], listing=Listing.GONE))
-        for member in update.endpoints:
-            touched |= self._remove_old_address(member)
-            touched |= self._record(member)
+            touched |= self._remove_missing(update, now)
+        for endpoint in update.endpoints:
+            touched |= self._remove_old_address(endpoint)
+            touched |= self._record(endpoint)
         for name, listing in update.status_changes:
-            at_name = self.keys_by_name.get(name)
-            if at_name is not None:
-                touched |= self._record(replace(self.endpoints[at_name], listing=listing))
+            key = self.keys_by_name.get(name)
+            if key is not None:
+                touched |= self._record(replace(self.endpoints[key], listing=listing))
         self._evict_oldest_gone()
         return touched
 
-    def _remove_old_address(self, member: EndpointRecord) -> set[EndpointKey]:
-        """The same name at another address: what was at the old one is gone."""
-        before = self.keys_by_name.get(member.name)
-        if before is None or before == endpoint_key(member) or before not in self.endpoints:
+    def _remove_missing(self, update: EndpointUpdate, now: float) -> set[EndpointKey]:
+        """Remove what a full list omits, unless it has shrunk suspiciously."""
+        listed = {endpoint_key(endpoint) for endpoint in update.endpoints}
+        previous = {key for key, endpoint in self.endpoints.items() if endpoint.listing is not Listing.GONE}
+        if self.is_shrink_guarded:
+            retained = previous & listed
+            if not self.shrink_guard.accepts(now, len(previous), len(retained)):
+                return set()
+        missing = previous - listed
+        for key in missing:
+            self._record(replace(self.endpoints[key], listing=Listing.GONE))
+        return missing
+
+    def _remove_old_address(self, endpoint: EndpointRecord) -> set[EndpointKey]:
+        """Remove the endpoint that had this name at another address."""
+        previous = self.keys_by_name.get(endpoint.name)
+        if previous is None or previous == endpoint_key(endpoint) or previous not in self.endpoints:
             return set()
-        return self._record(replace(self.endpoints[before], listing=Listing.GONE))
+        return self._record(replace(self.endpoints[previous], listing=Listing.GONE))
 
-    def _record(self, member: EndpointRecord) -> set[EndpointKey]:
-        at = endpoint_key(member)
-        self.endpoints[at] = member
-        self.gone_keys.pop(at, None)
-        if member.listing is Listing.GONE:
-            self.gone_keys[at] = None
-        self.keys_by_name[member.name] = at
-        return {at}
+    def _record(self, endpoint: EndpointRecord) -> set[EndpointKey]:
+        key = endpoint_key(endpoint)
+        self.endpoints[key] = endpoint
+        self.gone_keys.pop(key, None)
+        if endpoint.listing is Listing.GONE:
+            self.gone_keys[key] = None
+        self.keys_by_name[endpoint.name] = key
+        return {key}
 
     def _evict_oldest_gone(self) -> None:
         while len(self.gone_keys) > REMEMBERED_GONE_MAX:
-            at = next(iter(self.gone_keys))
-            del self.gone_keys[at]
-            member = self.endpoints.pop(at)
-            if self.keys_by_name.get(member.name) == at:
-                del self.keys_by_name[member.name]
+            key = next(iter(self.gone_keys))
+            del self.gone_keys[key]
+            endpoint = self.endpoints.pop(key)
+            if self.keys_by_name.get(endpoint.name) == key:
+                del self.keys_by_name[endpoint.name]
 
 
 class SourceMerge:
+    """Merged view of all sources, published to the directory as updates."""
+
     def __init__(self, sources: Iterable[str], shrink_guarded: Iterable[str] = ()) -> None:
-        """`sources` by name, the first one's word on rate, kind and zone first."""
-        doubts = set(shrink_guarded)
-        self.sources = {name: SourceState(name, name in doubts) for name in sources}
-        self.published_names: dict[EndpointKey, str] = {}  # under which the directory knows each that stands
-        self.name_counts: Counter[str] = Counter()  # those names, and by how many: none is there with 0
-        self.published: dict[EndpointKey, EndpointRecord] = {}  # as it was last passed on
+        """`sources` are names in order of precedence for rate, kind and zone; the full lists of those in
+        `shrink_guarded` are checked for sudden shrinks."""
+        guarded = set(shrink_guarded)
+        self.sources = {name: SourceState(name, name in guarded) for name in sources}
+        self.published_names: dict[EndpointKey, str] = {}  # the directory's name of each present endpoint
+        self.name_counts: Counter[str] = Counter()  # endpoints by published name; no entry is 0
+        self.published: dict[EndpointKey, EndpointRecord] = {}  # each endpoint as last published
         self.has_published = False
 
     def merge(self, update: EndpointUpdate, now: float) -> EndpointUpdate | None:
-        """What the directory has to hear now; None: nothing has changed. `now` in s. KeyError for a source
-        that was not named."""
+        """Apply one source's update at `now` (seconds); return the update for the directory, None if nothing
+        has changed. Raises KeyError for a source that was not configured."""
         touched = self.sources[update.source].apply(update, now)
         changed = []
-        for at in sorted(touched):
-            member = self._resolve(at)
-            if member is not None and member != self.published.get(at):
-                changed.append(member)
-                if member.listing is Listing.GONE:
-                    self.published.pop(at, None)
-                    self._release_name(at)
-                else:
-                    self.published[at] = member
-        if not changed and self.has_published:
+        for key in sorted(touched):
+            endpoint = self._resolve(key)
+            if endpoint is None or endpoint == self.published.get(key):
+                continue
+            changed.append(endpoint)
+            if endpoint.listing is Listing.GONE:
+                self.published.pop(key, None)
+                self._release_name(key)
+            else:
+                self.published[key] = endpoint
+        is_first = not self.has_published
+        if not changed and not is_first:
             return None
-        whole, self.has_published = not self.has_published, True
-        return EndpointUpdate(whole, tuple(changed))
+        self.has_published = True
+        return EndpointUpdate(is_first, tuple(changed))
 
-    def _resolve(self, at: EndpointKey) -> EndpointRecord | None:
-        """None: it is gone, and nobody had heard of it."""
-        word = most_severe(source.status(at) for source in self.sources.values())
-        if word is EndpointStatus.GONE and at not in self.published:
+    def _resolve(self, key: EndpointKey) -> EndpointRecord | None:
+        """Return the merged record, None if the endpoint is gone and was never published."""
+        status = most_severe(source.status(key) for source in self.sources.values())
+        if status is EndpointStatus.GONE and key not in self.published:
+            return None
+        record = self._first_present(key)
+        if record is None:
+            record = self.published.get(key)
+        if record is None:
             return None
-        first = next(
-            (
-                source.endpoints[at]
-                for source in self.sources.values()
-                if source.status(at) in (EndpointStatus.READY, EndpointStatus.DRAINING)
-            ),
-            None,
-        )
-        if first is None:
-            first = self.published.get(at)
-            if first is None:
-                return None
-        if at not in self.published_names:
-            self.published_names[at] = self._unique_name(first)
-            self.name_counts[self.published_names[at]] += 1
-        return replace(first, name=self.published_names[at], listing=LISTING_BY_STATUS[word])
-
-    def _unique_name(self, member: EndpointRecord) -> str:
-        """Its own, unless another endpoint that stands has it: two sources may name things alike."""
-        if member.name not in self.name_counts:
-            return member.name
-        host, port = member.address
-        return f"{member.name}@{host}:{port}"
-
-    def _release_name(self, at: EndpointKey) -> None:
-        name = self.published_names.pop(at, None)
-        if name is not None:
-            self.name_counts[name] -= 1
-            if not self.name_counts[name]:
-                del self.name_counts[name]
-
-    def status_by_source(self, at: EndpointKey) -> dict[str, str]:
-        """Each source's word, for people."""
-        return {name: source.status(at).name.lower() for name, source in self.sources.items()}
+        if key not in self.published_names:
+            name = self._unique_name(record)
+            self.published_names[key] = name
+            self.name_counts[name] += 1
+        return replace(record, name=self.published_names[key], listing=LISTING_BY_STATUS[status])
+
+    def _first_present(self, key: EndpointKey) -> EndpointRecord | None:
+        """Return the record of the first source that lists the endpoint as ready or draining."""
+        for source in self.sources.values():
+            if source.status(key) in (EndpointStatus.READY, EndpointStatus.DRAINING):
+                return source.endpoints[key]
+        return None
+
+    def _unique_name(self, endpoint: EndpointRecord) -> str:
+        """Return the endpoint's name, with its address appended if another present endpoint has that name."""
+        if endpoint.name not in self.name_counts:
+            return endpoint.name
+        host, port = endpoint.address
+        return f"{endpoint.name}@{host}:{port}"
+
+    def _release_name(self, key: EndpointKey) -> None:
+        name = self.published_names.pop(key, None)
+        if name is None:
+            return
+        self.name_counts[name] -= 1
+        if not self.name_counts[name]:
+            del self.name_counts[name]
+
+    def status_by_source(self, key: EndpointKey) -> dict[str, str]:
+        """Return each source's status of an endpoint in lower case, for diagnostics."""
+        return {name: source.status(key).name.lower() for name, source in self.sources.items()}
