--- a/tests/endpoint_discovery/test_poll_schedule.py
+++ b/tests/endpoint_discovery/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""Forty relays and a register that answers each of them once in some seconds, in virtual time."""
+"""Poll schedule: fleets of relays polling an overloaded register, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,173 +18,177 @@
     PollSchedule,
 )
 
-COST_MS = 133.0  # what an answer costs the register: 40 relays take 5.3 s
-PATIENCE_MS = 2000.0  # a call that would wait longer for its answer is turned away at once
+ANSWER_COST_MS = 133.0  # register time for one answer: 40 relays take 5.3 s
+QUEUE_LIMIT_MS = 2000.0  # a call that would wait longer for its answer is refused at once
 
 
 class Register:
-    """Answers one call after the other. All watches end when the list changes, in the same moment."""
+    """Answers one call after the other. A change of the list ends all watches at the same moment."""
 
-    def __init__(self, relays: int, seed: int, answer_ms: float = COST_MS) -> None:
+    def __init__(self, relays: int, seed: int, answer_ms: float = ANSWER_COST_MS) -> None:
         self.answer_ms = answer_ms
-        self.askers = [PollSchedule(relays, random.Random(seed * 1000 + n)) for n in range(relays)]
+        self.schedules = [PollSchedule(relays, random.Random(seed * 1000 + n)) for n in range(relays)]
         self.free_at, self.version = 0.0, 1
-        self.knows = [1] * relays
-        self.learnt: dict[tuple[int, int], float] = {}
-        self.turned_away = self.answered = 0
-        self.events: list[tuple[float, int, int, str, int]] = []  # when, number, relay, what, which call
-        self.numbers: Iterator[int] = count()
+        self.known_versions = [1] * relays
+        self.learnt_at: dict[tuple[int, int], float] = {}
+        self.refused = self.answered = 0
+        # time, sequence number, relay, kind, call number
+        self.events: list[tuple[float, int, int, str, int]] = []
+        self.sequence_numbers: Iterator[int] = count()
         self.calls = [0] * relays
 
-    def at(self, when: float, relay: int, what: str) -> None:
-        heapq.heappush(self.events, (when, next(self.numbers), relay, what, self.calls[relay]))
+    def schedule_event(self, when: float, relay: int, what: str) -> None:
+        heapq.heappush(self.events, (when, next(self.sequence_numbers), relay, what, self.calls[relay]))
 
-    def play(self, start_ms: float, changes: list[float], end_ms: float) -> None:
-        for n, asker in enumerate(self.askers):
-            self.at(start_ms + asker.first_delay_ms(), n, "ask")
+    def run(self, start_ms: float, changes: list[float], end_ms: float) -> None:
+        for n, schedule in enumerate(self.schedules):
+            self.schedule_event(start_ms + schedule.first_delay_ms(), n, "poll")
         for when in changes:
-            heapq.heappush(self.events, (when, next(self.numbers), -1, "change", 0))
-        waiting: dict[int, int] = {}
+            heapq.heappush(self.events, (when, next(self.sequence_numbers), -1, "change", 0))
+        open_watches: dict[int, int] = {}
         while self.events and self.events[0][0] <= end_ms:
             now, _, n, what, call = heapq.heappop(self.events)
             if what == "change":
                 self.version += 1
-                for each in list(waiting):
-                    del waiting[each]
-                    self.serve(now, each)
-            elif what == "ask":
+                for each in list(open_watches):
+                    del open_watches[each]
+                    self.on_call(now, each)
+            elif what == "poll":
                 self.calls[n] += 1
-                if self.knows[n] < self.version:
-                    self.serve(now, n)
+                if self.known_versions[n] < self.version:
+                    self.on_call(now, n)
                 else:
-                    waiting[n] = self.calls[n]
-                    self.at(now + self.askers[n].watch_duration_ms(), n, "held")
-            elif what == "held" and waiting.get(n) == call:
-                del waiting[n]
-                self.serve(now, n)
-            elif what == "told":
-                self.askers[n].on_answered()
+                    open_watches[n] = self.calls[n]
+                    self.schedule_event(now + self.schedules[n].watch_duration_ms(), n, "watch ends")
+            elif what == "watch ends" and open_watches.get(n) == call:
+                del open_watches[n]
+                self.on_call(now, n)
+            elif what == "answer":
+                self.schedules[n].on_answered()
                 self.answered += 1
-                self.knows[n] = self.version
-                self.learnt.setdefault((n, self.version), now)
-                self.at(now, n, "ask")
-
-    def serve(self, now: float, n: int) -> None:
-        if self.free_at > now + PATIENCE_MS:
-            self.turned_away += 1
-            self.at(now + self.askers[n].pause_after_failure_ms(is_refused=True), n, "ask")
+                self.known_versions[n] = self.version
+                self.learnt_at.setdefault((n, self.version), now)
+                self.schedule_event(now, n, "poll")
+
+    def on_call(self, now: float, n: int) -> None:
+        if self.free_at > now + QUEUE_LIMIT_MS:
+            self.refused += 1
+            self.schedule_event(now + self.schedules[n].pause_after_failure_ms(is_refused=True), n, "poll")
         else:
             self.free_at = max(now, self.free_at) + self.answer_ms
-            self.at(self.free_at, n, "told")
+            self.schedule_event(self.free_at, n, "answer")
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_each_of_forty_learns_of_a_change_though_the_register_is_overbooked(seed: int) -> None:
-    """Broken by hand: with holds of 2 s for all and pauses of 50 to 500 ms, as before, most never learn."""
+def test_every_relay_learns_of_a_change_from_an_overloaded_register(seed: int) -> None:
+    """Seen to fail with watches of 2 s for all and pauses of 50 to 500 ms: most relays never learn."""
     register = Register(40, seed)
-    register.play(0.0, [12_000.0], 30_000.0)
-    late = [register.learnt[n, 2] - 12_000.0 for n in range(40)]  # each of them has learnt
+    register.run(0.0, [12_000.0], 30_000.0)
+    late = [register.learnt_at[n, 2] - 12_000.0 for n in range(40)]  # all of them have learnt
     assert sorted(late)[20] < 4_000 and max(late) < 14_000
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_start_of_all_at_once_turns_few_away(seed: int) -> None:
-    """A restarted relay's list is old, so that its first call is answered at once, and costs."""
+def test_simultaneous_start_is_rarely_refused(seed: int) -> None:
+    """A restarted relay's list is stale, so its first call is answered at once, and costs."""
     register = Register(40, seed)
     register.version = 2
-    register.play(0.0, [], 20_000.0)
-    assert all((n, 2) in register.learnt for n in range(40))
-    assert register.turned_away < 40
+    register.run(0.0, [], 20_000.0)
+    assert all((n, 2) in register.learnt_at for n in range(40))
+    assert register.refused < 40
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_what_a_register_tells_is_known_in_time_by_each_of_hundreds_that_start(seed: int) -> None:
-    """What drained while they were away must get nothing new 6 s after it was told: with 200 relays, first
-    calls spread over 20 s broke that 54 times in a day. Seen to fail with that spread."""
+def test_hundreds_of_starting_relays_learn_the_list_within_the_bound(seed: int) -> None:
+    """An endpoint that drained while relays were down must get nothing new 6 s after it was reported.
+
+    With 200 relays, first calls spread over 20 s broke that 54 times in a day. Seen to fail with that spread.
+    """
     register = Register(200, seed, 4_000.0 / 200)
     register.version = 2
-    register.play(0.0, [], 20_000.0)
-    assert len(register.learnt) == 200 and max(register.learnt.values()) < 6_000
+    register.run(0.0, [], 20_000.0)
+    assert len(register.learnt_at) == 200 and max(register.learnt_at.values()) < 6_000
 
 
-def test_a_steady_fleet_stays_below_what_the_register_can_answer() -> None:
+def test_steady_state_poll_rate_stays_below_register_capacity() -> None:
     for relays in (40, 100):
-        askers = [PollSchedule(relays, random.Random(n)) for n in range(relays)]
-        for asker in askers:
-            asker.on_answered()
-        mean = sum(asker.watch_duration_ms() for asker in askers for _ in range(50)) / (50 * relays)
+        schedules = [PollSchedule(relays, random.Random(n)) for n in range(relays)]
+        for schedule in schedules:
+            schedule.on_answered()
+        mean = sum(schedule.watch_duration_ms() for schedule in schedules for _ in range(50)) / (50 * relays)
         assert relays / (mean / 1000) < 3.0  # calls a second of all
-        assert max(asker.watch_duration_ms() for asker in askers) <= MAX_WATCH_MS
+        assert max(schedule.watch_duration_ms() for schedule in schedules) <= MAX_WATCH_MS
+
 
+def test_small_fleet_renews_watches_soon() -> None:
+    schedule = PollSchedule(3, random.Random(1))
+    schedule.on_answered()
+    assert {schedule.watch_duration_ms() for _ in range(20)} == {MIN_WATCH_MS}
+    assert schedule.first_delay_ms() <= 200.0
 
-def test_a_small_fleet_hears_soon_that_its_agent_has_lost_a_watch() -> None:
-    asking = PollSchedule(3, random.Random(1))
-    asking.on_answered()
-    assert {asking.watch_duration_ms() for _ in range(20)} == {MIN_WATCH_MS}
-    assert asking.first_delay_ms() <= 200.0
 
+def discovery_delay_ms(schedule: PollSchedule, rng: random.Random, silent_watch: bool) -> float:
+    """Return the delay from the register being reachable to the relay having its list, in virtual time.
 
-def known_after(asking: PollSchedule, rng: random.Random, silent_watch: bool) -> float:
-    """One chain in virtual time: discovery fails this relay in every way, and from some moment on answers.
-    How long after that moment the relay knows what discovery has. Without `silent_watch` the chain begins
-    with a call that has failed; with it, with a watch that falls silent in the moment it is opened."""
+    Until then calls fail in every way. Without `silent_watch` the chain starts with a failed call, with it
+    with a watch that falls silent as soon as it is opened."""
     now, reached = 0.0, rng.uniform(0.0, 30_000.0)
     if silent_watch:
-        asking.on_answered()
+        schedule.on_answered()
     else:
-        asking.pause_after_failure_ms()
+        schedule.pause_after_failure_ms()
     while True:
-        hold = asking.watch_duration_ms()
-        if now >= reached:  # it is answered, at the latest when it need not wait any more
+        hold = schedule.watch_duration_ms()
+        if now >= reached:  # answered, at the latest once the call need not wait any more
             return now + ANSWER_TIMEOUT_MS * rng.random() - reached if not hold else float("inf")
-        most = asking.call_timeout_ms(hold)
+        most = schedule.call_timeout_ms(hold)
         silent, cut = most, rng.uniform(0.0, most)
-        if not (silent_watch and hold) and not asking.is_shared and rng.random() < 0.3:
-            now += asking.pause_after_failure_ms(is_refused=True)
+        if not (silent_watch and hold) and not schedule.is_shared and rng.random() < 0.3:
+            now += schedule.pause_after_failure_ms(is_refused=True)
             continue
         now += most if silent_watch and hold else rng.choice((silent, cut))
-        now += asking.pause_after_failure_ms()
+        now += schedule.pause_after_failure_ms()
 
 
-def worst(relays: int, shared: bool, silent_watch: bool) -> float:
+def worst_delay_ms(relays: int, shared: bool, silent_watch: bool) -> float:
     return max(
-        known_after(PollSchedule(relays, random.Random(n), shared), random.Random(-n), silent_watch)
+        discovery_delay_ms(PollSchedule(relays, random.Random(n), shared), random.Random(-n), silent_watch)
         for n in range(3000)
     )
 
 
 @pytest.mark.parametrize("relays", (1, 40, 200))
 @pytest.mark.parametrize("shared", (False, True))
-def test_one_bound_from_reachability_to_knowledge_over_any_chain(relays: int, shared: bool) -> None:
-    """Seen to fail with a hold after a failed call, and with pauses of up to 4 s times 1.3."""
-    assert worst(relays, shared, silent_watch=False) <= DISCOVERY_BOUND_MS
+def test_discovery_bound_holds_over_any_chain_of_failures(relays: int, shared: bool) -> None:
+    """Seen to fail with a watch after a failed call, and with pauses of up to 4 s times 1.3."""
+    assert worst_delay_ms(relays, shared, silent_watch=False) <= DISCOVERY_BOUND_MS
 
 
 @pytest.mark.parametrize("relays", (1, 40, 200))
-def test_at_an_agent_of_ones_own_the_bound_holds_for_a_watch_that_falls_silent_too(relays: int) -> None:
-    """Seen to fail with the hold of a shared register."""
-    assert worst(relays, False, silent_watch=True) <= DISCOVERY_BOUND_MS
+def test_discovery_bound_holds_for_a_silent_watch_at_an_own_agent(relays: int) -> None:
+    """Seen to fail with the watch duration of a shared register."""
+    assert worst_delay_ms(relays, False, silent_watch=True) <= DISCOVERY_BOUND_MS
 
 
 @pytest.mark.parametrize("relays", (40, 200))
-def test_a_silent_watch_of_a_shared_register_costs_its_wait_and_two_seconds(relays: int) -> None:
+def test_silent_watch_at_a_shared_register_costs_its_duration_and_two_seconds(relays: int) -> None:
     for n in range(500):
-        asking = PollSchedule(relays, random.Random(n))
-        asking.on_answered()
-        hold = asking.watch_duration_ms()
+        schedule = PollSchedule(relays, random.Random(n))
+        schedule.on_answered()
+        hold = schedule.watch_duration_ms()
         assert (
-            asking.call_timeout_ms(hold) + asking.pause_after_failure_ms() + ANSWER_TIMEOUT_MS
+            schedule.call_timeout_ms(hold) + schedule.pause_after_failure_ms() + ANSWER_TIMEOUT_MS
             <= hold + REGISTER_QUEUE_MS + ANSWER_TIMEOUT_MS
         )
 
 
 @pytest.mark.parametrize("relays", (40, 200))
-def test_a_fleet_that_is_refused_asks_at_a_bounded_rate_and_never_in_step(relays: int) -> None:
-    """Each is refused at once for 30 s, all from one moment on."""
+def test_refused_fleet_polls_at_a_bounded_rate_without_synchronising(relays: int) -> None:
+    """All are refused at once for 30 s, from the same moment on."""
     calls: list[float] = []
     for n in range(relays):
-        asking, now = PollSchedule(relays, random.Random(n)), 0.0
-        while (now := now + asking.pause_after_failure_ms(is_refused=True)) < 30_000.0:
+        schedule, now = PollSchedule(relays, random.Random(n)), 0.0
+        while (now := now + schedule.pause_after_failure_ms(is_refused=True)) < 30_000.0:
             calls.append(now)
     late = [at for at in calls if at > 10_000.0]
     by_tenth = [sum(1 for at in late if start <= at < start + 100.0) for start in range(10_000, 30_000, 100)]
@@ -192,40 +196,40 @@
     assert max(by_tenth) < 3 * relays / 20 + 5  # of the mean of a tenth
 
 
-def test_a_call_after_a_failure_or_another_agent_does_not_wait_on_the_far_side() -> None:
-    asking = PollSchedule(200, random.Random(1))
-    assert asking.watch_duration_ms() == 0.0
-    asking.on_answered()
-    assert asking.watch_duration_ms() > 0.0
-    asking.pause_after_failure_ms()
-    assert asking.watch_duration_ms() == 0.0
-    asking.pause_after_failure_ms(
+def test_call_after_failure_or_reset_is_not_a_watch() -> None:
+    schedule = PollSchedule(200, random.Random(1))
+    assert schedule.watch_duration_ms() == 0.0
+    schedule.on_answered()
+    assert schedule.watch_duration_ms() > 0.0
+    schedule.pause_after_failure_ms()
+    assert schedule.watch_duration_ms() == 0.0
+    schedule.pause_after_failure_ms(
         is_refused=True
-    )  # a shared register that refuses is there: a watch costs it least
-    assert asking.watch_duration_ms() > 0.0
-    asking.on_answered()
-    asking.reset()
-    assert asking.watch_duration_ms() == 0.0
+    )  # a shared register that refuses is reachable: a watch costs it least
+    assert schedule.watch_duration_ms() > 0.0
+    schedule.on_answered()
+    schedule.reset()
+    assert schedule.watch_duration_ms() == 0.0
 
 
-def test_a_process_asks_before_the_grace_of_a_drain_is_over() -> None:
-    """What its agent has counts as told from its start on. Seen to fail with first calls spread over 4 s: an
-    endpoint got a message 0.42 s after it drained."""
+def test_first_call_precedes_the_end_of_a_drain_grace_period() -> None:
+    """What the agent has counts as known from the start of the process. Seen to fail with first calls spread
+    over 4 s: an endpoint got a message 0.42 s after it drained."""
     assert max(PollSchedule(200, random.Random(n)).first_delay_ms() for n in range(200)) < 250.0
     assert (
         PollSchedule(200, random.Random(1), shared=False).first_delay_ms() == 0.0
-    )  # its own agent answers at once
+    )  # an own agent answers at once
 
 
-def test_pauses_grow_are_jittered_and_bounded_and_begin_anew_after_an_answer() -> None:
-    asking = PollSchedule(40, random.Random(1))
-    pauses = [asking.pause_after_failure_ms() for _ in range(40)]
+def test_pauses_grow_with_jitter_up_to_a_maximum_and_reset_on_answer() -> None:
+    schedule = PollSchedule(40, random.Random(1))
+    pauses = [schedule.pause_after_failure_ms() for _ in range(40)]
     assert pauses[0] <= 1300 < pauses[3] and max(pauses) <= 8000 * 1.3
     assert len(set(pauses)) == 40
-    asking.on_answered()
-    assert asking.pause_after_failure_ms() <= 1300
+    schedule.on_answered()
+    assert schedule.pause_after_failure_ms() <= 1300
 
 
-def test_a_fleet_of_none_is_refused() -> None:
+def test_fleet_without_relays_is_rejected() -> None:
     with pytest.raises(ValueError, match="relays"):
         PollSchedule(0, random.Random(1))
