--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -43,7 +43,7 @@
     asyncio.run(_tended())
     before = rss_mb()
     load = Load("open", size, DESTS)
-    assert len(load.relay.board.held) == size
+    assert len(load.relay.pending.by_id) == size
     return {"memory_bytes": 1e6 * (rss_mb() - before)}
 
 
--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -102,7 +102,7 @@
         turns = take(built, body)
         cpu = time.process_time() - cpu
         after, most = 1e6 * rss_mb(), 1e6 * most_rss_mb()
-        assert len(built.relay.scheduler.doors) == size
+        assert len(built.relay.scheduler.endpoints) == size
         return {
             "list.json_bytes": float(len(body)),
             "list.turn_ms": max(turns),
@@ -124,7 +124,7 @@
             cpu = time.process_time()
             take(built, body)
             took.append(1e3 * (time.process_time() - cpu))
-    assert len(built.relay.scheduler.doors) == size
+    assert len(built.relay.scheduler.endpoints) == size
     return statistics.median(took)
 
 
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -85,7 +85,7 @@
         while self.events:
             now, _, what, n, more = heapq.heappop(self.events)
             if what == "restart":
-                learned = self.made[n].learned(now)
+                learned = self.made[n].destination_snapshot(now)
                 self.made[n] = self._new(rng)
                 self._handle(now, n, list(learned))
             elif what == "up":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -96,7 +96,7 @@
         if load == "shut":
             for dest in range(2, dests + 1):
                 self._shut(dest)
-        while len(self.relay.board.held) < held:
+        while len(self.relay.pending.by_id) < held:
             self.feed(self._message(age_ms=self.rng.uniform(0.0, 7000.0)))
         self.relay.handle(self.now, [])
         gc.collect()
@@ -131,7 +131,7 @@
         """So many more messages: each comes, and the oldest call ends, as long as enough are held."""
         for _ in range(messages):
             self.now += STEP_MS
-            while len(self.relay.board.held) < self.held:
+            while len(self.relay.pending.by_id) < self.held:
                 self.feed(self._message())
             if self.out:
                 send = self.out.popleft()
@@ -140,7 +140,7 @@
     def measure(self, messages: int) -> Row:
         self.run(messages // 10)
         self.took, self.longest, self.turns, ids = 0.0, 0.0, 0, self.ids
-        steps = self.relay.index.steps
+        steps = self.relay.index.examined_count
         self.run(messages)
         return Row(
             self.load,
@@ -149,7 +149,7 @@
             1e6 * self.took / max(1, self.ids - ids),
             1e6 * self.took / self.turns,
             1e3 * self.longest,
-            (self.relay.index.steps - steps) / self.turns,
+            (self.relay.index.examined_count - steps) / self.turns,
         )
 
 
--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -33,6 +33,71 @@
 )
 # How experiment files spell these modules: kept, since the files belong to those who run experiments.
 CONSTANT_PREFIXES = ("control", "paces", "members", "endings", "effects", "state", "share", "index")
+# How experiment files spell constants that have another name in the code: kept for the same reason. One whose
+# name stands for different constants in different modules is given with its module.
+RENAMED_CONSTANTS = {
+    "control.LATE_MS": "SLOW_CONNECT_MS",
+    "share.LATE_MS": "SLOT_TOLERANCE_MS",
+    "AHEAD_MS": "LOOKAHEAD_MS",
+    "BACK": "RECOVERY_INCREASE",
+    "BANDS": "AGE_BANDS",
+    "BLAME": "FAILURE_WEIGHT",
+    "BROKEN": "EARLY_PENALTY",
+    "CELLS_A_MS": "BUCKETS_PER_MS",
+    "CLOSES": "MAX_CLOSED",
+    "COURSES": "MAX_BUCKETS",
+    "CREEP": "CAUTIOUS_INCREASE",
+    "CROWDED": "SHEDDING_THRESHOLD",
+    "CUT": "RATE_DECREASE",
+    "DEVIATIONS": "TIMEOUT_DEVIATIONS",
+    "EARLY": "EARLY_PART",
+    "EDGE": "ROUNDING",
+    "ENDING_MAX_MS": "CLOSE_COST_MAX_MS",
+    "ENDING_MS": "CLOSE_COST_MS",
+    "ENOUGH": "FULL_TOKEN",
+    "EVEN": "MAX_PART",
+    "EXACT": "EXACT_COMPARISONS",
+    "FADE_MS": "EVIDENCE_TTL_MS",
+    "FEW": "MAX_PART_OF_FEW",
+    "FREED": "THROTTLE_JITTER_MAX",
+    "FULL_VIEW": "FULL_SCAN_SIZE",
+    "GONE_MS": "FORGET_AFTER_MS",
+    "GROWTH": "SLOW_INCREASE",
+    "HOLD_MAX_MS": "THROTTLE_MAX_MS",
+    "HOLD_MS": "THROTTLE_MS",
+    "LAST": "LAST_ATTEMPT_PATIENCE",
+    "LEAST_MS": "MIN_OVERDUE_MS",
+    "LOOKS": "MAX_SCANS",
+    "LOOK_MS": "RESCAN_MS",
+    "LOW": "LOW_PART",
+    "MARGIN_MS": "DEADLINE_MARGIN_MS",
+    "MET": "OBSERVED_PART",
+    "MIDDLE": "RECOVERY_POINT",
+    "MOST_BANDS": "MAX_AGE_BANDS",
+    "OVERDUE": "OVERDUE_DEVIATIONS",
+    "POOR": "KNOWN_LOWEST",
+    "QUOTA_LEAST": "QUOTA_MIN_BURST",
+    "QUOTA_S": "QUOTA_BURST_S",
+    "RARE": "UNTHROTTLED_RATE",
+    "RARE_ALL": "UNTHROTTLED_FLEET_RATE",
+    "REFUSALS": "MAX_SHED",
+    "RISE": "FAST_INCREASE",
+    "ROLLING": "ROTATING",
+    "ROUGH": "ROUGH_RATE_ERROR",
+    "SEARCH": "SEARCH_SLOTS",
+    "SHUT_MS": "CLOSED_AFTER_MS",
+    "SICK": "EJECTION_THRESHOLD",
+    "SILENCE_MS": "SILENCE_TTL_MS",
+    "SILENT_TURNS": "EVIDENCE_TTL_SLOTS",
+    "START": "INITIAL_RATE",
+    "STEPS": "TIME_TO_LIVE_STEPS",
+    "STRETCH_MAX": "TIMEOUT_MULTIPLIER_MAX",
+    "TRUSTED": "TRUSTED_FAILURE_SCORE",
+    "USUAL_MS": "INITIAL_LATENCY_MS",
+    "VOUCHED": "VOUCHED_FAILURE_WEIGHT",
+    "VOUCH_MS": "VOUCH_WINDOW_MS",
+    "WARMING": "WARM_UP_SHARE",
+}
 
 
 def decisions(name: str) -> Any:
@@ -105,7 +170,7 @@
         return self.relays[number].rejection_delay_ms(now, message, holding)
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
-        return self.relays[number].learned(now)
+        return self.relays[number].destination_snapshot(now)
 
     def close(self) -> None:
         self.relays.clear()
@@ -227,7 +292,8 @@
     before: dict[str, Any] = {}
     homes = [module for module in map(_there, MODULES) if module is not None]
     for path, value in constants:
-        name = path.partition(".")[2]
+        spelled = path.partition(".")[2]
+        name = RENAMED_CONSTANTS.get(path, RENAMED_CONSTANTS.get(spelled, spelled))
         having = [module for module in homes if isinstance(vars(module).get(name), int | float)]
         if not having:
             raise ValueError(f"{path}: is no number of the decision module")
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..decisions.events import Event, Message, MessageCancelled
-from ..decisions.expiry import CROWDED
+from ..decisions.expiry import SHEDDING_THRESHOLD
 from ..decisions.model import FOREVER, Effect, Endpoint, Listing, Settings
 from ..store.journal import Attempt, Journal, JournalEntry, JournalError
 from ..structured_logging import LogEvent
@@ -96,7 +96,10 @@
 
     @property
     def has_capacity(self) -> bool:
-        return self.pending_count + 1 < CROWDED * self.settings.max_pending_messages and not self.is_retiring
+        return (
+            self.pending_count + 1 < SHEDDING_THRESHOLD * self.settings.max_pending_messages
+            and not self.is_retiring
+        )
 
     def accept(self, offer: Submission) -> SubmissionResult:
         """All of it happens before the next event of the loop."""
--- a/message_relay/core/relay.py
+++ b/message_relay/core/relay.py
@@ -7,7 +7,7 @@
 
 from ..config import Config
 from ..decisions.actions import Action, Cancel, Fail, Log, Reject, StartAttempt, WatchEndpoints
-from ..decisions.endpoint_registry import START
+from ..decisions.endpoint_registry import INITIAL_RATE
 from ..decisions.events import EndpointList, Message, ShutdownScheduled
 from ..decisions.model import ListKind
 from ..decisions.scheduler import DeliveryScheduler
@@ -84,7 +84,9 @@
             self.attempt_runner.destination_interest
         ) = interest
         self.sources, self.source_merge = [source], None
-        self.scheduler.endings.unknown = START  # it isn't known yet: as fast as one whose rate isn't listed
+        self.scheduler.expiry.unknown_rate = (
+            INITIAL_RATE  # it isn't known yet: as fast as one whose rate isn't listed
+        )
 
     def is_in_use(self, destination: int) -> bool:
         """Whether a message for it is held, a call is out, or something was learned that still counts."""
@@ -251,7 +253,7 @@
         """What an earlier process learned stays until this one goes by it."""
         if self.is_dispatching:
             now = self.driver.now()
-            learned = self.scheduler.learned(now)
+            learned = self.scheduler.destination_snapshot(now)
             self.learned_destinations = {lane.destination for lane in learned}
             self.snapshot_file.save(unix_time_ms(), learned + self.restored_state.remaining(now))
 
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ..decisions.endpoint_registry import GONE_MS
+from ..decisions.endpoint_registry import FORGET_AFTER_MS
 from ..decisions.events import RestoredDestination
 from ..decisions.model import Endpoint
 
 
 class RestoredState:
-    """No more than the file holds that they are from; each for GONE_MS, as lanes without endpoints are."""
+    """No more than the file holds that they are from; each for FORGET_AFTER_MS."""
 
     def __init__(self) -> None:
         self.destinations: dict[int, tuple[float, RestoredDestination]] = {}  # and since when
@@ -22,7 +22,7 @@
 
     def contains(self, now: float, destination: int) -> bool:
         kept = self.destinations.get(destination)
-        return kept is not None and now < kept[0] + GONE_MS
+        return kept is not None and now < kept[0] + FORGET_AFTER_MS
 
     def pop_listed(self, now: float, entries: Iterable[Endpoint]) -> list[RestoredDestination]:
         """What is to be told of those that have come."""
@@ -42,7 +42,7 @@
     def remaining(self, now: float) -> list[RestoredDestination]:
         """As it is to be written for the next process."""
         self.destinations = {
-            dest: kept for dest, kept in self.destinations.items() if now < kept[0] + GONE_MS
+            dest: kept for dest, kept in self.destinations.items() if now < kept[0] + FORGET_AFTER_MS
         }
         return [aged(lane, now - at) for at, lane in self.destinations.values()]
 
--- a/message_relay/decisions/idempotency.py
+++ b/message_relay/decisions/idempotency.py
@@ -8,10 +8,14 @@
 
 def retry_affinity(held: PendingMessage) -> RetryAffinity | None:
     """Where another try may go, if not to any endpoint: where the key of the first is known."""
-    if held.risk is None or held.cls.effect is not Effect.KEYED or held.cls.key_scope is Scope.ALL:
+    if (
+        held.uncertain_endpoint is None
+        or held.message_class.effect is not Effect.KEYED
+        or held.message_class.key_scope is Scope.ALL
+    ):
         return None
-    zone = held.cls.key_scope is Scope.ZONE
-    return zone, held.risk.zone if zone else held.risk.id
+    zone = held.message_class.key_scope is Scope.ZONE
+    return zone, held.uncertain_endpoint.zone if zone else held.uncertain_endpoint.id
 
 
 def allows_endpoint(where: RetryAffinity | None, entry: Endpoint) -> bool:
@@ -20,18 +24,22 @@
 
 def can_reject_safely(held: PendingMessage) -> bool:
     """A refusal promises that coming again is harmless: after an unclear attempt, only by effect."""
-    if held.first_risk is None or held.cls.effect is Effect.SAFE:
+    if held.first_uncertain_at is None or held.message_class.effect is Effect.SAFE:
         return True
-    return held.cls.effect is Effect.KEYED and held.cls.key_scope is Scope.ALL
+    return held.message_class.effect is Effect.KEYED and held.message_class.key_scope is Scope.ALL
 
 
 def idempotency_window_end(s: Settings, held: PendingMessage) -> float:
     """Until when it may run without taking effect twice."""
-    if held.first_risk is None or held.cls.effect is Effect.SAFE:
-        return held.due
-    return NEVER if held.cls.effect is Effect.UNSAFE else held.first_risk + held.cls.key_window_ms - s.tick_ms
+    if held.first_uncertain_at is None or held.message_class.effect is Effect.SAFE:
+        return held.deadline_at
+    return (
+        NEVER
+        if held.message_class.effect is Effect.UNSAFE
+        else held.first_uncertain_at + held.message_class.key_window_ms - s.tick_ms
+    )
 
 
 def retry_deadline(s: Settings, held: PendingMessage) -> float:
     """Until when another try is allowed."""
-    return NEVER if held.tries >= s.max_attempts else idempotency_window_end(s, held)
+    return NEVER if held.attempts >= s.max_attempts else idempotency_window_end(s, held)
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -114,13 +114,17 @@
     shards: dict[str, Any] | None = None,
 ) -> Report:
     """`began`: Unix time in s; `most` destinations are told one by one."""
-    now, messages, settings = host.driver.now(), host.messages, host.scheduler.s
+    now, messages, settings = host.driver.now(), host.messages, host.scheduler.settings
     counts = Counter(entry.class_name for entry in messages.pending_entries())
     lanes = [
-        (dest, key, lane) for dest, routes in host.scheduler.lanes.items() for key, lane in routes.items()
+        (dest, key, lane)
+        for dest, routes in host.scheduler.destinations.items()
+        for key, lane in routes.items()
     ]
     waiting = _waiting(host)
-    told = heapq.nlargest(most, lanes, key=lambda item: (waiting(item[0]), len(item[2].out), item[2].blame))
+    told = heapq.nlargest(
+        most, lanes, key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score)
+    )
     return Report(
         name=host.config.name,
         instance=number,
@@ -132,7 +136,7 @@
         held=messages.pending_count,
         hold=settings.max_pending_messages,
         by_class={cls.name: counts[cls.name] for cls in settings.classes},
-        slots_out=host.scheduler.busy,
+        slots_out=host.scheduler.in_flight,
         slots=settings.max_concurrent_attempts,
         ends_waiting=host.pending_outcomes,
         reading=host.open_requests,
@@ -149,25 +153,25 @@
 
 
 def _waiting(host: Relay) -> Callable[[int], int]:
-    queues = host.scheduler.board.queues
+    queues = host.scheduler.pending.queues
     return lambda dest: len(queues[dest]) if dest in queues else 0
 
 
 def _destination(
     host: Relay, dest: int, key: int, lane: DestinationState, held: int, now: float
 ) -> Destination:
-    cold = now - lane.cold_since
+    cold = now - lane.warming_since
     return Destination(
         destination=dest,
         route=None if key == -1 else key,
-        endpoints=len(lane.doors),
+        endpoints=len(lane.endpoints),
         held=held,
-        out=len(lane.out),
-        pace=round(lane.pace, 3),
-        part=None if lane.share is None else round(lane.share.part(now), 3),
-        blame=round(lane.blame, 3),
-        down=lane.sick,
-        wait_ms=round(max(0.0, lane.wait_until - now)),
-        cold_ms=round(cold) if cold < host.scheduler.s.safety.cold_ms else None,
-        latency_ms=round(lane.mean, 1),
+        out=len(lane.in_flight),
+        pace=round(lane.send_rate, 3),
+        part=None if lane.time_slots is None else round(lane.time_slots.open_share(now), 3),
+        blame=round(lane.failure_score, 3),
+        down=lane.is_ejected,
+        wait_ms=round(max(0.0, lane.retry_after_until - now)),
+        cold_ms=round(cold) if cold < host.scheduler.settings.safety.cold_ms else None,
+        latency_ms=round(lane.latency_mean_ms, 1),
     )
--- a/message_relay/simulator_adapter.py
+++ b/message_relay/simulator_adapter.py
@@ -103,7 +103,7 @@
         elif code not in IGNORED:
             event = self._event(code, data)
             relay = self.relays.get(instance)
-            if isinstance(event, Message) and relay and event.class_ >= len(relay.s.classes):
+            if isinstance(event, Message) and relay and event.class_ >= len(relay.settings.classes):
                 raise WireError(f"message {event.id} is of class {event.class_}, which the settings lack")
             events.setdefault(instance, []).append(event)
 
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -16,8 +16,8 @@
 from message_relay.decisions import actions, events, model
 from message_relay.decisions.idempotency import idempotency_window_end, retry_deadline
 from message_relay.decisions.pending import DestinationState, PendingMessage, PriorityBucket
-from message_relay.decisions.priority_index import edges
-from message_relay.decisions.rate_control import doubt, overdue_ms, suspect
+from message_relay.decisions.priority_index import candidates
+from message_relay.decisions.rate_control import endpoint_penalty, overdue_ms, is_suspected
 from message_relay.decisions.scheduler import DeliveryScheduler
 
 from .decision_scenarios import InstancePlace, Scenario
@@ -294,7 +294,7 @@
 def knowledge(scheduler: Scheduler, now_ms: float) -> list[Knowledge]:
     return [
         Knowledge(it.destination, it.retry_after_ms, it.is_ejected, it.failing_for_ms, it.warming_up_for_ms)
-        for it in scheduler.learned(now_ms)
+        for it in scheduler.destination_snapshot(now_ms)
     ]
 
 
@@ -304,88 +304,152 @@
 
 
 def _lane_row(destination: int, route: int, lane: DestinationState) -> Row:
-    share = lane.share
+    share = lane.time_slots
     slot: Row = (
-        () if share is None else (share.frame_ms, share.used, share.turn, share.since, share.good_until)
+        ()
+        if share is None
+        else (
+            share.frame_ms,
+            share.last_used_frame,
+            share.phase,
+            share.healthy_since,
+            share.evidence_valid_until,
+        )
     )
     return (
-        *("lane", destination, route, lane.mean, lane.dev, lane.total, lane.pace, lane.credit),
-        *(lane.credit_at, lane.answers, lane.last_ok, lane.stretch, lane.hold, lane.free_at),
-        *(lane.wait_until, lane.blame, lane.sick, lane.failed_at, lane.ran_nothing, lane.bad_since),
-        *(lane.cold_since, lane.knowers, lane.next_trickle, lane.listed, len(lane.out), len(lane.doors)),
+        *(
+            "lane",
+            destination,
+            route,
+            lane.latency_mean_ms,
+            lane.latency_deviation_ms,
+            lane.fleet_rate,
+            lane.send_rate,
+            lane.tokens,
+        ),
+        *(
+            lane.tokens_updated_at,
+            lane.response_count,
+            lane.last_success_at,
+            lane.timeout_multiplier,
+            lane.throttle_ms,
+            lane.throttled_until,
+        ),
+        *(
+            lane.retry_after_until,
+            lane.failure_score,
+            lane.is_ejected,
+            lane.last_failure_at,
+            lane.last_failure_had_no_effect,
+            lane.failing_since,
+        ),
+        *(
+            lane.warming_since,
+            lane.estimated_senders,
+            lane.next_trial_at,
+            lane.has_listed_rate,
+            len(lane.in_flight),
+            len(lane.endpoints),
+        ),
         *slot,
     )
 
 
 def _pace_row(scheduler: Scheduler, now_ms: float, destination: int, lane: DestinationState) -> Row:
-    paces, out = scheduler.paces, suspect(lane, now_ms)
-    doubts = (doubt(door, now_ms, 0) for door in lane.doors.values())
+    paces, out = scheduler.rate_controller, is_suspected(lane, now_ms)
+    doubts = (endpoint_penalty(door, now_ms, 0) for door in lane.endpoints.values())
     return (
-        *("pace", destination, out, overdue_ms(lane), *paces.pace(now_ms, lane, out)),
-        *(*paces.pace(now_ms, lane, True), paces.knowers(now_ms, lane), paces.paced_until(now_ms, lane)),
-        *(scheduler.endings.advice(now_ms, destination), *doubts),
+        *("pace", destination, out, overdue_ms(lane), *paces.rate_and_burst(now_ms, lane, out)),
+        *(
+            *paces.rate_and_burst(now_ms, lane, True),
+            paces.estimate_senders(now_ms, lane),
+            paces.rate_stable_until(now_ms, lane),
+        ),
+        *(scheduler.expiry.retry_after_ms(now_ms, destination), *doubts),
     )
 
 
 def _held_row(scheduler: Scheduler, now_ms: float, held: PendingMessage) -> Row:
     return (
-        *("held", held.msg.id, held.since, held.due, held.worth, held.ready, held.tries, held.first_risk),
-        *(held.withdrawn, held.late, held.refusable, held.ripe_at, held.out is not None),
         *(
-            retry_deadline(scheduler.s, held),
-            idempotency_window_end(scheduler.s, held),
-            held.worth_at(now_ms, scheduler.s.decay),
+            "held",
+            held.message.id,
+            held.submitted_at,
+            held.deadline_at,
+            held.priority_weight,
+            held.backoff_until,
+            held.attempts,
+            held.first_uncertain_at,
+        ),
+        *(
+            held.is_cancelled,
+            held.was_deferred,
+            held.can_be_shed,
+            held.parked_until,
+            held.in_flight_on is not None,
+        ),
+        *(
+            retry_deadline(scheduler.settings, held),
+            idempotency_window_end(scheduler.settings, held),
+            held.value_at(now_ms, scheduler.settings.decay),
         ),
     )
 
 
 def _course_row(now_ms: float, course: PriorityBucket, lane: DestinationState) -> Row:
-    found, change = edges(course, lane, now_ms)
+    found, change = candidates(course, lane, now_ms)
     return (
         "course",
         *course.key[:5],
         len(course.ready),
         len(course.parked),
         change,
-        *(h.msg.id for h in found),
+        *(h.message.id for h in found),
     )
 
 
 def _course_rows(scheduler: Scheduler, now_ms: float) -> list[Row]:
     return [
         _course_row(now_ms, course, lane)
-        for queue in islice(scheduler.board.queues.values(), SNAPSHOT_ROWS)
-        for course in islice(queue.courses.values(), SNAPSHOT_ROWS)
-        for lane in islice(scheduler.lanes.get(queue.dest, {}).values(), 1)
+        for queue in islice(scheduler.pending.queues.values(), SNAPSHOT_ROWS)
+        for course in islice(queue.buckets.values(), SNAPSHOT_ROWS)
+        for lane in islice(scheduler.destinations.get(queue.destination_id, {}).values(), 1)
     ]
 
 
 def snapshot(scheduler: Scheduler, now_ms: float) -> list[Row]:
     """What is believed now, for the lines of a trace; looking changes nothing."""
-    board, index, paces = scheduler.board, scheduler.index, scheduler.paces
+    board, index, paces = scheduler.pending, scheduler.index, scheduler.rate_controller
     draws = hashlib.sha256(repr(scheduler.rng.getstate()).encode()).hexdigest()[:16]
     rows: list[Row] = [
         ("random", draws),
-        ("counts", len(board.held), len(board.queues), scheduler.busy, len(scheduler.members.doors)),
-        ("times", scheduler.timer_at, scheduler.members.ask_at, *paces.usual),
-        ("index", index.good_until, len(index.cells)),
-        ("quotas", *(value for quota in scheduler.shares for value in quota)),
+        (
+            "counts",
+            len(board.by_id),
+            len(board.queues),
+            scheduler.in_flight,
+            len(scheduler.registry.endpoints),
+        ),
+        ("times", scheduler.timer_at, scheduler.registry.next_poll_at, *paces.default_latency),
+        ("index", index.bounds_valid_until, len(index.buckets)),
+        ("quotas", *(value for quota in scheduler.quota_tokens for value in quota)),
         ("waiting", *islice(board.queues, SNAPSHOT_ROWS)),
     ]
     rows += [
-        ("cell", *cell.key, cell.bound, cell.top) for cell in islice(index.cells.values(), SNAPSHOT_ROWS)
+        ("cell", *cell.key, cell.upper_bound, cell.top_rank)
+        for cell in islice(index.buckets.values(), SNAPSHOT_ROWS)
     ]
     lanes = [
         (destination, route, lane)
-        for destination, routes in scheduler.lanes.items()
+        for destination, routes in scheduler.destinations.items()
         for route, lane in routes.items()
     ][:SNAPSHOT_ROWS]
     rows += [_lane_row(*each) for each in lanes]
     rows += [_pace_row(scheduler, now_ms, destination, lane) for destination, _, lane in lanes]
     rows += _course_rows(scheduler, now_ms)
-    held = islice(board.held.values(), SNAPSHOT_ROWS)
+    held = islice(board.by_id.values(), SNAPSHOT_ROWS)
     rows += [_held_row(scheduler, now_ms, each) for each in held]
-    rows += [("end", *scheduler.endings.ends[0])] if scheduler.endings.ends else []
+    rows += [("end", *scheduler.expiry.deadline_heap[0])] if scheduler.expiry.deadline_heap else []
     return rows
 
 
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -310,7 +310,7 @@
     entries_ = tuple(Endpoint(100 + lane[0], lane[0], Listing.READY, 0, 0, 20.0) for lane in lanes)
     relay.handle(now_ms, [EndpointList(ListKind.CACHED, entries_)])
     relay.handle(now_ms, [_lane(lane) for lane in lanes])
-    return [_plain_lane(lane) for lane in relay.learned(later_ms)]
+    return [_plain_lane(lane) for lane in relay.destination_snapshot(later_ms)]
 
 
 # -- the identity --------------------------------------------------------------------------------------------
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -58,21 +58,21 @@
     share = TimeSlotShare(Fleet(2, 7, 12.5), 40.0, Safety(cold_share=0.2, cold_ms=9000.0))
     for _ in range(600):
         now += draw.expovariate(1 / 120.0)
-        at = share.next_at(now)
-        rows.append(("slot", at, share.part(now), share.part(now + draw.uniform(0.0, 12_000.0))))
+        at = share.next_slot_at(now)
+        rows.append(("slot", at, share.open_share(now), share.open_share(now + draw.uniform(0.0, 12_000.0))))
         drawn = draw.random()
         if drawn < 0.5:
-            share.sent()
+            share.mark_used()
             now = max(now, at)
         elif drawn < 0.85:
-            share.answered(now)
+            share.on_success(now)
         elif drawn < 0.9:
-            share.failed(now, draw.random() < 0.5)
+            share.on_failure(now, draw.random() < 0.5)
         elif drawn < 0.92:
             size = draw.randint(1, 40)
-            share.resized(Fleet(draw.randrange(size), size, draw.uniform(-500.0, 500.0)))
+            share.resize(Fleet(draw.randrange(size), size, draw.uniform(-500.0, 500.0)))
         elif drawn < 0.94:
-            share.rated(draw.uniform(1.0, 300.0))
+            share.set_rate(draw.uniform(1.0, 300.0))
     return rows
 
 
--- a/tests/emulator/test_size.py
+++ b/tests/emulator/test_size.py
@@ -49,9 +49,9 @@
     """Without an end to each relay's pace all of them pass the limit at once, and what they lose by refused
     calls is not won back for long."""
     kept = [delivered(seed) for seed in (1, 2, 3)]
-    monkeypatch.setattr(rate_control, "EVEN", 40.0)
+    monkeypatch.setattr(rate_control, "MAX_PART", 40.0)
     monkeypatch.setattr(
-        rate_control, "CREEP", rate_control.RISE
+        rate_control, "CAUTIOUS_INCREASE", rate_control.FAST_INCREASE
     )  # which holds those back that go beyond their part
     free = [delivered(seed) for seed in (1, 2, 3)]
     assert sum(kept) / 3 > sum(free) / 3 + 0.05
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -8,7 +8,7 @@
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions.events import AttemptCompleted
 from message_relay.decisions.model import Outcome
-from message_relay.decisions.scheduler import LATE_MS
+from message_relay.decisions.scheduler import SLOW_CONNECT_MS
 from message_relay.http.endpoint_client import EndpointClient
 
 from ..conftest import SAFE, Driver, make_settings
@@ -25,7 +25,7 @@
     first = d.message()
     d.pass_time(20)
     d.answer(first, Outcome.CONNECT_FAILED)
-    assert d.relay.lanes[1][-1].sick
+    assert d.relay.destinations[1][-1].is_ejected
     calls = len(d.sent)
     while len(d.sent) == calls:
         d.pass_time(5)
@@ -35,25 +35,27 @@
 def test_a_late_connection_to_what_was_out_carries_no_call_that_was_paced_before() -> None:
     d, ident = sent_while_out()
     send = d.out[ident]
-    assert d.relay.may_write(d.now + LATE_MS, ident)  # in its time it goes
-    d.now += LATE_MS + 1
+    assert d.relay.may_write(d.now + SLOW_CONNECT_MS, ident)  # in its time it goes
+    d.now += SLOW_CONNECT_MS + 1
     assert not d.relay.may_write(d.now, ident)
-    tries, made = d.relay.board.held[ident].tries, len(d.sent)
+    tries, made = d.relay.pending.by_id[ident].attempts, len(d.sent)
     d.feed(AttemptCompleted(ident, 0, send.endpoint, **HELD_BACK))  # type: ignore[arg-type]
-    assert d.relay.board.held[ident].tries == tries - 1  # it is no try
-    trickle = d.relay.lanes[1][-1].next_trickle
+    assert d.relay.pending.by_id[ident].attempts == tries - 1  # it is no try
+    trickle = d.relay.destinations[1][-1].next_trial_at
     while len(d.sent) == made:
         d.pass_time(5)
     at, again = d.sent[-1]
     assert again.id == ident and at >= trickle  # as a new call, by the pace of what is out
-    assert d.relay.may_write(at + 10 * LATE_MS, ident)  # and where connections always take long it still goes
+    assert d.relay.may_write(
+        at + 10 * SLOW_CONNECT_MS, ident
+    )  # and where connections always take long it still goes
 
 
 def test_it_is_paced_anew_too_where_another_call_has_found_it_back() -> None:
     d, ident = sent_while_out()
-    lane = d.relay.lanes[1][-1]
-    d.relay.paces.cold(d.now + 100.0, lane)  # answered meanwhile
-    assert not lane.sick and not d.relay.may_write(d.now + LATE_MS + 1, ident)
+    lane = d.relay.destinations[1][-1]
+    d.relay.rate_controller.begin_warm_up(d.now + 100.0, lane)  # answered meanwhile
+    assert not lane.is_ejected and not d.relay.may_write(d.now + SLOW_CONNECT_MS + 1, ident)
 
 
 def test_a_late_connection_to_a_destination_that_was_well_carries_its_call() -> None:
@@ -63,7 +65,7 @@
     d.pass_time(1000)  # its pace has room
     ident = d.message(SAFE)
     d.pass_time(20)
-    assert d.out[ident] and d.relay.may_write(d.now + 4 * LATE_MS, ident)
+    assert d.out[ident] and d.relay.may_write(d.now + 4 * SLOW_CONNECT_MS, ident)
 
 
 def test_connections_that_come_up_together_carry_no_call_at_once_and_are_kept_for_the_paced_ones() -> None:
@@ -92,7 +94,7 @@
             sock.close()
         server = await Server(OK).start(address[1])
         results = await asyncio.gather(*work)
-        assert loop.time() - begun > LATE_MS / 1000
+        assert loop.time() - begun > SLOW_CONNECT_MS / 1000
         assert [result for result in results if not result.withheld] == [] and server.seen == []
         assert all(len(each.aged) == 1 for each in calls)  # the next call there needs no new connection
         for each in calls:
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -67,7 +67,7 @@
 
 def test_no_change_and_no_second_goes_through_all_that_is_listed() -> None:
     def there(built: ComposedRelay) -> dict[str, float]:
-        host, members = built.relay, built.relay.scheduler.members
+        host, members = built.relay, built.relay.scheduler.registry
         take(built, answer(FEW))
         host.run_maintenance()
         maps: dict[str, Walked[Any, Any]] = {}
@@ -76,12 +76,12 @@
             (host.directory, "by_number"),
             (host.directory, "listed_counts"),
             (host.messages, "known_destinations"),
-            (members, "lanes"),
-            (members, "doors"),
+            (members, "destinations"),
+            (members, "endpoints"),
         ):
             maps[name] = Walked(getattr(owner, name))
             setattr(owner, name, maps[name])
-        host.scheduler.lanes, host.scheduler.doors = maps["lanes"], maps["doors"]
+        host.scheduler.destinations, host.scheduler.endpoints = maps["destinations"], maps["endpoints"]
         changes(built, FEW)
         seconds(built, FEW)
         assert {name: each.walks for name, each in maps.items() if each.walks} == {}
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -49,7 +49,7 @@
             receipt = relay.messages.accept(offer("m"))
             assert receipt.accepted and receipt.is_new and not relay.entries["m"].final_state
             await asyncio.sleep(0.3)
-            assert not relay.carrier.connecting and relay.host.scheduler.board.queues[7].length == 1
+            assert not relay.carrier.connecting and relay.host.scheduler.pending.queues[7].length == 1
             await it.begin(0)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
@@ -66,7 +66,7 @@
             await until(lambda: bool(relay.front.ends))
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
             assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connecting
-            await until(lambda: not relay.host.scheduler.board.held, 3.0)  # nothing is left of it
+            await until(lambda: not relay.host.scheduler.pending.by_id, 3.0)  # nothing is left of it
             assert not relay.messages.accepted and not relay.messages.pending_by_destination
 
     run(work())
@@ -285,11 +285,11 @@
             relay = it.instances[1]
             await learned(relay, 7)
             await until(lambda: not relay.host.directory.by_name)
-            await until(lambda: 7 not in relay.host.scheduler.lanes)
+            await until(lambda: 7 not in relay.host.scheduler.destinations)
             assert not relay.shards.is_resident(7) and not relay.shards.reader.store.held
             await learned(relay, 7, "second")
-            lane = relay.host.scheduler.lanes[7][-1]
-            assert lane.cold_since < 0 and lane.bad_since is None
+            lane = relay.host.scheduler.destinations[7][-1]
+            assert lane.warming_since < 0 and lane.failing_since is None
 
     run(work())
 
@@ -319,8 +319,8 @@
             relay = it.instances[1]
             await learned(relay, 7)
             await learned(relay, 8, "other")
-            relay.host.scheduler.lanes[7][-1].wait_until = relay.host.driver.now() + 4000.0
-            relay.host.scheduler.board.look(7)
+            relay.host.scheduler.destinations[7][-1].retry_after_until = relay.host.driver.now() + 4000.0
+            relay.host.scheduler.pending.request_scan(7)
             await until(lambda: not relay.shards.is_resident(8))
             assert relay.shards.is_resident(7)
             begun = asyncio.get_running_loop().time()
@@ -337,7 +337,7 @@
 
     async def work() -> None:
         async with fleet(tmp_path, [], 0) as it:
-            assert it.instances[0].host.scheduler.endings.drained(1000.0, 5, 1) == 3000.0
+            assert it.instances[0].host.scheduler.expiry.drained_at(1000.0, 5, 1) == 3000.0
 
     run(work())
 
@@ -347,14 +347,14 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            lane = relay.host.scheduler.lanes[7][-1]
-            lane.wait_until = relay.host.driver.now() + 4000.0
-            relay.host.scheduler.board.look(7)
+            lane = relay.host.scheduler.destinations[7][-1]
+            lane.retry_after_until = relay.host.driver.now() + 4000.0
+            relay.host.scheduler.pending.request_scan(7)
             await it.end(0)
             await it.end(1, killed=False)
             relay = await it.begin(1)
             await until(lambda: relay.host.is_dispatching)
-            assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.lanes
+            assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.destinations
             relay.host._save_snapshot()
             assert [lane.destination for lane in relay.host.snapshot_file.destinations] == [
                 7
@@ -362,7 +362,7 @@
             relay.messages.accept(offer("m"))
             begun = asyncio.get_running_loop().time()
             await it.begin(0)
-            await until(lambda: 7 in relay.host.scheduler.lanes)
+            await until(lambda: 7 in relay.host.scheduler.destinations)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
 
@@ -444,8 +444,8 @@
             relay.messages.add_destinations = known.append  # type: ignore[method-assign, assignment]
             relay.carrier.script = [Outcome.FULL]
             await learned(relay, 7, "second")
-            relay.host.scheduler.lanes[7][-1].wait_until = relay.host.driver.now() + 3000.0
-            relay.host.scheduler.board.look(7)
+            relay.host.scheduler.destinations[7][-1].retry_after_until = relay.host.driver.now() + 3000.0
+            relay.host.scheduler.pending.request_scan(7)
             await until(lambda: relay.host.learned_destinations == {7})
             await until(lambda: not relay.host.learned_destinations)
             assert not known
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,7 +11,7 @@
 from message_relay.core.ports import Submission
 from message_relay.decisions.actions import Reject
 from message_relay.decisions.events import EndpointList, Event, Message
-from message_relay.decisions.expiry import CROWDED
+from message_relay.decisions.expiry import SHEDDING_THRESHOLD
 from message_relay.decisions.model import Effect, Endpoint, Listing, ListKind, MessageClass, Tenant
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
@@ -19,7 +19,7 @@
 from .conftest import SAFE, Driver, make_settings
 
 HOLD = 40
-MOST = int(CROWDED * HOLD)
+MOST = int(SHEDDING_THRESHOLD * HOLD)
 TENANTS = (Tenant("own", 1000.0), Tenant("over", 0.0))
 
 
@@ -43,12 +43,14 @@
     d.feed(EndpointList(ListKind.CHANGES, (Endpoint(2, 2, Listing.READY, rate=1000.0),)))
     for _ in range(MOST):
         d.message(dest=1)
-    assert len(d.relay.board.held) == MOST and not d.ended
+    assert len(d.relay.pending.by_id) == MOST and not d.ended
     return d
 
 
 def asked(d: Driver, dest: int = 1, class_: int = SAFE, tenant: int = 0) -> float | None:
-    return d.relay.rejection_delay_ms(d.now, Message(0, dest, class_, 1e4, tenant), len(d.relay.board.held))
+    return d.relay.rejection_delay_ms(
+        d.now, Message(0, dest, class_, 1e4, tenant), len(d.relay.pending.by_id)
+    )
 
 
 def test_what_would_cost_a_promise_is_turned_away_and_told_when_to_come() -> None:
@@ -61,7 +63,10 @@
 def test_one_worth_more_than_a_promise_is_taken_on_and_the_least_is_ended_for_it() -> None:
     d = crowded((1.0, 4.0))
     assert asked(d, dest=2, class_=1) is None
-    d.relay.shares[1] = 0.0, d.now  # this tenant has used up its share: what it hands in is worth a tenth
+    d.relay.quota_tokens[1] = (
+        0.0,
+        d.now,
+    )  # this tenant has used up its share: what it hands in is worth a tenth
     assert asked(d, dest=2, class_=1, tenant=1) is not None
     ident = d.message(1, dest=2)
     assert len(d.ended) == 1 and ident not in d.ended
@@ -73,7 +78,7 @@
     d = crowded()
     d.pass_time(7500.0, 50.0)  # nobody comes: promises grow old
     gone = set(d.ended)
-    while len(d.relay.board.held) < MOST:
+    while len(d.relay.pending.by_id) < MOST:
         d.message(dest=1)
     young = set(range(MOST + 1, d.ids + 1))
     assert asked(d, dest=2) is None
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -297,7 +297,7 @@
                     dest = f"dest={turn}"
                     assert await client.ask(message(f"m{turn}", "keyed", X_Addressing=dest)) == 202
                     await until(lambda: not host.held)
-            await until(lambda: not host.ingress.connections and not host.relay.board.held)
+            await until(lambda: not host.ingress.connections and not host.relay.pending.by_id)
             host.journal.compact(unix_time_ms() + 1e6)
             host.messages.expire_destinations()
             host.messages.add_destinations({39})
@@ -313,21 +313,21 @@
                 "resting": ingress.resting,
                 "visiting": ingress.visiting,
                 "lingering": ingress.lingering,
-                "queues": relay_.board.queues,
-                "due": relay_.board.due,
-                "unsure": relay_.board.unsure,
-                "lines": relay_.board.lines,
-                "rest": relay_.board.key_rest,
+                "queues": relay_.pending.queues,
+                "due": relay_.pending.scans_due,
+                "unsure": relay_.pending.lowest_value_stale,
+                "lines": relay_.pending.key_order,
+                "rest": relay_.pending.key_paused_until,
                 "ending": host.egress.ending,
                 "notices": host.notices.waiting,
                 "events": host.events,
             }
             assert {name: len(what) for name, what in sizes.items() if len(what)} == {}
             assert len(directory.by_name) == len(directory.by_number) == len(host.egress.idle) == 1
-            assert list(host.dests) == [39] and len(relay_.doors) == 1
-            assert len(relay_.lanes) == 38  # what they have learned fades in a minute, and then goes
+            assert list(host.dests) == [39] and len(relay_.endpoints) == 1
+            assert len(relay_.destinations) == 38  # what they have learned fades in a minute, and then goes
             relay_.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
-            assert len(relay_.lanes) == 1
+            assert len(relay_.destinations) == 1
             assert len(host.tasks.running) == len(host.front.tasks.running) == 2  # each watches and sweeps
 
     run(work())
--- a/tests/test_hundreds.py
+++ b/tests/test_hundreds.py
@@ -38,12 +38,12 @@
         first = d.message()
         d.pass_time(50)
         d.answer(first, Outcome.FULL)
-        refused, lane = d.now, d.relay.lanes[1][-1]
+        refused, lane = d.now, d.relay.destinations[1][-1]
         for _ in range(20):
             d.message()
         d.pass_time(1000)
         assert len([at for at, _ in d.sent if at >= refused]) <= 1
-        assert d.relay.paces.pace(refused + 6500, lane, False)[0] >= 130.0 / RELAYS
+        assert d.relay.rate_controller.rate_and_burst(refused + 6500, lane, False)[0] >= 130.0 / RELAYS
 
 
 def test_the_pace_of_a_refused_relay_rises_evenly_until_it_is_free() -> None:
@@ -51,20 +51,23 @@
     first = d.message()
     d.pass_time(50)
     d.answer(first, Outcome.FULL)
-    lane = d.relay.lanes[1][-1]
-    left = lane.free_at - d.now
-    paces = [d.relay.paces.pace(d.now + part * left, lane, False)[0] for part in (0.0, 0.5, 0.9, 1.01)]
+    lane = d.relay.destinations[1][-1]
+    left = lane.throttled_until - d.now
+    paces = [
+        d.relay.rate_controller.rate_and_burst(d.now + part * left, lane, False)[0]
+        for part in (0.0, 0.5, 0.9, 1.01)
+    ]
     assert paces == sorted(paces) and paces[0] < 0.75 * 10.0 and paces[2] < paces[3] == pytest.approx(10.0)
 
 
 def test_calls_above_the_equal_part_grow_slowly() -> None:
     """Where all relays are bound, all that go on above their part at once break the limit together."""
     d = drivers(1, rate=400.0, max_concurrent_attempts=20)[0]
-    lane = d.relay.lanes[1][-1]
+    lane = d.relay.destinations[1][-1]
     for _ in range(40):
         d.message()
     answers = 0
-    while lane.pace < 1.2 * 2.0 and answers < 40:
+    while lane.send_rate < 1.2 * 2.0 and answers < 40:
         d.pass_time(20)
         for ident in list(d.out):
             d.answer(ident, took=20.0)
@@ -93,7 +96,7 @@
     worths = []
     for _ in range(12):
         ident = d.message(tenant=0)
-        worths.append(d.relay.board.held[ident].worth)
+        worths.append(d.relay.pending.by_id[ident].priority_weight)
         d.pass_time(1000, 500)
     assert worths[0] == 1.0 and worths.count(1.0) >= 8  # 0.4 a second, and four saved up
     assert worths.count(0.1) >= 3  # what is above its share still counts less
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -22,7 +22,7 @@
     ShutdownScheduled,
     TimerFired,
 )
-from message_relay.decisions.expiry import CLOSES, LOOKS, REFUSALS
+from message_relay.decisions.expiry import MAX_CLOSED, MAX_SCANS, MAX_SHED
 from message_relay.decisions.model import (
     Decay,
     Effect,
@@ -34,8 +34,8 @@
     Settings,
     Tenant,
 )
-from message_relay.decisions.pending import FULL_VIEW
-from message_relay.decisions.priority_index import EXACT
+from message_relay.decisions.pending import FULL_SCAN_SIZE
+from message_relay.decisions.priority_index import EXACT_COMPARISONS
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
 
@@ -44,7 +44,9 @@
 from .plain import watched
 
 LONG = tuple(MessageClass(e.value, e, 1000.0, 120_000.0, 1.0, 0.5, 3000.0) for e in Effect)
-A_TURN = LOOKS * FULL_VIEW * 3 + REFUSALS * 40 + 4 * EXACT + 400  # a bound on all that one turn looks at
+A_TURN = (
+    MAX_SCANS * FULL_SCAN_SIZE * 3 + MAX_SHED * 40 + 4 * EXACT_COMPARISONS + 400
+)  # a bound on all that one turn looks at
 
 
 @dataclass
@@ -66,7 +68,7 @@
     def feed(self, *events: Event) -> int:
         for event in events:
             self.watch.event(self.now, event)
-        before, ends = self.relay.index.steps, len(self.ended)
+        before, ends = self.relay.index.examined_count, len(self.ended)
         for act in self.relay.handle(self.now, list(events)):
             self.watch.action(self.now, act)
             if isinstance(act, StartAttempt):
@@ -76,9 +78,9 @@
                 self.ended[act.id] = act
             elif isinstance(act, SetTimer):
                 self.timer = self.now + act.delay_ms
-        steps = self.relay.index.steps - before
+        steps = self.relay.index.examined_count - before
         self.most = max(self.most, steps)
-        assert len(self.ended) - ends <= CLOSES + REFUSALS
+        assert len(self.ended) - ends <= MAX_CLOSED + MAX_SHED
         return steps
 
     def take(self, dest: int = 1, class_: int = SAFE, left: float = 120_000.0, **more: Any) -> int:
@@ -126,7 +128,7 @@
     for _ in range(20_000):
         b.take()
         b.now += 0.01
-    assert len(b.relay.board.held) == 20_000 and b.most <= A_TURN
+    assert len(b.relay.pending.by_id) == 20_000 and b.most <= A_TURN
     for _ in b.ticks(60_000):
         for ident, send in list(b.out.items()):
             if b.now >= min(send.give_up_at_ms, b.sent[-1][0] + 500.0):
@@ -234,7 +236,7 @@
             )
         ],
     )
-    relay.shares[1] = 0.0, 0.0  # the second one has used up what it could save
+    relay.quota_tokens[1] = 0.0, 0.0  # the second one has used up what it could save
     relay.handle(0.0, [Message(100, 2, 0, 8000.0)])  # takes the slot
     relay.handle(0.0, [Message(99, 3, 0, 8000.0)])  # or a queue left alone would be looked at for that
     for n in range(6):  # more than are entered whole; they lie on the floor of their worth, 0.1, before long
@@ -252,14 +254,14 @@
     for dest in range(1, 5001):
         for _ in range(4):
             b.take(dest)
-    assert len(b.relay.board.held) == 20_000 and len(b.out) == 64 and b.most <= A_TURN
+    assert len(b.relay.pending.by_id) == 20_000 and len(b.out) == 64 and b.most <= A_TURN
     b.feed(ShutdownScheduled(b.now + 1e9))  # all queues are to be looked at
-    assert len(b.relay.board.due) >= 4900
+    assert len(b.relay.pending.scans_due) >= 4900
     turns = 0
-    while len(b.relay.board.due) > 1:  # but for the one that has just got its call
+    while len(b.relay.pending.scans_due) > 1:  # but for the one that has just got its call
         b.end(next(iter(b.out)))
         turns += 1
-    assert turns <= 5000 / LOOKS + 2 and b.most <= A_TURN
+    assert turns <= 5000 / MAX_SCANS + 2 and b.most <= A_TURN
     steps = [b.end(next(iter(b.out))) for _ in range(500)]
     assert sum(steps) / len(steps) < 60
 
@@ -353,29 +355,29 @@
         gone = tuple(Endpoint(e.id, e.destination, Listing.GONE) for e in entries)
         relay.handle(now, [EndpointList(ListKind.CHANGES, gone)])
         now += 1000.0
-        assert len(relay.lanes) <= 6200  # what was learned in the last minute
+        assert len(relay.destinations) <= 6200  # what was learned in the last minute
     now += 61_000.0
     relay.handle(now, [EndpointList(ListKind.CHANGES)])
     relay.handle(now, [Message(ids, 1, SAFE, 9000.0)])  # the bounds of the index are renewed
     relay.handle(now + 9000.0, [TimerFired(0)])
-    board, index = relay.board, relay.index
+    board, index = relay.pending, relay.index
     left: dict[str, Sized] = {
-        "lanes": relay.lanes,
-        "doors": relay.doors,
-        "held": board.held,
+        "lanes": relay.destinations,
+        "doors": relay.endpoints,
+        "held": board.by_id,
         "queues": board.queues,
-        "due": board.due,
-        "unsure": board.unsure,
-        "lines": board.lines,
-        "fading": relay.members.fading,
+        "due": board.scans_due,
+        "unsure": board.lowest_value_stale,
+        "lines": board.key_order,
+        "fading": relay.registry.forget_heap,
     }
     assert {name: len(what) for name, what in left.items() if what} == {}
     small: dict[str, Sized] = {
-        "ends": relay.endings.ends,
-        "poor": relay.endings.poor,
-        "looks": board.looks,
-        "ripe": board.ripe,
-        "cells": index.cells,
-        "tops": index.tops,
+        "ends": relay.expiry.deadline_heap,
+        "poor": relay.expiry.lowest_value_heap,
+        "looks": board.scan_heap,
+        "ripe": board.parked_heap,
+        "cells": index.buckets,
+        "tops": index.top_heap,
     }
     assert {name: len(what) for name, what in small.items() if len(what) > 80} == {}
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -18,7 +18,7 @@
 
 def restarted(before: Driver, away_ms: float, folder: Path) -> Driver:
     """The next process, on what the file holds of the one before."""
-    DestinationSnapshotFile(folder).save(1e12, before.relay.learned(before.now))
+    DestinationSnapshotFile(folder).save(1e12, before.relay.destination_snapshot(before.now))
     after = Driver(before.settings, now=5e6, seed=2)
     after.listed((11, 1), rate=10.0)
     after.feed(*DestinationSnapshotFile(folder).load(1e12 + away_ms))
@@ -29,7 +29,7 @@
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.answer(d.message(), Outcome.FULL, wait=5000.0)
-    left = d.relay.learned(d.now)[0].retry_after_ms
+    left = d.relay.destination_snapshot(d.now)[0].retry_after_ms
     assert left >= 5000.0
     after = restarted(d, 600.0, tmp_path)
     start = after.now
@@ -48,7 +48,7 @@
         ident = d.message()
         d.pass_time(3000, 50)
         d.answer(ident, Outcome.CONNECT_FAILED)
-    assert d.relay.lanes[1][-1].sick
+    assert d.relay.destinations[1][-1].is_ejected
     fresh = Driver(settings, seed=2)
     fresh.listed((11, 1), rate=10.0)
     after = restarted(d, 600.0, tmp_path)
@@ -66,14 +66,14 @@
         ident = d.message()
         d.pass_time(3000, 50)
         d.answer(ident, Outcome.CONNECT_FAILED)
-    while d.relay.lanes[1][-1].sick:
+    while d.relay.destinations[1][-1].is_ejected:
         for ident in list(d.out):
             d.answer(ident)
         d.pass_time(100)
         d.message()
-    (lane,) = restarted(d, 600.0, tmp_path).relay.lanes[1].values()
-    began = d.relay.lanes[1][-1].cold_since
-    assert 5e6 - lane.cold_since == pytest.approx(d.now - began + 600.0)
+    (lane,) = restarted(d, 600.0, tmp_path).relay.destinations[1].values()
+    began = d.relay.destinations[1][-1].warming_since
+    assert 5e6 - lane.warming_since == pytest.approx(d.now - began + 600.0)
 
 
 def test_nothing_is_believed_over_what_this_process_has_seen() -> None:
@@ -81,16 +81,16 @@
     d.listed((11, 1), rate=10.0)
     d.warm_up()
     d.feed(RestoredDestination(1, 9000.0, True, 500.0, None), RestoredDestination(77, 9000.0))
-    lane = d.relay.lanes[1][-1]
-    assert not lane.sick and lane.wait_until < d.now and 77 not in d.relay.lanes
+    lane = d.relay.destinations[1][-1]
+    assert not lane.is_ejected and lane.retry_after_until < d.now and 77 not in d.relay.destinations
 
 
 def test_what_is_well_leaves_no_trace(tmp_path: Path) -> None:
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.warm_up()
-    DestinationSnapshotFile(tmp_path).save(1e12, d.relay.learned(d.now))
-    assert d.relay.learned(d.now) == [] and not list(tmp_path.iterdir())
+    DestinationSnapshotFile(tmp_path).save(1e12, d.relay.destination_snapshot(d.now))
+    assert d.relay.destination_snapshot(d.now) == [] and not list(tmp_path.iterdir())
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
             told = await server.came.get()
-            await until(lambda: bool(host.relay.learned(host.now())))
+            await until(lambda: bool(host.relay.destination_snapshot(host.now())))
         await host.close()
         server.usual = answer(200)
         host = host_of(state, agent, server)
@@ -163,4 +163,4 @@
         RestoredDestination(1, -1.0)
     relay = DeliveryScheduler(make_settings(), 1)
     relay.handle(0.0, [RestoredDestination(1, 5.0), Message(1, 1, SAFE, 9000.0)])
-    assert not relay.lanes
+    assert not relay.destinations
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -16,7 +16,14 @@
 from message_relay.decisions.actions import StartAttempt
 from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, TimerFired
 from message_relay.decisions.model import Endpoint, Fleet, Listing, ListKind, Outcome, Safety
-from message_relay.decisions.rate_slots import GUARD, LATE_MS, SILENCE_MS, WARMING, TimeSlotShare, spread
+from message_relay.decisions.rate_slots import (
+    GUARD,
+    SILENCE_TTL_MS,
+    SLOT_TOLERANCE_MS,
+    WARM_UP_SHARE,
+    TimeSlotShare,
+    circle_position,
+)
 from message_relay.decisions.scheduler import DeliveryScheduler
 
 from .conftest import make_settings
@@ -33,12 +40,12 @@
 def sends(one: TimeSlotShare, begin: float, end: float, late: random.Random | None = None) -> list[float]:
     """All that it may send in a time, each as late as chance has it, and answered at once."""
     out, now = [], begin
-    while (at := one.next_at(now)) < end:
-        now = max(now, at) + (late.uniform(0.0, 0.99 * one.late_ms) if late else 0.0)
-        if one.next_at(now) > now:  # it was too late for its slot
+    while (at := one.next_slot_at(now)) < end:
+        now = max(now, at) + (late.uniform(0.0, 0.99 * one.slot_tolerance_ms) if late else 0.0)
+        if one.next_slot_at(now) > now:  # it was too late for its slot
             continue
-        one.sent()
-        one.answered(now)
+        one.mark_used()
+        one.on_success(now)
         out.append(now + one.fleet.clock_ms)
     return out
 
@@ -68,9 +75,9 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 30, 40, 41])
 @pytest.mark.parametrize("part", [0.05, 0.18, 0.5, 0.83, 1.0])
 def test_as_many_are_open_in_a_frame_as_the_part_says(size: int, part: float) -> None:
-    assert sorted(round(spread(n, size) * size) for n in range(size)) == list(range(size))
+    assert sorted(round(circle_position(n, size) * size) for n in range(size)) == list(range(size))
     shares = [share(number, size) for number in range(size)]
-    counts = [sum(one._open(frame, part) for one in shares) for frame in range(500)]
+    counts = [sum(one._is_open(frame, part) for one in shares) for frame in range(500)]
     assert max(counts) <= math.ceil(part * size)
     assert sum(counts) / 500 == pytest.approx(part * size, rel=0.05, abs=0.02)
 
@@ -79,48 +86,48 @@
     for number in range(40):
         one, now = share(number, cold=1.0), 0.0
         for _ in range(200):
-            now = one.next_at(now)
-            one.sent()
-            assert one.next_at(now) > now + 0.9 * one.frame_ms - one.late_ms
+            now = one.next_slot_at(now)
+            one.mark_used()
+            assert one.next_slot_at(now) > now + 0.9 * one.frame_ms - one.slot_tolerance_ms
 
 
 def test_the_part_grows_with_own_answers_only() -> None:
     one = share()
-    assert one.part(0.0) == one.part(1e6) == 0.18  # a fresh process knows nothing
+    assert one.open_share(0.0) == one.open_share(1e6) == 0.18  # a fresh process knows nothing
     for at in range(0, 20_000, 700):
-        one.answered(float(at))
-        assert one.part(at) <= min(1.0, WARMING * (0.18 + 0.82 * at / 11_000)) + 1e-9
-    assert one.part(20_000.0) == 1.0
-    one.failed(20_500.0, out=False)
-    assert one.part(20_500.0) == 1.0  # one that breaks is no outage
-    one.failed(20_600.0, out=True)
-    assert one.part(20_600.0) == 0.18
+        one.on_success(float(at))
+        assert one.open_share(at) <= min(1.0, WARM_UP_SHARE * (0.18 + 0.82 * at / 11_000)) + 1e-9
+    assert one.open_share(20_000.0) == 1.0
+    one.on_failure(20_500.0, out=False)
+    assert one.open_share(20_500.0) == 1.0  # one that breaks is no outage
+    one.on_failure(20_600.0, out=True)
+    assert one.open_share(20_600.0) == 0.18
 
 
 def test_what_said_nothing_for_long_counts_as_cold() -> None:
     one = share()
     for at in range(0, 20_000, 700):
-        one.answered(float(at))
-    assert one.part(19_600 + SILENCE_MS) == 1.0 and one.part(19_700 + SILENCE_MS) == 0.18
-    one.answered(40_000.0)
-    assert one.part(40_000.0) == pytest.approx(WARMING * 0.18)
+        one.on_success(float(at))
+    assert one.open_share(19_600 + SILENCE_TTL_MS) == 1.0 and one.open_share(19_700 + SILENCE_TTL_MS) == 0.18
+    one.on_success(40_000.0)
+    assert one.open_share(40_000.0) == pytest.approx(WARM_UP_SHARE * 0.18)
 
 
 def test_between_a_failure_and_an_answer_the_middle_is_taken_for_the_return() -> None:
     one, other = share(), share()
-    one.failed(10_000.0, out=True)
-    one.answered(12_000.0)
-    other.answered(12_000.0)
-    assert one.since == 11_000.0 and other.since == 12_000.0
-    one.failed(20_000.0, out=True)
-    one.answered(60_000.0)
-    assert one.since == 60_000.0  # too long ago to tell anything
+    one.on_failure(10_000.0, out=True)
+    one.on_success(12_000.0)
+    other.on_success(12_000.0)
+    assert one.healthy_since == 11_000.0 and other.healthy_since == 12_000.0
+    one.on_failure(20_000.0, out=True)
+    one.on_success(60_000.0)
+    assert one.healthy_since == 60_000.0  # too long ago to tell anything
 
 
 def test_another_rate_moves_the_slots() -> None:
     one = share(3, 10, 10.0, cold=1.0)
     assert len(sends(one, 0.0, 50_000.0)) == pytest.approx(50 * GUARD, abs=1)
-    one.rated(20.0)
+    one.set_rate(20.0)
     assert len(sends(one, 50_000.0, 100_000.0)) == pytest.approx(100 * GUARD, abs=2)
 
 
@@ -153,7 +160,7 @@
         else:
             frame = 1000 * 10 / (50 * GUARD)
             places = [(when + 12_345.0 - 2 * frame / 10) % frame for when in at]
-            assert 5 <= len(at) < 30 and max(places) <= LATE_MS
+            assert 5 <= len(at) < 30 and max(places) <= SLOT_TOLERANCE_MS
             assert min(b - a for a, b in itertools.pairwise(at)) > 0.8 * frame
 
 
@@ -208,7 +215,7 @@
             sent += sends(one, begin - clock, min(heard, end) - clock, rng)
             if number >= other:
                 continue  # it has left
-            one.resized(Fleet(number, other, clock))
+            one.resize(Fleet(number, other, clock))
         else:
             one, heard = share(number, other, rate, clock, cold=1.0), begin
         sent += sends(one, heard - clock, end - clock, rng)
@@ -218,7 +225,7 @@
 def test_a_clock_that_is_set_costs_no_second_call_in_a_frame() -> None:
     one = share(5, 40, 60.0, cold=1.0)
     sent = sends(one, 0.0, 5000.0)
-    one.resized(Fleet(5, 40, -150.0))
+    one.resize(Fleet(5, 40, -150.0))
     later = sends(one, 5000.0, 9000.0)
     assert later[0] + 150.0 - sent[-1] >= one.frame_ms - 0.01
 
@@ -228,8 +235,8 @@
     entry = Endpoint(1, 1, Listing.READY, rate=50.0)
     relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
     relay.handle(5.0, [Fleet(2, 20)])
-    lane = relay.lanes[1][-1]
-    assert relay.s.relays == 20 and lane.share is not None and lane.share.fleet.size == 20
+    lane = relay.destinations[1][-1]
+    assert relay.settings.relays == 20 and lane.time_slots is not None and lane.time_slots.fleet.size == 20
     alone = DeliveryScheduler(make_settings(), 1)
     alone.handle(5.0, [Fleet(2, 20)])
-    assert alone.s.relays == 20 and alone.s.fleet is None
+    assert alone.settings.relays == 20 and alone.settings.fleet is None
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -67,14 +67,14 @@
             calls += 1
             broken = Outcome.RESET if calls % 2 else Outcome.CONNECT_FAILED
             d.answer(ident, broken if calls % 9 < 2 else Outcome.OK)  # two in a row
-    (lane,) = d.relay.lanes[1].values()
-    assert not lane.sick and lane.cold_since < 0
+    (lane,) = d.relay.destinations[1].values()
+    assert not lane.is_ejected and lane.warming_since < 0
     for _ in range(40):  # but when all of them break, it is
         d.message(SAFE)
         d.pass_time(20)
         for ident in list(d.out):
             d.answer(ident, Outcome.RESET)
-    assert lane.sick
+    assert lane.is_ejected
 
 
 def test_a_refusal_tells_when_to_come_again() -> None:
@@ -305,8 +305,8 @@
     d = Driver(make_settings(relays=40, max_pending_messages=200, max_concurrent_attempts=4))
     d.listed((11, 1), rate=400.0)
     d.warm_up()
-    lane = d.relay.lanes[1][-1]
-    while lane.pace > 0.4 * 10:
+    lane = d.relay.destinations[1][-1]
+    while lane.send_rate > 0.4 * 10:
         ident = d.message()
         while ident not in d.out:
             d.pass_time(5)
@@ -315,13 +315,13 @@
     for _ in range(60):
         d.message()
     successes = 0
-    while lane.pace < 0.75 * 10:
+    while lane.send_rate < 0.75 * 10:
         d.pass_time(20)
         for ident in list(d.out):
             d.answer(ident, took=20.0)
             successes += 1
     assert successes <= 6
-    assert d.now < lane.free_at  # no refusal was forgotten meanwhile
+    assert d.now < lane.throttled_until  # no refusal was forgotten meanwhile
 
 
 def test_an_idle_relay_is_not_woken_for_nothing() -> None:
@@ -541,4 +541,4 @@
         d = Driver(make_settings(tenants=(Tenant("t", 2.0),), over_quota_weight=0.1))
         for ident in range(1, 20):
             d.feed(Message(ident, 1, SAFE, 8000.0, age_ms=age))
-        assert all(held.worth == 1.0 for held in d.relay.board.held.values()) == within
+        assert all(held.priority_weight == 1.0 for held in d.relay.pending.by_id.values()) == within
