--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -11,7 +11,7 @@
 from message_relay.consensus import version_history as books
 from message_relay.consensus.instance import GRANT, RENEW
 from message_relay.consensus.lease_grantor import LeaseGrantor
-from message_relay.consensus.lease_holder import LeaseHolder
+from message_relay.consensus.lease_holder import LeaseHolder, SentRenewal
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
 from message_relay.consensus.rules import ANY, DestinationRule, Rules
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
@@ -168,7 +168,8 @@
     began = time.process_time()
     version: Version = msgspec.msgpack.decode(told, type=Version)
     assert digest(decode_rules(version.rules)) == version.digest
-    holding.sequence, holding.sent_renewals[1] = 1, (0.0, (1,))
+    holding.sequence = 1
+    holding.sent_renewals[1] = SentRenewal(0.0, (1,))
     holding.on_grant(0.0, "n0", LeaseGrant(1, True, 0, 1, 2))
     holding.lease_start = 0.0
     assert holding.active_rules(0.1).label == "1+2"
--- a/emulator/consensus/world.py
+++ b/emulator/consensus/world.py
@@ -173,8 +173,8 @@
                 granting._is_possible_set_bounded = lambda *_: True  # type: ignore[method-assign]
             if self.without == "standby":
                 lease = self.terms.grantor_duration(self.terms.lease_s)
-                granting._is_bounded_by_age = lambda age, acts, new: (  # type: ignore[method-assign]
-                    age > lease or granting._is_intersection_subset(acts, new)
+                granting._is_bounded_by_age = lambda age, numbers, version: (  # type: ignore[method-assign]
+                    age > lease or granting._is_intersection_subset(numbers, version)
                 )
             self.at(self.now, lambda b=relay.boot: self.pull(relay, b))  # type: ignore[misc]
         self.at(self.now, lambda b=relay.boot: self.renew(relay, b))  # type: ignore[misc]
@@ -187,7 +187,7 @@
         def late(now: float, voter: str, grant: LeaseGrant) -> bool:
             asked = holding.sent_renewals.get(grant.sequence)
             if asked is not None:
-                holding.sent_renewals[grant.sequence] = (now, asked[1])
+                holding.sent_renewals[grant.sequence] = asked._replace(sent_at=now)
             return heard(now, voter, grant)
 
         holding.on_grant = late  # type: ignore[method-assign]
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -1,17 +1,18 @@
-"""By what a relay may act just now. No I/O; the clock is passed in, in seconds.
+"""Which rules a relay may act on at the moment. No I/O; the clock is passed in, in seconds.
 
-A relay says to each voter by which versions it acts (`acts`: by their meet), again and again; as long as a
-majority has noted that within a lease, it goes on. Once it hears that another version is agreed on it acts by
-the meet of both, which contradicts neither, refuses all grants of what it had, and says so: that lets the
-others have the new one. With grants of a majority for that, it acts by it alone.
+A relay renews its lease at each voter, again and again, and states the versions that it acts on
+(`active_versions`: it acts on their meet). While a majority has recorded that within a lease, it continues.
+Once it learns that another version is agreed on, it acts on the meet of both, which contradicts neither,
+refuses all grants of what it had, and says so in its next renewal: that allows other relays to switch to the
+new version. With grants of a majority for the new version, it acts on that one alone.
 
-    since a majority last noted it     it acts by
-    a lease                            the meet of `acts`
-    up to the horizon                  the standby of that: each version allows it, or waits
-    later, and before the first lease  the floor, which lies within every version that is ever agreed on
+    time since a majority last recorded it   the relay acts on
+    up to a lease                            the meet of `active_versions`
+    up to the horizon                        the standby rules of that: each version allows them, or waits
+    later, and before the first lease        the floor, which lies within every version that is ever agreed on
 
-Whoever asks is told by the clock of this moment: a process that was frozen finds its lease gone when it
-wakes.
+Each query is answered by the clock of that moment: a process that was frozen finds its lease expired when it
+resumes.
 """
 
 from __future__ import annotations
@@ -19,6 +20,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 
@@ -28,84 +30,125 @@
 from .version_history import Version
 
 MAX_OUTSTANDING_RENEWALS = 64  # renewals whose answers still count: eight leases' worth and more
+MAX_KNOWN_VERSIONS = 64
+# Guards against a grant to a relay that has left: no renewal of its process has so high a number.
+RELEASED_SEQUENCE_MARGIN = 1_000_000
 NEVER = float("-inf")
 NO_COUNTS = DeliveryCounts()
 
 
 class LeaseTier(Enum):
+    """How much a relay may do, by the age of its lease."""
+
     LEASE = "lease"
     STANDBY = "standby"
     FLOOR = "floor"
 
 
 class ActiveRules(msgspec.Struct, frozen=True):
+    """The rules that a relay acts on, and where they come from."""
+
     rules: Rules
-    versions: tuple[int, ...]  # more than one: by their meet
+    versions: tuple[int, ...]  # more than one: `rules` is their meet
     tier: LeaseTier
 
     @property
     def label(self) -> str:
-        """For people and for partners' ledgers: `7`, `7+8`, `7/standby`, `floor`."""
-        told = "+".join(map(str, self.versions))
-        return (
-            told
-            if self.tier is LeaseTier.LEASE
-            else f"{told}/standby"
-            if self.tier is LeaseTier.STANDBY
-            else "floor"
-        )
+        """For people, and for the header of each call: `7`, `7+8`, `7/standby`, `floor`."""
+        versions = "+".join(map(str, self.versions))
+        if self.tier is LeaseTier.LEASE:
+            return versions
+        if self.tier is LeaseTier.STANDBY:
+            return f"{versions}/standby"
+        return "floor"
+
+
+class SentRenewal(NamedTuple):
+    """A renewal that may still be answered."""
+
+    sent_at: float
+    active_versions: tuple[int, ...]
+
+
+class CachedRules(NamedTuple):
+    """The latest answer of `active_rules`, and what it depends on."""
+
+    active_versions: tuple[int, ...]
+    lease_start: float
+    valid_until: float
+    active: ActiveRules
 
 
 @dataclass
 class GrantState:
-    """The latest of one voter that counts."""
+    """What one voter has recorded and granted for this relay."""
 
-    recorded_at: float = NEVER  # when that renewal was sent
+    recorded_at: float = NEVER  # when the renewal was sent that it recorded last
     granted_version: int = 0
-    granted_at: float = NEVER
-    granted_sequence: int = 0  # the latest renewal that it answered with that
+    granted_at: float = NEVER  # when the renewal was sent that it answered with that grant last
+    granted_sequence: int = 0  # of that renewal
     cleared_version: int = 0
     canary_version: int = 0
-    sequence: int = 0
+    sequence: int = 0  # of the latest renewal that it answered
     received_at: float = NEVER
 
+    def confirmed_at(self, granted_version: int) -> float:
+        """Return when it granted that version; for 0, when it recorded the active versions."""
+        if not granted_version:
+            return self.recorded_at
+        return self.granted_at if self.granted_version == granted_version else NEVER
+
+    def add_grant(self, grant: LeaseGrant, sent_at: float) -> None:
+        """Take in a grant that answers the renewal sent then; an older version than before is ignored."""
+        if grant.granted_version > self.granted_version:
+            self.granted_version = grant.granted_version
+            self.granted_at = sent_at
+            self.granted_sequence = grant.sequence
+        elif grant.granted_version == self.granted_version:
+            self.granted_at = max(self.granted_at, sent_at)
+            self.granted_sequence = max(self.granted_sequence, grant.sequence)
+
+    def drop_grant(self) -> None:
+        """Forget the granted version."""
+        self.granted_version = 0
+        self.granted_at = NEVER
+
 
 class LeaseHolder:
+    """The lease of one relay: makes renewals, takes in grants, and says which rules apply."""
+
     def __init__(
         self, epoch: int, nonce: int, first_digest: str, terms: LeaseTerms, floor: Rules = DENY_ALL
     ) -> None:
-        self.epoch, self.nonce, self.first_digest, self.terms, self.floor = (
-            epoch,
-            nonce,
-            first_digest,
-            terms,
-            floor,
-        )
+        self.epoch = epoch
+        self.nonce = nonce
+        self.first_digest = first_digest
+        self.terms = terms
+        self.floor = floor
         self.versions: OrderedDict[int, Version] = OrderedDict()  # known with their rules
         self.active_versions: tuple[int, ...] = ()
         self.sequence = 0
-        self.refused_before = 0  # grants that answer an earlier renewal are not taken
-        self.latest_agreed = 0  # the newest version that a voter has said is agreed on
-        self.sent_renewals: OrderedDict[int, tuple[float, tuple[int, ...]]] = OrderedDict()
+        self.refused_before = 0  # grants that answer an earlier renewal are not used
+        self.latest_agreed = 0  # the newest version that a voter has reported as agreed on
+        self.sent_renewals: OrderedDict[int, SentRenewal] = OrderedDict()
         self.grant_states: dict[str, GrantState] = {}
-        self.lease_start = NEVER  # when the renewal was sent that a majority noted last
+        self.lease_start = NEVER  # when the renewal was sent that a majority recorded last
         self.last_now = NEVER
-        self.denial_reason = ""  # the latest word of a voter that allowed nothing
-        self._made: tuple[tuple[int, ...], float, float, ActiveRules] | None = (
-            None  # acts, base, until, and what
-        )
+        self.denial_reason = ""  # of the latest voter that recorded nothing
+        self._cached: CachedRules | None = None
 
-    # -- asking ----------------------------------------------------------------------------------------------
+    # -- renewals and versions -------------------------------------------------------------------------------
 
     @property
     def latest_version(self) -> Version | None:
+        """The newest version that is known with its rules."""
         return next(reversed(self.versions.values())) if self.versions else None
 
     def renew(self, now: float, counts: DeliveryCounts = NO_COUNTS, is_leaving: bool = False) -> LeaseRenewal:
-        """The next one, for every voter."""
+        """Return the next renewal, which is sent to every voter."""
         self._check_clock(now)
         self.sequence += 1
-        self.sent_renewals[self.sequence] = (now, self.active_versions)
+        self.sent_renewals[self.sequence] = SentRenewal(now, self.active_versions)
         while len(self.sent_renewals) > MAX_OUTSTANDING_RENEWALS:
             self.sent_renewals.popitem(last=False)
         if not self.active_versions:
@@ -122,73 +165,62 @@
         )
 
     def _first_grantable_sequence(self, now: float) -> int:
-        """The first renewal whose grants one that acts by nothing could still begin with: it needs them of a
-        majority within a lease. Of an older one an answer may have been lost, and is waited for in vain."""
+        """Return the first renewal whose grants can still start a lease.
+
+        A relay without active versions needs grants of a majority within a lease. The answer to an older
+        renewal may be lost, and a voter that recorded its grant would wait for it in vain.
+        """
         since = now - self.terms.holder_duration(self.terms.lease_s)
-        return next(seq for seq, (sent, _) in self.sent_renewals.items() if sent >= since)
+        return next(sequence for sequence, sent in self.sent_renewals.items() if sent.sent_at >= since)
 
     def restart(self, epoch: int) -> None:
-        """Under another boot: it acts by nothing until it has a lease."""
-        self.epoch, self.active_versions, self.lease_start, self.refused_before = (
-            epoch,
-            (),
-            NEVER,
-            self.sequence + 1,
-        )
+        """Continue under another process epoch, without active versions until it has a lease."""
+        self.epoch = epoch
+        self._drop_lease(self.sequence + 1)
         self.grant_states.clear()
 
     def release(self) -> None:
-        """It has said that it acts by nothing any more."""
-        self.active_versions, self.lease_start, self.refused_before = (), NEVER, self.sequence + 1_000_000
+        """Act on no version any more, after the last renewal has said so."""
+        self._drop_lease(self.sequence + RELEASED_SEQUENCE_MARGIN)
+
+    def _drop_lease(self, refused_before: int) -> None:
+        self.active_versions = ()
+        self.lease_start = NEVER
+        self.refused_before = refused_before
 
     def add_version(self, version: Version) -> None:
-        """A version with its rules. One that is agreed on is kept to from now on, whatever else holds."""
+        """Add a version with its rules; old ones that are not active are dropped beyond a limit."""
         if version.number in self.versions:
             return
         self.versions[version.number] = version
         self.versions = OrderedDict(sorted(self.versions.items()))
-        for number in list(self.versions)[:-MAX_OUTSTANDING_RENEWALS]:
+        for number in list(self.versions)[:-MAX_KNOWN_VERSIONS]:
             if number not in self.active_versions:
                 del self.versions[number]
 
     def missing_version(self, grant: LeaseGrant) -> int:
-        """A version that a voter told of and that is not known here yet; 0: none."""
-        first = (
-            max(self.active_versions, default=grant.current_version - 1) + 1
-        )  # whoever acts by one keeps to all later ones
+        """Return a version that the voter refers to and that is not known yet; 0 if there is none."""
+        # A relay that acts on a version also obeys all later ones.
+        first = max(self.active_versions, default=grant.current_version - 1) + 1
         numbers: list[int] = [*range(first, grant.current_version + 1), grant.canary_version]
         for number in numbers:
             if number > 0 and number not in self.versions:
                 return number
         return 0
 
-    # -- hearing ---------------------------------------------------------------------------------------------
+    # -- grants ----------------------------------------------------------------------------------------------
 
     def on_grant(self, now: float, voter: str, grant: LeaseGrant) -> bool:
-        """Takes a voter's answer; whether to renew at once, since something has changed."""
+        """Take in a voter's answer; return whether to renew at once, since the active versions changed."""
         self._check_clock(now)
-        asked = self.sent_renewals.get(grant.sequence)
-        if asked is None:
+        renewal = self.sent_renewals.get(grant.sequence)
+        if renewal is None:
             return False
-        sent, acts = asked
-        word = self.grant_states.setdefault(voter, GrantState())
-        word.received_at = now
-        word.cleared_version = max(word.cleared_version, grant.cleared_version)
-        if grant.sequence > word.sequence:
-            word.sequence, word.canary_version = grant.sequence, grant.canary_version
-        self.denial_reason = grant.reason or self.denial_reason if not grant.is_recorded else ""
-        if grant.is_recorded and acts == self.active_versions:
-            word.recorded_at = max(word.recorded_at, sent)
-        if grant.granted_version and grant.sequence >= self.refused_before:
-            if grant.granted_version > word.granted_version:
-                word.granted_version, word.granted_at, word.granted_sequence = (
-                    grant.granted_version,
-                    sent,
-                    grant.sequence,
-                )
-            elif grant.granted_version == word.granted_version:
-                word.granted_at = max(word.granted_at, sent)
-                word.granted_sequence = max(word.granted_sequence, grant.sequence)
+        self._update_grant_state(now, voter, grant, renewal)
+        if grant.is_recorded:
+            self.denial_reason = ""
+        elif grant.reason:
+            self.denial_reason = grant.reason
         changed = (
             self._on_newer_version(grant)
             or self._narrow_active_versions(grant)
@@ -197,106 +229,122 @@
         self._extend_lease()
         return changed
 
+    def _update_grant_state(self, now: float, voter: str, grant: LeaseGrant, renewal: SentRenewal) -> None:
+        state = self.grant_states.setdefault(voter, GrantState())
+        state.received_at = now
+        state.cleared_version = max(state.cleared_version, grant.cleared_version)
+        if grant.sequence > state.sequence:
+            state.sequence = grant.sequence
+            state.canary_version = grant.canary_version
+        if grant.is_recorded and renewal.active_versions == self.active_versions:
+            state.recorded_at = max(state.recorded_at, renewal.sent_at)
+        if grant.granted_version and grant.sequence >= self.refused_before:
+            state.add_grant(grant, renewal.sent_at)
+
     def _on_newer_version(self, grant: LeaseGrant) -> bool:
-        """One that acts by nothing yet lets go of what it was granted of an earlier version, and says so:
-        each of its grants was waited for up to the horizon, and so one that joined while a version changed
-        held up all others for that long. A voter that is behind may grant such a one later too."""
-        late = 0 < grant.granted_version < self.latest_agreed
-        if grant.current_version <= self.latest_agreed and not late:
+        """Refuse grants of an earlier version if the relay has no active versions yet.
+
+        Guards against a relay that joins while a version changes: voters waited for each of its grants up to
+        the horizon, which delayed all other relays for that long. A voter that is behind may also grant such
+        a version later.
+        """
+        is_outdated_grant = 0 < grant.granted_version < self.latest_agreed
+        if grant.current_version <= self.latest_agreed and not is_outdated_grant:
             return False
-        first = not self.latest_agreed and grant.sequence == 1  # nothing was granted before
+        is_first_answer = not self.latest_agreed and grant.sequence == 1  # nothing was granted before
         self.latest_agreed = max(self.latest_agreed, grant.current_version)
-        if self.active_versions or first:
-            return False  # one that acts goes on with that, and keeps to the later one too
+        if self.active_versions or is_first_answer:
+            return False  # a relay with active versions keeps them, and obeys the later one too
         self._refuse_grants_before(self.sequence + 1)
         return True
 
-    def _refuse_grants_before(self, seq: int) -> None:
-        """What answers an earlier renewal is not taken: nobody has to wait for it once this has been said."""
-        self.refused_before = max(self.refused_before, seq)
-        for word in self.grant_states.values():
-            if word.granted_sequence < seq:
-                word.granted_version, word.granted_at = 0, NEVER
+    def _refuse_grants_before(self, sequence: int) -> None:
+        """Use no answer to an earlier renewal: once the voters know this, they need not wait for it."""
+        self.refused_before = max(self.refused_before, sequence)
+        for state in self.grant_states.values():
+            if state.granted_sequence < sequence:
+                state.drop_grant()
 
     def _narrow_active_versions(self, grant: LeaseGrant) -> bool:
-        """Another version is agreed on, or is to be tried here: keeps to it too."""
-        trial = self.versions.get(grant.canary_version)
-        if trial is not None and self.active_versions == (grant.current_version,):
-            # It lies within the current one, so that nobody has to be asked.
-            self._set_active_versions((trial.number,))
+        """Also obey a version that was agreed on since, or switch to the canary version."""
+        canary = self.versions.get(grant.canary_version)
+        if canary is not None and self.active_versions == (grant.current_version,):
+            # It lies within the current one, so that no grant is needed.
+            self._set_narrower_versions((canary.number,))
             return True
         current = grant.current_version
         if current in self.versions and self.active_versions and current > max(self.active_versions):
             later = [number for number in self.versions if max(self.active_versions) < number <= current]
-            self._set_active_versions((*self.active_versions, *later))
+            self._set_narrower_versions((*self.active_versions, *later))
             return True
         return False
 
-    def _set_active_versions(self, acts: tuple[int, ...]) -> None:
-        """By less than before: what was noted of that still covers it."""
-        self.active_versions, self.refused_before = acts, self.sequence + 1
+    def _set_narrower_versions(self, versions: tuple[int, ...]) -> None:
+        """Act on less than before, which what the voters have recorded still covers."""
+        self.active_versions = versions
+        self.refused_before = self.sequence + 1
 
     def _adopt_granted_version(self, now: float) -> bool:
-        """The newest version that a majority has granted, all of whom have cleared it."""
-        number = max((word.granted_version for word in self.grant_states.values()), default=0)
+        """Act on the newest granted version alone, once a majority has granted and cleared it."""
+        number = max((state.granted_version for state in self.grant_states.values()), default=0)
         version = self.versions.get(number)
         if version is None or self.active_versions == (number,):
             return False
-        if any(word.canary_version in self.active_versions for word in self.grant_states.values()) or (
+        if self._is_active_canary() or (
             number < max(self.active_versions, default=0) and not self._is_canary_withdrawn()
         ):
-            return False  # it tries a version that is not agreed on yet, or knows of a later one
-        before = self.versions.get(number - 1, version)
-        base = self._majority_time(version.voters, number)
-        cleared = sum(
-            self.grant_states[name].cleared_version >= number
-            for name in before.voters
-            if name in self.grant_states
-        )
-        if 2 * cleared <= len(before.voters) or base < now - self.terms.holder_duration(self.terms.lease_s):
+            return False  # it acts on a canary version that is not agreed on yet, or knows a later version
+        granted_since = self._majority_time(version.voters, number)
+        voters_before = self.versions.get(number - 1, version).voters
+        if not self._has_cleared_majority(voters_before, number):
             return False
-        self.active_versions, self.refused_before, self.lease_start = (number,), self.sequence + 1, base
-        for word in self.grant_states.values():
-            word.recorded_at = word.granted_at if word.granted_version == number else NEVER
+        if granted_since < now - self.terms.holder_duration(self.terms.lease_s):
+            return False
+        self.active_versions = (number,)
+        self.refused_before = self.sequence + 1
+        self.lease_start = granted_since
+        for state in self.grant_states.values():
+            state.recorded_at = state.confirmed_at(number)
         return True
 
+    def _has_cleared_majority(self, voters: tuple[str, ...], number: int) -> bool:
+        cleared = sum(
+            self.grant_states[name].cleared_version >= number for name in voters if name in self.grant_states
+        )
+        return 2 * cleared > len(voters)
+
+    def _is_active_canary(self) -> bool:
+        return any(state.canary_version in self.active_versions for state in self.grant_states.values())
+
     def _is_canary_withdrawn(self) -> bool:
-        """What it tries is no version to try any more, by the word of a majority."""
+        """Whether a majority of voters no longer names the active version as a canary."""
         version = self.latest_version
         if version is None or self.active_versions != (version.number,):
             return False
-        told = [
-            word
-            for name, word in self.grant_states.items()
-            if name in version.voters and not word.canary_version
-        ]
-        return 2 * len(told) > len(version.voters)
-
-    def _majority_time(self, voters: tuple[str, ...], number: int = 0) -> float:
-        """The latest time by which a majority had noted what it acts by, or granted that version."""
-        times = []
-        for name in voters:
-            word = self.grant_states.get(name, GrantState())
-            times.append(
-                word.recorded_at
-                if not number
-                else word.granted_at
-                if word.granted_version == number
-                else NEVER
-            )
+        without_canary = sum(
+            not state.canary_version for name, state in self.grant_states.items() if name in version.voters
+        )
+        return 2 * without_canary > len(version.voters)
+
+    def _majority_time(self, voters: tuple[str, ...], granted_version: int = 0) -> float:
+        """Return the latest time since which a majority has recorded the active versions.
+
+        With `granted_version`: since which a majority has granted that version.
+        """
+        unknown = GrantState()
+        times = [self.grant_states.get(name, unknown).confirmed_at(granted_version) for name in voters]
         times.sort(reverse=True)
         return times[len(times) // 2] if times else NEVER
 
     def _extend_lease(self) -> None:
-        """The oldest of the versions decides whose majority counts."""
-        sets = [
-            version.voters for version in map(self.versions.get, self.active_versions) if version is not None
-        ]
-        if sets:
-            self.lease_start = max(self.lease_start, min(self._majority_time(voters) for voters in sets))
+        """Move the start of the lease: each active version needs the majority of its own voters."""
+        known = [self.versions[number] for number in self.active_versions if number in self.versions]
+        if known:
+            recorded_since = min(self._majority_time(version.voters) for version in known)
+            self.lease_start = max(self.lease_start, recorded_since)
 
     def _check_clock(self, now: float) -> None:
-        """Guards against a clock that steps back: nothing is known then of how long a lease has lasted."""
+        """Guards against a clock that steps back: the age of the lease is unknown then, and it ends."""
         if now < self.last_now:
             self.lease_start = NEVER
             self.sent_renewals.clear()
@@ -304,9 +352,10 @@
             self.refused_before = self.sequence + 1
         self.last_now = now
 
-    # -- acting ----------------------------------------------------------------------------------------------
+    # -- active rules ----------------------------------------------------------------------------------------
 
     def tier(self, now: float) -> LeaseTier:
+        """Return the tier by the age of the lease."""
         self._check_clock(now)
         age = now - self.lease_start
         if not self.active_versions or age > self.terms.holder_duration(self.terms.horizon_s):
@@ -314,25 +363,31 @@
         return LeaseTier.LEASE if age <= self.terms.holder_duration(self.terms.lease_s) else LeaseTier.STANDBY
 
     def active_rules(self, now: float) -> ActiveRules:
-        """Asked right before a call's first byte, and for each message: as long as nothing that it rests on
-        has changed, and time has not run out, it is as it was told last."""
-        made = self._made
+        """Return the rules that apply now.
+
+        Called for each message, and right before a call's first byte: the latest answer is reused while
+        nothing that it depends on has changed and its time has not run out.
+        """
+        cached = self._cached
         if (
-            made is not None
-            and made[0] is self.active_versions
-            and made[1] == self.lease_start
-            and self.last_now <= now <= made[2]
+            cached is not None
+            and cached.active_versions is self.active_versions
+            and cached.lease_start == self.lease_start
+            and self.last_now <= now <= cached.valid_until
         ):
             self.last_now = now
-            return made[3]
+            return cached.active
         tier = self.tier(now)
-        acting = (
-            made[3] if made is not None and made[0] == self.active_versions and made[3].tier is tier else None
-        )
-        if acting is None:
-            acting = self._compute_active_rules(tier)
-        self._made = self.active_versions, self.lease_start, self.tier_ends_at(now), acting
-        return acting
+        if (
+            cached is not None
+            and cached.active_versions == self.active_versions
+            and cached.active.tier is tier
+        ):
+            active = cached.active
+        else:
+            active = self._compute_active_rules(tier)
+        self._cached = CachedRules(self.active_versions, self.lease_start, self.tier_ends_at(now), active)
+        return active
 
     def _compute_active_rules(self, tier: LeaseTier) -> ActiveRules:
         if tier is LeaseTier.FLOOR:
@@ -340,11 +395,11 @@
         rules = intersect_all(self.versions[number].decoded_rules for number in self.active_versions)
         if tier is LeaseTier.STANDBY:
             rules = standby_rules(rules, self.terms.standby_share)
-            rules = intersect(rules, rules)  # one form, whatever the share has made of it
+            rules = intersect(rules, rules)  # normalizes the scaled rates
         return ActiveRules(rules, self.active_versions, tier)
 
     def tier_ends_at(self, now: float) -> float:
-        """When its tier changes unless something is heard."""
+        """Return when the tier changes if no further grant is received."""
         age = now - self.lease_start
         for span in (self.terms.lease_s, self.terms.horizon_s):
             if age <= self.terms.holder_duration(span):
--- a/message_relay/consensus/lease_protocol.py
+++ b/message_relay/consensus/lease_protocol.py
@@ -1,10 +1,11 @@
-"""The times on which leases rest, and the messages about them. All in seconds, on clocks that never step
-back.
+"""Lease durations, and the messages of the lease protocol.
 
-T is what the operator states: no two relays act on versions that contradict each other for longer. A lease
-lasts `LEASE` of it, by the clock of who holds it; who granted it counts it as lasting longer by twice the
-drift, so that it has always run out for its holder first, as long as no two clocks drift apart by more
-than `drift`.
+All times are in seconds, on monotonic clocks. The operator states a bound T: no two relays act on versions
+that contradict each other for longer. A lease lasts `LEASE_SHARE_OF_BOUND` of T by the clock of its holder;
+a grantor counts it as longer, by the clock drift on each side, so that it has always expired for the holder
+first while no two clocks drift apart by more than `drift`.
+
+The messages are encoded as arrays: the order and types of their fields are a wire format.
 """
 
 from __future__ import annotations
@@ -13,62 +14,65 @@
 
 import msgspec
 
-LEASE_SHARE_OF_BOUND = 0.6  # of T: the rest is for the way, and for a turn that comes late
-RENEWALS_PER_LEASE = 4  # in the time of a lease: so three may be lost
+LEASE_SHARE_OF_BOUND = 0.6  # the rest of T is for network delay and a late turn of the event loop
+RENEWALS_PER_LEASE = 4  # so that three in a row may be lost
 
 
 @dataclass(frozen=True)
 class LeaseTerms:
+    """The durations that all relays agree on, from the operator's file."""
+
     bound_s: float = 2.0  # T
-    horizon_s: float = 30.0  # a relay that hears of no majority stops so long after it last did
-    drift: float = 0.05  # between any two clocks, in s a second
-    standby_share: float = 0.9  # of each rate that a relay cut off goes on with
+    horizon_s: float = 30.0  # a relay stops so long after its last contact to a majority
+    drift: float = 0.05  # between any two clocks, in seconds a second
+    standby_share: float = 0.9  # share of each rate that a relay without a majority continues with
 
     @property
     def lease_s(self) -> float:
-        """As its holder counts it."""
+        """Duration of a lease, before the allowance for clock drift."""
         return LEASE_SHARE_OF_BOUND * self.bound_s
 
     @property
     def renew_interval_s(self) -> float:
+        """Time between two renewals."""
         return self.lease_s / RENEWALS_PER_LEASE
 
     def holder_duration(self, seconds: float) -> float:
-        """The least that a holder may count as so long."""
+        """Return the shortest time on another clock: what a holder may count on."""
         return seconds * (1 - self.drift)
 
     def grantor_duration(self, seconds: float) -> float:
-        """The most that whoever granted it has to wait for it."""
+        """Return the longest time on another clock: what a grantor has to wait for."""
         return seconds * (1 + self.drift)
 
 
 class DeliveryCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Messages of one process since its start: for the guard."""
+    """Messages of one process since its start, for the canary guard."""
 
     delivered: int = 0
-    completed: int = 0  # all of them
+    completed: int = 0  # with any outcome
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True):
-    """A relay to each voter: by what it acts, and has acted since the last one, and will not go beyond."""
+    """Sent by a relay to each voter: the versions that it acts on, and will not go beyond."""
 
-    epoch: int
+    epoch: int  # process epoch of the relay's folder
     nonce: int  # of the process
     sequence: int
-    first_digest: str  # digest of the first version: all have to begin with the same
-    active_versions: tuple[int, ...]  # by the meet of these versions; none: by the floor
-    refused_before: int  # grants that answer an earlier `seq` are never taken
+    first_digest: str  # of the first version: all instances have to start with the same
+    active_versions: tuple[int, ...]  # it acts on the meet of them; if empty, on the floor
+    refused_before: int  # grants that answer an earlier sequence number are never used
     counts: DeliveryCounts = DeliveryCounts()
     is_leaving: bool = False
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
-    """A voter's answer."""
-
-    sequence: int
-    is_recorded: bool  # it holds what `acts` says for allowed, from now on for a lease
-    granted_version: int  # this version may be acted on; 0: none
-    cleared_version: int  # no relay acts beyond this version, as far as this voter's word goes
-    current_version: int  # what it knows to be agreed
-    canary_version: int = 0  # and to be tried by this relay
-    reason: str = ""  # nothing is noted or granted
+    """A voter's answer to a renewal."""
+
+    sequence: int  # of the renewal
+    is_recorded: bool  # the voter counts `active_versions` as allowed, from now on for a lease
+    granted_version: int  # the relay may act on this version; 0: on none
+    cleared_version: int  # no relay acts beyond this version, as far as this voter knows
+    current_version: int  # the newest one that is agreed on, as far as this voter knows
+    canary_version: int = 0  # the relay is to act on this version as a canary; 0: on none
+    reason: str = ""  # why nothing was recorded or granted
