--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -20,7 +20,7 @@
 from message_relay.composition import ComposedRelay, compose
 from message_relay.fleet.report import rss_mb
 from message_relay.gc_policy import run_gc_policy
-from message_relay.http.discovery_client import read
+from message_relay.http.discovery_client import parse_listing
 
 from .form import Measure
 
@@ -80,7 +80,7 @@
 def take(built: ComposedRelay, body: bytes) -> tuple[float, float]:
     """An answer in two turns of the loop, as it comes: the source's, and then the decisions'. ms of each."""
     begun = time.perf_counter()
-    _, update = read(json.loads(body))
+    _, update = parse_listing(json.loads(body))
     built.relay.on_endpoint_update(update)
     then = time.perf_counter()
     built.relay.driver.run_turn()
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -106,7 +106,7 @@
         self.host.connect({}, Silent(), [])
         self.common = SharedSubsystems(told, number, config, self.host)
         if config.known:
-            known: EndpointUpdate = DiscoveryClient(config.discovery, config.settings.relays).known(
+            known: EndpointUpdate = DiscoveryClient(config.discovery, config.settings.relays).load_configured(
                 config.known
             )
             self.host.on_endpoint_update(known)
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -18,13 +18,14 @@
 from .http import client_intake
 from .http.discovery_client import DiscoveryClient
 from .http.endpoint_client import EndpointClient
-from .http.listener import AT_ONCE
+from .http.listener import ACCEPT_BATCH
 from .structured_logging import LogEvent
 
 log = logging.getLogger(__name__)
 
 REGISTER, AMQP = "", "amqp"  # sources of members, by the name that their updates have
-OWN_SOCKETS = 24 + AT_ONCE  # the loop's, the log's, the listener's, the journal's, two agents' and a file's
+# The loop's, the log's, the listener's, the journal's, two agents' and a file's.
+OWN_SOCKETS = 24 + ACCEPT_BATCH
 # descriptors, and those of connections that are just being taken
 
 
@@ -69,7 +70,7 @@
     known: EndpointUpdate | None = None
     if config.known:
         try:
-            known = register.known(config.known)
+            known = register.load_configured(config.known)
         except ValueError as error:
             log.warning(LogEvent("the known list of endpoints is passed over", why=error))
     return ComposedRelay(host, http, calls, register, known)
--- a/message_relay/http/agent.py
+++ b/message_relay/http/agent.py
@@ -21,35 +21,35 @@
 class AgentClient:
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.link: EndpointConnection | None = None
+        self.connection: EndpointConnection | None = None
 
-    async def request(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
+    async def request(self, method: str, target: str, body: bytes, timeout_s: float) -> tuple[int, bytes]:
         """Safe to repeat at will: the agent takes each of its requests any number of times."""
         try:
-            async with asyncio.timeout(seconds):
-                if self.link is None or not self.link.usable:
-                    self.link = await EndpointConnection.open(self.address, ANSWER_BYTES)
+            async with asyncio.timeout(timeout_s):
+                if self.connection is None or not self.connection.is_usable:
+                    self.connection = await EndpointConnection.open(self.address, ANSWER_BYTES)
                 host = f"{self.address[0]}:{self.address[1]}"
-                head, answer = await self.link.request(method, target, [("Host", host)], body)
+                head, answer = await self.connection.request(method, target, [("Host", host)], body)
                 return head.status, answer
         except TimeoutError as error:
             self.close()
-            raise AgentError(f"no answer within {seconds:.1f} s") from error
+            raise AgentError(f"no answer within {timeout_s:.1f} s") from error
         except ConnectionLostError as error:
             self.close()
             raise AgentError(str(error)) from error
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
 
 class Backoff(ExponentialBackoff):
     """Pauses between failed requests, in seconds, so that a returning agent is not hammered."""
 
-    def __init__(self, first_s: float, most_s: float) -> None:
-        super().__init__(first_s, most_s, random.Random())
+    def __init__(self, initial_s: float, max_s: float) -> None:
+        super().__init__(initial_s, max_s, random.Random())
 
     async def pause(self) -> None:
         await asyncio.sleep(self.next_delay())
--- a/message_relay/http/client_intake.py
+++ b/message_relay/http/client_intake.py
@@ -9,11 +9,11 @@
 from ..core.ports import FinalOutcome, InvalidMessageError, MessageAcceptor, Submission
 from ..core.tasks import BackgroundTasks
 from .agent import AgentClient
-from .client_connection import ClientListener, Reply, Request
+from .client_connection import ClientListener, ClientRequest, ClientResponse
 from .outcome_notifier import OutcomeNotifier
 
 NAME = "http"
-FIELDS = {
+HEADER_OF_FIELD = {
     "id": "X-Trace-Id",
     "key": "Idempotency-Key",
     "tenant": "X-Customer",
@@ -27,67 +27,69 @@
 
     def __init__(
         self,
-        desk: MessageAcceptor,
+        acceptor: MessageAcceptor,
         config: Config,
-        most: int,
-        roomy: int,
-        handed: socket.socket | None = None,
+        max_connections: int,
+        crowding_threshold: int,
+        inherited_socket: socket.socket | None = None,
     ) -> None:
-        self.desk, self.listen, self.handed = desk, config.listen, handed
-        self.clients = ClientListener(self.take, desk.cancel, most, roomy)
-        self.notices = OutcomeNotifier(AgentClient(config.discovery), desk.mark_notified)
+        self.acceptor, self.listen_address, self.inherited_socket = acceptor, config.listen, inherited_socket
+        self.listener = ClientListener(
+            self.handle_request, acceptor.cancel, max_connections, crowding_threshold
+        )
+        self.notifier = OutcomeNotifier(AgentClient(config.discovery), acceptor.mark_notified)
         self.tasks = BackgroundTasks()
-        self.telling: asyncio.Task[None] | None = None
+        self.notifier_task: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
-        self.telling = self.tasks.start(self.notices.run())
-        self.tasks.start(self.clients.watch())
-        self.clients.listen(*self.listen, self.handed)
+        self.notifier_task = self.tasks.start(self.notifier.run())
+        self.tasks.start(self.listener.watch())
+        self.listener.listen(*self.listen_address, self.inherited_socket)
 
-    def notify_outcome(self, end: FinalOutcome) -> None:
-        self.notices.add(end.id, end.state, end.retry_after_ms)
+    def notify_outcome(self, outcome: FinalOutcome) -> None:
+        self.notifier.add(outcome.id, outcome.state, outcome.retry_after_ms)
 
     def reload(self, config: Config) -> None:
-        if self.telling is not None:
-            self.telling.cancel()
-        self.notices.agent.close()
-        self.notices.move(AgentClient(config.discovery))
-        self.telling = self.tasks.start(self.notices.run())
+        if self.notifier_task is not None:
+            self.notifier_task.cancel()
+        self.notifier.agent.close()
+        self.notifier.switch_agent(AgentClient(config.discovery))
+        self.notifier_task = self.tasks.start(self.notifier.run())
 
     def stop(self) -> None:
-        self.clients.stop()
+        self.listener.stop()
 
     @property
     def open_requests(self) -> int:
-        return len(self.clients.connections)
+        return len(self.listener.connections)
 
     @property
     def pending_outcomes(self) -> int:
-        return len(self.notices.waiting)
+        return len(self.notifier.pending)
 
     async def close(self) -> None:
-        self.clients.stop()
+        self.listener.stop()
         await self.tasks.cancel()
-        self.notices.agent.close()
+        self.notifier.agent.close()
 
-    def take(self, request: Request) -> Reply:
+    def handle_request(self, request: ClientRequest) -> ClientResponse:
         """One request of a client."""
         path = request.target.partition("?")[0]
         if request.method == "GET" and path == "/healthz":
-            return Reply(200 if self.desk.is_ready else 503)
+            return ClientResponse(200 if self.acceptor.is_ready else 503)
         if request.method != "POST":
-            return Reply(405, "POST a message, or GET /healthz")
+            return ClientResponse(405, "POST a message, or GET /healthz")
         try:
-            offer = offer_of(request, path)
-            receipt = self.desk.accept(offer)
+            offer = parse_submission(request, path)
+            receipt = self.acceptor.accept(offer)
         except InvalidMessageError as error:
-            return Reply(400, f"{FIELDS.get(error.field, error.field)}: {error.text}")
+            return ClientResponse(400, f"{HEADER_OF_FIELD.get(error.field, error.field)}: {error.text}")
         if receipt.accepted:
-            return Reply(202, accepted=offer.id, when=receipt.durable)
-        return Reply(503, receipt.reason, retry_s=receipt.retry_after_s)
+            return ClientResponse(202, accepted_id=offer.id, durable=receipt.durable)
+        return ClientResponse(503, receipt.reason, retry_after_s=receipt.retry_after_s)
 
 
-def offer_of(request: Request, path: str) -> Submission:
+def parse_submission(request: ClientRequest, path: str) -> Submission:
     """Raises Malformed where a header cannot be read; what it means is the desk's to check."""
     get = request.headers.get
     class_ = path.strip("/").partition("/")[0]
@@ -100,7 +102,7 @@
         get("x-trace-id", ""),
         class_,
         get("x-customer", ""),
-        _dest(get("x-addressing", "")),
+        _parse_destination(get("x-addressing", "")),
         get("idempotency-key"),
         int(left),
         get("x-second-try", ""),
@@ -109,7 +111,7 @@
     )
 
 
-def _dest(text: str) -> int:
+def _parse_destination(text: str) -> int:
     for part in text.replace(",", ";").split(";"):
         name, _, value = part.strip().partition("=")
         if name == "dest" and value.isascii() and value.isdecimal() and len(value) < 10:
--- a/message_relay/http/connection.py
+++ b/message_relay/http/connection.py
@@ -12,20 +12,24 @@
 
 from ..config import Address
 
-HEAD_BYTES = 16 * 1024  # an answer's first line and headers, at most
-PIECES = 256  # heads and chunks of one answer, at most: reading endless tiny ones would hold up the loop,
-PIECE_BYTES = 1024  # and one more for each so many bytes: a long answer comes in as many reads as it takes
-FIRST_LINE = re.compile(rb"HTTP/\d\.\d (\d{3})(?: [^\r\n]*)?\r?\n")
+MAX_HEAD_BYTES = 16 * 1024  # an answer's first line and headers, at most
+MAX_PIECES = 256  # heads and chunks of one answer, at most: reading endless tiny ones would hold up the loop,
+BYTES_PER_EXTRA_PIECE = (
+    1024  # and one more for each so many bytes: a long answer comes in as many reads as it takes
+)
+STATUS_LINE = re.compile(rb"HTTP/\d\.\d (\d{3})(?: [^\r\n]*)?\r?\n")
 HEAD_END = re.compile(rb"\r?\n\r?\n")
 # An answer that is written in the ordinary way and has come whole. What this takes, h11 takes in the same way
 # (tests/test_plain.py); all else goes to h11.
-ANSWER = re.compile(rb"HTTP/1\.1 ([2-5]\d\d)(?: [ -~]*)?\r\n((?:[A-Za-z0-9-]{1,60}: ?[!-~]*\r\n){1,24})\r\n")
-LENGTH = re.compile(rb"(?:^|\n)content-length: ?(\d{1,5})\r\n", re.IGNORECASE)
-PLAIN_BYTES = 2048  # longer ones are rare
-UNUSUAL = (b"transfer-encoding:", b"connection:", b"upgrade:")
+PLAIN_RESPONSE = re.compile(
+    rb"HTTP/1\.1 ([2-5]\d\d)(?: [ -~]*)?\r\n((?:[A-Za-z0-9-]{1,60}: ?[!-~]*\r\n){1,24})\r\n"
+)
+CONTENT_LENGTH = re.compile(rb"(?:^|\n)content-length: ?(\d{1,5})\r\n", re.IGNORECASE)
+MAX_PLAIN_RESPONSE_BYTES = 2048  # longer ones are rare
+UNUSUAL_FIELDS = (b"transfer-encoding:", b"connection:", b"upgrade:")
 LINE_BREAK = re.compile(r"[\r\n\0]")
 Headers = list[tuple[str, str]]
-ASKED = [("Host", "x")]  # h11 only has to know that something was asked
+PLACEHOLDER_HEADERS = [("Host", "x")]  # h11 only has to know that something was asked
 
 
 class ConnectionLostError(Exception):
@@ -33,24 +37,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     status: int
     headers: dict[str, str]  # names in lower case
 
 
-def named(headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
+def headers_by_name(headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
     """By name in lower case; HTTP headers are Latin-1."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in headers}
 
 
-def plain_answer(data: bytes) -> tuple[int, dict[str, str], bytes] | None:
+def parse_plain_response(data: bytes) -> tuple[int, dict[str, str], bytes] | None:
     """Status, headers and body of an ordinary answer with nothing behind it; None: h11 has to look at it."""
-    head = ANSWER.match(data) if len(data) <= PLAIN_BYTES else None
+    head = PLAIN_RESPONSE.match(data) if len(data) <= MAX_PLAIN_RESPONSE_BYTES else None
     if head is None:
         return None
     fields = head[2].lower()
-    lengths = LENGTH.findall(fields)
-    if len(lengths) != 1 or head[1] in (b"204", b"304") or any(name in fields for name in UNUSUAL):
+    lengths = CONTENT_LENGTH.findall(fields)
+    if len(lengths) != 1 or head[1] in (b"204", b"304") or any(name in fields for name in UNUSUAL_FIELDS):
         return None
     if len(data) != head.end() + int(lengths[0]):
         return None
@@ -59,7 +63,7 @@
     return int(head[1]), {name.lower(): value.strip() for name, value in pairs}, data[head.end() :]
 
 
-def plain_request(method: str, target: str, headers: Headers, body: bytes) -> bytes:
+def encode_request(method: str, target: str, headers: Headers, body: bytes) -> bytes:
     """A request's bytes. LinkLost if a header holds a line break, which would begin another."""
     lines = [
         f"{method} {target} HTTP/1.1\r\n",
@@ -71,7 +75,7 @@
     return "".join(lines).encode("latin-1") + body
 
 
-def polled(transport: asyncio.BaseTransport | None, events: int) -> bool:
+def is_socket_ready(transport: asyncio.BaseTransport | None, events: int) -> bool:
     """Whether the socket says any of these by now, also if the loop has not been told yet; or is closed."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.fileno() < 0:
@@ -84,82 +88,88 @@
 class EndpointConnection(asyncio.Protocol):
     """Built on a bare protocol: streams hide when the last byte was written, and keep stray answers."""
 
-    def __init__(self, body_bytes: int) -> None:
+    def __init__(self, max_body_bytes: int) -> None:
         loop = asyncio.get_running_loop()
-        self.http: h11.Connection | None = None  # only for an answer that is not an ordinary one
+        self.parser: h11.Connection | None = None  # only for an answer that is not an ordinary one
         self.method = "GET"
-        self.body_bytes = body_bytes
+        self.max_body_bytes = max_body_bytes
         self.transport: asyncio.Transport | None = None
         self.idle_since = loop.time()
-        self.busy = False
-        self.last_byte = b""  # of a request that is written but for it
-        self.sent = False  # the last byte of the latest request has left: from then on it may run
-        self.sending_last = False  # what waits in the buffer ends with that byte
+        self.is_busy = False
+        self.withheld_byte = b""  # of a request that is written but for it
+        self.is_request_sent = False  # the last byte of the latest request has left: from then on it may run
+        self.is_sending_last_byte = False  # what waits in the buffer ends with that byte
         self.status: asyncio.Future[int] = loop.create_future()  # by the first line, whatever comes after it
-        self.head: asyncio.Future[Head] = loop.create_future()
-        self.whole: asyncio.Future[bytes] = loop.create_future()
+        self.head: asyncio.Future[ResponseHead] = loop.create_future()
+        self.complete_body: asyncio.Future[bytes] = loop.create_future()
         self.flushed: asyncio.Future[None] | None = None
-        self.start = bytearray()  # of the answer, until its status is known
-        self.body = bytearray()
-        self.pieces = 0
-        self.calls = 0  # this one included
-        self.kind = ""  # of the endpoint that it leads to
+        self.received_head = bytearray()  # of the answer, until its status is known
+        self.received_body = bytearray()
+        self.piece_count = 0
+        self.request_count = 0  # this one included
+        self.endpoint_kind = ""  # of the endpoint that it leads to
 
     @classmethod
-    async def open(cls, address: Address, body_bytes: int) -> EndpointConnection:
+    async def open(cls, address: Address, max_body_bytes: int) -> EndpointConnection:
         try:
             loop = asyncio.get_running_loop()
-            _, link = await loop.create_connection(lambda: cls(body_bytes), *address)
+            _, link = await loop.create_connection(lambda: cls(max_body_bytes), *address)
             return link
         except OSError as error:
             raise ConnectionLostError(f"cannot connect to {address[0]}:{address[1]}: {error}") from error
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Open, between requests, and nothing has come on it that nobody asked for."""
-        return self.transport is not None and not self.transport.is_closing() and not self.busy
+        return self.transport is not None and not self.transport.is_closing() and not self.is_busy
 
     @property
-    def quiet(self) -> bool:
+    def has_no_unread_input(self) -> bool:
         """Guards the next call against a second answer that lies unread, or an end not yet noticed."""
-        return not polled(self.transport, select.POLLIN | select.POLLRDHUP)
+        return not is_socket_ready(self.transport, select.POLLIN | select.POLLRDHUP)
 
     def close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    async def send(self, method: str, target: str, headers: Headers, body: bytes, hold_s: float = 0) -> None:
+    async def send(
+        self, method: str, target: str, headers: Headers, body: bytes, withhold_s: float = 0
+    ) -> None:
         """Returns once the last byte is written; LinkLost means that it was not. If it is to be held back,
         only what comes before it is written, and `finish` is still to be called."""
-        if not self.usable or self.transport is None:
+        if not self.is_usable or self.transport is None:
             raise ConnectionLostError("the connection is closed")
         loop = asyncio.get_running_loop()
-        self.busy, self.pieces, self.calls = True, 0, self.calls + 1
-        self.status, self.head, self.whole = loop.create_future(), loop.create_future(), loop.create_future()
-        self.start.clear()
-        self.body.clear()
-        self.http, self.method, self.sent = None, method, False
-        data = plain_request(method, target, headers, body)
-        if hold_s > 0:
-            self.last_byte = data[-1:]
+        self.is_busy, self.piece_count, self.request_count = True, 0, self.request_count + 1
+        self.status, self.head, self.complete_body = (
+            loop.create_future(),
+            loop.create_future(),
+            loop.create_future(),
+        )
+        self.received_head.clear()
+        self.received_body.clear()
+        self.parser, self.method, self.is_request_sent = None, method, False
+        data = encode_request(method, target, headers, body)
+        if withhold_s > 0:
+            self.withheld_byte = data[-1:]
             await self._write(self.transport, data[:-1], last=False)
-            await asyncio.wait([self.status], timeout=hold_s)
+            await asyncio.wait([self.status], timeout=withhold_s)
             if self.status.done():
                 raise ConnectionLostError("the connection broke before the request was whole")
         else:
             await self._write(self.transport, data, last=True)
 
-    async def finish(self) -> None:
+    async def send_withheld_byte(self) -> None:
         """Writes what `send` held back."""
         if self.transport is None or self.status.done():
             raise ConnectionLostError("the connection broke before the request was whole")
-        last, self.last_byte = self.last_byte, b""
+        last, self.withheld_byte = self.withheld_byte, b""
         if last:
             await self._write(self.transport, last, last=True)
 
     async def _write(self, transport: asyncio.Transport, data: bytes, last: bool) -> None:
         """`sent` is set where the byte leaves, not where this task is woken: it may be given up between."""
-        self.sending_last = last
+        self.is_sending_last_byte = last
         transport.write(data)
         # A first write that fails closes the transport at once, and has not taken the whole request.
         if transport.is_closing():
@@ -168,15 +178,15 @@
             self.flushed = asyncio.get_running_loop().create_future()
             await self.flushed
         else:
-            self.sent = last
+            self.is_request_sent = last
 
     async def request(
         self, method: str, target: str, headers: Headers, body: bytes = b""
-    ) -> tuple[Head, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         """One request and its whole answer."""
         await self.send(method, target, headers, body)
         head = await self.head
-        return head, await self.whole
+        return head, await self.complete_body
 
     # -- called by the loop ------------------------------------------------------------------------------
 
@@ -189,102 +199,107 @@
         pass
 
     def resume_writing(self) -> None:
-        self.sent = self.sent or self.sending_last
+        self.is_request_sent = self.is_request_sent or self.is_sending_last_byte
         if self.flushed is not None and not self.flushed.done():
             self.flushed.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        if not self.busy:
+        if not self.is_busy:
             # Guards the next call: what comes unasked would be taken for its answer.
             self.close()
             return
-        if self.last_byte:
-            self._lose("something came before the request was whole")
+        if self.withheld_byte:
+            self._fail("something came before the request was whole")
             return
         self._feed(data)
 
     def eof_received(self) -> None:
-        if self.busy:
+        if self.is_busy:
             self._feed(b"")
-        self._lose("the connection ended")
+        self._fail("the connection ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._lose("the connection broke" if exc else "the connection was closed")
+        self._fail("the connection broke" if exc else "the connection was closed")
 
     def _read_status(self, data: bytes) -> None:
         """Apart from h11, which drops a spoilt head whole: its first line may still tell the truth."""
-        self.start += data[:HEAD_BYTES]
-        while line := FIRST_LINE.match(self.start):
+        self.received_head += data[:MAX_HEAD_BYTES]
+        while line := STATUS_LINE.match(self.received_head):
             status = int(line[1])
             if status >= 200:
                 self.status.set_result(status)
-                self.start.clear()
+                self.received_head.clear()
                 return
-            end = HEAD_END.search(self.start, line.end() - 2)
+            end = HEAD_END.search(self.received_head, line.end() - 2)
             if end is None:
                 return
-            del self.start[: end.end()]
+            del self.received_head[: end.end()]
 
     def _feed(self, data: bytes) -> None:
-        if self.http is None:
-            if (plain := plain_answer(data)) is not None:
-                self._plain(*plain)
+        if self.parser is None:
+            if (plain := parse_plain_response(data)) is not None:
+                self._complete_plain_response(*plain)
                 return
-            self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
-            for asked in (h11.Request(method=self.method, target="/", headers=ASKED), h11.EndOfMessage()):
-                self.http.send(asked)
+            self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+            for asked in (
+                h11.Request(method=self.method, target="/", headers=PLACEHOLDER_HEADERS),
+                h11.EndOfMessage(),
+            ):
+                self.parser.send(asked)
         if not self.status.done():
             self._read_status(data)
         try:
-            self.http.receive_data(data)
+            self.parser.receive_data(data)
             while True:
-                event = self.http.next_event()
-                self.pieces += 1
-                if self.pieces > PIECES + len(self.body) // PIECE_BYTES:
-                    self._lose("the answer has too many pieces")
+                event = self.parser.next_event()
+                self.piece_count += 1
+                if self.piece_count > MAX_PIECES + len(self.received_body) // BYTES_PER_EXTRA_PIECE:
+                    self._fail("the answer has too many pieces")
                     return
                 match event:
                     case h11.Response() if not self.head.done():
                         if not self.status.done():
                             self.status.set_result(event.status_code)
-                        self.head.set_result(Head(event.status_code, named(event.headers)))
+                        self.head.set_result(ResponseHead(event.status_code, headers_by_name(event.headers)))
                     case h11.Data(data=chunk):
-                        self.body += chunk
-                        if len(self.body) > self.body_bytes:
-                            come = self.head.result().headers.get("content-length", f"over {len(self.body)}")
-                            self._lose(f"the answer is too long: {come} bytes, {self.body_bytes} at most")
+                        self.received_body += chunk
+                        if len(self.received_body) > self.max_body_bytes:
+                            come = self.head.result().headers.get(
+                                "content-length", f"over {len(self.received_body)}"
+                            )
+                            self._fail(f"the answer is too long: {come} bytes, {self.max_body_bytes} at most")
                             return
                     case h11.EndOfMessage():
-                        self._answered()
+                        self._complete_response()
                         return
                     case h11.InformationalResponse():
                         pass
                     case _:
                         return
         except h11.RemoteProtocolError as error:
-            self._lose(f"not an HTTP answer: {error}")
+            self._fail(f"not an HTTP answer: {error}")
 
-    def _plain(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        self.busy, self.idle_since = False, asyncio.get_running_loop().time()
+    def _complete_plain_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
+        self.is_busy, self.idle_since = False, asyncio.get_running_loop().time()
         self.status.set_result(status)
-        self.head.set_result(Head(status, headers))
-        self.whole.set_result(body)
+        self.head.set_result(ResponseHead(status, headers))
+        self.complete_body.set_result(body)
 
-    def _answered(self) -> None:
-        http, self.http = self.http, None
+    def _complete_response(self) -> None:
+        http, self.parser = self.parser, None
         if http is not None and http.our_state is h11.DONE and http.their_state is h11.DONE:
             stray = bool(http.trailing_data[0])
-            self.busy, self.idle_since = stray, asyncio.get_running_loop().time()
+            self.is_busy, self.idle_since = stray, asyncio.get_running_loop().time()
             if stray:
                 self.close()
         else:
             self.close()
-        if not self.whole.done():
-            self.whole.set_result(bytes(self.body))
+        if not self.complete_body.done():
+            self.complete_body.set_result(bytes(self.received_body))
 
-    def _lose(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         self.close()
-        for future in (self.flushed, self.status, self.head, self.whole):
+        for future in (self.flushed, self.status, self.head, self.complete_body):
             if future is not None and not future.done():
-                future.set_exception(ConnectionLostError(why))
+                future.set_exception(ConnectionLostError(reason))
                 future.exception()  # nobody may be waiting for it
--- a/message_relay/http/keep_alive.py
+++ b/message_relay/http/keep_alive.py
@@ -9,26 +9,28 @@
 
 from __future__ import annotations
 
-SCARCE_S = 60.0  # after the latest connection that was turned away: longer than such a day's quiet spells
+REJECTION_MEMORY_S = (
+    60.0  # after the latest connection that was turned away: longer than such a day's quiet spells
+)
 
 
 class KeepAlivePolicy:
     def __init__(self) -> None:
-        self.turned_away: dict[str, float] = {}  # kind of endpoint -> when; no more of them than are listed
+        self.rejected_at: dict[str, float] = {}  # kind of endpoint -> when; no more of them than are listed
 
-    def keeps(self, kind: str, now: float) -> bool:
+    def allows_idle(self, kind: str, now: float) -> bool:
         """Idle connections to endpoints of this kind cost nobody a place."""
-        at = self.turned_away.get(kind)
-        return at is None or now - at > SCARCE_S
+        at = self.rejected_at.get(kind)
+        return at is None or now - at > REJECTION_MEMORY_S
 
-    def refused(self, kind: str, now: float) -> bool:
+    def record_rejection(self, kind: str, now: float) -> bool:
         """An endpoint of this kind had no place for one more connection. True: until now they were kept."""
-        kept = self.keeps(kind, now)
-        self.turned_away[kind] = now
+        kept = self.allows_idle(kind, now)
+        self.rejected_at[kind] = now
         return kept
 
 
-def connection_rejected(status: int, headers: dict[str, str], calls: int, wait_ms: float) -> bool:
+def is_connection_rejection(status: int, headers: dict[str, str], calls: int, wait_ms: float) -> bool:
     """An answer by which an endpoint turns a connection away, and not a call: 503 to its first request, with
     no time to come again, and an end of the connection, which no refusal above a limit brings."""
     options = {option.strip().lower() for option in headers.get("connection", "").split(",")}
--- a/message_relay/http/listener.py
+++ b/message_relay/http/listener.py
@@ -16,11 +16,11 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512  # connections that the system keeps for us: a flood must not push out those behind it
-AT_ONCE = 16  # taken in one turn of the loop: their descriptors are set aside (assembly.OWN_SOCKETS)
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+ACCEPT_BATCH = 16  # taken in one turn of the loop: their descriptors are set aside (assembly.OWN_SOCKETS)
+RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def _waited_for(sock: socket.socket) -> bool:
+def _has_waiting_connection(sock: socket.socket) -> bool:
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return bool(poll.poll(0))
@@ -29,80 +29,82 @@
 class Listener:
     """`room` is asked before each connection; while it says no, `again` has to be called now and then."""
 
-    def __init__(self, made: Callable[[], asyncio.Protocol], room: Callable[[], bool]) -> None:
-        self.made, self.room = made, room
+    def __init__(
+        self, protocol_factory: Callable[[], asyncio.Protocol], has_capacity: Callable[[], bool]
+    ) -> None:
+        self.protocol_factory, self.has_capacity = protocol_factory, has_capacity
         self.sockets: list[socket.socket] = []
-        self.coming = 0  # taken from the system, and not yet announced to their protocol
-        self.paused = False
+        self.starting_count = 0  # taken from the system, and not yet announced to their protocol
+        self.is_paused = False
         self.tasks = BackgroundTasks()
 
-    def listen(self, host: str, port: int, handed: socket.socket | None = None) -> None:
+    def listen(self, host: str, port: int, inherited_socket: socket.socket | None = None) -> None:
         """At an address, or on a socket that was handed over. Raises OSError."""
-        if handed is not None:
-            handed.listen(BACKLOG)
-            self.sockets = [handed]
+        if inherited_socket is not None:
+            inherited_socket.listen(BACKLOG)
+            self.sockets = [inherited_socket]
         else:
             found = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
             for family, address in dict.fromkeys((each[0], each[4]) for each in found):
                 self.sockets.append(socket.create_server(address[:2], family=family, backlog=BACKLOG))
         for sock in self.sockets:
             sock.setblocking(False)
-        self._watch()
+        self._start_accepting()
 
     @property
     def port(self) -> int:
         return int(self.sockets[0].getsockname()[1])
 
-    def again(self) -> None:
+    def resume(self) -> None:
         """There may be room by now."""
-        if self.paused:
-            self.paused = False
-            self._watch()
+        if self.is_paused:
+            self.is_paused = False
+            self._start_accepting()
 
-    def _watch(self) -> None:
+    def _start_accepting(self) -> None:
         for sock in self.sockets:
-            asyncio.get_running_loop().add_reader(sock.fileno(), self._take, sock, AT_ONCE)
+            asyncio.get_running_loop().add_reader(sock.fileno(), self._accept_ready, sock, ACCEPT_BATCH)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         """Guards the loop against a listener that is readable all the time, and can't be read."""
-        self.paused = True
+        self.is_paused = True
         for sock in self.sockets:
             asyncio.get_running_loop().remove_reader(sock.fileno())
 
-    def _take(self, sock: socket.socket, most: int) -> None:
-        for _ in range(most):
-            if not _waited_for(sock):  # room may have to be made, which is for nobody else's sake
+    def _accept_ready(self, sock: socket.socket, limit: int) -> None:
+        for _ in range(limit):
+            if not _has_waiting_connection(sock):  # room may have to be made, which is for nobody else's sake
                 return
-            if not self.room():
-                self._pause()
+            if not self.has_capacity():
+                self._pause_accepting()
                 return
             try:
-                taken, _ = sock.accept()
+                accepted, _ = sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                if error.errno not in NO_ROOM:
+                if error.errno not in RESOURCE_ERRORS:
                     raise
                 log.warning(LogEvent("no connection can be taken for now", why=error))
-                self._pause()
+                self._pause_accepting()
                 return
-            taken.setblocking(False)
-            self.coming += 1
-            self.tasks.start(self._begin(taken))
+            accepted.setblocking(False)
+            self.starting_count += 1
+            self.tasks.start(self._start_connection(accepted))
 
-    async def _begin(self, taken: socket.socket) -> None:
+    async def _start_connection(self, accepted: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(self.made, taken)
+            await asyncio.get_running_loop().connect_accepted_socket(self.protocol_factory, accepted)
         except OSError:  # it has gone
-            taken.close()
+            accepted.close()
         finally:
-            self.coming -= 1
+            self.starting_count -= 1
 
     def close(self) -> None:
         """Takes what has come by now, and no more: a queue that is thrown away resets all that wait in it."""
         for sock in self.sockets:
-            if not self.paused:
-                self._take(sock, BACKLOG)
+            if not self.is_paused:
+                self._accept_ready(sock, BACKLOG)
             asyncio.get_running_loop().remove_reader(sock.fileno())
             sock.close()
         self.sockets = []
--- a/message_relay/http/outcome_notifier.py
+++ b/message_relay/http/outcome_notifier.py
@@ -12,67 +12,67 @@
 
 log = logging.getLogger(__name__)
 
-BATCH = 200  # lines in one request
+MAX_BATCH_LINES = 200  # lines in one request
 # The agent answers at once, and an end is owed 0.3 s after its message's time: a connection that has fallen
 # silent is found out within that, and the batch sent once more on another.
-ANSWER_S = 0.1
-ANSWER_MAX_S = 1.0  # of an agent that is slow: no wait is longer
-SLOW = 4.0  # so many times what its latest answer took
-PAUSE_S, PAUSE_MAX_S = 0.05, 0.5  # between failed requests
+MIN_TIMEOUT_S = 0.1
+MAX_TIMEOUT_S = 1.0  # of an agent that is slow: no wait is longer
+TIMEOUT_MULTIPLE = 4.0  # so many times what its latest answer took
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.5  # between failed requests
 
 
 class OutcomeNotifier:
     """Sends each notice until it is answered 204: at least once, also over a restart (see the journal)."""
 
-    def __init__(self, agent: AgentClient, told: Callable[[list[str]], None]) -> None:
-        self.agent, self.told = agent, told
-        self.waiting: dict[str, str] = {}
+    def __init__(self, agent: AgentClient, on_notified: Callable[[list[str]], None]) -> None:
+        self.agent, self.on_notified = agent, on_notified
+        self.pending: dict[str, str] = {}
         self.wake = asyncio.Event()
-        self.batch = BATCH
-        self.patience = ANSWER_S
+        self.batch_size = MAX_BATCH_LINES
+        self.timeout_s = MIN_TIMEOUT_S
 
     def add(self, ident: str, state: str, after_ms: float = 0.0) -> None:
         line: dict[str, object] = {"id": ident, "state": state}
         if after_ms > 0:
             line["after_ms"] = round(after_ms)
-        self.waiting[ident] = json.dumps(line) + "\n"
+        self.pending[ident] = json.dumps(line) + "\n"
         self.wake.set()
 
-    def move(self, agent: AgentClient) -> None:
+    def switch_agent(self, agent: AgentClient) -> None:
         """What waits, or was out unanswered, goes to this agent: a notice told twice does no harm."""
         self.agent = agent
-        if self.waiting:
+        if self.pending:
             self.wake.set()
 
     async def run(self) -> None:
-        backoff = Backoff(PAUSE_S, PAUSE_MAX_S)
+        backoff = Backoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while self.waiting:
+            while self.pending:
                 try:
-                    await self._send(list(self.waiting)[: self.batch])
+                    await self._send(list(self.pending)[: self.batch_size])
                     backoff.reset()
                 except AgentError as error:
-                    log.warning(LogEvent("notices failed", waiting=len(self.waiting), why=error))
-                    self.patience = min(ANSWER_MAX_S, 2 * self.patience)
+                    log.warning(LogEvent("notices failed", waiting=len(self.pending), why=error))
+                    self.timeout_s = min(MAX_TIMEOUT_S, 2 * self.timeout_s)
                     await backoff.pause()
                 except Exception:
                     log.exception("notices: a batch could not be sent")
                     await backoff.pause()
 
     async def _send(self, idents: list[str]) -> None:
-        body = "".join(self.waiting[ident] for ident in idents).encode()
+        body = "".join(self.pending[ident] for ident in idents).encode()
         clock = asyncio.get_running_loop().time
         begun = clock()
-        status, _ = await self.agent.request("POST", "/v1/outcomes", body, self.patience)
-        self.patience = min(ANSWER_MAX_S, max(ANSWER_S, SLOW * (clock() - begun)))
+        status, _ = await self.agent.request("POST", "/v1/outcomes", body, self.timeout_s)
+        self.timeout_s = min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_MULTIPLE * (clock() - begun)))
         if status != 204:
             # Guards the others against one line that is not taken: from here on, one by one and in turn.
-            self.batch = 1
-            self.waiting[idents[0]] = self.waiting.pop(idents[0])
+            self.batch_size = 1
+            self.pending[idents[0]] = self.pending.pop(idents[0])
             raise AgentError(f"{len(idents)} notices answered {status}")
-        self.batch = min(BATCH, 2 * self.batch)
+        self.batch_size = min(MAX_BATCH_LINES, 2 * self.batch_size)
         for ident in idents:
-            del self.waiting[ident]
-        self.told(idents)
+            del self.pending[ident]
+        self.on_notified(idents)
--- a/message_relay/sharded_directory/source.py
+++ b/message_relay/sharded_directory/source.py
@@ -21,7 +21,7 @@
 from ..core.ports import EndpointRecord
 from ..decisions.model import Listing
 from ..endpoint_discovery.poll_schedule import PollSchedule
-from ..http.discovery_client import LISTINGS, _member
+from ..http.discovery_client import LISTINGS, parse_endpoint
 from ..structured_logging import LogEvent
 from . import wire
 from .bulk_load import Change, Load
@@ -195,7 +195,7 @@
         lives: list[tuple[str, int]] = []
         for item in items:
             try:
-                rows.append(row(_member(item)))
+                rows.append(row(parse_endpoint(item)))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 self.count += 1
                 if self.count.bit_count() == 1:
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -12,9 +12,9 @@
 from message_relay.http.agent import AgentClient
 from message_relay.http.client_connection import ClientListener
 from message_relay.http.client_intake import ClientIntake
-from message_relay.http.connection import Head
-from message_relay.http.discovery_client import DiscoveryClient, read
-from message_relay.http.endpoint_client import EndpointClient, report_of
+from message_relay.http.connection import ResponseHead
+from message_relay.http.discovery_client import DiscoveryClient, parse_listing
+from message_relay.http.endpoint_client import EndpointClient, parse_load_report
 from message_relay.http.outcome_notifier import OutcomeNotifier
 
 Values = dict[str, Any]
@@ -35,18 +35,18 @@
     """One question for the list of endpoints, where this list is known already."""
     register = DiscoveryClient(address, 1, 0)
     if known is not None:
-        register.known(known)
+        register.load_configured(known)
     if watch:
-        register.asking.on_answered()
+        register.poll_schedule.on_answered()
     try:
-        return await register._ask()
+        return await register._poll()
     finally:
         register.close()
 
 
 def list_values(answer: Values) -> Values:
     """What an answer of the register says."""
-    version, update = read(answer)
+    version, update = parse_listing(answer)
     return {
         "version": version,
         "whole": update.is_full,
@@ -117,7 +117,7 @@
 
 
 def load_report(header: str, fields: list[str]) -> list[float]:
-    return list(report_of(Head(200, {"endpoint-load-metrics": header}), tuple(fields)))
+    return list(parse_load_report(ResponseHead(200, {"endpoint-load-metrics": header}), tuple(fields)))
 
 
 class _Desk:
@@ -153,13 +153,13 @@
         self._front = ClientIntake(self._desk, replace(config, listen=("127.0.0.1", 0)), 8, 8)
 
     def listen(self) -> int:
-        clients: ClientListener = self._front.clients
+        clients: ClientListener = self._front.listener
         clients.listen("127.0.0.1", 0)
         return clients.port
 
     async def close(self) -> None:
         await self._front.close()
-        for connection in list(self._front.clients.connections):
+        for connection in list(self._front.listener.connections):
             connection.abort()
         await asyncio.sleep(0)  # the loop's next turn closes them
 
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -160,9 +160,9 @@
         now += draw.expovariate(1 / 9.0)
         kind = draw.choice(("x", "y", "z"))
         if draw.random() < 0.1:
-            rows.append((now, kind, "refused", keeping.refused(kind, now)))
+            rows.append((now, kind, "refused", keeping.record_rejection(kind, now)))
         else:
-            rows.append((now, kind, "asked", keeping.keeps(kind, now)))
+            rows.append((now, kind, "asked", keeping.allows_idle(kind, now)))
     return rows
 
 
--- a/tests/http/test_calls.py
+++ b/tests/http/test_calls.py
@@ -12,9 +12,9 @@
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions.events import AttemptCompleted, EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
-from message_relay.http.connection import EndpointConnection, Head
-from message_relay.http.endpoint_client import EndpointClient, report_of
-from message_relay.http.keep_alive import SCARCE_S, KeepAlivePolicy, connection_rejected
+from message_relay.http.connection import EndpointConnection, ResponseHead
+from message_relay.http.endpoint_client import EndpointClient, parse_load_report
+from message_relay.http.keep_alive import REJECTION_MEMORY_S, KeepAlivePolicy, is_connection_rejection
 
 from ..conftest import Driver, make_settings
 from ..loopback import OK, Server, answer, run, until
@@ -239,7 +239,7 @@
         relays = [EndpointClient(60000.0, 20000.0, 10) for _ in range(6)]
         for _ in range(3):
             await calls_of(relays, *narrow)
-        assert not any(calls.aged for calls in relays)
+        assert not any(calls.idle_by_age for calls in relays)
         for calls in relays:
             calls.close()
 
@@ -256,10 +256,10 @@
         calls = EndpointClient(60000.0, 20000.0, 10)
         await calls.attempt(attempt(roomy.address, endpoint=1, kind="small"))
         await calls.attempt(attempt(other.address, endpoint=2, kind="large"))
-        await until(lambda: len(calls.aged) == 2)
+        await until(lambda: len(calls.idle_by_age) == 2)
         result = await calls.attempt(attempt(full.address, endpoint=3, kind="small"))
         assert result.outcome is Outcome.FULL
-        assert [key[0] for key in calls.aged.values()] == [2]  # of the other kind nothing is known
+        assert [key[0] for key in calls.idle_by_age.values()] == [2]  # of the other kind nothing is known
         await until(roomy.left)
         calls.close()
 
@@ -267,20 +267,26 @@
 
 
 def test_other_refusals_leave_connections_alone() -> None:
-    assert connection_rejected(503, {"connection": "Close"}, 1, 0.0)
-    assert not connection_rejected(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
-    assert not connection_rejected(503, {"connection": "close"}, 2, 0.0)  # it had a place
-    assert not connection_rejected(
+    assert is_connection_rejection(503, {"connection": "Close"}, 1, 0.0)
+    assert not is_connection_rejection(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
+    assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # it had a place
+    assert not is_connection_rejection(
         503, {"connection": "close"}, 1, 300.0
     )  # told when to come: no matter of places
-    assert not connection_rejected(429, {"connection": "close"}, 1, 0.0)
+    assert not is_connection_rejection(429, {"connection": "close"}, 1, 0.0)
 
 
 def test_places_are_scarce_for_a_while() -> None:
     keeping = KeepAlivePolicy()
-    assert keeping.keeps("k", 0.0) and keeping.refused("k", 10.0) and not keeping.refused("k", 20.0)
-    assert not keeping.keeps("k", 20.0 + SCARCE_S) and keeping.keeps("k", 20.1 + SCARCE_S)
-    assert keeping.keeps("other", 20.0)
+    assert (
+        keeping.allows_idle("k", 0.0)
+        and keeping.record_rejection("k", 10.0)
+        and not keeping.record_rejection("k", 20.0)
+    )
+    assert not keeping.allows_idle("k", 20.0 + REJECTION_MEMORY_S) and keeping.allows_idle(
+        "k", 20.1 + REJECTION_MEMORY_S
+    )
+    assert keeping.allows_idle("other", 20.0)
 
 
 # -- reports -----------------------------------------------------------------------------------------------
@@ -302,8 +308,8 @@
     ],
 )
 def test_a_load_report_is_read_in_the_order_of_the_settings(text: str, report: tuple[float, ...]) -> None:
-    assert report_of(Head(200, {"endpoint-load-metrics": text}), ("x0", "x1")) == report
-    assert report_of(Head(200, {"endpoint-load-metrics": text}), ()) == ()
+    assert parse_load_report(ResponseHead(200, {"endpoint-load-metrics": text}), ("x0", "x1")) == report
+    assert parse_load_report(ResponseHead(200, {"endpoint-load-metrics": text}), ()) == ()
 
 
 @pytest.mark.parametrize("status", (200, 429, 500))
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -87,12 +87,12 @@
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))  # a watch is open
-            link = host.register.agent.link
+            link = host.register.agent.connection
             assert link is not None
             body = json.dumps(moved(old, new, generation=90))
             # The answer is read, and the task that waits for it not yet woken, in the moment of the reload.
             link.data_received(answer(200, body=body))
-            assert link.whole.done()
+            assert link.complete_body.done()
             config = host.host.config
             host.reload(_at(config, other))
             await until(lambda: bool(other.seen))
@@ -118,9 +118,11 @@
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             if moment == "pause":
-                host.register.asking.backoff.maximum = host.register.asking.backoff.initial = 60_000.0
+                host.register.poll_schedule.backoff.maximum = host.register.poll_schedule.backoff.initial = (
+                    60_000.0
+                )
                 agent.changes.put_nowait(answer(500))
-                await until(lambda: host.register.asking.backoff.failures > 0)
+                await until(lambda: host.register.poll_schedule.backoff.failures > 0)
             else:
                 await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
             host.reload(_at(host.host.config, other))
@@ -196,13 +198,13 @@
     async def work() -> None:
         register = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
         register.version = 7
-        register.asking.on_answered()
+        register.poll_schedule.on_answered()
         assert isinstance(register.agent, AgentLink)
         state = left_untried(tmp_path, 0)
         agent = await Agent().start()
         host: Running = host_of(state, agent)
         register.reload(host.host.config)
-        assert register.version == -1 and register.asking.watch_duration_ms() == 0.0
+        assert register.version == -1 and register.poll_schedule.watch_duration_ms() == 0.0
         assert register.agent.address == agent.address
         await host.close()
 
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -13,7 +13,12 @@
 import pytest
 
 from message_relay.http import client_connection
-from message_relay.http.client_connection import ClientConnection, ClientListener, Reply, Request
+from message_relay.http.client_connection import (
+    ClientConnection,
+    ClientListener,
+    ClientRequest,
+    ClientResponse,
+)
 
 from ..loopback import Client, Running, message, run, until
 from ..test_clients import World, ended
@@ -48,15 +53,15 @@
 
     async def work() -> None:
         async with World(tmp_path) as host:
-            host.ingress.roomy = 0  # so many are idle that no connection is kept
+            host.ingress.crowding_threshold = 0  # so many are idle that no connection is kept
             with raw(host.ingress.port) as sock:
-                answer = ClientConnection._answer
+                answer = ClientConnection._write_response
 
-                def and_more(self: ClientConnection, reply: Reply) -> None:
+                def and_more(self: ClientConnection, reply: ClientResponse) -> None:
                     answer(self, reply)
                     sock.send(message("b"))  # unread when the relay ends the connection
 
-                monkeypatch.setattr(ClientConnection, "_answer", and_more)
+                monkeypatch.setattr(ClientConnection, "_write_response", and_more)
                 sock.send(message("a"))
                 text = await all_of(sock)
                 assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
@@ -138,13 +143,13 @@
 def test_half_a_request_at_a_stop_is_answered_when_its_time_is_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "FIRST_S", 0.2)
+    monkeypatch.setattr(client_connection, "FIRST_REQUEST_TIMEOUT_S", 0.2)
 
     async def work() -> None:
         async with World(tmp_path) as host:
             with raw(host.ingress.port) as sock:
                 sock.send(message("a")[:50])
-                await until(lambda: any(not each.idle for each in host.ingress.connections))
+                await until(lambda: any(not each.is_idle for each in host.ingress.connections))
                 host.ingress.stop()
                 assert (await all_of(sock)).startswith(b"HTTP/1.1 408")
             assert not host.journal.entries
@@ -176,12 +181,12 @@
 
     async def work() -> None:
         async with World(tmp_path) as host:
-            host.ingress.roomy = 0
+            host.ingress.crowding_threshold = 0
             with raw(host.ingress.port) as sock:
                 sock.send(message("a"))
                 await until(lambda: bool(host.ingress.lingering))
                 sock.send(b"x" * 1000)
-                next(iter(host.ingress.lingering)).make_way()
+                next(iter(host.ingress.lingering)).evict()
                 text = await all_of(sock)
                 assert text.startswith(b"HTTP/1.1 202")
 
@@ -199,8 +204,8 @@
         self.nothing_ran = nothing_ran
         self.clients = ClientListener(self.accept, self.cancel, 10, 10)
 
-    def accept(self, request: Request) -> Reply:
-        return Reply(202, accepted="m", when=asyncio.get_running_loop().create_future())
+    def accept(self, request: ClientRequest) -> ClientResponse:
+        return ClientResponse(202, accepted_id="m", durable=asyncio.get_running_loop().create_future())
 
     def cancel(self, ident: str) -> bool:
         self.withdrawn.append(ident)
@@ -213,7 +218,7 @@
 ) -> None:
     """Seen to fail where the connection's time-out said 408 and the message stayed until the connection had
     gone: it could still be delivered after its client had heard that it failed."""
-    monkeypatch.setattr(client_connection, "WAIT_S", 0.1)
+    monkeypatch.setattr(client_connection, "DURABILITY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         it = Waiting(nothing_ran)
@@ -237,11 +242,11 @@
 
     async def work() -> None:
         it, sync = Waiting(True), asyncio.get_running_loop().create_future()
-        it.clients.handle = lambda request: Reply(202, accepted="m", when=sync)
+        it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
         it.clients.listen("127.0.0.1", 0)
         with raw(it.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent for each in it.clients.connections))
+            await until(lambda: any(each.unsent_ids for each in it.clients.connections))
             if how == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
@@ -259,11 +264,11 @@
 def test_a_stop_while_an_answer_waits_for_a_sync_lets_it_out(tmp_path: Path) -> None:
     async def work() -> None:
         it, sync = Waiting(True), asyncio.get_running_loop().create_future()
-        it.clients.handle = lambda request: Reply(202, accepted="m", when=sync)
+        it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
         it.clients.listen("127.0.0.1", 0)
         with raw(it.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent for each in it.clients.connections))
+            await until(lambda: any(each.unsent_ids for each in it.clients.connections))
             it.clients.stop()
             sync.set_result(None)
             assert (await all_of(sock)).startswith(b"HTTP/1.1 202") and not it.withdrawn
@@ -275,11 +280,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen to fail where what had no room was accepted and closed: one in some hundred messages was cut."""
-    monkeypatch.setattr(client_connection, "HEARD_S", 0.3)
+    monkeypatch.setattr(client_connection, "FIRST_BYTES_S", 0.3)
 
     async def work() -> None:
         async with World(tmp_path) as host:
-            host.ingress.most = 4
+            host.ingress.max_connections = 4
             crowd = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(4)]
             await until(lambda: len(host.ingress.connections) == 4)
             with raw(host.ingress.port) as sock:
@@ -297,7 +302,7 @@
 
 
 def test_an_idle_connection_is_ended_without_a_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from message_relay.amqp.settings import AmqpSettings
 from message_relay.composition import compose
 from message_relay.decisions.events import Event
-from message_relay.http.discovery_client import read
+from message_relay.http.discovery_client import parse_listing
 
 PATIENCE_S = 60.0  # nothing here takes long; only a hang reaches it
 SETTINGS: dict[str, Any] = {
@@ -216,7 +216,8 @@
     def __init__(self, settings: config.Config, amqp: AmqpSettings | None = None) -> None:
         self.parts = compose(settings, None, amqp)
         self.host, self.front, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
-        self.ingress, self.notices, self.egress = self.front.clients, self.front.notices, self.parts.transport
+        self.ingress, self.notices = self.front.listener, self.front.notifier
+        self.egress = self.parts.transport
         self.messages, self.turns, self.directory = self.host.messages, self.host.driver, self.host.directory
         self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
         self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.turns.now
@@ -237,7 +238,7 @@
 
     def tell(self, raw: dict[str, Any]) -> None:
         """As if discovery had."""
-        self.register.version, update = read(raw)
+        self.register.version, update = parse_listing(raw)
         self.host.on_endpoint_update(update)
 
 
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -10,7 +10,7 @@
 import pytest
 
 from message_relay.http.agent import ANSWER_BYTES, AgentClient, AgentError
-from message_relay.http.connection import PIECE_BYTES, PIECES
+from message_relay.http.connection import BYTES_PER_EXTRA_PIECE, MAX_PIECES
 
 from ..loopback import Agent as FakeAgent
 from ..loopback import Client, Server, answer, host_of, listing, message, run, until
@@ -45,9 +45,9 @@
     run(work())
 
 
-@pytest.mark.parametrize("size", (PIECE_BYTES, 1))
+@pytest.mark.parametrize("size", (BYTES_PER_EXTRA_PIECE, 1))
 def test_a_long_answer_may_come_in_many_pieces_and_not_in_endless_tiny_ones(size: int) -> None:
-    count = 4 * PIECES
+    count = 4 * MAX_PIECES
 
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -97,7 +97,7 @@
                 await client.writer.drain()
             assert await client.status() == 413
             (connection,) = host.ingress.connections
-            assert connection.request is None and connection.over
+            assert connection.request is None and connection.is_lingering
             async with Client(host.ingress.port) as other:
                 assert await other.ask(message("n")) == 202
         assert list(host.journal.entries) == ["n"]
@@ -118,7 +118,7 @@
 def test_what_does_not_come_in_time_is_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, status: int
 ) -> None:
-    for name in ("SILENT_S", "FIRST_S", "REQUEST_S", "SWEEP_S"):
+    for name in ("SILENT_TIMEOUT_S", "FIRST_REQUEST_TIMEOUT_S", "REQUEST_TIMEOUT_S", "SWEEP_INTERVAL_S"):
         monkeypatch.setattr(ingress, name, 0.05)
 
     async def work() -> None:
@@ -133,9 +133,9 @@
 
 
 def test_waits_for_bad_clients_end_within_what_they_are_owed_and_spare_the_others() -> None:
-    slowest = max(ingress.SILENT_S, ingress.FIRST_S) + ingress.SWEEP_S
-    assert slowest < 3.0 <= ingress.DISCARD_S + ingress.SWEEP_S < 6.0
-    assert min(ingress.SILENT_S, ingress.SPARED_S, ingress.IDLE_S) >= 2.0
+    slowest = max(ingress.SILENT_TIMEOUT_S, ingress.FIRST_REQUEST_TIMEOUT_S) + ingress.SWEEP_INTERVAL_S
+    assert slowest < 3.0 <= ingress.OVERSIZED_LINGER_S + ingress.SWEEP_INTERVAL_S < 6.0
+    assert min(ingress.SILENT_TIMEOUT_S, ingress.MIN_IDLE_S, ingress.IDLE_TIMEOUT_S) >= 2.0
 
 
 def test_half_a_request_and_an_end_of_sending_is_answered(tmp_path: Path) -> None:
@@ -152,8 +152,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors against clients that ask once and keep their connection for good."""
-    monkeypatch.setattr(ingress, "IDLE_S", 0.1)
-    monkeypatch.setattr(ingress, "SWEEP_S", 0.05)
+    monkeypatch.setattr(ingress, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(ingress, "SWEEP_INTERVAL_S", 0.05)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
@@ -161,7 +161,9 @@
             assert await client.reader.read() == b""
             await until(lambda: not host.ingress.connections)
             ingress_ = host.ingress
-            assert not (ingress_.silent or ingress_.visiting or ingress_.resting or ingress_.lingering)
+            assert not (
+                ingress_.silent or ingress_.idle_visitors or ingress_.idle_submitters or ingress_.lingering
+            )
 
     run(work())
 
@@ -173,7 +175,7 @@
 
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
-            port, host.ingress.roomy = host.ingress.port, 3
+            port, host.ingress.crowding_threshold = host.ingress.port, 3
             idle = [await open_.enter_async_context(Client(port)) for _ in range(3)]
             for count, client in enumerate(idle):
                 assert await client.ask(message(f"a{count}")) == 202
@@ -183,10 +185,12 @@
                 assert await ended(once)
             assert await idle[0].ask(message("c")) == 202 and "connection: close" not in idle[0].head
             now = asyncio.get_running_loop().time()
-            assert len(host.ingress._due(now + ingress.SPARED_S)) == 3 and not host.ingress._due(now + 1.9)
-            host.ingress.roomy = 4
-            assert not host.ingress._due(now + ingress.IDLE_S - 1.0)
-            assert len(host.ingress._due(now + ingress.IDLE_S)) == 3
+            assert len(host.ingress._overdue(now + ingress.MIN_IDLE_S)) == 3 and not host.ingress._overdue(
+                now + 1.9
+            )
+            host.ingress.crowding_threshold = 4
+            assert not host.ingress._overdue(now + ingress.IDLE_TIMEOUT_S - 1.0)
+            assert len(host.ingress._overdue(now + ingress.IDLE_TIMEOUT_S)) == 3
 
     run(work())
 
@@ -195,11 +199,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors that calls need, and the usual clients' way in."""
-    monkeypatch.setattr(ingress, "HEARD_S", 0.0)
+    monkeypatch.setattr(ingress, "FIRST_BYTES_S", 0.0)
 
     async def work() -> None:
         async with World(tmp_path) as host:
-            port, host.ingress.most = host.ingress.port, 3
+            port, host.ingress.max_connections = host.ingress.port, 3
             async with Client(port) as usual, Client(port) as first, Client(port) as second:
                 assert await usual.ask(message("a")) == 202
                 for count in range(10):
@@ -216,11 +220,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a way in that closes behind each: its first bytes come right after it, not with it."""
-    monkeypatch.setattr(ingress, "SPARED_S", 0.0)
+    monkeypatch.setattr(ingress, "MIN_IDLE_S", 0.0)
 
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
-            port, host.ingress.most = host.ingress.port, 4
+            port, host.ingress.max_connections = host.ingress.port, 4
             idle = [await open_.enter_async_context(Client(port)) for _ in range(4)]
             for count, client in enumerate(idle):
                 assert await client.ask(message(f"a{count}")) == 202
@@ -239,7 +243,7 @@
 
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
-            port, host.ingress.most = host.ingress.port, 4
+            port, host.ingress.max_connections = host.ingress.port, 4
             usual = await open_.enter_async_context(Client(port))
             assert await usual.ask(message("a")) == 202
             for _ in range(20):
@@ -257,16 +261,16 @@
 ) -> None:
     async def work() -> None:
         async with World(tmp_path) as host:
-            port, host.ingress.most = host.ingress.port, 2
+            port, host.ingress.max_connections = host.ingress.port, 2
             async with Client(port) as half, Client(port) as kept:
                 half.writer.write(GOOD[:60])
                 assert await kept.ask(message("a")) == 202
                 await until(lambda: not host.ingress.silent)
                 async with Client(port) as other:  # it waits in the system's queue, and costs nothing
                     other.writer.write(message("b"))
-                    await until(lambda: host.ingress.listener.paused)
+                    await until(lambda: host.ingress.listener.is_paused)
                     assert len(host.ingress.connections) == 2 and "b" not in host.journal.entries
-                    monkeypatch.setattr(ingress, "SPARED_S", 0.0)
+                    monkeypatch.setattr(ingress, "MIN_IDLE_S", 0.0)
                     assert await other.status() == 202
                 assert await ended(kept)
                 half.writer.write(GOOD[60:])
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -186,7 +186,7 @@
             assert await client.ask(message("m")) == 202
             await server.came.get()
             (connection,) = host.ingress.connections
-            connection.unsent.append("m")  # as when the socket does not take the answer
+            connection.unsent_ids.append("m")  # as when the socket does not take the answer
             client.writer.transport.abort()
             await until(lambda: not host.ingress.connections)
             assert not host.held and "m" not in host.journal.entries
@@ -310,20 +310,22 @@
                 "home": host.journal.segment_of,
                 "dying": host.journal.retained,
                 "silent": ingress.silent,
-                "resting": ingress.resting,
-                "visiting": ingress.visiting,
+                "resting": ingress.idle_submitters,
+                "visiting": ingress.idle_visitors,
                 "lingering": ingress.lingering,
                 "queues": relay_.pending.queues,
                 "due": relay_.pending.scans_due,
                 "unsure": relay_.pending.lowest_value_stale,
                 "lines": relay_.pending.key_order,
                 "rest": relay_.pending.key_paused_until,
-                "ending": host.egress.ending,
-                "notices": host.notices.waiting,
+                "ending": host.egress.receiving_bodies,
+                "notices": host.notices.pending,
                 "events": host.events,
             }
             assert {name: len(what) for name, what in sizes.items() if len(what)} == {}
-            assert len(directory.by_name) == len(directory.by_number) == len(host.egress.idle) == 1
+            assert (
+                len(directory.by_name) == len(directory.by_number) == len(host.egress.idle_by_endpoint) == 1
+            )
             assert list(host.dests) == [39] and len(relay_.endpoints) == 1
             assert len(relay_.destinations) == 38  # what they have learned fades in a minute, and then goes
             relay_.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
@@ -458,7 +460,7 @@
             await server.came.get()
             late = message("late", "unsafe")
             half.writer.write(late[:50])
-            await until(lambda: any(not each.idle for each in host.ingress.connections))
+            await until(lambda: any(not each.is_idle for each in host.ingress.connections))
             stopping = asyncio.get_running_loop().create_task(host.stop())
             assert await client.reader.read() == b""  # the idle one is closed
             half.writer.write(late[50:])
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -22,7 +22,7 @@
 from message_relay.http import outcome_notifier as http_notices
 from message_relay.http.agent import AgentClient as AgentLink
 from message_relay.http.agent import AgentError
-from message_relay.http.connection import polled
+from message_relay.http.connection import is_socket_ready
 from message_relay.http.outcome_notifier import OutcomeNotifier
 
 from .conftest import make_settings
@@ -56,7 +56,9 @@
         task = asyncio.ensure_future(notices.run())
         await until(lambda: told == ["m"])
         task.cancel()
-        assert sum(agent.waited) + MOST * http_notices.PAUSE_S < OWED_S / 1.5  # a half is left for all else
+        assert (
+            sum(agent.waited) + MOST * http_notices.MIN_BACKOFF_S < OWED_S / 1.5
+        )  # a half is left for all else
 
     run(work())
 
@@ -70,7 +72,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert agent.waited == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-        assert notices.patience == http_notices.ANSWER_S  # it answers at once again
+        assert notices.timeout_s == http_notices.MIN_TIMEOUT_S  # it answers at once again
 
     run(work())
 
@@ -101,7 +103,7 @@
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
             text = message("m", left=5000)
             client.writer.write(text[:40])
-            await until(lambda: any(not each.idle for each in host.ingress.connections))
+            await until(lambda: any(not each.is_idle for each in host.ingress.connections))
             await asyncio.sleep(0.2)
             whole = unix_time_ms()
             client.writer.write(text[40:])
@@ -192,11 +194,11 @@
             async with Client(host.ingress.port) as first, Client(host.ingress.port) as again:
                 first.writer.write(message("m"))
                 await until(lambda: "m" in host.journal.entries)
-                begun = next(each for each in host.ingress.connections if each.unsent)
+                begun = next(each for each in host.ingress.connections if each.unsent_ids)
                 again.writer.write(message("m"))
-                await until(lambda: sum(len(each.unsent) for each in host.ingress.connections) == 2)
+                await until(lambda: sum(len(each.unsent_ids) for each in host.ingress.connections) == 2)
                 first.writer.transport.abort()
-                await until(lambda: polled(begun.transport, select.POLLRDHUP))
+                await until(lambda: is_socket_ready(begun.transport, select.POLLRDHUP))
                 sync.set_result(None)
                 assert await again.status() == 202
                 assert "m" in host.journal.entries
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -9,7 +9,14 @@
 
 from message_relay.http import client_connection, connection
 
-NAMES = [*sorted(client_connection.PLAIN), "Connection", "Transfer-Encoding", "Expect", "Upgrade", "X-Other"]
+NAMES = [
+    *sorted(client_connection.PLAIN_HEADERS),
+    "Connection",
+    "Transfer-Encoding",
+    "Expect",
+    "Upgrade",
+    "X-Other",
+]
 ODD = st.sampled_from(
     [
         "",
@@ -66,19 +73,19 @@
     cut: int,
 ) -> None:
     data = bytes_of(f"{method} {target} {version}", headers, length, body, cut)
-    plain = client_connection.plain_request(data)
+    plain = client_connection.parse_plain_request(data)
     if plain is None:
         return
     http = h11.Connection(h11.SERVER)
     http.receive_data(data)
     head, got = http.next_event(), b""
-    assert isinstance(head, h11.Request) and client_connection.fault_of(head) is None
+    assert isinstance(head, h11.Request) and client_connection.find_head_fault(head) is None
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0]
     assert not http.they_are_waiting_for_100_continue
     assert (plain.method, plain.target) == (head.method.decode(), head.target.decode())
-    assert plain.headers == connection.named(head.headers) and plain.body == got
+    assert plain.headers == connection.headers_by_name(head.headers) and plain.body == got
     http.send(h11.Response(status_code=202, headers=[("Content-Length", "0")]))
     http.send(h11.EndOfMessage())
     assert http.our_state is h11.DONE  # it may be kept, as the short way does
@@ -87,7 +94,7 @@
 def test_an_ordinary_request_goes_the_short_way() -> None:
     headers = [("X-Trace-Id", ": ", "a"), ("X-Qos", ": ", "safe")]
     data = bytes_of("POST /safe HTTP/1.1", headers, "5", b"hello", 0)
-    plain = client_connection.plain_request(data)
+    plain = client_connection.parse_plain_request(data)
     assert plain is not None and plain.headers["x-trace-id"] == "a" and plain.body == b"hello"
 
 
@@ -114,11 +121,14 @@
 )
 def test_answers(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> None:
     data = bytes_of(start, headers, length, body, cut)
-    plain = connection.plain_answer(data)
+    plain = connection.parse_plain_response(data)
     if plain is None:
         return
     http = h11.Connection(h11.CLIENT)
-    for asked in (h11.Request(method="POST", target="/", headers=connection.ASKED), h11.EndOfMessage()):
+    for asked in (
+        h11.Request(method="POST", target="/", headers=connection.PLACEHOLDER_HEADERS),
+        h11.EndOfMessage(),
+    ):
         http.send(asked)
     http.receive_data(data)
     head, got = http.next_event(), b""
@@ -126,34 +136,39 @@
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0] and http.their_state is h11.DONE
-    assert plain == (head.status_code, connection.named(head.headers), got)
+    assert plain == (head.status_code, connection.headers_by_name(head.headers), got)
 
 
 @pytest.mark.parametrize(
     "reply",
     [
-        client_connection.Reply(202),
-        client_connection.Reply(503, "full", retry_s=1.0),
-        client_connection.Reply(400, "X-Qos: no"),
+        client_connection.ClientResponse(202),
+        client_connection.ClientResponse(503, "full", retry_after_s=1.0),
+        client_connection.ClientResponse(400, "X-Qos: no"),
     ],
 )
 @pytest.mark.parametrize("last", [False, True])
-def test_answers_to_clients_are_those_that_h11_reads(reply: client_connection.Reply, last: bool) -> None:
+def test_answers_to_clients_are_those_that_h11_reads(
+    reply: client_connection.ClientResponse, last: bool
+) -> None:
     http = h11.Connection(h11.CLIENT)
-    for asked in (h11.Request(method="POST", target="/", headers=connection.ASKED), h11.EndOfMessage()):
+    for asked in (
+        h11.Request(method="POST", target="/", headers=connection.PLACEHOLDER_HEADERS),
+        h11.EndOfMessage(),
+    ):
         http.send(asked)
-    http.receive_data(client_connection.plain_answer(reply, last))
+    http.receive_data(client_connection.encode_response(reply, last))
     head, got = http.next_event(), b""
     assert isinstance(head, h11.Response) and head.status_code == reply.status
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
-    headers = connection.named(head.headers)
+    headers = connection.headers_by_name(head.headers)
     assert got.decode().strip() == reply.text and isinstance(event, h11.EndOfMessage)
     assert (headers.get("connection") == "close") == last
-    assert headers.get("retry-after") == ("1.000" if reply.retry_s else None)
+    assert headers.get("retry-after") == ("1.000" if reply.retry_after_s else None)
 
 
 def test_a_header_that_would_begin_another_is_not_written() -> None:
     for value in ("a\r\nX: y", "a\nb", "a\0"):
         with pytest.raises(connection.ConnectionLostError, match="line break"):
-            connection.plain_request("POST", "/inbox", [("X-Trace-Id", value)], b"")
+            connection.encode_request("POST", "/inbox", [("X-Trace-Id", value)], b"")
