--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -9,9 +9,10 @@
 import msgspec
 
 from message_relay.consensus.rules import Rules
+from message_relay.failover.call_counter import CallCounter
 from message_relay.failover.controller import FailoverController
 from message_relay.failover.node import FORWARDED_REPORTS, OBSERVATIONS_KIND
-from message_relay.failover.observations import RETAINED_WINDOWS, CallCounter, ObservationReport, Observations
+from message_relay.failover.observations import RETAINED_WINDOWS, ObservationReport, Observations
 from message_relay.failover.settings import FailoverSettings, ZonePart
 from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
 
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -25,8 +25,9 @@
 from message_relay.core.ports import CallContext
 from message_relay.decisions.events import EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
+from message_relay.failover.call_counter import CallCounter
 from message_relay.failover.controller import FailoverController
-from message_relay.failover.observations import CallCounter, ObservationReport, Observations
+from message_relay.failover.observations import ObservationReport, Observations
 from message_relay.failover.settings import FailoverSettings
 
 from .draws import Draws
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -19,8 +19,9 @@
 from ..decisions.model import Listing, Outcome
 from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
+from .call_counter import CallCounter
 from .controller import Capacities, FailoverController
-from .observations import MAX_REPORTS, CallCounter, ObservationReport, Observations
+from .observations import MAX_REPORTS, ObservationReport, Observations
 from .planner import Solver
 from .settings import FailoverSettings
 
--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -1,15 +1,16 @@
-"""Which zones can be used from which: verdicts by evidence, and how far traffic has come back. No I/O; the
-clock is passed in, in seconds.
-
-A pair is a zone of relays and a zone of endpoints. Bad news counts at once, as soon as the interval of what
-was seen in the latest windows, or in all that count, lies under a bound: none good of seven calls is enough,
-one bad of three is not. Good news counts in steps: a pair that was lost is tried by a small share once its
-hold-off is over, and comes back by a ramp, each step of which needs the evidence of its own time. A hold-off
-is some windows long, and twice as long after each relapse: a pair that flaps is tried ever more rarely.
-
-    WELL --bad--> LOST --hold-off--> TRIAL (ramp) --last step--> WELL
-                   ^----------bad, flaps + 1------'
-    WELL --slow, or a part fails--> GREY --the whole span is well--> WELL (by the ramp)
+"""Zone health: which zones of endpoints are usable from which zones of relays.
+
+No I/O; the clock is passed in, in seconds. A pair is a zone of relays and a zone of endpoints. Failures
+count at once: a pair is lost as soon as the confidence interval of its success share, over the latest windows
+or over all retained ones, lies below a bound: no success in seven calls is enough, one failure in three is
+not.
+Recovery is gradual: a lost pair gets a small share of the traffic once its hold-off is over and climbs a ramp,
+each step of which needs evidence from its own time. The hold-off doubles with each relapse, so that a flapping
+pair is tried ever more rarely.
+
+    HEALTHY --failures--> LOST --hold-off--> RECOVERING (ramp) --last step--> HEALTHY
+                           ^--------failures, flaps + 1------'
+    HEALTHY --slow, or some calls fail--> DEGRADED --all windows well--> HEALTHY (by the ramp)
 """
 
 from __future__ import annotations
@@ -20,116 +21,126 @@
 
 from .observations import RETAINED_WINDOWS, Aggregate, Observations, ZoneMatrix, ZonePair, ZoneSeries, summed
 
-CONFIDENCE_Z = 2.6  # of the interval: one verdict in a hundred is wrong at the bound itself
-LOST_BELOW, DEGRADED_BELOW = 0.5, 0.9
-DEGRADED_FAILURES = 3  # that did not come good: one or two happen
-SLOW_FACTOR = 4.0  # times the median of all other zones
+CONFIDENCE_Z = 2.6  # of the interval: one judgement in a hundred is wrong at the bound itself
+LOST_BELOW = 0.5  # a success share surely below this: lost
+DEGRADED_BELOW = 0.9  # a success share surely below this: degraded
+DEGRADED_FAILURES = 3  # failed calls at the least: one or two happen by chance
+SLOW_FACTOR = 4.0  # times the median latency of all other zones
 MIN_CALLS_FOR_LATENCY = 20  # on both sides, before medians are compared
-RECOVERY_RAMP = 0.02, 0.1, 0.3, 0.6, 1.0  # shares that use a pair which comes back, a step each
-UNOBSERVED_STEPS = (
-    2  # steps of the ramp are taken without a call at the most: by then some instance is to have called
-)
-STEP_WINDOWS = 2  # of evidence a step needs at the least
-STEP_CONFIDENCE, STEP_CONFIDENCE_INCREMENT = (
-    0.2,
-    0.1,
-)  # a step needs the interval of its calls above this, and so much more each
-SHARED_RECOVERY_STEPS = 2  # of the ramp at once: each relay keeps to what a partner can do cold, in any case
-SHARED_RECOVERY_WINDOWS, SHARED_RECOVERY_CALLS = (
-    3,
-    3,
-)  # calls of all destinations that a zone lost together, for a step
-SHARED_RECOVERY_SUCCESS = 0.8  # of them that came good: a few fail for reasons of their own
-RECENT_WINDOWS = 1, 3  # windows in which a fall is looked for: all of them would hide it behind what was good
-CONSECUTIVE_FAILURES = (
-    4  # calls in a row, of all relays of a zone, without a good one: one in 10,000 at a tenth
-)
-AVOIDED_WINDOWS = 2  # in which no relay called, though it could have: two, since windows are not in step
-AVOIDED_FAILURES = 2  # that failed before that, of all relays of a zone: with one alone, chance would do
-HOLD_OFF_WINDOWS = 2  # a hold-off at first: a step's evidence, and a window in which it may be late
-DEGRADED_SHARE = 0.1  # goes on, so that it is seen when it is well again
-MAX_FLAPS = 6  # so that a hold-off is 64 times the first at the most
-FLAP_RESET_HOLD_OFFS = 8.0  # hold-offs without a relapse, and the flaps are forgotten
+RECOVERY_RAMP = 0.02, 0.1, 0.3, 0.6, 1.0  # share of the relays that use a recovering pair, by step
+UNOBSERVED_STEPS = 2  # steps taken without any call at the most: by then some relay should have called
+STEP_WINDOWS = 2  # windows of evidence that a step needs at the least
+STEP_CONFIDENCE = 0.2  # a step needs the lower end of its interval above this
+STEP_CONFIDENCE_INCREMENT = 0.1  # and above so much more with each step
+SHARED_RECOVERY_STEPS = 2  # steps at once: each relay keeps to the slow start of a destination in any case
+SHARED_RECOVERY_WINDOWS = 3  # windows of all destinations that lost a pair together
+SHARED_RECOVERY_CALLS = 3  # calls of all these destinations that allow a step
+SHARED_RECOVERY_SUCCESS = 0.8  # share of them that has to succeed: a few fail for other reasons
+RECENT_WINDOWS = 1, 3  # spans in which a fall is sought: over all windows old successes would hide it
+CONSECUTIVE_FAILURES = 4  # of all relays of a zone: one chance in 10,000 where a tenth fails
+AVOIDED_WINDOWS = 2  # without a call though there was demand: two, since the relays' windows are not aligned
+AVOIDED_FAILURES = 2  # failed calls before that, of all relays of a zone: a single one is chance
+HOLD_OFF_WINDOWS = 2  # the first hold-off: the evidence of a step, and a window in which it may arrive late
+DEGRADED_SHARE = 0.1  # of the relays still use a degraded pair, so that its recovery is observed
+MAX_FLAPS = 6  # bounds a hold-off to 64 times the first
+FLAP_RESET_HOLD_OFFS = 8.0  # hold-offs without a relapse after which flaps are forgotten
 
 
 class HealthState(Enum):
+    """State of one pair. Values are shown by `zone status`."""
+
     HEALTHY = "well"
     DEGRADED = "grey"
     LOST = "lost"
     RECOVERING = "trial"
 
 
-def success_interval(good: int, tried: int, z: float = CONFIDENCE_Z) -> tuple[float, float]:
-    """Wilson's, of a share. (0, 1) of nothing."""
-    if tried <= 0:
+UNUSABLE = (HealthState.LOST, HealthState.RECOVERING)  # states of a pair whose target may be down
+
+
+def success_interval(succeeded: int, attempted: int, z: float = CONFIDENCE_Z) -> tuple[float, float]:
+    """Wilson's confidence interval of a success share; (0, 1) without attempts."""
+    if attempted <= 0:
         return 0.0, 1.0
-    share, z2 = good / tried, z * z
-    middle = (share + z2 / (2 * tried)) / (1 + z2 / tried)
-    half = z * math.sqrt(share * (1 - share) / tried + z2 / (4 * tried * tried)) / (1 + z2 / tried)
+    share = succeeded / attempted
+    z2 = z * z
+    middle = (share + z2 / (2 * attempted)) / (1 + z2 / attempted)
+    half = (
+        z
+        * math.sqrt(share * (1 - share) / attempted + z2 / (4 * attempted * attempted))
+        / (1 + z2 / attempted)
+    )
     return min(share, max(0.0, middle - half)), max(share, min(1.0, middle + half))
 
 
 def consecutive_failures(row: list[Aggregate]) -> int:
-    """Calls since the last good one: relays that have found out by themselves call hardly any more."""
+    """Attempts since the last window with a success; relays that noticed the outage hardly call any more."""
     found = 0
-    for seen in row:
-        if seen.succeeded:
+    for window in row:
+        if window.succeeded:
             break
-        found += seen.attempted
+        found += window.attempted
     return found
 
 
 def avoided_by_all(row: list[Aggregate]) -> bool:
-    """Each relay of the zone that has called there has left it by itself, after calls that failed: few
-    relays find out with fewer calls than a streak, and then make none at all."""
+    """Whether each relay that has called there now avoids it after failures.
+
+    A few relays notice an outage with fewer calls than `CONSECUTIVE_FAILURES` and then make none at all.
+    """
     callers = summed(row).relays
     latest = summed(row[:AVOIDED_WINDOWS])
-    failed = sum(latest.avoiding_relays.get(origin, 0) for origin in callers)
+    failed = sum(latest.avoiding_relays.get(relay, 0) for relay in callers)
     return bool(callers) and callers <= latest.avoiding_relays.keys() and failed >= AVOIDED_FAILURES
 
 
-def _is_degraded(seen: Aggregate) -> bool:
-    return (
-        seen.attempted - seen.succeeded >= DEGRADED_FAILURES
-        and success_interval(seen.succeeded, seen.attempted)[1] < DEGRADED_BELOW
-    )
+def _is_degraded(window: Aggregate) -> bool:
+    failed = window.attempted - window.succeeded
+    if failed < DEGRADED_FAILURES:
+        return False
+    return success_interval(window.succeeded, window.attempted)[1] < DEGRADED_BELOW
 
 
-def _best_success_share(row: list[Aggregate], into: list[Aggregate]) -> float:
-    """The best that this pair may still be. One of which nothing comes good is as its target is for all:
-    few calls would be long in saying so."""
-    mine, whole = summed(row), summed(into)
-    high = success_interval(mine.succeeded, mine.attempted)[1]
-    if mine.attempted and not mine.succeeded:
-        high = min(high, success_interval(whole.succeeded, whole.attempted)[1])
+def _best_success_share(row: list[Aggregate], by_target: list[Aggregate]) -> float:
+    """The highest success share that a pair may still have.
+
+    A pair without any success is as its target is for all relays: its own few calls would take long to
+    show it.
+    """
+    own = summed(row)
+    high = success_interval(own.succeeded, own.attempted)[1]
+    if own.attempted and not own.succeeded:
+        everyone = summed(by_target)
+        high = min(high, success_interval(everyone.succeeded, everyone.attempted)[1])
     return high
 
 
 def _series_by_target(series: ZoneSeries) -> dict[str, list[Aggregate]]:
+    """By zone of endpoints: what the relays of all zones observed, by window."""
     found: dict[str, list[Aggregate]] = {}
     for (_, target), row in series.items():
         sums = found.setdefault(target, [])
-        for n, seen in enumerate(row):
-            if n == len(sums):
+        for index, window in enumerate(row):
+            if index == len(sums):
                 sums.append(Aggregate())
-            sums[n] = summed((sums[n], seen))
+            sums[index] = summed((sums[index], window))
     return found
 
 
 @dataclass
 class ZoneHealth:
-    """What is thought of one pair."""
+    """Health of one pair, and how far a lost one has recovered."""
 
     state: HealthState = HealthState.HEALTHY
-    since: float = 0.0  # of this state, or step of the ramp
+    since: float = 0.0  # when this state, or this step of the ramp, began (s)
     ramp_step: int = 0
     flaps: int = 0
-    recently_lost: bool = False  # it was lost, and has not stood for long since
-    success_share: float = 1.0  # share of calls that come good, while it is used
+    recently_lost: bool = False  # and not healthy for long since
+    success_share: float = 1.0  # of its calls, while it is used
 
     @property
     def share(self) -> float:
-        """Of the relays that may use it now."""
+        """Share of the relays of the source zone that may use the pair now."""
         match self.state:
             case HealthState.HEALTHY:
                 return 1.0
@@ -141,31 +152,55 @@
                 return RECOVERY_RAMP[self.ramp_step]
 
 
+@dataclass(frozen=True)
+class _Evidence:
+    """What was observed of a pair in the windows that count for its present state."""
+
+    pair: ZonePair
+    windows: int
+    observed: Aggregate
+
+    @property
+    def lowest_share(self) -> float:
+        """Lower end of the confidence interval of the success share."""
+        return success_interval(self.observed.succeeded, self.observed.attempted)[0]
+
+    @property
+    def all_windows_well(self) -> bool:
+        """Enough of all retained windows' calls succeeded."""
+        if self.windows < RETAINED_WINDOWS:
+            return False
+        return self.observed.succeeded >= DEGRADED_BELOW * self.observed.attempted
+
+
 class ZoneHealthJudge:
-    """Of one destination."""
+    """Judges all pairs of one destination by what relays observed."""
 
-    def __init__(self, evidence: Observations, destination: int) -> None:
-        self.observations, self.destination = evidence, destination
+    def __init__(self, observations: Observations, destination: int) -> None:
+        self.observations = observations
+        self.destination = destination
         self.pairs: dict[ZonePair, ZoneHealth] = {}
         self.shared_recovery: ZoneMatrix = {}
 
     def health(self, pair: ZonePair) -> ZoneHealth:
+        """Health of a pair; healthy where nothing is known of it."""
         return self.pairs.get(pair, ZoneHealth())
 
-    def hold_off_s(self, standing: ZoneHealth) -> float:
-        return HOLD_OFF_WINDOWS * self.observations.window_s * float(1 << min(standing.flaps, MAX_FLAPS))
+    def hold_off_s(self, health: ZoneHealth) -> float:
+        """How long a lost pair is not tried; twice as long after each flap."""
+        return HOLD_OFF_WINDOWS * self.observations.window_s * float(1 << min(health.flaps, MAX_FLAPS))
 
     def recent(self, now: float, pair: ZonePair, series: ZoneSeries) -> Aggregate:
-        """Of a pair, since its step began: what came good before it was lost says nothing."""
+        """What was observed of a pair since its step began: successes before its loss prove nothing."""
         windows = min(SHARED_RECOVERY_WINDOWS, self._windows_since(now, self.health(pair)))
         return summed(series.get(pair, [])[:windows])
 
-    def _windows_since(self, now: float, standing: ZoneHealth) -> int:
-        """Since its state or step began, those that count."""
-        return min(RETAINED_WINDOWS, int((now - standing.since) / self.observations.window_s))
+    def _windows_since(self, now: float, health: ZoneHealth) -> int:
+        """Retained windows since the state or step began."""
+        return min(RETAINED_WINDOWS, int((now - health.since) / self.observations.window_s))
 
     def resume(self, now: float, shares: dict[ZonePair, float]) -> None:
-        """Begins where another decider stopped: by the shares of the plan in force."""
+        """Continues where another controller stopped, from the shares of the plan in force."""
         for pair, share in shares.items():
             if share >= 1.0 or pair in self.pairs:
                 continue
@@ -175,21 +210,25 @@
                 step = max((n for n, each in enumerate(RECOVERY_RAMP) if each <= share + 1e-9), default=0)
                 self.pairs[pair] = ZoneHealth(HealthState.RECOVERING, now, step, recently_lost=True)
 
-    def update(self, now: float, series: ZoneSeries, together: ZoneMatrix | None = None) -> list[ZonePair]:
-        """Takes what is known now; the pairs whose share has changed. `together`: of pairs that most
-        destinations lost, what was seen lately of all of them: what was lost together comes back together,
-        for one destination alone has too few trial calls to say so."""
-        self.shared_recovery = together or {}
+    def update(
+        self, now: float, series: ZoneSeries, shared_recovery: ZoneMatrix | None = None
+    ) -> list[ZonePair]:
+        """Judges by all observations until now; returns the pairs whose share has changed.
+
+        `shared_recovery`: recent observations, over all destinations, of pairs that most of them lost. Pairs
+        lost together recover together, since one destination alone has too few trial calls to prove it.
+        """
+        self.shared_recovery = shared_recovery or {}
         matrix = {pair: summed(row) for pair, row in series.items()}
-        into = _series_by_target(series)
+        by_target = _series_by_target(series)
         changed = []
         for pair in sorted({*series, *self.pairs}):
-            standing = self.pairs.setdefault(pair, ZoneHealth(since=now))
-            before = standing.share
-            self._judge(now, pair, standing, matrix, series.get(pair, []), into.get(pair[1], []))
-            if standing.share != before:
+            health = self.pairs.setdefault(pair, ZoneHealth(since=now))
+            before = health.share
+            self._judge(now, pair, health, matrix, series.get(pair, []), by_target.get(pair[1], []))
+            if health.share != before:
                 changed.append(pair)
-            if standing == ZoneHealth(since=standing.since) and pair not in series:
+            if health == ZoneHealth(since=health.since) and pair not in series:
                 del self.pairs[pair]
         return changed
 
@@ -197,139 +236,146 @@
         self,
         now: float,
         pair: ZonePair,
-        standing: ZoneHealth,
+        health: ZoneHealth,
         matrix: ZoneMatrix,
         row: list[Aggregate],
-        into: list[Aggregate],
+        by_target: list[Aggregate],
     ) -> None:
-        windows = self._windows_since(now, standing)
-        if standing.state is HealthState.HEALTHY and not standing.recently_lost:
+        windows = self._windows_since(now, health)
+        if health.state is HealthState.HEALTHY and not health.recently_lost:
             windows = RETAINED_WINDOWS  # it was used all the time
-        seen = summed(row[:windows])
-        low, high = success_interval(seen.succeeded, seen.attempted)
-        if standing.state is not HealthState.LOST:
-            if standing.state is not HealthState.RECOVERING:
-                high = min(high, *(_best_success_share(row[:n], into[:n]) for n in RECENT_WINDOWS))
-            if (
-                high < LOST_BELOW
-                or consecutive_failures(row[:windows]) >= CONSECUTIVE_FAILURES
-                or avoided_by_all(row[:windows])
-            ):
-                self._mark_lost(now, standing)
+        evidence = _Evidence(pair, windows, summed(row[:windows]))
+        if health.state is not HealthState.LOST:
+            if _is_lost(health, evidence, row, by_target):
+                self._mark_lost(now, health)
                 return
-            if seen.attempted:
-                standing.success_share = seen.succeeded / seen.attempted
-        bad = _is_degraded(seen) or any(_is_degraded(summed(row[: min(n, windows)])) for n in RECENT_WINDOWS)
-        bad = bad or self._is_slow(pair, seen, matrix)
-        match standing.state:
+            if evidence.observed.attempted:
+                health.success_share = evidence.observed.succeeded / evidence.observed.attempted
+        degraded = _is_degraded(evidence.observed)
+        degraded = degraded or any(_is_degraded(summed(row[: min(n, windows)])) for n in RECENT_WINDOWS)
+        degraded = degraded or _is_slow(pair, evidence.observed, matrix)
+        self._transition(now, health, evidence, degraded)
+
+    def _transition(self, now: float, health: ZoneHealth, evidence: _Evidence, degraded: bool) -> None:
+        """The state that follows for a pair which is not newly lost."""
+        match health.state:
+            case HealthState.HEALTHY if degraded:
+                _enter(now, health, HealthState.DEGRADED)
             case HealthState.HEALTHY:
-                if bad:
-                    self._enter(now, standing, HealthState.DEGRADED)
-                elif standing.recently_lost and now - standing.since > FLAP_RESET_HOLD_OFFS * self.hold_off_s(
-                    standing
-                ):
-                    standing.flaps, standing.recently_lost = 0, False
+                calm_s = FLAP_RESET_HOLD_OFFS * self.hold_off_s(health)
+                if health.recently_lost and now - health.since > calm_s:
+                    health.flaps = 0
+                    health.recently_lost = False
             case HealthState.DEGRADED:
-                if (
-                    windows >= RETAINED_WINDOWS
-                    and seen.succeeded >= DEGRADED_BELOW * seen.attempted
-                    and not bad
-                ):
-                    self._enter(now, standing, HealthState.RECOVERING)
-                    standing.ramp_step = RECOVERY_RAMP.index(DEGRADED_SHARE)
+                if evidence.all_windows_well and not degraded:
+                    _enter(now, health, HealthState.RECOVERING)
+                    health.ramp_step = RECOVERY_RAMP.index(DEGRADED_SHARE)
             case HealthState.LOST:
-                if now - standing.since >= self.hold_off_s(standing) or self._recovers_elsewhere(pair):
-                    self._enter(now, standing, HealthState.RECOVERING)
+                if now - health.since >= self.hold_off_s(health) or self._recovers_elsewhere(evidence.pair):
+                    _enter(now, health, HealthState.RECOVERING)
             case HealthState.RECOVERING:
-                self._judge_recovery(now, pair, standing, seen, windows, low, bad)
-
-    def _judge_recovery(
-        self,
-        now: float,
-        pair: ZonePair,
-        standing: ZoneHealth,
-        seen: Aggregate,
-        windows: int,
-        low: float,
-        bad: bool,
-    ) -> None:
-        if bad and seen.attempted >= MIN_CALLS_FOR_LATENCY:
-            self._enter(now, standing, HealthState.DEGRADED)
-        elif (
-            windows >= STEP_WINDOWS and low > STEP_CONFIDENCE + STEP_CONFIDENCE_INCREMENT * standing.ramp_step
-        ):
-            self._advance(now, standing)
-        elif windows >= STEP_WINDOWS and seen.succeeded == seen.attempted and self._recovers_elsewhere(pair):
-            self._advance(now, standing, SHARED_RECOVERY_STEPS)  # nothing of its own speaks against it
-        elif (
-            windows >= RETAINED_WINDOWS
-            and seen.succeeded == seen.attempted
-            and (seen.attempted or standing.ramp_step < UNOBSERVED_STEPS)
-        ):
-            self._advance(now, standing)  # few calls or none, and nothing that speaks against it
-        elif windows >= STEP_WINDOWS and not seen.attempted and self._used_by_others(pair[1]):
-            self._advance(now, standing)  # others have tried it
+                self._judge_recovery(now, health, evidence, degraded)
+
+    def _judge_recovery(self, now: float, health: ZoneHealth, evidence: _Evidence, degraded: bool) -> None:
+        """Whether a recovering pair climbs to the next step of the ramp."""
+        observed = evidence.observed
+        if degraded and observed.attempted >= MIN_CALLS_FOR_LATENCY:
+            _enter(now, health, HealthState.DEGRADED)
+            return
+        steps = self._steps_allowed(health, evidence)
+        if steps:
+            _advance(now, health, steps)
+
+    def _steps_allowed(self, health: ZoneHealth, evidence: _Evidence) -> int:
+        """How many steps of the ramp the evidence allows."""
+        observed = evidence.observed
+        none_failed = observed.succeeded == observed.attempted
+        if evidence.windows < STEP_WINDOWS:
+            return 0
+        if evidence.lowest_share > STEP_CONFIDENCE + STEP_CONFIDENCE_INCREMENT * health.ramp_step:
+            return 1
+        if none_failed and self._recovers_elsewhere(evidence.pair):
+            return SHARED_RECOVERY_STEPS
+        few_calls_allowed = bool(observed.attempted) or health.ramp_step < UNOBSERVED_STEPS
+        if evidence.windows >= RETAINED_WINDOWS and none_failed and few_calls_allowed:
+            return 1
+        if not observed.attempted and self._used_by_others(evidence.pair[1]):
+            return 1
+        return 0
 
     def _used_by_others(self, zone: str) -> bool:
         return any(
-            standing.state is HealthState.HEALTHY
-            for (_, target), standing in self.pairs.items()
+            health.state is HealthState.HEALTHY
+            for (_, target), health in self.pairs.items()
             if target == zone
         )
 
     def _recovers_elsewhere(self, pair: ZonePair) -> bool:
-        seen = self.shared_recovery.get(pair)
-        return (
-            seen is not None
-            and seen.attempted >= SHARED_RECOVERY_CALLS
-            and seen.succeeded >= SHARED_RECOVERY_SUCCESS * seen.attempted
-        )
-
-    def _advance(self, now: float, standing: ZoneHealth, steps: int = 1) -> None:
-        standing.ramp_step, standing.since = standing.ramp_step + steps, now
-        if standing.ramp_step >= len(RECOVERY_RAMP) - 1:
-            self._enter(now, standing, HealthState.HEALTHY)
-
-    @staticmethod
-    def _is_slow(pair: ZonePair, seen: Aggregate, matrix: ZoneMatrix) -> bool:
-        """Ten times slower is grey, also where each call comes good. Of what is near against what is near
-        elsewhere: a long link is no fault of the zone."""
-        if pair[0] != pair[1] or sum(seen.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
-            return False
-        others = summed(each for other, each in matrix.items() if other[0] == other[1] != pair[1])
-        if sum(others.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
+        """Whether calls of all destinations that lost this pair succeed again."""
+        observed = self.shared_recovery.get(pair)
+        if observed is None or observed.attempted < SHARED_RECOVERY_CALLS:
             return False
-        return seen.quantile_ms(0.5) > SLOW_FACTOR * others.quantile_ms(0.5)
-
-    def _mark_lost(self, now: float, standing: ZoneHealth) -> None:
-        # A first step that fails is the same outage still: only what had begun to come back has flapped.
-        if standing.recently_lost and (
-            standing.state is not HealthState.RECOVERING or standing.ramp_step > 0
-        ):
-            standing.flaps = min(MAX_FLAPS, standing.flaps + 1)
-        standing.recently_lost = True
-        self._enter(now, standing, HealthState.LOST)
+        return observed.succeeded >= SHARED_RECOVERY_SUCCESS * observed.attempted
 
     @staticmethod
-    def _enter(now: float, standing: ZoneHealth, state: HealthState) -> None:
-        standing.state, standing.since, standing.ramp_step = state, now, 0
+    def _mark_lost(now: float, health: ZoneHealth) -> None:
+        # A first step that fails is still the same outage: only a pair that had begun to recover has flapped.
+        had_begun = health.state is not HealthState.RECOVERING or health.ramp_step > 0
+        if health.recently_lost and had_begun:
+            health.flaps = min(MAX_FLAPS, health.flaps + 1)
+        health.recently_lost = True
+        _enter(now, health, HealthState.LOST)
 
-    # -- which side it is ------------------------------------------------------------------------------------
+    # -- which side has failed -------------------------------------------------------------------------------
 
     def is_down(self, zone: str) -> bool:
-        """No zone that has said something of it lately can use it: its partners are down, and come back
-        cold."""
-        told = [standing for (_, target), standing in self.pairs.items() if target == zone]
-        return bool(told) and all(
-            standing.state in (HealthState.LOST, HealthState.RECOVERING) for standing in told
-        )
+        """Whether no zone that observed this one lately can use it: its endpoints are down, and will need a
+        slow start."""
+        pairs = [health for (_, target), health in self.pairs.items() if target == zone]
+        return bool(pairs) and all(health.state in UNUSABLE for health in pairs)
 
     def is_cut_off(self, zone: str) -> bool:
-        """Its relays reach no zone, while others reach some: it is they who are cut off."""
-        mine = [standing for (source, _), standing in self.pairs.items() if source == zone]
-        others = [standing for (source, _), standing in self.pairs.items() if source != zone]
-        return (
-            bool(mine)
-            and all(standing.state in (HealthState.LOST, HealthState.RECOVERING) for standing in mine)
-            and any(standing.state is HealthState.HEALTHY for standing in others)
-        )
+        """Whether the relays of this zone reach no zone while others reach some: the relays are cut off."""
+        own = [health for (source, _), health in self.pairs.items() if source == zone]
+        others = [health for (source, _), health in self.pairs.items() if source != zone]
+        reaches_none = bool(own) and all(health.state in UNUSABLE for health in own)
+        return reaches_none and any(health.state is HealthState.HEALTHY for health in others)
+
+
+def _is_lost(
+    health: ZoneHealth, evidence: _Evidence, row: list[Aggregate], by_target: list[Aggregate]
+) -> bool:
+    observed = evidence.observed
+    high = success_interval(observed.succeeded, observed.attempted)[1]
+    if health.state is not HealthState.RECOVERING:
+        high = min(high, *(_best_success_share(row[:n], by_target[:n]) for n in RECENT_WINDOWS))
+    if high < LOST_BELOW:
+        return True
+    counted = row[: evidence.windows]
+    return consecutive_failures(counted) >= CONSECUTIVE_FAILURES or avoided_by_all(counted)
+
+
+def _is_slow(pair: ZonePair, observed: Aggregate, matrix: ZoneMatrix) -> bool:
+    """Whether a zone is much slower than others, though its calls succeed.
+
+    Compares only relays and endpoints of the same zone: a long link is no fault of the zone.
+    """
+    if pair[0] != pair[1] or sum(observed.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
+        return False
+    others = summed(each for other, each in matrix.items() if other[0] == other[1] != pair[1])
+    if sum(others.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
+        return False
+    return observed.quantile_ms(0.5) > SLOW_FACTOR * others.quantile_ms(0.5)
+
+
+def _advance(now: float, health: ZoneHealth, steps: int) -> None:
+    health.ramp_step += steps
+    health.since = now
+    if health.ramp_step >= len(RECOVERY_RAMP) - 1:
+        _enter(now, health, HealthState.HEALTHY)
+
+
+def _enter(now: float, health: ZoneHealth, state: HealthState) -> None:
+    health.state = state
+    health.since = now
+    health.ramp_step = 0
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -25,7 +25,8 @@
     VersionHistory,
     ChangeVoters,
 )
-from message_relay.failover.observations import CallCounter, Demand, ObservationReport, WindowSample
+from message_relay.failover.call_counter import CallCounter
+from message_relay.failover.observations import Demand, ObservationReport, WindowSample
 
 Values = dict[str, Any]
 
--- a/tests/failover/test_zone_health.py
+++ b/tests/failover/test_zone_health.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from message_relay.failover.call_counter import CallCounter
 from message_relay.failover.observations import (
     MAX_SAMPLES,
     OTHER_DESTINATIONS,
     RETAINED_WINDOWS,
-    CallCounter,
     ObservationReport,
     Observations,
     WindowSample,
