--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -10,7 +10,8 @@
 from pathlib import Path
 
 from message_relay.fleet.report import rss_mb
-from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from .form import Measure
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,8 +24,10 @@
 from typing import Any
 from zlib import crc32
 
+from message_relay.store.errors import JournalError
 from message_relay.store.file_store import DirectoryFileStore
-from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 from message_relay.store.recovery import recover
 
 from .report import report
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -25,8 +25,8 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from message_relay.store.journal import Journal, JournalEntry
-from message_relay.store.records import Attempt, encode_payload, encode_snapshot
+from message_relay.store.journal import Journal
+from message_relay.store.records import Attempt, JournalEntry, encode_payload, encode_snapshot
 
 from .report import report
 from .store import BUDGET, Mix
--- a/benchmarks/uncompacted.py
+++ b/benchmarks/uncompacted.py
@@ -11,5 +11,5 @@
 from message_relay.store.capacity import DiskCapacity
 
 if __name__ == "__main__":
-    DiskCapacity.copy_quota = lambda self, used, total, files, written: 0  # type: ignore[method-assign]
+    DiskCapacity.copy_quota = lambda self, used_bytes, live_bytes, file_count, written_bytes: 0  # type: ignore[method-assign]
     sys.exit(main())
--- a/message_relay/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -12,8 +12,8 @@
 import click
 import msgspec
 
+from ..store.errors import UnsupportedFormatError
 from ..store.file_store import DirectoryFileStore
-from ..store.record_format import UnsupportedFormatError
 from ..store.records import RECORD_TYPE_LABELS, UNFINISHED_IDS_DECODER, Attempt, JournalEntry
 from ..store.recovery import RecordLine, RecoveredState, record_lines, recover
 
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -10,7 +10,7 @@
 from ..decisions.events import AttemptCompleted
 from ..decisions.model import Effect, Outcome
 from ..decisions.scheduler import DeliveryScheduler
-from ..store.journal import JournalEntry
+from ..store.records import JournalEntry
 from .directory import EndpointDirectory, KnownEndpoint
 from .message_lifecycle import AcceptedMessage, MessageLifecycle, unix_time_ms
 from .ports import Attempt, AttemptResult, CallContext, CallPolicy, DestinationInterest, Transport
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -13,7 +13,9 @@
 from ..decisions.events import Event, Message, MessageCancelled
 from ..decisions.expiry import SHEDDING_THRESHOLD
 from ..decisions.model import FOREVER, Effect, Endpoint, Listing, Settings
-from ..store.journal import Attempt, Journal, JournalEntry, JournalError
+from ..store.errors import JournalError
+from ..store.journal import Journal
+from ..store.records import Attempt, JournalEntry
 from ..structured_logging import LogEvent
 from .ports import DestinationInterest, FinalOutcome, InvalidMessageError, Submission, SubmissionResult
 
--- a/message_relay/process.py
+++ b/message_relay/process.py
@@ -14,8 +14,7 @@
 from .fleet.socket_activation import SocketActivationError, inherited_sockets
 from .fleet.systemd_notify import NotifyError, SystemdNotifier
 from .gc_policy import run_gc_policy
-from .store.lock import DirectoryLockedError
-from .store.record_format import UnsupportedFormatError
+from .store.errors import DirectoryLockedError, UnsupportedFormatError
 from .structured_logging import LogEvent, configure_plain_logging
 
 log = logging.getLogger(__name__)
--- a/message_relay/store/file_store.py
+++ b/message_relay/store/file_store.py
@@ -7,19 +7,26 @@
 
 import os
 from pathlib import Path
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 READ_BYTES = 1 << 16  # a part that cannot be read costs no more than this of a file
 
 
+class FileContent(NamedTuple):
+    """What could be read of a file."""
+
+    data: bytes
+    is_complete: bool  # False: parts could not be read, and are zeros
+
+
 class FileStore(Protocol):
     """Every call may raise OSError; then nothing has changed, but for what its text says."""
 
     def sizes(self) -> dict[str, int]:
         """All files, in bytes."""
 
-    def read(self, name: str) -> tuple[bytes, bool]:
-        """The whole file; False: parts could not be read, and are zeros."""
+    def read(self, name: str) -> FileContent:
+        """The content of a file."""
 
     def append(self, name: str, data: bytes) -> None:
         """All of it or nothing; makes the file with its first bytes."""
@@ -49,17 +56,20 @@
         with os.scandir(self.folder) as found:
             return {item.name: item.stat().st_size for item in found if item.is_file(follow_symlinks=False)}
 
-    def read(self, name: str) -> tuple[bytes, bool]:
-        parts, whole = list[bytes](), True
+    def read(self, name: str) -> FileContent:
+        """The content of a file, read in parts: a bad sector costs one part only."""
+        parts = list[bytes]()
+        is_complete = True
         with open(self.folder / name, "rb", buffering=0) as file:
             size = os.fstat(file.fileno()).st_size
-            for at in range(0, size, READ_BYTES):
+            for offset in range(0, size, READ_BYTES):
                 try:
-                    part = os.pread(file.fileno(), READ_BYTES, at)
-                except OSError:  # a bad sector: what lies behind it may be well
-                    part, whole = b"", False
-                parts.append(part.ljust(min(READ_BYTES, size - at), b"\0"))
-        return b"".join(parts), whole
+                    part = os.pread(file.fileno(), READ_BYTES, offset)
+                except OSError:  # a bad sector: what is behind it may be readable
+                    part = b""
+                    is_complete = False
+                parts.append(part.ljust(min(READ_BYTES, size - offset), b"\0"))
+        return FileContent(b"".join(parts), is_complete)
 
     def append(self, name: str, data: bytes) -> None:
         if self.closed:  # Guards whatever got the descriptor next against a late record
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -23,7 +23,8 @@
     failed_entry,
 )
 
-NAMES = ("journal", "journal.new")
+FILE_NAME = "journal"
+NAMES = (FILE_NAME, "journal.new")
 IDENT = re.compile(rb'"id":"((?:[^"\\]|\\.){1,400})"')
 
 KINDS = {
--- a/message_relay/store/lock.py
+++ b/message_relay/store/lock.py
@@ -9,14 +9,11 @@
 from pathlib import Path
 
 from ..structured_logging import LogEvent
+from .errors import DirectoryLockedError
 
 log = logging.getLogger(__name__)
 
 
-class DirectoryLockedError(Exception):
-    """Another process works in the folder."""
-
-
 class DirectoryLock:
     """An advisory lock (flock) on the folder itself: takes no room in it, and ends with its process however
     that ends, so that none is ever left behind by a dead one."""
--- a/message_relay/store/record_format.py
+++ b/message_relay/store/record_format.py
@@ -26,6 +26,8 @@
 from typing import NamedTuple
 from zlib import crc32
 
+from .errors import UnsupportedFormatError
+
 VERSION = 2  # 1: the one file `journal` (legacy.py)
 MAGIC = b"LNST"
 HEADER = struct.Struct("<4sHHQQIII")
@@ -39,10 +41,6 @@
 PAYLOAD_BYTES = 1 << 20  # no payload is longer: a length above it is damage
 
 
-class UnsupportedFormatError(Exception):
-    """The folder was written by a later version."""
-
-
 @dataclass(frozen=True, slots=True)
 class Header:
     segment_number: int
--- a/message_relay/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -7,12 +7,10 @@
 
 from __future__ import annotations
 
-import re
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from .capacity import rounded_to_blocks
 from .file_store import FileStore
 from .record_format import (
     HEADER_BYTES,
@@ -37,37 +35,13 @@
     decode_snapshot,
     failed_entry,
 )
+from .segments import SEGMENT_FILE_NAME, Segment
 
 TAKE, DROP, COUNT = (
     int(RecordType.ACCEPTED),
     int(RecordType.CANCELLED),
     int(RecordType.UNFINISHED_IDS),
 )  # plain: compared for each record
-NAME = re.compile(r"seg-(\d{10})")
-
-
-def segment_name(number: int) -> str:
-    return f"seg-{number:010}"
-
-
-@dataclass(slots=True)
-class Segment:
-    number: int
-    size: int = 0  # up to the end of its last whole record
-    file_size: int = 0
-    checksum: int = 0  # of so much of it
-    salt: int = 0
-    live_ids: dict[str, None] = field(default_factory=dict)  # messages whose latest snapshot lies here
-    is_damaged: bool = False
-
-    @property
-    def name(self) -> str:
-        return segment_name(self.number)
-
-    @property
-    def disk_bytes(self) -> int:
-        """Bytes that its file takes on the disk."""
-        return rounded_to_blocks(max(self.file_size, self.size))
 
 
 @dataclass(slots=True)
@@ -94,10 +68,15 @@
 
 def load_segment(files: FileStore, name: str) -> LoadedSegment:
     """Raises NewerFormat."""
-    data, whole = files.read(name)
-    found = NAME.fullmatch(name)
+    content = files.read(name)
+    found = SEGMENT_FILE_NAME.fullmatch(name)
     assert found is not None
-    return LoadedSegment(Segment(int(found[1]), file_size=len(data)), data, decode_header(data), whole)
+    return LoadedSegment(
+        Segment(int(found[1]), file_size=len(content.data)),
+        content.data,
+        decode_header(content.data),
+        content.is_complete,
+    )
 
 
 class LogReader:
@@ -112,7 +91,7 @@
 
     def read(self, files: FileStore) -> RecoveredState:
         sizes = files.sizes()
-        names = [name for name in sorted(sizes) if NAME.fullmatch(name)]
+        names = [name for name in sorted(sizes) if SEGMENT_FILE_NAME.fullmatch(name)]
         if names and sizes[names[-1]] < HEADER_BYTES:  # its first write did not become whole
             self.state.empty_files.append(names.pop())
         ahead, before = load_segment(files, names[0]) if names else None, None
@@ -289,7 +268,7 @@
 
 def record_lines(files: FileStore) -> Iterator[RecordLine]:
     """All records that are there, damaged ones with what is known of them."""
-    for name in sorted(name for name in files.sizes() if NAME.fullmatch(name)):
+    for name in sorted(name for name in files.sizes() if SEGMENT_FILE_NAME.fullmatch(name)):
         one = load_segment(files, name)
         if one.header is None:
             continue
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -65,7 +65,8 @@
 from message_relay.store.destination_snapshot import DestinationSnapshotFile
 from message_relay.store.file_store import DirectoryFileStore
 from message_relay.store.journal import Journal
-from message_relay.store.record_format import Header, UnsupportedFormatError, encode_frame
+from message_relay.store.record_format import Header, encode_frame
+from message_relay.store.errors import UnsupportedFormatError
 from message_relay.store.records import Attempt, JournalEntry
 from message_relay.store.recovery import record_lines, recover
 
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -16,7 +16,8 @@
 from message_relay.core.message_lifecycle import unix_time_ms
 from message_relay.http.agent import AgentClient as AgentLink
 from message_relay.http.discovery_client import DiscoveryClient
-from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from ..loopback import Agent, Client, Running, Server, answer, host_of, listing, message, relay, run, until
 
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -15,7 +15,8 @@
 from message_relay.core.ports import EndpointRecord, EndpointUpdate
 from message_relay.decisions.model import Listing
 from message_relay.endpoint_discovery.source_merge import SourceMerge
-from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from .counting import Walked, Work, counted, usual
 
--- a/tests/store/disk.py
+++ b/tests/store/disk.py
@@ -8,6 +8,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from message_relay.store.file_store import FileContent
+
 
 class Crash(BaseException):
     """The process ends here."""
@@ -37,8 +39,8 @@
     def sizes(self) -> dict[str, int]:
         return {name: len(data) for name, data in self.files.items()}
 
-    def read(self, name: str) -> tuple[bytes, bool]:
-        return self.files[name], True
+    def read(self, name: str) -> FileContent:
+        return FileContent(self.files[name], True)
 
     def append(self, name: str, data: bytes) -> None:
         self._call("append", name)
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from message_relay.store.journal import Journal, JournalEntry, JournalError
-from message_relay.store.records import UNKNOWN_ENDPOINT
+from message_relay.store.errors import JournalError
+from message_relay.store.journal import Journal
+from message_relay.store.records import UNKNOWN_ENDPOINT, JournalEntry
 
 from .disk import Crash, Disk
 
@@ -111,7 +112,7 @@
 def calls_of(steps: int, seed: int) -> int:
     world = World(Disk(), seed)
     journal = world.run(steps)
-    assert world.disk.peak <= BUDGET and journal.segments[0].number > 5  # several were given up
+    assert world.disk.peak <= BUDGET and journal.log.segments[0].number > 5  # several were given up
     return world.disk.calls
 
 
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -11,7 +11,9 @@
 
 import pytest
 
-from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.errors import JournalError
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from ..loopback import Agent, Client, Server, host_of, message, run, until
 from .disk import Disk
@@ -104,7 +106,7 @@
                 for each in [each for each in journal.entries.values() if each.id.startswith("unheard")]:
                     with contextlib.suppress(JournalError):
                         journal.append_cancelled(each)
-        assert journal.segments[0].number > 3 and len(taken) > 50 and tried and ended
+        assert journal.log.segments[0].number > 3 and len(taken) > 50 and tried and ended
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
         journal.close()
@@ -122,9 +124,11 @@
         journal.append_accepted(entry("m", 100))
         safe = journal.barrier()
         assert safe is not None
-        before = journal.segments[-1].name
+        before = journal.log.segments[-1].name
         await safe
-        assert disk.failing == 0 and journal.segments[-1].name != before  # what failed is not believed again
+        assert (
+            disk.failing == 0 and journal.log.segments[-1].name != before
+        )  # what failed is not believed again
         assert before not in disk.synced or "m" in Journal(NOWHERE, BUDGET, disk.cut(True)).entries
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -11,16 +11,11 @@
 from hypothesis import strategies as st
 
 from message_relay.store.capacity import BLOCK_BYTES
+from message_relay.store.errors import JournalError, JournalFullError, UnsupportedFormatError
 from message_relay.store.file_store import DirectoryFileStore
-from message_relay.store.journal import Attempt, Journal, JournalEntry, JournalError, JournalFullError
-from message_relay.store.record_format import (
-    CHECK,
-    HEADER,
-    HEADER_BYTES,
-    UnsupportedFormatError,
-    encode_frame,
-)
-from message_relay.store.records import FinalOutcomeRecord, RecordType, encode_payload
+from message_relay.store.journal import Journal
+from message_relay.store.record_format import CHECK, HEADER, HEADER_BYTES, encode_frame
+from message_relay.store.records import Attempt, FinalOutcomeRecord, JournalEntry, RecordType, encode_payload
 from message_relay.store.recovery import record_lines
 
 DISK = 400_000
@@ -168,7 +163,7 @@
             journal.append_final_outcome(held, "failed")
             journal.append_notified([held.id])
         assert disk(tmp_path) == journal.disk_bytes <= DISK
-    assert full > 10 and journal.segments[0].number > 10
+    assert full > 10 and journal.log.segments[0].number > 10
     held_now = {ident for ident, each in journal.entries.items() if not each.final_state}
     journal.close()
     again = Journal(tmp_path, DISK)
@@ -211,7 +206,7 @@
         journal.append_accepted(one)
         journal.append_final_outcome(one, "delivered")
         journal.compact(9000.0 + n)
-    assert journal.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
+    assert journal.log.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
     journal.close()
     again = Journal(tmp_path, DISK)
     assert (
@@ -280,8 +275,8 @@
         if step == "take" and held is None:
             journal.append_accepted(entry(f"m{n}", bytes([n]) * n))
         elif step == "compact":
-            journal._begin()
-            journal._mend()
+            journal.log.start_segment()
+            journal.compactor.rewrite_all()
         elif held is not None:
             if step == "try":
                 journal.append_attempt(held, 1500.0, "s-1", 1)
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -11,7 +11,9 @@
 
 import pytest
 
-from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.errors import JournalError
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from .disk import Crash, Disk
 
@@ -152,7 +154,7 @@
     steps, seed = 300, 8
     whole = Promises(Synced(), seed)
     journal = whole.run(steps)
-    assert journal.segments[0].number > 3 and journal.copied_bytes > COPIED
+    assert journal.log.segments[0].number > 3 and journal.copied_bytes > COPIED
     assert len(whole.ended) > 15 and whole.tried
     for at in range(1, whole.disk.calls + 1):
         world = Promises(Synced(crash_at=at, torn=at % 3 * 40), seed)
--- a/tests/store/test_tool.py
+++ b/tests/store/test_tool.py
@@ -11,8 +11,10 @@
 from click.testing import CliRunner, Result
 
 from message_relay.cli.main import group
+from message_relay.store.errors import JournalError
 from message_relay.store.file_store import READ_BYTES, DirectoryFileStore
-from message_relay.store.journal import Journal, JournalEntry, JournalError
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 from message_relay.store.recovery import recover
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -17,7 +17,8 @@
 from message_relay.endpoint_discovery import poll_schedule
 from message_relay.http.agent import AgentClient as AgentLink
 from message_relay.http.outcome_notifier import OutcomeNotifier
-from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from .loopback import Agent, Client, Server, answer, host_of, listing, message, relay, run, until
 
@@ -307,7 +308,7 @@
                 "numbers": host.numbers,
                 "entries": host.journal.entries,
                 "sizes": host.journal.messages.sizes,
-                "home": host.journal.segment_of,
+                "home": host.journal.log.segment_of,
                 "dying": host.journal.retained,
                 "silent": ingress.silent,
                 "resting": ingress.idle_submitters,
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,7 +19,8 @@
 from message_relay.core.message_lifecycle import unix_time_ms
 from message_relay.decisions.events import Message
 from message_relay.decisions.model import Effect, Endpoint, Listing, MessageClass
-from message_relay.store.journal import Journal, JournalEntry
+from message_relay.store.journal import Journal
+from message_relay.store.records import JournalEntry
 
 from .conftest import Driver, make_settings
 from .loopback import SETTINGS, Agent, Client, Server, answer, host_of, listing, message, run, until
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -256,7 +256,7 @@
         disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
         host.messages.accept(offer("m", "unsafe", remaining_ms=900))
         while not host.messages.unwritten_outcomes:
-            host.journal.written_bytes = 1000
+            host.journal.log.written_bytes = 1000
             await asyncio.sleep(0.005)
         end = host.journal.entries[
             "m"
