--- a/message_relay/gossip/dissemination_queue.py
+++ b/message_relay/gossip/dissemination_queue.py
@@ -11,11 +11,13 @@
 
 class DisseminationQueue:
     def __init__(self) -> None:
-        self.times: dict[str, int] = {}  # name -> how often it was told
-        self.levels: list[dict[str, None]] = []  # names by that number, the one that waits longest first
+        self.send_counts: dict[str, int] = {}  # name -> how often it was told
+        self.names_by_count: list[
+            dict[str, None]
+        ] = []  # names by that number, the one that waits longest first
 
     def __len__(self) -> int:
-        return len(self.times)
+        return len(self.send_counts)
 
     def add(self, name: str) -> None:
         """Its word is new, whatever was told of it before."""
@@ -23,27 +25,27 @@
         self._put(name, 0)
 
     def drop(self, name: str) -> None:
-        times = self.times.pop(name, None)
+        times = self.send_counts.pop(name, None)
         if times is not None:
-            del self.levels[times][name]
+            del self.names_by_count[times][name]
 
-    def told(self, name: str, limit: int) -> None:
+    def mark_sent(self, name: str, limit: int) -> None:
         """Once more; it is news no longer once that was often enough."""
-        times = self.times[name] + 1
+        times = self.send_counts[name] + 1
         self.drop(name)
         if times < limit:
             self._put(name, times)
 
     def _put(self, name: str, times: int) -> None:
-        while len(self.levels) <= times:
-            self.levels.append({})
-        self.levels[times][name] = None
-        self.times[name] = times
+        while len(self.names_by_count) <= times:
+            self.names_by_count.append({})
+        self.names_by_count[times][name] = None
+        self.send_counts[name] = times
 
-    def first(self, most: int) -> list[str]:
+    def least_sent(self, most: int) -> list[str]:
         """Told least first."""
-        return list(islice(chain.from_iterable(self.levels), most)) if self.times else []
+        return list(islice(chain.from_iterable(self.names_by_count), most)) if self.send_counts else []
 
     def clear(self) -> None:
-        self.times.clear()
-        self.levels.clear()
+        self.send_counts.clear()
+        self.names_by_count.clear()
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -17,14 +17,14 @@
 from .wire import Claim, MemberState
 
 SLICES = 64  # of 4 bytes: a fifth of a packet, and 55 of 3,500 members in each
-_SUMS = struct.Struct(f"<{SLICES}I")
+_CHECKSUMS = struct.Struct(f"<{SLICES}I")
 
 
-def part(name: str) -> int:
+def slice_index(name: str) -> int:
     return zlib.crc32(name.encode()) % SLICES
 
 
-def _mark(claim: Claim) -> int:
+def _claim_hash(claim: Claim) -> int:
     """No checksum: those are linear, so that two members which change alike would leave a sum as it was."""
     if claim.is_gone:
         return 0
@@ -40,11 +40,13 @@
         self.members: dict[str, Claim] = {}  # all but this one
         self.gone_at: dict[str, float] = {}  # when that was heard, the earliest first
         self.names: list[str] = []  # of `members`, to choose some of them without a walk
-        self._sums = [0] * SLICES
-        self._all: tuple[Claim, int] | None = None  # this instance's own word, and the sum with it
+        self._slice_hashes = [0] * SLICES
+        self._cached_checksum: tuple[Claim, int] | None = (
+            None  # this instance's own word, and the sum with it
+        )
 
     @property
-    def there(self) -> int:
+    def present_count(self) -> int:
         """How many are not gone."""
         return len(self.members) - len(self.gone_at)
 
@@ -53,19 +55,19 @@
         if known is None:
             self.names.append(claim.name)
         else:
-            self._sums[part(claim.name)] ^= _mark(known)
-        self._sums[part(claim.name)] ^= _mark(claim)
+            self._slice_hashes[slice_index(claim.name)] ^= _claim_hash(known)
+        self._slice_hashes[slice_index(claim.name)] ^= _claim_hash(claim)
         self.members[claim.name] = claim
         self.gone_at.pop(claim.name, None)
         if claim.is_gone:
             self.gone_at[claim.name] = now
-        self._all = None
+        self._cached_checksum = None
 
-    def confirmed(self, claim: Claim) -> None:
+    def replace_equal(self, claim: Claim) -> None:
         """The same word by another one: nothing that is summed up."""
         self.members[claim.name] = claim
 
-    def forget(self, before: float) -> list[str]:
+    def evict_gone(self, before: float) -> list[str]:
         """Those that were gone by then."""
         found = []
         for name, at in self.gone_at.items():
@@ -76,10 +78,10 @@
             del self.gone_at[name], self.members[name]  # their marks are in no sum
         if found:
             self.names = list(self.members)
-            self._all = None
+            self._cached_checksum = None
         return found
 
-    def some(self, rng: random.Random, most: int, state: MemberState, but: str = "") -> list[str]:
+    def sample(self, rng: random.Random, most: int, state: MemberState, but: str = "") -> list[str]:
         """Members in that state, by chance: a few are drawn, and all are looked at only where few do."""
         drawn = rng.sample(self.names, min(len(self.names), 3 * most))
         found = [name for name in drawn if self.members[name].state is state and name != but]
@@ -90,28 +92,28 @@
 
     # -- what differs ----------------------------------------------------------------------------------------
 
-    def same(self, me: Claim) -> int:
+    def checksum(self, me: Claim) -> int:
         """Equal where the same is known; never 0. As builds without slices have it."""
-        if self._all is None or self._all[0] is not me:
+        if self._cached_checksum is None or self._cached_checksum[0] is not me:
             known = sorted((each.name, *each.precedence) for each in (me, *self.members.values()))
-            self._all = me, zlib.crc32(repr(known).encode()) or 1
-        return self._all[1]
+            self._cached_checksum = me, zlib.crc32(repr(known).encode()) or 1
+        return self._cached_checksum[1]
 
-    def slices(self, me: Claim) -> bytes:
-        sums = list(self._sums)
-        sums[part(me.name)] ^= _mark(me)
-        return _SUMS.pack(*sums)
+    def slice_checksums(self, me: Claim) -> bytes:
+        sums = list(self._slice_hashes)
+        sums[slice_index(me.name)] ^= _claim_hash(me)
+        return _CHECKSUMS.pack(*sums)
 
-    def differing(self, me: Claim, told: bytes) -> frozenset[int] | None:
+    def differing_slices(self, me: Claim, told: bytes) -> frozenset[int] | None:
         """Parts in which the other one knows something else. None: all, since it can't be told."""
-        if len(told) != _SUMS.size:
+        if len(told) != _CHECKSUMS.size:
             return None
-        mine, other = _SUMS.unpack(self.slices(me)), _SUMS.unpack(told)
+        mine, other = _CHECKSUMS.unpack(self.slice_checksums(me)), _CHECKSUMS.unpack(told)
         return frozenset(n for n in range(SLICES) if mine[n] != other[n])
 
-    def words(self, parts: frozenset[int] | None) -> Iterator[Claim]:
+    def claims_in(self, parts: frozenset[int] | None) -> Iterator[Claim]:
         """As they are when each one's turn comes."""
         for name in list(self.members):
             claim = self.members.get(name)
-            if claim is not None and (parts is None or part(name) in parts):
+            if claim is not None and (parts is None or slice_index(name) in parts):
                 yield claim
--- a/message_relay/gossip/paced_replies.py
+++ b/message_relay/gossip/paced_replies.py
@@ -12,32 +12,35 @@
 
 from .wire import Address, Sync
 
-SPURT, SPURT_S = 32, 0.02  # packets at a time, and until the next ones: 1.6 MB a second at the most
-AT_ONCE = 8  # answers that are under way: a second's worth of them for 3,500 members
+BURST_PACKETS, BURST_INTERVAL_S = (
+    32,
+    0.02,
+)  # packets at a time, and until the next ones: 1.6 MB a second at the most
+CONCURRENT_REPLIES_MAX = 8  # answers that are under way: a second's worth of them for 3,500 members
 
 
 class PacedReplies:
     def __init__(self) -> None:
-        self.going: dict[Address, Iterator[Sync]] = {}
-        self.at = 0.0  # when the next spurt is due, where one is
+        self.in_progress: dict[Address, Iterator[Sync]] = {}
+        self.next_burst_at = 0.0  # when the next spurt is due, where one is
 
-    def begin(self, to: Address, packets: Iterator[Sync]) -> bool:
+    def start(self, to: Address, packets: Iterator[Sync]) -> bool:
         """Whether it is taken: not where too many are under way. One that asks again has its old one."""
-        if to in self.going:
+        if to in self.in_progress:
             return True
-        if len(self.going) >= AT_ONCE:
+        if len(self.in_progress) >= CONCURRENT_REPLIES_MAX:
             return False
-        self.going[to] = packets
+        self.in_progress[to] = packets
         return True
 
-    def spurt(self, now: float) -> list[tuple[Address, Sync]]:
+    def next_burst(self, now: float) -> list[tuple[Address, Sync]]:
         """What is to be sent now, to one after the other in turn."""
-        if not self.going or now < self.at:
+        if not self.in_progress or now < self.next_burst_at:
             return []
-        to = next(iter(self.going))
-        packets = self.going.pop(to)
-        found = list(islice(packets, SPURT))
-        if len(found) == SPURT:
-            self.going[to] = packets  # behind the others
-        self.at = now + SPURT_S
+        to = next(iter(self.in_progress))
+        packets = self.in_progress.pop(to)
+        found = list(islice(packets, BURST_PACKETS))
+        if len(found) == BURST_PACKETS:
+            self.in_progress[to] = packets  # behind the others
+        self.next_burst_at = now + BURST_INTERVAL_S
         return [(to, each) for each in found]
--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -56,20 +56,20 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    seq: int
+    sequence: int
     target: str  # an address may be another's by now
     claims: tuple[Claim, ...] = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    seq: int
+    sequence: int
     claims: tuple[Claim, ...] = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag="f"):
     """Ask this one for me: I get no answer."""
 
-    seq: int
+    sequence: int
     target: str
     claims: tuple[Claim, ...] = ()
 
@@ -77,7 +77,7 @@
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="n"):
     """I asked it for you and got no answer either, so my link to you works."""
 
-    seq: int
+    sequence: int
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag="s"):
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -47,13 +47,17 @@
 def _gossip_body(body: object) -> Values:
     match body:
         case Ping():
-            return {"ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
+            return {"ping": body.sequence, "target": body.target, "claims": claims_values(body.claims)}
         case Ack():
-            return {"acknowledgement": body.seq, "claims": claims_values(body.claims)}
+            return {"acknowledgement": body.sequence, "claims": claims_values(body.claims)}
         case IndirectPing():
-            return {"indirect ping": body.seq, "target": body.target, "claims": claims_values(body.claims)}
+            return {
+                "indirect ping": body.sequence,
+                "target": body.target,
+                "claims": claims_values(body.claims),
+            }
         case Nack():
-            return {"negative acknowledgement": body.seq}
+            return {"negative acknowledgement": body.sequence}
         case Sync():
             return {
                 "answer wanted": body.wants_reply,
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -27,8 +27,8 @@
 from message_relay.consensus.version_history import Propose
 from message_relay.failover.observations import ObservationReport, Observations
 from message_relay.gossip.dissemination_queue import DisseminationQueue
-from message_relay.gossip.member_table import SLICES, MemberTable, part
-from message_relay.gossip.paced_replies import AT_ONCE, SPURT, SPURT_S
+from message_relay.gossip.member_table import SLICES, MemberTable, slice_index
+from message_relay.gossip.paced_replies import BURST_INTERVAL_S, BURST_PACKETS, CONCURRENT_REPLIES_MAX
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import (
     AppMessage,
@@ -112,7 +112,7 @@
         assert fleet.joined() < 40.0
         assert sum(fleet.bytes) / count < 6000.0 + 450.0 * count
         # In an even share, and a seed no more than its spurts are.
-        assert max(fleet.bytes) < SPURT * 1400 * (fleet.now / SPURT_S)
+        assert max(fleet.bytes) < BURST_PACKETS * 1400 * (fleet.now / BURST_INTERVAL_S)
 
 
 def test_one_change_is_told_by_what_differs_and_not_by_all() -> None:
@@ -122,18 +122,18 @@
     for it in (one, other):
         it.receive(0.0, "n2", 1, Sync(False, tuple(each for each in words if each.name != it.own_claim.name)))
         it.dissemination_queue.clear()
-    assert not answers(other, one._ask())
+    assert not answers(other, one._sync_request())
     one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, boot=2),)))
     one.outbox.clear()
-    told = answers(one, other._ask(), 1.0)
+    told = answers(one, other._sync_request(), 1.0)
     names = {claim.name for body in told for claim in body.claims}
     assert "n7" in names and len(names) < 3 * 800 / SLICES
     for body in told:
         other.receive(0.0, "n0", 1, body)
     assert (
         other.members["n7"].process_epoch == 2
-        and not answers(one, other._ask())
-        and not answers(other, one._ask())
+        and not answers(one, other._sync_request())
+        and not answers(other, one._sync_request())
     )
 
 
@@ -153,7 +153,7 @@
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
     old = Swim(words[1], (), random.Random(1))
     old.receive(0.0, "n2", 1, Sync(False, (words[0], *words[2:])))
-    same = old.member_table.same(old.own_claim)
+    same = old.member_table.checksum(old.own_claim)
     assert not answers(it, Sync(True, (words[1],), same))
     assert {each.name for body in answers(it, Sync(True, (words[1],), same ^ 1)) for each in body.claims} == {
         each.name for each in words
@@ -164,9 +164,9 @@
         claims: tuple[Claim, ...]
         same: int = 0
 
-    raw = msgspec.msgpack.encode(it._ask())
+    raw = msgspec.msgpack.encode(it._sync_request())
     assert msgspec.msgpack.decode(raw, type=Before) == Before(
-        True, (it.own_claim,), it.member_table.same(it.own_claim)
+        True, (it.own_claim,), it.member_table.checksum(it.own_claim)
     )
     raw = msgspec.msgpack.encode(Before(True, (it.own_claim,), 5))
     assert msgspec.msgpack.decode(raw, type=Sync) == Sync(True, (it.own_claim,), 5)
@@ -176,7 +176,7 @@
     words = [gossip.claim(n, MemberState.ALIVE) for n in range(30)]
     it = Swim(words[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
-    told = answers(it, Sync(True, (words[1],), it.member_table.same(it.own_claim) ^ 1, b"xyz"))
+    told = answers(it, Sync(True, (words[1],), it.member_table.checksum(it.own_claim) ^ 1, b"xyz"))
     assert {each.name for body in told for each in body.claims} == {each.name for each in words}
 
 
@@ -184,16 +184,16 @@
     """Guards against a checksum in place of a digest: those are linear, and two members that go from joining
     to alive left the sum as it was. A fleet of 100 never came to know each other's states."""
     roll = MemberTable()
-    names = [n for n in range(1000) if part(f"n{n}") == 5]
+    names = [n for n in range(1000) if slice_index(f"n{n}") == 5]
     me = gossip.claim(10_000)
     for n in names:
         roll.put(0.0, gossip.claim(n, MemberState.JOINING))
-    before = roll.slices(me)
+    before = roll.slice_checksums(me)
     for one, other in zip(names[::2], names[1::2], strict=False):
         roll.put(0.0, gossip.claim(one, MemberState.ALIVE))
         roll.put(0.0, gossip.claim(other, MemberState.ALIVE))
-        assert roll.slices(me) != before
-        before = roll.slices(me)
+        assert roll.slice_checksums(me) != before
+        before = roll.slice_checksums(me)
 
 
 def test_a_seed_answers_a_crowd_in_spurts() -> None:
@@ -210,22 +210,24 @@
         firsts.append(len(it.outbox))
         it.outbox.clear()
     assert (
-        max(firsts) <= SPURT
-        and sum(firsts) == SPURT + 300 - AT_ONCE
-        and len(it.paced_replies.going) == AT_ONCE
+        max(firsts) <= BURST_PACKETS
+        and sum(firsts) == BURST_PACKETS + 300 - CONCURRENT_REPLIES_MAX
+        and len(it.paced_replies.in_progress) == CONCURRENT_REPLIES_MAX
     )
     told: dict[tuple[str, int], set[str]] = {}
     now = 0.0
-    while it.paced_replies.going:
+    while it.paced_replies.in_progress:
         now = it.next_at()
         it.tick(now)
-        assert len(it.outbox) <= SPURT
+        assert len(it.outbox) <= BURST_PACKETS
         for to, body in it.outbox:
             assert isinstance(body, Sync)
             told.setdefault(to, set()).update(claim.name for claim in body.claims)
         it.outbox.clear()
-    assert len(told) == AT_ONCE and all(len(names) >= 1999 - SPURT * 25 for names in told.values())
-    assert now <= AT_ONCE * (2300 / 12 / SPURT + 2) * SPURT_S
+    assert len(told) == CONCURRENT_REPLIES_MAX and all(
+        len(names) >= 1999 - BURST_PACKETS * 25 for names in told.values()
+    )
+    assert now <= CONCURRENT_REPLIES_MAX * (2300 / 12 / BURST_PACKETS + 2) * BURST_INTERVAL_S
 
 
 # -- steps of a renewal ------------------------------------------------------------------------------------
@@ -402,7 +404,7 @@
         it = settled(LARGE)
         for n in range(1, count):
             it.dissemination_queue.add(f"n{n}")
-        it.dissemination_queue.times = names = Walked(it.dissemination_queue.times)
+        it.dissemination_queue.send_counts = names = Walked(it.dissemination_queue.send_counts)
         found.append(steps(lambda it=it: it._claims("n1")))  # type: ignore[misc]
         assert (
             isinstance(it.member_table.members, Walked)
@@ -417,17 +419,17 @@
     for n in range(100):
         it.add(f"n{n}")
     while it:
-        some = it.first(7)
-        assert len({it.times[name] for name in some}) <= 2
+        some = it.least_sent(7)
+        assert len({it.send_counts[name] for name in some}) <= 2
         for name in some:
-            assert it.times[name] == told.get(name, 0)
+            assert it.send_counts[name] == told.get(name, 0)
             told[name] = told.get(name, 0) + 1
-            it.told(name, 6)
+            it.mark_sent(name, 6)
         if rng.random() < 0.02 and told:
             again = rng.choice(sorted(told))
             it.add(again)
             told[again] = 0
-    assert set(told.values()) == {6} and it.first(5) == []
+    assert set(told.values()) == {6} and it.least_sent(5) == []
 
 
 # -- evidence ----------------------------------------------------------------------------------------------
