--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -50,6 +50,11 @@
     def precedence(self) -> tuple[int, int, int]:
         return self.process_epoch, self.incarnation, int(self.state)
 
+    @property
+    def address(self) -> Address:
+        """Where the member receives datagrams and connections."""
+        return self.host, self.port
+
     @property
     def is_gone(self) -> bool:
         return self.state in (MemberState.DEAD, MemberState.LEFT)
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -375,7 +375,7 @@
         it = settled(count)
         assert it.probe is not None
         probe = it.probe
-        found.append(min(steps(lambda it=it, probe=probe: it._ask_others(probe)) for _ in range(5)))  # type: ignore[misc]
+        found.append(min(steps(lambda it=it, probe=probe: it._probe_indirectly(probe)) for _ in range(5)))  # type: ignore[misc]
         assert (
             isinstance(it.member_table.members, Walked)
             and not it.member_table.members.walks
@@ -405,7 +405,7 @@
         for n in range(1, count):
             it.dissemination_queue.add(f"n{n}")
         it.dissemination_queue.send_counts = names = Walked(it.dissemination_queue.send_counts)
-        found.append(steps(lambda it=it: it._claims("n1")))  # type: ignore[misc]
+        found.append(steps(lambda it=it: it._piggybacked_claims("n1")))  # type: ignore[misc]
         assert (
             isinstance(it.member_table.members, Walked)
             and not it.member_table.members.walks
