--- /dev/null
+++ b/message_relay/consensus/context.py
@@ -0,0 +1,34 @@
+"""What the parts of one consensus instance share: settings, clock, lease and the way to its peers."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from ..core.tasks import BackgroundTasks
+from ..gossip.node import GossipNode
+from .clock import Clock
+from .lease_holder import LeaseHolder
+from .lease_protocol import LeaseTerms
+from .settings import ConsensusSettings
+
+REQUEST_TIMEOUT_S = 1.0  # of a question to one peer
+PROPOSE_TIMEOUT_S = 5.0  # of a command, until the replicated log has agreed on it
+
+
+@dataclass
+class ConsensusContext:
+    """Shared by the voter, the lease client, the proposer and the watchers of one instance."""
+
+    config: ConsensusSettings
+    gossip: GossipNode
+    folder: Path
+    name: str
+    configured_voters: tuple[str, ...]  # as the operator's file names them
+    first_digest: str  # of the first version and the configured voters
+    terms: LeaseTerms
+    clock: Clock
+    lease_holder: LeaseHolder
+    tasks: BackgroundTasks = field(default_factory=BackgroundTasks)
+    renew_now: asyncio.Event = field(default_factory=asyncio.Event)  # set: the next renewal isn't waited for
--- /dev/null
+++ b/message_relay/consensus/proposer.py
@@ -0,0 +1,96 @@
+"""How a command reaches the replicated log: checked, and handed to a voter where this instance is none."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ..gossip.node import Hello
+from . import capabilities
+from .context import PROPOSE_TIMEOUT_S, REQUEST_TIMEOUT_S, ConsensusContext
+from .rules import Rules, RulesError
+from .rules_codec import decode_rules
+from .rules_meet import is_subset
+from .rules_validation import validate_rules
+from .version_history import ChangeVoters, Command, CommandResult, Propose, decode_command
+from .voter import Voter
+
+COMMAND = "command"  # question on a connection
+NOT_VOTING = "this voter does not vote"
+
+_RESULT: msgspec.json.Decoder[CommandResult] = msgspec.json.Decoder(CommandResult)
+
+
+class Proposer:
+    """Proposes commands to the replicated log, and answers those that other instances hand on."""
+
+    def __init__(
+        self, context: ConsensusContext, voter: Voter, classes: list[str], zones: tuple[str, ...]
+    ) -> None:
+        self.context = context
+        self.voter = voter
+        self.classes = classes
+        self.zones = zones
+
+    async def propose(self, command: Command) -> CommandResult:
+        """Propose a command here if this instance votes, else at the first voter that does."""
+        raw = msgspec.json.encode(command)
+        if self.voter.replicated_log is not None:
+            return await self._propose_locally(command, raw)
+        result = CommandResult(refused="no voter can be reached")
+        for name in self.voter.all_known_voters():
+            try:
+                answer = await self.context.gossip.request(
+                    name, COMMAND, raw, PROPOSE_TIMEOUT_S + REQUEST_TIMEOUT_S
+                )
+                result = _RESULT.decode(answer)
+            except (OSError, TimeoutError, msgspec.MsgspecError):
+                continue
+            if result.refused != NOT_VOTING:  # one that has just started, or is disabled, speaks for no other
+                break
+        return result
+
+    async def on_command(self, hello: Hello, raw: bytes) -> bytes:
+        """Answer a command that an instance without a vote hands on."""
+        try:
+            if self.voter.replicated_log is None:
+                raise RulesError(NOT_VOTING)
+            result = await self._propose_locally(decode_command(raw), raw)
+        except RulesError as error:
+            result = CommandResult(refused=str(error))
+        return msgspec.json.encode(result)
+
+    async def _propose_locally(self, command: Command, raw: bytes) -> CommandResult:
+        assert self.voter.replicated_log is not None
+        why = self.refusal_reason(command)
+        if why:
+            return CommandResult(refused=why)
+        return await self.voter.replicated_log.propose(command, raw, PROPOSE_TIMEOUT_S)
+
+    def refusal_reason(self, command: Command) -> str:
+        """Why a command may not be agreed on, or empty: afterwards every relay has to act on it."""
+        try:
+            if isinstance(command, Propose):
+                self._check_rules(decode_rules(command.rules))
+            if isinstance(command, ChangeVoters):
+                self._check_voters_change()
+            return ""
+        except RulesError as error:
+            return str(error)
+
+    def _check_rules(self, rules: Rules) -> None:
+        validate_rules(rules, self.classes, self.zones)
+        if not is_subset(self.context.config.floor, rules):
+            raise RulesError("rules: they forbid what accord.floor allows an instance that is cut off")
+        for claim in self.context.gossip.swim.present_members():
+            unsupported = capabilities.unsupported_fields(rules, claim.capabilities)
+            if unsupported:
+                raise RulesError(
+                    f"rules: {claim.name} runs a build that does not know "
+                    f"{', '.join(unsupported)}: upgrade it first"
+                )
+
+    def _check_voters_change(self) -> None:
+        elapsed = self.voter.seconds_since_voters_changed()
+        wait = self.context.terms.grantor_duration(self.context.terms.horizon_s)
+        if elapsed < wait:
+            raise RulesError(f"voters: they changed {elapsed:.0f} s ago: wait until {wait:.0f} s have passed")
--- /dev/null
+++ b/message_relay/consensus/version_watch.py
@@ -0,0 +1,95 @@
+"""Watches the newest version in force, and takes it back or promotes it as its guard says."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+
+from .canary_guard import CanaryWatch, RecentOutcomes, Verdict
+from .context import ConsensusContext
+from .lease_grantor import LeaseGrantor
+from .proposer import Proposer
+from .replicated_log import ReplicatedLog
+from .rules import RulesError
+from .version_history import Promote, Propose, Stage, Version, Withdraw
+from .voter import Voter
+
+log = logging.getLogger(__name__)
+
+CHECK_INTERVAL_S = 0.5
+AUTHOR = "guard"  # of the commands that the guard proposes
+
+
+class VersionWatch:
+    """Runs on each voter; only the log's leader proposes anything."""
+
+    def __init__(self, context: ConsensusContext, voter: Voter, proposer: Proposer) -> None:
+        self.context = context
+        self.voter = voter
+        self.proposer = proposer
+        self.watch: CanaryWatch | None = None
+        self.recent_outcomes = RecentOutcomes()
+
+    async def run(self) -> None:
+        """Check at each interval."""
+        while True:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            try:
+                self.voter.clear_current_version()
+                replicated_log, grantor = self.voter.replicated_log, self.voter.lease_grantor
+                if replicated_log is not None and grantor is not None:
+                    await self._check(replicated_log, grantor)
+            except Exception:
+                log.exception("a look at the guard failed")
+
+    async def _check(self, replicated_log: ReplicatedLog, grantor: LeaseGrantor) -> None:
+        """Judge the newest version. A command names its version, so that one that is late changes nothing."""
+        now = self.context.clock.now()
+        newest = self.voter.history.newest
+        watch = self._watch_of(newest, grantor, now)
+        if watch is None:
+            return
+        self.recent_outcomes.add(now, grantor.leases.values())
+        if not replicated_log.is_leader or newest.guard is None or newest.stage is Stage.WITHDRAWN:
+            return
+        verdict, why = watch.evaluate(now, grantor.leases.items())
+        is_canary = newest.stage is Stage.CANARY
+        if verdict is Verdict.HARMFUL and is_canary:
+            await self.proposer.propose(Withdraw(newest.number, AUTHOR, why))
+        elif verdict is Verdict.HARMFUL:
+            await self.proposer.propose(self._rollback(newest, why))
+        elif verdict is Verdict.HEALTHY and is_canary and newest.guard.promote:
+            await self.proposer.propose(Promote(newest.number, AUTHOR))
+
+    def _watch_of(self, newest: Version, grantor: LeaseGrantor, now: float) -> CanaryWatch | None:
+        """The watch over the newest version, started if need be; None: that version is not in force yet."""
+        if self.watch is not None and self.watch.version.number == newest.number:
+            return self.watch
+        goes_to_all = newest.stage is Stage.CURRENT and newest.share >= 1
+        if goes_to_all and grantor.cleared_version < newest.number:
+            return None
+        least = newest.guard.least_count if newest.guard is not None else 1
+        self.watch = CanaryWatch(newest, now, self.recent_outcomes.delivered_share(least))
+        self.recent_outcomes = RecentOutcomes(self.recent_outcomes.span_s)
+        return self.watch
+
+    def _rollback(self, version: Version, cause: str) -> Propose:
+        """The rules of the version before this one, as a new version. Raises RulesError if there is none."""
+        older = [
+            each
+            for each in self.voter.history.versions
+            if each.number < version.number
+            and each.stage is not Stage.WITHDRAWN
+            and each.digest != version.digest
+        ]
+        if not older:
+            raise RulesError("there is no version before this one to go back to")
+        return Propose(
+            self.voter.history.newest.number,
+            older[-1].rules,
+            AUTHOR,
+            cause,
+            time.time() * 1000,
+            restored_from=older[-1].number,
+        )
--- /dev/null
+++ b/message_relay/consensus/voter.py
@@ -0,0 +1,306 @@
+"""The voter's part of an instance: its replicated log, the leases that it grants, and what it clears.
+
+Every instance has a `Voter`; it is idle until the newest version names the instance among the voters. A
+voter whose state folder is older than one that its peers have seen, or whose log can't be trusted, does not
+vote until it has been removed from the voters and added again.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+
+import msgspec
+
+from ..gossip.identity import Identity
+from ..gossip.node import Hello
+from ..structured_logging import LogEvent
+from .context import REQUEST_TIMEOUT_S, ConsensusContext
+from .lease_grantor import LeaseGrantor
+from .lease_protocol import LeaseGrant, LeaseRenewal
+from .process_epochs import ProcessEpochs
+from .raft_storage import JOURNAL, remove_log
+from .replicated_log import ReplicatedLog
+from .rules import Rules
+from .version_history import FIRST_NUMBER, Version, VersionHistory
+from .voter_state import load_voter_state, save_voter_state
+
+log = logging.getLogger(__name__)
+
+GRANT, HINT = "grant", "hint"  # datagrams that a voter sends
+EPOCH_QUERY = "boot"  # question on a connection
+REOPEN_DELAY_S = 2.0  # before a log whose disk has failed is opened again
+EPOCH_QUERY_MAX_S = 10.0  # a voter asks its peers at most so long whether its folder is the latest
+EPOCH_QUERY_PAUSE_S = 0.05
+DISK_FAILURE = "its disk has failed"
+
+
+class Voter:
+    """Votes while the newest version names this instance, and grants leases to relays meanwhile."""
+
+    def __init__(self, context: ConsensusContext, identity: Identity) -> None:
+        """Raises OSError where the state folder can't be read."""
+        self.context = context
+        self.identity = identity
+        self.history = VersionHistory(context.config.first, context.configured_voters)
+        self.state = load_voter_state(context.folder)
+        self.process_epochs = ProcessEpochs(self.state.highest_epochs)
+        self.replicated_log: ReplicatedLog | None = None
+        self.lease_grantor: LeaseGrantor | None = None
+        self.non_voting_reason = ""
+        self.voting_task: asyncio.Task[None] | None = None
+        self.epoch_checked = False  # whether the peers were asked for a later process of this folder
+        # When the voters last changed: their proposer's stamp, and when this process saw it by its own clock.
+        # Only the second is reckoned with: a wall clock may step, and a relay's majority hangs on the wait.
+        self.voters_change_stamp_ms = 0.0
+        self.voters_change_seen_at = -math.inf
+
+    # -- what is known ---------------------------------------------------------------------------------------
+
+    def current_voters(self) -> tuple[str, ...]:
+        """Names of the voters by the newest version known.
+
+        It may differ from the operator's file, also by versions that an earlier process has learnt of.
+        """
+        latest = self.context.lease_holder.latest_version
+        if latest is not None and latest.number > FIRST_NUMBER:
+            return latest.voters
+        return self.state.voters or self.context.configured_voters
+
+    def all_known_voters(self) -> list[str]:
+        """Names of all instances that may vote: the current, the last saved and the configured ones."""
+        return sorted({*self.context.configured_voters, *self.state.voters, *self.current_voters()})
+
+    def known_versions(self) -> list[Version]:
+        """All versions known, oldest first. The log may be a moment behind what another voter has sent."""
+        found = dict(self.context.lease_holder.versions)
+        if self.replicated_log is not None:
+            found |= {version.number: version for version in self.history.versions}
+        return [found[number] for number in sorted(found)]
+
+    def newest_rules(self) -> Rules:
+        """The rules of the newest version known."""
+        latest = self.known_versions()[-1:]
+        return latest[0].decoded_rules if latest else self.context.config.first
+
+    def newest_number(self) -> int:
+        """The number of the newest version known."""
+        return max((version.number for version in self.known_versions()), default=FIRST_NUMBER)
+
+    def seconds_since_voters_changed(self) -> float:
+        """By this process's clock; infinite if it has seen no change."""
+        return self.context.clock.now() - self.voters_change_seen_at
+
+    # -- starting and stopping to vote -----------------------------------------------------------------------
+
+    def save_state(self) -> None:
+        """Write down what has to outlast this process. Raises OSError."""
+        save_voter_state(self.context.folder, self.state)
+
+    def update_role(self) -> None:
+        """Start or stop voting, as the newest version says."""
+        voters = self.current_voters()
+        if voters != (self.state.voters or self.context.configured_voters):
+            self.state.voters = voters
+            try:
+                self.save_state()
+            except OSError as error:
+                log.error(LogEvent("who votes is not written down", why=error))
+        is_voter = self.context.name in voters
+        if is_voter and self.voting_task is None:
+            self.voting_task = self.context.tasks.start(self._vote())
+        elif not is_voter and self.voting_task is not None:
+            log.info(LogEvent("this instance votes no more", voters=",".join(voters)))
+            self.voting_task.cancel()
+            self.voting_task = None
+            self.non_voting_reason = ""
+            self.context.tasks.start(self._retire())
+
+    async def _retire(self) -> None:
+        """Remove the log: if this instance is added again, it starts with an empty one."""
+        await self._close_log()
+        try:
+            remove_log(self.context.folder)
+            self.state.log_started = False
+            self.save_state()
+        except OSError as error:
+            log.error(LogEvent("the log of one that votes no more is not removed", why=error))
+
+    async def _vote(self) -> None:
+        """Run the replicated log; after a failure of the disk, reopen it from what lies on the disk."""
+        await self._check_folder()
+        while not self.non_voting_reason:
+            try:
+                await self._open_log().run()
+            except OSError as error:
+                log.error(LogEvent("the log's disk has failed: it is opened again", why=error))
+                self.non_voting_reason = f"{DISK_FAILURE}, and is tried again: {error}"
+            except Exception as error:  # a torn journal or dump: whatever the library makes of it
+                log.exception("the log has failed")
+                self._disable(f"its log can't be read: {error}")
+                return
+            await self._close_log()
+            await asyncio.sleep(REOPEN_DELAY_S)
+            if self.non_voting_reason.startswith(DISK_FAILURE):
+                self.non_voting_reason = ""
+
+    async def _check_folder(self) -> None:
+        """Refuse to vote if the peers have seen a later process of this folder, or if its log is gone."""
+        highest = 0 if self.epoch_checked else await self.highest_epoch_seen_by_peers()
+        self.epoch_checked = True  # the peers know this process's epoch from now on
+        if highest >= self.identity.process_epoch:
+            self.context.gossip.raise_process_epoch(highest)
+        elif self.state.log_started and not (self.context.folder / JOURNAL).exists():
+            self._disable("its log is gone")
+
+    def _open_log(self) -> ReplicatedLog:
+        """Raises TornWriteError, OSError, and whatever pysyncobj makes of a file that is torn."""
+        context = self.context
+        self.state.log_started = True
+        self.save_state()
+        others = [name for name in self.current_voters() if name != context.name]
+        self.history = VersionHistory(context.config.first, context.configured_voters)
+        opened = ReplicatedLog(
+            context.folder, context.gossip, context.name, others, self.history, self._on_applied
+        )
+        self.replicated_log = opened
+        self.lease_grantor = LeaseGrantor(
+            context.name,
+            self.history,
+            context.terms,
+            context.first_digest,
+            self.state.cleared,
+            context.clock.now(),
+        )
+        return opened
+
+    async def _close_log(self) -> None:
+        closing = self.replicated_log
+        self.replicated_log = None
+        self.lease_grantor = None
+        if closing is not None:
+            await closing.close()
+
+    async def close(self) -> None:
+        """Close the log, if it is open."""
+        if self.replicated_log is not None:
+            await self.replicated_log.close()
+
+    def on_rebooted(self, identity: Identity) -> None:
+        """Handle a new epoch: the folder is older than one that peers have seen, and what it knows may be."""
+        self.identity = identity
+        self.context.lease_holder.restart(identity.process_epoch)
+        self._disable(f"its folder is older than one seen with boot {identity.process_epoch - 1}")
+
+    def on_refused(self, why: str) -> None:
+        """Handle that another process is this instance: nothing is sent from now on."""
+        self.context.lease_holder.release()
+        self._disable(why)
+
+    def _disable(self, why: str) -> None:
+        """Vote no more, until this instance is removed from the voters and added again."""
+        if self.voting_task is None:
+            return
+        self.non_voting_reason = why
+        log.error(LogEvent("this voter does not vote: remove it from the voters and add it anew", why=why))
+        if self.replicated_log is not None:
+            self.voting_task.cancel()
+            self.context.tasks.start(self._close_log())
+
+    # -- process epochs --------------------------------------------------------------------------------------
+
+    async def highest_epoch_seen_by_peers(self) -> int:
+        """The highest process epoch that peers have seen of this folder; asks until a majority answered."""
+        answers: dict[str, int] = {}
+        voters = self.current_voters()
+        others = [name for name in voters if name != self.context.name]
+        deadline = self.context.clock.now() + EPOCH_QUERY_MAX_S
+        while 2 * (len(answers) + 1) <= len(voters) and self.context.clock.now() < deadline:
+            for name in others:
+                if name not in answers:
+                    epoch = await self._query_epoch(name)
+                    if epoch is not None:
+                        answers[name] = epoch
+            await asyncio.sleep(EPOCH_QUERY_PAUSE_S)
+        return max(answers.values(), default=0)
+
+    async def _query_epoch(self, name: str) -> int | None:
+        raw = msgspec.msgpack.encode((self.identity.id, self.identity.process_epoch))
+        try:
+            answer = await self.context.gossip.request(name, EPOCH_QUERY, raw, REQUEST_TIMEOUT_S)
+            return msgspec.msgpack.decode(answer, type=int)
+        except (OSError, TimeoutError, msgspec.MsgspecError):
+            return None
+
+    def on_epoch_query(self, hello: Hello, raw: bytes) -> bytes:
+        """Answer with the highest epoch that was seen of an identity before the process that asks."""
+        query: tuple[str, int] = msgspec.msgpack.decode(raw, type=tuple[str, int])
+        identity, epoch = query
+        saved = self.state.highest_epochs.get(identity)
+        previous = self.process_epochs.observe(identity, epoch, hello.nonce)
+        if self.state.highest_epochs.get(identity) != saved:
+            try:
+                self.save_state()
+            except OSError as error:
+                log.error(LogEvent("the boot of a peer is not written", why=error))
+                self.process_epochs.undo_observe(identity, saved)
+        return msgspec.msgpack.encode(previous)
+
+    # -- granting leases -------------------------------------------------------------------------------------
+
+    def _on_applied(self) -> None:
+        """Handle progress of the log."""
+        for version in self.history.versions:
+            self.context.lease_holder.add_version(version)
+        if self.history.voters_changed_at_ms != self.voters_change_stamp_ms:
+            self.voters_change_stamp_ms = self.history.voters_changed_at_ms
+            self.voters_change_seen_at = self.context.clock.now()
+        self.clear_current_version()
+        self._send_hints()
+        self.context.renew_now.set()
+
+    def clear_current_version(self) -> None:
+        """Clear the current version once nothing is held beyond it, and write that down first."""
+        grantor = self.lease_grantor
+        if grantor is None or not grantor.clear_current_version(self.context.clock.now()):
+            return
+        previous = self.state.cleared
+        self.state.cleared = grantor.cleared_version
+        try:
+            self.save_state()
+        except OSError as error:
+            # Guards against a voter that has cleared what its next process does not know of.
+            grantor.cleared_version = previous
+            self.state.cleared = previous
+            log.error(LogEvent("a version is not cleared: it can't be written down", why=error))
+            return
+        self._send_hints()
+        self.context.renew_now.set()
+
+    def _send_hints(self) -> None:
+        """Have the relays renew now and not at their next interval: something has changed."""
+        if self.lease_grantor is not None:
+            for name in self.lease_grantor.leases:
+                self.context.gossip.send_datagram(name, HINT, b"")
+
+    def on_renewal(self, sender: str, raw: bytes) -> None:
+        """Answer a relay's renewal, while this instance votes."""
+        if self.lease_grantor is None:
+            return
+        renewal: LeaseRenewal = msgspec.msgpack.decode(raw, type=LeaseRenewal)
+        grant = self.grant_lease(self.lease_grantor, sender, renewal)
+        self.context.gossip.send_datagram(sender, GRANT, msgspec.msgpack.encode(grant))
+
+    def grant_lease(self, grantor: LeaseGrantor, relay: str, renewal: LeaseRenewal) -> LeaseGrant:
+        """The grant for a renewal, of a relay elsewhere or of this instance's own."""
+        self.clear_current_version()  # written down before any answer can say so
+        grant = grantor.on_renewal(self.context.clock.now(), relay, renewal)
+        self.clear_current_version()
+        return grant
+
+    def on_version_query(self, hello: Hello, raw: bytes) -> bytes:
+        """Answer with a version by its number; empty if it is not known."""
+        number: int = msgspec.msgpack.decode(raw, type=int)
+        version = self.history.get(number)
+        return b"" if version is None else msgspec.msgpack.encode(version)
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -662,7 +662,7 @@
 
 
 def _plain_standing(accord: ConsensusInstance) -> Plain:
-    standing = accord.voter_state
+    standing = accord.voter.state
     return {
         "cleared": standing.cleared,
         "boots": dict(standing.highest_epochs),
@@ -679,8 +679,8 @@
     folder: Path, cleared: int, boots: dict[str, int], log_was_begun: bool, voters: Iterable[str]
 ) -> Plain:
     accord = _accord(folder)
-    standing = accord.voter_state
+    standing = accord.voter.state
     standing.cleared, standing.log_started, standing.voters = cleared, log_was_begun, tuple(voters)
     standing.highest_epochs.update(boots)
-    accord.save_voter_state()
+    accord.voter.save_state()
     return _plain_standing(accord)
--- a/tests/consensus/test_commands.py
+++ b/tests/consensus/test_commands.py
@@ -9,9 +9,10 @@
 import msgspec
 import pytest
 
-from message_relay.consensus import instance
-from message_relay.consensus.instance import COMMAND, ConsensusInstance
+from message_relay.consensus.context import ConsensusContext
+from message_relay.consensus.proposer import COMMAND, NOT_VOTING, Proposer
 from message_relay.consensus.version_history import CommandResult, Withdraw
+from message_relay.consensus.voter import Voter
 from message_relay.gossip.node import Hello
 
 SILENT, STARTING = "silent", "starting"
@@ -30,15 +31,19 @@
         if said == SILENT:
             raise TimeoutError
         if said == STARTING:  # as a voter itself says it: its log is not open yet, or not any more
-            return await ConsensusInstance._command(
-                cast(ConsensusInstance, SimpleNamespace(replicated_log=None)), Hello("n9", COMMAND), raw
-            )
+            return await proposer(self).on_command(Hello("n9", COMMAND), raw)
         return msgspec.json.encode(said)
 
 
+def proposer(peers: Peers) -> Proposer:
+    """Of an instance without a log."""
+    context = cast(ConsensusContext, SimpleNamespace(gossip=peers))
+    voter = SimpleNamespace(replicated_log=None, all_known_voters=lambda: sorted(peers.voters))
+    return Proposer(context, cast(Voter, voter), [], ())
+
+
 def agreed(peers: Peers) -> CommandResult:
-    asking = SimpleNamespace(replicated_log=None, peers=peers, _asked=lambda: sorted(peers.voters))
-    return asyncio.run(ConsensusInstance._agree(cast(ConsensusInstance, asking), TOLD))
+    return asyncio.run(proposer(peers).propose(TOLD))
 
 
 @pytest.mark.parametrize(
@@ -52,7 +57,7 @@
             "no",
             ["n0", "n1"],
         ),
-        ({"n0": STARTING, "n1": SILENT}, 0, instance.NO_VOTE, ["n0", "n1"]),
+        ({"n0": STARTING, "n1": SILENT}, 0, NOT_VOTING, ["n0", "n1"]),
         ({"n0": SILENT, "n1": SILENT}, 0, "no voter can be reached", ["n0", "n1"]),
     ],
 )
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -11,11 +11,12 @@
 import pytest
 
 from benchmarks.processes import free_ports
-from message_relay.consensus import instance as accord
-from message_relay.consensus.instance import BOOT, ConsensusInstance
+from message_relay.consensus import voter
+from message_relay.consensus.instance import ConsensusInstance
 from message_relay.consensus.lease_protocol import DeliveryCounts
 from message_relay.consensus.process_epochs import ProcessEpochs
 from message_relay.consensus.settings import ConsensusSettings
+from message_relay.consensus.voter import EPOCH_QUERY
 from message_relay.gossip.identity import claim_identity
 from message_relay.gossip.node import GossipNode, Hello
 from message_relay.gossip.settings import GossipSettings
@@ -78,15 +79,15 @@
         )
     try:
         for one in made:
-            await one.peers.start()
+            await one.gossip.start()
         async with asyncio.timeout(20.0):
-            while any(one.peers.address_of(f"n{1 - n}") is None for n, one in enumerate(made)):
+            while any(one.gossip.address_of(f"n{1 - n}") is None for n, one in enumerate(made)):
                 await asyncio.sleep(0.02)
         yield made
     finally:
         for one in made:
             await one.close()
-            await one.peers.close()
+            await one.gossip.close()
 
 
 def test_an_answer_that_comes_too_late_does_not_cost_a_voter_its_vote(
@@ -94,25 +95,28 @@
 ) -> None:
     """The others may be starting too, all on one disk: an answer that waits for it comes after the question
     was given up. Asked again they have seen this boot: of this very process."""
-    monkeypatch.setattr(accord, "ASK_S", 0.2)
+    monkeypatch.setattr(voter, "REQUEST_TIMEOUT_S", 0.2)
     questions: list[int] = []
 
     async def work() -> None:
         async with voters(tmp_path) as (asking, asked):
 
             async def late(hello: Hello, raw: bytes) -> bytes:
-                answer = asked._boot(hello, raw)
+                answer = asked.voter.on_epoch_query(hello, raw)
                 questions.append(msgspec.msgpack.decode(answer))
                 if len(questions) == 1:
                     await asyncio.sleep(0.5)
                 return answer
 
-            asked.peers.frame_handlers[BOOT] = late
-            seen = await asyncio.wait_for(asking._seen(), 20.0)
-            assert len(questions) == 2 and seen < asking.identity.process_epoch
+            asked.gossip.frame_handlers[EPOCH_QUERY] = late
+            seen = await asyncio.wait_for(asking.voter.highest_epoch_seen_by_peers(), 20.0)
+            assert len(questions) == 2 and seen < asking.voter.identity.process_epoch
             # A second process of this folder, from the same boot: the folder was put back to an older state.
-            other = Hello("n0", BOOT, 12345)
-            raw = msgspec.msgpack.encode((asking.identity.id, asking.identity.process_epoch))
-            assert msgspec.msgpack.decode(asked._boot(other, raw)) == asking.identity.process_epoch
+            other = Hello("n0", EPOCH_QUERY, 12345)
+            raw = msgspec.msgpack.encode((asking.voter.identity.id, asking.voter.identity.process_epoch))
+            assert (
+                msgspec.msgpack.decode(asked.voter.on_epoch_query(other, raw))
+                == asking.voter.identity.process_epoch
+            )
 
     asyncio.run(work())
