--- a/message_relay/gossip/swim.py
+++ b/message_relay/gossip/swim.py
@@ -75,7 +75,7 @@
 
 @dataclass
 class Swim:
-    """State machine of one member, driven by `tick` and `receive`; its owner empties `outbox` and `changes`."""
+    """State machine of one member, driven by `tick` and `receive`; its owner empties outbox and changes."""
 
     own_claim: Claim
     seeds: tuple[Address, ...]
