--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -1,4 +1,4 @@
-"""One instance's part in failover: it tells what it saw, and decides where it leads the log of versions."""
+"""One instance's part in failover: it reports its observations, and controls while it leads the log."""
 
 from __future__ import annotations
 
@@ -19,50 +19,60 @@
 from ..decisions.model import Listing, Outcome
 from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
+from . import views
 from .call_counter import CallCounter
-from .controller import Capacities, FailoverController
+from .controller import FailoverController
 from .observations import MAX_REPORTS, ObservationReport, Observations
+from .plan_rules import Capacities
 from .planner import Solver
 from .settings import FailoverSettings
 
 log = logging.getLogger(__name__)
 
-OBSERVATIONS_KIND = "evidence"  # datagrams
-FORWARDED_REPORTS = (
-    16  # reports that a voter passes on to each other one in a window: some reach only one of them
-)
+OBSERVATIONS_KIND = "evidence"  # of datagrams
+FORWARDED_REPORTS = 16  # forwarded to each other voter in a window: some reports reach only one of them
+WINDOW_JITTER = 0.95, 1.05  # of a window's length: the leader would get all reports in one moment
 
 
 def load_solver() -> Solver | None:
-    """None without the extra `failover`: all plans are greedy then."""
+    """The linear solver; None without the extra `failover`: all plans are greedy then."""
     try:
         from .solver import solved
     except ImportError as error:
-        log.warning(LogEvent("plans are made without a solver: it needs the extra 'failover'", why=error))
+        log.warning(LogEvent("failover solver not available", why=error))
         return None
     return solved
 
 
 class Failover:
-    """Begins with `start`."""
+    """Counts this relay's calls, sends them to the voters, and proposes plans while it leads.
+
+    Does nothing before `start`.
+    """
 
     def __init__(
-        self, part: FailoverSettings, peers: GossipNode, accord: ConsensusInstance, host: Relay
+        self, settings: FailoverSettings, gossip: GossipNode, consensus: ConsensusInstance, relay: Relay
     ) -> None:
-        self.settings, self.gossip, self.consensus, self.relay = part, peers, accord, host
-        zone = peers.swim.own_claim.zone
-        self.call_counter = CallCounter(accord.name, peers.swim.own_claim.nonce, zone)
-        self.observations = Observations(part.window_s)
-        self.controller = FailoverController(part, self.observations, load_solver(), time.perf_counter)
+        self.settings = settings
+        self.gossip = gossip
+        self.consensus = consensus
+        self.relay = relay
+        own = gossip.swim.own_claim
+        self.call_counter = CallCounter(consensus.name, own.nonce, own.zone)
+        self.observations = Observations(settings.window_s)
+        self.controller = FailoverController(settings, self.observations, load_solver(), time.perf_counter)
         self.window_began = 0.0
-        self.refusal = ""  # the latest proposal was not taken
-        self.logged_rejections = 0  # reports that were not kept, as it was said last
+        self.refusal = ""  # why the latest proposal was refused
+        self.logged_rejections = 0  # rejected reports at the latest log line
         self.tasks = BackgroundTasks()
-        peers.datagram_handlers[OBSERVATIONS_KIND] = self._on_report
-        accord.call_observer = self
-        accord.rule_enforcer.may_use_zone = lambda class_, target: part.allowed(class_, zone, target)
+        gossip.datagram_handlers[OBSERVATIONS_KIND] = self._on_report
+        consensus.call_observer = self
+        consensus.rule_enforcer.may_use_zone = lambda class_name, target: settings.allowed(
+            class_name, own.zone, target
+        )
 
     def start(self) -> None:
+        """Begins the first window."""
         self.window_began = self._now()
         self.tasks.start(self._run_windows())
 
@@ -70,189 +80,170 @@
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    # -- what is seen here -----------------------------------------------------------------------------------
+    @property
+    def leads(self) -> bool:
+        """Whether this instance leads the log, and so controls."""
+        log_ = self.consensus.replicated_log
+        return log_ is not None and log_.is_leader
+
+    # -- observing -------------------------------------------------------------------------------------------
 
     def on_request(self, destination: int, class_: str) -> None:
+        """Counts a submitted message."""
         self.call_counter.record_submission(destination, self.settings.group(class_))
 
     def on_call_completed(
         self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
     ) -> None:
+        """Counts a finished call."""
         self.call_counter.record_outcome(call.destination, call.zone, outcome, latency_ms)
 
     async def _run_windows(self) -> None:
         while True:
-            # Not all in the same moment: the leader takes them one by one.
-            await asyncio.sleep(self.settings.window_s * self.gossip.rng.uniform(0.95, 1.05))
+            await asyncio.sleep(self.settings.window_s * self.gossip.rng.uniform(*WINDOW_JITTER))
             try:
                 self._send_reports()
-                if self.consensus.replicated_log is not None and self.consensus.replicated_log.is_leader:
+                if self.leads:
                     await self._propose_plan()
                 else:
                     self.controller.reset()
             except Exception:
-                log.exception("a window of evidence failed")  # and the next one comes
+                log.exception("observation window failed")  # and the next one comes
 
     def _send_reports(self) -> None:
         now = self._now()
-        seconds, self.window_began = max(0.001, now - self.window_began), now
-        load = self.relay.messages.pending_count / max(1, self.relay.messages.settings.max_pending_messages)
-        voters = [name for name in self.consensus.current_voters() if name != self.consensus.name]
-        mine = self.call_counter.close_window(seconds, load)
+        seconds = max(0.001, now - self.window_began)
+        self.window_began = now
+        messages = self.relay.messages
+        load = messages.pending_count / max(1, messages.settings.max_pending_messages)
+        own_name = self.consensus.name
+        voters = [name for name in self.consensus.current_voters() if name != own_name]
+        own_reports = self.call_counter.close_window(seconds, load)
         forwarded: list[ObservationReport] = []
         if self.consensus.replicated_log is not None:
-            for report in mine:
+            for report in own_reports:
                 self.observations.add(now, report)
             self.observations.drop_expired(now)
             known = self.observations.latest_reports(now, FORWARDED_REPORTS * 4)
             forwarded = self.gossip.rng.sample(known, min(FORWARDED_REPORTS, len(known)))
-        for name in voters:
-            for report in (
-                *mine,
-                *(each for each in forwarded if each.relay not in (name, self.consensus.name)),
-            ):
-                self.gossip.send_datagram(name, OBSERVATIONS_KIND, msgspec.msgpack.encode(report))
+        for voter in voters:
+            others = [report for report in forwarded if report.relay not in (voter, own_name)]
+            for report in (*own_reports, *others):
+                self.gossip.send_datagram(voter, OBSERVATIONS_KIND, msgspec.msgpack.encode(report))
 
     def _on_report(self, sender: str, raw: bytes) -> None:
         try:
             report: ObservationReport = msgspec.msgpack.decode(raw, type=ObservationReport)
         except (msgspec.MsgspecError, ValueError) as error:
-            log.warning(LogEvent("a report is passed over", sender=sender, why=error))
+            log.warning(LogEvent("observation report unreadable", sender=sender, why=error))
             return
         if report.zone in self.settings.zones and math.isfinite(report.age_s):
             self.observations.add(self._now(), report)
-        if (
-            self.observations.rejected_reports > 2 * self.logged_rejections
-        ):  # the first, third, seventh ...: more may come
-            self.logged_rejections = self.observations.rejected_reports
+        rejected = self.observations.rejected_reports
+        if rejected > 2 * self.logged_rejections:  # the first, third, seventh ...: more may come
+            self.logged_rejections = rejected
             log.warning(
                 LogEvent(
-                    "a report is not kept: there are as many as may be",
+                    "observation report rejected",
                     sender=self.observations.rejected_relay,
                     most=MAX_REPORTS,
-                    so_far=self.logged_rejections,
+                    so_far=rejected,
                 )
             )
 
-    # -- deciding --------------------------------------------------------------------------------------------
+    # -- controlling -----------------------------------------------------------------------------------------
 
     def capacities(self) -> Capacities:
-        """By the list: what each zone's endpoints are agreed to take for a destination. Of one rate for all
-        of them (listed with each) a zone has its part."""
-        count: dict[int, dict[str, int]] = {}
-        rates: dict[int, float] = {}
-        zones = self.relay.directory.zones
-        for known in self.relay.directory.by_number.values():
-            entry = known.endpoint
-            if entry.listing is Listing.READY and entry.zone < len(zones):
-                here = count.setdefault(entry.destination, {})
-                here[zones[entry.zone]] = here.get(zones[entry.zone], 0) + 1
-                if entry.rate > 0:
-                    rates[entry.destination] = max(rates.get(entry.destination, 0.0), entry.rate)
+        """What each zone's endpoints may take for a destination, by the endpoint list and the agreed rules.
+
+        The list has one rate for all endpoints of a destination; a zone gets its part by their number.
+        """
+        counts, rates = self._listed_endpoints()
         found: Capacities = {}
-        for destination, zones_there in count.items():
+        for destination, by_zone in counts.items():
             rate = self._agreed_rate(destination, rates.get(destination, math.inf))
-            total = sum(zones_there.values())
-            found[destination] = {zone: rate * n / total for zone, n in zones_there.items()}
+            total = sum(by_zone.values())
+            found[destination] = {zone: rate * count / total for zone, count in by_zone.items()}
         return found
 
+    def _listed_endpoints(self) -> tuple[dict[int, dict[str, int]], dict[int, float]]:
+        """By destination: ready endpoints by zone, and the listed rate where there is one."""
+        counts: dict[int, dict[str, int]] = {}
+        rates: dict[int, float] = {}
+        zones = self.relay.directory.zones
+        for known in self.relay.directory.by_number.values():
+            endpoint = known.endpoint
+            if endpoint.listing is not Listing.READY or endpoint.zone >= len(zones):
+                continue
+            by_zone = counts.setdefault(endpoint.destination, {})
+            by_zone[zones[endpoint.zone]] = by_zone.get(zones[endpoint.zone], 0) + 1
+            if endpoint.rate > 0:
+                rates[endpoint.destination] = max(rates.get(endpoint.destination, 0.0), endpoint.rate)
+        return counts, rates
+
     def _agreed_rate(self, destination: int, listed: float) -> float:
-        told = self.consensus.newest_rules().destination_for(str(destination)).rate
-        return listed if told is None else min(told, listed)
+        agreed = self.consensus.newest_rules().destination_for(str(destination)).rate
+        return listed if agreed is None else min(agreed, listed)
 
     def relays(self) -> dict[str, list[str]]:
+        """Names of the relays that are present, by zone."""
         found: dict[str, list[str]] = {}
         for claim in self.gossip.swim.present_members():
             found.setdefault(claim.zone, []).append(claim.name)
         return found
 
     async def _propose_plan(self) -> None:
-        now, rooms = self._now(), self.capacities()
+        now = self._now()
+        capacities = self.capacities()
         newest = self.consensus.history.newest
-        problems = self.controller.update(now, newest.decoded_rules, rooms)
+        problems = self.controller.update(now, newest.decoded_rules, capacities)
         found = {}
         if problems:
             loop = asyncio.get_running_loop()
             found = await loop.run_in_executor(None, self.controller.compute_plans, problems)
-        rules = self.controller.next_rules(now, newest.decoded_rules, rooms, self.relays(), problems, found)
+        rules = self.controller.next_rules(
+            now, newest.decoded_rules, capacities, self.relays(), problems, found
+        )
         if rules is None:
             return
-        self.refusal = await self.consensus.propose_plan(rules, newest.number, self._cause())
+        cause = views.cause_of_plan(self.controller)
+        self.refusal = await self.consensus.propose_plan(rules, newest.number, cause)
         log.info(
-            LogEvent("a plan is proposed", base=newest.number, destinations=len(found), refused=self.refusal)
+            LogEvent(
+                "failover plan proposed", base=newest.number, destinations=len(found), refused=self.refusal
+            )
         )
 
-    def _cause(self) -> str:
-        """What the verdicts are, for people: the versions' history tells it."""
-        states: dict[str, list[str]] = {}
-        for destination, judge in sorted(self.controller.judges.items()):
-            for (source, target), standing in sorted(judge.pairs.items()):
-                if standing.share < 1.0:
-                    word = f"{source}>{target} {standing.state.value}"
-                    states.setdefault(word, []).append(str(destination))
-        told = [f"{word} ({', '.join(names[:5])})" for word, names in sorted(states.items())]
-        return "; ".join(told) or "all well"
-
     # -- for operators ---------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        now, rules = self._now(), self.consensus.newest_rules()
+        """Answer of `zone status`."""
+        now = self._now()
+        rules = self.consensus.newest_rules()
+        reporting = self.observations.relays(now).values()
         return {
             "name": self.consensus.name,
-            "decides": self.consensus.replicated_log is not None and self.consensus.replicated_log.is_leader,
+            "decides": self.leads,
             "evacuated": sorted(rules.policies.evacuated),
             "relays": {zone: len(names) for zone, names in sorted(self.relays().items())},
             "not taken": self.refusal,
-            "heard of": sorted(set().union(*self.observations.relays(now).values(), set())),
-            "pairs": [
-                {
-                    "destination": destination,
-                    "from": source,
-                    "to": target,
-                    "state": standing.state.value,
-                    "share": standing.share,
-                    "since s": round(now - standing.since, 1),
-                    "flaps": standing.flaps,
-                    "comes good": round(standing.success_share, 3),
-                }
-                for destination, judge in sorted(self.controller.judges.items())
-                for (source, target), standing in sorted(judge.pairs.items())
-            ],
-            "plans": {
-                str(destination): {
-                    "how": told.method,
-                    "flows": {" ".join(way): round(rate, 2) for way, rate in sorted(told.flows.items())},
-                    "shed": {" ".join(who): round(rate, 2) for who, rate in sorted(told.shed.items())},
-                    "room": {
-                        zone: round(rate, 2)
-                        for zone, rate in sorted(told.capacity.items())
-                        if math.isfinite(rate)
-                    },
-                }
-                for destination, told in sorted(self.controller.explanations.items())
-            },
+            "heard of": sorted(set().union(*reporting, set())),
+            "pairs": views.pair_rows(self.controller, now),
+            "plans": views.plan_explanations(self.controller),
         }
 
     def plan(self, question: AdminRequest) -> dict[str, Any]:
-        """What would be planned if a zone were left: by the evidence that this instance has."""
+        """Answer of `zone plan`: the plan if a zone were evacuated, by this instance's observations.
+
+        Raises RulesError for an unknown zone, or where this instance has no observations.
+        """
         if question.name and question.name not in self.settings.zones:
             raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.controller.zones)}")
         if self.consensus.replicated_log is None:
             raise RulesError("plan: ask an instance that votes: the others hear no evidence")
-        out = self.consensus.newest_rules().policies.evacuated | ({question.name} if question.name else set())
-        problems = self.controller.problems(self._now(), self.capacities(), out)
+        evacuated = set(self.consensus.newest_rules().policies.evacuated)
+        if question.name:
+            evacuated.add(question.name)
+        problems = self.controller.problems(self._now(), self.capacities(), evacuated)
         found = self.controller.compute_plans(problems)
-        rows = []
-        for destination, plan in sorted(found.items()):
-            problem = problems[destination]
-            rows.append(
-                {
-                    "destination": destination,
-                    "how": plan.how,
-                    "moved": round(plan.moved(problem), 2),
-                    "demand": round(sum(problem.demand.values()), 2),
-                    "shed": round(sum(plan.shed(problem).values()), 2),
-                    "flows": {" ".join(way): round(rate, 2) for way, rate in sorted(plan.flows.items())},
-                }
-            )
-        return {"without": sorted(out), "plans": rows}
+        return {"without": sorted(evacuated), "plans": views.plan_rows(problems, found)}
--- /dev/null
+++ b/message_relay/failover/plan_rules.py
@@ -0,0 +1,117 @@
+"""Plans as rules: flow bounds, relay shares and counts, and whether they differ enough for a new version.
+
+Pure functions; the rules themselves are in consensus/rules.py.
+"""
+
+from __future__ import annotations
+
+import math
+
+from ..consensus.rule_enforcement import hash_position
+from ..consensus.rules import FlowRule, Rules
+from .planner import Plan, Problem
+from .settings import FailoverSettings
+
+MIN_RELATIVE_CHANGE = 0.2  # of a bound: a smaller change is no reason for a version
+HEADROOM_SHARE = (
+    0.5  # of the capacity that a plan leaves goes to its flows; the rest to the zone's own relays
+)
+LARGE_ZONE = 10  # relays: from here on a few more are declared than there are
+RELAY_COUNT_MARGIN = 0.1  # so much more
+
+Capacities = dict[int, dict[str, float]]  # calls a second, by destination and zone of its endpoints
+
+
+def spare_flows(settings: FailoverSettings, capacity: dict[str, float]) -> dict[str, float]:
+    """By target zone: what each other zone may always send there, also while it is cut off."""
+    sources = max(1, len(settings.zones) - 1)
+    return {
+        zone: round(settings.spare * rate / sources, 3)
+        for zone, rate in capacity.items()
+        if zone in settings.zones and math.isfinite(rate)
+    }
+
+
+def relay_shares(
+    destination: int, problem: Problem, relays: dict[str, list[str]]
+) -> dict[str, dict[str, float]]:
+    """By source and target zone: the share of the source's relays that use the target.
+
+    A share above 0 includes one relay at the least, or nothing would be observed of the target any more.
+    """
+    shares: dict[str, dict[str, float]] = {}
+    for (source, target), share in sorted(problem.part.items()):
+        if share > 0:
+            positions = (hash_position(destination, target, name) for name in relays.get(source, ()))
+            first = min(positions, default=0.0)
+            share = min(1.0, max(share, round(first + 1e-6, 6)))
+        shares.setdefault(source, {})[target] = share
+    return shares
+
+
+def flow_bounds(
+    zones: tuple[str, ...], plan: Plan, problem: Problem, spare: dict[str, float]
+) -> dict[str, dict[str, float]]:
+    """By source and target zone: calls a second that may go there, with some headroom over the plan."""
+    bounds: dict[str, dict[str, float]] = {}
+    for target in zones:
+        capacity = problem.room.get(target, math.inf)
+        if math.isinf(capacity):
+            continue
+        flows = _flows_into(target, plan)
+        used = sum(flows.values())
+        headroom = HEADROOM_SHARE * (capacity - used) / used if used > 0 else 0.0
+        factor = 1.0 + headroom
+        for source in zones:
+            if source != target:
+                rate = flows.get(source, 0.0) * factor
+                bounds.setdefault(source, {})[target] = round(max(rate, spare.get(target, 0.0)), 3)
+    return bounds
+
+
+def _flows_into(target: str, plan: Plan) -> dict[str, float]:
+    flows: dict[str, float] = {}
+    for (source, _, zone), rate in plan.flows.items():
+        if zone == target:
+            flows[source] = flows.get(source, 0.0) + rate
+    return flows
+
+
+def declared_relay_count(before: int, now: int) -> int:
+    """Relays that share what a zone may send elsewhere: never fewer than there are.
+
+    Guards against a version for each relay that joins or leaves: while thousands join, each version would
+    contradict the one before, and nobody would get a lease.
+    """
+    now = max(1, now)
+    if not before or now < LARGE_ZONE:
+        return now
+    if now > before:
+        return now + int(RELAY_COUNT_MARGIN * now)
+    return before if before <= (1 + 2 * RELAY_COUNT_MARGIN) * now else now
+
+
+def needs_new_version(rules: Rules, flows: dict[str, FlowRule], counts: dict[str, int]) -> bool:
+    """Whether the flows or relay counts differ enough from the rules in force."""
+    if set(flows) != {name for name in rules.flows if name.isdecimal()}:
+        return True
+    if any(rules.zones.get(zone, 0) != count for zone, count in counts.items()):
+        return True
+    return any(_flow_changed(rules.flows[name], flow) for name, flow in flows.items())
+
+
+def _flow_changed(old: FlowRule, new: FlowRule) -> bool:
+    if old.share != new.share or set(old.bound) != set(new.bound) or set(old.spare) != set(new.spare):
+        return True
+    if _rates_changed(old.spare, new.spare):
+        return True
+    return any(_rates_changed(old.bound[source], new.bound[source]) for source in new.bound)
+
+
+def _rates_changed(before: dict[str, float], after: dict[str, float]) -> bool:
+    if set(before) != set(after):
+        return True
+    return any(
+        abs(after[zone] - before[zone]) > MIN_RELATIVE_CHANGE * max(before[zone], after[zone])
+        for zone in after
+    )
--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -1,12 +1,11 @@
 """Zone health: which zones of endpoints are usable from which zones of relays.
 
 No I/O; the clock is passed in, in seconds. A pair is a zone of relays and a zone of endpoints. Failures
-count at once: a pair is lost as soon as the confidence interval of its success share, over the latest windows
-or over all retained ones, lies below a bound: no success in seven calls is enough, one failure in three is
-not.
-Recovery is gradual: a lost pair gets a small share of the traffic once its hold-off is over and climbs a ramp,
-each step of which needs evidence from its own time. The hold-off doubles with each relapse, so that a flapping
-pair is tried ever more rarely.
+count at once: a pair is lost as soon as the confidence interval of its success share, over the latest
+windows or over all retained ones, lies below a bound: no success in seven calls is enough, one failure in
+three is not. Recovery is gradual: a lost pair gets a small share of the traffic once its hold-off is over
+and climbs a ramp, each step of which needs evidence from its own time. The hold-off doubles with each
+relapse, so that a flapping pair is tried ever more rarely.
 
     HEALTHY --failures--> LOST --hold-off--> RECOVERING (ramp) --last step--> HEALTHY
                            ^--------failures, flaps + 1------'
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -14,8 +14,9 @@
 from message_relay.core.ports import CallContext
 from message_relay.decisions.model import Endpoint, Listing
 from message_relay.failover.call_counter import CallCounter
-from message_relay.failover.controller import Capacities, FailoverController
+from message_relay.failover.controller import FailoverController
 from message_relay.failover.observations import Observations
+from message_relay.failover.plan_rules import Capacities
 from message_relay.failover.settings import ClassPart, FailoverSettings, ZonePart
 
 ZONES = ("a", "b", "c")
