--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -23,11 +23,20 @@
 # Modules of the decision package whose constants a variant of an experiment may set.
 MODULES = (
     "scheduler",
+    "admission",
+    "dispatch",
+    "send_guard",
     "rate_control",
+    "outlier_detection",
+    "slow_start",
+    "latency",
     "endpoint_registry",
+    "drain_estimate",
     "expiry",
+    "load_shedding",
     "idempotency",
     "pending",
+    "destinations",
     "rate_slots",
     "priority_index",
 )
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..decisions.events import Event, Message, MessageCancelled
-from ..decisions.expiry import SHEDDING_THRESHOLD
+from ..decisions.load_shedding import SHEDDING_THRESHOLD
 from ..decisions.model import FOREVER, Effect, Endpoint, Listing, Settings
 from ..store.errors import JournalError
 from ..store.journal import Journal
--- a/message_relay/core/relay.py
+++ b/message_relay/core/relay.py
@@ -84,7 +84,7 @@
             self.attempt_runner.destination_interest
         ) = interest
         self.sources, self.source_merge = [source], None
-        self.scheduler.expiry.unknown_rate = (
+        self.scheduler.drain_estimate.unknown_rate = (
             INITIAL_RATE  # it isn't known yet: as fast as one whose rate isn't listed
         )
 
--- a/message_relay/decisions/endpoint_registry.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -1,187 +1,218 @@
-"""Endpoints as discovery lists them, and the lanes that remember what was seen of each destination."""
+"""Endpoints as discovery lists them, and the state that is kept of each destination."""
 
 from __future__ import annotations
 
 import heapq
 from dataclasses import replace
 
+from . import slow_start
+from .destinations import DestinationState, EndpointState
 from .events import EndpointList, RestoredDestination
 from .model import FOREVER, NEVER, Endpoint, Fleet, Listing, ListKind, Rates
-from .pending import DestinationState, EndpointState, PendingMessages
-from .rate_control import BURST, EVIDENCE_TTL_MS, RETRY_MS, RateController
+from .outlier_detection import EJECTED_SCORE_MAX, EVIDENCE_TTL_MS
+from .pending import PendingMessages
+from .rate_control import BURST, RETRY_MS, RateController
 from .rate_slots import TimeSlotShare
 
-FORGET_AFTER_MS = 60000.0  # a lane without endpoints is remembered for so long: past any outage seen
-INITIAL_RATE = 0.5  # calls a second of each relay at a destination with no listed rate, until one is refused
+FORGET_AFTER_MS = (
+    60000.0  # a destination without endpoints is remembered for so long: longer than outages last
+)
+INITIAL_RATE = (
+    0.5  # calls a second of each relay at a destination without a listed rate, until one is refused
+)
+POLL_RETRY_FACTOR = 4  # a failed poll is repeated after so many times the backoff of a message
+MAX_POLL_DOUBLINGS = 5
+WHOLE_DESTINATION = -1  # key of a destination whose routes share one limit
 
 
 class EndpointRegistry:
-    def __init__(self, paces: RateController, board: PendingMessages) -> None:
-        self.rate_controller, self.rng, self.pending = paces, paces.rng, board
-        self.forget_heap: list[tuple[float, int]] = []  # heap: when lanes without endpoints may be forgotten
-        self.destinations: dict[int, dict[int, DestinationState]] = {}  # destination -> its lanes
+    """The endpoints in use by id, and the destinations' states by destination and route."""
+
+    def __init__(self, rate_controller: RateController, pending: PendingMessages) -> None:
+        self.rate_controller = rate_controller
+        self.rng = rate_controller.rng
+        self.pending = pending
+        self.forget_heap: list[tuple[float, int]] = []  # when destinations without endpoints may be forgotten
+        self.destinations: dict[int, dict[int, DestinationState]] = {}  # by destination, then by route
         self.endpoints: dict[int, EndpointState] = {}
-        self.next_poll_at = 0.0 if paces.settings.polls_discovery else FOREVER
+        self.next_poll_at = 0.0 if rate_controller.settings.polls_discovery else FOREVER
         self.poll_failures = 0
 
     def should_poll(self, now: float) -> bool:
+        """Whether to ask discovery now; sets when to ask again should no answer come."""
         if now < self.next_poll_at:
             return False
-        self.next_poll_at = (
-            now + self.rate_controller.settings.safety.ask_within_ms / 2
-        )  # asks again should no answer come
+        self.next_poll_at = now + self.rate_controller.settings.safety.ask_within_ms / 2
         return True
 
     def apply_list(self, now: float, event: EndpointList) -> None:
+        """Adds, changes and removes endpoints as listed."""
         if event.kind is ListKind.FAILED:
-            # Guards against failing or overloaded discovery: asks again after growing, jittered pauses.
-            pause = min(
-                RETRY_MS * 4 * 2**self.poll_failures, self.rate_controller.settings.safety.ask_within_ms / 4
-            )
-            self.poll_failures, self.next_poll_at = (
-                min(self.poll_failures + 1, 5),
-                now + pause * self.rng.uniform(0.5, 1.0),
-            )
+            self._back_off_polling(now)
             return
         if event.kind is not ListKind.CACHED:
-            self.poll_failures, self.next_poll_at = 0, FOREVER
-        ready = {entry.id: entry for entry in event.entries if entry.listing is Listing.READY}
-        unneeded = {entry.id for entry in event.entries if entry.listing is Listing.UNNEEDED}
-        named = (
-            {entry.id for entry in event.entries} if event.kind is ListKind.CHANGES else set(self.endpoints)
-        )
-        for ident in sorted(ident for ident in named if ident in self.endpoints):
-            if ident not in ready or self._route_key(ready[ident]) != self._route_key(
-                self.endpoints[ident].endpoint
-            ):
-                self._remove_endpoint(now, self.endpoints.pop(ident), ident in unneeded)
-        for entry in ready.values():
-            self._add_endpoint(now, entry)
+            self.poll_failures = 0
+            self.next_poll_at = FOREVER
+        ready = {endpoint.id: endpoint for endpoint in event.entries if endpoint.listing is Listing.READY}
+        unneeded = {endpoint.id for endpoint in event.entries if endpoint.listing is Listing.UNNEEDED}
+        if event.kind is ListKind.CHANGES:
+            affected = {endpoint.id for endpoint in event.entries}
+        else:
+            affected = set(self.endpoints)
+        for number in sorted(number for number in affected if number in self.endpoints):
+            known = self.endpoints[number].endpoint
+            if number not in ready or self._route_key(ready[number]) != self._route_key(known):
+                self._remove_endpoint(now, self.endpoints.pop(number), number in unneeded)
+        for endpoint in ready.values():
+            self._add_endpoint(now, endpoint)
         while self.forget_heap and self.forget_heap[0][0] <= now:
             self._forget_destination(now, heapq.heappop(self.forget_heap)[1])
 
-    def _remove_endpoint(self, now: float, door: EndpointState, unneeded: bool) -> None:
-        """Nothing new goes there; a lane goes with its last trace, at once if unneeded: that is no outage."""
-        dest = door.endpoint.destination
-        del door.destination.endpoints[door.endpoint.id]
-        self.pending.request_scan(dest)
-        if not door.destination.endpoints:
-            if door.destination.failing_since is None and not unneeded:
-                door.destination.failing_since = now
-            door.destination.without_endpoints_since = NEVER if unneeded else now
-            heapq.heappush(self.forget_heap, (now + FORGET_AFTER_MS * (not unneeded), dest))
-
-    def _forget_destination(self, now: float, dest: int) -> None:
-        """Forgets what was learned of lanes without endpoints, unless something still hangs on it. Not too
-        soon: what comes back after an outage is cold only to one that remembers it."""
-        lanes = self.destinations.get(dest, {})
-        for key, lane in [(key, lane) for key, lane in lanes.items() if not lane.endpoints]:
-            until = max(lane.retry_after_until, lane.without_endpoints_since + FORGET_AFTER_MS)
-            if lane.in_flight or dest in self.pending.queues:
+    def _back_off_polling(self, now: float) -> None:
+        """Guards against failing or overloaded discovery: polls again after growing, jittered pauses."""
+        longest_ms = self.rate_controller.settings.safety.ask_within_ms / 4
+        pause_ms = min(RETRY_MS * POLL_RETRY_FACTOR * 2**self.poll_failures, longest_ms)
+        self.poll_failures = min(self.poll_failures + 1, MAX_POLL_DOUBLINGS)
+        self.next_poll_at = now + pause_ms * self.rng.uniform(0.5, 1.0)
+
+    def _remove_endpoint(self, now: float, state: EndpointState, is_unneeded: bool) -> None:
+        """Nothing new is sent there; an unneeded destination may be forgotten at once: that is no outage."""
+        destination_id = state.endpoint.destination
+        destination = state.destination
+        del destination.endpoints[state.endpoint.id]
+        self.pending.request_scan(destination_id)
+        if not destination.endpoints:
+            if destination.failing_since is None and not is_unneeded:
+                destination.failing_since = now
+            destination.without_endpoints_since = NEVER if is_unneeded else now
+            heapq.heappush(self.forget_heap, (now + FORGET_AFTER_MS * (not is_unneeded), destination_id))
+
+    def _forget_destination(self, now: float, destination_id: int) -> None:
+        """Forgets the state of a destination without endpoints, unless something still depends on it.
+
+        Not too soon: what comes back after an outage is warmed up only by a relay that remembers it.
+        """
+        routes = self.destinations.get(destination_id, {})
+        for key, destination in [(key, each) for key, each in routes.items() if not each.endpoints]:
+            until = max(destination.retry_after_until, destination.without_endpoints_since + FORGET_AFTER_MS)
+            if destination.in_flight or destination_id in self.pending.queues:
                 until = max(until, now + EVIDENCE_TTL_MS)
             if until > now:
-                heapq.heappush(self.forget_heap, (until, dest))
+                heapq.heappush(self.forget_heap, (until, destination_id))
             else:
-                del lanes[key]
-        if not lanes:
-            self.destinations.pop(dest, None)
-            self.pending.snapshot_candidates.pop(dest, None)
-
-    def _add_endpoint(self, now: float, entry: Endpoint) -> None:
-        dest, key = self._route_key(entry)
-        lanes = self.destinations.setdefault(dest, {})
-        listed = (
-            entry.rate if self.rate_controller.settings.rates is not Rates.NONE and entry.rate > 0 else 0.0
-        )
-        if key not in lanes:
-            total = listed or INITIAL_RATE * self.rate_controller.settings.relays
-            pace = total / self.rate_controller.settings.relays
-            lanes[key] = DestinationState(
-                *self.rate_controller.default_latency, total, pace, BURST, now, has_listed_rate=bool(listed)
-            )
-            if self.rate_controller.settings.fleet is not None and listed:
-                lanes[key].time_slots = TimeSlotShare(
-                    self.rate_controller.settings.fleet, listed, self.rate_controller.settings.safety
-                )
-        lane, door = lanes[key], self.endpoints.get(entry.id)
-        if listed and listed != lane.fleet_rate:
-            lane.send_rate, lane.fleet_rate = (
-                lane.send_rate * listed / lane.fleet_rate,
-                listed,
-            )  # keeps what was learned
-            lane.has_listed_rate = True
-            if lane.time_slots is not None:
-                lane.time_slots.set_rate(listed)
-        if door is None:
-            if (
-                not lane.endpoints and lane.failing_since is not None
-            ):  # replaced late: the new endpoint is cold
-                self.rate_controller.begin_warm_up(now, lane)
-            self.endpoints[entry.id] = lane.endpoints[entry.id] = EndpointState(entry, lane)
-            self.pending.request_scan(dest)
-        else:
-            door.endpoint = entry
+                del routes[key]
+        if not routes:
+            self.destinations.pop(destination_id, None)
+            self.pending.snapshot_candidates.pop(destination_id, None)
 
-    def _route_key(self, entry: Endpoint) -> tuple[int, int]:
-        apart = (
-            entry.kind < len(self.rate_controller.settings.kinds)
-            and self.rate_controller.settings.kinds[entry.kind].routes_apart
+    def _add_endpoint(self, now: float, endpoint: Endpoint) -> None:
+        destination_id, key = self._route_key(endpoint)
+        routes = self.destinations.setdefault(destination_id, {})
+        settings = self.rate_controller.settings
+        listed_rate = endpoint.rate if settings.rates is not Rates.NONE and endpoint.rate > 0 else 0.0
+        if key not in routes:
+            routes[key] = self._new_destination(now, listed_rate)
+        destination = routes[key]
+        state = self.endpoints.get(endpoint.id)
+        if listed_rate and listed_rate != destination.fleet_rate:
+            # Keeps what was learned, in proportion.
+            destination.send_rate = destination.send_rate * listed_rate / destination.fleet_rate
+            destination.fleet_rate = listed_rate
+            destination.has_listed_rate = True
+            if destination.time_slots is not None:
+                destination.time_slots.set_rate(listed_rate)
+        if state is not None:
+            state.endpoint = endpoint
+            return
+        if not destination.endpoints and destination.failing_since is not None:
+            # Replaced late: the new endpoint is cold.
+            slow_start.begin_warm_up(settings, now, destination)
+        state = EndpointState(endpoint, destination)
+        self.endpoints[endpoint.id] = state
+        destination.endpoints[endpoint.id] = state
+        self.pending.request_scan(destination_id)
+
+    def _new_destination(self, now: float, listed_rate: float) -> DestinationState:
+        settings = self.rate_controller.settings
+        fleet_rate = listed_rate or INITIAL_RATE * settings.relays
+        destination = DestinationState(
+            *self.rate_controller.default_latency,
+            fleet_rate,
+            fleet_rate / settings.relays,
+            BURST,
+            now,
+            has_listed_rate=bool(listed_rate),
         )
-        return entry.destination, entry.id if apart else -1
+        if settings.fleet is not None and listed_rate:
+            destination.time_slots = TimeSlotShare(settings.fleet, listed_rate, settings.safety)
+        return destination
+
+    def _route_key(self, endpoint: Endpoint) -> tuple[int, int]:
+        """The destination, and the endpoint if each one of it has a limit of its own."""
+        kinds = self.rate_controller.settings.kinds
+        is_route = endpoint.kind < len(kinds) and kinds[endpoint.kind].routes_apart
+        return endpoint.destination, endpoint.id if is_route else WHOLE_DESTINATION
 
     def snapshot(self, now: float) -> list[RestoredDestination]:
-        """Outages, cold returns, told waits. Not of routes apart: their endpoints get other numbers."""
-        found, noted, self.pending.snapshot_candidates = (
-            list[RestoredDestination](),
-            self.pending.snapshot_candidates,
-            {},
-        )
-        for dest, lane in [
-            (dest, self.destinations[dest][-1]) for dest in noted if -1 in self.destinations.get(dest, ())
-        ]:
-            cold = (
-                now - lane.warming_since
-                if now < lane.warming_since + self.rate_controller.settings.safety.cold_ms
-                else None
-            )
-            if lane.is_ejected or cold is not None or now < lane.retry_after_until:
-                self.pending.snapshot_candidates[dest] = None
-                bad = None if lane.failing_since is None else max(0.0, now - lane.failing_since)
-                found.append(
-                    RestoredDestination(
-                        dest, max(0.0, lane.retry_after_until - now), lane.is_ejected, bad, cold
-                    )
+        """Outages, warm-ups and Retry-After that the next process should know.
+
+        Not of routes with limits of their own: their endpoints get other numbers.
+        """
+        found = list[RestoredDestination]()
+        candidates = self.pending.snapshot_candidates
+        self.pending.snapshot_candidates = {}
+        cold_ms = self.rate_controller.settings.safety.cold_ms
+        for destination_id in candidates:
+            destination = self.destinations.get(destination_id, {}).get(WHOLE_DESTINATION)
+            if destination is None:
+                continue
+            is_warming_up = now < destination.warming_since + cold_ms
+            if not (destination.is_ejected or is_warming_up or now < destination.retry_after_until):
+                continue
+            self.pending.snapshot_candidates[destination_id] = None
+            failing_since = destination.failing_since
+            found.append(
+                RestoredDestination(
+                    destination_id,
+                    max(0.0, destination.retry_after_until - now),
+                    destination.is_ejected,
+                    None if failing_since is None else max(0.0, now - failing_since),
+                    now - destination.warming_since if is_warming_up else None,
                 )
+            )
         return found
 
     def resize(self, fleet: Fleet) -> None:
-        """There are more instances or fewer, or the shared clock was set: slots lie elsewhere from now on."""
-        self.rate_controller.settings = replace(
-            s := self.rate_controller.settings, relays=fleet.size, fleet=s.fleet and fleet
-        )
-        for lane in (lane for lanes in self.destinations.values() for lane in lanes.values()):
-            if lane.time_slots is not None:
-                lane.time_slots.resize(fleet)
-        self.pending.scans_due.update(dict.fromkeys(self.pending.queues, True))
+        """Sets another number of instances or another reading of the shared clock: time slots move."""
+        settings = self.rate_controller.settings
+        self.rate_controller.settings = replace(settings, relays=fleet.size, fleet=settings.fleet and fleet)
+        for routes in self.destinations.values():
+            for destination in routes.values():
+                if destination.time_slots is not None:
+                    destination.time_slots.resize(fleet)
+        self.pending.request_all_scans()
 
     def restore(self, now: float, event: RestoredDestination) -> None:
-        """Guards a returning destination, and told waits, against a process that has seen nothing of them."""
-        lane = self.destinations.get(event.destination, {}).get(-1)
-        if lane is None or lane.in_flight or lane.response_count:  # gone, or this process knows better by now
-            return
-        lane.retry_after_until = max(
-            lane.retry_after_until, now + event.retry_after_ms if event.retry_after_ms > 0 else NEVER
-        )
-        lane.failing_since = None if event.failing_for_ms is None else now - event.failing_for_ms
+        """Applies what an earlier process knew.
+
+        Guards a returning destination, and Retry-After, against a process that has seen nothing of them.
+        """
+        destination = self.destinations.get(event.destination, {}).get(WHOLE_DESTINATION)
+        if destination is None or destination.in_flight or destination.response_count:
+            return  # gone, or this process knows better by now
+        retry_after_until = now + event.retry_after_ms if event.retry_after_ms > 0 else NEVER
+        destination.retry_after_until = max(destination.retry_after_until, retry_after_until)
+        destination.failing_since = None if event.failing_for_ms is None else now - event.failing_for_ms
         if event.is_ejected:
-            lane.is_ejected, lane.failure_score, lane.last_failure_at = True, 0.7, now
-            lane.next_trial_at = (
-                now + 1000 / self.rate_controller.rate_and_burst(now, lane, True)[0] * self.rng.random()
-            )
-            lane.tokens = 0.0
+            destination.is_ejected = True
+            destination.failure_score = EJECTED_SCORE_MAX
+            destination.last_failure_at = now
+            rate, _ = self.rate_controller.rate_and_burst(now, destination, True)
+            destination.next_trial_at = now + 1000 / rate * self.rng.random()
+            destination.tokens = 0.0
         elif event.warming_up_for_ms is not None:
-            lane.warming_since, lane.tokens = now - event.warming_up_for_ms, 0.0
-            lane.estimated_senders = float(
-                self.rate_controller.settings.relays
-            )  # how many know of it is not known any more: all may
+            destination.warming_since = now - event.warming_up_for_ms
+            destination.tokens = 0.0
+            # How many relays noticed the outage is not known any more: all may have.
+            destination.estimated_senders = float(self.rate_controller.settings.relays)
         self.pending.request_scan(event.destination)
--- a/message_relay/decisions/idempotency.py
+++ b/message_relay/decisions/idempotency.py
@@ -1,4 +1,4 @@
-"""What the effect of a class allows for a message: until when it may be tried, where, and how it may end."""
+"""What the effect of a message's class allows: until when and where it may be retried, and how it may end."""
 
 from __future__ import annotations
 
@@ -6,40 +6,46 @@
 from .pending import PendingMessage, RetryAffinity
 
 
-def retry_affinity(held: PendingMessage) -> RetryAffinity | None:
-    """Where another try may go, if not to any endpoint: where the key of the first is known."""
+def retry_affinity(entry: PendingMessage) -> RetryAffinity | None:
+    """Where a retry may go, if not to any endpoint: where the idempotency key of the first is known."""
+    scope = entry.message_class.key_scope
     if (
-        held.uncertain_endpoint is None
-        or held.message_class.effect is not Effect.KEYED
-        or held.message_class.key_scope is Scope.ALL
+        entry.uncertain_endpoint is None
+        or entry.message_class.effect is not Effect.KEYED
+        or scope is Scope.ALL
     ):
         return None
-    zone = held.message_class.key_scope is Scope.ZONE
-    return zone, held.uncertain_endpoint.zone if zone else held.uncertain_endpoint.id
+    if scope is Scope.ZONE:
+        return True, entry.uncertain_endpoint.zone
+    return False, entry.uncertain_endpoint.id
 
 
-def allows_endpoint(where: RetryAffinity | None, entry: Endpoint) -> bool:
-    return where is None or where[1] == (entry.zone if where[0] else entry.id)
+def allows_endpoint(affinity: RetryAffinity | None, endpoint: Endpoint) -> bool:
+    """Whether a message with this affinity may go to the endpoint."""
+    return affinity is None or affinity[1] == (endpoint.zone if affinity[0] else endpoint.id)
 
 
-def can_reject_safely(held: PendingMessage) -> bool:
-    """A refusal promises that coming again is harmless: after an unclear attempt, only by effect."""
-    if held.first_uncertain_at is None or held.message_class.effect is Effect.SAFE:
+def can_reject_safely(entry: PendingMessage) -> bool:
+    """Whether it may be rejected, which promises that submitting it again is harmless.
+
+    After an attempt with an unknown outcome, that depends on its effect.
+    """
+    if entry.first_uncertain_at is None or entry.message_class.effect is Effect.SAFE:
         return True
-    return held.message_class.effect is Effect.KEYED and held.message_class.key_scope is Scope.ALL
+    return entry.message_class.effect is Effect.KEYED and entry.message_class.key_scope is Scope.ALL
 
 
-def idempotency_window_end(s: Settings, held: PendingMessage) -> float:
+def idempotency_window_end(settings: Settings, entry: PendingMessage) -> float:
     """Until when it may run without taking effect twice."""
-    if held.first_uncertain_at is None or held.message_class.effect is Effect.SAFE:
-        return held.deadline_at
-    return (
-        NEVER
-        if held.message_class.effect is Effect.UNSAFE
-        else held.first_uncertain_at + held.message_class.key_window_ms - s.tick_ms
-    )
-
-
-def retry_deadline(s: Settings, held: PendingMessage) -> float:
-    """Until when another try is allowed."""
-    return NEVER if held.attempts >= s.max_attempts else idempotency_window_end(s, held)
+    if entry.first_uncertain_at is None or entry.message_class.effect is Effect.SAFE:
+        return entry.deadline_at
+    if entry.message_class.effect is Effect.UNSAFE:
+        return NEVER
+    return entry.first_uncertain_at + entry.message_class.key_window_ms - settings.tick_ms
+
+
+def retry_deadline(settings: Settings, entry: PendingMessage) -> float:
+    """Until when another attempt is allowed."""
+    if entry.attempts >= settings.max_attempts:
+        return NEVER
+    return idempotency_window_end(settings, entry)
--- a/message_relay/decisions/pending.py
+++ b/message_relay/decisions/pending.py
@@ -1,5 +1,8 @@
-"""What a relay remembers, and the order in which it finds it again. What waits for one destination lies in a
-`Queue`, and in it, as a `Course`, what is of one class and time to live: by age, and so by worth.
+"""The messages that a relay holds, and the queues in which they wait.
+
+What waits for one destination is in a `DestinationQueue`, and there in a `PriorityBucket` of messages whose
+value is the same function of their age, so that age alone orders them. A message that may not go yet (its
+backoff, or an earlier message of its ordering key) is parked in its bucket.
 """
 
 from __future__ import annotations
@@ -9,137 +12,94 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
+from .destinations import EndpointState
 from .events import Message
 from .model import FOREVER, NEVER, Decay, Endpoint, MessageClass
-from .rate_slots import TimeSlotShare
 
-MAX_BUCKETS = 32  # different courses at a destination, above which times to live are taken in steps
-FULL_SCAN_SIZE = 4  # a course of so many is entered whole: nothing has to be looked at anew as it ages
-TIME_TO_LIVE_STEPS = 16  # and so many of them: a look at a queue looks at each course of it
+MAX_BUCKETS = 32  # different buckets at a destination, above which times to live are rounded down to steps
+TIME_TO_LIVE_STEPS = 16  # and so many steps: a scan of a queue looks at each of its buckets
+FULL_SCAN_SIZE = 4  # a bucket of so many is indexed whole: it needs no scan as it ages
+MAX_SCANS = 128  # queues scanned or compared in one turn: the others in the next, so that no turn is long
+HEAP_SLACK = 64  # a heap may hold so many superseded entries before it is rebuilt,
+HEAP_FACTOR = 4  # and so many times as many as are current
+
+RetryAffinity = tuple[
+    bool, int
+]  # the only endpoints for a retry: (True, a zone) or (False, an endpoint's id)
+
+
+def remaining_value(message_class: MessageClass, decay: Decay, age: float) -> float:
+    """Share of its value that a message of this age still has before its deadline."""
+    late_ms = age - message_class.latency_objective_ms
+    if late_ms <= 0:
+        return 1.0
+    if decay is Decay.HALVES:
+        halved = float(0.5 ** (late_ms / message_class.latency_objective_ms))
+        return max(message_class.late_share, halved)
+    span_ms = max(message_class.deadline_ms - message_class.latency_objective_ms, 1e-9)
+    return 1 - (1 - message_class.late_share) * late_ms / span_ms
 
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """One message, from its arrival until it has ended and nothing is out for it."""
+    """One message, from its arrival until it has ended and no call for it is in flight."""
 
     message: Message
     message_class: MessageClass
-    submitted_at: float  # when it was first handed in
+    submitted_at: float  # for the first time
     deadline_at: float
     priority_weight: float
-    backoff_until: float  # no try before
+    backoff_until: float  # no attempt before
     attempts: int = 0
     in_flight_on: EndpointState | None = None
     sent_at: float = 0.0
     first_uncertain_at: float | None = None  # send of the first attempt that may have run
-    uncertain_endpoint: Endpoint | None = None
+    uncertain_endpoint: Endpoint | None = None  # where that attempt went
     is_cancelled: bool = False
-    was_deferred: bool = False  # it was held back since its connection had come late, and goes on the next
-    can_be_shed: bool = True  # it may make room: a refusal would be true, and it was not left untried
+    was_deferred: bool = False  # once, because its connection had come late; it goes on the next one
+    can_be_shed: bool = True  # a rejection would be true, and an earlier process has not left it untried
     retry_affinity: RetryAffinity | None = None
     bucket: PriorityBucket | None = None  # where it waits
-    parked_until: float = NEVER  # until when it waits there unready
+    parked_until: float = NEVER
 
     @property
     def ordering_key(self) -> int:
-        """The key whose order it keeps; 0 = none."""
+        """The key whose messages are delivered in order; 0 = none."""
         return self.message.key if self.message_class.in_order else 0
 
     def value_at(self, at: float, decay: Decay) -> float:
-        return (
-            self.priority_weight * remaining_value(self.message_class, decay, at - self.submitted_at)
-            if at < self.deadline_at
-            else 0.0
-        )
-
-
-RetryAffinity = tuple[
-    bool, int
-]  # the only endpoints it may still go to: (True, a zone) or (False, an endpoint's id)
-
-
-def remaining_value(cls: MessageClass, decay: Decay, age: float) -> float:
-    """Share of its worth that a message of this age still has, until it is due."""
-    late = age - cls.latency_objective_ms
-    if late <= 0:
-        return 1.0
-    if decay is Decay.HALVES:
-        return max(cls.late_share, float(0.5 ** (late / cls.latency_objective_ms)))
-    return 1 - (1 - cls.late_share) * late / max(cls.deadline_ms - cls.latency_objective_ms, 1e-9)
-
-
-@dataclass(slots=True)
-class EndpointState:
-    """One endpoint as this relay sees it."""
+        """What its delivery at this time is worth."""
+        if at >= self.deadline_at:
+            return 0.0
+        return self.priority_weight * remaining_value(self.message_class, decay, at - self.submitted_at)
 
-    endpoint: Endpoint
-    destination: DestinationState
-    in_flight: int = 0
-    failures_by_class: dict[int, float] = field(
-        default_factory=dict
-    )  # class -> latest failure, if none answered since
-    idle_connections: list[float] = field(default_factory=list)  # when each idle connection was last used
 
-
-@dataclass(slots=True, eq=False)
-class DestinationState:
-    """One destination (or route apart): pace, health, latency."""
-
-    latency_mean_ms: float
-    latency_deviation_ms: float
-    fleet_rate: float  # calls a second of all relays together
-    send_rate: float
-    tokens: float
-    tokens_updated_at: float
-    endpoints: dict[int, EndpointState] = field(default_factory=dict)
-    in_flight: dict[int, PendingMessage] = field(default_factory=dict)  # in the order in which they were sent
-    response_count: int = 0
-    last_success_at: float = NEVER
-    timeout_multiplier: float = 1.0  # of the time-out
-    throttle_ms: float = 0.0  # how long the latest refusal paces it
-    throttled_until: float = NEVER  # a refusal paces it until then
-    retry_after_until: float = NEVER
-    failure_score: float = 0.0
-    is_ejected: bool = False
-    last_failure_at: float = NEVER
-    last_failure_had_no_effect: bool = False  # the latest failure proved no effect
-    failing_since: float | None = None  # send of the first call that failed since the last answer
-    without_endpoints_since: float = NEVER  # without endpoints
-    warming_since: float = NEVER
-    estimated_senders: float = 1.0  # relays that may know of the latest outage
-    next_trial_at: float = 0.0
-    has_listed_rate: bool = True  # `total` is what the list says; else the highest pace that nobody refused
-    time_slots: TimeSlotShare | None = None  # of an agreed rate, where instances keep it together
-
-
-QueueEntry = tuple[float, int, PendingMessage]  # since, id: in this order
+QueueEntry = tuple[float, int, PendingMessage]  # submitted at, id: in this order
 BucketKey = tuple[int, float, float, bool, bool, RetryAffinity | None]
 
 
 class PriorityBucket:
-    """Messages of one destination whose worth is the same function of their age, oldest first."""
+    """Messages of one destination whose value is the same function of their age, oldest first."""
 
     __slots__ = (
-        "retry_affinity",
+        "can_be_shed",
         "class_index",
-        "message_class",
         "is_urgent",
         "key",
-        "time_to_live_ms",
+        "message_class",
         "parked",
+        "priority_weight",
         "queue",
         "ready",
-        "can_be_shed",
-        "priority_weight",
+        "retry_affinity",
+        "time_to_live_ms",
     )
 
-    def __init__(self, queue: DestinationQueue, held: PendingMessage, key: BucketKey) -> None:
-        self.queue, self.key, self.message_class, self.class_index = (
-            queue,
-            key,
-            held.message_class,
-            held.message.class_,
-        )
+    def __init__(self, queue: DestinationQueue, first: PendingMessage, key: BucketKey) -> None:
+        self.queue = queue
+        self.key = key
+        self.message_class = first.message_class
+        self.class_index = first.message.class_
         (
             _,
             self.priority_weight,
@@ -149,11 +109,11 @@
             self.retry_affinity,
         ) = key
         self.ready: list[QueueEntry] = []
-        self.parked: list[QueueEntry] = []  # not before a pause is over, or another of its key has ended
+        self.parked: list[QueueEntry] = []  # until a backoff is over, or another of the same key has ended
 
     def oldest(self) -> list[PendingMessage]:
-        """Of the ready and of the others: nothing else here is worth less, now or later."""
-        return [place[0][2] for place in (self.ready, self.parked) if place]
+        """The oldest ready and the oldest parked one: no other here has less value, now or later."""
+        return [entries[0][2] for entries in (self.ready, self.parked) if entries]
 
 
 @dataclass(slots=True, eq=False)
@@ -162,202 +122,214 @@
 
     destination_id: int
     buckets: dict[BucketKey, PriorityBucket] = field(default_factory=dict)
-    arrivals: list[PendingMessage] = field(default_factory=list)  # came since the latest look, and may go
+    arrivals: list[PendingMessage] = field(default_factory=list)  # since the latest scan, ready to go
     length: int = 0
-    next_scan_at: float = NEVER  # when its next look is set for
-    scanned_at: float = NEVER  # its latest look
-    scan_generation: int = 0  # what was found at an earlier look has another
-    lowest_value: tuple[float, float] | None = None  # see Endings.make_room
+    next_scan_at: float = NEVER
+    scanned_at: float = NEVER
+    scan_generation: int = 0  # index entries of an earlier generation are void
+    lowest_value: tuple[float, float] | None = None  # see LoadShedder.lowest_value
 
     def __len__(self) -> int:
         return self.length
 
 
 class PendingMessages:
-    """The messages held: by id, those that wait by destination, and those in order by key."""
+    """The pending messages: by id, waiting ones by destination, and ordered ones by key."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, PendingMessage] = {}
         self.queues: OrderedDict[int, DestinationQueue] = OrderedDict()
-        self.key_order: dict[int, OrderedDict[int, None]] = {}
-        self.key_paused_until: dict[int, float] = {}  # in-order key -> end of its rest
-        self.key_pause_heap: list[tuple[float, int]] = []  # heap over it
-        self.parked_heap: list[tuple[float, int]] = []  # heap: when a parked message may go
-        self.scan_heap: list[tuple[float, int]] = []  # heap: when a queue is looked at again
-        self.scans_due: OrderedDict[int, bool] = (
-            OrderedDict()
-        )  # destinations to look at now, and whether wholly
-        self.lowest_value_stale: OrderedDict[int, None] = (
-            OrderedDict()
-        )  # those whose poorest message may be another now
-        self.snapshot_candidates: dict[
-            int, None
-        ] = {}  # destinations of which there may be something to remember
-
-    def add(self, held: PendingMessage) -> None:
-        self.by_id[held.message.id] = held
-        if held.ordering_key:
-            line = self.key_order.setdefault(held.ordering_key, OrderedDict())
-            line[held.message.id] = None
-            if len(line) == 2:
-                self._requeue_first(line)  # its first is followed from now on
-
-    def remove(self, held: PendingMessage) -> None:
-        del self.by_id[held.message.id]
-        self.dequeue(held)
-        if not held.ordering_key:
+        self.key_order: dict[int, OrderedDict[int, None]] = {}  # ids by ordering key
+        self.key_paused_until: dict[int, float] = {}
+        self.key_pause_heap: list[tuple[float, int]] = []  # over the former
+        self.parked_heap: list[tuple[float, int]] = []  # when a parked message becomes ready
+        self.scan_heap: list[tuple[float, int]] = []  # when a queue is scanned again
+        self.scans_due: OrderedDict[int, bool] = OrderedDict()  # queues to scan now, and whether completely
+        self.lowest_value_stale: OrderedDict[int, None] = OrderedDict()  # queues that have changed
+        self.snapshot_candidates: dict[int, None] = {}  # destinations that the next process may need to know
+
+    def add(self, entry: PendingMessage) -> None:
+        """Adds a message, which does not wait in a queue yet."""
+        self.by_id[entry.message.id] = entry
+        if entry.ordering_key:
+            order = self.key_order.setdefault(entry.ordering_key, OrderedDict())
+            order[entry.message.id] = None
+            if len(order) == 2:
+                self._requeue_first(order)  # another waits for it from now on
+
+    def remove(self, entry: PendingMessage) -> None:
+        """Removes a message that has ended."""
+        del self.by_id[entry.message.id]
+        self.dequeue(entry)
+        if not entry.ordering_key:
             return
-        line = self.key_order[held.ordering_key]
-        del line[held.message.id]
-        if not line:
-            del self.key_order[held.ordering_key]
+        order = self.key_order[entry.ordering_key]
+        del order[entry.message.id]
+        if not order:
+            del self.key_order[entry.ordering_key]
             return
-        first = self.by_id[next(iter(line))]
+        first = self.by_id[next(iter(order))]
         if first.bucket is not None and first.parked_until == FOREVER:
             self._park_until(first, self.sendable_at(first))
-        if len(line) == 1:
-            self._requeue_first(line)
+        if len(order) == 1:
+            self._requeue_first(order)
 
-    def has_successors(self, held: PendingMessage) -> bool:
-        return bool(held.ordering_key) and len(self.key_order[held.ordering_key]) > 1
+    def has_successors(self, entry: PendingMessage) -> bool:
+        """Whether others wait for the message of this key that is first in order."""
+        return bool(entry.ordering_key) and len(self.key_order[entry.ordering_key]) > 1
 
-    def sendable_at(self, held: PendingMessage) -> float:
-        """When a message may go by the order of its key: the first of its key after the key's rest."""
-        if held.ordering_key and next(iter(self.key_order[held.ordering_key])) != held.message.id:
+    def sendable_at(self, entry: PendingMessage) -> float:
+        """When its backoff is over and its key's order allows it: as the key's first, after its pause."""
+        key = entry.ordering_key
+        if key and next(iter(self.key_order[key])) != entry.message.id:
             return FOREVER
-        return max(held.backoff_until, self.key_paused_until.get(held.ordering_key, NEVER))
+        return max(entry.backoff_until, self.key_paused_until.get(key, NEVER))
 
     def pause_key(self, key: int, now: float, until: float) -> None:
-        """Nothing of this key goes before; what has rested is forgotten."""
+        """Sends nothing of this key before `until`; forgets pauses that are over."""
         self.key_paused_until[key] = until
         heapq.heappush(self.key_pause_heap, (until, key))
         while self.key_pause_heap and self.key_pause_heap[0][0] <= now:
-            at, old = heapq.heappop(self.key_pause_heap)
-            if self.key_paused_until.get(old) == at:
-                del self.key_paused_until[old]
-
-    def enqueue(self, held: PendingMessage, now: float) -> None:
-        dest = held.message.destination
-        queue = self.queues.get(dest)
+            ended_at, ended_key = heapq.heappop(self.key_pause_heap)
+            if self.key_paused_until.get(ended_key) == ended_at:
+                del self.key_paused_until[ended_key]
+
+    def enqueue(self, entry: PendingMessage, now: float) -> None:
+        """Puts a message into its destination's queue, ready or parked."""
+        destination_id = entry.message.destination
+        queue = self.queues.get(destination_id)
         if queue is None:
-            queue = self.queues[dest] = DestinationQueue(dest)
+            queue = self.queues[destination_id] = DestinationQueue(destination_id)
             if len(self.queues) == 2:
-                self.request_scan(
-                    next(iter(self.queues))
-                )  # it has company now, which narrows its part of the slots
+                self.request_scan(next(iter(self.queues)))  # it shares the slots from now on
         queue.length += 1
-        course = self._bucket_for(queue, held)
-        held.bucket, held.parked_until = course, NEVER
-        at = self.sendable_at(held)
-        self.lowest_value_stale[dest] = None
+        bucket = self._bucket_for(queue, entry)
+        entry.bucket = bucket
+        entry.parked_until = NEVER
+        at = self.sendable_at(entry)
+        self.lowest_value_stale[destination_id] = None
         if at > now:
-            insort(course.parked, (held.submitted_at, held.message.id, held))
-            self._park_until(held, at)
+            insort(bucket.parked, (entry.submitted_at, entry.message.id, entry))
+            self._park_until(entry, at)
             return
-        insort(course.ready, (held.submitted_at, held.message.id, held))
-        queue.arrivals.append(held)
-        # What was found there stands: the newcomer is added, unless others stand for all of the course.
-        self.scans_due[dest] = self.scans_due.get(dest, False) or len(course.ready) > FULL_SCAN_SIZE
-
-    def _bucket_for(self, queue: DestinationQueue, held: PendingMessage) -> PriorityBucket:
-        """Guards looks against many different times to live: beyond some they are taken in steps."""
-        hurried = (
-            held.deadline_at < held.submitted_at + held.message_class.latency_objective_ms
-            or self.has_successors(held)
+        insort(bucket.ready, (entry.submitted_at, entry.message.id, entry))
+        queue.arrivals.append(entry)
+        # What the latest scan found stays valid and the newcomer is added, unless only some of the bucket are
+        # indexed.
+        is_complete = self.scans_due.get(destination_id, False) or len(bucket.ready) > FULL_SCAN_SIZE
+        self.scans_due[destination_id] = is_complete
+
+    def _bucket_for(self, queue: DestinationQueue, entry: PendingMessage) -> PriorityBucket:
+        """Guards scans against many different times to live: beyond some they are rounded down to steps."""
+        message_class = entry.message_class
+        is_urgent = (
+            entry.deadline_at < entry.submitted_at + message_class.latency_objective_ms
+            or self.has_successors(entry)
         )
-        life = float(round(held.deadline_at - held.submitted_at))
-        if life != held.message_class.deadline_ms and len(queue.buckets) >= MAX_BUCKETS:
-            step = held.message_class.deadline_ms / TIME_TO_LIVE_STEPS
-            life = max(1.0, min(TIME_TO_LIVE_STEPS, life // step)) * step
+        time_to_live_ms = float(round(entry.deadline_at - entry.submitted_at))
+        if time_to_live_ms != message_class.deadline_ms and len(queue.buckets) >= MAX_BUCKETS:
+            step_ms = message_class.deadline_ms / TIME_TO_LIVE_STEPS
+            time_to_live_ms = max(1.0, min(TIME_TO_LIVE_STEPS, time_to_live_ms // step_ms)) * step_ms
         key = (
-            held.message.class_,
-            held.priority_weight,
-            life,
-            held.can_be_shed,
-            hurried,
-            held.retry_affinity,
+            entry.message.class_,
+            entry.priority_weight,
+            time_to_live_ms,
+            entry.can_be_shed,
+            is_urgent,
+            entry.retry_affinity,
         )
         if key not in queue.buckets:
-            queue.buckets[key] = PriorityBucket(queue, held, key)
+            queue.buckets[key] = PriorityBucket(queue, entry, key)
         return queue.buckets[key]
 
-    def dequeue(self, held: PendingMessage) -> None:
-        course = held.bucket
-        if course is None:
+    def dequeue(self, entry: PendingMessage) -> None:
+        """Takes a message out of its queue, if it waits in one."""
+        bucket = entry.bucket
+        if bucket is None:
             return
-        place = course.ready if held.parked_until == NEVER else course.parked
-        del place[bisect_left(place, (held.submitted_at, held.message.id))]
-        held.bucket, queue = None, course.queue
-        if not course.ready and not course.parked:
-            del queue.buckets[course.key]
+        entries = bucket.ready if entry.parked_until == NEVER else bucket.parked
+        del entries[bisect_left(entries, (entry.submitted_at, entry.message.id))]
+        entry.bucket = None
+        queue = bucket.queue
+        if not bucket.ready and not bucket.parked:
+            del queue.buckets[bucket.key]
         queue.length -= 1
         self.lowest_value_stale[queue.destination_id] = None
-        if len(place) >= FULL_SCAN_SIZE:
-            self.request_scan(queue.destination_id)  # it may have stood for others
+        if len(entries) >= FULL_SCAN_SIZE:
+            self.request_scan(queue.destination_id)  # others may not be indexed because it was
         if not queue.length:
-            del self.queues[queue.destination_id]
-            self.scans_due.pop(queue.destination_id, None)
-            self.lowest_value_stale.pop(queue.destination_id, None)
-            if len(self.queues) == 1:
-                self.request_scan(next(iter(self.queues)))
-
-    def _requeue_first(self, line: OrderedDict[int, None]) -> None:
-        """The first of a key is in a hurry while others wait for it."""
-        first = self.by_id[next(iter(line))]
+            self._remove_queue(queue.destination_id)
+
+    def _remove_queue(self, destination_id: int) -> None:
+        del self.queues[destination_id]
+        self.scans_due.pop(destination_id, None)
+        self.lowest_value_stale.pop(destination_id, None)
+        if len(self.queues) == 1:
+            self.request_scan(next(iter(self.queues)))  # it has all slots to itself
+
+    def _requeue_first(self, order: OrderedDict[int, None]) -> None:
+        """Moves the first of a key to another bucket: it is urgent while others wait for it."""
+        first = self.by_id[next(iter(order))]
         if first.bucket is not None:
-            parked = first.parked_until != NEVER
+            is_parked = first.parked_until != NEVER
             self.dequeue(first)
-            self.enqueue(first, NEVER if parked else FOREVER)
+            self.enqueue(first, NEVER if is_parked else FOREVER)
 
-    def _park_until(self, held: PendingMessage, at: float) -> None:
-        held.parked_until = at
+    def _park_until(self, entry: PendingMessage, at: float) -> None:
+        entry.parked_until = at
         if at < FOREVER:
-            heapq.heappush(self.parked_heap, (at, held.message.id))
+            heapq.heappush(self.parked_heap, (at, entry.message.id))
 
     def advance(self, now: float) -> None:
-        """Moves on what was waiting for this moment."""
+        """Makes parked messages ready, and requests scans, whose time has come."""
         while self.parked_heap and self.parked_heap[0][0] <= now:
-            at, ident = heapq.heappop(self.parked_heap)
-            held = self.by_id.get(ident)
-            if held is None or held.bucket is None or held.parked_until != at or at == NEVER:
+            at, message_id = heapq.heappop(self.parked_heap)
+            entry = self.by_id.get(message_id)
+            if entry is None or entry.bucket is None or entry.parked_until != at or at == NEVER:
                 continue
-            parked = held.bucket.parked
-            del parked[bisect_left(parked, (held.submitted_at, ident))]
-            insort(held.bucket.ready, (held.submitted_at, ident, held))
-            held.parked_until = NEVER
-            self.request_scan(held.message.destination)
+            parked = entry.bucket.parked
+            del parked[bisect_left(parked, (entry.submitted_at, message_id))]
+            insort(entry.bucket.ready, (entry.submitted_at, message_id, entry))
+            entry.parked_until = NEVER
+            self.request_scan(entry.message.destination)
         while self.scan_heap and self.scan_heap[0][0] <= now:
-            at, dest = heapq.heappop(self.scan_heap)
-            if not self._is_superseded(at, dest):
-                self.scans_due[dest] = True
+            at, destination_id = heapq.heappop(self.scan_heap)
+            if not self._is_superseded(at, destination_id):
+                self.scans_due[destination_id] = True
 
-    def request_scan(self, dest: int) -> None:
-        """Something has changed there: it is looked at in this turn, or as soon as there are slots."""
-        self.snapshot_candidates[dest] = None
-        if dest in self.queues:
-            self.scans_due[dest], self.lowest_value_stale[dest] = True, None
+    def request_scan(self, destination_id: int) -> None:
+        """Has a queue scanned in this turn or as soon as there are slots: something has changed there."""
+        self.snapshot_candidates[destination_id] = None
+        if destination_id in self.queues:
+            self.scans_due[destination_id] = True
+            self.lowest_value_stale[destination_id] = None
+
+    def request_all_scans(self) -> None:
+        """Has all queues scanned: something has changed that concerns each of them."""
+        self.scans_due.update(dict.fromkeys(self.queues, True))
 
     def schedule_scan(self, queue: DestinationQueue, at: float) -> None:
+        """Sets when a queue is scanned again, if nothing changes there before."""
         queue.next_scan_at = at
-        if at < FOREVER:
-            heapq.heappush(self.scan_heap, (at, queue.destination_id))
-            if len(self.scan_heap) > 64 + 4 * len(self.queues):  # most were overtaken by other looks
-                self.scan_heap = [
-                    (q.next_scan_at, q.destination_id)
-                    for q in self.queues.values()
-                    if q.next_scan_at < FOREVER
-                ]
-                heapq.heapify(self.scan_heap)
-
-    def _is_superseded(self, at: float, dest: int) -> bool:
-        queue = self.queues.get(dest)
+        if at >= FOREVER:
+            return
+        heapq.heappush(self.scan_heap, (at, queue.destination_id))
+        if len(self.scan_heap) > HEAP_SLACK + HEAP_FACTOR * len(self.queues):  # most are superseded
+            self.scan_heap = [
+                (each.next_scan_at, each.destination_id)
+                for each in self.queues.values()
+                if each.next_scan_at < FOREVER
+            ]
+            heapq.heapify(self.scan_heap)
+
+    def _is_superseded(self, at: float, destination_id: int) -> bool:
+        queue = self.queues.get(destination_id)
         return queue is None or queue.next_scan_at != at
 
     def next_wakeup_at(self) -> float:
-        """When `wake` next has something to do."""
+        """When `advance` next has something to do."""
         while self.scan_heap and self._is_superseded(*self.scan_heap[0]):
             heapq.heappop(self.scan_heap)
-        return min(
-            self.parked_heap[0][0] if self.parked_heap else FOREVER,
-            self.scan_heap[0][0] if self.scan_heap else FOREVER,
-        )
+        parked_at = self.parked_heap[0][0] if self.parked_heap else FOREVER
+        scan_at = self.scan_heap[0][0] if self.scan_heap else FOREVER
+        return min(parked_at, scan_at)
--- a/message_relay/decisions/priority_index.py
+++ b/message_relay/decisions/priority_index.py
@@ -1,6 +1,9 @@
-"""Finds the message with most worth still to win per slot time without looking at each: of a course only
-those at the edges of the pieces of its worth's curve can be best. They lie in cells by class, worth, time to
-live and band of age, in which only the cost of a lane ranks them (docs/design/large-size.md).
+"""Finds the message whose delivery gains most per slot time, without looking at each message.
+
+Only messages at the edges of the pieces of a bucket's value curve can be its best. These candidates lie in
+index buckets by class, weight, time to live and band of age; within one, only the slot time that a delivery
+costs ranks them. An upper bound of the gain for each index bucket tells which of them have to be compared.
+See docs/design/large-size.md.
 """
 
 from __future__ import annotations
@@ -10,209 +13,236 @@
 from dataclasses import dataclass, field
 from itertools import count
 
+from .destinations import DestinationState
 from .model import FOREVER, Decay, MessageClass, Settings
 from .pending import (
     FULL_SCAN_SIZE,
     TIME_TO_LIVE_STEPS,
     DestinationQueue,
-    DestinationState,
     PendingMessage,
     PriorityBucket,
     remaining_value,
 )
 
-LOOKAHEAD_MS = 1000.0  # what waiting would cost is reckoned over so long
-AGE_BANDS, MAX_AGE_BANDS = 16, 256  # of age: in the time of an aim, and in a whole life
+LOOKAHEAD_MS = 1000.0  # what waiting costs is estimated over so long
+AGE_BANDS = 16  # bands of age in the time of a latency objective
+MAX_AGE_BANDS = 256  # and in a whole time to live
 EXACT_COMPARISONS = 8  # entries whose bounds overlap are compared exactly, up to so many
-BUCKETS_PER_MS = (
-    10.0  # bounds are renewed so slowly that no more cells than this are looked at in a millisecond
-)
+BUCKETS_PER_MS = 10.0  # bounds are renewed so rarely that no more buckets are examined in a millisecond
 
 
-IndexKey = tuple[int, float, float, int]  # class, worth, time to live or minus a step of it, band of age
-IndexEntry = tuple[
-    float, int, PendingMessage, DestinationState, DestinationQueue, int
-]  # cost, a number, ..., stamp of the queue's look
+IndexKey = tuple[int, float, float, int]  # class, weight, time to live or minus a step of it, band of age
+# Slot time, sequence number, message, destination, its queue, generation of the scan that found it.
+IndexEntry = tuple[float, int, PendingMessage, DestinationState, DestinationQueue, int]
 
 
 @dataclass(slots=True, eq=False)
 class IndexBucket:
-    key: IndexKey
-    entries: list[IndexEntry] = field(default_factory=list)  # heap: least cost first
-    upper_bound: float = 0.0  # at a cost of 1, until the bounds are renewed
-    top_rank: float = -1.0  # its latest place among the tops
-
+    """Candidates whose gain has one upper bound, the least slot time first."""
 
-def max_gain(cls: MessageClass, decay: Decay, low: float, high: float, least: float, most: float) -> float:
-    """The most that sending now can win and save from falling, at a worth of 1, for any age at the answer
-    from `low` to `high` and any time to live from `least` to `most`."""
+    key: IndexKey
+    entries: list[IndexEntry] = field(default_factory=list)  # heap
+    upper_bound: float = 0.0  # of the gain at a slot time of 1, until the bounds are renewed
+    top_rank: float = -1.0  # its latest rank in `PriorityIndex.top_heap`
+
+
+def max_gain(
+    message_class: MessageClass,
+    decay: Decay,
+    youngest: float,
+    oldest: float,
+    shortest_life: float,
+    longest_life: float,
+) -> float:
+    """The most that sending now can gain at a weight of 1.
+
+    For any age at the answer from `youngest` to `oldest`, and any time to live from `shortest_life` to
+    `longest_life`.
+    """
     best = 0.0
-    if low + LOOKAHEAD_MS < most:  # rises until the aim, falls after it
-        at = min(max(low, cls.latency_objective_ms), high)
-        best = 2 * remaining_value(cls, decay, at) - remaining_value(cls, decay, at + LOOKAHEAD_MS)
     if (
-        high + LOOKAHEAD_MS >= least and low < most
-    ):  # nothing would be left a second later: all of it is to win
-        best = max(best, 2 * remaining_value(cls, decay, max(low, least - LOOKAHEAD_MS)))
+        youngest + LOOKAHEAD_MS < longest_life
+    ):  # the gain rises until the latency objective, and falls after it
+        at = min(max(youngest, message_class.latency_objective_ms), oldest)
+        now_value = remaining_value(message_class, decay, at)
+        best = 2 * now_value - remaining_value(message_class, decay, at + LOOKAHEAD_MS)
+    if oldest + LOOKAHEAD_MS >= shortest_life and youngest < longest_life:
+        # Nothing would be left after the lookahead: all of it is to gain.
+        at = max(youngest, shortest_life - LOOKAHEAD_MS)
+        best = max(best, 2 * remaining_value(message_class, decay, at))
     return best
 
 
 def candidates(
-    course: PriorityBucket, lane: DestinationState, now: float
+    bucket: PriorityBucket, destination: DestinationState, now: float
 ) -> tuple[list[PendingMessage], float]:
-    """The only messages of a course that can be its best, and when others may be; all of them, if few."""
-    ready, at = course.ready, now + lane.latency_mean_ms
+    """The only messages of a bucket that can be its best, and when others may be; all of them, if few."""
+    ready = bucket.ready
     if len(ready) <= FULL_SCAN_SIZE:
-        return [each[2] for each in ready], FOREVER
-    brink = course.time_to_live_ms - LOOKAHEAD_MS
-    young = min(course.message_class.latency_objective_ms, brink)
-    rising = bisect_right(ready, (at - young, FOREVER))
-    last = bisect_right(ready, (at - brink, FOREVER), 0, rising)  # those before it are on the brink
-    spent = bisect_right(ready, (at - course.time_to_live_ms, FOREVER), 0, last)
-    found, change = [], FOREVER
-    if rising < len(ready):  # the oldest is nearest to its aim
-        found.append(ready[rising][2])
-        change = ready[rising][0] + young
-    if last < rising:  # the youngest has lost least
-        found.append(ready[rising - 1][2])
-    if last < len(ready):
-        change = min(change, ready[last][0] + brink)
-    if spent < last:
-        found.append(ready[last - 1][2])
-        change = min(change, ready[last - 1][0] + course.time_to_live_ms)
-    if (
-        spent and now + lane.latency_mean_ms / 4 < ready[spent - 1][2].deadline_at
-    ):  # its answer is likely to come too late
-        found.append(ready[spent - 1][2])
-    return found, change - lane.latency_mean_ms
+        return [entry[2] for entry in ready], FOREVER
+    answer_at = now + destination.latency_mean_ms
+    time_to_live_ms = bucket.time_to_live_ms
+    last_chance_age = time_to_live_ms - LOOKAHEAD_MS
+    objective_age = min(bucket.message_class.latency_objective_ms, last_chance_age)
+    # The oldest are first. Before `expired` the answer comes after the deadline, from there on to
+    # `last_chance` within the lookahead of it, and before `in_time` after the latency objective.
+    in_time = bisect_right(ready, (answer_at - objective_age, FOREVER))
+    last_chance = bisect_right(ready, (answer_at - last_chance_age, FOREVER), 0, in_time)
+    expired = bisect_right(ready, (answer_at - time_to_live_ms, FOREVER), 0, last_chance)
+    found, change_at = [], FOREVER
+    if in_time < len(ready):  # the oldest is nearest to its objective
+        found.append(ready[in_time][2])
+        change_at = ready[in_time][0] + objective_age
+    if last_chance < in_time:  # the youngest has lost least
+        found.append(ready[in_time - 1][2])
+    if last_chance < len(ready):
+        change_at = min(change_at, ready[last_chance][0] + last_chance_age)
+    if expired < last_chance:
+        found.append(ready[last_chance - 1][2])
+        change_at = min(change_at, ready[last_chance - 1][0] + time_to_live_ms)
+    if expired and now + destination.latency_mean_ms / 4 < ready[expired - 1][2].deadline_at:
+        found.append(ready[expired - 1][2])  # its answer is likely to come too late
+    return found, change_at - destination.latency_mean_ms
 
 
 class PriorityIndex:
+    """An index over what the scanned queues could send now."""
+
     def __init__(self, settings: Settings) -> None:
-        self.classes, self.decay = settings.classes, settings.decay
+        self.classes = settings.classes
+        self.decay = settings.decay
         self.band_width_ms = [
-            max(cls.latency_objective_ms / AGE_BANDS, cls.deadline_ms / MAX_AGE_BANDS)
-            for cls in settings.classes
+            max(each.latency_objective_ms / AGE_BANDS, each.deadline_ms / MAX_AGE_BANDS)
+            for each in settings.classes
         ]
-        self.time_to_live_step_ms = [
-            cls.deadline_ms / TIME_TO_LIVE_STEPS for cls in settings.classes
-        ]  # of other times to live
+        self.time_to_live_step_ms = [each.deadline_ms / TIME_TO_LIVE_STEPS for each in settings.classes]
         self.buckets: dict[IndexKey, IndexBucket] = {}
-        self.top_heap: list[tuple[float, int, IndexBucket]] = []  # heap: minus a bound
+        self.top_heap: list[tuple[float, int, IndexBucket]] = []  # by minus the rank
         self.sequence = count()
-        self.bounds_valid_until = 0.0  # the bounds
-        self.examined_count = 0  # messages and cells looked at so far
+        self.bounds_valid_until = 0.0
+        self.examined_count = 0  # messages and index buckets examined so far
 
     def insert(
         self,
         now: float,
-        course: PriorityBucket,
-        lane: DestinationState,
-        cost: float,
+        bucket: PriorityBucket,
+        destination: DestinationState,
+        slot_time_ms: float,
         newcomer: PendingMessage | None = None,
     ) -> float:
-        """Takes up what may be sent on this lane, or only the newcomer; when to look at it anew."""
+        """Indexes what of a bucket may be sent, or only the newcomer; returns when to do so again."""
         if now >= self.bounds_valid_until:
             self._renew_bounds(now)
-        found, change = candidates(course, lane, now) if newcomer is None else ([newcomer], FOREVER)
-        class_, queue, cells = course.class_index, course.queue, self.buckets
-        width, stamp = self.band_width_ms[class_], queue.scan_generation
-        life = (
-            course.time_to_live_ms
-            if course.time_to_live_ms == course.message_class.deadline_ms
-            else -(course.time_to_live_ms // self.time_to_live_step_ms[class_])
-        )
+        if newcomer is None:
+            found, change_at = candidates(bucket, destination, now)
+        else:
+            found, change_at = [newcomer], FOREVER
+        class_index = bucket.class_index
+        queue = bucket.queue
+        generation = queue.scan_generation
+        index_buckets = self.buckets
+        width = self.band_width_ms[class_index]
+        time_to_live = bucket.time_to_live_ms
+        if time_to_live != bucket.message_class.deadline_ms:
+            time_to_live = -(time_to_live // self.time_to_live_step_ms[class_index])
+        mean_ms = destination.latency_mean_ms
         self.examined_count += len(found)
-        for held in found:
-            key = (
-                class_,
-                course.priority_weight,
-                life,
-                int((held.submitted_at - lane.latency_mean_ms) // width),
-            )
-            cell = cells.get(key)
-            if cell is None:
-                cell = cells[key] = IndexBucket(key)
-                cell.upper_bound = self._upper_bound(key, now)
-            heapq.heappush(cell.entries, (cost, next(self.sequence), held, lane, queue, stamp))
-            if cell.upper_bound / cost > cell.top_rank:
-                self._push_top(cell)
-        return change
-
-    def _push_top(self, cell: IndexBucket) -> None:
-        cell.top_rank = cell.upper_bound / cell.entries[0][0]
-        heapq.heappush(self.top_heap, (-cell.top_rank, next(self.sequence), cell))
+        for entry in found:
+            band = int((entry.submitted_at - mean_ms) // width)
+            key = class_index, bucket.priority_weight, time_to_live, band
+            index_bucket = index_buckets.get(key)
+            if index_bucket is None:
+                index_bucket = index_buckets[key] = IndexBucket(key)
+                index_bucket.upper_bound = self._upper_bound(key, now)
+            indexed = (slot_time_ms, next(self.sequence), entry, destination, queue, generation)
+            heapq.heappush(index_bucket.entries, indexed)
+            if index_bucket.upper_bound / slot_time_ms > index_bucket.top_rank:
+                self._push_top(index_bucket)
+        return change_at
+
+    def _push_top(self, bucket: IndexBucket) -> None:
+        bucket.top_rank = bucket.upper_bound / bucket.entries[0][0]
+        heapq.heappush(self.top_heap, (-bucket.top_rank, next(self.sequence), bucket))
 
     def _upper_bound(self, key: IndexKey, now: float) -> float:
-        """The most that any message of this cell is worth to send until the bounds are renewed."""
-        class_, worth, life, band = key
-        cls, width, step = self.classes[class_], self.band_width_ms[class_], self.time_to_live_step_ms[class_]
-        least, most = (life, life) if life > 0 else (-life * step, (1 - life) * step)
-        low, high = now - (band + 1) * width, self.bounds_valid_until - band * width
-        return worth * max_gain(cls, self.decay, low, high, least - 1.0, most + 1.0)  # lives are rounded
+        """The most that any message of an index bucket can gain until the bounds are renewed."""
+        class_index, weight, time_to_live, band = key
+        width, step_ms = self.band_width_ms[class_index], self.time_to_live_step_ms[class_index]
+        if time_to_live > 0:
+            shortest = longest = time_to_live
+        else:
+            shortest, longest = -time_to_live * step_ms, (1 - time_to_live) * step_ms
+        youngest, oldest = now - (band + 1) * width, self.bounds_valid_until - band * width
+        message_class = self.classes[class_index]
+        # Times to live are rounded, hence the margin of 1 ms.
+        return weight * max_gain(message_class, self.decay, youngest, oldest, shortest - 1.0, longest + 1.0)
 
     def _renew_bounds(self, now: float) -> None:
-        """Worth falls with time: ranks the cells anew, and forgets those in which nothing is left."""
-        self.bounds_valid_until = now + max(min(self.band_width_ms) / 2, len(self.buckets) / BUCKETS_PER_MS)
+        """Ranks the index buckets again, since value falls with time, and forgets empty ones."""
+        valid_ms = max(min(self.band_width_ms) / 2, len(self.buckets) / BUCKETS_PER_MS)
+        self.bounds_valid_until = now + valid_ms
         self.top_heap.clear()
-        for cell in list(self.buckets.values()):
+        for bucket in list(self.buckets.values()):
             self.examined_count += 1
-            if self._drop_stale(cell):
-                cell.upper_bound = self._upper_bound(cell.key, now)
-                self._push_top(cell)
+            if self._drop_stale(bucket):
+                bucket.upper_bound = self._upper_bound(bucket.key, now)
+                self._push_top(bucket)
             else:
-                del self.buckets[cell.key]
+                del self.buckets[bucket.key]
 
     @staticmethod
-    def _drop_stale(cell: IndexBucket) -> bool:
-        """Whether it holds something that still stands; entries of earlier looks are dropped."""
-        entries = cell.entries
+    def _drop_stale(bucket: IndexBucket) -> bool:
+        """Drops first entries that an earlier scan found; whether a valid one is left."""
+        entries = bucket.entries
         while entries and (entries[0][5] != entries[0][4].scan_generation or entries[0][2].bucket is None):
             heapq.heappop(entries)
         return bool(entries)
 
-    def gain(self, now: float, held: PendingMessage, lane: DestinationState) -> float:
-        """Exactly, at a cost of 1."""
-        at = now + lane.latency_mean_ms
-        return 2 * held.value_at(at, self.decay) - held.value_at(at + LOOKAHEAD_MS, self.decay)
+    def gain(self, now: float, entry: PendingMessage, destination: DestinationState) -> float:
+        """What sending a message now wins, and saves from falling, at a slot time of 1."""
+        at = now + destination.latency_mean_ms
+        return 2 * entry.value_at(at, self.decay) - entry.value_at(at + LOOKAHEAD_MS, self.decay)
 
     def pop_best(self, now: float) -> IndexEntry | None:
-        """Takes out the entry of most worth per slot time: exactly, unless there are more than EXACT
-        whose bounds lie above the best. The caller looks at its queue anew, which voids the others of it."""
+        """Takes out the entry with the highest gain per slot time.
+
+        It is the exact best unless the bounds of more than `EXACT_COMPARISONS` entries lie above it. The
+        caller scans its queue again, which voids the queue's other entries.
+        """
         if now >= self.bounds_valid_until:
             self._renew_bounds(now)
         best: IndexEntry | None = None
-        most = -1.0
-        others: list[tuple[IndexBucket, IndexEntry]] = []
-        while len(others) < EXACT_COMPARISONS and (cell := self._pop_top(most)) is not None:
-            entry = heapq.heappop(cell.entries)
+        best_value = -1.0
+        compared: list[tuple[IndexBucket, IndexEntry]] = []
+        while len(compared) < EXACT_COMPARISONS and (bucket := self._pop_top(best_value)) is not None:
+            entry = heapq.heappop(bucket.entries)
             self.examined_count += 1
             value = self.gain(now, entry[2], entry[3]) / entry[0]
-            if value > most:
-                best, most = entry, value
-            others.append((cell, entry))
-            if self._drop_stale(cell):
-                self._push_top(cell)
-        for cell, entry in others:
+            if value > best_value:
+                best, best_value = entry, value
+            compared.append((bucket, entry))
+            if self._drop_stale(bucket):
+                self._push_top(bucket)
+        for bucket, entry in compared:
             if entry is not best:
-                heapq.heappush(cell.entries, entry)
-                self.buckets[cell.key] = cell
-                if cell.upper_bound / entry[0] > cell.top_rank:
-                    self._push_top(cell)
+                heapq.heappush(bucket.entries, entry)
+                self.buckets[bucket.key] = bucket
+                if bucket.upper_bound / entry[0] > bucket.top_rank:
+                    self._push_top(bucket)
         return best
 
-    def _pop_top(self, most: float) -> IndexBucket | None:
-        """The cell with the highest bound, if that lies above the best so far."""
-        while self.top_heap and -self.top_heap[0][0] > most:
-            top, _, cell = heapq.heappop(self.top_heap)
-            if -top != cell.top_rank:
+    def _pop_top(self, best_value: float) -> IndexBucket | None:
+        """The index bucket with the highest bound, if that lies above the best so far."""
+        while self.top_heap and -self.top_heap[0][0] > best_value:
+            negative_rank, _, bucket = heapq.heappop(self.top_heap)
+            if -negative_rank != bucket.top_rank:
                 continue
-            cell.top_rank = -1.0
+            bucket.top_rank = -1.0
             self.examined_count += 1
-            if not self._drop_stale(cell):
-                self.buckets.pop(cell.key, None)
-            elif cell.upper_bound / cell.entries[0][0] < -top:
-                self._push_top(cell)  # its cheapest entry is gone
+            if not self._drop_stale(bucket):
+                self.buckets.pop(bucket.key, None)
+            elif bucket.upper_bound / bucket.entries[0][0] < -negative_rank:
+                self._push_top(bucket)  # its entry with the least slot time is gone
             else:
-                return cell
+                return bucket
         return None
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ..core.relay import Relay
-from ..decisions.pending import DestinationState
+from ..decisions.destinations import DestinationState
 
 VERSION = 1
 PAGE = os.sysconf("SC_PAGE_SIZE")
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -15,10 +15,13 @@
 from emulator.runs import one
 from message_relay.decisions import actions, events, model
 from message_relay.decisions.idempotency import idempotency_window_end, retry_deadline
-from message_relay.decisions.pending import DestinationState, PendingMessage, PriorityBucket
+from message_relay.decisions.destinations import DestinationState
+from message_relay.decisions.pending import PendingMessage, PriorityBucket
 from message_relay.decisions.priority_index import candidates
-from message_relay.decisions.rate_control import endpoint_penalty, overdue_ms, is_suspected
+from message_relay.decisions.outlier_detection import endpoint_penalty, is_suspected
+from message_relay.decisions.latency import overdue_ms
 from message_relay.decisions.scheduler import DeliveryScheduler
+from message_relay.decisions.slow_start import estimate_senders
 
 from .decision_scenarios import InstancePlace, Scenario
 
@@ -362,10 +365,10 @@
         *("pace", destination, out, overdue_ms(lane), *paces.rate_and_burst(now_ms, lane, out)),
         *(
             *paces.rate_and_burst(now_ms, lane, True),
-            paces.estimate_senders(now_ms, lane),
+            estimate_senders(scheduler.settings, now_ms, lane),
             paces.rate_stable_until(now_ms, lane),
         ),
-        *(scheduler.expiry.retry_after_ms(now_ms, destination), *doubts),
+        *(scheduler.drain_estimate.retry_after_ms(now_ms, destination), *doubts),
     )
 
 
@@ -432,7 +435,7 @@
         ),
         ("times", scheduler.timer_at, scheduler.registry.next_poll_at, *paces.default_latency),
         ("index", index.bounds_valid_until, len(index.buckets)),
-        ("quotas", *(value for quota in scheduler.quota_tokens for value in quota)),
+        ("quotas", *(value for quota in scheduler.admission.quota_tokens for value in quota)),
         ("waiting", *islice(board.queues, SNAPSHOT_ROWS)),
     ]
     rows += [
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -6,9 +6,10 @@
 
 from fakes.endpoint import unheard
 from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.decisions import slow_start
 from message_relay.decisions.events import AttemptCompleted
 from message_relay.decisions.model import Outcome
-from message_relay.decisions.scheduler import SLOW_CONNECT_MS
+from message_relay.decisions.send_guard import SLOW_CONNECT_MS
 from message_relay.http.endpoint_client import EndpointClient
 
 from ..conftest import SAFE, Driver, make_settings
@@ -54,7 +55,7 @@
 def test_it_is_paced_anew_too_where_another_call_has_found_it_back() -> None:
     d, ident = sent_while_out()
     lane = d.relay.destinations[1][-1]
-    d.relay.rate_controller.begin_warm_up(d.now + 100.0, lane)  # answered meanwhile
+    slow_start.begin_warm_up(d.relay.settings, d.now + 100.0, lane)  # answered meanwhile
     assert not lane.is_ejected and not d.relay.may_write(d.now + SLOW_CONNECT_MS + 1, ident)
 
 
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -5,13 +5,16 @@
 
 from typing import Any
 
-from message_relay.decisions.expiry import EARLY_PART, EARLY_PENALTY
+from message_relay.decisions.destinations import DestinationState
+from message_relay.decisions.dispatch import TRUSTED_FAILURE_SCORE
 from message_relay.decisions.idempotency import can_reject_safely
+from message_relay.decisions.latency import TIMEOUT_DEVIATIONS
+from message_relay.decisions.load_shedding import EARLY_PART, EARLY_PENALTY
 from message_relay.decisions.model import FOREVER, Effect, Settings
-from message_relay.decisions.pending import DestinationState, PendingMessage
+from message_relay.decisions.outlier_detection import EVIDENCE_TTL_MS, is_suspected
+from message_relay.decisions.pending import PendingMessage
 from message_relay.decisions.priority_index import EXACT_COMPARISONS, IndexEntry
-from message_relay.decisions.rate_control import EVIDENCE_TTL_MS, TIMEOUT_DEVIATIONS, is_suspected
-from message_relay.decisions.scheduler import TRUSTED_FAILURE_SCORE, DeliveryScheduler
+from message_relay.decisions.scheduler import DeliveryScheduler
 
 
 def waiting(relay: DeliveryScheduler) -> dict[int, list[PendingMessage]]:
@@ -63,7 +66,9 @@
                 lane.latency_mean_ms + TIMEOUT_DEVIATIONS * lane.latency_deviation_ms
             ) / (1 - lane.failure_score)
             for held in queue:
-                if opens(relay, now, held, lane, queues) <= now and relay._choose_endpoint(now, held, lane):
+                if opens(relay, now, held, lane, queues) <= now and relay.dispatcher.choose_endpoint(
+                    now, held, lane
+                ):
                     soon = held.value_at(now + lane.latency_mean_ms, relay.settings.decay)
                     later = held.value_at(now + lane.latency_mean_ms + 1000.0, relay.settings.decay)
                     found.append(((2 * soon - later) / cost, held, lane))
@@ -75,7 +80,7 @@
 ) -> tuple[float, float] | None:
     found = []
     for dest, queue in queues.items():
-        drained = now + 1000 * len(queue) / relay.expiry.expected_rate(now, dest)
+        drained = now + 1000 * len(queue) / relay.drain_estimate.expected_rate(now, dest)
         found += [
             (lost(relay, now, drained, held), held.value_at(now, relay.settings.decay))
             for held in queue
@@ -109,11 +114,11 @@
         super().__init__(settings, seed)
         self.choices = self.evictions = self.spared = 0
         self.index.pop_best, self._find = self._checked, self.index.pop_best  # type: ignore[method-assign]
-        self.expiry.lowest_value, self._found = self._least, self.expiry.lowest_value  # type: ignore[method-assign]
+        self.load_shedder.lowest_value, self._found = self._least, self.load_shedder.lowest_value  # type: ignore[method-assign]
 
     def _checked(self, now: float) -> IndexEntry | None:
         entry = self._find(now)
-        if entry is not None and not self._is_still_sendable(now, entry[2], entry[3]):
+        if entry is not None and not self.dispatcher.is_still_sendable(now, entry[2], entry[3]):
             return entry  # it is not sent: its queue is looked at again, and the next one found
         queues = waiting(self)
         ranked = [each for each in best(self, now, queues) if not self._unseen(now, each[2], each[1])]
@@ -148,7 +153,7 @@
             return None
         assert plain is not None
         held, dest = least[2], least[2].message.destination
-        drained = now + 1000 * len(self.pending.queues[dest]) / self.expiry.expected_rate(now, dest)
+        drained = now + 1000 * len(self.pending.queues[dest]) / self.drain_estimate.expected_rate(now, dest)
         mine = lost(self, now, drained, held), held.value_at(now, self.settings.decay)
         if len(self.pending.queues) <= EXACT_COMPARISONS:
             assert mine <= plain, f"{mine} was refused, {plain} is least"
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -82,7 +82,6 @@
         ):
             maps[name] = Walked(getattr(owner, name))
             setattr(owner, name, maps[name])
-        host.scheduler.destinations, host.scheduler.endpoints = maps["destinations"], maps["endpoints"]
         changes(built, FEW)
         seconds(built, FEW)
         assert {name: each.walks for name, each in maps.items() if each.walks} == {}
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -337,7 +337,7 @@
 
     async def work() -> None:
         async with fleet(tmp_path, [], 0) as it:
-            assert it.instances[0].host.scheduler.expiry.drained_at(1000.0, 5, 1) == 3000.0
+            assert it.instances[0].host.scheduler.drain_estimate.drained_at(1000.0, 5, 1) == 3000.0
 
     run(work())
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,7 +6,7 @@
 import pytest
 
 from benchmarks import cold
-from message_relay.decisions.rate_control import RateController
+from message_relay.decisions import slow_start
 
 
 @pytest.mark.parametrize("way", cold.WAYS)
@@ -19,5 +19,5 @@
 
 def test_it_breaks_where_no_relay_reckons_with_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """The play can fail: without each relay's estimate of how many others know, the sum goes over."""
-    monkeypatch.setattr(RateController, "estimate_senders", lambda self, now, lane: 1.0)
+    monkeypatch.setattr(slow_start, "estimate_senders", lambda settings, now, destination: 1.0)
     assert cold.row(20, "all know", 2).over == 2
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,7 +11,7 @@
 from message_relay.core.ports import Submission
 from message_relay.decisions.actions import Reject
 from message_relay.decisions.events import EndpointList, Event, Message
-from message_relay.decisions.expiry import SHEDDING_THRESHOLD
+from message_relay.decisions.load_shedding import SHEDDING_THRESHOLD
 from message_relay.decisions.model import Effect, Endpoint, Listing, ListKind, MessageClass, Tenant
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
@@ -63,7 +63,7 @@
 def test_one_worth_more_than_a_promise_is_taken_on_and_the_least_is_ended_for_it() -> None:
     d = crowded((1.0, 4.0))
     assert asked(d, dest=2, class_=1) is None
-    d.relay.quota_tokens[1] = (
+    d.relay.admission.quota_tokens[1] = (
         0.0,
         d.now,
     )  # this tenant has used up its share: what it hands in is worth a tenth
--- a/tests/test_goal.py
+++ b/tests/test_goal.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from message_relay.decisions.admission import scheduling_weights
 from message_relay.decisions.model import Goal, MessageClass
-from message_relay.decisions.scheduler import scheduling_weights
 
 from .conftest import CLASSES, Driver, make_settings
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -22,7 +22,8 @@
     ShutdownScheduled,
     TimerFired,
 )
-from message_relay.decisions.expiry import MAX_CLOSED, MAX_SCANS, MAX_SHED
+from message_relay.decisions.expiry import MAX_CLOSED
+from message_relay.decisions.load_shedding import MAX_SHED
 from message_relay.decisions.model import (
     Decay,
     Effect,
@@ -34,7 +35,7 @@
     Settings,
     Tenant,
 )
-from message_relay.decisions.pending import FULL_SCAN_SIZE
+from message_relay.decisions.pending import FULL_SCAN_SIZE, MAX_SCANS
 from message_relay.decisions.priority_index import EXACT_COMPARISONS
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
@@ -236,7 +237,7 @@
             )
         ],
     )
-    relay.quota_tokens[1] = 0.0, 0.0  # the second one has used up what it could save
+    relay.admission.quota_tokens[1] = 0.0, 0.0  # the second one has used up what it could save
     relay.handle(0.0, [Message(100, 2, 0, 8000.0)])  # takes the slot
     relay.handle(0.0, [Message(99, 3, 0, 8000.0)])  # or a queue left alone would be looked at for that
     for n in range(6):  # more than are entered whole; they lie on the floor of their worth, 0.1, before long
@@ -374,7 +375,7 @@
     assert {name: len(what) for name, what in left.items() if what} == {}
     small: dict[str, Sized] = {
         "ends": relay.expiry.deadline_heap,
-        "poor": relay.expiry.lowest_value_heap,
+        "poor": relay.load_shedder.lowest_value_heap,
         "looks": board.scan_heap,
         "ripe": board.parked_heap,
         "cells": index.buckets,
