--- a/message_relay/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -1,4 +1,4 @@
-"""`journal`: what lies in a state folder. Reads only, also beside a relay that works in it."""
+"""The `journal` command: what a state directory holds. Reads only, also while a relay uses the directory."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import sys
 import time
 from collections import Counter
-from collections.abc import Iterator
 from pathlib import Path
 
 import click
@@ -14,10 +13,12 @@
 
 from ..store.errors import UnsupportedFormatError
 from ..store.file_store import DirectoryFileStore
-from ..store.records import RECORD_TYPE_LABELS, UNFINISHED_IDS_DECODER, Attempt, JournalEntry
-from ..store.recovery import RecordLine, RecoveredState, record_lines, recover
+from ..store.inspection import RecordLine, record_lines
+from ..store.records import RECORD_TYPE_LABELS, UNFINISHED_IDS_DECODER, Attempt, JournalEntry, RecordType
+from ..store.recovery import RecoveredState, recover
 
-NAMES = (
+# Names of a snapshot's fields in the output, in the order in which they are stored; the body comes last.
+SNAPSHOT_LABELS = (
     "class",
     "tenant",
     "dest",
@@ -32,24 +33,25 @@
     "after",
     "told",
     "from",
-)  # of a snapshot's fields, without the body
-TRIES = 5  # a relay may give up a segment between the look at the folder and the read of the file
+)
+MAX_READS = 5  # a relay may remove a segment between the listing of the directory and the read of the file
 
 
-class Reading(DirectoryFileStore):
-    """A folder in which nothing is ever written."""
+class ReadOnlyFileStore(DirectoryFileStore):
+    """A directory in which nothing is ever written."""
 
     def append(self, name: str, data: bytes) -> None:
+        """Raises OSError, as all calls that would write."""
         raise OSError("this is a tool that only reads")
 
     rename = unlink = append  # type: ignore[assignment]
 
 
-def found_in(folder: Path) -> RecoveredState:
-    """What a start would find. Ends the command where that can't be told."""
-    for _ in range(TRIES):
+def recover_state(folder: Path) -> RecoveredState:
+    """What a start would recover. Raises ClickException if it can't be read."""
+    for _ in range(MAX_READS):
         try:
-            return recover(Reading(folder))
+            return recover(ReadOnlyFileStore(folder))
         except FileNotFoundError:
             continue
         except (OSError, UnsupportedFormatError) as error:
@@ -57,30 +59,32 @@
     raise click.ClickException(f"{folder}: its segments change too quickly; try again")
 
 
-def lines_of(folder: Path) -> Iterator[RecordLine]:
-    for n in range(TRIES):
+def read_records(folder: Path) -> list[RecordLine]:
+    """All records in order. Raises ClickException if the segments change too quickly."""
+    for _ in range(MAX_READS):
         try:
-            yield from list(record_lines(Reading(folder)))
-            return
+            return list(record_lines(ReadOnlyFileStore(folder)))
         except FileNotFoundError:
-            if n + 1 == TRIES:
-                raise click.ClickException(f"{folder}: its segments change too quickly") from None
+            continue
+    raise click.ClickException(f"{folder}: its segments change too quickly")
 
 
-def told(line: RecordLine) -> str:
-    """What a record says, without the body."""
+def describe(line: RecordLine) -> str:
+    """What a record states, without the body."""
     if not line.is_readable:
         return "cannot be read"
-    if line.kind == "census":
-        owed = UNFINISHED_IDS_DECODER.decode(line.payload)
-        return f"{sum(map(len, owed.values()))} messages are owed something"
+    if line.kind == RECORD_TYPE_LABELS[RecordType.UNFINISHED_IDS]:
+        ids_by_origin = UNFINISHED_IDS_DECODER.decode(line.payload)
+        return f"{sum(map(len, ids_by_origin.values()))} messages are owed something"
     if not line.payload:
         return ""
     value = msgspec.msgpack.decode(line.payload)
-    if line.kind == "take":
-        *said, body = value
+    if line.kind == RECORD_TYPE_LABELS[RecordType.ACCEPTED]:
+        *fields, body = value
         pairs = [
-            f"{name}={got}" for name, got in zip(NAMES, said, strict=True) if got not in ("", None, 0, False)
+            f"{label}={field}"
+            for label, field in zip(SNAPSHOT_LABELS, fields, strict=True)
+            if field not in ("", None, 0, False)
         ]
         return " ".join([*pairs, f"body={len(body)}B"])
     return str(value)
@@ -99,15 +103,17 @@
 @FOLDER
 def verify(folder: Path) -> None:
     """Read all of it; 0 if it is well, 1 if there is damage, a line for each."""
-    begun, found = time.perf_counter(), found_in(folder)
-    took, size = time.perf_counter() - begun, sum(each.file_size for each in found.segments)
-    for text in found.findings:
+    started_s = time.perf_counter()
+    state = recover_state(folder)
+    elapsed_ms = (time.perf_counter() - started_s) * 1000
+    size = sum(segment.file_size for segment in state.segments)
+    for text in state.findings:
         click.echo(text)
     click.echo(
-        f"{len(found.segments)} segments, {size} bytes, {len(found.entries)} messages, "
-        f"{found.torn_bytes} bytes of a torn end, {len(found.findings)} findings, {took * 1000:.0f} ms"
+        f"{len(state.segments)} segments, {size} bytes, {len(state.entries)} messages, "
+        f"{state.torn_bytes} bytes of a torn end, {len(state.findings)} findings, {elapsed_ms:.0f} ms"
     )
-    sys.exit(1 if found.findings else 0)
+    sys.exit(1 if state.findings else 0)
 
 
 @journal.command()
@@ -116,26 +122,18 @@
 @JSON
 def show(folder: Path, ident: str, json_: bool) -> None:
     """Tell a message's whole history, and what a start would make of it; 1 if nothing names it."""
-    mine = [line for line in lines_of(folder) if line.message_id == ident]
-    entry = found_in(folder).entries.get(ident)
+    lines = [line for line in read_records(folder) if line.message_id == ident]
+    entry = recover_state(folder).entries.get(ident)
+    document = None if entry is None else _entry_document(entry)
     if json_:
-        now = None if entry is None else _entry_document(entry)
-        click.echo(
-            msgspec.json.encode(
-                {
-                    "records": [(line.segment, line.sequence, line.kind, told(line)) for line in mine],
-                    "now": now,
-                }
-            )
-        )
+        records = [(line.segment, line.sequence, line.kind, describe(line)) for line in lines]
+        click.echo(msgspec.json.encode({"records": records, "now": document}))
     else:
-        for line in mine:
-            click.echo(f"{line.segment} {line.sequence:8} {line.kind:7} {told(line)}")
-        if entry is not None:
-            click.echo(
-                "now: " + " ".join(f"{name}={value}" for name, value in _entry_document(entry).items())
-            )
-    sys.exit(0 if mine or entry is not None else 1)
+        for line in lines:
+            click.echo(f"{line.segment} {line.sequence:8} {line.kind:7} {describe(line)}")
+        if document is not None:
+            click.echo("now: " + " ".join(f"{name}={value}" for name, value in document.items()))
+    sys.exit(0 if lines or entry is not None else 1)
 
 
 # Keys of `journal show` that differ from the fields' names; scripts of operators read them.
@@ -179,24 +177,26 @@
 @JSON
 def stats(folder: Path, json_: bool) -> None:
     """Count what is there."""
-    found, kinds = found_in(folder), Counter[str]()
-    for line in lines_of(folder):
-        kinds[line.kind] += 1
-    told_ = {
-        "segments": len(found.segments),
-        "bytes": sum(each.file_size for each in found.segments),
-        "records": {label: kinds[label] for label in RECORD_TYPE_LABELS.values()},
-        "open": sum(not each.final_state for each in found.entries.values()),
-        "notices_owed": sum(each.needs_notification for each in found.entries.values()),
-        "ended": Counter(each.final_state for each in found.entries.values() if each.final_state),
+    state = recover_state(folder)
+    entries = state.entries.values()
+    record_counts = Counter(line.kind for line in read_records(folder))
+    document = {
+        "segments": len(state.segments),
+        "bytes": sum(segment.file_size for segment in state.segments),
+        "records": {label: record_counts[label] for label in RECORD_TYPE_LABELS.values()},
+        "open": sum(not entry.final_state for entry in entries),
+        "notices_owed": sum(entry.needs_notification for entry in entries),
+        "ended": Counter(entry.final_state for entry in entries if entry.final_state),
         "may_have_run": sum(
-            each.uncertain_attempt is not None for each in found.entries.values() if not each.final_state
+            entry.uncertain_attempt is not None for entry in entries if not entry.final_state
         ),
-        "body_bytes": sum(len(each.body) for each in found.entries.values()),
+        "body_bytes": sum(len(entry.body) for entry in entries),
     }
     if json_:
-        click.echo(msgspec.json.encode(told_))
-    else:
-        for name, value in told_.items():
-            shown = ", ".join(f"{k} {v}" for k, v in value.items()) if isinstance(value, dict) else value
-            click.echo(f"{name.replace('_', ' '):14} {shown}")
+        click.echo(msgspec.json.encode(document))
+        return
+    for name, value in document.items():
+        text = (
+            ", ".join(f"{key} {count}" for key, count in value.items()) if isinstance(value, dict) else value
+        )
+        click.echo(f"{name.replace('_', ' '):14} {text}")
--- a/message_relay/store/destination_snapshot.py
+++ b/message_relay/store/destination_snapshot.py
@@ -1,8 +1,7 @@
-"""What was learned of destinations, kept beside the journal for the next process.
+"""Snapshot of what a process knows of destinations, kept beside the journal for the next process.
 
-One small file, replaced whole: an old one or none costs service, not a promise. `{"version":1,"at":UNIX_MS,
-"lanes":[...]}`, each lane with the fields of interface.Learned. What cannot be read is passed over.
-"""
+One small file that is replaced as a whole; an old one or none costs service, not a promise. Its content is
+`{"version":1,"at":UNIX_MS,"lanes":[...]}`, one item a destination. What can't be read is ignored."""
 
 from __future__ import annotations
 
@@ -19,87 +18,105 @@
 log = logging.getLogger(__name__)
 
 VERSION = 1
-MAX_FILE_BYTES = 16 * 1024  # at most, so that it and its successor have room beside the journal
+FILE_NAME = "learned"
+MAX_FILE_BYTES = 16 * 1024  # so that it and its successor fit beside the journal
+RESERVED_BYTES = 64  # of the file, for all that is not in its items
 MAX_AGE_MS = 60_000.0  # older knowledge is no use: outages are shorter
 
 
-class _Lane(msgspec.Struct, forbid_unknown_fields=True):
+class _DestinationRecord(msgspec.Struct, forbid_unknown_fields=True):
+    """An item of the file; the encoded names and their order are the format."""
+
     destination: int
-    wait_ms: float
-    out: bool
-    bad_ms: float | None
-    cold_ms: float | None
+    retry_after_ms: float = msgspec.field(name="wait_ms")
+    is_ejected: bool = msgspec.field(name="out")
+    failing_for_ms: float | None = msgspec.field(name="bad_ms")
+    warming_up_for_ms: float | None = msgspec.field(name="cold_ms")
+
 
+class _Snapshot(msgspec.Struct, forbid_unknown_fields=True):
+    """The file; the encoded names and their order are the format."""
 
-class _File(msgspec.Struct, forbid_unknown_fields=True):
     version: int
-    at: float
-    lanes: list[_Lane]
+    written_at_ms: float = msgspec.field(name="at")
+    destinations: list[_DestinationRecord] = msgspec.field(name="lanes")
 
 
 class DestinationSnapshotFile:
+    """The file `learned` in a state directory."""
+
     def __init__(self, folder: Path) -> None:
-        self.path, self.temporary_path = folder / "learned", folder / "learned.new"
+        """`folder`: the state directory."""
+        self.path = folder / FILE_NAME
+        self.temporary_path = folder / f"{FILE_NAME}.new"
         self.destinations: list[RestoredDestination] = []  # as last written
 
     def load(self, now: float) -> list[RestoredDestination]:
-        """With the time since it was written taken into account; `now` in Unix ms. Never raises."""
+        """What the file holds, with the time since it was written added. Never raises.
+
+        `now`: Unix ms. Of a file that is too old only the waits count."""
         try:
-            raw: _File = msgspec.json.decode(self.path.read_bytes(), type=_File)
-            if raw.version != VERSION:
-                raise ValueError(f"version {raw.version} is not known, {VERSION} is")
-            age = max(0.0, now - raw.at)
-            lanes = [self._aged(lane, age) for lane in raw.lanes]
+            snapshot: _Snapshot = msgspec.json.decode(self.path.read_bytes(), type=_Snapshot)
+            if snapshot.version != VERSION:
+                raise ValueError(f"version {snapshot.version} is not known, {VERSION} is")
+            age_ms = max(0.0, now - snapshot.written_at_ms)
+            destinations = [_restore(record, age_ms) for record in snapshot.destinations]
         except FileNotFoundError:
             return []
         except (OSError, ValueError) as error:  # msgspec's own errors are ValueErrors
-            log.warning(LogEvent("what was learned is passed over", path=self.path, why=error))
+            log.warning(LogEvent("destination snapshot ignored", path=self.path, why=error))
             return []
-        return (
-            lanes
-            if age < MAX_AGE_MS
-            else [
-                replace(lane, is_ejected=False, failing_for_ms=None, warming_up_for_ms=None)
-                for lane in lanes
-                if lane.retry_after_ms > 0
-            ]
-        )
-
-    @staticmethod
-    def _record(restored: RestoredDestination) -> _Lane:
-        return _Lane(
-            restored.destination,
-            restored.retry_after_ms,
-            restored.is_ejected,
-            restored.failing_for_ms,
-            restored.warming_up_for_ms,
-        )
-
-    @staticmethod
-    def _aged(lane: _Lane, age: float) -> RestoredDestination:
-        return RestoredDestination(
-            lane.destination,
-            max(0.0, lane.wait_ms - age),
-            lane.out,
-            None if lane.bad_ms is None else lane.bad_ms + age,
-            None if lane.cold_ms is None else lane.cold_ms + age,
-        )
-
-    def save(self, now: float, lanes: list[RestoredDestination]) -> None:
-        """Only where there is something to tell, or was; what does not fit is left out. Never raises."""
-        if not lanes and not self.destinations:
+        if age_ms < MAX_AGE_MS:
+            return destinations
+        return [
+            replace(each, is_ejected=False, failing_for_ms=None, warming_up_for_ms=None)
+            for each in destinations
+            if each.retry_after_ms > 0
+        ]
+
+    def save(self, now: float, destinations: list[RestoredDestination]) -> None:
+        """Writes the file; what does not fit is left out. Never raises.
+
+        Nothing is written if there is nothing to state and there was nothing before. `now`: Unix ms."""
+        if not destinations and not self.destinations:
             return
-        self.destinations = lanes
-        items = [msgspec.json.encode(self._record(lane)) for lane in lanes]
-        head, size, kept = f'{{"version":{VERSION},"at":{now:.0f},"lanes":['.encode(), 64, list[bytes]()
-        for item in items:
-            size += len(item) + 1
-            if size > MAX_FILE_BYTES:
-                log.warning(LogEvent("lanes have no room", path=self.path, left_out=len(items) - len(kept)))
-                break
-            kept.append(item)
+        self.destinations = destinations
+        items = self._items_that_fit(destinations)
+        head = f'{{"version":{VERSION},"at":{now:.0f},"lanes":['.encode()
         try:
-            self.temporary_path.write_bytes(head + b",".join(kept) + b"]}")
+            self.temporary_path.write_bytes(head + b",".join(items) + b"]}")
             os.replace(self.temporary_path, self.path)
         except OSError as error:
-            log.warning(LogEvent("what was learned cannot be written", path=self.path, why=error))
+            log.warning(LogEvent("destination snapshot write failed", path=self.path, why=error))
+
+    def _items_that_fit(self, destinations: list[RestoredDestination]) -> list[bytes]:
+        items = [msgspec.json.encode(_record(each)) for each in destinations]
+        size = RESERVED_BYTES
+        for count, item in enumerate(items):
+            size += len(item) + 1
+            if size > MAX_FILE_BYTES:
+                left_out = len(items) - count
+                log.warning(LogEvent("destination snapshot truncated", path=self.path, left_out=left_out))
+                return items[:count]
+        return items
+
+
+def _record(restored: RestoredDestination) -> _DestinationRecord:
+    return _DestinationRecord(
+        restored.destination,
+        restored.retry_after_ms,
+        restored.is_ejected,
+        restored.failing_for_ms,
+        restored.warming_up_for_ms,
+    )
+
+
+def _restore(record: _DestinationRecord, age_ms: float) -> RestoredDestination:
+    """Raises ValueError if a time is not one."""
+    return RestoredDestination(
+        record.destination,
+        max(0.0, record.retry_after_ms - age_ms),
+        record.is_ejected,
+        None if record.failing_for_ms is None else record.failing_for_ms + age_ms,
+        None if record.warming_up_for_ms is None else record.warming_up_for_ms + age_ms,
+    )
--- a/message_relay/store/durability.py
+++ b/message_relay/store/durability.py
@@ -1,4 +1,4 @@
-"""What outlasts a power cut, and when: syncs on a thread of their own, many records with each.
+"""Syncs: which records outlast a power cut, and when. One thread syncs, many records with each call.
 
 | setting | what is on the disk after a power cut |
 | --- | --- |
@@ -6,9 +6,9 @@
 | interval | all but the last `sync_ms` and a sync: a message of that time may be lost, or sent again |
 | group | all that was promised: a 202, a first byte and a final answer wait for their sync |
 
-A segment is unlinked only when what was copied out of it is on the disk. A sync that fails may have lost
-what it was to write, and the next would not tell (the system forgets such pages): so all is written anew,
-elsewhere."""
+A segment is unlinked only once what was copied out of it is durable. A sync that fails may have lost what it
+was to write, and the next one would not report it (the system drops such pages): so all messages are written
+again, to another file."""
 
 from __future__ import annotations
 
@@ -18,36 +18,48 @@
 from collections import deque
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
+from typing import NamedTuple
 
 from ..structured_logging import LogEvent
 from .file_store import FileStore
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 0.2  # after a sync that failed
+RETRY_DELAY_S = 0.2  # after a sync that failed
+
+
+class SyncRound(NamedTuple):
+    """One sync."""
+
+    file_names: list[str]  # that it has to cover
+    sequence: int  # all records up to this one are durable after it
 
 
 class Durability:
+    """Knows up to which record the log is durable, and completes what waits for it."""
+
     def __init__(self, files: FileStore, sync_ms: float) -> None:
-        """`sync_ms`: between one sync and the next; 0: whenever something waits, and all wait for it."""
-        self.files, self.is_group_commit, self.interval_s = files, sync_ms <= 0, sync_ms / 1000
-        self.appended_sequence = self.durable_sequence = (
-            0  # sequence of the latest record that is appended, and that is safe
-        )
-        self.unsynced_files: dict[str, None] = {}  # files with records that are not
-        self.waiters: deque[tuple[int, asyncio.Future[None]]] = deque()
-        self.callbacks: deque[tuple[int, Callable[[], None]]] = deque()
-        self.wake = asyncio.Event()
-        self.on_sync_failed: Callable[[], None] = lambda: None  # writes all that is known once more
+        """`sync_ms`: between one sync and the next; 0: group commit, a sync whenever something waits."""
+        self.files = files
+        self.is_group_commit = sync_ms <= 0
+        self.interval_s = sync_ms / 1000
+        self.appended_sequence = 0  # of the latest record that is appended
+        self.durable_sequence = 0  # of the latest record that is durable
+        self.unsynced_files: dict[str, None] = {}
+        self.waiters: deque[tuple[int, asyncio.Future[None]]] = deque()  # (sequence, future) in order
+        self.callbacks: deque[tuple[int, Callable[[], None]]] = deque()  # (sequence, callback) in order
+        self.has_unsynced = asyncio.Event()
+        self.on_sync_failed: Callable[[], None] = lambda: None  # writes all messages again
         self.executor = ThreadPoolExecutor(1, "sync")
 
     def record_appended(self, name: str, sequence: int) -> None:
+        """Notes that a record was appended to a file."""
         self.unsynced_files[name] = None
         self.appended_sequence = sequence
-        self.wake.set()
+        self.has_unsynced.set()
 
     def barrier(self) -> asyncio.Future[None] | None:
-        """Done when all that is written by now outlasts a power cut; None: nothing has to wait."""
+        """A future that is done once all that is written by now is durable; None: nothing has to wait."""
         if not self.is_group_commit or self.durable_sequence >= self.appended_sequence:
             return None
         if self.waiters and self.waiters[-1][0] == self.appended_sequence:
@@ -56,64 +68,65 @@
         self.waiters.append((self.appended_sequence, future))
         return future
 
-    def call_when_durable(self, call: Callable[[], None]) -> None:
-        """Once what is written by now is safe."""
-        self.callbacks.append((self.appended_sequence, call))
+    def call_when_durable(self, callback: Callable[[], None]) -> None:
+        """Calls back once all that is written by now is durable."""
+        self.callbacks.append((self.appended_sequence, callback))
 
     async def run(self) -> None:
-        """Never ends by itself."""
+        """Syncs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await self.wake.wait()
+            await self.has_unsynced.wait()
             if not self.is_group_commit:
                 await asyncio.sleep(self.interval_s)
-            names, upto = self.start_sync()
+            sync_round = self.start_sync()
             try:
-                await loop.run_in_executor(self.executor, self.sync_files, names)
+                await loop.run_in_executor(self.executor, self.sync_files, sync_round.file_names)
             except OSError as error:
-                log.error(LogEvent("journal: a sync failed: all is written anew", why=error))
-                await asyncio.sleep(AGAIN_S)
+                log.error(LogEvent("journal sync failed", why=error))
+                await asyncio.sleep(RETRY_DELAY_S)
                 self.on_sync_failed()
-                self.wake.set()
+                self.has_unsynced.set()
                 continue
-            self.mark_durable(upto)
+            self.mark_durable(sync_round.sequence)
 
-    # -- one round, in three steps: a test takes them by itself ------------------------------------------
+    # -- one round, in three steps: a test makes them one by one -----------------------------------------
 
-    def start_sync(self) -> tuple[list[str], int]:
-        """Files that the next sync has to cover, and the record up to which all is safe then."""
-        self.wake.clear()
-        names, upto = list(self.unsynced_files), self.appended_sequence
+    def start_sync(self) -> SyncRound:
+        """Determines what the next sync has to cover."""
+        self.has_unsynced.clear()
+        sync_round = SyncRound(list(self.unsynced_files), self.appended_sequence)
         self.unsynced_files.clear()
-        return names, upto
+        return sync_round
 
-    def sync_files(self, names: list[str]) -> None:
-        """On the thread."""
-        for name in names:
-            with contextlib.suppress(FileNotFoundError):  # given up: what was in it lies in a later one
+    def sync_files(self, file_names: list[str]) -> None:
+        """Syncs these files; runs on the thread. Raises OSError."""
+        for name in file_names:
+            with contextlib.suppress(FileNotFoundError):  # retired: a later file has what was needed of it
                 self.files.sync(name)
 
-    def mark_durable(self, upto: int) -> None:
-        self.durable_sequence = upto
-        while self.waiters and self.waiters[0][0] <= upto:
-            future = self.waiters.popleft()[1]
+    def mark_durable(self, sequence: int) -> None:
+        """All records up to this one are durable: completes what waits for them."""
+        self.durable_sequence = sequence
+        while self.waiters and self.waiters[0][0] <= sequence:
+            _, future = self.waiters.popleft()
             if not future.done():
                 future.set_result(None)
-        while self.callbacks and self.callbacks[0][0] <= upto:
-            self.callbacks.popleft()[1]()
-
-    async def sync_remaining(self, seconds: float = 1.0) -> None:
-        """The last sync of a process that stops in an orderly way; takes no longer than told."""
-        work = asyncio.get_running_loop().run_in_executor(
-            self.executor, self.sync_files, list(self.unsynced_files)
-        )
+        while self.callbacks and self.callbacks[0][0] <= sequence:
+            _, callback = self.callbacks.popleft()
+            callback()
+
+    async def sync_remaining(self, timeout_s: float = 1.0) -> None:
+        """The last sync of a process that shuts down; a failure or time-out is logged."""
+        loop = asyncio.get_running_loop()
+        last_sync = loop.run_in_executor(self.executor, self.sync_files, list(self.unsynced_files))
         try:
-            await asyncio.wait_for(work, seconds)
+            await asyncio.wait_for(last_sync, timeout_s)
         except (OSError, TimeoutError) as error:
-            log.error(LogEvent("journal: the last sync did not come to its end", why=error))
+            log.error(LogEvent("journal final sync failed", why=error))
 
     def close(self) -> None:
-        """What still waits is never done: its promise was not made."""
+        """Cancels what still waits: its promise was not made."""
         for _, future in self.waiters:
             future.cancel()
         self.executor.shutdown(wait=False)
--- a/message_relay/store/file_store.py
+++ b/message_relay/store/file_store.py
@@ -1,6 +1,6 @@
-"""The one way from the store to the disk: a flat folder of files, each only ever appended to.
+"""Access of the store to the disk: a flat directory of files, each of which is only ever appended to.
 
-Tests put another `Files` in its place, which fails, shortens, loses or reorders any call
+Tests replace the directory by a model that fails, shortens, loses or reorders any call
 (tests/store/disk.py)."""
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 from typing import NamedTuple, Protocol
 
 READ_BYTES = 1 << 16  # a part that cannot be read costs no more than this of a file
+NO_DESCRIPTOR = -1
 
 
 class FileContent(NamedTuple):
@@ -20,44 +21,49 @@
 
 
 class FileStore(Protocol):
-    """Every call may raise OSError; then nothing has changed, but for what its text says."""
+    """A directory. Each call may raise OSError; then nothing has changed, unless its docstring says so."""
 
     def sizes(self) -> dict[str, int]:
-        """All files, in bytes."""
+        """The size of each file, in bytes."""
 
     def read(self, name: str) -> FileContent:
         """The content of a file."""
 
     def append(self, name: str, data: bytes) -> None:
-        """All of it or nothing; makes the file with its first bytes."""
+        """Appends all of the data or nothing; makes the file with its first bytes."""
 
     def rename(self, old: str, new: str) -> None:
-        """Replaces `new`, if it is there, at one stroke."""
+        """Renames a file; replaces `new` atomically if it exists."""
 
-    def unlink(self, name: str) -> None: ...
+    def unlink(self, name: str) -> None:
+        """Removes a file. Raises FileNotFoundError if there is none."""
 
     def sync(self, name: str) -> None:
-        """What was appended, and that the file is there, outlasts a power cut. May be called on a thread."""
+        """Makes the data and the name of a file durable. May be called on a thread."""
 
     def close(self) -> None:
-        """No call comes after it."""
+        """Ends the use of the store: no call comes after it."""
 
 
 class DirectoryFileStore:
-    """A real folder. Keeps the file open that was appended to last."""
+    """A directory of the file system. Keeps the file open that was appended to last."""
 
     def __init__(self, folder: Path) -> None:
+        """`folder`: an existing directory."""
         self.folder = folder
-        self.name, self.file, self.size = "", -1, 0
-        self.closed = False
-        self.named: set[str] = set()  # files that the folder itself is known to keep
+        self.open_name = ""
+        self.descriptor = NO_DESCRIPTOR
+        self.open_size = 0  # bytes of the open file
+        self.is_closed = False
+        self.durable_names: set[str] = set()  # files whose directory entries were synced
 
     def sizes(self) -> dict[str, int]:
-        with os.scandir(self.folder) as found:
-            return {item.name: item.stat().st_size for item in found if item.is_file(follow_symlinks=False)}
+        """The size of each regular file, in bytes."""
+        with os.scandir(self.folder) as items:
+            return {item.name: item.stat().st_size for item in items if item.is_file(follow_symlinks=False)}
 
     def read(self, name: str) -> FileContent:
-        """The content of a file, read in parts: a bad sector costs one part only."""
+        """Reads a file in parts: a bad sector costs one part only."""
         parts = list[bytes]()
         is_complete = True
         with open(self.folder / name, "rb", buffering=0) as file:
@@ -72,63 +78,70 @@
         return FileContent(b"".join(parts), is_complete)
 
     def append(self, name: str, data: bytes) -> None:
-        if self.closed:  # Guards whatever got the descriptor next against a late record
+        """Appends all of the data or nothing; makes the file with its first bytes."""
+        if self.is_closed:  # Guards the next user of the descriptor against a late record
             raise OSError("the store is closed")
-        if name != self.name:
+        if name != self.open_name:
             self._open(name)
         try:
-            written = os.write(self.file, data)
+            written = os.write(self.descriptor, data)
         except OSError:
-            self._shorten()
+            self._truncate()
             raise
         if written < len(data):
-            self._shorten()
+            self._truncate()
             raise OSError(f"only {written} of {len(data)} bytes could be written")
-        self.size += written
+        self.open_size += written
 
     def _open(self, name: str) -> None:
-        self._leave()
-        path = self.folder / name
-        self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-        self.name, self.size = name, os.fstat(self.file).st_size
-
-    def _shorten(self) -> None:
-        """Takes back what was written of a record: half of one must not stand before the next."""
+        self._close_file()
+        flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
+        self.descriptor = os.open(self.folder / name, flags, 0o600)
+        self.open_name = name
+        self.open_size = os.fstat(self.descriptor).st_size
+
+    def _truncate(self) -> None:
+        """Removes a partly written record: no other may follow it."""
         try:
-            os.ftruncate(self.file, self.size)
+            os.ftruncate(self.descriptor, self.open_size)
         except OSError:
-            self._leave()  # and the next append is to another file: see Journal._seal_broken
+            self._close_file()  # the log ends this segment (SegmentLog._account_failed_append)
             raise
 
-    def _leave(self) -> None:
-        if self.file >= 0:
-            os.close(self.file)
-        self.name, self.file = "", -1
+    def _close_file(self) -> None:
+        if self.descriptor != NO_DESCRIPTOR:
+            os.close(self.descriptor)
+        self.open_name = ""
+        self.descriptor = NO_DESCRIPTOR
 
     def rename(self, old: str, new: str) -> None:
-        if old == self.name:
-            self._leave()
+        """Renames a file; replaces `new` atomically if it exists."""
+        if old == self.open_name:
+            self._close_file()
         os.rename(self.folder / old, self.folder / new)
 
     def unlink(self, name: str) -> None:
-        if name == self.name:
-            self._leave()
+        """Removes a file. Raises FileNotFoundError if there is none."""
+        if name == self.open_name:
+            self._close_file()
         os.unlink(self.folder / name)
 
     def sync(self, name: str) -> None:
+        """Makes the data and the name of a file durable. May be called on a thread."""
         self._fsync(self.folder / name)
-        if name not in self.named:
+        if name not in self.durable_names:
             self._fsync(self.folder)
-            self.named = {name, *self.named.intersection(os.listdir(self.folder))}
+            self.durable_names = {name, *self.durable_names.intersection(os.listdir(self.folder))}
 
     @staticmethod
     def _fsync(path: Path) -> None:
-        file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+        descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            os.fsync(file)
+            os.fsync(descriptor)
         finally:
-            os.close(file)
+            os.close(descriptor)
 
     def close(self) -> None:
-        self._leave()
-        self.closed = True
+        """Closes the open file; later appends fail."""
+        self._close_file()
+        self.is_closed = True
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -1,7 +1,7 @@
-"""The one file `journal` of earlier versions (format 1): a line each record, a checksum and a JSON object.
+"""Format 1, the one file `journal` of earlier versions: a line a record, with a checksum and a JSON object.
 
-Read once, at the first start of this version; what it holds is written as a segment, which takes its place
-at one stroke. A record that can't be read is taken at its worst, as in recovery.py."""
+It is read once, at the first start of this version (upgrade.py). A record that can't be read is assumed to
+have stated the worst, as in recovery.py."""
 
 from __future__ import annotations
 
@@ -25,107 +25,112 @@
 
 FILE_NAME = "journal"
 NAMES = (FILE_NAME, "journal.new")
-IDENT = re.compile(rb'"id":"((?:[^"\\]|\\.){1,400})"')
+CHECKSUM_DIGITS = 8
+MESSAGE_ID = re.compile(rb'"id":"((?:[^"\\]|\\.){1,400})"')
 
-KINDS = {
+RECORD_TYPES = {
     "try": RecordType.ATTEMPT,
     "out": RecordType.OUTCOME,
     "end": RecordType.FINAL_OUTCOME,
     "told": RecordType.NOTIFIED,
 }
-Tuple = tuple[float, str, int]
+AttemptTuple = tuple[float, str, int]  # start (Unix ms), endpoint, zone
 
 
 class Line(msgspec.Struct):
-    k: str
+    """A record of any kind; the encoded names are those of the format."""
+
+    kind: str = msgspec.field(name="k")
     id: str
-    class_: str = msgspec.field(name="class", default="")
+    class_name: str = msgspec.field(name="class", default="")
     tenant: str = ""
-    dest: int = 0
+    destination: int = msgspec.field(name="dest", default=0)
     key: str | None = None
-    since: float = 0.0
-    due: float = 0.0
-    again: str = ""
-    tries: int = 0
-    out: Tuple | None = None
-    risk: Tuple | None = None
-    end: str = ""
-    after: float = 0.0
-    told: bool = False
+    accepted_at_ms: float = msgspec.field(name="since", default=0.0)
+    deadline_ms: float = msgspec.field(name="due", default=0.0)
+    resubmission: str = msgspec.field(name="again", default="")
+    attempt_count: int = msgspec.field(name="tries", default=0)
+    attempt_in_flight: AttemptTuple | None = msgspec.field(name="out", default=None)
+    uncertain_attempt: AttemptTuple | None = msgspec.field(name="risk", default=None)
+    final_state: str = msgspec.field(name="end", default="")
+    retry_after_ms: float = msgspec.field(name="after", default=0.0)
+    is_notified: bool = msgspec.field(name="told", default=False)
     origin: str = msgspec.field(name="from", default="http")
     body: str = ""
-    at: float = 0.0
-    ep: str = ""
+    started_at_ms: float = msgspec.field(name="at", default=0.0)
+    endpoint: str = msgspec.field(name="ep", default="")
     zone: int = 0
-    ran: bool = False
+    may_have_run: bool = msgspec.field(name="ran", default=False)
     state: str = ""
 
 
-def _line(text: bytes) -> Line:
-    """ValueError if it is not a whole record as it was written."""
-    check, _, rest = text.partition(b" ")
-    if len(check) != 8 or int(check, 16) != zlib.crc32(rest):
-        raise ValueError("the checksum does not match")
-    return msgspec.json.decode(rest, type=Line, strict=False)
-
-
-def _attempt(raw: Tuple | None) -> Attempt | None:
-    return None if raw is None else Attempt(*raw)
-
-
-def _apply(entries: dict[str, JournalEntry], line: Line) -> None:
-    if line.k == "take":
-        entries[line.id] = JournalEntry(
-            line.id,
-            line.class_,
-            line.tenant,
-            line.dest,
-            line.key,
-            line.since,
-            line.due,
-            line.again,
-            base64.b64decode(line.body),
-            line.tries,
-            _attempt(line.out),
-            _attempt(line.risk),
-            line.end,
-            line.after,
-            line.told,
-            line.origin,
-        )
-    elif line.k == "drop":
-        del entries[line.id]
-    else:
-        payloads = {
-            "try": AttemptRecord(round(line.at), line.ep, line.zone),
-            "out": line.ran,
-            "end": FinalOutcomeRecord(line.state, line.after),
-            "told": None,
-        }
-        apply_record(entries[line.id], KINDS[line.k], encode_payload(payloads[line.k]))
-
-
 def read(data: bytes) -> tuple[dict[str, JournalEntry], list[str]]:
-    """What the file says, and each fault of it as a line."""
+    """The messages of the file, and a line for each damage of it."""
     entries: dict[str, JournalEntry] = {}
     findings: list[str] = []
-    hurt: dict[str, None] = {}
-    for number, text in enumerate(data[: data.rfind(b"\n") + 1].splitlines(), 1):
+    corrupt_ids: dict[str, None] = {}
+    complete_lines = data[: data.rfind(b"\n") + 1].splitlines()
+    for number, text in enumerate(complete_lines, 1):
         try:
-            _apply(entries, _line(text))
+            _apply(entries, _decode_line(text))
         except (ValueError, KeyError) as error:
             findings.append(f"journal: record {number} cannot be used: {error!r}")
             for entry in entries.values():
                 assume_attempted(entry)
-            if (found := IDENT.search(text)) is not None:
-                hurt[found[1].decode(errors="replace")] = None
-    for ident in hurt:
-        if ident not in entries:
-            entries[ident] = failed_entry(ident)
+            if (match := MESSAGE_ID.search(text)) is not None:
+                corrupt_ids[match[1].decode(errors="replace")] = None
+    for message_id in corrupt_ids:
+        if message_id not in entries:
+            entries[message_id] = failed_entry(message_id)
     for entry in entries.values():
-        if entry.attempt_in_flight is not None:
-            entry.uncertain_attempt, entry.attempt_in_flight = (
-                entry.uncertain_attempt or entry.attempt_in_flight,
-                None,
-            )
+        entry.assume_in_flight_has_run()
     return entries, findings
+
+
+def _decode_line(text: bytes) -> Line:
+    """Raises ValueError if it is not a complete record as it was written."""
+    checksum, _, document = text.partition(b" ")
+    if len(checksum) != CHECKSUM_DIGITS or int(checksum, 16) != zlib.crc32(document):
+        raise ValueError("the checksum does not match")
+    return msgspec.json.decode(document, type=Line, strict=False)
+
+
+def _apply(entries: dict[str, JournalEntry], line: Line) -> None:
+    """Applies a record. Raises KeyError if its message is not known, ValueError if it can't be used."""
+    if line.kind == "take":
+        entries[line.id] = _entry(line)
+    elif line.kind == "drop":
+        del entries[line.id]
+    else:
+        payloads = {
+            "try": AttemptRecord(round(line.started_at_ms), line.endpoint, line.zone),
+            "out": line.may_have_run,
+            "end": FinalOutcomeRecord(line.state, line.retry_after_ms),
+            "told": None,
+        }
+        apply_record(entries[line.id], RECORD_TYPES[line.kind], encode_payload(payloads[line.kind]))
+
+
+def _entry(line: Line) -> JournalEntry:
+    return JournalEntry(
+        line.id,
+        line.class_name,
+        line.tenant,
+        line.destination,
+        line.key,
+        line.accepted_at_ms,
+        line.deadline_ms,
+        line.resubmission,
+        base64.b64decode(line.body),
+        line.attempt_count,
+        _attempt(line.attempt_in_flight),
+        _attempt(line.uncertain_attempt),
+        line.final_state,
+        line.retry_after_ms,
+        line.is_notified,
+        line.origin,
+    )
+
+
+def _attempt(fields: AttemptTuple | None) -> Attempt | None:
+    return None if fields is None else Attempt(*fields)
--- a/message_relay/store/record_format.py
+++ b/message_relay/store/record_format.py
@@ -1,4 +1,4 @@
-"""How segments and records lie in bytes. No I/O: bytes in, pieces out.
+"""The byte format of segments and records (format 2). No I/O: bytes in, records and damage out.
 
 A segment begins with its header, twice:
 
@@ -6,17 +6,17 @@
     u32 length and u32 checksum of the segment before it (0 and 0: it is the first)  u32 salt  u32 checksum
 
 A record is a frame. All checksums of frames are CRC-32 that begin with the segment's salt: bytes that a
-client put into a body cannot pass for a frame when damage has the reader look for the next one.
+client put into a body cannot pass for a frame when damage makes the reader search for the next one.
 
     u16 magic  u8 kind  u8 length of id  u32 length of payload  u64 sequence
     id  u32 checksum of all before
     payload  u32 checksum of the payload
     id  u8 length of id  u8 kind  u32 checksum of these three
 
-The id stands on both sides of the payload with checksums of its own, since a record that can't be read still
-concerns somebody: where only one of the ends is well, it is known whom. Records are numbered without gaps
-over all segments, so that it is known how many are missing. What is not whole at the very end of the last
-segment is the torn tail of a write that nobody was told of; the same in any other place is damage."""
+The id is on both sides of the payload with checksums of its own, since a record that can't be read still
+concerns a message: where only one of the ends is intact, it is known which. Records are numbered without gaps
+over all segments, so that it is known how many are missing. An incomplete record at the very end of the last
+segment is a torn write, which nobody was notified of; the same in any other place is damage."""
 
 from __future__ import annotations
 
@@ -28,29 +28,33 @@
 
 from .errors import UnsupportedFormatError
 
-VERSION = 2  # 1: the one file `journal` (legacy.py)
+VERSION = 2  # 1: the one file `journal` (format_v1.py)
 MAGIC = b"LNST"
 HEADER = struct.Struct("<4sHHQQIII")
-CHECK = struct.Struct("<I")
-HEADER_BYTES = 2 * (HEADER.size + CHECK.size)
-MARK = 0xC5A9
-MARK_BYTES = MARK.to_bytes(2, "little")
-HEAD = struct.Struct("<HBBIQ")
-TAIL = struct.Struct("<BBI")
-FRAME_BYTES = HEAD.size + 2 * CHECK.size + TAIL.size  # and twice the id, and the payload
-PAYLOAD_BYTES = 1 << 20  # no payload is longer: a length above it is damage
+CHECKSUM = struct.Struct("<I")
+HEADER_COPY_BYTES = HEADER.size + CHECKSUM.size
+HEADER_BYTES = 2 * HEADER_COPY_BYTES
+FRAME_MARK = 0xC5A9
+FRAME_MARK_BYTES = FRAME_MARK.to_bytes(2, "little")
+FRAME_HEAD = struct.Struct("<HBBIQ")
+FRAME_TAIL = struct.Struct("<BBI")
+FRAME_FIXED_BYTES = FRAME_HEAD.size + 2 * CHECKSUM.size + FRAME_TAIL.size  # without the ids and the payload
+MAX_PAYLOAD_BYTES = 1 << 20  # no payload is longer: a length above it is damage
 
 
 @dataclass(frozen=True, slots=True)
 class Header:
+    """The header of a segment."""
+
     segment_number: int
-    first_sequence: int  # sequence of its first record
-    previous_size: int
-    previous_checksum: int
+    first_sequence: int  # of its first record
+    previous_size: int  # bytes of the segment before it that count
+    previous_checksum: int  # of these
     salt: int
 
     def encode(self) -> bytes:
-        one = HEADER.pack(
+        """Both copies, with their checksums."""
+        copy = HEADER.pack(
             MAGIC,
             VERSION,
             0,
@@ -60,56 +64,61 @@
             self.previous_checksum,
             self.salt,
         )
-        return 2 * (one + CHECK.pack(crc32(one)))
+        return 2 * (copy + CHECKSUM.pack(crc32(copy)))
 
 
 def decode_header(data: bytes) -> Header | None:
-    """From whichever copy is well; None: neither. Raises NewerFormat."""
-    for at in (0, HEADER_BYTES // 2):
-        one = data[at : at + HEADER.size]
-        check = data[at + HEADER.size : at + HEADER_BYTES // 2]
-        if len(check) < CHECK.size or CHECK.unpack(check)[0] != crc32(one):
+    """Decodes whichever copy is intact; None if neither is. Raises UnsupportedFormatError."""
+    for offset in (0, HEADER_COPY_BYTES):
+        copy = data[offset : offset + HEADER.size]
+        checksum = data[offset + HEADER.size : offset + HEADER_COPY_BYTES]
+        if len(checksum) < CHECKSUM.size or CHECKSUM.unpack(checksum)[0] != crc32(copy):
             continue
-        magic, version, _, *rest = HEADER.unpack(one)
+        magic, version, _, *fields = HEADER.unpack(copy)
         if magic == MAGIC and version > VERSION:
             raise UnsupportedFormatError(f"its format is {version}, and this program knows {VERSION} at most")
         if magic == MAGIC:
-            return Header(*rest)
+            return Header(*fields)
     return None
 
 
 def salvage_header(data: bytes, number: int, sequence: int) -> Header | None:
-    """Where both copies of a header are hurt: the salt is right under which frames are well. `sequence`: of
-    the first record that is expected."""
-    for at in (0, HEADER_BYTES // 2):
-        raw = data[at : at + HEADER.size]
-        if len(raw) == HEADER.size:
-            salt = HEADER.unpack(raw)[-1]
-            if _next(data, salt, 0, HEADER_BYTES) is not None:
+    """Reconstructs a header of which both copies are corrupt: a salt is right if frames are intact under it.
+
+    `sequence`: of the first record that is expected."""
+    for offset in (0, HEADER_COPY_BYTES):
+        copy = data[offset : offset + HEADER.size]
+        if len(copy) == HEADER.size:
+            salt = HEADER.unpack(copy)[-1]
+            if _find_frame(data, salt, 0, HEADER_BYTES) is not None:
                 return Header(number, sequence, 0, 0, salt)
     return None
 
 
-def encode_frame(salt: int, sequence: int, kind: int, ident: bytes, payload: bytes) -> bytes:
-    head = HEAD.pack(MARK, kind, len(ident), len(payload), sequence) + ident
-    ends = ident + bytes((len(ident), kind))
+def encode_frame(salt: int, sequence: int, kind: int, message_id: bytes, payload: bytes) -> bytes:
+    """The bytes of a record."""
+    head = FRAME_HEAD.pack(FRAME_MARK, kind, len(message_id), len(payload), sequence) + message_id
+    tail = message_id + bytes((len(message_id), kind))
     return b"".join(
         (
             head,
-            CHECK.pack(crc32(head, salt)),
+            CHECKSUM.pack(crc32(head, salt)),
             payload,
-            CHECK.pack(crc32(payload, salt)),
-            ends,
-            CHECK.pack(crc32(ends, salt)),
+            CHECKSUM.pack(crc32(payload, salt)),
+            tail,
+            CHECKSUM.pack(crc32(tail, salt)),
         )
     )
 
 
-def frame_size(ident: int, payload: int) -> int:
-    return FRAME_BYTES + 2 * ident + payload
+def frame_size(id_size: int, payload_size: int) -> int:
+    """Bytes of a record's frame."""
+    return FRAME_FIXED_BYTES + 2 * id_size + payload_size
 
 
 class Record(NamedTuple):
+    """A record whose checksums match."""
+
     sequence: int
     kind: int
     message_id: bytes
@@ -120,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CorruptRecord:
-    """One record whose payload can't be read: whom it concerns, and of which kind it was, is known."""
+    """A record whose payload can't be read; its message and kind are known."""
 
     sequence: int
     kind: int
@@ -131,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRange:
-    """Bytes that can't be read at all, and how many records were in them, at least as far as can be told."""
+    """Bytes of which nothing can be read, and how many records were in them at least."""
 
     offset: int
     end: int
@@ -140,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TornWrite:
-    """The end of the last write, which did not become whole."""
+    """The last write, which was not completed."""
 
     offset: int
     end: int
@@ -149,86 +158,120 @@
 ScanResult = Record | CorruptRecord | UnreadableRange | TornWrite
 
 
+class _FrameHead(NamedTuple):
+    """An intact head of a frame; offsets into the segment. The frame may end behind the segment."""
+
+    offset: int
+    sequence: int
+    kind: int
+    payload_start: int
+    payload_end: int
+    end: int
+
+
+class _FrameTail(NamedTuple):
+    """An intact tail of a frame."""
+
+    kind: int
+    message_id: bytes
+
+
 def scan_records(
-    data: bytes, salt: int, sequence: int, last: bool, at: int = HEADER_BYTES
+    data: bytes, salt: int, sequence: int, is_last: bool, offset: int = HEADER_BYTES
 ) -> Iterator[ScanResult]:
-    """Everything behind the header. `sequence`: that of the first record; `last`: it may have a torn tail."""
-    size, unpack, crc = len(data), HEAD.unpack_from, crc32
-    while at < size:
-        whole = None
-        if at + HEAD.size <= size:
-            mark, kind, length, payload, number = unpack(data, at)
-            begin = at + HEAD.size + length + 4
-            end = begin + payload + 4 + length + TAIL.size
-            if (
-                mark == MARK
-                and payload <= PAYLOAD_BYTES
-                and begin <= size
-                and CHECK.unpack_from(data, begin - 4)[0] == crc(data[at : begin - 4], salt)
-            ):
-                whole = end <= size
-        if whole and number == sequence:
-            body, ident = data[begin : begin + payload], data[at + HEAD.size : begin - 4]
-            if CHECK.unpack_from(data, begin + payload)[0] == crc(body, salt):
-                yield Record(number, kind, ident, body, at, end)
-            else:
-                yield CorruptRecord(number, kind, ident, at, end)
-            at, sequence = end, sequence + 1
-            continue
-        if whole is False and last and number == sequence:
-            yield TornWrite(at, size)
+    """Yields everything that follows the header, in order.
+
+    `sequence`: of the first record; `is_last`: it is the last segment, which may end in a torn write."""
+    size = len(data)
+    while offset < size:
+        head = _frame_head_at(data, salt, offset)
+        is_complete = head is not None and head.end <= size
+        if head is not None and head.sequence == sequence:
+            if is_complete:
+                yield _decode_record(data, salt, head)
+                offset = head.end
+                sequence += 1
+                continue
+            if is_last:
+                yield TornWrite(offset, size)
+                return
+        following = _find_frame(data, salt, sequence, offset if is_complete else offset + 1)
+        if following is None:
+            yield _unreadable_end(data, salt, sequence, is_last, offset)
             return
-        found = _next(data, salt, sequence, at + (whole is not True))
-        if found is None:
-            yield from _rest(data, salt, sequence, last, at)
-            return
-        then, number = found
-        hurt = _tail_before(data, salt, then, at)
-        if hurt is not None and number == sequence + 1:
-            yield CorruptRecord(sequence, hurt[0], hurt[1], at, then)
-        else:
-            if hurt is not None:
-                yield UnreadableRange(at, then, number - sequence - 1)
-                yield CorruptRecord(number - 1, hurt[0], hurt[1], then, then)
-            else:
-                yield UnreadableRange(at, then, number - sequence)
-        at, sequence = then, number
-
-
-def _rest(data: bytes, salt: int, sequence: int, last: bool, at: int) -> Iterator[ScanResult]:
-    """Nothing whole comes any more."""
-    hurt = _tail_before(data, salt, len(data), at)
-    if hurt is not None:  # a whole record was there: this is no torn write
-        yield CorruptRecord(sequence, hurt[0], hurt[1], at, len(data))
-    elif last:
-        yield TornWrite(at, len(data))
+        yield from _unreadable_between(data, salt, sequence, offset, following)
+        offset = following.offset
+        sequence = following.sequence
+
+
+def _frame_head_at(data: bytes, salt: int, offset: int) -> _FrameHead | None:
+    """The head of the frame that begins at this offset, if one does and its checksum matches."""
+    if offset + FRAME_HEAD.size > len(data):
+        return None
+    mark, kind, id_size, payload_size, sequence = FRAME_HEAD.unpack_from(data, offset)
+    payload_start = offset + FRAME_HEAD.size + id_size + CHECKSUM.size
+    if mark != FRAME_MARK or payload_size > MAX_PAYLOAD_BYTES or payload_start > len(data):
+        return None
+    checksum_offset = payload_start - CHECKSUM.size
+    if CHECKSUM.unpack_from(data, checksum_offset)[0] != crc32(data[offset:checksum_offset], salt):
+        return None
+    payload_end = payload_start + payload_size
+    end = payload_end + CHECKSUM.size + id_size + FRAME_TAIL.size
+    return _FrameHead(offset, sequence, kind, payload_start, payload_end, end)
+
+
+def _decode_record(data: bytes, salt: int, head: _FrameHead) -> Record | CorruptRecord:
+    """The record of a frame that is in the segment up to its end."""
+    message_id = data[head.offset + FRAME_HEAD.size : head.payload_start - CHECKSUM.size]
+    payload = data[head.payload_start : head.payload_end]
+    if CHECKSUM.unpack_from(data, head.payload_end)[0] != crc32(payload, salt):
+        return CorruptRecord(head.sequence, head.kind, message_id, head.offset, head.end)
+    return Record(head.sequence, head.kind, message_id, payload, head.offset, head.end)
+
+
+def _unreadable_between(
+    data: bytes, salt: int, sequence: int, offset: int, following: _FrameHead
+) -> Iterator[ScanResult]:
+    """What is known of the bytes before the next intact frame; `sequence`: of the record expected there."""
+    end = following.offset
+    lost_records = following.sequence - sequence
+    tail = _frame_tail_before(data, salt, end, offset)
+    if tail is None:
+        yield UnreadableRange(offset, end, lost_records)
+    elif lost_records == 1:
+        yield CorruptRecord(sequence, tail.kind, tail.message_id, offset, end)
     else:
-        yield UnreadableRange(at, len(data), 1)
-
-
-def _next(data: bytes, salt: int, sequence: int, at: int) -> tuple[int, int] | None:
-    """Where the next frame begins whose head is well and comes later in the order; and its number."""
-    while (at := data.find(MARK_BYTES, at)) >= 0:
-        if at + HEAD.size <= len(data):
-            _, _, length, payload, number = HEAD.unpack_from(data, at)
-            begin = at + HEAD.size + length + 4
-            if (
-                payload <= PAYLOAD_BYTES
-                and begin <= len(data)
-                and number >= sequence
-                and CHECK.unpack_from(data, begin - 4)[0] == crc32(data[at : begin - 4], salt)
-            ):
-                return at, number
-        at += 1
+        yield UnreadableRange(offset, end, lost_records - 1)
+        yield CorruptRecord(following.sequence - 1, tail.kind, tail.message_id, end, end)
+
+
+def _unreadable_end(data: bytes, salt: int, sequence: int, is_last: bool, offset: int) -> ScanResult:
+    """What is known of the bytes after which no intact frame follows."""
+    end = len(data)
+    tail = _frame_tail_before(data, salt, end, offset)
+    if tail is not None:  # a complete record was there: this is no torn write
+        return CorruptRecord(sequence, tail.kind, tail.message_id, offset, end)
+    if is_last:
+        return TornWrite(offset, end)
+    return UnreadableRange(offset, end, 1)
+
+
+def _find_frame(data: bytes, salt: int, sequence: int, offset: int) -> _FrameHead | None:
+    """The next frame from this offset on whose head is intact and whose sequence is not below `sequence`."""
+    while (offset := data.find(FRAME_MARK_BYTES, offset)) >= 0:
+        head = _frame_head_at(data, salt, offset)
+        if head is not None and head.sequence >= sequence:
+            return head
+        offset += 1
     return None
 
 
-def _tail_before(data: bytes, salt: int, end: int, least: int) -> tuple[int, bytes] | None:
-    """Kind and id of the record that ends there, by its tail."""
-    if end - TAIL.size < least:
+def _frame_tail_before(data: bytes, salt: int, end: int, lowest_offset: int) -> _FrameTail | None:
+    """The tail of the frame that ends there, if one does and its checksum matches."""
+    if end - FRAME_TAIL.size < lowest_offset:
         return None
-    length, kind, check = TAIL.unpack_from(data, end - TAIL.size)
-    begin = end - TAIL.size - length
-    if begin < least or check != crc32(data[begin : end - 4], salt):
+    id_size, kind, checksum = FRAME_TAIL.unpack_from(data, end - FRAME_TAIL.size)
+    start = end - FRAME_TAIL.size - id_size
+    if start < lowest_offset or checksum != crc32(data[start : end - CHECKSUM.size], salt):
         return None
-    return kind, data[begin : begin + length]
+    return _FrameTail(kind, data[start : start + id_size])
--- a/message_relay/store/records.py
+++ b/message_relay/store/records.py
@@ -1,4 +1,4 @@
-"""What records say, and what each does to what is known of its message. No I/O."""
+"""Content of the records, and what each changes in the state of its message. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 import msgspec
 
 UNKNOWN_ENDPOINT = "?"  # an endpoint that no record names: no endpoint has this name
+UNKNOWN_ZONE = -1
+DEFAULT_ORIGIN = "http"
 
 
 class RecordType(IntEnum):
-    ACCEPTED = 1  # all that is known of a message: at its start, and again when its segment is given up
+    """Kind of a record; the number is stored."""
+
+    ACCEPTED = 1  # a snapshot of a message: when it is accepted, and again when it is copied
     ATTEMPT = 2
-    OUTCOME = 3
+    OUTCOME = 3  # of an attempt
     FINAL_OUTCOME = 4
     NOTIFIED = 5
     CANCELLED = 6
-    UNFINISHED_IDS = 7  # the ids of all messages that are owed something, at the beginning of a segment
+    UNFINISHED_IDS = 7  # the ids of all unfinished messages, at the start of a segment
 
 
 # Words for record types in the output of the `journal` commands: scripts of operators compare them.
@@ -31,81 +35,101 @@
     RecordType.UNFINISHED_IDS: "census",
 }
 
-TRY, OUT, END, TOLD = (
-    int(RecordType.ATTEMPT),
-    int(RecordType.OUTCOME),
-    int(RecordType.FINAL_OUTCOME),
-    int(RecordType.NOTIFIED),
-)  # compared for each record
+# Plain integers, since they are compared for each record.
+ATTEMPT = int(RecordType.ATTEMPT)
+OUTCOME = int(RecordType.OUTCOME)
+FINAL_OUTCOME = int(RecordType.FINAL_OUTCOME)
+NOTIFIED = int(RecordType.NOTIFIED)
 
 
 @dataclass(slots=True)
 class Attempt:
+    """An attempt to deliver a message."""
+
     started_at_ms: float  # Unix ms, right before its first byte
     endpoint: str
     zone: int
-    uptime_ms: float = -1.0  # the same moment on the system's clock that never steps, in ms; -1: not known
+    uptime_ms: float = -1.0  # the same moment on the system's monotonic clock; -1: not known
 
 
 @dataclass(slots=True)
 class JournalEntry:
-    """A message taken on: what a client said of it, and what has become of it."""
+    """An accepted message: what the client submitted, and its state."""
 
     id: str
     class_name: str
     tenant: str
     destination: int
     key: str | None
-    accepted_at_ms: float  # Unix ms, when it came in
-    deadline_ms: float
+    accepted_at_ms: float  # Unix ms
+    deadline_ms: float  # Unix ms
     resubmission: str
     body: bytes
     attempt_count: int = 0
     attempt_in_flight: Attempt | None = None
     uncertain_attempt: Attempt | None = None  # the first attempt that may have run
-    final_state: str = ""  # how it ended: delivered, failed, returned or over
+    final_state: str = ""  # delivered, failed, returned or over; empty: not finished
     retry_after_ms: float = 0.0
-    is_notified: bool = False  # the platform has its notice
-    origin: str = "http"  # the front by which it came
+    is_notified: bool = False  # the platform has confirmed the notification
+    origin: str = DEFAULT_ORIGIN  # the intake by which it was submitted
 
     @property
     def needs_notification(self) -> bool:
+        """Whether the platform must still be notified of its outcome."""
         return self.final_state in ("failed", "returned") and not self.is_notified
 
     @property
     def is_unfinished(self) -> bool:
-        """Something is still to be done about it."""
+        """Whether anything is still to be done for it."""
         return not self.final_state or self.needs_notification
 
+    def assume_in_flight_has_run(self) -> None:
+        """The attempt in flight, if any, has no known outcome: it may have run."""
+        if self.attempt_in_flight is not None:
+            self.uncertain_attempt = self.uncertain_attempt or self.attempt_in_flight
+            self.attempt_in_flight = None
+
+    def set_final_outcome(self, final_state: str, retry_after_ms: float) -> None:
+        """Finishes the message, which needs its body no more."""
+        self.final_state = final_state
+        self.retry_after_ms = retry_after_ms
+        self.body = b""
+
 
 class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
-    at: int
+    """Payload of an attempt; stored as an array, so that order and types are the format."""
+
+    started_at_ms: int
     endpoint: str
     zone: int
-    up: int = -1  # journals of earlier versions have none; those versions pass it over
+    uptime_ms: int = -1  # journals of earlier versions have none; those versions ignore it
 
 
 class AcceptedRecord(msgspec.Struct, array_like=True, frozen=True):
-    class_: str
+    """Payload of a snapshot; stored as an array, so that order and types are the format."""
+
+    class_name: str
     tenant: str
-    dest: int
+    destination: int
     key: str | None
-    since: int
-    due: int
-    again: str
-    tries: int
-    out: AttemptRecord | None
-    risk: AttemptRecord | None
-    end: str
-    after_ms: float
-    told: bool
+    accepted_at_ms: int
+    deadline_ms: int
+    resubmission: str
+    attempt_count: int
+    attempt_in_flight: AttemptRecord | None
+    uncertain_attempt: AttemptRecord | None
+    final_state: str
+    retry_after_ms: float
+    is_notified: bool
     origin: str
     body: bytes
 
 
 class FinalOutcomeRecord(msgspec.Struct, array_like=True, frozen=True):
-    state: str
-    after_ms: float
+    """Payload of a final outcome; stored as an array, so that order and types are the format."""
+
+    final_state: str
+    retry_after_ms: float
 
 
 encode_payload = msgspec.msgpack.Encoder().encode
@@ -113,22 +137,24 @@
 ACCEPTED_DECODER: Decoder[AcceptedRecord] = Decoder(AcceptedRecord)
 ATTEMPT_DECODER: Decoder[AttemptRecord] = Decoder(AttemptRecord)
 FINAL_OUTCOME_DECODER: Decoder[FinalOutcomeRecord] = Decoder(FinalOutcomeRecord)
-OUTCOME_DECODER: Decoder[bool] = Decoder(bool)
-UNFINISHED_IDS_DECODER: Decoder[dict[str, list[str]]] = Decoder(dict[str, list[str]])  # front -> ids
+OUTCOME_DECODER: Decoder[bool] = Decoder(bool)  # whether the attempt may have run
+UNFINISHED_IDS_DECODER: Decoder[dict[str, list[str]]] = Decoder(dict[str, list[str]])  # intake -> ids
 
 
-def _flat(attempt: Attempt | None) -> AttemptRecord | None:
+def _encode_attempt(attempt: Attempt | None) -> AttemptRecord | None:
     if attempt is None:
         return None
     return AttemptRecord(int(attempt.started_at_ms), attempt.endpoint, attempt.zone, int(attempt.uptime_ms))
 
 
-def _attempt(tried: AttemptRecord | None) -> Attempt | None:
-    return None if tried is None else Attempt(float(tried.at), tried.endpoint, tried.zone, float(tried.up))
+def _decode_attempt(record: AttemptRecord | None) -> Attempt | None:
+    if record is None:
+        return None
+    return Attempt(float(record.started_at_ms), record.endpoint, record.zone, float(record.uptime_ms))
 
 
 def encode_snapshot(entry: JournalEntry) -> bytes:
-    """All that is known of a message; one that has ended needs its body no more."""
+    """All that is known of a message; the body only while it is not finished."""
     return encode_payload(
         AcceptedRecord(
             entry.class_name,
@@ -139,8 +165,8 @@
             round(entry.deadline_ms),
             entry.resubmission,
             entry.attempt_count,
-            _flat(entry.attempt_in_flight),
-            _flat(entry.uncertain_attempt),
+            _encode_attempt(entry.attempt_in_flight),
+            _encode_attempt(entry.uncertain_attempt),
             entry.final_state,
             entry.retry_after_ms,
             entry.is_notified,
@@ -150,96 +176,101 @@
     )
 
 
-def decode_snapshot(ident: str, payload: bytes) -> JournalEntry:
-    """ValueError if it is not a snapshot."""
-    raw = ACCEPTED_DECODER.decode(payload)
+def decode_snapshot(message_id: str, payload: bytes) -> JournalEntry:
+    """The message of a snapshot. Raises ValueError if the payload is none."""
+    record = ACCEPTED_DECODER.decode(payload)
     return JournalEntry(
-        ident,
-        raw.class_,
-        raw.tenant,
-        raw.dest,
-        raw.key,
-        float(raw.since),
-        float(raw.due),
-        raw.again,
-        raw.body,
-        raw.tries,
-        _attempt(raw.out),
-        _attempt(raw.risk),
-        raw.end,
-        raw.after_ms,
-        raw.told,
-        raw.origin,
+        message_id,
+        record.class_name,
+        record.tenant,
+        record.destination,
+        record.key,
+        float(record.accepted_at_ms),
+        float(record.deadline_ms),
+        record.resubmission,
+        record.body,
+        record.attempt_count,
+        _decode_attempt(record.attempt_in_flight),
+        _decode_attempt(record.uncertain_attempt),
+        record.final_state,
+        record.retry_after_ms,
+        record.is_notified,
+        record.origin,
     )
 
 
 def apply_record(entry: JournalEntry, kind: int, payload: bytes) -> None:
-    """What a record of a message that is known does to it; the same when it is written and when it is read
-    back. ValueError if it can't be read."""
-    if kind == TRY:
-        raw = ATTEMPT_DECODER.decode(payload)
+    """Applies a record to the state of its message, both when it is written and when it is read back.
+
+    Raises ValueError if the payload can't be read."""
+    if kind == ATTEMPT:
+        record = ATTEMPT_DECODER.decode(payload)
         if entry.uncertain_attempt is None:
-            # Guards against a second restart: one that was out when a process ended has no outcome in the
-            # log, though the next process, which knew that it may have run, made another after it.
+            # Guards against a second restart: one that was in flight when a process ended has no outcome in
+            # the log, though the next process, which knew that it may have run, made another after it.
             entry.uncertain_attempt = entry.attempt_in_flight
-        entry.attempt_in_flight = Attempt(float(raw.at), raw.endpoint, raw.zone, float(raw.up))
+        entry.attempt_in_flight = Attempt(
+            float(record.started_at_ms), record.endpoint, record.zone, float(record.uptime_ms)
+        )
         entry.attempt_count += 1
-    elif kind == OUT:
-        if OUTCOME_DECODER.decode(payload) and entry.uncertain_attempt is None:
+    elif kind == OUTCOME:
+        may_have_run = OUTCOME_DECODER.decode(payload)
+        if may_have_run and entry.uncertain_attempt is None:
             entry.uncertain_attempt = entry.attempt_in_flight
         entry.attempt_in_flight = None
-    elif kind == END:
-        ended = FINAL_OUTCOME_DECODER.decode(payload)
-        entry.final_state, entry.retry_after_ms, entry.body = ended.state, ended.after_ms, b""
-    elif kind == TOLD:
+    elif kind == FINAL_OUTCOME:
+        outcome = FINAL_OUTCOME_DECODER.decode(payload)
+        entry.set_final_outcome(outcome.final_state, outcome.retry_after_ms)
+    elif kind == NOTIFIED:
         entry.is_notified = True
     else:
         raise ValueError(f"record of kind {kind} is not known")
 
 
 def assume_attempted(entry: JournalEntry) -> None:
-    """A record about it may be lost: then an attempt may have been made, as early as it could have been."""
+    """A record of the message may be lost: an attempt may have run, as early as it could have been made."""
     if not entry.final_state and entry.uncertain_attempt is None:
-        entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN_ENDPOINT, -1)
+        entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN_ENDPOINT, UNKNOWN_ZONE)
 
 
 def assume_lost_record(entry: JournalEntry, kind: int) -> None:
-    """A record of this kind was there, and can't be read: whatever it may have said holds at its worst."""
-    match kind:
-        case RecordType.ATTEMPT | RecordType.OUTCOME:
-            entry.attempt_count += kind == RecordType.ATTEMPT
-            assume_attempted(entry)
-            entry.attempt_in_flight = None
-        case RecordType.FINAL_OUTCOME:
-            # Whatever the outcome was, the message must not be sent again, and `failed` promises nothing.
-            entry.final_state, entry.retry_after_ms, entry.body = "failed", 0.0, b""
-        case _:
-            pass  # told: it is told again, which does no harm
+    """A record of this kind can't be read: assumes the worst that it may have stated."""
+    if kind in (ATTEMPT, OUTCOME):
+        entry.attempt_count += kind == ATTEMPT
+        assume_attempted(entry)
+        entry.attempt_in_flight = None
+    elif kind == FINAL_OUTCOME:
+        # Whatever the outcome was, the message must not be sent again, and `failed` promises nothing.
+        entry.set_final_outcome("failed", 0.0)
+    # NOTIFIED: it is notified again, which does no harm.
 
 
-def failed_entry(ident: str, origin: str = "http") -> JournalEntry:
-    """A message of which nothing else is left: it gets its `failed` all the same."""
-    return JournalEntry(ident, "", "", 0, None, 0.0, 0.0, "", b"", final_state="failed", origin=origin)
+def failed_entry(message_id: str, origin: str = DEFAULT_ORIGIN) -> JournalEntry:
+    """A message of which nothing but the id is left: its outcome is `failed`."""
+    return JournalEntry(message_id, "", "", 0, None, 0.0, 0.0, "", b"", final_state="failed", origin=origin)
 
 
 @dataclass(slots=True)
 class MessageTable:
-    """All messages that are known, and what they take on the disk."""
+    """All known messages, and the space that they take on the disk."""
 
     entries: dict[str, JournalEntry] = field(default_factory=dict)
-    sizes: dict[str, int] = field(default_factory=dict)  # of each snapshot with what may still come: at most
-    unfinished: dict[str, str] = field(default_factory=dict)  # id -> front, of those that are owed something
+    sizes: dict[str, int] = field(default_factory=dict)  # upper bound for each, with records to come
+    unfinished: dict[str, str] = field(default_factory=dict)  # id -> intake
     total_bytes: int = 0
 
     def put(self, entry: JournalEntry, size: int) -> None:
+        """Adds a message or updates what is known of it."""
         self.total_bytes += size - self.sizes.get(entry.id, 0)
-        self.entries[entry.id], self.sizes[entry.id] = entry, size
+        self.entries[entry.id] = entry
+        self.sizes[entry.id] = size
         if entry.is_unfinished:
             self.unfinished[entry.id] = entry.origin
         else:
             self.unfinished.pop(entry.id, None)
 
-    def remove(self, ident: str) -> None:
-        del self.entries[ident]
-        self.unfinished.pop(ident, None)
-        self.total_bytes -= self.sizes.pop(ident)
+    def remove(self, message_id: str) -> None:
+        """Removes a message. Raises KeyError if it is not known."""
+        del self.entries[message_id]
+        self.unfinished.pop(message_id, None)
+        self.total_bytes -= self.sizes.pop(message_id)
--- a/message_relay/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -1,13 +1,13 @@
-"""What an earlier process left in the folder. Reads only; what is to be mended is done by the journal.
+"""Recovery: reads what an earlier process left in the directory. Reads only; the journal repairs.
 
-A torn tail is normal and dropped. Damage in any other place costs as little as it can: all that is readable
-counts, and whatever a lost record may have said is assumed at its worst. One whose id is known concerns one
-message; where records are missing that nobody is named for, each message that is still open then may have
-been tried. A message of which only its id is left, in another record or a census, gets its `failed`."""
+A torn write at the end is normal and dropped. Damage in any other place costs as little as possible: all that
+is readable counts, and a lost record is assumed to have stated the worst. One whose id is known concerns one
+message; where records are missing of which no id is known, each message that is unfinished at that point may
+have been attempted. A message of which only the id is left, in another record or in a list of unfinished ids,
+gets the outcome `failed`."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from dataclasses import dataclass, field
 from zlib import crc32
 
@@ -25,7 +25,6 @@
     scan_records,
 )
 from .records import (
-    RECORD_TYPE_LABELS,
     UNFINISHED_IDS_DECODER,
     JournalEntry,
     RecordType,
@@ -37,23 +36,22 @@
 )
 from .segments import SEGMENT_FILE_NAME, Segment
 
-TAKE, DROP, COUNT = (
-    int(RecordType.ACCEPTED),
-    int(RecordType.CANCELLED),
-    int(RecordType.UNFINISHED_IDS),
-)  # plain: compared for each record
+# Plain integers, since they are compared for each record.
+ACCEPTED = int(RecordType.ACCEPTED)
+CANCELLED = int(RecordType.CANCELLED)
+UNFINISHED_IDS = int(RecordType.UNFINISHED_IDS)
 
 
 @dataclass(slots=True)
 class RecoveredState:
+    """All that the segments add up to."""
+
     entries: dict[str, JournalEntry] = field(default_factory=dict)
     segments: list[Segment] = field(default_factory=list)
     next_sequence: int = 1  # of the next record
-    findings: list[str] = field(default_factory=list)  # damage, for people
-    torn_bytes: int = 0  # bytes of a write that did not become whole
-    empty_files: list[str] = field(
-        default_factory=list
-    )  # files that hold nothing: a segment that was never begun
+    findings: list[str] = field(default_factory=list)  # a line for each damage, for people
+    torn_bytes: int = 0  # of a write that was not completed
+    empty_files: list[str] = field(default_factory=list)  # segments whose first write was not completed
 
 
 @dataclass(slots=True)
@@ -62,17 +60,17 @@
 
     segment: Segment
     data: bytes
-    header: Header | None
-    is_complete: bool
+    header: Header | None  # None: it can't be read
+    is_complete: bool  # False: parts of the file can't be read, and are zeros in `data`
 
 
 def load_segment(files: FileStore, name: str) -> LoadedSegment:
-    """Raises NewerFormat."""
+    """Reads a segment's file. Raises UnsupportedFormatError; OSError."""
     content = files.read(name)
-    found = SEGMENT_FILE_NAME.fullmatch(name)
-    assert found is not None
+    match = SEGMENT_FILE_NAME.fullmatch(name)
+    assert match is not None
     return LoadedSegment(
-        Segment(int(found[1]), file_size=len(content.data)),
+        Segment(int(match[1]), file_size=len(content.data)),
         content.data,
         decode_header(content.data),
         content.is_complete,
@@ -80,209 +78,215 @@
 
 
 class LogReader:
-    """Goes through the segments once, and keeps what their records add up to."""
+    """Reads all segments once, in order, and applies their records."""
 
     def __init__(self) -> None:
         self.state = RecoveredState()
         self.entries = self.state.entries
-        self.partial: dict[
-            str, JournalEntry
-        ] = {}  # of messages whose snapshot was not seen, what records say
+        self.partial: dict[str, JournalEntry] = {}  # what records state of messages without a snapshot
 
     def read(self, files: FileStore) -> RecoveredState:
+        """Reads all segments. Raises UnsupportedFormatError; OSError."""
         sizes = files.sizes()
         names = [name for name in sorted(sizes) if SEGMENT_FILE_NAME.fullmatch(name)]
-        if names and sizes[names[-1]] < HEADER_BYTES:  # its first write did not become whole
+        if names and sizes[names[-1]] < HEADER_BYTES:  # its first write was not completed
             self.state.empty_files.append(names.pop())
-        ahead, before = load_segment(files, names[0]) if names else None, None
-        for following in [*names[1:], None]:  # two segments in memory at a time
-            one, ahead = ahead, None if following is None else load_segment(files, following)
-            if one is None:
+        # Two segments are in memory at a time: the header of the next tells how much of this one counts.
+        following = load_segment(files, names[0]) if names else None
+        previous_number: int | None = None
+        for next_name in [*names[1:], None]:
+            current = following
+            following = None if next_name is None else load_segment(files, next_name)
+            if current is None:
                 break
-            number = one.segment.number
-            if before is not None and number != before + 1:
-                self._damage(one.segment, f"segments {before + 1} to {number - 1} are missing")
-                self._all_at_worst()
-            before = number
-            self._segment(one, ahead)
+            self._check_number(current.segment, previous_number)
+            previous_number = current.segment.number
+            self._read_segment(current, following)
         self._finish()
         return self.state
 
-    def _segment(self, one: LoadedSegment, then: LoadedSegment | None) -> None:
-        segment = one.segment
+    def _check_number(self, segment: Segment, previous_number: int | None) -> None:
+        if previous_number is not None and segment.number != previous_number + 1:
+            self._add_damage(segment, f"segments {previous_number + 1} to {segment.number - 1} are missing")
+            self._assume_all_attempted()
+
+    def _read_segment(self, loaded: LoadedSegment, following: LoadedSegment | None) -> None:
+        segment = loaded.segment
         self.state.segments.append(segment)
-        header = one.header or salvage_header(one.data, segment.number, self.state.next_sequence)
-        if one.header is None:
-            self._damage(segment, "its header cannot be read")
+        header = loaded.header or salvage_header(loaded.data, segment.number, self.state.next_sequence)
+        if loaded.header is None:
+            self._add_damage(segment, "its header cannot be read")
         if header is None:
-            self._all_at_worst()
-            segment.size, segment.checksum = len(one.data), crc32(one.data)
+            self._assume_all_attempted()
+            segment.size = len(loaded.data)
+            segment.checksum = crc32(loaded.data)
             return
         segment.salt = header.salt
-        data, chained = one.data, None
-        if then is not None and then.header is not None and then.segment.number == segment.number + 1:
-            chained = then.header
-            data = data[: chained.previous_size]  # behind it lies what an earlier process did not finish
-        if header.first_sequence > self.state.next_sequence and len(self.state.segments) > 1:
-            if not self.state.segments[-2].is_damaged:
-                self._damage(
-                    segment, f"records {self.state.next_sequence} to {header.first_sequence - 1} are missing"
-                )
-            self._all_at_worst()
-        if not one.is_complete:
-            self._damage(segment, "parts of it cannot be read from the disk")
+        self._check_sequence(segment, header)
+        if not loaded.is_complete:
+            self._add_damage(segment, "parts of it cannot be read from the disk")
+        successor = self._successor_header(segment, following)
+        data = loaded.data
+        if successor is not None:
+            data = data[: successor.previous_size]  # an earlier process did not complete what is behind it
+        self._apply_records(segment, header, data, is_last=following is None)
+        segment.checksum = crc32(data[: segment.size])
+        if successor is not None:
+            self._check_end(segment, successor)
+
+    @staticmethod
+    def _successor_header(segment: Segment, following: LoadedSegment | None) -> Header | None:
+        """The header of the segment that continues this one, if it is there and can be read."""
+        if following is None or following.segment.number != segment.number + 1:
+            return None
+        return following.header
+
+    def _check_sequence(self, segment: Segment, header: Header) -> None:
+        if header.first_sequence <= self.state.next_sequence or len(self.state.segments) == 1:
+            return
+        if not self.state.segments[-2].is_damaged:
+            last_missing = header.first_sequence - 1
+            self._add_damage(segment, f"records {self.state.next_sequence} to {last_missing} are missing")
+        self._assume_all_attempted()
+
+    def _check_end(self, segment: Segment, successor: Header) -> None:
+        is_as_written = (segment.size, segment.checksum) == (
+            successor.previous_size,
+            successor.previous_checksum,
+        )
+        if segment.is_damaged or is_as_written:
+            return
+        self._add_damage(
+            segment, f"its end is missing: {segment.size} of {successor.previous_size} bytes are there"
+        )
+        self._assume_all_attempted()
+
+    # -- records -----------------------------------------------------------------------------------------
+
+    def _apply_records(self, segment: Segment, header: Header, data: bytes, is_last: bool) -> None:
         self.state.next_sequence = header.first_sequence
         segment.size = HEADER_BYTES
-        for piece in scan_records(data, segment.salt, header.first_sequence, last=then is None):
-            if isinstance(piece, Record):  # nearly all are
-                self._record(segment, piece)
-                self.state.next_sequence, segment.size = piece.sequence + 1, piece.end
+        for result in scan_records(data, segment.salt, header.first_sequence, is_last):
+            if isinstance(result, Record):  # nearly all are
+                self._apply_record(segment, result)
+                self.state.next_sequence = result.sequence + 1
+                segment.size = result.end
             else:
-                self._piece(segment, piece)
-        segment.checksum = crc32(data[: segment.size])
-        there = segment.size, segment.checksum
-        if chained and not segment.is_damaged and there != (chained.previous_size, chained.previous_checksum):
-            self._damage(
-                segment, f"its end is missing: {there[0]} of {chained.previous_size} bytes are there"
-            )
-            self._all_at_worst()
-
-    def _piece(self, segment: Segment, piece: ScanResult) -> None:
-        match piece:
-            case CorruptRecord():
-                self.state.next_sequence = piece.sequence + 1
-                ident = piece.message_id.decode(errors="replace")
-                self._damage(
-                    segment,
-                    f"bytes {piece.offset} to {piece.end}: a record of kind {piece.kind} of "
-                    f"message {ident} cannot be read",
-                )
-                self._hurt(segment, ident, piece.kind)
-            case UnreadableRange():
-                self.state.next_sequence += piece.lost_records
-                self._damage(
-                    segment,
-                    f"bytes {piece.offset} to {piece.end} cannot be read, "
-                    f"{piece.lost_records} records at least",
-                )
-                self._all_at_worst()
-            case TornWrite():
-                self.state.torn_bytes += piece.end - piece.offset
-                return
-        segment.size = piece.end
+                self._apply_damage(segment, result)
 
-    def _record(self, segment: Segment, record: Record) -> None:
+    def _apply_record(self, segment: Segment, record: Record) -> None:
         try:
-            ident, kind = record.message_id.decode(), record.kind
-            if kind == TAKE:
-                self._snapshot(segment, decode_snapshot(ident, record.payload))
-            elif kind == DROP:
-                self.entries.pop(ident, None)
-                self.partial.pop(ident, None)
-            elif kind == COUNT:
-                for origin, idents in UNFINISHED_IDS_DECODER.decode(record.payload).items():
-                    for owed in idents:
-                        if owed not in self.entries:
-                            self._part(owed).origin = origin
+            message_id = record.message_id.decode()
+            kind = record.kind
+            if kind == ACCEPTED:
+                self._add_snapshot(segment, decode_snapshot(message_id, record.payload))
+            elif kind == CANCELLED:
+                self._remove(message_id)
+            elif kind == UNFINISHED_IDS:
+                self._add_unfinished_ids(record.payload)
             else:
-                apply_record(self.entries.get(ident) or self._part(ident), kind, record.payload)
-        except ValueError as error:  # its checksum is right: a fault of ours, or of another version
-            self._damage(segment, f"bytes {record.offset} to {record.end}: {error}")
-            self._hurt(segment, record.message_id.decode(errors="replace"), record.kind)
+                apply_record(self.entries.get(message_id) or self._part_of(message_id), kind, record.payload)
+        except ValueError as error:  # its checksum is right: a fault of this program, or another version
+            self._add_damage(segment, f"bytes {record.offset} to {record.end}: {error}")
+            self._apply_lost_record(record.message_id.decode(errors="replace"), record.kind)
 
-    def _snapshot(self, segment: Segment, entry: JournalEntry) -> None:
+    def _add_snapshot(self, segment: Segment, entry: JournalEntry) -> None:
         self.partial.pop(entry.id, None)
         self.entries[entry.id] = entry
         segment.live_ids[entry.id] = None
 
-    def _part(self, ident: str) -> JournalEntry:
-        if ident not in self.partial:
-            part = failed_entry(ident)
+    def _add_unfinished_ids(self, payload: bytes) -> None:
+        for origin, message_ids in UNFINISHED_IDS_DECODER.decode(payload).items():
+            for message_id in message_ids:
+                if message_id not in self.entries:
+                    self._part_of(message_id).origin = origin
+
+    def _remove(self, message_id: str) -> None:
+        self.entries.pop(message_id, None)
+        self.partial.pop(message_id, None)
+
+    def _part_of(self, message_id: str) -> JournalEntry:
+        """What records state of a message whose snapshot was not read."""
+        if message_id not in self.partial:
+            part = failed_entry(message_id)
             part.final_state = ""
-            self.partial[ident] = part
-        return self.partial[ident]
+            self.partial[message_id] = part
+        return self.partial[message_id]
 
-    def _hurt(self, segment: Segment, ident: str, kind: int) -> None:
-        if kind == RecordType.UNFINISHED_IDS:
+    # -- damage ------------------------------------------------------------------------------------------
+
+    def _apply_damage(self, segment: Segment, result: ScanResult) -> None:
+        match result:
+            case CorruptRecord(sequence, kind, _, offset, end):
+                self.state.next_sequence = sequence + 1
+                message_id = result.message_id.decode(errors="replace")
+                self._add_damage(
+                    segment,
+                    f"bytes {offset} to {end}: a record of kind {kind} of "
+                    f"message {message_id} cannot be read",
+                )
+                self._apply_lost_record(message_id, kind)
+            case UnreadableRange(offset, end, lost_records):
+                self.state.next_sequence += lost_records
+                self._add_damage(
+                    segment, f"bytes {offset} to {end} cannot be read, {lost_records} records at least"
+                )
+                self._assume_all_attempted()
+            case TornWrite(offset, end):
+                self.state.torn_bytes += end - offset
+                return
+        segment.size = result.end
+
+    def _apply_lost_record(self, message_id: str, kind: int) -> None:
+        """A record of which only the kind and the message are known: assumes the worst."""
+        if kind == UNFINISHED_IDS:
             return
-        if kind == RecordType.CANCELLED:
-            self.entries.pop(ident, None)
-            self.partial.pop(ident, None)
+        if kind == CANCELLED:
+            self._remove(message_id)
             return
-        entry = self.entries.get(ident)
+        entry = self.entries.get(message_id)
         if kind == RecordType.NOTIFIED and entry is None:
-            self._part(ident).is_notified = True
-        elif kind == RecordType.ACCEPTED and entry is not None:
+            self._part_of(message_id).is_notified = True
+        elif kind == ACCEPTED and entry is not None:
             assume_attempted(entry)  # an older snapshot is there
         else:
-            assume_lost_record(entry or self._part(ident), kind)
+            assume_lost_record(entry or self._part_of(message_id), kind)
 
-    def _all_at_worst(self) -> None:
+    def _assume_all_attempted(self) -> None:
         for entry in self.entries.values():
             assume_attempted(entry)
 
-    def _damage(self, segment: Segment, text: str) -> None:
+    def _add_damage(self, segment: Segment, text: str) -> None:
         segment.is_damaged = True
         self.state.findings.append(f"{segment.name}: {text}")
 
+    # -- the end -----------------------------------------------------------------------------------------
+
     def _finish(self) -> None:
-        for ident, part in self.partial.items():
-            if (
-                part.is_unfinished and not part.is_notified
-            ):  # told: it had its end, in a segment that is given up
-                self.state.findings.append(f"message {ident}: only its id is left, so that it fails")
-                self.entries[ident] = failed_entry(ident, part.origin)
+        self._fail_messages_without_snapshot()
         for entry in self.entries.values():
-            if entry.attempt_in_flight is not None:  # its outcome died with the process: it may have run
-                entry.uncertain_attempt, entry.attempt_in_flight = (
-                    entry.uncertain_attempt or entry.attempt_in_flight,
-                    None,
-                )
-        homes: dict[str, Segment] = {}
+            entry.assume_in_flight_has_run()  # its outcome was lost with the process
+        self._keep_latest_locations()
+
+    def _fail_messages_without_snapshot(self) -> None:
+        for message_id, part in self.partial.items():
+            # Of one that was notified the final outcome was recorded, in a segment that is removed.
+            if part.is_unfinished and not part.is_notified:
+                self.state.findings.append(f"message {message_id}: only its id is left, so that it fails")
+                self.entries[message_id] = failed_entry(message_id, part.origin)
+
+    def _keep_latest_locations(self) -> None:
+        """Leaves each message in the `live_ids` of the segment with its latest snapshot only."""
+        segment_of: dict[str, Segment] = {}
         for segment in self.state.segments:
-            homes.update(dict.fromkeys(segment.live_ids, segment))
+            segment_of.update(dict.fromkeys(segment.live_ids, segment))
         for segment in self.state.segments:
             segment.live_ids.clear()
-        for ident in self.entries:
-            if ident in homes:
-                homes[ident].live_ids[ident] = None
+        for message_id in self.entries:
+            if message_id in segment_of:
+                segment_of[message_id].live_ids[message_id] = None
 
 
 def recover(files: FileStore) -> RecoveredState:
-    """Raises NewerFormat; OSError where the folder itself can't be read."""
+    """Reads the journal of a directory. Raises UnsupportedFormatError; OSError if it can't be read."""
     return LogReader().read(files)
-
-
-@dataclass(frozen=True, slots=True)
-class RecordLine:
-    """A record as people look at it."""
-
-    segment: str
-    offset: int
-    sequence: int
-    kind: str
-    message_id: str
-    payload: bytes
-    is_readable: bool
-
-
-def record_lines(files: FileStore) -> Iterator[RecordLine]:
-    """All records that are there, damaged ones with what is known of them."""
-    for name in sorted(name for name in files.sizes() if SEGMENT_FILE_NAME.fullmatch(name)):
-        one = load_segment(files, name)
-        if one.header is None:
-            continue
-        for piece in scan_records(one.data, one.header.salt, one.header.first_sequence, last=True):
-            if isinstance(piece, Record | CorruptRecord):
-                kind = RECORD_TYPE_LABELS.get(piece.kind, str(piece.kind))
-                payload = piece.payload if isinstance(piece, Record) else b""
-                ident = piece.message_id.decode(errors="replace")
-                yield RecordLine(
-                    one.segment.name,
-                    piece.offset,
-                    piece.sequence,
-                    kind,
-                    ident,
-                    payload,
-                    isinstance(piece, Record),
-                )
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -68,7 +68,8 @@
 from message_relay.store.record_format import Header, encode_frame
 from message_relay.store.errors import UnsupportedFormatError
 from message_relay.store.records import Attempt, JournalEntry
-from message_relay.store.recovery import record_lines, recover
+from message_relay.store.inspection import record_lines
+from message_relay.store.recovery import recover
 
 Plain = dict[str, Any]
 Step = Sequence[Any]
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -13,10 +13,10 @@
 from message_relay.store.capacity import BLOCK_BYTES
 from message_relay.store.errors import JournalError, JournalFullError, UnsupportedFormatError
 from message_relay.store.file_store import DirectoryFileStore
+from message_relay.store.inspection import record_lines
 from message_relay.store.journal import Journal
-from message_relay.store.record_format import CHECK, HEADER, HEADER_BYTES, encode_frame
+from message_relay.store.record_format import CHECKSUM, HEADER, HEADER_BYTES, encode_frame
 from message_relay.store.records import Attempt, FinalOutcomeRecord, JournalEntry, RecordType, encode_payload
-from message_relay.store.recovery import record_lines
 
 DISK = 400_000
 
@@ -93,7 +93,7 @@
     data = bytearray(only.read_bytes())
     for at in (0, HEADER_BYTES // 2):
         data[at + 4] = 9
-        data[at + HEADER.size : at + HEADER.size + 4] = CHECK.pack(crc32(data[at : at + HEADER.size]))
+        data[at + HEADER.size : at + HEADER.size + 4] = CHECKSUM.pack(crc32(data[at : at + HEADER.size]))
     only.write_bytes(data)
     with pytest.raises(UnsupportedFormatError, match="its format is 9, and this program knows 2 at most"):
         Journal(tmp_path, DISK)
