--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -111,7 +111,9 @@
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "learned").write_text(text)
-    assert DestinationSnapshotFile(tmp_path).load(1e12) == [] and "destination snapshot ignored" in caplog.text
+    assert (
+        DestinationSnapshotFile(tmp_path).load(1e12) == [] and "destination snapshot ignored" in caplog.text
+    )
 
 
 def test_of_old_knowledge_only_waits_count(tmp_path: Path) -> None:
