--- a/benchmarks/capacity/sharded_directory.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -16,8 +16,15 @@
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
-from message_relay.sharded_directory.subscribers import DIGEST_S
-from message_relay.sharded_directory.wire import Layout, Row, ShardRequest, ShardResponse, packed, packed_bits
+from message_relay.sharded_directory.subscribers import DIGEST_INTERVAL_S
+from message_relay.sharded_directory.wire import (
+    Layout,
+    Row,
+    ShardRequest,
+    ShardResponse,
+    encode_message,
+    pack_shard_set,
+)
 
 from .form import Measure
 
@@ -49,18 +56,18 @@
 def loaded(size: int) -> tuple[ShardServer, list[float]]:
     """And how long each turn of the load took, in ms."""
     keeper, turns = ShardServer(LAYOUT, 1, random.Random(1)), []
-    load = keeper.begin(0.0, (1, 1))
+    load = keeper.start_list(0.0, (1, 1))
     for piece in rows(size):
         began = time.perf_counter()
         load.add(piece)
         turns.append((time.perf_counter() - began) * 1e3)
-    assert load.end(0.0)
+    assert load.seal(0.0)
     done = False
     while not done:
         began = time.perf_counter()
         done = load.step()
         turns.append((time.perf_counter() - began) * 1e3)
-    assert load.taken
+    assert load.is_committed
     return keeper, turns
 
 
@@ -87,8 +94,8 @@
     rng, found = random.Random(2), []
     for number in range(readers):
         held = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
-        found.append(packed_bits(held, SHARDS))
-        answer = kept.asked(
+        found.append(pack_shard_set(held, SHARDS))
+        answer = kept.handle_request(
             float(number), f"n{number + 100}", ShardRequest(1, LAYOUT, kept.version, found[-1])
         )
         assert isinstance(answer, ShardResponse)
@@ -102,14 +109,16 @@
     numbers = [rng.randrange(FEW) for _ in range(CHANGES)]
     began = time.process_time()
     for place, number in enumerate(numbers):
-        assert kept.changed(now, 2 + place, [Row(f"s-{number:08x}", number, 1, "h", 8080, "k", "z", 8.3)])
+        assert kept.apply_changes(
+            now, 2 + place, [Row(f"s-{number:08x}", number, 1, "h", 8080, "k", "z", 8.3)]
+        )
     took = time.process_time() - began
     asked = 0
     for raw in holds[:50]:  # all changes at once: bytes of each that the reader holds
         ask = ShardRequest(2, LAYOUT, (1, 1), raw)
-        answer = kept.asked(now + 100.0, "n100", ask)
+        answer = kept.handle_request(now + 100.0, "n100", ask)
         assert isinstance(answer, ShardResponse)
-        told += len(packed(answer)) + len(packed(ask))
+        told += len(encode_message(answer)) + len(encode_message(ask))
         asked += 1
     return {"cpu_us": took / CHANGES * 1e6, "bytes": told / asked / CHANGES}
 
@@ -128,16 +137,16 @@
     took = 0.0
     while read.status(now).waiting:
         now += 0.05
-        kept.confirmed(now)
+        kept.confirm_source(now)
         began = time.process_time()
         read.tick(now, lambda destination: False)
-        asks = list(read.asks)
-        read.asks.clear()
+        asks = list(read.outgoing)
+        read.outgoing.clear()
         took += time.process_time() - began
         for name, ask in asks:
-            word = kept.asked(now, "n100", ask)
+            word = kept.handle_request(now, "n100", ask)
             began = time.process_time()
-            read.answered(now, name, word)
+            read.on_response(now, name, word)
             read.updates.clear()
             took += time.process_time() - began
     assert read.status(now).shards == shards
@@ -152,7 +161,7 @@
     read, _ = taken(kept, shards, 1e4)
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
-    assert read.store.held
+    assert read.cache.resident
     return {"memory_bytes": held, "cpu_ms": took * 1e3}
 
 
@@ -160,18 +169,20 @@
     kept, _ = loaded(FEW)
     audience(kept, readers)
     now, size, took = float(readers), 0, 0.0
-    for reader_ in kept.audience.readers.values():
-        reader_.asked_at = now
+    for reader_ in kept.subscribers.by_name.values():
+        reader_.requested_at = now
     rng = random.Random(5)
-    kept.audience.due = sorted((now + DIGEST_S * rng.random(), slot) for slot in range(readers))
+    kept.subscribers.digest_queue = sorted(
+        (now + DIGEST_INTERVAL_S * rng.random(), slot) for slot in range(readers)
+    )
     end = now + DIGEST_SECONDS
     while now < end:
         began = time.process_time()
-        found = kept.digests(now)
-        raw = [packed(digest) for _, digest in found]
+        found = kept.due_digests(now)
+        raw = [encode_message(digest) for _, digest in found]
         took += time.process_time() - began
         size += sum(map(len, raw))
-        now = min(max(now + 0.001, kept.next_at()), now + 0.05)
+        now = min(max(now + 0.001, kept.next_digest_at()), now + 0.05)
     return {"cpu_ms_s": took * 1e3 / DIGEST_SECONDS, "bytes_s": size / DIGEST_SECONDS}
 
 
--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -27,10 +27,10 @@
 from message_relay.decisions.model import DestinationKind, Effect, MessageClass, Settings
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import (
-    ANSWER_BYTES,
-    ANSWERS_S,
     BURST_S,
     BYTES_S,
+    MAX_RESPONSE_BYTES,
+    RESPONSES_PER_S,
     ShardServer,
 )
 from message_relay.sharded_directory.wire import (
@@ -105,8 +105,8 @@
         wrong = (self.late_calls, self.older, self.returned, self.stuck, self.wrong_absent, self.unmet)
         return bool(
             any(wrong)
-            or self.answers_s > ANSWERS_S * (1 + BURST_S) + 1
-            or self.bytes_s > BYTES_S * (1 + BURST_S) + 2 * ANSWER_BYTES
+            or self.answers_s > RESPONSES_PER_S * (1 + BURST_S) + 1
+            or self.bytes_s > BYTES_S * (1 + BURST_S) + 2 * MAX_RESPONSE_BYTES
         )
 
 
@@ -211,17 +211,17 @@
             return
         truth = world.truth
         if self.source_cut_until <= now:
-            if not self.keeper.loaded:
-                load = self.keeper.begin(now, (1, truth.generation))
+            if not self.keeper.is_loaded:
+                load = self.keeper.start_list(now, (1, truth.generation))
                 load.add(truth.rows.values())
-                assert load.end(now)
+                assert load.seal(now)
                 while not load.step():
                     pass
-                assert load.taken
+                assert load.is_committed
             elif self.keeper.table.generation < truth.generation:
                 for generation, rows, lives in truth.log[self.keeper.table.generation :]:
-                    assert self.keeper.changed(now, generation, rows, lives)
-            self.keeper.confirmed(now)
+                    assert self.keeper.apply_changes(now, generation, rows, lives)
+            self.keeper.confirm_source(now)
             if not self.gens or self.gens[-1] < truth.generation:
                 self.gens.append(truth.generation)
                 self.times.append(now)
@@ -233,7 +233,7 @@
         return self.times[place] if place < len(self.gens) else None
 
     def asked(self, reader: str, raw: ShardRequest) -> ShardResponse | Overloaded | LayoutMismatch:
-        word = self.keeper.asked(self.world.now, reader, raw)
+        word = self.keeper.handle_request(self.world.now, reader, raw)
         if isinstance(word, ShardResponse):
             self.seconds[int(self.world.now)] += 1
         return word
@@ -281,24 +281,24 @@
 
     def drain(self) -> None:
         world, reader, now = self.world, self.reader, self.world.now
-        if reader.next_at() <= now:
+        if reader.next_tick_at() <= now:
             reader.tick(now, lambda destination: False)
         for update in reader.updates:
             self.check(update)
         reader.updates.clear()
-        for destination in reader.absent:
+        for destination in reader.missing_destinations:
             self.wanted.pop(destination, None)
             there = world.truth.was_there(destination, now - BOUND_S)
             if there and world.could(self, now, BOUND_S):
                 world.found.wrong_absent += 1
                 world.note(f"{now:.1f} {self.name}: {destination} is said not to be")
-        reader.absent.clear()
+        reader.missing_destinations.clear()
         for destination in [each for each in self.wanted if reader.is_resident(each)]:
             del self.wanted[destination]
-        for keeper, ask in reader.asks:
+        for keeper, ask in reader.outgoing:
             world.carry(self, keeper, ask)
-        reader.asks.clear()
-        due = max(reader.next_at(), now + 0.02)
+        reader.outgoing.clear()
+        due = max(reader.next_tick_at(), now + 0.02)
         if not now < self.ticking <= due:
             self.ticking = due
             world.at(due, lambda: self.do(lambda: None))
@@ -401,7 +401,7 @@
         def end() -> None:
             if not ended[0]:
                 ended[0] = True
-                side.do(lambda: side.reader.failed(self.now, name))
+                side.do(lambda: side.reader.on_request_failed(self.now, name))
 
         def arrive() -> None:
             if keeper.up_since is None or not self.open(side.name, name, 0):
@@ -423,17 +423,17 @@
             if not self.open(side.name, name, 1) or ended[0] or self.now - sent > PATIENCE_S:
                 return
             ended[0] = True
-            side.do(lambda: side.reader.answered(self.now, name, word))
+            side.do(lambda: side.reader.on_response(self.now, name, word))
 
         def twice(word: ShardResponse | Overloaded | LayoutMismatch) -> None:
-            side.do(lambda: side.reader.answered(self.now, name, word))
+            side.do(lambda: side.reader.on_response(self.now, name, word))
 
         self.at(sent + self.rng.uniform(0.001, 0.1), arrive)
         self.at(sent + PATIENCE_S, end)
 
     def digests(self, keeper: KeeperSide) -> None:
         if keeper.up_since is not None and keeper.frozen_until <= self.now:
-            for reader, digest in keeper.keeper.digests(self.now):
+            for reader, digest in keeper.keeper.due_digests(self.now):
                 self._throw(keeper, reader, digest)
         self.at(self.now + 0.1, lambda: self.digests(keeper))
 
@@ -442,7 +442,7 @@
 
         def arrive() -> None:
             if self.open(reader, keeper.name, 1):
-                side.do(lambda: side.reader.digest(self.now, keeper.name, digest))
+                side.do(lambda: side.reader.on_digest(self.now, keeper.name, digest))
 
         if self.rng.random() >= self.loss:
             self.at(self.now + self.rng.uniform(0.001, 0.05), arrive)
@@ -549,11 +549,11 @@
     def result(self) -> Found:
         found = self.found
         for side in self.readers.values():
-            found.stale_refused += side.reader.stale_refused
+            found.stale_refused += side.reader.stale_rejected
             self._compare(side)
         for keeper in self.keepers.values():
             found.answers += sum(keeper.seconds.values())
-            found.busy += keeper.keeper.busy
+            found.busy += keeper.keeper.overloaded
             found.answers_s = max([found.answers_s, *keeper.seconds.values()])
             found.bytes_s = max([found.bytes_s, *keeper.bytes.values()])
         total = sum(side.bytes for side in self.readers.values())
--- a/message_relay/sharded_directory/bits.py
+++ b/message_relay/sharded_directory/bitset.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Iterator
 
-FEW = 64  # numbers: below, one step each is cheaper than a look at every byte
+SPARSE_BIT_COUNT = 64  # numbers: below, one step each is cheaper than a look at every byte
 
 
-def numbers(bits: int) -> Iterator[int]:
+def set_bits(bitset: int) -> Iterator[int]:
     """Ascending."""
-    if bits.bit_count() < FEW:
-        while bits:
-            low = bits & -bits
+    if bitset.bit_count() < SPARSE_BIT_COUNT:
+        while bitset:
+            low = bitset & -bitset
             yield low.bit_length() - 1
-            bits ^= low
+            bitset ^= low
         return
-    for place, byte in enumerate(bits.to_bytes((bits.bit_length() + 7) // 8, "little")):
+    for place, byte in enumerate(bitset.to_bytes((bitset.bit_length() + 7) // 8, "little")):
         while byte:
             low = byte & -byte
             yield 8 * place + low.bit_length() - 1
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -26,24 +26,24 @@
 from .source import FileSource, RegisterSource
 from .wire import (
     Digest,
+    DirectoryMessage,
     Layout,
     LayoutMismatch,
     Overloaded,
     ShardRequest,
     ShardResponse,
     UnreadableFrameError,
-    Word,
-    packed,
-    read,
+    decode_message,
+    encode_message,
 )
 
 log = logging.getLogger(__name__)
 
-KIND = "shards"  # of frames and datagrams on the peers' node
-ASK_S = 1.0  # an ask has its answer within it, or another keeper is asked
-LEAST_S = 0.005  # between two turns: what is wanted meanwhile goes in one ask
-MOST_S = 1.0  # a turn comes at the latest after it, whatever is due
-AGAIN_S = 1.0  # after a turn that failed
+MESSAGE_KIND = "shards"  # of frames and datagrams on the peers' node
+REQUEST_TIMEOUT_S = 1.0  # an ask has its answer within it, or another keeper is asked
+MIN_TICK_INTERVAL_S = 0.005  # between two turns: what is wanted meanwhile goes in one ask
+MAX_TICK_INTERVAL_S = 1.0  # a turn comes at the latest after it, whatever is due
+TICK_RETRY_S = 1.0  # after a turn that failed
 
 
 class ShardedDirectory:
@@ -52,21 +52,21 @@
     def __init__(
         self, part: ShardedDirectorySettings, peers: GossipNode, host: Relay, number: int, config: Config
     ) -> None:
-        self.peers, self.host, self.me = peers, host, peers.swim.own_claim.name
+        self.peers, self.host, self.name = peers, host, peers.swim.own_claim.name
         rng = random.Random(secrets.randbits(64))
         self.layout = Layout(part.count, tuple(sorted(part.keepers)))
-        self.keepers = frozenset(f"n{keeper}" for keeper in part.keepers)
-        self.reader = ShardClient(self.me, self.layout, rng, part.bound_s, part.idle_s)
-        self.keeper: ShardServer | None = None
+        self.server_names = frozenset(f"n{keeper}" for keeper in part.keepers)
+        self.client = ShardClient(self.name, self.layout, rng, part.bound_s, part.idle_s)
+        self.server: ShardServer | None = None
         self.source: RegisterSource | FileSource | None = None
         if number in part.keepers:
-            self.keeper = ShardServer(self.layout, part.epoch, rng)
+            self.server = ShardServer(self.layout, part.epoch, rng)
             self.source = (
-                FileSource(self.keeper, part.epoch, Path(part.file))
+                FileSource(self.server, part.epoch, Path(part.file))
                 if part.file
                 else (
                     RegisterSource(
-                        self.keeper,
+                        self.server,
                         part.epoch,
                         config.discovery,
                         len(part.keepers),
@@ -80,18 +80,18 @@
         self.listener: EndpointUpdateCallback = host.on_endpoint_update
         self.timer: asyncio.TimerHandle | None = None
         self.running = False
-        self.news = asyncio.Event()
-        peers.frame_handlers[KIND] = self._asked
-        peers.datagram_handlers[KIND] = self._said
-        peers.on_member_changed.append(self._member_changed)
+        self.renewed = asyncio.Event()
+        peers.frame_handlers[MESSAGE_KIND] = self._on_frame
+        peers.datagram_handlers[MESSAGE_KIND] = self._on_datagram
+        peers.on_member_changed.append(self._on_member_changed)
 
     def start(self) -> None:
         """Once the peers' node has started."""
         self.running = True
-        self._reach()
+        self._update_reachable()
         if self.source is not None:
             self.tasks.start(self.source.run())
-        self._turn()
+        self._tick()
 
     async def stop(self) -> None:
         self.running = False
@@ -106,26 +106,28 @@
     # -- for the core ----------------------------------------------------------------------------------------
 
     def is_resident(self, destination: int) -> bool:
-        return self.reader.is_resident(destination)
+        return self.client.is_resident(destination)
 
     def contains(self, destination: int) -> bool:
-        return self.reader.contains(destination)
+        return self.client.contains(destination)
 
     def request(self, destination: int, due: float) -> None:
-        self.reader.request(self.now(), destination, due)
-        self._due(self.now() + LEAST_S)
+        self.client.request(self.now(), destination, due)
+        self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     def touch(self, destination: int) -> None:
-        self.reader.touch(self.now(), destination)
-        if self.reader.updates or self.reader.next_at() <= self.now():
-            self._due(self.now() + LEAST_S)
+        self.client.touch(self.now(), destination)
+        if self.client.updates or self.client.next_tick_at() <= self.now():
+            self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     def is_current(self, destination: int) -> bool:
-        return self.reader.is_current(self.now(), destination)
+        return self.client.is_current(self.now(), destination)
 
     async def wait_for_renewal(self) -> None:
-        self._due(self.now() + LEAST_S)  # what has to be asked is asked now: one that was frozen is late
-        await self.news.wait()
+        self._schedule_tick(
+            self.now() + MIN_TICK_INTERVAL_S
+        )  # what has to be asked is asked now: one that was frozen is late
+        await self.renewed.wait()
 
     async def run(self, told: EndpointUpdateCallback) -> None:
         """As a source: tells for as long as it runs. What is told meanwhile is told at `host.listed` too."""
@@ -145,114 +147,116 @@
 
     # -- turns -----------------------------------------------------------------------------------------------
 
-    def _due(self, at: float) -> None:
+    def _schedule_tick(self, at: float) -> None:
         if not self.running:
             return
         if self.timer is not None and not self.timer.cancelled():
             if self.timer.when() <= at:
                 return
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_at(at, self._turn)
+        self.timer = asyncio.get_running_loop().call_at(at, self._tick)
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None
         now = self.now()
         try:
-            self.reader.tick(now, self.host.is_in_use)
-            if self.keeper is not None:
-                for name, digest in self.keeper.digests(now):
-                    if name == self.me:
-                        self.reader.digest(now, name, digest)
+            self.client.tick(now, self.host.is_in_use)
+            if self.server is not None:
+                for name, digest in self.server.due_digests(now):
+                    if name == self.name:
+                        self.client.on_digest(now, name, digest)
                     else:
-                        self.peers.send_datagram(name, KIND, packed(digest))
-            self._carry_out()
-            next_at = self.reader.next_at()
-            if self.keeper is not None:
-                next_at = min(next_at, self.keeper.next_at())
+                        self.peers.send_datagram(name, MESSAGE_KIND, encode_message(digest))
+            self._execute_decisions()
+            next_at = self.client.next_tick_at()
+            if self.server is not None:
+                next_at = min(next_at, self.server.next_digest_at())
         except Exception:
             log.exception("a turn of the directory failed")  # and the next one comes
-            next_at = now + AGAIN_S
-        self._due(min(max(next_at, now + LEAST_S), now + MOST_S))
+            next_at = now + TICK_RETRY_S
+        self._schedule_tick(min(max(next_at, now + MIN_TICK_INTERVAL_S), now + MAX_TICK_INTERVAL_S))
 
-    def _carry_out(self) -> None:
+    def _execute_decisions(self) -> None:
         """What the reader has decided."""
-        asks, self.reader.asks = self.reader.asks, []
+        asks, self.client.outgoing = self.client.outgoing, []
         for keeper, ask in asks:
-            self.tasks.start(self._ask(keeper, ask))
-        updates = list(self.reader.updates)
-        self.reader.updates.clear()
+            self.tasks.start(self._send_request(keeper, ask))
+        updates = list(self.client.updates)
+        self.client.updates.clear()
         for update in updates:
             self.listener(update)
-        absent, self.reader.absent = self.reader.absent, []
+        absent, self.client.missing_destinations = self.client.missing_destinations, []
         for destination in absent:
             self.host.messages.fail_unknown_destination(destination)
 
-    def _renew(self) -> None:
+    def _notify_renewed(self) -> None:
         """`current` may have changed."""
-        self._carry_out()
-        self._due(self.now() + LEAST_S)
-        news, self.news = self.news, asyncio.Event()
+        self._execute_decisions()
+        self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
+        news, self.renewed = self.renewed, asyncio.Event()
         news.set()
 
     # -- words -----------------------------------------------------------------------------------------------
 
-    async def _ask(self, keeper: str, ask: ShardRequest) -> None:
+    async def _send_request(self, keeper: str, ask: ShardRequest) -> None:
         word: ShardResponse | Overloaded | LayoutMismatch | None = None
         try:
-            if keeper == self.me and self.keeper is not None:
+            if keeper == self.name and self.server is not None:
                 await asyncio.sleep(0)  # in a turn of its own
-                word = self.keeper.asked(self.now(), self.me, ask)
+                word = self.server.handle_request(self.now(), self.name, ask)
             else:
-                came = read(await self.peers.request(keeper, KIND, packed(ask), ASK_S))
+                came = decode_message(
+                    await self.peers.request(keeper, MESSAGE_KIND, encode_message(ask), REQUEST_TIMEOUT_S)
+                )
                 if not isinstance(came, ShardResponse | Overloaded | LayoutMismatch):
                     raise UnreadableFrameError(f"{type(came).__name__} is no answer")
                 word = came
         except ValueError as error:
-            self._unreadable(keeper, error)
+            self._record_unreadable(keeper, error)
         except OSError:
             self.counts["unanswered"] += 1
         except Exception:
             log.exception("an ask of %s failed", keeper)
         try:
             if word is None:
-                self.reader.failed(self.now(), keeper)
+                self.client.on_request_failed(self.now(), keeper)
             else:
-                self.reader.answered(self.now(), keeper, word)
+                self.client.on_response(self.now(), keeper, word)
         except Exception:
             log.exception("an answer of %s could not be taken", keeper)
-        self._renew()
+        self._notify_renewed()
 
-    def _asked(self, hello: Hello, raw: bytes) -> bytes:
+    def _on_frame(self, hello: Hello, raw: bytes) -> bytes:
         """A frame; ValueError for what is no ask: the peers' node ends its connection."""
         try:
-            ask = read(raw)
+            ask = decode_message(raw)
             if not isinstance(ask, ShardRequest):
                 raise UnreadableFrameError(f"{type(ask).__name__} is no ask")
         except ValueError as error:
-            self._unreadable(hello.sender, error)
+            self._record_unreadable(hello.sender, error)
             raise
-        if self.keeper is None:
-            return packed(LayoutMismatch(ask.number, self.layout))
-        answer: Word = self.keeper.asked(self.now(), hello.sender, ask)
-        self._due(max(self.keeper.next_at(), self.now() + LEAST_S))
-        return packed(answer)
+        if self.server is None:
+            return encode_message(LayoutMismatch(ask.number, self.layout))
+        answer: DirectoryMessage = self.server.handle_request(self.now(), hello.sender, ask)
+        self._schedule_tick(max(self.server.next_digest_at(), self.now() + MIN_TICK_INTERVAL_S))
+        return encode_message(answer)
 
-    def _said(self, sender: str, raw: bytes) -> None:
+    def _on_datagram(self, sender: str, raw: bytes) -> None:
         """A datagram."""
         try:
-            digest = read(raw)
+            digest = decode_message(raw)
             if not isinstance(digest, Digest):
                 raise UnreadableFrameError(f"{type(digest).__name__} is no digest")
         except ValueError as error:
-            self._unreadable(sender, error)
+            self._record_unreadable(sender, error)
             return
-        if sender in self.keepers:
-            self.reader.digest(self.now(), sender, digest)
-            self._renew()
+        if sender in self.server_names:
+            self.client.on_digest(self.now(), sender, digest)
+            self._notify_renewed()
 
-    def _unreadable(self, sender: str, error: Exception) -> None:
+    def _record_unreadable(self, sender: str, error: Exception) -> None:
         self.counts["unreadable"] += 1
         if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
             log.warning(
@@ -264,32 +268,32 @@
                 )
             )
 
-    def _member_changed(self, claim: Claim) -> None:
-        if claim.name in self.keepers and self.running:
-            self._reach()
+    def _on_member_changed(self, claim: Claim) -> None:
+        if claim.name in self.server_names and self.running:
+            self._update_reachable()
 
-    def _reach(self) -> None:
+    def _update_reachable(self) -> None:
         members = self.peers.swim.members
-        self.reader.reachable(
+        self.client.set_reachable(
             self.now(),
             [
                 name
-                for name in sorted(self.keepers)
-                if name == self.me or name in members and not members[name].is_gone
+                for name in sorted(self.server_names)
+                if name == self.name or name in members and not members[name].is_gone
             ],
         )
-        self._due(self.now() + LEAST_S)
+        self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     # -- for people ------------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
         told = {
-            "reader": msgspec.to_builtins(self.reader.status(self.now())) | dict(self.counts),
+            "reader": msgspec.to_builtins(self.client.status(self.now())) | dict(self.counts),
             "peers": {name: self.peers.counts[name] for name in ("sent_bytes", "received_bytes")},
         }
-        if self.keeper is not None and self.source is not None:
-            told["keeper"] = msgspec.to_builtins(self.keeper.status(self.now())) | {
+        if self.server is not None and self.source is not None:
+            told["keeper"] = msgspec.to_builtins(self.server.status(self.now())) | {
                 "source_failures": self.source.failures,
-                "entries_passed_over": self.source.passed.count,
+                "entries_passed_over": self.source.entry_reader.skipped,
             }
         return told
--- a/message_relay/sharded_directory/rendezvous_hash.py
+++ b/message_relay/sharded_directory/rendezvous_hash.py
@@ -12,21 +12,21 @@
 
 import xxhash
 
-SHARDS_MOST = 1 << 16  # of 44 destinations each: 2.9 million; a bitmap of 8 KB
-KEEPERS_MOST = 16  # so many can be tried, two at a time with a second each, within the bound: reading.Reader
+MAX_SHARDS = 1 << 16  # of 44 destinations each: 2.9 million; a bitmap of 8 KB
+MAX_SERVERS = 16  # so many can be tried, two at a time with a second each, within the bound: reading.Reader
 _MASK = (1 << 64) - 1
 _DESTINATION = struct.Struct("<Q")
 
 
-def shard_of(destination: int, shards: int) -> int:
+def shard_of(destination: int, shard_count: int) -> int:
     """`shards` is a power of two."""
-    return xxhash.xxh3_64_intdigest(_DESTINATION.pack(destination & _MASK)) & (shards - 1)
+    return xxhash.xxh3_64_intdigest(_DESTINATION.pack(destination & _MASK)) & (shard_count - 1)
 
 
-def ranked(reader: str, keepers: Iterable[str]) -> list[str]:
+def rank_servers(reader: str, servers: Iterable[str]) -> list[str]:
     """All keepers, the one to ask first first; the same at each start."""
 
     def rank(keeper: str) -> tuple[int, str]:
         return xxhash.xxh3_64_intdigest(f"{reader}\n{keeper}".encode()), keeper
 
-    return sorted(keepers, key=rank)
+    return sorted(servers, key=rank)
--- a/message_relay/sharded_directory/settings.py
+++ b/message_relay/sharded_directory/settings.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta
 
-COUNT_MOST = 1 << 16  # as ring.SHARDS_MOST, which is not imported here
-KEEPERS_MOST = 16  # as ring.KEEPERS_MOST: so many can be tried within the bound
+MAX_SHARDS = 1 << 16  # as ring.SHARDS_MOST, which is not imported here
+MAX_SERVERS = 16  # as ring.KEEPERS_MOST: so many can be tried within the bound
 
 
 class ShardedDirectorySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -26,10 +26,10 @@
     def __post_init__(self) -> None:
         if len(set(self.keepers)) != len(self.keepers):
             raise ValueError("keepers: each is named once")
-        if len(self.keepers) > KEEPERS_MOST:
-            raise ValueError(f"keepers: {len(self.keepers)}: {KEEPERS_MOST} at most")
-        if not 1 <= self.count <= COUNT_MOST or self.count & (self.count - 1):
-            raise ValueError(f"count: {self.count} must be a power of two, from 1 to {COUNT_MOST}")
+        if len(self.keepers) > MAX_SERVERS:
+            raise ValueError(f"keepers: {len(self.keepers)}: {MAX_SERVERS} at most")
+        if not 1 <= self.count <= MAX_SHARDS or self.count & (self.count - 1):
+            raise ValueError(f"count: {self.count} must be a power of two, from 1 to {MAX_SHARDS}")
         if self.file and not self.keepers:
             raise ValueError("file: needs keepers, who read it")
 
--- a/message_relay/sharded_directory/shard_cache.py
+++ b/message_relay/sharded_directory/shard_cache.py
@@ -19,30 +19,32 @@
 
 from ..core.ports import EndpointRecord, EndpointUpdate
 from ..decisions.model import Listing
-from . import bits
+from . import bitset
 from .rendezvous_hash import shard_of
-from .wire import GONE, LISTINGS, NONE, SUM_MASK, Row, Version, row_sum, shard_mark
+from .wire import CHECKSUM_MASK, GONE, LISTINGS, NO_VERSION, Row, Version, row_checksum, shard_number_hash
 
-CHECKS_TICK = 64  # shards looked at for idleness in one tick, of some destinations in use each: below 1 ms
-CHECKS_IDLE = 4  # looks within the idle time: it is kept to within a quarter
-HOST_LETTERS = 253  # of a name in DNS
+IDLE_CHECKS_PER_TICK = (
+    64  # shards looked at for idleness in one tick, of some destinations in use each: below 1 ms
+)
+CHECKS_PER_IDLE_PERIOD = 4  # looks within the idle time: it is kept to within a quarter
+MAX_HOST_LENGTH = 253  # of a name in DNS
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
 
 
-def readable(row: Row) -> bool:
+def is_readable(row: Row) -> bool:
     """Whether a call could be made by it."""
     return (
         0 < row.port < 1 << 16
-        and 0 < len(row.host) <= HOST_LETTERS
+        and 0 < len(row.host) <= MAX_HOST_LENGTH
         and 0.0 <= row.rate < float("inf")
         and row.destination >= 0
         and row.name != ""
     )
 
 
-def member(row: Row) -> EndpointRecord:
+def endpoint_record(row: Row) -> EndpointRecord:
     return EndpointRecord(
         row.name, row.destination, LISTINGS[row.listing], (row.host, row.port), row.kind, row.zone, row.rate
     )
@@ -51,250 +53,268 @@
 class CachedShard:
     """A shard that is here."""
 
-    __slots__ = ("blob", "sum", "as_of", "used", "present", "told", "used_at", "waits", "bad")
+    __slots__ = (
+        "encoded_rows",
+        "checksum",
+        "version",
+        "last_used",
+        "existing_destinations",
+        "published",
+        "last_used_at",
+        "is_waiting",
+        "unreadable_rows",
+    )
 
     def __init__(self, now: float) -> None:
-        self.blob = b""
-        self.sum = 0
-        self.as_of = NONE
-        self.used: dict[int, float] = {}  # destinations, and when last
-        self.present: set[int] = set()  # of these, such as there are
-        self.told: dict[str, int] = {}  # names that the directory has from here, with their rows' sums
-        self.used_at = now
-        self.bad: set[int] = set()  # entries that can't be read, by their sums
-        self.waits = False  # something in it is not told before it is as of `top`
+        self.encoded_rows = b""
+        self.checksum = 0
+        self.version = NO_VERSION
+        self.last_used: dict[int, float] = {}  # destinations, and when last
+        self.existing_destinations: set[int] = set()  # of these, such as there are
+        self.published: dict[str, int] = {}  # names that the directory has from here, with their rows' sums
+        self.last_used_at = now
+        self.unreadable_rows: set[int] = set()  # entries that can't be read, by their sums
+        self.is_waiting = False  # something in it is not told before it is as of `top`
 
 
 class ShardCache:
     def __init__(self, shards: int, idle_s: float) -> None:
-        self.shards, self.idle_s = shards, idle_s
-        self.held: dict[int, CachedShard] = {}
-        self.bits = self.sum = self.set_sum = 0
-        self.base = NONE  # all are as of this or a later version
-        self.top = NONE
-        self.mark = NONE  # of an answer in pieces: shards that have reached it aren't asked from `base`
-        self.names: dict[str, int] = {}  # that the directory has: from which shard
+        self.shard_count, self.idle_s = shards, idle_s
+        self.resident: dict[int, CachedShard] = {}
+        self.resident_bits = self.rows_checksum = self.shard_set_checksum = 0
+        self.common_version = NO_VERSION  # all are as of this or a later version
+        self.latest_version = NO_VERSION
+        self.catch_up_version = (
+            NO_VERSION  # of an answer in pieces: shards that have reached it aren't asked from `base`
+        )
+        self.shard_by_name: dict[str, int] = {}  # that the directory has: from which shard
         self.updates: list[EndpointUpdate] = []
-        self.checks: deque[tuple[float, int]] = deque()  # (when, shard) to look whether it is idle, in order
-        self.behind: set[int] = set()  # shards that wait for `top`
-        self.unreadable = 0  # entries
-        self.endpoints = 0
-        self.read_rows = 0  # for tests of what an answer costs
-
-    def as_of(self, held: CachedShard) -> Version:
-        return max(held.as_of, self.base)
-
-    def settled(self, shard: int) -> bool:
+        self.idle_checks: deque[tuple[float, int]] = (
+            deque()
+        )  # (when, shard) to look whether it is idle, in order
+        self.waiting_shards: set[int] = set()  # shards that wait for `top`
+        self.unreadable_entries = 0  # entries
+        self.endpoint_count = 0
+        self.decoded_rows = 0  # for tests of what an answer costs
+
+    def version_of(self, held: CachedShard) -> Version:
+        return max(held.version, self.common_version)
+
+    def is_settled(self, shard: int) -> bool:
         """Whether it is here, and what it says first of a destination counts."""
-        held = self.held.get(shard)
-        return held is not None and self.as_of(held) >= self.top
+        held = self.resident.get(shard)
+        return held is not None and self.version_of(held) >= self.latest_version
 
     # -- what keepers say ------------------------------------------------------------------------------------
 
     def add(self, now: float, shard: int, rows: Iterable[Row], version: Version) -> int:
         """A shard that was not here, and is wanted. Its bytes; the caller has compared `version` with
         `top`."""
-        if not self.held:
-            self.base = version
-        held = self.held[shard] = CachedShard(now)
-        self.bits |= 1 << shard
-        self.set_sum = self.set_sum + shard_mark(shard) & SUM_MASK
-        self.checks.append((now + self.idle_s / CHECKS_IDLE, shard))
-        return self._put(shard, held, list(rows), version)
+        if not self.resident:
+            self.common_version = version
+        held = self.resident[shard] = CachedShard(now)
+        self.resident_bits |= 1 << shard
+        self.shard_set_checksum = self.shard_set_checksum + shard_number_hash(shard) & CHECKSUM_MASK
+        self.idle_checks.append((now + self.idle_s / CHECKS_PER_IDLE_PERIOD, shard))
+        return self._store(shard, held, list(rows), version)
 
     def replace(self, shard: int, rows: Iterable[Row], version: Version) -> int:
-        return self._put(shard, self.held[shard], list(rows), version)
+        return self._store(shard, self.resident[shard], list(rows), version)
 
-    def change(self, shard: int, rows: Iterable[Row], version: Version) -> int:
+    def apply_changes(self, shard: int, rows: Iterable[Row], version: Version) -> int:
         """Its rows that are new since a version that it is as of, or later. Their bytes, as they came: not
         the shard's, which would use up in a storm what a reader may ask for."""
-        held, rows = self.held[shard], list(rows)
-        known = {row.name: row for row in self._read(held)}
+        held, rows = self.resident[shard], list(rows)
+        known = {row.name: row for row in self._decode_rows(held)}
         for row in rows:
             if row.listing == GONE:
                 known.pop(row.name, None)
             else:
                 known[row.name] = row
-        self._put(shard, held, list(known.values()), version)
+        self._store(shard, held, list(known.values()), version)
         return len(_ENCODER.encode(rows))
 
-    def _put(self, shard: int, held: CachedShard, rows: list[Row], version: Version) -> int:
-        before = held.sum
-        held.blob = _ENCODER.encode(rows)
-        held.sum = sum(map(row_sum, rows)) & SUM_MASK
-        self.sum = self.sum + held.sum - before & SUM_MASK
-        held.as_of, self.top = version, max(self.top, version)
-        self.tell(shard, rows)
-        return len(held.blob)
+    def _store(self, shard: int, held: CachedShard, rows: list[Row], version: Version) -> int:
+        before = held.checksum
+        held.encoded_rows = _ENCODER.encode(rows)
+        held.checksum = sum(map(row_checksum, rows)) & CHECKSUM_MASK
+        self.rows_checksum = self.rows_checksum + held.checksum - before & CHECKSUM_MASK
+        held.version, self.latest_version = version, max(self.latest_version, version)
+        self.publish(shard, rows)
+        return len(held.encoded_rows)
 
     def confirm(self, shard: int, version: Version) -> None:
         """It is as of this version, as it is."""
-        held = self.held[shard]
-        held.as_of, self.top = max(held.as_of, version), max(self.top, version)
-        self._settle(shard, held)
+        held = self.resident[shard]
+        held.version, self.latest_version = max(held.version, version), max(self.latest_version, version)
+        self._publish_waiting(shard, held)
 
     def confirm_all(self, version: Version, covered: int) -> None:
         """Shards of `covered` are as of this version. Those that came meanwhile are as of their own."""
-        if not self.held:
+        if not self.resident:
             return  # nothing to be older than: who has nothing need not wait for the latest keeper
-        rest = [self.held[shard] for shard in bits.numbers(self.bits & ~covered)]
-        self.top = max(self.top, version)
-        if all(self.as_of(held) >= version for held in rest):
-            self.base = max(self.base, version)
+        rest = [self.resident[shard] for shard in bitset.set_bits(self.resident_bits & ~covered)]
+        self.latest_version = max(self.latest_version, version)
+        if all(self.version_of(held) >= version for held in rest):
+            self.common_version = max(self.common_version, version)
         else:
-            for shard in bits.numbers(self.bits & covered):
-                held = self.held[shard]
-                held.as_of = max(held.as_of, version)
-        for shard in list(self.behind):
-            self._settle(shard, self.held[shard])
+            for shard in bitset.set_bits(self.resident_bits & covered):
+                held = self.resident[shard]
+                held.version = max(held.version, version)
+        for shard in list(self.waiting_shards):
+            self._publish_waiting(shard, self.resident[shard])
 
-    def rebase(self) -> None:
+    def raise_common_version(self) -> None:
         """After shards were compared one by one: a walk over all that are here."""
-        if self.held:
-            self.base = max(self.base, min(self.as_of(held) for held in self.held.values()))
+        if self.resident:
+            self.common_version = max(
+                self.common_version, min(self.version_of(held) for held in self.resident.values())
+            )
 
-    def older(self, version: Version) -> list[int]:
+    def shards_older_than(self, version: Version) -> list[int]:
         """Shards that are as of an earlier one: likewise."""
-        if self.base >= version:
+        if self.common_version >= version:
             return []
-        return [shard for shard, held in self.held.items() if self.as_of(held) < version]
+        return [shard for shard, held in self.resident.items() if self.version_of(held) < version]
 
-    def ahead(self) -> int:
+    def shards_ahead(self) -> int:
         """Shards that are as of `mark` or later, where not all are: likewise. The mark stays until all have
         reached it: by one that rose with each piece, all would begin anew where versions come faster."""
-        if self.base >= self.top:
+        if self.common_version >= self.latest_version:
             return 0
-        if self.base >= self.mark:
-            self.mark = self.top
-        found = [shard for shard, held in self.held.items() if held.as_of >= self.mark]
+        if self.common_version >= self.catch_up_version:
+            self.catch_up_version = self.latest_version
+        found = [shard for shard, held in self.resident.items() if held.version >= self.catch_up_version]
         return sum(1 << shard for shard in found)
 
-    def _read(self, held: CachedShard) -> list[Row]:
-        rows = _ROWS.decode(held.blob) if held.blob else []
-        self.read_rows += len(rows)
+    def _decode_rows(self, held: CachedShard) -> list[Row]:
+        rows = _ROWS.decode(held.encoded_rows) if held.encoded_rows else []
+        self.decoded_rows += len(rows)
         return rows
 
     # -- what the directory hears ----------------------------------------------------------------------------
 
-    def _settle(self, shard: int, held: CachedShard) -> None:
-        if held.waits and self.as_of(held) >= self.top:
-            self.tell(shard)
+    def _publish_waiting(self, shard: int, held: CachedShard) -> None:
+        if held.is_waiting and self.version_of(held) >= self.latest_version:
+            self.publish(shard)
 
-    def tell(self, shard: int, rows: list[Row] | None = None) -> None:
+    def publish(self, shard: int, rows: list[Row] | None = None) -> None:
         """What is new of its destinations in use."""
-        held = self.held[shard]
-        rows = self._read(held) if rows is None else rows
-        first_counts = self.as_of(held) >= self.top
+        held = self.resident[shard]
+        rows = self._decode_rows(held) if rows is None else rows
+        first_counts = self.version_of(held) >= self.latest_version
         told, members, lives = {}, [], []
-        bad, held.bad = held.bad, set()
-        held.present.clear()
-        held.waits = False
+        bad, held.unreadable_rows = held.unreadable_rows, set()
+        held.existing_destinations.clear()
+        held.is_waiting = False
         for row in rows:
             if row.listing == GONE:
                 continue
-            if row.destination not in held.used:
-                if self._takes_over(shard, held, row.name):
+            if row.destination not in held.last_used:
+                if self._take_over_name(shard, held, row.name):
                     lives.append((row.name, Listing.GONE))
                 continue
-            mark = row_sum(row)
-            before = held.told.get(row.name)
+            mark = row_checksum(row)
+            before = held.published.get(row.name)
             if before is None and not first_counts:
-                held.waits = True
-                held.present.add(row.destination)
+                held.is_waiting = True
+                held.existing_destinations.add(row.destination)
                 continue
-            known = row.name in self.names
-            if before is None and known and not self._takes_over(shard, held, row.name):
+            known = row.name in self.shard_by_name
+            if before is None and known and not self._take_over_name(shard, held, row.name):
                 continue  # two shards of one version have it: a keeper's fault
             if before != mark:
-                if not 0 <= row.listing < GONE or not readable(row):
-                    self.unreadable += mark not in bad
-                    held.bad.add(mark)
+                if not 0 <= row.listing < GONE or not is_readable(row):
+                    self.unreadable_entries += mark not in bad
+                    held.unreadable_rows.add(mark)
                     if not known:
                         continue
                     if 0 <= row.listing < GONE:  # what it says of its life can be read
                         lives.append((row.name, LISTINGS[row.listing]))
                 else:
-                    members.append(member(row))
-            held.present.add(row.destination)
+                    members.append(endpoint_record(row))
+            held.existing_destinations.add(row.destination)
             told[row.name] = mark
-            self.names[row.name] = shard
-        for name in held.told:
+            self.shard_by_name[row.name] = shard
+        for name in held.published:
             if name not in told:
-                del self.names[name]
+                del self.shard_by_name[name]
                 lives.append((name, Listing.GONE))
-        self.endpoints += len(told) - len(held.told)
-        held.told = told
-        (self.behind.add if held.waits else self.behind.discard)(shard)
-        self._update(members, lives)
+        self.endpoint_count += len(told) - len(held.published)
+        held.published = told
+        (self.waiting_shards.add if held.is_waiting else self.waiting_shards.discard)(shard)
+        self._queue_update(members, lives)
 
-    def _takes_over(self, shard: int, held: CachedShard, name: str) -> bool:
+    def _take_over_name(self, shard: int, held: CachedShard, name: str) -> bool:
         """The name was told from another shard, of an earlier version: it has moved here."""
-        at = self.names.get(name)
-        if at is None or at == shard or self.as_of(self.held[at]) >= self.as_of(held):
+        at = self.shard_by_name.get(name)
+        if at is None or at == shard or self.version_of(self.resident[at]) >= self.version_of(held):
             return False
-        del self.names[name], self.held[at].told[name]
-        self.endpoints -= 1
+        del self.shard_by_name[name], self.resident[at].published[name]
+        self.endpoint_count -= 1
         return True
 
-    def _update(self, members: list[EndpointRecord], lives: list[tuple[str, Listing]]) -> None:
+    def _queue_update(self, members: list[EndpointRecord], lives: list[tuple[str, Listing]]) -> None:
         if members or lives:
             self.updates.append(EndpointUpdate(False, tuple(members), tuple(lives)))
 
     # -- use -------------------------------------------------------------------------------------------------
 
-    def use(self, now: float, destinations: Iterable[int], shard: int) -> list[int]:
+    def start_use(self, now: float, destinations: Iterable[int], shard: int) -> list[int]:
         """They are in use from now on, and the directory hears of them. Those that there are not."""
-        held = self.held[shard]
-        new = [each for each in destinations if each not in held.used]
-        held.used.update(dict.fromkeys(destinations, now))
-        held.used_at = now
-        self.tell(shard)
-        absent = [each for each in new if each not in held.present]
+        held = self.resident[shard]
+        new = [each for each in destinations if each not in held.last_used]
+        held.last_used.update(dict.fromkeys(destinations, now))
+        held.last_used_at = now
+        self.publish(shard)
+        absent = [each for each in new if each not in held.existing_destinations]
         for each in absent:
-            del held.used[each]
+            del held.last_used[each]
         return absent
 
     def touch(self, now: float, destination: int) -> bool:
         """It is used once more; False: it is not in use."""
-        held = self.held.get(shard_of(destination, self.shards))
-        if held is None or destination not in held.used:
+        held = self.resident.get(shard_of(destination, self.shard_count))
+        if held is None or destination not in held.last_used:
             return False
-        held.used[destination] = held.used_at = now
+        held.last_used[destination] = held.last_used_at = now
         return True
 
-    def sweep(self, now: float, in_use: Callable[[int], bool], wanted: Callable[[int], bool]) -> bool:
+    def evict_idle(
+        self, now: float, is_in_use: Callable[[int], bool], is_requested: Callable[[int], bool]
+    ) -> bool:
         """Gives up what is idle: destinations, and shards without any. Whether a shard was."""
         any_given = False
-        for _ in range(CHECKS_TICK):
-            if not self.checks or self.checks[0][0] > now:
+        for _ in range(IDLE_CHECKS_PER_TICK):
+            if not self.idle_checks or self.idle_checks[0][0] > now:
                 break
-            _, shard = self.checks.popleft()
-            held = self.held[shard]
-            idle = [each for each, at in held.used.items() if now - at >= self.idle_s]
+            _, shard = self.idle_checks.popleft()
+            held = self.resident[shard]
+            idle = [each for each, at in held.last_used.items() if now - at >= self.idle_s]
             dropped = False
             for each in idle:
-                if in_use(each):
-                    held.used[each] = held.used_at = now
+                if is_in_use(each):
+                    held.last_used[each] = held.last_used_at = now
                 else:
-                    del held.used[each]
+                    del held.last_used[each]
                     dropped = True
-            if not held.used and now - held.used_at >= self.idle_s and not wanted(shard):
-                self._give_up(shard, held)
+            if not held.last_used and now - held.last_used_at >= self.idle_s and not is_requested(shard):
+                self._evict(shard, held)
                 any_given = True
                 continue
             if dropped:
-                self.tell(shard)
-            self.checks.append((now + self.idle_s / CHECKS_IDLE, shard))
+                self.publish(shard)
+            self.idle_checks.append((now + self.idle_s / CHECKS_PER_IDLE_PERIOD, shard))
         return any_given
 
-    def _give_up(self, shard: int, held: CachedShard) -> None:
-        for name in held.told:
-            del self.names[name]
-        self.endpoints -= len(held.told)
-        self._update([], [(name, Listing.UNNEEDED) for name in held.told])
-        self.top = max(self.top, self.as_of(held))
-        del self.held[shard]
-        self.behind.discard(shard)
-        self.bits ^= 1 << shard
-        self.sum = self.sum - held.sum & SUM_MASK
-        self.set_sum = self.set_sum - shard_mark(shard) & SUM_MASK
+    def _evict(self, shard: int, held: CachedShard) -> None:
+        for name in held.published:
+            del self.shard_by_name[name]
+        self.endpoint_count -= len(held.published)
+        self._queue_update([], [(name, Listing.UNNEEDED) for name in held.published])
+        self.latest_version = max(self.latest_version, self.version_of(held))
+        del self.resident[shard]
+        self.waiting_shards.discard(shard)
+        self.resident_bits ^= 1 << shard
+        self.rows_checksum = self.rows_checksum - held.checksum & CHECKSUM_MASK
+        self.shard_set_checksum = self.shard_set_checksum - shard_number_hash(shard) & CHECKSUM_MASK
--- a/message_relay/sharded_directory/shard_client.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -22,47 +22,56 @@
 
 from ..core.backoff import ExponentialBackoff
 from ..core.ports import EndpointUpdate
-from .rendezvous_hash import ranked, shard_of
+from .rendezvous_hash import rank_servers, shard_of
 from .shard_cache import ShardCache
-from .staleness import BEFORE, Freshness
+from .staleness import NEVER, StalenessTracker
 from .wire import (
-    NONE,
+    NO_VERSION,
     Digest,
     FullShard,
     Layout,
     LayoutMismatch,
     Overloaded,
-    Part,
-    Same,
+    RequestedShard,
+    ResponsePart,
     ShardRequest,
     ShardResponse,
+    UnchangedShard,
     Version,
-    WantedShard,
-    layout_sum,
-    packed_bits,
+    layout_checksum,
+    pack_shard_set,
 )
 
-OUT_MOST = 2  # asks at once, of different keepers: one that hangs does not stop the other
-ROOM_S = 1.0  # of the bound: a call's first byte after the check, and clocks that run apart by 30 ms a minute
-REFRESH = 2.0  # digests' time without a word, after which a keeper is asked: one of each keeper may be lost
-REFRESH_LEAST = 1.2  # likewise, where so many keepers have to be tried that it has to begin sooner
-TRY_S = 1.2  # two keepers that hang, asked at once: a second, and what it takes to notice
-KEEP_S = 30.0  # at least so often the first two keepers are asked, which forget readers after 60 s: both tell
+MAX_OUTSTANDING_REQUESTS = 2  # asks at once, of different keepers: one that hangs does not stop the other
+SAFETY_MARGIN_S = (
+    1.0  # of the bound: a call's first byte after the check, and clocks that run apart by 30 ms a minute
+)
+REFRESH_DIGESTS = (
+    2.0  # digests' time without a word, after which a keeper is asked: one of each keeper may be lost
+)
+MIN_REFRESH_DIGESTS = 1.2  # likewise, where so many keepers have to be tried that it has to begin sooner
+ATTEMPT_S = 1.2  # two keepers that hang, asked at once: a second, and what it takes to notice
+SUBSCRIPTION_REFRESH_S = (
+    30.0  # at least so often the first two keepers are asked, which forget readers after 60 s: both tell
+)
 # digests, so that one whose source lags without knowing (a file that is copied late) is found out
-BEHIND_S = 10.0  # a keeper whose source is silent for so long is asked last
-BEHIND_PAUSE_S = 5.0  # and then for so long
-PAUSE_S, PAUSE_MOST_S = 0.5, 4.0  # after failures: within the bound each keeper is tried again
-RETURN_S = 2.0  # a keeper that is back gets its readers spread over so long
-SLOW_S = 0.3  # an ask that is out for so long is no longer counted on
-SHORT_S = 0.05  # between two asks of one keeper that have more to ask
-WANTS_ASK = 64  # in one ask: past the shards of one answer
-SUMS_ASK = 512  # compared in one ask: 6 KB
-SUSPECT_S = 60.0  # at most so often everything is compared because sums differ under one version
-BYTES_S, BYTES_BURST = 512e3, 2e6  # of answers: a thousand shards of 2.6 KB in 2 s; far above it is a fault
-NO_DUE_MS = 1e9
-
-
-class ReaderStatus(msgspec.Struct, frozen=True):
+LAGGING_SOURCE_AGE_S = 10.0  # a keeper whose source is silent for so long is asked last
+LAGGING_PAUSE_S = 5.0  # and then for so long
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after failures: within the bound each keeper is tried again
+RECOVERY_SPREAD_S = 2.0  # a keeper that is back gets its readers spread over so long
+SLOW_RESPONSE_S = 0.3  # an ask that is out for so long is no longer counted on
+CONTINUATION_PAUSE_S = 0.05  # between two asks of one keeper that have more to ask
+MAX_SHARDS_PER_REQUEST = 64  # in one ask: past the shards of one answer
+MAX_CHECKSUMS_PER_REQUEST = 512  # compared in one ask: 6 KB
+COMPARE_ALL_INTERVAL_S = 60.0  # at most so often everything is compared because sums differ under one version
+RECEIVE_BYTES_PER_S, RECEIVE_BURST_BYTES = (
+    512e3,
+    2e6,
+)  # of answers: a thousand shards of 2.6 KB in 2 s; far above it is a fault
+NO_DEADLINE_MS = 1e9
+
+
+class ShardClientStatus(msgspec.Struct, frozen=True):
     shards: int
     endpoints: int
     waiting: int  # shards that are wanted
@@ -80,27 +89,27 @@
     bytes_in: int
 
 
-class Wanted:
+class PendingShard:
     """A shard for which messages wait."""
 
-    __slots__ = ("due", "destinations", "keeper")
+    __slots__ = ("deadline", "destinations", "requested_from")
 
     def __init__(self, due: float) -> None:
-        self.due = due
+        self.deadline = due
         self.destinations: set[int] = set()  # as many as messages are held for, at most
-        self.keeper: str | None = None  # who is asked for it just now
+        self.requested_from: str | None = None  # who is asked for it just now
 
 
-class Out:
+class OutstandingRequest:
     """An ask that is to be answered."""
 
-    __slots__ = ("number", "sent_at", "holds", "sums", "wants")
+    __slots__ = ("number", "sent_at", "resident_shards", "checksums", "requested_shards")
 
     def __init__(
         self, number: int, sent_at: float, holds: int, sums: dict[int, int], wants: list[int]
     ) -> None:
-        self.number, self.sent_at, self.holds = number, sent_at, holds
-        self.sums, self.wants = sums, wants
+        self.number, self.sent_at, self.resident_shards = number, sent_at, holds
+        self.checksums, self.requested_shards = sums, wants
 
 
 class ServerState:
@@ -109,410 +118,450 @@
     __slots__ = (
         "name",
         "rank",
-        "out",
+        "outstanding",
         "paused_until",
-        "pauses",
-        "failing",
-        "behind_until",
-        "news",
-        "asked_at",
+        "backoff",
+        "is_failing",
+        "lagging_until",
+        "has_more",
+        "requested_at",
     )
 
     def __init__(self, name: str, rank: int, rng: random.Random) -> None:
         self.name, self.rank = name, rank
-        self.out: Out | None = None
-        self.paused_until = self.behind_until = self.asked_at = BEFORE
-        self.pauses = ExponentialBackoff(PAUSE_S, PAUSE_MOST_S, rng)
-        self.failing = False
-        self.news = False  # it has more to tell
+        self.outstanding: OutstandingRequest | None = None
+        self.paused_until = self.lagging_until = self.requested_at = NEVER
+        self.backoff = ExponentialBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S, rng)
+        self.is_failing = False
+        self.has_more = False  # it has more to tell
 
 
 class ShardClient:
     def __init__(
         self,
-        me: str,
+        name: str,
         layout: Layout,
         rng: random.Random,
         bound_s: float = 12.0,
         idle_s: float = 300.0,
         digest_s: float = 3.0,
     ) -> None:
-        self.me, self.layout, self.rng = me, layout, rng
+        self.name, self.layout, self.rng = name, layout, rng
         # Where all hang at once, all have to be tried within the bound, or calls wait for that.
-        trying = ROOM_S + TRY_S * (len(layout.keepers) / 2 + 1)
+        trying = SAFETY_MARGIN_S + ATTEMPT_S * (len(layout.servers) / 2 + 1)
         self.bound_s = bound_s
-        self.refresh_s = min(REFRESH * digest_s, max(REFRESH_LEAST * digest_s, bound_s - trying))
-        self.layout_sum = layout_sum(layout)
-        names = ranked(me, (f"n{number}" for number in layout.keepers))
-        self.keepers = {name: ServerState(name, rank, rng) for rank, name in enumerate(names)}
-        self.here_now = set(names)  # among the peers' members
-        self.fresh = Freshness(names, bound_s - ROOM_S)
-        self.store = ShardCache(layout.shards, idle_s)
-        self.wants: dict[int, Wanted] = {}
-        self.queue: list[tuple[float, int]] = []  # (due, shard) of those to ask for, a heap
-        self.late: set[int] = set()  # of these: such as are here, and not as they have to be
-        self.compare: dict[int, None] = {}  # shards to compare by their sums, in order
-        self.suspected_at = BEFORE
-        self.asks: list[tuple[str, ShardRequest]] = []
-        self.absent: list[int] = []
-        self.number = 0
-        self.due = BEFORE  # when tick has something to do
-        self.tokens, self.tokens_at = BYTES_BURST, BEFORE
-        self.failures = self.busy = self.stale_refused = self.other_layout = self.unasked = self.bytes_in = 0
+        self.refresh_s = min(
+            REFRESH_DIGESTS * digest_s, max(MIN_REFRESH_DIGESTS * digest_s, bound_s - trying)
+        )
+        self.layout_checksum = layout_checksum(layout)
+        names = rank_servers(name, (f"n{number}" for number in layout.servers))
+        self.servers = {name: ServerState(name, rank, rng) for rank, name in enumerate(names)}
+        self.reachable_servers = set(names)  # among the peers' members
+        self.staleness = StalenessTracker(names, bound_s - SAFETY_MARGIN_S)
+        self.cache = ShardCache(layout.shard_count, idle_s)
+        self.pending: dict[int, PendingShard] = {}
+        self.pending_queue: list[tuple[float, int]] = []  # (due, shard) of those to ask for, a heap
+        self.resident_pending: set[int] = set()  # of these: such as are here, and not as they have to be
+        self.shards_to_compare: dict[int, None] = {}  # shards to compare by their sums, in order
+        self.compared_all_at = NEVER
+        self.outgoing: list[tuple[str, ShardRequest]] = []
+        self.missing_destinations: list[int] = []
+        self.last_request_number = 0
+        self.next_tick = NEVER  # when tick has something to do
+        self.receive_tokens, self.tokens_updated_at = RECEIVE_BURST_BYTES, NEVER
+        self.failures = self.overloaded = self.stale_rejected = self.layout_mismatches = self.unsolicited = (
+            self.received_bytes
+        ) = 0
 
     @property
     def updates(self) -> list[EndpointUpdate]:
         """For the directory; the caller takes them out after whatever it has called here, before any call is
         made: `current` speaks of what is in them. Also after `want` and `use`: a destination whose
         shard is here, but was in no use, is told then."""
-        return self.store.updates
+        return self.cache.updates
 
     # -- messages --------------------------------------------------------------------------------------------
 
-    def request(self, now: float, destination: int, due: float) -> None:
+    def request(self, now: float, destination: int, deadline: float) -> None:
         """A message for it is held, and it isn't `here`: an update or `absent` follows, perhaps at once."""
-        shard = shard_of(destination, self.layout.shards)
-        wanted = self.wants.get(shard)
+        shard = shard_of(destination, self.layout.shard_count)
+        wanted = self.pending.get(shard)
         if wanted is None:
-            if self._complete(now, shard):
-                self.absent += self.store.use(now, (destination,), shard)
+            if self._can_publish(now, shard):
+                self.missing_destinations += self.cache.start_use(now, (destination,), shard)
                 return
-            wanted = self.wants[shard] = Wanted(due)
-            heapq.heappush(self.queue, (due, shard))
-            if shard in self.store.held:
-                self.late.add(shard)
-        elif due < wanted.due and wanted.keeper is None:
-            heapq.heappush(self.queue, (due, shard))
-        wanted.due = min(wanted.due, due)
+            wanted = self.pending[shard] = PendingShard(deadline)
+            heapq.heappush(self.pending_queue, (deadline, shard))
+            if shard in self.cache.resident:
+                self.resident_pending.add(shard)
+        elif deadline < wanted.deadline and wanted.requested_from is None:
+            heapq.heappush(self.pending_queue, (deadline, shard))
+        wanted.deadline = min(wanted.deadline, deadline)
         wanted.destinations.add(destination)
-        self.due = min(self.due, now)
+        self.next_tick = min(self.next_tick, now)
 
     def touch(self, now: float, destination: int) -> None:
         """A message for it was taken, a call made."""
-        if not self.store.touch(now, destination):
-            shard = shard_of(destination, self.layout.shards)
-            if shard in self.store.held:
-                self.request(now, destination, now + NO_DUE_MS / 1e3)
+        if not self.cache.touch(now, destination):
+            shard = shard_of(destination, self.layout.shard_count)
+            if shard in self.cache.resident:
+                self.request(now, destination, now + NO_DEADLINE_MS / 1e3)
 
     def is_resident(self, destination: int) -> bool:
         """Whether what there is of it is with the directory."""
-        held = self.store.held.get(shard_of(destination, self.layout.shards))
-        return held is not None and destination in held.used
+        held = self.cache.resident.get(shard_of(destination, self.layout.shard_count))
+        return held is not None and destination in held.last_used
 
     def contains(self, destination: int) -> bool:
         """Whether it is here, and there is such a destination."""
-        held = self.store.held.get(shard_of(destination, self.layout.shards))
-        return held is not None and destination in held.used and destination in held.present
+        held = self.cache.resident.get(shard_of(destination, self.layout.shard_count))
+        return (
+            held is not None and destination in held.last_used and destination in held.existing_destinations
+        )
 
     def is_current(self, now: float, destination: int) -> bool:
         """Whether a first byte may go out by what is known of it. Else an ask is on its way."""
-        held = self.store.held.get(shard_of(destination, self.layout.shards))
+        held = self.cache.resident.get(shard_of(destination, self.layout.shard_count))
         if held is None:
             return False
-        if self.fresh.current(now, self.store.as_of(held)):
+        if self.staleness.is_current(now, self.cache.version_of(held)):
             return True
-        self.due = min(self.due, now)
+        self.next_tick = min(self.next_tick, now)
         return False
 
-    def _complete(self, now: float, shard: int) -> bool:
+    def _can_publish(self, now: float, shard: int) -> bool:
         """Whether what it says of a destination for the first time may be told."""
-        return self.store.settled(shard) and self.fresh.current(now, self.store.as_of(self.store.held[shard]))
+        return self.cache.is_settled(shard) and self.staleness.is_current(
+            now, self.cache.version_of(self.cache.resident[shard])
+        )
 
     # -- keepers ---------------------------------------------------------------------------------------------
 
-    def reachable(self, now: float, keepers: Iterable[str]) -> None:
+    def set_reachable(self, now: float, keepers: Iterable[str]) -> None:
         """Who is among the peers' members now."""
-        found = {name for name in keepers if name in self.keepers}
-        for name in found - self.here_now:
-            keeper = self.keepers[name]
-            if keeper.failing:
-                keeper.paused_until = min(keeper.paused_until, now + RETURN_S * self.rng.random())
-        self.here_now = found
-        self.due = min(self.due, now)
-
-    def answered(self, now: float, keeper: str, word: ShardResponse | Overloaded | LayoutMismatch) -> None:
+        found = {name for name in keepers if name in self.servers}
+        for name in found - self.reachable_servers:
+            keeper = self.servers[name]
+            if keeper.is_failing:
+                keeper.paused_until = min(keeper.paused_until, now + RECOVERY_SPREAD_S * self.rng.random())
+        self.reachable_servers = found
+        self.next_tick = min(self.next_tick, now)
+
+    def on_response(self, now: float, keeper: str, word: ShardResponse | Overloaded | LayoutMismatch) -> None:
         """How an ask ended. One that wasn't asked, or is not waited for any more, is passed over."""
-        told = self.keepers.get(keeper)
-        if told is None or told.out is None or told.out.number != word.number:
-            self.unasked += 1
+        told = self.servers.get(keeper)
+        if told is None or told.outstanding is None or told.outstanding.number != word.number:
+            self.unsolicited += 1
             return
-        out = self._ended(told)
-        self.due = min(self.due, now)
+        out = self._finish_request(told)
+        self.next_tick = min(self.next_tick, now)
         if isinstance(word, Overloaded):
-            self.busy += 1
-            told.news = True  # whatever it was asked for is still to be asked
-            after = word.after_ms / 1e3
-            told.paused_until = now + (min(max(after, SHORT_S), PAUSE_MOST_S) if isfinite(after) else PAUSE_S)
+            self.overloaded += 1
+            told.has_more = True  # whatever it was asked for is still to be asked
+            after = word.retry_after_ms / 1e3
+            told.paused_until = now + (
+                min(max(after, CONTINUATION_PAUSE_S), MAX_BACKOFF_S) if isfinite(after) else MIN_BACKOFF_S
+            )
         elif isinstance(word, LayoutMismatch):
-            self.other_layout += not word.loading
-            self._fails(now, told, out)
+            self.layout_mismatches += not word.is_loading
+            self._record_failure(now, told, out)
         else:
-            self._answer(now, told, out, word)
+            self._apply_response(now, told, out, word)
 
-    def failed(self, now: float, keeper: str) -> None:
+    def on_request_failed(self, now: float, keeper: str) -> None:
         """An ask has had no answer in time, or could not be made."""
-        told = self.keepers.get(keeper)
-        if told is not None and told.out is not None:
-            self._fails(now, told, self._ended(told))
-            self.due = min(self.due, now)
+        told = self.servers.get(keeper)
+        if told is not None and told.outstanding is not None:
+            self._record_failure(now, told, self._finish_request(told))
+            self.next_tick = min(self.next_tick, now)
 
-    def _ended(self, keeper: ServerState) -> Out:
-        out = keeper.out
+    def _finish_request(self, keeper: ServerState) -> OutstandingRequest:
+        out = keeper.outstanding
         assert out is not None
-        keeper.out = None
-        for shard in out.wants:
-            wanted = self.wants.get(shard)
-            if wanted is not None and wanted.keeper == keeper.name:
-                wanted.keeper = None
-                heapq.heappush(self.queue, (wanted.due, shard))
+        keeper.outstanding = None
+        for shard in out.requested_shards:
+            wanted = self.pending.get(shard)
+            if wanted is not None and wanted.requested_from == keeper.name:
+                wanted.requested_from = None
+                heapq.heappush(self.pending_queue, (wanted.deadline, shard))
         return out
 
-    def _fails(self, now: float, keeper: ServerState, out: Out) -> None:
+    def _record_failure(self, now: float, keeper: ServerState, out: OutstandingRequest) -> None:
         self.failures += 1
-        keeper.failing, keeper.news = True, False
-        keeper.paused_until = now + keeper.pauses.next_delay()
-        self.fresh.failed(keeper.name, out.sent_at)
+        keeper.is_failing, keeper.has_more = True, False
+        keeper.paused_until = now + keeper.backoff.next_delay()
+        self.staleness.record_failure(keeper.name, out.sent_at)
 
-    def _answer(self, now: float, keeper: ServerState, out: Out, answer: ShardResponse) -> None:
-        keeper.failing, keeper.news = False, False
-        keeper.pauses.reset()
+    def _apply_response(
+        self, now: float, keeper: ServerState, out: OutstandingRequest, answer: ShardResponse
+    ) -> None:
+        keeper.is_failing, keeper.has_more = False, False
+        keeper.backoff.reset()
         age = max(0.0, answer.source_age_ms / 1e3) if isfinite(answer.source_age_ms) else 1e9
-        self.fresh.answered(keeper.name, out.sent_at, answer.boot, answer.clock_ms)
-        store = self.store
-        self.fresh.says(keeper.name, out.sent_at, answer.version, age, answer.version >= store.base)
-        if age > BEHIND_S or answer.version < store.base:
-            keeper.behind_until = now + BEHIND_PAUSE_S
-        taken = sum([self._part(now, keeper, out, answer.version, part) for part in answer.parts])
-        if answer.version < store.base:
-            self.stale_refused += 1
-        elif answer.complete:
-            store.confirm_all(answer.version, out.holds)
+        self.staleness.record_response(keeper.name, out.sent_at, answer.process_epoch, answer.clock_ms)
+        store = self.cache
+        self.staleness.record_version(
+            keeper.name, out.sent_at, answer.version, age, answer.version >= store.common_version
+        )
+        if age > LAGGING_SOURCE_AGE_S or answer.version < store.common_version:
+            keeper.lagging_until = now + LAGGING_PAUSE_S
+        taken = sum([self._apply_part(now, keeper, out, answer.version, part) for part in answer.parts])
+        if answer.version < store.common_version:
+            self.stale_rejected += 1
+        elif answer.is_complete:
+            store.confirm_all(answer.version, out.resident_shards)
         else:
-            older = store.older(answer.since)
-            self.compare.update(dict.fromkeys(older))
+            older = store.shards_older_than(answer.history_start)
+            self.shards_to_compare.update(dict.fromkeys(older))
             if not older:
-                store.rebase()
-            if answer.reached > store.base:
-                store.confirm_all(answer.reached, out.holds)
-            keeper.news = True
-            keeper.paused_until = now + (SHORT_S if taken else PAUSE_S)
-        if out.sums:
+                store.raise_common_version()
+            if answer.reached_version > store.common_version:
+                store.confirm_all(answer.reached_version, out.resident_shards)
+            keeper.has_more = True
+            keeper.paused_until = now + (CONTINUATION_PAUSE_S if taken else MIN_BACKOFF_S)
+        if out.checksums:
             if not taken:  # not again at once: a keeper that is behind can't say
-                self.compare = {shard: None for shard in self.compare if shard not in out.sums}
-            if not self.compare:
-                store.rebase()
-        if out.wants and not any(shard in store.held or shard not in self.wants for shard in out.wants):
-            keeper.paused_until = now + keeper.pauses.next_delay()  # it gave none: not again at once
-        self._arrived(now)
-
-    def _part(self, now: float, keeper: ServerState, out: Out, version: Version, part: Part) -> bool:
+                self.shards_to_compare = {
+                    shard: None for shard in self.shards_to_compare if shard not in out.checksums
+                }
+            if not self.shards_to_compare:
+                store.raise_common_version()
+        if out.requested_shards and not any(
+            shard in store.resident or shard not in self.pending for shard in out.requested_shards
+        ):
+            keeper.paused_until = now + keeper.backoff.next_delay()  # it gave none: not again at once
+        self._release_pending(now)
+
+    def _apply_part(
+        self, now: float, keeper: ServerState, out: OutstandingRequest, version: Version, part: ResponsePart
+    ) -> bool:
         """Whether it was taken: older never replaces newer."""
-        store, shard = self.store, part.shard
-        held = store.held.get(shard)
+        store, shard = self.cache, part.shard
+        held = store.resident.get(shard)
         if held is None:
-            if not isinstance(part, FullShard) or shard not in out.wants or shard not in self.wants:
+            if (
+                not isinstance(part, FullShard)
+                or shard not in out.requested_shards
+                or shard not in self.pending
+            ):
                 return False
-            if version < store.top:
-                self.stale_refused += 1
+            if version < store.latest_version:
+                self.stale_rejected += 1
                 return False
-            if keeper.behind_until > now and self._others(now, keeper):
+            if keeper.lagging_until > now and self._has_better_server(now, keeper):
                 return False
-            self._got(now, store.add(now, shard, part.rows, version))
-            self.late.add(shard)
-        elif version < store.as_of(held):
-            self.stale_refused += 1
+            self._count_received(now, store.add(now, shard, part.rows, version))
+            self.resident_pending.add(shard)
+        elif version < store.version_of(held):
+            self.stale_rejected += 1
             return False
-        elif isinstance(part, Same):
-            if out.sums.get(shard) != held.sum:
+        elif isinstance(part, UnchangedShard):
+            if out.checksums.get(shard) != held.checksum:
                 return False
             store.confirm(shard, version)
         elif isinstance(part, FullShard):
-            self._got(now, store.replace(shard, part.rows, version))
+            self._count_received(now, store.replace(shard, part.rows, version))
         else:
-            self._got(now, store.change(shard, part.rows, version))
-        self.compare.pop(shard, None)
+            self._count_received(now, store.apply_changes(shard, part.rows, version))
+        self.shards_to_compare.pop(shard, None)
         return True
 
-    def _others(self, now: float, keeper: ServerState) -> bool:
+    def _has_better_server(self, now: float, keeper: ServerState) -> bool:
         """Whether another one may know more than this, which is behind."""
         return any(
-            not each.failing and each.behind_until <= now and each.name in self.here_now
-            for each in self.keepers.values()
+            not each.is_failing and each.lagging_until <= now and each.name in self.reachable_servers
+            for each in self.servers.values()
             if each is not keeper
         )
 
-    def _got(self, now: float, size: int) -> None:
-        self.bytes_in += size
-        self.tokens -= size
+    def _count_received(self, now: float, size: int) -> None:
+        self.received_bytes += size
+        self.receive_tokens -= size
 
-    def _arrived(self, now: float) -> None:
+    def _release_pending(self, now: float) -> None:
         """Messages go on whose shards are here now."""
-        for shard in [shard for shard in self.late if self._complete(now, shard)]:
-            self.late.discard(shard)
-            wanted = self.wants.pop(shard)
-            self.absent += self.store.use(now, wanted.destinations, shard)
+        for shard in [shard for shard in self.resident_pending if self._can_publish(now, shard)]:
+            self.resident_pending.discard(shard)
+            wanted = self.pending.pop(shard)
+            self.missing_destinations += self.cache.start_use(now, wanted.destinations, shard)
 
-    def digest(self, now: float, keeper: str, digest: Digest) -> None:
+    def on_digest(self, now: float, keeper: str, digest: Digest) -> None:
         """A keeper tells what a reader should have by now."""
-        told = self.keepers.get(keeper)
+        told = self.servers.get(keeper)
         if told is None:
             return
-        if digest.layout_sum != self.layout_sum:
-            self.other_layout += 1
+        if digest.layout_checksum != self.layout_checksum:
+            self.layout_mismatches += 1
             return
-        store = self.store
-        at = self.fresh.dated(now, keeper, digest.boot, digest.clock_ms)
+        store = self.cache
+        at = self.staleness.earliest_sent_at(now, keeper, digest.process_epoch, digest.clock_ms)
         if at is None:
             return  # of another process, which was not asked yet: the next ask dates it
         age = max(0.0, digest.source_age_ms / 1e3) if isfinite(digest.source_age_ms) else 1e9
-        self.fresh.says(keeper, at, digest.version, age, digest.version >= store.base)
-        if age > BEHIND_S:
-            told.behind_until = now + BEHIND_PAUSE_S
-        if digest.version < store.base:
-            self.stale_refused += 1
+        self.staleness.record_version(keeper, at, digest.version, age, digest.version >= store.common_version)
+        if age > LAGGING_SOURCE_AGE_S:
+            told.lagging_until = now + LAGGING_PAUSE_S
+        if digest.version < store.common_version:
+            self.stale_rejected += 1
             return
-        same_set = digest.set_sum == store.set_sum
-        if same_set and digest.sum == store.sum:
-            store.confirm_all(digest.version, store.bits)
-            self.compare.clear()
-            self._arrived(now)
-        elif digest.version > store.base:
-            told.news = True
+        same_set = digest.shard_set_checksum == store.shard_set_checksum
+        if same_set and digest.rows_checksum == store.rows_checksum:
+            store.confirm_all(digest.version, store.resident_bits)
+            self.shards_to_compare.clear()
+            self._release_pending(now)
+        elif digest.version > store.common_version:
+            told.has_more = True
         elif same_set:
-            self._suspect(now)
-            told.news = bool(self.compare)
-        elif now - told.asked_at >= self.refresh_s and told.rank == 0:
-            told.news = True  # it does not know what is held here
-        self.due = min(self.due, now)
+            self._compare_all(now)
+            told.has_more = bool(self.shards_to_compare)
+        elif now - told.requested_at >= self.refresh_s and told.rank == 0:
+            told.has_more = True  # it does not know what is held here
+        self.next_tick = min(self.next_tick, now)
 
-    def _suspect(self, now: float) -> None:
+    def _compare_all(self, now: float) -> None:
         """Under one version two different things: an entry was lost, or a source wrote its list anew."""
-        if now - self.suspected_at >= SUSPECT_S:
-            self.suspected_at = now
-            self.compare = dict.fromkeys(self.store.held)
+        if now - self.compared_all_at >= COMPARE_ALL_INTERVAL_S:
+            self.compared_all_at = now
+            self.shards_to_compare = dict.fromkeys(self.cache.resident)
 
     # -- asking ----------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, in_use: Callable[[int], bool]) -> None:
+    def tick(self, now: float, is_in_use: Callable[[int], bool]) -> None:
         """What is due. `in_use`: messages of it are held, calls are out, or something learned counts."""
-        if self.store.sweep(now, in_use, self.wants.__contains__):
-            self.compare = {shard: None for shard in self.compare if shard in self.store.held}
-        self._arrived(now)
-        self.tokens = min(BYTES_BURST, self.tokens + max(0.0, now - self.tokens_at) * BYTES_S)
-        self.tokens_at = now
-        self.due = now + 1.0
+        if self.cache.evict_idle(now, is_in_use, self.pending.__contains__):
+            self.shards_to_compare = {
+                shard: None for shard in self.shards_to_compare if shard in self.cache.resident
+            }
+        self._release_pending(now)
+        self.receive_tokens = min(
+            RECEIVE_BURST_BYTES,
+            self.receive_tokens + max(0.0, now - self.tokens_updated_at) * RECEIVE_BYTES_PER_S,
+        )
+        self.tokens_updated_at = now
+        self.next_tick = now + 1.0
         # Of those that fail the one that was left alone the longest: else the first few, whose time runs out
         # again and again, keep the last from being tried, and that may be the one that is back.
         order = sorted(
-            self.keepers.values(),
+            self.servers.values(),
             key=lambda each: (
-                each.failing,
-                each.behind_until > now,
-                each.name not in self.here_now,
-                each.asked_at if each.failing else BEFORE,
+                each.is_failing,
+                each.lagging_until > now,
+                each.name not in self.reachable_servers,
+                each.requested_at if each.is_failing else NEVER,
                 each.rank,
             ),
         )
         for place, keeper in enumerate(order):
-            if sum(each.out is not None for each in order) >= OUT_MOST:
+            if sum(each.outstanding is not None for each in order) >= MAX_OUTSTANDING_REQUESTS:
                 return
-            if keeper.out is not None:
+            if keeper.outstanding is not None:
                 continue
-            wants = (place < 2 or order[1].failing) and self._wants_open()
-            if not self._reason(now, keeper, place, wants):
+            wants = (place < 2 or order[1].is_failing) and self._has_requestable()
+            if not self._should_ask(now, keeper, place, wants):
                 continue
             if keeper.paused_until > now:
-                self.due = min(self.due, keeper.paused_until)
+                self.next_tick = min(self.next_tick, keeper.paused_until)
                 continue
-            self._ask(now, keeper, self._taken() if wants else [])
+            self._send_request(now, keeper, self._next_shards() if wants else [])
 
-    def _wants_open(self) -> bool:
+    def _has_requestable(self) -> bool:
         """Whether there are shards to ask for. What the heap has of others is dropped."""
-        while self.queue:
-            wanted = self.wants.get(self.queue[0][1])
-            if wanted is not None and wanted.keeper is None and self.queue[0][1] not in self.store.held:
-                return self.tokens > 0.0
-            heapq.heappop(self.queue)
+        while self.pending_queue:
+            wanted = self.pending.get(self.pending_queue[0][1])
+            if (
+                wanted is not None
+                and wanted.requested_from is None
+                and self.pending_queue[0][1] not in self.cache.resident
+            ):
+                return self.receive_tokens > 0.0
+            heapq.heappop(self.pending_queue)
         return False
 
-    def _taken(self) -> list[int]:
+    def _next_shards(self) -> list[int]:
         """Some of them, earliest end first."""
         found: dict[int, None] = {}
-        while len(found) < WANTS_ASK and self._wants_open():
-            found[heapq.heappop(self.queue)[1]] = None
+        while len(found) < MAX_SHARDS_PER_REQUEST and self._has_requestable():
+            found[heapq.heappop(self.pending_queue)[1]] = None
         return list(found)
 
-    def _reason(self, now: float, keeper: ServerState, place: int, wants: bool) -> bool:
-        if wants or keeper.news:
+    def _should_ask(self, now: float, keeper: ServerState, place: int, wants: bool) -> bool:
+        if wants or keeper.has_more:
             return True
-        if not self.store.held:
+        if not self.cache.resident:
             return False
-        if keeper.rank < 2 and keeper.failing:
+        if keeper.rank < 2 and keeper.is_failing:
             return True  # when its pause is over: whether it is back
-        if place == 0 and self.compare:
+        if place == 0 and self.shards_to_compare:
             return True
-        idle = all(each.out is None for each in self.keepers.values())
-        if place < 2 and now - keeper.asked_at >= KEEP_S and idle:
+        idle = all(each.outstanding is None for each in self.servers.values())
+        if place < 2 and now - keeper.requested_at >= SUBSCRIPTION_REFRESH_S and idle:
             return True
-        old = now - self.fresh.confirmed(self.store.base) >= self.refresh_s
-        tried = now - self.fresh.tried[keeper.name][0]
+        old = now - self.staleness.confirmed_at(self.cache.common_version) >= self.refresh_s
+        tried = now - self.staleness.last_contacts[keeper.name][0]
         if old and tried >= self.refresh_s:
             return all(
-                each.failing or now - each.out.sent_at >= SLOW_S  # else its answer may do
-                for each in self.keepers.values()
-                if each.out is not None
+                each.is_failing or now - each.outstanding.sent_at >= SLOW_RESPONSE_S  # else its answer may do
+                for each in self.servers.values()
+                if each.outstanding is not None
             )
-        return bool(self.late) and place < 2 and tried >= PAUSE_S
-
-    def _ask(self, now: float, keeper: ServerState, wants: list[int]) -> None:
-        store = self.store
-        self.number += 1
-        sums = {shard: store.held[shard].sum for shard in list(self.compare)[:SUMS_ASK]}
+        return bool(self.resident_pending) and place < 2 and tried >= MIN_BACKOFF_S
+
+    def _send_request(self, now: float, keeper: ServerState, wants: list[int]) -> None:
+        store = self.cache
+        self.last_request_number += 1
+        sums = {
+            shard: store.resident[shard].checksum
+            for shard in list(self.shards_to_compare)[:MAX_CHECKSUMS_PER_REQUEST]
+        }
         for shard in wants:
-            self.wants[shard].keeper = keeper.name
-        ahead = store.ahead()
-        keeper.out = Out(self.number, now, store.bits, sums, wants)
-        keeper.asked_at, keeper.news = now, False
-        self.asks.append(
+            self.pending[shard].requested_from = keeper.name
+        ahead = store.shards_ahead()
+        keeper.outstanding = OutstandingRequest(
+            self.last_request_number, now, store.resident_bits, sums, wants
+        )
+        keeper.requested_at, keeper.has_more = now, False
+        self.outgoing.append(
             (
                 keeper.name,
                 ShardRequest(
-                    number=self.number,
+                    number=self.last_request_number,
                     layout=self.layout,
-                    version=store.base if store.held else store.top,
-                    holds=packed_bits(store.bits, self.layout.shards),
-                    wants=tuple(WantedShard(shard, self._due_ms(now, shard)) for shard in wants),
-                    sums=tuple(sums.items()),
-                    ahead=store.mark if ahead else NONE,
-                    further=packed_bits(ahead, self.layout.shards) if ahead else b"",
+                    version=store.common_version if store.resident else store.latest_version,
+                    resident_shards=pack_shard_set(store.resident_bits, self.layout.shard_count),
+                    requested_shards=tuple(
+                        RequestedShard(shard, self._time_left_ms(now, shard)) for shard in wants
+                    ),
+                    checksums=tuple(sums.items()),
+                    ahead_version=store.catch_up_version if ahead else NO_VERSION,
+                    ahead_shards=pack_shard_set(ahead, self.layout.shard_count) if ahead else b"",
                 ),
             )
         )
 
-    def _due_ms(self, now: float, shard: int) -> float:
-        return min(NO_DUE_MS, max(0.0, self.wants[shard].due - now) * 1e3)
+    def _time_left_ms(self, now: float, shard: int) -> float:
+        return min(NO_DEADLINE_MS, max(0.0, self.pending[shard].deadline - now) * 1e3)
 
-    def next_at(self) -> float:
+    def next_tick_at(self) -> float:
         """When tick has something to do."""
-        return self.due
-
-    def status(self, now: float) -> ReaderStatus:
-        store = self.store
-        at = self.fresh.confirmed(store.base)
-        return ReaderStatus(
-            shards=len(store.held),
-            endpoints=store.endpoints,
-            waiting=len(self.wants),
-            version=store.base,
+        return self.next_tick
+
+    def status(self, now: float) -> ShardClientStatus:
+        store = self.cache
+        at = self.staleness.confirmed_at(store.common_version)
+        return ShardClientStatus(
+            shards=len(store.resident),
+            endpoints=store.endpoint_count,
+            waiting=len(self.pending),
+            version=store.common_version,
             age_s=min(1e9, now - at),
-            behind=bool(store.held) and not self.fresh.current(now, store.base),
-            keepers=len(self.here_now),
-            asks=self.number,
+            behind=bool(store.resident) and not self.staleness.is_current(now, store.common_version),
+            keepers=len(self.reachable_servers),
+            asks=self.last_request_number,
             failures=self.failures,
-            busy=self.busy,
-            stale_refused=self.stale_refused,
-            other_layout=self.other_layout,
-            unreadable=store.unreadable,
-            unasked=self.unasked,
-            bytes_in=self.bytes_in,
+            busy=self.overloaded,
+            stale_refused=self.stale_rejected,
+            other_layout=self.layout_mismatches,
+            unreadable=store.unreadable_entries,
+            unasked=self.unsolicited,
+            bytes_in=self.received_bytes,
         )
--- a/message_relay/sharded_directory/shard_table.py
+++ b/message_relay/sharded_directory/shard_table.py
@@ -19,90 +19,92 @@
 import msgspec
 import xxhash
 
-from .wire import GONE, SUM_MASK, Row, row_sum
+from .wire import CHECKSUM_MASK, GONE, Row, row_checksum
 
-LOG_SHARD = 64  # rows of changes kept for one shard: past its rows (44 by the plan) the whole is shorter
-LOG_ROWS = 50_000  # and for all: a week of the plan's 7,000 changes a day, some 15 MB
+MAX_LOG_ROWS_PER_SHARD = (
+    64  # rows of changes kept for one shard: past its rows (44 by the plan) the whole is shorter
+)
+MAX_LOG_ROWS = 50_000  # and for all: a week of the plan's 7,000 changes a day, some 15 MB
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
-EMPTY = _ENCODER.encode([])
+EMPTY_SHARD = _ENCODER.encode([])
 
 
-def name_mark(name: str) -> int:
+def name_hash(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode("utf-8", "surrogatepass"))
 
 
-class Log:
+class ChangeLog:
     """The latest changes of one shard: complete for all that came after `start`."""
 
-    __slots__ = ("start", "rows")
+    __slots__ = ("complete_after", "rows")
 
     def __init__(self, start: int) -> None:
-        self.start = start  # a generation
+        self.complete_after = start  # a generation
         self.rows: list[tuple[int, Row]] = []
 
     def add(self, generation: int, rows: list[Row]) -> None:
         self.rows += [(generation, row) for row in rows]
-        over = len(self.rows) - LOG_SHARD
+        over = len(self.rows) - MAX_LOG_ROWS_PER_SHARD
         if over > 0:
-            self.start = self.rows[over - 1][0]
+            self.complete_after = self.rows[over - 1][0]
             del self.rows[:over]
 
-    def since(self, generation: int) -> tuple[Row, ...] | None:
+    def rows_since(self, generation: int) -> tuple[Row, ...] | None:
         """Each name's latest; None: it does not reach back so far."""
-        if generation < self.start:
+        if generation < self.complete_after:
             return None
         return tuple({row.name: row for at, row in self.rows if at > generation}.values())
 
 
-class Edit(msgspec.Struct, gc=False):
+class ShardEdit(msgspec.Struct, gc=False):
     """What a shard becomes."""
 
-    blob: bytes
-    count: int
-    destinations: int
-    sum: int
-    rows: list[Row]  # what is new in it; those that left as gone
+    encoded_rows: bytes
+    row_count: int
+    destination_count: int
+    checksum: int
+    changed_rows: list[Row]  # what is new in it; those that left as gone
 
 
-class Table:
+class ShardTable:
     def __init__(self, shards: int) -> None:
-        self.shards = shards
-        self.blobs: list[bytes] = [EMPTY] * shards
-        self.counts = array("I", bytes(4 * shards))
-        self.destinations = array("I", bytes(4 * shards))
-        self.sums = array("Q", bytes(8 * shards))
-        self.names: dict[int, int] = {}  # by name_mark: the shard
-        self.changed: OrderedDict[int, int] = OrderedDict()  # shard -> generation, the latest last
-        self.logs: OrderedDict[int, Log] = OrderedDict()  # likewise
-        self.log_rows = 0
-        self.generation = self.start = -1  # what changed before `start` isn't known
-        self.serial = 0  # changes with each edit that is taken
-        self.decoded = 0  # rows read, for tests of what a change costs
-
-    def rows(self, shard: int) -> list[Row]:
-        found = _ROWS.decode(self.blobs[shard])
-        self.decoded += len(found)
+        self.shard_count = shards
+        self.encoded_rows: list[bytes] = [EMPTY_SHARD] * shards
+        self.row_counts = array("I", bytes(4 * shards))
+        self.destination_counts = array("I", bytes(4 * shards))
+        self.checksums = array("Q", bytes(8 * shards))
+        self.shard_by_name_hash: dict[int, int] = {}  # by name_mark: the shard
+        self.changed_at: OrderedDict[int, int] = OrderedDict()  # shard -> generation, the latest last
+        self.change_logs: OrderedDict[int, ChangeLog] = OrderedDict()  # likewise
+        self.log_row_count = 0
+        self.generation = self.history_start = -1  # what changed before `start` isn't known
+        self.commit_count = 0  # changes with each edit that is taken
+        self.decoded_rows = 0  # rows read, for tests of what a change costs
+
+    def decode_rows(self, shard: int) -> list[Row]:
+        found = _ROWS.decode(self.encoded_rows[shard])
+        self.decoded_rows += len(found)
         return found
 
-    def since(self, generation: int) -> Iterator[int]:
+    def changed_since(self, generation: int) -> Iterator[int]:
         """Shards that changed after it, the latest first: costs by what changed and not by what there is."""
-        for shard, at in reversed(self.changed.items()):
+        for shard, at in reversed(self.changed_at.items()):
             if at <= generation:
                 return
             yield shard
 
-    def changes(self, shard: int, generation: int) -> tuple[Row, ...] | None:
+    def rows_changed_since(self, shard: int, generation: int) -> tuple[Row, ...] | None:
         """Its rows that changed after it; None: the whole has to be told, or is shorter."""
-        log = self.logs.get(shard)
-        rows = None if log is None else log.since(generation)
-        return None if rows is None or len(rows) > self.counts[shard] else rows
+        log = self.change_logs.get(shard)
+        rows = None if log is None else log.rows_since(generation)
+        return None if rows is None or len(rows) > self.row_counts[shard] else rows
 
-    def edited(self, shard: int, changes: dict[str, Row | int]) -> Edit | None:
+    def edit_shard(self, shard: int, changes: dict[str, Row | int]) -> ShardEdit | None:
         """By name: its new row, or only its listing. None: nothing is new."""
-        rows = {row.name: row for row in self.rows(shard)}
-        total, new = self.sums[shard], []
+        rows = {row.name: row for row in self.decode_rows(shard)}
+        total, new = self.checksums[shard], []
         for name, told in changes.items():
             before = rows.get(name)
             if isinstance(told, int):
@@ -113,46 +115,48 @@
                 continue
             new.append(told)
             if before is not None:
-                total -= row_sum(before)
+                total -= row_checksum(before)
             if told.listing == GONE:
                 rows.pop(name, None)
             else:
                 rows[name] = told
-                total += row_sum(told)
+                total += row_checksum(told)
         if not new:
             return None
         there = len({row.destination for row in rows.values()})
-        return Edit(_ENCODER.encode(list(rows.values())), len(rows), there, total & SUM_MASK, new)
+        return ShardEdit(_ENCODER.encode(list(rows.values())), len(rows), there, total & CHECKSUM_MASK, new)
 
-    def take(self, generation: int, edits: dict[int, Edit], anew: bool = False) -> list[tuple[int, int]]:
+    def commit(
+        self, generation: int, edits: dict[int, ShardEdit], restarts_history: bool = False
+    ) -> list[tuple[int, int]]:
         """All at once: which shards' sums have grown by how much. `anew`: what changed before is not known,
         or counted otherwise."""
         grown = []
         for shard, edit in edits.items():
-            grown.append((shard, (edit.sum - self.sums[shard]) & SUM_MASK))
-            self.blobs[shard], self.sums[shard] = edit.blob, edit.sum
-            self.counts[shard], self.destinations[shard] = edit.count, edit.destinations
-        if anew:
-            self.changed.clear()
-            self.logs.clear()
-            self.log_rows = 0
-            self.start = generation
+            grown.append((shard, (edit.checksum - self.checksums[shard]) & CHECKSUM_MASK))
+            self.encoded_rows[shard], self.checksums[shard] = edit.encoded_rows, edit.checksum
+            self.row_counts[shard], self.destination_counts[shard] = edit.row_count, edit.destination_count
+        if restarts_history:
+            self.changed_at.clear()
+            self.change_logs.clear()
+            self.log_row_count = 0
+            self.history_start = generation
         else:
-            self._log(generation, edits)
+            self._log_changes(generation, edits)
         self.generation = generation
-        self.serial += 1
+        self.commit_count += 1
         return grown
 
-    def _log(self, generation: int, edits: dict[int, Edit]) -> None:
+    def _log_changes(self, generation: int, edits: dict[int, ShardEdit]) -> None:
         for shard, edit in edits.items():
-            log = self.logs.get(shard)
+            log = self.change_logs.get(shard)
             if log is None:  # it is complete since the shard's last change, not since the table's
-                log = self.logs[shard] = Log(self.changed.get(shard, self.start))
-            self.changed[shard] = generation
-            self.changed.move_to_end(shard)
-            self.log_rows -= len(log.rows)
-            log.add(generation, edit.rows)
-            self.log_rows += len(log.rows)
-            self.logs.move_to_end(shard)
-        while self.log_rows > LOG_ROWS:
-            self.log_rows -= len(self.logs.popitem(last=False)[1].rows)
+                log = self.change_logs[shard] = ChangeLog(self.changed_at.get(shard, self.history_start))
+            self.changed_at[shard] = generation
+            self.changed_at.move_to_end(shard)
+            self.log_row_count -= len(log.rows)
+            log.add(generation, edit.changed_rows)
+            self.log_row_count += len(log.rows)
+            self.change_logs.move_to_end(shard)
+        while self.log_row_count > MAX_LOG_ROWS:
+            self.log_row_count -= len(self.change_logs.popitem(last=False)[1].rows)
--- a/message_relay/sharded_directory/staleness.py
+++ b/message_relay/sharded_directory/staleness.py
@@ -17,73 +17,79 @@
 
 from .wire import Version
 
-FACTS_MOST = 32  # a version each: past the changes of a second, of which each fact is one
-BEFORE = float("-inf")
+MAX_FACTS = 32  # a version each: past the changes of a second, of which each fact is one
+NEVER = float("-inf")
 
 
-class Clock:
+class ServerClock:
     """A keeper's, as of its latest answer."""
 
-    __slots__ = ("boot", "offset")
+    __slots__ = ("process_epoch", "offset")
 
     def __init__(self, boot: int, offset: float) -> None:
-        self.boot, self.offset = boot, offset
+        self.process_epoch, self.offset = boot, offset
 
 
-class Freshness:
-    def __init__(self, keepers: Iterable[str], bound_s: float) -> None:
+class StalenessTracker:
+    def __init__(self, servers: Iterable[str], bound_s: float) -> None:
         self.bound_s = bound_s
-        self.versions: list[Version] = []  # ascending, and so are their times
-        self.times: list[float] = []
-        self.tried: dict[str, tuple[float, Version | None]] = {name: (BEFORE, None) for name in keepers}
-        self.clocks: dict[str, Clock] = {}
+        self.fact_versions: list[Version] = []  # ascending, and so are their times
+        self.fact_times: list[float] = []
+        self.last_contacts: dict[str, tuple[float, Version | None]] = {
+            name: (NEVER, None) for name in servers
+        }
+        self.clocks: dict[str, ServerClock] = {}
 
     # -- what is said ----------------------------------------------------------------------------------------
 
-    def answered(self, keeper: str, sent_at: float, boot: int, clock_ms: float) -> None:
+    def record_response(self, server: str, sent_at: float, process_epoch: int, clock_ms: float) -> None:
         """An ask went out before its answer was made: that dates the keeper's clock, not too late."""
-        self.clocks[keeper] = Clock(boot, sent_at - clock_ms / 1e3)
+        self.clocks[server] = ServerClock(process_epoch, sent_at - clock_ms / 1e3)
 
-    def dated(self, now: float, keeper: str, boot: int, clock_ms: float) -> float | None:
+    def earliest_sent_at(self, now: float, server: str, process_epoch: int, clock_ms: float) -> float | None:
         """When this digest was sent at the earliest; None: another process's than was asked."""
-        clock = self.clocks.get(keeper)
-        if clock is None or clock.boot != boot:
+        clock = self.clocks.get(server)
+        if clock is None or clock.process_epoch != process_epoch:
             return None
         return min(now, clock.offset + clock_ms / 1e3)
 
-    def says(self, keeper: str, at: float, version: Version, age_s: float, credible: bool = True) -> None:
+    def record_version(
+        self, server: str, at: float, version: Version, age_s: float, is_credible: bool = True
+    ) -> None:
         """As of `at` the keeper was at this version, and its source had told it so much earlier. Not
         credible: there was a later one before, so that its source lags, whatever it says of its age."""
-        if at >= self.tried[keeper][0]:
-            self.tried[keeper] = (at, version)
-        if credible:
-            self._fact(version, at - age_s)
+        if at >= self.last_contacts[server][0]:
+            self.last_contacts[server] = (at, version)
+        if is_credible:
+            self._add_fact(version, at - age_s)
 
-    def failed(self, keeper: str, at: float) -> None:
+    def record_failure(self, server: str, at: float) -> None:
         """An ask that went out then has had no answer."""
-        if at >= self.tried[keeper][0]:
-            self.tried[keeper] = (at, None)
+        if at >= self.last_contacts[server][0]:
+            self.last_contacts[server] = (at, None)
 
-    def _fact(self, version: Version, at: float) -> None:
-        place = bisect_right(self.versions, version)
-        if place and self.times[place - 1] >= at:
+    def _add_fact(self, version: Version, at: float) -> None:
+        place = bisect_right(self.fact_versions, version)
+        if place and self.fact_times[place - 1] >= at:
             return  # a lower version, and later: says more
-        first = place - 1 if place and self.versions[place - 1] == version else place
-        while place < len(self.times) and self.times[place] <= at:
+        first = place - 1 if place and self.fact_versions[place - 1] == version else place
+        while place < len(self.fact_times) and self.fact_times[place] <= at:
             place += 1
-        self.versions[first:place], self.times[first:place] = [version], [at]
-        if len(self.times) > FACTS_MOST:
-            del self.versions[0], self.times[0]
+        self.fact_versions[first:place], self.fact_times[first:place] = [version], [at]
+        if len(self.fact_times) > MAX_FACTS:
+            del self.fact_versions[0], self.fact_times[0]
 
     # -- what follows ----------------------------------------------------------------------------------------
 
-    def confirmed(self, version: Version) -> float:
+    def confirmed_at(self, version: Version) -> float:
         """When what is as of this version was right, at the latest that is known."""
-        place = bisect_right(self.versions, version)
-        return self.times[place - 1] if place else BEFORE
+        place = bisect_right(self.fact_versions, version)
+        return self.fact_times[place - 1] if place else NEVER
 
-    def current(self, now: float, version: Version) -> bool:
+    def is_current(self, now: float, version: Version) -> bool:
         oldest = now - self.bound_s
-        if self.confirmed(version) >= oldest:
+        if self.confirmed_at(version) >= oldest:
             return True
-        return all(at >= oldest and (had is None or had <= version) for at, had in self.tried.values())
+        return all(
+            at >= oldest and (had is None or had <= version) for at, had in self.last_contacts.values()
+        )
--- a/message_relay/sharded_directory/wire.py
+++ b/message_relay/sharded_directory/wire.py
@@ -23,8 +23,8 @@
 from ..decisions.model import Listing
 
 Version = tuple[int, int]  # epoch, generation
-NONE: Version = (0, -1)  # below every version
-SUM_MASK = (1 << 64) - 1
+NO_VERSION: Version = (0, -1)  # below every version
+CHECKSUM_MASK = (1 << 64) - 1
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
@@ -43,15 +43,15 @@
 class Layout(msgspec.Struct, frozen=True, array_like=True):
     """What has to be the same at all instances; another's words are refused where it is not."""
 
-    shards: int  # a power of two
-    keepers: tuple[int, ...]  # instance numbers, ascending
+    shard_count: int  # a power of two
+    servers: tuple[int, ...]  # instance numbers, ascending
 
 
-class WantedShard(msgspec.Struct, frozen=True, array_like=True):
+class RequestedShard(msgspec.Struct, frozen=True, array_like=True):
     """A shard that the reader does not have."""
 
     shard: int
-    due_ms: float  # until the earliest message for it runs out of time; large: none waits
+    time_left_ms: float  # until the earliest message for it runs out of time; large: none waits
 
 
 class ShardRequest(msgspec.Struct, frozen=True, array_like=True, tag="a"):
@@ -60,11 +60,11 @@
     number: int  # grows with each ask of a reader's process
     layout: Layout
     version: Version  # all shards of `holds` are as of this or a later one
-    holds: bytes  # shards that it holds: a bitmap of layout.shards bits, zlib
-    wants: tuple[WantedShard, ...] = ()
-    sums: tuple[tuple[int, int], ...] = ()  # (shard, its sum): to compare, a slice at a time
-    ahead: Version = NONE  # shards of `further` are as of this or later: of an answer in pieces
-    further: bytes = b""  # as `holds`; empty: none
+    resident_shards: bytes  # shards that it holds: a bitmap of layout.shards bits, zlib
+    requested_shards: tuple[RequestedShard, ...] = ()
+    checksums: tuple[tuple[int, int], ...] = ()  # (shard, its sum): to compare, a slice at a time
+    ahead_version: Version = NO_VERSION  # shards of `further` are as of this or later: of an answer in pieces
+    ahead_shards: bytes = b""  # as `holds`; empty: none
 
 
 class FullShard(msgspec.Struct, frozen=True, array_like=True, tag="w"):
@@ -74,20 +74,20 @@
     rows: tuple[Row, ...]
 
 
-class Changes(msgspec.Struct, frozen=True, array_like=True, tag="c"):
+class ShardChanges(msgspec.Struct, frozen=True, array_like=True, tag="c"):
     """What is new in a shard since the version that was asked from."""
 
     shard: int
     rows: tuple[Row, ...]
 
 
-class Same(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class UnchangedShard(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """The shard's sum is as the reader said."""
 
     shard: int
 
 
-Part = Union[FullShard, Changes, Same]
+ResponsePart = Union[FullShard, ShardChanges, UnchangedShard]
 
 
 class ShardResponse(msgspec.Struct, frozen=True, array_like=True, tag="A"):
@@ -98,20 +98,22 @@
 
     number: int
     version: Version
-    parts: tuple[Part, ...]
-    complete: bool
-    since: Version
+    parts: tuple[ResponsePart, ...]
+    is_complete: bool
+    history_start: Version
     source_age_ms: float  # since the keeper's own source last said that this is all
-    boot: int  # of the keeper's process, by chance: its clock is compared with itself only
+    process_epoch: int  # of the keeper's process, by chance: its clock is compared with itself only
     clock_ms: float
-    reached: Version = NONE  # where it isn't complete: all that the reader holds is as of this or later now
+    reached_version: Version = (
+        NO_VERSION  # where it isn't complete: all that the reader holds is as of this or later now
+    )
 
 
 class Overloaded(msgspec.Struct, frozen=True, array_like=True, tag="B"):
     """Too much is asked of this keeper: come again."""
 
     number: int
-    after_ms: float
+    retry_after_ms: float
 
 
 class LayoutMismatch(msgspec.Struct, frozen=True, array_like=True, tag="O"):
@@ -119,49 +121,49 @@
 
     number: int
     layout: Layout
-    loading: bool = False
+    is_loading: bool = False
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="d"):
     """In one datagram, every few seconds, to each reader that asked of late."""
 
-    layout_sum: int
+    layout_checksum: int
     version: Version
-    set_sum: int  # over the shards that the reader said it holds: both mean the same ones
-    sum: int  # over these shards' sums, as of `version`
+    shard_set_checksum: int  # over the shards that the reader said it holds: both mean the same ones
+    rows_checksum: int  # over these shards' sums, as of `version`
     source_age_ms: float
-    boot: int
+    process_epoch: int
     clock_ms: float
 
 
-Word = Union[ShardRequest, ShardResponse, Overloaded, LayoutMismatch, Digest]
+DirectoryMessage = Union[ShardRequest, ShardResponse, Overloaded, LayoutMismatch, Digest]
 
 LISTINGS = (Listing.READY, Listing.DRAINING, Listing.GONE)  # by `Row.listing`
 READY, DRAINING, GONE = range(3)
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+_DECODER: msgspec.msgpack.Decoder[DirectoryMessage] = msgspec.msgpack.Decoder(DirectoryMessage)
 
 
-def row_sum(row: Row) -> int:
+def row_checksum(row: Row) -> int:
     """A shard's sum is that of its rows, whatever their order, modulo 2 to the 64."""
     return xxhash.xxh3_64_intdigest(_ENCODER.encode(row))
 
 
-def layout_sum(layout: Layout) -> int:
+def layout_checksum(layout: Layout) -> int:
     return xxhash.xxh3_64_intdigest(_ENCODER.encode(layout))
 
 
-def shard_mark(shard: int) -> int:
+def shard_number_hash(shard: int) -> int:
     """Its share in `Digest.set_sum`."""
     return xxhash.xxh3_64_intdigest(shard.to_bytes(4, "little"))
 
 
-def packed_bits(bits: int, shards: int) -> bytes:
+def pack_shard_set(bits: int, shards: int) -> bytes:
     return zlib.compress(bits.to_bytes((shards + 7) // 8, "little"), 1)
 
 
-def read_bits(raw: bytes, shards: int) -> int:
+def unpack_shard_set(raw: bytes, shards: int) -> int:
     """Raises Unreadable."""
     size = (shards + 7) // 8
     opened = zlib.decompressobj()
@@ -178,11 +180,11 @@
     """What came is no word of a keeper's or a reader's; the text says why."""
 
 
-def packed(word: Word) -> bytes:
+def encode_message(word: DirectoryMessage) -> bytes:
     return _ENCODER.encode(word)
 
 
-def read(raw: bytes) -> Word:
+def decode_message(raw: bytes) -> DirectoryMessage:
     """Raises Unreadable."""
     try:
         return _DECODER.decode(raw)
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -40,8 +40,8 @@
 from message_relay.gossip.wire import Claim, Packet, open_packet, seal_packet
 from message_relay.gossip.wire import MemberState as Presence
 from message_relay.http.keep_alive import KeepAlivePolicy
-from message_relay.sharded_directory.rendezvous_hash import ranked, shard_of
-from message_relay.sharded_directory.staleness import Freshness
+from message_relay.sharded_directory.rendezvous_hash import rank_servers, shard_of
+from message_relay.sharded_directory.staleness import StalenessTracker
 
 Row = tuple[str | int | float | bool | None, ...]
 
@@ -356,28 +356,32 @@
         destination = draw.choice((draw.randint(0, 5000), draw.getrandbits(64), -draw.randint(1, 9)))
         rows.append((destination, *(shard_of(destination, 1 << bits) for bits in (0, 4, 10, 16))))
     keepers = [f"k{number}" for number in range(9)]
-    rows += [(f"r{number}", *ranked(f"r{number}", keepers)) for number in range(60)]
+    rows += [(f"r{number}", *rank_servers(f"r{number}", keepers)) for number in range(60)]
     return rows
 
 
 def shard_freshness(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 50.0, list[Row]()
     keepers = ("k0", "k1", "k2")
-    it = Freshness(keepers, 6.0)
+    it = StalenessTracker(keepers, 6.0)
     for _ in range(800):
         now += draw.expovariate(3.0)
         keeper, version = draw.choice(keepers), (1 + draw.randint(0, 1), draw.randint(0, int(now)))
         match draw.randint(0, 4):
             case 0:
-                it.answered(keeper, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9))
+                it.record_response(
+                    keeper, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9)
+                )
             case 1:
                 clock_ms = 1e3 * (now - draw.random())
-                rows.append(("dated", it.dated(now, keeper, draw.randint(1, 2), clock_ms)))
+                rows.append(("dated", it.earliest_sent_at(now, keeper, draw.randint(1, 2), clock_ms)))
             case 2 | 3:
-                it.says(keeper, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8)
+                it.record_version(
+                    keeper, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8
+                )
             case _:
-                it.failed(keeper, now - draw.random())
-        rows.append((*version, it.confirmed(version), it.current(now, version)))
+                it.record_failure(keeper, now - draw.random())
+        rows.append((*version, it.confirmed_at(version), it.is_current(now, version)))
     return rows
 
 
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -86,7 +86,12 @@
     "operator's question": _json(AdminRequest, question_values),
     "rules": _Format(Rules, encode_rules, decode_rules, rules_values),
     "evidence": _msgpack(ObservationReport, report_values),
-    "shards": _Format(shard_wire.Word, shard_wire.packed, shard_wire.read, shard_message_values),
+    "shards": _Format(
+        shard_wire.DirectoryMessage,
+        shard_wire.encode_message,
+        shard_wire.decode_message,
+        shard_message_values,
+    ),
     "shard rows": _msgpack(list[shard_wire.Row], lambda rows: [row_values(row) for row in rows]),
 }
 
--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -409,9 +409,7 @@
 
 
 def test_the_logs_times_are_those_of_the_log() -> None:
-    from message_relay.consensus import (
-        replicated_log,  # needs the extra `fleet`, which the command does without
-    )
+    from message_relay.consensus import replicated_log
 
     assert (replicated_log.HEARTBEAT_S, replicated_log.ELECTION_S[1]) == (
         agreement.HEARTBEAT_S,
--- a/tests/sharded_directory/common.py
+++ b/tests/sharded_directory/common.py
@@ -8,19 +8,19 @@
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.shard_server import ShardServer
 from message_relay.sharded_directory.wire import (
+    CHECKSUM_MASK,
     GONE,
-    NONE,
-    SUM_MASK,
-    Changes,
+    NO_VERSION,
     FullShard,
     Layout,
+    RequestedShard,
     Row,
+    ShardChanges,
     ShardRequest,
     ShardResponse,
     Version,
-    WantedShard,
-    packed_bits,
-    row_sum,
+    pack_shard_set,
+    row_checksum,
 )
 
 
@@ -38,34 +38,34 @@
 
 
 def load(keeper: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
-    begun = keeper.begin(now, (epoch, generation))
+    begun = keeper.start_list(now, (epoch, generation))
     begun.add(rows)
-    if not begun.end(now):
+    if not begun.seal(now):
         return False
     while not begun.step():
         pass
-    return begun.taken
+    return begun.is_committed
 
 
 def ask(
     layout: Layout,
-    version: Version = NONE,
+    version: Version = NO_VERSION,
     holds: Iterable[int] = (),
     wants: Iterable[int] = (),
     sums: Iterable[tuple[int, int]] = (),
     due_ms: float = 1000.0,
     number: int = 1,
 ) -> ShardRequest:
-    bits = packed_bits(sum(1 << shard for shard in set(holds)), layout.shards)
+    bits = pack_shard_set(sum(1 << shard for shard in set(holds)), layout.shard_count)
     return ShardRequest(
-        number, layout, version, bits, tuple(WantedShard(shard, due_ms) for shard in wants), tuple(sums)
+        number, layout, version, bits, tuple(RequestedShard(shard, due_ms) for shard in wants), tuple(sums)
     )
 
 
 def asked(
     keeper: ShardServer, told: ShardRequest, now: float = 1000.0, reader: str = "n100"
 ) -> ShardResponse:
-    answer = keeper.asked(now, reader, told)
+    answer = keeper.handle_request(now, reader, told)
     assert isinstance(answer, ShardResponse), answer
     return answer
 
@@ -78,7 +78,7 @@
 
 
 def sum_of(rows: Iterable[Row]) -> int:
-    return sum(map(row_sum, rows)) & SUM_MASK
+    return sum(map(row_checksum, rows)) & CHECKSUM_MASK
 
 
 def followed(shards: dict[int, dict[str, Row]], answer: ShardResponse) -> None:
@@ -86,7 +86,7 @@
     for part in answer.parts:
         if isinstance(part, FullShard):
             shards[part.shard] = {each.name: each for each in part.rows}
-        elif isinstance(part, Changes):
+        elif isinstance(part, ShardChanges):
             for each in part.rows:
                 shards[part.shard].pop(each.name, None)
                 if each.listing != GONE:
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -152,7 +152,7 @@
 
     async def loaded(self) -> None:
         """Each keeper has the list as it is in the file."""
-        keepers = [it.shards.keeper for it in self.instances.values() if it.shards.keeper is not None]
+        keepers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
         await until(lambda: all(it.version == (1, self.generation) for it in keepers))
 
 
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -100,9 +100,9 @@
         for name, keeper in self.keepers.items():
             if keeper.version[1] < LATEST:
                 yield "learn", name
-            if sum(each[1] == name for each in self.digests) < POOLED and keeper.audience.readers:
+            if sum(each[1] == name for each in self.digests) < POOLED and keeper.subscribers.by_name:
                 yield "digest", name
-            if self.reader.keepers[name].out is not None:
+            if self.reader.servers[name].outstanding is not None:
                 yield "fail", name
         for place, _ in enumerate(self.asks):
             yield "ask", place
@@ -126,7 +126,7 @@
         keeper = self.keepers[name]
         generation = keeper.version[1] + 1
         self.confirm()
-        keeper.changed(self.now, generation, self.rows[generation])
+        keeper.apply_changes(self.now, generation, self.rows[generation])
         self.learned[name][generation] = self.now
 
     def confirm(self) -> None:
@@ -134,40 +134,40 @@
         latest = max(keeper.version for keeper in self.keepers.values())
         for keeper in self.keepers.values():
             if keeper.version == latest:
-                keeper.confirmed(self.now)
+                keeper.confirm_source(self.now)
 
     def do_digest(self, name: str) -> None:
         self.confirm()
         keeper = self.keepers[name]
-        keeper.audience.due = [(self.now, slot) for _, slot in keeper.audience.due]
+        keeper.subscribers.digest_queue = [(self.now, slot) for _, slot in keeper.subscribers.digest_queue]
         self.now += 0.001  # a keeper's digests are told apart by its clock
-        self.digests += [(0, name, digest) for _, digest in keeper.digests(self.now)]
+        self.digests += [(0, name, digest) for _, digest in keeper.due_digests(self.now)]
 
     def do_tell(self, place: int) -> None:
         times, name, digest = self.digests[place]
         self.digests[place] = (times + 1, name, digest)
-        self.reader.digest(self.now, name, digest)
+        self.reader.on_digest(self.now, name, digest)
 
     def do_ask(self, place: int) -> None:
         self.confirm()
         name, ask = self.asks.pop(place)
-        self.answers.append((0, name, self.keepers[name].asked(self.now, "n100", ask)))
+        self.answers.append((0, name, self.keepers[name].handle_request(self.now, "n100", ask)))
 
     def do_answer(self, place: int) -> None:
         times, name, word = self.answers[place]
         self.answers[place] = (times + 1, name, word)
-        self.reader.answered(self.now, name, word)
+        self.reader.on_response(self.now, name, word)
 
     def do_fail(self, name: str) -> None:
-        out = self.reader.keepers[name].out
+        out = self.reader.servers[name].outstanding
         assert out is not None
         self.failed_at[name] = max(self.failed_at[name], out.sent_at)
-        self.reader.failed(self.now, name)
+        self.reader.on_request_failed(self.now, name)
 
     def do_wait(self) -> None:
         self.now += 1.0
-        for name, keeper in self.reader.keepers.items():
-            if keeper.out is not None:
+        for name, keeper in self.reader.servers.items():
+            if keeper.outstanding is not None:
                 self.do_fail(name)
         self.now += WAIT_S - 1.0
 
@@ -181,9 +181,9 @@
 
     def drain(self) -> None:
         """As the node does, after whatever it tells the reader."""
-        self.asks += self.reader.asks
-        self.reader.asks.clear()
-        self.reader.absent.clear()
+        self.asks += self.reader.outgoing
+        self.reader.outgoing.clear()
+        self.reader.missing_destinations.clear()
         for update in self.reader.updates:
             for member in update.endpoints:
                 if int(member.rate) < self.mark:
@@ -214,14 +214,16 @@
             for name in self.keepers:
                 while self.keepers[name].version[1] < LATEST:
                     self.do_learn(name)
-                if self.reader.keepers[name].out is not None and name not in {each for each, _ in self.asks}:
+                if self.reader.servers[name].outstanding is not None and name not in {
+                    each for each, _ in self.asks
+                }:
                     self.do_fail(name)
             self.want()
             self.tick()
             while self.asks:
                 self.do_ask(0)
                 self.answers[-1] = (TWICE, *self.answers[-1][1:])
-                self.reader.answered(self.now, self.answers[-1][1], self.answers[-1][2])
+                self.reader.on_response(self.now, self.answers[-1][1], self.answers[-1][2])
                 self.tick()
             self.check()
             self.now += 2.0
@@ -246,12 +248,17 @@
 
     def key(self) -> bytes:
         """What the state is, without what only counts."""
-        reader, store = self.reader, self.reader.store
+        reader, store = self.reader, self.reader.cache
         return pickle.dumps(
             (
                 round(self.now, 3),
                 [
-                    (keeper.version, sorted(keeper.audience.readers), keeper.confirmed_at, keeper.tokens_at)
+                    (
+                        keeper.version,
+                        sorted(keeper.subscribers.by_name),
+                        keeper.source_confirmed_at,
+                        keeper.tokens_at,
+                    )
                     for keeper in self.keepers.values()
                 ],
                 self.learned,
@@ -261,28 +268,35 @@
                 sorted(map(repr, self.answers)),
                 sorted(map(repr, self.digests)),
                 [
-                    (shard, held.blob, held.as_of, sorted(held.used.items()), sorted(held.told), held.used_at)
-                    for shard, held in sorted(store.held.items())
+                    (
+                        shard,
+                        held.encoded_rows,
+                        held.version,
+                        sorted(held.last_used.items()),
+                        sorted(held.published),
+                        held.last_used_at,
+                    )
+                    for shard, held in sorted(store.resident.items())
                 ],
-                store.base,
-                store.top,
-                sorted(store.names.items()),
-                sorted(reader.wants),
-                sorted(reader.compare),
+                store.common_version,
+                store.latest_version,
+                sorted(store.shard_by_name.items()),
+                sorted(reader.pending),
+                sorted(reader.shards_to_compare),
                 [
                     (
-                        keeper.out and (keeper.out.number, keeper.out.sent_at),
+                        keeper.outstanding and (keeper.outstanding.number, keeper.outstanding.sent_at),
                         keeper.paused_until,
-                        keeper.failing,
-                        keeper.behind_until,
-                        keeper.news,
+                        keeper.is_failing,
+                        keeper.lagging_until,
+                        keeper.has_more,
                     )
-                    for keeper in reader.keepers.values()
+                    for keeper in reader.servers.values()
                 ],
-                reader.fresh.versions,
-                reader.fresh.times,
-                sorted(reader.fresh.tried.items()),
-                sorted((name, clock.offset) for name, clock in reader.fresh.clocks.items()),
+                reader.staleness.fact_versions,
+                reader.staleness.fact_times,
+                sorted(reader.staleness.last_contacts.items()),
+                sorted((name, clock.offset) for name, clock in reader.staleness.clocks.items()),
             )
         )
 
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -9,7 +9,13 @@
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
-from message_relay.sharded_directory.wire import Layout, ShardRequest, ShardResponse, packed, read
+from message_relay.sharded_directory.wire import (
+    Layout,
+    ShardRequest,
+    ShardResponse,
+    decode_message,
+    encode_message,
+)
 
 from .common import ask, asked, filled, row
 
@@ -21,17 +27,17 @@
     destinations, shards = size
     keeper = filled(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
     for number in range(readers):
-        keeper.asked(NOW + number, f"n{number}", ask(keeper.layout, (1, 1), holds=range(shards)))
+        keeper.handle_request(NOW + number, f"n{number}", ask(keeper.layout, (1, 1), holds=range(shards)))
     return keeper
 
 
 def cost_of_a_change(size: tuple[int, int], readers: int) -> tuple[int, int, int]:
     """Rows read, sums touched, bytes told to one reader."""
     keeper = keeper_of(size, readers)
-    before = keeper.table.decoded, keeper.audience.touched
-    keeper.changed(NOW, 2, [row("e7", 7, 1)])
-    after = keeper.table.decoded - before[0], keeper.audience.touched - before[1]
-    return *after, len(packed(asked(keeper, ask(keeper.layout, (1, 1), range(size[1])), NOW + 500.0)))
+    before = keeper.table.decoded_rows, keeper.subscribers.update_count
+    keeper.apply_changes(NOW, 2, [row("e7", 7, 1)])
+    after = keeper.table.decoded_rows - before[0], keeper.subscribers.update_count - before[1]
+    return *after, len(encode_message(asked(keeper, ask(keeper.layout, (1, 1), range(size[1])), NOW + 500.0)))
 
 
 def rows_beside(size: tuple[int, int], destination: int) -> int:
@@ -52,20 +58,20 @@
     costs = []
     for holds in (16, 512):
         keeper = keeper_of(LARGE)
-        keeper.asked(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
-        keeper.changed(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
-        before = keeper.table.decoded, keeper.audience.touched
-        keeper.asked(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
-        costs.append((keeper.table.decoded - before[0], keeper.audience.touched - before[1]))
+        keeper.handle_request(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
+        keeper.apply_changes(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
+        before = keeper.table.decoded_rows, keeper.subscribers.update_count
+        keeper.handle_request(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
+        costs.append((keeper.table.decoded_rows - before[0], keeper.subscribers.update_count - before[1]))
     assert costs[0] == costs[1] == (0, 0)  # from the logs, and no set has changed
 
 
 def test_what_changed_long_ago_is_not_looked_at() -> None:
     keeper = keeper_of(LARGE)
     for generation in range(2, 302):
-        keeper.changed(NOW, generation, [row(f"e{generation}", generation, 1)])
-    assert len(list(keeper.table.since(300))) == 1 and len(list(keeper.table.since(301))) == 0
-    assert 100 < len(list(keeper.table.since(1))) <= 300
+        keeper.apply_changes(NOW, generation, [row(f"e{generation}", generation, 1)])
+    assert len(list(keeper.table.changed_since(300))) == 1 and len(list(keeper.table.changed_since(301))) == 0
+    assert 100 < len(list(keeper.table.changed_since(1))) <= 300
 
 
 def reader_of(
@@ -78,13 +84,13 @@
     now, asks = NOW, []
     for _ in range(600):
         now += 0.1
-        keeper.confirmed(now)
+        keeper.confirm_source(now)
         reader.tick(now, lambda destination: False)
-        for name, told in reader.asks:
+        for name, told in reader.outgoing:
             asks.append((name, told))
-            answer = keeper.asked(now, "n100", told)
-            reader.answered(now, name, answer)
-        reader.asks.clear()
+            answer = keeper.handle_request(now, "n100", told)
+            reader.on_response(now, name, answer)
+        reader.outgoing.clear()
         if not reader.status(now).waiting:
             break
     assert reader.status(now).waiting == 0
@@ -96,15 +102,15 @@
     for used in (10, 2_000):
         keeper, reader, _ = reader_of(LARGE, used)
         now = NOW + 70.0
-        keeper.changed(now, 2, [row("e7", 7, 1)])
-        before = reader.store.read_rows
+        keeper.apply_changes(now, 2, [row("e7", 7, 1)])
+        before = reader.cache.decoded_rows
         reader.tick(now, lambda destination: False)
-        ((name, told),) = reader.asks
-        reader.asks.clear()
-        answer = read(packed(keeper.asked(now, "n100", told)))
-        assert isinstance(answer, ShardResponse) and answer.complete and len(answer.parts) == 1
-        reader.answered(now, name, answer)
-        costs.append(reader.store.read_rows - before)
+        ((name, told),) = reader.outgoing
+        reader.outgoing.clear()
+        answer = decode_message(encode_message(keeper.handle_request(now, "n100", told)))
+        assert isinstance(answer, ShardResponse) and answer.is_complete and len(answer.parts) == 1
+        reader.on_response(now, name, answer)
+        costs.append(reader.cache.decoded_rows - before)
     assert costs[0] == costs[1] < 80
 
 
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -12,9 +12,15 @@
 from message_relay.core.ports import InvalidMessageError
 from message_relay.decisions.model import Outcome
 from message_relay.gossip.node import Hello
-from message_relay.sharded_directory.node import KIND
+from message_relay.sharded_directory.node import MESSAGE_KIND
 from message_relay.sharded_directory.rendezvous_hash import shard_of
-from message_relay.sharded_directory.wire import LayoutMismatch, Overloaded, ShardRequest, packed, read
+from message_relay.sharded_directory.wire import (
+    LayoutMismatch,
+    Overloaded,
+    ShardRequest,
+    decode_message,
+    encode_message,
+)
 
 from ..loopback import run
 from ..test_seams import offer
@@ -110,14 +116,14 @@
             ask = relay.node.request
 
             async def noted(name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
-                word = read(raw)
+                word = decode_message(raw)
                 assert isinstance(word, ShardRequest)
-                asked.append([want.shard for want in word.wants])
+                asked.append([want.shard for want in word.requested_shards])
                 return await ask(name, kind, raw, seconds)
 
             relay.node.request = noted  # type: ignore[method-assign]
             assert relay.messages.pending_count == 50
-            assert not relay.host.is_dispatching and len(relay.shards.reader.wants) == 50  # before all else
+            assert not relay.host.is_dispatching and len(relay.shards.client.pending) == 50  # before all else
             await it.begin(0)
             await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
             wanted = next(each for each in asked if each)
@@ -141,7 +147,7 @@
             await it.end(1)
             await it.begin(0)
             relay = await it.begin(1)
-            await until(lambda: not relay.shards.reader.wants)
+            await until(lambda: not relay.shards.client.pending)
             assert not relay.host.is_dispatching
             await until(lambda: [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")])
             assert not relay.messages.pending_count
@@ -242,14 +248,14 @@
             relay.messages.accept(offer("m"))
             begun = relay.carrier.connecting
             await until(lambda: relay.carrier.connecting > begun)
-            current = relay.shards.reader.is_current
-            relay.shards.reader.is_current = lambda *_: False  # type: ignore[method-assign]
+            current = relay.shards.client.is_current
+            relay.shards.client.is_current = lambda *_: False  # type: ignore[method-assign]
             relay.carrier.connects.set()
             await until(lambda: relay.carrier.held_back == 1)
             assert relay.entries["m"].attempt_count == 0 and not relay.carrier.attempts
             await asyncio.sleep(1.5)
             assert relay.carrier.connecting <= begun + 3  # a wait of a second each time, no spin
-            relay.shards.reader.is_current = current  # type: ignore[method-assign]
+            relay.shards.client.is_current = current  # type: ignore[method-assign]
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert len(relay.carrier.attempts) == 1
 
@@ -286,7 +292,7 @@
             await learned(relay, 7)
             await until(lambda: not relay.host.directory.by_name)
             await until(lambda: 7 not in relay.host.scheduler.destinations)
-            assert not relay.shards.is_resident(7) and not relay.shards.reader.store.held
+            assert not relay.shards.is_resident(7) and not relay.shards.client.cache.resident
             await learned(relay, 7, "second")
             lane = relay.host.scheduler.destinations[7][-1]
             assert lane.warming_since < 0 and lane.failing_since is None
@@ -374,8 +380,8 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay, keeper = it.instances[1], it.instances[0]
             await learned(relay, 7)
-            for raw in (b"", b"\xff", b"\x93\xa1d", packed(Overloaded(1, 1.0))):
-                relay.shards._said("n0", raw)
+            for raw in (b"", b"\xff", b"\x93\xa1d", encode_message(Overloaded(1, 1.0))):
+                relay.shards._on_datagram("n0", raw)
                 with pytest.raises(OSError):
                     await relay.node.request("n0", "shards", raw, 1.0)
             assert relay.shards.counts["unreadable"] == 4 and keeper.shards.counts["unreadable"] == 4
@@ -399,7 +405,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
-            tick, broken = relay.shards.reader.tick, [1]
+            tick, broken = relay.shards.client.tick, [1]
 
             def failing(*args: Any) -> None:
                 if broken:
@@ -407,7 +413,7 @@
                     raise RuntimeError("a fault of ours")
                 tick(*args)
 
-            relay.shards.reader.tick = failing  # type: ignore[method-assign, assignment]
+            relay.shards.client.tick = failing  # type: ignore[method-assign, assignment]
             await learned(relay, 7)
             assert "a turn of the directory failed" in caplog.text
 
@@ -429,8 +435,8 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             ask = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
-            raw = it.instances[1].shards._asked(Hello("n0", KIND), packed(ask))
-            assert read(raw) == LayoutMismatch(5, it.instances[1].shards.layout)
+            raw = it.instances[1].shards._on_frame(Hello("n0", MESSAGE_KIND), encode_message(ask))
+            assert decode_message(raw) == LayoutMismatch(5, it.instances[1].shards.layout)
 
     run(work())
 
--- a/tests/sharded_directory/test_schedules.py
+++ b/tests/sharded_directory/test_schedules.py
@@ -78,8 +78,8 @@
     assert not found.bad, found
     assert not wanted
     assert found.busy > 0
-    assert world.keepers["n1"].keeper.bytes_out <= 1e6 * (max(map(max, waits.values())) + 2.0)
-    assert found.answers_s <= shard_server.ANSWERS_S * (1 + shard_server.BURST_S)
+    assert world.keepers["n1"].keeper.sent_bytes <= 1e6 * (max(map(max, waits.values())) + 2.0)
+    assert found.answers_s <= shard_server.RESPONSES_PER_S * (1 + shard_server.BURST_S)
     median = {kind: sorted(each)[len(each) // 2] for kind, each in waits.items()}
     assert median[True] < median[False] and max(waits[True]) < 10.0
 
--- a/tests/sharded_directory/test_settings.py
+++ b/tests/sharded_directory/test_settings.py
@@ -8,9 +8,8 @@
 import pytest
 
 from message_relay.fleet.operator import OperatorConfig, OperatorError, decoded, read
-from message_relay.sharded_directory import settings
-from message_relay.sharded_directory.rendezvous_hash import KEEPERS_MOST, SHARDS_MOST
-from message_relay.sharded_directory.settings import COUNT_MOST, ShardedDirectorySettings
+from message_relay.sharded_directory import rendezvous_hash, settings
+from message_relay.sharded_directory.settings import ShardedDirectorySettings
 
 HERE = {"peers": {"listen": "127.0.0.1:7000"}, "fleet": {"instances": 3}}
 BROKER = {"name": "b", "hosts": ["127.0.0.1:5672"]}
@@ -32,7 +31,10 @@
 
 
 def test_the_bounds_that_are_written_down_twice_are_the_same() -> None:
-    assert (settings.COUNT_MOST, settings.KEEPERS_MOST) == (SHARDS_MOST, KEEPERS_MOST)
+    assert (settings.MAX_SHARDS, settings.MAX_SERVERS) == (
+        rendezvous_hash.MAX_SHARDS,
+        rendezvous_hash.MAX_SERVERS,
+    )
 
 
 @pytest.mark.parametrize(
@@ -43,15 +45,18 @@
         ({**HERE, "shards": {"keepers": [0, 0]}}, "shards.keepers: each is named once"),
         ({**HERE, "shards": {"keepers": [-1]}}, r"shards.keepers: \[-1\]: Expected `int` >= 0"),
         (
-            {"shards": {"keepers": list(range(KEEPERS_MOST + 1))}},
-            f"shards.keepers: 17: {KEEPERS_MOST} at most",
+            {"shards": {"keepers": list(range(rendezvous_hash.MAX_SERVERS + 1))}},
+            f"shards.keepers: 17: {rendezvous_hash.MAX_SERVERS} at most",
         ),
         (
             {**HERE, "shards": {"keepers": [0], "count": 0}},
             "shards.count: 0 must be a power of two, from 1 to",
         ),
         ({**HERE, "shards": {"keepers": [0], "count": 6}}, "shards.count: 6 must be a power of two"),
-        ({"shards": {"count": 2 * COUNT_MOST}}, f"shards.count: {2 * COUNT_MOST} must be a power of two"),
+        (
+            {"shards": {"count": 2 * settings.MAX_SHARDS}},
+            f"shards.count: {2 * settings.MAX_SHARDS} must be a power of two",
+        ),
         ({**HERE, "shards": {"keepers": [0], "epoch": 0}}, "shards.epoch: 0: Expected `int` >= 1"),
         ({**HERE, "shards": {"keepers": [0], "bound_s": 1.0}}, "shards.bound_s: 1.0: Expected `float` >= 6"),
         ({"shards": {"file": "x"}}, "shards.file: needs keepers"),
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -15,25 +15,25 @@
 from message_relay.core.ports import EndpointUpdate
 from message_relay.decisions.model import Listing
 from message_relay.sharded_directory import shard_client
-from message_relay.sharded_directory.rendezvous_hash import KEEPERS_MOST, ranked, shard_of
+from message_relay.sharded_directory.rendezvous_hash import MAX_SERVERS, rank_servers, shard_of
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
 from message_relay.sharded_directory.wire import (
     DRAINING,
     GONE,
-    Changes,
     Digest,
     FullShard,
     Layout,
     LayoutMismatch,
     Overloaded,
     Row,
+    ShardChanges,
     ShardRequest,
     ShardResponse,
-    layout_sum,
-    packed,
-    read,
-    read_bits,
+    decode_message,
+    encode_message,
+    layout_checksum,
+    unpack_shard_set,
 )
 
 from ..conftest import make_settings
@@ -41,7 +41,7 @@
 
 LAYOUT = Layout(4, (1, 2, 3))
 ONE = Layout(1, (1, 2, 3))
-FIRST, SECOND, THIRD = ranked("n100", ("n1", "n2", "n3"))
+FIRST, SECOND, THIRD = rank_servers("n100", ("n1", "n2", "n3"))
 
 
 class World:
@@ -49,7 +49,7 @@
 
     def __init__(self, rows: list[Row], layout: Layout = LAYOUT, now: float = 100.0, **more: Any) -> None:
         self.layout, self.now = layout, now
-        self.keepers = {f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.keepers}
+        self.keepers = {f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.servers}
         self.reader = ShardClient("n100", layout, random.Random(1), **more)
         self.directory = EndpointDirectory(make_settings(), ("z",))
         self.updates: list[EndpointUpdate] = []
@@ -63,35 +63,37 @@
         self, generation: int, rows: list[Row], lives: list[tuple[str, int]] | None = None, *names: str
     ) -> None:
         for name in names or self.keepers:
-            assert self.keepers[name].changed(self.now, generation, rows, lives or [])
+            assert self.keepers[name].apply_changes(self.now, generation, rows, lives or [])
 
     def apply(self) -> None:
         self.updates += self.reader.updates
         for update in self.reader.updates:
             self.directory.apply(update)
         self.reader.updates.clear()
-        self.absent += self.reader.absent
-        self.reader.absent.clear()
+        self.absent += self.reader.missing_destinations
+        self.reader.missing_destinations.clear()
 
     def turn(self) -> list[tuple[str, ShardRequest]]:
         """A tick; its asks are left to the caller."""
         self.reader.tick(self.now, self.in_use.__contains__)
         self.apply()
-        asks = list(self.reader.asks)
-        self.reader.asks.clear()
+        asks = list(self.reader.outgoing)
+        self.reader.outgoing.clear()
         return asks
 
     def serve(self, asks: list[tuple[str, ShardRequest]]) -> None:
         for name, told in asks:
             self.served.append((name, told))
             if name in self.down:
-                self.reader.failed(self.now, name)
+                self.reader.on_request_failed(self.now, name)
             else:
-                sent = read(packed(told))
+                sent = decode_message(encode_message(told))
                 assert isinstance(sent, ShardRequest)
-                word = read(packed(self.keepers[name].asked(self.now, "n100", sent)))
+                word = decode_message(
+                    encode_message(self.keepers[name].handle_request(self.now, "n100", sent))
+                )
                 assert isinstance(word, ShardResponse | Overloaded | LayoutMismatch)
-                self.reader.answered(self.now, name, word)
+                self.reader.on_response(self.now, name, word)
             self.apply()
 
     def settle(self, seconds: float = 0.0, step: float = 0.1, digests: bool = True) -> None:
@@ -107,10 +109,10 @@
             self.now = min(end, self.now + step)
             for name, keeper in self.keepers.items():
                 if name not in self.behind:
-                    keeper.confirmed(self.now)
+                    keeper.confirm_source(self.now)
                 if name not in self.down and digests:
-                    for _, digest in keeper.digests(self.now):
-                        self.reader.digest(self.now, name, digest)
+                    for _, digest in keeper.due_digests(self.now):
+                        self.reader.on_digest(self.now, name, digest)
                         self.apply()
 
     def want(self, *destinations: int, due: float = 10.0) -> None:
@@ -135,7 +137,7 @@
     assert not world.reader.is_resident(a) and not world.reader.is_current(world.now, a)
     world.settle()
     # The second one is only told what is held, so that it tells digests as well.
-    assert [(name, len(told.wants)) for name, told in world.served] == [(FIRST, 1), (SECOND, 0)]
+    assert [(name, len(told.requested_shards)) for name, told in world.served] == [(FIRST, 1), (SECOND, 0)]
     assert set(world.directory.by_name) == {"a", "a2"} and world.absent == [c]
     assert world.reader.is_resident(a) and world.reader.contains(a) and world.reader.is_current(world.now, a)
     assert not world.reader.is_resident(b) and not world.reader.contains(b)
@@ -161,9 +163,9 @@
         world.reader.request(world.now, destination, world.now + 100.0 - destination / 10.0)
     asks = world.turn()
     assert [name for name, _ in asks] == [FIRST, SECOND]
-    shards = [want.shard for _, each in asks for want in each.wants]
-    assert len(shards) == len(set(shards)) == 2 * shard_client.WANTS_ASK
-    due = [want.due_ms for _, each in asks for want in each.wants]
+    shards = [want.shard for _, each in asks for want in each.requested_shards]
+    assert len(shards) == len(set(shards)) == 2 * shard_client.MAX_SHARDS_PER_REQUEST
+    due = [want.time_left_ms for _, each in asks for want in each.requested_shards]
     assert due == sorted(due) and due[0] <= 60_200.0
     assert not world.turn()  # two at most, one a keeper
     world.serve(asks)
@@ -193,12 +195,12 @@
     world.want(1)
     world.settle(5.0)
     world.served.clear()
-    bytes_before = world.keepers[FIRST].bytes_out + world.keepers[SECOND].bytes_out
+    bytes_before = world.keepers[FIRST].sent_bytes + world.keepers[SECOND].sent_bytes
     world.changed(2, [row("a", 1, port=99)])
     world.settle(4.0)
     assert world.directory.by_name["a"].address == ("host", 99)
     assert world.reader.status(world.now).version == (1, 2)
-    assert world.keepers[FIRST].bytes_out + world.keepers[SECOND].bytes_out - bytes_before < 300
+    assert world.keepers[FIRST].sent_bytes + world.keepers[SECOND].sent_bytes - bytes_before < 300
     world.served.clear()
     world.changed(3, [row("x", in_shard((shard_of(1, 4) + 1) % 4, 1)[0])])  # in no shard that is here
     world.settle(4.0)
@@ -237,7 +239,7 @@
     assert world.has("a").listing is Listing.DRAINING
     world.now += 7.0
     for name, told in world.turn():
-        world.reader.answered(world.now, name, msgspec.structs.replace(old, number=told.number))
+        world.reader.on_response(world.now, name, msgspec.structs.replace(old, number=told.number))
         world.apply()
     assert world.has("a").listing is Listing.DRAINING and world.reader.status(world.now).stale_refused > 0
 
@@ -264,14 +266,14 @@
     world.want(1)
     (first,) = world.turn()
     answer = asked(world.keepers[first[0]], first[1], world.now)
-    world.reader.failed(world.now, first[0])
-    world.reader.answered(world.now, first[0], answer)  # came too late
-    assert not world.reader.is_resident(1) and world.reader.unasked == 1
+    world.reader.on_request_failed(world.now, first[0])
+    world.reader.on_response(world.now, first[0], answer)  # came too late
+    assert not world.reader.is_resident(1) and world.reader.unsolicited == 1
     world.settle(1.0)
     before = world.reader.status(world.now)
     for _ in range(2):
-        world.reader.answered(world.now, first[0], answer)
-        world.reader.answered(world.now, "n55", answer)
+        world.reader.on_response(world.now, first[0], answer)
+        world.reader.on_response(world.now, "n55", answer)
     after = world.reader.status(world.now)
     assert after.unasked == 5 and after.version == before.version and not world.reader.updates
 
@@ -305,7 +307,9 @@
     (told,) = world.turn()
     answer = asked(world.keepers[told[0]], told[1], world.now)
     parts = tuple(part for part in answer.parts if part.shard == shard_of(b, 4))
-    world.reader.answered(world.now, told[0], msgspec.structs.replace(answer, parts=parts, complete=False))
+    world.reader.on_response(
+        world.now, told[0], msgspec.structs.replace(answer, parts=parts, is_complete=False)
+    )
     world.apply()
     assert world.has("x").rate == 2.0
     world.want(a)
@@ -325,11 +329,11 @@
     old = []
     for step in range(40):  # what its socket holds meanwhile
         for keeper in world.keepers.values():
-            keeper.confirmed(world.now + step)
+            keeper.confirm_source(world.now + step)
         old += [
             (name, digest)
             for name, keeper in world.keepers.items()
-            for _, digest in keeper.digests(world.now + step)
+            for _, digest in keeper.due_digests(world.now + step)
         ]
     world.now += 40.0
     world.changed(2, [], [("a", DRAINING)])
@@ -337,7 +341,7 @@
     early = [each for each in old if each[1].clock_ms < (world.now - 11.0) * 1e3]
     assert len(early) > 5
     for name, digest in early + early:  # dated by their keepers' clocks, when they came is nothing
-        world.reader.digest(world.now, name, digest)
+        world.reader.on_digest(world.now, name, digest)
     assert not world.reader.is_current(world.now, 1)
     world.settle()
     assert world.reader.is_current(world.now, 1) and world.has("a").listing is Listing.DRAINING
@@ -427,7 +431,10 @@
     world.want(a)
     world.settle(0.2)
     # Its first answer told its age, and what it gave was left for another to say.
-    assert [(name, len(told.wants)) for name, told in world.served][:2] == [(FIRST, 1), (SECOND, 1)]
+    assert [(name, len(told.requested_shards)) for name, told in world.served][:2] == [
+        (FIRST, 1),
+        (SECOND, 1),
+    ]
     assert world.reader.contains(a)
     world.settle(3.0)
     world.served.clear()
@@ -453,7 +460,11 @@
     world.in_use.clear()
     world.settle(30.0)
     assert not world.directory.by_name and world.reader.status(world.now).shards == 0
-    assert (world.reader.store.sum, world.reader.store.set_sum, world.reader.store.bits) == (0, 0, 0)
+    assert (
+        world.reader.cache.rows_checksum,
+        world.reader.cache.shard_set_checksum,
+        world.reader.cache.resident_bits,
+    ) == (0, 0, 0)
     world.want(a)
     world.settle()
     assert set(world.directory.by_name) == {"a"}
@@ -466,14 +477,14 @@
     world = World([row("a", 1)], ONE)
     world.want(1)
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], LayoutMismatch(told[1].number, Layout(2, (1,))))
+    world.reader.on_response(world.now, told[0], LayoutMismatch(told[1].number, Layout(2, (1,))))
     assert world.reader.status(world.now).other_layout == 1
     asks = world.turn()
     assert asks[0][0] == SECOND
     world.serve(asks)
     world.settle(3.0)
-    digest = Digest(layout_sum(Layout(2, (1,))), (9, 9), 0, 0, 0.0, 1, 1.0)
-    world.reader.digest(world.now, FIRST, digest)
+    digest = Digest(layout_checksum(Layout(2, (1,))), (9, 9), 0, 0, 0.0, 1, 1.0)
+    world.reader.on_digest(world.now, FIRST, digest)
     assert world.reader.status(world.now).other_layout == 2
     assert world.reader.status(world.now).version == (1, 1)
 
@@ -482,10 +493,10 @@
     world = World([row("a", 1)], ONE)
     world.want(1)
     (first,) = world.turn()
-    world.reader.answered(world.now, first[0], LayoutMismatch(first[1].number, ONE, loading=True))
+    world.reader.on_response(world.now, first[0], LayoutMismatch(first[1].number, ONE, is_loading=True))
     (second,) = world.turn()
     assert (first[0], second[0]) == (FIRST, SECOND)
-    world.reader.answered(world.now, second[0], Overloaded(second[1].number, 2_000.0))
+    world.reader.on_response(world.now, second[0], Overloaded(second[1].number, 2_000.0))
     world.settle()
     assert world.reader.contains(1) and [name for name, _ in world.served] == [THIRD]
 
@@ -496,7 +507,7 @@
     world.down = {SECOND, THIRD}
     world.want(1)
     (first,) = world.turn()
-    world.reader.answered(world.now, first[0], Overloaded(first[1].number, after_ms))
+    world.reader.on_response(world.now, first[0], Overloaded(first[1].number, after_ms))
     world.settle(8.0)
     assert world.reader.contains(1)
 
@@ -550,9 +561,9 @@
         FullShard(0, (row("a", a), row("wrong", b))),
         FullShard(999, (row("y", 5),)),
         FullShard(-1, ()),
-        Changes(2, (row("z", 5),)),
+        ShardChanges(2, (row("z", 5),)),
     )
-    world.reader.answered(world.now, told[0], msgspec.structs.replace(answer, parts=parts))
+    world.reader.on_response(world.now, told[0], msgspec.structs.replace(answer, parts=parts))
     world.apply()
     assert set(world.directory.by_name) == {"a"} and world.reader.status(world.now).shards == 1
 
@@ -582,7 +593,7 @@
     world.settle(15.0)
     assert world.reader.status(world.now).version == (1, 5) and world.reader.status(world.now).shards == here
     assert {each.name for update in world.updates for each in update.endpoints} == {f"e{i}" for i in changed}
-    assert sum(keeper.bytes_out for keeper in world.keepers.values()) < 40_000
+    assert sum(keeper.sent_bytes for keeper in world.keepers.values()) < 40_000
 
 
 def test_an_epoch_that_is_raised_takes_over() -> None:
@@ -598,8 +609,8 @@
 
 
 def test_its_own_traffic_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shard_client, "BYTES_S", 20_000.0)
-    monkeypatch.setattr(shard_client, "BYTES_BURST", 50_000.0)
+    monkeypatch.setattr(shard_client, "RECEIVE_BYTES_PER_S", 20_000.0)
+    monkeypatch.setattr(shard_client, "RECEIVE_BURST_BYTES", 50_000.0)
     layout = Layout(256, (1, 2, 3))
     world = World([row(f"a-name-of-usual-length-{i}", i) for i in range(256 * 44)], layout)
     world.want(*range(800))
@@ -613,11 +624,11 @@
 def test_next_at_is_soon_where_something_waits() -> None:
     world = World([row("a", 1)], ONE)
     world.settle()
-    assert world.now < world.reader.next_at() <= world.now + 1.0
+    assert world.now < world.reader.next_tick_at() <= world.now + 1.0
     world.reader.request(world.now, 1, world.now + 1.0)
-    assert world.reader.next_at() <= world.now
+    assert world.reader.next_tick_at() <= world.now
     world.settle()
-    assert world.now < world.reader.next_at() <= world.now + 1.0
+    assert world.now < world.reader.next_tick_at() <= world.now + 1.0
 
 
 def test_bits_that_are_sent_are_those_that_are_held() -> None:
@@ -626,7 +637,7 @@
     world.settle()
     world.now += 7.0
     (told,) = world.turn()
-    assert read_bits(told[1].holds, 4) == 0b101 and told[1].version == (1, 1)
+    assert unpack_shard_set(told[1].resident_shards, 4) == 0b101 and told[1].version == (1, 1)
 
 
 # -- whatever comes ------------------------------------------------------------------------------------------
@@ -672,15 +683,15 @@
         keeper = self.keepers[name]
         generation = keeper.version[1] + 1
         if generation < len(self.rows):
-            assert keeper.changed(self.now, generation, [self.log[generation - 2]])
+            assert keeper.apply_changes(self.now, generation, [self.log[generation - 2]])
         else:
-            keeper.confirmed(self.now)
+            keeper.confirm_source(self.now)
 
     def after(self) -> None:
         self.reader.tick(self.now, lambda destination: False)
-        self.asks += self.reader.asks
-        self.reader.asks.clear()
-        self.reader.absent.clear()
+        self.asks += self.reader.outgoing
+        self.reader.outgoing.clear()
+        self.reader.missing_destinations.clear()
         for update in self.reader.updates:
             evidence = self.evidence
             for member in update.endpoints:
@@ -705,23 +716,23 @@
             self.learn(name)
         elif op == "a" and self.asks:
             keeper, told = self.asks[pick % len(self.asks)]
-            self.answers.append((keeper, self.keepers[keeper].asked(self.now, "n100", told)))
+            self.answers.append((keeper, self.keepers[keeper].handle_request(self.now, "n100", told)))
         elif op == "t" and self.answers:
             keeper, word = self.answers[-1 - pick % len(self.answers)]
-            self.reader.answered(self.now, keeper, word)
+            self.reader.on_response(self.now, keeper, word)
         elif op == "d":
-            for _, digest in self.keepers[name].digests(self.now):
+            for _, digest in self.keepers[name].due_digests(self.now):
                 self.digests.append((name, digest))
             self.now += 0.5
         elif op == "D" and self.digests:
             keeper, digest = self.digests[-1 - pick % len(self.digests)]
-            self.reader.digest(self.now, keeper, digest)
+            self.reader.on_digest(self.now, keeper, digest)
         elif op == "w":
             self.reader.request(self.now, pick % 5, self.now + 5.0)
         elif op == "g":
             self.reader.touch(self.now, pick % 5)
         elif op == "f":
-            self.reader.failed(self.now, name)
+            self.reader.on_request_failed(self.now, name)
         elif op == "i":
             self.now += 4.0
         self.after()
@@ -732,10 +743,14 @@
             self.now += 0.1
             for name in self.keepers:
                 self.learn(name)
-                for _, digest in self.keepers[name].digests(self.now):
-                    self.reader.digest(self.now, name, digest)
-                if self.reader.keepers[name].out is not None and self.asks and self.asks[-1][0] != name:
-                    self.reader.failed(self.now, name)
+                for _, digest in self.keepers[name].due_digests(self.now):
+                    self.reader.on_digest(self.now, name, digest)
+                if (
+                    self.reader.servers[name].outstanding is not None
+                    and self.asks
+                    and self.asks[-1][0] != name
+                ):
+                    self.reader.on_request_failed(self.now, name)
             for destination in range(5):
                 self.reader.touch(self.now, destination)
                 if not self.reader.is_resident(destination):
@@ -743,7 +758,9 @@
             self.after()
             while self.asks:
                 keeper, told = self.asks.pop()
-                self.reader.answered(self.now, keeper, self.keepers[keeper].asked(self.now, "n100", told))
+                self.reader.on_response(
+                    self.now, keeper, self.keepers[keeper].handle_request(self.now, "n100", told)
+                )
                 self.after()
 
 
@@ -764,8 +781,8 @@
     }
     assert has == is_
     shards = by_shard(drawn.rows[-1], 2)
-    for shard, held in drawn.reader.store.held.items():
-        assert len(drawn.reader.store._read(held)) == len(shards[shard])
+    for shard, held in drawn.reader.cache.resident.items():
+        assert len(drawn.reader.cache._decode_rows(held)) == len(shards[shard])
     assert drawn.reader.status(drawn.now).endpoints == len(has)
 
 
@@ -792,7 +809,7 @@
     world.want(b)
     (told,) = world.turn()
     old = FullShard(shard_of(b, 4), (row("b", b),))
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [old]))
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 4), [old]))
     world.apply()
     assert world.has("b") is None and world.reader.status(world.now).stale_refused == 2
     asks = world.turn()
@@ -811,7 +828,7 @@
     assert world.reader.status(world.now).shards == 0
     world.want(1)
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
     assert world.has("a") is None
 
@@ -822,10 +839,18 @@
     world.want(1)
     world.settle(1.0)
     keeper = world.keepers[FIRST]
-    old = Digest(layout_sum(ONE), (1, 4), world.reader.store.set_sum, 7, 0.0, keeper.boot, world.now * 1e3)
-    world.reader.digest(world.now, FIRST, old)
+    old = Digest(
+        layout_checksum(ONE),
+        (1, 4),
+        world.reader.cache.shard_set_checksum,
+        7,
+        0.0,
+        keeper.process_epoch,
+        world.now * 1e3,
+    )
+    world.reader.on_digest(world.now, FIRST, old)
     assert world.reader.status(world.now).stale_refused == 1
-    assert not world.turn() and not world.reader.compare
+    assert not world.turn() and not world.reader.shards_to_compare
 
 
 def test_an_older_answer_is_counted_and_its_keeper_asked_last() -> None:
@@ -835,7 +860,7 @@
     world.settle(1.0)
     world.now += 7.0
     (told,) = world.turn()
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
     assert world.has("a").listing is Listing.DRAINING
     assert world.reader.status(world.now).stale_refused == 2  # the shard, and the answer
@@ -855,7 +880,7 @@
     world.want(a)
     (told,) = world.turn()
     whole = FullShard(shard_of(a, 4), (row("x", a, mark=2.0),))
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 2), [whole], False, world.now))
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 2), [whole], False, world.now))
     world.apply()
     assert world.has("x").rate == 2.0
     world.reader.touch(world.now, b)
@@ -873,11 +898,11 @@
     world.want(a)
     (told,) = world.turn()
     parts = [FullShard(shard_of(a, 4), (row("p", a, mark=9.0),))]
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 9), parts, False, world.now))
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 9), parts, False, world.now))
     world.now += 0.5
     (told,) = world.turn()
-    parts_ = [Changes(shard_of(b, 4), (row("p", b, mark=8.0), row("q", b, DRAINING, mark=8.0)))]
-    world.reader.answered(world.now, told[0], answer_to(told, (1, 8), parts_, False, world.now))
+    parts_ = [ShardChanges(shard_of(b, 4), (row("p", b, mark=8.0), row("q", b, DRAINING, mark=8.0)))]
+    world.reader.on_response(world.now, told[0], answer_to(told, (1, 8), parts_, False, world.now))
     world.apply()
     assert world.has("p").rate == 9.0  # not from b, which is as of 8
     assert world.has("q").listing is Listing.DRAINING  # but what was told of it goes on
@@ -886,7 +911,7 @@
 def partly(world: World, version: tuple[int, int], *parts: Any) -> None:
     """The next ask is answered by this much, and more is to come."""
     told = world.turn()[0]
-    world.reader.answered(world.now, told[0], answer_to(told, version, parts, False, world.now))
+    world.reader.on_response(world.now, told[0], answer_to(told, version, parts, False, world.now))
     world.apply()
     world.now += 0.6
 
@@ -901,7 +926,7 @@
     world.want(a)
     partly(world, (1, 9), FullShard(0, (row("x", unused, mark=9.0),)))
     assert world.has("x") is None  # it is elsewhere by now
-    partly(world, (1, 8), Changes(1, (row("y", b, DRAINING, mark=8.0),)))
+    partly(world, (1, 8), ShardChanges(1, (row("y", b, DRAINING, mark=8.0),)))
     assert world.has("y").rate == 8.0 and world.has("x") is None
 
 
@@ -913,7 +938,7 @@
     world.want(a)
     partly(world, (1, 9), FullShard(0, (row("x", a, mark=9.0),)))
     assert (world.has("x").destination, world.has("x").rate) == (a, 9.0)
-    partly(world, (1, 8), Changes(1, (row("x", b, GONE, mark=1.0),)))
+    partly(world, (1, 8), ShardChanges(1, (row("x", b, GONE, mark=1.0),)))
     assert world.has("x").destination == a
 
 
@@ -936,7 +961,7 @@
     world.now += 7.0
     (told,) = world.turn()
     world.now += 30.0
-    world.reader.failed(world.now, told[0])  # its time ran out while this process stood
+    world.reader.on_request_failed(world.now, told[0])  # its time ran out while this process stood
     assert not world.reader.is_current(world.now, 1)
     world.down = {"n1"}
     world.settle(2.0)
@@ -951,10 +976,10 @@
     world.changed(2, [row("a", 1, DRAINING)])
     keeper, began = world.keepers["n1"], world.now
     while world.now < began + 20.0:
-        for _, digest in keeper.digests(world.now):
-            world.reader.digest(world.now, "n1", digest)
+        for _, digest in keeper.due_digests(world.now):
+            world.reader.on_digest(world.now, "n1", digest)
         for name, told in world.turn():
-            world.reader.answered(world.now, name, Overloaded(told.number, 500.0))
+            world.reader.on_response(world.now, name, Overloaded(told.number, 500.0))
         world.now += 0.1
         assert world.reader.is_current(world.now, 1) == (world.now < began + 12.0) or world.now < began + 12.0
     world.down = {"n1"}
@@ -970,13 +995,13 @@
     world.now += 7.0
     (told,) = world.turn()
     late = asked(world.keepers["n1"], told[1], world.now)
-    world.reader.failed(world.now, "n1")
+    world.reader.on_request_failed(world.now, "n1")
     world.now += 20.0
     world.changed(2, [row("a", 1, DRAINING)])
     assert world.turn()
     world.now += 20.0
-    world.reader.answered(world.now, "n1", late)
-    assert world.reader.unasked == 1 and not world.reader.is_current(world.now, 1)
+    world.reader.on_response(world.now, "n1", late)
+    assert world.reader.unsolicited == 1 and not world.reader.is_current(world.now, 1)
 
 
 def test_readers_that_lose_their_keepers_together_do_not_come_back_together() -> None:
@@ -990,21 +1015,21 @@
         now = 100.0 + step / 10.0
         for reader in readers:
             reader.tick(now, lambda destination: False)
-            for name, _ in reader.asks:
-                reader.failed(now, name)
+            for name, _ in reader.outgoing:
+                reader.on_request_failed(now, name)
                 asked_at.append(now)
-            reader.asks.clear()
+            reader.outgoing.clear()
     late = [at for at in asked_at if at > 115.0]
     assert len(late) > 60 * 3
     assert max(map(late.count, set(late))) < len(late) / 15  # of 150 steps
     now = 140.0
     for reader in readers:
-        reader.reachable(now, [])
-        for keeper in reader.keepers.values():
+        reader.set_reachable(now, [])
+        for keeper in reader.servers.values():
             keeper.paused_until = now + 60.0
-        reader.reachable(now, reader.keepers)
-    back = sorted(min(keeper.paused_until for keeper in reader.keepers.values()) - now for reader in readers)
-    assert back[-1] <= shard_client.RETURN_S and back[15] > 0.1 and back[45] > 0.4
+        reader.set_reachable(now, reader.servers)
+    back = sorted(min(keeper.paused_until for keeper in reader.servers.values()) - now for reader in readers)
+    assert back[-1] <= shard_client.RECOVERY_SPREAD_S and back[15] > 0.1 and back[45] > 0.4
 
 
 def test_an_answer_that_lay_in_a_buffer_is_as_old_as_its_ask() -> None:
@@ -1016,8 +1041,8 @@
     answer = asked(world.keepers["n1"], told[1], world.now)
     world.now += 30.0  # frozen, with the answer in its socket's buffer
     world.changed(2, [row("a", 1, DRAINING)])
-    world.reader.answered(world.now, told[0], answer)
-    assert world.reader.unasked == 0 and not world.reader.is_current(world.now, 1)
+    world.reader.on_response(world.now, told[0], answer)
+    assert world.reader.unsolicited == 0 and not world.reader.is_current(world.now, 1)
     world.settle()
     assert world.reader.is_current(world.now, 1) and world.has("a").listing is Listing.DRAINING
 
@@ -1036,7 +1061,7 @@
     assert world.reader.is_resident(a)
     world.changed(9, [row("x", a, DRAINING, mark=9.0)])
     parts = [FullShard(2, (row("z", c),))]
-    world.reader.answered(world.now, second[0], answer_to(second, (1, 9), parts, True, world.now))
+    world.reader.on_response(world.now, second[0], answer_to(second, (1, 9), parts, True, world.now))
     world.apply()
     assert world.reader.status(world.now).version == (1, 1)  # a is as of that still
     world.settle(4.0)
@@ -1049,16 +1074,16 @@
     world = World([row("a", 1)], Layout(1, tuple(range(1, 9))))
     world.want(1)
     world.settle(1.0)
-    alive = ranked("n100", world.keepers)[back]
+    alive = rank_servers("n100", world.keepers)[back]
     began = world.now
     out: list[tuple[float, str]] = []
     while world.now < began + 60.0:
         world.now = round(world.now + 0.1, 1)
         for keeper in world.keepers.values():
-            keeper.confirmed(world.now)
+            keeper.confirm_source(world.now)
         for at, name in [each for each in out if world.now - each[0] >= 1.0]:
             out.remove((at, name))
-            world.reader.failed(world.now, name)
+            world.reader.on_request_failed(world.now, name)
         for name, told in world.turn():
             if name == alive and world.now > began + 40.0:
                 world.serve([(name, told)])
@@ -1071,7 +1096,7 @@
 
 def test_as_many_keepers_as_there_may_be_are_all_tried_within_the_bound() -> None:
     """All hang, for long: each has its turn, so that what is known serves."""
-    world = World([row("a", 1)], Layout(1, tuple(range(1, KEEPERS_MOST + 1))))
+    world = World([row("a", 1)], Layout(1, tuple(range(1, MAX_SERVERS + 1))))
     world.want(1)
     world.settle(1.0)
     began = world.now
@@ -1081,7 +1106,7 @@
         world.now = round(world.now + 0.1, 1)
         for at, name in [each for each in out if world.now - each[0] >= 1.0]:
             out.remove((at, name))
-            world.reader.failed(world.now, name)
+            world.reader.on_request_failed(world.now, name)
         for name, _ in world.turn():
             out.append((world.now, name))
             assert world.now - last[name] < 11.0
--- a/tests/sharded_directory/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -15,15 +15,15 @@
 from message_relay.sharded_directory import source
 from message_relay.sharded_directory.shard_server import ShardServer
 from message_relay.sharded_directory.source import (
-    ENTRIES_A_TURN,
+    ENTRIES_PER_TURN,
+    EntryReader,
     FileSource,
-    Passed,
-    Refused,
+    ListSplitter,
+    ListTransfer,
+    OutdatedListError,
     RegisterSource,
     SourceError,
-    Splitter,
-    Taking,
-    TooManyChanges,
+    TooManyChangesError,
 )
 from message_relay.sharded_directory.wire import Layout, Row
 
@@ -35,22 +35,22 @@
     return ShardServer(Layout(shards, (0,)), 1, random.Random(1))
 
 
-async def pieces(raw: bytes, size: int = source.PIECE_BYTES) -> AsyncIterator[bytes]:
+async def pieces(raw: bytes, size: int = source.READ_BYTES) -> AsyncIterator[bytes]:
     for at in range(0, len(raw), size):
         yield raw[at : at + size]
 
 
 async def taken(
-    it: ShardServer, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.PIECE_BYTES
-) -> Taking:
+    it: ShardServer, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.READ_BYTES
+) -> ListTransfer:
     raw = told if isinstance(told, bytes) else json.dumps(told).encode()
-    taking = Taking(it, 1, Passed(), 5.0, least)
-    await taking.take(pieces(raw, size))
+    taking = ListTransfer(it, 1, EntryReader(), 5.0, least)
+    await taking.run(pieces(raw, size))
     return taking
 
 
 def rows(it: ShardServer) -> dict[str, Row]:
-    return {row.name: row for shard in range(it.layout.shards) for row in it.table.rows(shard)}
+    return {row.name: row for shard in range(it.layout.shard_count) for row in it.table.decode_rows(shard)}
 
 
 def many(count: int) -> list[dict[str, Any]]:
@@ -94,8 +94,8 @@
         taking = await taken(it, raw)
         beside.cancel()
         assert it.status(5.0).endpoints == 140_000
-        assert taking.longest <= ENTRIES_A_TURN
-        assert turns > 140_000 / ENTRIES_A_TURN / 2  # in between all else has its turn
+        assert taking.largest_batch <= ENTRIES_PER_TURN
+        assert turns > 140_000 / ENTRIES_PER_TURN / 2  # in between all else has its turn
 
     run(work())
 
@@ -143,13 +143,13 @@
         it = keeper()
         with pytest.raises(SourceError):
             await taken(it, raw)
-        assert not it.loaded
+        assert not it.is_loaded
 
     run(work())
 
 
 def test_a_list_that_is_too_long_is_told_and_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "LIST_BYTES", 50_000)
+    monkeypatch.setattr(source, "MAX_LIST_BYTES", 50_000)
 
     async def work() -> None:
         it = keeper()
@@ -179,7 +179,7 @@
         it = keeper()
         await taken(it, listing(good))
         taking = await taken(it, listing([*bad, entry("e", 5)], 2))
-        assert taking.passed.count == len(bad)
+        assert taking.entry_reader.skipped == len(bad)
         assert rows(it) == {
             "a": Row("a", 1, 0, "h", 1, "k", "z", 500.0),
             "b": Row("b", 2, 1, "h", 1, "k", "z", 500.0),
@@ -200,8 +200,8 @@
         assert it.version == (1, 5) and len(rows(it)) == 99 and rows(it)["e-0000001"].port == 9
         await taken(it, listing([], 5, False), 5)
         assert it.version == (1, 5)
-        monkeypatch.setattr(source, "CHANGES_MOST", 50)
-        with pytest.raises(TooManyChanges):
+        monkeypatch.setattr(source, "MAX_CHANGES", 50)
+        with pytest.raises(TooManyChangesError):
             await taken(it, listing(many(51), 6, False), 5)
         assert it.version == (1, 5) and len(rows(it)) == 99
 
@@ -212,22 +212,22 @@
     from message_relay.sharded_directory.bulk_load import STEP_ROWS
 
     it, count = keeper(8192), 5 * STEP_ROWS
-    change = it.change(1.0, 2)
-    assert not change.end(1.0)  # there is no list yet
-    load = it.begin(1.0, (1, 1))
+    change = it.start_changes(1.0, 2)
+    assert not change.seal(1.0)  # there is no list yet
+    load = it.start_list(1.0, (1, 1))
     load.add([Row(f"e{n}", n, 0, "h", 1) for n in range(count)])
-    assert load.end(1.0)
+    assert load.seal(1.0)
     while not load.step():
         pass
-    change = it.change(1.0, 2)
+    change = it.start_changes(1.0, 2)
     change.add([Row(f"e{n}", n + 1, 0, "h", 2) for n in range(count)], [("e5", 2)])
-    assert change.end(1.0)
+    assert change.seal(1.0)
     steps, looked = 0, 0
     while not change.step():
         steps += 1
-        assert change.sorted - looked <= STEP_ROWS and it.version == (1, 1)
-        looked = change.sorted
-    assert steps >= 5 and change.taken and it.version == (1, 2)
+        assert change.sorted_count - looked <= STEP_ROWS and it.version == (1, 1)
+        looked = change.sorted_count
+    assert steps >= 5 and change.is_committed and it.version == (1, 2)
     found = rows(it)
     assert len(found) == count - 1 and found["e7"] == Row("e7", 8, 0, "h", 2)
 
@@ -236,9 +236,9 @@
     async def work() -> None:
         it = keeper()
         await taken(it, listing(many(10), 7))
-        with pytest.raises(Refused, match="shards.epoch"):
+        with pytest.raises(OutdatedListError, match="shards.epoch"):
             await taken(it, listing(many(5), 6))
-        with pytest.raises(Refused):
+        with pytest.raises(OutdatedListError):
             await taken(it, listing(many(1), 6, False), 7)
         assert it.version == (1, 7) and len(rows(it)) == 10 and it.status(5.0).refused == 2
 
@@ -259,10 +259,10 @@
 
 
 def test_a_splitter_gives_no_more_entries_than_it_is_asked_for() -> None:
-    split = Splitter()
+    split = ListSplitter()
     split.feed(json.dumps(listing(many(20))).encode())
-    assert [len(split.entries(8)) for _ in range(4)] == [8, 8, 4, 0]
-    split.whole()
+    assert [len(split.read_entries(8)) for _ in range(4)] == [8, 8, 4, 0]
+    split.check_complete()
 
 
 # -- the register ------------------------------------------------------------------------------------------
@@ -287,7 +287,7 @@
         assert "from" not in agent.seen[1].target
         await until(lambda: len(agent.seen) > 2)
         assert agent.seen[2].target.startswith("/v1/servers?from=1&hold_ms=")
-        assert int(agent.seen[2].target.rpartition("=")[2]) <= source.HOLD_MS
+        assert int(agent.seen[2].target.rpartition("=")[2]) <= source.WATCH_MS
         agent.tell(listing([entry("new", 5)], 2, False))
         await until(lambda: it.version == (1, 2))
         assert len(rows(it)) == 3001
@@ -306,7 +306,7 @@
         agent.tell(listing(many(count)))
         assert len(json.dumps(listing(many(count)))) > ANSWER_BYTES
         task = asyncio.ensure_future(registered(it, agent).run())
-        await until(lambda: it.loaded)
+        await until(lambda: it.is_loaded)
         assert len(rows(it)) == count
         task.cancel()
 
@@ -319,7 +319,7 @@
         agent.tell(listing(many(10), 9))
         watch = registered(it, agent)
         task = asyncio.ensure_future(watch.run())
-        await until(lambda: it.loaded)
+        await until(lambda: it.is_loaded)
         agent.tell(listing(many(3), 2))
         await until(lambda: watch.failures == 1)
         assert it.version == (1, 9) and len(rows(it)) == 10
@@ -333,7 +333,7 @@
 
 
 def test_too_many_changes_in_one_answer_make_it_ask_for_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "CHANGES_MOST", 50)
+    monkeypatch.setattr(source, "MAX_CHANGES", 50)
 
     async def work() -> None:
         agent, it = await Agent().start(), keeper()
@@ -383,21 +383,21 @@
         it, path = keeper(), tmp_path / "list.json"
         watch = FileSource(it, 1, path)
         with pytest.raises(OSError):
-            await watch.look()
+            await watch.check_file()
         put(path, listing(many(10)))
-        await watch.look()
+        await watch.check_file()
         assert it.version == (1, 1) and len(rows(it)) == 10
-        at = it.confirmed_at
-        await watch.look()
-        assert it.confirmed_at > at  # nothing has changed, and that is so now
+        at = it.source_confirmed_at
+        await watch.check_file()
+        assert it.source_confirmed_at > at  # nothing has changed, and that is so now
         put(path, json.dumps(listing(many(5), 2))[:-5])
         with pytest.raises(SourceError):
-            await watch.look()
-        at = it.confirmed_at
-        await watch.look()  # it is not read again and again, and confirms nothing
-        assert it.version == (1, 1) and it.confirmed_at == at
+            await watch.check_file()
+        at = it.source_confirmed_at
+        await watch.check_file()  # it is not read again and again, and confirms nothing
+        assert it.version == (1, 1) and it.source_confirmed_at == at
         put(path, listing(many(5), 2))
-        await watch.look()
+        await watch.check_file()
         assert it.version == (1, 2) and len(rows(it)) == 5
 
     run(work())
@@ -410,7 +410,7 @@
         task = asyncio.ensure_future(watch.run())
         await until(lambda: watch.failures == 1)
         put(path, listing(many(3)))
-        await until(lambda: it.loaded)
+        await until(lambda: it.is_loaded)
         assert watch.failures >= 1
         task.cancel()
 
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -17,16 +17,16 @@
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
 from message_relay.sharded_directory.wire import (
-    NONE,
-    Changes,
+    NO_VERSION,
     Digest,
     FullShard,
     Layout,
     Row,
+    ShardChanges,
     ShardRequest,
     ShardResponse,
-    packed,
-    packed_bits,
+    encode_message,
+    pack_shard_set,
 )
 
 from .common import ask, asked, by_shard, filled, followed, row
@@ -49,7 +49,7 @@
         self.rows = {f"e{n}": row(f"e{n}", n) for n in range(DESTS)}
         self.keepers = {f"n{n}": filled(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
         self.reader = ShardClient(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
-        self.reader.reachable(0.0, self.keepers)
+        self.reader.set_reachable(0.0, self.keepers)
         self.used = random.Random(5).sample(range(DESTS), USED)
         self.generations = count(2)
         self.asks: list[ShardRequest] = []
@@ -72,36 +72,36 @@
     def turn(self, until: float) -> None:
         reader, now = self.reader, self.now
         for name, keeper in self.keepers.items():
-            keeper.confirmed(now)
-            for _, digest in keeper.digests(now):
+            keeper.confirm_source(now)
+            for _, digest in keeper.due_digests(now):
                 self.digests += 1
                 self.at(now + WAY_S, partial(self.said, name, digest))
         reader.tick(now, lambda destination: True)
-        for name, told in reader.asks:
+        for name, told in reader.outgoing:
             self.asks.append(told)
             self.at(now + WAY_S, partial(self.answer, name, told))
-        reader.asks.clear()
+        reader.outgoing.clear()
         self.old_s = max(self.old_s, reader.status(now).age_s)
         if now + 0.01 <= until:
             self.at(now + 0.01, lambda: self.turn(until))
 
     def said(self, name: str, digest: Digest) -> None:
         if not self.cut:
-            self.reader.digest(self.now, name, digest)
+            self.reader.on_digest(self.now, name, digest)
 
     def wants(self, destination: int) -> None:
         self.reader.request(self.now, destination, self.now + 30.0)
 
     def hears(self, keeper: ShardServer, generation: int, rows: list[Row]) -> None:
-        keeper.changed(self.now, generation, rows)
+        keeper.apply_changes(self.now, generation, rows)
 
     def answer(self, name: str, told: ShardRequest) -> None:
         if self.cut:
-            self.at(self.now + 1.0, lambda: self.reader.failed(self.now, name))
+            self.at(self.now + 1.0, lambda: self.reader.on_request_failed(self.now, name))
             return
         word = asked(self.keepers[name], told, self.now, ME)
         self.answers.append(word)
-        self.at(self.now + WAY_S, lambda: self.reader.answered(self.now, name, word))
+        self.at(self.now + WAY_S, lambda: self.reader.on_response(self.now, name, word))
 
     def change(self, dests: list[int]) -> None:
         """One step of the register's; the second keeper hears of it later."""
@@ -132,24 +132,26 @@
 def test_a_storm_costs_a_reader_what_changed_in_its_shards_and_few_asks() -> None:
     it = Storm()
     changed = it.play()
-    held = it.reader.store.held
+    held = it.reader.cache.resident
     here = [n for n in changed if shard_of(n, SHARDS) in held]
     assert len(held) > 300 and len(here) > 2_000
     parts = [part for answer in it.answers for part in answer.parts]
-    assert all(isinstance(part, Changes) for part in parts)  # no shard is told as a whole
-    told = [each.name for part in parts if isinstance(part, Changes) for each in part.rows]
+    assert all(isinstance(part, ShardChanges) for part in parts)  # no shard is told as a whole
+    told = [each.name for part in parts if isinstance(part, ShardChanges) for each in part.rows]
     assert sorted(told) == sorted(f"e{n}" for n in here)  # each change once
     # Bytes: the rows, and beside them 8 a part and 64 an answer; asks: the bitmap, and 64 each.
     least = sum(len(msgspec.msgpack.encode(it.rows[name])) for name in told)
-    assert sum(len(packed(answer)) for answer in it.answers) <= least + 8 * len(parts) + 64 * len(it.answers)
-    assert sum(len(packed(each)) for each in it.asks) <= len(it.asks) * (SHARDS // 8 + 16 + 64)
+    assert sum(len(encode_message(answer)) for answer in it.answers) <= least + 8 * len(parts) + 64 * len(
+        it.answers
+    )
+    assert sum(len(encode_message(each)) for each in it.asks) <= len(it.asks) * (SHARDS // 8 + 16 + 64)
     assert len(it.asks) <= it.digests <= 2 * (STORM_S + 4.0) / 2.7 + 2  # one for a digest, at most
     assert it.old_s < BOUND_S
     # And the reader has it all.
     truth = by_shard(it.rows, SHARDS)
-    assert it.reader.store.base == (1, PIECES + 1)
+    assert it.reader.cache.common_version == (1, PIECES + 1)
     for shard, each in held.items():
-        shard_rows: list[Row] = msgspec.msgpack.decode(each.blob, type=list[Row])
+        shard_rows: list[Row] = msgspec.msgpack.decode(each.encoded_rows, type=list[Row])
         assert {one.name: one for one in shard_rows} == truth[shard]
 
 
@@ -159,9 +161,9 @@
     for shards in (SHARDS, 4 * SHARDS):
         it = Storm(shards)
         it.play()
-        assert it.reader.store.base == (1, PIECES + 1) and it.old_s < BOUND_S
-        told = sum(len(packed(each)) for each in it.answers)
-        cost[shards] = told, told + sum(len(packed(each)) for each in it.asks)
+        assert it.reader.cache.common_version == (1, PIECES + 1) and it.old_s < BOUND_S
+        told = sum(len(encode_message(each)) for each in it.answers)
+        cost[shards] = told, told + sum(len(encode_message(each)) for each in it.asks)
     assert cost[4 * SHARDS][0] < 0.45 * cost[SHARDS][0]  # 9 destinations in use or beside one, not 39
     assert cost[4 * SHARDS][1] < 0.6 * cost[SHARDS][1]  # with the larger bitmaps
 
@@ -169,10 +171,10 @@
 def test_bytes_in_are_those_of_what_changed_and_not_of_the_whole_shards() -> None:
     it = Storm()
     it.play()
-    before = it.reader.bytes_in
+    before = it.reader.received_bytes
     it.change([it.used[0]])
     it.run(4.0)
-    assert 0 < it.reader.bytes_in - before < 100
+    assert 0 < it.reader.received_bytes - before < 100
 
 
 def test_a_shards_first_change_is_told_as_a_change_also_to_who_is_generations_behind() -> None:
@@ -182,9 +184,9 @@
     for generation in range(2, 12):
         new = row(f"e{generation}", generation, mark=float(generation))
         rows[new.name] = new
-        keeper.changed(0.0, generation, [new])
+        keeper.apply_changes(0.0, generation, [new])
     answer = asked(keeper, ask(layout, (1, 1), range(SHARDS)))
-    assert answer.complete and {type(part) for part in answer.parts} == {Changes}
+    assert answer.is_complete and {type(part) for part in answer.parts} == {ShardChanges}
     mine = dict(enumerate(by_shard({f"e{n}": row(f"e{n}", n) for n in range(2_000)}, SHARDS)))
     followed(mine, answer)
     assert mine == dict(enumerate(by_shard(rows, SHARDS)))
@@ -193,25 +195,27 @@
 def test_a_log_that_was_given_up_begins_anew_where_its_shard_changed_last(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(shard_table, "LOG_ROWS", 1)
+    monkeypatch.setattr(shard_table, "MAX_LOG_ROWS", 1)
     layout = Layout(SHARDS, (1,))
     keeper = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
     other = next(n for n in range(2_000) if shard_of(n, SHARDS) != shard_of(0, SHARDS))
-    keeper.changed(0.0, 2, [row("e0", 0, mark=2.0)])
-    keeper.changed(0.0, 3, [row(f"e{other}", other, mark=3.0)])  # the first one's log is given up
-    keeper.changed(0.0, 4, [row(f"e{other}", other, mark=4.0)])
-    keeper.changed(0.0, 5, [row("e0", 0, mark=5.0)])
+    keeper.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
+    keeper.apply_changes(0.0, 3, [row(f"e{other}", other, mark=3.0)])  # the first one's log is given up
+    keeper.apply_changes(0.0, 4, [row(f"e{other}", other, mark=4.0)])
+    keeper.apply_changes(0.0, 5, [row("e0", 0, mark=5.0)])
     shard = shard_of(0, SHARDS)
     (before,) = asked(keeper, ask(layout, (1, 1), [shard])).parts
     (after,) = asked(keeper, ask(layout, (1, 2), [shard])).parts
     assert isinstance(before, FullShard)
-    assert after == Changes(shard, (row("e0", 0, mark=5.0),))
+    assert after == ShardChanges(shard, (row("e0", 0, mark=5.0),))
 
 
 def test_an_answer_in_many_pieces_goes_on_where_it_was_though_versions_come_faster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(shard_table, "LOG_ROWS", 600)  # nine generations: who was cut off longer gets wholes
+    monkeypatch.setattr(
+        shard_table, "MAX_LOG_ROWS", 600
+    )  # nine generations: who was cut off longer gets wholes
     it = Storm()
     it.play(cut_s=10.0)
     wholes = Counter(
@@ -219,7 +223,7 @@
     )
     assert len(wholes) > 250  # many pieces of 18 or so
     assert max(wholes.values()) <= 2  # at most once of each keeper
-    assert it.reader.store.base == (1, PIECES + 1)
+    assert it.reader.cache.common_version == (1, PIECES + 1)
 
 
 def test_what_a_reader_lacks_the_most_is_told_first_and_how_far_all_is_then() -> None:
@@ -227,22 +231,24 @@
     rows = [row(f"e{n}", n) for n in range(DESTS)]
     keeper = filled(layout, rows)
     for generation in (2, 3, 4):  # all shards, each time by so many rows that no answer has them all
-        keeper.changed(0.0, generation, [row(f"e{n}", n, mark=float(generation)) for n in range(6_000)])
+        keeper.apply_changes(0.0, generation, [row(f"e{n}", n, mark=float(generation)) for n in range(6_000)])
     half = list(range(SHARDS // 2))
-    further = packed_bits(sum(1 << shard for shard in half), SHARDS)
-    told = msgspec.structs.replace(ask(layout, (1, 1), range(SHARDS)), ahead=(1, 3), further=further)
+    further = pack_shard_set(sum(1 << shard for shard in half), SHARDS)
+    told = msgspec.structs.replace(
+        ask(layout, (1, 1), range(SHARDS)), ahead_version=(1, 3), ahead_shards=further
+    )
     answer = asked(keeper, told)
-    assert not answer.complete and answer.reached == NONE
+    assert not answer.is_complete and answer.reached_version == NO_VERSION
     assert not {part.shard for part in answer.parts} & set(half)
     lacks = set(range(SHARDS)) - {part.shard for part in answer.parts} - set(half)
-    keeps = packed_bits(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
-    answer = asked(keeper, msgspec.structs.replace(told, further=keeps))
-    while not answer.complete and answer.reached == NONE:
+    keeps = pack_shard_set(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
+    answer = asked(keeper, msgspec.structs.replace(told, ahead_shards=keeps))
+    while not answer.is_complete and answer.reached_version == NO_VERSION:
         lacks -= {part.shard for part in answer.parts}
-        keeps = packed_bits(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
-        answer = asked(keeper, msgspec.structs.replace(told, further=keeps))
+        keeps = pack_shard_set(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
+        answer = asked(keeper, msgspec.structs.replace(told, ahead_shards=keeps))
     assert lacks <= {part.shard for part in answer.parts}
-    assert answer.reached == (1, 3)
+    assert answer.reached_version == (1, 3)
     behind = filled(layout, rows)
-    behind.changed(0.0, 2, [row("e0", 0, mark=2.0)])
-    assert asked(behind, told).reached == NONE  # it has not come so far itself
+    behind.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
+    assert asked(behind, told).reached_version == NO_VERSION  # it has not come so far itself
