--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -1,4 +1,7 @@
-"""One attempt: journalled before its first byte, made by a transport, its outcome kept and handed on."""
+"""Attempts: each is journalled before its first byte, made by a transport, and its result recorded.
+
+The runner carries out what the scheduler decided, and reports every result back to it as an event.
+"""
 
 from __future__ import annotations
 
@@ -11,155 +14,187 @@
 from ..decisions.model import Effect, Outcome
 from ..decisions.scheduler import DeliveryScheduler
 from ..store.records import JournalEntry
+from ..structured_logging import LogEvent
+from .clock import unix_time_ms
 from .directory import EndpointDirectory, KnownEndpoint
-from .message_lifecycle import AcceptedMessage, MessageLifecycle, unix_time_ms
+from .journal_writes import try_write
+from .message_lifecycle import AcceptedMessage, MessageLifecycle
 from .ports import Attempt, AttemptResult, CallContext, CallPolicy, DestinationInterest, Transport
 from .scheduler_driver import SchedulerDriver
 from .tasks import BackgroundTasks
 
 log = logging.getLogger(__name__)
 
-CURRENT_S = 1.0  # a call waits so long for what is known to be confirmed: past an answer, under most aims
+# How long a call waits until what is known of its destination is confirmed: longer than a reply takes, and
+# below most latency objectives.
+CONFIRMATION_TIMEOUT_S = 1.0
 
 
 class CallPermit:
-    """One call's, by rules on which the instances agree: taken once, and looked at again before the last
-    byte."""
+    """The permission of one call by the call policy: acquired once, verified again before the last byte."""
 
-    def __init__(self, permits: CallPolicy, call: CallContext) -> None:
-        self.call_policy, self.call = permits, call
+    def __init__(self, call_policy: CallPolicy, call: CallContext) -> None:
+        self.call_policy = call_policy
+        self.call = call
         self.label: str | None = None
 
     def acquire(self) -> bool:
+        """Whether the call is allowed; the first positive answer reserves it."""
         if self.label is not None:
             return self.call_policy.is_still_authorized(self.call)
         self.label = self.call_policy.authorize(self.call)
         return self.label is not None
 
     def policy_label(self) -> str:
+        """The label of the rules that allow the call; empty before that."""
         return self.label or ""
 
     def complete(self, result: AttemptResult, latency_ms: float) -> None:
+        """Releases the permission and reports the result of the call."""
         if self.label is not None:
             self.call_policy.release(self.call.destination)
         self.call_policy.record_outcome(self.call, result.outcome, latency_ms, result.retry_after_ms)
 
 
 class AttemptRunner:
+    """Runs each attempt as a task of its own."""
+
     def __init__(
         self,
-        relay: DeliveryScheduler,
-        turns: SchedulerDriver,
+        scheduler: DeliveryScheduler,
+        driver: SchedulerDriver,
         messages: MessageLifecycle,
         directory: EndpointDirectory,
         transport: Transport,
         tasks: BackgroundTasks,
     ) -> None:
-        self.scheduler, self.driver, self.messages = relay, turns, messages
-        self.directory, self.transport, self.tasks = directory, transport, tasks
+        self.scheduler = scheduler
+        self.driver = driver
+        self.messages = messages
+        self.directory = directory
+        self.transport = transport
+        self.tasks = tasks
         self.call_policy: CallPolicy | None = None
         self.destination_interest: DestinationInterest | None = None  # None: all destinations are known
 
     def start(self, number: int, endpoint: int, until_ms: float) -> None:
-        held = self.messages.accepted[number]
-        held.attempts += 1
-        task = self.tasks.start(self._run(number, held, endpoint, until_ms))
-        # Not before its first step: a task that is cancelled before it says nothing, and the module would
-        # wait for its outcome for good.
-        held.cancel = lambda: asyncio.get_running_loop().call_soon(task.cancel)
-
-    async def _run(self, number: int, held: AcceptedMessage, endpoint: int, until_ms: float) -> None:
-        begun, entry, attempt = self.driver.now(), held.entry, held.attempts - 1
+        """Starts an attempt of a pending message, which is given up at `until_ms` of the loop's clock."""
+        accepted = self.messages.accepted[number]
+        accepted.attempts += 1
+        task = self.tasks.start(self._run(number, accepted, endpoint, until_ms))
+        # Not before its first step: a task that is cancelled before that reports nothing, and the scheduler
+        # would wait for its result for good.
+        accepted.cancel = lambda: asyncio.get_running_loop().call_soon(task.cancel)
+
+    async def _run(self, number: int, accepted: AcceptedMessage, endpoint: int, until_ms: float) -> None:
+        started_ms = self.driver.now()
+        entry = accepted.entry
+        attempt_index = accepted.attempts - 1
         permit: CallPermit | None = None
-        known = self.directory.by_number.get(endpoint)
         result = AttemptResult(Outcome.NOT_SENT, withheld=True)
         try:
             if self.destination_interest is not None:
                 await self._wait_until_current(self.destination_interest, entry.destination, until_ms)
-                known = self.directory.by_number.get(endpoint)  # it may have moved meanwhile
-            if known is not None and self.call_policy is not None:
-                permit = CallPermit(self.call_policy, self._call_context(entry, known))
-            gate = None if known is None else self._write_gate(number, entry, known, permit)
-            if known is not None and gate is not None and await self._wait_until_durable(gate, until_ms):
-                result = await self.transport.attempt(
-                    Attempt(
-                        endpoint,
-                        known.address,
-                        entry.id,
-                        entry.key,
-                        entry.body,
-                        until_ms / 1000,
-                        gate,
-                        ambiguity_is_final=self.messages.effect(entry) is Effect.UNSAFE,
-                        policy_label=None if permit is None else permit.policy_label,
-                        kind=known.kind,
-                    )
-                )
+            known = self.directory.by_number.get(endpoint)
+            if known is not None:
+                if self.call_policy is not None:
+                    permit = CallPermit(self.call_policy, self._call_context(entry, known))
+                may_write = self._write_gate(number, entry, known, permit)
+                if await self._wait_until_durable(may_write, until_ms):
+                    attempt = self._attempt(endpoint, known, entry, until_ms, may_write, permit)
+                    result = await self.transport.attempt(attempt)
         except asyncio.CancelledError:
-            result = AttemptResult(Outcome.CANCELLED)  # by the module, or at the end of the process
+            result = AttemptResult(Outcome.CANCELLED)  # by the scheduler, or at the end of the process
         except Exception:
-            # A fault of ours must not leave the message without an outcome.
-            log.exception("a call failed")
+            # A fault of ours must not leave the message without a result.
+            log.exception(LogEvent("attempt raised an exception"))
             result = AttemptResult(Outcome.RESET if entry.attempt_in_flight else Outcome.CONNECT_FAILED)
         if permit is not None:
-            permit.complete(result, self.driver.now() - begun)
-        self._complete(
+            permit.complete(result, self.driver.now() - started_ms)
+        event = AttemptCompleted(
             number,
-            held,
-            AttemptCompleted(
-                number,
-                attempt,
-                endpoint,
-                result.outcome,
-                self.driver.now() - begun,
-                result.finished,
-                result.retry_after_ms,
-                result.no_connection_slot,
-                result.load_report,
-                result.withheld,
-            ),
+            attempt_index,
+            endpoint,
+            result.outcome,
+            self.driver.now() - started_ms,
+            result.finished,
+            result.retry_after_ms,
+            result.no_connection_slot,
+            result.load_report,
+            result.withheld,
         )
+        self._complete(number, accepted, event)
 
-    async def _wait_until_current(self, interest: DestinationInterest, dest: int, until_ms: float) -> None:
-        """Before a connection is looked for. Without a wait here a call that the gate holds back would be
-        made again and again."""
-        interest.touch(dest)
-        at = min(until_ms / 1000, self.driver.now() / 1000 + CURRENT_S)
+    def _attempt(
+        self,
+        endpoint: int,
+        known: KnownEndpoint,
+        entry: JournalEntry,
+        until_ms: float,
+        may_write: Callable[[], bool],
+        permit: CallPermit | None,
+    ) -> Attempt:
+        return Attempt(
+            endpoint,
+            known.address,
+            entry.id,
+            entry.key,
+            entry.body,
+            until_ms / 1000,
+            may_write,
+            ambiguity_is_final=self.messages.effect(entry) is Effect.UNSAFE,
+            policy_label=None if permit is None else permit.policy_label,
+            kind=known.kind,
+        )
+
+    async def _wait_until_current(
+        self, interest: DestinationInterest, destination: int, until_ms: float
+    ) -> None:
+        """Waits, before a connection is chosen, until what is known of the destination is current.
+
+        Without it an attempt that `may_write` withholds would be made again and again.
+        """
+        interest.touch(destination)
+        deadline_s = min(until_ms / 1000, self.driver.now() / 1000 + CONFIRMATION_TIMEOUT_S)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(at):
-                while not interest.is_current(dest):
+            async with asyncio.timeout_at(deadline_s):
+                while not interest.is_current(destination):
                     await interest.wait_for_renewal()
 
     def _is_current(self, known: KnownEndpoint) -> bool:
-        """Whether it may be called where it was known to be."""
+        """Whether the endpoint may be called at the address that the attempt uses."""
         if self.destination_interest is None:
             return True
-        now = self.directory.by_number.get(known.endpoint.id)
+        current = self.directory.by_number.get(known.endpoint.id)
         return (
-            now is not None
-            and now.key == known.key
+            current is not None
+            and current.key == known.key
             and self.destination_interest.is_current(known.endpoint.destination)
         )
 
-    async def _wait_until_durable(self, gate: Callable[[], bool], until_ms: float) -> bool:
-        """Where a record has to outlast a power cut before it counts, it is written before the connection is
-        looked for; elsewhere right before the first byte."""
+    async def _wait_until_durable(self, may_write: Callable[[], bool], until_ms: float) -> bool:
+        """Whether the attempt may go on.
+
+        With group commit the attempt's record is written and synced before a connection is chosen; otherwise
+        it is written right before the first byte.
+        """
         durability = self.messages.journal.durability
         if durability is None or not durability.is_group_commit:
             return True
-        if not gate():
+        if not may_write():
             return False
-        safe = durability.barrier()
+        durable = durability.barrier()
         try:
             async with asyncio.timeout_at(until_ms / 1000):
-                if safe is not None:
-                    await asyncio.shield(safe)
+                if durable is not None:
+                    await asyncio.shield(durable)
         except TimeoutError:
             return False
         return True
 
     def _call_context(self, entry: JournalEntry, known: KnownEndpoint) -> CallContext:
-        zones, zone = self.directory.zones, known.endpoint.zone
+        zones = self.directory.zones
+        zone = known.endpoint.zone
         return CallContext(
             entry.id,
             entry.destination,
@@ -174,31 +209,37 @@
     def _write_gate(
         self, number: int, entry: JournalEntry, known: KnownEndpoint, permit: CallPermit | None
     ) -> Callable[[], bool]:
-        """Asked before the first byte on each connection, and before the last; one attempt in the journal."""
-        noted = False
+        """The check before the first byte on each connection, and before the last.
+
+        It journals the attempt when it is first passed.
+        """
+        is_journalled = False
 
         def may_write() -> bool:
-            nonlocal noted
+            nonlocal is_journalled
             if not self.scheduler.may_write(self.driver.now(), number) or not self._is_current(known):
                 return False
             if permit is not None and not permit.acquire():
                 return False
-            noted = noted or self.messages.try_write(
+            is_journalled = is_journalled or try_write(
                 lambda: self.messages.journal.append_attempt(
                     entry, unix_time_ms(), known.name, known.endpoint.zone, self.driver.now()
                 )
             )
-            return noted
+            return is_journalled
 
         return may_write
 
-    def _complete(self, number: int, held: AcceptedMessage, event: AttemptCompleted) -> None:
-        messages, entry, held.cancel = self.messages, held.entry, None
-        if messages.journal.entries.get(entry.id) is entry:  # and no later message under its id
+    def _complete(self, number: int, accepted: AcceptedMessage, event: AttemptCompleted) -> None:
+        """Journals the result of an attempt and hands it to the scheduler."""
+        accepted.cancel = None
+        entry = accepted.entry
+        messages = self.messages
+        if messages.journal.entries.get(entry.id) is entry:  # and not a later message with the same id
             if event.finished:
                 messages.release(number)
-                messages.record_outcome(entry, "delivered" if event.outcome is Outcome.OK else "over")
+                messages.outcomes.record(entry, "delivered" if event.outcome is Outcome.OK else "over")
             elif entry.attempt_in_flight is not None:
-                ran = not event.outcome.proves_no_effect
-                messages.try_write(lambda: messages.journal.append_outcome(entry, ran))
+                may_have_run = not event.outcome.proves_no_effect
+                try_write(lambda: messages.journal.append_outcome(entry, may_have_run))
         self.driver.feed(event)
--- a/message_relay/core/backoff.py
+++ b/message_relay/core/backoff.py
@@ -4,8 +4,11 @@
 
 import random
 
-DOUBLINGS = 16  # past any ratio of a longest pause to a first one
-LEAST, MOST = 0.7, 1.3  # of a pause, by chance: those that failed together do not come back together
+MAX_DOUBLINGS = 16  # past any ratio of a longest pause to a first one
+MIN_JITTER, MAX_JITTER = (
+    0.7,
+    1.3,
+)  # of a pause, by chance: those that failed together do not come back together
 
 
 class ExponentialBackoff:
@@ -14,9 +17,9 @@
 
     def next_delay(self) -> float:
         """The pause after one more failure in a row."""
-        pause = min(self.maximum, self.initial * 2.0 ** min(self.failures, DOUBLINGS))
+        pause = min(self.maximum, self.initial * 2.0 ** min(self.failures, MAX_DOUBLINGS))
         self.failures += 1
-        return pause * self.rng.uniform(LEAST, MOST)
+        return pause * self.rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def reset(self) -> None:
         """What was tried has worked."""
--- a/message_relay/core/directory.py
+++ b/message_relay/core/directory.py
@@ -1,4 +1,4 @@
-"""Names of endpoints to the numbers by which the decisions know them, and to where they are."""
+"""Maps the names of endpoints to the numbers that the scheduler uses, and to their addresses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
 from ..decisions.model import Endpoint, Listing, ListKind, Settings
 from .ports import EndpointKey, EndpointRecord, EndpointUpdate
 
+REMOVED = (Listing.GONE, Listing.UNNEEDED)
+
 
 @dataclass(frozen=True, slots=True)
 class KnownEndpoint:
-    """An endpoint as listed; its number is ours and stays with its name while it is listed."""
+    """A listed endpoint. Its number is local to this process, and stays with its name while it is listed."""
 
     name: str
     endpoint: Endpoint
@@ -21,75 +23,99 @@
 
     @property
     def key(self) -> EndpointKey:
+        """What a transport knows it by."""
         return self.endpoint.id, self.address
 
     @property
     def is_ready(self) -> bool:
+        """Whether it may get new calls."""
         return self.endpoint.listing is Listing.READY
 
 
+@dataclass(frozen=True, slots=True)
+class DirectoryChanges:
+    """What an update has changed."""
+
+    event: EndpointList  # for the scheduler
+    endpoints: list[tuple[EndpointKey, bool]]  # those that changed, and whether each may get calls
+    destinations: set[int]  # those with endpoints that changed
+
+
 class EndpointDirectory:
+    """The endpoints as the sources list them, by name and by number."""
+
     def __init__(self, settings: Settings, zones: tuple[str, ...]) -> None:
-        self.kinds, self.zones = tuple(kind.name for kind in settings.kinds), zones
+        self.kinds = tuple(kind.name for kind in settings.kinds)
+        self.zones = zones
         self.by_name: dict[str, KnownEndpoint] = {}
         self.by_number: dict[int, KnownEndpoint] = {}
-        self.listed_counts: dict[
-            int, int
-        ] = {}  # destination -> how many endpoints are listed for it, none at 0
+        self.listed_counts: dict[int, int] = {}  # endpoints listed by destination; no destination has 0
         self.last_number = 0
 
     def number_of(self, name: str) -> int:
+        """The number of a listed endpoint; a new number for any other name."""
         known = self.by_name.get(name)
-        if known is None:
-            self.last_number += 1
-        return self.last_number if known is None else known.endpoint.id
-
-    def apply(self, update: EndpointUpdate) -> tuple[EndpointList, list[tuple[EndpointKey, bool]], set[int]]:
-        """Takes what a source tells: the event for the decisions, what no longer stands or newly does, and
-        the destinations that any of it concerns."""
-        found = [self._known(member) for member in update.endpoints]
-        found += [
-            replace(known, endpoint=replace(known.endpoint, listing=listing))
-            for name, listing in update.status_changes
-            if (known := self.by_name.get(name)) is not None
-        ]
+        if known is not None:
+            return known.endpoint.id
+        self.last_number += 1
+        return self.last_number
+
+    def apply(self, update: EndpointUpdate) -> DirectoryChanges:
+        """Applies the update of a source."""
+        updated = self._updated_endpoints(update)
         changed: dict[EndpointKey, bool] = {}
-        concerned = {known.endpoint.destination for known in found}
+        destinations = {known.endpoint.destination for known in updated}
         if update.is_full:
             changed = {known.key: False for known in self.by_name.values()}
-            concerned.update(self.listed_counts)
+            destinations.update(self.listed_counts)
             self.by_name.clear()
             self.by_number.clear()
             self.listed_counts.clear()
-        for known in found:
-            before = self.by_name.pop(known.name, None)
-            self.by_number.pop(known.endpoint.id, None)
-            if before is not None:
-                changed[before.key] = False
-                concerned.add(before.endpoint.destination)
-                self._count(before.endpoint.destination, -1)
-            if known.endpoint.listing not in (Listing.GONE, Listing.UNNEEDED):
-                self.by_name[known.name] = self.by_number[known.endpoint.id] = known
-                changed[known.key] = known.is_ready
-                self._count(known.endpoint.destination, 1)
+        for known in updated:
+            self._replace(known, changed, destinations)
         kind = ListKind.WHOLE if update.is_full else ListKind.CHANGES
-        return EndpointList(kind, tuple(known.endpoint for known in found)), list(changed.items()), concerned
+        event = EndpointList(kind, tuple(known.endpoint for known in updated))
+        return DirectoryChanges(event, list(changed.items()), destinations)
+
+    def _updated_endpoints(self, update: EndpointUpdate) -> list[KnownEndpoint]:
+        updated = [self._known_endpoint(record) for record in update.endpoints]
+        for name, listing in update.status_changes:
+            known = self.by_name.get(name)
+            if known is not None:
+                updated.append(replace(known, endpoint=replace(known.endpoint, listing=listing)))
+        return updated
+
+    def _replace(
+        self, known: KnownEndpoint, changed: dict[EndpointKey, bool], destinations: set[int]
+    ) -> None:
+        """Puts an endpoint in the place of the one with its name, and adds both to the changes."""
+        before = self.by_name.pop(known.name, None)
+        self.by_number.pop(known.endpoint.id, None)
+        if before is not None:
+            changed[before.key] = False
+            destinations.add(before.endpoint.destination)
+            self._add_to_count(before.endpoint.destination, -1)
+        if known.endpoint.listing not in REMOVED:
+            self.by_name[known.name] = known
+            self.by_number[known.endpoint.id] = known
+            changed[known.key] = known.is_ready
+            self._add_to_count(known.endpoint.destination, 1)
 
-    def _count(self, destination: int, more: int) -> None:
-        """Guards each second and each change against a walk over all to find what is still listed."""
-        count = self.listed_counts.get(destination, 0) + more
+    def _add_to_count(self, destination: int, difference: int) -> None:
+        """Guards each second and each change against a walk over all endpoints to find what is listed."""
+        count = self.listed_counts.get(destination, 0) + difference
         if count:
             self.listed_counts[destination] = count
         else:
             del self.listed_counts[destination]
 
-    def _known(self, member: EndpointRecord) -> KnownEndpoint:
-        entry = Endpoint(
-            id=self.number_of(member.name),
-            destination=member.destination,
-            listing=member.listing,
-            kind=self.kinds.index(member.kind) if member.kind in self.kinds else 0,
-            zone=self.zones.index(member.zone) if member.zone in self.zones else 0,
-            rate=member.rate,
+    def _known_endpoint(self, record: EndpointRecord) -> KnownEndpoint:
+        endpoint = Endpoint(
+            id=self.number_of(record.name),
+            destination=record.destination,
+            listing=record.listing,
+            kind=self.kinds.index(record.kind) if record.kind in self.kinds else 0,
+            zone=self.zones.index(record.zone) if record.zone in self.zones else 0,
+            rate=record.rate,
         )
-        return KnownEndpoint(member.name, entry, member.address, member.kind or "")
+        return KnownEndpoint(record.name, endpoint, record.address, record.kind or "")
--- a/message_relay/core/ports.py
+++ b/message_relay/core/ports.py
@@ -262,6 +262,13 @@
 EndpointUpdateCallback = Callable[[EndpointUpdate], None]
 
 
+class UpdateMerge(Protocol):
+    """Merges the updates of several sources into one list of endpoints."""
+
+    def merge(self, update: EndpointUpdate, now: float, /) -> EndpointUpdate | None:
+        """What one source's update changes in the merged list; None: nothing. `now` in seconds."""
+
+
 class EndpointSource(Protocol):
     """A source of endpoints. What it has been told counts as told to the relay."""
 
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -1,56 +1,73 @@
-"""What an earlier process learned of destinations that are not known here yet: kept until they come. No I/O;
-the clock is passed in, in ms."""
+"""Learned state of destinations from an earlier process, retained until these destinations are loaded.
+
+No I/O; the clock is passed in, in ms.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from ..decisions.endpoint_registry import FORGET_AFTER_MS
 from ..decisions.events import RestoredDestination
 from ..decisions.model import Endpoint
 
 
+@dataclass(frozen=True, slots=True)
+class _Retained:
+    since_ms: float
+    restored: RestoredDestination
+
+    def is_expired(self, now: float) -> bool:
+        return now >= self.since_ms + FORGET_AFTER_MS
+
+    def aged(self, now: float) -> RestoredDestination:
+        return aged(self.restored, now - self.since_ms)
+
+
 class RestoredState:
-    """No more than the file holds that they are from; each for FORGET_AFTER_MS."""
+    """At most what the snapshot file holds; each destination for FORGET_AFTER_MS."""
 
     def __init__(self) -> None:
-        self.destinations: dict[int, tuple[float, RestoredDestination]] = {}  # and since when
+        self.destinations: dict[int, _Retained] = {}
 
-    def add(self, now: float, lane: RestoredDestination) -> None:
-        self.destinations[lane.destination] = now, lane
+    def add(self, now: float, restored: RestoredDestination) -> None:
+        """Retains the state of a destination that is not loaded yet."""
+        self.destinations[restored.destination] = _Retained(now, restored)
 
     def contains(self, now: float, destination: int) -> bool:
-        kept = self.destinations.get(destination)
-        return kept is not None and now < kept[0] + FORGET_AFTER_MS
+        """Whether state of this destination is retained and still counts."""
+        retained = self.destinations.get(destination)
+        return retained is not None and not retained.is_expired(now)
 
-    def pop_listed(self, now: float, entries: Iterable[Endpoint]) -> list[RestoredDestination]:
-        """What is to be told of those that have come."""
+    def pop_listed(self, now: float, endpoints: Iterable[Endpoint]) -> list[RestoredDestination]:
+        """Removes and returns the state of the destinations of these endpoints."""
         if not self.destinations:
             return []
-        here = dict.fromkeys(entry.destination for entry in entries)
+        listed = dict.fromkeys(endpoint.destination for endpoint in endpoints)
         return [
-            aged(lane, now - at)
-            for dest in here
-            if (at := self._at(now, dest)) is not None
-            for lane in [self.destinations.pop(dest)[1]]
+            self.destinations.pop(destination).aged(now)
+            for destination in listed
+            if self.contains(now, destination)
         ]
 
-    def _at(self, now: float, destination: int) -> float | None:
-        return self.destinations[destination][0] if self.contains(now, destination) else None
-
     def remaining(self, now: float) -> list[RestoredDestination]:
-        """As it is to be written for the next process."""
+        """What is still retained, as it is to be written for the next process."""
         self.destinations = {
-            dest: kept for dest, kept in self.destinations.items() if now < kept[0] + FORGET_AFTER_MS
+            destination: retained
+            for destination, retained in self.destinations.items()
+            if not retained.is_expired(now)
         }
-        return [aged(lane, now - at) for at, lane in self.destinations.values()]
+        return [retained.aged(now) for retained in self.destinations.values()]
 
 
-def aged(lane: RestoredDestination, ms: float) -> RestoredDestination:
+def aged(restored: RestoredDestination, elapsed_ms: float) -> RestoredDestination:
+    """The same state after this time has passed."""
+    failing_for_ms = restored.failing_for_ms
+    warming_up_for_ms = restored.warming_up_for_ms
     return replace(
-        lane,
-        retry_after_ms=max(0.0, lane.retry_after_ms - ms),
-        failing_for_ms=None if lane.failing_for_ms is None else lane.failing_for_ms + ms,
-        warming_up_for_ms=None if lane.warming_up_for_ms is None else lane.warming_up_for_ms + ms,
+        restored,
+        retry_after_ms=max(0.0, restored.retry_after_ms - elapsed_ms),
+        failing_for_ms=None if failing_for_ms is None else failing_for_ms + elapsed_ms,
+        warming_up_for_ms=None if warming_up_for_ms is None else warming_up_for_ms + elapsed_ms,
     )
--- a/message_relay/core/scheduler_driver.py
+++ b/message_relay/core/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""The decision module's turns: events are gathered and handed over, and its one timer is kept."""
+"""Drives the scheduler: gathers events into turns, carries out the actions, and keeps its one timer."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 
 log = logging.getLogger(__name__)
 
-AFTER_FAULT_MS = 1000.0
+RETRY_AFTER_FAULT_MS = 1000.0  # the next turn, after one that raised an exception
 
 
 class SchedulerDriver:
-    """Feeds a `Relay`, a tick apart at the least, and has its actions carried out by `act`."""
+    """Feeds a `DeliveryScheduler`, with turns at least a tick apart; `execute` carries out its actions."""
 
-    def __init__(self, relay: DeliveryScheduler, tick_ms: float, act: Callable[[Action], None]) -> None:
-        self.scheduler, self.tick_ms, self.execute = relay, tick_ms, act
+    def __init__(
+        self, scheduler: DeliveryScheduler, tick_ms: float, execute: Callable[[Action], None]
+    ) -> None:
+        self.scheduler = scheduler
+        self.tick_ms = tick_ms
+        self.execute = execute
         self.pending_events: list[Event] = []
         self.turn_handle: asyncio.TimerHandle | None = None
         self.last_turn_ms = 0.0
@@ -28,29 +32,36 @@
 
     @staticmethod
     def now() -> float:
+        """The loop's clock, in ms."""
         return asyncio.get_running_loop().time() * 1000
 
     def feed(self, event: Event) -> None:
-        """All that comes within a tick is one turn: a busy relay takes few long turns for many short ones.
-        After the end nothing is decided any more: what the end itself cut off is the next process's."""
+        """Adds an event to the next turn.
+
+        All events within a tick make one turn: a busy relay has few long turns instead of many short ones.
+        After `stop` nothing is decided any more: what the stop itself cut off is left to the next process.
+        """
         if self.is_stopped:
             return
         self.pending_events.append(event)
         if self.turn_handle is None:
-            wait = max(0.0, self.last_turn_ms + self.tick_ms - self.now()) / 1000
-            self.turn_handle = asyncio.get_running_loop().call_later(wait, self.run_turn)
+            delay_s = max(0.0, self.last_turn_ms + self.tick_ms - self.now()) / 1000
+            self.turn_handle = asyncio.get_running_loop().call_later(delay_s, self.run_turn)
 
     def run_turn(self) -> None:
+        """Hands the gathered events to the scheduler and carries out its actions."""
         if self.turn_handle is not None:
             self.turn_handle.cancel()
-        self.turn_handle, self.last_turn_ms = None, self.now()
-        events, self.pending_events = self.pending_events, []
+        self.turn_handle = None
+        self.last_turn_ms = self.now()
+        events = self.pending_events
+        self.pending_events = []
         try:
             actions = self.scheduler.handle(self.last_turn_ms, events)
         except Exception:
             # A fault in one turn must not stop all later ones.
-            log.exception("the module failed on %r", events)
-            actions = [SetTimer(AFTER_FAULT_MS, 0)]
+            log.exception("scheduler turn failed: %r", events)
+            actions = [SetTimer(RETRY_AFTER_FAULT_MS, 0)]
         for action in actions:
             if isinstance(action, SetTimer):
                 self._set_timer(action.delay_ms)
@@ -58,8 +69,8 @@
             try:
                 self.execute(action)
             except Exception:
-                # Nor one that cannot be carried out the ends behind it, and the timer of all later ones.
-                log.exception("%r could not be carried out", action)
+                # One action that cannot be carried out must not stop those after it, nor the timer.
+                log.exception("scheduler action failed: %r", action)
 
     def _set_timer(self, delay_ms: float) -> None:
         if self.timer_handle is not None:
@@ -71,7 +82,8 @@
         self.feed(TimerFired(0))
 
     def stop(self) -> None:
+        """Ends the turns; events that come later are dropped."""
         self.is_stopped = True
-        for timer in (self.turn_handle, self.timer_handle):
-            if timer is not None:
-                timer.cancel()
+        for handle in (self.turn_handle, self.timer_handle):
+            if handle is not None:
+                handle.cancel()
--- a/message_relay/endpoint_discovery/poll_schedule.py
+++ b/message_relay/endpoint_discovery/poll_schedule.py
@@ -16,7 +16,7 @@
 
 import random
 
-from ..core.backoff import MOST, ExponentialBackoff
+from ..core.backoff import MAX_JITTER, ExponentialBackoff
 
 # The register's current list is known to the relay at most this long after the register could be reached.
 DISCOVERY_BOUND_MS = 6000.0
@@ -65,7 +65,7 @@
         first = max(FIRST_PAUSE_FLOOR_MS, FIRST_PAUSE_MS_PER_RELAY * relays)
         longest = max(MAX_PAUSE_FLOOR_MS, MAX_PAUSE_MS_PER_RELAY * relays)
         # A call that times out, the jittered pause and the next answer together fit into the bound.
-        within_bound = (DISCOVERY_BOUND_MS - self.answer_timeout_ms - ANSWER_TIMEOUT_MS) / MOST
+        within_bound = (DISCOVERY_BOUND_MS - self.answer_timeout_ms - ANSWER_TIMEOUT_MS) / MAX_JITTER
         return ExponentialBackoff(first, min(longest, within_bound), self.rng)
 
     def first_delay_ms(self) -> float:
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -58,7 +58,7 @@
             from ..consensus.lease_protocol import DeliveryCounts
         except ImportError as error:
             raise ConfigError(f"accord: needs the extra 'fleet' ({error})") from error
-        tally = host.messages.outcome_counts
+        tally = host.messages.outcomes.counts
 
         def counts() -> DeliveryCounts:
             delivered = tally["delivered"]
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from ..config import Config, ConfigError, load
-from ..core.message_lifecycle import unix_time_ms
+from ..core.clock import unix_time_ms
 from ..process import ProcessSignals, RelayProcess
 from ..structured_logging import LogEvent, configure_structured_logging
 from . import operator, parent_watch, report
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -13,7 +13,7 @@
 
 from message_relay.config import Config
 from message_relay.core import relay as core_host
-from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.core.clock import unix_time_ms
 from message_relay.http.agent import AgentClient as AgentLink
 from message_relay.http.discovery_client import DiscoveryClient
 from message_relay.store.journal import Journal
@@ -73,7 +73,7 @@
                 assert await client.ask(message("n")) == 202
             assert not old.seen
             await until(lambda: len(old.seen) == 4)
-            assert time.monotonic() - begun >= core_host.FIRST_LIST_S
+            assert time.monotonic() - begun >= core_host.INITIAL_LIST_TIMEOUT_S
 
     run(work())
 
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -139,7 +139,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its shard has come before it is taken up."""
-    monkeypatch.setattr(relay, "FIRST_LIST_S", 3.0)
+    monkeypatch.setattr(relay, "INITIAL_LIST_TIMEOUT_S", 3.0)
 
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
@@ -194,7 +194,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        attempt_runner, "CURRENT_S", 9.0
+        attempt_runner, "CONFIRMATION_TIMEOUT_S", 9.0
     )  # it goes on as soon as it may, and not when that is over
 
     async def work() -> None:
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -165,7 +165,7 @@
         host.host.journal.close()
         disk = Slow()
         journal = Journal(tmp_path, 3_000_000, disk, sync_ms=0)
-        host.host.journal = host.host.messages.journal = journal
+        host.host.journal = host.host.messages.journal = host.host.messages.outcomes.journal = journal
         await host.start()
         await until(lambda: journal.barrier() is None)
         disk.go.clear()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -110,7 +110,7 @@
         receipt = desk.accept(offers[-1])
         assert not receipt.accepted and 0 < receipt.retry_after_s <= 3.0
         assert f"m{MOST}" not in journal.entries and len(desk.accepted) == MOST
-        assert desk.outcome_counts["turned away"] == 1
+        assert desk.outcomes.counts["turned away"] == 1
         assert desk.accept(offers[0]).accepted  # one that is held is known, however full it is
         journal.close()
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.core.clock import unix_time_ms
 from message_relay.decisions.events import EndpointList
 from message_relay.decisions.model import ListKind
 from message_relay.endpoint_discovery import poll_schedule
@@ -285,7 +285,7 @@
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the long day: each map has a moment at which its entries leave."""
-    monkeypatch.setattr("message_relay.core.message_lifecycle.DEST_MS", 0.0)
+    monkeypatch.setattr("message_relay.core.message_lifecycle.UNLISTED_RETENTION_MS", 0.0)
 
     async def work() -> None:
         agent, server = await pair()
@@ -449,7 +449,7 @@
 def test_a_stop_lets_the_call_that_is_out_end_and_finishes_requests_in_use(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("message_relay.core.relay.SERVE_ON_S", 0.05)
+    monkeypatch.setattr("message_relay.core.relay.ACCEPT_AFTER_STOP_S", 0.05)
 
     async def work() -> None:
         agent, server = await pair()
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -11,8 +11,8 @@
 import pytest
 
 from message_relay.core import relay as core_host
-from message_relay.core.backoff import MOST
-from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.core.backoff import MAX_JITTER
+from message_relay.core.clock import unix_time_ms
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.core.scheduler_driver import SchedulerDriver
 from message_relay.decisions.actions import Action, Fail, SetTimer, StartAttempt
@@ -57,7 +57,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert (
-            sum(agent.waited) + MOST * http_notices.MIN_BACKOFF_S < OWED_S / 1.5
+            sum(agent.waited) + MAX_JITTER * http_notices.MIN_BACKOFF_S < OWED_S / 1.5
         )  # a half is left for all else
 
     run(work())
@@ -213,7 +213,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
 ) -> None:
     """The process goes when its drain is over, whatever is still undone: SIGKILL comes 0.3 s later."""
-    for name, seconds in (("SERVE_ON_S", 0.02), ("CALLS_END_S", 0.2), ("GONE_S", 0.3)):
+    for name, seconds in (
+        ("ACCEPT_AFTER_STOP_S", 0.02),
+        ("ATTEMPTS_DEADLINE_S", 0.2),
+        ("STOP_DEADLINE_S", 0.3),
+    ):
         monkeypatch.setattr(core_host, name, seconds)
 
     async def work() -> None:
@@ -229,7 +233,7 @@
                 await until(lambda: host.host.pending_outcomes == 1)
             begun = loop.time()
             await host.stop()
-            assert loop.time() - begun < core_host.GONE_S + 3.0  # it does not wait for what hangs
+            assert loop.time() - begun < core_host.STOP_DEADLINE_S + 3.0  # it does not wait for what hangs
             assert host.journal.entries["m"].is_unfinished
         agent.script.clear()
         async with relay(state, agent, server) as host:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from message_relay.core.message_lifecycle import unix_time_ms
+from message_relay.core.clock import unix_time_ms
 from message_relay.decisions.events import Message
 from message_relay.decisions.model import Effect, Endpoint, Listing, MessageClass
 from message_relay.store.journal import Journal
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -250,12 +250,14 @@
     async def work() -> None:
         front, disk, carrier = Front(), Disk(), Carrier()
         host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (HERE,))))
-        host.journal = host.messages.journal = Journal(tmp_path / "other", 3_000_000, disk)
+        host.journal = host.messages.journal = host.messages.outcomes.journal = Journal(
+            tmp_path / "other", 3_000_000, disk
+        )
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
         host.messages.accept(offer("m", "unsafe", remaining_ms=900))
-        while not host.messages.unwritten_outcomes:
+        while not host.messages.outcomes.unwritten:
             host.journal.log.written_bytes = 1000
             await asyncio.sleep(0.005)
         end = host.journal.entries[
