--- a/message_relay/http/__init__.py
+++ b/message_relay/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: clients in, calls out, and the platform's agent."""
+"""HTTP/1.1: the intake for clients, the transport to endpoints, and the client of the platform's agent."""
--- a/message_relay/http/agent.py
+++ b/message_relay/http/agent.py
@@ -1,37 +1,45 @@
-"""Requests to the platform's agent: a kept connection, one request at a time, never longer than told."""
+"""Requests to the platform's agent: one persistent connection, one request at a time, each with a timeout."""
 
 from __future__ import annotations
 
 import asyncio
-import random
+from typing import NamedTuple
 
 from ..config import Address
-from ..core.backoff import ExponentialBackoff
-from .connection import ConnectionLostError, EndpointConnection
+from .connection import EndpointConnection
+from .errors import AgentError, ConnectionLostError
 
 # A list of some 26,000 endpoints, at most: it takes 2 KB of memory for each, of 192 MB, and holds up the loop
-# for half a second. A longer one is refused, and what is known goes on serving.
+# for half a second. A longer one is rejected, and the known list stays in use.
 ANSWER_BYTES = 4 << 20
 
 
-class AgentError(Exception):
-    """No answer came in time, or none that can be used."""
+class AgentResponse(NamedTuple):
+    """Status and body of an answer of the agent."""
+
+    status: int
+    body: bytes
 
 
 class AgentClient:
+    """The client of the agent at one address."""
+
     def __init__(self, address: Address) -> None:
         self.address = address
         self.connection: EndpointConnection | None = None
 
-    async def request(self, method: str, target: str, body: bytes, timeout_s: float) -> tuple[int, bytes]:
-        """Safe to repeat at will: the agent takes each of its requests any number of times."""
+    async def request(self, method: str, target: str, body: bytes, timeout_s: float) -> AgentResponse:
+        """Send one request and return its response. Raises AgentError.
+
+        It is safe to repeat: the agent accepts each of its requests any number of times.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 if self.connection is None or not self.connection.is_usable:
                     self.connection = await EndpointConnection.open(self.address, ANSWER_BYTES)
                 host = f"{self.address[0]}:{self.address[1]}"
-                head, answer = await self.connection.request(method, target, [("Host", host)], body)
-                return head.status, answer
+                head, response_body = await self.connection.request(method, target, [("Host", host)], body)
+                return AgentResponse(head.status, response_body)
         except TimeoutError as error:
             self.close()
             raise AgentError(f"no answer within {timeout_s:.1f} s") from error
@@ -40,16 +48,7 @@
             raise AgentError(str(error)) from error
 
     def close(self) -> None:
+        """Close the connection; the next request opens another."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
-
-
-class Backoff(ExponentialBackoff):
-    """Pauses between failed requests, in seconds, so that a returning agent is not hammered."""
-
-    def __init__(self, initial_s: float, max_s: float) -> None:
-        super().__init__(initial_s, max_s, random.Random())
-
-    async def pause(self) -> None:
-        await asyncio.sleep(self.next_delay())
--- a/message_relay/http/client_intake.py
+++ b/message_relay/http/client_intake.py
@@ -1,4 +1,7 @@
-"""Clients over HTTP/1.1 as an intake: requests become offers, and ends become notices to the platform."""
+"""Clients over HTTP/1.1 as an intake.
+
+Requests become submissions, and final outcomes become notifications to the platform.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +12,28 @@
 from ..core.ports import FinalOutcome, InvalidMessageError, MessageAcceptor, Submission
 from ..core.tasks import BackgroundTasks
 from .agent import AgentClient
-from .client_connection import ClientListener, ClientRequest, ClientResponse
+from .client_listener import ClientListener
+from .client_messages import ClientRequest, ClientResponse
 from .outcome_notifier import OutcomeNotifier
 
 NAME = "http"
+MAX_REMAINING_MS_DIGITS = 9
+MAX_DESTINATION_DIGITS = 9
+# The header of each field of a submission: what an error names is what the client wrote.
 HEADER_OF_FIELD = {
     "id": "X-Trace-Id",
     "key": "Idempotency-Key",
     "tenant": "X-Customer",
     "left": "X-Expires-In-Ms",
     "dest": "X-Addressing",
-}  # what a client calls the fields of an offer
+}
 
 
 class ClientIntake:
-    """`most` connections of clients at once; so many idle ones as `roomy` says are few."""
+    """Accepts messages on up to `max_connections` connections of clients.
+
+    From `crowding_threshold` idle connections on no further one is kept open.
+    """
 
     def __init__(
         self,
@@ -33,7 +43,9 @@
         crowding_threshold: int,
         inherited_socket: socket.socket | None = None,
     ) -> None:
-        self.acceptor, self.listen_address, self.inherited_socket = acceptor, config.listen, inherited_socket
+        self.acceptor = acceptor
+        self.listen_address = config.listen
+        self.inherited_socket = inherited_socket
         self.listener = ClientListener(
             self.handle_request, acceptor.cancel, max_connections, crowding_threshold
         )
@@ -42,14 +54,17 @@
         self.notifier_task: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
+        """Start to accept messages and to send notifications. Raises OSError if it cannot listen."""
         self.notifier_task = self.tasks.start(self.notifier.run())
         self.tasks.start(self.listener.watch())
         self.listener.listen(*self.listen_address, self.inherited_socket)
 
     def notify_outcome(self, outcome: FinalOutcome) -> None:
+        """Queue a notification of the platform."""
         self.notifier.add(outcome.id, outcome.state, outcome.retry_after_ms)
 
     def reload(self, config: Config) -> None:
+        """Send notifications to the configured agent from now on; none is lost."""
         if self.notifier_task is not None:
             self.notifier_task.cancel()
         self.notifier.agent.close()
@@ -57,63 +72,74 @@
         self.notifier_task = self.tasks.start(self.notifier.run())
 
     def stop(self) -> None:
+        """Accept no more connections, but answer requests that have been read in part."""
         self.listener.stop()
 
     @property
     def open_requests(self) -> int:
+        """Number of open connections, each of which may have a request to be answered."""
         return len(self.listener.connections)
 
     @property
     def pending_outcomes(self) -> int:
+        """Number of notifications that are still to be sent."""
         return len(self.notifier.pending)
 
     async def close(self) -> None:
+        """Stop, and give up the notifications that are queued."""
         self.listener.stop()
         await self.tasks.cancel()
         self.notifier.agent.close()
 
     def handle_request(self, request: ClientRequest) -> ClientResponse:
-        """One request of a client."""
+        """The response to one request of a client."""
         path = request.target.partition("?")[0]
         if request.method == "GET" and path == "/healthz":
             return ClientResponse(200 if self.acceptor.is_ready else 503)
         if request.method != "POST":
             return ClientResponse(405, "POST a message, or GET /healthz")
         try:
-            offer = parse_submission(request, path)
-            receipt = self.acceptor.accept(offer)
+            submission = parse_submission(request, path)
+            result = self.acceptor.accept(submission)
         except InvalidMessageError as error:
             return ClientResponse(400, f"{HEADER_OF_FIELD.get(error.field, error.field)}: {error.text}")
-        if receipt.accepted:
-            return ClientResponse(202, accepted_id=offer.id, durable=receipt.durable)
-        return ClientResponse(503, receipt.reason, retry_after_s=receipt.retry_after_s)
+        if result.accepted:
+            return ClientResponse(202, accepted_id=submission.id, durable=result.durable)
+        return ClientResponse(503, result.reason, retry_after_s=result.retry_after_s)
 
 
 def parse_submission(request: ClientRequest, path: str) -> Submission:
-    """Raises Malformed where a header cannot be read; what it means is the desk's to check."""
+    """Read a message from a request; whether its values are valid is checked by the acceptor.
+
+    Raises InvalidMessageError where a header cannot be parsed.
+    """
     get = request.headers.get
-    class_ = path.strip("/").partition("/")[0]
-    if get("x-qos", "") != class_:
+    class_name = path.strip("/").partition("/")[0]
+    if get("x-qos", "") != class_name:
         raise InvalidMessageError("class", f"path {path!r} and X-Qos {get('x-qos', '')!r} must name the same")
-    left = get("x-expires-in-ms", "")
-    if not (left.isascii() and left.isdecimal() and len(left) <= 9):
+    remaining_ms = get("x-expires-in-ms", "")
+    if not _is_decimal(remaining_ms, MAX_REMAINING_MS_DIGITS):
         raise InvalidMessageError("left", "whole milliseconds are needed")
     return Submission(
-        get("x-trace-id", ""),
-        class_,
-        get("x-customer", ""),
-        _parse_destination(get("x-addressing", "")),
-        get("idempotency-key"),
-        int(left),
-        get("x-second-try", ""),
-        bytes(request.body),
-        NAME,
+        id=get("x-trace-id", ""),
+        class_name=class_name,
+        tenant=get("x-customer", ""),
+        destination=_parse_destination(get("x-addressing", "")),
+        idempotency_key=get("idempotency-key"),
+        remaining_ms=int(remaining_ms),
+        resubmission=get("x-second-try", ""),
+        body=bytes(request.body),
+        origin=NAME,
     )
 
 
-def _parse_destination(text: str) -> int:
-    for part in text.replace(",", ";").split(";"):
+def _is_decimal(text: str, max_digits: int) -> bool:
+    return text.isascii() and text.isdecimal() and len(text) <= max_digits
+
+
+def _parse_destination(addressing: str) -> int:
+    for part in addressing.replace(",", ";").split(";"):
         name, _, value = part.strip().partition("=")
-        if name == "dest" and value.isascii() and value.isdecimal() and len(value) < 10:
+        if name == "dest" and _is_decimal(value, MAX_DESTINATION_DIGITS):
             return int(value)
     raise InvalidMessageError("dest", "dest=NUMBER is needed")
--- /dev/null
+++ b/message_relay/http/client_messages.py
@@ -0,0 +1,153 @@
+"""Requests of clients and responses to them, as values and as bytes.
+
+Requests that are written in the usual way are parsed here with one regular expression; all others go through
+h11, which is strict. `endpoint_messages` holds the opposite direction, where the relay is the client: it
+writes requests and parses responses, so the two share nothing but the form of the headers.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from dataclasses import dataclass, field
+
+import h11
+
+from .client_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+
+# A message whose head has one of these twice has two meanings: ours and that of whoever reads it next.
+SINGLE_VALUE_HEADERS = frozenset(
+    (
+        "host",
+        "transfer-encoding",
+        "idempotency-key",
+        "x-addressing",
+        "x-customer",
+        "x-expires-in-ms",
+        "x-qos",
+        "x-second-try",
+        "x-trace-id",
+    )
+)
+# A complete request in the usual form. What this accepts, h11 parses to the same request
+# (tests/test_plain.py).
+PLAIN_REQUEST = re.compile(
+    rb"(GET|POST) (/[!-~]{0,500}) HTTP/1\.1\r\n"
+    rb"((?:[A-Za-z0-9-]{1,60}: ?[!-~](?:[ !-~]{0,400}[!-~])?\r\n){1,40})\r\n"
+)
+# Headers that a plain request may have; others can change what its bytes mean.
+PLAIN_HEADERS = frozenset(
+    (
+        "accept",
+        "accept-encoding",
+        "content-length",
+        "content-type",
+        "host",
+        "idempotency-key",
+        "user-agent",
+        "x-addressing",
+        "x-customer",
+        "x-expires-in-ms",
+        "x-qos",
+        "x-second-try",
+        "x-trace-id",
+    )
+)
+MAX_LENGTH_DIGITS = 5  # of the Content-Length of a plain request
+
+
+@dataclass(slots=True)
+class ClientRequest:
+    """A request of a client. `headers` has the names in lower case."""
+
+    method: str
+    target: str
+    headers: dict[str, str]
+    body: bytearray = field(default_factory=bytearray)
+
+
+@dataclass(frozen=True, slots=True)
+class ClientResponse:
+    """A response to a client, and the condition under which it may be sent.
+
+    `accepted_id` is the id of the message that this response reports as accepted. `retry_after_s` of 0 means
+    that no Retry-After is sent. The response is sent once `durable` is done, and never if it is cancelled.
+    """
+
+    status: int
+    text: str = ""
+    accepted_id: str | None = None
+    retry_after_s: float = 0.0
+    durable: asyncio.Future[None] | None = None
+
+    @property
+    def body(self) -> bytes:
+        """The text as one line."""
+        return (self.text + "\n" if self.text else "").encode()
+
+
+def parse_plain_request(data: bytes) -> ClientRequest | None:
+    """Parse a complete request in the usual form with nothing behind it; None if h11 has to parse it."""
+    head = PLAIN_REQUEST.match(data)
+    if head is None or head.end() > MAX_HEAD_BYTES // 2:
+        return None
+    headers: dict[str, str] = {}
+    for line in head[3].decode("ascii").split("\r\n")[:-1]:
+        name, _, value = line.partition(":")
+        name = name.lower()
+        if name in headers or name not in PLAIN_HEADERS:
+            return None
+        headers[name] = value.strip()
+    if "host" not in headers:
+        return None
+    length = headers.get("content-length", "0")
+    if not length.isdecimal() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
+        return None
+    if len(data) != head.end() + int(length):
+        return None
+    body = bytearray(data[head.end() :])
+    return ClientRequest(head[1].decode("ascii"), head[2].decode("ascii"), headers, body)
+
+
+def encode_response(response: ClientResponse, closes: bool) -> bytes:
+    """The bytes of a response, the same as h11 writes; `closes`: no other response follows it."""
+    body = response.body
+    retry_after = f"Retry-After: {response.retry_after_s:.3f}\r\n" if response.retry_after_s > 0 else ""
+    close = "Connection: close\r\n" if closes else ""
+    head = (
+        f"HTTP/1.1 {response.status} \r\nContent-Length: {len(body)}\r\n"
+        f"Content-Type: text/plain; charset=utf-8\r\n{retry_after}{close}\r\n"
+    )
+    return head.encode("ascii") + body
+
+
+def response_events(response: ClientResponse, closes: bool) -> tuple[h11.Event, ...]:
+    """A response as events for the h11 connection that has parsed its request."""
+    body = response.body
+    headers = [("Content-Length", str(len(body))), ("Content-Type", "text/plain; charset=utf-8")]
+    if response.retry_after_s > 0:
+        headers.append(("Retry-After", f"{response.retry_after_s:.3f}"))
+    if closes:
+        headers.append(("Connection", "close"))
+    head = h11.Response(status_code=response.status, headers=headers)
+    return head, h11.Data(data=body), h11.EndOfMessage()
+
+
+def oversized_response() -> ClientResponse:
+    """The response to a body that is too long."""
+    return ClientResponse(413, f"a body holds {MAX_BODY_BYTES} bytes at most")
+
+
+def find_head_fault(head: h11.Request) -> ClientResponse | None:
+    """The rejection of a head that h11 accepts and this relay does not; None if it is acceptable."""
+    names = [name for name, _ in head.headers]
+    if b"transfer-encoding" in names and b"content-length" in names:
+        # Guards against a second request hidden in the body: which length holds is a matter of opinion.
+        return ClientResponse(400, "Content-Length and Transfer-Encoding exclude each other")
+    for name in set(names):
+        if names.count(name) > 1 and name.decode("latin-1") in SINGLE_VALUE_HEADERS:
+            return ClientResponse(400, f"{name.decode('latin-1')}: given more than once")
+    length = dict(head.headers).get(b"content-length", b"0")
+    if int(length) > MAX_BODY_BYTES:
+        return oversized_response()
+    return None
--- /dev/null
+++ b/message_relay/http/connection_pool.py
@@ -0,0 +1,104 @@
+"""Idle connections to endpoints, kept for the next attempt."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import OrderedDict
+
+from ..core.ports import EndpointKey
+from .connection import EndpointConnection
+from .keep_alive import KeepAlivePolicy
+
+
+class ConnectionPool:
+    """Up to `max_idle` connections between two attempts, each idle for less than `idle_s` seconds.
+
+    A connection that leaves the pool other than by `pop` is closed.
+    """
+
+    def __init__(self, idle_s: float, max_idle: int) -> None:
+        self.idle_s = idle_s
+        self.max_idle = max_idle
+        self.keep_alive = KeepAlivePolicy()
+        # Each list, and the order of all connections: longest idle first.
+        self.idle_by_endpoint: dict[EndpointKey, list[EndpointConnection]] = {}
+        self.idle_by_age: OrderedDict[EndpointConnection, EndpointKey] = OrderedDict()
+        self.listed_endpoints: set[EndpointKey] | None = None  # None: no list has been received yet
+
+    def pop(self, key: EndpointKey) -> EndpointConnection | None:
+        """Take out the connection to an endpoint that was used last, if there is one in good order."""
+        while connections := self.idle_by_endpoint.get(key):
+            connection = connections[-1]
+            self._remove(connection, key)
+            if self._is_reusable(connection) and connection.has_no_unread_input:
+                return connection
+            connection.close()
+        return None
+
+    def add(self, key: EndpointKey, connection: EndpointConnection) -> None:
+        """Keep a connection, or close it if it can't or must not be used again."""
+        if not self._may_keep(key, connection):
+            connection.close()
+            return
+        if len(self.idle_by_age) >= self.max_idle:
+            oldest, oldest_key = next(iter(self.idle_by_age.items()))
+            self._remove(oldest, oldest_key)
+            oldest.close()
+        self.idle_by_age[connection] = key
+        self.idle_by_endpoint.setdefault(key, []).append(connection)
+
+    def record_rejection(self, kind: str) -> None:
+        """Free the places that this relay holds, idle, at endpoints of a kind that rejects connections."""
+        if not self.keep_alive.record_rejection(kind, asyncio.get_running_loop().time()):
+            return
+        for connection, key in list(self.idle_by_age.items()):
+            if connection.endpoint_kind == kind:
+                self._remove(connection, key)
+                connection.close()
+
+    def retain_only(self, listed: set[EndpointKey]) -> None:
+        """Close the connections to endpoints that drain, are gone or have moved."""
+        self.listed_endpoints = listed
+        for key in set(self.idle_by_endpoint) - listed:
+            self._close_all(key)
+
+    def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
+        """The same for one endpoint, at no cost for the others."""
+        if self.listed_endpoints is None:
+            self.listed_endpoints = set()
+        if listed:
+            self.listed_endpoints.add(key)
+        else:
+            self.listed_endpoints.discard(key)
+            self._close_all(key)
+
+    def sweep(self) -> None:
+        """Close connections that have ended or were idle too long; endpoints accept only so many."""
+        for connection, key in list(self.idle_by_age.items()):
+            if not self._is_reusable(connection):
+                self._remove(connection, key)
+                connection.close()
+
+    def _close_all(self, key: EndpointKey) -> None:
+        for connection in self.idle_by_endpoint.pop(key, ()):
+            del self.idle_by_age[connection]
+            connection.close()
+
+    def _remove(self, connection: EndpointConnection, key: EndpointKey) -> None:
+        del self.idle_by_age[connection]
+        connections = self.idle_by_endpoint[key]
+        connections.remove(connection)
+        if not connections:
+            del self.idle_by_endpoint[key]
+
+    def _is_reusable(self, connection: EndpointConnection) -> bool:
+        return (
+            connection.is_usable and asyncio.get_running_loop().time() - connection.idle_since < self.idle_s
+        )
+
+    def _may_keep(self, key: EndpointKey, connection: EndpointConnection) -> bool:
+        if not connection.is_usable:
+            return False
+        if self.listed_endpoints is not None and key not in self.listed_endpoints:
+            return False
+        return self.keep_alive.allows_idle(connection.endpoint_kind, asyncio.get_running_loop().time())
--- a/message_relay/http/listener.py
+++ b/message_relay/http/listener.py
@@ -1,5 +1,8 @@
-"""Takes connections from the system only as long as there is room for them: what waits in its queue costs no
-descriptor, and its client nothing but the wait. Taken on and closed again, it would have to ask elsewhere."""
+"""Accepts connections from the kernel only while there is capacity for them.
+
+A connection that waits in the kernel's queue costs no descriptor, and its client nothing but the wait.
+Accepted and closed again, the client would have to try elsewhere.
+"""
 
 from __future__ import annotations
 
@@ -12,40 +15,40 @@
 
 from ..core.tasks import BackgroundTasks
 from ..structured_logging import LogEvent
+from .socket_state import poll_socket
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512  # connections that the system keeps for us: a flood must not push out those behind it
-ACCEPT_BATCH = 16  # taken in one turn of the loop: their descriptors are set aside (assembly.OWN_SOCKETS)
+BACKLOG = 512  # length of the kernel's queue: a flood must not push out those behind it
+ACCEPT_BATCH = 16  # in one turn of the loop; composition.OWN_SOCKETS reserves their descriptors
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def _has_waiting_connection(sock: socket.socket) -> bool:
-    poll = select.poll()
-    poll.register(sock.fileno(), select.POLLIN)
-    return bool(poll.poll(0))
-
-
 class Listener:
-    """`room` is asked before each connection; while it says no, `again` has to be called now and then."""
+    """Listening sockets that pause while there is no capacity.
+
+    `has_capacity` is called before each connection is accepted. After it has returned False nothing is
+    accepted until `resume` is called.
+    """
 
     def __init__(
         self, protocol_factory: Callable[[], asyncio.Protocol], has_capacity: Callable[[], bool]
     ) -> None:
-        self.protocol_factory, self.has_capacity = protocol_factory, has_capacity
+        self.protocol_factory = protocol_factory
+        self.has_capacity = has_capacity
         self.sockets: list[socket.socket] = []
-        self.starting_count = 0  # taken from the system, and not yet announced to their protocol
+        self.starting_count = 0  # accepted, and not yet announced to their protocol
         self.is_paused = False
         self.tasks = BackgroundTasks()
 
     def listen(self, host: str, port: int, inherited_socket: socket.socket | None = None) -> None:
-        """At an address, or on a socket that was handed over. Raises OSError."""
+        """Listen at an address, or on a socket that was handed over. Raises OSError."""
         if inherited_socket is not None:
             inherited_socket.listen(BACKLOG)
             self.sockets = [inherited_socket]
         else:
             found = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-            for family, address in dict.fromkeys((each[0], each[4]) for each in found):
+            for family, address in dict.fromkeys((info[0], info[4]) for info in found):
                 self.sockets.append(socket.create_server(address[:2], family=family, backlog=BACKLOG))
         for sock in self.sockets:
             sock.setblocking(False)
@@ -53,10 +56,11 @@
 
     @property
     def port(self) -> int:
+        """The port of the first socket."""
         return int(self.sockets[0].getsockname()[1])
 
     def resume(self) -> None:
-        """There may be room by now."""
+        """Accept again after a pause: there may be capacity by now."""
         if self.is_paused:
             self.is_paused = False
             self._start_accepting()
@@ -73,7 +77,8 @@
 
     def _accept_ready(self, sock: socket.socket, limit: int) -> None:
         for _ in range(limit):
-            if not _has_waiting_connection(sock):  # room may have to be made, which is for nobody else's sake
+            # Checked first: `has_capacity` may evict a connection, which must not happen for nobody's sake.
+            if not poll_socket(sock, select.POLLIN):
                 return
             if not self.has_capacity():
                 self._pause_accepting()
@@ -85,7 +90,7 @@
             except OSError as error:
                 if error.errno not in RESOURCE_ERRORS:
                     raise
-                log.warning(LogEvent("no connection can be taken for now", why=error))
+                log.warning(LogEvent("client connection accept failed", why=error))
                 self._pause_accepting()
                 return
             accepted.setblocking(False)
@@ -95,13 +100,13 @@
     async def _start_connection(self, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self.protocol_factory, accepted)
-        except OSError:  # it has gone
+        except OSError:  # the client has gone
             accepted.close()
         finally:
             self.starting_count -= 1
 
     def close(self) -> None:
-        """Takes what has come by now, and no more: a queue that is thrown away resets all that wait in it."""
+        """Accept what has arrived by now, and no more: a closed queue resets all that wait in it."""
         for sock in self.sockets:
             if not self.is_paused:
                 self._accept_ready(sock, BACKLOG)
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -10,11 +10,12 @@
 from message_relay.config import Config, load
 from message_relay.core.ports import Attempt, AttemptResult, InvalidMessageError, Submission, SubmissionResult
 from message_relay.http.agent import AgentClient
-from message_relay.http.client_connection import ClientListener
+from message_relay.http.client_listener import ClientListener
 from message_relay.http.client_intake import ClientIntake
-from message_relay.http.connection import ResponseHead
+from message_relay.http.endpoint_messages import ResponseHead
 from message_relay.http.discovery_client import DiscoveryClient, parse_listing
-from message_relay.http.endpoint_client import EndpointClient, parse_load_report
+from message_relay.http.endpoint_client import EndpointClient
+from message_relay.http.attempt_results import parse_load_report
 from message_relay.http.outcome_notifier import OutcomeNotifier
 
 Values = dict[str, Any]
--- a/tests/http/test_calls.py
+++ b/tests/http/test_calls.py
@@ -12,8 +12,10 @@
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions.events import AttemptCompleted, EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
-from message_relay.http.connection import EndpointConnection, ResponseHead
-from message_relay.http.endpoint_client import EndpointClient, parse_load_report
+from message_relay.http.attempt_results import parse_load_report
+from message_relay.http.connection import EndpointConnection
+from message_relay.http.endpoint_client import EndpointClient
+from message_relay.http.endpoint_messages import ResponseHead
 from message_relay.http.keep_alive import REJECTION_MEMORY_S, KeepAlivePolicy, is_connection_rejection
 
 from ..conftest import Driver, make_settings
@@ -239,7 +241,7 @@
         relays = [EndpointClient(60000.0, 20000.0, 10) for _ in range(6)]
         for _ in range(3):
             await calls_of(relays, *narrow)
-        assert not any(calls.idle_by_age for calls in relays)
+        assert not any(calls.pool.idle_by_age for calls in relays)
         for calls in relays:
             calls.close()
 
@@ -256,10 +258,12 @@
         calls = EndpointClient(60000.0, 20000.0, 10)
         await calls.attempt(attempt(roomy.address, endpoint=1, kind="small"))
         await calls.attempt(attempt(other.address, endpoint=2, kind="large"))
-        await until(lambda: len(calls.idle_by_age) == 2)
+        await until(lambda: len(calls.pool.idle_by_age) == 2)
         result = await calls.attempt(attempt(full.address, endpoint=3, kind="small"))
         assert result.outcome is Outcome.FULL
-        assert [key[0] for key in calls.idle_by_age.values()] == [2]  # of the other kind nothing is known
+        assert [key[0] for key in calls.pool.idle_by_age.values()] == [
+            2
+        ]  # of the other kind nothing is known
         await until(roomy.left)
         calls.close()
 
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -12,13 +12,10 @@
 
 import pytest
 
-from message_relay.http import client_connection
-from message_relay.http.client_connection import (
-    ClientConnection,
-    ClientListener,
-    ClientRequest,
-    ClientResponse,
-)
+from message_relay.http import client_limits
+from message_relay.http.client_connection import ClientConnection
+from message_relay.http.client_listener import ClientListener
+from message_relay.http.client_messages import ClientRequest, ClientResponse
 
 from ..loopback import Client, Running, message, run, until
 from ..test_clients import World, ended
@@ -92,7 +89,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It goes on sending after the relay's end, and is neither taken on nor kept for good."""
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.3)
+    monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
         async with World(tmp_path) as host:
@@ -143,7 +140,7 @@
 def test_half_a_request_at_a_stop_is_answered_when_its_time_is_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "FIRST_REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_limits, "FIRST_REQUEST_TIMEOUT_S", 0.2)
 
     async def work() -> None:
         async with World(tmp_path) as host:
@@ -159,7 +156,7 @@
 
 def test_a_flood_at_a_stop_ends_within_its_bound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """It never stops sending, and never ends: it is answered, and its connection goes."""
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.3)
+    monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
@@ -218,7 +215,7 @@
 ) -> None:
     """Seen to fail where the connection's time-out said 408 and the message stayed until the connection had
     gone: it could still be delivered after its client had heard that it failed."""
-    monkeypatch.setattr(client_connection, "DURABILITY_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_limits, "DURABILITY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         it = Waiting(nothing_ran)
@@ -280,7 +277,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen to fail where what had no room was accepted and closed: one in some hundred messages was cut."""
-    monkeypatch.setattr(client_connection, "FIRST_BYTES_S", 0.3)
+    monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.3)
 
     async def work() -> None:
         async with World(tmp_path) as host:
@@ -302,7 +299,7 @@
 
 
 def test_an_idle_connection_is_ended_without_a_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_limits, "IDLE_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -98,7 +98,7 @@
         assert loop.time() - begun > SLOW_CONNECT_MS / 1000
         assert [result for result in results if not result.withheld] == [] and server.seen == []
         assert all(
-            len(each.idle_by_age) == 1 for each in calls
+            len(each.pool.idle_by_age) == 1 for each in calls
         )  # the next call there needs no new connection
         for each in calls:
             each.close()
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from message_relay.http.agent import ANSWER_BYTES, AgentClient, AgentError
+from message_relay.http.agent import ANSWER_BYTES, AgentClient
 from message_relay.http.connection import BYTES_PER_EXTRA_PIECE, MAX_PIECES
+from message_relay.http.errors import AgentError
 
 from ..loopback import Agent as FakeAgent
 from ..loopback import Client, Server, answer, host_of, listing, message, run, until
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from message_relay.http import client_connection as ingress
+from message_relay.http import client_limits
 
 from .loopback import Agent, Client, Running, Server, message, relay, run, until
 
@@ -119,7 +119,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, status: int
 ) -> None:
     for name in ("SILENT_TIMEOUT_S", "FIRST_REQUEST_TIMEOUT_S", "REQUEST_TIMEOUT_S", "SWEEP_INTERVAL_S"):
-        monkeypatch.setattr(ingress, name, 0.05)
+        monkeypatch.setattr(client_limits, name, 0.05)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
@@ -133,9 +133,12 @@
 
 
 def test_waits_for_bad_clients_end_within_what_they_are_owed_and_spare_the_others() -> None:
-    slowest = max(ingress.SILENT_TIMEOUT_S, ingress.FIRST_REQUEST_TIMEOUT_S) + ingress.SWEEP_INTERVAL_S
-    assert slowest < 3.0 <= ingress.OVERSIZED_LINGER_S + ingress.SWEEP_INTERVAL_S < 6.0
-    assert min(ingress.SILENT_TIMEOUT_S, ingress.MIN_IDLE_S, ingress.IDLE_TIMEOUT_S) >= 2.0
+    slowest = (
+        max(client_limits.SILENT_TIMEOUT_S, client_limits.FIRST_REQUEST_TIMEOUT_S)
+        + client_limits.SWEEP_INTERVAL_S
+    )
+    assert slowest < 3.0 <= client_limits.OVERSIZED_LINGER_S + client_limits.SWEEP_INTERVAL_S < 6.0
+    assert min(client_limits.SILENT_TIMEOUT_S, client_limits.MIN_IDLE_S, client_limits.IDLE_TIMEOUT_S) >= 2.0
 
 
 def test_half_a_request_and_an_end_of_sending_is_answered(tmp_path: Path) -> None:
@@ -152,8 +155,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors against clients that ask once and keep their connection for good."""
-    monkeypatch.setattr(ingress, "IDLE_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(ingress, "SWEEP_INTERVAL_S", 0.05)
+    monkeypatch.setattr(client_limits, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.05)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
@@ -185,12 +188,12 @@
                 assert await ended(once)
             assert await idle[0].ask(message("c")) == 202 and "connection: close" not in idle[0].head
             now = asyncio.get_running_loop().time()
-            assert len(host.ingress._overdue(now + ingress.MIN_IDLE_S)) == 3 and not host.ingress._overdue(
-                now + 1.9
-            )
+            assert len(
+                host.ingress._overdue(now + client_limits.MIN_IDLE_S)
+            ) == 3 and not host.ingress._overdue(now + 1.9)
             host.ingress.crowding_threshold = 4
-            assert not host.ingress._overdue(now + ingress.IDLE_TIMEOUT_S - 1.0)
-            assert len(host.ingress._overdue(now + ingress.IDLE_TIMEOUT_S)) == 3
+            assert not host.ingress._overdue(now + client_limits.IDLE_TIMEOUT_S - 1.0)
+            assert len(host.ingress._overdue(now + client_limits.IDLE_TIMEOUT_S)) == 3
 
     run(work())
 
@@ -199,7 +202,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors that calls need, and the usual clients' way in."""
-    monkeypatch.setattr(ingress, "FIRST_BYTES_S", 0.0)
+    monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.0)
 
     async def work() -> None:
         async with World(tmp_path) as host:
@@ -220,7 +223,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a way in that closes behind each: its first bytes come right after it, not with it."""
-    monkeypatch.setattr(ingress, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
 
     async def work() -> None:
         async with World(tmp_path) as host, AsyncExitStack() as open_:
@@ -270,7 +273,7 @@
                     other.writer.write(message("b"))
                     await until(lambda: host.ingress.listener.is_paused)
                     assert len(host.ingress.connections) == 2 and "b" not in host.journal.entries
-                    monkeypatch.setattr(ingress, "MIN_IDLE_S", 0.0)
+                    monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
                     assert await other.status() == 202
                 assert await ended(kept)
                 half.writer.write(GOOD[60:])
@@ -283,7 +286,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the others' share of the processor; each answer still comes at once."""
-    monkeypatch.setattr(ingress, "PENALTY_S", 0.01)
+    monkeypatch.setattr(client_limits, "PENALTY_S", 0.01)
 
     async def work() -> None:
         async with World(tmp_path) as host, Client(host.ingress.port) as client:
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -132,7 +132,7 @@
     async def work() -> None:
         server, calls = await Server().start(), egress()
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.idle_by_endpoint[1, server.address]
+        (link,) = calls.pool.idle_by_endpoint[1, server.address]
         server.script.append(answer(500))
         server.writers[0].write(OK)  # the loop is not left in between: it lies in the socket, not yet read
         assert not link.has_no_unread_input and link.is_usable
@@ -211,7 +211,7 @@
             call(server.address, careful=True, may=lambda: next(may))
         ) == AttemptResult(Outcome.NOT_SENT, withheld=True)
         await until(server.left)
-        assert server.opened == 1 and not server.seen and not calls.idle_by_endpoint
+        assert server.opened == 1 and not server.seen and not calls.pool.idle_by_endpoint
 
     run(work())
 
@@ -246,7 +246,7 @@
         await until(
             lambda: all(reader.at_eof() or reader.exception() is not None for reader in server.readers[:2])
         )
-        assert server.opened == 3 and set(calls.idle_by_endpoint) == {(2, server.address)}
+        assert server.opened == 3 and set(calls.pool.idle_by_endpoint) == {(2, server.address)}
 
     run(work())
 
@@ -256,7 +256,7 @@
         server = await Server(usual=None).start()
         calls = egress()
         assert (await calls.attempt(call(server.address, 0.2))).outcome is Outcome.TIMEOUT
-        assert not calls.idle_by_endpoint
+        assert not calls.pool.idle_by_endpoint
 
     run(work())
 
@@ -344,7 +344,7 @@
         server, calls = await Server().start(), egress(most=2)
         got = await asyncio.gather(*(calls.attempt(call(server.address)) for _ in range(5)))
         assert {each.outcome for each in got} == {Outcome.OK}
-        assert server.opened == 5 and len(calls.idle_by_endpoint[1, server.address]) == 2
+        assert server.opened == 5 and len(calls.pool.idle_by_endpoint[1, server.address]) == 2
 
     run(work())
 
@@ -363,7 +363,7 @@
         server, calls = await asyncio.start_server(once, "127.0.0.1", 0), egress()
         address = server.sockets[0].getsockname()
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        (link,) = calls.idle_by_endpoint[1, address]
+        (link,) = calls.pool.idle_by_endpoint[1, address]
         opened[0].close()
         await until(lambda: not link.is_usable)
         assert (await calls.attempt(call(address))).outcome is Outcome.OK
@@ -377,7 +377,7 @@
         server, calls = await Server().start(), egress()
         server.script.append(answer(200, "Connection: close"))
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        assert not calls.idle_by_endpoint.get((1, server.address))
+        assert not calls.pool.idle_by_endpoint.get((1, server.address))
 
     run(work())
 
@@ -386,10 +386,10 @@
     async def work() -> None:
         server, calls = await Server().start(), egress()
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.idle_by_endpoint[1, server.address]
+        (link,) = calls.pool.idle_by_endpoint[1, server.address]
         link.idle_since -= 0.81 * 60
         calls.sweep()
-        assert not calls.idle_by_endpoint and not link.is_usable
+        assert not calls.pool.idle_by_endpoint and not link.is_usable
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert server.opened == 2
 
@@ -414,7 +414,7 @@
         server.script.append(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na")
         assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
         assert (
-            not calls.idle_by_endpoint
+            not calls.pool.idle_by_endpoint
         )  # the outcome is known; the connection is not free before the body is whole
 
     run(work())
@@ -425,8 +425,8 @@
         kept, left, calls = await Server().start(), await Server().start(), egress()
         for server in (kept, left):
             assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.idle_by_endpoint[1, left.address]
+        (link,) = calls.pool.idle_by_endpoint[1, left.address]
         calls.retain_only({(1, kept.address)})
-        assert set(calls.idle_by_endpoint) == {(1, kept.address)} and not link.is_usable
+        assert set(calls.pool.idle_by_endpoint) == {(1, kept.address)} and not link.is_usable
 
     run(work())
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -325,7 +325,10 @@
             }
             assert {name: len(what) for name, what in sizes.items() if len(what)} == {}
             assert (
-                len(directory.by_name) == len(directory.by_number) == len(host.egress.idle_by_endpoint) == 1
+                len(directory.by_name)
+                == len(directory.by_number)
+                == len(host.egress.pool.idle_by_endpoint)
+                == 1
             )
             assert list(host.dests) == [39] and len(relay_.endpoints) == 1
             assert len(relay_.destinations) == 38  # what they have learned fades in a minute, and then goes
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -21,9 +21,9 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.http import outcome_notifier as http_notices
 from message_relay.http.agent import AgentClient as AgentLink
-from message_relay.http.agent import AgentError
-from message_relay.http.connection import is_socket_ready
+from message_relay.http.errors import AgentError
 from message_relay.http.outcome_notifier import OutcomeNotifier
+from message_relay.http.socket_state import is_socket_ready
 
 from .conftest import make_settings
 from .loopback import Agent, Client, Server, answer, message, relay, run, until
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -7,10 +7,20 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from message_relay.http import client_connection, connection
+from message_relay.http.client_messages import (
+    PLAIN_HEADERS,
+    ClientResponse,
+    encode_response,
+    find_head_fault,
+    parse_plain_request,
+)
+from message_relay.http.connection import PLACEHOLDER_HEADERS
+from message_relay.http.endpoint_messages import ResponseHead, encode_request, parse_plain_response
+from message_relay.http.errors import ConnectionLostError
+from message_relay.http.headers import headers_by_name
 
 NAMES = [
-    *sorted(client_connection.PLAIN_HEADERS),
+    *sorted(PLAIN_HEADERS),
     "Connection",
     "Transfer-Encoding",
     "Expect",
@@ -73,19 +83,19 @@
     cut: int,
 ) -> None:
     data = bytes_of(f"{method} {target} {version}", headers, length, body, cut)
-    plain = client_connection.parse_plain_request(data)
+    plain = parse_plain_request(data)
     if plain is None:
         return
     http = h11.Connection(h11.SERVER)
     http.receive_data(data)
     head, got = http.next_event(), b""
-    assert isinstance(head, h11.Request) and client_connection.find_head_fault(head) is None
+    assert isinstance(head, h11.Request) and find_head_fault(head) is None
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0]
     assert not http.they_are_waiting_for_100_continue
     assert (plain.method, plain.target) == (head.method.decode(), head.target.decode())
-    assert plain.headers == connection.headers_by_name(head.headers) and plain.body == got
+    assert plain.headers == headers_by_name(head.headers) and plain.body == got
     http.send(h11.Response(status_code=202, headers=[("Content-Length", "0")]))
     http.send(h11.EndOfMessage())
     assert http.our_state is h11.DONE  # it may be kept, as the short way does
@@ -94,7 +104,7 @@
 def test_an_ordinary_request_goes_the_short_way() -> None:
     headers = [("X-Trace-Id", ": ", "a"), ("X-Qos", ": ", "safe")]
     data = bytes_of("POST /safe HTTP/1.1", headers, "5", b"hello", 0)
-    plain = client_connection.parse_plain_request(data)
+    plain = parse_plain_request(data)
     assert plain is not None and plain.headers["x-trace-id"] == "a" and plain.body == b"hello"
 
 
@@ -121,12 +131,12 @@
 )
 def test_answers(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> None:
     data = bytes_of(start, headers, length, body, cut)
-    plain = connection.parse_plain_response(data)
+    plain = parse_plain_response(data)
     if plain is None:
         return
     http = h11.Connection(h11.CLIENT)
     for asked in (
-        h11.Request(method="POST", target="/", headers=connection.PLACEHOLDER_HEADERS),
+        h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS),
         h11.EndOfMessage(),
     ):
         http.send(asked)
@@ -136,33 +146,31 @@
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0] and http.their_state is h11.DONE
-    assert plain == (head.status_code, connection.headers_by_name(head.headers), got)
+    assert plain == (ResponseHead(head.status_code, headers_by_name(head.headers)), got)
 
 
 @pytest.mark.parametrize(
     "reply",
     [
-        client_connection.ClientResponse(202),
-        client_connection.ClientResponse(503, "full", retry_after_s=1.0),
-        client_connection.ClientResponse(400, "X-Qos: no"),
+        ClientResponse(202),
+        ClientResponse(503, "full", retry_after_s=1.0),
+        ClientResponse(400, "X-Qos: no"),
     ],
 )
 @pytest.mark.parametrize("last", [False, True])
-def test_answers_to_clients_are_those_that_h11_reads(
-    reply: client_connection.ClientResponse, last: bool
-) -> None:
+def test_answers_to_clients_are_those_that_h11_reads(reply: ClientResponse, last: bool) -> None:
     http = h11.Connection(h11.CLIENT)
     for asked in (
-        h11.Request(method="POST", target="/", headers=connection.PLACEHOLDER_HEADERS),
+        h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS),
         h11.EndOfMessage(),
     ):
         http.send(asked)
-    http.receive_data(client_connection.encode_response(reply, last))
+    http.receive_data(encode_response(reply, last))
     head, got = http.next_event(), b""
     assert isinstance(head, h11.Response) and head.status_code == reply.status
     while isinstance(event := http.next_event(), h11.Data):
         got += event.data
-    headers = connection.headers_by_name(head.headers)
+    headers = headers_by_name(head.headers)
     assert got.decode().strip() == reply.text and isinstance(event, h11.EndOfMessage)
     assert (headers.get("connection") == "close") == last
     assert headers.get("retry-after") == ("1.000" if reply.retry_after_s else None)
@@ -170,5 +178,5 @@
 
 def test_a_header_that_would_begin_another_is_not_written() -> None:
     for value in ("a\r\nX: y", "a\nb", "a\0"):
-        with pytest.raises(connection.ConnectionLostError, match="line break"):
-            connection.encode_request("POST", "/inbox", [("X-Trace-Id", value)], b"")
+        with pytest.raises(ConnectionLostError, match="line break"):
+            encode_request("POST", "/inbox", [("X-Trace-Id", value)], b"")
