--- a/message_relay/consensus/proposer.py
+++ b/message_relay/consensus/proposer.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..gossip.node import Hello
+from ..gossip.framing import Hello
 from . import capabilities
 from .context import PROPOSE_TIMEOUT_S, REQUEST_TIMEOUT_S, ConsensusContext
 from .rules import Rules, RulesError
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -22,7 +22,8 @@
 from pysyncobj.transport import Transport
 
 from ..core.tasks import BackgroundTasks, wait_for_event
-from ..gossip.node import GossipNode, Hello, Stream
+from ..gossip.framing import Hello
+from ..gossip.node import GossipNode, Stream
 from ..structured_logging import LogEvent
 from .raft_storage import DUMP, JOURNAL, RaftStorage, verified_payload, verify_log, with_checksum
 from .version_history import Command, CommandResult, VersionHistory, decode_command
--- a/message_relay/consensus/voter.py
+++ b/message_relay/consensus/voter.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from ..gossip.framing import Hello
 from ..gossip.identity import Identity
-from ..gossip.node import Hello
 from ..structured_logging import LogEvent
 from .context import REQUEST_TIMEOUT_S, ConsensusContext
 from .lease_grantor import LeaseGrantor
--- a/message_relay/gossip/__init__.py
+++ b/message_relay/gossip/__init__.py
@@ -1,3 +1,4 @@
-"""Instances that know each other: who is there, who is not, and short messages between them.
+"""Gossip between instances: SWIM membership, and short messages from one instance to another.
 
-Off unless the operator's file has `[peers]`; on the operators' platform instances share nothing."""
+Off unless the operator's file has `[peers]`; on the operators' platform instances share nothing.
+"""
--- a/message_relay/gossip/dissemination_queue.py
+++ b/message_relay/gossip/dissemination_queue.py
@@ -1,7 +1,7 @@
-"""Whose word is news, told least first. No I/O.
+"""Dissemination queue: members about whom there is news, the least sent first. No I/O.
 
-A fleet that starts has as many news as members, and each packet takes a dozen: names lie by how often they
-were told, so that a packet costs what it holds and not what there is.
+A fleet that starts has as many news as members, and each packet holds a dozen: names are bucketed by how
+often they were sent, so that a packet costs what it holds and not what there is.
 """
 
 from __future__ import annotations
@@ -10,42 +10,44 @@
 
 
 class DisseminationQueue:
+    """Names of members whose claims are still to be sent, ordered by the number of times they were sent."""
+
     def __init__(self) -> None:
-        self.send_counts: dict[str, int] = {}  # name -> how often it was told
-        self.names_by_count: list[
-            dict[str, None]
-        ] = []  # names by that number, the one that waits longest first
+        self.send_counts: dict[str, int] = {}
+        self.names_by_count: list[dict[str, None]] = []  # index: send count; longest waiting first
 
     def __len__(self) -> int:
         return len(self.send_counts)
 
     def add(self, name: str) -> None:
-        """Its word is new, whatever was told of it before."""
+        """Add a member with news, whatever was sent about it before."""
         self.drop(name)
         self._put(name, 0)
 
     def drop(self, name: str) -> None:
-        times = self.send_counts.pop(name, None)
-        if times is not None:
-            del self.names_by_count[times][name]
+        """Remove a member, if it is queued."""
+        send_count = self.send_counts.pop(name, None)
+        if send_count is not None:
+            del self.names_by_count[send_count][name]
 
     def mark_sent(self, name: str, limit: int) -> None:
-        """Once more; it is news no longer once that was often enough."""
-        times = self.send_counts[name] + 1
+        """Count one more packet with this queued member's claim, and remove it after `limit` packets."""
+        send_count = self.send_counts[name] + 1
         self.drop(name)
-        if times < limit:
-            self._put(name, times)
+        if send_count < limit:
+            self._put(name, send_count)
 
-    def _put(self, name: str, times: int) -> None:
-        while len(self.names_by_count) <= times:
+    def _put(self, name: str, send_count: int) -> None:
+        while len(self.names_by_count) <= send_count:
             self.names_by_count.append({})
-        self.names_by_count[times][name] = None
-        self.send_counts[name] = times
+        self.names_by_count[send_count][name] = None
+        self.send_counts[name] = send_count
 
-    def least_sent(self, most: int) -> list[str]:
-        """Told least first."""
-        return list(islice(chain.from_iterable(self.names_by_count), most)) if self.send_counts else []
+    def least_sent(self, limit: int) -> list[str]:
+        """Return at most `limit` names, the least sent first."""
+        return list(islice(chain.from_iterable(self.names_by_count), limit)) if self.send_counts else []
 
     def clear(self) -> None:
+        """Remove all."""
         self.send_counts.clear()
         self.names_by_count.clear()
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -1,9 +1,11 @@
-"""All members that an instance knows, and sums by which two instances find what differs. No I/O.
+"""Member table: all members that an instance knows, and checksums that show two instances where they differ.
 
-The sum over everything is what builds before `slices` compare, and any difference has them send all they
-know: a quarter of a megabyte for 3,500 members. `slices` has a sum for each of 64 parts of the names, so that
-one word costs an answer of a sixty-fourth. Members that are gone have no part in those: each instance forgets
-them at a moment of its own, and would be sent all of them by the others until then.
+No I/O. The checksum over all is what builds before slice checksums compare, and any difference makes them
+send all they know: a quarter of a megabyte for 3,500 members. Slice checksums cover 64 parts of the names, so
+that one differing claim costs a reply of a sixty-fourth. Gone members are not in the slice checksums: each
+instance evicts them at a moment of its own, and would be sent all of them by the others until then.
+
+Claims enter the checksums by `repr` of name and precedence: these are part of the wire format.
 """
 
 from __future__ import annotations
@@ -17,40 +19,41 @@
 from .wire import Claim, MemberState
 
 SLICES = 64  # of 4 bytes: a fifth of a packet, and 55 of 3,500 members in each
+SAMPLE_FACTOR = 3  # names drawn for each that is wanted, before all are searched
 _CHECKSUMS = struct.Struct(f"<{SLICES}I")
 
 
 def slice_index(name: str) -> int:
+    """Return the slice that a member belongs to."""
     return zlib.crc32(name.encode()) % SLICES
 
 
 def _claim_hash(claim: Claim) -> int:
-    """No checksum: those are linear, so that two members which change alike would leave a sum as it was."""
+    """No CRC: those are linear, so that two members with equal changes would leave a checksum unchanged."""
     if claim.is_gone:
         return 0
-    told = hashlib.blake2b(repr((claim.name, *claim.precedence)).encode(), digest_size=4)
-    return int.from_bytes(told.digest(), "little")
+    digest = hashlib.blake2b(repr((claim.name, *claim.precedence)).encode(), digest_size=4)
+    return int.from_bytes(digest.digest(), "little")
 
 
 class MemberTable:
-    """Each change costs the same, however many members there are; the sum over everything is made anew when
-    it is asked for after a change."""
+    """Members by name. Each change costs the same, however many there are; the checksum over all is computed
+    when it is requested after a change."""
 
     def __init__(self) -> None:
         self.members: dict[str, Claim] = {}  # all but this one
-        self.gone_at: dict[str, float] = {}  # when that was heard, the earliest first
-        self.names: list[str] = []  # of `members`, to choose some of them without a walk
+        self.gone_at: dict[str, float] = {}  # when each gone member was reported gone, the earliest first
+        self.names: list[str] = []  # of `members`, to sample without a walk over them
         self._slice_hashes = [0] * SLICES
-        self._cached_checksum: tuple[Claim, int] | None = (
-            None  # this instance's own word, and the sum with it
-        )
+        self._cached_checksum: tuple[Claim, int] | None = None  # with this instance's own claim
 
     @property
     def present_count(self) -> int:
-        """How many are not gone."""
+        """Number of members that are not gone."""
         return len(self.members) - len(self.gone_at)
 
     def put(self, now: float, claim: Claim) -> None:
+        """Add a member or replace the claim about it."""
         known = self.members.get(claim.name)
         if known is None:
             self.names.append(claim.name)
@@ -64,56 +67,60 @@
         self._cached_checksum = None
 
     def replace_equal(self, claim: Claim) -> None:
-        """The same word by another one: nothing that is summed up."""
+        """Replace a claim by one of equal precedence, which leaves all checksums unchanged."""
         self.members[claim.name] = claim
 
     def evict_gone(self, before: float) -> list[str]:
-        """Those that were gone by then."""
-        found = []
-        for name, at in self.gone_at.items():
-            if at >= before:
+        """Remove the members that were gone before a time; return their names."""
+        evicted = []
+        for name, gone_at in self.gone_at.items():
+            if gone_at >= before:
                 break
-            found.append(name)
-        for name in found:
-            del self.gone_at[name], self.members[name]  # their marks are in no sum
-        if found:
+            evicted.append(name)
+        for name in evicted:
+            del self.gone_at[name], self.members[name]  # gone members are in no slice checksum
+        if evicted:
             self.names = list(self.members)
             self._cached_checksum = None
-        return found
-
-    def sample(self, rng: random.Random, most: int, state: MemberState, but: str = "") -> list[str]:
-        """Members in that state, by chance: a few are drawn, and all are looked at only where few do."""
-        drawn = rng.sample(self.names, min(len(self.names), 3 * most))
-        found = [name for name in drawn if self.members[name].state is state and name != but]
-        if len(found) < most and len(drawn) < len(self.names):
-            found = [name for name, claim in self.members.items() if claim.state is state and name != but]
-            found = rng.sample(found, min(most, len(found)))
-        return found[:most]
-
-    # -- what differs ----------------------------------------------------------------------------------------
-
-    def checksum(self, me: Claim) -> int:
-        """Equal where the same is known; never 0. As builds without slices have it."""
-        if self._cached_checksum is None or self._cached_checksum[0] is not me:
-            known = sorted((each.name, *each.precedence) for each in (me, *self.members.values()))
-            self._cached_checksum = me, zlib.crc32(repr(known).encode()) or 1
+        return evicted
+
+    def sample(self, rng: random.Random, limit: int, state: MemberState, excluded: str = "") -> list[str]:
+        """Return at most `limit` random members in a state. All are searched only where few are in it."""
+        drawn = rng.sample(self.names, min(len(self.names), SAMPLE_FACTOR * limit))
+        found = [name for name in drawn if self.members[name].state is state and name != excluded]
+        if len(found) < limit and len(drawn) < len(self.names):
+            found = [
+                name for name, claim in self.members.items() if claim.state is state and name != excluded
+            ]
+            found = rng.sample(found, min(limit, len(found)))
+        return found[:limit]
+
+    # -- differences between two instances -------------------------------------------------------------------
+
+    def checksum(self, own_claim: Claim) -> int:
+        """Return the checksum over all, equal where the same is known and never 0."""
+        if self._cached_checksum is None or self._cached_checksum[0] is not own_claim:
+            rows = sorted((claim.name, *claim.precedence) for claim in (own_claim, *self.members.values()))
+            self._cached_checksum = own_claim, zlib.crc32(repr(rows).encode()) or 1
         return self._cached_checksum[1]
 
-    def slice_checksums(self, me: Claim) -> bytes:
-        sums = list(self._slice_hashes)
-        sums[slice_index(me.name)] ^= _claim_hash(me)
-        return _CHECKSUMS.pack(*sums)
+    def slice_checksums(self, own_claim: Claim) -> bytes:
+        """Return the packed checksums of all slices, with this instance's own claim."""
+        checksums = list(self._slice_hashes)
+        checksums[slice_index(own_claim.name)] ^= _claim_hash(own_claim)
+        return _CHECKSUMS.pack(*checksums)
 
-    def differing_slices(self, me: Claim, told: bytes) -> frozenset[int] | None:
-        """Parts in which the other one knows something else. None: all, since it can't be told."""
-        if len(told) != _CHECKSUMS.size:
+    def differing_slices(self, own_claim: Claim, received: bytes) -> frozenset[int] | None:
+        """Return the slices in which the other instance differs, None (all) if its sums can't be compared."""
+        if len(received) != _CHECKSUMS.size:
             return None
-        mine, other = _CHECKSUMS.unpack(self.slice_checksums(me)), _CHECKSUMS.unpack(told)
-        return frozenset(n for n in range(SLICES) if mine[n] != other[n])
+        own_checksums = _CHECKSUMS.unpack(self.slice_checksums(own_claim))
+        other_checksums = _CHECKSUMS.unpack(received)
+        return frozenset(n for n in range(SLICES) if own_checksums[n] != other_checksums[n])
 
-    def claims_in(self, parts: frozenset[int] | None) -> Iterator[Claim]:
-        """As they are when each one's turn comes."""
+    def claims_in(self, slices: frozenset[int] | None) -> Iterator[Claim]:
+        """Yield the claims of some slices (None: all), each as it is when its turn comes."""
         for name in list(self.members):
             claim = self.members.get(name)
-            if claim is not None and (parts is None or slice_index(name) in parts):
+            if claim is not None and (slices is None or slice_index(name) in slices):
                 yield claim
--- a/message_relay/gossip/node.py
+++ b/message_relay/gossip/node.py
@@ -1,15 +1,11 @@
-"""One instance among its peers: the datagrams and connections under `swim`, on the loop."""
+"""Gossip node: one instance's datagrams and connections under `swim`, on the event loop."""
 
 from __future__ import annotations
 
 import asyncio
-import hashlib
-import hmac
 import logging
 import random
 import secrets
-import socket
-import struct
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -18,11 +14,11 @@
 
 from ..core.tasks import BackgroundTasks
 from ..structured_logging import LogEvent
+from .framing import FRAME_BYTES_MAX, WRITE_TIMEOUT_S, Hello, encode_frame, read_frame, set_write_timeout
 from .identity import Identity, IdentityError, raise_process_epoch
 from .settings import GossipSettings, parse_address
 from .swim import MEMBERS_MAX, Swim
 from .wire import (
-    SEAL_BYTES,
     Address,
     AppMessage,
     Body,
@@ -36,40 +32,38 @@
 
 log = logging.getLogger(__name__)
 
-FRAME_HEADER = struct.Struct("<I")
-FRAME_BYTES_MAX = 8 << 20  # of one message on a connection: a set of rules, or a snapshot of all
-WRITE_TIMEOUT_S = 5.0  # a connection that takes nothing for so long is ended
-CONNECT_TIMEOUT_S = 1.0  # it comes up so soon, or not
-INBOUND_CONNECTIONS_MAX = 64  # connections from others at once
-BACKLOG_BYTES_MAX = FRAME_BYTES_MAX  # that wait for one connection: later ones are dropped, as a network may
-
-DatagramHandler = Callable[[str, bytes], None]  # a sender's name, and what it says
-
-
-class Hello(msgspec.Struct, frozen=True, array_like=True):
-    """Who speaks on a connection, and of what: its first words."""
-
-    sender: str
-    kind: str
-    nonce: int = 0  # of the process that speaks; 0: a build that does not tell it
-
+CONNECT_TIMEOUT_S = 1.0
+INBOUND_CONNECTIONS_MAX = 64  # at once; more are closed
+BACKLOG_BYTES_MAX = (
+    FRAME_BYTES_MAX  # buffered for one connection: later messages are dropped, as on a network
+)
+TIMER_SLACK_S = 0.005  # between two turns of `swim` at least; a later timer is not moved for less
 
-FrameHandler = Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]  # the answer, if one is owed
+DatagramHandler = Callable[[str, bytes], None]  # (sender's name, message)
+FrameHandler = Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]  # returns the answer, if any
 
 
 class Stream:
-    """A connection to one peer for one kind of message, kept up; what can't go is dropped."""
+    """A connection to one peer for one kind of message, reconnected for as long as `run` runs.
+
+    Messages that can't be written are dropped.
+    """
 
     def __init__(self, node: GossipNode, name: str, kind: str) -> None:
-        self.node, self.name, self.kind = node, name, kind
+        self.node = node
+        self.name = name
+        self.kind = kind
         self.writer: asyncio.StreamWriter | None = None
         self.is_connected = False
         self.dropped = 0
         self.backlog_full_since = 0.0
 
-    def send(self, raw: bytes) -> bool:
-        """Written at once: a task for each message would cost more than the message. A peer that takes
-        nothing is told nothing more, and hears the latest when it has caught up."""
+    def send(self, message: bytes) -> bool:
+        """Write a message; return False if it was dropped.
+
+        Written without a task, which would cost more than the message. A peer that does not read gets nothing
+        more until it has caught up, and the latest then.
+        """
         writer = self.writer
         if not self.is_connected or writer is None:
             return False
@@ -81,98 +75,110 @@
                 writer.transport.abort()
             return False
         self.backlog_full_since = 0.0
-        writer.write(encode_frame(raw, self.node.secret))
+        writer.write(encode_frame(message, self.node.secret))
         return True
 
-    async def run(self, changed: Callable[[str, bool], None]) -> None:
-        """For as long as it is not cancelled."""
+    async def run(self, on_changed: Callable[[str, bool], None]) -> None:
+        """Connect, and reconnect, until cancelled; `on_changed` gets the peer's name and whether it is up."""
         while True:
             try:
-                async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    at = self.node.address_of(self.name)
-                    if at is None:
-                        raise OSError("nobody of that name is there")
-                    reader, writer = await asyncio.open_connection(*at, local_addr=self.node.source)
+                reader, writer = await self._connect()
             except (OSError, TimeoutError):
                 await asyncio.sleep(self.node.rng.uniform(0.1, 0.3))
                 continue
             try:
                 writer.write(encode_frame(self.node.hello_payload(self.kind), self.node.secret))
                 set_write_timeout(writer)
-                self.writer, self.is_connected, self.backlog_full_since = writer, True, 0.0
-                changed(self.name, True)
-                await reader.read(1)  # nothing is said this way: its end
+                self.writer = writer
+                self.is_connected = True
+                self.backlog_full_since = 0.0
+                on_changed(self.name, True)
+                await reader.read(1)  # the peer sends nothing: this returns at the end of the connection
             except OSError:
                 pass
             finally:
                 writer.close()
-                self.writer, self.is_connected = None, False
-                changed(self.name, False)
+                self.writer = None
+                self.is_connected = False
+                on_changed(self.name, False)
             await asyncio.sleep(self.node.rng.uniform(0.05, 0.15))
 
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            address = self.node.address_of(self.name)
+            if address is None:
+                raise OSError("nobody of that name is there")
+            return await asyncio.open_connection(*address, local_addr=self.node.source)
+
 
 class GossipNode(asyncio.DatagramProtocol):
-    """Begins with `start`; `hear` and `serve` name who takes which kind of message."""
+    """One instance's membership, and messages between instances by datagrams and connections.
+
+    `datagram_handlers` and `frame_handlers` hold the receiver of each kind of message; the `on_...` lists
+    hold callbacks.
+    """
 
     def __init__(
         self, part: GossipSettings, identity: Identity, folder: Path, number: int, zone: str, caps: int
     ) -> None:
-        """`folder`: where the identity lies. Raises ValueError and OSError where the secret can't be read."""
-        self.identity, self.folder = identity, folder
-        self.on_epoch_raised: list[
-            Callable[[Identity], None]
-        ] = []  # hear that the folder had gone back in time
-        self.on_identity_conflict: list[
-            Callable[[str], None]
-        ] = []  # hear that another process is this instance
+        """`folder` is that of the identity. Raises ValueError or OSError if the secret can't be read."""
+        self.identity = identity
+        self.folder = folder
+        self.on_epoch_raised: list[Callable[[Identity], None]] = []  # the folder was restored from a backup
+        self.on_identity_conflict: list[Callable[[str], None]] = []  # another process outranks this one
         self.identity_conflict: Claim | None = None
-        self.settings, self.number, self.rng = part, number, random.Random(secrets.randbits(64))
+        self.settings = part
+        self.number = number
+        self.rng = random.Random(secrets.randbits(64))
         self.secret = part.secret()
-        host, port = part.advertised_address(number)
-        own = part.listen_address(number)[0]
-        self.source = None if own in ("0.0.0.0", "::") else (own, 0)  # others know it by this address
-        me = Claim(
-            identity.name,
-            identity.id,
-            identity.process_epoch,
-            secrets.randbits(48),
-            0,
-            MemberState.JOINING,
-            host,
-            port,
-            zone,
-            caps,
-        )
-        seeds = tuple(
-            at for at in (parse_address(seed, "seeds") for seed in part.seeds) if at != (host, port)
-        )
-        self.swim = Swim(me, seeds, self.rng, part.period_s)
+        own_claim = self._first_claim(zone, caps)
+        own_host = part.listen_address(number)[0]
+        # Others know this instance by the address that it connects from.
+        self.source = None if own_host in ("0.0.0.0", "::") else (own_host, 0)
+        seeds = [parse_address(seed, "seeds") for seed in part.seeds]
+        other_seeds = tuple(seed for seed in seeds if seed != own_claim.address)
+        self.swim = Swim(own_claim, other_seeds, self.rng, part.period_s)
         self.datagram_handlers: dict[str, DatagramHandler] = {}
         self.frame_handlers: dict[str, FrameHandler] = {}
         self.on_member_changed: list[Callable[[Claim], None]] = []
         self.counts: Counter[str] = Counter()
-        self.last_sealed: tuple[tuple[str, bytes, int], bytes] = (
-            ("", b"", 0),
-            b"",
-        )  # the latest, as it went out
+        # The latest message, by kind, body and nonce, with its sealed packet.
+        self.last_sealed: tuple[tuple[str, bytes, int], bytes] = ("", b"", 0), b""
         self.tasks = BackgroundTasks()
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.inbound_connections: set[asyncio.StreamWriter] = set()
 
+    def _first_claim(self, zone: str, capabilities: int) -> Claim:
+        host, port = self.settings.advertised_address(self.number)
+        return Claim(
+            self.identity.name,
+            self.identity.id,
+            self.identity.process_epoch,
+            secrets.randbits(48),
+            0,
+            MemberState.JOINING,
+            host,
+            port,
+            zone,
+            capabilities,
+        )
+
     async def start(self) -> None:
-        """Raises OSError where the place can't be had."""
-        at = self.settings.listen_address(self.number)
-        self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, at)
-        self.server = await asyncio.start_server(self._serve_connection, *at, limit=FRAME_BYTES_MAX)
+        """Open the sockets and start probing. Raises OSError if the address can't be bound."""
+        address = self.settings.listen_address(self.number)
+        self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, address)
+        self.server = await asyncio.start_server(self._serve_connection, *address, limit=FRAME_BYTES_MAX)
         self._tick()
 
     def leave(self) -> None:
+        """Announce a deliberate stop."""
         self.swim.leave()
         self._flush()
 
     async def close(self) -> None:
+        """Close all sockets."""
         if self.timer is not None:
             self.timer.cancel()
         await self.tasks.cancel()
@@ -183,11 +189,12 @@
         if self.transport is not None:
             self.transport.close()
 
-    # -- who is there ----------------------------------------------------------------------------------------
+    # -- membership ------------------------------------------------------------------------------------------
 
     def address_of(self, name: str) -> Address | None:
+        """Return the address of a member, None if it is unknown."""
         claim = self.swim.members.get(name)
-        return None if claim is None else (claim.host, claim.port)
+        return None if claim is None else claim.address
 
     def _tick(self) -> None:
         now = asyncio.get_running_loop().time()
@@ -195,61 +202,66 @@
             self.swim.tick(now)
             self._flush()
         except Exception:
-            log.exception("a turn of membership failed")  # and the next one comes
+            log.exception("membership turn failed")  # the next one is scheduled all the same
         self.timer = None
         self._schedule()
 
     def _schedule(self) -> None:
-        """What has come may be due sooner than what was."""
+        """Set the timer, or move it to an earlier time: a packet may have made something due sooner."""
         loop = asyncio.get_running_loop()
-        at = max(loop.time() + 0.005, self.swim.next_at())
-        if self.timer is None or self.timer.cancelled() or at < self.timer.when() - 0.005:
+        due_at = max(loop.time() + TIMER_SLACK_S, self.swim.next_at())
+        if self.timer is None or self.timer.cancelled() or due_at < self.timer.when() - TIMER_SLACK_S:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer = loop.call_at(at, self._tick)
+            self.timer = loop.call_at(due_at, self._tick)
 
     def _flush(self) -> None:
+        """Send what `swim` has for others, and report what it has found."""
         outbox, self.swim.outbox = self.swim.outbox, []
         for to, body in outbox:
             self._send_body(to, body)
         if self.swim.newer_epoch_seen:
             self.raise_process_epoch(self.swim.newer_epoch_seen)
         if self.swim.identity_conflict is not None and self.identity_conflict is None:
-            other = self.identity_conflict = self.swim.identity_conflict
-            why = f"another process at {other.host}:{other.port} is {other.name}"
-            log.error(LogEvent("this process is not the one that counts", why=why))
-            for refused in self.on_identity_conflict:
-                refused(why)
-        if (
-            self.swim.rejected_claims > 2 * self.counts["surplus"]
-        ):  # the first, third, seventh ...: they come again
-            self.counts["surplus"] = self.swim.rejected_claims
-            log.warning(
-                LogEvent(
-                    "a member is not taken: there are as many as may be",
-                    member=self.swim.last_rejected,
-                    most=MEMBERS_MAX,
-                    so_far=self.swim.rejected_claims,
-                )
-            )
+            self._report_identity_conflict(self.swim.identity_conflict)
+        if self.swim.rejected_claims > 2 * self.counts["surplus"]:  # the 1st, 3rd, 7th ...: they repeat
+            self._report_rejected_member()
         changes, self.swim.changes = self.swim.changes, []
         for claim in changes:
-            log.info(LogEvent("a member has changed", member=claim.name, state=claim.state.name.lower()))
-            for hear in self.on_member_changed:
-                hear(claim)
+            log.info(LogEvent("member state changed", member=claim.name, state=claim.state.name.lower()))
+            for on_changed in self.on_member_changed:
+                on_changed(claim)
+
+    def _report_identity_conflict(self, other: Claim) -> None:
+        self.identity_conflict = other
+        why = f"another process at {other.host}:{other.port} is {other.name}"
+        log.error(LogEvent("identity conflict detected", why=why))
+        for on_conflict in self.on_identity_conflict:
+            on_conflict(why)
+
+    def _report_rejected_member(self) -> None:
+        self.counts["surplus"] = self.swim.rejected_claims
+        log.warning(
+            LogEvent(
+                "member rejected",
+                member=self.swim.last_rejected,
+                most=MEMBERS_MAX,
+                so_far=self.swim.rejected_claims,
+            )
+        )
 
     def raise_process_epoch(self, seen: int) -> None:
-        """The folder has gone back in time: joins above the boot that others have seen."""
+        """Join anew above the process epoch that others have seen: the folder was restored from a backup."""
         try:
             self.identity = raise_process_epoch(self.folder, self.identity, seen)
         except (IdentityError, OSError) as error:
-            log.error(LogEvent("the boot can't be raised", why=error))
+            log.error(LogEvent("process epoch raise failed", why=error))
             self.swim.newer_epoch_seen = 0
             return
-        log.error(LogEvent("the state folder is older than what others have seen", boot=seen))
+        log.error(LogEvent("state folder found stale", boot=seen))
         self.swim.restart_as(self.identity.process_epoch)
-        for hear in self.on_epoch_raised:
-            hear(self.identity)
+        for on_raised in self.on_epoch_raised:
+            on_raised(self.identity)
 
     def _send_body(self, to: Address, body: Body) -> None:
         self._send(
@@ -263,42 +275,42 @@
             self.transport.sendto(raw, to)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Handle one datagram."""
         try:
             packet = open_packet(data, self.secret)
         except UnreadablePacketError as error:
             self.counts["unreadable"] += 1
-            if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
-                log.warning(LogEvent("a packet is passed over", why=error, so_far=self.counts["unreadable"]))
+            if self.counts["unreadable"].bit_count() == 1:  # the 1st, 2nd, 4th ...: it may go on
+                log.warning(LogEvent("datagram ignored", why=error, so_far=self.counts["unreadable"]))
             return
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         body = packet.body
         try:
-            if isinstance(
-                body, AppMessage
-            ):  # changes nothing of membership: no walk over it for each renewal
+            if isinstance(body, AppMessage):  # does not change membership: no walk over it for each message
                 if body.kind in self.datagram_handlers:
                     self.datagram_handlers[body.kind](packet.sender, body.body)
                 return
             self.swim.receive(asyncio.get_running_loop().time(), packet.sender, packet.nonce, body)
         except Exception:
-            log.exception("a packet of %s failed", packet.sender)
+            log.exception("datagram handler failed, sender %s", packet.sender)
         self._flush()
         self._schedule()
 
     def error_received(self, exc: Exception) -> None:
-        self.counts["errors"] += 1  # nobody listens there just now
+        """Count an error of the socket."""
+        self.counts["errors"] += 1  # usually nobody listens there at the moment
 
     # -- messages --------------------------------------------------------------------------------------------
 
     def send_datagram(self, name: str, kind: str, body: bytes) -> None:
-        """One datagram; it may be lost, come twice or late."""
-        at = self.address_of(name)
-        if at is not None:
-            self._send(at, self._sealed_message(kind, body))
+        """Send one datagram to a member; it may be lost, duplicated or late."""
+        address = self.address_of(name)
+        if address is not None:
+            self._send(address, self._sealed_message(kind, body))
 
     def _sealed_message(self, kind: str, body: bytes) -> bytes:
-        """Sealed once for all to whom the same is said: a renewal to each voter, a hint to each relay."""
+        """Return the packet, sealed once for all recipients of the same message: all voters, all relays."""
         key = kind, body, self.swim.own_claim.nonce
         if key != self.last_sealed[0]:
             packet = Packet(self.swim.own_claim.name, self.swim.own_claim.nonce, AppMessage(kind, body))
@@ -306,20 +318,21 @@
         return self.last_sealed[1]
 
     def hello_payload(self, kind: str) -> bytes:
+        """Return the first message on a connection for messages of this kind."""
         return msgspec.msgpack.encode(Hello(self.swim.own_claim.name, kind, self.swim.own_claim.nonce))
 
     async def request(self, name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
-        """One message and its answer on a connection of its own. Raises OSError or TimeoutError."""
-        at = self.address_of(name)
-        if at is None:
+        """Send a message on a connection of its own, return the answer. Raises OSError or TimeoutError."""
+        address = self.address_of(name)
+        if address is None:
             raise OSError(f"{name}: nobody of that name is there")
         async with asyncio.timeout(seconds):
-            reader, writer = await asyncio.open_connection(*at, local_addr=self.source)
+            reader, writer = await asyncio.open_connection(*address, local_addr=self.source)
             try:
-                told = encode_frame(self.hello_payload(kind), self.secret) + encode_frame(raw, self.secret)
+                frames = encode_frame(self.hello_payload(kind), self.secret) + encode_frame(raw, self.secret)
                 self.counts["asked"] += 1
-                self.counts["asked_bytes"] += len(told)
-                writer.write(told)
+                self.counts["asked_bytes"] += len(frames)
+                writer.write(frames)
                 answer = await read_frame(reader, self.secret)
                 self.counts["asked_bytes"] += len(answer)
                 return answer
@@ -336,56 +349,32 @@
         self.inbound_connections.add(writer)
         self.counts["conversations"] += 1
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                hello: Hello = msgspec.msgpack.decode(await read_frame(reader, self.secret), type=Hello)
-            while True:
-                raw = await read_frame(reader, self.secret)
-                self.counts["conversation_bytes"] += len(raw)
-                take = self.frame_handlers.get(
-                    hello.kind
-                )  # asked each time: who takes them may have begun anew
-                if take is None:  # not served here, or not yet: who needs it tries again
-                    return
-                answer = take(hello, raw)
-                told = await answer if isinstance(answer, Awaitable) else answer
-                if told is not None:
-                    self.counts["conversation_bytes"] += len(told)
-                    writer.write(encode_frame(told, self.secret))
-                    async with asyncio.timeout(WRITE_TIMEOUT_S):
-                        await writer.drain()
+            await self._serve_frames(reader, writer)
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         except (ValueError, msgspec.MsgspecError) as error:
             self.counts["unreadable"] += 1
-            log.warning(LogEvent("a connection is ended", why=repr(error)))
+            log.warning(LogEvent("peer connection closed", why=repr(error)))
         except Exception:
-            log.exception("a conversation failed")
+            log.exception("peer connection handler failed")
         finally:
             self.inbound_connections.discard(writer)
             writer.close()
 
-
-def set_write_timeout(writer: asyncio.StreamWriter) -> None:
-    """Ends by itself where nobody has acknowledged for so long: a host that is gone says nothing."""
-    found = writer.get_extra_info("socket")
-    if found is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
-        found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * WRITE_TIMEOUT_S))
-
-
-def encode_frame(raw: bytes, secret: bytes) -> bytes:
-    seal = hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES] if secret else b""
-    return FRAME_HEADER.pack(len(seal) + len(raw)) + seal + raw
-
-
-async def read_frame(reader: asyncio.StreamReader, secret: bytes) -> bytes:
-    """Raises ValueError for one that is too long or badly sealed, asyncio.IncompleteReadError at the end."""
-    length = FRAME_HEADER.unpack(await reader.readexactly(FRAME_HEADER.size))[0]
-    if length > FRAME_BYTES_MAX:
-        raise ValueError(f"a message of {length} bytes: {FRAME_BYTES_MAX} at most")
-    raw = await reader.readexactly(length)
-    if not secret:
-        return raw
-    seal, raw = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
-    if not hmac.compare_digest(seal, hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES]):
-        raise ValueError("a message whose seal is not of this fleet's secret")
-    return raw
+    async def _serve_frames(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Pass each message of a connection to the handler of its kind, and send the answers."""
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            hello: Hello = msgspec.msgpack.decode(await read_frame(reader, self.secret), type=Hello)
+        while True:
+            message = await read_frame(reader, self.secret)
+            self.counts["conversation_bytes"] += len(message)
+            handler = self.frame_handlers.get(hello.kind)  # looked up each time: it may have been replaced
+            if handler is None:  # not served, or not yet: the peer retries
+                return
+            result = handler(hello, message)
+            answer = await result if isinstance(result, Awaitable) else result
+            if answer is not None:
+                self.counts["conversation_bytes"] += len(answer)
+                writer.write(encode_frame(answer, self.secret))
+                async with asyncio.timeout(WRITE_TIMEOUT_S):
+                    await writer.drain()
--- a/message_relay/gossip/settings.py
+++ b/message_relay/gossip/settings.py
@@ -1,4 +1,7 @@
-"""The operator's part on peers. No `listen`: there are none, and nothing of this is imported or listens."""
+"""Settings of gossip: the section `[peers]` of the operator's file.
+
+Without `listen` gossip is off: nothing of it is imported, and no socket is opened.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,20 @@
 import msgspec
 from msgspec import Meta
 
-SECRET_BYTES = 16  # at least: shorter ones can be guessed
-# Of one fleet: what is known of each instance at each other one, and at each voter, is bounded by it. It is
-# above the 3,500 relays of the largest plan there is, and its own size was tested (tests/scale).
+SECRET_BYTES = 16  # minimum: shorter ones can be guessed
+# Instances of one fleet. Bounds the state about others at each instance and voter. It is above the 3,500
+# relays of the largest planned fleet, and tested at its own size (tests/scale).
 INSTANCES_MAX = 4096
 
 
 class GossipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Instances that know each other, by UDP and TCP at one address each."""
+    """Gossip by UDP and TCP, at one address for each instance."""
 
-    listen: str = ""  # HOST:PORT; `{n}` becomes the instance's number, without it N listens on port + N
-    address: str = ""  # where others reach it, if not at `listen`; in the same form
-    seeds: tuple[str, ...] = ()  # HOST:PORT of some that are usually there
-    secret_file: str = ""  # seals each packet; empty: none, for a network that only the fleet can reach
-    period_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # one member is asked in each
+    listen: str = ""  # HOST:PORT; `{n}` is replaced by the instance's number, else N listens on port + N
+    address: str = ""  # where others reach it, if not at `listen`; same form
+    seeds: tuple[str, ...] = ()  # HOST:PORT of some instances that are usually up
+    secret_file: str = ""  # seals each packet; empty: no seal, for a private network
+    period_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # one member is probed in each
 
     def __post_init__(self) -> None:
         for name in ("listen", "address"):
@@ -34,18 +37,19 @@
 
     @property
     def is_enabled(self) -> bool:
+        """Whether gossip is on."""
         return bool(self.listen)
 
     def listen_address(self, number: int) -> tuple[str, int]:
-        """Where instance `number` listens."""
+        """Return where instance `number` listens."""
         return instance_address(self.listen, "listen", number)
 
     def advertised_address(self, number: int) -> tuple[str, int]:
-        """Where others reach it."""
+        """Return where others reach instance `number`."""
         return instance_address(self.address or self.listen, "address", number)
 
     def secret(self) -> bytes:
-        """Raises ValueError or OSError."""
+        """Read the secret, empty if none is set. Raises ValueError if it is too short, or OSError."""
         if not self.secret_file:
             return b""
         raw = Path(self.secret_file).read_bytes().strip()
@@ -57,6 +61,7 @@
 
 
 def instance_address(text: str, field: str, number: int) -> tuple[str, int]:
+    """Return the address of an instance by its number. Raises ValueError, with `field` in its text."""
     if "{n}" in text:
         return parse_address(text.replace("{n}", str(number)), field)
     host, port = parse_address(text, field)
@@ -66,6 +71,7 @@
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
+    """Parse HOST:PORT. Raises ValueError, with `field` in its text."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= 65535:
         raise ValueError(f"{field}: {text!r} is not HOST:PORT")
--- a/message_relay/gossip/swim.py
+++ b/message_relay/gossip/swim.py
@@ -122,7 +122,7 @@
             if self.is_synced:
                 self._start_sync(now)
             else:
-                self._ask_next_seed(now)
+                self._request_from_next_seed(now)
         self._expire_indirect_probes(now)
         self.outbox += self.paced_replies.next_burst(now)
         self._run_probe(now)
@@ -143,7 +143,7 @@
             times.append(self.paced_replies.next_burst_at)
         return min(times)
 
-    def _ask_next_seed(self, now: float) -> None:
+    def _request_from_next_seed(self, now: float) -> None:
         """Request all that a seed knows."""
         self.next_sync_at = now + JOIN_RETRY_S * self.rng.uniform(0.8, 1.2)
         seed = self.seeds[self.next_seed % len(self.seeds)]
--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -1,7 +1,7 @@
-"""What instances say to each other in one datagram: msgpack, as arrays, and a seal where a secret is set.
+"""Datagrams between instances: msgpack arrays, sealed (HMAC) where a secret is set.
 
-Nothing that comes is believed for its shape: what can't be read, is too long or has no valid seal is dropped
-and counted, and changes nothing.
+The order, types and tags of all fields are the wire format; their names are not. A datagram that can't be
+decoded, is too long or has no valid seal is dropped and counted, and changes nothing.
 """
 
 from __future__ import annotations
@@ -9,11 +9,10 @@
 import hashlib
 import hmac
 from enum import IntEnum
-from typing import Union
 
 import msgspec
 
-PACKET_BYTES = 1400  # one datagram crosses a usual path unsplit
+PACKET_BYTES = 1400  # a datagram of this size crosses a usual path unfragmented
 SEAL_BYTES = 16  # of HMAC-SHA256: forging one takes 2^128 tries
 NAME_BYTES = 64
 
@@ -21,18 +20,21 @@
 
 
 class MemberState(IntEnum):
-    """What is held true of a member. Of two words of the same incarnation the higher one stands."""
+    """State of a member. Of two claims of the same incarnation the one with the higher state wins."""
 
-    JOINING = 0  # it has not heard yet who is there
+    JOINING = 0  # it does not know the other members yet
     ALIVE = 1
-    SUSPECT = 2  # it answered nobody who asked
+    SUSPECT = 2  # it answered no probe
     DEAD = 3
-    LEFT = 4  # it said so itself
+    LEFT = 4  # by its own announcement
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """One word on one member. `id` is bound to its state folder, `boot` counts the starts of that folder's
-    process, and `nonce` is of this one process."""
+    """Claim about one member.
+
+    `id` is bound to its state folder, `process_epoch` counts the processes started from that folder, and
+    `nonce` belongs to one process.
+    """
 
     name: str
     id: str
@@ -43,11 +45,12 @@
     host: str
     port: int
     zone: str = ""
-    capabilities: int = 0  # what its build understands: one bit for each capability
-    suspected_by: str = ""  # of SUSPECT: who asked in vain
+    capabilities: int = 0  # of its build: one bit for each
+    suspected_by: str = ""  # of SUSPECT: whose probe failed
 
     @property
     def precedence(self) -> tuple[int, int, int]:
+        """Order of claims about one identity; part of the checksums on the wire."""
         return self.process_epoch, self.incarnation, int(self.state)
 
     @property
@@ -57,22 +60,27 @@
 
     @property
     def is_gone(self) -> bool:
+        """Whether the member is dead or has left."""
         return self.state in (MemberState.DEAD, MemberState.LEFT)
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+    """Probe of a member, with piggybacked claims."""
+
     sequence: int
-    target: str  # an address may be another's by now
+    target: str  # the address may belong to another member by now
     claims: tuple[Claim, ...] = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """Answer to a ping."""
+
     sequence: int
     claims: tuple[Claim, ...] = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """Ask this one for me: I get no answer."""
+    """Request to ping a member that did not answer the sender."""
 
     sequence: int
     target: str
@@ -80,46 +88,46 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """I asked it for you and got no answer either, so my link to you works."""
+    """The target of an indirect ping did not answer either; the link to the requester works."""
 
     sequence: int
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A slice of all that the sender knows. `want`: answer with all of yours, unless it comes to the same."""
+    """A part of all claims that the sender knows, or a request for those of the recipient that differ."""
 
-    wants_reply: bool
+    wants_reply: bool  # a request
     claims: tuple[Claim, ...]
-    checksum: int = 0  # a sum over what the sender knows
-    slice_checksums: bytes = (
-        b""  # sums over parts of it (gossip/member_table.py): the answer holds those that differ
-    )
+    checksum: int = 0  # over all that the sender knows
+    slice_checksums: bytes = b""  # by parts (member_table.py): the reply holds those that differ
 
 
 class IdentityConflict(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """You can't be who you say: the word on your name that stands here."""
+    """The recipient can't be who it claims to be: the claim about its name that the sender holds."""
 
     claim: Claim
 
 
 class AppMessage(msgspec.Struct, frozen=True, array_like=True, tag="x"):
-    """Of another part of the relay."""
+    """Message of another part of the relay, by kind."""
 
     kind: str
     body: bytes
 
 
-Body = Union[Ping, Ack, IndirectPing, Nack, Sync, IdentityConflict, AppMessage]
+Body = Ping | Ack | IndirectPing | Nack | Sync | IdentityConflict | AppMessage
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
+    """One datagram."""
+
     sender: str
     nonce: int  # of the sending process
     body: Body
 
 
 class UnreadablePacketError(ValueError):
-    """What came is no packet of a member's; the text says why."""
+    """A datagram is not a valid packet of a member; the text says why."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -127,7 +135,7 @@
 
 
 def seal_packet(packet: Packet, secret: bytes) -> bytes:
-    """ValueError if it is longer than one datagram may be."""
+    """Encode a packet and seal it if there is a secret. Raises ValueError if it exceeds one datagram."""
     raw = _ENCODER.encode(packet)
     if secret:
         raw = hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES] + raw
@@ -137,7 +145,7 @@
 
 
 def open_packet(raw: bytes, secret: bytes) -> Packet:
-    """Raises UnreadablePacketError."""
+    """Check the seal of a datagram and decode it. Raises UnreadablePacketError."""
     if len(raw) > PACKET_BYTES:
         raise UnreadablePacketError(f"{len(raw)} bytes: {PACKET_BYTES} at most")
     if secret:
@@ -154,5 +162,5 @@
 
 
 def encoded_size(claim: Claim) -> int:
-    """Bytes in a packet."""
+    """Return the bytes that a claim takes in a packet."""
     return len(_ENCODER.encode(claim))
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -17,7 +17,8 @@
 from ..core.ports import EndpointUpdateCallback
 from ..core.relay import Relay
 from ..core.tasks import BackgroundTasks
-from ..gossip.node import GossipNode, Hello
+from ..gossip.framing import Hello
+from ..gossip.node import GossipNode
 from ..gossip.wire import Claim
 from ..structured_logging import LogEvent
 from .settings import ShardedDirectorySettings
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from message_relay.gossip.node import Hello, encode_frame
+from message_relay.gossip.framing import Hello, encode_frame
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import (
     Ack,
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -61,7 +61,7 @@
 from message_relay.fleet.common import FOLDER
 from message_relay.gossip import identity as gossip_identity
 from message_relay.gossip.identity import Identity, IdentityError
-from message_relay.gossip.node import Hello
+from message_relay.gossip.framing import Hello
 from message_relay.store.destination_snapshot import DestinationSnapshotFile
 from message_relay.store.file_store import DirectoryFileStore
 from message_relay.store.journal import Journal
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -40,7 +40,7 @@
 from message_relay.fleet.recording import Recorder
 from message_relay.fleet.report import FleetReport, Lag, Report
 from message_relay.fleet.status import StatusSocket, ask
-from message_relay.gossip.node import Hello
+from message_relay.gossip.framing import Hello
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
 from message_relay.structured_logging import BoundedLogWriter, LogEvent, configure_structured_logging
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -19,7 +19,7 @@
 from message_relay.consensus.version_history import CommandResult as CommandAnswer
 from message_relay.consensus.version_history import Command, Version, decode_command
 from message_relay.failover.observations import ObservationReport
-from message_relay.gossip.node import Hello
+from message_relay.gossip.framing import Hello
 from message_relay.gossip.wire import Packet, open_packet, seal_packet
 from message_relay.sharded_directory import wire as shard_wire
 
--- a/tests/consensus/test_commands.py
+++ b/tests/consensus/test_commands.py
@@ -13,7 +13,7 @@
 from message_relay.consensus.proposer import COMMAND, NOT_VOTING, Proposer
 from message_relay.consensus.version_history import CommandResult, Withdraw
 from message_relay.consensus.voter import Voter
-from message_relay.gossip.node import Hello
+from message_relay.gossip.framing import Hello
 
 SILENT, STARTING = "silent", "starting"
 TOLD = Withdraw(2, "test", "a test")
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -17,8 +17,9 @@
 from message_relay.consensus.process_epochs import ProcessEpochs
 from message_relay.consensus.settings import ConsensusSettings
 from message_relay.consensus.voter import EPOCH_QUERY
+from message_relay.gossip.framing import Hello
 from message_relay.gossip.identity import claim_identity
-from message_relay.gossip.node import GossipNode, Hello
+from message_relay.gossip.node import GossipNode
 from message_relay.gossip.settings import GossipSettings
 
 from ..conftest import make_settings
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -11,7 +11,7 @@
 from message_relay.core import attempt_runner, relay
 from message_relay.core.ports import InvalidMessageError
 from message_relay.decisions.model import Outcome
-from message_relay.gossip.node import Hello
+from message_relay.gossip.framing import Hello
 from message_relay.sharded_directory.node import MESSAGE_KIND
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.wire import (
