--- a/message_relay/consensus/settings.py
+++ b/message_relay/consensus/settings.py
@@ -1,4 +1,7 @@
-"""The operator's part on rules. Without voters there are none, and nothing of this is imported."""
+"""The `[accord]` section of the operator's file.
+
+Without voters there are no agreed rules, and the rest of the package is not imported.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,26 @@
 from .rules_validation import validate_rules
 
 InstanceNumber = Annotated[int, Meta(ge=0, le=INSTANCES_MAX - 1)]
-MAX_VOTERS = 9  # more cost more messages for each version and outlive no likelier fault
+MAX_VOTERS = 9  # more would cost more messages for each version and tolerate no likelier fault
 
 
 class ConsensusSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Versions of rules on which all instances agree. Needs [peers]."""
+    """Settings of the rules on which all instances agree; they need the `[peers]` section."""
 
     voters: tuple[InstanceNumber, ...] = ()  # instance numbers, the same in each file
-    bound_s: Annotated[float, Meta(ge=0.2, le=600)] = 2.0  # T: no two act on contrary versions for longer
-    horizon_s: Annotated[float, Meta(ge=1, le=86_400)] = 30.0  # one that is cut off goes on for so long
-    drift: Annotated[float, Meta(ge=0.001, le=0.2)] = 0.05  # of any two clocks, in s a second
-    standby: Annotated[float, Meta(gt=0, le=1)] = 0.9  # share of the rates that one cut off goes on with
+    bound_s: Annotated[float, Meta(ge=0.2, le=600)] = (
+        2.0  # T: no two instances act on contrary versions for longer
+    )
+    horizon_s: Annotated[float, Meta(ge=1, le=86_400)] = (
+        30.0  # an instance that is cut off continues for so long
+    )
+    drift: Annotated[float, Meta(ge=0.001, le=0.2)] = 0.05  # between any two clocks, in seconds a second
+    standby: Annotated[float, Meta(gt=0, le=1)] = (
+        0.9  # share of the rates that an instance that is cut off continues with
+    )
     first: Rules = Rules()  # the first version, the same in each file
-    floor: Rules = DENY_ALL  # what one cut off for longer may still do: it must lie within each version
-    folder: str = ""  # a file rules.json there is proposed when it changes
+    floor: Rules = DENY_ALL  # allowed to an instance that is cut off for longer: must lie within each version
+    folder: str = ""  # its file rules.json is proposed when it changes
 
     def __post_init__(self) -> None:
         if len(set(self.voters)) != len(self.voters):
@@ -45,7 +54,9 @@
 
     @property
     def is_enabled(self) -> bool:
+        """Whether instances agree on rules."""
         return bool(self.voters)
 
     def lease_terms(self) -> LeaseTerms:
+        """Return the lease durations."""
         return LeaseTerms(self.bound_s, self.horizon_s, self.drift, self.standby)
