--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -51,7 +51,7 @@
     {"classes": {"pay": {"closed": True}}},
     {},
 ]
-READ = re.compile(r"^(\S+ \S+) .*the configuration is read again", re.MULTILINE)
+READ = re.compile(r"^(\S+ \S+) .*config reloaded", re.MULTILINE)
 
 
 def quantile(values: list[float], share: float) -> float:
--- a/message_relay/cli/run.py
+++ b/message_relay/cli/run.py
@@ -8,7 +8,7 @@
 
 import click
 
-from ..process import OPERATOR
+from ..process import OPERATOR_FILE_VARIABLE
 from ..process import main as work
 
 
@@ -18,7 +18,7 @@
 def run(config: Path | None, instance: int | None) -> None:
     """Run one instance until SIGTERM; SIGHUP reads its files again."""
     if config is not None:
-        os.environ[OPERATOR] = str(config)
+        os.environ[OPERATOR_FILE_VARIABLE] = str(config)
     if instance is not None:
         os.environ["RELAY_INSTANCE"] = str(instance)
     sys.exit(work())
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -72,7 +72,7 @@
         try:
             known = register.load_configured(config.known)
         except ValueError as error:
-            log.warning(LogEvent("the known list of endpoints is passed over", why=error))
+            log.warning(LogEvent("known endpoints rejected", why=error))
     return ComposedRelay(host, http, calls, register, known)
 
 
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -11,7 +11,7 @@
 
 from ..config import Config, ConfigError, load
 from ..core.clock import unix_time_ms
-from ..process import ProcessSignals, RelayProcess
+from ..relay_process import ProcessSignals, RelayProcess
 from ..structured_logging import LogEvent, configure_structured_logging
 from . import operator, parent_watch, report
 from .fleet_size import FleetSize
--- /dev/null
+++ b/message_relay/relay_process.py
@@ -0,0 +1,90 @@
+"""One relay instance as a process: its signals, and its life from start to stop."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+
+from .amqp.settings import AmqpSettings
+from .composition import compose
+from .config import Config, ConfigError, load
+from .fleet.socket_activation import inherited_sockets
+from .fleet.systemd_notify import SystemdNotifier
+from .gc_policy import run_gc_policy
+from .structured_logging import LogEvent
+
+log = logging.getLogger(__name__)
+
+
+class ProcessSignals:
+    """The signals that this process has received since this object was made, as events."""
+
+    def __init__(self) -> None:
+        self.stop = asyncio.Event()
+        self.reload = asyncio.Event()
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGHUP, self.reload.set)  # before a file is read: no change is missed
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.stop.set)
+
+
+class RelayProcess:
+    """A relay as the platform runs it; `fleet.instance` adds what an operator's file sets."""
+
+    def __init__(
+        self,
+        config: Config,
+        signals: ProcessSignals,
+        notifier: SystemdNotifier,
+        amqp: AmqpSettings | None = None,
+    ) -> None:
+        self.signals = signals
+        self.notifier = notifier
+        self.composed = compose(config, inherited_sockets(), amqp)
+        self.relay = self.composed.relay
+
+    async def run(self) -> None:
+        """Serves until SIGTERM or SIGINT, and returns once the relay has stopped."""
+        self.notifier.start()
+        await self.composed.start()
+        await self.on_serving()
+        self.notifier.ready()
+        config = self.relay.config
+        log.info(LogEvent("serving", name=config.name, listen="{}:{}".format(*config.listen)))
+        self.relay.tasks.start(self.watch_reloads())
+        self.relay.tasks.start(run_gc_policy(lambda: self.relay.messages.pending_count))
+        await self.signals.stop.wait()
+        self.notifier.stopping()
+        try:
+            await self.relay.stop()
+        finally:
+            self.on_stopped()
+            self.notifier.close()
+
+    async def on_serving(self) -> None:
+        """Called when the relay accepts messages, before the service manager learns of it."""
+
+    def on_stopped(self) -> None:
+        """Called when the relay has stopped, also where that failed."""
+
+    async def watch_reloads(self) -> None:
+        """Follows each replaced configuration, also while the relay is stopping."""
+        while True:
+            await self.signals.reload.wait()
+            self.signals.reload.clear()
+            self.notifier.reloading()
+            try:
+                self.reload()
+                log.info(LogEvent("config reloaded"))
+            except (ConfigError, ValueError) as error:
+                log.error(LogEvent("config reload rejected", why=error))
+                self.notifier.status(f"the new configuration is passed over: {error}")
+            self.notifier.ready()
+
+    def reload(self) -> None:
+        """Reads the configuration again.
+
+        Raises ConfigError or ValueError, without changing anything, where a file cannot be used.
+        """
+        self.relay.reload(load())
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -276,7 +276,7 @@
 
 
 def exit_codes() -> Values:
-    return {"refused": process.REFUSED, "failed": process.FAILED}
+    return {"refused": process.EXIT_CONFIG_REJECTED, "failed": process.EXIT_RESOURCE_UNAVAILABLE}
 
 
 def program_arguments(*arguments: str) -> list[str]:
