--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -181,14 +181,16 @@
 
     def _execute_decisions(self) -> None:
         """What the reader has decided."""
-        asks, self.client.outgoing = self.client.outgoing, []
-        for keeper, ask in asks:
-            self.tasks.start(self._send_request(keeper, ask))
+        requests = list(self.client.outgoing)
+        self.client.outgoing.clear()
+        for server_name, request in requests:
+            self.tasks.start(self._send_request(server_name, request))
         updates = list(self.client.updates)
         self.client.updates.clear()
         for update in updates:
             self.listener(update)
-        absent, self.client.missing_destinations = self.client.missing_destinations, []
+        absent = list(self.client.missing_destinations)
+        self.client.missing_destinations.clear()
         for destination in absent:
             self.host.messages.fail_unknown_destination(destination)
 
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -102,7 +102,7 @@
                 yield "learn", name
             if sum(each[1] == name for each in self.digests) < POOLED and keeper.subscribers.by_name:
                 yield "digest", name
-            if self.reader.servers[name].outstanding is not None:
+            if self.reader.scheduler.servers[name].outstanding is not None:
                 yield "fail", name
         for place, _ in enumerate(self.asks):
             yield "ask", place
@@ -159,14 +159,14 @@
         self.reader.on_response(self.now, name, word)
 
     def do_fail(self, name: str) -> None:
-        out = self.reader.servers[name].outstanding
+        out = self.reader.scheduler.servers[name].outstanding
         assert out is not None
         self.failed_at[name] = max(self.failed_at[name], out.sent_at)
         self.reader.on_request_failed(self.now, name)
 
     def do_wait(self) -> None:
         self.now += 1.0
-        for name, keeper in self.reader.servers.items():
+        for name, keeper in self.reader.scheduler.servers.items():
             if keeper.outstanding is not None:
                 self.do_fail(name)
         self.now += WAIT_S - 1.0
@@ -214,7 +214,7 @@
             for name in self.keepers:
                 while self.keepers[name].version[1] < LATEST:
                     self.do_learn(name)
-                if self.reader.servers[name].outstanding is not None and name not in {
+                if self.reader.scheduler.servers[name].outstanding is not None and name not in {
                     each for each, _ in self.asks
                 }:
                     self.do_fail(name)
@@ -281,8 +281,8 @@
                 store.common_version,
                 store.latest_version,
                 sorted(store.shard_by_name.items()),
-                sorted(reader.pending),
-                sorted(reader.shards_to_compare),
+                sorted(reader.pending.by_shard),
+                sorted(reader.scheduler.shards_to_compare),
                 [
                     (
                         keeper.outstanding and (keeper.outstanding.number, keeper.outstanding.sent_at),
@@ -291,7 +291,7 @@
                         keeper.lagging_until,
                         keeper.has_more,
                     )
-                    for keeper in reader.servers.values()
+                    for keeper in reader.scheduler.servers.values()
                 ],
                 reader.staleness.fact_versions,
                 reader.staleness.fact_times,
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -14,7 +14,7 @@
 from message_relay.core.directory import EndpointDirectory
 from message_relay.core.ports import EndpointUpdate
 from message_relay.decisions.model import Listing
-from message_relay.sharded_directory import shard_client
+from message_relay.sharded_directory import request_scheduler
 from message_relay.sharded_directory.rendezvous_hash import MAX_SERVERS, rank_servers, shard_of
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
@@ -77,7 +77,7 @@
         """A tick; its asks are left to the caller."""
         self.reader.tick(self.now, self.in_use.__contains__)
         self.apply()
-        asks = list(self.reader.outgoing)
+        asks: list[tuple[str, ShardRequest]] = list(self.reader.outgoing)
         self.reader.outgoing.clear()
         return asks
 
@@ -164,7 +164,7 @@
     asks = world.turn()
     assert [name for name, _ in asks] == [FIRST, SECOND]
     shards = [want.shard for _, each in asks for want in each.requested_shards]
-    assert len(shards) == len(set(shards)) == 2 * shard_client.MAX_SHARDS_PER_REQUEST
+    assert len(shards) == len(set(shards)) == 2 * request_scheduler.MAX_SHARDS_PER_REQUEST
     due = [want.time_left_ms for _, each in asks for want in each.requested_shards]
     assert due == sorted(due) and due[0] <= 60_200.0
     assert not world.turn()  # two at most, one a keeper
@@ -609,8 +609,8 @@
 
 
 def test_its_own_traffic_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shard_client, "RECEIVE_BYTES_PER_S", 20_000.0)
-    monkeypatch.setattr(shard_client, "RECEIVE_BURST_BYTES", 50_000.0)
+    monkeypatch.setattr(request_scheduler, "RECEIVE_BYTES_PER_S", 20_000.0)
+    monkeypatch.setattr(request_scheduler, "RECEIVE_BURST_BYTES", 50_000.0)
     layout = Layout(256, (1, 2, 3))
     world = World([row(f"a-name-of-usual-length-{i}", i) for i in range(256 * 44)], layout)
     world.want(*range(800))
@@ -746,7 +746,7 @@
                 for _, digest in self.keepers[name].due_digests(self.now):
                     self.reader.on_digest(self.now, name, digest)
                 if (
-                    self.reader.servers[name].outstanding is not None
+                    self.reader.scheduler.servers[name].outstanding is not None
                     and self.asks
                     and self.asks[-1][0] != name
                 ):
@@ -850,7 +850,7 @@
     )
     world.reader.on_digest(world.now, FIRST, old)
     assert world.reader.status(world.now).stale_refused == 1
-    assert not world.turn() and not world.reader.shards_to_compare
+    assert not world.turn() and not world.reader.scheduler.shards_to_compare
 
 
 def test_an_older_answer_is_counted_and_its_keeper_asked_last() -> None:
@@ -1025,11 +1025,13 @@
     now = 140.0
     for reader in readers:
         reader.set_reachable(now, [])
-        for keeper in reader.servers.values():
+        for keeper in reader.scheduler.servers.values():
             keeper.paused_until = now + 60.0
-        reader.set_reachable(now, reader.servers)
-    back = sorted(min(keeper.paused_until for keeper in reader.servers.values()) - now for reader in readers)
-    assert back[-1] <= shard_client.RECOVERY_SPREAD_S and back[15] > 0.1 and back[45] > 0.4
+        reader.set_reachable(now, reader.scheduler.servers)
+    back = sorted(
+        min(keeper.paused_until for keeper in reader.scheduler.servers.values()) - now for reader in readers
+    )
+    assert back[-1] <= request_scheduler.RECOVERY_SPREAD_S and back[15] > 0.1 and back[45] > 0.4
 
 
 def test_an_answer_that_lay_in_a_buffer_is_as_old_as_its_ask() -> None:
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -171,10 +171,10 @@
 def test_bytes_in_are_those_of_what_changed_and_not_of_the_whole_shards() -> None:
     it = Storm()
     it.play()
-    before = it.reader.received_bytes
+    before = it.reader.scheduler.received_bytes
     it.change([it.used[0]])
     it.run(4.0)
-    assert 0 < it.reader.received_bytes - before < 100
+    assert 0 < it.reader.scheduler.received_bytes - before < 100
 
 
 def test_a_shards_first_change_is_told_as_a_change_also_to_who_is_generations_behind() -> None:
