--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -21,6 +21,7 @@
 from ..gossip.node import GossipNode
 from ..gossip.wire import Claim
 from ..structured_logging import LogEvent
+from .errors import UnreadableFrameError
 from .settings import ShardedDirectorySettings
 from .shard_client import ShardClient
 from .shard_server import ShardServer
@@ -33,7 +34,6 @@
     Overloaded,
     ShardRequest,
     ShardResponse,
-    UnreadableFrameError,
     decode_message,
     encode_message,
 )
--- a/message_relay/sharded_directory/shard_server.py
+++ b/message_relay/sharded_directory/shard_server.py
@@ -17,6 +17,7 @@
 import msgspec
 
 from .bulk_load import StagedChanges, StagedList, StagedUpdate
+from .errors import UnreadableFrameError
 from .shard_table import ShardTable, name_hash
 from .subscribers import MAX_DIGESTS_PER_CALL, Subscribers
 from .wire import (
@@ -32,7 +33,6 @@
     ShardRequest,
     ShardResponse,
     UnchangedShard,
-    UnreadableFrameError,
     Version,
     layout_checksum,
     unpack_shard_set,
--- a/message_relay/sharded_directory/wire.py
+++ b/message_relay/sharded_directory/wire.py
@@ -21,6 +21,7 @@
 import xxhash
 
 from ..decisions.model import Listing
+from .errors import UnreadableFrameError
 
 Version = tuple[int, int]  # epoch, generation
 NO_VERSION: Version = (0, -1)  # below every version
@@ -176,10 +177,6 @@
     return int.from_bytes(found, "little")
 
 
-class UnreadableFrameError(ValueError):
-    """What came is no word of a keeper's or a reader's; the text says why."""
-
-
 def encode_message(word: DirectoryMessage) -> bytes:
     return _ENCODER.encode(word)
 
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from message_relay.sharded_directory import bulk_load, shard_server, shard_table, subscribers
+from message_relay.sharded_directory.errors import UnreadableFrameError
 from message_relay.sharded_directory.rendezvous_hash import rank_servers, shard_of
 from message_relay.sharded_directory.shard_server import ShardServer
 from message_relay.sharded_directory.wire import (
@@ -26,7 +27,6 @@
     ShardChanges,
     ShardRequest,
     UnchangedShard,
-    UnreadableFrameError,
     decode_message,
     encode_message,
     pack_shard_set,
--- a/tests/sharded_directory/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -12,19 +12,12 @@
 
 import pytest
 
-from message_relay.sharded_directory import source
+from message_relay.sharded_directory import list_splitter, list_transfer, source
+from message_relay.sharded_directory.errors import OutdatedListError, SourceError, TooManyChangesError
+from message_relay.sharded_directory.list_splitter import ListSplitter
+from message_relay.sharded_directory.list_transfer import ENTRIES_PER_TURN, EntryReader, ListTransfer
 from message_relay.sharded_directory.shard_server import ShardServer
-from message_relay.sharded_directory.source import (
-    ENTRIES_PER_TURN,
-    EntryReader,
-    FileSource,
-    ListSplitter,
-    ListTransfer,
-    OutdatedListError,
-    RegisterSource,
-    SourceError,
-    TooManyChangesError,
-)
+from message_relay.sharded_directory.source import FileSource, RegisterSource
 from message_relay.sharded_directory.wire import Layout, Row
 
 from ..loopback import Agent, answer, run
@@ -149,7 +142,7 @@
 
 
 def test_a_list_that_is_too_long_is_told_and_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "MAX_LIST_BYTES", 50_000)
+    monkeypatch.setattr(list_splitter, "MAX_LIST_BYTES", 50_000)
 
     async def work() -> None:
         it = keeper()
@@ -200,7 +193,7 @@
         assert it.version == (1, 5) and len(rows(it)) == 99 and rows(it)["e-0000001"].port == 9
         await taken(it, listing([], 5, False), 5)
         assert it.version == (1, 5)
-        monkeypatch.setattr(source, "MAX_CHANGES", 50)
+        monkeypatch.setattr(list_transfer, "MAX_CHANGES", 50)
         with pytest.raises(TooManyChangesError):
             await taken(it, listing(many(51), 6, False), 5)
         assert it.version == (1, 5) and len(rows(it)) == 99
@@ -269,7 +262,7 @@
 
 
 def registered(it: ShardServer, agent: Agent) -> RegisterSource:
-    return RegisterSource(it, 1, agent.address, 8, 1, shared=True)
+    return RegisterSource(it, 1, agent.address, 8, 1, is_shared=True)
 
 
 def test_the_register_is_watched_and_what_fails_is_asked_again() -> None:
@@ -333,7 +326,7 @@
 
 
 def test_too_many_changes_in_one_answer_make_it_ask_for_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "MAX_CHANGES", 50)
+    monkeypatch.setattr(list_transfer, "MAX_CHANGES", 50)
 
     async def work() -> None:
         agent, it = await Agent().start(), keeper()
