--- a/tests/store/disk.py
+++ b/tests/store/disk.py
@@ -1,5 +1,4 @@
-"""A folder in memory that a test can crash, fill or spoil at any call. It is a model of
-message_relay.store.file_store."""
+"""An in-memory model of message_relay.store.file_store that a test can crash, fill or corrupt at any call."""
 
 from __future__ import annotations
 
@@ -17,15 +16,15 @@
 
 @dataclass
 class Disk:
-    """What has been written, and of it what outlasts a power cut."""
+    """What was written, and of it what survives a power cut."""
 
     files: dict[str, bytes] = field(default_factory=dict)
     synced: dict[str, bytes] = field(default_factory=dict)
     calls: int = 0
-    crash_at: int = -1  # this call: before it, or in its midst
-    torn: int | None = None  # of the append that crashes, so many bytes are there
+    crash_at: int = -1  # the number of a call: before it, or during it
+    torn: int | None = None  # bytes of the crashing append that are written
     fail: Callable[[str, str, int], int | None] = lambda call, name, number: None  # an errno
-    short: Callable[[int], int | None] = lambda number: None  # bytes that an append gets in before it fails
+    short: Callable[[int], int | None] = lambda number: None  # bytes that an append writes before it fails
     peak: int = 0
 
     def _call(self, call: str, name: str) -> None:
@@ -49,7 +48,7 @@
                 self.files[name] = self.files.get(name, b"") + data[: self.torn]
             raise Crash
         short = self.short(self.calls)
-        if short is not None:  # and it could not be taken back
+        if short is not None:  # and it could not be truncated
             self.files[name] = self.files.get(name, b"") + data[:short]
             raise OSError(errno.EIO, "short, and not taken back")
         self.files[name] = self.files.get(name, b"") + data
@@ -73,11 +72,11 @@
         pass
 
     def after_crash(self) -> Disk:
-        """What the next process finds."""
+        """The directory as the next process finds it."""
         return Disk(dict(self.files))
 
     def spoiled(self, rng: Random, flips: int, names: list[str]) -> Disk:
-        """With bits flipped at random places."""
+        """A copy with bits flipped at random places."""
         files = {name: bytearray(data) for name, data in self.files.items()}
         for _ in range(flips):
             at = rng.randrange(sum(len(files[name]) for name in names))
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on a real folder: torn ends, damage, a full disk, room, and the file of earlier versions."""
+"""The journal on a real directory: torn writes, damage, a full disk, its budget, and format 1."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from message_relay.store.record_format import CHECKSUM, HEADER, HEADER_BYTES, encode_frame
 from message_relay.store.records import Attempt, FinalOutcomeRecord, JournalEntry, RecordType, encode_payload
 
-DISK = 400_000
+BUDGET_BYTES = 400_000
 
 
 def entry(ident: str, body: bytes = b"body", due: float = 9000.0) -> JournalEntry:
     return JournalEntry(ident, "safe", "t", 7, None, 1000.0, due, "", body)
 
 
-def fill(folder: Path) -> Journal:
-    journal = Journal(folder, DISK)
+def filled_journal(folder: Path) -> Journal:
+    journal = Journal(folder, BUDGET_BYTES)
     for n in range(3):
         journal.append_accepted(entry(f"m{n}"))
     journal.append_attempt(journal.entries["m1"], 1500.0, "s-1", 0)
@@ -38,21 +38,21 @@
     return sorted(folder.glob("seg-*"))
 
 
-def test_a_torn_tail_loses_only_the_torn_record(tmp_path: Path) -> None:
-    fill(tmp_path).close()
+def test_a_torn_write_loses_only_its_record(tmp_path: Path) -> None:
+    filled_journal(tmp_path).close()
     (only,) = segments(tmp_path)
-    whole = only.read_bytes()
+    complete_data = only.read_bytes()
     last = max(line.offset for line in record_lines(DirectoryFileStore(tmp_path)))
-    for cut in range(last + 1, len(whole)):
+    for cut in range(last + 1, len(complete_data)):
         folder = tmp_path / str(cut)
         folder.mkdir()
-        (folder / only.name).write_bytes(whole[:cut])
-        journal = Journal(folder, DISK)
+        (folder / only.name).write_bytes(complete_data[:cut])
+        journal = Journal(folder, BUDGET_BYTES)
         assert set(journal.entries) == {"m0", "m1", "m2"} and journal.entries["m2"].final_state == ""
         assert not journal.findings
         journal.append_final_outcome(journal.entries["m0"], "delivered")
         journal.close()
-        again = Journal(folder, DISK)
+        again = Journal(folder, BUDGET_BYTES)
         assert (
             again.entries["m0"].final_state == "delivered"
             and again.entries["m1"].uncertain_attempt is not None
@@ -61,18 +61,18 @@
         again.close()
 
 
-def test_damage_is_reported_once_mended_and_kept_aside(
+def test_damage_is_reported_once_repaired_and_quarantined(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    fill(tmp_path).close()
+    filled_journal(tmp_path).close()
     (only,) = segments(tmp_path)
     data, lost = (
         bytearray(only.read_bytes()),
         [line for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "try"],
     )
-    data[lost[0].offset + 24] ^= 4  # in what it says
+    data[lost[0].offset + 24] ^= 4  # in its payload
     only.write_bytes(data)
-    journal = Journal(tmp_path, DISK)
+    journal = Journal(tmp_path, BUDGET_BYTES)
     assert "a record of kind 2 of message m1 cannot be read" in caplog.text
     assert (
         journal.entries["m1"].uncertain_attempt is not None
@@ -82,13 +82,13 @@
     journal.close()
     assert (tmp_path / f"aside-{only.name}").read_bytes() == data
     caplog.clear()
-    again = Journal(tmp_path, DISK)
+    again = Journal(tmp_path, BUDGET_BYTES)
     assert not again.findings and again.entries["m1"].uncertain_attempt is not None
     again.close()
 
 
-def test_a_folder_of_a_newer_format_is_refused_with_one_line(tmp_path: Path) -> None:
-    fill(tmp_path).close()
+def test_a_directory_of_a_newer_format_is_rejected_with_one_line(tmp_path: Path) -> None:
+    filled_journal(tmp_path).close()
     (only,) = segments(tmp_path)
     data = bytearray(only.read_bytes())
     for at in (0, HEADER_BYTES // 2):
@@ -96,24 +96,24 @@
         data[at + HEADER.size : at + HEADER.size + 4] = CHECKSUM.pack(crc32(data[at : at + HEADER.size]))
     only.write_bytes(data)
     with pytest.raises(UnsupportedFormatError, match="its format is 9, and this program knows 2 at most"):
-        Journal(tmp_path, DISK)
+        Journal(tmp_path, BUDGET_BYTES)
 
 
-def test_a_body_that_looks_like_a_record_is_none(tmp_path: Path) -> None:
+def test_a_body_with_the_bytes_of_a_record_is_not_read_as_one(tmp_path: Path) -> None:
     """A client that knows the format must not be able to have its bytes read as records after damage."""
     fake = encode_frame(
         0, 3, RecordType.FINAL_OUTCOME, b"m0", encode_payload(FinalOutcomeRecord("delivered", 0.0))
     )
-    journal = Journal(tmp_path, DISK)
+    journal = Journal(tmp_path, BUDGET_BYTES)
     for n in range(3):
         journal.append_accepted(entry(f"m{n}", fake * 5))
     journal.close()
     (only,) = segments(tmp_path)
     data = bytearray(only.read_bytes())
     places = [line.offset for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
-    data[places[1]] ^= 1  # the reader has to look for the next frame, through that body
+    data[places[1]] ^= 1  # the reader searches for the next frame, through that body
     only.write_bytes(data)
-    again = Journal(tmp_path, DISK)
+    again = Journal(tmp_path, BUDGET_BYTES)
     assert (
         again.findings
         and again.entries["m0"].final_state == ""
@@ -122,8 +122,8 @@
     again.close()
 
 
-def test_a_short_write_is_taken_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    journal, write = fill(tmp_path), os.write
+def test_a_partial_write_is_truncated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    journal, write = filled_journal(tmp_path), os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda file, data: write(file, data[:20]))
         with pytest.raises(JournalError):
@@ -131,73 +131,73 @@
     assert "lost" not in journal.entries
     journal.append_accepted(entry("kept"))
     journal.close()
-    again = Journal(tmp_path, DISK)
+    again = Journal(tmp_path, BUDGET_BYTES)
     assert set(again.entries) == {"m0", "m1", "m2", "kept"} and not again.findings
     again.close()
 
 
 def test_a_closed_journal_writes_nothing(tmp_path: Path) -> None:
-    """Guards the end of the process: its descriptor's number may be a socket's by then."""
-    journal = fill(tmp_path)
+    """Guards the end of the process: the descriptor may belong to a socket by then."""
+    journal = filled_journal(tmp_path)
     journal.close()
     with open(tmp_path / "other", "wb"), pytest.raises(JournalError):
         journal.append_final_outcome(journal.entries["m0"], "failed")
     assert (tmp_path / "other").read_bytes() == b""
 
 
-def disk(folder: Path) -> int:
+def folder_disk_bytes(folder: Path) -> int:
     return sum(-(-path.stat().st_size // BLOCK_BYTES) * BLOCK_BYTES for path in folder.iterdir())
 
 
-def test_the_folder_stays_under_its_limit_with_old_new_and_large_bodies(tmp_path: Path) -> None:
-    journal, full = Journal(tmp_path, DISK), 0
+def test_the_directory_stays_within_its_budget_with_large_bodies(tmp_path: Path) -> None:
+    journal, full = Journal(tmp_path, BUDGET_BYTES), 0
     for n in range(300):
         try:
             journal.append_accepted(entry(f"m{n}", b"x" * (65536 if n % 3 else 100)))
         except JournalFullError:
             full += 1
-            held = next(each for each in journal.entries.values() if not each.final_state)
+            pending = next(each for each in journal.entries.values() if not each.final_state)
             for _ in range(8):
-                journal.append_attempt(held, 1500.0, "s-1", 0)
-                journal.append_outcome(held, False)
-            journal.append_final_outcome(held, "failed")
-            journal.append_notified([held.id])
-        assert disk(tmp_path) == journal.disk_bytes <= DISK
+                journal.append_attempt(pending, 1500.0, "s-1", 0)
+                journal.append_outcome(pending, False)
+            journal.append_final_outcome(pending, "failed")
+            journal.append_notified([pending.id])
+        assert folder_disk_bytes(tmp_path) == journal.disk_bytes <= BUDGET_BYTES
     assert full > 10 and journal.log.segments[0].number > 10
-    held_now = {ident for ident, each in journal.entries.items() if not each.final_state}
+    open_ids = {ident for ident, each in journal.entries.items() if not each.final_state}
     journal.close()
-    again = Journal(tmp_path, DISK)
-    assert {ident for ident, each in again.entries.items() if not each.final_state} == held_now
-    assert all(len(again.entries[ident].body) in (100, 65536) for ident in held_now)
+    again = Journal(tmp_path, BUDGET_BYTES)
+    assert {ident for ident, each in again.entries.items() if not each.final_state} == open_ids
+    assert all(len(again.entries[ident].body) in (100, 65536) for ident in open_ids)
     again.close()
 
 
-def test_a_full_folder_still_ends_all_that_was_taken(tmp_path: Path) -> None:
+def test_a_full_directory_still_finishes_all_accepted_messages(tmp_path: Path) -> None:
     """With bodies of all sizes, each message with as many attempts as it can have."""
     for size in (0, 300, 5000, 60000):
         folder = tmp_path / str(size)
         folder.mkdir()
-        journal = Journal(folder, DISK)
+        journal = Journal(folder, BUDGET_BYTES)
         with pytest.raises(JournalFullError):
             for n in range(1000):
                 journal.append_accepted(entry(f"m{n}", b"x" * size))
-        held = list(journal.entries.values())
-        assert len(held) >= 3 and (size < 60000 or len(held) * size > DISK // 4)
+        pending = list(journal.entries.values())
+        assert len(pending) >= 3 and (size < 60000 or len(pending) * size > BUDGET_BYTES // 4)
         for _ in range(8):
-            for one in held:
+            for one in pending:
                 journal.append_attempt(one, 1500.0, "a-name-of-an-endpoint", 0)
                 journal.append_outcome(one, True)
-        for one in held:
+        for one in pending:
             journal.append_final_outcome(one, "failed")
-        for one in held:
+        for one in pending:
             journal.append_notified([one.id])
-        assert disk(folder) == journal.disk_bytes <= DISK and not journal.overdue
-        journal.append_accepted(entry("more", b"x" * size))  # there is room again
+        assert folder_disk_bytes(folder) == journal.disk_bytes <= BUDGET_BYTES and not journal.overdue
+        journal.append_accepted(entry("more", b"x" * size))  # there is space again
         journal.close()
 
 
-def test_notices_owed_for_long_are_kept_while_the_log_goes_on(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK)
+def test_pending_notifications_survive_compaction(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, BUDGET_BYTES)
     for n in range(20):
         journal.append_accepted(entry(f"owed{n}"))
         journal.append_final_outcome(journal.entries[f"owed{n}"], "returned", 25.0)
@@ -208,17 +208,17 @@
         journal.compact(9000.0 + n)
     assert journal.log.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
     journal.close()
-    again = Journal(tmp_path, DISK)
+    again = Journal(tmp_path, BUDGET_BYTES)
     assert (
         sum(each.needs_notification and each.retry_after_ms == 25.0 for each in again.entries.values()) == 20
     )
     again.close()
 
 
-def test_the_old_file_is_taken_over_once(tmp_path: Path) -> None:
+def test_a_file_of_format_1_is_upgraded_once(tmp_path: Path) -> None:
     (tmp_path / "journal").write_bytes((Path(__file__).parent / "journal-1").read_bytes())
     (tmp_path / "journal.new").write_bytes(b"of a compaction that was cut off")
-    journal = Journal(tmp_path, DISK)
+    journal = Journal(tmp_path, BUDGET_BYTES)
     got = journal.entries
     assert [got[f"m{n}"].final_state for n in range(6)] == ["", "", "", "failed", "returned", "delivered"]
     assert (
@@ -229,23 +229,23 @@
     assert got["m4"].is_notified and got["m0"].body == bytes(10) and got["m2"].key == "k2"
     journal.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["seg-0000000001", "seg-0000000002"]
-    again = Journal(tmp_path, DISK)
+    again = Journal(tmp_path, BUDGET_BYTES)
     assert again.entries == got
     again.close()
 
 
-def test_of_the_old_file_a_record_that_cannot_be_read_is_taken_at_its_worst(tmp_path: Path) -> None:
-    lines_ = (Path(__file__).parent / "journal-1").read_bytes().splitlines()
-    lines_[0] = lines_[0].replace(b'"tenant":"t"', b'"tenant":"u"')
-    (tmp_path / "journal").write_bytes(b"\n".join([*lines_, b""]))
-    journal = Journal(tmp_path, DISK)
+def test_a_corrupt_record_of_format_1_is_assumed_to_state_the_worst(tmp_path: Path) -> None:
+    lines = (Path(__file__).parent / "journal-1").read_bytes().splitlines()
+    lines[0] = lines[0].replace(b'"tenant":"t"', b'"tenant":"u"')
+    (tmp_path / "journal").write_bytes(b"\n".join([*lines, b""]))
+    journal = Journal(tmp_path, BUDGET_BYTES)
     assert journal.entries["m0"].final_state == "failed" and journal.entries["m0"].needs_notification
     assert journal.findings and not journal.entries["m2"].final_state
     journal.close()
 
 
-def test_the_ended_are_forgotten_when_their_time_is_up_and_not_before_their_notice(tmp_path: Path) -> None:
-    journal = fill(tmp_path)
+def test_finished_messages_are_removed_after_their_deadline_and_notification(tmp_path: Path) -> None:
+    journal = filled_journal(tmp_path)
     journal.append_final_outcome(journal.entries["m0"], "delivered")
     journal.compact(8000.0)
     assert set(journal.entries) == {"m0", "m1", "m2"}
@@ -265,50 +265,50 @@
         max_size=40,
     )
 )
-def test_what_is_read_back_is_what_was_written(
+def test_recovery_reads_what_was_written(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]]
 ) -> None:
     folder = tmp_path_factory.mktemp("state")
-    journal = Journal(folder, DISK)
+    journal = Journal(folder, BUDGET_BYTES)
     for step, n in steps:
-        held = journal.entries.get(f"m{n}")
-        if step == "take" and held is None:
+        pending = journal.entries.get(f"m{n}")
+        if step == "take" and pending is None:
             journal.append_accepted(entry(f"m{n}", bytes([n]) * n))
         elif step == "compact":
             journal.log.start_segment()
             journal.compactor.rewrite_all()
-        elif held is not None:
+        elif pending is not None:
             if step == "try":
-                journal.append_attempt(held, 1500.0, "s-1", 1)
+                journal.append_attempt(pending, 1500.0, "s-1", 1)
             elif step in ("out", "ran"):
-                journal.append_outcome(held, step == "ran")
+                journal.append_outcome(pending, step == "ran")
             elif step == "end":
-                journal.append_final_outcome(held, "failed", 25.0)
+                journal.append_final_outcome(pending, "failed", 25.0)
             elif step == "told":
-                journal.append_notified([held.id])
+                journal.append_notified([pending.id])
             elif step == "drop":
-                journal.append_cancelled(held)
-    for held in journal.entries.values():  # a call that was out may have run
-        held.uncertain_attempt, held.attempt_in_flight = (
-            held.uncertain_attempt or held.attempt_in_flight,
+                journal.append_cancelled(pending)
+    for pending in journal.entries.values():  # an attempt in flight may have run
+        pending.uncertain_attempt, pending.attempt_in_flight = (
+            pending.uncertain_attempt or pending.attempt_in_flight,
             None,
         )
     journal.close()
-    again = Journal(folder, DISK)
+    again = Journal(folder, BUDGET_BYTES)
     assert again.entries == journal.entries and again.live_bytes == journal.live_bytes
-    assert again.disk_bytes == disk(folder)
+    assert again.disk_bytes == folder_disk_bytes(folder)
     again.close()
 
 
 @given(st.lists(st.sampled_from(["ran", "not", "killed"]), min_size=1, max_size=6))
-def test_the_first_attempt_that_may_have_run_is_known_over_any_number_of_restarts(
+def test_the_first_uncertain_attempt_survives_any_number_of_restarts(
     tmp_path_factory: pytest.TempPathFactory, ends: list[str]
 ) -> None:
     """Each attempt ends with an outcome, or its process is killed. Seen to fail for "killed, not, killed":
     the second restart took the message for one that had surely not run, and a keyed one went to another
     zone."""
     folder = tmp_path_factory.mktemp("state")
-    journal = Journal(folder, DISK)
+    journal = Journal(folder, BUDGET_BYTES)
     journal.append_accepted(entry("m"))
     first: float | None = None
     for n, how in enumerate(ends):
@@ -318,9 +318,9 @@
             first = at
         if how == "killed":
             journal.close()
-            journal = Journal(folder, DISK)
+            journal = Journal(folder, BUDGET_BYTES)
         else:
             journal.append_outcome(journal.entries["m"], how == "ran")
     journal.close()
-    risk = Journal(folder, DISK).entries["m"].uncertain_attempt
+    risk = Journal(folder, BUDGET_BYTES).entries["m"].uncertain_attempt
     assert (None if risk is None else risk.started_at_ms) == first
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -8,7 +8,7 @@
 from benchmarks.kills import Row, measure
 
 
-def test_kills_during_compaction_lose_nothing_and_pay_nothing_twice(tmp_path: Path) -> None:
+def test_kills_during_compaction_lose_nothing_and_repeat_no_payment(tmp_path: Path) -> None:
     """A few here; the hundreds are in benchmarks.kills."""
     row: Row = asyncio.run(asyncio.wait_for(measure(tmp_path, kills=6, seed=1), 120.0))
     assert row.broken == [] and row.kills == 6 and row.taken > 300 and row.segments > 6
--- a/tests/store/test_tool.py
+++ b/tests/store/test_tool.py
@@ -1,4 +1,4 @@
-"""`journal verify`, `show` and `stats`: on a folder that is well, that is hurt, and beside a relay."""
+"""`journal verify`, `show` and `stats`: on an intact and a damaged directory, and beside a relay."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from message_relay.store.recovery import recover
 
 
-def tool(*words: object) -> Result:
+def run_tool(*words: object) -> Result:
     return CliRunner().invoke(group, ["journal", *(str(word) for word in words)])
 
 
-def filled(folder: Path) -> Journal:
+def filled_journal(folder: Path) -> Journal:
     journal = Journal(folder, 400_000)
     for n in range(40):
         journal.append_accepted(
@@ -35,42 +35,45 @@
     return journal
 
 
-def test_what_lies_there_is_told_beside_a_relay_that_works_in_it(tmp_path: Path) -> None:
-    journal = filled(tmp_path)
-    done = tool("verify", tmp_path)
+def test_verify_show_and_stats_beside_a_running_relay(tmp_path: Path) -> None:
+    journal = filled_journal(tmp_path)
+    done = run_tool("verify", tmp_path)
     assert done.exit_code == 0 and "40 messages" in done.stdout and "0 findings" in done.stdout
-    done = tool("show", tmp_path, "m3")
+    done = run_tool("show", tmp_path, "m3")
     kinds = [line.split()[2] for line in done.stdout.splitlines() if line.startswith("seg-")]
     assert done.exit_code == 0 and kinds == ["take", "try", "out", "end"]
     assert "end=failed" in done.stdout and "s-1" in done.stdout and "secret" not in done.stdout
-    told = json.loads(tool("show", tmp_path, "m3", "--json").stdout)
-    now = told["now"]
+    document = json.loads(run_tool("show", tmp_path, "m3", "--json").stdout)
+    now = document["now"]
     assert now["end"] == "failed" and now["risk"]["endpoint"] == "s-1" and "body" not in now
-    counts = json.loads(tool("stats", tmp_path, "--json").stdout)
+    counts = json.loads(run_tool("stats", tmp_path, "--json").stdout)
     assert counts["open"] == 38 and counts["notices_owed"] == 1
     assert counts["ended"] == {"failed": 1, "delivered": 1}
     assert counts["records"]["take"] == 40 and counts["body_bytes"] == 38 * 800
-    assert "notices owed" in tool("stats", tmp_path).stdout
-    assert tool("show", tmp_path, "nobody").exit_code == 1 and tool("verify", tmp_path / "no").exit_code == 2
+    assert "notices owed" in run_tool("stats", tmp_path).stdout
+    assert (
+        run_tool("show", tmp_path, "nobody").exit_code == 1
+        and run_tool("verify", tmp_path / "no").exit_code == 2
+    )
     journal.append_accepted(
         JournalEntry("more", "plata", "t", 7, None, 1000.0, 9000.0, "", b"")
     )  # it was only read
     journal.close()
 
 
-def test_damage_is_told_a_line_each_and_nothing_is_mended(tmp_path: Path) -> None:
-    filled(tmp_path).close()
+def test_each_damage_is_a_line_and_nothing_is_repaired(tmp_path: Path) -> None:
+    filled_journal(tmp_path).close()
     path = sorted(tmp_path.glob("seg-*"))[0]
     data = bytearray(path.read_bytes())
     data[5000] ^= 1
     path.write_bytes(data)
     for _ in range(2):
-        done = tool("verify", tmp_path)
+        done = run_tool("verify", tmp_path)
         assert done.exit_code == 1 and "cannot be read" in done.stdout and "2 findings" in done.stdout
     assert path.read_bytes() == data
 
 
-def test_a_part_of_the_disk_that_cannot_be_read_costs_only_what_lies_there(
+def test_an_unreadable_part_of_the_disk_costs_only_its_records(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, 4_000_000)
@@ -91,12 +94,11 @@
     assert found.findings and 150 < len(well) < 260 and len(well) + len(lost) <= 300
     assert all(
         entry.uncertain_attempt is not None for entry in well if int(entry.id[1:]) < 70
-    )  # open then: maybe tried
+    )  # unfinished then: may have been attempted
 
 
-def test_a_real_limit_on_a_files_size_costs_a_segment_and_nothing_else(tmp_path: Path) -> None:
-    """RLIMIT_FSIZE, in a process of its own: half a record is taken back, the segment ends, and it goes
-    on."""
+def test_a_real_file_size_limit_costs_a_segment_only(tmp_path: Path) -> None:
+    """RLIMIT_FSIZE, in a process of its own: the partial record is truncated, and a new segment starts."""
     pid = os.fork()
     if pid == 0:
         code = 1
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -1,4 +1,4 @@
-"""What was learned of outages and told waits outlives a restart."""
+"""Knowledge of outages and Retry-After waits survives a restart."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def restarted(before: Driver, away_ms: float, folder: Path) -> Driver:
-    """The next process, on what the file holds of the one before."""
+    """The next process, with what the snapshot file holds of the previous one."""
     DestinationSnapshotFile(folder).save(1e12, before.relay.destination_snapshot(before.now))
     after = Driver(before.settings, now=5e6, seed=2)
     after.listed((11, 1), rate=10.0)
@@ -25,7 +25,7 @@
     return after
 
 
-def test_a_told_wait_is_kept_to_its_end_over_a_restart(tmp_path: Path) -> None:
+def test_a_retry_after_is_respected_over_a_restart(tmp_path: Path) -> None:
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.answer(d.message(), Outcome.FULL, wait=5000.0)
@@ -85,7 +85,7 @@
     assert not lane.is_ejected and lane.retry_after_until < d.now and 77 not in d.relay.destinations
 
 
-def test_what_is_well_leaves_no_trace(tmp_path: Path) -> None:
+def test_healthy_destinations_are_not_saved(tmp_path: Path) -> None:
     d = Driver()
     d.listed((11, 1), rate=10.0)
     d.warm_up()
@@ -107,16 +107,14 @@
         '{"version":1,"at":9e11,"lanes":[{"destination":1,"wait_ms":1e999,"out":true,"bad_ms":0,"cold_ms":0}]}',
     ],
 )
-def test_a_file_that_makes_no_sense_is_passed_over(
-    tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_an_invalid_file_is_ignored(tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture) -> None:
     (tmp_path / "learned").write_text(text)
     assert (
         DestinationSnapshotFile(tmp_path).load(1e12) == [] and "destination snapshot ignored" in caplog.text
     )
 
 
-def test_of_old_knowledge_only_waits_count(tmp_path: Path) -> None:
+def test_of_an_old_file_only_retry_afters_count(tmp_path: Path) -> None:
     DestinationSnapshotFile(tmp_path).save(
         1e12,
         [RestoredDestination(1, 2 * MAX_AGE_MS, True, 10.0, None), RestoredDestination(2, 0.0, True, 10.0)],
@@ -126,7 +124,7 @@
     ]
 
 
-def test_it_keeps_to_its_room(tmp_path: Path) -> None:
+def test_the_file_stays_within_its_size(tmp_path: Path) -> None:
     lanes = [RestoredDestination(n, 1234.567, True, 1234.567, 1234.567) for n in range(2000)]
     DestinationSnapshotFile(tmp_path).save(1e12, lanes)
     assert (tmp_path / "learned").stat().st_size <= MAX_FILE_BYTES
@@ -135,7 +133,7 @@
     assert json.loads((tmp_path / "learned").read_text())["version"] == 1
 
 
-def test_the_next_process_on_the_folder_heeds_the_wait(tmp_path: Path) -> None:
+def test_the_next_process_respects_the_retry_after(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server = Agent(), Server()
         await agent.start()
@@ -160,7 +158,7 @@
     run(work())
 
 
-def test_learned_that_makes_no_sense_names_its_field() -> None:
+def test_an_invalid_restored_destination_names_its_field() -> None:
     with pytest.raises(ValueError, match="learned.wait_ms"):
         RestoredDestination(1, -1.0)
     relay = DeliveryScheduler(make_settings(), 1)
