--- a/message_relay/http/client_messages.py
+++ b/message_relay/http/client_messages.py
@@ -30,7 +30,7 @@
     )
 )
 # A complete request in the usual form. What this accepts, h11 parses to the same request
-# (tests/test_plain.py).
+# (tests/http/test_plain_messages.py).
 PLAIN_REQUEST = re.compile(
     rb"(GET|POST) (/[!-~]{0,500}) HTTP/1\.1\r\n"
     rb"((?:[A-Za-z0-9-]{1,60}: ?[!-~](?:[ !-~]{0,400}[!-~])?\r\n){1,40})\r\n"
--- a/message_relay/http/endpoint_messages.py
+++ b/message_relay/http/endpoint_messages.py
@@ -15,7 +15,7 @@
 
 MAX_PLAIN_RESPONSE_BYTES = 2048  # longer ones are rare
 # A complete response in the usual form. What this accepts, h11 parses to the same response
-# (tests/test_plain.py).
+# (tests/http/test_plain_messages.py).
 PLAIN_RESPONSE = re.compile(
     rb"HTTP/1\.1 ([2-5]\d\d)(?: [ -~]*)?\r\n((?:[A-Za-z0-9-]{1,60}: ?[!-~]*\r\n){1,24})\r\n"
 )
--- a/tests/http/test_calls.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -21,10 +21,10 @@
 from ..conftest import Driver, make_settings
 from ..loopback import OK, Server, answer, run, until
 
-NO_PLACE = answer(503, "Connection: close")
+CONNECTION_REJECTED = answer(503, "Connection: close")
 
 
-def attempt(
+def make_attempt(
     address: tuple[str, int],
     body: bytes = b"b",
     endpoint: int = 1,
@@ -40,7 +40,7 @@
 # -- may it have run? --------------------------------------------------------------------------------------
 
 
-def test_a_call_given_up_as_its_last_byte_leaves_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_that_times_out_as_last_byte_leaves_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """The buffer is written out and the time is up in one turn of the loop: the task is woken by the
     time-out. Seen to fail where the end of `_written` was taken for the last byte: "could not connect" was
     claimed, which proves that nothing ran, and the endpoint had the whole call."""
@@ -72,7 +72,7 @@
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=sock, limit=1 << 16)
         made = asyncio.ensure_future(
-            EndpointClient(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), b"x" * size))
+            EndpointClient(60000.0, 20000.0, 10).attempt(make_attempt(sock.getsockname(), b"x" * size))
         )
         await until(lambda: bool(limits))
         gate.set()
@@ -83,7 +83,7 @@
     run(work())
 
 
-def test_a_call_given_up_before_its_last_byte_proves_that_nothing_ran() -> None:
+def test_attempt_that_times_out_before_last_byte_proves_no_effect() -> None:
     """The endpoint reads nothing: most of a large call still lies in the buffer when the time is up."""
 
     async def work() -> None:
@@ -91,7 +91,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.listen()
         result = await EndpointClient(60000.0, 20000.0, 10).attempt(
-            attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2)
+            make_attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2)
         )
         assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.close()
@@ -99,7 +99,7 @@
     run(work())
 
 
-def test_a_connection_that_comes_up_after_the_call_was_given_up_carries_nothing() -> None:
+def test_connection_established_after_timeout_carries_no_request() -> None:
     """The listener's queue is full, so that the connection comes up only once others were taken from it."""
 
     async def work() -> None:
@@ -110,7 +110,9 @@
         for each in crowd:
             each.setblocking(False)
             each.connect_ex(sock.getsockname())
-        result = await EndpointClient(60000.0, 20000.0, 10).attempt(attempt(sock.getsockname(), seconds=0.3))
+        result = await EndpointClient(60000.0, 20000.0, 10).attempt(
+            make_attempt(sock.getsockname(), seconds=0.3)
+        )
         assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.setblocking(False)
         loop, came = asyncio.get_running_loop(), list[bytes]()
@@ -136,7 +138,7 @@
         (b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Outcome.RESET),
     ],
 )
-def test_an_answer_that_stops_short_is_no_proof(reply: bytes, outcome: Outcome) -> None:
+def test_truncated_response_proves_nothing(reply: bytes, outcome: Outcome) -> None:
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\nb")
@@ -145,7 +147,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         result = await EndpointClient(60000.0, 20000.0, 10).attempt(
-            attempt(server.sockets[0].getsockname()[:2])
+            make_attempt(server.sockets[0].getsockname()[:2])
         )
         assert result.outcome is outcome and not result.outcome.proves_no_effect
         server.close()
@@ -156,7 +158,7 @@
 # -- held back ---------------------------------------------------------------------------------------------
 
 
-def test_a_call_held_back_by_a_drain_is_no_try() -> None:
+def test_attempt_withheld_by_drain_does_not_count() -> None:
     """Ten endpoints drain while connections to them come up: the message has all its attempts left, and
     goes to the next. Seen to fail where each of them counted: after five of five it was failed."""
     driver = Driver(make_settings(max_attempts=5))
@@ -174,7 +176,7 @@
     assert ident in driver.out and ident not in driver.ended
 
 
-def test_a_call_that_an_endpoint_turned_away_unsent_is_one() -> None:
+def test_attempt_rejected_unsent_by_endpoint_counts() -> None:
     driver = Driver(make_settings(max_attempts=3))
     driver.listed((1, 1))
     ident = driver.message()
@@ -187,33 +189,33 @@
 # -- few connections ---------------------------------------------------------------------------------------
 
 
-class Narrow(Server):
+class ServerWithConnectionLimit(Server):
     """An endpoint that holds `most` connections, idle ones counted."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
-        self.most, self.now, self.turned_away, self.gate = most, 0, 0, asyncio.Event()
+        self.max_connections, self.open_count, self.rejected_count, self.gate = most, 0, 0, asyncio.Event()
         self.gate.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.now += 1
+        self.open_count += 1
         try:
-            if self.now > self.most:
-                self.turned_away += 1
+            if self.open_count > self.max_connections:
+                self.rejected_count += 1
                 await reader.readuntil(b"\r\n\r\nb")
-                writer.write(NO_PLACE)
+                writer.write(CONNECTION_REJECTED)
                 writer.close()
                 return
             await super()._serve(reader, writer)
         finally:
-            self.now -= 1
+            self.open_count -= 1
 
     async def reply(self, seen: Any) -> bytes:
         await self.gate.wait()
         return OK
 
 
-async def calls_of(relays: list[EndpointClient], *servers: Server) -> int:
+async def attempt_at_all(relays: list[EndpointClient], *servers: Server) -> int:
     """Each relay calls each endpoint, beginning with another one, again and again until all have had an
     answer; how many were turned away meanwhile."""
 
@@ -221,7 +223,7 @@
         refused = 0
         for n in [(first + step) % len(servers) for step in range(len(servers))]:
             server = servers[n]
-            while (await calls.attempt(attempt(server.address, endpoint=n))).outcome is Outcome.FULL:
+            while (await calls.attempt(make_attempt(server.address, endpoint=n))).outcome is Outcome.FULL:
                 refused += 1
                 assert refused < 200, "the idle connections of others keep its place"
                 await asyncio.sleep(0)
@@ -230,17 +232,17 @@
     return sum(await asyncio.gather(*(one(n, calls) for n, calls in enumerate(relays))))
 
 
-def test_where_endpoints_hold_few_connections_idle_ones_make_room_for_others() -> None:
+def test_idle_connections_are_given_up_where_endpoints_accept_few() -> None:
     """Six relays, two endpoints with three places each. Seen to fail where connections were kept: three of
     six relays were turned away each time, for good."""
 
     async def work() -> None:
-        narrow = [Narrow(3), Narrow(3)]
+        narrow = [ServerWithConnectionLimit(3), ServerWithConnectionLimit(3)]
         for server in narrow:
             await server.start()
         relays = [EndpointClient(60000.0, 20000.0, 10) for _ in range(6)]
         for _ in range(3):
-            await calls_of(relays, *narrow)
+            await attempt_at_all(relays, *narrow)
         assert not any(calls.pool.idle_by_age for calls in relays)
         for calls in relays:
             calls.close()
@@ -248,18 +250,18 @@
     run(work())
 
 
-def test_a_place_held_idle_at_another_endpoint_of_the_kind_is_given_up() -> None:
+def test_idle_connections_to_endpoints_of_rejecting_kind_are_closed() -> None:
     """Whoever has a place meets no refusal there itself."""
 
     async def work() -> None:
-        roomy, full, other = Server(), Server(usual=NO_PLACE), Server()
+        roomy, full, other = Server(), Server(usual=CONNECTION_REJECTED), Server()
         for server in (roomy, full, other):
             await server.start()
         calls = EndpointClient(60000.0, 20000.0, 10)
-        await calls.attempt(attempt(roomy.address, endpoint=1, kind="small"))
-        await calls.attempt(attempt(other.address, endpoint=2, kind="large"))
+        await calls.attempt(make_attempt(roomy.address, endpoint=1, kind="small"))
+        await calls.attempt(make_attempt(other.address, endpoint=2, kind="large"))
         await until(lambda: len(calls.pool.idle_by_age) == 2)
-        result = await calls.attempt(attempt(full.address, endpoint=3, kind="small"))
+        result = await calls.attempt(make_attempt(full.address, endpoint=3, kind="small"))
         assert result.outcome is Outcome.FULL
         assert [key[0] for key in calls.pool.idle_by_age.values()] == [
             2
@@ -270,7 +272,7 @@
     run(work())
 
 
-def test_other_refusals_leave_connections_alone() -> None:
+def test_other_rejections_do_not_close_idle_connections() -> None:
     assert is_connection_rejection(503, {"connection": "Close"}, 1, 0.0)
     assert not is_connection_rejection(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
     assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # it had a place
@@ -280,7 +282,7 @@
     assert not is_connection_rejection(429, {"connection": "close"}, 1, 0.0)
 
 
-def test_places_are_scarce_for_a_while() -> None:
+def test_connection_rejection_is_remembered_for_a_while() -> None:
     keeping = KeepAlivePolicy()
     assert (
         keeping.allows_idle("k", 0.0)
@@ -311,17 +313,17 @@
         ("TEXT x0=0.5, x1=2, x9=y", (0.5, 2.0)),
     ],
 )
-def test_a_load_report_is_read_in_the_order_of_the_settings(text: str, report: tuple[float, ...]) -> None:
+def test_load_report_is_parsed_in_order_of_settings(text: str, report: tuple[float, ...]) -> None:
     assert parse_load_report(ResponseHead(200, {"endpoint-load-metrics": text}), ("x0", "x1")) == report
     assert parse_load_report(ResponseHead(200, {"endpoint-load-metrics": text}), ()) == ()
 
 
 @pytest.mark.parametrize("status", (200, 429, 500))
-def test_any_answer_may_carry_a_report(status: int) -> None:
+def test_any_response_may_carry_load_report(status: int) -> None:
     async def work() -> None:
         server = await Server(usual=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")).start()
         calls = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
-        assert (await calls.attempt(attempt(server.address))).load_report == (0.4, 25.0)
+        assert (await calls.attempt(make_attempt(server.address))).load_report == (0.4, 25.0)
         calls.close()
 
     run(work())
--- a/tests/test_clients.py
+++ b/tests/http/test_client_connections.py
@@ -10,40 +10,13 @@
 
 from message_relay.http import client_limits
 
-from .loopback import Agent, Client, Running, Server, message, relay, run, until
+from ..loopback import Client, message, run, until
+from .harness import RelayWithEndpoint, read_to_end
 
 GOOD = message("m")
 HEAD = b"POST /safe HTTP/1.1\r\nHost: x\r\n"
 
 
-class World:
-    """A relay with one endpoint."""
-
-    def __init__(self, folder: Path) -> None:
-        self.folder, self.agent, self.server = folder, Agent(), Server()
-        self.held = AsyncExitStack()
-
-    async def __aenter__(self) -> Running:
-        state = self.folder / "state"
-        state.mkdir()
-        await self.agent.start()
-        await self.server.start()
-        return await self.held.enter_async_context(relay(state, self.agent, self.server))
-
-    async def __aexit__(self, *_: object) -> None:
-        await self.held.aclose()
-
-
-async def ended(client: Client) -> bool:
-    """Reads on to the end of the connection."""
-    try:
-        while await client.reader.read(65536):
-            pass
-    except ConnectionError:
-        pass
-    return True
-
-
 @pytest.mark.parametrize(
     ("request_", "status"),
     [
@@ -73,23 +46,25 @@
         (b"\x16\x03\x01\x02\x00" * 9, 400),
     ],
 )
-def test_it_is_turned_away_and_the_connection_ends(tmp_path: Path, request_: bytes, status: int) -> None:
+def test_invalid_request_is_rejected_and_connection_ends(
+    tmp_path: Path, request_: bytes, status: int
+) -> None:
     async def work() -> None:
-        world = World(tmp_path)
+        world = RelayWithEndpoint(tmp_path)
         async with world as host, Client(host.ingress.port) as client:
             assert await client.ask(request_) == status and "connection: close" in client.head
-            assert await ended(client)
+            assert await read_to_end(client)
             assert not host.held and not host.journal.entries
         assert not world.server.seen
 
     run(work())
 
 
-def test_a_body_of_many_megabytes_is_answered_from_its_head_and_thrown_away(tmp_path: Path) -> None:
+def test_oversized_body_is_rejected_by_its_head_and_discarded(tmp_path: Path) -> None:
     """Guards memory, and the answer: a close with bytes unread would reset it away."""
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             size = 60 << 20
             client.writer.write(GOOD.replace(b"Content-Length: 5", b"Content-Length: %d" % size)[:-5])
             for _ in range(size >> 20):
@@ -115,24 +90,24 @@
         (GOOD.replace(b"Content-Length: 5", b"Content-Length: 50"), 408),
     ],
 )
-def test_what_does_not_come_in_time_is_ended(
+def test_incomplete_request_times_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, status: int
 ) -> None:
     for name in ("SILENT_TIMEOUT_S", "FIRST_REQUEST_TIMEOUT_S", "REQUEST_TIMEOUT_S", "SWEEP_INTERVAL_S"):
         monkeypatch.setattr(client_limits, name, 0.05)
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             if sent:
                 assert await client.ask(sent) == status
-            assert await ended(client)
+            assert await read_to_end(client)
             await until(lambda: not host.ingress.connections)
             assert not host.held
 
     run(work())
 
 
-def test_waits_for_bad_clients_end_within_what_they_are_owed_and_spare_the_others() -> None:
+def test_timeouts_are_within_promised_bounds() -> None:
     slowest = (
         max(client_limits.SILENT_TIMEOUT_S, client_limits.FIRST_REQUEST_TIMEOUT_S)
         + client_limits.SWEEP_INTERVAL_S
@@ -141,9 +116,9 @@
     assert min(client_limits.SILENT_TIMEOUT_S, client_limits.MIN_IDLE_S, client_limits.IDLE_TIMEOUT_S) >= 2.0
 
 
-def test_half_a_request_and_an_end_of_sending_is_answered(tmp_path: Path) -> None:
+def test_half_closed_partial_request_is_answered(tmp_path: Path) -> None:
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             client.writer.write(GOOD[:-2])
             client.writer.write_eof()
             assert await client.status() == 400 and not host.held
@@ -151,7 +126,7 @@
     run(work())
 
 
-def test_a_kept_connection_is_closed_when_it_has_been_idle_for_long(
+def test_idle_connection_is_closed_after_idle_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors against clients that ask once and keep their connection for good."""
@@ -159,7 +134,7 @@
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.05)
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             assert await client.ask(GOOD) == 202
             assert await client.reader.read() == b""
             await until(lambda: not host.ingress.connections)
@@ -171,13 +146,13 @@
     run(work())
 
 
-def test_where_many_stand_idle_the_next_are_not_kept_and_those_no_longer_than_they_are_owed(
+def test_crowded_listener_keeps_no_further_connection_and_shortens_idle_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards clients that may hold only so many connections: those that stay shut the others out."""
 
     async def work() -> None:
-        async with World(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
             port, host.ingress.crowding_threshold = host.ingress.port, 3
             idle = [await open_.enter_async_context(Client(port)) for _ in range(3)]
             for count, client in enumerate(idle):
@@ -185,7 +160,7 @@
                 assert "connection: close" not in client.head
             async with Client(port) as once:
                 assert await once.ask(message("b")) == 202 and "connection: close" in once.head
-                assert await ended(once)
+                assert await read_to_end(once)
             assert await idle[0].ask(message("c")) == 202 and "connection: close" not in idle[0].head
             now = asyncio.get_running_loop().time()
             assert len(
@@ -198,14 +173,14 @@
     run(work())
 
 
-def test_a_crowd_that_says_nothing_makes_room_for_one_that_asks(
+def test_silent_connections_are_evicted_for_a_client_with_a_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the descriptors that calls need, and the usual clients' way in."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.0)
 
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             port, host.ingress.max_connections = host.ingress.port, 3
             async with Client(port) as usual, Client(port) as first, Client(port) as second:
                 assert await usual.ask(message("a")) == 202
@@ -213,20 +188,20 @@
                     async with Client(port) as other:
                         assert await other.ask(message(f"b{count}")) == 202
                         assert len(host.ingress.connections) <= 3
-                assert await ended(first) and await ended(second)
+                assert await read_to_end(first) and await read_to_end(second)
                 assert await usual.ask(message("c")) == 202  # idle for less than 2 s: it is spared
 
     run(work())
 
 
-def test_newcomers_are_not_ended_for_one_another_while_others_have_been_idle(
+def test_new_connections_are_not_evicted_while_idle_ones_exist(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a way in that closes behind each: its first bytes come right after it, not with it."""
     monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
 
     async def work() -> None:
-        async with World(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
             port, host.ingress.max_connections = host.ingress.port, 4
             idle = [await open_.enter_async_context(Client(port)) for _ in range(4)]
             for count, client in enumerate(idle):
@@ -236,16 +211,16 @@
             for count, client in enumerate(new):
                 assert await client.ask(message(f"b{count}")) == 202
             for client in idle:
-                assert await ended(client)
+                assert await read_to_end(client)
 
     run(work())
 
 
-def test_who_only_looks_in_makes_room_for_who_hands_in(tmp_path: Path) -> None:
+def test_health_check_connections_are_evicted_before_submitters(tmp_path: Path) -> None:
     """Guards messages against a crowd that asks for the health and stays."""
 
     async def work() -> None:
-        async with World(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
             port, host.ingress.max_connections = host.ingress.port, 4
             usual = await open_.enter_async_context(Client(port))
             assert await usual.ask(message("a")) == 202
@@ -259,11 +234,11 @@
     run(work())
 
 
-def test_only_connections_without_an_open_request_make_room(
+def test_only_connections_without_open_request_are_evicted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             port, host.ingress.max_connections = host.ingress.port, 2
             async with Client(port) as half, Client(port) as kept:
                 half.writer.write(GOOD[:60])
@@ -275,21 +250,19 @@
                     assert len(host.ingress.connections) == 2 and "b" not in host.journal.entries
                     monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
                     assert await other.status() == 202
-                assert await ended(kept)
+                assert await read_to_end(kept)
                 half.writer.write(GOOD[60:])
                 assert await half.status() == 202
 
     run(work())
 
 
-def test_one_that_asks_nonsense_again_and_again_is_read_less_often(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_repeated_invalid_requests_are_throttled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the others' share of the processor; each answer still comes at once."""
     monkeypatch.setattr(client_limits, "PENALTY_S", 0.01)
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             bad = message("m", "other")
             assert await client.ask(bad) == 400
             (connection,) = host.ingress.connections
@@ -300,9 +273,9 @@
     run(work())
 
 
-def test_nobody_ends_or_withdraws_another_clients_message_by_its_id(tmp_path: Path) -> None:
+def test_client_cannot_cancel_message_of_another_by_its_id(tmp_path: Path) -> None:
     async def work() -> None:
-        world = World(tmp_path)
+        world = RelayWithEndpoint(tmp_path)
         world.server.hold = asyncio.Event()
         async with world as host, Client(host.ingress.port) as usual:
             assert await usual.ask(GOOD) == 202
--- a/tests/http/test_endings.py
+++ b/tests/http/test_connection_endings.py
@@ -18,18 +18,18 @@
 from message_relay.http.client_messages import ClientRequest, ClientResponse
 
 from ..loopback import Client, Running, message, run, until
-from ..test_clients import World, ended
+from .harness import RelayWithEndpoint, read_to_end
 
 
 @contextmanager
-def raw(port: int) -> Iterator[socket.socket]:
+def connect_raw(port: int) -> Iterator[socket.socket]:
     """Connected at once, by the system's queue: the relay's loop has had no turn."""
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.settimeout(10)
         yield sock
 
 
-async def all_of(sock: socket.socket) -> bytes:
+async def read_to_eof(sock: socket.socket) -> bytes:
     """What comes until the relay's end of sending; a reset raises ConnectionResetError."""
     sock.setblocking(False)
     loop, text = asyncio.get_running_loop(), b""
@@ -38,20 +38,20 @@
     return text
 
 
-async def answered(sock: socket.socket) -> bytes:
+async def read_response(sock: socket.socket) -> bytes:
     sock.setblocking(False)
     return await asyncio.get_running_loop().sock_recv(sock, 65536)
 
 
-def test_bytes_that_come_right_before_the_end_do_not_reset_the_last_answer(
+def test_bytes_received_right_before_end_do_not_reset_last_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen to fail where the last answer was followed by a close: the connection was reset."""
 
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             host.ingress.crowding_threshold = 0  # so many are idle that no connection is kept
-            with raw(host.ingress.port) as sock:
+            with connect_raw(host.ingress.port) as sock:
                 answer = ClientConnection._write_response
 
                 def and_more(self: ClientConnection, reply: ClientResponse) -> None:
@@ -60,7 +60,7 @@
 
                 monkeypatch.setattr(ClientConnection, "_write_response", and_more)
                 sock.send(message("a"))
-                text = await all_of(sock)
+                text = await read_to_eof(sock)
                 assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
             assert list(host.journal.entries) == ["a"]  # what is read after the end is not taken on
             await until(lambda: not host.ingress.connections)
@@ -68,36 +68,36 @@
     run(work())
 
 
-def test_a_request_on_a_resting_connection_in_the_moment_of_a_stop_is_answered(tmp_path: Path) -> None:
+def test_request_on_idle_connection_at_moment_of_stop_is_answered(tmp_path: Path) -> None:
     """Seen to fail where a stop closed whatever was idle: the request was cut with no answer."""
 
     async def work() -> None:
-        async with World(tmp_path) as host:
-            with raw(host.ingress.port) as sock:
+        async with RelayWithEndpoint(tmp_path) as host:
+            with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a"))
-                assert (await answered(sock)).startswith(b"HTTP/1.1 202")
+                assert (await read_response(sock)).startswith(b"HTTP/1.1 202")
                 sock.send(message("b"))
                 host.ingress.stop()
-                text = await all_of(sock)
+                text = await read_to_eof(sock)
                 assert text.startswith(b"HTTP/1.1 202") and b"connection: close" in text.lower()
             assert list(host.journal.entries) == ["a", "b"]
 
     run(work())
 
 
-def test_a_client_that_rests_until_the_relay_ends_is_ended_without_a_reset_and_in_time(
+def test_idle_client_is_ended_at_stop_without_reset_and_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It goes on sending after the relay's end, and is neither taken on nor kept for good."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
-        async with World(tmp_path) as host:
-            with raw(host.ingress.port) as sock:
+        async with RelayWithEndpoint(tmp_path) as host:
+            with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a"))
-                assert (await answered(sock)).startswith(b"HTTP/1.1 202")
+                assert (await read_response(sock)).startswith(b"HTTP/1.1 202")
                 host.ingress.stop()
-                assert await all_of(sock) == b""
+                assert await read_to_eof(sock) == b""
                 sock.send(message("late"))
                 await until(lambda: not host.ingress.connections)
             assert list(host.journal.entries) == ["a"]
@@ -105,61 +105,63 @@
     run(work())
 
 
-def test_connections_in_the_systems_queue_at_a_stop_are_answered(tmp_path: Path) -> None:
+def test_connections_in_kernel_queue_at_stop_are_answered(tmp_path: Path) -> None:
     """Seen to fail where the listener was closed with its queue: all were reset."""
 
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             socks = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(5)]
             for n, sock in enumerate(socks):
                 sock.send(message(f"m{n}"))
             host.ingress.stop()  # the loop has had no turn since they came
             for sock in socks:
-                assert (await all_of(sock)).startswith(b"HTTP/1.1 202")
+                assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202")
                 sock.close()
             assert len(host.journal.entries) == 5
 
     run(work())
 
 
-def test_a_connection_that_has_just_come_has_the_time_for_its_first_bytes_at_a_stop(tmp_path: Path) -> None:
+def test_new_connection_keeps_time_for_first_bytes_at_stop(tmp_path: Path) -> None:
     async def work() -> None:
-        async with World(tmp_path) as host:
-            with raw(host.ingress.port) as sock, raw(host.ingress.port) as silent:
+        async with RelayWithEndpoint(tmp_path) as host:
+            with connect_raw(host.ingress.port) as sock, connect_raw(host.ingress.port) as silent:
                 await until(lambda: len(host.ingress.connections) == 2)
                 host.ingress.stop()
                 await asyncio.sleep(0)
                 sock.send(message("a"))
-                assert (await all_of(sock)).startswith(b"HTTP/1.1 202")
+                assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202")
                 begun = time.monotonic()
-                assert await all_of(silent) == b"" and time.monotonic() - begun < 2.0
+                assert await read_to_eof(silent) == b"" and time.monotonic() - begun < 2.0
 
     run(work())
 
 
-def test_half_a_request_at_a_stop_is_answered_when_its_time_is_up(
+def test_partial_request_at_stop_is_answered_at_its_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_limits, "FIRST_REQUEST_TIMEOUT_S", 0.2)
 
     async def work() -> None:
-        async with World(tmp_path) as host:
-            with raw(host.ingress.port) as sock:
+        async with RelayWithEndpoint(tmp_path) as host:
+            with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a")[:50])
                 await until(lambda: any(not each.is_idle for each in host.ingress.connections))
                 host.ingress.stop()
-                assert (await all_of(sock)).startswith(b"HTTP/1.1 408")
+                assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 408")
             assert not host.journal.entries
 
     run(work())
 
 
-def test_a_flood_at_a_stop_ends_within_its_bound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flooding_client_at_stop_is_ended_within_bound(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It never stops sending, and never ends: it is answered, and its connection goes."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             client.writer.write(message("a") * 50)
             host.ingress.stop()
             assert await client.status() == 400
@@ -173,18 +175,18 @@
     run(work())
 
 
-def test_one_that_must_go_for_another_loses_no_answer_to_bytes_that_lie_unread(tmp_path: Path) -> None:
+def test_evicted_lingering_connection_keeps_its_response_despite_unread_bytes(tmp_path: Path) -> None:
     """Of those that linger the oldest makes room: our end of sending has gone out behind its answer."""
 
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             host.ingress.crowding_threshold = 0
-            with raw(host.ingress.port) as sock:
+            with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a"))
                 await until(lambda: bool(host.ingress.lingering))
                 sock.send(b"x" * 1000)
                 next(iter(host.ingress.lingering)).evict()
-                text = await all_of(sock)
+                text = await read_to_eof(sock)
                 assert text.startswith(b"HTTP/1.1 202")
 
     run(work())
@@ -193,7 +195,7 @@
 # -- answers that wait for a disk --------------------------------------------------------------------------
 
 
-class Waiting:
+class ListenerWithPendingSync:
     """Clients whose answers wait for a sync that does not come."""
 
     def __init__(self, nothing_ran: bool) -> None:
@@ -210,7 +212,7 @@
 
 
 @pytest.mark.parametrize(("nothing_ran", "status"), [(True, b"503"), (False, b"500")])
-def test_a_taken_message_whose_answer_never_may_come_is_withdrawn_before_its_client_hears(
+def test_accepted_message_without_sync_is_cancelled_before_client_is_answered(
     monkeypatch: pytest.MonkeyPatch, nothing_ran: bool, status: bytes
 ) -> None:
     """Seen to fail where the connection's time-out said 408 and the message stayed until the connection had
@@ -218,12 +220,12 @@
     monkeypatch.setattr(client_limits, "DURABILITY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        it = Waiting(nothing_ran)
+        it = ListenerWithPendingSync(nothing_ran)
         it.clients.listen("127.0.0.1", 0)
         watch = asyncio.ensure_future(it.clients.watch())
-        with raw(it.clients.port) as sock:
+        with connect_raw(it.clients.port) as sock:
             sock.send(message("m"))
-            text = await answered(sock)
+            text = await read_response(sock)
             assert text.split()[1] == status and it.withdrawn == ["m"]
         await until(lambda: not it.clients.connections)
         assert it.withdrawn == ["m"]  # once
@@ -234,14 +236,14 @@
 
 
 @pytest.mark.parametrize("how", ("half", "whole"))
-def test_one_that_ends_its_sending_while_its_answer_waits_for_a_sync(how: str) -> None:
+def test_client_that_closes_while_response_waits_for_sync(how: str) -> None:
     """With a half close it still reads: it hears that coming again is harmless."""
 
     async def work() -> None:
-        it, sync = Waiting(True), asyncio.get_running_loop().create_future()
+        it, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
         it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
         it.clients.listen("127.0.0.1", 0)
-        with raw(it.clients.port) as sock:
+        with connect_raw(it.clients.port) as sock:
             sock.send(message("m"))
             await until(lambda: any(each.unsent_ids for each in it.clients.connections))
             if how == "half":
@@ -250,7 +252,7 @@
                 sock.close()
             sync.set_result(None)
             if how == "half":
-                assert (await all_of(sock)).split()[1] == b"503"
+                assert (await read_to_eof(sock)).split()[1] == b"503"
             await until(lambda: it.withdrawn == ["m"])
         await until(lambda: not it.clients.connections)
         it.clients.stop()
@@ -258,35 +260,35 @@
     run(work())
 
 
-def test_a_stop_while_an_answer_waits_for_a_sync_lets_it_out(tmp_path: Path) -> None:
+def test_stop_while_response_waits_for_sync_sends_it(tmp_path: Path) -> None:
     async def work() -> None:
-        it, sync = Waiting(True), asyncio.get_running_loop().create_future()
+        it, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
         it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
         it.clients.listen("127.0.0.1", 0)
-        with raw(it.clients.port) as sock:
+        with connect_raw(it.clients.port) as sock:
             sock.send(message("m"))
             await until(lambda: any(each.unsent_ids for each in it.clients.connections))
             it.clients.stop()
             sync.set_result(None)
-            assert (await all_of(sock)).startswith(b"HTTP/1.1 202") and not it.withdrawn
+            assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202") and not it.withdrawn
 
     run(work())
 
 
-def test_a_crowd_that_fills_the_way_in_leaves_those_behind_it_waiting_and_not_reset(
+def test_clients_beyond_capacity_wait_and_are_not_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen to fail where what had no room was accepted and closed: one in some hundred messages was cut."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.3)
 
     async def work() -> None:
-        async with World(tmp_path) as host:
+        async with RelayWithEndpoint(tmp_path) as host:
             host.ingress.max_connections = 4
             crowd = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(4)]
             await until(lambda: len(host.ingress.connections) == 4)
-            with raw(host.ingress.port) as sock:
+            with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a"))
-                assert (await answered(sock)).startswith(b"HTTP/1.1 202")
+                assert (await read_response(sock)).startswith(b"HTTP/1.1 202")
                 assert len(host.ingress.connections) <= 4
             for each in crowd:
                 each.close()
@@ -298,13 +300,13 @@
     return not host.ingress.connections
 
 
-def test_an_idle_connection_is_ended_without_a_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_ended_without_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_limits, "IDLE_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
-            assert await ended(client)
+            assert await read_to_end(client)
             await until(lambda: no_connection(host))
 
     run(work())
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery_client.py
@@ -22,7 +22,7 @@
 from ..loopback import Agent, Client, Running, Server, answer, host_of, listing, message, relay, run, until
 
 
-def left_untried(folder: Path, count: int) -> Path:
+def journal_with_pending_messages(folder: Path, count: int) -> Path:
     """What an earlier process took on and did not get to."""
     state = folder / "state"
     state.mkdir()
@@ -33,27 +33,27 @@
     return state
 
 
-async def old_and_new() -> tuple[Agent, Server, Server]:
+async def start_agent_and_two_servers() -> tuple[Agent, Server, Server]:
     agent, old, new = Agent(), Server(), Server()
     for each in (agent, old, new):
         await each.start()
     return agent, old, new
 
 
-def moved(old: Server, new: Server, generation: int = 2) -> dict[str, Any]:
+def list_with_move(old: Server, new: Server, generation: int = 2) -> dict[str, Any]:
     raw = listing(old, generation=generation, reset=False, state="draining")
     raw["instances"] += listing(new)["instances"]
     return raw
 
 
-def test_what_a_restart_found_does_not_go_where_the_first_answer_says_drain(tmp_path: Path) -> None:
+def test_restored_messages_are_not_sent_to_endpoint_that_first_poll_reports_draining(tmp_path: Path) -> None:
     """The operators' sighting on the days of rolling restarts. Seen to fail without the wait for it:
     two of three went to the endpoint that had drained while the process was away."""
 
     async def work() -> None:
-        state = left_untried(tmp_path, 3)
-        agent, old, new = await old_and_new()
-        agent.tell(moved(old, new))
+        state = journal_with_pending_messages(tmp_path, 3)
+        agent, old, new = await start_agent_and_two_servers()
+        agent.tell(list_with_move(old, new))
         async with relay(state, agent, old):
             await until(lambda: len(new.seen) == 3)
             assert not old.seen
@@ -62,10 +62,10 @@
     run(work())
 
 
-def test_where_discovery_is_silent_at_the_start_the_known_list_serves_after_a_wait(tmp_path: Path) -> None:
+def test_configured_list_is_used_after_wait_if_discovery_is_silent_at_start(tmp_path: Path) -> None:
     async def work() -> None:
-        state = left_untried(tmp_path, 3)
-        agent, old, _ = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 3)
+        agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
         begun = time.monotonic()
         async with relay(state, agent, old) as host:
@@ -78,19 +78,19 @@
     run(work())
 
 
-def test_an_old_agents_answer_that_has_come_is_not_taken_after_a_reload(tmp_path: Path) -> None:
+def test_received_answer_of_former_agent_is_ignored_after_reload(tmp_path: Path) -> None:
     """The answer lies in the watch's future when the reload comes: neither its list nor its version may be
     carried to the new agent, whose versions count anew."""
 
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, new = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, new = await start_agent_and_two_servers()
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))  # a watch is open
             link = host.register.agent.connection
             assert link is not None
-            body = json.dumps(moved(old, new, generation=90))
+            body = json.dumps(list_with_move(old, new, generation=90))
             # The answer is read, and the task that waits for it not yet woken, in the moment of the reload.
             link.data_received(answer(200, body=body))
             assert link.complete_body.done()
@@ -112,10 +112,10 @@
 
 
 @pytest.mark.parametrize("moment", ("pause", "watch"))
-def test_a_reload_in_a_pause_and_in_a_watch_asks_the_new_agent_at_once(tmp_path: Path, moment: str) -> None:
+def test_reload_polls_new_agent_at_once(tmp_path: Path, moment: str) -> None:
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, new = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, new = await start_agent_and_two_servers()
         other = await Agent().start()
         async with relay(state, agent, old) as host:
             if moment == "pause":
@@ -135,10 +135,10 @@
 
 
 @pytest.mark.parametrize("text", ("compact", "indented"))
-def test_a_list_that_moves_an_endpoint_to_another_address_is_followed(tmp_path: Path, text: str) -> None:
+def test_changed_endpoint_address_is_followed(tmp_path: Path, text: str) -> None:
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, new = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, new = await start_agent_and_two_servers()
         async with relay(state, agent, old) as host:
             raw = listing(new, generation=2, reset=False)
             (name,) = host.directory.by_name
@@ -156,35 +156,35 @@
     run(work())
 
 
-def test_a_list_that_is_cut_in_the_middle_changes_nothing_and_is_asked_for_again(tmp_path: Path) -> None:
+def test_truncated_list_changes_nothing_and_is_polled_again(tmp_path: Path) -> None:
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, new = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, new = await start_agent_and_two_servers()
         async with relay(state, agent, old) as host:
             await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
-            whole = answer(200, body=json.dumps(moved(old, new)))
+            whole = answer(200, body=json.dumps(list_with_move(old, new)))
             agent.changes.put_nowait(whole[:-40])
             await until(lambda: bool(agent.writers) and len(agent.seen) >= 2)
             agent.writers[-1].close()  # the rest never comes
             await until(lambda: len(agent.seen) >= 4)
             assert host.register.version == 1 and len(host.directory.by_name) == 1
-            agent.tell(moved(old, new))
+            agent.tell(list_with_move(old, new))
             await until(lambda: host.register.version == 2)
 
     run(work())
 
 
-def test_during_the_drain_of_a_stop_lists_are_still_followed(tmp_path: Path) -> None:
+def test_lists_are_followed_during_graceful_shutdown(tmp_path: Path) -> None:
     """Discovery goes silent and comes back while the process ends: what it holds goes to what stands then."""
 
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, new = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, new = await start_agent_and_two_servers()
         host = host_of(state, agent, old)
         await host.start()
         await until(lambda: bool(agent.seen))
         stopping = asyncio.ensure_future(host.stop())
-        agent.tell(moved(old, new))
+        agent.tell(list_with_move(old, new))
         await until(lambda: host.register.version == 2)
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("n")) == 202
@@ -195,13 +195,13 @@
     run(work())
 
 
-def test_a_register_asks_another_agent_for_all_it_has(tmp_path: Path) -> None:
+def test_reload_requests_full_list_from_new_agent(tmp_path: Path) -> None:
     async def work() -> None:
         register = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
         register.version = 7
         register.poll_schedule.on_answered()
         assert isinstance(register.agent, AgentLink)
-        state = left_untried(tmp_path, 0)
+        state = journal_with_pending_messages(tmp_path, 0)
         agent = await Agent().start()
         host: Running = host_of(state, agent)
         register.reload(host.host.config)
@@ -212,7 +212,7 @@
     run(work())
 
 
-def test_the_wait_for_the_first_list_makes_nothing_younger(tmp_path: Path) -> None:
+def test_wait_for_first_list_does_not_extend_deadlines(tmp_path: Path) -> None:
     """Seen to fail where events were gathered during the wait: a message's end and its key's window, told as
     times to go, came later by the wait, and a keyed message was sent again half a second past its window."""
 
@@ -224,7 +224,7 @@
         journal.append_accepted(entry)
         journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # window 4 s: over before the wait is
         journal.close()
-        agent, old, _ = await old_and_new()
+        agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
         async with relay(state, agent, old):
             assert (await agent.notices.get())["id"] == "k"
@@ -233,10 +233,10 @@
     run(work())
 
 
-def test_a_stop_before_the_first_list_keeps_what_an_earlier_process_learned(tmp_path: Path) -> None:
+def test_stop_before_first_list_keeps_destination_snapshot(tmp_path: Path) -> None:
     async def work() -> None:
-        state = left_untried(tmp_path, 0)
-        agent, old, _ = await old_and_new()
+        state = journal_with_pending_messages(tmp_path, 0)
+        agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
         lane = {"destination": 7, "wait_ms": 30000.0, "out": False, "bad_ms": None, "cold_ms": None}
         text = json.dumps({"version": 1, "at": unix_time_ms(), "lanes": [lane]})
--- a/tests/test_egress.py
+++ b/tests/http/test_endpoint_client.py
@@ -10,13 +10,13 @@
 
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions.model import Outcome
-from message_relay.http import endpoint_client as egress_module
+from message_relay.http import endpoint_client
 from message_relay.http.endpoint_client import EndpointClient
 
-from .loopback import OK, Server, answer, run, until
+from ..loopback import OK, Server, answer, run, until
 
 
-def call(
+def make_attempt(
     address: tuple[str, int],
     seconds: float = 20.0,
     may: Callable[[], bool] = lambda: True,
@@ -28,7 +28,7 @@
     return Attempt(endpoint, address, "id", "key", body, until, may, careful)
 
 
-def egress(idle_ms: float = 60000.0, connect_ms: float = 20000.0, most: int = 10) -> EndpointClient:
+def make_client(idle_ms: float = 60000.0, connect_ms: float = 20000.0, most: int = 10) -> EndpointClient:
     return EndpointClient(idle_ms, connect_ms, most)
 
 
@@ -56,11 +56,11 @@
         ("close", AttemptResult(Outcome.RESET)),
     ],
 )
-def test_an_answer_or_an_end_after_the_last_byte(reply: bytes | str, expected: AttemptResult) -> None:
+def test_result_of_response_or_end_after_last_byte(reply: bytes | str, expected: AttemptResult) -> None:
     async def work() -> None:
         server = await Server().start()
         server.script.append(reply)
-        assert await egress().attempt(call(server.address)) == expected
+        assert await make_client().attempt(make_attempt(server.address)) == expected
         assert server.seen[0].headers["x-trace-id"] == "id"
         assert server.seen[0].headers["idempotency-key"] == "key" and server.seen[0].body == b"b"
         assert 0 < int(server.seen[0].headers["x-expires-in-ms"]) <= 20000
@@ -111,51 +111,53 @@
         (FULL + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.TIMEOUT, retry_after_ms=350.0)),
     ],
 )
-def test_a_spoilt_answer(monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: AttemptResult) -> None:
+def test_result_of_malformed_response(
+    monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: AttemptResult
+) -> None:
     """The endpoint leaves the connection open; nothing more is ever sent on it."""
-    monkeypatch.setattr(egress_module, "BODY_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(endpoint_client, "BODY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         server.script.append(reply)
-        assert await calls.attempt(call(server.address)) == expected
-        assert await calls.attempt(call(server.address)) == AttemptResult(Outcome.OK, finished=True)
+        assert await calls.attempt(make_attempt(server.address)) == expected
+        assert await calls.attempt(make_attempt(server.address)) == AttemptResult(Outcome.OK, finished=True)
         assert [seen.connection for seen in server.seen] == [1, 2]
         await until(lambda: server.readers[0].at_eof() or server.readers[0].exception() is not None)
 
     run(work())
 
 
-def test_a_second_answer_that_lies_unread_is_not_the_next_calls() -> None:
+def test_unread_second_response_is_not_used_for_next_attempt() -> None:
     """Guards against a delivery that never was: the copy came after the pool had the connection back."""
 
     async def work() -> None:
-        server, calls = await Server().start(), egress()
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.pool.idle_by_endpoint[1, server.address]
+        server, calls = await Server().start(), make_client()
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        (connection,) = calls.pool.idle_by_endpoint[1, server.address]
         server.script.append(answer(500))
         server.writers[0].write(OK)  # the loop is not left in between: it lies in the socket, not yet read
-        assert not link.has_no_unread_input and link.is_usable
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.ERROR
+        assert not connection.has_no_unread_input and connection.is_usable
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
 
     run(work())
 
 
-class Brittle:
+class OneRequestServer:
     """Answers one request on each connection; what comes next meets `end`. Sees requests only when whole."""
 
     def __init__(self, end: bytes | None, first: bytes = OK) -> None:
-        self.end, self.first, self.whole, self.opened = end, first, 0, 0
+        self.end, self.first, self.complete_requests, self.opened_count = end, first, 0, 0
 
     async def start(self) -> tuple[str, int]:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return tuple(server.sockets[0].getsockname()[:2])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.opened_count += 1
         await reader.readuntil(b"\r\n\r\nb")
-        self.whole += 1
+        self.complete_requests += 1
         writer.write(self.first)
         await reader.read(1)
         if self.end is None:
@@ -165,30 +167,30 @@
 
 
 @pytest.mark.parametrize("end", [None, OK, answer(503)])
-def test_a_kept_connection_that_breaks_before_the_last_byte_costs_a_careful_call_nothing(
+def test_unsafe_attempt_survives_reused_connection_that_breaks_before_last_byte(
     monkeypatch: pytest.MonkeyPatch, end: bytes | None
 ) -> None:
     """Guards unsafe messages: a reset after the last byte would be final, and so would a stray 200."""
-    monkeypatch.setattr(egress_module, "UNSAFE_WITHHOLD_S", 1.0)
+    monkeypatch.setattr(endpoint_client, "UNSAFE_WITHHOLD_S", 1.0)
 
     async def work() -> None:
-        server, calls, asked = Brittle(end), egress(), list[int]()
+        server, calls, asked = OneRequestServer(end), make_client(), list[int]()
 
         def may() -> bool:
             asked.append(1)
             return True
 
         address = await server.start()
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        got = await calls.attempt(call(address, careful=True, may=may))
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        got = await calls.attempt(make_attempt(address, careful=True, may=may))
         assert got == AttemptResult(Outcome.OK, finished=True)
-        assert server.whole == server.opened == 2 and len(asked) == 3
+        assert server.complete_requests == server.opened_count == 2 and len(asked) == 3
 
     run(work())
 
 
-def test_a_new_connection_that_breaks_before_the_last_byte_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(egress_module, "UNSAFE_WITHHOLD_S", 1.0)
+def test_new_connection_broken_before_last_byte_proves_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_client, "UNSAFE_WITHHOLD_S", 1.0)
 
     async def work() -> None:
         async def drop(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -196,19 +198,19 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
-        got = await egress().attempt(call(server.sockets[0].getsockname(), careful=True))
+        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), careful=True))
         assert got.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
-def test_what_changed_while_the_last_byte_was_held_back_stops_the_call() -> None:
+def test_attempt_is_withheld_if_permission_ends_before_last_byte() -> None:
     """Guards told waits and key windows, which count from the last byte."""
 
     async def work() -> None:
-        server, calls, may = await Server().start(), egress(), iter([True, False])
+        server, calls, may = await Server().start(), make_client(), iter([True, False])
         assert await calls.attempt(
-            call(server.address, careful=True, may=lambda: next(may))
+            make_attempt(server.address, careful=True, may=lambda: next(may))
         ) == AttemptResult(Outcome.NOT_SENT, withheld=True)
         await until(server.left)
         assert server.opened == 1 and not server.seen and not calls.pool.idle_by_endpoint
@@ -216,31 +218,31 @@
     run(work())
 
 
-def test_while_connections_break_every_call_on_a_kept_one_holds_its_last_byte(
+def test_last_byte_is_withheld_on_reused_connections_after_a_break(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(egress_module, "WITHHOLD_S", 1.0)
+    monkeypatch.setattr(endpoint_client, "WITHHOLD_S", 1.0)
 
     async def work() -> None:
-        server, calls = Brittle(None), egress()
+        server, calls = OneRequestServer(None), make_client()
         address = await server.start()
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        assert (await calls.attempt(call(address))).outcome is Outcome.RESET  # the first one tells
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        assert server.whole == server.opened == 3
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.RESET  # the first one tells
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        assert server.complete_requests == server.opened_count == 3
 
     run(work())
 
 
-def test_an_endpoint_at_the_address_of_another_gets_connections_of_its_own() -> None:
+def test_endpoint_at_reused_address_gets_own_connections() -> None:
     """Guards against a call on its predecessor's connection, also one whose answer was still coming."""
 
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         server.script += [OK, b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na"]
-        await asyncio.gather(*(calls.attempt(call(server.address)) for _ in range(2)))
-        assert (await calls.attempt(call(server.address, endpoint=2))).outcome is Outcome.OK
+        await asyncio.gather(*(calls.attempt(make_attempt(server.address)) for _ in range(2)))
+        assert (await calls.attempt(make_attempt(server.address, endpoint=2))).outcome is Outcome.OK
         calls.retain_only({(2, server.address)})
         server.writers[1].write(b"a")
         await until(
@@ -251,28 +253,28 @@
     run(work())
 
 
-def test_a_silent_endpoint_is_timed_out_and_its_connection_closed() -> None:
+def test_silent_endpoint_times_out_and_connection_is_closed() -> None:
     async def work() -> None:
         server = await Server(usual=None).start()
-        calls = egress()
-        assert (await calls.attempt(call(server.address, 0.2))).outcome is Outcome.TIMEOUT
+        calls = make_client()
+        assert (await calls.attempt(make_attempt(server.address, 0.2))).outcome is Outcome.TIMEOUT
         assert not calls.pool.idle_by_endpoint
 
     run(work())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_proves_no_effect() -> None:
     async def work() -> None:
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            got = await egress().attempt(call(closed.getsockname()))
+            got = await make_client().attempt(make_attempt(closed.getsockname()))
         assert got.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
 @pytest.mark.parametrize(("give_up_s", "connect_ms"), [(20.0, 100.0), (0.1, 20000.0)])
-def test_a_connection_that_never_comes_up_never_ran(give_up_s: float, connect_ms: float) -> None:
+def test_connect_timeout_proves_no_effect(give_up_s: float, connect_ms: float) -> None:
     async def work() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
@@ -281,7 +283,9 @@
             for sock in fill:
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
-            got = await egress(connect_ms=connect_ms).attempt(call(full.getsockname(), give_up_s))
+            got = await make_client(connect_ms=connect_ms).attempt(
+                make_attempt(full.getsockname(), give_up_s)
+            )
             for sock in fill:
                 sock.close()
         assert got.outcome is Outcome.CONNECT_FAILED
@@ -289,7 +293,7 @@
     run(work())
 
 
-def test_a_break_before_the_last_byte_is_written_never_ran() -> None:
+def test_break_while_writing_proves_no_effect() -> None:
     async def work() -> None:
         async def drop(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(10)
@@ -297,59 +301,59 @@
 
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
         big = b"x" * (64 << 20)  # more than the sockets between can hold
-        got = await egress().attempt(call(server.sockets[0].getsockname(), body=big))
+        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), body=big))
         assert got.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
-def test_giving_up_before_the_last_byte_is_written_never_ran() -> None:
+def test_timeout_while_writing_proves_no_effect() -> None:
     async def work() -> None:
         async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(60)
 
         server = await asyncio.start_server(deaf, "127.0.0.1", 0)
         big = b"x" * (64 << 20)
-        got = await egress().attempt(call(server.sockets[0].getsockname(), 0.3, body=big))
+        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), 0.3, body=big))
         assert got.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
-def test_what_changed_while_connecting_stops_the_call_before_its_first_byte() -> None:
+def test_attempt_is_withheld_if_permission_ends_while_connecting() -> None:
     """Guards drains, told waits and deadlines: a connect takes time. The connection is kept for the next."""
 
     async def work() -> None:
-        server, calls = await Server().start(), egress()
-        got = await calls.attempt(call(server.address, may=lambda: False))
+        server, calls = await Server().start(), make_client()
+        got = await calls.attempt(make_attempt(server.address, may=lambda: False))
         assert got == AttemptResult(Outcome.NOT_SENT, withheld=True)
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
 
     run(work())
 
 
-def test_one_connection_serves_call_after_call() -> None:
+def test_connection_is_reused_for_consecutive_attempts() -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         for _ in range(5):
-            assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
+            assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert server.opened == 1
 
     run(work())
 
 
-def test_calls_at_once_each_have_a_connection_and_the_pool_is_bounded() -> None:
+def test_concurrent_attempts_have_own_connections_and_pool_is_bounded() -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress(most=2)
-        got = await asyncio.gather(*(calls.attempt(call(server.address)) for _ in range(5)))
+        server, calls = await Server().start(), make_client(most=2)
+        got = await asyncio.gather(*(calls.attempt(make_attempt(server.address)) for _ in range(5)))
         assert {each.outcome for each in got} == {Outcome.OK}
         assert server.opened == 5 and len(calls.pool.idle_by_endpoint[1, server.address]) == 2
 
     run(work())
 
 
-def test_a_pooled_connection_that_was_closed_is_not_used() -> None:
+def test_closed_pooled_connection_is_not_reused() -> None:
     """Guards against resets for nothing: a request on it would count as sent, and may have run."""
 
     async def work() -> None:
@@ -360,59 +364,59 @@
             await reader.readuntil(b"\r\n\r\nb")
             writer.write(OK)
 
-        server, calls = await asyncio.start_server(once, "127.0.0.1", 0), egress()
+        server, calls = await asyncio.start_server(once, "127.0.0.1", 0), make_client()
         address = server.sockets[0].getsockname()
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
-        (link,) = calls.pool.idle_by_endpoint[1, address]
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        (connection,) = calls.pool.idle_by_endpoint[1, address]
         opened[0].close()
-        await until(lambda: not link.is_usable)
-        assert (await calls.attempt(call(address))).outcome is Outcome.OK
+        await until(lambda: not connection.is_usable)
+        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
         assert len(opened) == 2
 
     run(work())
 
 
-def test_an_answer_that_closes_leaves_nothing_in_the_pool() -> None:
+def test_response_with_connection_close_is_not_pooled() -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         server.script.append(answer(200, "Connection: close"))
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert not calls.pool.idle_by_endpoint.get((1, server.address))
 
     run(work())
 
 
-def test_a_connection_idle_for_long_is_not_used() -> None:
+def test_connection_idle_for_too_long_is_not_reused() -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress()
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.pool.idle_by_endpoint[1, server.address]
-        link.idle_since -= 0.81 * 60
+        server, calls = await Server().start(), make_client()
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        (connection,) = calls.pool.idle_by_endpoint[1, server.address]
+        connection.idle_since -= 0.81 * 60
         calls.sweep()
-        assert not calls.pool.idle_by_endpoint and not link.is_usable
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
+        assert not calls.pool.idle_by_endpoint and not connection.is_usable
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert server.opened == 2
 
     run(work())
 
 
 @pytest.mark.parametrize("stray", [OK, b"x"])
-def test_an_answer_that_nobody_asked_for_is_not_the_next_calls(stray: bytes) -> None:
+def test_unsolicited_response_is_not_used_for_next_attempt(stray: bytes) -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         server.script += [OK + stray, answer(500)]
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.ERROR
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
 
     run(work())
 
 
-def test_a_body_that_comes_late_keeps_its_connection_busy() -> None:
+def test_connection_is_not_pooled_before_body_is_complete() -> None:
     async def work() -> None:
-        server, calls = await Server().start(), egress()
+        server, calls = await Server().start(), make_client()
         server.script.append(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na")
-        assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
+        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert (
             not calls.pool.idle_by_endpoint
         )  # the outcome is known; the connection is not free before the body is whole
@@ -420,13 +424,13 @@
     run(work())
 
 
-def test_connections_to_where_an_endpoint_no_longer_is_are_closed() -> None:
+def test_connections_to_former_address_are_closed() -> None:
     async def work() -> None:
-        kept, left, calls = await Server().start(), await Server().start(), egress()
+        kept, left, calls = await Server().start(), await Server().start(), make_client()
         for server in (kept, left):
-            assert (await calls.attempt(call(server.address))).outcome is Outcome.OK
-        (link,) = calls.pool.idle_by_endpoint[1, left.address]
+            assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        (connection,) = calls.pool.idle_by_endpoint[1, left.address]
         calls.retain_only({(1, kept.address)})
-        assert set(calls.pool.idle_by_endpoint) == {(1, kept.address)} and not link.is_usable
+        assert set(calls.pool.idle_by_endpoint) == {(1, kept.address)} and not connection.is_usable
 
     run(work())
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -19,7 +19,7 @@
 HELD_BACK = {"outcome": Outcome.NOT_SENT, "withheld": True}
 
 
-def sent_while_out(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
+def ejected_destination_with_attempt(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
     """One of so many, which knows of the outage and has just made a call: its connection is asked for."""
     d = Driver(make_settings(relays=relays), seed=seed)
     d.listed((11, 1), rate=60.0)
@@ -33,8 +33,8 @@
     return d, d.sent[-1][1].id
 
 
-def test_a_late_connection_to_what_was_out_carries_no_call_that_was_paced_before() -> None:
-    d, ident = sent_while_out()
+def test_late_connection_to_ejected_destination_carries_no_earlier_attempt() -> None:
+    d, ident = ejected_destination_with_attempt()
     send = d.out[ident]
     assert d.relay.may_write(d.now + SLOW_CONNECT_MS, ident)  # in its time it goes
     d.now += SLOW_CONNECT_MS + 1
@@ -52,14 +52,14 @@
     )  # and where connections always take long it still goes
 
 
-def test_it_is_paced_anew_too_where_another_call_has_found_it_back() -> None:
-    d, ident = sent_while_out()
+def test_late_attempt_is_rescheduled_after_another_found_destination_recovered() -> None:
+    d, ident = ejected_destination_with_attempt()
     lane = d.relay.destinations[1][-1]
     slow_start.begin_warm_up(d.relay.settings, d.now + 100.0, lane)  # answered meanwhile
     assert not lane.is_ejected and not d.relay.may_write(d.now + SLOW_CONNECT_MS + 1, ident)
 
 
-def test_a_late_connection_to_a_destination_that_was_well_carries_its_call() -> None:
+def test_late_connection_to_healthy_destination_carries_its_attempt() -> None:
     d = Driver(make_settings(relays=RELAYS))
     d.listed((11, 1), rate=60.0)
     d.warm_up()
@@ -69,14 +69,14 @@
     assert d.out[ident] and d.relay.may_write(d.now + 4 * SLOW_CONNECT_MS, ident)
 
 
-def test_connections_that_come_up_together_carry_no_call_at_once_and_are_kept_for_the_paced_ones() -> None:
+def test_simultaneous_late_connections_carry_no_burst_and_are_pooled() -> None:
     """Twenty real connections wait for a system that drops what it is asked, and come up with its return.
     Without the last look at the pace all of them carry their calls in one moment."""
 
     async def work() -> None:
         held = unheard(("127.0.0.1", 0))
         address = held[0].getsockname()
-        made = [sent_while_out(seed=seed) for seed in range(RELAYS)]
+        made = [ejected_destination_with_attempt(seed=seed) for seed in range(RELAYS)]
         loop = asyncio.get_running_loop()
         begun = loop.time()
         calls = [EndpointClient(10_000.0, 8000.0, 8) for _ in made]
--- a/tests/test_plain.py
+++ b/tests/http/test_plain_messages.py
@@ -73,7 +73,7 @@
     st.sampled_from([b"hello", b"", b"hello!", b"hell"]),
     st.integers(0, 3),
 )
-def test_requests(
+def test_plain_requests_are_parsed_as_by_h11(
     method: str,
     target: str,
     version: str,
@@ -101,7 +101,7 @@
     assert http.our_state is h11.DONE  # it may be kept, as the short way does
 
 
-def test_an_ordinary_request_goes_the_short_way() -> None:
+def test_usual_request_is_parsed_without_h11() -> None:
     headers = [("X-Trace-Id", ": ", "a"), ("X-Qos", ": ", "safe")]
     data = bytes_of("POST /safe HTTP/1.1", headers, "5", b"hello", 0)
     plain = parse_plain_request(data)
@@ -129,7 +129,9 @@
     st.sampled_from([b"hello", b"", b"hello!", b"hell"]),
     st.integers(0, 3),
 )
-def test_answers(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> None:
+def test_plain_responses_are_parsed_as_by_h11(
+    start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int
+) -> None:
     data = bytes_of(start, headers, length, body, cut)
     plain = parse_plain_response(data)
     if plain is None:
@@ -158,7 +160,7 @@
     ],
 )
 @pytest.mark.parametrize("last", [False, True])
-def test_answers_to_clients_are_those_that_h11_reads(reply: ClientResponse, last: bool) -> None:
+def test_encoded_responses_are_readable_by_h11(reply: ClientResponse, last: bool) -> None:
     http = h11.Connection(h11.CLIENT)
     for asked in (
         h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS),
@@ -176,7 +178,7 @@
     assert headers.get("retry-after") == ("1.000" if reply.retry_after_s else None)
 
 
-def test_a_header_that_would_begin_another_is_not_written() -> None:
+def test_header_with_line_break_is_rejected() -> None:
     for value in ("a\r\nX: y", "a\nb", "a\0"):
         with pytest.raises(ConnectionLostError, match="line break"):
             encode_request("POST", "/inbox", [("X-Trace-Id", value)], b"")
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -19,15 +19,15 @@
 from message_relay.decisions.events import AttemptCompleted, Event, TimerFired
 from message_relay.decisions.model import Outcome
 from message_relay.decisions.scheduler import DeliveryScheduler
-from message_relay.http import outcome_notifier as http_notices
+from message_relay.http import outcome_notifier
 from message_relay.http.agent import AgentClient as AgentLink
 from message_relay.http.errors import AgentError
 from message_relay.http.outcome_notifier import OutcomeNotifier
 from message_relay.http.socket_state import is_socket_ready
 
 from .conftest import make_settings
+from .http.harness import RelayWithEndpoint
 from .loopback import Agent, Client, Server, answer, message, relay, run, until
-from .test_clients import World
 
 OWED_S = 0.3  # an end comes no later after its message's time
 
@@ -57,7 +57,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert (
-            sum(agent.waited) + MAX_JITTER * http_notices.MIN_BACKOFF_S < OWED_S / 1.5
+            sum(agent.waited) + MAX_JITTER * outcome_notifier.MIN_BACKOFF_S < OWED_S / 1.5
         )  # a half is left for all else
 
     run(work())
@@ -72,7 +72,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert agent.waited == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-        assert notices.timeout_s == http_notices.MIN_TIMEOUT_S  # it answers at once again
+        assert notices.timeout_s == outcome_notifier.MIN_TIMEOUT_S  # it answers at once again
 
     run(work())
 
@@ -100,7 +100,7 @@
     """As the protocol page says of a request's time. Its client's answer comes after it, in its own 0.4 s."""
 
     async def work() -> None:
-        async with World(tmp_path) as host, Client(host.ingress.port) as client:
+        async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             text = message("m", left=5000)
             client.writer.write(text[:40])
             await until(lambda: any(not each.is_idle for each in host.ingress.connections))
@@ -153,7 +153,7 @@
     """Seen to fail where its task was cancelled before its first step: the module never heard of it."""
 
     async def work() -> None:
-        world = World(tmp_path)
+        world = RelayWithEndpoint(tmp_path)
         async with world as host, Client(host.ingress.port) as client:
             world.server.usual = None
             ended = list[Event]()
@@ -186,7 +186,7 @@
     a power cut, and when the first connection went, the message went with it."""
 
     async def work() -> None:
-        world = World(tmp_path)
+        world = RelayWithEndpoint(tmp_path)
         async with world as host:
             sync = asyncio.get_running_loop().create_future()
             host.journal.barrier = lambda: sync  # type: ignore[method-assign]
