--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -42,7 +42,9 @@
 WAYS = ("all know", "half know", "restarted", "uneven", "hint high", "silent", "unheard")
 RATE, LOAD = 40.0, 0.8  # calls a second that it takes warm, and of them that are asked for
 DOWN_MS, BACK_MS, END_MS = 4_000.0, 11_000.0, 24_000.0
-SAFETY = Safety(cold_share=0.18, cold_ms=11_000.0, fall_multiple=2.0, fall_ms=1_500.0)
+SAFETY = Safety(
+    warm_up_initial_share=0.18, warm_up_ms=11_000.0, overload_multiple=2.0, overload_window_ms=1_500.0
+)
 HINT = 1.5  # a rough rate may be listed so much too high
 REFUSED_MS, ANSWER_MS = 15.0, 120.0
 SAID_ANEW_MS, CONNECT_MS = (1_000.0, 3_000.0), 5_000.0  # of a connection, and how long a relay waits for it
@@ -108,7 +110,7 @@
         relay = DeliveryScheduler(self.settings, rng.getrandbits(32))
         listed = RATE * (HINT if self.way == "hint high" else 1.0)
         entry = Endpoint(1, 1, Listing.READY, rate=listed)
-        relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
+        relay.handle(0.0, [EndpointList(ListKind.COMPLETE, (entry,))])
         return relay
 
     def _arrivals(self, rng: random.Random) -> None:
@@ -164,7 +166,7 @@
             self._handle(
                 now,
                 n,
-                [AttemptCompleted(send.id, 0, send.endpoint, Outcome.NOT_SENT, 0.0, withheld=True)],
+                [AttemptCompleted(send.id, 0, send.endpoint, Outcome.NOT_SENT, 0.0, was_withheld=True)],
             )
 
     # -- what came of it ---------------------------------------------------------------------------------
@@ -174,11 +176,11 @@
         two thirds came from relays that knew, as the rule says."""
         late, first, worst = [call for call in self.calls if call[0] >= BACK_MS], 0, 0.0
         for last, (at, _) in enumerate(late):
-            while late[first][0] <= at - SAFETY.fall_ms:
+            while late[first][0] <= at - SAFETY.overload_window_ms:
                 first += 1
             window = late[first : last + 1]
             if 3 * sum(knew for _, knew in window) > 2 * len(window):
-                worst = max(worst, len(window) / allowed(max(BACK_MS, at - SAFETY.fall_ms)))
+                worst = max(worst, len(window) / allowed(max(BACK_MS, at - SAFETY.overload_window_ms)))
         return worst
 
     def full_use_s(self) -> float:
@@ -191,9 +193,9 @@
 
 
 def allowed(start: float) -> float:
-    middle = min(1.0, (start + SAFETY.fall_ms / 2 - BACK_MS) / SAFETY.cold_ms)
-    can = RATE * (SAFETY.cold_share + (1 - SAFETY.cold_share) * middle)
-    budget = SAFETY.fall_multiple * can * SAFETY.fall_ms / 1000
+    middle = min(1.0, (start + SAFETY.overload_window_ms / 2 - BACK_MS) / SAFETY.warm_up_ms)
+    can = RATE * (SAFETY.warm_up_initial_share + (1 - SAFETY.warm_up_initial_share) * middle)
+    budget = SAFETY.overload_multiple * can * SAFETY.overload_window_ms / 1000
     return budget + 2 * sqrt(budget) + 2
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -89,7 +89,7 @@
         self.relay = DeliveryScheduler(settings, seed)
         self.feed(
             EndpointList(
-                ListKind.WHOLE,
+                ListKind.COMPLETE,
                 tuple(Endpoint(d, d, Listing.READY, rate=1e5) for d in range(1, dests + 1)),
             )
         )
@@ -114,7 +114,7 @@
         self.feed(Message(self.ids, dest, 2, 8000.0))
         while self.out:
             send = self.out.popleft()
-            self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.FULL, 20.0, wait_ms=3.6e6))
+            self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.FULL, 20.0, retry_after_ms=3.6e6))
 
     def _message(self, age_ms: float | None = None) -> Message:
         self.ids += 1
@@ -125,7 +125,7 @@
         left = CLASSES[class_].deadline_ms - (age_ms or 0.0)
         # Those that are there at the beginning have had a try: they may make room for others.
         tries = 0 if age_ms is None else 1
-        return Message(self.ids, dest, class_, left, self.rng.randrange(2), age_ms=age_ms, tries=tries)
+        return Message(self.ids, dest, class_, left, self.rng.randrange(2), age_ms=age_ms, attempts=tries)
 
     def run(self, messages: int) -> None:
         """So many more messages: each comes, and the oldest call ends, as long as enough are held."""
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -249,7 +249,7 @@
         left = due - now
         if left <= 0:
             return
-        message = Message(0, life.destination, life.class_, left, again=life.tries > 1)
+        message = Message(0, life.destination, life.class_, left, is_repeat=life.tries > 1)
         come_ms = node.engine.turned_away(node.number, now, message, len(node.held))
         if come_ms is not None:
             self.record.refused += 1
@@ -268,7 +268,7 @@
         node.latest += 1
         number, life = node.latest, node.kept[message].life
         node.held[number] = message
-        node.events.append(Message(number, life.destination, life.class_, left, again=again, **resumed))  # type: ignore[arg-type]
+        node.events.append(Message(number, life.destination, life.class_, left, is_repeat=again, **resumed))  # type: ignore[arg-type]
 
     def _again(self, life: Life, now: float, told_ms: float) -> None:
         """Refused, or given back: the client comes again if it has tries and time."""
@@ -291,8 +291,8 @@
         seed = int(stream(self.seed, "relay", node.number, node.life, *self.salt).integers(1 << 30))
         node.engine.start(node.number, self._settings(node), seed, share)
         listing = self.listing.values()
-        entries = tuple(self._seen(node, each) for each in listing if each.listing is not Listing.GONE)
-        node.events.append(EndpointList(ListKind.WHOLE, entries))
+        entries = tuple(self._seen(node, each) for each in listing if each.listing is not Listing.REMOVED)
+        node.events.append(EndpointList(ListKind.COMPLETE, entries))
         node.events += node.learned
         for message, kept in node.kept.items():
             risk_at = kept.risk
@@ -304,9 +304,9 @@
                 message,
                 kept.due - now,
                 age_ms=now - kept.since,
-                tries=kept.tries,
-                risk_age_ms=None if risk_at is None else now - risk_at[0],
-                risk=risk,
+                attempts=kept.tries,
+                uncertain_for_ms=None if risk_at is None else now - risk_at[0],
+                uncertain_endpoint=risk,
             )
         self._turn(node, now)
         self._opens(node, True)
--- a/message_relay/core/acceptance.py
+++ b/message_relay/core/acceptance.py
@@ -63,7 +63,7 @@
             self.class_indexes[source.class_name],
             remaining_ms,
             self.tenant_indexes.get(source.tenant, 0),
-            again=source.resubmission == RESUBMITTED,
+            is_repeat=source.resubmission == RESUBMITTED,
             from_dead_relay=source.resubmission == RESUBMITTED_AFTER_CRASH,
         )
 
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -236,7 +236,7 @@
         entry = accepted.entry
         messages = self.messages
         if messages.journal.entries.get(entry.id) is entry:  # and not a later message with the same id
-            if event.finished:
+            if event.is_final:
                 messages.release(number)
                 messages.outcomes.record(entry, "delivered" if event.outcome is Outcome.OK else "over")
             elif entry.attempt_in_flight is not None:
--- a/message_relay/core/directory.py
+++ b/message_relay/core/directory.py
@@ -9,7 +9,7 @@
 from ..decisions.model import Endpoint, Listing, ListKind, Settings
 from .ports import EndpointKey, EndpointRecord, EndpointUpdate
 
-REMOVED = (Listing.GONE, Listing.UNNEEDED)
+REMOVED = (Listing.REMOVED, Listing.UNNEEDED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
             self.listed_counts.clear()
         for known in updated:
             self._replace(known, changed, destinations)
-        kind = ListKind.WHOLE if update.is_full else ListKind.CHANGES
+        kind = ListKind.COMPLETE if update.is_full else ListKind.CHANGES
         event = EndpointList(kind, tuple(known.endpoint for known in updated))
         return DirectoryChanges(event, list(changed.items()), destinations)
 
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ..decisions.endpoint_registry import FORGET_AFTER_MS
+from ..decisions.endpoint_registry import EVICT_AFTER_MS
 from ..decisions.events import RestoredDestination
 from ..decisions.model import Endpoint
 
@@ -19,14 +19,14 @@
     restored: RestoredDestination
 
     def is_expired(self, now: float) -> bool:
-        return now >= self.since_ms + FORGET_AFTER_MS
+        return now >= self.since_ms + EVICT_AFTER_MS
 
     def aged(self, now: float) -> RestoredDestination:
         return aged(self.restored, now - self.since_ms)
 
 
 class RestoredState:
-    """At most what the snapshot file holds; each destination for FORGET_AFTER_MS."""
+    """At most what the snapshot file holds; each destination for EVICT_AFTER_MS."""
 
     def __init__(self) -> None:
         self.destinations: dict[int, _Retained] = {}
--- a/message_relay/core/resume.py
+++ b/message_relay/core/resume.py
@@ -29,12 +29,14 @@
     `unix_ms` and `uptime_ms`: now, on the wall clock and on the monotonic clock. `number_of`: the number of
     an endpoint by its name.
     """
-    resumed = replace(message, age_ms=max(0.0, unix_ms - entry.accepted_at_ms), tries=entry.attempt_count)
+    resumed = replace(message, age_ms=max(0.0, unix_ms - entry.accepted_at_ms), attempts=entry.attempt_count)
     uncertain = entry.uncertain_attempt
     if uncertain is None:
         return resumed
     endpoint = Endpoint(number_of(uncertain.endpoint), entry.destination, Listing.READY, zone=uncertain.zone)
-    return replace(resumed, risk_age_ms=attempt_age_ms(uncertain, unix_ms, uptime_ms), risk=endpoint)
+    return replace(
+        resumed, uncertain_for_ms=attempt_age_ms(uncertain, unix_ms, uptime_ms), uncertain_endpoint=endpoint
+    )
 
 
 def attempt_age_ms(attempt: Attempt, unix_ms: float, uptime_ms: float) -> float:
--- a/message_relay/decisions/actions.py
+++ b/message_relay/decisions/actions.py
@@ -18,7 +18,7 @@
     """Not delivered, and trying again is harmless."""
 
     id: int
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_relay/decisions/admission.py
+++ b/message_relay/decisions/admission.py
@@ -19,7 +19,7 @@
     lowest = min(weights)
     next_lowest = min((weight for weight in weights if weight > lowest), default=lowest)
     # As if there were as many messages of each class.
-    additional = sum(weights) * goal.worst_class / max(goal.whole + goal.worst_window, 0.01)
+    additional = sum(weights) * goal.worst_class / max(goal.total + goal.worst_window, 0.01)
     return [min(next_lowest, weight + additional) if weight == lowest else weight for weight in weights]
 
 
@@ -55,9 +55,9 @@
         """The state of an accepted message, which is charged to its tenant's quota."""
         left = self._quota_left(now, message)
         entry = self.new_entry(now, message, left)
-        if message.risk_age_ms is not None:
-            entry.first_uncertain_at = now - message.risk_age_ms
-        entry.uncertain_endpoint = message.risk
+        if message.uncertain_for_ms is not None:
+            entry.first_uncertain_at = now - message.uncertain_for_ms
+        entry.uncertain_endpoint = message.uncertain_endpoint
         if left < FOREVER:
             self.quota_tokens[message.tenant] = left - (left >= 1), now
         return entry
@@ -65,16 +65,20 @@
     def new_entry(self, now: float, message: Message, quota_left: float) -> PendingMessage:
         """The state of a message with its times and its weight."""
         settings = self.rate_controller.settings
-        message_class = settings.classes[message.class_]
+        message_class = settings.classes[message.class_index]
         # An unmarked first submission is new however little time it has left: some clients just want it fast.
-        is_repeat = message.again or message.from_dead_relay or not settings.marks_repeats
+        is_repeat = message.is_repeat or message.from_dead_relay or not settings.marks_repeats
         if is_repeat:
-            submitted_at = now + message.left_ms - message_class.deadline_ms
+            submitted_at = now + message.remaining_ms - message_class.deadline_ms
         else:
             submitted_at = now - (message.age_ms or 0.0)
-        weight = self.class_weights[message.class_] * (1.0 if quota_left >= 1 else settings.over_quota_weight)
-        deadline_at = now + message.left_ms
-        return PendingMessage(message, message_class, submitted_at, deadline_at, weight, now, message.tries)
+        weight = self.class_weights[message.class_index] * (
+            1.0 if quota_left >= 1 else settings.over_quota_weight
+        )
+        deadline_at = now + message.remaining_ms
+        return PendingMessage(
+            message, message_class, submitted_at, deadline_at, weight, now, message.attempts
+        )
 
     def _quota_left(self, now: float, message: Message) -> float:
         """How many messages its tenant may still submit within its quota."""
--- a/message_relay/decisions/dispatch.py
+++ b/message_relay/decisions/dispatch.py
@@ -26,7 +26,7 @@
 TRUSTED_FAILURE_SCORE = 0.25  # failure score below which a message without idempotency may be sent again
 SUSPECTED_SLOT_DIVISOR, SLOT_DIVISOR = 4, 2  # one destination gets at most this part of the slots
 IDLE_PART = 0.9  # a connection idle for so much of the allowed time counts as closed
-COLD_CONNECTION_LOAD = 0.9  # load that stands for connecting first
+NEW_CONNECTION_LOAD = 0.9  # load that stands for connecting first
 FEE_LOAD = 1.5  # load that stands for a route that costs
 
 
@@ -95,8 +95,8 @@
             state.idle_connections = [at for at in state.idle_connections if now - at < longest_idle_ms]
             load = (
                 state.in_flight
-                + endpoint_penalty(state, now, entry.message.class_)
-                + COLD_CONNECTION_LOAD * (not state.idle_connections)
+                + endpoint_penalty(state, now, entry.message.class_index)
+                + NEW_CONNECTION_LOAD * (not state.idle_connections)
                 + FEE_LOAD * (fee > 0)
             )
             return load, fee, state.endpoint.id
--- a/message_relay/decisions/drain_estimate.py
+++ b/message_relay/decisions/drain_estimate.py
@@ -16,7 +16,7 @@
         self.rate_controller = registry.rate_controller
         self.pending = registry.pending
         self.unknown_rate = UNKNOWN_RATE
-        self.max_retry_after_ms = registry.rate_controller.settings.longest_advice_ms
+        self.max_retry_after_ms = registry.rate_controller.settings.max_retry_after_ms
 
     def expected_rate(self, now: float, destination_id: int) -> float:
         """Calls a second that this relay may expect to make to a destination."""
--- a/message_relay/decisions/endpoint_registry.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -14,7 +14,7 @@
 from .rate_control import BURST, RETRY_MS, RateController
 from .rate_slots import TimeSlotShare
 
-FORGET_AFTER_MS = (
+EVICT_AFTER_MS = (
     60000.0  # a destination without endpoints is remembered for so long: longer than outages last
 )
 INITIAL_RATE = (
@@ -22,7 +22,7 @@
 )
 POLL_RETRY_FACTOR = 4  # a failed poll is repeated after so many times the backoff of a message
 MAX_POLL_DOUBLINGS = 5
-WHOLE_DESTINATION = -1  # key of a destination whose routes share one limit
+SHARED_ROUTE = -1  # key of a destination whose routes share one limit
 
 
 class EndpointRegistry:
@@ -32,7 +32,9 @@
         self.rate_controller = rate_controller
         self.rng = rate_controller.rng
         self.pending = pending
-        self.forget_heap: list[tuple[float, int]] = []  # when destinations without endpoints may be forgotten
+        self.eviction_heap: list[
+            tuple[float, int]
+        ] = []  # when destinations without endpoints may be forgotten
         self.destinations: dict[int, dict[int, DestinationState]] = {}  # by destination, then by route
         self.endpoints: dict[int, EndpointState] = {}
         self.next_poll_at = 0.0 if rate_controller.settings.polls_discovery else FOREVER
@@ -42,7 +44,7 @@
         """Whether to ask discovery now; sets when to ask again should no answer come."""
         if now < self.next_poll_at:
             return False
-        self.next_poll_at = now + self.rate_controller.settings.safety.ask_within_ms / 2
+        self.next_poll_at = now + self.rate_controller.settings.safety.poll_within_ms / 2
         return True
 
     def apply_list(self, now: float, event: EndpointList) -> None:
@@ -65,12 +67,12 @@
                 self._remove_endpoint(now, self.endpoints.pop(number), number in unneeded)
         for endpoint in ready.values():
             self._add_endpoint(now, endpoint)
-        while self.forget_heap and self.forget_heap[0][0] <= now:
-            self._forget_destination(now, heapq.heappop(self.forget_heap)[1])
+        while self.eviction_heap and self.eviction_heap[0][0] <= now:
+            self._evict_destination(now, heapq.heappop(self.eviction_heap)[1])
 
     def _back_off_polling(self, now: float) -> None:
         """Guards against failing or overloaded discovery: polls again after growing, jittered pauses."""
-        longest_ms = self.rate_controller.settings.safety.ask_within_ms / 4
+        longest_ms = self.rate_controller.settings.safety.poll_within_ms / 4
         pause_ms = min(RETRY_MS * POLL_RETRY_FACTOR * 2**self.poll_failures, longest_ms)
         self.poll_failures = min(self.poll_failures + 1, MAX_POLL_DOUBLINGS)
         self.next_poll_at = now + pause_ms * self.rng.uniform(0.5, 1.0)
@@ -85,20 +87,20 @@
             if destination.failing_since is None and not is_unneeded:
                 destination.failing_since = now
             destination.without_endpoints_since = NEVER if is_unneeded else now
-            heapq.heappush(self.forget_heap, (now + FORGET_AFTER_MS * (not is_unneeded), destination_id))
+            heapq.heappush(self.eviction_heap, (now + EVICT_AFTER_MS * (not is_unneeded), destination_id))
 
-    def _forget_destination(self, now: float, destination_id: int) -> None:
+    def _evict_destination(self, now: float, destination_id: int) -> None:
         """Forgets the state of a destination without endpoints, unless something still depends on it.
 
         Not too soon: what comes back after an outage is warmed up only by a relay that remembers it.
         """
         routes = self.destinations.get(destination_id, {})
         for key, destination in [(key, each) for key, each in routes.items() if not each.endpoints]:
-            until = max(destination.retry_after_until, destination.without_endpoints_since + FORGET_AFTER_MS)
+            until = max(destination.retry_after_until, destination.without_endpoints_since + EVICT_AFTER_MS)
             if destination.in_flight or destination_id in self.pending.queues:
                 until = max(until, now + EVIDENCE_TTL_MS)
             if until > now:
-                heapq.heappush(self.forget_heap, (until, destination_id))
+                heapq.heappush(self.eviction_heap, (until, destination_id))
             else:
                 del routes[key]
         if not routes:
@@ -126,7 +128,7 @@
             return
         if not destination.endpoints and destination.failing_since is not None:
             # Replaced late: the new endpoint is cold.
-            slow_start.begin_warm_up(settings, now, destination)
+            slow_start.start_warm_up(settings, now, destination)
         state = EndpointState(endpoint, destination)
         self.endpoints[endpoint.id] = state
         destination.endpoints[endpoint.id] = state
@@ -150,8 +152,8 @@
     def _route_key(self, endpoint: Endpoint) -> tuple[int, int]:
         """The destination, and the endpoint if each one of it has a limit of its own."""
         kinds = self.rate_controller.settings.kinds
-        is_route = endpoint.kind < len(kinds) and kinds[endpoint.kind].routes_apart
-        return endpoint.destination, endpoint.id if is_route else WHOLE_DESTINATION
+        is_route = endpoint.kind < len(kinds) and kinds[endpoint.kind].has_separate_routes
+        return endpoint.destination, endpoint.id if is_route else SHARED_ROUTE
 
     def snapshot(self, now: float) -> list[RestoredDestination]:
         """Outages, warm-ups and Retry-After that the next process should know.
@@ -161,9 +163,9 @@
         found = list[RestoredDestination]()
         candidates = self.pending.snapshot_candidates
         self.pending.snapshot_candidates = {}
-        cold_ms = self.rate_controller.settings.safety.cold_ms
+        cold_ms = self.rate_controller.settings.safety.warm_up_ms
         for destination_id in candidates:
-            destination = self.destinations.get(destination_id, {}).get(WHOLE_DESTINATION)
+            destination = self.destinations.get(destination_id, {}).get(SHARED_ROUTE)
             if destination is None:
                 continue
             is_warming_up = now < destination.warming_since + cold_ms
@@ -197,7 +199,7 @@
 
         Guards a returning destination, and Retry-After, against a process that has seen nothing of them.
         """
-        destination = self.destinations.get(event.destination, {}).get(WHOLE_DESTINATION)
+        destination = self.destinations.get(event.destination, {}).get(SHARED_ROUTE)
         if destination is None or destination.in_flight or destination.response_count:
             return  # gone, or this process knows better by now
         retry_after_until = now + event.retry_after_ms if event.retry_after_ms > 0 else NEVER
--- a/message_relay/decisions/events.py
+++ b/message_relay/decisions/events.py
@@ -18,18 +18,18 @@
 class Message:
     id: int
     destination: int
-    class_: int
-    left_ms: float
+    class_index: int
+    remaining_ms: float
     tenant: int = 0
     key: int = 0  # 0 = none
     work_ms: float | None = None
-    again: bool = False
+    is_repeat: bool = False
     from_dead_relay: bool = False
     # Resumed after a restart of this relay: what the journal knows of it.
     age_ms: float | None = None  # since it was first handed in
-    tries: int = 0
-    risk_age_ms: float | None = None  # since the first try that may have run
-    risk: Endpoint | None = None  # and where that went
+    attempts: int = 0
+    uncertain_for_ms: float | None = None  # since the first try that may have run
+    uncertain_endpoint: Endpoint | None = None  # and where that went
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,11 +39,11 @@
     endpoint: int
     outcome: Outcome
     latency_ms: float = 0.0
-    finished: bool = False
-    wait_ms: float = 0.0  # told with Outcome.FULL
-    no_slot: bool = False  # with Outcome.NOT_SENT
+    is_final: bool = False
+    retry_after_ms: float = 0.0  # told with Outcome.FULL
+    had_no_slot: bool = False  # with Outcome.NOT_SENT
     report: tuple[float, ...] = ()
-    withheld: bool = False  # nothing of it went out, with Outcome.NOT_SENT: no try
+    was_withheld: bool = False  # nothing of it went out, with Outcome.NOT_SENT: no try
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_relay/decisions/model.py
+++ b/message_relay/decisions/model.py
@@ -1,4 +1,4 @@
-"""The vocabulary of linnetstile: what a relay is told (settings, events) and what it may do (actions)."""
+"""Settings and records shared by the decisions, their events and actions. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
     UNNEEDED = "unneeded"  # it may well be there, but nobody here needs to know it any more
 
 
 class ListKind(Enum):
     CHANGES = "changes"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     CACHED = "cached"
     FAILED = "failed"
 
@@ -113,7 +113,7 @@
 class DestinationKind:
     name: str
     batch: int = 1  # messages in one call, at most
-    routes_apart: bool = False  # each endpoint has its own limit, pace and outages
+    has_separate_routes: bool = False  # each endpoint has its own limit, pace and outages
 
     def __post_init__(self) -> None:
         require(self.batch >= 1, "kinds.batch", "must be 1 or more")
@@ -121,27 +121,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """Figures of the rules."""
+    """Limits that protect destinations and ordering keys."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    cold_share: float = 1.0  # capacity left right after an outage
-    cold_ms: float = 0.0
-    fall_multiple: float = 1.0
-    fall_ms: float = 1000.0
-    ask_within_ms: float = 0.0
-    key_rest_ms: float = 0.0
+    warm_up_initial_share: float = 1.0  # capacity left right after an outage
+    warm_up_ms: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: float = 1000.0
+    poll_within_ms: float = 0.0
+    key_pause_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        for field in self.__slots__:
-            require(getattr(self, field) >= 0, f"safety.{field}", "must not be negative")
+        # The names that an error gives are those that operators know.
+        amounts = {
+            "answer_slack_ms": self.answer_slack_ms,
+            "drain_grace_ms": self.drain_grace_ms,
+            "cold_share": self.warm_up_initial_share,
+            "cold_ms": self.warm_up_ms,
+            "fall_multiple": self.overload_multiple,
+            "fall_ms": self.overload_window_ms,
+            "ask_within_ms": self.poll_within_ms,
+            "key_rest_ms": self.key_pause_ms,
+        }
+        for field, amount in amounts.items():
+            require(amount >= 0, f"safety.{field}", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
     """Weights of the parts of the result."""
 
-    whole: float = 1.0
+    total: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -182,7 +193,7 @@
     connect_timeout_ms: float = 0.0
     tick_ms: float = 1.0
     marks_repeats: bool = False  # clients mark what they hand in again
-    longest_advice_ms: float = 0.0  # longest stay-away a client heeds; 0 = no advice
+    max_retry_after_ms: float = 0.0  # longest stay-away a client heeds; 0 = no advice
     cross_zone_price: float = 0.0
     route_fees: tuple[float, ...] = ()  # by zone
     report_fields: tuple[str, ...] = ()  # what answers may report, in this order
@@ -206,7 +217,7 @@
         amounts = {
             "idle_ms": self.idle_ms,
             "connect_timeout_ms": self.connect_timeout_ms,
-            "longest_advice_ms": self.longest_advice_ms,
+            "longest_advice_ms": self.max_retry_after_ms,
             "over_share_worth": self.over_quota_weight,
         }
         for field, amount in amounts.items():
--- a/message_relay/decisions/pending.py
+++ b/message_relay/decisions/pending.py
@@ -99,7 +99,7 @@
         self.queue = queue
         self.key = key
         self.message_class = first.message_class
-        self.class_index = first.message.class_
+        self.class_index = first.message.class_index
         (
             _,
             self.priority_weight,
@@ -231,7 +231,7 @@
             step_ms = message_class.deadline_ms / TIME_TO_LIVE_STEPS
             time_to_live_ms = max(1.0, min(TIME_TO_LIVE_STEPS, time_to_live_ms // step_ms)) * step_ms
         key = (
-            entry.message.class_,
+            entry.message.class_index,
             entry.priority_weight,
             time_to_live_ms,
             entry.can_be_shed,
--- a/message_relay/decisions/rate_control.py
+++ b/message_relay/decisions/rate_control.py
@@ -71,7 +71,7 @@
         if is_ejected or (
             destination.failing_since is not None and is_closed_for_long(destination, now, THROTTLE_MS)
         ):
-            cold = slow_start.cold_rate(settings, total)
+            cold = slow_start.initial_rate(settings, total)
             return cold / slow_start.estimate_senders(settings, now, destination), 1.0
         rate = destination.send_rate
         is_large_fleet = self.is_large_fleet
@@ -82,8 +82,8 @@
         elif is_large_fleet:  # time restores it: of many relays' calls too few are one's own to wait for
             left = (destination.throttled_until - now) / (THROTTLE_JITTER_MAX * destination.throttle_ms)
             rate = max(rate, equal_part * (1 - left))
-        if now < destination.warming_since + settings.safety.cold_ms:
-            cold = slow_start.cold_rate(settings, total)
+        if now < destination.warming_since + settings.safety.warm_up_ms:
+            cold = slow_start.initial_rate(settings, total)
             return min(rate, slow_start.warming_rate(settings, now, destination, cold)), 1.0
         return rate, max(BURST, rate * BURST_S)
 
@@ -129,9 +129,9 @@
         destination.timeout_multiplier = 1.0
         destination.throttle_ms /= 2
         destination.failure_score *= 1 - FAILURE_WEIGHT
-        state.failures_by_class.pop(entry.message.class_, None)
+        state.failures_by_class.pop(entry.message.class_index, None)
         if destination.is_ejected and destination.failure_score < EJECTION_THRESHOLD:
-            slow_start.begin_warm_up(self.settings, now, destination)
+            slow_start.start_warm_up(self.settings, now, destination)
         destination.failing_since = None
         if destination.time_slots is not None:
             destination.time_slots.on_success(now)
@@ -164,19 +164,21 @@
     ) -> None:
         """Updates a destination after a call that failed or was refused."""
         destination = state.destination
-        is_closed = event.wait_ms > CLOSED_AFTER_MS
+        is_closed = event.retry_after_ms > CLOSED_AFTER_MS
         if destination.failing_since is None:
             destination.failing_since = entry.sent_at
         destination.last_failure_had_no_effect = event.outcome.proves_no_effect
-        if event.wait_ms > 0:  # Retry-After reaches many relays at once: the jittered backoff comes after it
-            until = entry.backoff_until + event.wait_ms
+        if (
+            event.retry_after_ms > 0
+        ):  # Retry-After reaches many relays at once: the jittered backoff comes after it
+            until = entry.backoff_until + event.retry_after_ms
             destination.retry_after_until = max(destination.retry_after_until, until)
         if event.outcome is Outcome.FULL:
             self._throttle(now, destination)
             if not is_closed:
                 return
         else:
-            state.failures_by_class[entry.message.class_] = now
+            state.failures_by_class[entry.message.class_index] = now
             destination.last_failure_at = now
         if event.outcome is Outcome.TIMEOUT:
             doubled = destination.timeout_multiplier * 2
@@ -212,7 +214,7 @@
 
     def rate_stable_until(self, now: float, destination: DestinationState) -> float:
         """Until when its rate does not rise without an event."""
-        if now < destination.warming_since + self.settings.safety.cold_ms:
+        if now < destination.warming_since + self.settings.safety.warm_up_ms:
             return now + RESCAN_MS
         if now >= destination.throttled_until:
             return FOREVER
--- a/message_relay/decisions/rate_slots.py
+++ b/message_relay/decisions/rate_slots.py
@@ -26,7 +26,11 @@
 
     def __init__(self, fleet: Fleet, rate: float, safety: Safety) -> None:
         """`rate`: calls a second of all instances together."""
-        self.fleet, self.cold_share, self.cold_ms = fleet, max(safety.cold_share, 0.01), safety.cold_ms
+        self.fleet, self.initial_share, self.warm_up_ms = (
+            fleet,
+            max(safety.warm_up_initial_share, 0.01),
+            safety.warm_up_ms,
+        )
         self.last_slot_at = NEVER  # when the latest slot began in which it sent
         self.set_rate(rate)
         self.healthy_since: float | None = None  # when the evidence began that it still has
@@ -55,7 +59,7 @@
     def on_success(self, now: float) -> None:
         if self.healthy_since is None or now > self.evidence_valid_until:
             gap = now - self.last_failure_at
-            known = gap < EVIDENCE_TTL_SLOTS * self.frame_ms / self.cold_share
+            known = gap < EVIDENCE_TTL_SLOTS * self.frame_ms / self.initial_share
             self.healthy_since = now - RECOVERY_POINT * gap if known else now
         self.evidence_valid_until = now  # the part that it has now counts
         self.evidence_valid_until = now + max(
@@ -71,11 +75,11 @@
     def open_share(self, at: float) -> float:
         """Share of its slots that it may use at a time, if nothing more is learned until then."""
         if self.healthy_since is None or at > self.evidence_valid_until:
-            return self.cold_share
-        if at >= self.healthy_since + self.cold_ms:
+            return self.initial_share
+        if at >= self.healthy_since + self.warm_up_ms:
             return 1.0
-        warm = (at - self.healthy_since) / self.cold_ms
-        return min(1.0, WARM_UP_SHARE * (self.cold_share + (1 - self.cold_share) * warm))
+        warm = (at - self.healthy_since) / self.warm_up_ms
+        return min(1.0, WARM_UP_SHARE * (self.initial_share + (1 - self.initial_share) * warm))
 
     def next_slot_at(self, now: float) -> float:
         """When it may send next: now, or when its next open slot begins."""
--- a/message_relay/decisions/scheduler.py
+++ b/message_relay/decisions/scheduler.py
@@ -36,7 +36,7 @@
 
 PAUSES_KEY = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the call may still run at its endpoint
 KEEPS_CONNECTION = (Outcome.OK, Outcome.ERROR, Outcome.FULL)
-SAYS_NOTHING = (Outcome.NOT_SENT, Outcome.CANCELLED)  # of the destination's health
+WITHOUT_EVIDENCE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # of the destination's health
 
 
 class DeliveryScheduler:
@@ -168,19 +168,19 @@
             return
         state = entry.in_flight_on
         self._release_slot(entry, state)
-        entry.attempts -= event.withheld
+        entry.attempts -= event.was_withheld
         if not event.outcome.proves_no_effect and entry.first_uncertain_at is None:
             entry.first_uncertain_at = entry.sent_at
             entry.uncertain_endpoint = state.endpoint
         settings = self.settings
         if event.outcome in PAUSES_KEY and entry.ordering_key:
-            until = now + settings.safety.key_rest_ms + settings.tick_ms
+            until = now + settings.safety.key_pause_ms + settings.tick_ms
             self.pending.pause_key(entry.ordering_key, now, until)
         # A growing and jittered backoff, which also follows any Retry-After.
         backoff_ms = min(RETRY_MAX_MS, RETRY_MS * 2 ** (entry.attempts - 1)) * self.rng.uniform(0.7, 1.3)
         entry.backoff_until = now + backoff_ms
         self._observe(now, state, entry, event)
-        if event.finished or entry.is_cancelled:
+        if event.is_final or entry.is_cancelled:
             self.pending.remove(entry)
         else:
             self._enqueue(now, entry)
@@ -203,7 +203,7 @@
         if event.outcome is Outcome.OK:
             has_more = entry.message.destination in self.pending.queues
             self.rate_controller.on_success(now, state, entry, event.latency_ms, has_more)
-        elif event.outcome not in SAYS_NOTHING:
+        elif event.outcome not in WITHOUT_EVIDENCE:
             self.rate_controller.on_failure(now, state, entry, event)
         limit_report = self.settings.limit_report
         if limit_report and len(event.report) > max(limit_report):
--- a/message_relay/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -158,7 +158,7 @@
         connect_timeout_ms=limits.connect_timeout_ms,
         tick_ms=raw.tick_ms,
         marks_repeats=raw.client_habits.marks_retry,
-        longest_advice_ms=limits.max_retry_after_ms,  # told also where few clients heed it
+        max_retry_after_ms=limits.max_retry_after_ms,  # told also where few clients heed it
         cross_zone_price=raw.prices.cross_zone,
         route_fees=tuple(extra.carriage),
         report_fields=tuple(fields),
@@ -193,10 +193,10 @@
     return Safety(
         answer_slack_ms=raw.answer_slack_ms,
         drain_grace_ms=raw.drain_grace_ms,
-        cold_share=raw.cold_from,
-        cold_ms=raw.cold_ms,
-        fall_multiple=raw.fall_multiple,
-        fall_ms=raw.fall_ms,
-        ask_within_ms=raw.ask_within_ms,
-        key_rest_ms=raw.key_quiet_ms,
+        warm_up_initial_share=raw.cold_from,
+        warm_up_ms=raw.cold_ms,
+        overload_multiple=raw.fall_multiple,
+        overload_window_ms=raw.fall_ms,
+        poll_within_ms=raw.ask_within_ms,
+        key_pause_ms=raw.key_quiet_ms,
     )
--- a/message_relay/decisions/slow_start.py
+++ b/message_relay/decisions/slow_start.py
@@ -12,7 +12,7 @@
 from .outlier_detection import EVIDENCE_TTL_MS
 
 OBSERVED_PART = 0.5  # part of the calls since an outage began that other relays made: so many may know of it
-MIN_COLD_SHARE = 0.01  # of its rate a destination can always take
+MIN_INITIAL_SHARE = 0.01  # of its rate a destination can always take
 
 
 def estimate_senders(settings: Settings, now: float, destination: DestinationState) -> float:
@@ -24,20 +24,24 @@
     return min(float(settings.relays), calls)
 
 
-def cold_rate(settings: Settings, rate: float) -> float:
+def initial_rate(settings: Settings, rate: float) -> float:
     """Calls a second of all relays that a destination of this rate can take right after an outage."""
     safety = settings.safety
-    return max(safety.fall_multiple * safety.cold_share, MIN_COLD_SHARE) * rate
+    return max(safety.overload_multiple * safety.warm_up_initial_share, MIN_INITIAL_SHARE) * rate
 
 
 def warming_rate(settings: Settings, now: float, destination: DestinationState, cold: float) -> float:
     """This relay's part of what a warming destination can take; `cold`: of what it took at first."""
     safety = settings.safety
-    warmth = (1 - safety.cold_share) * (now - destination.warming_since) / safety.cold_ms
-    return cold * (1 + warmth / max(safety.cold_share, MIN_COLD_SHARE)) / destination.estimated_senders
+    warmth = (1 - safety.warm_up_initial_share) * (now - destination.warming_since) / safety.warm_up_ms
+    return (
+        cold
+        * (1 + warmth / max(safety.warm_up_initial_share, MIN_INITIAL_SHARE))
+        / destination.estimated_senders
+    )
 
 
-def begin_warm_up(settings: Settings, now: float, destination: DestinationState) -> None:
+def start_warm_up(settings: Settings, now: float, destination: DestinationState) -> None:
     """The destination is back: from now on the relays that may have noticed the outage share its budget."""
     destination.estimated_senders = estimate_senders(settings, now, destination)
     destination.is_ejected = False
--- a/message_relay/endpoint_discovery/merge_policy.py
+++ b/message_relay/endpoint_discovery/merge_policy.py
@@ -33,7 +33,7 @@
 STATUS_BY_LISTING = {
     Listing.READY: EndpointStatus.READY,
     Listing.DRAINING: EndpointStatus.DRAINING,
-    Listing.GONE: EndpointStatus.GONE,
+    Listing.REMOVED: EndpointStatus.GONE,
 }
 LISTING_BY_STATUS = {status: listing for listing, status in STATUS_BY_LISTING.items()}
 
--- a/message_relay/endpoint_discovery/source_merge.py
+++ b/message_relay/endpoint_discovery/source_merge.py
@@ -62,14 +62,16 @@
     def _remove_missing(self, update: EndpointUpdate, now: float) -> set[EndpointKey]:
         """Remove what a full list omits, unless it has shrunk suspiciously."""
         listed = {endpoint_key(endpoint) for endpoint in update.endpoints}
-        previous = {key for key, endpoint in self.endpoints.items() if endpoint.listing is not Listing.GONE}
+        previous = {
+            key for key, endpoint in self.endpoints.items() if endpoint.listing is not Listing.REMOVED
+        }
         if self.is_shrink_guarded:
             retained = previous & listed
             if not self.shrink_guard.accepts(now, len(previous), len(retained)):
                 return set()
         missing = previous - listed
         for key in missing:
-            self._record(replace(self.endpoints[key], listing=Listing.GONE))
+            self._record(replace(self.endpoints[key], listing=Listing.REMOVED))
         return missing
 
     def _remove_old_address(self, endpoint: EndpointRecord) -> set[EndpointKey]:
@@ -77,13 +79,13 @@
         previous = self.keys_by_name.get(endpoint.name)
         if previous is None or previous == endpoint_key(endpoint) or previous not in self.endpoints:
             return set()
-        return self._record(replace(self.endpoints[previous], listing=Listing.GONE))
+        return self._record(replace(self.endpoints[previous], listing=Listing.REMOVED))
 
     def _record(self, endpoint: EndpointRecord) -> set[EndpointKey]:
         key = endpoint_key(endpoint)
         self.endpoints[key] = endpoint
         self.gone_keys.pop(key, None)
-        if endpoint.listing is Listing.GONE:
+        if endpoint.listing is Listing.REMOVED:
             self.gone_keys[key] = None
         self.keys_by_name[endpoint.name] = key
         return {key}
@@ -120,7 +122,7 @@
             if endpoint is None or endpoint == self.published.get(key):
                 continue
             changed.append(endpoint)
-            if endpoint.listing is Listing.GONE:
+            if endpoint.listing is Listing.REMOVED:
                 self.published.pop(key, None)
                 self._release_name(key)
             else:
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -172,6 +172,6 @@
         blame=round(lane.failure_score, 3),
         down=lane.is_ejected,
         wait_ms=round(max(0.0, lane.retry_after_until - now)),
-        cold_ms=round(cold) if cold < host.scheduler.settings.safety.cold_ms else None,
+        cold_ms=round(cold) if cold < host.scheduler.settings.safety.warm_up_ms else None,
         latency_ms=round(lane.latency_mean_ms, 1),
     )
--- a/message_relay/http/discovery_client.py
+++ b/message_relay/http/discovery_client.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-LISTINGS = {"ready": Listing.READY, "gone": Listing.GONE}  # any other lifecycle: no new attempts
+LISTINGS = {"ready": Listing.READY, "gone": Listing.REMOVED}  # any other lifecycle: no new attempts
 MAX_RATE = 1e9  # of an endpoint, exclusive
 
 
--- a/message_relay/sharded_directory/shard_cache.py
+++ b/message_relay/sharded_directory/shard_cache.py
@@ -212,7 +212,7 @@
                 continue
             if row.destination not in held.last_used:
                 if self._take_over_name(shard, held, row.name):
-                    lives.append((row.name, Listing.GONE))
+                    lives.append((row.name, Listing.REMOVED))
                 continue
             mark = row_checksum(row)
             before = held.published.get(row.name)
@@ -239,7 +239,7 @@
         for name in held.published:
             if name not in told:
                 del self.shard_by_name[name]
-                lives.append((name, Listing.GONE))
+                lives.append((name, Listing.REMOVED))
         self.endpoint_count += len(told) - len(held.published)
         held.published = told
         (self.waiting_shards.add if held.is_waiting else self.waiting_shards.discard)(shard)
--- a/message_relay/sharded_directory/wire.py
+++ b/message_relay/sharded_directory/wire.py
@@ -139,7 +139,7 @@
 
 DirectoryMessage = Union[ShardRequest, ShardResponse, Overloaded, LayoutMismatch, Digest]
 
-LISTINGS = (Listing.READY, Listing.DRAINING, Listing.GONE)  # by `Row.listing`
+LISTINGS = (Listing.READY, Listing.DRAINING, Listing.REMOVED)  # by `Row.listing`
 READY, DRAINING, GONE = range(3)
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/message_relay/simulator_adapter.py
+++ b/message_relay/simulator_adapter.py
@@ -41,8 +41,8 @@
     Outcome.CANCELLED,
     Outcome.NOT_SENT,
 )
-LISTINGS = {1: Listing.READY, 2: Listing.GONE, 3: Listing.DRAINING}
-LIST_KINDS = (ListKind.CHANGES, ListKind.WHOLE, ListKind.CACHED, ListKind.FAILED)
+LISTINGS = {1: Listing.READY, 2: Listing.REMOVED, 3: Listing.DRAINING}
+LIST_KINDS = (ListKind.CHANGES, ListKind.COMPLETE, ListKind.CACHED, ListKind.FAILED)
 ENTRY = struct.Struct("<BfdHBHI")
 IGNORED = (10, 90)  # Begun (no class here streams) and NeighbourSays (peers share nothing)
 
@@ -103,8 +103,10 @@
         elif code not in IGNORED:
             event = self._event(code, data)
             relay = self.relays.get(instance)
-            if isinstance(event, Message) and relay and event.class_ >= len(relay.settings.classes):
-                raise WireError(f"message {event.id} is of class {event.class_}, which the settings lack")
+            if isinstance(event, Message) and relay and event.class_index >= len(relay.settings.classes):
+                raise WireError(
+                    f"message {event.id} is of class {event.class_index}, which the settings lack"
+                )
             events.setdefault(instance, []).append(event)
 
     def _event(self, code: int, data: bytes) -> Event:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -37,15 +37,15 @@
 
     def lane(self, endpoint: int) -> int:
         entry = self.endpoints[endpoint]
-        return -1 - endpoint if self.settings.kinds[entry.kind].routes_apart else entry.destination
+        return -1 - endpoint if self.settings.kinds[entry.kind].has_separate_routes else entry.destination
 
     def event(self, now: float, event: Event) -> None:
         match event:
             case Message():
-                seen = self.seen[event.id] = Seen(event, now + event.left_ms, tries=event.tries)
-                if event.risk is not None and event.risk_age_ms is not None:
-                    seen.past = now - event.risk_age_ms, event.risk.id
-                    self.endpoints.setdefault(event.risk.id, event.risk)
+                seen = self.seen[event.id] = Seen(event, now + event.remaining_ms, tries=event.attempts)
+                if event.uncertain_endpoint is not None and event.uncertain_for_ms is not None:
+                    seen.past = now - event.uncertain_for_ms, event.uncertain_endpoint.id
+                    self.endpoints.setdefault(event.uncertain_endpoint.id, event.uncertain_endpoint)
             case EndpointList(kind, entries) if kind is not ListKind.FAILED:
                 named = {e.id for e in entries if e.listing is Listing.READY}
                 if kind is ListKind.CHANGES:
@@ -64,7 +64,7 @@
                 seen = self.seen[event.id]
                 sent, endpoint, _ = seen.attempts[event.attempt]
                 seen.attempts[event.attempt] = (sent, endpoint, event.outcome)
-                seen.over |= event.finished
+                seen.over |= event.is_final
                 lane = self.lane(endpoint)
                 if event.outcome is Outcome.CONNECT_FAILED:
                     self.streak[lane] = self.streak.get(lane, 0) + 1
@@ -72,11 +72,11 @@
                     if self.streak.get(lane, 0) >= 3:
                         self.cold[lane] = now
                     self.streak[lane] = 0
-                if event.wait_ms:
-                    self.waits[lane] = max(self.waits.get(lane, 0.0), now + event.wait_ms)
+                if event.retry_after_ms:
+                    self.waits[lane] = max(self.waits.get(lane, 0.0), now + event.retry_after_ms)
                 lingers = event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-                if lingers and self.settings.classes[seen.msg.class_].in_order:
-                    self.rests[seen.msg.key] = now + self.settings.safety.key_rest_ms
+                if lingers and self.settings.classes[seen.msg.class_index].in_order:
+                    self.rests[seen.msg.key] = now + self.settings.safety.key_pause_ms
 
     def risks(self, seen: Seen) -> list[tuple[float, int]]:
         past = [] if seen.past is None else [seen.past]
@@ -90,7 +90,7 @@
                 seen = self.seen[ident]
                 if seen.over:
                     raise Breach("lost: a second final answer")
-                effect = self.settings.classes[seen.msg.class_].effect
+                effect = self.settings.classes[seen.msg.class_index].effect
                 if (
                     isinstance(action, Reject)
                     and self.risks(seen)
@@ -98,7 +98,7 @@
                         effect is Effect.UNSAFE
                         or (
                             effect is Effect.KEYED
-                            and self.settings.classes[seen.msg.class_].key_scope is not Scope.ALL
+                            and self.settings.classes[seen.msg.class_index].key_scope is not Scope.ALL
                         )
                     )
                 ):
@@ -106,7 +106,7 @@
                 seen.over = True
 
     def send(self, now: float, seen: Seen, endpoint: int) -> None:
-        cls = self.settings.classes[seen.msg.class_]
+        cls = self.settings.classes[seen.msg.class_index]
         entry = self.endpoints[endpoint]
         if seen.over:
             raise Breach("lost: sent after its end")
@@ -133,7 +133,10 @@
             for other_id, earlier in self.seen.items():
                 if other_id == seen.msg.id:
                     break
-                same = earlier.msg.key == seen.msg.key and self.settings.classes[earlier.msg.class_].in_order
+                same = (
+                    earlier.msg.key == seen.msg.key
+                    and self.settings.classes[earlier.msg.class_index].in_order
+                )
                 if same and (not earlier.over or any(out is None for _, _, out in earlier.attempts)):
                     raise Breach("order: an earlier message of its key is open")
             if not seen.attempts and now < self.rests.get(seen.msg.key, 0.0):
@@ -146,11 +149,18 @@
         safety = self.settings.safety
         sends = self.sends.setdefault(lane, [])
         sends.append(now)
-        if lane in self.cold and now < self.cold[lane] + safety.cold_ms:
-            warm = (now - self.cold[lane]) / safety.cold_ms
-            share = safety.cold_share + (1 - safety.cold_share) * warm
-            budget = safety.fall_multiple * share * rate / self.settings.relays * safety.fall_ms / 1000
-            recent = [at for at in sends if at > max(self.cold[lane], now - safety.fall_ms)]
+        if lane in self.cold and now < self.cold[lane] + safety.warm_up_ms:
+            warm = (now - self.cold[lane]) / safety.warm_up_ms
+            share = safety.warm_up_initial_share + (1 - safety.warm_up_initial_share) * warm
+            budget = (
+                safety.overload_multiple
+                * share
+                * rate
+                / self.settings.relays
+                * safety.overload_window_ms
+                / 1000
+            )
+            recent = [at for at in sends if at > max(self.cold[lane], now - safety.overload_window_ms)]
             if len(recent) > budget + 3:
                 raise Breach("failback: over the budget of a cold destination")
 
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -49,12 +49,12 @@
 LISTINGS = {
     "ready": model.Listing.READY,
     "draining": model.Listing.DRAINING,
-    "gone": model.Listing.GONE,
+    "gone": model.Listing.REMOVED,
     "unneeded": model.Listing.UNNEEDED,
 }
 LIST_KINDS = {
     "changes": model.ListKind.CHANGES,
-    "whole": model.ListKind.WHOLE,
+    "whole": model.ListKind.COMPLETE,
     "cached": model.ListKind.CACHED,
     "failed": model.ListKind.FAILED,
 }
@@ -127,7 +127,7 @@
         idle_ms=scenario.idle_ms,
         tick_ms=scenario.tick_ms,
         marks_repeats=scenario.marks_repeats,
-        longest_advice_ms=scenario.longest_advice_ms,
+        max_retry_after_ms=scenario.longest_advice_ms,
         cross_zone_price=scenario.cross_zone_price,
         route_fees=scenario.zone_fees,
         report_fields=("left", "limit") if scenario.reports_limit else (),
@@ -199,9 +199,9 @@
         tenant,
         key,
         age_ms=age_ms,
-        tries=tries,
-        risk_age_ms=risk_age_ms,
-        risk=risk,
+        attempts=tries,
+        uncertain_for_ms=risk_age_ms,
+        uncertain_endpoint=risk,
     )
 
 
@@ -267,7 +267,7 @@
         case actions.StartAttempt():
             return Action("send", action.id, action.endpoint, action.give_up_at_ms)
         case actions.Reject():
-            return Action("refuse", action.id, 0, action.stay_away_ms)
+            return Action("refuse", action.id, 0, action.retry_after_ms)
         case actions.Fail():
             return Action("fail", action.id)
         case actions.Cancel():
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -267,7 +267,7 @@
             }
             for each in told.classes
         ],
-        "kinds": [[each.name, each.batch, each.routes_apart] for each in told.kinds],
+        "kinds": [[each.name, each.batch, each.has_separate_routes] for each in told.kinds],
         "tenants": [[each.name, each.quota_per_s] for each in told.tenants],
         "calls at once": told.max_concurrent_attempts,
         "messages held": told.max_pending_messages,
@@ -285,7 +285,7 @@
         "connect ms": told.connect_timeout_ms,
         "tick ms": told.tick_ms,
         "clients mark repeats": told.marks_repeats,
-        "longest advice ms": told.longest_advice_ms,
+        "longest advice ms": told.max_retry_after_ms,
         "price across zones": told.cross_zone_price,
         "fees of routes": list(told.route_fees),
         "fields of reports": list(told.report_fields),
@@ -293,14 +293,14 @@
         "safety": [
             safety.answer_slack_ms,
             safety.drain_grace_ms,
-            safety.cold_share,
-            safety.cold_ms,
-            safety.fall_multiple,
-            safety.fall_ms,
-            safety.ask_within_ms,
-            safety.key_rest_ms,
+            safety.warm_up_initial_share,
+            safety.warm_up_ms,
+            safety.overload_multiple,
+            safety.overload_window_ms,
+            safety.poll_within_ms,
+            safety.key_pause_ms,
         ],
-        "goal": [goal.whole, goal.worst_window, goal.worst_class, goal.worst_tenant],
+        "goal": [goal.total, goal.worst_window, goal.worst_class, goal.worst_tenant],
     }
 
 
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -45,7 +45,7 @@
 
 Row = tuple[str | int | float | bool | None, ...]
 
-LISTINGS = {Listing.READY: "ready", Listing.DRAINING: "draining", Listing.GONE: "gone"}
+LISTINGS = {Listing.READY: "ready", Listing.DRAINING: "draining", Listing.REMOVED: "gone"}
 MOVED_DIGITS = 6
 ZONES = ("a", "b", "c", "d")
 
@@ -55,7 +55,7 @@
 
 def agreed_rate_slots(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 1e6, list[Row]()
-    share = TimeSlotShare(Fleet(2, 7, 12.5), 40.0, Safety(cold_share=0.2, cold_ms=9000.0))
+    share = TimeSlotShare(Fleet(2, 7, 12.5), 40.0, Safety(warm_up_initial_share=0.2, warm_up_ms=9000.0))
     for _ in range(600):
         now += draw.expovariate(1 / 120.0)
         at = share.next_slot_at(now)
@@ -106,7 +106,7 @@
     return EndpointRecord(
         f"e{number}",
         1 + number % 3,
-        draw.choice((Listing.READY, Listing.READY, Listing.DRAINING, Listing.GONE)),
+        draw.choice((Listing.READY, Listing.READY, Listing.DRAINING, Listing.REMOVED)),
         ("127.0.0.1", 9000 + number + 100 * (draw.random() < 0.1)),
         draw.choice((None, "plain")),
         draw.choice(ZONES),
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -214,8 +214,8 @@
 
 def test_events_and_actions_come_back_as_they_went() -> None:
     for value in (
-        Message(1, 2, 0, 50.0, age_ms=3.0, risk=Endpoint(4, 2, Listing.READY, rate=2.5)),
-        EndpointList(ListKind.WHOLE, (Endpoint(1, 1, Listing.GONE), Endpoint(2, 1, Listing.READY))),
+        Message(1, 2, 0, 50.0, age_ms=3.0, uncertain_endpoint=Endpoint(4, 2, Listing.READY, rate=2.5)),
+        EndpointList(ListKind.COMPLETE, (Endpoint(1, 1, Listing.REMOVED), Endpoint(2, 1, Listing.READY))),
         AttemptCompleted(1, 0, 2, Outcome.FULL, 1.0, False, 20.0),
         RestoredDestination(3, 1.0, True),
         Fleet(1, 3, 5.0),
--- a/tests/endpoint_discovery/test_source_merge.py
+++ b/tests/endpoint_discovery/test_source_merge.py
@@ -22,7 +22,7 @@
 
 from ..conftest import make_settings
 
-READY, DRAINING, GONE = Listing.READY, Listing.DRAINING, Listing.GONE
+READY, DRAINING, GONE = Listing.READY, Listing.DRAINING, Listing.REMOVED
 UNKNOWN_STATUS, READY_STATUS, DRAINING_STATUS, GONE_STATUS = (
     EndpointStatus.UNKNOWN,
     EndpointStatus.READY,
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -166,7 +166,7 @@
     ident = driver.message()
     for _ in range(10):
         send = driver.out[ident]
-        ended = AttemptCompleted(ident, 0, send.endpoint, Outcome.NOT_SENT, withheld=True)
+        ended = AttemptCompleted(ident, 0, send.endpoint, Outcome.NOT_SENT, was_withheld=True)
         driver.feed(
             EndpointList(ListKind.CHANGES, (Endpoint(send.endpoint, 1, Listing.DRAINING),)),
             ended,
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -16,7 +16,7 @@
 from ..loopback import OK, Server, run
 
 RELAYS = 20
-HELD_BACK = {"outcome": Outcome.NOT_SENT, "withheld": True}
+HELD_BACK = {"outcome": Outcome.NOT_SENT, "was_withheld": True}
 
 
 def ejected_destination_with_attempt(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
@@ -55,7 +55,7 @@
 def test_late_attempt_is_rescheduled_after_another_found_destination_recovered() -> None:
     d, ident = ejected_destination_with_attempt()
     lane = d.relay.destinations[1][-1]
-    slow_start.begin_warm_up(d.relay.settings, d.now + 100.0, lane)  # answered meanwhile
+    slow_start.start_warm_up(d.relay.settings, d.now + 100.0, lane)  # answered meanwhile
     assert not lane.is_ejected and not d.relay.may_write(d.now + SLOW_CONNECT_MS + 1, ident)
 
 
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -137,7 +137,7 @@
 
     def _unseen(self, now: float, lane: DestinationState, held: PendingMessage) -> bool:
         queue = self.pending.queues[held.message.destination]
-        cold = now < lane.warming_since + self.settings.safety.cold_ms
+        cold = now < lane.warming_since + self.settings.safety.warm_up_ms
         rising = self.rate_controller.is_large_fleet and now < lane.throttled_until
         return (
             (cold or rising)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -33,7 +33,7 @@
             classes=classes,
             max_pending_messages=HOLD,
             relays=1,
-            longest_advice_ms=3000.0,
+            max_retry_after_ms=3000.0,
             tenants=TENANTS,
             over_quota_weight=0.1,
         )
@@ -89,10 +89,10 @@
 
 def test_the_desk_asks_before_it_journals_and_owes_nothing_for_what_it_turned_away(tmp_path: Path) -> None:
     async def work() -> None:
-        settings = make_settings(max_pending_messages=HOLD, relays=1, longest_advice_ms=3000.0)
+        settings = make_settings(max_pending_messages=HOLD, relays=1, max_retry_after_ms=3000.0)
         relay, journal = DeliveryScheduler(settings, 1), Journal(tmp_path, 1 << 20)
         entry = Endpoint(1, 1, Listing.READY, rate=1.0)
-        relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
+        relay.handle(0.0, [EndpointList(ListKind.COMPLETE, (entry,))])
         events: list[Event] = []
         desk = MessageLifecycle(
             settings,
--- a/tests/test_goal.py
+++ b/tests/test_goal.py
@@ -11,7 +11,7 @@
 
 from .conftest import CLASSES, Driver, make_settings
 
-GOAL = Goal(whole=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
+GOAL = Goal(total=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
 
 
 def classes(*worths: float) -> tuple[MessageClass, ...]:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -353,7 +353,7 @@
                 now,
                 [AttemptCompleted(send.id, 0, send.endpoint, Outcome.OK, 20.0, True) for send in sends],
             )
-        gone = tuple(Endpoint(e.id, e.destination, Listing.GONE) for e in entries)
+        gone = tuple(Endpoint(e.id, e.destination, Listing.REMOVED) for e in entries)
         relay.handle(now, [EndpointList(ListKind.CHANGES, gone)])
         now += 1000.0
         assert len(relay.destinations) <= 6200  # what was learned in the last minute
@@ -370,7 +370,7 @@
         "due": board.scans_due,
         "unsure": board.lowest_value_stale,
         "lines": board.key_order,
-        "fading": relay.registry.forget_heap,
+        "fading": relay.registry.eviction_heap,
     }
     assert {name: len(what) for name, what in left.items() if what} == {}
     small: dict[str, Sized] = {
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -61,7 +61,7 @@
     )
     return make_settings(
         classes=tuple(classes),
-        kinds=(DestinationKind("k", routes_apart=draw(st.booleans())),),
+        kinds=(DestinationKind("k", has_separate_routes=draw(st.booleans())),),
         max_concurrent_attempts=draw(st.integers(1, 6)),
         max_pending_messages=draw(st.integers(5, 30)),
         max_attempts=draw(st.integers(1, 5)),
@@ -125,17 +125,17 @@
                     left,
                     rng.randrange(2),
                     rng.choice([0, 7, 8]),
-                    again=rng.random() < 0.2,
+                    is_repeat=rng.random() < 0.2,
                     age_ms=age,
-                    tries=0 if age is None else rng.randint(0, 2),
-                    risk_age_ms=None if risk is None else rng.choice([50.0, 600.0]),
-                    risk=risk,
+                    attempts=0 if age is None else rng.randint(0, 2),
+                    uncertain_for_ms=None if risk is None else rng.choice([50.0, 600.0]),
+                    uncertain_endpoint=risk,
                 )
             )
         if rng.random() < 0.02:  # an endpoint is replaced by another, under another id
             n = rng.randrange(len(listed))
             old, listed[n] = listed[n], replace(listed[n], id=listed[n].id + 1000)
-            events.append(EndpointList(ListKind.CHANGES, (replace(old, listing=Listing.GONE), listed[n])))
+            events.append(EndpointList(ListKind.CHANGES, (replace(old, listing=Listing.REMOVED), listed[n])))
         if rng.random() < 0.03:
             kind = rng.choice(list(ListKind))
             part = rng.sample(listed, len(listed) - 1)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -105,9 +105,9 @@
             0,
             5000.0,
             age_ms=dead_ms + 100,
-            tries=1,
-            risk_age_ms=dead_ms,
-            risk=Endpoint(1, 1, Listing.READY),
+            attempts=1,
+            uncertain_for_ms=dead_ms,
+            uncertain_endpoint=Endpoint(1, 1, Listing.READY),
         )
     )
     driver.pass_time(3000)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -112,7 +112,7 @@
 
 
 def test_told_wait_binds_one_route_where_routes_are_apart() -> None:
-    d = Driver(make_settings(kinds=(DestinationKind("k", routes_apart=True),)))
+    d = Driver(make_settings(kinds=(DestinationKind("k", has_separate_routes=True),)))
     d.listed((11, 1), (12, 1))
     ident = d.message(SAFE)
     route = d.last(ident)[1].endpoint
@@ -123,13 +123,13 @@
     assert d.last(ident)[0] > told and d.last(ident)[1].endpoint != route
 
 
-@pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.GONE, None])
+@pytest.mark.parametrize("listing", [Listing.DRAINING, Listing.REMOVED, None])
 def test_drains_act_at_once(listing: Listing | None) -> None:
     d = Driver()
     d.listed((11, 1), (12, 1))
     d.warm_up()
     if listing is None:
-        d.feed(EndpointList(ListKind.WHOLE, (Endpoint(12, 1, Listing.READY, 0, 0, 20.0),)))
+        d.feed(EndpointList(ListKind.COMPLETE, (Endpoint(12, 1, Listing.READY, 0, 0, 20.0),)))
     else:
         d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, listing),)))
     start = len(d.sent)
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -174,7 +174,7 @@
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         source.updates.put_nowait(
-            EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.GONE)))
+            EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.REMOVED)))
         )
         await until(lambda: carrier.gone == [(1, ("queue", 1))])
         host.messages.accept(offer("m", remaining_ms=200))
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -28,13 +28,15 @@
 
 from .conftest import make_settings
 
-SAFETY = Safety(cold_share=0.18, cold_ms=11_000.0)
+SAFETY = Safety(warm_up_initial_share=0.18, warm_up_ms=11_000.0)
 
 
 def share(
     number: int = 0, size: int = 40, rate: float = 60.0, clock: float = 0.0, cold: float = 0.18
 ) -> TimeSlotShare:
-    return TimeSlotShare(Fleet(number, size, clock), rate, Safety(cold_share=cold, cold_ms=11_000.0))
+    return TimeSlotShare(
+        Fleet(number, size, clock), rate, Safety(warm_up_initial_share=cold, warm_up_ms=11_000.0)
+    )
 
 
 def sends(one: TimeSlotShare, begin: float, end: float, late: random.Random | None = None) -> list[float]:
@@ -143,7 +145,7 @@
     for fleet in (None, Fleet(2, 10, 12_345.0)):
         relay = DeliveryScheduler(make_settings(fleet=fleet, safety=SAFETY, max_pending_messages=100), 1)
         now = 1000.0
-        relay.handle(now, [EndpointList(ListKind.WHOLE, (Endpoint(1, 1, Listing.READY, rate=50.0),))])
+        relay.handle(now, [EndpointList(ListKind.COMPLETE, (Endpoint(1, 1, Listing.READY, rate=50.0),))])
         at: list[float] = []
         acts = relay.handle(now, [Message(n, 1, 0, 9000.0) for n in range(30)])
         while now < 9000.0:
@@ -233,7 +235,7 @@
 def test_the_relay_follows_another_size() -> None:
     relay = DeliveryScheduler(make_settings(fleet=Fleet(2, 10), safety=SAFETY), 1)
     entry = Endpoint(1, 1, Listing.READY, rate=50.0)
-    relay.handle(0.0, [EndpointList(ListKind.WHOLE, (entry,))])
+    relay.handle(0.0, [EndpointList(ListKind.COMPLETE, (entry,))])
     relay.handle(5.0, [Fleet(2, 20)])
     lane = relay.destinations[1][-1]
     assert relay.settings.relays == 20 and lane.time_slots is not None and lane.time_slots.fleet.size == 20
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -78,7 +78,7 @@
 
 
 def test_a_refusal_tells_when_to_come_again() -> None:
-    d = Driver(make_settings(max_pending_messages=20, longest_advice_ms=3000.0))
+    d = Driver(make_settings(max_pending_messages=20, max_retry_after_ms=3000.0))
     d.listed((11, 1), (12, 2))
     d.warm_up(1)
     first = d.message(SAFE, 1)
@@ -86,7 +86,7 @@
     d.answer(first, Outcome.FULL, wait=1500.0)
     for _ in range(18):
         d.message(KEYED, 1)
-    told = [act.stay_away_ms for act in d.ended.values() if isinstance(act, Reject)]
+    told = [act.retry_after_ms for act in d.ended.values() if isinstance(act, Reject)]
     assert told and all(1400.0 < wait <= 3000.0 for wait in told)
 
 
@@ -344,7 +344,7 @@
     for generation in range(60):
         d.feed(
             EndpointList(
-                ListKind.WHOLE,
+                ListKind.COMPLETE,
                 tuple(
                     Endpoint(100 * generation + n, 50 * generation + n, Listing.READY, 0, 0, 20.0)
                     for n in range(5)
@@ -377,7 +377,7 @@
         d.listed((11, 1))
         d.warm_up()
         if gap:
-            d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.GONE),)))
+            d.feed(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.REMOVED),)))
         for _ in range(12):
             d.message()
         d.pass_time(gap)
@@ -474,11 +474,11 @@
     d = Driver()
     d.listed((11, 1))
     resumed = {
-        "fresh": Message(1, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1),
-        "risky": Message(2, 1, UNSAFE, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
-        "in its window": Message(3, 1, KEYED, 8000.0, age_ms=2000.0, tries=1, risk_age_ms=1000.0),
-        "past its window": Message(4, 1, KEYED, 8000.0, age_ms=4000.0, tries=1, risk_age_ms=3000.0),
-        "used up": Message(5, 1, SAFE, 8000.0, age_ms=2000.0, tries=5),
+        "fresh": Message(1, 1, UNSAFE, 8000.0, age_ms=2000.0, attempts=1),
+        "risky": Message(2, 1, UNSAFE, 8000.0, age_ms=2000.0, attempts=1, uncertain_for_ms=1000.0),
+        "in its window": Message(3, 1, KEYED, 8000.0, age_ms=2000.0, attempts=1, uncertain_for_ms=1000.0),
+        "past its window": Message(4, 1, KEYED, 8000.0, age_ms=4000.0, attempts=1, uncertain_for_ms=3000.0),
+        "used up": Message(5, 1, SAFE, 8000.0, age_ms=2000.0, attempts=5),
         "expired": Message(6, 1, SAFE, -10.0, age_ms=10010.0),
     }
     for event in resumed.values():
@@ -500,9 +500,9 @@
             0,
             8000.0,
             age_ms=1000.0,
-            tries=1,
-            risk_age_ms=500.0,
-            risk=Endpoint(12, 1, Listing.READY),
+            attempts=1,
+            uncertain_for_ms=500.0,
+            uncertain_endpoint=Endpoint(12, 1, Listing.READY),
         )
     )
     d.feed(
@@ -512,9 +512,9 @@
             0,
             8000.0,
             age_ms=1000.0,
-            tries=1,
-            risk_age_ms=500.0,
-            risk=Endpoint(99, 1, Listing.READY),
+            attempts=1,
+            uncertain_for_ms=500.0,
+            uncertain_endpoint=Endpoint(99, 1, Listing.READY),
         )
     )
     d.pass_time(100)
