--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -78,7 +78,7 @@
 class Traffic:
     port: int
     rng: random.Random
-    taken: dict[str, str] = field(default_factory=dict)
+    accepted: dict[str, str] = field(default_factory=dict)
     numbers: int = 0
 
     async def client(self) -> None:
@@ -109,7 +109,7 @@
         length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
         await reader.readexactly(int(length or 0))
         if b" 202 " in head[:13]:
-            self.taken[ident] = class_
+            self.accepted[ident] = class_
         else:
             await asyncio.sleep(0.02)
 
@@ -177,11 +177,11 @@
             await asyncio.sleep(rng.uniform(0.02, 0.5))
             relay.send_signal(signal.SIGKILL)
             await relay.wait()
-            begun = time.monotonic()
+            started_at = time.monotonic()
             relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
             await healthy(port)
             row.kills += 1
-            row.restart_s += (time.monotonic() - begun) / kills
+            row.restart_s += (time.monotonic() - started_at) / kills
         for client in clients:
             client.cancel()
         await asyncio.gather(*clients, return_exceptions=True)
@@ -199,13 +199,13 @@
     ends: dict[str, set[str]] = {}
     for item in map(json.loads, lines(folder / "notices")):
         ends.setdefault(item["id"], set()).add(item["state"])
-    row.taken, row.effects, row.notices = len(traffic.taken), len(effects), len(ends)
-    ended = effects.keys() | ends.keys()
-    row.broken += [f"{ident}: no end" for ident in traffic.taken if ident not in ended]
+    row.taken, row.effects, row.notices = len(traffic.accepted), len(effects), len(ends)
+    finished = effects.keys() | ends.keys()
+    row.broken += [f"{ident}: no end" for ident in traffic.accepted if ident not in finished]
     row.broken += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
     row.broken += [
         f"{ident}: took effect {effects[ident]} times"
-        for ident, class_ in traffic.taken.items()
+        for ident, class_ in traffic.accepted.items()
         if class_ == "pay" and effects[ident] > 1
     ]
     return row
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -2,11 +2,12 @@
 
     python -m benchmarks.store [--json] [--messages 20000] [--rounds 3] [--old DIR | --recovery]
 
-The mix: bodies of 200 bytes to 60 KB (log-normal, median 400), 55% delivered at the first try, others after
-some more, 4% end as failed or returned and are told; each is known for 16 s at 120 messages a second, budget
-2.96 MB. `--old` names a checkout of the version with one file (commit 41140d3), which is then measured by a
-process of its own in each round. `pause` is the longest call, `p99` of a take, `amplification` bytes written
-over bytes of new records, `peak` the most that lay on the disk, against the budget."""
+The mix: bodies of 200 bytes to 60 KB (log-normal, median 400), 55% delivered at the first attempt, others
+after some more, 4% fail or are returned, with a notification; each is known for 16 s at 120 messages a
+second, budget 2.96 MB. `--old` names a checkout of another version, which is then measured by a process of
+its own in each round; its package and the journal's methods must have the present names. `pause` is the
+longest call, `p99` of an accept, `amplification` bytes written over bytes of new records, `peak` the most
+that was on the disk, against the budget."""
 
 from __future__ import annotations
 
@@ -45,17 +46,17 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.takes: list[float] = []
-        self.others: list[float] = []
-        self.refused = 0
+        self.accept_ms: list[float] = []
+        self.other_ms: list[float] = []
+        self.rejected_count = 0
         self.peak = 0
 
     def timed(self, into: list[float], call: Any, *args: Any) -> None:
-        begun = time.perf_counter()
+        started = time.perf_counter()
         try:
             call(*args)
         finally:
-            into.append((time.perf_counter() - begun) * 1000)
+            into.append((time.perf_counter() - started) * 1000)
 
     def run(self, journal: Any, make: Any, folder: Path, messages: int) -> None:
         rng, now, waiting = self.rng, 1e6, deque[Any]()
@@ -64,30 +65,36 @@
             body = bytes(min(60_000, max(200, int(rng.lognormvariate(6.0, 1.0)))))
             entry = make(f"{n:016x}", "order", "t", 7, f"k{n:016x}", now, now + LIFE_MS, "", body)
             try:
-                self.timed(self.takes, journal.take, entry)
+                self.timed(self.accept_ms, journal.append_accepted, entry)
                 waiting.append(entry)
             except Exception as error:
-                if type(error).__name__ not in ("JournalFull", "JournalError"):
+                if type(error).__name__ not in ("JournalFullError", "JournalError"):
                     raise
-                self.refused += 1
+                self.rejected_count += 1
             while len(waiting) > OPEN or (waiting and rng.random() < 0.5):
-                self.end(journal, waiting.popleft(), now)
+                self.finish(journal, waiting.popleft(), now)
             if n % 120 == 0:
-                self.timed(self.others, journal.tidy, now)
+                self.timed(self.other_ms, journal.compact, now)
                 self.peak = max(self.peak, on_disk(folder))
 
-    def end(self, journal: Any, entry: Any, now: float) -> None:
+    def finish(self, journal: Any, entry: Any, now: float) -> None:
         rng = self.rng
         while True:
-            self.timed(self.others, journal.tried, entry, now, "s-5be2a07c", 0)
+            self.timed(self.other_ms, journal.append_attempt, entry, now, "s-5be2a07c", 0)
             if rng.random() < 0.55:
                 break
-            self.timed(self.others, journal.outcome, entry, False)
+            self.timed(self.other_ms, journal.append_outcome, entry, False)
             if rng.random() < 0.09:
-                self.timed(self.others, journal.ended, entry, rng.choice(("failed", "returned")), 500.0)
-                self.timed(self.others, journal.told, [entry.id])
+                self.timed(
+                    self.other_ms,
+                    journal.append_final_outcome,
+                    entry,
+                    rng.choice(("failed", "returned")),
+                    500.0,
+                )
+                self.timed(self.other_ms, journal.append_notified, [entry.id])
                 return
-        self.timed(self.others, journal.ended, entry, "delivered")
+        self.timed(self.other_ms, journal.append_final_outcome, entry, "delivered")
 
 
 def measure(messages: int, seed: int) -> dict[str, Any]:
@@ -97,24 +104,24 @@
         journal: Any = Journal(folder, BUDGET)
         gc.collect()
         gc.disable()  # its pauses are the process's, not the journal's
-        begun = time.perf_counter()
+        started = time.perf_counter()
         mix.run(journal, JournalEntry, folder, messages)
-        took = time.perf_counter() - begun
+        took = time.perf_counter() - started
         size, live = on_disk(folder), len(journal.entries)
         copied, written = getattr(journal, "copied_bytes", 0), getattr(journal, "written_bytes", 1)
         journal.close()
-        begun = time.perf_counter()
+        started = time.perf_counter()
         again: Any = Journal(folder, BUDGET)
-        restored = time.perf_counter() - begun
+        restored = time.perf_counter() - started
         assert len(again.entries) >= live
         again.close()
-        takes, every = sorted(mix.takes), sorted(mix.takes + mix.others)
+        accept_ms, all_ms = sorted(mix.accept_ms), sorted(mix.accept_ms + mix.other_ms)
         return {
             "us a message": took / messages * 1e6,
-            "p99 ms": takes[int(0.99 * len(takes))],
-            "p999 ms": takes[int(0.999 * len(takes))],
-            "pause ms": every[-1],
-            "refused": mix.refused,
+            "p99 ms": accept_ms[int(0.99 * len(accept_ms))],
+            "p999 ms": accept_ms[int(0.999 * len(accept_ms))],
+            "pause ms": all_ms[-1],
+            "refused": mix.rejected_count,
             "amplification": (copied + written) / written,
             "peak": mix.peak,
             "over": mix.peak > BUDGET,
@@ -134,12 +141,12 @@
             )
         journal.close()
         paths = sorted(Path(name).iterdir())
-        begun = time.perf_counter()
+        started = time.perf_counter()
         read = sum(len(data) for data in (path.read_bytes() for path in paths) if crc32(data) >= 0)
-        floor = time.perf_counter() - begun
-        begun = time.perf_counter()
+        floor = time.perf_counter() - started
+        started = time.perf_counter()
         found = recover(DirectoryFileStore(Path(name)))
-        took = time.perf_counter() - begun
+        took = time.perf_counter() - started
         assert len(found.entries) == total // size
         return {
             "body": size,
@@ -156,11 +163,11 @@
         "import json, sys; from benchmarks.store import measure;"
         f"print(json.dumps(measure({messages}, {seed})))"
     )
-    here = Path(__file__).parents[1]
+    checkout = Path(__file__).parents[1]
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "benchmarks").mkdir()
         for part in ("__init__.py", "report.py", "store.py"):
-            (Path(name) / "benchmarks" / part).symlink_to(here / "benchmarks" / part)
+            (Path(name) / "benchmarks" / part).symlink_to(checkout / "benchmarks" / part)
         (Path(name) / "message_relay").symlink_to(folder / "message_relay")
         done = subprocess.run(
             [sys.executable, "-c", code],
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -37,13 +37,15 @@
 
     def append_accepted(self, entry: JournalEntry) -> None: ...
 
-    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None: ...
+    def append_attempt(self, entry: JournalEntry, started_at_ms: float, endpoint: str, zone: int) -> None: ...
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None: ...
 
-    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None: ...
+    def append_final_outcome(
+        self, entry: JournalEntry, final_state: str, retry_after_ms: float = 0.0
+    ) -> None: ...
 
-    def append_notified(self, idents: list[str]) -> None: ...
+    def append_notified(self, message_ids: list[str]) -> None: ...
 
     def compact(self, now: float) -> None: ...
 
@@ -59,36 +61,43 @@
     def put(self, entry: JournalEntry) -> None:
         raise NotImplementedError
 
-    def drop(self, idents: list[str]) -> None:
+    def drop(self, message_ids: list[str]) -> None:
         raise NotImplementedError
 
     def append_accepted(self, entry: JournalEntry) -> None:
         self.entries[entry.id] = entry
         self.put(entry)
 
-    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
-        entry.attempt_count, entry.attempt_in_flight = entry.attempt_count + 1, Attempt(at, endpoint, zone)
+    def append_attempt(self, entry: JournalEntry, started_at_ms: float, endpoint: str, zone: int) -> None:
+        entry.attempt_count, entry.attempt_in_flight = (
+            entry.attempt_count + 1,
+            Attempt(started_at_ms, endpoint, zone),
+        )
         self.put(entry)
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
         entry.attempt_in_flight = None
         self.put(entry)
 
-    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        entry.final_state, entry.retry_after_ms, entry.body = state, after_ms, b""
+    def append_final_outcome(
+        self, entry: JournalEntry, final_state: str, retry_after_ms: float = 0.0
+    ) -> None:
+        entry.final_state, entry.retry_after_ms, entry.body = final_state, retry_after_ms, b""
         self.put(entry)
 
-    def append_notified(self, idents: list[str]) -> None:
-        for ident in idents:
-            self.entries[ident].is_notified = True
-            self.put(self.entries[ident])
+    def append_notified(self, message_ids: list[str]) -> None:
+        for message_id in message_ids:
+            self.entries[message_id].is_notified = True
+            self.put(self.entries[message_id])
 
     def compact(self, now: float) -> None:
         old = [
-            ident for ident, entry in self.entries.items() if entry.final_state and entry.deadline_ms < now
+            message_id
+            for message_id, entry in self.entries.items()
+            if entry.final_state and entry.deadline_ms < now
         ]
-        for ident in old:
-            del self.entries[ident]
+        for message_id in old:
+            del self.entries[message_id]
         self.drop(old)
 
 
@@ -108,9 +117,9 @@
         """The body in a column of its own would still be written with its row: SQLite writes whole pages."""
         self.db.execute("INSERT OR REPLACE INTO m VALUES (?, ?, ?)", (entry.id, encode_snapshot(entry), b""))
 
-    def drop(self, idents: list[str]) -> None:
+    def drop(self, message_ids: list[str]) -> None:
         self.db.execute("BEGIN")
-        self.db.executemany("DELETE FROM m WHERE id = ?", [(ident,) for ident in idents])
+        self.db.executemany("DELETE FROM m WHERE id = ?", [(message_id,) for message_id in message_ids])
         self.db.execute("COMMIT")
 
     def close(self) -> None:
@@ -128,17 +137,17 @@
         with self.db.begin(write=True) as work:
             work.put(entry.id.encode(), encode_snapshot(entry))
 
-    def drop(self, idents: list[str]) -> None:
+    def drop(self, message_ids: list[str]) -> None:
         with self.db.begin(write=True) as work:
-            for ident in idents:
-                work.delete(ident.encode())
+            for message_id in message_ids:
+                work.delete(message_id.encode())
 
     def close(self) -> None:
         self.db.close()
 
 
 class Generations:
-    """A file for each second of `due`, open as long as one of its messages can still say something."""
+    """A file for each second of the deadlines, open as long as one of its messages is known."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.files = folder, dict[int, int]()
@@ -155,19 +164,21 @@
         self.entries[entry.id] = entry
         self.record(entry, encode_snapshot(entry))
 
-    def append_attempt(self, entry: JournalEntry, at: float, endpoint: str, zone: int) -> None:
-        self.record(entry, encode_payload([at, endpoint, zone]))
+    def append_attempt(self, entry: JournalEntry, started_at_ms: float, endpoint: str, zone: int) -> None:
+        self.record(entry, encode_payload([started_at_ms, endpoint, zone]))
 
     def append_outcome(self, entry: JournalEntry, may_have_run: bool) -> None:
         self.record(entry, encode_payload(may_have_run))
 
-    def append_final_outcome(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
-        entry.final_state = state
-        self.record(entry, encode_payload([state, after_ms]))
+    def append_final_outcome(
+        self, entry: JournalEntry, final_state: str, retry_after_ms: float = 0.0
+    ) -> None:
+        entry.final_state = final_state
+        self.record(entry, encode_payload([final_state, retry_after_ms]))
 
-    def append_notified(self, idents: list[str]) -> None:
-        for ident in idents:
-            self.record(self.entries[ident], b"")
+    def append_notified(self, message_ids: list[str]) -> None:
+        for message_id in message_ids:
+            self.record(self.entries[message_id], b"")
 
     def compact(self, now: float) -> None:
         for when in [when for when in self.files if when * 1000 + 1000 < now]:
@@ -190,19 +201,21 @@
         store, mix = make(Path(folder)), Mix(seed)
         gc.collect()
         gc.disable()
-        before, begun = through_writes(), time.perf_counter()
+        before = through_writes()
+        started = time.perf_counter()
         mix.run(store, JournalEntry, Path(folder), messages)
-        took, wrote = time.perf_counter() - begun, through_writes() - before
+        took = time.perf_counter() - started
+        wrote = through_writes() - before
         gc.enable()
         store.close()
-        every = sorted(mix.takes + mix.others)
+        all_ms = sorted(mix.accept_ms + mix.other_ms)
         return {
             "store": name,
             "us a message": took / messages * 1e6,
             "wrote": wrote,
             "peak": mix.peak,
-            "p99 ms": sorted(mix.takes)[int(0.99 * len(mix.takes))],
-            "pause ms": every[-1],
+            "p99 ms": sorted(mix.accept_ms)[int(0.99 * len(mix.accept_ms))],
+            "pause ms": all_ms[-1],
             "written": getattr(store, "written_bytes", 0),
         }
 
