--- a/message_relay/consensus/raft_storage.py
+++ b/message_relay/consensus/raft_storage.py
@@ -1,10 +1,9 @@
-"""What a voter's log leaves on its disk: whether it is believed at a start, and that it lies there before a
-word about it goes out.
+"""The files of a voter's log: whether they can be trusted at a start, and when they have to be synced.
 
-pysyncobj 0.3.17 writes votes and entries but leaves them to the page cache, takes a vote that can't be read
-for none, walks its journal by whatever sizes stand there, and keeps an entry in memory whose write has
-failed. So its files are checked before it is begun, synced before its messages go out, and it is ended at
-the first turn that fails: what lies on the disk counts, not what was in memory.
+pysyncobj 0.3.17 writes votes and entries but leaves them to the page cache, treats a vote that can't be read
+as none, walks its journal by whatever sizes stand there, and keeps an entry in memory whose write has
+failed. So its files are checked before it is started, synced before its messages are sent, and it is stopped
+at the first turn that fails: what lies on the disk counts, not what was in memory.
 """
 
 from __future__ import annotations
@@ -15,83 +14,112 @@
 import pickle
 import struct
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 JOURNAL, DUMP, META = "raft.journal", "raft.dump", "raft.journal.meta"
-HEAD = 40  # its name, its version, the form, and where the last record ends
-NAME, FORM = b"PYSYNCOBJ", 1
-SIZE, PLACE, HEADER = struct.Struct("<I"), struct.Struct("<QQ"), struct.Struct("<24s8sII")
-SEAL = 8
+JOURNAL_NAME, JOURNAL_FORMAT = b"PYSYNCOBJ", 1
+# Name, the library's version, the format, and the offset at which the last record ends.
+HEADER = struct.Struct("<24s8sII")
+RECORD_SIZE = struct.Struct("<I")  # before and after each record
+RECORD_POSITION = struct.Struct("<QQ")  # number and term
+CHECKSUM_BYTES = 8  # before each command
 
 
 class TornWriteError(Exception):
-    """What lies there can't be believed."""
+    """A file of the log is damaged."""
+
+
+class JournalRecord(NamedTuple):
+    """One entry of the log."""
+
+    number: int
+    term: int
+    command: bytes
+
+
+class WrittenState(NamedTuple):
+    """What changes whenever the log writes: compared, to find out whether it has to be synced."""
+
+    meta: tuple[int, int] | None  # inode and time of modification
+    journal_end: int
+    last_position: bytes
 
 
 def with_checksum(raw: bytes) -> bytes:
-    """A command as it goes into the log: the journal has no sums of its own."""
-    return hashlib.sha256(raw).digest()[:SEAL] + raw
+    """A command as it goes into the log: the journal has no checksums of its own."""
+    return hashlib.sha256(raw).digest()[:CHECKSUM_BYTES] + raw
 
 
 def verified_payload(raw: bytes) -> bytes:
-    """Raises Torn."""
-    if hashlib.sha256(raw[SEAL:]).digest()[:SEAL] != raw[:SEAL]:
+    """The command of a log entry. Raises TornWriteError if its checksum is wrong."""
+    payload = raw[CHECKSUM_BYTES:]
+    if hashlib.sha256(payload).digest()[:CHECKSUM_BYTES] != raw[:CHECKSUM_BYTES]:
         raise TornWriteError("an entry of its log has another sum")
-    return raw[SEAL:]
+    return payload
 
 
-def parse_journal(raw: bytes) -> list[tuple[int, int, bytes]]:
-    """Number, term and command of each record of a journal. Raises Torn."""
-    if len(raw) < HEAD:
+def _journal_end(raw: bytes) -> int:
+    """The offset at which the last record ends, by the header. Raises TornWriteError."""
+    if len(raw) < HEADER.size:
         raise TornWriteError(f"its journal is {len(raw)} bytes long")
-    name, _, form, last = HEADER.unpack(raw[:HEAD])
-    if name.rstrip(b"\0") != NAME or form != FORM:
+    name, _, journal_format, end = HEADER.unpack(raw[: HEADER.size])
+    if name.rstrip(b"\0") != JOURNAL_NAME or journal_format != JOURNAL_FORMAT:
         raise TornWriteError("its journal is of another form")
-    if not HEAD <= last <= len(raw):
-        raise TornWriteError(f"its journal ends at {last} of {len(raw)} bytes")
-    found: list[tuple[int, int, bytes]] = []
-    at = HEAD
-    while at < last:
-        size = SIZE.unpack_from(raw, at)[0] if at + SIZE.size <= last else 0
-        ends = at + size + 2 * SIZE.size
-        if size <= PLACE.size or ends > last or SIZE.unpack_from(raw, ends - SIZE.size)[0] != size:
-            raise TornWriteError(f"its journal is torn at byte {at}")
-        number, term = PLACE.unpack_from(raw, at + SIZE.size)
-        if found and (number != found[-1][0] + 1 or term < found[-1][1]):
-            raise TornWriteError(f"its journal has entry {number} of term {term} after {found[-1][:2]}")
-        found.append((number, term, raw[at + SIZE.size + PLACE.size : ends - SIZE.size]))
-        at = ends
-    return found
+    if not HEADER.size <= end <= len(raw):
+        raise TornWriteError(f"its journal ends at {end} of {len(raw)} bytes")
+    return int(end)
+
+
+def parse_journal(raw: bytes) -> list[JournalRecord]:
+    """All records of a journal. Raises TornWriteError."""
+    journal_end = _journal_end(raw)
+    records: list[JournalRecord] = []
+    offset = HEADER.size
+    while offset < journal_end:
+        size = RECORD_SIZE.unpack_from(raw, offset)[0] if offset + RECORD_SIZE.size <= journal_end else 0
+        record_end = offset + size + 2 * RECORD_SIZE.size
+        size_after = record_end - RECORD_SIZE.size
+        is_too_short = size <= RECORD_POSITION.size
+        if is_too_short or record_end > journal_end or RECORD_SIZE.unpack_from(raw, size_after)[0] != size:
+            raise TornWriteError(f"its journal is torn at byte {offset}")
+        position = offset + RECORD_SIZE.size
+        number, term = RECORD_POSITION.unpack_from(raw, position)
+        if records and (number != records[-1].number + 1 or term < records[-1].term):
+            previous = (records[-1].number, records[-1].term)
+            raise TornWriteError(f"its journal has entry {number} of term {term} after {previous}")
+        records.append(JournalRecord(number, term, raw[position + RECORD_POSITION.size : size_after]))
+        offset = record_end
+    return records
 
 
 def parse_vote(raw: bytes) -> dict[str, Any]:
-    """What was kept of the latest term and vote. Raises Torn."""
+    """What was written of the latest term and vote. Raises TornWriteError."""
     try:
-        told = pickle.loads(raw)
+        found = pickle.loads(raw)
     except Exception as error:  # whatever a torn pickle makes of itself
         raise TornWriteError(f"its vote can't be read: {error!r}") from error
-    if not isinstance(told, dict) or not isinstance(told.get("currentTerm", 0), int):
+    if not isinstance(found, dict) or not isinstance(found.get("currentTerm", 0), int):
         raise TornWriteError("its vote can't be read")
-    return told
+    return found
 
 
 def verify_log(folder: Path) -> None:
-    """Raises Torn where a log that lies there can't be believed, OSError where it can't be read."""
+    """Raises TornWriteError where the log in a folder is damaged, OSError where it can't be read."""
     try:
-        found = parse_journal((folder / JOURNAL).read_bytes())
+        records = parse_journal((folder / JOURNAL).read_bytes())
     except FileNotFoundError:
         return
-    latest = found[-1][1] if found else 0
+    latest_term = records[-1].term if records else 0
     try:
-        term = parse_vote((folder / META).read_bytes()).get("currentTerm", 0)
+        vote_term = parse_vote((folder / META).read_bytes()).get("currentTerm", 0)
     except FileNotFoundError:
-        term = 0
-    if term < latest:
-        raise TornWriteError(f"its vote is of term {term} and its journal of term {latest}")
+        vote_term = 0
+    if vote_term < latest_term:
+        raise TornWriteError(f"its vote is of term {vote_term} and its journal of term {latest_term}")
 
 
 def remove_log(folder: Path) -> None:
-    """As if it had never voted. Raises OSError."""
+    """Remove all files of the log, as if the instance had never voted. Raises OSError."""
     for name in (JOURNAL, DUMP, META):
         (folder / name).unlink(missing_ok=True)
 
@@ -101,35 +129,44 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.synced: tuple[Any, ...] = ()
+        self.synced_state: WrittenState | None = None
 
-    def state(self) -> tuple[Any, ...]:
-        """Raises OSError. The journal is written through a mapping: reads see it at once, and its times don't
-        tell."""
+    def _written_state(self) -> WrittenState:
+        """Raises OSError.
+
+        The journal is written through a mapping: reads see that at once, and its time of modification does
+        not change.
+        """
         meta = None
         with contextlib.suppress(FileNotFoundError):
-            told = os.stat(self.folder / META)
-            meta = told.st_ino, told.st_mtime_ns
-        handle = os.open(self.folder / JOURNAL, os.O_RDONLY)
+            stat = os.stat(self.folder / META)
+            meta = stat.st_ino, stat.st_mtime_ns
+        descriptor = os.open(self.folder / JOURNAL, os.O_RDONLY)
         try:
-            last = HEADER.unpack(os.pread(handle, HEAD, 0))[3]
-            size = SIZE.unpack(os.pread(handle, SIZE.size, last - SIZE.size))[0] if last > HEAD else 0
-            record = os.pread(handle, PLACE.size, last - size - SIZE.size) if last > HEAD else b""
+            end = HEADER.unpack(os.pread(descriptor, HEADER.size, 0))[3]
+            position = self._last_position(descriptor, end) if end > HEADER.size else b""
         finally:
-            os.close(handle)
-        return meta, last, record
+            os.close(descriptor)
+        return WrittenState(meta, end, position)
+
+    @staticmethod
+    def _last_position(descriptor: int, end: int) -> bytes:
+        """Number and term of the last record, as they were written."""
+        size = RECORD_SIZE.unpack(os.pread(descriptor, RECORD_SIZE.size, end - RECORD_SIZE.size))[0]
+        return os.pread(descriptor, RECORD_POSITION.size, end - size - RECORD_SIZE.size)
 
     def has_unsynced_writes(self) -> bool:
-        return self.state() != self.synced
+        """Whether the log has written since the last `sync`. Raises OSError."""
+        return self._written_state() != self.synced_state
 
     def sync(self) -> None:
-        """Blocks until it is on the disk: not for the loop. Raises OSError."""
-        state = self.state()
+        """Block until all that was written is on the disk: not for the event loop. Raises OSError."""
+        state = self._written_state()
         for name in (JOURNAL, META, "."):
             with contextlib.suppress(FileNotFoundError):
-                handle = os.open(self.folder / name, os.O_RDONLY)
+                descriptor = os.open(self.folder / name, os.O_RDONLY)
                 try:
-                    os.fsync(handle)
+                    os.fsync(descriptor)
                 finally:
-                    os.close(handle)
-        self.synced = state
+                    os.close(descriptor)
+        self.synced_state = state
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -1,10 +1,11 @@
-"""The book as a replicated log: Raft by pysyncobj (docs/design/agreed-rules.md weighs it), embedded.
+"""The version history as a replicated log: Raft by pysyncobj (docs/design/agreed-rules.md weighs it), embedded.
 
-Its messages travel on this relay's own connections to its peers, so that they are sealed and named as all
-others are, and its turns are taken by this process's loop. A voter whose state folder has gone back in
-time, or has lost the log, may have voted in a term that it no longer knows of: it must not start this
-(see `node.py`). `disk.py` says why its files are checked, synced before a word goes out, and opened anew
-after a failure."""
+Its messages travel on this relay's own connections to its peers (`raft_transport.py`), so that they are
+sealed and named as all others are, and its turns run on this process's event loop. A voter whose state
+folder has gone back in time, or has lost the log, may have voted in a term that it no longer knows of: it
+must not start this (see `voter.py`). `raft_storage.py` says why its files are checked, synced before a
+message is sent, and opened anew after a failure.
+"""
 
 from __future__ import annotations
 
@@ -19,234 +20,169 @@
 
 from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated
 from pysyncobj.node import Node as RaftNode
-from pysyncobj.transport import Transport
 
 from ..core.tasks import BackgroundTasks, wait_for_event
-from ..gossip.framing import Hello
-from ..gossip.node import GossipNode, Stream
+from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
 from .raft_storage import DUMP, JOURNAL, RaftStorage, verified_payload, verify_log, with_checksum
+from .raft_transport import GossipTransport
 from .version_history import Command, CommandResult, VersionHistory, decode_command
 
 log = logging.getLogger(__name__)
 
-FRAME_KIND = "raft"
-TICK_S = 0.075  # between two turns of the log without news: half a heartbeat
+TICK_S = 0.075  # between two turns of the log without messages: half a heartbeat
 ELECTION_S = 0.5, 1.2  # without a leader for so long, by chance between them
 HEARTBEAT_S = 0.15
+RECONNECT_S = 0.2
+LEADER_FALLBACK_S = 2.0  # a leader without a majority for so long steps down
 COMPACT_S, COMPACT_ENTRIES = 30, 200
+CHECKSUM_BYTES = 32  # SHA-256 before a snapshot
 
+_TAKEN_OVER = "another leader has taken over: see whether it was taken, and propose again"
 FAILURE_MESSAGES = {
     FAIL_REASON.QUEUE_FULL: "too many commands wait",
     FAIL_REASON.MISSING_LEADER: "there is no leader just now",
-    FAIL_REASON.DISCARDED: "another leader has taken over: see whether it was taken, and propose again",
-    FAIL_REASON.NOT_LEADER: "another leader has taken over: see whether it was taken, and propose again",
-    FAIL_REASON.LEADER_CHANGED: "another leader has taken over: see whether it was taken, and propose again",
+    FAIL_REASON.DISCARDED: _TAKEN_OVER,
+    FAIL_REASON.NOT_LEADER: _TAKEN_OVER,
+    FAIL_REASON.LEADER_CHANGED: _TAKEN_OVER,
     FAIL_REASON.REQUEST_DENIED: "it is not possible now",
 }
 
 
-class GossipTransport(Transport):  # type: ignore[misc]
-    """pysyncobj's transport over the streams of a peers' node."""
+def _failure_message(error: int) -> str:
+    return FAILURE_MESSAGES.get(error, f"it failed ({error})")
 
-    def __init__(
-        self, node: GossipNode, me: RaftNode, others: list[RaftNode], tasks: BackgroundTasks
-    ) -> None:
-        super().__init__(None, me, others)
-        self.node, self.tasks = node, tasks
-        self.nodes: dict[str, RaftNode] = {}
-        self.streams: dict[str, Stream] = {}
-        self.work: dict[str, asyncio.Task[None]] = {}
-        self.inbox: list[tuple[str, bytes]] = []
-        self.news = asyncio.Event()  # a message has come, or a command of this instance
-        self.held: list[tuple[Stream, bytes]] = []  # of this turn
-        for other in others:
-            self.addNode(other)
-        node.frame_handlers[FRAME_KIND] = self._frame
-
-    ready = True
-
-    def tryGetReady(self) -> None:
-        pass
-
-    def waitReady(self) -> None:
-        pass
-
-    def addNode(self, node: RaftNode) -> None:
-        if node.id in self.streams:
-            return
-        self.nodes[node.id] = node
-        stream = self.streams[node.id] = Stream(self.node, node.id, FRAME_KIND)
-        self.work[node.id] = self.tasks.start(stream.run(self._changed))
-
-    def dropNode(self, node: RaftNode) -> None:
-        self.nodes.pop(node.id, None)
-        self.streams.pop(node.id, None)
-        task = self.work.pop(node.id, None)
-        if task is not None:
-            task.cancel()
-
-    def send(self, node: RaftNode, message: Any) -> bool:
-        """Held back until what it speaks of lies on the disk: `flush`."""
-        stream = self.streams.get(node.id)
-        if stream is None or not stream.is_connected:
-            return False
-        self.held.append((stream, pickle.dumps(message)))
-        return True
-
-    def flush(self) -> None:
-        held, self.held = self.held, []
-        for stream, raw in held:
-            stream.send(raw)
-
-    def destroy(self) -> None:
-        for task in self.work.values():
-            task.cancel()
-        self.node.frame_handlers.pop(FRAME_KIND, None)
-
-    def _changed(self, name: str, up: bool) -> None:
-        node = self.nodes.get(name)
-        if node is not None:
-            (self._onNodeConnected if up else self._onNodeDisconnected)(node)
-
-    def _frame(self, hello: Hello, raw: bytes) -> None:
-        self.inbox.append((hello.sender, raw))
-        self.news.set()
-
-    def deliver(self) -> None:
-        """What has come since the last turn. Only voters are heard, and only over sealed connections
-        where the fleet has a secret: what they say is pickled."""
-        inbox, self.inbox = self.inbox, []
-        for sender, raw in inbox:
-            node = self.nodes.get(sender)
-            if node is None:
-                continue
-            try:
-                message = pickle.loads(raw)
-            except Exception as error:  # whatever a torn pickle makes of itself
-                log.warning(LogEvent("a voter's message is passed over", sender=sender, why=repr(error)))
-                continue
-            self._onMessageReceived(node, message)
-
-
-def _when_new(journal: Any, keep: Callable[[int], None], index: int) -> None:
+
+def _set_commit_index_if_changed(journal: Any, set_commit_index: Callable[[int], None], index: int) -> None:
     if index != journal.getRaftCommitIndex():
-        keep(index)
+        set_commit_index(index)
 
 
 class ReplicatedHistory(SyncObj):  # type: ignore[misc]
+    """pysyncobj's state machine. It numbers the replicated methods by name: keep a single one."""
+
     def __init__(
         self,
-        me: RaftNode,
+        own_node: RaftNode,
         others: list[RaftNode],
         conf: SyncObjConf,
-        wire: GossipTransport,
-        book: VersionHistory,
-        applied: Callable[[], None],
+        transport: GossipTransport,
+        history: VersionHistory,
+        on_applied: Callable[[], None],
     ) -> None:
-        self._history = book
-        self._on_applied = applied
-        super().__init__(me, others, conf, nodeClass=RaftNode, transport=wire)
+        self._history = history
+        self._on_applied = on_applied
+        super().__init__(own_node, others, conf, nodeClass=RaftNode, transport=transport)
         # It writes its vote anew each second in which it was told how far the log is agreed on, which is each
         # second: a rename that holds the loop up for 8 ms, and a sync. Only what is new is kept for that.
         journal = self._SyncObj__raftLog
-        journal.setRaftCommitIndex = partial(_when_new, journal, journal.setRaftCommitIndex)
+        journal.setRaftCommitIndex = partial(
+            _set_commit_index_if_changed, journal, journal.setRaftCommitIndex
+        )
 
     @replicated  # type: ignore[misc]
     def apply_command(self, raw: bytes) -> tuple[int, str]:
-        answer = self._history.apply(decode_command(verified_payload(raw)))
+        """Apply an agreed command. Returns the fields of its `CommandResult`, which pysyncobj pickles."""
+        result = self._history.apply(decode_command(verified_payload(raw)))
         self._on_applied()
-        return answer.number, answer.refused
+        return result.number, result.refused
 
 
 class ReplicatedLog:
-    """One voter's part in it."""
+    """One voter's copy of the log, and its part in agreeing on it."""
 
     def __init__(
         self,
         folder: Path,
-        node: GossipNode,
-        me: str,
+        gossip: GossipNode,
+        name: str,
         others: list[str],
-        book: VersionHistory,
-        changed: Callable[[], None],
+        history: VersionHistory,
+        on_applied: Callable[[], None],
     ) -> None:
-        """Raises Torn where what lies in the folder can't be believed, OSError where it can't be written."""
+        """Raises TornWriteError where the folder can't be trusted, OSError where it can't be written."""
         verify_log(folder)
-        self.history, self.on_applied, self.tasks = book, changed, BackgroundTasks()
+        self.history = history
+        self.on_applied = on_applied
+        self.tasks = BackgroundTasks()
         self.storage = RaftStorage(folder)
-        own = RaftNode(me)
-        rest = [RaftNode(name) for name in others]
-        self.transport = GossipTransport(node, own, rest, self.tasks)
-        conf = SyncObjConf(
+        own_node = RaftNode(name)
+        other_nodes = [RaftNode(other) for other in others]
+        self.transport = GossipTransport(gossip, own_node, other_nodes, self.tasks)
+        conf = self._configuration(folder)
+        self.raft = ReplicatedHistory(own_node, other_nodes, conf, self.transport, history, on_applied)
+
+    def _configuration(self, folder: Path) -> SyncObjConf:
+        return SyncObjConf(
             autoTick=False,
             raftMinTimeout=ELECTION_S[0],
             raftMaxTimeout=ELECTION_S[1],
             appendEntriesPeriod=HEARTBEAT_S,
-            connectionRetryTime=0.2,
-            leaderFallbackTimeout=2.0,
+            connectionRetryTime=RECONNECT_S,
+            leaderFallbackTimeout=LEADER_FALLBACK_S,
             journalFile=str(folder / JOURNAL),
             fullDumpFile=str(folder / DUMP),
             useFork=False,
             logCompactionMinTime=COMPACT_S,
             logCompactionMinEntries=COMPACT_ENTRIES,
             dynamicMembershipChange=True,
-            serializer=self._dump,
-            deserializer=self._load,
+            serializer=self._write_snapshot,
+            deserializer=self._read_snapshot,
         )
-        self.raft = ReplicatedHistory(own, rest, conf, self.transport, book, changed)
 
-    def _dump(self, file: str, data: Any) -> None:
-        """A snapshot: its own words beside the book, with a sum."""
-        raw = pickle.dumps((self.history.dump(), data))
+    def _write_snapshot(self, file: str, raft_state: Any) -> None:
+        """Write pysyncobj's own state and the history, behind a checksum."""
+        raw = pickle.dumps((self.history.dump(), raft_state))
         Path(file).write_bytes(hashlib.sha256(raw).digest() + raw)
 
-    def _load(self, file: str) -> Any:
+    def _read_snapshot(self, file: str) -> Any:
+        """Load the history and return pysyncobj's own state. Raises ValueError where it is damaged."""
         raw = Path(file).read_bytes()
-        if hashlib.sha256(raw[32:]).digest() != raw[:32]:
+        if hashlib.sha256(raw[CHECKSUM_BYTES:]).digest() != raw[:CHECKSUM_BYTES]:
             raise ValueError("the snapshot's sum is wrong")
-        book, data = pickle.loads(raw[32:])
-        self.history.load(book)
+        dump, raft_state = pickle.loads(raw[CHECKSUM_BYTES:])
+        self.history.load(dump)
         self.on_applied()
-        return data
+        return raft_state
 
     async def run(self) -> None:
-        """Takes its turns until one fails, and raises what that one raised: nothing of it has gone out."""
+        """Run turns until one fails, and raise what that one raised: none of its messages was sent."""
         loop = asyncio.get_running_loop()
+        transport = self.transport
         while True:
-            self.transport.news.clear()
-            self.transport.deliver()
+            transport.wakeup.clear()
+            transport.deliver()
             self.raft.doTick(0.0)
-            if (
-                self.transport.held and self.storage.has_unsynced_writes()
-            ):  # nothing is told by what is not on the disk
-                await loop.run_in_executor(None, self.storage.sync)
-            self.transport.flush()
-            await wait_for_event(self.transport.news, TICK_S)
+            if transport.outbox and self.storage.has_unsynced_writes():
+                await loop.run_in_executor(None, self.storage.sync)  # nothing is sent that is not on the disk
+            transport.flush()
+            await wait_for_event(transport.wakeup, TICK_S)
 
     @property
     def leader(self) -> str:
+        """The leader's name, or empty."""
         found = self.raft._getLeader()
         return "" if found is None else str(found.id)
 
     @property
     def is_leader(self) -> bool:
+        """Whether this voter leads."""
         return bool(self.raft._isLeader())
 
-    async def propose(self, told: Command, raw: bytes, seconds: float) -> CommandResult:
-        """What became of it. One that was not answered in time may be taken yet."""
+    async def propose(self, command: Command, raw: bytes, seconds: float) -> CommandResult:
+        """Propose a command; `raw` is its encoding. One without an answer in time may still be agreed on."""
         done: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
 
-        def over(result: tuple[int, str] | None, error: int) -> None:
+        def on_result(result: tuple[int, str] | None, error: int) -> None:
             if done.done():
                 return
             if error != FAIL_REASON.SUCCESS or result is None:
-                done.set_result(CommandResult(refused=FAILURE_MESSAGES.get(error, f"it failed ({error})")))
+                done.set_result(CommandResult(refused=_failure_message(error)))
             else:
                 done.set_result(CommandResult(*result))
 
-        self.raft.apply_command(with_checksum(raw), callback=over)
-        self.transport.news.set()
+        self.raft.apply_command(with_checksum(raw), callback=on_result)
+        self.transport.wakeup.set()
         try:
             return await asyncio.wait_for(done, seconds)
         except TimeoutError:
@@ -255,39 +191,42 @@
             )
 
     async def change_voters(self, add: str, remove: str, seconds: float) -> str:
-        """Changes who takes part, one at a time; empty, or why not. What is so already is no error: the book
-        may not have heard of it."""
-        if (
-            add in self.transport.nodes
-            or remove
-            and remove not in (*self.transport.nodes, self.raft.selfNode.id)
-        ):
+        """Add or remove one voter; empty, or why it failed.
+
+        What is so already is no error: the version history may not say so yet.
+        """
+        members = (*self.transport.nodes, self.raft.selfNode.id)
+        if add in self.transport.nodes or (remove and remove not in members):
             return ""
         if remove and remove == self.leader:
             if not self.is_leader:
                 return f"{remove} leads just now: ask it (--instance)"
-            if not await self._handed_over(seconds):  # a leader can't take itself out
+            if not await self._hand_over(seconds):  # a leader can't take itself out
                 return f"{remove} leads, and no other voter has taken over yet: try again"
+        return await self._change_members(add, remove, seconds)
+
+    async def _change_members(self, add: str, remove: str, seconds: float) -> str:
         done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
-        def over(_: Any, error: int) -> None:
+        def on_result(_: Any, error: int) -> None:
             if not done.done():
                 done.set_result(error)
 
         if add:
-            self.raft.addNodeToCluster(RaftNode(add), callback=over)
+            self.raft.addNodeToCluster(RaftNode(add), callback=on_result)
         else:
-            self.raft.removeNodeFromCluster(RaftNode(remove), callback=over)
+            self.raft.removeNodeFromCluster(RaftNode(remove), callback=on_result)
         try:
             error = await asyncio.wait_for(done, seconds)
         except TimeoutError:
             return f"no answer within {seconds:g} s"
-        return "" if error == FAIL_REASON.SUCCESS else FAILURE_MESSAGES.get(error, f"it failed ({error})")
+        return "" if error == FAIL_REASON.SUCCESS else _failure_message(error)
 
-    async def _handed_over(self, seconds: float) -> bool:
-        """Until another voter leads."""
-        ends = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < ends:
+    async def _hand_over(self, seconds: float) -> bool:
+        """Transfer the leadership. False: no other voter leads in time."""
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + seconds
+        while loop.time() < deadline:
             if self.is_leader:
                 self.raft.transferLeadership()
             elif self.leader:
@@ -296,9 +235,9 @@
         return False
 
     async def close(self) -> None:
-        """Also one whose files can't be closed any more, since a turn has failed."""
+        """Stop, also when the files can't be closed any more since a turn has failed."""
         await self.tasks.cancel()
         try:
             self.raft.destroy()
         except (OSError, ValueError) as error:
-            log.warning(LogEvent("a log is not closed in order", why=repr(error)))
+            log.warning(LogEvent("replicated log close failed", why=repr(error)))
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -525,7 +525,7 @@
                 if receiver in self.logs:
                     stream.is_connected = True
                     stream.send = partial(self._hand_over, sender, receiver)  # type: ignore[method-assign]
-                    log.transport._changed(receiver, True)
+                    log.transport._on_connection_changed(receiver, True)
 
     def _hand_over(self, sender: str, receiver: str, raw: bytes) -> bool:
         for kind, heard in self.peers[receiver].frame_handlers.items():
@@ -625,7 +625,7 @@
 
 def raft_journal_entries(raw: bytes) -> list[tuple[int, int, bytes]]:
     """Number, term and content of each."""
-    return parse_journal(raw)
+    return [(each.number, each.term, each.command) for each in parse_journal(raw)]
 
 
 def unsealed_command(raw: bytes) -> str:
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -26,7 +26,8 @@
 from message_relay.consensus.admin_socket import AdminSocket
 from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
 from message_relay.consensus.raft_storage import with_checksum
-from message_relay.consensus.replicated_log import FRAME_KIND, ReplicatedLog
+from message_relay.consensus.raft_transport import FRAME_KIND
+from message_relay.consensus.replicated_log import ReplicatedLog
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.version_history import VersionHistory
 from message_relay.core.ports import CallContext, Submission
--- a/tests/consensus/test_raft_storage.py
+++ b/tests/consensus/test_raft_storage.py
@@ -109,7 +109,7 @@
     log = ReplicatedLog(folder, Stub(), "n0", ["n1", "n2"], VersionHistory(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
     for name, stream in log.transport.streams.items():
         stream.is_connected = True
-        log.transport._changed(name, True)
+        log.transport._on_connection_changed(name, True)
         stream.send = functools.partial(say, f"says to {name}")  # type: ignore[method-assign]
     sync = log.storage.sync
 
