--- a/message_relay/consensus/admin_socket.py
+++ b/message_relay/consensus/admin_socket.py
@@ -54,7 +54,7 @@
         except (OSError, TimeoutError):
             pass  # it went away, or says nothing
         except Exception:
-            log.exception("a question failed")
+            log.exception("admin request failed")
         finally:
             self.asked -= 1
             writer.close()
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -123,7 +123,7 @@
             active = self.active_rules()
             if self.reported_rules is None or active.label != self.reported_rules.label:
                 before = "-" if self.reported_rules is None else self.reported_rules.label
-                log.info(LogEvent("acts by other rules", version=active.label, before=before))
+                log.info(LogEvent("active rules changed", version=active.label, before=before))
                 self.reported_rules = active
                 self.on_rules_changed()
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/message_relay/consensus/lease_client.py
+++ b/message_relay/consensus/lease_client.py
@@ -55,7 +55,7 @@
             try:
                 self._renew()
             except Exception:
-                log.exception("a renewal failed")  # and the next one comes
+                log.exception("lease renewal failed")  # and the next one comes
             context.renew_now.clear()
             pause = context.terms.renew_interval_s * context.gossip.rng.uniform(*RENEWAL_JITTER)
             if await wait_for_event(context.renew_now, pause):
@@ -115,7 +115,7 @@
             if version.number != number or digest(decode_rules(version.rules)) != version.digest:
                 raise RulesError(f"version {number}: {voter} told one that is not it")
         except (OSError, TimeoutError, msgspec.MsgspecError, RulesError) as error:
-            log.warning(LogEvent("a version can't be had", number=number, voter=voter, why=repr(error)))
+            log.warning(LogEvent("version fetch failed", number=number, voter=voter, why=repr(error)))
             return False
         self.context.lease_holder.add_version(version)
         self.context.renew_now.set()
--- a/message_relay/consensus/rules_file.py
+++ b/message_relay/consensus/rules_file.py
@@ -38,7 +38,7 @@
             except FileNotFoundError:
                 continue
             except (OSError, RulesError) as error:
-                log.error(LogEvent("the rules of the folder can't be used", file=self.path, why=error))
+                log.error(LogEvent("rules file unusable", file=self.path, why=error))
 
     async def _poll(self) -> None:
         """Propose the file's rules unless they were seen before or are in the newest version already."""
@@ -53,7 +53,7 @@
         base = latest.number if latest is not None else FIRST_NUMBER
         result = await self.proposer.propose(self._proposal(rules, base))
         if result.refused:
-            log.error(LogEvent("the rules of the folder are not taken", file=self.path, why=result.refused))
+            log.error(LogEvent("rules file rejected", file=self.path, why=result.refused))
 
     def _proposal(self, rules: Rules, base: int) -> Propose:
         author = f"{self.context.name}:{self.path.name}"
--- a/message_relay/consensus/version_watch.py
+++ b/message_relay/consensus/version_watch.py
@@ -41,7 +41,7 @@
                 if replicated_log is not None and grantor is not None:
                     await self._check(replicated_log, grantor)
             except Exception:
-                log.exception("a look at the guard failed")
+                log.exception("canary guard check failed")
 
     async def _check(self, replicated_log: ReplicatedLog, grantor: LeaseGrantor) -> None:
         """Judge the newest version. A command names its version, so that one that is late changes nothing."""
--- a/message_relay/consensus/voter.py
+++ b/message_relay/consensus/voter.py
@@ -106,12 +106,12 @@
             try:
                 self.save_state()
             except OSError as error:
-                log.error(LogEvent("who votes is not written down", why=error))
+                log.error(LogEvent("voter list not saved", why=error))
         is_voter = self.context.name in voters
         if is_voter and self.voting_task is None:
             self.voting_task = self.context.tasks.start(self._vote())
         elif not is_voter and self.voting_task is not None:
-            log.info(LogEvent("this instance votes no more", voters=",".join(voters)))
+            log.info(LogEvent("voting stopped", voters=",".join(voters)))
             self.voting_task.cancel()
             self.voting_task = None
             self.non_voting_reason = ""
@@ -125,7 +125,7 @@
             self.state.log_started = False
             self.save_state()
         except OSError as error:
-            log.error(LogEvent("the log of one that votes no more is not removed", why=error))
+            log.error(LogEvent("replicated log removal failed", why=error))
 
     async def _vote(self) -> None:
         """Run the replicated log; after a failure of the disk, reopen it from what lies on the disk."""
@@ -134,10 +134,10 @@
             try:
                 await self._open_log().run()
             except OSError as error:
-                log.error(LogEvent("the log's disk has failed: it is opened again", why=error))
+                log.error(LogEvent("replicated log disk failed, reopening", why=error))
                 self.non_voting_reason = f"{DISK_FAILURE}, and is tried again: {error}"
             except Exception as error:  # a torn journal or dump: whatever the library makes of it
-                log.exception("the log has failed")
+                log.exception("replicated log failed")
                 self._disable(f"its log can't be read: {error}")
                 return
             await self._close_log()
@@ -203,7 +203,7 @@
         if self.voting_task is None:
             return
         self.non_voting_reason = why
-        log.error(LogEvent("this voter does not vote: remove it from the voters and add it anew", why=why))
+        log.error(LogEvent("voter disabled, remove and add it again", why=why))
         if self.replicated_log is not None:
             self.voting_task.cancel()
             self.context.tasks.start(self._close_log())
@@ -243,7 +243,7 @@
             try:
                 self.save_state()
             except OSError as error:
-                log.error(LogEvent("the boot of a peer is not written", why=error))
+                log.error(LogEvent("peer process epoch not saved", why=error))
                 self.process_epochs.undo_observe(identity, saved)
         return msgspec.msgpack.encode(previous)
 
@@ -273,7 +273,7 @@
             # Guards against a voter that has cleared what its next process does not know of.
             grantor.cleared_version = previous
             self.state.cleared = previous
-            log.error(LogEvent("a version is not cleared: it can't be written down", why=error))
+            log.error(LogEvent("version clearance not saved", why=error))
             return
         self._send_hints()
         self.context.renew_now.set()
--- a/message_relay/consensus/voter_state.py
+++ b/message_relay/consensus/voter_state.py
@@ -31,7 +31,7 @@
     except FileNotFoundError:
         return VoterState()
     except msgspec.MsgspecError as error:
-        log.error(LogEvent("what this voter had cleared can't be read: it begins anew", why=error))
+        log.error(LogEvent("voter state unreadable, reset", why=error))
         return VoterState()
 
 
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -267,7 +267,7 @@
             file.write_text("{")
             await asyncio.sleep(2.2)
             assert {(await it.status(n))["newest"] for n in range(3)} == {2}
-            assert "the rules of the folder can't be used" in (it.folder / "i0.log").read_text()
+            assert "rules file unusable" in (it.folder / "i0.log").read_text()
 
     go(work())
 
