--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -1,4 +1,4 @@
-"""The version history as a replicated log: Raft by pysyncobj, embedded (weighed in docs/design/agreed-rules.md).
+"""The version history as a replicated log: Raft by pysyncobj, embedded (see docs/design/agreed-rules.md).
 
 Its messages travel on this relay's own connections to its peers (`raft_transport.py`), so that they are
 sealed and named as all others are, and its turns run on this process's event loop. A voter whose state
