--- a/message_relay/core/__init__.py
+++ b/message_relay/core/__init__.py
@@ -1,1 +1,1 @@
-"""A message's life between the fronts, the journal and the decisions; see seams.py for what plugs in."""
+"""The life of a message: ports, acceptance, attempts, final outcomes, and the relay that joins them."""
--- a/message_relay/core/ports.py
+++ b/message_relay/core/ports.py
@@ -1,8 +1,9 @@
-"""What plugs into the relay: an intake, a transport, a source of members. Their first kind is HTTP/1.1.
+"""The ports of the relay: what an intake, a transport and a source of endpoints have to provide.
 
-An *intake* hands messages in at the `Desk` and is told how each one ends. A *transport* makes one attempt to
-an endpoint and says what its end proves. A *membership source* tells endpoints and their lives. None of them
-decides: which endpoint, whether again and what is turned away is the decision module's, for all alike.
+An *intake* submits messages to the `MessageAcceptor` and passes their final outcomes to the clients. A
+*transport* makes one attempt at an endpoint and reports what its result proves. A *source of endpoints*
+reports endpoints and their status. None of them decides: which endpoint is called, whether again, and what is
+rejected is up to the scheduler, for all of them alike. HTTP/1.1 was the first implementation of each.
 """
 
 from __future__ import annotations
@@ -20,87 +21,91 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message as some front has read it; texts are as the client wrote them."""
+    """A message as an intake has read it; texts are as the client wrote them."""
 
-    id: str  # new each time that a message is handed in
+    id: str  # new for each submission
     class_name: str
     tenant: str
     destination: int
     idempotency_key: str | None
     remaining_ms: int  # how long it may still be delivered
-    resubmission: str  # "1": handed in again after a refusal; "again": a relay that had it died
+    resubmission: str  # "1": submitted again after a rejection; "again": the relay that had it died
     body: bytes
-    origin: str  # the front that has to pass on its end, and behind a space what that front needs for it
+    origin: str  # the intake that passes on its outcome, and after a space what that intake needs for it
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionResult:
-    """What became of an offer. Taken: it is in the journal, and the relay owes its end."""
+    """The answer to a submission. An accepted one is journalled, and the relay owes its final outcome."""
 
     accepted: bool
-    is_new: bool = False  # if not, it was taken on before
+    is_new: bool = False  # False: it was accepted before
     reason: str = ""
-    retry_after_s: float = 0.0  # when to come again
-    durable: asyncio.Future[None] | None = (
-        None  # the answer has to wait for it; cancelled: it must not be given
-    )
+    retry_after_s: float = 0.0  # when a rejected one may be submitted again
+    # The client's answer has to wait for it; if it is cancelled, the answer must not be given.
+    durable: asyncio.Future[None] | None = None
 
 
 class InvalidMessageError(Exception):
-    """What was handed in can never be taken: which field of the offer it is, and what would be right."""
+    """A submission that can never be accepted: the field at fault, and what would be right."""
 
     def __init__(self, field: str, text: str) -> None:
         super().__init__(f"{field}: {text}")
-        self.field, self.text = field, text
+        self.field = field
+        self.text = text
 
 
 @dataclass(frozen=True, slots=True)
 class FinalOutcome:
-    """The final answer to a message that was taken on and not delivered."""
+    """The final answer for a message that was accepted and not delivered."""
 
     id: str
-    state: str  # "failed" promises nothing; "returned": handing it in again is harmless
-    retry_after_ms: float = 0.0  # and when
-    origin: str = ""  # as its offer had it
+    state: str  # "failed" promises nothing; "returned": submitting it again is harmless
+    retry_after_ms: float = 0.0  # when to submit a returned one again
+    origin: str = ""  # as in its submission
 
 
 class MessageAcceptor(Protocol):
-    """Where every intake hands in. It answers at once, before the next event of the loop."""
+    """Accepts the submissions of all intakes. It answers at once, before the next event of the loop."""
 
     @property
     def is_ready(self) -> bool:
-        """False until what an earlier process left is taken up."""
+        """False until the relay has started."""
 
     @property
     def has_capacity(self) -> bool:
-        """False once another message would cost one that is held its place: a front that can wait does."""
+        """False once one more message would displace a pending one: an intake that can wait then does."""
 
-    def accept(self, offer: Submission) -> SubmissionResult:
-        """Journals it and owes its end, or refuses it. Raises Malformed."""
+    def accept(self, submission: Submission, /) -> SubmissionResult:
+        """Journals a submission, or rejects it. Raises InvalidMessageError."""
 
-    def cancel(self, ident: str) -> bool:
-        """Its client cannot have heard that it was taken, and hands it in again under another id. True:
-        nothing of it has gone out."""
+    def cancel(self, message_id: str, /) -> bool:
+        """Withdraws a message whose client cannot know that it was accepted, and submits it under another id.
 
-    def mark_notified(self, idents: list[str]) -> None:
-        """Their ends have been passed on for good."""
+        Returns True if no attempt of it was made.
+        """
+
+    def mark_notified(self, message_ids: list[str], /) -> None:
+        """Records that the outcomes of these messages have been passed on for good."""
 
 
 class Intake(Protocol):
-    """A front that hands messages in."""
+    """Receives messages from clients, and passes final outcomes on to them."""
 
     async def open(self) -> None:
-        """Begins to take messages."""
+        """Starts to receive messages."""
+
+    def notify_outcome(self, outcome: FinalOutcome, /) -> None:
+        """Passes on a final outcome, as often as it takes, and then marks it notified at the acceptor.
 
-    def notify_outcome(self, end: FinalOutcome) -> None:
-        """Passes on a final answer, as often as it takes, and then tells the desk. Survives no process: what
-        the desk was not told of comes again after a restart."""
+        It does not outlast the process: what was not marked is passed on again after a restart.
+        """
 
-    def reload(self, config: Config) -> None:
-        """Follows a replaced configuration, as far as it concerns it; loses nothing."""
+    def reload(self, config: Config, /) -> None:
+        """Follows a replaced configuration as far as it concerns the intake; loses nothing."""
 
     def stop(self) -> None:
-        """Takes no more messages, but answers those that have been read in part."""
+        """Receives no new messages, but answers those that have been read in part."""
 
     @property
     def open_requests(self) -> int:
@@ -108,10 +113,10 @@
 
     @property
     def pending_outcomes(self) -> int:
-        """Ends that are still to be passed on."""
+        """Final outcomes that are still to be passed on."""
 
     async def close(self) -> None:
-        """Gives up everything."""
+        """Closes all connections at once."""
 
 
 # -- rules -------------------------------------------------------------------------------------------------
@@ -127,62 +132,61 @@
     zone: str
     class_name: str
     previous_attempts: int  # before this one
-    may_have_run: bool  # one of those may have run
+    may_have_run: bool  # one of those may have had an effect
     has_idempotency_key: bool
 
 
 class CallPolicy(Protocol):
-    """Rules from outside the decisions, on which instances agree: they only ever narrow what these allow."""
+    """Rules from outside the decisions, agreed between instances: they only narrow what decisions allow."""
 
     def authorize(self, call: CallContext) -> str | None:
-        """Asked right before the first byte: by what it is allowed, for the partner's ledger; None: it is
-        not."""
+        """Called right before the first byte. Returns the label of the rules that allow the call, for the
+        endpoint's ledger; None: they do not."""
 
     def is_still_authorized(self, call: CallContext) -> bool:
-        """Asked before the last byte, if that was held back."""
+        """Called before the last byte, if that was held back."""
 
     def release(self, destination: int) -> None:
-        """A call that was allowed has ended."""
+        """A call that was authorized has ended."""
 
     def record_outcome(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
-        """How a call has ended, or that it did not come about."""
+        """How a call has ended, or that it was not made."""
 
     def denial_reason(self, destination: int, class_: str) -> str:
-        """Why no new message is taken for there; empty: it may be."""
+        """Why no new message of this class is accepted for this destination; empty: it may be."""
 
     def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
-        """An endpoint as the decisions are to see it."""
+        """An endpoint as the scheduler is to see it."""
 
 
-# -- interest ----------------------------------------------------------------------------------------------
+# -- destinations ------------------------------------------------------------------------------------------
 
 
 class DestinationInterest(Protocol):
-    """Which destinations are known, where a relay does not know all of them. Times on the loop's clock, in
-    seconds."""
+    """The destinations that are loaded, where a relay does not load all. Times are the loop's, in seconds."""
 
     def is_resident(self, destination: int) -> bool:
-        """Whether what there is of it has come: only then does it say whether there is one."""
+        """Whether the destination's data is loaded: only then does `contains` have an answer."""
 
     def contains(self, destination: int) -> bool:
-        """Whether there is one, by what has come."""
+        """Whether the destination exists, by what is loaded."""
 
     def request(self, destination: int, due: float) -> None:
-        """A message waits for it, until then at the most, and what there is of it has not come."""
+        """Loads a destination that a message waits for, until then at the most."""
 
     def touch(self, destination: int) -> None:
-        """A message for it was taken, or a call to it is made."""
+        """The destination is used: a message for it was accepted, or a call to it is made."""
 
     def is_current(self, destination: int) -> bool:
-        """Whether a first byte may go out by what is known of it."""
+        """Whether the loaded data is recent enough for a first byte to be sent."""
 
     async def wait_for_renewal(self) -> None:
-        """Returns as soon as `current` may have changed."""
+        """Returns as soon as `is_current` may have changed."""
 
 
 # -- transport ---------------------------------------------------------------------------------------------
 
-EndpointKey = tuple[int, Address]  # an endpoint's number and where it is: another may come to its address
+EndpointKey = tuple[int, Address]  # number and address of an endpoint: another may get the same address
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,50 +199,52 @@
     idempotency_key: str | None
     body: bytes
     deadline_s: float  # on the loop's clock, in seconds
-    may_write: Callable[[], bool]  # asked right before the first byte, and the last if it is held back
+    may_write: Callable[[], bool]  # called right before the first byte, and the last if it is held back
     ambiguity_is_final: bool = False  # an unclear outcome would be final
-    policy_label: Callable[[], str] | None = None  # by which rules it is made, if there are any
+    policy_label: Callable[[], str] | None = None  # by which rules it is allowed, if there are any
     kind: str = ""  # of the endpoint, as it is listed
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended. What `outcome.proves_no_effect` says must be true: see interface.Outcome."""
+    """How an attempt ended. What `outcome.proves_no_effect` claims must be true."""
 
     outcome: Outcome
     retry_after_ms: float = 0.0
     no_connection_slot: bool = False
     finished: bool = False  # the endpoint says that nothing more is owed
-    withheld: bool = False  # nothing of it went out: with Outcome.NOT_SENT
-    load_report: tuple[float, ...] = ()  # what the endpoint says of its load, in the order of the settings
+    withheld: bool = False  # nothing of it was sent: with Outcome.NOT_SENT
+    load_report: tuple[float, ...] = ()  # the load that the endpoint reports, in the order of the settings
 
 
 class Transport(Protocol):
-    """Makes attempts; at most one is out for a message, which is the caller's care."""
+    """Makes attempts. The caller makes at most one at a time for each message."""
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
-        """Makes one attempt; never later than it may, and never raises for what the other side does.
-        Cancelling it gives it up at once."""
+        """Makes one attempt, never past its deadline, and never raises for what the other side does.
+
+        Cancelling it gives the attempt up at once.
+        """
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
-        """These endpoints are all there are."""
+        """Closes idle connections to all endpoints but these."""
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
-        """This endpoint has come, or drains, is gone or has moved: nothing idle is kept to it."""
+        """An endpoint is listed, or is draining, gone or moved: then no idle connection to it is kept."""
 
     def sweep(self) -> None:
-        """Once a second: drops what has stood idle too long."""
+        """Closes what has been idle for too long; called once a second."""
 
     def close(self) -> None:
-        """Gives up what is idle."""
+        """Closes all idle connections."""
 
 
-# -- membership --------------------------------------------------------------------------------------------
+# -- endpoint sources --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """An endpoint as a source tells it. `name` is its own, the same at each relay."""
+    """An endpoint as a source reports it. Its name is the source's own, the same at each relay."""
 
     name: str
     destination: int
@@ -251,12 +257,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """What a source has to tell: all members, or those that changed. Of some only their life can be read."""
+    """What a source reports: all endpoints, or those that changed; of some only the status can be read."""
 
     is_full: bool
     endpoints: tuple[EndpointRecord, ...] = ()
     status_changes: tuple[tuple[str, Listing], ...] = ()
-    source: str = ""  # whose members: another source's are not meant by `whole`
+    source: str = ""  # whose endpoints: a full update says nothing of another source's
 
 
 EndpointUpdateCallback = Callable[[EndpointUpdate], None]
@@ -270,13 +276,13 @@
 
 
 class EndpointSource(Protocol):
-    """A source of endpoints. What it has been told counts as told to the relay."""
+    """A source of endpoints. What it has received counts as received by the relay."""
 
-    async def run(self, on_update: EndpointUpdateCallback) -> None:
-        """Tells what changes, for as long as it runs; never ends by itself."""
+    async def run(self, on_update: EndpointUpdateCallback, /) -> None:
+        """Reports updates for as long as it runs; never returns by itself."""
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: Config, /) -> None:
         """Follows a replaced configuration; called while it does not run."""
 
     def close(self) -> None:
-        """Ends its connections."""
+        """Closes its connections."""
--- a/message_relay/core/tasks.py
+++ b/message_relay/core/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that cannot vanish silently."""
+"""Background tasks whose failures are logged instead of lost."""
 
 from __future__ import annotations
 
@@ -7,36 +7,45 @@
 from collections.abc import Coroutine
 from typing import Any
 
+from ..structured_logging import LogEvent
+
 log = logging.getLogger(__name__)
 
 
 class BackgroundTasks:
-    """Keeps a reference to each task, and logs the one that fails."""
+    """Keeps a reference to each running task, and logs the exception of one that fails."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Runs a coroutine as a task."""
         task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self.running.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("a task failed", exc_info=error)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            log.error(LogEvent("background task failed"), exc_info=error)
 
     async def cancel(self) -> None:
+        """Cancels all tasks and waits until they have ended."""
         for task in self.running:
             task.cancel()
         await asyncio.gather(*self.running, return_exceptions=True)
 
 
 async def wait_for_event(event: asyncio.Event, seconds: float) -> bool:
-    """Until it is set, at most this long; whether it was set. Not `asyncio.wait_for`: before Python 3.12 that
-    loses a cancellation which comes in the turn of the event, and a task that waits in a loop never ends
-    (CPython issue 86296)."""
+    """Waits until the event is set, at most this long; returns whether it was set.
+
+    Not `asyncio.wait_for`: before Python 3.12 that loses a cancellation which comes in the turn of the event,
+    and a task that waits in a loop never ends (CPython issue 86296).
+    """
     try:
         async with asyncio.timeout(seconds):
             await event.wait()
--- a/message_relay/core/transport_router.py
+++ b/message_relay/core/transport_router.py
@@ -1,4 +1,4 @@
-"""Several transports as one: which makes an attempt is told by the endpoint's address."""
+"""Several transports as one: the scheme of an endpoint's address selects which makes the attempt."""
 
 from __future__ import annotations
 
@@ -8,28 +8,38 @@
 
 
 class TransportRouter:
-    def __init__(self, usual: Transport, others: Mapping[str, Transport]) -> None:
-        """`others` by the beginning of an address's host, up to its colon, which no host name has."""
-        self.default, self.by_scheme = usual, dict(others)
+    """A transport that passes each attempt to the one for its endpoint's address."""
+
+    def __init__(self, default: Transport, by_scheme: Mapping[str, Transport]) -> None:
+        """A scheme is the beginning of an address's host up to a colon, which no host name has."""
+        self.default = default
+        self.by_scheme = dict(by_scheme)
 
     def transport_for(self, key: EndpointKey) -> Transport:
-        scheme, colon, _ = key[1][0].partition(":")
+        """The transport that calls this endpoint."""
+        _, (host, _) = key
+        scheme, colon, _ = host.partition(":")
         return self.by_scheme.get(scheme, self.default) if colon else self.default
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
+        """See `Transport.attempt`."""
         return await self.transport_for((attempt.endpoint, attempt.address)).attempt(attempt)
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
-        for each in (self.default, *self.by_scheme.values()):
-            each.retain_only({key for key in listed if self.transport_for(key) is each})
+        """See `Transport.retain_only`."""
+        for transport in (self.default, *self.by_scheme.values()):
+            transport.retain_only({key for key in listed if self.transport_for(key) is transport})
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
+        """See `Transport.endpoint_changed`."""
         self.transport_for(key).endpoint_changed(key, listed)
 
     def sweep(self) -> None:
-        for each in (self.default, *self.by_scheme.values()):
-            each.sweep()
+        """See `Transport.sweep`."""
+        for transport in (self.default, *self.by_scheme.values()):
+            transport.sweep()
 
     def close(self) -> None:
-        for each in (self.default, *self.by_scheme.values()):
-            each.close()
+        """See `Transport.close`."""
+        for transport in (self.default, *self.by_scheme.values()):
+            transport.close()
