--- a/benchmarks/capacity/commands.py
+++ b/benchmarks/capacity/commands.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 
 from message_relay.cli.status import as_json, asked
-from message_relay.fleet.operator import SupervisorPart
+from message_relay.fleet.operator import SupervisorSection
 from message_relay.fleet.plan import Plan, SupervisorAction
-from message_relay.fleet.report import Destination, Lag, Report, rss_mb
+from message_relay.fleet.report import Destination, Lag, Report, resident_memory_mb
 from message_relay.fleet.status import StatusSocket
 
 from .form import Measure
@@ -70,21 +70,25 @@
                 await one.open()
                 stack.callback(one.close)
             gc.collect()
-            cpu, before = time.process_time(), rss_mb()
+            cpu, before = time.process_time(), resident_memory_mb()
             found, fleet, silent = await asked(folder)
             text = as_json(found, fleet, silent)
             cpu = time.process_time() - cpu
             assert len(found) == size and not silent
-            return {"cpu_ms": 1e3 * cpu, "bytes": float(len(text)), "memory_bytes": 1e6 * (rss_mb() - before)}
+            return {
+                "cpu_ms": 1e3 * cpu,
+                "bytes": float(len(text)),
+                "memory_bytes": 1e6 * (resident_memory_mb() - before),
+            }
 
     return asyncio.run(work())
 
 
 def started(size: int) -> Plan:
-    plan = Plan(SupervisorPart(stagger_s=0.0, together=1000), size, 0.0, 1)
-    for do, number in plan.next(0.0):
+    plan = Plan(SupervisorSection(stagger_s=0.0, together=1000), size, 0.0, 1)
+    for do, number in plan.next_steps(0.0):
         assert do is SupervisorAction.START
-        plan.ready(number, 0.0)
+        plan.on_ready(number, 0.0)
     return plan
 
 
@@ -92,19 +96,19 @@
     plan, cpu = started(size), time.process_time()
     for second in range(1, VIRTUAL_S + 1):
         for number in range(size):
-            plan.beat(number, second)
+            plan.on_heartbeat(number, second)
         if second % (VIRTUAL_S // 4) == 0:
-            plan.exited(second % size, second, -9)
-        for do, number in plan.next(second):  # at each change, and once a second
+            plan.on_exited(second % size, second, -9)
+        for do, number in plan.next_steps(second):  # at each change, and once a second
             if do is SupervisorAction.START:
-                plan.ready(number, second)
-        plan.wake(second)
-        plan.notes.clear()
+                plan.on_ready(number, second)
+        plan.next_wake(second)
+        plan.log_events.clear()
     cpu = time.process_time() - cpu
     tracemalloc.start()
     kept = started(size)
     told = {"cpu_ms_s": 1e3 * cpu / VIRTUAL_S, "memory_bytes": float(tracemalloc.get_traced_memory()[0])}
-    assert len(kept.all) == size
+    assert len(kept.instances) == size
     return told
 
 
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from benchmarks.decisions import Load
-from message_relay.fleet.report import rss_mb
+from message_relay.fleet.report import resident_memory_mb
 from message_relay.gc_policy import run_gc_policy
 
 from .form import Measure
@@ -41,10 +41,10 @@
 def held(size: int) -> Mapping[str, float]:
     """With the decisions' own objects alone: the body and the journal's entry are the store's."""
     asyncio.run(_tended())
-    before = rss_mb()
+    before = resident_memory_mb()
     load = Load("open", size, DESTS)
     assert len(load.relay.pending.by_id) == size
-    return {"memory_bytes": 1e6 * (rss_mb() - before)}
+    return {"memory_bytes": 1e6 * (resident_memory_mb() - before)}
 
 
 MEASURES: tuple[Measure, ...] = (
--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -18,7 +18,7 @@
 from benchmarks.relay import settings
 from message_relay import config
 from message_relay.composition import ComposedRelay, compose
-from message_relay.fleet.report import rss_mb
+from message_relay.fleet.report import resident_memory_mb
 from message_relay.gc_policy import run_gc_policy
 from message_relay.http.discovery_client import parse_listing
 
@@ -98,10 +98,10 @@
 
     def work(built: ComposedRelay) -> Mapping[str, float]:
         body = answer(size)
-        before, cpu = 1e6 * rss_mb(), time.process_time()
+        before, cpu = 1e6 * resident_memory_mb(), time.process_time()
         turns = take(built, body)
         cpu = time.process_time() - cpu
-        after, most = 1e6 * rss_mb(), 1e6 * most_rss_mb()
+        after, most = 1e6 * resident_memory_mb(), 1e6 * most_rss_mb()
         assert len(built.relay.scheduler.endpoints) == size
         return {
             "list.json_bytes": float(len(body)),
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -29,7 +29,7 @@
 from message_relay.failover.node import load_solver
 from message_relay.fleet import operator
 from message_relay.fleet.common import SharedSubsystems
-from message_relay.fleet.operator import FleetPart, OperatorConfig, StatusPart
+from message_relay.fleet.operator import FleetSection, OperatorConfig, StatusSection
 from message_relay.fleet.status import LoopLag
 from message_relay.gc_policy import run_gc_policy
 from message_relay.gossip.wire import Claim, MemberState
@@ -110,8 +110,8 @@
                 config.known
             )
             self.host.on_endpoint_update(known)
-        self.common.peers.on_member_changed.append(watch.changed)
-        accord = self.common.accord
+        self.common.gossip.on_member_changed.append(watch.changed)
+        accord = self.common.consensus
         assert accord is not None
         self.accord, retell = accord, accord.on_rules_changed
 
@@ -132,7 +132,7 @@
         if self.common.failover is not None:
             await self.common.failover.tasks.cancel()
         await self.accord.close()
-        await self.common.peers.close()
+        await self.common.gossip.close()
         self.host.journal.close()
         self.host.lock.release()
         self.watch.acts.pop(self.number, None)
@@ -140,7 +140,7 @@
     @property
     def there(self) -> int:
         """Members that it knows to be there, itself included."""
-        return len(self.common.peers.swim.present_members())
+        return len(self.common.gossip.swim.present_members())
 
 
 class Worker:
@@ -159,8 +159,8 @@
         told = msgspec.structs.replace(
             self.told,
             peers=msgspec.structs.replace(self.told.peers, listen=listen, address=""),
-            fleet=FleetPart(instances=of),
-            status=StatusPart(),
+            fleet=FleetSection(instances=of),
+            status=StatusSection(),
         )
         state = Path(self.args.state) / str(number)
         state.mkdir(parents=True, exist_ok=True)
@@ -192,15 +192,15 @@
         """At once, all that are here of them."""
         gone = [self.instances.pop(number) for number in numbers if number in self.instances]
         for one in gone:
-            self.ended.update({name: one.common.peers.counts[name] for name in COUNTED})
+            self.ended.update({name: one.common.gossip.counts[name] for name in COUNTED})
         await asyncio.gather(*(one.end(word) for one in gone))
 
     def counts(self) -> dict[str, Any]:
         found = Counter(self.ended)
         for one in self.instances.values():
-            found.update({name: one.common.peers.counts[name] for name in COUNTED})
+            found.update({name: one.common.gossip.counts[name] for name in COUNTED})
         used = resource.getrusage(resource.RUSAGE_SELF)
-        lag = self.lag.told()
+        lag = self.lag.summary()
         return {
             "instances": len(self.instances),
             "counts": dict(found),
@@ -216,7 +216,7 @@
         version or a later one."""
         there = [one.there for one in self.instances.values()]
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
-        news = [len(one.common.peers.swim.dissemination_queue) for one in self.instances.values()]
+        news = [len(one.common.gossip.swim.dissemination_queue) for one in self.instances.values()]
         late = [
             f"{one.accord.name}: {one.accord.active_rules().label} {one.accord.lease_holder.denial_reason}"
             for number, one in self.instances.items()
--- a/benchmarks/capacity/sharded_directory.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -12,7 +12,7 @@
 import tracemalloc
 from collections.abc import Iterator, Mapping
 
-from message_relay.fleet.report import rss_mb
+from message_relay.fleet.report import resident_memory_mb
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import ShardServer
@@ -73,7 +73,7 @@
 
 def keeper(size: int) -> Mapping[str, float]:
     gc.collect()
-    before, began = rss_mb(), time.process_time()
+    before, began = resident_memory_mb(), time.process_time()
     kept, turns = loaded(size)
     took = time.process_time() - began
     gc.collect()
@@ -83,7 +83,7 @@
     made = time.process_time() - made  # of that, what making the rows took
     assert kept.status(0.0).endpoints == size
     return {
-        "memory_bytes": (rss_mb() - before) * 1e6,
+        "memory_bytes": (resident_memory_mb() - before) * 1e6,
         "load_cpu_ms": (took - made) * 1e3,
         "turn_ms": max(turns),
     }
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-from message_relay.fleet.report import rss_mb
+from message_relay.fleet.report import resident_memory_mb
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
 
@@ -43,13 +43,13 @@
     with tempfile.TemporaryDirectory() as name:
         _elsewhere(Path(name), size)
         gc.collect()
-        before, cpu = rss_mb(), time.process_time()
+        before, cpu = resident_memory_mb(), time.process_time()
         journal = Journal(Path(name), ROOM * (size + EVENTS) + 10_000_000)
         cpu = time.process_time() - cpu
         assert len(journal.entries) == size
         told = {
             "cpu_ms": 1e3 * cpu,
-            "memory_bytes": 1e6 * (rss_mb() - before),
+            "memory_bytes": 1e6 * (resident_memory_mb() - before),
             "disk_bytes": float(journal.disk_bytes),
         }
         journal.close()
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -37,7 +37,7 @@
 from emulator.spec import Cold, Fault, Spec, Trouble
 from fakes.endpoint import rated
 from message_relay.fleet.report import FleetReport, Report
-from message_relay.fleet.status import StatusError, ask
+from message_relay.fleet.status import StatusError, fetch_report
 
 from .report import report
 
@@ -240,7 +240,7 @@
         async with asyncio.timeout(seconds):
             while True:
                 with contextlib.suppress(StatusError):
-                    told = await ask(self.folder / "run" / "fleet.sock")
+                    told = await fetch_report(self.folder / "run" / "fleet.sock")
                     if isinstance(told, FleetReport) and true(told):
                         return told
                 process = self.processes["fleet"]
@@ -252,7 +252,7 @@
         found = []
         for path in (self.folder / "run").glob("[0-9]*.sock"):
             with contextlib.suppress(StatusError):
-                told = await ask(path)
+                told = await fetch_report(path)
                 if isinstance(told, Report):
                     found.append(told)
         return found
--- a/benchmarks/sharded_directory_cluster.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -24,7 +24,7 @@
 from emulator.clients import request
 from fakes.discovery_agent import Agent
 from message_relay.fleet.report import Report
-from message_relay.fleet.status import StatusError, ask
+from message_relay.fleet.status import StatusError, fetch_report
 
 from .cluster_harness import PORT, ClusterHarness
 from .processes import CLASSES, lines
@@ -262,7 +262,7 @@
 
     async def report(self, n: int) -> Report:
         """Raises StatusError."""
-        told = await ask(self.folder / "run" / f"{n}.sock")
+        told = await fetch_report(self.folder / "run" / f"{n}.sock")
         assert isinstance(told, Report)
         return told
 
--- a/emulator/capacity/budgets.py
+++ b/emulator/capacity/budgets.py
@@ -8,7 +8,7 @@
 from message_relay.consensus.rules import MAX_DESTINATIONS
 from message_relay.consensus.settings import ConsensusSettings
 from message_relay.failover.observations import MAX_REPORTING_RELAYS, MAX_SAMPLES
-from message_relay.fleet.operator import FleetPart
+from message_relay.fleet.operator import FleetSection
 from message_relay.gossip.swim import MEMBERS_MAX
 from message_relay.http.agent import ANSWER_BYTES
 
@@ -66,5 +66,5 @@
 EVIDENCE = Budget("cap: evidence.RELAYS", lambda it: MAX_REPORTING_RELAYS)
 CELLS_OF = Budget("cap: evidence.CELLS", lambda it: MAX_SAMPLES)
 NAMED = Budget("cap: rules.NAMES", lambda it: MAX_DESTINATIONS)
-INSTANCES = Budget("cap: fleet.instances", lambda it: bound(FleetPart, "instances"))
+INSTANCES = Budget("cap: fleet.instances", lambda it: bound(FleetSection, "instances"))
 NUMBERS = Budget("cap: accord.voters", lambda it: bound(ConsensusSettings, "voters"))
--- a/message_relay/cli/demo.py
+++ b/message_relay/cli/demo.py
@@ -20,7 +20,7 @@
 import click
 
 from ..fleet.report import Report
-from ..fleet.status import StatusError, ask
+from ..fleet.status import StatusError, fetch_report
 
 RATE = 20.0  # messages a second that the client hands in
 LEAST_S = 12.0
@@ -167,7 +167,7 @@
 
     async def report(self) -> Report | None:
         try:
-            told = await ask(self.folder / "0.sock")
+            told = await fetch_report(self.folder / "0.sock")
         except StatusError:
             return None
         return told if isinstance(told, Report) else None
--- a/message_relay/cli/fleet.py
+++ b/message_relay/cli/fleet.py
@@ -10,8 +10,8 @@
 
 import click
 
-from ..fleet.operator import INSTANCES, LogPart, OperatorError, read
-from ..fleet.status import folder_of
+from ..fleet.operator import INSTANCES_VARIABLE, LogSection, OperatorError, read
+from ..fleet.status import socket_folder
 from ..fleet.supervisor import Supervisor
 from ..gossip.settings import INSTANCES_MAX
 from ..structured_logging import configure_plain_logging, configure_structured_logging
@@ -20,9 +20,9 @@
 async def supervise(file: Path) -> None:
     """Raises OperatorError, or OSError where a port or a folder cannot be had."""
     told = read(file)
-    if told.log != LogPart():
+    if told.log != LogSection():
         configure_structured_logging(told.log.format, told.log.level, told.log.lines)
-    folder = folder_of(told.status.folder)
+    folder = socket_folder(told.status.folder)
     if folder is not None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     await Supervisor(file, told, folder).run()
@@ -42,7 +42,7 @@
     """
     configure_plain_logging()
     if instances is not None:
-        os.environ[INSTANCES] = str(instances)
+        os.environ[INSTANCES_VARIABLE] = str(instances)
     try:
         asyncio.run(supervise(file.resolve()))
     except OperatorError as error:
--- a/message_relay/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -20,7 +20,7 @@
 from ..consensus.rules_diff import diff_rules
 from ..consensus.rules_validation import validate_rules
 from ..fleet.operator import OperatorError, read
-from ..fleet.status import StatusError, folder_of
+from ..fleet.status import StatusError, socket_folder
 from ..gossip.settings import INSTANCES_MAX
 
 Asked = Callable[..., dict[str, Any]]
@@ -35,7 +35,7 @@
             self.told = read(config)
         except OperatorError as error:
             raise click.UsageError(str(error)) from error
-        folder = folder_of(self.told.status.folder)
+        folder = socket_folder(self.told.status.folder)
         if folder is None:
             raise click.UsageError(f"{config}: status.folder is needed: instances are asked there")
         self.paths = sorted(folder.glob("*.rules")) if number is None else [folder / f"{number}.rules"]
--- a/message_relay/cli/status.py
+++ b/message_relay/cli/status.py
@@ -16,7 +16,7 @@
 
 from ..fleet.operator import OperatorError, read
 from ..fleet.report import FleetReport, Report
-from ..fleet.status import StatusError, ask, folder_of
+from ..fleet.status import StatusError, fetch_report, socket_folder
 
 SHOWN = 20  # destinations in the table; --json has all that are told
 TOGETHER = 16  # sockets asked at once
@@ -29,7 +29,7 @@
     async def one(path: Path) -> Report | FleetReport | str:
         async with gate:
             try:
-                return await ask(path)
+                return await fetch_report(path)
             except StatusError as error:
                 return str(error)
 
@@ -206,7 +206,7 @@
     if json_ + prometheus_ + watch > 1:
         raise click.UsageError("--json, --prometheus and --watch exclude each other")
     try:
-        where = folder or folder_of(read(config).status.folder if config else "")
+        where = folder or socket_folder(read(config).status.folder if config else "")
     except OperatorError as error:
         raise click.UsageError(str(error)) from error
     if where is None:
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -14,7 +14,7 @@
 from .core.relay import Relay
 from .core.transport_router import TransportRouter
 from .endpoint_discovery.source_merge import SourceMerge
-from .fleet.socket_activation import CLIENTS
+from .fleet.socket_activation import CLIENT_SOCKET
 from .http import client_intake
 from .http.discovery_client import DiscoveryClient
 from .http.endpoint_client import EndpointClient
@@ -51,7 +51,7 @@
     # Clients get what calls cannot need: so a flood of connections leaves every call its descriptor.
     clients = config.sockets - OWN_SOCKETS - settings.max_concurrent_attempts - idle - ending
     http = client_intake.ClientIntake(
-        host.messages, config, max(1, clients), config.sockets // 12, (sockets or {}).get(CLIENTS)
+        host.messages, config, max(1, clients), config.sockets // 12, (sockets or {}).get(CLIENT_SOCKET)
     )
     calls = EndpointClient(
         settings.idle_ms, settings.connect_timeout_ms, idle, ending, settings.report_fields
--- a/message_relay/consensus/admin_socket.py
+++ b/message_relay/consensus/admin_socket.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..fleet.status import MOST, StatusError, UnixSocket
+from ..fleet.status import MAX_CALLERS, StatusError, UnixSocket
 from .rules import MAX_RULES_BYTES, RulesError
 from .version_history import Guard
 
@@ -44,9 +44,9 @@
         self.on_request = take
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.asked += 1
+        self.open_connections += 1
         try:
-            if self.asked <= MOST:
+            if self.open_connections <= MAX_CALLERS:
                 async with asyncio.timeout(READ_S):
                     raw = await read_request(reader)
                 writer.write(msgspec.json.encode(await self._answer(raw)))
@@ -56,7 +56,7 @@
         except Exception:
             log.exception("admin request failed")
         finally:
-            self.asked -= 1
+            self.open_connections -= 1
             writer.close()
 
     async def _answer(self, raw: bytes) -> dict[str, Any]:
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -13,7 +13,7 @@
 from ..gossip.node import GossipNode
 from ..structured_logging import LogEvent
 from .operator import OperatorConfig
-from .status import StatusError, folder_of
+from .status import StatusError, socket_folder
 
 if TYPE_CHECKING:
     from ..consensus.admin_socket import AdminSocket
@@ -38,20 +38,20 @@
         try:
             from ..consensus.capabilities import SUPPORTED
 
-            self.peers = GossipNode(told.peers, self.identity, folder, number, zone, SUPPORTED)
+            self.gossip = GossipNode(told.peers, self.identity, folder, number, zone, SUPPORTED)
         except (OSError, ValueError) as error:
             raise ConfigError(f"peers.{error}") from error
-        self.accord: ConsensusInstance | None = None
-        self.control: AdminSocket | None = None
+        self.consensus: ConsensusInstance | None = None
+        self.admin_socket: AdminSocket | None = None
         self.failover: Failover | None = None
         self.closing: asyncio.Task[None] | None = None
-        self.shards: ShardedDirectory | None = None
+        self.sharded_directory: ShardedDirectory | None = None
         if told.shards.on:
-            self._keep(told, number, config, host)
+            self._start_sharded_directory(told, number, config, host)
         if told.accord.is_enabled:
-            self._agree(told, number, config, host)
+            self._start_consensus(told, number, config, host)
 
-    def _agree(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
+    def _start_consensus(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
         try:
             from ..consensus.admin_socket import AdminSocket
             from ..consensus.instance import ConsensusInstance
@@ -64,9 +64,9 @@
             delivered = tally["delivered"]
             return DeliveryCounts(delivered, delivered + tally["failed"] + tally["returned"])
 
-        self.accord = ConsensusInstance(
+        self.consensus = ConsensusInstance(
             told.accord,
-            self.peers,
+            self.gossip,
             config.state / FOLDER,
             self.identity,
             config.settings,
@@ -75,23 +75,25 @@
             host.reapply_rules,
             counts,
         )
-        host.set_call_policy(self.accord)
-        self.peers.on_member_changed.append(self.accord.on_member_changed)
+        host.set_call_policy(self.consensus)
+        self.gossip.on_member_changed.append(self.consensus.on_member_changed)
         if told.failover.on:
-            self._plan(told, config, host)
-        folder = folder_of(told.status.folder)
+            self._start_failover(told, config, host)
+        folder = socket_folder(told.status.folder)
         if folder is not None:
-            self.control = AdminSocket(folder / f"{number}.rules", self.accord.handle_admin_request)
+            self.admin_socket = AdminSocket(folder / f"{number}.rules", self.consensus.handle_admin_request)
 
-    def _keep(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
+    def _start_sharded_directory(
+        self, told: OperatorConfig, number: int, config: Config, host: Relay
+    ) -> None:
         try:
             from ..sharded_directory.node import ShardedDirectory  # only where it is on
         except ImportError as error:
             raise ConfigError(f"shards: needs the extra 'fleet' ({error})") from error
-        self.shards = ShardedDirectory(told.shards, self.peers, host, number, config)
-        host.use_destination_interest(self.shards, self.shards)
+        self.sharded_directory = ShardedDirectory(told.shards, self.gossip, host, number, config)
+        host.use_destination_interest(self.sharded_directory, self.sharded_directory)
 
-    def _plan(self, told: OperatorConfig, config: Config, host: Relay) -> None:
+    def _start_failover(self, told: OperatorConfig, config: Config, host: Relay) -> None:
         from ..failover.node import Failover  # only where it is on
 
         unknown = sorted({*told.failover.zones} ^ {*config.zones})
@@ -100,31 +102,31 @@
                 f"failover.zones: must be those of the platform, {', '.join(config.zones)}: "
                 f"{', '.join(unknown)} differ"
             )
-        assert self.accord is not None
-        self.failover = Failover(told.failover, self.peers, self.accord, host)
+        assert self.consensus is not None
+        self.failover = Failover(told.failover, self.gossip, self.consensus, host)
 
     async def start(self) -> None:
         """Raises ConfigError where the place can't be had."""
         try:
-            await self.peers.start()
+            await self.gossip.start()
         except OSError as error:
             raise ConfigError(f"peers.listen: {error.strerror or error}") from error
-        if self.shards is not None:
-            self.shards.start()
-        if self.accord is not None:
-            self.accord.start()
+        if self.sharded_directory is not None:
+            self.sharded_directory.start()
+        if self.consensus is not None:
+            self.consensus.start()
         if self.failover is not None:
             self.failover.start()
-        if self.control is not None:
+        if self.admin_socket is not None:
             try:
-                await self.control.open()
+                await self.admin_socket.open()
             except StatusError as error:  # one that can't be asked still serves
                 log.error(LogEvent("no questions on rules are answered", why=error))
 
     def close(self) -> None:
         """Called as the process ends: says so to the others, and lets go."""
-        if self.control is not None:
-            self.control.close()
-        self.peers.leave()
-        if self.accord is not None:
-            self.accord.leave()
+        if self.admin_socket is not None:
+            self.admin_socket.close()
+        self.gossip.leave()
+        if self.consensus is not None:
+            self.consensus.leave()
--- a/message_relay/fleet/fleet_size.py
+++ b/message_relay/fleet/fleet_size.py
@@ -10,7 +10,7 @@
 
 from ..decisions.model import Fleet
 
-STEP_MS = (
+CLOCK_STEP_MS = (
     5.0  # the shared clock has been set if it moved by more against ours: slots are 17 ms and more apart
 )
 
@@ -20,26 +20,26 @@
     """This instance's number, and how many it takes part among."""
 
     number: int
-    size: int  # as it counts now
+    counted_size: int  # as it counts now
     clock_ms: float
-    wanted: int = 0  # as the operator's file says, from `due` on
-    due: float = 0.0
+    pending_size: int = 0  # as the operator's file says, from `due` on
+    pending_from: float = 0.0
 
-    def told(self, now: float, size: int, settle_ms: float) -> bool:
+    def request_size(self, now: float, size: int, settle_ms: float) -> bool:
         """The file names so many. False: this one is not among them, and has to retire."""
         if self.number >= size:
             return False
-        if size != (self.wanted or self.size):
-            self.wanted = size
-            self.due = now if size >= self.size else now + settle_ms
+        if size != (self.pending_size or self.counted_size):
+            self.pending_size = size
+            self.pending_from = now if size >= self.counted_size else now + settle_ms
         return True
 
-    def look(self, now: float, clock_ms: float) -> Fleet | None:
+    def poll(self, now: float, clock_ms: float) -> Fleet | None:
         """Called now and then: what the decisions have to be told, if anything has changed."""
-        changed = abs(clock_ms - self.clock_ms) > STEP_MS
+        changed = abs(clock_ms - self.clock_ms) > CLOCK_STEP_MS
         if changed:
             self.clock_ms = clock_ms
-        if self.wanted and now >= self.due:
-            changed = changed or self.size != self.wanted
-            self.size, self.wanted = self.wanted, 0
-        return Fleet(self.number, self.size, self.clock_ms) if changed else None
+        if self.pending_size and now >= self.pending_from:
+            changed = changed or self.counted_size != self.pending_size
+            self.counted_size, self.pending_size = self.pending_size, 0
+        return Fleet(self.number, self.counted_size, self.clock_ms) if changed else None
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -16,28 +16,28 @@
 from . import operator, parent_watch, report
 from .fleet_size import FleetSize
 from .recording import Recorder
-from .status import LoopLag, StatusError, StatusSocket, folder_of
+from .status import LoopLag, StatusError, StatusSocket, socket_folder
 from .systemd_notify import SystemdNotifier
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 1.0  # how often the shared clock and the fleet's size are looked at
-RETIRED_S = 0.1  # how often one that retires looks whether it holds nothing any more
+POLL_S = 1.0  # how often the shared clock and the fleet's size are looked at
+RETIRE_POLL_S = 0.1  # how often one that retires looks whether it holds nothing any more
 
 
-def clock_ms() -> float:
+def clock_offset_ms() -> float:
     """What is to be added to the loop's clock for the one that all machines read."""
     return unix_time_ms() - asyncio.get_running_loop().time() * 1000
 
 
-def operated(signals: ProcessSignals, notifier: SystemdNotifier) -> OperatedRelayProcess:
+def operated_process(signals: ProcessSignals, notifier: SystemdNotifier) -> OperatedRelayProcess:
     """As the environment says. Raises ConfigError, where the operator's file makes no sense too."""
     try:
-        told = operator.named()
+        told = operator.config_from_environment()
         assert told is not None
-        number = operator.instance(told)
-        parent_watch.hold()
-        if told.log.format != "plain" or told.log != operator.LogPart():
+        number = operator.instance_number(told)
+        parent_watch.watch_parent()
+        if told.log.format != "plain" or told.log != operator.LogSection():
             configure_structured_logging(told.log.format, told.log.level, told.log.lines)
     except ImportError as error:
         raise ConfigError(f"log.format: needs the extra 'ops' ({error})") from error
@@ -45,11 +45,11 @@
         raise ConfigError(str(error)) from error
     config = load()
     if told.state.own:
-        owned(config)
+        require_owned_state(config)
     return OperatedRelayProcess(config, signals, notifier, told, number)
 
 
-def owned(config: Config) -> None:
+def require_owned_state(config: Config) -> None:
     """Guards a folder against a process that would leave files there which its owner cannot use."""
     try:
         uid = config.state.stat().st_uid
@@ -71,51 +71,55 @@
         told: operator.OperatorConfig,
         number: int,
     ) -> None:
-        self.told, self.number, self.began = told, number, time.time()
-        clock = clock_ms()
-        self.place = FleetSize(number, max(told.fleet.instances, number + 1), clock)
-        settings = operator.applied(config.settings, told, number, clock)
-        config = replace(config, settings=settings, sync_ms=told.state.every_ms)
+        self.operator_config, self.number, self.began_at = told, number, time.time()
+        clock = clock_offset_ms()
+        self.fleet_size = FleetSize(number, max(told.fleet.instances, number + 1), clock)
+        settings = operator.apply_fleet(config.settings, told, number, clock)
+        config = replace(config, settings=settings, sync_ms=told.state.sync_every_ms)
         super().__init__(config, signals, notifier, told.amqp)
-        self.common = None
+        self.shared = None
         if told.peers.is_enabled:
             from .common import SharedSubsystems  # not imported where instances share nothing
 
-            self.common = SharedSubsystems(told, number, config, self.relay)
+            self.shared = SharedSubsystems(told, number, config, self.relay)
         self.recorder: Recorder | None = None
-        self.state, self.lag = "starting", LoopLag()
-        folder = folder_of(told.status.folder)
+        self.state, self.loop_lag = "starting", LoopLag()
+        folder = socket_folder(told.status.folder)
         self.status = None if folder is None else StatusSocket(folder / f"{number}.sock", self.report)
 
     def report(self) -> report.Report:
-        shards = None if self.common is None or self.common.shards is None else self.common.shards.status()
-        return report.of(
+        shards = (
+            None
+            if self.shared is None or self.shared.sharded_directory is None
+            else self.shared.sharded_directory.status()
+        )
+        return report.report_of(
             self.relay,
             self.number,
             self.state,
-            self.began,
-            self.lag.told(),
-            self.told.status.destinations,
+            self.began_at,
+            self.loop_lag.summary(),
+            self.operator_config.status.destinations,
             shards,
         )
 
     async def on_serving(self) -> None:
         self.state = "serving"
-        self.record()
+        self.start_recording()
         if self.status is not None:
-            self.lag.start()
+            self.loop_lag.start()
             try:
                 await self.status.open()
             except StatusError as error:  # one without a report still serves
                 log.error(LogEvent("no report is given", why=error))
-        if self.common is not None:
-            await self.common.start()
-        self.relay.tasks.start(self.look())
-        if self.number >= self.told.fleet.instances:
+        if self.shared is not None:
+            await self.shared.start()
+        self.relay.tasks.start(self.follow_fleet())
+        if self.number >= self.operator_config.fleet.instances:
             self.retire()
 
-    def record(self) -> None:
-        part = self.told.record
+    def start_recording(self) -> None:
+        part = self.operator_config.record
         if not part.file:
             return
         path = Path(part.file.replace("{n}", str(self.number)))
@@ -124,44 +128,46 @@
         except OSError as error:  # one without a recording still serves
             log.error(LogEvent("no recording is made", file=path, why=error))
             return
-        self.relay.messages.on_submission = self.recorder.offered
+        self.relay.messages.on_submission = self.recorder.record
 
     def on_stopped(self) -> None:
         if self.recorder is not None:
             self.relay.messages.on_submission = None
             self.recorder.close()
-        self.lag.stop()
+        self.loop_lag.stop()
         if self.status is not None:
             self.status.close()
-        if self.common is not None:
-            self.common.close()
+        if self.shared is not None:
+            self.shared.close()
 
-    async def look(self) -> None:
+    async def follow_fleet(self) -> None:
         """Follows the shared clock and the fleet's size."""
         while True:
             now = self.relay.driver.now()
-            fleet = self.place.look(now, clock_ms())
+            fleet = self.fleet_size.poll(now, clock_offset_ms())
             if fleet is not None:
                 log.info(
                     LogEvent("the fleet has changed", instances=fleet.size, clock_ms=round(fleet.clock_ms))
                 )
                 self.relay.driver.feed(fleet)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
     def reload(self) -> None:
         try:
-            told = operator.named()
+            told = operator.config_from_environment()
         except operator.OperatorError as error:
             raise ConfigError(str(error)) from error
         assert told is not None
-        if told.fleet.share_rates != self.told.fleet.share_rates:
+        if told.fleet.share_rates != self.operator_config.fleet.share_rates:
             log.warning(LogEvent("a change of fleet.share_rates waits for a restart"))
-        if told.shards != self.told.shards:
+        if told.shards != self.operator_config.shards:
             log.warning(LogEvent("a change of [shards] waits for a restart"))
         super().reload()
-        self.told = told
+        self.operator_config = told
         logging.getLogger().setLevel(told.log.level.upper())
-        if not self.place.told(self.relay.driver.now(), told.fleet.instances, told.fleet.settle_s * 1000):
+        if not self.fleet_size.request_size(
+            self.relay.driver.now(), told.fleet.instances, told.fleet.settle_s * 1000
+        ):
             self.retire()
 
     def retire(self) -> None:
@@ -170,9 +176,9 @@
             self.state = "retiring"
             log.info(LogEvent("retiring", held=self.relay.messages.pending_count))
             self.relay.retire()
-            self.relay.tasks.start(self.retired())
+            self.relay.tasks.start(self.stop_when_idle())
 
-    async def retired(self) -> None:
+    async def stop_when_idle(self) -> None:
         while not self.relay.is_idle:
-            await asyncio.sleep(RETIRED_S)
+            await asyncio.sleep(RETIRE_POLL_S)
         self.signals.stop.set()
--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -25,67 +25,69 @@
 from ..gossip.settings import INSTANCES_MAX, GossipSettings
 from ..sharded_directory.settings import ShardedDirectorySettings
 
-VARIABLE, NUMBER = "RELAY_OPERATOR", "RELAY_INSTANCE"
-INSTANCES = "RELAY_INSTANCES"  # goes before fleet.instances
-RETIRE = "RELAY_RETIRE"  # "1": it is no longer one of the fleet, and ends what an earlier process left
+FILE_VARIABLE, NUMBER_VARIABLE = "RELAY_OPERATOR", "RELAY_INSTANCE"
+INSTANCES_VARIABLE = "RELAY_INSTANCES"  # goes before fleet.instances
+RETIRE_VARIABLE = (
+    "RELAY_RETIRE"  # "1": it is no longer one of the fleet, and ends what an earlier process left
+)
 
 Seconds = Annotated[float, Meta(ge=0.05, le=3600)]
-NUMBER_LETTERS = 9  # of an instance, with zeros in front: more is no number of one
-Count = Annotated[int, Meta(ge=1, le=INSTANCES_MAX)]
-Lines = Annotated[int, Meta(ge=10, le=1_000_000)]
+MAX_NUMBER_DIGITS = 9  # of an instance, with zeros in front: more is no number of one
+InstanceCount = Annotated[int, Meta(ge=1, le=INSTANCES_MAX)]
+LineCount = Annotated[int, Meta(ge=10, le=1_000_000)]
 
 
 class OperatorError(ValueError):
     """The operator's file can't be used; each of its lines tells one fault."""
 
 
-class FleetPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FleetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Of how many instances this is one, and what they keep together."""
 
-    instances: Count = 1  # all there are, on all machines
+    instances: InstanceCount = 1  # all there are, on all machines
     share_rates: bool = False  # keep each listed rate together, by slots of the shared clock
     settle_s: Seconds = 20.0  # a larger part of a rate is taken up so long after instances became fewer
 
 
-class LogPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     format: Literal["plain", "json", "console"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: Lines = 2000  # wait at the most for a slow reader; later ones are dropped and counted
+    lines: LineCount = 2000  # wait at the most for a slow reader; later ones are dropped and counted
 
 
-class StatusPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StatusSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where `status` asks: a socket with mode 0600 for each instance."""
 
     folder: str = ""  # empty: $RUNTIME_DIRECTORY; neither: there is no report
     destinations: Annotated[int, Meta(ge=0, le=10_000)] = 200  # told one by one at the most, busiest first
 
 
-class StatePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     own: bool = True  # refuse a state folder that belongs to another user
     durability: Literal["none", "interval", "group"] = "none"  # what a power cut may cost: docs/store.md
     sync_ms: Annotated[float, Meta(ge=1, le=60_000)] = 50.0  # with interval: between two syncs
 
     @property
-    def every_ms(self) -> float | None:
+    def sync_every_ms(self) -> float | None:
         """As the journal takes it."""
         return {"none": None, "interval": self.sync_ms, "group": 0.0}[self.durability]
 
 
-class RecordPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RecordSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A recording of the traffic, for `python -m emulator`; no bodies, keys or names."""
 
     file: str = ""  # empty: none; `{n}` becomes the instance's number
     mb: Annotated[float, Meta(gt=0, le=10_000)] = 50.0  # it grows no further
 
 
-class SupervisorPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SupervisorSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """For `fleet`: what instance N is given, and how instances are started and ended."""
 
     config: str = ""  # the platform's part, the same for each: what RELAY_CONFIG names
     host: str = "127.0.0.1"
     port: Annotated[int, Meta(ge=1, le=65535)] = 7000  # instance N listens on port + N
     state: str = "state"  # instance N works in state/N
-    together: Count = 8  # started at once at the most
+    together: InstanceCount = 8  # started at once at the most
     stagger_s: Annotated[float, Meta(ge=0, le=60)] = 0.05  # between one start and the next
     ready_s: Seconds = 30.0  # one that is not ready by then is ended and started anew
     stop_s: Seconds = 10.0  # one that has not ended so long after SIGTERM is killed
@@ -105,13 +107,13 @@
 
 
 class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    fleet: FleetPart = FleetPart()
-    log: LogPart = LogPart()
-    status: StatusPart = StatusPart()
-    state: StatePart = StatePart()
-    record: RecordPart = RecordPart()
+    fleet: FleetSection = FleetSection()
+    log: LogSection = LogSection()
+    status: StatusSection = StatusSection()
+    state: StateSection = StateSection()
+    record: RecordSection = RecordSection()
     amqp: AmqpSettings = AmqpSettings()
-    supervisor: SupervisorPart = SupervisorPart()
+    supervisor: SupervisorSection = SupervisorSection()
     peers: GossipSettings = GossipSettings()
     accord: ConsensusSettings = ConsensusSettings()
     failover: FailoverSettings = FailoverSettings()
@@ -138,7 +140,7 @@
             )
         if self.failover.on and not self.accord.is_enabled:
             raise ValueError("failover.zones: needs accord.voters: a plan is a version of the agreed rules")
-        self._keep()
+        self._check_shards()
         if self.record.file and self.fleet.instances > 1 and "{n}" not in self.record.file:
             raise ValueError(f"record.file: {self.record.file!r} needs {{n}}: each instance has its own")
         last = self.supervisor.port + self.fleet.instances - 1
@@ -148,7 +150,7 @@
                 f"{last}: {65536 - self.fleet.instances} at most"
             )
 
-    def _keep(self) -> None:
+    def _check_shards(self) -> None:
         """What [shards] needs of the other parts."""
         if not self.shards.on:
             return
@@ -184,10 +186,10 @@
         raise OperatorError(f"{path}: {error.strerror}") from error
     except ValueError as error:  # not TOML, or not text
         raise OperatorError(f"{path}: {error}") from error
-    told = env.get(INSTANCES, "")
+    told = env.get(INSTANCES_VARIABLE, "")
     if told:
         if not told.isdecimal() or not isinstance(raw.get("fleet", {}), dict):
-            raise OperatorError(f"{INSTANCES}: {told!r} must be a number of instances")
+            raise OperatorError(f"{INSTANCES_VARIABLE}: {told!r} must be a number of instances")
         raw.setdefault("fleet", {})["instances"] = int(told)
     return decoded(raw, str(path))
 
@@ -208,24 +210,24 @@
     clean = True
     for name, value in raw.items():
         where = f"{path}.{name}" if path else str(name)
-        for fault in _field(name, value, known, where):
+        for fault in _field_faults(name, value, known, where):
             clean = False
             yield fault
     if clean:
         try:
             msgspec.convert(raw, shape)
         except msgspec.ValidationError as error:
-            yield f"{path}.{_said(error)}" if path else _said(error)
+            yield f"{path}.{_message_of(error)}" if path else _message_of(error)
 
 
-def _field(name: str, value: object, known: Mapping[str, Any], where: str) -> Iterator[str]:
+def _field_faults(name: str, value: object, known: Mapping[str, Any], where: str) -> Iterator[str]:
     if name not in known:
         near = difflib.get_close_matches(name, known, 1, 0.5)
         yield f"{where}: is not known; " + (
             f"{near[0]!r} is the nearest name" if near else f"known are {', '.join(known)}"
         )
         return
-    shape = _shape(known[name], value)
+    shape = _expected_shape(known[name], value)
     if isinstance(shape, type) and issubclass(shape, msgspec.Struct):
         yield from faults(value, shape, where)
     elif get_origin(shape) is list and isinstance(value, list) and _is_table(get_args(shape)[0]):
@@ -233,16 +235,16 @@
         for n, item in enumerate(value):
             yield from faults(item, get_args(shape)[0], f"{where}[{n}]")
         if not count:
-            yield from _wrong(value, known[name], where)
+            yield from _value_faults(value, known[name], where)
     else:
-        yield from _wrong(value, known[name], where)
+        yield from _value_faults(value, known[name], where)
 
 
 def _is_table(shape: object) -> bool:
     return isinstance(shape, type) and issubclass(shape, msgspec.Struct)
 
 
-def _shape(told: Any, value: object) -> Any:
+def _expected_shape(told: Any, value: object) -> Any:
     """Without its bounds, and of `TABLE | None` the table where one is given."""
     if get_origin(told) is Annotated:
         told = get_args(told)[0]
@@ -251,41 +253,41 @@
     return told
 
 
-def _wrong(value: object, told: Any, where: str) -> Iterator[str]:
+def _value_faults(value: object, told: Any, where: str) -> Iterator[str]:
     try:
         msgspec.convert(value, told)
     except msgspec.ValidationError as error:
         choices = get_args(told) if get_origin(told) is Literal else ()
-        right = f"one of {', '.join(choices)} is needed" if choices else _said(error)
+        right = f"one of {', '.join(choices)} is needed" if choices else _message_of(error)
         yield f"{where}: {value!r}: {right}"
 
 
-def _said(error: Exception) -> str:
+def _message_of(error: Exception) -> str:
     return str(error).partition(" - at `")[0]
 
 
-def named(env: Mapping[str, str] = os.environ) -> OperatorConfig | None:
+def config_from_environment(env: Mapping[str, str] = os.environ) -> OperatorConfig | None:
     """What the environment names; None: there is no such file, as on the platform. Raises OperatorError."""
-    path = env.get(VARIABLE, "")
+    path = env.get(FILE_VARIABLE, "")
     return read(Path(path), env) if path else None
 
 
-def instance(operator: OperatorConfig, env: Mapping[str, str] = os.environ) -> int:
+def instance_number(operator: OperatorConfig, env: Mapping[str, str] = os.environ) -> int:
     """Which one this is; raises OperatorError unless it is one of the fleet, or retires from it."""
     size = operator.fleet.instances
-    text = env.get(NUMBER, "")
+    text = env.get(NUMBER_VARIABLE, "")
     if not text and size == 1:
         return 0
-    if not text.isdecimal() or len(text) > NUMBER_LETTERS:
-        raise OperatorError(f"{NUMBER}: {text!r} must be a number from 0 to {size - 1}")
-    if int(text) >= size and env.get(RETIRE) != "1":
+    if not text.isdecimal() or len(text) > MAX_NUMBER_DIGITS:
+        raise OperatorError(f"{NUMBER_VARIABLE}: {text!r} must be a number from 0 to {size - 1}")
+    if int(text) >= size and env.get(RETIRE_VARIABLE) != "1":
         raise OperatorError(
-            f"{NUMBER}: {int(text)} is not among fleet.instances = {size}: 0 to {size - 1} are"
+            f"{NUMBER_VARIABLE}: {int(text)} is not among fleet.instances = {size}: 0 to {size - 1} are"
         )
     return int(text)
 
 
-def applied(settings: Settings, operator: OperatorConfig, number: int, clock_ms: float) -> Settings:
+def apply_fleet(settings: Settings, operator: OperatorConfig, number: int, clock_ms: float) -> Settings:
     """The platform's settings with what the operator's file says of the fleet."""
     size = max(
         operator.fleet.instances, number + 1
--- a/message_relay/fleet/parent_watch.py
+++ b/message_relay/fleet/parent_watch.py
@@ -12,23 +12,23 @@
 import time
 from collections.abc import MutableMapping
 
-VARIABLE = "RELAY_LIFELINE"  # the descriptor
+LIFELINE_VARIABLE = "RELAY_LIFELINE"  # the descriptor
 STOP_S = 6.0  # an orderly stop takes 3.5 s at the most
 
 
-def hold(env: MutableMapping[str, str] = os.environ) -> None:
+def watch_parent(env: MutableMapping[str, str] = os.environ) -> None:
     """Follows the lifeline that the environment names, if any; removes it, so that no child follows it.
     ValueError if it names no descriptor."""
-    text = env.pop(VARIABLE, "")
+    text = env.pop(LIFELINE_VARIABLE, "")
     if not text:
         return
     if not text.isdecimal():
-        raise ValueError(f"{VARIABLE}: {text!r} must be a descriptor's number")
+        raise ValueError(f"{LIFELINE_VARIABLE}: {text!r} must be a descriptor's number")
     os.set_inheritable(int(text), False)
-    threading.Thread(target=_follow, args=(int(text),), name="lifeline", daemon=True).start()
+    threading.Thread(target=_stop_at_parent_exit, args=(int(text),), name="lifeline", daemon=True).start()
 
 
-def _follow(descriptor: int) -> None:
+def _stop_at_parent_exit(descriptor: int) -> None:
     try:
         while os.read(descriptor, 64):
             pass
--- a/message_relay/fleet/recording.py
+++ b/message_relay/fleet/recording.py
@@ -25,49 +25,49 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = 1
-BUFFER = 64 * 1024  # bytes that wait at the most; and so many are written at a time
+FORMAT_VERSION = 1
+BUFFER_BYTES = 64 * 1024  # bytes that wait at the most; and so many are written at a time
 FLUSH_BYTES = 16 * 1024
 
 
 class Recorder:
     def __init__(self, path: Path, mb: float) -> None:
         """Raises OSError if the file can't be made; an earlier one of that name is replaced."""
-        self.left = int(mb * 1e6)
+        self.remaining_bytes = int(mb * 1e6)
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
-        self.secret, self.begun = os.urandom(32), time.time() * 1000
+        self.secret, self.started_at_ms = os.urandom(32), time.time() * 1000
         self.encode = msgspec.json.Encoder().encode
-        self.lines, self.size, self.dropped, self.closed = list[bytes](), 0, 0, False
+        self.lines, self.size, self.dropped, self.is_closed = list[bytes](), 0, 0, False
         self.thread = ThreadPoolExecutor(1, "recording")
         self.writing: Future[None] | None = None
-        self._add({"v": VERSION, "begun": round(self.begun), "salt": os.urandom(4).hex()})
+        self._add({"v": FORMAT_VERSION, "begun": round(self.started_at_ms), "salt": os.urandom(4).hex()})
 
-    def offered(self, offer: Submission) -> None:
+    def record(self, offer: Submission) -> None:
         """A message was handed in, whatever becomes of it."""
-        if self.closed:
+        if self.is_closed:
             self.dropped += 1
             return
         self._add(
             [
-                round(time.time() * 1000 - self.begun, 1),
+                round(time.time() * 1000 - self.started_at_ms, 1),
                 offer.class_name,
                 offer.destination,
-                self._hidden(offer.tenant, 4),
+                self._hashed(offer.tenant, 4),
                 len(offer.body),
                 offer.remaining_ms,
-                self._hidden(offer.id, 8),
+                self._hashed(offer.id, 8),
             ]
         )
 
-    def _hidden(self, text: str, size: int) -> str:
+    def _hashed(self, text: str, size: int) -> str:
         return hashlib.blake2b(text.encode(), digest_size=size, key=self.secret).hexdigest()
 
     def _add(self, line: object) -> None:
         data = self.encode(line) + b"\n"
-        if self.size + len(data) > BUFFER or self.left < len(data):
+        if self.size + len(data) > BUFFER_BYTES or self.remaining_bytes < len(data):
             self.dropped += 1
             return
-        self.left -= len(data)
+        self.remaining_bytes -= len(data)
         self.size += len(data)
         self.lines.append(data)
         if self.size >= FLUSH_BYTES and (self.writing is None or self.writing.done()):
@@ -75,16 +75,16 @@
 
     def _write(self) -> None:
         data, self.lines, self.size = b"".join(self.lines), [], 0
-        self.writing = self.thread.submit(self._out, data)
+        self.writing = self.thread.submit(self._write_all, data)
 
-    def _out(self, data: bytes) -> None:
+    def _write_all(self, data: bytes) -> None:
         try:
             while data:
                 data = data[os.write(self.file, data) :]
         except OSError as error:
-            if not self.closed:
+            if not self.is_closed:
                 log.error(LogEvent("recording: cannot be written: it ends here", why=error))
-            self.closed = True
+            self.is_closed = True
 
     def close(self) -> None:
         """Writes what waits, and how many lines are missing. Waits for the disk: at the end only."""
@@ -92,5 +92,5 @@
             self.lines.append(self.encode({"dropped": self.dropped}) + b"\n")
         self._write()
         self.thread.shutdown(wait=True)
-        self.closed = True
+        self.is_closed = True
         os.close(self.file)
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -16,8 +16,8 @@
 from ..core.relay import Relay
 from ..decisions.destinations import DestinationState
 
-VERSION = 1
-PAGE = os.sysconf("SC_PAGE_SIZE")
+REPORT_VERSION = 1
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Destination(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
     more: int  # destinations that are not told
     shards: dict[str, Any] | None = None  # of a directory by interest: its reader's state, and its keeper's
     kind: str = "instance"
-    version: int = VERSION
+    version: int = REPORT_VERSION
 
 
 class InstanceLine(msgspec.Struct, frozen=True):
@@ -96,15 +96,15 @@
     rolling: int  # instances that the rolling restart has still to do
     lines: list[InstanceLine]
     kind: str = "fleet"
-    version: int = VERSION
+    version: int = REPORT_VERSION
 
 
-def rss_mb() -> float:
+def resident_memory_mb() -> float:
     """Resident memory of this process (proc(5), statm)."""
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE / 1e6
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
-def of(
+def report_of(
     host: Relay,
     number: int,
     state: str,
@@ -121,7 +121,7 @@
         for dest, routes in host.scheduler.destinations.items()
         for key, lane in routes.items()
     ]
-    waiting = _waiting(host)
+    waiting = _pending_counter(host)
     told = heapq.nlargest(
         most, lanes, key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score)
     )
@@ -143,21 +143,23 @@
         journal_bytes=host.journal.disk_bytes,
         journal_live=host.journal.live_bytes,
         journal_limit=host.journal.budget_bytes,
-        rss_mb=rss_mb(),
+        rss_mb=resident_memory_mb(),
         cpu_s=time.process_time(),
         lag=lag,
-        destinations=[_destination(host, dest, key, lane, waiting(dest), now) for dest, key, lane in told],
+        destinations=[
+            _destination_line(host, dest, key, lane, waiting(dest), now) for dest, key, lane in told
+        ],
         more=len(lanes) - len(told),
         shards=shards,
     )
 
 
-def _waiting(host: Relay) -> Callable[[int], int]:
+def _pending_counter(host: Relay) -> Callable[[int], int]:
     queues = host.scheduler.pending.queues
     return lambda dest: len(queues[dest]) if dest in queues else 0
 
 
-def _destination(
+def _destination_line(
     host: Relay, dest: int, key: int, lane: DestinationState, held: int, now: float
 ) -> Destination:
     cold = now - lane.warming_since
--- a/message_relay/fleet/socket_activation.py
+++ b/message_relay/fleet/socket_activation.py
@@ -10,9 +10,9 @@
 import socket
 from collections.abc import MutableMapping
 
-FIRST = 3  # the first descriptor handed over
-MOST = 16
-CLIENTS = "clients"  # the name of the one on which messages are taken
+FIRST_DESCRIPTOR = 3  # the first descriptor handed over
+MAX_SOCKETS = 16
+CLIENT_SOCKET = "clients"  # the name of the one on which messages are taken
 
 
 class SocketActivationError(ValueError):
@@ -20,7 +20,7 @@
 
 
 def inherited_sockets(
-    env: MutableMapping[str, str] = os.environ, first: int = FIRST
+    env: MutableMapping[str, str] = os.environ, first: int = FIRST_DESCRIPTOR
 ) -> dict[str, socket.socket]:
     """The sockets by name, if they are meant for this process; a single one without a name is for clients.
     Removes the variables, so that no child takes them for its own. Raises HandoverError."""
@@ -28,8 +28,8 @@
     names = env.pop("LISTEN_FDNAMES", "")
     if not number or pid != str(os.getpid()):
         return {}
-    if not number.isdecimal() or not 0 < int(number) <= MOST:
-        raise SocketActivationError(f"LISTEN_FDS: {number!r} must be a number from 1 to {MOST}")
+    if not number.isdecimal() or not 0 < int(number) <= MAX_SOCKETS:
+        raise SocketActivationError(f"LISTEN_FDS: {number!r} must be a number from 1 to {MAX_SOCKETS}")
     named = names.split(":") if names else []
     if len(named) not in (0, int(number)) or len(set(named)) != len(named):
         raise SocketActivationError(f"LISTEN_FDNAMES: {names!r} must give {number} different names, or none")
@@ -45,7 +45,7 @@
             ) from error
         if sock.type != socket.SOCK_STREAM or not listens:
             raise SocketActivationError(f"LISTEN_FDS: descriptor {first + n} is no listening stream socket")
-        found[named[n] if named else CLIENTS if n == 0 else str(n)] = sock
-    if CLIENTS not in found and len(found) == 1 and named in (["unknown"], ["connection"]):
-        return {CLIENTS: next(iter(found.values()))}
+        found[named[n] if named else CLIENT_SOCKET if n == 0 else str(n)] = sock
+    if CLIENT_SOCKET not in found and len(found) == 1 and named in (["unknown"], ["connection"]):
+        return {CLIENT_SOCKET: next(iter(found.values()))}
     return found
--- a/message_relay/fleet/status.py
+++ b/message_relay/fleet/status.py
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 8
-GIVE_S = 2.0  # a caller reads as quickly, or is cut off
-ANSWER_BYTES = 16 << 20  # no report is longer
-PATH_BYTES = 107  # of a Unix socket's path (unix(7))
-LOOK_S, LOOKS = 0.25, 40  # the loop's lag is looked at so often, and so many looks are kept: 10 s
+MAX_CALLERS = 8
+ANSWER_TIMEOUT_S = 2.0  # a caller reads as quickly, or is cut off
+MAX_REPORT_BYTES = 16 << 20  # no report is longer
+MAX_PATH_BYTES = 107  # of a Unix socket's path (unix(7))
+LAG_SAMPLE_S, LAG_SAMPLES = 0.25, 40  # the loop's lag is looked at so often, and so many looks are kept: 10 s
 
 
 class _Kind(msgspec.Struct):
@@ -39,24 +39,24 @@
     """How late a timer of the loop fires."""
 
     def __init__(self) -> None:
-        self.late: deque[float] = deque(maxlen=LOOKS)
+        self.samples_ms: deque[float] = deque(maxlen=LAG_SAMPLES)
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.due = loop.time() + LOOK_S
-        self.timer = loop.call_at(self.due, self._look)
+        self.due = loop.time() + LAG_SAMPLE_S
+        self.timer = loop.call_at(self.due, self._sample)
 
-    def _look(self) -> None:
-        self.late.append(max(0.0, asyncio.get_running_loop().time() - self.due) * 1000)
+    def _sample(self) -> None:
+        self.samples_ms.append(max(0.0, asyncio.get_running_loop().time() - self.due) * 1000)
         self.start()
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
-    def told(self) -> Lag:
-        late = sorted(self.late)
+    def summary(self) -> Lag:
+        late = sorted(self.samples_ms)
         if not late:
             return Lag()
         return Lag(
@@ -69,14 +69,14 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.asked = 0
+        self.open_connections = 0
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
         """Raises StatusError. A socket that a dead process left is replaced, anything else is not."""
-        if len(os.fsencode(self.path)) > PATH_BYTES:
+        if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             raise StatusError(
-                f"{self.path}: a socket's path has {PATH_BYTES} bytes at most; "
+                f"{self.path}: a socket's path has {MAX_PATH_BYTES} bytes at most; "
                 "name a shorter status.folder"
             )
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -90,7 +90,7 @@
                 sock.bind(str(self.path))
             finally:
                 os.umask(before)
-            self.server = await asyncio.start_unix_server(self._serve, sock=sock, backlog=MOST)
+            self.server = await asyncio.start_unix_server(self._serve, sock=sock, backlog=MAX_CALLERS)
         except OSError as error:
             sock.close()
             raise StatusError(f"{self.path}: {error.strerror}") from error
@@ -114,32 +114,32 @@
         self.report = report
 
     async def _serve(self, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.asked += 1
+        self.open_connections += 1
         try:
-            if self.asked <= MOST:
+            if self.open_connections <= MAX_CALLERS:
                 writer.write(msgspec.json.encode(self.report()) + b"\n")
-                async with asyncio.timeout(GIVE_S):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     await writer.drain()
         except (OSError, TimeoutError):
             pass  # it went away, or does not read
         except Exception:
             log.exception("a report failed")
         finally:
-            self.asked -= 1
+            self.open_connections -= 1
             writer.close()
 
 
-def folder_of(named: str, env: dict[str, str] | None = None) -> Path | None:
+def socket_folder(named: str, env: dict[str, str] | None = None) -> Path | None:
     """Where sockets go: as named, else the service manager's $RUNTIME_DIRECTORY (its first)."""
     told = named or (os.environ if env is None else env).get("RUNTIME_DIRECTORY", "").partition(":")[0]
     return Path(told) if told else None
 
 
-async def ask(path: Path, seconds: float = 2.0) -> Report | FleetReport:
+async def fetch_report(path: Path, seconds: float = 2.0) -> Report | FleetReport:
     """Raises StatusError where nobody answers in time, or with what is no report."""
     try:
         async with asyncio.timeout(seconds):
-            reader, writer = await asyncio.open_unix_connection(str(path), limit=ANSWER_BYTES)
+            reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_REPORT_BYTES)
             try:
                 raw = await reader.read(-1)
             finally:
--- a/message_relay/fleet/supervisor.py
+++ b/message_relay/fleet/supervisor.py
@@ -23,18 +23,18 @@
 from pathlib import Path
 
 from ..structured_logging import LogEvent
-from .operator import NUMBER, RETIRE, VARIABLE, OperatorConfig, OperatorError, read
-from .parent_watch import VARIABLE as LIFELINE
-from .plan import Plan, State, SupervisorAction
+from .operator import FILE_VARIABLE, NUMBER_VARIABLE, RETIRE_VARIABLE, OperatorConfig, OperatorError, read
+from .parent_watch import LIFELINE_VARIABLE as LIFELINE
+from .plan import InstanceState, Plan, SupervisorAction
 from .report import FleetReport, InstanceLine
-from .socket_activation import CLIENTS, FIRST
+from .socket_activation import CLIENT_SOCKET, FIRST_DESCRIPTOR
 from .status import StatusError, StatusSocket
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512
-HIGH = 10  # descriptors for instances lie here and above: FIRST is where the socket goes
-DATAGRAM = 4096
+LISTEN_BACKLOG = 512
+FIRST_PRIVATE_DESCRIPTOR = 10  # descriptors for instances lie here and above: FIRST is where the socket goes
+MAX_DATAGRAM_BYTES = 4096
 SIGNALS = {
     SupervisorAction.RELOAD: signal.SIGHUP,
     SupervisorAction.TERM: signal.SIGTERM,
@@ -42,7 +42,7 @@
 }
 # Puts the listening socket where LISTEN_FDS says, and becomes the program. SIGHUP is ignored until the
 # program has a handler: its default would end it.
-LAUNCH = """
+LAUNCH_SCRIPT = """
 import os, signal, sys
 given = int(sys.argv[1])
 if given != 3:
@@ -54,7 +54,7 @@
 os.environ["LISTEN_PID"] = str(os.getpid())
 os.execv(sys.argv[2], sys.argv[2:])
 """
-assert FIRST == 3
+assert FIRST_DESCRIPTOR == 3
 
 
 @dataclass
@@ -63,10 +63,10 @@
 
     listener: socket.socket
     notify: socket.socket
-    path: Path  # of the notify socket
+    notify_path: Path  # of the notify socket
     process: subprocess.Popen[bytes] | None = None
     pidfd: int = -1
-    said: dict[str, str] = field(default_factory=dict)  # the latest status line
+    status_lines: dict[str, str] = field(default_factory=dict)  # the latest status line
 
 
 class Supervisor:
@@ -81,10 +81,10 @@
             int.from_bytes(os.urandom(4), "big"),
         )
         self.children: dict[int, Child] = {}
-        self.turned = asyncio.Event()
+        self.changed = asyncio.Event()
         self.folder = tempfile.TemporaryDirectory(prefix="message_relay-")
         reading, self.lifeline = os.pipe()
-        self.theirs = fcntl.fcntl(reading, fcntl.F_DUPFD_CLOEXEC, HIGH)
+        self.lifeline_reader = fcntl.fcntl(reading, fcntl.F_DUPFD_CLOEXEC, FIRST_PRIVATE_DESCRIPTOR)
         os.close(reading)
         self.status = StatusSocket(runtime / "fleet.sock", self.report) if runtime else None
         for n in range(operator.fleet.instances):
@@ -94,7 +94,7 @@
         if n in self.children:
             return
         part = self.operator.supervisor
-        listener = socket.create_server((part.host, part.port + n), backlog=BACKLOG)
+        listener = socket.create_server((part.host, part.port + n), backlog=LISTEN_BACKLOG)
         path = Path(self.folder.name) / str(n)
         notify = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         notify.bind(str(path))
@@ -110,30 +110,30 @@
             signal.SIGTERM: self._stop,
             signal.SIGINT: self._stop,
             signal.SIGHUP: self._reload,
-            signal.SIGUSR2: self._roll,
+            signal.SIGUSR2: self._restart_all,
         }
         for number, handler in handlers.items():
             loop.add_signal_handler(number, handler)
         for n in self.children:
             self._listen(n)
         if self.status is not None:
-            await self._tell()
+            await self._open_status()
         try:
-            while not self.plan.done:
+            while not self.plan.is_done:
                 now = self.clock()
-                for do, n in self.plan.next(now):
-                    self._do(do, n)
-                self._log()
+                for do, n in self.plan.next_steps(now):
+                    self._carry_out(do, n)
+                self._log_plan_events()
                 try:
-                    async with asyncio.timeout(self.plan.wake(now) - now):
-                        await self.turned.wait()
+                    async with asyncio.timeout(self.plan.next_wake(now) - now):
+                        await self.changed.wait()
                 except TimeoutError:
                     pass
-                self.turned.clear()
+                self.changed.clear()
         finally:
             self.close()
 
-    async def _tell(self) -> None:
+    async def _open_status(self) -> None:
         assert self.status is not None
         try:
             await self.status.open()
@@ -151,18 +151,18 @@
         if self.status is not None:
             self.status.close()
         os.close(self.lifeline)
-        os.close(self.theirs)
+        os.close(self.lifeline_reader)
         self.folder.cleanup()
 
     # -- signals -----------------------------------------------------------------------------------------
 
     def _stop(self) -> None:
-        self.plan.told_to_stop(self.clock())
-        self.turned.set()
+        self.plan.request_stop(self.clock())
+        self.changed.set()
 
-    def _roll(self) -> None:
-        self.plan.told_to_roll(self.clock())
-        self.turned.set()
+    def _restart_all(self) -> None:
+        self.plan.request_rolling_restart(self.clock())
+        self.changed.set()
 
     def _reload(self) -> None:
         """A file that makes no sense, or a port that cannot be had, changes nothing."""
@@ -180,14 +180,14 @@
         except (OperatorError, OSError) as error:
             log.error(LogEvent("the new operator's file is passed over", why=error))
             return
-        self.plan.told_to_reload(
+        self.plan.request_reload(
             self.clock(), operator.supervisor, operator.fleet.instances, operator.fleet.settle_s
         )
-        self.turned.set()
+        self.changed.set()
 
     # -- what the plan says ------------------------------------------------------------------------------
 
-    def _do(self, do: SupervisorAction, n: int) -> None:
+    def _carry_out(self, do: SupervisorAction, n: int) -> None:
         if do is SupervisorAction.START:
             self._start(n)
             return
@@ -200,22 +200,22 @@
         state = Path(part.state) / str(n)
         env = {
             **os.environ,
-            VARIABLE: str(self.file),
-            NUMBER: str(n),
+            FILE_VARIABLE: str(self.file),
+            NUMBER_VARIABLE: str(n),
             "RELAY_NAME": str(n),
             "RELAY_LISTEN": f"{part.host}:{part.port + n}",
             "RELAY_STATE": str(state),
-            "NOTIFY_SOCKET": str(child.path),
+            "NOTIFY_SOCKET": str(child.notify_path),
             "LISTEN_FDS": "1",
-            "LISTEN_FDNAMES": CLIENTS,
-            LIFELINE: str(self.theirs),
+            "LISTEN_FDNAMES": CLIENT_SOCKET,
+            LIFELINE: str(self.lifeline_reader),
         }
         if part.config:
             env["RELAY_CONFIG"] = part.config
         if part.watchdog_s:
             env["WATCHDOG_USEC"] = str(int(part.watchdog_s * 1e6))
-        if self.plan.all[n].retiring:
-            env[RETIRE] = "1"
+        if self.plan.instances[n].is_retiring:
+            env[RETIRE_VARIABLE] = "1"
         try:
             state.mkdir(mode=0o700, parents=True, exist_ok=True)
             child.process = subprocess.Popen(
@@ -224,14 +224,14 @@
                     "-I",
                     "-S",
                     "-c",
-                    LAUNCH,
+                    LAUNCH_SCRIPT,
                     str(child.listener.fileno()),
                     sys.executable,
                     "-m",
                     "message_relay",
                 ],
                 env=env,
-                pass_fds=(child.listener.fileno(), self.theirs),
+                pass_fds=(child.listener.fileno(), self.lifeline_reader),
                 stdin=subprocess.DEVNULL,
             )
             child.pidfd = os.pidfd_open(child.process.pid)
@@ -241,69 +241,71 @@
                 child.process.kill()
                 child.process.wait()
                 child.process = None
-            self.plan.exited(n, self.clock(), -1)
+            self.plan.on_exited(n, self.clock(), -1)
             return
-        asyncio.get_running_loop().add_reader(child.pidfd, self._ended, n)
+        asyncio.get_running_loop().add_reader(child.pidfd, self._on_exit, n)
 
-    def _ended(self, n: int) -> None:
+    def _on_exit(self, n: int) -> None:
         child = self.children[n]
         assert child.process is not None
         asyncio.get_running_loop().remove_reader(child.pidfd)
         os.close(child.pidfd)
         code = child.process.wait()  # at once: its pidfd says that it has ended
         child.process, child.pidfd = None, -1
-        child.said.clear()
-        self._heard(n)  # what it said last, before what comes of its end
-        self.plan.exited(n, self.clock(), code)
-        self.turned.set()
+        child.status_lines.clear()
+        self._on_notification(n)  # what it said last, before what comes of its end
+        self.plan.on_exited(n, self.clock(), code)
+        self.changed.set()
 
     # -- what is heard -----------------------------------------------------------------------------------
 
     def _listen(self, n: int) -> None:
-        asyncio.get_running_loop().add_reader(self.children[n].notify.fileno(), self._heard, n)
+        asyncio.get_running_loop().add_reader(self.children[n].notify.fileno(), self._on_notification, n)
 
-    def _heard(self, n: int) -> None:
+    def _on_notification(self, n: int) -> None:
         child = self.children[n]
         for _ in range(64):  # the loop has others to hear
             try:
-                text = child.notify.recv(DATAGRAM).decode(errors="replace")
+                text = child.notify.recv(MAX_DATAGRAM_BYTES).decode(errors="replace")
             except BlockingIOError:
                 return
             lines = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
-            child.said.update({name: value for name, value in lines.items() if name == "STATUS"})
+            child.status_lines.update({name: value for name, value in lines.items() if name == "STATUS"})
             if lines.get("READY") == "1" and child.process is not None:
-                self.plan.ready(n, self.clock())
-                self.turned.set()
+                self.plan.on_ready(n, self.clock())
+                self.changed.set()
             elif lines.get("WATCHDOG") == "1":
-                self.plan.beat(n, self.clock())
+                self.plan.on_heartbeat(n, self.clock())
 
-    def _log(self) -> None:
-        for event, fields in self.plan.notes:
+    def _log_plan_events(self) -> None:
+        for event, fields in self.plan.log_events:
             log.warning(LogEvent(event, **fields))
-        self.plan.notes.clear()
+        self.plan.log_events.clear()
 
     def report(self) -> FleetReport:
         now, lines = self.clock(), []
-        for n, one in sorted(self.plan.all.items()):
+        for n, one in sorted(self.plan.instances.items()):
             process = self.children[n].process
             lines.append(
                 InstanceLine(
                     instance=n,
-                    state="retiring" if one.retiring and one.state is State.UP else one.state.value,
+                    state="retiring"
+                    if one.is_retiring and one.state is InstanceState.UP
+                    else one.state.value,
                     pid=None if process is None else process.pid,
                     for_s=round(now - one.since, 1),
-                    crashes=sum(now - at <= self.plan.part.loop_s for at in one.crashes),
-                    crash_loop=self.plan.loops(n, now),
+                    crashes=sum(now - at <= self.plan.section.loop_s for at in one.crashes),
+                    crash_loop=self.plan.is_crash_looping(n, now),
                     restarts=one.restarts,
                     start_s=round(one.start_s, 3),
-                    why=one.why or self.children[n].said.get("STATUS", ""),
+                    why=one.reason or self.children[n].status_lines.get("STATUS", ""),
                 )
             )
         return FleetReport(
             pid=os.getpid(),
             at_ms=time.time() * 1000,
             instances=self.plan.count,
-            up=sum(one.state is State.UP for one in self.plan.all.values()),
+            up=sum(one.state is InstanceState.UP for one in self.plan.instances.values()),
             stopping=self.plan.stopping,
             rolling=len(self.plan.rolling),
             lines=lines,
--- a/message_relay/fleet/systemd_notify.py
+++ b/message_relay/fleet/systemd_notify.py
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-STATUS_BYTES = 500  # of a status line, at most
-RETRY_S = 0.2  # so much later what could not be said is tried again
+MAX_STATUS_BYTES = 500  # of a status line, at most
+FLUSH_RETRY_S = 0.2  # so much later what could not be said is tried again
 
 
 class NotifyError(ValueError):
@@ -33,12 +33,12 @@
 class SystemdNotifier:
     address: str = ""  # empty: nobody listens
     watchdog_s: float = 0.0  # 0: not watched
-    waiting: dict[str, str] = field(default_factory=dict)  # lines not yet said, by name
+    unsent: dict[str, str] = field(default_factory=dict)  # lines not yet said, by name
     timers: dict[str, asyncio.TimerHandle] = field(default_factory=dict)
     socket: socket.socket | None = None
 
     @classmethod
-    def of(cls, env: MutableMapping[str, str] = os.environ) -> SystemdNotifier:
+    def from_environment(cls, env: MutableMapping[str, str] = os.environ) -> SystemdNotifier:
         """Reads and removes the variables, so that no child speaks for this process. Raises NotifyError."""
         address, usec = env.pop("NOTIFY_SOCKET", ""), env.pop("WATCHDOG_USEC", "")
         pid = env.pop("WATCHDOG_PID", "")
@@ -56,23 +56,23 @@
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
         self.socket.setblocking(False)
         if self.watchdog_s:
-            self._beat()
+            self._send_heartbeat()
 
     def ready(self) -> None:
-        self.waiting.pop("RELOADING", None)  # what was not said of a reload is over
-        self.waiting.pop("MONOTONIC_USEC", None)
-        self._say(READY="1")
+        self.unsent.pop("RELOADING", None)  # what was not said of a reload is over
+        self.unsent.pop("MONOTONIC_USEC", None)
+        self._send(READY="1")
 
     def reloading(self) -> None:
-        self.waiting.pop("READY", None)
-        self._say(RELOADING="1", MONOTONIC_USEC=str(time.monotonic_ns() // 1000))
+        self.unsent.pop("READY", None)
+        self._send(RELOADING="1", MONOTONIC_USEC=str(time.monotonic_ns() // 1000))
 
     def stopping(self) -> None:
-        self._say(STOPPING="1")
+        self._send(STOPPING="1")
 
     def status(self, text: str) -> None:
-        line = " ".join(text.split()).encode()[:STATUS_BYTES].decode(errors="ignore")
-        self._say(STATUS=line)
+        line = " ".join(text.split()).encode()[:MAX_STATUS_BYTES].decode(errors="ignore")
+        self._send(STATUS=line)
 
     def close(self) -> None:
         for timer in self.timers.values():
@@ -82,12 +82,12 @@
             self.socket.close()
             self.socket = None
 
-    def _beat(self) -> None:
-        self._say(WATCHDOG="1")
-        self.timers["beat"] = asyncio.get_running_loop().call_later(self.watchdog_s / 2, self._beat)
+    def _send_heartbeat(self) -> None:
+        self._send(WATCHDOG="1")
+        self.timers["beat"] = asyncio.get_running_loop().call_later(self.watchdog_s / 2, self._send_heartbeat)
 
-    def _say(self, **lines: str) -> None:
-        self.waiting.update(lines)
+    def _send(self, **lines: str) -> None:
+        self.unsent.update(lines)
         self._flush()
 
     def _retry(self) -> None:
@@ -96,16 +96,16 @@
 
     def _flush(self) -> None:
         """All that waits in one datagram, or later: a manager that does not read must not hold up a stop."""
-        if self.socket is None or not self.waiting:
+        if self.socket is None or not self.unsent:
             return
-        text = "\n".join(f"{name}={value}" for name, value in self.waiting.items())
+        text = "\n".join(f"{name}={value}" for name, value in self.unsent.items())
         address = "\0" + self.address[1:] if self.address[0] == "@" else self.address
         try:
             self.socket.sendto(text.encode(), address)
-            self.waiting.clear()
+            self.unsent.clear()
         except BlockingIOError:
             if "retry" not in self.timers:
-                self.timers["retry"] = asyncio.get_running_loop().call_later(RETRY_S, self._retry)
+                self.timers["retry"] = asyncio.get_running_loop().call_later(FLUSH_RETRY_S, self._retry)
         except OSError as error:
             log.warning(LogEvent("the service manager does not listen", at=self.address, why=error))
-            self.waiting.clear()
+            self.unsent.clear()
--- a/message_relay/process.py
+++ b/message_relay/process.py
@@ -23,11 +23,11 @@
 async def serve() -> None:
     """Runs one instance, with the operator's file if the environment names one."""
     signals = ProcessSignals()
-    notifier = SystemdNotifier.of()
+    notifier = SystemdNotifier.from_environment()
     if os.environ.get(OPERATOR_FILE_VARIABLE):
-        from .fleet.instance import operated
+        from .fleet.instance import operated_process
 
-        await operated(signals, notifier).run()
+        await operated_process(signals, notifier).run()
     else:
         await RelayProcess(load(), signals, notifier).run()
 
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -16,10 +16,17 @@
 from message_relay.decisions.model import Settings
 from message_relay.decisions.settings import SettingsError, _Settings, settings_from
 from message_relay.failover.settings import FailoverSettings
-from message_relay.fleet.operator import OperatorConfig, OperatorError, decoded, instance, named, read
-from message_relay.fleet.parent_watch import hold
-from message_relay.fleet.socket_activation import CLIENTS, SocketActivationError, inherited_sockets
-from message_relay.fleet.status import folder_of
+from message_relay.fleet.operator import (
+    OperatorConfig,
+    OperatorError,
+    decoded,
+    instance_number,
+    config_from_environment,
+    read,
+)
+from message_relay.fleet.parent_watch import watch_parent
+from message_relay.fleet.socket_activation import CLIENT_SOCKET, SocketActivationError, inherited_sockets
+from message_relay.fleet.status import socket_folder
 from message_relay.fleet.systemd_notify import NotifyError, SystemdNotifier
 from message_relay.gossip.settings import GossipSettings
 from message_relay.sharded_directory.settings import ShardedDirectorySettings
@@ -44,7 +51,7 @@
             "own folder only": told.state.own,
             "durability": told.state.durability,
             "sync ms": told.state.sync_ms,
-            "sync every ms": told.state.every_ms,
+            "sync every ms": told.state.sync_every_ms,
         },
         "record": {"file": told.record.file, "megabytes": told.record.mb},
         "supervisor": _supervisor(told),
@@ -310,16 +317,16 @@
 def fleet_place(env: dict[str, str]) -> list[Any]:
     """The number of this instance and of all, as the environment and the file that it names say; why not."""
     try:
-        told = named(env)
+        told = config_from_environment(env)
         if told is None:
             return ["no operator's file"]
-        return [instance(told, env), told.fleet.instances]
+        return [instance_number(told, env), told.fleet.instances]
     except OperatorError as error:
         return [str(error)]
 
 
 def status_folder(configured: str, env: dict[str, str]) -> str:
-    found = folder_of(configured, env)
+    found = socket_folder(configured, env)
     return "" if found is None else str(found)
 
 
@@ -330,7 +337,7 @@
 
 def lifeline_fault(env: dict[str, str]) -> str:
     try:
-        hold(env)
+        watch_parent(env)
     except ValueError as error:
         return str(error)
     return ""
@@ -340,7 +347,7 @@
     """Why what the service manager tells is refused."""
     try:
         inherited_sockets(env)
-        SystemdNotifier.of(env)
+        SystemdNotifier.from_environment(env)
     except (SocketActivationError, NotifyError) as error:
         return str(error)
     return ""
@@ -348,13 +355,13 @@
 
 def notifier_values(env: dict[str, str]) -> list[Any]:
     """Where the service manager listens, and how often it wants to hear; what is left of the variables."""
-    notifier = SystemdNotifier.of(env)
+    notifier = SystemdNotifier.from_environment(env)
     return [notifier.address, notifier.watchdog_s, sorted(env)]
 
 
 def notify_through_a_life(address: str) -> None:
     """Tells the service manager of a start, a reload, a status and a stop."""
-    notifier = SystemdNotifier.of({"NOTIFY_SOCKET": address})
+    notifier = SystemdNotifier.from_environment({"NOTIFY_SOCKET": address})
     notifier.start()
     notifier.ready()
     notifier.reloading()
@@ -365,4 +372,4 @@
 
 def clients_socket_name() -> str:
     """Of the socket that the service manager hands over."""
-    return CLIENTS
+    return CLIENT_SOCKET
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -37,10 +37,10 @@
 from message_relay.fleet import report
 from message_relay.fleet.common import SharedSubsystems
 from message_relay.fleet.operator import OperatorConfig, decoded
-from message_relay.fleet.plan import State as InstanceState
+from message_relay.fleet.plan import InstanceState as InstanceState
 from message_relay.fleet.recording import Recorder
 from message_relay.fleet.report import FleetReport, Lag, Report
-from message_relay.fleet.status import StatusSocket, ask
+from message_relay.fleet.status import StatusSocket, fetch_report
 from message_relay.gossip.framing import Hello
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
@@ -86,7 +86,7 @@
         reader, writer = await asyncio.open_unix_connection(str(path))
         raw = await reader.read(-1)
         writer.close()
-        understood: Values = msgspec.to_builtins(await ask(path))
+        understood: Values = msgspec.to_builtins(await fetch_report(path))
         return raw, understood
     finally:
         server.close()
@@ -131,27 +131,27 @@
 
     def message_kinds(self) -> list[list[str]]:
         """Of datagrams, and of frames of connections."""
-        return [sorted(self.common.peers.datagram_handlers), sorted(self.common.peers.frame_handlers)]
+        return [sorted(self.common.gossip.datagram_handlers), sorted(self.common.gossip.frame_handlers)]
 
     def report(self) -> Values:
-        told = report.of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
+        told = report.report_of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
         return dict(msgspec.to_builtins(told))
 
     def shards_report(self) -> Values:
-        assert self.common.shards is not None
-        return dict(msgspec.to_builtins(self.common.shards.status()))
+        assert self.common.sharded_directory is not None
+        return dict(msgspec.to_builtins(self.common.sharded_directory.status()))
 
     async def frame_answer(self, kind: str, payload: bytes) -> bytes:
         """To a message on a connection of another instance."""
-        answer = self.common.peers.frame_handlers[kind](Hello("n1", kind, 5), payload)
+        answer = self.common.gossip.frame_handlers[kind](Hello("n1", kind, 5), payload)
         if answer is None or isinstance(answer, bytes):
             return answer or b""
         return await answer or b""
 
     async def operators_answer(self, asked: Values) -> Values:
         """To a question, as JSON on the socket."""
-        assert self.common.control is not None
-        control: AdminSocket = self.common.control
+        assert self.common.admin_socket is not None
+        control: AdminSocket = self.common.admin_socket
         await control.open()
         try:
             reader, writer = await asyncio.open_unix_connection(str(control.path))
@@ -165,18 +165,18 @@
             control.close()
 
     def control_socket_name(self) -> str:
-        assert self.common.control is not None
-        return self.common.control.path.name
+        assert self.common.admin_socket is not None
+        return self.common.admin_socket.path.name
 
     def allow_a_call(self, message: str) -> None:
         """A call is asked for, so that there is something to explain."""
-        assert self.common.accord is not None
+        assert self.common.consensus is not None
         call = CallContext(message, 7, "e", "z", "safe", 0, False, False)
-        self.common.accord.rule_enforcer.authorize(0.0, call)
+        self.common.consensus.rule_enforcer.authorize(0.0, call)
 
     def see_a_zone_fail(self) -> None:
         """All calls into one zone fail, and a plan is made of that."""
-        failover, accord = self.common.failover, self.common.accord
+        failover, accord = self.common.failover, self.common.consensus
         assert failover is not None and accord is not None
         now, rooms = asyncio.get_running_loop().time(), {7: {"z": 50.0, "y": 50.0}}
         for window in range(10):
@@ -302,7 +302,7 @@
 def recorded_lines(path: Path) -> list[Any]:
     """A recording of one message that is handed in."""
     recorder = Recorder(path, 1.0)
-    recorder.offered(Submission("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
+    recorder.record(Submission("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
     recorder.close()
     return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
 
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -34,7 +34,7 @@
 from message_relay.failover.zone_health import HealthState as Standing
 from message_relay.failover.zone_health import ZoneHealthJudge, success_interval
 from message_relay.fleet.fleet_size import FleetSize
-from message_relay.fleet.operator import SupervisorPart
+from message_relay.fleet.operator import SupervisorSection
 from message_relay.fleet.plan import Plan, SupervisorAction
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import Claim, Packet, open_packet, seal_packet
@@ -394,8 +394,8 @@
     for _ in range(400):
         now += draw.expovariate(1 / 400.0)
         if draw.random() < 0.2:
-            rows.append(("told", place.told(now, draw.randint(1, 9), draw.choice((0.0, 900.0)))))
-        found = place.look(now, place.clock_ms + draw.choice((0.0, 0.0, 4.9, 5.1, -30.0)))
+            rows.append(("told", place.request_size(now, draw.randint(1, 9), draw.choice((0.0, 900.0)))))
+        found = place.poll(now, place.clock_ms + draw.choice((0.0, 0.0, 4.9, 5.1, -30.0)))
         rows.append((now,) if found is None else (now, found.number, found.size, found.clock_ms))
     return rows
 
@@ -408,30 +408,30 @@
         SupervisorAction.KILL: "kill",
     }
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
-    part = SupervisorPart(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
+    part = SupervisorSection(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
     plan = Plan(part, 6, now, seed)
     for _ in range(900):
         now += draw.expovariate(3.0)
         number = draw.randrange(plan.count)
         drawn = draw.random()
         if drawn < 0.45:
-            plan.ready(number, now)
+            plan.on_ready(number, now)
         elif drawn < 0.8:
             for each in range(plan.count):
-                plan.beat(each, now)
+                plan.on_heartbeat(each, now)
         elif drawn < 0.86:
-            plan.exited(number, now, draw.choice((0, 0, 1, 2, -9)))
+            plan.on_exited(number, now, draw.choice((0, 0, 1, 2, -9)))
         elif drawn < 0.88:
-            plan.told_to_reload(now, part, draw.randint(3, 8), 10.0)
+            plan.request_reload(now, part, draw.randint(3, 8), 10.0)
         elif drawn < 0.9:
-            plan.told_to_roll(now)
-        for do, instance in plan.next(now):
+            plan.request_rolling_restart(now)
+        for do, instance in plan.next_steps(now):
             rows.append((now, words[do], instance))
             if words[do] in ("terminate", "kill") and draw.random() < 0.8:
-                plan.exited(instance, now, 0)
-        rows.append((plan.wake(now), plan.loops(number, now), plan.done))
-    plan.told_to_stop(now)
-    rows += [(now, words[do], instance) for do, instance in plan.next(now)]
+                plan.on_exited(instance, now, 0)
+        rows.append((plan.next_wake(now), plan.is_crash_looping(number, now), plan.is_done))
+    plan.request_stop(now)
+    rows += [(now, words[do], instance) for do, instance in plan.next_steps(now)]
     return rows
 
 
--- a/tests/emulator/test_trace.py
+++ b/tests/emulator/test_trace.py
@@ -36,7 +36,7 @@
     path = tmp_path / "t.jsonl"
     recorder = Recorder(path, 1.0)
     for n in range(500):
-        recorder.offered(offer(n))
+        recorder.record(offer(n))
     recorder.close()
     data = path.read_bytes()
     for secret in (b"Firma", b"secret-key", b"the body", b"id-1"):
@@ -55,7 +55,7 @@
     path = tmp_path / "t.jsonl"
     recorder = Recorder(path, 0.01)
     for n in range(500):
-        recorder.offered(offer(n))
+        recorder.record(offer(n))
     recorder.close()
     assert path.stat().st_size < 10_100
     kept = len(list(trace.read(path)))
@@ -65,9 +65,9 @@
 def test_a_disk_that_takes_nothing_ends_the_recording_and_not_the_relay(tmp_path: Path) -> None:
     recorder = Recorder(Path("/dev/full"), 1.0)
     for n in range(2000):
-        recorder.offered(offer(n))
+        recorder.record(offer(n))
     recorder.close()
-    assert recorder.closed
+    assert recorder.is_closed
 
 
 def test_lines_out_of_order_clock_jumps_and_a_cut_end(tmp_path: Path) -> None:
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -17,7 +17,7 @@
 
 from fakes.service_manager import ServiceManager
 from message_relay.fleet.socket_activation import SocketActivationError, inherited_sockets
-from message_relay.fleet.systemd_notify import RETRY_S, NotifyError, SystemdNotifier
+from message_relay.fleet.systemd_notify import FLUSH_RETRY_S, NotifyError, SystemdNotifier
 
 from ..loopback import Agent, Client, Server, message, raw_config, run, until
 
@@ -179,14 +179,14 @@
         notifier.ready()
         for n in range(1000):
             notifier.status(f"line {n}\nof two")
-        assert notifier.waiting == {"READY": "1", "STATUS": "line 999 of two"} and len(notifier.timers) == 1
+        assert notifier.unsent == {"READY": "1", "STATUS": "line 999 of two"} and len(notifier.timers) == 1
         manager.read()
         await until(lambda: bool(manager.said) and "READY" in manager.said[-1])
-        assert manager.said[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.waiting
+        assert manager.said[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.unsent
         notifier.close()
         manager.close()
 
-    assert RETRY_S < 1.0
+    assert FLUSH_RETRY_S < 1.0
     run(work())
 
 
@@ -195,7 +195,7 @@
         notifier = SystemdNotifier(str(tmp_path / "nowhere"))
         notifier.start()
         notifier.ready()
-        assert not notifier.waiting
+        assert not notifier.unsent
         notifier.close()
 
     run(work())
@@ -211,15 +211,15 @@
 )
 def test_an_environment_that_makes_no_sense_names_its_variable(env: dict[str, str], says: str) -> None:
     with pytest.raises(NotifyError, match=says):
-        SystemdNotifier.of(env)
+        SystemdNotifier.from_environment(env)
 
 
 def test_the_variables_are_taken_out_and_meant_for_one_process() -> None:
     env = {"NOTIFY_SOCKET": "@x", "WATCHDOG_USEC": "500000", "WATCHDOG_PID": "1", "OTHER": "y"}
-    notifier = SystemdNotifier.of(env)
+    notifier = SystemdNotifier.from_environment(env)
     assert env == {"OTHER": "y"} and notifier.address == "@x" and notifier.watchdog_s == 0.0
     mine = {"WATCHDOG_USEC": "500000", "WATCHDOG_PID": str(os.getpid())}
-    assert SystemdNotifier.of(mine).watchdog_s == 0.5
+    assert SystemdNotifier.from_environment(mine).watchdog_s == 0.5
     env = {"LISTEN_PID": "1", "LISTEN_FDS": "1", "LISTEN_FDNAMES": "clients"}
     assert inherited_sockets(env) == {} and env == {}
 
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -14,8 +14,8 @@
 from message_relay.cli.main import group
 from message_relay.config import load
 from message_relay.decisions.model import Fleet
-from message_relay.fleet.fleet_size import STEP_MS, FleetSize
-from message_relay.fleet.operator import OperatorConfig, OperatorError, applied, instance, read
+from message_relay.fleet.fleet_size import CLOCK_STEP_MS, FleetSize
+from message_relay.fleet.operator import OperatorConfig, OperatorError, apply_fleet, instance_number, read
 
 from ..conftest import make_settings
 from ..loopback import Agent, raw_config
@@ -90,11 +90,11 @@
     path.write_text("[fleet]\ninstances = 3\nshare_rates = true\n")
     told = read(path, {})
     with pytest.raises(OperatorError, match=says):
-        instance(told, env)
-    assert instance(told, {"RELAY_INSTANCE": "002"}) == 2
-    assert instance(told, {"RELAY_INSTANCE": "7", "RELAY_RETIRE": "1"}) == 7
-    assert applied(make_settings(), told, 7, 5.0).fleet == Fleet(7, 8, 5.0)
-    assert applied(make_settings(), read(path, {"RELAY_INSTANCES": "40"}), 7, 5.0).relays == 40
+        instance_number(told, env)
+    assert instance_number(told, {"RELAY_INSTANCE": "002"}) == 2
+    assert instance_number(told, {"RELAY_INSTANCE": "7", "RELAY_RETIRE": "1"}) == 7
+    assert apply_fleet(make_settings(), told, 7, 5.0).fleet == Fleet(7, 8, 5.0)
+    assert apply_fleet(make_settings(), read(path, {"RELAY_INSTANCES": "40"}), 7, 5.0).relays == 40
 
 
 def test_the_environment_goes_before_the_file_and_is_checked_as_it_is(tmp_path: Path) -> None:
@@ -164,7 +164,7 @@
             if line.startswith("Environment=")
             for word in line.removeprefix("Environment=").split()
         )
-        assert instance(fleet, env) == n
+        assert instance_number(fleet, env) == n
     assert ports == set(range(first_port, first_port + last + 1)) and max(ports) <= 65535
 
 
@@ -200,14 +200,14 @@
 
 def test_a_smaller_part_is_taken_up_at_once_and_a_larger_one_when_all_have_heard() -> None:
     place = FleetSize(3, 40, 0.0)
-    assert place.told(1000.0, 50, 20_000.0) and place.look(1000.0, 0.0) == Fleet(3, 50, 0.0)
-    assert place.told(2000.0, 30, 20_000.0) and place.look(21_999.0, 0.0) is None
-    assert place.told(3000.0, 30, 20_000.0)  # told again: it does not begin anew
-    assert place.look(22_000.0, 0.0) == Fleet(3, 30, 0.0) and place.look(22_001.0, 0.0) is None
-    assert not place.told(23_000.0, 3, 20_000.0)  # it is not among them
+    assert place.request_size(1000.0, 50, 20_000.0) and place.poll(1000.0, 0.0) == Fleet(3, 50, 0.0)
+    assert place.request_size(2000.0, 30, 20_000.0) and place.poll(21_999.0, 0.0) is None
+    assert place.request_size(3000.0, 30, 20_000.0)  # told again: it does not begin anew
+    assert place.poll(22_000.0, 0.0) == Fleet(3, 30, 0.0) and place.poll(22_001.0, 0.0) is None
+    assert not place.request_size(23_000.0, 3, 20_000.0)  # it is not among them
 
 
 def test_a_clock_that_was_set_is_followed_and_one_that_drifts_a_little_is_not() -> None:
     place = FleetSize(0, 4, 100.0)
-    assert place.look(0.0, 100.0 + STEP_MS) is None
-    assert place.look(1.0, 100.0 - STEP_MS - 1) == Fleet(0, 4, 94.0)
+    assert place.poll(0.0, 100.0 + CLOCK_STEP_MS) is None
+    assert place.poll(1.0, 100.0 - CLOCK_STEP_MS - 1) == Fleet(0, 4, 94.0)
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -20,9 +20,16 @@
 from message_relay.config import ConfigError
 from message_relay.decisions.model import Fleet
 from message_relay.fleet import parent_watch, report
-from message_relay.fleet.instance import owned
+from message_relay.fleet.instance import require_owned_state
 from message_relay.fleet.report import Report
-from message_relay.fleet.status import MOST, LoopLag, StatusError, StatusSocket, ask, folder_of
+from message_relay.fleet.status import (
+    MAX_CALLERS,
+    LoopLag,
+    StatusError,
+    StatusSocket,
+    fetch_report,
+    socket_folder,
+)
 from message_relay.structured_logging import BoundedLogWriter, LogEvent, configure_structured_logging
 
 from ..loopback import Agent, Client, Server, answer, message, raw_config, run, until
@@ -53,8 +60,8 @@
         await until(lambda: bool(server.seen) and not parts.relay.scheduler.in_flight)
         assert [await client.ask(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
     await until(lambda: len(parts.relay.scheduler.pending.by_id) == 3)
-    found = report.of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
-    assert report.of(parts.relay, 0, "serving", 0.0, report.Lag(), 0).more == 1
+    found = report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
+    assert report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 0).more == 1
     await parts.relay.close()
     return found
 
@@ -83,20 +90,20 @@
             left.bind(str(path))  # by a process that has died
         status = StatusSocket(path, lambda: told)
         await status.open()
-        assert await ask(path) == told and path.stat().st_mode & 0o777 == 0o600
-        status.asked = MOST
+        assert await fetch_report(path) == told and path.stat().st_mode & 0o777 == 0o600
+        status.open_connections = MAX_CALLERS
         with pytest.raises(StatusError, match="no report"):
-            await ask(path)
-        status.asked = 0
+            await fetch_report(path)
+        status.open_connections = 0
         status.report = lambda: 1 // 0  # type: ignore[assignment,return-value]
         with pytest.raises(StatusError, match="no report"):
-            await ask(path)
+            await fetch_report(path)
         status.report = lambda: told
-        assert await ask(path) == told and status.asked == 0
+        assert await fetch_report(path) == told and status.open_connections == 0
         status.close()
         assert not path.exists()
         with pytest.raises(StatusError, match="0.sock: No such file"):
-            await ask(path)
+            await fetch_report(path)
 
     run(work())
 
@@ -110,18 +117,18 @@
         assert (tmp_path / "file").read_text() == "precious"
 
     run(work())
-    assert folder_of("", {"RUNTIME_DIRECTORY": "/run/a:/run/b"}) == Path("/run/a")
-    assert folder_of("", {}) is None
+    assert socket_folder("", {"RUNTIME_DIRECTORY": "/run/a:/run/b"}) == Path("/run/a")
+    assert socket_folder("", {}) is None
 
 
 def test_the_loops_lag_is_that_of_its_timers() -> None:
     async def work() -> None:
         lag = LoopLag()
-        assert lag.told() == report.Lag()
-        lag.late.extend([1.0] * 20 + [70.0])
-        assert lag.told() == report.Lag(1.0, 1.0, 70.0)
+        assert lag.summary() == report.Lag()
+        lag.samples_ms.extend([1.0] * 20 + [70.0])
+        assert lag.summary() == report.Lag(1.0, 1.0, 70.0)
         lag.start()
-        await until(lambda: len(lag.late) > 21)
+        await until(lambda: len(lag.samples_ms) > 21)
         lag.stop()
 
     run(work())
@@ -169,12 +176,12 @@
     raw = raw_config(tmp_path, Agent(address=("127.0.0.1", 1)), server)
     (tmp_path / "c.json").write_text(json.dumps(raw))
     told = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
-    owned(told)
-    owned(replace(told, state=tmp_path / "nowhere"))  # told better when it is opened
+    require_owned_state(told)
+    require_owned_state(replace(told, state=tmp_path / "nowhere"))  # told better when it is opened
     if os.geteuid() == 0:
         os.chown(tmp_path, 12345, -1)
         with pytest.raises(ConfigError, match="belongs to user 12345, and this process runs as 0"):
-            owned(told)
+            require_owned_state(told)
 
 
 @pytest.mark.skipif(os.geteuid() != 0, reason="to become another user")
@@ -214,7 +221,7 @@
             code,
             stdout=asyncio.subprocess.PIPE,
             pass_fds=(reading,),
-            env={**os.environ, parent_watch.VARIABLE: str(reading)},
+            env={**os.environ, parent_watch.LIFELINE_VARIABLE: str(reading)},
         )
         os.close(reading)
         assert process.stdout is not None and await process.stdout.readline() == b"ready\n"
@@ -223,4 +230,4 @@
 
     run(work())
     with pytest.raises(ValueError, match="must be a descriptor"):
-        parent_watch.hold({parent_watch.VARIABLE: "x"})
+        parent_watch.watch_parent({parent_watch.LIFELINE_VARIABLE: "x"})
--- a/tests/scale/test_edges.py
+++ b/tests/scale/test_edges.py
@@ -20,7 +20,7 @@
     ObservationReport,
     Observations,
 )
-from message_relay.fleet.operator import FleetPart, OperatorConfig, OperatorError, decoded, instance
+from message_relay.fleet.operator import FleetSection, OperatorConfig, OperatorError, decoded, instance_number
 from message_relay.gossip.settings import INSTANCES_MAX, GossipSettings
 from message_relay.gossip.swim import MEMBERS_MAX, Swim
 from message_relay.gossip.wire import Claim, MemberState, Sync
@@ -85,7 +85,7 @@
             decoded(wrong, "f")
     with pytest.raises(ValueError, match="is not among fleet.instances = 3"):
         OperatorConfig(
-            fleet=FleetPart(instances=3),
+            fleet=FleetSection(instances=3),
             peers=GossipSettings("127.0.0.1:9000"),
             accord=ConsensusSettings((last,)),
         )
@@ -93,10 +93,10 @@
 
 @pytest.mark.parametrize("text", ["4095", "004095", "0000004095"[-9:]])
 def test_an_instance_of_four_digits_and_more(text: str) -> None:
-    fleet = OperatorConfig(fleet=FleetPart(instances=INSTANCES_MAX))
-    assert instance(fleet, {"RELAY_INSTANCE": text}) == 4095
+    fleet = OperatorConfig(fleet=FleetSection(instances=INSTANCES_MAX))
+    assert instance_number(fleet, {"RELAY_INSTANCE": text}) == 4095
     with pytest.raises(OperatorError, match="4096 is not among fleet.instances = 4096: 0 to 4095 are"):
-        instance(fleet, {"RELAY_INSTANCE": "4096"})
+        instance_number(fleet, {"RELAY_INSTANCE": "4096"})
 
 
 def test_ports_past_the_last_one_are_told_with_the_instance() -> None:
