--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.hollow_fleet import FIRST, HollowFleet, begun, hollow_fleet
 from benchmarks.cluster_harness import ClusterHarness
 from emulator.capacity.slopes import Report
-from message_relay.gossip import node as peers
+from message_relay.gossip import node as gossip_node
 from message_relay.gossip.identity import Identity
 from message_relay.gossip.settings import GossipSettings
 from message_relay.gossip.swim import Swim
@@ -113,29 +113,29 @@
     assert Counter(even.zone(FIRST + n) for n in range(100)) == dict.fromkeys(range(5), 20)
 
 
-def node(tmp_path: Path, port: int = 7400) -> peers.GossipNode:
+def node(tmp_path: Path, port: int = 7400) -> gossip_node.GossipNode:
     identity = Identity("n0", "id0", 1, 0, 0)
-    return peers.GossipNode(GossipSettings(listen=f"127.0.0.1:{port}"), identity, tmp_path, 0, "z", 0)
+    return gossip_node.GossipNode(GossipSettings(listen=f"127.0.0.1:{port}"), identity, tmp_path, 0, "z", 0)
 
 
-def test_a_datagram_of_another_part_walks_over_no_members(
+def test_application_datagram_does_not_walk_over_members(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Renewals come 12,600 times a second to a voter of 3,500 relays: what is due next in membership, a walk
-    over all suspicions, is none of their business."""
+    """Renewals come 12,600 times a second to a voter of 3,500 relays: they must not look up what is due
+    next in membership, a walk over all suspicions."""
     it, heard = node(tmp_path), list[tuple[str, bytes]]()
     it.datagram_handlers["renew"] = lambda sender, raw: heard.append((sender, raw))
-    monkeypatch.setattr(it.swim, "next_at", lambda: pytest.fail("what is due next was looked for"))
+    monkeypatch.setattr(it.swim, "next_at", lambda: pytest.fail("next_at was called"))
     it.datagram_received(seal_packet(Packet("n1", 5, AppMessage("renew", b"x")), b""), ("127.0.0.1", 1))
     assert heard == [("n1", b"x")] and it.counts["received"] == 1
 
 
-def test_one_that_joins_asks_one_seed_at_a_time_and_each_in_turn() -> None:
-    """Each answers with all that it knows: 3,000 that join at once had five seeds send each of them 210
-    packets, five times over."""
+def test_joining_member_requests_from_one_seed_at_a_time_in_turn() -> None:
+    """Each seed replies with all that it knows: when 3,000 members joined at once and asked all five, each
+    got 210 packets five times over."""
     seeds = tuple(("127.0.0.1", 7400 + n) for n in range(5))
-    me = Claim("n9", "id9", 1, 9, 0, MemberState.JOINING, "127.0.0.1", 7409)
-    it, asked = Swim(me, seeds, random.Random(1)), list[tuple[str, int]]()
+    own_claim = Claim("n9", "id9", 1, 9, 0, MemberState.JOINING, "127.0.0.1", 7409)
+    it, asked = Swim(own_claim, seeds, random.Random(1)), list[tuple[str, int]]()
     for turn in range(10):
         it.tick(1.0 * turn)
         out, it.outbox = it.outbox, []
@@ -144,7 +144,7 @@
     assert sorted(asked) == sorted(2 * seeds) and len(set(asked[:5])) == 5
 
 
-def test_the_same_word_to_many_is_sealed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_message_to_many_members_is_sealed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     it, sent = node(tmp_path), list[bytes]()
     for n in range(1, 6):
         it.swim.members[f"n{n}"] = Claim(f"n{n}", f"id{n}", 1, n, 0, MemberState.ALIVE, "127.0.0.1", 7400 + n)
@@ -155,7 +155,7 @@
         seals += 1
         return seal_packet(packet, secret)
 
-    monkeypatch.setattr(peers, "seal_packet", counted)
+    monkeypatch.setattr(gossip_node, "seal_packet", counted)
     monkeypatch.setattr(it, "_send", lambda to, raw: sent.append(raw))
     for n in range(1, 6):
         it.send_datagram(f"n{n}", "renew", b"one")
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -2,8 +2,8 @@
 steps, and never by time.
 
 The laws, as benchmarks/capacity/ measures them: at rest a member sends the same whatever their number; while
-a fleet joins it sends in proportion to it, as it has to hear of each; a renewal, a packet and a turn cost the
-same number of steps, and walk over no members.
+a fleet joins it sends in proportion to it, as it has to learn of each; a renewal, a packet and a turn cost
+the same number of steps, and walk over no members.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
 # -- what a member sends -----------------------------------------------------------------------------------
 
 
-def test_at_rest_a_member_sends_the_same_whatever_their_number() -> None:
+def test_traffic_at_rest_is_independent_of_the_number_of_members() -> None:
     """Flat: the law of peers.members. Of four sizes an octave apart the most is within a tenth of the
     least."""
     datagrams, sizes = [], []
@@ -105,22 +105,24 @@
     assert max(sizes) < 1.1 * min(sizes) and max(sizes) < 150.0  # bytes a second
 
 
-def test_while_a_fleet_joins_a_member_sends_in_proportion_to_their_number() -> None:
-    """Linear: the law of peers.start. Each has to hear of each; a word has some 80 bytes."""
+def test_traffic_of_a_join_is_proportional_to_the_number_of_members() -> None:
+    """Linear: the law of peers.start. Each has to learn of each; a claim has some 80 bytes."""
     for count in (25, 50, 100, 200):
         fleet = gossip.Fleet(count)
         assert fleet.joined() < 40.0
         assert sum(fleet.bytes) / count < 6000.0 + 450.0 * count
-        # In an even share, and a seed no more than its spurts are.
+        # Evenly shared, and a seed sends no more than its bursts.
         assert max(fleet.bytes) < BURST_PACKETS * 1400 * (fleet.now / BURST_INTERVAL_S)
 
 
-def test_one_change_is_told_by_what_differs_and_not_by_all() -> None:
-    """One member of 800 restarts: bytes of an answer to who has not heard of it."""
-    words = [gossip.claim(n, MemberState.ALIVE) for n in range(800)]
-    one, other = (Swim(words[n], (), random.Random(n)) for n in (0, 1))
+def test_one_change_is_synced_by_what_differs_and_not_by_all() -> None:
+    """One member of 800 restarts: the reply to a member that has not learned of it."""
+    claims = [gossip.claim(n, MemberState.ALIVE) for n in range(800)]
+    one, other = (Swim(claims[n], (), random.Random(n)) for n in (0, 1))
     for it in (one, other):
-        it.receive(0.0, "n2", 1, Sync(False, tuple(each for each in words if each.name != it.own_claim.name)))
+        it.receive(
+            0.0, "n2", 1, Sync(False, tuple(each for each in claims if each.name != it.own_claim.name))
+        )
         it.dissemination_queue.clear()
     assert not answers(other, one._sync_request())
     one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, boot=2),)))
@@ -138,7 +140,7 @@
 
 
 def answers(it: Swim, asked: Sync, now: float = 0.0) -> list[Sync]:
-    """Those of the first spurt."""
+    """Return the replies of the first burst."""
     it.outbox.clear()
     it.receive(now, asked.claims[0].name, 1, asked)
     found = [body for _, body in it.outbox if isinstance(body, Sync) and not body.wants_reply]
@@ -146,18 +148,18 @@
     return found
 
 
-def test_builds_without_slices_are_answered_and_answer() -> None:
-    """An old build asks with a sum, and is told all unless it is the same; what it does not know it skips."""
-    words = [gossip.claim(n, MemberState.ALIVE) for n in range(100)]
-    it = Swim(words[0], (), random.Random(1))
-    it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
-    old = Swim(words[1], (), random.Random(1))
-    old.receive(0.0, "n2", 1, Sync(False, (words[0], *words[2:])))
+def test_builds_without_slice_checksums_are_compatible() -> None:
+    """An old build requests with one checksum, gets all unless it is equal, and skips unknown fields."""
+    claims = [gossip.claim(n, MemberState.ALIVE) for n in range(100)]
+    it = Swim(claims[0], (), random.Random(1))
+    it.receive(0.0, "n2", 1, Sync(False, tuple(claims[1:])))
+    old = Swim(claims[1], (), random.Random(1))
+    old.receive(0.0, "n2", 1, Sync(False, (claims[0], *claims[2:])))
     same = old.member_table.checksum(old.own_claim)
-    assert not answers(it, Sync(True, (words[1],), same))
-    assert {each.name for body in answers(it, Sync(True, (words[1],), same ^ 1)) for each in body.claims} == {
-        each.name for each in words
-    }
+    assert not answers(it, Sync(True, (claims[1],), same))
+    assert {
+        each.name for body in answers(it, Sync(True, (claims[1],), same ^ 1)) for each in body.claims
+    } == {each.name for each in claims}
 
     class Before(msgspec.Struct, frozen=True, array_like=True, tag="s"):
         want: bool
@@ -172,46 +174,46 @@
     assert msgspec.msgpack.decode(raw, type=Sync) == Sync(True, (it.own_claim,), 5)
 
 
-def test_slices_that_are_no_slices_are_answered_with_all() -> None:
-    words = [gossip.claim(n, MemberState.ALIVE) for n in range(30)]
-    it = Swim(words[0], (), random.Random(1))
-    it.receive(0.0, "n2", 1, Sync(False, tuple(words[1:])))
-    told = answers(it, Sync(True, (words[1],), it.member_table.checksum(it.own_claim) ^ 1, b"xyz"))
-    assert {each.name for body in told for each in body.claims} == {each.name for each in words}
+def test_malformed_slice_checksums_are_answered_with_all() -> None:
+    claims = [gossip.claim(n, MemberState.ALIVE) for n in range(30)]
+    it = Swim(claims[0], (), random.Random(1))
+    it.receive(0.0, "n2", 1, Sync(False, tuple(claims[1:])))
+    told = answers(it, Sync(True, (claims[1],), it.member_table.checksum(it.own_claim) ^ 1, b"xyz"))
+    assert {each.name for body in told for each in body.claims} == {each.name for each in claims}
 
 
-def test_members_that_change_alike_change_the_sum_of_their_slice() -> None:
+def test_equal_changes_of_two_members_change_their_slice_checksum() -> None:
     """Guards against a checksum in place of a digest: those are linear, and two members that go from joining
     to alive left the sum as it was. A fleet of 100 never came to know each other's states."""
-    roll = MemberTable()
+    table = MemberTable()
     names = [n for n in range(1000) if slice_index(f"n{n}") == 5]
     me = gossip.claim(10_000)
     for n in names:
-        roll.put(0.0, gossip.claim(n, MemberState.JOINING))
-    before = roll.slice_checksums(me)
+        table.put(0.0, gossip.claim(n, MemberState.JOINING))
+    before = table.slice_checksums(me)
     for one, other in zip(names[::2], names[1::2], strict=False):
-        roll.put(0.0, gossip.claim(one, MemberState.ALIVE))
-        roll.put(0.0, gossip.claim(other, MemberState.ALIVE))
-        assert roll.slice_checksums(me) != before
-        before = roll.slice_checksums(me)
+        table.put(0.0, gossip.claim(one, MemberState.ALIVE))
+        table.put(0.0, gossip.claim(other, MemberState.ALIVE))
+        assert table.slice_checksums(me) != before
+        before = table.slice_checksums(me)
 
 
-def test_a_seed_answers_a_crowd_in_spurts() -> None:
-    """All are answered, few with everything, and no moment has more packets than a socket holds."""
+def test_seed_answers_many_requests_in_bursts() -> None:
+    """All are answered, few in full, and no burst has more packets than a socket buffer holds."""
     it = Swim(gossip.claim(0, MemberState.ALIVE), (), random.Random(1))
-    words = [gossip.claim(n, MemberState.ALIVE) for n in range(1, 2000)]
-    it.receive(0.0, "n2", 1, Sync(False, tuple(words)))
+    claims = [gossip.claim(n, MemberState.ALIVE) for n in range(1, 2000)]
+    it.receive(0.0, "n2", 1, Sync(False, tuple(claims)))
     it.dissemination_queue.clear()
     it.next_period_at = it.next_sync_at = 1e9
-    firsts = []
+    sent_at_once = []
     for n in range(300):
         new = gossip.claim(5000 + n)
         it.receive(0.0, new.name, 1, Sync(True, (new,)))
-        firsts.append(len(it.outbox))
+        sent_at_once.append(len(it.outbox))
         it.outbox.clear()
     assert (
-        max(firsts) <= BURST_PACKETS
-        and sum(firsts) == BURST_PACKETS + 300 - CONCURRENT_REPLIES_MAX
+        max(sent_at_once) <= BURST_PACKETS
+        and sum(sent_at_once) == BURST_PACKETS + 300 - CONCURRENT_REPLIES_MAX
         and len(it.paced_replies.in_progress) == CONCURRENT_REPLIES_MAX
     )
     told: dict[tuple[str, int], set[str]] = {}
@@ -306,24 +308,24 @@
 # -- steps of membership -----------------------------------------------------------------------------------
 
 
-def settled(count: int) -> Swim:
-    words = [gossip.claim(n, MemberState.ALIVE) for n in range(count)]
-    it = Swim(words[0], (), random.Random(1))
-    it.receive(0.0, "n1", 1, Sync(False, tuple(words[1:])))
+def settled_member(count: int) -> Swim:
+    claims = [gossip.claim(n, MemberState.ALIVE) for n in range(count)]
+    it = Swim(claims[0], (), random.Random(1))
+    it.receive(0.0, "n1", 1, Sync(False, tuple(claims[1:])))
     it.dissemination_queue.clear()
     it.outbox.clear()
     it.changes.clear()
     it.next_sync_at = 1e9  # an exchange looks at all, once in 15 periods
     it.member_table.members = Walked(it.member_table.members)
-    it.tick(1.0)  # its ring is made
+    it.tick(1.0)  # the probe order is shuffled
     it.outbox.clear()
     assert isinstance(it.member_table.members, Walked)
     it.member_table.members.walks = 0
     return it
 
 
-def taken(it: Swim, now: float, body: Body) -> Callable[[], object]:
-    """As gossip/node.py has it."""
+def receiving(it: Swim, now: float, body: Body) -> Callable[[], object]:
+    """Return the handling of one datagram, as in gossip/node.py."""
     raw = seal_packet(Packet("n1", 1, body), gossip.SECRET)
 
     def what() -> None:
@@ -334,7 +336,7 @@
     return what
 
 
-def turned(it: Swim, now: float) -> Callable[[], object]:
+def ticking(it: Swim, now: float) -> Callable[[], object]:
     def what() -> None:
         it.tick(now)
         it.next_at()
@@ -347,11 +349,11 @@
 
 
 CASES: dict[str, Callable[[Swim], Callable[[], object]]] = {
-    "ping": lambda it: taken(it, 1.1, ping(it)),
-    "datagram": lambda it: taken(it, 1.1, AppMessage("renew", b"x" * 60)),
-    "suspect": lambda it: taken(it, 1.1, Ping(5, "n0", (suspect(9),))),
-    "turn": lambda it: turned(it, 1.1),
-    "period": lambda it: turned(it, 2.1),
+    "ping": lambda it: receiving(it, 1.1, ping(it)),
+    "datagram": lambda it: receiving(it, 1.1, AppMessage("renew", b"x" * 60)),
+    "suspect": lambda it: receiving(it, 1.1, Ping(5, "n0", (suspect(9),))),
+    "turn": lambda it: ticking(it, 1.1),
+    "period": lambda it: ticking(it, 2.1),
 }
 
 
@@ -360,19 +362,19 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_packet_and_a_turn_cost_the_same_steps_at_50_and_at_3500_members(case: str) -> None:
+def test_packet_and_tick_cost_the_same_steps_at_50_and_at_3500_members(case: str) -> None:
     found = []
     for count in (SMALL, LARGE):
-        it = settled(count)
+        it = settled_member(count)
         found.append(steps(CASES[case](it)))
         assert isinstance(it.member_table.members, Walked) and not it.member_table.members.walks
     assert abs(found[0] - found[1]) <= 0.02 * found[0]  # a suspicion's time has a logarithm in it
 
 
-def test_others_are_asked_without_a_walk_over_all() -> None:
+def test_indirect_probe_does_not_walk_over_all_members() -> None:
     found = []
     for count in (SMALL, LARGE):
-        it = settled(count)
+        it = settled_member(count)
         assert it.probe is not None
         probe = it.probe
         found.append(min(steps(lambda it=it, probe=probe: it._probe_indirectly(probe)) for _ in range(5)))  # type: ignore[misc]
@@ -384,24 +386,24 @@
     assert found[1] <= 1.5 * found[0]  # which three it is decides how often is drawn
 
 
-def test_a_packet_costs_the_same_with_7_suspects_and_with_700() -> None:
+def test_packet_costs_the_same_with_7_suspects_and_with_700() -> None:
     """A zone's seven hundred are lost at once."""
     found = []
     for count in (7, 700):
-        it = settled(LARGE)
+        it = settled_member(LARGE)
         for n in range(1000, 1000 + count):
             it.receive(1.0, "n1", 1, Ping(1, "n0", (suspect(n),)))
         it.dissemination_queue.clear()
         it.outbox.clear()
-        found.append(steps(taken(it, 1.1, AppMessage("renew", b"x" * 60))))
+        found.append(steps(receiving(it, 1.1, AppMessage("renew", b"x" * 60))))
         assert len(it.suspicions) == count
     assert found[0] == found[1]
 
 
-def test_a_packet_of_news_costs_what_it_holds_and_not_what_there_is() -> None:
+def test_piggybacked_claims_cost_what_a_packet_holds_and_not_what_is_queued() -> None:
     found = []
     for count in (SMALL, LARGE):
-        it = settled(LARGE)
+        it = settled_member(LARGE)
         for n in range(1, count):
             it.dissemination_queue.add(f"n{n}")
         it.dissemination_queue.send_counts = names = Walked(it.dissemination_queue.send_counts)
@@ -414,7 +416,7 @@
     assert found[1] <= 1.1 * found[0]
 
 
-def test_news_are_told_least_first_each_so_often_and_no_more() -> None:
+def test_queued_members_are_sent_least_sent_first_up_to_the_limit() -> None:
     it, rng, told = DisseminationQueue(), random.Random(3), dict[str, int]()
     for n in range(100):
         it.add(f"n{n}")
