--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -36,7 +36,7 @@
 from emulator.live import free_ports
 from emulator.load import Load, Plan
 from emulator.load import run as load
-from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart
+from message_relay.amqp.settings import AmqpSettings, BrokerSettings, EndpointSettings
 from message_relay.amqp.transport import BrokerPublisher
 from message_relay.core.ports import Attempt
 from message_relay.decisions.model import Outcome
@@ -338,8 +338,8 @@
 async def connections(count: int) -> dict[str, Any]:
     """What so many connections of one process take, each with its channel and one publish made."""
     with standin("fakes.amqp_broker", "--queue", "q") as at:
-        parts = [BrokerPart(f"b{n}", [at]) for n in range(count)]
-        targets = [TargetPart(f"e{n}", n, f"b{n}", "q") for n in range(count)]
+        parts = [BrokerSettings(f"b{n}", [at]) for n in range(count)]
+        targets = [EndpointSettings(f"e{n}", n, f"b{n}", "q") for n in range(count)]
         out, before = BrokerPublisher(AmqpSettings(parts, targets), random.Random(1)), rss_mb(os.getpid())
         loop = asyncio.get_running_loop()
         made = await asyncio.gather(
--- a/message_relay/amqp/frames.py
+++ b/message_relay/amqp/frames.py
@@ -1,7 +1,8 @@
-"""Frames of AMQP 0-9-1 (specification, 4.2.3) in and out of bytes, by pamqp; no I/O.
+"""Frames of AMQP 0-9-1 (specification, 4.2.3) from bytes and to bytes, by pamqp; no I/O.
 
-pamqp reads one frame from bytes that hold it whole. What is kept here is the rest of a stream that does not,
-and the limits: a frame longer than was negotiated is an error before its bytes have come."""
+pamqp decodes one frame from bytes that hold all of it. This module adds the rest of the stream and the
+limits: a frame longer than was negotiated is an error before its bytes have arrived.
+"""
 
 from __future__ import annotations
 
@@ -11,86 +12,117 @@
 
 Frame = base.Frame | body.ContentBody | header.ContentHeader | header.ProtocolHeader | heartbeat.Heartbeat
 
-HEAD = struct.Struct(">BHI")  # type, channel, length of the payload
-OVERHEAD = HEAD.size + 1  # and the end octet
-MIN_FRAME = 4096  # 4.2.3: before the negotiation, and the least that either side may ask for
-TYPES = (constants.FRAME_METHOD, constants.FRAME_HEADER, constants.FRAME_BODY, constants.FRAME_HEARTBEAT)
+FRAME_START = struct.Struct(">BHI")  # type, channel, length of the payload
+FRAME_OVERHEAD_BYTES = FRAME_START.size + 1  # and the end octet
+MIN_FRAME_BYTES = 4096  # 4.2.3: before the negotiation, and the least that either side may ask for
+FRAME_TYPES = (
+    constants.FRAME_METHOD,
+    constants.FRAME_HEADER,
+    constants.FRAME_BODY,
+    constants.FRAME_HEARTBEAT,
+)
+PROTOCOL_NAME = b"AMQP"
+PROTOCOL_HEADER_BYTES = 8
+# Reply codes of the specification.
+FRAME_ERROR = 501
+SYNTAX_ERROR = 502
+# What pamqp raises for a malformed frame, its own exceptions and those of the code below it.
+DECODE_ERRORS = (
+    exceptions.AMQPError,
+    exceptions.UnmarshalingException,
+    ValueError,
+    struct.error,
+    KeyError,
+    IndexError,
+    TypeError,
+    OverflowError,
+    UnicodeError,
+)
 
 
 class FrameError(Exception):
-    """The stream holds what is no frame; `code` is the reply code of the specification for it."""
+    """The stream holds no valid frame; `reply_code` is the specification's code for that."""
 
-    def __init__(self, code: int, text: str) -> None:
+    def __init__(self, reply_code: int, text: str) -> None:
         super().__init__(text)
-        self.code = code
+        self.reply_code = reply_code
 
 
 class FrameReader:
-    """Bytes in, frames out; holds one frame in part at the most."""
+    """Splits a stream into frames; buffers one incomplete frame at most."""
 
     def __init__(self) -> None:
-        self.data = bytearray()
-        self.frame_max = MIN_FRAME  # bytes, the overhead included
+        self.buffer = bytearray()
+        self.max_frame_bytes = MIN_FRAME_BYTES  # the overhead included
 
     def feed(self, data: bytes) -> None:
-        self.data += data
-
-    def next(self) -> tuple[int, Frame] | None:
-        """The next frame and its channel; None: it has not come whole. Raises FrameError."""
-        data = self.data
-        if len(data) < HEAD.size:
-            if data and data[0] not in TYPES and not b"AMQP".startswith(bytes(data[:4])):
-                raise FrameError(501, f"octet {data[0]} begins no frame")
+        """Append bytes of the stream."""
+        self.buffer += data
+
+    def next_frame(self) -> tuple[int, Frame] | None:
+        """The channel and content of the next frame; None if it is incomplete. Raises FrameError."""
+        buffer = self.buffer
+        if len(buffer) < FRAME_START.size:
+            self._check_first_octet()
             return None
-        if data.startswith(b"AMQP"):
-            if len(data) < 8:
-                return None
-            raise FrameError(501, f"the other side speaks AMQP {data[4]}-{data[5]}-{data[6]}-{data[7]}")
-        kind, channel, size = HEAD.unpack_from(data)
-        if kind not in TYPES:
-            raise FrameError(501, f"{kind} is no type of frame")
-        if size + OVERHEAD > self.frame_max:
-            raise FrameError(501, f"a frame of {size + OVERHEAD} bytes, and {self.frame_max} are the most")
-        end = HEAD.size + size + 1
-        if len(data) < end:
+        if buffer.startswith(PROTOCOL_NAME):
+            self._check_protocol_header()
             return None
-        if data[end - 1] != constants.FRAME_END:
-            raise FrameError(501, f"a frame ends with octet {data[end - 1]}")
-        raw = bytes(data[:end])
-        del data[:end]
+        kind, channel, size = FRAME_START.unpack_from(buffer)
+        if kind not in FRAME_TYPES:
+            raise FrameError(FRAME_ERROR, f"{kind} is no type of frame")
+        length = size + FRAME_OVERHEAD_BYTES
+        if length > self.max_frame_bytes:
+            text = f"a frame of {length} bytes, and {self.max_frame_bytes} are the most"
+            raise FrameError(FRAME_ERROR, text)
+        if len(buffer) < length:
+            return None
+        if buffer[length - 1] != constants.FRAME_END:
+            raise FrameError(FRAME_ERROR, f"a frame ends with octet {buffer[length - 1]}")
+        encoded = bytes(buffer[:length])
+        del buffer[:length]
         if kind == constants.FRAME_BODY:
-            return channel, body.ContentBody(raw[HEAD.size : -1])
-        try:
-            _, _, found = frame.unmarshal(raw)
-        except (
-            exceptions.AMQPError,
-            exceptions.UnmarshalingException,
-            ValueError,
-            struct.error,
-            KeyError,
-            IndexError,
-            TypeError,
-            OverflowError,
-            UnicodeError,
-        ) as error:
-            raise FrameError(502, f"a frame that cannot be read: {error}") from error
-        return channel, found
-
-
-def encoded(value: Frame, channel: int) -> bytes:
+            return channel, body.ContentBody(encoded[FRAME_START.size : -1])
+        return channel, _decode(encoded)
+
+    def _check_first_octet(self) -> None:
+        """Reject what starts no frame before the rest of it has arrived."""
+        start = self.buffer[:4]
+        if start and start[0] not in FRAME_TYPES and not PROTOCOL_NAME.startswith(bytes(start)):
+            raise FrameError(FRAME_ERROR, f"octet {start[0]} begins no frame")
+
+    def _check_protocol_header(self) -> None:
+        """Reject a protocol header: the peer sends one if it does not speak this version."""
+        header_ = self.buffer[:PROTOCOL_HEADER_BYTES]
+        if len(header_) == PROTOCOL_HEADER_BYTES:
+            version = "-".join(str(octet) for octet in header_[len(PROTOCOL_NAME) :])
+            raise FrameError(FRAME_ERROR, f"the other side speaks AMQP {version}")
+
+
+def _decode(encoded: bytes) -> Frame:
+    try:
+        _, _, decoded = frame.unmarshal(encoded)
+    except DECODE_ERRORS as error:
+        raise FrameError(SYNTAX_ERROR, f"a frame that cannot be read: {error}") from error
+    return decoded
+
+
+def encode_frame(value: Frame, channel: int) -> bytes:
+    """The bytes of one frame."""
     return frame.marshal(value, channel)
 
 
-def content(
+def encode_content(
     method: base.Frame, properties: commands.Basic.Properties, data: bytes, channel: int, frame_max: int
 ) -> bytes:
-    """A method with its content: the header and as many body frames as it takes (4.2.6)."""
-    out = [
+    """A method with its content: the header and as many body frames as are needed (4.2.6)."""
+    frames = [
         frame.marshal(method, channel),
         frame.marshal(header.ContentHeader(0, len(data), properties), channel),
     ]
-    most = frame_max - OVERHEAD
-    out += [
-        frame.marshal(body.ContentBody(data[at : at + most]), channel) for at in range(0, len(data), most)
+    max_payload_bytes = frame_max - FRAME_OVERHEAD_BYTES
+    frames += [
+        frame.marshal(body.ContentBody(data[start : start + max_payload_bytes]), channel)
+        for start in range(0, len(data), max_payload_bytes)
     ]
-    return b"".join(out)
+    return b"".join(frames)
--- a/message_relay/amqp/intake.py
+++ b/message_relay/amqp/intake.py
@@ -37,7 +37,7 @@
 from .connection import BrokerConnection, NotConnectedError
 from .protocol import Delivered, Fate, ProtocolUsageError
 from .reconnect_policy import ReconnectPolicy
-from .settings import QueuePart
+from .settings import QueueSettings
 from .transport import Broker
 
 log = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        part: QueuePart,
+        part: QueueSettings,
         broker: Broker,
         desk: MessageAcceptor,
         longest: Mapping[str, float],
@@ -92,7 +92,7 @@
             try:
                 self.link = await self.broker.linked()
                 self.channel = self.link.consume(self.part.prefetch, self)
-                self.life.opened(loop.time())
+                self.life.on_opened(loop.time())
                 await self.ended.wait()
             except (
                 NotConnectedError,
@@ -101,7 +101,7 @@
                 log.warning(LogEvent("queue: cannot be consumed", queue=self.part.queue, why=error))
             self.link = None
             self.waiting.clear()  # not acknowledged: it comes again
-            await asyncio.sleep(self.life.ended(loop.time()))
+            await asyncio.sleep(self.life.on_closed(loop.time()))
 
     def ready(self, channel: int) -> None:
         if self.link is not None:
@@ -144,7 +144,7 @@
                 self._later()
                 return
             self.waiting.popleft()
-            self.life.worked = True
+            self.life.has_confirmed = True
             if receipt.durable is None:
                 self.settle(delivery, True)
             else:
@@ -219,7 +219,7 @@
 
     def __init__(
         self,
-        parts: list[QueuePart],
+        parts: list[QueueSettings],
         brokers: Mapping[str, Broker],
         desk: MessageAcceptor,
         longest: Mapping[str, float],
@@ -259,7 +259,7 @@
                 self.ends.pop(end.id, None)
                 self.desk.mark_notified([end.id])
                 return
-            await asyncio.sleep(life.ended(asyncio.get_running_loop().time()))
+            await asyncio.sleep(life.on_closed(asyncio.get_running_loop().time()))
 
     async def _publish(self, broker: Broker, end: FinalOutcome, reply: str, correlation: str) -> Fate:
         told: dict[str, object] = {"id": end.id, "state": end.state}
--- a/message_relay/amqp/protocol.py
+++ b/message_relay/amqp/protocol.py
@@ -41,7 +41,7 @@
 
 from pamqp import base, body, commands, header, heartbeat
 
-from .frames import MIN_FRAME, Frame, FrameError, FrameReader, content, encoded
+from .frames import MIN_FRAME_BYTES, Frame, FrameError, FrameReader, encode_content, encode_frame
 
 PROTOCOL = b"AMQP\x00\x00\x09\x01"
 FRAME_MAX = 131_072  # bytes: what we ask for; a body of 64 KiB goes in one
@@ -222,7 +222,7 @@
         self.events: list[Event] = []
         self.outgoing = bytearray()
         self.produced = self.written = 0  # bytes, since the beginning
-        self.frame_max, self.channel_max, self.heartbeat_s = MIN_FRAME, CHANNEL_MAX, 0.0
+        self.frame_max, self.channel_max, self.heartbeat_s = MIN_FRAME_BYTES, CHANNEL_MAX, 0.0
         self.heard = self.spoke = now
         self.blocked = False
         self.odd = 0  # confirms that were passed over
@@ -250,12 +250,12 @@
         self.reader.feed(data)
         try:
             while self.state not in (State.CLOSED, State.BROKEN):
-                found = self.reader.next()
+                found = self.reader.next_frame()
                 if found is None:
                     break
                 self._frame(*found)
         except FrameError as error:
-            self._break(error.code, str(error))
+            self._break(error.reply_code, str(error))
         return self._told()
 
     def lost(self, why: str) -> list[Event]:
@@ -285,7 +285,7 @@
         self.produced += len(data)
 
     def _send(self, value: Frame, channel: int = 0) -> None:
-        self._put(encoded(value, channel))
+        self._put(encode_frame(value, channel))
 
     def _told(self) -> list[Event]:
         events, self.events = self.events, []
@@ -328,7 +328,7 @@
         self._need(self.may_publish(number), f"channel {number} takes no publish now")
         channel = self.channels[number]
         method = commands.Basic.Publish(exchange=exchange, routing_key=routing_key, mandatory=True)
-        self._put(content(method, properties, data, number, self.frame_max))
+        self._put(encode_content(method, properties, data, number, self.frame_max))
         channel.last += 1
         out = channel.out[channel.last] = Publish(number, channel.last, ident, self.produced)
         return out
@@ -470,14 +470,14 @@
             return min(ours, theirs) if ours and theirs else ours or theirs
 
         self.frame_max = lower(FRAME_MAX, found.frame_max or 0)
-        if self.frame_max < MIN_FRAME:
+        if self.frame_max < MIN_FRAME_BYTES:
             raise FrameError(
-                501, f"the broker wants frames of {self.frame_max} bytes: {MIN_FRAME} are the least"
+                501, f"the broker wants frames of {self.frame_max} bytes: {MIN_FRAME_BYTES} are the least"
             )
         self.channel_max = lower(CHANNEL_MAX, found.channel_max or 0)
         beats = (self.login.heartbeat_s, found.heartbeat or 0)
         self.heartbeat_s = float(min(beats) if all(beats) else 0)
-        self.reader.frame_max = self.frame_max
+        self.reader.max_frame_bytes = self.frame_max
         self._send(commands.Connection.TuneOk(self.channel_max, self.frame_max, int(self.heartbeat_s)))
         self._send(commands.Connection.Open(self.login.host))
         self.state = State.OPENING
@@ -641,6 +641,6 @@
         for channel in self.channels.values():
             self._drop(channel, event.why)
         self.channels.clear()
-        self.reader.data.clear()
+        self.reader.buffer.clear()
         self.state = state
         self.events.append(event)
--- a/message_relay/amqp/reconnect_policy.py
+++ b/message_relay/amqp/reconnect_policy.py
@@ -1,40 +1,58 @@
-"""When a broker is tried again, and at which of its addresses. Decisions: no I/O, the clock is passed in."""
+"""When a broker is connected to again, and at which of its addresses: decided without I/O.
+
+Times are in seconds, on a clock that the caller passes in.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
 
-FIRST_S, MOST_S = 0.2, 30.0  # wait before the second try; doubles, with jitter, up to the most
-JITTER = 0.3  # of a wait, to either side: relays that lost a broker together do not come back together
-STEADY_S = 5.0  # a connection that stood so long, or confirmed anything, was well: the waits begin anew
+# The delay before the second attempt; it doubles, with jitter, up to the longest.
+INITIAL_DELAY_S = 0.2
+MAX_DELAY_S = 30.0
+MAX_DOUBLINGS = 20
+JITTER = 0.3  # share of a delay, to either side: relays that lost a broker together do not return together
+# A connection that was open for this long, or confirmed any publish, was healthy: the delays start anew.
+STABLE_AFTER_S = 5.0
 
 
 @dataclass
 class ReconnectPolicy:
-    hosts: int  # addresses that the broker has, tried in turn
+    """Backoff with jitter over the addresses of one broker, which are tried in turn."""
+
+    address_count: int
     rng: Random
     failures: int = 0  # in a row
-    at: int = 0  # address of the next try
+    address_index: int = 0  # of the next attempt
     not_before: float = 0.0
     opened_at: float | None = field(default=None)
-    worked: bool = False  # it has confirmed a publish
+    has_confirmed: bool = False  # the connection has confirmed a publish
 
-    def may_try(self, now: float) -> bool:
+    def may_connect(self, now: float) -> bool:
+        """Whether the delay after the latest failure is over."""
         return now >= self.not_before
 
-    def opened(self, now: float) -> None:
+    def on_opened(self, now: float) -> None:
+        """Note that a connection is open."""
         self.opened_at = now
 
-    def ended(self, now: float) -> float:
-        """A connection, or a try for one, has ended; how long to wait now, in seconds."""
-        if self.worked or self.opened_at is not None and now - self.opened_at >= STEADY_S:
+    def on_closed(self, now: float) -> float:
+        """Note that a connection, or an attempt to connect, has ended; the delay from now on, in seconds."""
+        if self._was_healthy(now):
             self.failures = 0
-        self.opened_at, self.worked = None, False
-        self.at = (self.at + 1) % self.hosts
-        # All addresses are tried once before any wait grows.
-        wait = min(MOST_S, FIRST_S * 2.0 ** min(20, self.failures // self.hosts))
+        self.opened_at = None
+        self.has_confirmed = False
+        self.address_index = (self.address_index + 1) % self.address_count
+        # All addresses are tried once before the delay grows.
+        doublings = min(MAX_DOUBLINGS, self.failures // self.address_count)
+        delay = min(MAX_DELAY_S, INITIAL_DELAY_S * 2.0**doublings)
         self.failures += 1
-        wait *= 1 + JITTER * (2 * self.rng.random() - 1)
-        self.not_before = now + wait
-        return wait
+        delay *= 1 + JITTER * (2 * self.rng.random() - 1)
+        self.not_before = now + delay
+        return delay
+
+    def _was_healthy(self, now: float) -> bool:
+        if self.has_confirmed:
+            return True
+        return self.opened_at is not None and now - self.opened_at >= STABLE_AFTER_S
--- a/message_relay/amqp/settings.py
+++ b/message_relay/amqp/settings.py
@@ -1,4 +1,8 @@
-"""What the operator's file says of brokers: [amqp] in deploy/relay.toml. Imports nothing of the extra."""
+"""Settings of brokers: [amqp] in the operator's file (deploy/relay.toml).
+
+Field names are keys of that file, and stand in the texts of errors. This module imports nothing of the extra
+`amqp`, so that the file can be checked without it.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +13,24 @@
 import msgspec
 from msgspec import Meta
 
-PREFIX = "amqp:"  # of an endpoint's address: no host has a colon in it
+ADDRESS_PREFIX = "amqp:"  # of an endpoint's address: no host name contains a colon
+MAX_PORT = 65535
 
 
-class TlsPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a broker is known, and we to it. Files in PEM."""
+class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How a broker is authenticated, and the relay to it. Files are in PEM format."""
 
-    ca: str = ""  # who may have signed the broker's certificate; empty: whom the system trusts
-    cert: str = ""  # ours, where the broker asks for one
+    ca: str = ""  # authorities for the broker's certificate; empty: those that the system trusts
+    cert: str = ""  # of the relay, where the broker requires one
     key: str = ""
-    server_name: str = ""  # that its certificate has to have; empty: the host's
+    server_name: str = ""  # that the broker's certificate must contain; empty: the host's
 
     def __post_init__(self) -> None:
         if bool(self.cert) != bool(self.key):
             raise ValueError("cert, key: both are needed, or neither")
 
 
-class BrokerPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class BrokerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A broker, at one or several addresses."""
 
     name: str
@@ -33,8 +38,8 @@
     vhost: str = "/"
     credentials: str = ""  # a file with two lines: user, password; empty: guest
     heartbeat_s: Annotated[int, Meta(ge=0, le=600)] = 10
-    tls: TlsPart | None = None  # None: plain TCP
-    external: bool = False  # SASL EXTERNAL: the certificate says who we are; no credentials
+    tls: TlsSettings | None = None  # None: plain TCP
+    external: bool = False  # SASL EXTERNAL: the certificate identifies the relay; no credentials
 
     def __post_init__(self) -> None:
         if self.external and (self.tls is None or not self.tls.cert):
@@ -43,11 +48,11 @@
             raise ValueError("credentials: has no meaning with external")
         for host in self.hosts:
             name, _, port = host.rpartition(":")
-            if not name or not port.isdecimal() or not 0 < int(port) < 65536:
+            if not name or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
                 raise ValueError(f"hosts: {host!r} is not HOST:PORT")
 
 
-class TargetPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EndpointSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An endpoint: an exchange and a routing key of a broker."""
 
     name: str
@@ -55,22 +60,24 @@
     broker: str
     routing_key: str
     exchange: str = ""  # the default one: the routing key is a queue's name
-    rate: Annotated[float, Meta(ge=0)] = 0.0  # calls a second that are agreed; 0: none is
-    nack: Literal["may_have_run", "never_ran"] = "may_have_run"  # what a basic.nack of it proves
+    rate: Annotated[float, Meta(ge=0)] = 0.0  # agreed attempts a second; 0: none is agreed
+    nack: Literal["may_have_run", "never_ran"] = "may_have_run"  # what a basic.nack proves
 
 
-class QueuePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A queue that messages are taken from."""
+class QueueSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A queue that messages are consumed from."""
 
     broker: str
     queue: str
-    prefetch: Annotated[int, Meta(ge=1, le=1000)] = 20  # deliveries that are not acknowledged yet, at most
+    prefetch: Annotated[int, Meta(ge=1, le=1000)] = 20  # most deliveries that are not acknowledged yet
 
 
 class AmqpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    brokers: list[BrokerPart] = []
-    endpoints: list[TargetPart] = []
-    queues: list[QueuePart] = []
+    """The whole section."""
+
+    brokers: list[BrokerSettings] = []
+    endpoints: list[EndpointSettings] = []
+    queues: list[QueueSettings] = []
 
     def __post_init__(self) -> None:
         names = [broker.name for broker in self.brokers]
@@ -80,39 +87,40 @@
         if len(set(targets)) < len(targets):
             raise ValueError(f"endpoints.name: {targets} must differ from each other")
         known = ", ".join(names) or "none"
-        for where, told in (
-            ("endpoints", [each.broker for each in self.endpoints]),
-            ("queues", [each.broker for each in self.queues]),
-        ):
-            for broker in told:
-                if broker not in names:
-                    raise ValueError(f"{where}.broker: {broker!r}: brokers are {known}")
-
-
-def context(part: BrokerPart) -> ssl.SSLContext | None:
-    """Raises ValueError where a file cannot be used. No less than TLS 1.2 (RFC 9325)."""
-    if part.tls is None:
+        references = [("endpoints", endpoint.broker) for endpoint in self.endpoints]
+        references += [("queues", queue.broker) for queue in self.queues]
+        for section, broker in references:
+            if broker not in names:
+                raise ValueError(f"{section}.broker: {broker!r}: brokers are {known}")
+
+
+def make_tls_context(broker: BrokerSettings) -> ssl.SSLContext | None:
+    """The TLS context for a broker, None for plain TCP; no less than TLS 1.2 (RFC 9325).
+
+    Raises ValueError where a file cannot be used.
+    """
+    if broker.tls is None:
         return None
     try:
-        made = ssl.create_default_context(cafile=part.tls.ca or None)
-        made.minimum_version = ssl.TLSVersion.TLSv1_2
-        if part.tls.cert:
-            made.load_cert_chain(part.tls.cert, part.tls.key)
-    except OSError as error:  # an SSLError is one
-        raise ValueError(
-            f"amqp.brokers.tls of {part.name}: {error.strerror or type(error).__name__}"
-        ) from None
-    return made
-
-
-def credentials(part: BrokerPart) -> tuple[str, str]:
-    """User and password. Raises ValueError, which never holds what the file says."""
-    if not part.credentials:
+        context = ssl.create_default_context(cafile=broker.tls.ca or None)
+        context.minimum_version = ssl.TLSVersion.TLSv1_2
+        if broker.tls.cert:
+            context.load_cert_chain(broker.tls.cert, broker.tls.key)
+    except OSError as error:  # SSLError is a subclass
+        reason = error.strerror or type(error).__name__
+        raise ValueError(f"amqp.brokers.tls of {broker.name}: {reason}") from None
+    return context
+
+
+def read_credentials(broker: BrokerSettings) -> tuple[str, str]:
+    """User and password. Raises ValueError, whose text never contains what the file holds."""
+    path = broker.credentials
+    if not path:
         return "guest", "guest"
     try:
-        lines = Path(part.credentials).read_text().splitlines()
+        lines = Path(path).read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
-        raise ValueError(f"amqp.brokers.credentials: {part.credentials}: {type(error).__name__}") from None
+        raise ValueError(f"amqp.brokers.credentials: {path}: {type(error).__name__}") from None
     if len(lines) < 2 or not lines[0]:
-        raise ValueError(f"amqp.brokers.credentials: {part.credentials}: needs two lines, user and password")
+        raise ValueError(f"amqp.brokers.credentials: {path}: needs two lines, user and password")
     return lines[0], lines[1]
--- a/message_relay/amqp/source.py
+++ b/message_relay/amqp/source.py
@@ -1,4 +1,4 @@
-"""The endpoints that the operator's file names, as a source of members (core.seams.Membership)."""
+"""The endpoints in the operator's file, as a source of endpoints (core.ports.EndpointSource)."""
 
 from __future__ import annotations
 
@@ -7,34 +7,30 @@
 from ..config import Config
 from ..core.ports import EndpointRecord, EndpointUpdate, EndpointUpdateCallback
 from ..decisions.model import Listing
-from .settings import PREFIX, AmqpSettings
+from .settings import ADDRESS_PREFIX, AmqpSettings, EndpointSettings
 
-NAME = "amqp"
+SOURCE_NAME = "amqp"
 
 
 class ConfiguredEndpoints:
-    def __init__(self, part: AmqpSettings) -> None:
-        self.update = EndpointUpdate(
-            True,
-            tuple(
-                EndpointRecord(
-                    f"{PREFIX}{each.name}",
-                    each.destination,
-                    Listing.READY,
-                    (f"{PREFIX}{each.name}", 0),
-                    rate=each.rate,
-                )
-                for each in part.endpoints
-            ),
-            source=NAME,
-        )
-
-    async def run(self, told: EndpointUpdateCallback) -> None:
-        told(self.update)
+    """Reports the configured endpoints once, as a full list."""
+
+    def __init__(self, settings: AmqpSettings) -> None:
+        endpoints = tuple(_endpoint_record(endpoint) for endpoint in settings.endpoints)
+        self.update = EndpointUpdate(True, endpoints, source=SOURCE_NAME)
+
+    async def run(self, on_update: EndpointUpdateCallback) -> None:
+        """Report the list, and wait until cancelled."""
+        on_update(self.update)
         await asyncio.Event().wait()
 
     def reload(self, config: Config) -> None:
-        """The operator's endpoints change with a restart."""
+        """Nothing to do: the operator's endpoints change with a restart."""
 
     def close(self) -> None:
-        """Holds nothing."""
+        """Nothing to do: it holds no resources."""
+
+
+def _endpoint_record(endpoint: EndpointSettings) -> EndpointRecord:
+    name = f"{ADDRESS_PREFIX}{endpoint.name}"
+    return EndpointRecord(name, endpoint.destination, Listing.READY, (name, 0), rate=endpoint.rate)
--- a/message_relay/amqp/transport.py
+++ b/message_relay/amqp/transport.py
@@ -27,7 +27,14 @@
 from .connection import BrokerConnection, NotConnectedError
 from .protocol import Fate, Login, Publish
 from .reconnect_policy import ReconnectPolicy
-from .settings import PREFIX, AmqpSettings, BrokerPart, TargetPart, context, credentials
+from .settings import (
+    ADDRESS_PREFIX,
+    AmqpSettings,
+    BrokerSettings,
+    EndpointSettings,
+    make_tls_context,
+    read_credentials,
+)
 
 log = logging.getLogger(__name__)
 
@@ -40,12 +47,12 @@
 class Broker:
     """The connection to one broker: made when it is needed, kept, and made anew after a wait."""
 
-    def __init__(self, part: BrokerPart, rng: Random) -> None:
+    def __init__(self, part: BrokerSettings, rng: Random) -> None:
         """Raises ValueError where its credentials cannot be read."""
-        user, password = credentials(part)
+        user, password = read_credentials(part)
         self.part = part
         self.login = Login(user, password, part.vhost, part.external, part.heartbeat_s)
-        self.tls = context(part)
+        self.tls = make_tls_context(part)
         self.addresses: list[Address] = []
         for host in part.hosts:
             name, _, port = host.rpartition(":")
@@ -63,7 +70,7 @@
             return self.link
         if self.opening is None:
             now = asyncio.get_running_loop().time()
-            if self.closed or not self.life.may_try(now):
+            if self.closed or not self.life.may_connect(now):
                 raise NotConnectedError(
                     f"{self.part.name} is tried again in {self.life.not_before - now:.1f} s"
                 )
@@ -73,7 +80,7 @@
 
     async def _open(self) -> BrokerConnection:
         loop = asyncio.get_running_loop()
-        host, port = self.addresses[self.life.at]
+        host, port = self.addresses[self.life.address_index]
         link: BrokerConnection | None = None
         try:
             async with asyncio.timeout(CONNECT_S):
@@ -93,7 +100,7 @@
             if link is None or not isinstance(error, NotConnectedError):
                 self._ended(why)
             raise NotConnectedError(f"{self.part.name} at {host}:{port}: {why}") from None
-        self.life.opened(loop.time())
+        self.life.on_opened(loop.time())
         log.info(LogEvent("broker: connected", broker=self.part.name, host=f"{host}:{port}"))
         self.link = link
         return link
@@ -106,7 +113,7 @@
     def _ended(self, why: str) -> None:
         self.link = None
         if not self.closed:
-            wait = self.life.ended(asyncio.get_running_loop().time())
+            wait = self.life.on_closed(asyncio.get_running_loop().time())
             log.warning(
                 LogEvent("broker: no connection", broker=self.part.name, why=why, wait_s=round(wait, 2))
             )
@@ -136,7 +143,9 @@
     def __init__(self, part: AmqpSettings, rng: Random) -> None:
         """Raises ValueError."""
         self.brokers = {each.name: Broker(each, rng) for each in part.brokers}  # fronts use them too
-        self.targets: Mapping[str, TargetPart] = {PREFIX + each.name: each for each in part.endpoints}
+        self.targets: Mapping[str, EndpointSettings] = {
+            ADDRESS_PREFIX + each.name: each for each in part.endpoints
+        }
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
         target = self.targets.get(attempt.address[0])
@@ -158,7 +167,7 @@
                     self._properties(attempt),
                 )
                 fate = await confirmed
-                broker.life.worked = broker.life.worked or fate is Fate.ACKED
+                broker.life.has_confirmed = broker.life.has_confirmed or fate is Fate.ACKED
                 return answered(fate, target)
         except NotConnectedError:
             return AttemptResult(Outcome.CONNECT_FAILED)
@@ -193,7 +202,7 @@
             broker.close()
 
 
-def answered(fate: Fate, target: TargetPart) -> AttemptResult:
+def answered(fate: Fate, target: EndpointSettings) -> AttemptResult:
     """The table above, for what came back."""
     match fate:
         case Fate.ACKED:
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -14,8 +14,8 @@
 import pytest
 
 from fakes.amqp_broker import Broker, Faults
-from message_relay.amqp.reconnect_policy import FIRST_S, JITTER, MOST_S, ReconnectPolicy
-from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart, credentials
+from message_relay.amqp.reconnect_policy import INITIAL_DELAY_S, JITTER, MAX_DELAY_S, ReconnectPolicy
+from message_relay.amqp.settings import AmqpSettings, BrokerSettings, EndpointSettings, read_credentials
 from message_relay.amqp.transport import BrokerPublisher, answered
 from message_relay.core.ports import Attempt, Submission
 from message_relay.decisions.model import Outcome
@@ -27,7 +27,8 @@
 
 def part(port: int, **more: Any) -> AmqpSettings:
     return AmqpSettings(
-        [BrokerPart("b", [f"127.0.0.1:{port}"], **more)], [TargetPart("jobs", 7, "b", "q", rate=2000.0)]
+        [BrokerSettings("b", [f"127.0.0.1:{port}"], **more)],
+        [EndpointSettings("jobs", 7, "b", "q", rate=2000.0)],
     )
 
 
@@ -152,30 +153,32 @@
     run(work())
 
 
-def test_waits_between_connections_grow_with_jitter_and_addresses_take_turns() -> None:
-    life = ReconnectPolicy(2, random.Random(1))
-    waits, places = [], []
-    for n in range(30):
-        places.append(life.at)
-        waits.append(life.ended(float(n)))
-        assert not life.may_try(float(n)) and life.may_try(life.not_before)
-    assert places[:4] == [0, 1, 0, 1] and max(waits) <= MOST_S * (1 + JITTER)
-    assert waits[0] <= FIRST_S * (1 + JITTER) and waits[-1] >= MOST_S * (1 - JITTER)
-    life.opened(100.0)
-    assert life.ended(101.0) > FIRST_S * (1 + JITTER)  # it stood too short a time to count as well
-    life.opened(200.0)
-    assert life.ended(210.0) <= FIRST_S * (1 + JITTER)
+def test_reconnect_delays_grow_with_jitter_and_addresses_rotate() -> None:
+    policy = ReconnectPolicy(2, random.Random(1))
+    delays, addresses = [], []
+    for second in range(30):
+        addresses.append(policy.address_index)
+        delays.append(policy.on_closed(float(second)))
+        assert not policy.may_connect(float(second)) and policy.may_connect(policy.not_before)
+    assert addresses[:4] == [0, 1, 0, 1] and max(delays) <= MAX_DELAY_S * (1 + JITTER)
+    assert delays[0] <= INITIAL_DELAY_S * (1 + JITTER) and delays[-1] >= MAX_DELAY_S * (1 - JITTER)
+    policy.on_opened(100.0)
+    assert policy.on_closed(101.0) > INITIAL_DELAY_S * (
+        1 + JITTER
+    )  # open for too short a time to count as healthy
+    policy.on_opened(200.0)
+    assert policy.on_closed(210.0) <= INITIAL_DELAY_S * (1 + JITTER)
     for _ in range(8):
-        life.ended(300.0)
-    life.opened(400.0)
-    life.worked = True
-    assert life.ended(400.1) <= FIRST_S * (1 + JITTER) < life.ended(400.2) * 9
+        policy.on_closed(300.0)
+    policy.on_opened(400.0)
+    policy.has_confirmed = True
+    assert policy.on_closed(400.1) <= INITIAL_DELAY_S * (1 + JITTER) < policy.on_closed(400.2) * 9
 
 
 def test_a_nack_means_what_the_operator_says() -> None:
     from message_relay.amqp.protocol import Fate
 
-    never = TargetPart("a", 1, "b", "q", nack="never_ran")
+    never = EndpointSettings("a", 1, "b", "q", nack="never_ran")
     assert answered(Fate.NACKED, never).outcome is Outcome.FULL
     assert answered(Fate.UNWRITTEN, never).outcome is Outcome.CONNECT_FAILED
 
@@ -196,20 +199,20 @@
         ),
     ],
 )
-def test_the_operators_file_is_checked(told: dict[str, Any], text: str) -> None:
+def test_operator_file_is_validated(told: dict[str, Any], text: str) -> None:
     with pytest.raises(ValueError) as caught:
         decoded({"amqp": told}, "f")
     assert text in str(caught.value)
 
 
-def test_credentials_come_from_a_file_and_are_never_told(tmp_path: Path) -> None:
+def test_credentials_are_read_from_file_and_never_shown(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_text("user\ngeheim\n")
-    assert credentials(BrokerPart("b", ["a:1"], credentials=str(path))) == ("user", "geheim")
+    assert read_credentials(BrokerSettings("b", ["a:1"], credentials=str(path))) == ("user", "geheim")
     path.write_text("geheim")
     for where in (path, tmp_path / "none"):
         with pytest.raises(ValueError) as caught:
-            credentials(BrokerPart("b", ["a:1"], credentials=str(where)))
+            read_credentials(BrokerSettings("b", ["a:1"], credentials=str(where)))
         assert "geheim" not in str(caught.value) and str(where) in str(caught.value)
 
 
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -17,7 +17,7 @@
 from fakes.amqp_broker import Broker, Faults, Message, Queue
 from message_relay.amqp import intake as front
 from message_relay.amqp.protocol import Delivered
-from message_relay.amqp.settings import AmqpSettings, BrokerPart, QueuePart, TargetPart
+from message_relay.amqp.settings import AmqpSettings, BrokerSettings, EndpointSettings, QueueSettings
 
 from ..loopback import PATIENCE_S, Agent, Running, host_of, run, until
 from .test_broker import serving
@@ -39,9 +39,9 @@
 
 def both(inward: int, outward: int, prefetch: int = 20) -> AmqpSettings:
     return AmqpSettings(
-        [BrokerPart("a", [f"127.0.0.1:{inward}"]), BrokerPart("b", [f"127.0.0.1:{outward}"])],
-        [TargetPart("jobs", 7, "b", "q", rate=2000.0)],
-        [QueuePart("a", "in", prefetch)],
+        [BrokerSettings("a", [f"127.0.0.1:{inward}"]), BrokerSettings("b", [f"127.0.0.1:{outward}"])],
+        [EndpointSettings("jobs", 7, "b", "q", rate=2000.0)],
+        [QueueSettings("a", "in", prefetch)],
     )
 
 
@@ -204,7 +204,7 @@
             self.told.append(tag)
 
     async def work() -> None:
-        queue = front.Queue(QueuePart("a", "in"), Any, Any, {}, random.Random(1))  # type: ignore[arg-type]
+        queue = front.Queue(QueueSettings("a", "in"), Any, Any, {}, random.Random(1))  # type: ignore[arg-type]
         acks = Acks()
         queue.link, queue.channel, queue.epoch, queue.journalling = acks, 2, 1, 2  # type: ignore[assignment]
         safe: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/tests/amqp/test_machine.py
+++ b/tests/amqp/test_machine.py
@@ -239,13 +239,13 @@
     assert machine.state is State.BROKEN
 
 
-def test_the_reader_holds_one_frame_in_part_at_the_most() -> None:
+def test_reader_buffers_one_incomplete_frame_at_most() -> None:
     reader = FrameReader()
     reader.feed(b"\x03\x00\x01\x00\x00\x0f\x00" + b"x" * 3840 + b"\xce" + b"\x03\x00")
-    assert reader.next() is not None and reader.next() is None and len(reader.data) == 2
+    assert reader.next_frame() is not None and reader.next_frame() is None and len(reader.buffer) == 2
     reader.feed(b"\x01\x00\x01\x00\x00")
     with pytest.raises(FrameError, match="65544 bytes, and 4096"):
-        reader.next()
+        reader.next_frame()
 
 
 # -- chance ------------------------------------------------------------------------------------------------
@@ -352,7 +352,7 @@
             sent.append(publish(machine, f"m{len(sent) + 1}"))
     machine.lost("the end")
     assert machine.state in (State.CLOSED, State.BROKEN)
-    assert all(each.fate is not Fate.OUT for each in sent) and len(machine.reader.data) < 140_000
+    assert all(each.fate is not Fate.OUT for each in sent) and len(machine.reader.buffer) < 140_000
     assert len(machine.outgoing) < 1000 or sent
 
 
--- a/tests/amqp/test_tls.py
+++ b/tests/amqp/test_tls.py
@@ -13,7 +13,13 @@
 import trustme
 
 from fakes.amqp_broker import Broker, Session
-from message_relay.amqp.settings import AmqpSettings, BrokerPart, TargetPart, TlsPart, context
+from message_relay.amqp.settings import (
+    AmqpSettings,
+    BrokerSettings,
+    EndpointSettings,
+    TlsSettings,
+    make_tls_context,
+)
 from message_relay.amqp.transport import BrokerPublisher
 from message_relay.decisions.model import Outcome
 
@@ -38,13 +44,13 @@
     yield authority, server
 
 
-def tls(folder: Path, ca: str = "ca.pem", own: bool = False, name: str = "") -> TlsPart:
+def tls(folder: Path, ca: str = "ca.pem", own: bool = False, name: str = "") -> TlsSettings:
     mine = (str(folder / "cert.pem"), str(folder / "key.pem")) if own else ("", "")
-    return TlsPart(str(folder / ca), *mine, name)
+    return TlsSettings(str(folder / ca), *mine, name)
 
 
-async def outcome(part: BrokerPart) -> Outcome:
-    out = BrokerPublisher(AmqpSettings([part], [TargetPart("jobs", 7, "b", "q")]), random.Random(1))
+async def outcome(part: BrokerSettings) -> Outcome:
+    out = BrokerPublisher(AmqpSettings([part], [EndpointSettings("jobs", 7, "b", "q")]), random.Random(1))
     try:
         return (await out.attempt(attempt())).outcome
     finally:
@@ -52,7 +58,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_broker_is_believed_by_its_certificate_and_name_only(tmp_path: Path) -> None:
+def test_broker_is_authenticated_by_certificate_and_name(tmp_path: Path) -> None:
     async def work() -> None:
         broker = Broker()
         broker.declare("q")
@@ -61,19 +67,19 @@
                 lambda: Session(broker), "127.0.0.1", 0, ssl=server
             )
             at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
-            assert await outcome(BrokerPart("b", at, tls=tls(tmp_path))) is Outcome.OK
+            assert await outcome(BrokerSettings("b", at, tls=tls(tmp_path))) is Outcome.OK
             unknown = tls(tmp_path, "other.pem")
-            assert await outcome(BrokerPart("b", at, tls=unknown)) is Outcome.CONNECT_FAILED
+            assert await outcome(BrokerSettings("b", at, tls=unknown)) is Outcome.CONNECT_FAILED
             wrong = tls(tmp_path, name="broker.test")
-            assert await outcome(BrokerPart("b", at, tls=wrong)) is Outcome.CONNECT_FAILED
-            assert await outcome(BrokerPart("b", at)) is Outcome.CONNECT_FAILED  # in plain
+            assert await outcome(BrokerSettings("b", at, tls=wrong)) is Outcome.CONNECT_FAILED
+            assert await outcome(BrokerSettings("b", at)) is Outcome.CONNECT_FAILED  # in plain
             assert len(broker.effects) == 1
             listening.close()
 
     run(work())
 
 
-def test_external_needs_our_certificate(tmp_path: Path) -> None:
+def test_external_requires_client_certificate(tmp_path: Path) -> None:
     async def work() -> None:
         broker = Broker(password="nobody knows it")
         broker.declare("q")
@@ -82,27 +88,27 @@
                 lambda: Session(broker), "127.0.0.1", 0, ssl=server
             )
             at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
-            mine = BrokerPart("b", at, tls=tls(tmp_path, own=True), external=True)
+            mine = BrokerSettings("b", at, tls=tls(tmp_path, own=True), external=True)
             assert await outcome(mine) is Outcome.OK
-            assert await outcome(BrokerPart("b", at, tls=tls(tmp_path))) is Outcome.CONNECT_FAILED
+            assert await outcome(BrokerSettings("b", at, tls=tls(tmp_path))) is Outcome.CONNECT_FAILED
             listening.close()
 
     run(work())
 
 
-def test_files_that_cannot_be_used_and_settings_that_make_no_sense(tmp_path: Path) -> None:
+def test_unusable_files_and_invalid_settings_are_rejected(tmp_path: Path) -> None:
     with keys(tmp_path):
         (tmp_path / "bad.pem").write_text("no key")
         for part in (
-            TlsPart(str(tmp_path / "none.pem")),
-            TlsPart(str(tmp_path / "bad.pem")),
-            TlsPart("", str(tmp_path / "cert.pem"), str(tmp_path / "bad.pem")),
+            TlsSettings(str(tmp_path / "none.pem")),
+            TlsSettings(str(tmp_path / "bad.pem")),
+            TlsSettings("", str(tmp_path / "cert.pem"), str(tmp_path / "bad.pem")),
         ):
             with pytest.raises(ValueError, match="amqp.brokers.tls of b"):
-                context(BrokerPart("b", ["a:1"], tls=part))
+                make_tls_context(BrokerSettings("b", ["a:1"], tls=part))
     with pytest.raises(ValueError, match="needs tls.cert"):
-        BrokerPart("b", ["a:1"], external=True)
+        BrokerSettings("b", ["a:1"], external=True)
     with pytest.raises(ValueError, match="both are needed"):
-        TlsPart(cert="x")
+        TlsSettings(cert="x")
     with pytest.raises(ValueError, match="no meaning with external"):
-        BrokerPart("b", ["a:1"], tls=TlsPart("", "x", "y"), external=True, credentials="f")
+        BrokerSettings("b", ["a:1"], tls=TlsSettings("", "x", "y"), external=True, credentials="f")
--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -11,7 +11,7 @@
 from message_relay.amqp.connection import BrokerConnection
 from message_relay.amqp.intake import QueueIntake
 from message_relay.amqp.protocol import ConnectionProtocol, Delivered, Login
-from message_relay.amqp.settings import AmqpSettings, BrokerPart, QueuePart, TargetPart
+from message_relay.amqp.settings import AmqpSettings, BrokerSettings, QueueSettings, EndpointSettings
 from message_relay.amqp.source import ConfiguredEndpoints
 from message_relay.amqp.transport import Broker, BrokerPublisher
 from message_relay.core.ports import Attempt, FinalOutcome, Submission, SubmissionResult
@@ -142,7 +142,7 @@
         self, ident: str, state: str, after_ms: float, reply: str, correlation: str, confirm: bytes
     ) -> bytes:
         """All that is sent to tell the end of a message that came by a queue."""
-        broker = Broker(BrokerPart("b", ["127.0.0.1:5672"]), Random(0))
+        broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
         broker.link = self._link
         intake = QueueIntake([], {"b": broker}, _Desk(), {}, Random(0))
         end = FinalOutcome(ident, state, after_ms)
@@ -174,8 +174,8 @@
 
 def offer_of_delivery(properties: Properties, body: bytes) -> Values:
     """A message as it is read from a queue's delivery."""
-    broker = Broker(BrokerPart("b", ["127.0.0.1:5672"]), Random(0))
-    intake = QueueIntake([QueuePart("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
+    broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
+    intake = QueueIntake([QueueSettings("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
     offer = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
     return {
         "id": offer.id,
@@ -193,7 +193,7 @@
 def members_of_file() -> list[Any]:
     """An endpoint of the operator's file as a member: its name and address stand in the journal and in
     rules."""
-    part = AmqpSettings([BrokerPart("b", ["h:5672"])], [TargetPart("t", 7, "b", "k", rate=2.0)])
+    part = AmqpSettings([BrokerSettings("b", ["h:5672"])], [EndpointSettings("t", 7, "b", "k", rate=2.0)])
     (member,) = ConfiguredEndpoints(part).update.endpoints
     return [
         ConfiguredEndpoints(part).update.source,
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from message_relay.amqp.settings import AmqpSettings, BrokerPart
+from message_relay.amqp.settings import AmqpSettings, BrokerSettings
 from message_relay.config import Config, ConfigError, _File, _Zones, load
 from message_relay.consensus.clock import Clock
 from message_relay.consensus.settings import ConsensusSettings
@@ -111,7 +111,7 @@
     }
 
 
-def _broker(part: BrokerPart) -> Values:
+def _broker(part: BrokerSettings) -> Values:
     tls = part.tls
     return {
         "name": part.name,
