--- a/message_relay/decisions/actions.py
+++ b/message_relay/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the delivery scheduler asks its host to carry out."""
+"""Actions: the output of the delivery scheduler, which its driver carries out."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
+    """Call an endpoint with a message; time out at `give_up_at_ms`."""
+
     id: int
     endpoint: int
     give_up_at_ms: float
@@ -15,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Not delivered, and trying again is harmless."""
+    """End a message as not delivered; submitting it again is harmless."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -23,35 +25,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Not delivered as far as known; promises nothing."""
+    """End a message as failed: it may have been delivered."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Set the timer, in place of an earlier one."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Check the health of an endpoint."""
+
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for the list and its changes from now on."""
+    """Ask discovery for the endpoint list and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Log a line."""
+
     text: str
 
 
--- a/message_relay/decisions/endpoint_registry.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -163,12 +163,12 @@
         found = list[RestoredDestination]()
         candidates = self.pending.snapshot_candidates
         self.pending.snapshot_candidates = {}
-        cold_ms = self.rate_controller.settings.safety.warm_up_ms
+        warm_up_ms = self.rate_controller.settings.safety.warm_up_ms
         for destination_id in candidates:
             destination = self.destinations.get(destination_id, {}).get(SHARED_ROUTE)
             if destination is None:
                 continue
-            is_warming_up = now < destination.warming_since + cold_ms
+            is_warming_up = now < destination.warming_since + warm_up_ms
             if not (destination.is_ejected or is_warming_up or now < destination.retry_after_until):
                 continue
             self.pending.snapshot_candidates[destination_id] = None
--- a/message_relay/decisions/events.py
+++ b/message_relay/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events: what the delivery scheduler is told. Times are in milliseconds."""
+"""Events: the input of the delivery scheduler. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -10,12 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """What discovery lists: all endpoints, those that have changed, or that it failed."""
+
     kind: ListKind
     entries: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
+    """A message that the relay has accepted, or resumed after a restart."""
+
     id: int
     destination: int
     class_index: int
@@ -25,29 +29,33 @@
     work_ms: float | None = None
     is_repeat: bool = False
     from_dead_relay: bool = False
-    # Resumed after a restart of this relay: what the journal knows of it.
-    age_ms: float | None = None  # since it was first handed in
+    # Of one resumed after a restart of this relay, from the journal:
+    age_ms: float | None = None  # since it was first submitted
     attempts: int = 0
-    uncertain_for_ms: float | None = None  # since the first try that may have run
-    uncertain_endpoint: Endpoint | None = None  # and where that went
+    uncertain_for_ms: float | None = None  # since the first attempt that may have run
+    uncertain_endpoint: Endpoint | None = None  # where that attempt went
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
+    """The outcome of an attempt."""
+
     id: int
     attempt: int
     endpoint: int
     outcome: Outcome
     latency_ms: float = 0.0
     is_final: bool = False
-    retry_after_ms: float = 0.0  # told with Outcome.FULL
+    retry_after_ms: float = 0.0  # with Outcome.FULL
     had_no_slot: bool = False  # with Outcome.NOT_SENT
     report: tuple[float, ...] = ()
-    was_withheld: bool = False  # nothing of it went out, with Outcome.NOT_SENT: no try
+    was_withheld: bool = False  # with Outcome.NOT_SENT: nothing was written, which counts as no attempt
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeCompleted:
+    """The outcome of a health check."""
+
     endpoint: int
     outcome: Outcome
     latency_ms: float = 0.0
@@ -56,30 +64,37 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCancelled:
+    """A client no longer wants the message delivered."""
+
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """The timer of the latest `SetTimer` has fired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownScheduled:
-    """The process ends soon: a call still out then would have no known outcome."""
+    """The process ends soon: a call in flight then would have no known outcome."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredDestination:
-    """What an earlier process knew of a destination; no clock outlasts it, so times are told as ages."""
+    """What an earlier process knew of a destination.
+
+    Times are ages, since the scheduler's clock starts anew with the process.
+    """
 
     destination: int
-    retry_after_ms: float = 0.0  # a told wait that still runs
+    retry_after_ms: float = 0.0  # what is left of it
     is_ejected: bool = False
-    failing_for_ms: float | None = None  # since the first call that failed without an answer after it
-    warming_up_for_ms: float | None = None  # since it was back
+    failing_for_ms: float | None = None  # since the first call that failed after the last success
+    warming_up_for_ms: float | None = None  # since the end of its outage
 
     def __post_init__(self) -> None:
         # Errors name the fields as the file `learned` does.
--- a/message_relay/decisions/model.py
+++ b/message_relay/decisions/model.py
@@ -9,7 +9,7 @@
 
 
 class Effect(Enum):
-    """What repeating a message may do at its destination."""
+    """What delivering a message more than once does at its destination."""
 
     SAFE = "safe"  # repeating changes nothing
     KEYED = "keyed"  # the destination drops repeats of its key for a while
@@ -17,7 +17,7 @@
 
 
 class Scope(Enum):
-    """Which endpoints of a destination share the memory of a key."""
+    """Which endpoints of a destination know an idempotency key that one of them has seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,19 +38,22 @@
 
     @property
     def proves_no_effect(self) -> bool:
+        """Whether the call certainly did not run at its endpoint."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Listing(Enum):
-    """What the list of endpoints says of one of them."""
+    """State of an endpoint as discovery lists it."""
 
     READY = "ready"
     DRAINING = "draining"
     REMOVED = "gone"
-    UNNEEDED = "unneeded"  # it may well be there, but nobody here needs to know it any more
+    UNNEEDED = "unneeded"  # it may well exist, but this relay does not need it any more
 
 
 class ListKind(Enum):
+    """What an endpoint list covers, or that there is none."""
+
     CHANGES = "changes"
     COMPLETE = "whole"
     CACHED = "cached"
@@ -58,7 +61,7 @@
 
 
 class Rates(Enum):
-    """What the listed rates are worth."""
+    """How reliable the listed rates are."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -66,7 +69,7 @@
 
 
 class Decay(Enum):
-    """How worth falls once the aim has passed."""
+    """How a message's value falls after its latency objective."""
 
     LINE = "line"
     HALVES = "halves"
@@ -80,13 +83,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
+    """What the messages of one class have in common."""
+
     name: str
     effect: Effect
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_share: float = 0.0
-    key_window_ms: float = 0.0
+    late_share: float = 0.0  # of its value, left at the deadline
+    key_window_ms: float = 0.0  # how long a destination remembers an idempotency key
     key_scope: Scope = Scope.ALL
     in_order: bool = False
 
@@ -102,6 +107,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its quota of messages."""
+
     name: str
     quota_per_s: float  # over all relays
 
@@ -111,9 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
+    """What the destinations of one kind have in common."""
+
     name: str
     batch: int = 1  # messages in one call, at most
-    has_separate_routes: bool = False  # each endpoint has its own limit, pace and outages
+    has_separate_routes: bool = False  # each endpoint has its own limit, rate and outages
 
     def __post_init__(self) -> None:
         require(self.batch >= 1, "kinds.batch", "must be 1 or more")
@@ -150,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """Weights of the parts of the result."""
+    """Weights of the parts of the result that a deployment is measured by."""
 
     total: float = 1.0
     worst_window: float = 0.0
@@ -160,12 +169,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Which of how many instances this is, where each partner's agreed rate is to be kept by all together. As
-    an event: from now on."""
+    """Which of how many instances this is, where all together keep each destination's agreed rate.
+
+    As an event it says what holds from now on.
+    """
 
     number: int  # from 0
     size: int
-    clock_ms: float = 0.0  # to be added to the relay's clock for the one that all machines read
+    clock_ms: float = 0.0  # added to the relay's clock gives the clock that all machines share
 
     def __post_init__(self) -> None:
         require(self.size >= 1, "fleet.size", "must be 1 or more")
@@ -174,11 +185,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """The settings of one relay."""
+
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...]
-    max_concurrent_attempts: int  # calls out at once
-    max_pending_messages: int  # messages held at once
-    max_attempts: int  # tries of one message
+    max_concurrent_attempts: int  # calls in flight
+    max_pending_messages: int  # messages accepted and not ended
+    max_attempts: int  # attempts of one message
     relays: int = 1
     zone: int = 0
     tenants: tuple[Tenant, ...] = ()
@@ -192,15 +205,17 @@
     idle_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     tick_ms: float = 1.0
-    marks_repeats: bool = False  # clients mark what they hand in again
-    max_retry_after_ms: float = 0.0  # longest stay-away a client heeds; 0 = no advice
+    marks_repeats: bool = False  # clients mark what they submit again
+    max_retry_after_ms: float = 0.0  # longest Retry-After that a client respects; 0 = none is given
     cross_zone_price: float = 0.0
     route_fees: tuple[float, ...] = ()  # by zone
-    report_fields: tuple[str, ...] = ()  # what answers may report, in this order
-    limit_report: tuple[int, int] | None = None  # where a report holds share left and limit a second
+    report_fields: tuple[str, ...] = ()  # fields of the load report of an answer, in this order
+    limit_report: tuple[int, int] | None = (
+        None  # positions of the share left and the limit a second in a report
+    )
     safety: Safety = Safety()
     goal: Goal = Goal()
-    fleet: Fleet | None = None  # None: each instance paces itself by what it learns
+    fleet: Fleet | None = None  # None: each instance limits its rate by what it learns
 
     def __post_init__(self) -> None:
         require(bool(self.classes), "classes", "there must be at least one")
@@ -227,6 +242,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """One endpoint as discovery lists it."""
+
     id: int
     destination: int
     listing: Listing
--- a/message_relay/decisions/pending.py
+++ b/message_relay/decisions/pending.py
@@ -190,9 +190,9 @@
         self.key_paused_until[key] = until
         heapq.heappush(self.key_pause_heap, (until, key))
         while self.key_pause_heap and self.key_pause_heap[0][0] <= now:
-            ended_at, ended_key = heapq.heappop(self.key_pause_heap)
-            if self.key_paused_until.get(ended_key) == ended_at:
-                del self.key_paused_until[ended_key]
+            paused_until, paused_key = heapq.heappop(self.key_pause_heap)
+            if self.key_paused_until.get(paused_key) == paused_until:
+                del self.key_paused_until[paused_key]
 
     def enqueue(self, entry: PendingMessage, now: float) -> None:
         """Puts a message into its destination's queue, ready or parked."""
--- a/message_relay/decisions/rate_control.py
+++ b/message_relay/decisions/rate_control.py
@@ -71,8 +71,8 @@
         if is_ejected or (
             destination.failing_since is not None and is_closed_for_long(destination, now, THROTTLE_MS)
         ):
-            cold = slow_start.initial_rate(settings, total)
-            return cold / slow_start.estimate_senders(settings, now, destination), 1.0
+            initial = slow_start.initial_rate(settings, total)
+            return initial / slow_start.estimate_senders(settings, now, destination), 1.0
         rate = destination.send_rate
         is_large_fleet = self.is_large_fleet
         equal_part = total / settings.relays if is_large_fleet else 0.0
@@ -83,8 +83,8 @@
             left = (destination.throttled_until - now) / (THROTTLE_JITTER_MAX * destination.throttle_ms)
             rate = max(rate, equal_part * (1 - left))
         if now < destination.warming_since + settings.safety.warm_up_ms:
-            cold = slow_start.initial_rate(settings, total)
-            return min(rate, slow_start.warming_rate(settings, now, destination, cold)), 1.0
+            initial = slow_start.initial_rate(settings, total)
+            return min(rate, slow_start.warming_rate(settings, now, destination, initial)), 1.0
         return rate, max(BURST, rate * BURST_S)
 
     def next_send_times(
--- a/message_relay/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -1,7 +1,7 @@
-"""Translates the settings text, which the simulator and the configuration share, to `Settings`.
+"""Decodes the settings text, which the simulator and the configuration share, to `Settings`.
 
-The text's own shape stands below as msgspec structs: what is missing or of another type is told by path.
-Keys that are not known are skipped, since the platform's settings say more than a relay needs.
+The msgspec structs below are the shape of the text: an error about a missing value or a wrong type names its
+path. Unknown keys are skipped, since the platform's settings contain more than a relay needs.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SettingsError(ValueError):
-    """The settings lack something, or hold what makes no sense."""
+    """The settings are incomplete or contradictory."""
 
 
 class _Effect(Enum):
@@ -124,7 +124,7 @@
 
 
 def settings_from(text: bytes | str) -> Settings:
-    """Translates the settings text. Raises SettingsError, which names the field."""
+    """Decodes the settings text. Raises SettingsError, which names the field."""
     try:
         raw: _Settings = msgspec.json.decode(text, type=_Settings, strict=False)
         return _translated(raw)
@@ -158,7 +158,7 @@
         connect_timeout_ms=limits.connect_timeout_ms,
         tick_ms=raw.tick_ms,
         marks_repeats=raw.client_habits.marks_retry,
-        max_retry_after_ms=limits.max_retry_after_ms,  # told also where few clients heed it
+        max_retry_after_ms=limits.max_retry_after_ms,  # given also where few clients respect it
         cross_zone_price=raw.prices.cross_zone,
         route_fees=tuple(extra.carriage),
         report_fields=tuple(fields),
--- a/message_relay/decisions/slow_start.py
+++ b/message_relay/decisions/slow_start.py
@@ -30,15 +30,12 @@
     return max(safety.overload_multiple * safety.warm_up_initial_share, MIN_INITIAL_SHARE) * rate
 
 
-def warming_rate(settings: Settings, now: float, destination: DestinationState, cold: float) -> float:
-    """This relay's part of what a warming destination can take; `cold`: of what it took at first."""
+def warming_rate(settings: Settings, now: float, destination: DestinationState, initial: float) -> float:
+    """This relay's part of what a warming destination can take; `initial`: what it took at first."""
     safety = settings.safety
-    warmth = (1 - safety.warm_up_initial_share) * (now - destination.warming_since) / safety.warm_up_ms
-    return (
-        cold
-        * (1 + warmth / max(safety.warm_up_initial_share, MIN_INITIAL_SHARE))
-        / destination.estimated_senders
-    )
+    progress = (1 - safety.warm_up_initial_share) * (now - destination.warming_since) / safety.warm_up_ms
+    growth = 1 + progress / max(safety.warm_up_initial_share, MIN_INITIAL_SHARE)
+    return initial * growth / destination.estimated_senders
 
 
 def start_warm_up(settings: Settings, now: float, destination: DestinationState) -> None:
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -100,9 +100,9 @@
         one.on_success(float(at))
         assert one.open_share(at) <= min(1.0, WARM_UP_SHARE * (0.18 + 0.82 * at / 11_000)) + 1e-9
     assert one.open_share(20_000.0) == 1.0
-    one.on_failure(20_500.0, out=False)
+    one.on_failure(20_500.0, is_ejected=False)
     assert one.open_share(20_500.0) == 1.0  # one that breaks is no outage
-    one.on_failure(20_600.0, out=True)
+    one.on_failure(20_600.0, is_ejected=True)
     assert one.open_share(20_600.0) == 0.18
 
 
@@ -117,11 +117,11 @@
 
 def test_between_a_failure_and_an_answer_the_middle_is_taken_for_the_return() -> None:
     one, other = share(), share()
-    one.on_failure(10_000.0, out=True)
+    one.on_failure(10_000.0, is_ejected=True)
     one.on_success(12_000.0)
     other.on_success(12_000.0)
     assert one.healthy_since == 11_000.0 and other.healthy_since == 12_000.0
-    one.on_failure(20_000.0, out=True)
+    one.on_failure(20_000.0, is_ejected=True)
     one.on_success(60_000.0)
     assert one.healthy_since == 60_000.0  # too long ago to tell anything
 
