--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -150,7 +150,7 @@
 
 
 def _rules(size: int) -> dict[str, float]:
-    books._SETS.clear()  # what was decoded is kept: each time is the first
+    books._DECODED.clear()  # what was decoded is kept: each time is the first
     old, raw = written(size, 200.0), encode_rules(written(size, 100.0))
     book = VersionHistory(old, VOTERS)
     began = time.process_time()
--- a/message_relay/consensus/admin_socket.py
+++ b/message_relay/consensus/admin_socket.py
@@ -1,4 +1,4 @@
-"""Operators' questions on a Unix socket, mode 0600 in the status folder: one JSON object, one answer."""
+"""Operators' requests on a Unix socket, mode 0600 in the status folder: one JSON object, one answer."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 log = logging.getLogger(__name__)
 
-READ_S, ANSWER_S = 2.0, 15.0
+READ_TIMEOUT_S = 2.0
+ANSWER_TIMEOUT_S = 15.0
 
 
 class AdminRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What an operator's command asks of an instance."""
 
-    operation: str = msgspec.field(
-        name="ask"
-    )  # status, propose, promote, withdraw, revert, voters, forget, explain, history, version
+    # status, history, version, explain, zones, plan, or one of `admin_requests.CHANGES`
+    operation: str = msgspec.field(name="ask")
     rules: msgspec.Raw = msgspec.Raw(b"{}")
     author: str = ""
     cause: str = ""
@@ -39,20 +39,22 @@
 
 
 class AdminSocket(UnixSocket):
-    def __init__(self, path: Path, take: Callable[[AdminRequest], Awaitable[dict[str, Any]]]) -> None:
+    """Passes each request to `on_request` and writes its answer."""
+
+    def __init__(self, path: Path, on_request: Callable[[AdminRequest], Awaitable[dict[str, Any]]]) -> None:
         super().__init__(path)
-        self.on_request = take
+        self.on_request = on_request
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open_connections += 1
         try:
             if self.open_connections <= MAX_CALLERS:
-                async with asyncio.timeout(READ_S):
+                async with asyncio.timeout(READ_TIMEOUT_S):
                     raw = await read_request(reader)
                 writer.write(msgspec.json.encode(await self._answer(raw)))
                 await writer.drain()
         except (OSError, TimeoutError):
-            pass  # it went away, or says nothing
+            pass  # the client went away, or sends nothing
         except Exception:
             log.exception("admin request failed")
         finally:
@@ -67,8 +69,9 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
-    """Until the other side has said all. Raises RulesError where that is too much."""
-    parts, length = [], 0
+    """Read until the client has sent all. Raises RulesError where that is too much."""
+    parts = []
+    length = 0
     while part := await reader.read(65536):
         parts.append(part)
         length += len(part)
@@ -77,13 +80,15 @@
     return b"".join(parts)
 
 
-async def send_request(path: Path, told: dict[str, Any], seconds: float = ANSWER_S) -> dict[str, Any]:
-    """Asks an instance. Raises StatusError where nobody answers in time."""
+async def send_request(
+    path: Path, request: dict[str, Any], seconds: float = ANSWER_TIMEOUT_S
+) -> dict[str, Any]:
+    """Send a request to an instance and return its answer. Raises StatusError without one in time."""
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_unix_connection(str(path))
             try:
-                writer.write(msgspec.json.encode(told))
+                writer.write(msgspec.json.encode(request))
                 writer.write_eof()
                 raw = await reader.read(-1)
             finally:
--- a/message_relay/consensus/canary_guard.py
+++ b/message_relay/consensus/canary_guard.py
@@ -1,8 +1,9 @@
-"""Whether a change does harm: by the share of the ended messages that were delivered. No I/O.
+"""Canary guard: whether a version does harm, by the delivered share of the completed messages. No I/O.
 
-On trial the relays that try a version are held against the others over the same time. A change that went at
-once has no others: it is held against the fleet's own share in the time before. Counts are differences, by
-process, so that a restart takes nothing back."""
+A canary's relays are compared with the others over the same time. A version that holds for all relays at
+once has no others: it is compared with the fleet's own share in the time before. Counts are differences, by
+process, so that a restart subtracts nothing.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +15,12 @@
 from .lease_protocol import DeliveryCounts
 from .version_history import Guard, Version
 
+SAMPLES_PER_SPAN = 20
+
 
 class Verdict(Enum):
+    """What the guard makes of a version; WAIT: it can't tell yet."""
+
     WAIT = "wait"
     HARMFUL = "harm"
     HEALTHY = "well"
@@ -23,65 +28,73 @@
 
 @dataclass
 class CanaryWatch:
-    """Over one version, from the moment at which it was first seen in force."""
+    """Compares delivery with and without one version, from when it was first seen in force."""
 
     version: Version
     started_at: float
     baseline_share: float | None  # share of the fleet before it; None: too little was seen
-    initial_counts: dict[tuple[str, int], DeliveryCounts] = field(
-        default_factory=dict
-    )  # of each process, when it was first seen
+    # Of each process (relay's name and nonce), when it was first seen.
+    initial_counts: dict[tuple[str, int], DeliveryCounts] = field(default_factory=dict)
 
-    def evaluate(self, now: float, records: Iterable[tuple[str, RelayLease]]) -> tuple[Verdict, str]:
+    def evaluate(self, now: float, leases: Iterable[tuple[str, RelayLease]]) -> tuple[Verdict, str]:
+        """The verdict at a time in seconds, and its cause if it is HARMFUL."""
         guard = self.version.guard
         if guard is None:
             return Verdict.WAIT, ""
-        mine, others = self._sums(records)
-        share = _share(mine, guard)
-        other = _share(others, guard) if self.version.share < 1 else self.baseline_share
-        if share is not None and other is not None and other > 0 and share / other < guard.least_ratio:
+        with_version, without = self._sums(leases)
+        share = _delivered_share(with_version, guard)
+        reference = _delivered_share(without, guard) if self.version.share < 1 else self.baseline_share
+        if (
+            share is not None
+            and reference is not None
+            and reference > 0
+            and share / reference < guard.least_ratio
+        ):
             return Verdict.HARMFUL, (
-                f"delivered {share:.3f} of {mine.completed} with it, {other:.3f} without: under "
+                f"delivered {share:.3f} of {with_version.completed} with it, {reference:.3f} without: under "
                 f"{guard.least_ratio:g}"
             )
-        done = now - self.started_at >= guard.watch_s
-        return (Verdict.HEALTHY if done and share is not None else Verdict.WAIT), ""
-
-    def _sums(self, records: Iterable[tuple[str, RelayLease]]) -> tuple[DeliveryCounts, DeliveryCounts]:
-        sums = [[0, 0], [0, 0]]
-        for name, record in records:
-            first = self.initial_counts.setdefault((name, record.nonce), record.counts)
-            mine = self.version.share >= 1 or is_in_canary(name, self.version)
-            sums[not mine][0] += record.counts.delivered - first.delivered
-            sums[not mine][1] += record.counts.completed - first.completed
-        return DeliveryCounts(*sums[0]), DeliveryCounts(*sums[1])
-
-
-def _share(counts: DeliveryCounts, guard: Guard) -> float | None:
+        is_watched_long_enough = now - self.started_at >= guard.watch_s
+        return (Verdict.HEALTHY if is_watched_long_enough and share is not None else Verdict.WAIT), ""
+
+    def _sums(self, leases: Iterable[tuple[str, RelayLease]]) -> tuple[DeliveryCounts, DeliveryCounts]:
+        """Messages since the watch began, of the relays with the version and of the others."""
+        delivered = {True: 0, False: 0}
+        completed = {True: 0, False: 0}
+        for name, lease in leases:
+            first = self.initial_counts.setdefault((name, lease.nonce), lease.counts)
+            has_version = self.version.share >= 1 or is_in_canary(name, self.version)
+            delivered[has_version] += lease.counts.delivered - first.delivered
+            completed[has_version] += lease.counts.completed - first.completed
+        with_version = DeliveryCounts(delivered[True], completed[True])
+        return with_version, DeliveryCounts(delivered[False], completed[False])
+
+
+def _delivered_share(counts: DeliveryCounts, guard: Guard) -> float | None:
     return counts.delivered / counts.completed if counts.completed >= guard.least_count else None
 
 
 @dataclass
 class RecentOutcomes:
-    """The fleet's share over the last while, for a change that goes at once."""
+    """The fleet's delivered share over the last `span_s`: the baseline of a version without a canary."""
 
     span_s: float = 20.0
     samples: list[tuple[float, DeliveryCounts]] = field(default_factory=list)
 
-    def add(self, now: float, records: Iterable[RelayLease]) -> None:
-        told = list(records)
-        if self.samples and now - self.samples[-1][0] < self.span_s / 20:
+    def add(self, now: float, leases: Iterable[RelayLease]) -> None:
+        """Add a sample, at most `SAMPLES_PER_SPAN` in a span."""
+        counts = [lease.counts for lease in leases]
+        if self.samples and now - self.samples[-1][0] < self.span_s / SAMPLES_PER_SPAN:
             return
-        total = DeliveryCounts(
-            sum(each.counts.delivered for each in told), sum(each.counts.completed for each in told)
-        )
+        total = DeliveryCounts(sum(each.delivered for each in counts), sum(each.completed for each in counts))
         if self.samples and total.completed < self.samples[-1][1].completed:
-            self.samples.clear()  # a process has begun anew: differences would mislead
+            self.samples.clear()  # a process has restarted: differences would mislead
         self.samples = [each for each in self.samples if each[0] > now - self.span_s] + [(now, total)]
 
-    def delivered_share(self, least: int) -> float | None:
+    def delivered_share(self, least_count: int) -> float | None:
+        """The share, or None with fewer completed messages than `least_count`."""
         if len(self.samples) < 2:
             return None
         (_, first), (_, last) = self.samples[0], self.samples[-1]
-        ended = last.completed - first.completed
-        return (last.delivered - first.delivered) / ended if ended >= least else None
+        completed = last.completed - first.completed
+        return (last.delivered - first.delivered) / completed if completed >= least_count else None
--- a/message_relay/consensus/clock.py
+++ b/message_relay/consensus/clock.py
@@ -9,13 +9,16 @@
 
 
 class Clock:
+    """Seconds since the machine's start, times `rate`."""
+
     def __init__(self, rate: float = 1.0) -> None:
         self.rate = rate
 
     @classmethod
     def from_environment(cls) -> Clock:
+        """A clock with the rate of `LINNETSTILE_CLOCK_RATE`, 1 if it is not set."""
         return cls(float(os.environ.get("LINNETSTILE_CLOCK_RATE", "1")))
 
     def now(self) -> float:
-        """Seconds."""
+        """The time in seconds, of no fixed origin."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * self.rate
--- a/message_relay/consensus/version_fetch.py
+++ b/message_relay/consensus/version_fetch.py
@@ -1,19 +1,20 @@
-"""Whom a relay asks for a version that it lacks, and when. No I/O; random numbers and figures are passed in.
+"""Which voter a relay asks for a version that it lacks, and when. No I/O; random numbers are passed in.
 
-All relays hear of a version in one moment, and from the same voter: the log's leader, whose hint goes out
-first. Asked by all at once, it answers some and turns the rest away, and they come again at the next grant,
+All relays learn of a version at one moment, and from the same voter: the log's leader, whose hint is sent
+first. Asked by all at once, it answers some and refuses the rest, and they ask again at the next grant,
 together: of 375 relays it refused 1,407 connections for one version. So:
 
-    first ask     after a pause drawn evenly from the time that the voters need to answer all relays, each
-                  `ANSWERS_S` a second; few relays don't notice it. Many wait `SETTLE_S` before: of 1,500
-                  voter 0 refused 396 connections a version, reckoned to have come to it alone, since
-                  only the leader had told yet
-    whom          in an order drawn anew for each version, of the voters that said that they have it
-    no answer     the next one, after a pause that grows and is drawn too; a voter that tells of the version
+    first         after a pause drawn evenly from the time that the voters need to answer all relays, each
+                  `ANSWERS_S` a second; with few relays it is too short to
+                  matter. Many wait `SETTLE_S` before: of 1,500
+                  voter 0 refused 396 connections a version, estimated to have asked it alone, since
+                  only the leader had announced it yet
+    order         drawn anew for each version, of the voters that announced it
+    no answer     the next one, after a pause that grows and is drawn too; a voter that announces the version
                   meanwhile gets a place among those not asked yet
-    all failed    `ROUNDS` times over: given up, and begun anew by the next grant that tells of it
+    all failed    `ROUNDS` times over: given up, and started again by the next grant that names it
 
-The pause has a cost: until the last relay has the version those that have it act by the meet of both. At
+The pause has a cost: until the last relay has the version those that have it act on the meet of both. At
 3,500 relays and five voters it is 3.8 s at the most, of the 12 in which a change has to be in force.
 """
 
@@ -44,22 +45,23 @@
 
 
 class VersionSearch:
-    """One version that is sought: the voters that have it, in the order in which they are asked."""
+    """The search for one version: the voters that have it, in the order in which they are asked."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.backoff = rng, ExponentialBackoff(RETRY_S, RETRY_MAX_S, rng)
+        self.rng = rng
+        self.backoff = ExponentialBackoff(RETRY_S, RETRY_MAX_S, rng)
         self.voters: list[str] = []
         self.requests_sent = 0
 
     def add_voter(self, voter: str) -> None:
-        """This voter told of it. Those not asked yet are in an order that nobody shares."""
+        """Insert a voter that has the version among those not asked yet, in an order that no relay shares."""
         if voter not in self.voters:
             self.voters.insert(
                 self.rng.randint(min(self.requests_sent, len(self.voters)), len(self.voters)), voter
             )
 
     def next_voter(self) -> str | None:
-        """Whom to ask now; None: given up until somebody tells of it again."""
+        """The voter to ask now; None: given up until a grant names the version again."""
         if self.requests_sent >= ROUNDS * len(self.voters):
             return None
         voter = self.voters[self.requests_sent % len(self.voters)]
@@ -67,27 +69,29 @@
         return voter
 
     def next_pause(self) -> float:
-        """Seconds until the next one is asked, after one that did not answer."""
+        """Seconds until the next voter is asked, after one that did not answer."""
         return self.backoff.next_delay()
 
 
 class VersionFetcher:
-    """All versions that are sought."""
+    """All searches of one relay."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.searches: dict[int, VersionSearch] = {}
 
     def on_version_reported(self, number: int, voter: str) -> VersionSearch | None:
-        """A voter tells of a version that is lacking: what is to be begun, if it is not sought yet."""
+        """Note that a voter has a version that is lacking. Returns the search if it is a new one."""
         if number in self.searches:
             self.searches[number].add_voter(voter)
             return None
         if len(self.searches) >= CONCURRENT_SEARCHES_MAX:
             return None
-        found = self.searches[number] = VersionSearch(self.rng)
+        found = VersionSearch(self.rng)
+        self.searches[number] = found
         found.add_voter(voter)
         return found
 
     def finish(self, number: int) -> None:
+        """End a search: the version is known, or the search was given up."""
         self.searches.pop(number, None)
--- a/message_relay/consensus/version_history.py
+++ b/message_relay/consensus/version_history.py
@@ -1,16 +1,16 @@
-"""The versions, in the order in which they were agreed on: a replicated state machine. No I/O, no clock.
+"""Version history: a replicated state machine of the versions that were agreed on. No I/O, no clock.
 
-Each instance that votes applies the same commands in the same order and so holds the same book. A command
-that no longer fits (its base is not the newest, its version is no longer on trial) changes nothing and
-says why: of two operators who propose against the same version, the second is told what came first.
+Each voter applies the same commands in the same order and so holds the same history. A command that no
+longer fits (its base is not the newest version, its version is no longer a canary) changes nothing and is
+refused with a reason: of two operators who propose against the same version, the second learns what came
+first.
 
-    (none) --propose, canary--> TRIAL --promote--> CURRENT --a later one is--> PAST
-                                  '----withdraw--> WITHDRAWN
-    (none) --propose, at once---------------------> CURRENT
+    (none) --propose, share below 1--> CANARY --promote--> CURRENT --a later one is--> PAST
+                                         '----withdraw--> WITHDRAWN
+    (none) --propose, for all---------------------------> CURRENT
 
-A version on trial has to lie within the current one: relays that act on it then do nothing that the
-others are forbidden. A roll-back is a new version with an earlier one's rules, so that numbers only ever
-rise.
+A canary has to lie within the current version: relays that act on it then do nothing that the others are
+forbidden. A rollback is a new version with an earlier one's rules, so that numbers only ever rise.
 """
 
 from __future__ import annotations
@@ -26,11 +26,13 @@
 from .rules_meet import is_subset
 
 VERSIONS_RETAINED = 64  # with their rules: what a relay that is cut off may still hold lies among them
-CAUSE_CHARACTERS_MAX = 500  # letters of a cause, at most
+CAUSE_CHARACTERS_MAX = 500
 FIRST_NUMBER = 1
 
 
 class Stage(Enum):
+    """Where a version stands; the values are part of the formats."""
+
     CANARY = "trial"
     CURRENT = "current"
     PAST = "past"
@@ -38,15 +40,17 @@
 
 
 class Guard(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a change is taken back by itself: by the share of the ended messages that were delivered."""
+    """When a version is taken back by itself: by the delivered share of the completed messages."""
 
-    least_ratio: Annotated[float, Meta(ge=0, le=2)] = 0.9  # of those with the change to those without
-    least_count: Annotated[int, Meta(ge=1, le=10**9)] = 50  # messages on each side, before it says anything
-    watch_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0  # so long after it began
-    promote: bool = False  # one on trial becomes current once watched so long without harm
+    least_ratio: Annotated[float, Meta(ge=0, le=2)] = 0.9  # of the share with the version to that without
+    least_count: Annotated[int, Meta(ge=1, le=10**9)] = 50  # messages on each side, before it judges
+    watch_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0  # from when it was first seen in force
+    promote: bool = False  # a canary becomes current once watched so long without harm
 
 
 class Version(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One agreed version of the rules."""
+
     number: int
     digest: str
     rules: bytes  # encoded
@@ -55,51 +59,58 @@
     cause: str
     at_ms: float  # Unix time, as its proposer had it
     stage: Stage
-    share: float = 1.0  # of the relays, while on trial
+    share: float = 1.0  # of the relays, while it is a canary
     guard: Guard | None = None
     restored_from: int = msgspec.field(default=0, name="of")  # the version whose rules it brings back
 
     @property
     def decoded_rules(self) -> Rules:
-        return _set_of(self.rules)
+        """The rules; decoded once for all versions that have the same."""
+        return _decoded(self.rules)
 
 
-_SETS: dict[bytes, Rules] = {}  # decoded, for the versions kept
+_DECODED: dict[bytes, Rules] = {}  # cache, for the versions retained
 
 
-def _set_of(raw: bytes) -> Rules:
-    found = _SETS.get(raw)
+def _decoded(raw: bytes) -> Rules:
+    found = _DECODED.get(raw)
     if found is None:
-        if len(_SETS) > 4 * VERSIONS_RETAINED:
-            _SETS.clear()
-        found = _SETS[raw] = decode_rules(raw)
+        if len(_DECODED) > 4 * VERSIONS_RETAINED:
+            _DECODED.clear()
+        found = _DECODED[raw] = decode_rules(raw)
     return found
 
 
 class Propose(msgspec.Struct, frozen=True, tag="propose"):
+    """Add a version with new rules."""
+
     base: int  # the newest version that its author has seen
     rules: bytes
     author: str
     cause: str
     at_ms: float
-    share: float = 1.0  # below 1: on trial
+    share: float = 1.0  # of the relays; below 1: a canary
     guard: Guard | None = None
     restored_from: int = msgspec.field(default=0, name="of")
 
 
 class Promote(msgspec.Struct, frozen=True, tag="promote"):
+    """Make the canary the current version."""
+
     number: int
     author: str
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag="withdraw"):
+    """Take the canary back."""
+
     number: int
     author: str
     cause: str
 
 
 class ChangeVoters(msgspec.Struct, frozen=True, tag="voters"):
-    """One more or one less: two steps at once could have majorities that do not meet."""
+    """Add or remove one voter: with two at once there could be majorities that do not overlap."""
 
     base: int
     add: str
@@ -109,10 +120,10 @@
 
 
 class Forget(msgspec.Struct, frozen=True, tag="forget"):
-    """An operator's word that this process has ended for good: nothing waits for it any more."""
+    """An operator's statement that a process has ended for good: no voter waits for it any more."""
 
     name: str
-    boot: int
+    epoch: int = msgspec.field(name="boot")
     author: str
     at_ms: float
 
@@ -122,14 +133,14 @@
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """What became of a command."""
+    """The result of a command: the version that it made or changed, or why it was refused."""
 
-    number: int = 0  # the version that it made or changed
+    number: int = 0
     refused: str = ""
 
 
 def decode_command(raw: bytes) -> Command:
-    """Raises RulesError."""
+    """Decode a command as it goes into the log. Raises RulesError."""
     try:
         return _COMMAND.decode(raw)
     except msgspec.MsgspecError as error:
@@ -137,8 +148,10 @@
 
 
 class VersionHistory:
+    """The latest versions, and what was agreed on beside the rules."""
+
     def __init__(self, first: Rules, voters: tuple[str, ...]) -> None:
-        """All instances begin with the same first version, by their operator's file."""
+        """All instances start with the same first version, by their operator's file."""
         self.versions = [
             Version(
                 FIRST_NUMBER,
@@ -151,49 +164,55 @@
                 Stage.CURRENT,
             )
         ]
-        self.forgotten_epochs: dict[str, int] = {}  # name -> boot up to which it was forgotten
-        self.applied_count = 0  # commands, and whole states that were loaded: another number, another state
-        self.voters_changed_at_ms = 0.0  # when they last changed, by their proposer's clock
+        self.forgotten_epochs: dict[str, int] = {}  # by name: the epoch up to which it was forgotten
+        # Commands, and whole states that were loaded: another number means another state.
+        self.applied_count = 0
+        self.voters_changed_at_ms = 0.0  # by the clock of who proposed it
 
-    # -- what it says ----------------------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------------------------
 
     @property
     def newest(self) -> Version:
+        """The version with the highest number, at any stage."""
         return self.versions[-1]
 
     @property
     def current(self) -> Version:
+        """The newest version that holds for all relays."""
         return next(each for each in reversed(self.versions) if each.stage is Stage.CURRENT)
 
     @property
     def canary(self) -> Version | None:
+        """The version that a share of the relays tries, if there is one."""
         return self.newest if self.newest.stage is Stage.CANARY else None
 
     def get(self, number: int) -> Version | None:
-        at = number - self.versions[0].number
-        return self.versions[at] if 0 <= at < len(self.versions) else None
+        """A version by its number; None if it is not known or not retained any more."""
+        index = number - self.versions[0].number
+        return self.versions[index] if 0 <= index < len(self.versions) else None
 
     # -- commands --------------------------------------------------------------------------------------------
 
-    def apply(self, told: Command) -> CommandResult:
+    def apply(self, command: Command) -> CommandResult:
+        """Apply an agreed command, or refuse it."""
         self.applied_count += 1
         try:
-            match told:
+            match command:
                 case Propose():
-                    return self._propose(told)
+                    return self._propose(command)
                 case Promote(number):
-                    return self._staged(number, Stage.CURRENT)
+                    return self._end_canary(number, Stage.CURRENT)
                 case Withdraw(number):
-                    return self._staged(number, Stage.WITHDRAWN)
+                    return self._end_canary(number, Stage.WITHDRAWN)
                 case ChangeVoters():
-                    return self._voters(told)
-                case Forget(name, boot):
-                    self.forgotten_epochs[name] = max(boot, self.forgotten_epochs.get(name, 0))
+                    return self._change_voters(command)
+                case Forget(name, epoch):
+                    self.forgotten_epochs[name] = max(epoch, self.forgotten_epochs.get(name, 0))
                     return CommandResult(self.newest.number)
         except RulesError as error:
             return CommandResult(refused=str(error))
 
-    def _fits(self, base: int) -> None:
+    def _check_base(self, base: int) -> None:
         newest = self.newest
         if base != newest.number:
             raise RulesError(
@@ -203,11 +222,11 @@
         if newest.stage is Stage.CANARY:
             raise RulesError(f"version {newest.number} is on trial: promote or withdraw it first")
 
-    def _propose(self, told: Propose) -> CommandResult:
-        self._fits(told.base)
-        rules = decode_rules(told.rules)
-        trial = told.share < 1.0
-        if trial and not is_subset(rules, self.current.decoded_rules):
+    def _propose(self, command: Propose) -> CommandResult:
+        self._check_base(command.base)
+        rules = decode_rules(command.rules)
+        is_canary = command.share < 1.0
+        if is_canary and not is_subset(rules, self.current.decoded_rules):
             raise RulesError(
                 "share: only a version that is stricter than the current one in each field that "
                 "changes can be tried on a part of the relays; this one goes at once or not at all"
@@ -218,29 +237,29 @@
                 digest(rules),
                 encode_rules(rules),
                 self.newest.voters,
-                told.author,
-                told.cause[:CAUSE_CHARACTERS_MAX],
-                told.at_ms,
-                Stage.CANARY if trial else Stage.CURRENT,
-                told.share,
-                told.guard,
-                told.restored_from,
+                command.author,
+                command.cause[:CAUSE_CHARACTERS_MAX],
+                command.at_ms,
+                Stage.CANARY if is_canary else Stage.CURRENT,
+                command.share,
+                command.guard,
+                command.restored_from,
             )
         )
         return CommandResult(self.newest.number)
 
     def _add(self, version: Version) -> None:
         if version.stage is Stage.CURRENT:
-            self._past()
+            self._retire_current()
         self.versions.append(version)
         del self.versions[: max(0, len(self.versions) - VERSIONS_RETAINED)]
 
-    def _past(self) -> None:
-        for n, each in enumerate(self.versions):
-            if each.stage is Stage.CURRENT:
-                self.versions[n] = msgspec.structs.replace(each, stage=Stage.PAST)
+    def _retire_current(self) -> None:
+        for index, version in enumerate(self.versions):
+            if version.stage is Stage.CURRENT:
+                self.versions[index] = msgspec.structs.replace(version, stage=Stage.PAST)
 
-    def _staged(self, number: int, stage: Stage) -> CommandResult:
+    def _end_canary(self, number: int, stage: Stage) -> CommandResult:
         newest = self.newest
         if newest.number != number or newest.stage is not Stage.CANARY:
             found = self.get(number)
@@ -249,33 +268,23 @@
                 + ("there is none" if found is None else f"it is {found.stage.value}")
             )
         if stage is Stage.CURRENT:
-            self._past()
+            self._retire_current()
         self.versions[-1] = msgspec.structs.replace(newest, stage=stage)
         return CommandResult(number)
 
-    def _voters(self, told: ChangeVoters) -> CommandResult:
-        self._fits(told.base)
-        voters = set(self.newest.voters)
-        if bool(told.add) == bool(told.remove):
-            raise RulesError("voters: one to add, or one to remove: a step at a time")
-        if told.add in voters or told.remove and told.remove not in voters:
-            raise RulesError(
-                f"voters: {told.add or told.remove!r} is{' already' * bool(told.add)} "
-                f"{'' if told.add else 'not '}among {', '.join(sorted(voters))}"
-            )
-        voters = (voters | {told.add} if told.add else voters - {told.remove}) - {""}
-        if not voters:
-            raise RulesError(f"voters: {told.remove!r} is the last one")
-        newest, word = self.newest, "added" if told.add else "removed"
+    def _change_voters(self, command: ChangeVoters) -> CommandResult:
+        self._check_base(command.base)
+        voters = self._voters_after(command)
+        action = "added" if command.add else "removed"
         self._add(
             msgspec.structs.replace(
-                newest,
-                number=newest.number + 1,
+                self.newest,
+                number=self.newest.number + 1,
                 voters=tuple(sorted(voters)),
-                author=told.author,
+                author=command.author,
                 restored_from=0,
-                cause=f"voter {told.add or told.remove} {word}",
-                at_ms=told.at_ms,
+                cause=f"voter {command.add or command.remove} {action}",
+                at_ms=command.at_ms,
                 stage=Stage.CURRENT,
                 share=1.0,
                 guard=None,
@@ -283,17 +292,34 @@
                 digest=self.current.digest,
             )
         )
-        self.voters_changed_at_ms = told.at_ms
+        self.voters_changed_at_ms = command.at_ms
         return CommandResult(self.newest.number)
 
-    # -- as bytes --------------------------------------------------------------------------------------------
+    def _voters_after(self, command: ChangeVoters) -> set[str]:
+        """The voters once a command is applied. Raises RulesError."""
+        voters = set(self.newest.voters)
+        add, remove = command.add, command.remove
+        if bool(add) == bool(remove):
+            raise RulesError("voters: one to add, or one to remove: a step at a time")
+        if add in voters or (remove and remove not in voters):
+            raise RulesError(
+                f"voters: {add or remove!r} is{' already' if add else ''} "
+                f"{'' if add else 'not '}among {', '.join(sorted(voters))}"
+            )
+        voters = (voters | {add} if add else voters - {remove}) - {""}
+        if not voters:
+            raise RulesError(f"voters: {remove!r} is the last one")
+        return voters
+
+    # -- snapshots -------------------------------------------------------------------------------------------
 
     def dump(self) -> bytes:
+        """The state, for `load`."""
         return msgspec.json.encode((self.versions, self.forgotten_epochs, self.voters_changed_at_ms))
 
     def load(self, raw: bytes) -> None:
-        """Raises msgspec.MsgspecError."""
+        """Replace the state by one that was dumped. Raises msgspec.MsgspecError."""
         shape = tuple[list[Version], dict[str, int], float]
-        told: tuple[list[Version], dict[str, int], float] = msgspec.json.decode(raw, type=shape)
-        self.versions, self.forgotten_epochs, self.voters_changed_at_ms = told
+        state: tuple[list[Version], dict[str, int], float] = msgspec.json.decode(raw, type=shape)
+        self.versions, self.forgotten_epochs, self.voters_changed_at_ms = state
         self.applied_count += 1
--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -110,7 +110,7 @@
                 "unix ms": told.at_ms,
             }
         case Forget():
-            return {"forgotten": told.name, "boot": told.boot, "author": told.author, "unix ms": told.at_ms}
+            return {"forgotten": told.name, "boot": told.epoch, "author": told.author, "unix ms": told.at_ms}
         case _:
             return {"withdrawal of": told.number, "author": told.author, "cause": told.cause}
 
