--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -13,14 +13,14 @@
 from message_relay.failover.controller import FailoverController
 from message_relay.failover.node import FORWARDED_REPORTS, OBSERVATIONS_KIND
 from message_relay.failover.observations import RETAINED_WINDOWS, ObservationReport, Observations
-from message_relay.failover.settings import FailoverSettings, ZonePart
+from message_relay.failover.settings import FailoverSettings, ZoneSettings
 from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
 
 from .form import Measure
 
 SECRET = b"0123456789abcdef"
 ZONES = tuple(f"zone-{n}" for n in range(10))
-PART = FailoverSettings({zone: ZonePart(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
+PART = FailoverSettings({zone: ZoneSettings(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
 CALLS = 857  # of a relay in a window: a second of its share of three million
 DESTINATIONS = 20  # that a relay calls in a window, where relays are counted; of as many as ten relays call
 GROUP = "anywhere 1"
--- a/benchmarks/capacity/planner.py
+++ b/benchmarks/capacity/planner.py
@@ -6,7 +6,14 @@
 import time
 from collections.abc import Callable, Mapping
 
-from message_relay.failover.planner import Group, Plan, Problem, Solver, greedy, plans
+from message_relay.failover.planner import (
+    Plan,
+    PlanningProblem,
+    Solver,
+    TrafficGroup,
+    plan_all,
+    plan_greedily,
+)
 
 from .form import Measure
 
@@ -15,7 +22,7 @@
 ROUNDS = 5  # of different problems, the median of which counts
 
 
-def problem(zones: int, groups: int, seed: int) -> Problem:
+def problem(zones: int, groups: int, seed: int) -> PlanningProblem:
     """One zone is lost, and the others have room for most of what it had."""
     rng = random.Random(seed)
     names = tuple(f"zone-{n}" for n in range(zones))
@@ -24,9 +31,9 @@
     demand = {(name, f"g{n}"): rng.uniform(20.0, 40.0) for name in names for n in range(groups)}
     room = {name: 33.0 * groups for name in names}
     lost = names[0]
-    return Problem(
+    return PlanningProblem(
         names,
-        tuple(Group(f"g{n}", 1.0 + n) for n in range(groups)),
+        tuple(TrafficGroup(f"g{n}", 1.0 + n) for n in range(groups)),
         demand,
         room,
         {(a, lost): 0.0 for a in names},
@@ -36,7 +43,7 @@
     )
 
 
-def median_ms(zones: int, groups: int, made: Callable[[Problem], Plan | None]) -> float:
+def median_ms(zones: int, groups: int, made: Callable[[PlanningProblem], Plan | None]) -> float:
     times = []
     for seed in range(ROUNDS):
         each = problem(zones, groups, seed)
@@ -48,9 +55,9 @@
 
 def solver() -> Solver:
     """Loaded here: all other measures are imported beside this one, and don't need it."""
-    from message_relay.failover.solver import solved
+    from message_relay.failover.solver import solve
 
-    return solved
+    return solve
 
 
 def of_zones(size: int) -> Mapping[str, float]:
@@ -58,7 +65,7 @@
     solved(problem(2, 1, 0), 1.0)  # what is loaded at the first use is not of a plan
     return {
         "solved_cpu_ms": median_ms(size, GROUPS, lambda each: solved(each, 10.0)),
-        "greedy_cpu_ms": median_ms(size, GROUPS, greedy),
+        "greedy_cpu_ms": median_ms(size, GROUPS, plan_greedily),
     }
 
 
@@ -67,7 +74,7 @@
     solved(problem(2, 1, 0), 1.0)
     return {
         "solved_cpu_ms": median_ms(ZONES, size, lambda each: solved(each, 10.0)),
-        "greedy_cpu_ms": median_ms(ZONES, size, greedy),
+        "greedy_cpu_ms": median_ms(ZONES, size, plan_greedily),
     }
 
 
@@ -76,9 +83,9 @@
     solved(problem(2, 1, 0), 1.0)
     problems = {n: problem(ZONES, GROUPS, n) for n in range(size)}
     began = time.process_time()
-    found = plans(problems, solved, BUDGET_S, time.perf_counter)
+    found = plan_all(problems, solved, BUDGET_S, time.perf_counter)
     took = 1000 * (time.process_time() - began)
-    return {"cpu_ms": took, "solved": sum(each.how == "solved" for each in found.values())}
+    return {"cpu_ms": took, "solved": sum(each.method == "solved" for each in found.values())}
 
 
 MEASURES = (
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -23,8 +23,8 @@
 import time
 from typing import Any
 
-from message_relay.failover.planner import Group, Problem, plans
-from message_relay.failover.solver import solved
+from message_relay.failover.planner import PlanningProblem, TrafficGroup, plan_all
+from message_relay.failover.solver import solve
 
 from .cluster_harness import cluster
 from .processes import Clients, most
@@ -37,32 +37,35 @@
 DOWN_S, RATE, INSTANCES = 6.0, 60.0, 24
 
 
-def problem(rng: random.Random, zones: int) -> Problem:
+def problem(rng: random.Random, zones: int) -> PlanningProblem:
     names = tuple(f"z{n}" for n in range(zones))
-    groups = (Group("anywhere 1"), Group("anywhere 5", 5.0))
+    groups = (TrafficGroup("anywhere 1"), TrafficGroup("anywhere 5", 5.0))
     demand = {(zone, group.name): rng.uniform(1, 50) for zone in names for group in groups}
     asked = {zone: sum(demand[zone, group.name] for group in groups) for zone in names}
     room = {zone: asked[zone] * rng.uniform(1.0, 1.4) for zone in names}
     price = {(a, b): 0.0 if a == b else 0.05 for a in names for b in names}
-    return Problem(names, groups, demand, room, {(zone, "z0"): 0.0 for zone in names}, price)
+    return PlanningProblem(names, groups, demand, room, {(zone, "z0"): 0.0 for zone in names}, price)
 
 
 def planner(destinations: int, zones: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
     problems = {n: problem(rng, zones) for n in range(destinations)}
     begun = time.perf_counter()
-    quick = plans(problems, None, 0.0, time.perf_counter)
+    quick = plan_all(problems, None, 0.0, time.perf_counter)
     middle = time.perf_counter()
-    best = plans(problems, solved, 0.15, time.perf_counter)
+    best = plan_all(problems, solve, 0.15, time.perf_counter)
     ended = time.perf_counter()
-    both = [n for n, plan in best.items() if plan.how == "solved"]
+    both = [n for n, plan in best.items() if plan.method == "solved"]
     return {
         "destinations": destinations,
         "greedy_ms": round(1000 * (middle - begun), 1),
         "with_solver_ms": round(1000 * (ended - middle), 1),
         "solved": len(both),
         "worth": round(
-            statistics.mean(quick[n].worth(problems[n]) / best[n].worth(problems[n]) for n in both), 4
+            statistics.mean(
+                quick[n].total_value(problems[n]) / best[n].total_value(problems[n]) for n in both
+            ),
+            4,
         ),
     }
 
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -17,11 +17,11 @@
 
 from emulator.experiment import decoded
 from emulator.zones import Cut, Mode, Outage, Place, Zoned
-from message_relay.failover.settings import ClassPart, FailoverSettings, ZonePart
+from message_relay.failover.settings import ClassSettings, FailoverSettings, ZoneSettings
 
-EAST, WEST = ZonePart("east"), ZonePart("west")
+EAST, WEST = ZoneSettings("east"), ZoneSettings("west")
 PART = FailoverSettings(
-    zones={"a": EAST, "b": EAST, "c": WEST}, classes={"pay": ClassPart(5.0, "region")}, window_s=1.0
+    zones={"a": EAST, "b": EAST, "c": WEST}, classes={"pay": ClassSettings(5.0, "region")}, window_s=1.0
 )
 DESTINATIONS, EACH = 6, 3.0  # messages a second of one relay
 SECONDS = 40.0
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -142,7 +142,7 @@
         return acting
 
     def _stays(self, zone: str) -> Callable[[str, str], bool]:
-        return lambda class_, target: self.place.part.allowed(class_, zone, target)
+        return lambda class_, target: self.place.part.is_allowed(class_, zone, target)
 
     def _decider(self) -> FailoverController:
         return FailoverController(self.place.part, self.evidence, None, lambda: 0.0)
@@ -200,7 +200,7 @@
         if gate.authorize(now / 1000, call) is None:
             return False
         self.moves.by[gate.zone, call.zone] += 1
-        if not self.place.part.allowed(class_.name, gate.zone, call.zone):
+        if not self.place.part.is_allowed(class_.name, gate.zone, call.zone):
             self.moves.outside.append(call.message_id)
         return True
 
@@ -213,7 +213,7 @@
 
     def _took(self, node: Node, life: Life) -> None:
         name = self.it.classes[life.class_].name
-        self.counting[node.number].record_submission(life.destination, self.place.part.group(name))
+        self.counting[node.number].record_submission(life.destination, self.place.part.group_name(name))
 
     def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
         entry, number = self.listing[this.endpoint], this.node.number
--- a/message_relay/failover/controller.py
+++ b/message_relay/failover/controller.py
@@ -40,7 +40,7 @@
     relay_shares,
     spare_flows,
 )
-from .planner import Group, Plan, Problem, Solver, Way, plans
+from .planner import Plan, PlanningProblem, Route, Solver, TrafficGroup, plan_all
 from .settings import FailoverSettings
 from .zone_health import RECOVERY_RAMP, HealthState, ZoneHealth, ZoneHealthJudge
 
@@ -56,7 +56,7 @@
     """Why a destination has the plan that it has: for `zone plan --explain`."""
 
     method: str
-    flows: dict[Way, float]
+    flows: dict[Route, float]
     shed: dict[tuple[str, str], float]
     capacity: dict[str, float]
 
@@ -86,7 +86,7 @@
         self.last_observed.clear()
         self.resumed = False
 
-    def update(self, now: float, rules: Rules, capacities: Capacities) -> dict[int, Problem]:
+    def update(self, now: float, rules: Rules, capacities: Capacities) -> dict[int, PlanningProblem]:
         """Judges by the observations until now; the problems to solve with `compute_plans`."""
         self.observations.drop_expired(now)
         if not self.resumed:
@@ -94,9 +94,9 @@
         self._judge(now)
         return self.problems(now, capacities, rules.policies.evacuated)
 
-    def compute_plans(self, problems: dict[int, Problem]) -> dict[int, Plan]:
+    def compute_plans(self, problems: dict[int, PlanningProblem]) -> dict[int, Plan]:
         """Plans within the time budget. Touches no state that changes, so it may run in a thread."""
-        return plans(problems, self.solver, self.settings.budget_ms / 1000, self.clock)
+        return plan_all(problems, self.solver, self.settings.budget_ms / 1000, self.clock)
 
     def next_rules(
         self,
@@ -104,7 +104,7 @@
         rules: Rules,
         capacities: Capacities,
         relays: dict[str, list[str]],
-        problems: dict[int, Problem],
+        problems: dict[int, PlanningProblem],
         found: dict[int, Plan],
     ) -> Rules | None:
         """The rules with the next plan; None where the plan in force suffices. `relays`: names by zone."""
@@ -126,7 +126,7 @@
         self,
         destination: int,
         plan: Plan | None,
-        problems: dict[int, Problem],
+        problems: dict[int, PlanningProblem],
         capacities: Capacities,
         relays: dict[str, list[str]],
     ) -> FlowRule | None:
@@ -137,7 +137,7 @@
             return FlowRule(spare=spare) if spare else None
         problem = problems[destination]
         self.explanations[destination] = PlanExplanation(
-            plan.how, plan.flows, plan.shed(problem), problem.room
+            plan.method, plan.flows, plan.shed_rates(problem), problem.capacity
         )
         shares = relay_shares(destination, problem, relays)
         return FlowRule(flow_bounds(self.zones, plan, problem, spare), spare, shares)
@@ -226,16 +226,16 @@
 
     def problems(
         self, now: float, capacities: Capacities, evacuated: Iterable[str] = ()
-    ) -> dict[int, Problem]:
+    ) -> dict[int, PlanningProblem]:
         """Of each destination whose traffic can't all stay in its own zone."""
         demand = self.observations.demand(now)
         lost_by_most = self.pairs_lost_by_most()
         prices = {
-            (source, target): self.settings.price(source, target)
+            (source, target): self.settings.call_cost(source, target)
             for source in self.zones
             for target in self.zones
         }
-        found: dict[int, Problem] = {}
+        found: dict[int, PlanningProblem] = {}
         for destination, sources in demand.items():
             shares = self.shares(destination, evacuated, lost_by_most)
             capacity = capacities.get(destination, {})
@@ -252,11 +252,11 @@
         shares: dict[ZonePair, float],
         capacity: dict[str, float],
         prices: dict[ZonePair, float],
-    ) -> Problem:
+    ) -> PlanningProblem:
         judge = self.judges.get(destination)
         explanation = self.explanations.get(destination)
         success = {pair: 1.0 if judge is None else judge.health(pair).success_share for pair in shares}
-        return Problem(
+        return PlanningProblem(
             self.zones,
             tuple(self._group(name) for name in sorted({group for _, group in sources})),
             {source: rate for source, rate in sources.items() if source[0] in self.settings.zones},
@@ -275,19 +275,19 @@
         steps = [health.ramp_step for (_, target), health in judge.pairs.items() if target == zone]
         return capacity * RECOVERY_RAMP[max(steps, default=0)]
 
-    def _group(self, name: str) -> Group:
+    def _group(self, name: str) -> TrafficGroup:
         """The planner's group for a name made by `FailoverSettings.group`."""
         stay, _, weight = name.partition(" ")
         if stay == "anywhere":
-            return Group(name, float(weight or 1.0), None)
-        region = self.settings.region
+            return TrafficGroup(name, float(weight or 1.0), None)
+        region = self.settings.region_of
         allowed = frozenset(
             (source, target)
             for source in self.zones
             for target in self.zones
             if source == target or (stay == "region" and region(source) == region(target))
         )
-        return Group(name, float(weight or 1.0), allowed)
+        return TrafficGroup(name, float(weight or 1.0), allowed)
 
 
 def _exceeds_local_capacity(sources: dict[tuple[str, str], float], capacity: dict[str, float]) -> bool:
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -37,11 +37,11 @@
 def load_solver() -> Solver | None:
     """The linear solver; None without the extra `failover`: all plans are greedy then."""
     try:
-        from .solver import solved
+        from .solver import solve
     except ImportError as error:
         log.warning(LogEvent("failover solver not available", why=error))
         return None
-    return solved
+    return solve
 
 
 class Failover:
@@ -67,7 +67,7 @@
         self.tasks = BackgroundTasks()
         gossip.datagram_handlers[OBSERVATIONS_KIND] = self._on_report
         consensus.call_observer = self
-        consensus.rule_enforcer.may_use_zone = lambda class_name, target: settings.allowed(
+        consensus.rule_enforcer.may_use_zone = lambda class_name, target: settings.is_allowed(
             class_name, own.zone, target
         )
 
@@ -90,7 +90,7 @@
 
     def on_request(self, destination: int, class_: str) -> None:
         """Counts a submitted message."""
-        self.call_counter.record_submission(destination, self.settings.group(class_))
+        self.call_counter.record_submission(destination, self.settings.group_name(class_))
 
     def on_call_completed(
         self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
--- a/message_relay/failover/plan_rules.py
+++ b/message_relay/failover/plan_rules.py
@@ -9,7 +9,7 @@
 
 from ..consensus.rule_enforcement import hash_position
 from ..consensus.rules import FlowRule, Rules
-from .planner import Plan, Problem
+from .planner import Plan, PlanningProblem
 from .settings import FailoverSettings
 
 MIN_RELATIVE_CHANGE = 0.2  # of a bound: a smaller change is no reason for a version
@@ -33,14 +33,14 @@
 
 
 def relay_shares(
-    destination: int, problem: Problem, relays: dict[str, list[str]]
+    destination: int, problem: PlanningProblem, relays: dict[str, list[str]]
 ) -> dict[str, dict[str, float]]:
     """By source and target zone: the share of the source's relays that use the target.
 
     A share above 0 includes one relay at the least, or nothing would be observed of the target any more.
     """
     shares: dict[str, dict[str, float]] = {}
-    for (source, target), share in sorted(problem.part.items()):
+    for (source, target), share in sorted(problem.allowed_share.items()):
         if share > 0:
             positions = (hash_position(destination, target, name) for name in relays.get(source, ()))
             first = min(positions, default=0.0)
@@ -50,12 +50,12 @@
 
 
 def flow_bounds(
-    zones: tuple[str, ...], plan: Plan, problem: Problem, spare: dict[str, float]
+    zones: tuple[str, ...], plan: Plan, problem: PlanningProblem, spare: dict[str, float]
 ) -> dict[str, dict[str, float]]:
     """By source and target zone: calls a second that may go there, with some headroom over the plan."""
     bounds: dict[str, dict[str, float]] = {}
     for target in zones:
-        capacity = problem.room.get(target, math.inf)
+        capacity = problem.capacity.get(target, math.inf)
         if math.isinf(capacity):
             continue
         flows = _flows_into(target, plan)
--- a/message_relay/failover/settings.py
+++ b/message_relay/failover/settings.py
@@ -7,23 +7,23 @@
 import msgspec
 from msgspec import Meta
 
-Stay = Literal["zone", "region", "anywhere"]
+Locality = Literal["zone", "region", "anywhere"]
 
 
-class ZonePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ZoneSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     region: Annotated[str, Meta(min_length=1, max_length=200)] = "here"
 
 
-class ClassPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     worth: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # of one that is delivered, against the other classes
-    stay: Stay = "anywhere"  # where it may be sent: its relay's zone or region; it waits or ends there
+    stay: Locality = "anywhere"  # where it may be sent: its relay's zone or region; it waits or ends there
 
 
 class FailoverSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Traffic near while that is safe, elsewhere by a plan that all agree on."""
 
-    zones: dict[str, ZonePart] = {}  # as the platform names them; none: there are no plans
-    classes: dict[str, ClassPart] = {}
+    zones: dict[str, ZoneSettings] = {}  # as the platform names them; none: there are no plans
+    classes: dict[str, ClassSettings] = {}
     window_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0  # of the evidence
     spare: Annotated[float, Meta(ge=0, le=0.5)] = 0.1  # of a zone's room, kept for relays that are cut off
     zone_price: Annotated[float, Meta(ge=0, le=0.9)] = 0.05  # of a call's worth, into another zone
@@ -31,37 +31,37 @@
     budget_ms: Annotated[float, Meta(ge=1, le=10_000)] = 150.0  # of the solver, for one plan
 
     @property
-    def on(self) -> bool:
+    def is_enabled(self) -> bool:
         return bool(self.zones)
 
     def __post_init__(self) -> None:
-        if self.on and len(self.zones) < 2:
+        if self.is_enabled and len(self.zones) < 2:
             raise ValueError("zones: one alone has nowhere to go: name all of them, or none")
         if self.region_price < self.zone_price:
             raise ValueError(
                 f"region_price: {self.region_price:g} must be zone_price ({self.zone_price:g}) or more"
             )
 
-    def region(self, zone: str) -> str:
+    def region_of(self, zone: str) -> str:
         return self.zones[zone].region if zone in self.zones else ""
 
-    def class_(self, name: str) -> ClassPart:
-        return self.classes.get(name) or self.classes.get("*") or ClassPart()
+    def class_settings(self, name: str) -> ClassSettings:
+        return self.classes.get(name) or self.classes.get("*") or ClassSettings()
 
-    def allowed(self, name: str, source: str, target: str) -> bool:
+    def is_allowed(self, name: str, source: str, target: str) -> bool:
         """Whether a message of that class may go from a relay in `source` to an endpoint in `target`: asked
         right before the first byte, whatever plan there is."""
-        stay = self.class_(name).stay
+        stay = self.class_settings(name).stay
         if stay == "anywhere" or source == target:
             return True
-        return stay == "region" and self.region(source) == self.region(target) != ""
+        return stay == "region" and self.region_of(source) == self.region_of(target) != ""
 
-    def price(self, source: str, target: str) -> float:
+    def call_cost(self, source: str, target: str) -> float:
         if source == target:
             return 0.0
-        return self.zone_price if self.region(source) == self.region(target) else self.region_price
+        return self.zone_price if self.region_of(source) == self.region_of(target) else self.region_price
 
-    def group(self, name: str) -> str:
+    def group_name(self, name: str) -> str:
         """Classes of the same worth that may go to the same places are one to a plan."""
-        told = self.class_(name)
+        told = self.class_settings(name)
         return f"{told.stay} {told.worth:g}"
--- a/message_relay/failover/solver.py
+++ b/message_relay/failover/solver.py
@@ -15,20 +15,20 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix, hstack
 
-from .planner import STAY, TINY, Plan, Problem, Way
+from .planner import NEGLIGIBLE_RATE, STABILITY_BONUS, Plan, PlanningProblem, Route
 
 
-def solved(problem: Problem, seconds: float) -> Plan | None:
+def solve(problem: PlanningProblem, seconds: float) -> Plan | None:
     """None where it fails or takes longer. Zones are put into an order by what they are and not by their
     names, so that of equally good plans the same one is chosen whatever they are called."""
-    zones = _ordered(problem)
-    ways, scores = _ways(problem, zones)
+    zones = _name_independent_order(problem)
+    ways, scores = _usable_routes(problem, zones)
     if not ways:
         return Plan({}, "solved")
-    matrix, bounds = _limits(problem, zones, ways)
-    last = np.array([problem.last.get(way, 0.0) for way in ways])
+    matrix, bounds = _limit_matrix(problem, zones, ways)
+    last = np.array([problem.previous_flows.get(way, 0.0) for way in ways])
     count = len(ways)
-    stay = STAY * np.array(scores) / 2
+    stay = STABILITY_BONUS * np.array(scores) / 2
     # x: the flow; u, v: how far it is above and under the last one.
     cost = np.concatenate([-np.array(scores), stay, stay])
     eye = coo_matrix((np.ones(count), (range(count), range(count))), shape=(count, count))
@@ -40,43 +40,45 @@
         b_ub=bounds,
         A_eq=equal,
         b_eq=last,
-        bounds=[(0.0, problem.most(way)) for way in ways] + [(0.0, None)] * (2 * count),
+        bounds=[(0.0, problem.route_limit(way)) for way in ways] + [(0.0, None)] * (2 * count),
         method="highs",
         options={"time_limit": max(0.001, seconds), "presolve": False},
     )
     if result.status != 0 or result.x is None:
         return None
-    return Plan(_trimmed(problem, dict(zip(ways, result.x[:count], strict=True))), "solved")
+    return Plan(_trim_to_limits(problem, dict(zip(ways, result.x[:count], strict=True))), "solved")
 
 
-def _ordered(problem: Problem) -> list[str]:
+def _name_independent_order(problem: PlanningProblem) -> list[str]:
     def features(zone: str) -> tuple[Any, ...]:
         rates = tuple(problem.demand.get((zone, group.name), 0.0) for group in problem.groups)
-        out = sorted(problem.ability.get((zone, other), 1.0) for other in problem.zones)
-        into = sorted(problem.ability.get((other, zone), 1.0) for other in problem.zones)
-        last = sorted(rate for (source, _, target), rate in problem.last.items() if zone in (source, target))
-        prices = sorted(problem.price.get((zone, other), 0.0) for other in problem.zones)
-        return problem.room.get(zone, math.inf), rates, out, into, last, prices
+        out = sorted(problem.success_ratio.get((zone, other), 1.0) for other in problem.zones)
+        into = sorted(problem.success_ratio.get((other, zone), 1.0) for other in problem.zones)
+        last = sorted(
+            rate for (source, _, target), rate in problem.previous_flows.items() if zone in (source, target)
+        )
+        prices = sorted(problem.cost.get((zone, other), 0.0) for other in problem.zones)
+        return problem.capacity.get(zone, math.inf), rates, out, into, last, prices
 
     return sorted(problem.zones, key=features)
 
 
-def _ways(problem: Problem, zones: list[str]) -> tuple[list[Way], list[float]]:
-    ways: list[Way] = []
+def _usable_routes(problem: PlanningProblem, zones: list[str]) -> tuple[list[Route], list[float]]:
+    ways: list[Route] = []
     scores: list[float] = []
     for group in problem.groups:
         for source in zones:
-            if problem.demand.get((source, group.name), 0.0) <= TINY:
+            if problem.demand.get((source, group.name), 0.0) <= NEGLIGIBLE_RATE:
                 continue
             for target in zones:
                 score = problem.score(group, (source, target))
-                if score > 0 and problem.room.get(target, math.inf) > TINY:
+                if score > 0 and problem.capacity.get(target, math.inf) > NEGLIGIBLE_RATE:
                     ways.append((source, group.name, target))
                     scores.append(score)
     return ways, scores
 
 
-def _limits(problem: Problem, zones: list[str], ways: list[Way]) -> tuple[Any, list[float]]:
+def _limit_matrix(problem: PlanningProblem, zones: list[str], ways: list[Route]) -> tuple[Any, list[float]]:
     """A row for each source's demand, and one for each target's room."""
     rows: dict[tuple[str, ...], int] = {}
     bounds: list[float] = []
@@ -84,7 +86,7 @@
     for column, (source, group, target) in enumerate(ways):
         for key, most in (
             ((source, group), problem.demand[source, group]),
-            ((target,), problem.room.get(target, math.inf)),
+            ((target,), problem.capacity.get(target, math.inf)),
         ):
             if math.isinf(most):
                 continue
@@ -96,10 +98,10 @@
     return coo_matrix((np.ones(len(places)), at), shape=(len(bounds), len(ways))), bounds
 
 
-def _trimmed(problem: Problem, flows: dict[Way, float]) -> dict[Way, float]:
+def _trim_to_limits(problem: PlanningProblem, flows: dict[Route, float]) -> dict[Route, float]:
     """The solver keeps to its bounds up to a small error; the plan does so exactly."""
     found = {way: float(rate) for way, rate in flows.items() if rate > 1e-7}
-    for key, limits in ((slice(0, 2), problem.demand), (slice(2, 3), problem.room)):
+    for key, limits in ((slice(0, 2), problem.demand), (slice(2, 3), problem.capacity)):
         sums: dict[Any, float] = {}
         for way, rate in found.items():
             sums[way[key]] = sums.get(way[key], 0.0) + rate
--- a/message_relay/failover/views.py
+++ b/message_relay/failover/views.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .controller import FailoverController
-from .planner import Plan, Problem
+from .planner import Plan, PlanningProblem
 
 MOST_NAMES = 5  # destinations named in a cause
 
@@ -62,17 +62,17 @@
     }
 
 
-def plan_rows(problems: Mapping[int, Problem], plans: Mapping[int, Plan]) -> list[dict[str, Any]]:
+def plan_rows(problems: Mapping[int, PlanningProblem], plans: Mapping[int, Plan]) -> list[dict[str, Any]]:
     """A row for each destination that was planned."""
     rows = []
     for destination, plan in sorted(plans.items()):
         problem = problems[destination]
         row = {
             "destination": destination,
-            "how": plan.how,
-            "moved": round(plan.moved(problem), 2),
+            "how": plan.method,
+            "moved": round(plan.moved_rate(problem), 2),
             "demand": round(sum(problem.demand.values()), 2),
-            "shed": round(sum(plan.shed(problem).values()), 2),
+            "shed": round(sum(plan.shed_rates(problem).values()), 2),
             "flows": _rounded(plan.flows),
         }
         rows.append(row)
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -77,7 +77,7 @@
         )
         host.set_call_policy(self.consensus)
         self.gossip.on_member_changed.append(self.consensus.on_member_changed)
-        if told.failover.on:
+        if told.failover.is_enabled:
             self._start_failover(told, config, host)
         folder = socket_folder(told.status.folder)
         if folder is not None:
--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -138,7 +138,7 @@
                 f"accord.voters: {max(self.accord.voters)} is not among fleet.instances = "
                 f"{self.fleet.instances}"
             )
-        if self.failover.on and not self.accord.is_enabled:
+        if self.failover.is_enabled and not self.accord.is_enabled:
             raise ValueError("failover.zones: needs accord.voters: a plan is a version of the agreed rules")
         self._check_shards()
         if self.record.file and self.fleet.instances > 1 and "{n}" not in self.record.file:
@@ -166,7 +166,7 @@
                 f"shards.keepers: {max(self.shards.keepers)} is not among fleet.instances = "
                 f"{self.fleet.instances}"
             )
-        if self.failover.on:
+        if self.failover.is_enabled:
             raise ValueError(
                 "shards.keepers: not together with failover.zones: a plan needs every relay to "
                 "know all destinations"
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -156,7 +156,7 @@
         "regions": {name: each.region for name, each in part.zones.items()},
         "worths": {name: each.worth for name, each in part.classes.items()},
         "stays": {name: each.stay for name, each in part.classes.items()},
-        "groups": {name: part.group(name) for name in part.classes},
+        "groups": {name: part.group_name(name) for name in part.classes},
         "window s": part.window_s,
         "spare": part.spare,
         "zone price": part.zone_price,
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -30,7 +30,7 @@
 from message_relay.endpoint_discovery.poll_schedule import PollSchedule
 from message_relay.endpoint_discovery.source_merge import SourceMerge
 from message_relay.failover.observations import Aggregate, Observations, ZonePair
-from message_relay.failover.planner import Group, Problem, greedy, near
+from message_relay.failover.planner import TrafficGroup, PlanningProblem, plan_greedily, plan_locally
 from message_relay.failover.zone_health import HealthState as Standing
 from message_relay.failover.zone_health import ZoneHealthJudge, success_interval
 from message_relay.fleet.fleet_size import FleetSize
@@ -228,11 +228,11 @@
     return rows
 
 
-def _problem(draw: random.Random) -> Problem:
+def _problem(draw: random.Random) -> PlanningProblem:
     zones = ZONES[: draw.randint(2, 4)]
     pairs = [(a, b) for a in zones for b in zones]
     stays = frozenset(pair for pair in pairs if draw.random() < 0.6)
-    groups = (Group("low", 1.0), Group("high", 5.0), Group("near", 2.0, stays))
+    groups = (TrafficGroup("low", 1.0), TrafficGroup("high", 5.0), TrafficGroup("near", 2.0, stays))
     demand = {
         (zone, group.name): draw.uniform(1, 100) for zone in zones for group in groups if draw.random() < 0.8
     }
@@ -241,21 +241,21 @@
     price = {(a, b): 0.0 if a == b else draw.choice((0.05, 0.2)) for a, b in pairs}
     last = {(a, "low", b): draw.uniform(0, 40) for a, b in pairs if draw.random() < 0.3}
     part = {pair: draw.choice((0.0, 0.1, 0.6)) for pair in pairs if draw.random() < 0.2}
-    return Problem(zones, groups, demand, room, ability, price, last, part)
+    return PlanningProblem(zones, groups, demand, room, ability, price, last, part)
 
 
 def zone_plans(seed: int) -> list[Row]:
     draw, rows = random.Random(seed), list[Row]()
     for _ in range(120):
         problem = _problem(draw)
-        for plan in (near(problem), greedy(problem)):
+        for plan in (plan_locally(problem), plan_greedily(problem)):
             if plan is None:
                 rows.append(("none",))
                 continue
             rows += [("flow", *way, rate) for way, rate in plan.flows.items()]
-            rows += [("shed", *who, rate) for who, rate in plan.shed(problem).items()]
+            rows += [("shed", *who, rate) for who, rate in plan.shed_rates(problem).items()]
             # What is moved is summed up in the order of a set of texts, which differs between processes.
-            rows.append(("plan", plan.worth(problem), round(plan.moved(problem), MOVED_DIGITS)))
+            rows.append(("plan", plan.total_value(problem), round(plan.moved_rate(problem), MOVED_DIGITS)))
     return rows
 
 
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -17,12 +17,12 @@
 from message_relay.failover.controller import FailoverController
 from message_relay.failover.observations import Observations
 from message_relay.failover.plan_rules import Capacities
-from message_relay.failover.settings import ClassPart, FailoverSettings, ZonePart
+from message_relay.failover.settings import ClassSettings, FailoverSettings, ZoneSettings
 
 ZONES = ("a", "b", "c")
 PART = FailoverSettings(
-    {"a": ZonePart("east"), "b": ZonePart("east"), "c": ZonePart("west")},
-    {"pay": ClassPart(5.0, "region"), "*": ClassPart()},
+    {"a": ZoneSettings("east"), "b": ZoneSettings("east"), "c": ZoneSettings("west")},
+    {"pay": ClassSettings(5.0, "region"), "*": ClassSettings()},
     spare=0.2,
 )
 RELAYS = {zone: [f"n{zone}{n}" for n in range(4)] for zone in ZONES}
@@ -46,7 +46,7 @@
         for zone in ZONES:
             counting = self.counting[zone]
             for _ in range(self.rate):
-                counting.record_submission(1, PART.group(self.rng.choice(("pay", "post"))))
+                counting.record_submission(1, PART.group_name(self.rng.choice(("pay", "post"))))
                 near = self.rng.random() < flow.allowed_share(zone, zone)
                 others = [each for each in ZONES if each != zone and flow.allowed_share(zone, each) > 0]
                 target = zone if near or not others else self.rng.choice(others)
@@ -146,7 +146,7 @@
 def gate(rules: Rules, name: str = "n1", zone: str = "a") -> RuleEnforcer:
     acting = ActiveRules(rules, (1,), LeaseTier.LEASE)
     found = RuleEnforcer(lambda: acting, 12, lambda: 0.0, name, zone)
-    found.may_use_zone = lambda class_, target: PART.allowed(class_, zone, target)
+    found.may_use_zone = lambda class_, target: PART.is_allowed(class_, zone, target)
     return found
 
 
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize(
     ("told", "said"),
     [
-        ({"zones": {"a": ZonePart()}}, "zones: one alone has nowhere to go"),
+        ({"zones": {"a": ZoneSettings()}}, "zones: one alone has nowhere to go"),
         ({"zone_price": 0.5}, "region_price: 0.2 must be zone_price"),
     ],
 )
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -10,14 +10,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_relay.failover.planner import Group, Plan, Problem, greedy, near, plans
-from message_relay.failover.solver import solved
+from message_relay.failover.planner import (
+    Plan,
+    PlanningProblem,
+    TrafficGroup,
+    plan_all,
+    plan_greedily,
+    plan_locally,
+)
+from message_relay.failover.solver import solve
 
 ALL = ("a", "b", "c", "d")
-PLANNERS: list[Callable[[Problem], Plan | None]] = [greedy, lambda problem: solved(problem, 5.0)]
+PLANNERS: list[Callable[[PlanningProblem], Plan | None]] = [
+    plan_greedily,
+    lambda problem: solve(problem, 5.0),
+]
 
 
-def made(seed: int, zones: tuple[str, ...] = ALL) -> Problem:
+def made(seed: int, zones: tuple[str, ...] = ALL) -> PlanningProblem:
     """Drawn by zones' places and not by their names."""
     rng = random.Random(seed)
     count = rng.randrange(2, len(zones) + 1)
@@ -25,7 +35,7 @@
     regions = {zone: rng.randrange(2) for zone in zones}
     pairs = [(a, b) for a in zones for b in zones]
     stays = frozenset((a, b) for a, b in pairs if regions[a] == regions[b])
-    groups = (Group("low", 1.0), Group("high", 5.0), Group("stays", 2.0, stays))
+    groups = (TrafficGroup("low", 1.0), TrafficGroup("high", 5.0), TrafficGroup("stays", 2.0, stays))
     demand = {
         (zone, group.name): rng.uniform(1, 100) for zone in zones for group in groups if rng.random() < 0.8
     }
@@ -36,44 +46,44 @@
     price = {(a, b): 0.0 if a == b else 0.05 if regions[a] == regions[b] else 0.2 for a, b in pairs}
     part = {pair: rng.choice((0.0, 0.1, 0.6)) for pair in pairs if rng.random() < 0.2}
     last = {(a, "low", b): rng.uniform(0, 40) for a, b in pairs if rng.random() < 0.3}
-    return Problem(zones, groups, demand, room, ability, price, last, part)
+    return PlanningProblem(zones, groups, demand, room, ability, price, last, part)
 
 
-def kept(problem: Problem, plan: Plan) -> None:
+def kept(problem: PlanningProblem, plan: Plan) -> None:
     groups = {group.name: group for group in problem.groups}
     for way, rate in plan.flows.items():
         source, group, target = way
-        assert rate >= 0 and rate <= problem.most(way) * (1 + 1e-9)
+        assert rate >= 0 and rate <= problem.route_limit(way) * (1 + 1e-9)
         assert problem.score(groups[group], (source, target)) > 0
     for zone in problem.zones:
-        assert plan.into(zone) <= problem.room[zone] * (1 + 1e-9) + 1e-9
+        assert plan.rate_into(zone) <= problem.capacity[zone] * (1 + 1e-9) + 1e-9
     for who, rate in problem.demand.items():
         out = sum(each for way, each in plan.flows.items() if way[:2] == who)
         assert out <= rate * (1 + 1e-9) + 1e-9
-        assert math.isclose(plan.shed(problem).get(who, 0.0), rate - out, abs_tol=2e-6)
+        assert math.isclose(plan.shed_rates(problem).get(who, 0.0), rate - out, abs_tol=2e-6)
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 10**9))
 def test_no_bound_is_ever_passed_and_the_greedy_plan_is_near_the_best(seed: int) -> None:
     problem = made(seed)
-    best, quick = solved(problem, 5.0), greedy(problem)
+    best, quick = solve(problem, 5.0), plan_greedily(problem)
     assert best is not None
     kept(problem, best)
     kept(problem, quick)
     # What it gains by staying with the last plan is a hundredth of a call's worth.
-    assert best.worth(problem) >= quick.worth(problem) * 0.99 - 1e-6
-    assert quick.worth(problem) >= best.worth(problem) * 0.75 - 1e-6
+    assert best.total_value(problem) >= quick.total_value(problem) * 0.99 - 1e-6
+    assert quick.total_value(problem) >= best.total_value(problem) * 0.75 - 1e-6
 
 
 def test_the_greedy_plan_is_a_hundredth_under_the_best_on_the_whole() -> None:
     ratios = []
     for seed in range(300):
         problem = made(seed)
-        best = solved(problem, 5.0)
+        best = solve(problem, 5.0)
         assert best is not None
-        if best.worth(problem) > 0:
-            ratios.append(greedy(problem).worth(problem) / best.worth(problem))
+        if best.total_value(problem) > 0:
+            ratios.append(plan_greedily(problem).total_value(problem) / best.total_value(problem))
     assert sum(ratios) / len(ratios) > 0.985
 
 
@@ -99,34 +109,34 @@
         first = planner(problem)
         assert first is not None
         demand = {who: rate * rng.uniform(0.98, 1.02) for who, rate in problem.demand.items()}
-        after = Problem(
+        after = PlanningProblem(
             problem.zones,
             problem.groups,
             demand,
-            problem.room,
-            problem.ability,
-            problem.price,
+            problem.capacity,
+            problem.success_ratio,
+            problem.cost,
             first.flows,
-            problem.part,
+            problem.allowed_share,
         )
         second = planner(after)
         assert second is not None
         moved = sum(abs(demand[who] - rate) for who, rate in problem.demand.items())
-        assert second.moved(after) <= 6 * moved + 0.02 * sum(demand.values())
+        assert second.moved_rate(after) <= 6 * moved + 0.02 * sum(demand.values())
 
 
 def test_all_at_home_needs_no_plan_and_a_lost_zone_goes_where_there_is_room() -> None:
-    groups = (Group("all"),)
+    groups = (TrafficGroup("all"),)
     room = {"a": 100.0, "b": 80.0, "c": 300.0}
     demand = {("a", "all"): 50.0, ("b", "all"): 60.0, ("c", "all"): 70.0}
     price = {(x, y): 0.0 if x == y else 0.05 for x in "abc" for y in "abc"}
-    calm = Problem(("a", "b", "c"), groups, demand, room, {}, price)
-    assert near(calm) is not None
-    lost = Problem(("a", "b", "c"), groups, demand, room, {(z, "a"): 0.0 for z in "abc"}, price)
-    assert near(lost) is None
+    calm = PlanningProblem(("a", "b", "c"), groups, demand, room, {}, price)
+    assert plan_locally(calm) is not None
+    lost = PlanningProblem(("a", "b", "c"), groups, demand, room, {(z, "a"): 0.0 for z in "abc"}, price)
+    assert plan_locally(lost) is None
     for planner in PLANNERS:
         plan = planner(lost)
-        assert plan is not None and plan.into("a") == 0 and plan.shed(lost) == {}
+        assert plan is not None and plan.rate_into("a") == 0 and plan.shed_rates(lost) == {}
         assert plan.flows["b", "all", "b"] == pytest.approx(60) and plan.flows[
             "c", "all", "c"
         ] == pytest.approx(70)
@@ -134,13 +144,13 @@
 
 def test_what_has_no_room_is_shed_by_worth_and_nothing_leaves_where_it_has_to_stay() -> None:
     pairs = frozenset({("a", "a"), ("b", "b")})
-    groups = (Group("low", 1.0), Group("high", 5.0), Group("stays", 9.0, pairs))
+    groups = (TrafficGroup("low", 1.0), TrafficGroup("high", 5.0), TrafficGroup("stays", 9.0, pairs))
     demand = {("a", "low"): 50.0, ("a", "high"): 40.0, ("a", "stays"): 10.0, ("b", "low"): 30.0}
-    problem = Problem(("a", "b"), groups, demand, {"a": 0.0, "b": 60.0}, {("a", "a"): 0.0})
+    problem = PlanningProblem(("a", "b"), groups, demand, {"a": 0.0, "b": 60.0}, {("a", "a"): 0.0})
     for planner in PLANNERS:
         plan = planner(problem)
         assert plan is not None
-        shed = plan.shed(problem)
+        shed = plan.shed_rates(problem)
         assert shed[("a", "stays")] == 10.0 and ("a", "high") not in shed
         assert sum(rate for (_, group), rate in shed.items() if group == "low") == pytest.approx(60.0)
 
@@ -150,14 +160,14 @@
     now = [0.0]
     asked: list[int] = []
 
-    def slow(problem: Problem, seconds: float) -> Plan | None:
+    def slow(problem: PlanningProblem, seconds: float) -> Plan | None:
         assert seconds > 0
         now[0] += 0.05
         asked.append(1)
-        return None if len(asked) == 2 else solved(problem, 5.0)
+        return None if len(asked) == 2 else solve(problem, 5.0)
 
-    found = plans(problems, slow, 0.2, lambda: now[0])
-    hows = [plan.how for plan in found.values()]
+    found = plan_all(problems, slow, 0.2, lambda: now[0])
+    hows = [plan.method for plan in found.values()]
     assert set(found) == set(problems) and hows.count("solved") == 3 and len(asked) == 4
     for n, plan in found.items():
         kept(problems[n], plan)
@@ -165,8 +175,8 @@
 
 def test_what_makes_no_sense_is_told_by_its_field() -> None:
     with pytest.raises(ValueError, match="demand: rates are 0 or more"):
-        Problem(("a",), (Group("x"),), {("a", "x"): -1.0}, {})
+        PlanningProblem(("a",), (TrafficGroup("x"),), {("a", "x"): -1.0}, {})
     with pytest.raises(ValueError, match="room: rates are 0 or more"):
-        Problem(("a",), (Group("x"),), {}, {"a": math.nan})
+        PlanningProblem(("a",), (TrafficGroup("x"),), {}, {"a": math.nan})
     with pytest.raises(ValueError, match="worth is above 0"):
-        Problem(("a",), (Group("x", 0.0),), {}, {})
+        PlanningProblem(("a",), (TrafficGroup("x", 0.0),), {}, {})
