--- a/tests/test_door.py
+++ b/tests/decisions/test_admission.py
@@ -16,7 +16,7 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
 
-from .conftest import SAFE, Driver, make_settings
+from ..conftest import SAFE, Driver, make_settings
 
 HOLD = 40
 MOST = int(SHEDDING_THRESHOLD * HOLD)
--- a/tests/test_rules.py
+++ b/tests/decisions/test_delivery_rules.py
@@ -15,7 +15,7 @@
     Scope,
 )
 
-from .conftest import CLASSES, KEYED, SAFE, UNCLEAR, UNSAFE, Driver, make_settings
+from ..conftest import CLASSES, KEYED, SAFE, UNCLEAR, UNSAFE, Driver, make_settings
 
 PROOFS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
--- a/tests/test_learned.py
+++ b/tests/decisions/test_destination_snapshot.py
@@ -12,8 +12,8 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.destination_snapshot import MAX_AGE_MS, MAX_FILE_BYTES, DestinationSnapshotFile
 
-from .conftest import SAFE, Driver, make_settings
-from .loopback import Agent, Client, Server, answer, host_of, message, run, until
+from ..conftest import SAFE, Driver, make_settings
+from ..loopback import Agent, Client, Server, answer, host_of, message, run, until
 
 
 def restarted(before: Driver, away_ms: float, folder: Path) -> Driver:
--- a/tests/test_symptoms.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -13,7 +13,7 @@
     Tenant,
 )
 
-from .conftest import KEYED, SAFE, UNSAFE, Driver, make_settings
+from ..conftest import KEYED, SAFE, UNSAFE, Driver, make_settings
 
 
 def test_lost_answers_do_not_hold_slots_until_the_deadline() -> None:
--- a/tests/test_hundreds.py
+++ b/tests/decisions/test_large_fleet.py
@@ -7,7 +7,7 @@
 from message_relay.decisions.events import Message
 from message_relay.decisions.model import Outcome, Tenant
 
-from .conftest import SAFE, Driver, make_settings
+from ..conftest import SAFE, Driver, make_settings
 
 RELAYS = 200
 
--- a/tests/test_names.py
+++ b/tests/decisions/test_name_independence.py
@@ -16,7 +16,7 @@
 from message_relay.decisions.events import AttemptCompleted, Event, Message, TimerFired
 from message_relay.decisions.model import DestinationKind, Effect, MessageClass, Outcome, Scope, Tenant
 
-from .conftest import Driver, make_settings
+from ..conftest import Driver, make_settings
 
 NAMES = (
     "traduceri",
--- a/tests/test_scan.py
+++ b/tests/decisions/test_priority_index.py
@@ -1,4 +1,4 @@
-"""The index makes the choices of the plain scan (tests/plain.py), whatever happens."""
+"""The index makes the choices of the plain scan (full_scan_oracle.py), whatever happens."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from message_relay.decisions.model import Settings
 
-from .plain import watched
-from .test_machine import drive, setups
+from .full_scan_oracle import watched
+from .test_rule_invariants import drive, setups
 
 
 @settings(max_examples=120)
--- a/tests/test_share.py
+++ b/tests/decisions/test_rate_slots.py
@@ -26,7 +26,7 @@
 )
 from message_relay.decisions.scheduler import DeliveryScheduler
 
-from .conftest import make_settings
+from ..conftest import make_settings
 
 SAFETY = Safety(warm_up_initial_share=0.18, warm_up_ms=11_000.0)
 
--- a/tests/test_machine.py
+++ b/tests/decisions/test_rule_invariants.py
@@ -36,8 +36,8 @@
 )
 from message_relay.decisions.scheduler import DeliveryScheduler
 
-from .checker import Breach, Checker
-from .conftest import make_settings
+from ..conftest import make_settings
+from .rule_checker import Breach, Checker
 
 OUTCOMES = list(Outcome)
 
--- a/tests/test_large.py
+++ b/tests/decisions/test_scalability.py
@@ -40,9 +40,9 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.store.journal import Journal
 
-from .checker import Checker
-from .conftest import SAFE, make_settings
-from .plain import watched
+from ..conftest import SAFE, make_settings
+from .full_scan_oracle import watched
+from .rule_checker import Checker
 
 LONG = tuple(MessageClass(e.value, e, 1000.0, 120_000.0, 1.0, 0.5, 3000.0) for e in Effect)
 A_TURN = (
--- a/tests/test_goal.py
+++ b/tests/decisions/test_scheduling_weights.py
@@ -9,7 +9,7 @@
 from message_relay.decisions.admission import scheduling_weights
 from message_relay.decisions.model import Goal, MessageClass
 
-from .conftest import CLASSES, Driver, make_settings
+from ..conftest import CLASSES, Driver, make_settings
 
 GOAL = Goal(total=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -55,7 +55,7 @@
 
 def test_a_partner_that_returns_cold_is_not_pushed_past_its_rate(tmp_path: Path) -> None:
     """The forty of benchmarks.processes, as four and quicker. The bounds have room for a late process:
-    what the decisions do by themselves is in test_share."""
+    what the decisions do by themselves is in tests/decisions/test_rate_slots.py."""
 
     async def work() -> None:
         async with fleet(4, 24.0, True, down_s=3.0, warm_s=4.0, deadline_share=0.5, more=QUICK) as it:
