--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -1,4 +1,4 @@
-"""Calls whose end comes in the worst moment, and endpoints that hold few connections."""
+"""Attempts that end at the worst moment, and endpoints that accept few connections."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
     return Attempt(endpoint, address, "id", "key", body, give_up_at, may, careful, kind=kind)
 
 
-# -- may it have run? --------------------------------------------------------------------------------------
+# -- may it have run --------------------------------------------------------------------------------------
 
 
 def test_attempt_that_times_out_as_last_byte_leaves_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The buffer is written out and the time is up in one turn of the loop: the task is woken by the
-    time-out. Seen to fail where the end of `_written` was taken for the last byte: "could not connect" was
-    claimed, which proves that nothing ran, and the endpoint had the whole call."""
+    """The buffer is flushed and the timeout expires in one turn of the loop: the task resumes with the
+    timeout. Seen to fail where the end of `_write_request` stood for the last byte: the outcome was
+    CONNECT_FAILED, which proves that nothing ran, and the endpoint had the complete request."""
     size = 8 << 20
     limits: list[asyncio.Timeout] = []
     timeout_at, resume = asyncio.timeout_at, EndpointConnection.resume_writing
@@ -84,7 +84,7 @@
 
 
 def test_attempt_that_times_out_before_last_byte_proves_no_effect() -> None:
-    """The endpoint reads nothing: most of a large call still lies in the buffer when the time is up."""
+    """The endpoint reads nothing: most of a large request is still in the buffer at the timeout."""
 
     async def work() -> None:
         sock = socket.socket()
@@ -100,7 +100,7 @@
 
 
 def test_connection_established_after_timeout_carries_no_request() -> None:
-    """The listener's queue is full, so that the connection comes up only once others were taken from it."""
+    """The listener's queue is full, so the connection is established only once others were accepted."""
 
     async def work() -> None:
         sock = socket.socket()
@@ -155,12 +155,12 @@
     run(work())
 
 
-# -- held back ---------------------------------------------------------------------------------------------
+# -- withheld ----------------------------------------------------------------------------------------------
 
 
 def test_attempt_withheld_by_drain_does_not_count() -> None:
-    """Ten endpoints drain while connections to them come up: the message has all its attempts left, and
-    goes to the next. Seen to fail where each of them counted: after five of five it was failed."""
+    """Ten endpoints drain while connections to them are established: the message has all its attempts left,
+    and goes to the next. Seen to fail where each of them counted: after five of five it failed."""
     driver = Driver(make_settings(max_attempts=5))
     driver.listed(*((n, 1) for n in range(1, 12)))
     ident = driver.message()
@@ -190,7 +190,7 @@
 
 
 class ServerWithConnectionLimit(Server):
-    """An endpoint that holds `most` connections, idle ones counted."""
+    """An endpoint that accepts `max_connections` connections, idle ones counted."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
@@ -216,8 +216,8 @@
 
 
 async def attempt_at_all(relays: list[EndpointClient], *servers: Server) -> int:
-    """Each relay calls each endpoint, beginning with another one, again and again until all have had an
-    answer; how many were turned away meanwhile."""
+    """Each relay makes attempts at each endpoint, starting with another one, until all have succeeded;
+    the number of rejections."""
 
     async def one(first: int, calls: EndpointClient) -> int:
         refused = 0
@@ -233,8 +233,8 @@
 
 
 def test_idle_connections_are_given_up_where_endpoints_accept_few() -> None:
-    """Six relays, two endpoints with three places each. Seen to fail where connections were kept: three of
-    six relays were turned away each time, for good."""
+    """Six relays, two endpoints with three slots each. Seen to fail where idle connections were kept: three
+    of six relays were rejected every time."""
 
     async def work() -> None:
         narrow = [ServerWithConnectionLimit(3), ServerWithConnectionLimit(3)]
@@ -251,22 +251,22 @@
 
 
 def test_idle_connections_to_endpoints_of_rejecting_kind_are_closed() -> None:
-    """Whoever has a place meets no refusal there itself."""
+    """A relay that has a slot at an endpoint is not rejected there itself."""
 
     async def work() -> None:
-        roomy, full, other = Server(), Server(usual=CONNECTION_REJECTED), Server()
-        for server in (roomy, full, other):
+        accepting, full, other = Server(), Server(usual=CONNECTION_REJECTED), Server()
+        for server in (accepting, full, other):
             await server.start()
         calls = EndpointClient(60000.0, 20000.0, 10)
-        await calls.attempt(make_attempt(roomy.address, endpoint=1, kind="small"))
+        await calls.attempt(make_attempt(accepting.address, endpoint=1, kind="small"))
         await calls.attempt(make_attempt(other.address, endpoint=2, kind="large"))
         await until(lambda: len(calls.pool.idle_by_age) == 2)
         result = await calls.attempt(make_attempt(full.address, endpoint=3, kind="small"))
         assert result.outcome is Outcome.FULL
         assert [key[0] for key in calls.pool.idle_by_age.values()] == [
             2
-        ]  # of the other kind nothing is known
-        await until(roomy.left)
+        ]  # the other kind has rejected nothing
+        await until(accepting.left)
         calls.close()
 
     run(work())
@@ -274,25 +274,25 @@
 
 def test_other_rejections_do_not_close_idle_connections() -> None:
     assert is_connection_rejection(503, {"connection": "Close"}, 1, 0.0)
-    assert not is_connection_rejection(503, {}, 1, 0.0)  # above a limit, shut, or its queue is full
-    assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # it had a place
+    assert not is_connection_rejection(503, {}, 1, 0.0)  # above a limit, closed, or its queue is full
+    assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # it had a slot
     assert not is_connection_rejection(
         503, {"connection": "close"}, 1, 300.0
-    )  # told when to come: no matter of places
+    )  # with a time to wait: not for lack of slots
     assert not is_connection_rejection(429, {"connection": "close"}, 1, 0.0)
 
 
 def test_connection_rejection_is_remembered_for_a_while() -> None:
-    keeping = KeepAlivePolicy()
+    policy = KeepAlivePolicy()
     assert (
-        keeping.allows_idle("k", 0.0)
-        and keeping.record_rejection("k", 10.0)
-        and not keeping.record_rejection("k", 20.0)
+        policy.allows_idle("k", 0.0)
+        and policy.record_rejection("k", 10.0)
+        and not policy.record_rejection("k", 20.0)
     )
-    assert not keeping.allows_idle("k", 20.0 + REJECTION_MEMORY_S) and keeping.allows_idle(
+    assert not policy.allows_idle("k", 20.0 + REJECTION_MEMORY_S) and policy.allows_idle(
         "k", 20.1 + REJECTION_MEMORY_S
     )
-    assert keeping.allows_idle("other", 20.0)
+    assert policy.allows_idle("other", 20.0)
 
 
 # -- reports -----------------------------------------------------------------------------------------------
--- a/tests/http/test_client_connections.py
+++ b/tests/http/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients that send nonsense, too much, too little or nothing: each gets an error or an end, no more."""
+"""Clients that send invalid, oversized, partial or no requests: each gets an error or an end, no more."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def test_oversized_body_is_rejected_by_its_head_and_discarded(tmp_path: Path) -> None:
-    """Guards memory, and the answer: a close with bytes unread would reset it away."""
+    """Guards memory, and the response: a close with bytes unread would reset the connection and lose it."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
@@ -129,7 +129,7 @@
 def test_idle_connection_is_closed_after_idle_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the descriptors against clients that ask once and keep their connection for good."""
+    """Guards the descriptors against clients that send one request and keep their connection open."""
     monkeypatch.setattr(client_limits, "IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.05)
 
@@ -149,7 +149,7 @@
 def test_crowded_listener_keeps_no_further_connection_and_shortens_idle_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards clients that may hold only so many connections: those that stay shut the others out."""
+    """Guards clients while connections are limited: idle ones would exclude the others."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
@@ -176,7 +176,7 @@
 def test_silent_connections_are_evicted_for_a_client_with_a_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the descriptors that calls need, and the usual clients' way in."""
+    """Guards the descriptors that attempts need, and access for ordinary clients."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.0)
 
     async def work() -> None:
@@ -189,7 +189,7 @@
                         assert await other.ask(message(f"b{count}")) == 202
                         assert len(host.ingress.connections) <= 3
                 assert await read_to_end(first) and await read_to_end(second)
-                assert await usual.ask(message("c")) == 202  # idle for less than 2 s: it is spared
+                assert await usual.ask(message("c")) == 202  # idle for less than 2 s: not evicted
 
     run(work())
 
@@ -197,7 +197,7 @@
 def test_new_connections_are_not_evicted_while_idle_ones_exist(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a way in that closes behind each: its first bytes come right after it, not with it."""
+    """Guards new connections against one another: their first bytes arrive after them, not with them."""
     monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
 
     async def work() -> None:
@@ -217,7 +217,7 @@
 
 
 def test_health_check_connections_are_evicted_before_submitters(tmp_path: Path) -> None:
-    """Guards messages against a crowd that asks for the health and stays."""
+    """Guards messages against many clients that request the health and stay connected."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
@@ -244,7 +244,7 @@
                 half.writer.write(GOOD[:60])
                 assert await kept.ask(message("a")) == 202
                 await until(lambda: not host.ingress.silent)
-                async with Client(port) as other:  # it waits in the system's queue, and costs nothing
+                async with Client(port) as other:  # it waits in the kernel's queue, and costs nothing
                     other.writer.write(message("b"))
                     await until(lambda: host.ingress.listener.is_paused)
                     assert len(host.ingress.connections) == 2 and "b" not in host.journal.entries
@@ -258,7 +258,7 @@
 
 
 def test_repeated_invalid_requests_are_throttled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the others' share of the processor; each answer still comes at once."""
+    """Guards the others' share of the processor; each response is still sent at once."""
     monkeypatch.setattr(client_limits, "PENALTY_S", 0.01)
 
     async def work() -> None:
--- a/tests/http/test_connection_endings.py
+++ b/tests/http/test_connection_endings.py
@@ -1,5 +1,8 @@
-"""Ends of clients' connections in their worst order. The order is forced: what a client sends "in the very
-moment" lies in the socket before the relay's next step, since both run in this process."""
+"""Ends of clients' connections in the worst order of events.
+
+The order is forced: what a client sends "at that moment" is in the socket before the relay's next step, since
+both run in this process.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +26,14 @@
 
 @contextmanager
 def connect_raw(port: int) -> Iterator[socket.socket]:
-    """Connected at once, by the system's queue: the relay's loop has had no turn."""
+    """A socket that is connected at once, by the kernel's queue: the relay's loop has had no turn."""
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.settimeout(10)
         yield sock
 
 
 async def read_to_eof(sock: socket.socket) -> bytes:
-    """What comes until the relay's end of sending; a reset raises ConnectionResetError."""
+    """All bytes up to the relay's end of sending; a reset raises ConnectionResetError."""
     sock.setblocking(False)
     loop, text = asyncio.get_running_loop(), b""
     while more := await loop.sock_recv(sock, 65536):
@@ -46,11 +49,11 @@
 def test_bytes_received_right_before_end_do_not_reset_last_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen to fail where the last answer was followed by a close: the connection was reset."""
+    """Seen to fail where the last response was followed by a close: the connection was reset."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
-            host.ingress.crowding_threshold = 0  # so many are idle that no connection is kept
+            host.ingress.crowding_threshold = 0  # no connection is kept open
             with connect_raw(host.ingress.port) as sock:
                 answer = ClientConnection._write_response
 
@@ -62,14 +65,14 @@
                 sock.send(message("a"))
                 text = await read_to_eof(sock)
                 assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
-            assert list(host.journal.entries) == ["a"]  # what is read after the end is not taken on
+            assert list(host.journal.entries) == ["a"]  # what is read after the end is not accepted
             await until(lambda: not host.ingress.connections)
 
     run(work())
 
 
 def test_request_on_idle_connection_at_moment_of_stop_is_answered(tmp_path: Path) -> None:
-    """Seen to fail where a stop closed whatever was idle: the request was cut with no answer."""
+    """Seen to fail where a stop closed all idle connections: the request got no response."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
@@ -88,7 +91,7 @@
 def test_idle_client_is_ended_at_stop_without_reset_and_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It goes on sending after the relay's end, and is neither taken on nor kept for good."""
+    """It sends on after the relay's end: nothing more is accepted, and the connection ends."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
@@ -113,7 +116,7 @@
             socks = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(5)]
             for n, sock in enumerate(socks):
                 sock.send(message(f"m{n}"))
-            host.ingress.stop()  # the loop has had no turn since they came
+            host.ingress.stop()  # the loop has had no turn since they connected
             for sock in socks:
                 assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202")
                 sock.close()
@@ -157,7 +160,7 @@
 def test_flooding_client_at_stop_is_ended_within_bound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It never stops sending, and never ends: it is answered, and its connection goes."""
+    """It never stops sending: it is answered, and its connection ends."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
@@ -176,7 +179,7 @@
 
 
 def test_evicted_lingering_connection_keeps_its_response_despite_unread_bytes(tmp_path: Path) -> None:
-    """Of those that linger the oldest makes room: our end of sending has gone out behind its answer."""
+    """The oldest lingering connection is evicted: our end of sending has followed its response."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
@@ -196,10 +199,10 @@
 
 
 class ListenerWithPendingSync:
-    """Clients whose answers wait for a sync that does not come."""
+    """A listener whose responses wait for a sync that never completes."""
 
     def __init__(self, nothing_ran: bool) -> None:
-        self.withdrawn: list[str] = []
+        self.cancelled: list[str] = []
         self.nothing_ran = nothing_ran
         self.clients = ClientListener(self.accept, self.cancel, 10, 10)
 
@@ -207,7 +210,7 @@
         return ClientResponse(202, accepted_id="m", durable=asyncio.get_running_loop().create_future())
 
     def cancel(self, ident: str) -> bool:
-        self.withdrawn.append(ident)
+        self.cancelled.append(ident)
         return self.nothing_ran
 
 
@@ -215,37 +218,37 @@
 def test_accepted_message_without_sync_is_cancelled_before_client_is_answered(
     monkeypatch: pytest.MonkeyPatch, nothing_ran: bool, status: bytes
 ) -> None:
-    """Seen to fail where the connection's time-out said 408 and the message stayed until the connection had
-    gone: it could still be delivered after its client had heard that it failed."""
+    """Seen to fail where the connection's timeout was answered with 408 and the message stayed pending until
+    the connection had closed: it could still be delivered after its client got the error."""
     monkeypatch.setattr(client_limits, "DURABILITY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        it = ListenerWithPendingSync(nothing_ran)
-        it.clients.listen("127.0.0.1", 0)
-        watch = asyncio.ensure_future(it.clients.watch())
-        with connect_raw(it.clients.port) as sock:
+        pending = ListenerWithPendingSync(nothing_ran)
+        pending.clients.listen("127.0.0.1", 0)
+        watch = asyncio.ensure_future(pending.clients.watch())
+        with connect_raw(pending.clients.port) as sock:
             sock.send(message("m"))
             text = await read_response(sock)
-            assert text.split()[1] == status and it.withdrawn == ["m"]
-        await until(lambda: not it.clients.connections)
-        assert it.withdrawn == ["m"]  # once
+            assert text.split()[1] == status and pending.cancelled == ["m"]
+        await until(lambda: not pending.clients.connections)
+        assert pending.cancelled == ["m"]  # once
         watch.cancel()
-        it.clients.stop()
+        pending.clients.stop()
 
     run(work())
 
 
 @pytest.mark.parametrize("how", ("half", "whole"))
 def test_client_that_closes_while_response_waits_for_sync(how: str) -> None:
-    """With a half close it still reads: it hears that coming again is harmless."""
+    """With a half close it still reads: its response says that submitting again is harmless."""
 
     async def work() -> None:
-        it, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
-        it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
-        it.clients.listen("127.0.0.1", 0)
-        with connect_raw(it.clients.port) as sock:
+        pending, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
+        pending.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
+        pending.clients.listen("127.0.0.1", 0)
+        with connect_raw(pending.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent_ids for each in it.clients.connections))
+            await until(lambda: any(each.unsent_ids for each in pending.clients.connections))
             if how == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
@@ -253,24 +256,24 @@
             sync.set_result(None)
             if how == "half":
                 assert (await read_to_eof(sock)).split()[1] == b"503"
-            await until(lambda: it.withdrawn == ["m"])
-        await until(lambda: not it.clients.connections)
-        it.clients.stop()
+            await until(lambda: pending.cancelled == ["m"])
+        await until(lambda: not pending.clients.connections)
+        pending.clients.stop()
 
     run(work())
 
 
 def test_stop_while_response_waits_for_sync_sends_it(tmp_path: Path) -> None:
     async def work() -> None:
-        it, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
-        it.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
-        it.clients.listen("127.0.0.1", 0)
-        with connect_raw(it.clients.port) as sock:
+        pending, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
+        pending.clients.handle = lambda request: ClientResponse(202, accepted_id="m", durable=sync)
+        pending.clients.listen("127.0.0.1", 0)
+        with connect_raw(pending.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent_ids for each in it.clients.connections))
-            it.clients.stop()
+            await until(lambda: any(each.unsent_ids for each in pending.clients.connections))
+            pending.clients.stop()
             sync.set_result(None)
-            assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202") and not it.withdrawn
+            assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202") and not pending.cancelled
 
     run(work())
 
@@ -278,7 +281,7 @@
 def test_clients_beyond_capacity_wait_and_are_not_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen to fail where what had no room was accepted and closed: one in some hundred messages was cut."""
+    """Seen to fail where connections beyond the limit were accepted and closed: messages were lost."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.3)
 
     async def work() -> None:
--- a/tests/http/test_discovery_client.py
+++ b/tests/http/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery in its worst orders: an old list at a restart, silence, a reload right after an answer."""
+"""Discovery in the worst order of events: an old list at a restart, silence, a reload after an answer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def journal_with_pending_messages(folder: Path, count: int) -> Path:
-    """What an earlier process took on and did not get to."""
+    """The state folder of an earlier process with messages that it accepted and did not attempt."""
     state = folder / "state"
     state.mkdir()
     journal, now = Journal(state, 3_000_000), unix_time_ms()
@@ -47,8 +47,8 @@
 
 
 def test_restored_messages_are_not_sent_to_endpoint_that_first_poll_reports_draining(tmp_path: Path) -> None:
-    """The operators' sighting on the days of rolling restarts. Seen to fail without the wait for it:
-    two of three went to the endpoint that had drained while the process was away."""
+    """Reported by operators for rolling restarts. Seen to fail without the wait for the first poll: two of
+    three went to the endpoint that had drained while the process was down."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 3)
@@ -57,7 +57,7 @@
         async with relay(state, agent, old):
             await until(lambda: len(new.seen) == 3)
             assert not old.seen
-            assert agent.seen[0].target.endswith("hold_ms=0")  # it does not wait on the far side
+            assert agent.seen[0].target.endswith("hold_ms=0")  # it is no long poll
 
     run(work())
 
@@ -69,7 +69,7 @@
         agent.silent = True
         begun = time.monotonic()
         async with relay(state, agent, old) as host:
-            async with Client(host.ingress.port) as client:  # it takes messages on meanwhile
+            async with Client(host.ingress.port) as client:  # it accepts messages meanwhile
                 assert await client.ask(message("n")) == 202
             assert not old.seen
             await until(lambda: len(old.seen) == 4)
@@ -79,8 +79,8 @@
 
 
 def test_received_answer_of_former_agent_is_ignored_after_reload(tmp_path: Path) -> None:
-    """The answer lies in the watch's future when the reload comes: neither its list nor its version may be
-    carried to the new agent, whose versions count anew."""
+    """The answer is in the poll's future at the reload: neither its list nor its version may be carried over
+    to the new agent, whose versions start anew."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 0)
@@ -91,7 +91,7 @@
             link = host.register.agent.connection
             assert link is not None
             body = json.dumps(list_with_move(old, new, generation=90))
-            # The answer is read, and the task that waits for it not yet woken, in the moment of the reload.
+            # At the reload the answer is read, and the task that waits for it has not resumed.
             link.data_received(answer(200, body=body))
             assert link.complete_body.done()
             config = host.host.config
@@ -143,7 +143,7 @@
             raw = listing(new, generation=2, reset=False)
             (name,) = host.directory.by_name
             raw["instances"][0]["instanceId"] = name
-            gone = {"instanceId": name, "lifecycle": "gone"}  # one that cannot be read, but for its life
+            gone = {"instanceId": name, "lifecycle": "gone"}  # unreadable except for its lifecycle
             raw["instances"] = [gone, *raw["instances"]]
             body = json.dumps(raw, indent=2 if text == "indented" else None)
             agent.changes.put_nowait(answer(200, body=body))
@@ -165,7 +165,7 @@
             whole = answer(200, body=json.dumps(list_with_move(old, new)))
             agent.changes.put_nowait(whole[:-40])
             await until(lambda: bool(agent.writers) and len(agent.seen) >= 2)
-            agent.writers[-1].close()  # the rest never comes
+            agent.writers[-1].close()  # the rest never arrives
             await until(lambda: len(agent.seen) >= 4)
             assert host.register.version == 1 and len(host.directory.by_name) == 1
             agent.tell(list_with_move(old, new))
@@ -175,7 +175,7 @@
 
 
 def test_lists_are_followed_during_graceful_shutdown(tmp_path: Path) -> None:
-    """Discovery goes silent and comes back while the process ends: what it holds goes to what stands then."""
+    """Discovery is silent, then answers during shutdown: pending messages go to the endpoints listed then."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 0)
@@ -213,8 +213,8 @@
 
 
 def test_wait_for_first_list_does_not_extend_deadlines(tmp_path: Path) -> None:
-    """Seen to fail where events were gathered during the wait: a message's end and its key's window, told as
-    times to go, came later by the wait, and a keyed message was sent again half a second past its window."""
+    """Seen to fail where events were queued during the wait: a message's deadline and its idempotency window,
+    given as remaining times, ended later by the wait, and a message was retried after its window."""
 
     async def work() -> None:
         state = tmp_path / "state"
@@ -222,7 +222,7 @@
         journal, now = Journal(state, 3_000_000), unix_time_ms()
         entry = JournalEntry("k", "keyed", "t", 7, "key", now - 5000, now + 9000, "", b"hello")
         journal.append_accepted(entry)
-        journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # window 4 s: over before the wait is
+        journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # window 4 s: it ends before the wait does
         journal.close()
         agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""Each row of the protocol's table of outcomes, and what a pooled connection may and may not be used for."""
+"""Each row of the protocol's table of outcomes, and when a pooled connection may be reused."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     ("reply", "expected"),
     [
-        # The first line tells the truth, whatever comes after it.
+        # The first line is valid, whatever follows it.
         (HEAD + b"Content-Length: x\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
         (HEAD + b"Content-Length: -1\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
         (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
@@ -96,7 +96,7 @@
             AttemptResult(Outcome.OK, finished=True),
         ),
         (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, AttemptResult(Outcome.OK, finished=True)),
-        # Without that, it is a call that may have run: noise never proves a refusal.
+        # Without that, the request may have run: malformed bytes never prove a rejection.
         (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", AttemptResult(Outcome.RESET)),
         (b"HTTP/1.1 2000 X\r\n\r\n", AttemptResult(Outcome.RESET)),
         (b"X-A: HTTP/1.1 200 X\r\n" * 3000, AttemptResult(Outcome.RESET)),
@@ -129,14 +129,14 @@
 
 
 def test_unread_second_response_is_not_used_for_next_attempt() -> None:
-    """Guards against a delivery that never was: the copy came after the pool had the connection back."""
+    """Guards against a false delivery: the copy arrived after the connection was back in the pool."""
 
     async def work() -> None:
         server, calls = await Server().start(), make_client()
         assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         (connection,) = calls.pool.idle_by_endpoint[1, server.address]
         server.script.append(answer(500))
-        server.writers[0].write(OK)  # the loop is not left in between: it lies in the socket, not yet read
+        server.writers[0].write(OK)  # the loop has no turn in between: it is in the socket, not yet read
         assert not connection.has_no_unread_input and connection.is_usable
         assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
@@ -145,7 +145,7 @@
 
 
 class OneRequestServer:
-    """Answers one request on each connection; what comes next meets `end`. Sees requests only when whole."""
+    """Answers one request on each connection, then ends as `end` says; counts complete requests only."""
 
     def __init__(self, end: bytes | None, first: bytes = OK) -> None:
         self.end, self.first, self.complete_requests, self.opened_count = end, first, 0, 0
@@ -205,7 +205,7 @@
 
 
 def test_attempt_is_withheld_if_permission_ends_before_last_byte() -> None:
-    """Guards told waits and key windows, which count from the last byte."""
+    """Guards Retry-After times and idempotency windows, which count from the last byte."""
 
     async def work() -> None:
         server, calls, may = await Server().start(), make_client(), iter([True, False])
@@ -227,7 +227,9 @@
         server, calls = OneRequestServer(None), make_client()
         address = await server.start()
         assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
-        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.RESET  # the first one tells
+        assert (
+            await calls.attempt(make_attempt(address))
+        ).outcome is Outcome.RESET  # the first break is noticed
         assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
         assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
         assert server.complete_requests == server.opened_count == 3
@@ -236,7 +238,7 @@
 
 
 def test_endpoint_at_reused_address_gets_own_connections() -> None:
-    """Guards against a call on its predecessor's connection, also one whose answer was still coming."""
+    """Guards against reusing the predecessor's connections, also one whose response is incomplete."""
 
     async def work() -> None:
         server, calls = await Server().start(), make_client()
@@ -279,7 +281,7 @@
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
-            fill = [socket.socket() for _ in range(4)]  # the queue is full: further ones get no reply
+            fill = [socket.socket() for _ in range(4)]  # the queue is full: further connections get no reply
             for sock in fill:
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
@@ -321,7 +323,7 @@
 
 
 def test_attempt_is_withheld_if_permission_ends_while_connecting() -> None:
-    """Guards drains, told waits and deadlines: a connect takes time. The connection is kept for the next."""
+    """Guards drains, Retry-After times and deadlines: a connect takes time. The connection is pooled."""
 
     async def work() -> None:
         server, calls = await Server().start(), make_client()
@@ -354,7 +356,7 @@
 
 
 def test_closed_pooled_connection_is_not_reused() -> None:
-    """Guards against resets for nothing: a request on it would count as sent, and may have run."""
+    """Guards against avoidable resets: a request on it would count as sent, and may have run."""
 
     async def work() -> None:
         opened: list[asyncio.StreamWriter] = []
@@ -419,7 +421,7 @@
         assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert (
             not calls.pool.idle_by_endpoint
-        )  # the outcome is known; the connection is not free before the body is whole
+        )  # the outcome is known; the connection is not free before the body is complete
 
     run(work())
 
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections that were asked for while a destination was out, and come up together when it is back."""
+"""Connections requested while a destination was down, and established together on its recovery."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from ..loopback import OK, Server, run
 
 RELAYS = 20
-HELD_BACK = {"outcome": Outcome.NOT_SENT, "was_withheld": True}
+WITHHELD = {"outcome": Outcome.NOT_SENT, "was_withheld": True}
 
 
 def ejected_destination_with_attempt(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
-    """One of so many, which knows of the outage and has just made a call: its connection is asked for."""
+    """One of many relays, which has ejected the destination and has just started an attempt: it connects."""
     d = Driver(make_settings(relays=relays), seed=seed)
     d.listed((11, 1), rate=60.0)
     first = d.message()
@@ -36,20 +36,20 @@
 def test_late_connection_to_ejected_destination_carries_no_earlier_attempt() -> None:
     d, ident = ejected_destination_with_attempt()
     send = d.out[ident]
-    assert d.relay.may_write(d.now + SLOW_CONNECT_MS, ident)  # in its time it goes
+    assert d.relay.may_write(d.now + SLOW_CONNECT_MS, ident)  # in time it is sent
     d.now += SLOW_CONNECT_MS + 1
     assert not d.relay.may_write(d.now, ident)
     tries, made = d.relay.pending.by_id[ident].attempts, len(d.sent)
-    d.feed(AttemptCompleted(ident, 0, send.endpoint, **HELD_BACK))  # type: ignore[arg-type]
-    assert d.relay.pending.by_id[ident].attempts == tries - 1  # it is no try
+    d.feed(AttemptCompleted(ident, 0, send.endpoint, **WITHHELD))  # type: ignore[arg-type]
+    assert d.relay.pending.by_id[ident].attempts == tries - 1  # it does not count as an attempt
     trickle = d.relay.destinations[1][-1].next_trial_at
     while len(d.sent) == made:
         d.pass_time(5)
     at, again = d.sent[-1]
-    assert again.id == ident and at >= trickle  # as a new call, by the pace of what is out
+    assert again.id == ident and at >= trickle  # as a new attempt, at the rate of an ejected destination
     assert d.relay.may_write(
         at + 10 * SLOW_CONNECT_MS, ident
-    )  # and where connections always take long it still goes
+    )  # and it is sent where connecting always takes long
 
 
 def test_late_attempt_is_rescheduled_after_another_found_destination_recovered() -> None:
@@ -63,15 +63,15 @@
     d = Driver(make_settings(relays=RELAYS))
     d.listed((11, 1), rate=60.0)
     d.warm_up()
-    d.pass_time(1000)  # its pace has room
+    d.pass_time(1000)  # its rate has tokens
     ident = d.message(SAFE)
     d.pass_time(20)
     assert d.out[ident] and d.relay.may_write(d.now + 4 * SLOW_CONNECT_MS, ident)
 
 
 def test_simultaneous_late_connections_carry_no_burst_and_are_pooled() -> None:
-    """Twenty real connections wait for a system that drops what it is asked, and come up with its return.
-    Without the last look at the pace all of them carry their calls in one moment."""
+    """Twenty real connections wait for a host that drops packets, and are established on its recovery.
+    Without the last check of the rate all of them carry their attempts at the same moment."""
 
     async def work() -> None:
         held = unheard(("127.0.0.1", 0))
@@ -90,7 +90,7 @@
             return await calls[n].attempt(Attempt(11, address, f"m{n}", None, b"b", loop.time() + 8.0, may))
 
         work = [asyncio.ensure_future(call(n)) for n in range(RELAYS)]
-        await asyncio.sleep(0.3)  # the system's first words are lost by now, and said anew after a second
+        await asyncio.sleep(0.3)  # the first SYN packets are lost by now, and sent again after a second
         for sock in held:
             sock.close()
         server = await Server(OK).start(address[1])
@@ -99,7 +99,7 @@
         assert [result for result in results if not result.withheld] == [] and server.seen == []
         assert all(
             len(each.pool.idle_by_age) == 1 for each in calls
-        )  # the next call there needs no new connection
+        )  # the next attempt there needs no new connection
         for each in calls:
             each.close()
         server.server.close()
--- a/tests/http/test_plain_messages.py
+++ b/tests/http/test_plain_messages.py
@@ -1,4 +1,4 @@
-"""The short way past h11 takes only what h11 takes too, and reads it in the same way."""
+"""The parsers that bypass h11 accept only what h11 accepts too, and parse it to the same values."""
 
 from __future__ import annotations
 
@@ -54,7 +54,9 @@
 )
 
 
-def bytes_of(start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int) -> bytes:
+def encode_message(
+    start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int
+) -> bytes:
     lines = [start, "Host: x", *(f"{n}{colon}{v}" for n, colon, v in headers)]
     lines += [f"Content-Length: {length}"] if length else []
     data = "\r\n".join([*lines, "", ""]).encode("latin-1") + body
@@ -82,7 +84,7 @@
     body: bytes,
     cut: int,
 ) -> None:
-    data = bytes_of(f"{method} {target} {version}", headers, length, body, cut)
+    data = encode_message(f"{method} {target} {version}", headers, length, body, cut)
     plain = parse_plain_request(data)
     if plain is None:
         return
@@ -98,12 +100,12 @@
     assert plain.headers == headers_by_name(head.headers) and plain.body == got
     http.send(h11.Response(status_code=202, headers=[("Content-Length", "0")]))
     http.send(h11.EndOfMessage())
-    assert http.our_state is h11.DONE  # it may be kept, as the short way does
+    assert http.our_state is h11.DONE  # it may be reused, as after a plain request
 
 
 def test_usual_request_is_parsed_without_h11() -> None:
     headers = [("X-Trace-Id", ": ", "a"), ("X-Qos", ": ", "safe")]
-    data = bytes_of("POST /safe HTTP/1.1", headers, "5", b"hello", 0)
+    data = encode_message("POST /safe HTTP/1.1", headers, "5", b"hello", 0)
     plain = parse_plain_request(data)
     assert plain is not None and plain.headers["x-trace-id"] == "a" and plain.body == b"hello"
 
@@ -132,7 +134,7 @@
 def test_plain_responses_are_parsed_as_by_h11(
     start: str, headers: list[tuple[str, str, str]], length: str, body: bytes, cut: int
 ) -> None:
-    data = bytes_of(start, headers, length, body, cut)
+    data = encode_message(start, headers, length, body, cut)
     plain = parse_plain_response(data)
     if plain is None:
         return
