--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -38,41 +38,48 @@
 
     def run(self, steps: int, largest: int = 20_000) -> Journal:
         rng, now = Random(self.seed), 1000.0
-        self.journal = journal = Journal(NOWHERE, BUDGET_BYTES, self.disk)
+        self.journal = Journal(NOWHERE, BUDGET_BYTES, self.disk)
         for step in range(steps):
             now += 40.0
-            unfinished = [e for e in journal.entries.values() if not e.final_state]
+            unfinished = [each for each in self.journal.entries.values() if not each.final_state]
             choice = rng.random()
             if choice < 0.34 or not unfinished:
                 self.accept(f"m{self.seed}-{step}", rng, now, largest)
                 continue
             entry = rng.choice(unfinished)
-            try:
-                if entry.attempt_in_flight is not None and choice < 0.5:
-                    ran = rng.random() < 0.5
-                    self.proven_harmless.update(
-                        [entry.id] if not ran and entry.uncertain_attempt is None else []
-                    )
-                    journal.append_outcome(entry, ran)
-                elif entry.attempt_in_flight is None and choice < 0.6:
-                    journal.append_attempt(entry, now, "s-1", 0)
-                    self.attempted.add(entry.id)  # its first byte is sent now
-                    self.proven_harmless.discard(entry.id)
-                elif choice < 0.9:
-                    self.finish(entry, rng.choice(("delivered", "failed", "returned")))
-                elif choice < 0.92:
-                    self.removed.add(entry.id)
-                    journal.append_cancelled(entry)
-                elif choice < 0.97:  # long after it finished
-                    journal.append_notified(
-                        [each.id for each in journal.entries.values() if each.needs_notification][:2]
-                    )
-                else:
-                    journal.compact(now)
-                    self.removed |= set(self.accepted) - set(journal.entries)
-            except JournalError:
-                pass
-        return journal
+            with contextlib.suppress(JournalError):
+                if choice < 0.6 and self.advance_attempt(entry, choice, rng, now):
+                    continue
+                self.finish_or_maintain(entry, choice, rng, now)
+        return self.journal
+
+    def advance_attempt(self, entry: JournalEntry, choice: float, rng: Random, now: float) -> bool:
+        """Starts an attempt, or ends the one in flight; False: neither is due."""
+        if entry.attempt_in_flight is None:
+            self.journal.append_attempt(entry, now, "s-1", 0)
+            self.attempted.add(entry.id)  # its first byte is sent now
+            self.proven_harmless.discard(entry.id)
+            return True
+        if choice >= 0.5:
+            return False
+        may_have_run = rng.random() < 0.5
+        if not may_have_run and entry.uncertain_attempt is None:
+            self.proven_harmless.add(entry.id)
+        self.journal.append_outcome(entry, may_have_run)
+        return True
+
+    def finish_or_maintain(self, entry: JournalEntry, choice: float, rng: Random, now: float) -> None:
+        if choice < 0.9:
+            self.finish(entry, rng.choice(("delivered", "failed", "returned")))
+        elif choice < 0.92:
+            self.removed.add(entry.id)
+            self.journal.append_cancelled(entry)
+        elif choice < 0.97:  # long after it finished
+            unnotified = [each.id for each in self.journal.entries.values() if each.needs_notification]
+            self.journal.append_notified(unnotified[:2])
+        else:
+            self.journal.compact(now)
+            self.removed |= set(self.accepted) - set(self.journal.entries)
 
     def accept(self, ident: str, rng: Random, now: float, largest: int) -> None:
         class_ = rng.choice(("plata", "stare"))
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -49,68 +49,97 @@
     return JournalEntry(ident, "plata", "t", 7, None, 1000.0, 9000.0, "", bytes(size))
 
 
+async def durable(journal: Journal) -> None:
+    """Waits until all that is written may be promised."""
+    barrier = journal.barrier()
+    if barrier is not None:
+        await barrier
+
+
+class PromiseTracker:
+    """Drives a journal with group commit, and records what was promised after a sync."""
+
+    def __init__(self, journal: Journal, disk: SlowDisk, rng: Random) -> None:
+        self.journal = journal
+        self.disk = disk
+        self.rng = rng
+        self.accepted = set[str]()
+        self.attempted = set[str]()
+        self.finishing = set[str]()  # a final outcome was written, perhaps not synced
+        self.finished = set[str]()
+
+    async def accept(self, message_id: str) -> None:
+        new = entry(message_id, self.rng.choice((30, 300, 9000)))
+        try:
+            self.journal.append_accepted(new)
+        except JournalError:
+            await asyncio.sleep(0.001)  # the next sync frees space
+        if new.id in self.journal.entries and self.rng.random() < 0.6:
+            barrier = self.journal.barrier()
+            assert barrier is not None
+            await barrier
+            self.accepted.add(new.id)
+
+    async def advance(self) -> None:
+        """An attempt or the final outcome of some message. Raises JournalError."""
+        unfinished = [each for each in self.journal.entries.values() if not each.final_state]
+        if not unfinished or self.rng.random() >= 0.9:
+            return
+        chosen = self.rng.choice(unfinished)
+        if chosen.attempt_in_flight is None and self.rng.random() < 0.5:
+            self.journal.append_attempt(chosen, 1500.0, "s", 0)
+            await durable(self.journal)
+            self.attempted.add(chosen.id)
+        else:
+            self.finishing.add(chosen.id)
+            self.journal.append_final_outcome(chosen, "failed")
+            await durable(self.journal)
+            self.finished.add(chosen.id)
+            self.journal.append_notified([chosen.id])
+
+    def check_power_cuts(self, round_number: int) -> None:
+        """Cuts the power while a sync hangs and segments are retired."""
+        self.disk.go.clear()
+        for k in range(6):
+            with contextlib.suppress(JournalError):
+                self.journal.append_accepted(entry(f"unpromised{round_number}-{k}", 9000))
+        for unlinked in (True, False):
+            self._check(Journal(NOWHERE, BUDGET_BYTES * 4, self.disk.cut(unlinked)).entries)
+        self.disk.go.set()
+        for each in [each for each in self.journal.entries.values() if each.id.startswith("unpromised")]:
+            with contextlib.suppress(JournalError):
+                self.journal.append_cancelled(each)
+
+    def _check(self, after: dict[str, JournalEntry]) -> None:
+        for message_id in self.accepted:
+            known = after.get(message_id)
+            if known is None:  # removed only where it was finished and space was needed
+                assert message_id in self.finished, f"{message_id} is lost"
+                continue
+            assert known.final_state or message_id not in self.finished
+            assert not known.final_state or message_id in self.finishing, f"{message_id} is lost"
+        for message_id in self.attempted & after.keys():
+            assert after[message_id].final_state or after[message_id].uncertain_attempt is not None
+
+
 @pytest.mark.parametrize("seed", range(6))
 def test_with_group_commit_all_promises_survive_a_power_cut(seed: int) -> None:
     async def work() -> None:
-        rng, disk = Random(seed), SlowDisk()
+        disk = SlowDisk()
         journal = Journal(NOWHERE, BUDGET_BYTES, disk, sync_ms=0)
         assert journal.durability is not None
         syncing = asyncio.ensure_future(journal.durability.run())
-        accepted, attempted, finishing, finished = set[str](), set[str](), set[str](), dict[str, str]()
+        tracker = PromiseTracker(journal, disk, Random(seed))
         for n in range(250):
-            one = entry(f"m{n}", rng.choice((30, 300, 9000)))
+            await tracker.accept(f"m{n}")
             try:
-                journal.append_accepted(one)
+                await tracker.advance()
             except JournalError:
-                await asyncio.sleep(0.001)  # the next sync frees space
-            if one.id in journal.entries and rng.random() < 0.6:
-                safe = journal.barrier()
-                assert safe is not None
-                await safe
-                accepted.add(one.id)
-            unfinished = [each for each in journal.entries.values() if not each.final_state]
-            if unfinished and rng.random() < 0.9:
-                one = rng.choice(unfinished)
-                try:
-                    if one.attempt_in_flight is None and rng.random() < 0.5:
-                        journal.append_attempt(one, 1500.0, "s", 0)
-                        mark, into = one.id, attempted.add
-                        safe = journal.barrier()
-                        if safe is not None:
-                            await safe
-                        into(mark)
-                    else:
-                        finishing.add(one.id)
-                        journal.append_final_outcome(one, "failed")
-                        safe = journal.barrier()
-                        if safe is not None:
-                            await safe
-                        finished[one.id] = "failed"
-                        journal.append_notified([one.id])
-                except JournalError:
-                    continue
+                continue
             if n % 10 == 0:
-                disk.go.clear()  # syncs hang, while segments are retired
-                for k in range(6):
-                    with contextlib.suppress(JournalError):
-                        journal.append_accepted(entry(f"unpromised{n}-{k}", 9000))
-                for unlinked in (True, False):
-                    after = Journal(NOWHERE, BUDGET_BYTES * 4, disk.cut(unlinked)).entries
-                    for ident in accepted:
-                        known = after.get(ident)  # removed only where it was finished and space was needed
-                        assert (
-                            ident in finished if known is None else known.final_state or ident not in finished
-                        )
-                        assert (
-                            known is None or not known.final_state or ident in finishing
-                        ), f"{ident} is lost"
-                    for ident in attempted & after.keys():
-                        assert after[ident].final_state or after[ident].uncertain_attempt is not None
-                disk.go.set()
-                for each in [each for each in journal.entries.values() if each.id.startswith("unpromised")]:
-                    with contextlib.suppress(JournalError):
-                        journal.append_cancelled(each)
-        assert journal.log.segments[0].number > 3 and len(accepted) > 50 and attempted and finished
+                tracker.check_power_cuts(n)
+        assert journal.log.segments[0].number > 3 and len(tracker.accepted) > 50
+        assert tracker.attempted and tracker.finished
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
         journal.close()
