--- a/message_relay/__init__.py
+++ b/message_relay/__init__.py
@@ -1,4 +1,4 @@
-"""linnetstile: the decisions of a relay that hands messages on to destinations it does not control."""
+"""A message relay: it journals messages and delivers them by calls to endpoints it does not control."""
 
 from .decisions.model import Settings
 from .decisions.scheduler import DeliveryScheduler
--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -1,5 +1,7 @@
-"""`python -m message_relay`: one instance, configured by the RELAY_ variables; with a command, that
-(message_relay/cli)."""
+"""`python -m message_relay` runs one instance, configured by the RELAY_ variables.
+
+With arguments it is the command line of `message_relay.cli`.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,8 @@
 
 
 def main() -> int:
-    if len(sys.argv) == 1:  # as the platform runs it: pays for no command line
+    """Runs an instance or a command, and returns the exit code."""
+    if len(sys.argv) == 1:  # as the platform runs it: without importing the command line
         from .process import main as run
 
         return run()
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -1,4 +1,8 @@
-"""Puts a relay together from its configuration: the platform's fronts, transport and source of members."""
+"""Composition root: puts a relay together from its configuration.
+
+The platform's intake, transport and source of endpoints are always there; brokers only where the operator's
+file names them.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 
 from .amqp.settings import AmqpSettings
 from .config import Config, ConfigError
-from .core.ports import EndpointSource, EndpointUpdate, Intake, Transport
+from .core.ports import EndpointSource, EndpointUpdate, Intake, Transport, UpdateMerge
 from .core.relay import Relay
 from .core.transport_router import TransportRouter
 from .endpoint_discovery.source_merge import SourceMerge
@@ -23,14 +27,23 @@
 
 log = logging.getLogger(__name__)
 
-REGISTER, AMQP = "", "amqp"  # sources of members, by the name that their updates have
-# The loop's, the log's, the listener's, the journal's, two agents' and a file's.
+# Sources of endpoints, by the name that their updates have.
+REGISTER = ""
+AMQP = "amqp"
+AMQP_SCHEME = "amqp"  # of the addresses of a broker's queues
+# Descriptors of the loop, the log, the listener, the journal, two agents and a file, and those of connections
+# that are being accepted.
 OWN_SOCKETS = 24 + ACCEPT_BATCH
-# descriptors, and those of connections that are just being taken
+# Parts of all descriptors, as divisors.
+IDLE_DIVISOR = 8  # idle connections to endpoints
+RECEIVING_DIVISOR = 16  # connections whose response is not complete
+CROWDING_DIVISOR = 12  # connections of clients from which on idle ones are closed early
 
 
 @dataclass(frozen=True, slots=True)
 class ComposedRelay:
+    """A relay and the parts that are plugged into it."""
+
     relay: Relay
     intake: client_intake.ClientIntake
     transport: EndpointClient
@@ -38,59 +51,90 @@
     initial_endpoints: EndpointUpdate | None
 
     async def start(self) -> None:
+        """Starts the relay with the endpoints that the configuration lists, if any."""
         await self.relay.start(self.initial_endpoints)
 
 
+@dataclass(frozen=True, slots=True)
+class BrokerParts:
+    """What brokers add to a relay."""
+
+    intakes: dict[str, Intake]
+    transport: Transport
+    source: EndpointSource
+
+
 def compose(
     config: Config, sockets: Mapping[str, socket.socket] | None = None, amqp: AmqpSettings | None = None
 ) -> ComposedRelay:
-    """With the listening sockets that a service manager has handed over, and the operator's brokers, if any.
-    Raises ConfigError where these cannot be used."""
-    settings, host = config.settings, Relay(config)
-    idle, ending = max(1, config.sockets // 8), max(1, config.sockets // 16)
-    # Clients get what calls cannot need: so a flood of connections leaves every call its descriptor.
-    clients = config.sockets - OWN_SOCKETS - settings.max_concurrent_attempts - idle - ending
-    http = client_intake.ClientIntake(
-        host.messages, config, max(1, clients), config.sockets // 12, (sockets or {}).get(CLIENT_SOCKET)
-    )
-    calls = EndpointClient(
-        settings.idle_ms, settings.connect_timeout_ms, idle, ending, settings.report_fields
+    """Puts a relay together. Raises ConfigError where the brokers cannot be used.
+
+    `sockets`: the listening sockets that a service manager has handed over. `amqp`: the operator's brokers.
+    """
+    relay = Relay(config)
+    client, max_clients = _endpoint_client(config)
+    intake = client_intake.ClientIntake(
+        relay.messages,
+        config,
+        max_clients,
+        config.sockets // CROWDING_DIVISOR,
+        (sockets or {}).get(CLIENT_SOCKET),
     )
-    register = DiscoveryClient(config.discovery, settings.relays, config.seed, settings.polls_discovery)
-    intakes: dict[str, Intake] = {client_intake.NAME: http}
-    transport: Transport = calls
-    sources: list[EndpointSource] = [register]
-    merge: SourceMerge | None = None  # one source needs no rule
+    settings = config.settings
+    discovery = DiscoveryClient(config.discovery, settings.relays, config.seed, settings.polls_discovery)
+    intakes: dict[str, Intake] = {client_intake.NAME: intake}
+    transport: Transport = client
+    sources: list[EndpointSource] = [discovery]
+    update_merge: UpdateMerge | None = None  # one source needs none
     if amqp is not None and amqp.brokers:
-        queues, publishing, named = brokers(amqp, config, host)
-        intakes |= queues
-        transport, sources = TransportRouter(calls, {"amqp": publishing}), [register, named]
-        merge = SourceMerge([REGISTER, AMQP])
-    host.connect(intakes, transport, sources, merge)
-    known: EndpointUpdate | None = None
-    if config.known:
-        try:
-            known = register.load_configured(config.known)
-        except ValueError as error:
-            log.warning(LogEvent("known endpoints rejected", why=error))
-    return ComposedRelay(host, http, calls, register, known)
-
-
-def brokers(
-    part: AmqpSettings, config: Config, host: Relay
-) -> tuple[dict[str, Intake], Transport, EndpointSource]:
-    """Imported here: the platform's memory stays as it is."""
+        brokers = _broker_parts(amqp, config, relay)
+        intakes |= brokers.intakes
+        transport = TransportRouter(client, {AMQP_SCHEME: brokers.transport})
+        sources.append(brokers.source)
+        update_merge = SourceMerge([REGISTER, AMQP])
+    relay.connect(intakes, transport, sources, update_merge)
+    return ComposedRelay(relay, intake, client, discovery, _initial_endpoints(config, discovery))
+
+
+def _endpoint_client(config: Config) -> tuple[EndpointClient, int]:
+    """The client for endpoints, and how many connections of clients the remaining descriptors allow.
+
+    Clients get what calls cannot need, so that a flood of connections leaves every call its descriptor.
+    """
+    settings = config.settings
+    max_idle = max(1, config.sockets // IDLE_DIVISOR)
+    max_receiving = max(1, config.sockets // RECEIVING_DIVISOR)
+    max_clients = config.sockets - OWN_SOCKETS - settings.max_concurrent_attempts - max_idle - max_receiving
+    client = EndpointClient(
+        settings.idle_ms, settings.connect_timeout_ms, max_idle, max_receiving, settings.report_fields
+    )
+    return client, max(1, max_clients)
+
+
+def _initial_endpoints(config: Config, discovery: DiscoveryClient) -> EndpointUpdate | None:
+    """The endpoints that the configuration lists; None where there are none, or none that can be used."""
+    if not config.known:
+        return None
+    try:
+        return discovery.load_configured(config.known)
+    except ValueError as error:
+        log.warning(LogEvent("known endpoints rejected", why=error))
+        return None
+
+
+def _broker_parts(settings: AmqpSettings, config: Config, relay: Relay) -> BrokerParts:
+    """The parts for brokers, imported only where they are needed, to save the platform's memory."""
     try:
         from .amqp import intake
         from .amqp.source import ConfiguredEndpoints
         from .amqp.transport import BrokerPublisher
 
         rng = Random(config.seed)
-        publishing = BrokerPublisher(part, rng)
-        longest = {each.name: each.deadline_ms for each in config.settings.classes}
-        taking = intake.QueueIntake(part.queues, publishing.brokers, host.messages, longest, rng)
-        # Also where no queue is named any more: answers to what came by one may still be owed.
-        return {intake.NAME: taking}, publishing, ConfiguredEndpoints(part)
+        publisher = BrokerPublisher(settings, rng)
+        deadlines_ms = {each.name: each.deadline_ms for each in config.settings.classes}
+        queues = intake.QueueIntake(settings.queues, publisher.brokers, relay.messages, deadlines_ms, rng)
+        # Also where no queue is named any more: answers to messages that came by one may still be owed.
+        return BrokerParts({intake.NAME: queues}, publisher, ConfiguredEndpoints(settings))
     except ImportError as error:
         raise ConfigError(f"amqp: needs the extra 'amqp' ({error})") from error
     except ValueError as error:
--- a/message_relay/config.py
+++ b/message_relay/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told at its start: `RELAY_CONFIG` and the environment beside it, as typed values."""
+"""The configuration of a relay: the file that `RELAY_CONFIG` names and the environment, as typed values."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from .decisions.model import Settings
 from .decisions.settings import SettingsError, settings_from
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port
 
-
-OWN_MB = 24  # of an instance that holds nothing: the interpreter, the program, its buffers
-MESSAGE_BYTES = 4000  # what a held message of usual size takes, its body and journal entry included
+BASE_MEMORY_MB = 24  # of an instance without messages: the interpreter, the program, its buffers
+MESSAGE_BYTES = 4000  # memory of a pending message of usual size, its body and journal entry included
+MIN_SOCKETS = 64  # descriptors: some forty are the process's own, calls and clients need the rest
+MAX_SOCKETS = 1024
 
 
 class ConfigError(Exception):
@@ -26,6 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A relay's configuration, validated."""
+
     name: str
     listen: Address
     discovery: Address
@@ -40,42 +43,40 @@
 
 
 def address(text: object) -> Address:
+    """HOST:PORT as an address. Raises ValueError."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
-def carried(hold: int, memory_mb: float | None) -> None:
-    """ValueError if so many messages do not fit into the memory limit: better at the start than in a rush."""
-    need_mb = OWN_MB + hold * MESSAGE_BYTES / 1e6
+def check_memory_limit(max_pending: int, memory_mb: float | None) -> None:
+    """Raises ValueError if so many messages exceed the limit: better at the start than under load."""
+    need_mb = BASE_MEMORY_MB + max_pending * MESSAGE_BYTES / 1e6
     if memory_mb is not None and need_mb > float(memory_mb):
-        most = max(0, int((float(memory_mb) - OWN_MB) * 1e6 / MESSAGE_BYTES))
+        max_fitting = max(0, int((float(memory_mb) - BASE_MEMORY_MB) * 1e6 / MESSAGE_BYTES))
         raise ValueError(
-            f"settings.limits.open-cap: holding {hold} messages needs about {need_mb:.0f} MB, "
-            f"and limits.memory_mb is {float(memory_mb):g}: hold {most} at most, or raise it"
+            f"settings.limits.open-cap: holding {max_pending} messages needs about {need_mb:.0f} MB, "
+            f"and limits.memory_mb is {float(memory_mb):g}: hold {max_fitting} at most, or raise it"
         )
 
 
-LEAST_SOCKETS = 64  # descriptors: some forty are the process's own, calls and clients need the rest
-
-
 class _Limits(msgspec.Struct, frozen=True):
     memory_mb: float | None = None
-    sockets: int = 1024
+    sockets: int = MAX_SOCKETS
     disk_mb: float = 3.0
 
     def __post_init__(self) -> None:
         if self.memory_mb is not None and self.memory_mb <= 0:
             raise ValueError(f"memory_mb is {self.memory_mb:g}: must be above 0")
-        if self.sockets < LEAST_SOCKETS:
-            raise ValueError(f"sockets is {self.sockets}: must be {LEAST_SOCKETS} or more")
+        if self.sockets < MIN_SOCKETS:
+            raise ValueError(f"sockets is {self.sockets}: must be {MIN_SOCKETS} or more")
         if self.disk_mb <= 0:
             raise ValueError(f"disk_mb is {self.disk_mb:g}: must be above 0")
 
 
 class _File(msgspec.Struct):
-    """The file, as far as a relay reads it; the platform may add to it."""
+    """The parts of the file that a relay reads; the platform may add others."""
 
     settings: msgspec.Raw
     name: str | None = None
@@ -92,32 +93,34 @@
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Reads the file that RELAY_CONFIG names; the other RELAY_ variables go before what it says, but for
-    discovery: there the file is what gets replaced in service, and a process keeps its old environment.
-    Raises ConfigError."""
+    """Reads the file that RELAY_CONFIG names. Raises ConfigError.
+
+    The other RELAY_ variables take precedence over the file, except for discovery: the file is what gets
+    replaced in service, while a process keeps its old environment.
+    """
     path = env.get("RELAY_CONFIG", "")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         raw: _File = msgspec.json.decode(Path(path).read_bytes(), type=_File, strict=False)
-        told = {
+        values = {
             key: env.get(f"RELAY_{key.upper()}") or getattr(raw, key) for key in ("name", "listen", "state")
         }
-        told["state"] = told["state"] or env.get("STATE_DIRECTORY", "").partition(":")[0]
-        told["discovery"] = raw.discovery or env.get("RELAY_DISCOVERY")
-        missing = [key for key, value in told.items() if not value]
+        values["state"] = values["state"] or env.get("STATE_DIRECTORY", "").partition(":")[0]
+        values["discovery"] = raw.discovery or env.get("RELAY_DISCOVERY")
+        missing = [key for key, value in values.items() if not value]
         if missing:
             raise ConfigError(f"{path}: {missing[0]} is missing")
         settings = settings_from(bytes(raw.settings))
         zones: _Zones = msgspec.json.decode(raw.settings, type=_Zones)
-        carried(settings.max_pending_messages, raw.limits.memory_mb)
+        check_memory_limit(settings.max_pending_messages, raw.limits.memory_mb)
         return Config(
-            name=str(told["name"]),
-            listen=address(told["listen"]),
-            discovery=address(told["discovery"]),
-            state=Path(str(told["state"])),
+            name=str(values["name"]),
+            listen=address(values["listen"]),
+            discovery=address(values["discovery"]),
+            state=Path(str(values["state"])),
             seed=int(raw.seed, 16),
-            sockets=min(1024, raw.limits.sockets),
+            sockets=min(MAX_SOCKETS, raw.limits.sockets),
             disk_bytes=int(raw.limits.disk_mb * 1e6),
             known=raw.known or {},
             settings=settings,
--- a/message_relay/simulator_adapter.py
+++ b/message_relay/simulator_adapter.py
@@ -1,10 +1,14 @@
-"""Speaks the operators' wire on standard input and output; every decision is left to `control.Relay`."""
+"""The operators' simulator protocol on standard input and output; each instance is a `DeliveryScheduler`.
+
+A frame from the simulator has the time and a batch of records, each an event of one instance; the reply frame
+has the resulting actions. All numbers are little-endian.
+"""
 
 from __future__ import annotations
 
 import struct
 import sys
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from typing import Any, BinaryIO
 
 from .decisions.actions import (
@@ -31,6 +35,33 @@
 from .decisions.scheduler import DeliveryScheduler
 from .decisions.settings import SettingsError, settings_from
 
+# Records from the simulator.
+LIST_RECORD = 20
+LIST_ANNOUNCED = 30
+TIMER_FIRED = 40
+INSTANCE_STOPPED = 50
+PROBE_COMPLETED = 60
+MESSAGE_CANCELLED = 70
+INSTANCE_STARTED = 80
+ATTEMPT_COMPLETED = 100
+MESSAGE = 110
+IGNORED = (10, 90)  # attempts that have begun (no class here streams), and what neighbours share (nothing)
+
+# Records to the simulator.
+START_ATTEMPT = 10
+REJECT = 20
+FAIL = 30
+CANCEL = 40
+SET_TIMER = 50
+PROBE = 60
+LOG = 90
+WATCH_ENDPOINTS = 110
+
+# Bits of a message's options.
+HAS_WORK_HINT = 1
+IS_RESUBMITTED = 2
+IS_FROM_DEAD_RELAY = 16
+
 OUTCOMES = (
     Outcome.ERROR,
     Outcome.OK,
@@ -44,158 +75,210 @@
 LISTINGS = {1: Listing.READY, 2: Listing.REMOVED, 3: Listing.DRAINING}
 LIST_KINDS = (ListKind.CHANGES, ListKind.COMPLETE, ListKind.CACHED, ListKind.FAILED)
 ENTRY = struct.Struct("<BfdHBHI")
-IGNORED = (10, 90)  # Begun (no class here streams) and NeighbourSays (peers share nothing)
+RECORD_HEADER = struct.Struct("<BI")  # code, bytes that follow
+FRAME_HEADER = struct.Struct("<IdI")  # bytes that follow, time in ms, records
+MAX_LOG_BYTES = 65535
 
 
 class WireError(Exception):
-    """What came in does not follow the wire."""
+    """The input does not follow the protocol."""
 
 
-class Host:
-    """One `Relay` an instance, and the numbered lists that the whole process shares."""
+class SimulatorAdapter:
+    """One scheduler for each simulated instance, and the numbered lists of endpoints that all share."""
 
     def __init__(self) -> None:
-        self.relays: dict[int, DeliveryScheduler] = {}
+        self.schedulers: dict[int, DeliveryScheduler] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def batch(self, now: float, count: int, body: bytes) -> bytes:
-        """One batch of events in, one reply frame out."""
+    def handle_frame(self, now: float, count: int, body: bytes) -> bytes:
+        """Hands one frame of events to the schedulers; returns the reply frame."""
         events: dict[int, list[Event]] = {}
         for code, data in self._records(count, body):
-            self._take(code, data, events)
-        out: list[bytes] = []
-        for instance, mine in events.items():
-            if instance in self.relays:
-                out += [encode(instance, now, action) for action in self.relays[instance].handle(now, mine)]
-        return struct.pack("<II", sum(map(len, out)), len(out)) + b"".join(out)
+            self._handle_record(code, data, events)
+        replies: list[bytes] = []
+        for instance, instance_events in events.items():
+            if instance in self.schedulers:
+                actions = self.schedulers[instance].handle(now, instance_events)
+                replies += [encode(instance, action) for action in actions]
+        return struct.pack("<II", sum(map(len, replies)), len(replies)) + b"".join(replies)
 
     @staticmethod
     def _records(count: int, body: bytes) -> Iterator[tuple[int, bytes]]:
-        at = 0
+        """Code and data of each record in a frame."""
+        position = 0
         for _ in range(count):
-            if at + 5 > len(body):
+            if position + RECORD_HEADER.size > len(body):
                 raise WireError("frame ends inside a record")
-            code, size = struct.unpack_from("<BI", body, at)
-            if at + 5 + size > len(body):
+            code, size = RECORD_HEADER.unpack_from(body, position)
+            position += RECORD_HEADER.size
+            if position + size > len(body):
                 raise WireError(f"record {code} is longer than its frame")
-            yield code, body[at + 5 : at + 5 + size]
-            at += 5 + size
-        if at != len(body):
-            raise WireError(f"frame holds {len(body) - at} bytes after its last record")
-
-    def _take(self, code: int, data: bytes, events: dict[int, list[Event]]) -> None:
-        if code == 20:
-            number, size = struct.unpack_from("<BI", data)
-            if len(data) != 5 + size * ENTRY.size:
-                raise WireError("list of endpoints is cut short")
-            self.lists[number] = tuple(entry(row) for row in ENTRY.iter_unpack(data[5:]))
+            yield code, body[position : position + size]
+            position += size
+        if position != len(body):
+            raise WireError(f"frame holds {len(body) - position} bytes after its last record")
+
+    def _handle_record(self, code: int, data: bytes, events: dict[int, list[Event]]) -> None:
+        """Applies a record about lists and instances; adds any other as an event of its instance."""
+        if code == LIST_RECORD:
+            self._store_list(data)
             return
         (instance,) = struct.unpack_from("<I", data)
-        if code == 80:
-            seed, size = struct.unpack_from("<QI", data, 4)
-            if len(data) != 16 + size:
-                raise WireError("settings are cut short")
-            self.relays[instance] = DeliveryScheduler(settings_from(data[16:]), seed)
+        if code == INSTANCE_STARTED:
+            self._start_instance(instance, data)
             events[instance] = []
-        elif code == 50:
-            self.relays.pop(instance, None)
+        elif code == INSTANCE_STOPPED:
+            self.schedulers.pop(instance, None)
             events.pop(instance, None)
         elif code not in IGNORED:
             event = self._event(code, data)
-            relay = self.relays.get(instance)
-            if isinstance(event, Message) and relay and event.class_index >= len(relay.settings.classes):
-                raise WireError(
-                    f"message {event.id} is of class {event.class_index}, which the settings lack"
-                )
+            self._check_class(instance, event)
             events.setdefault(instance, []).append(event)
 
+    def _store_list(self, data: bytes) -> None:
+        number, size = struct.unpack_from("<BI", data)
+        if len(data) != 5 + size * ENTRY.size:
+            raise WireError("list of endpoints is cut short")
+        self.lists[number] = tuple(endpoint_of(row) for row in ENTRY.iter_unpack(data[5:]))
+
+    def _start_instance(self, instance: int, data: bytes) -> None:
+        seed, size = struct.unpack_from("<QI", data, 4)
+        if len(data) != 16 + size:
+            raise WireError("settings are cut short")
+        self.schedulers[instance] = DeliveryScheduler(settings_from(data[16:]), seed)
+
+    def _check_class(self, instance: int, event: Event) -> None:
+        scheduler = self.schedulers.get(instance)
+        if not isinstance(event, Message) or scheduler is None:
+            return
+        if event.class_index >= len(scheduler.settings.classes):
+            raise WireError(f"message {event.id} is of class {event.class_index}, which the settings lack")
+
     def _event(self, code: int, data: bytes) -> Event:
-        if code == 110:
-            tid, lane, tenant, key, left, hint, dest, opts = struct.unpack_from("<IBIQddfB", data, 4)
-            return Message(
-                tid,
-                int(dest),
-                lane,
-                left,
-                tenant,
-                key,
-                hint if opts & 1 else None,
-                bool(opts & 2),
-                bool(opts & 16),
-            )
-        if code == 100:
-            tid, go, endpoint, result, cost, done, wait, n = struct.unpack_from("<IHIBdBIB", data, 4)
-            report = struct.unpack_from(f"<{n}f", data, 29)
-            outcome = outcome_of(result)
-            full = outcome is Outcome.FULL
-            return AttemptCompleted(
-                tid,
-                go,
-                endpoint,
-                outcome,
-                cost,
-                bool(done),
-                wait if full else 0.0,
-                bool(wait) and outcome is Outcome.NOT_SENT,
-                report,
-            )
-        if code == 30:
-            kind, _, number = struct.unpack_from("<BQB", data, 4)
-            if kind >= len(LIST_KINDS):
-                raise WireError(f"unknown list kind {kind}")
-            listed = LIST_KINDS[kind]
-            if listed is ListKind.FAILED:
-                return EndpointList(listed)
-            if number not in self.lists:
-                raise WireError(f"list {number} was never sent")
-            return EndpointList(listed, self.lists[number])
-        if code == 40:
-            return TimerFired(struct.unpack_from("<Q", data, 4)[0])
-        if code == 60:
-            endpoint, result, cost, n = struct.unpack_from("<IBdB", data, 4)
-            return ProbeCompleted(endpoint, outcome_of(result), cost, struct.unpack_from(f"<{n}f", data, 18))
-        if code == 70:
-            return MessageCancelled(struct.unpack_from("<I", data, 4)[0])
-        raise WireError(f"unknown event code {code}")
+        if code == LIST_ANNOUNCED:
+            return self._endpoint_list(data)
+        decode = DECODERS.get(code)
+        if decode is None:
+            raise WireError(f"unknown event code {code}")
+        return decode(data)
+
+    def _endpoint_list(self, data: bytes) -> EndpointList:
+        kind_code, _, number = struct.unpack_from("<BQB", data, 4)
+        if kind_code >= len(LIST_KINDS):
+            raise WireError(f"unknown list kind {kind_code}")
+        kind = LIST_KINDS[kind_code]
+        if kind is ListKind.FAILED:
+            return EndpointList(kind)
+        if number not in self.lists:
+            raise WireError(f"list {number} was never sent")
+        return EndpointList(kind, self.lists[number])
+
+
+def decode_message(data: bytes) -> Message:
+    """A message that a client has submitted."""
+    number, class_index, tenant, key, remaining_ms, work_ms, destination, options = struct.unpack_from(
+        "<IBIQddfB", data, 4
+    )
+    return Message(
+        number,
+        int(destination),
+        class_index,
+        remaining_ms,
+        tenant,
+        key,
+        work_ms if options & HAS_WORK_HINT else None,
+        bool(options & IS_RESUBMITTED),
+        bool(options & IS_FROM_DEAD_RELAY),
+    )
+
+
+def decode_attempt_completed(data: bytes) -> AttemptCompleted:
+    """The result of an attempt; a full endpoint's wait is a Retry-After, any other's means no free slot."""
+    message, attempt, endpoint, result, latency_ms, is_done, wait, report_size = struct.unpack_from(
+        "<IHIBdBIB", data, 4
+    )
+    report = struct.unpack_from(f"<{report_size}f", data, 29)
+    outcome = outcome_of(result)
+    return AttemptCompleted(
+        message,
+        attempt,
+        endpoint,
+        outcome,
+        latency_ms,
+        bool(is_done),
+        wait if outcome is Outcome.FULL else 0.0,
+        bool(wait) and outcome is Outcome.NOT_SENT,
+        report,
+    )
+
+
+def decode_timer_fired(data: bytes) -> TimerFired:
+    """The timer of an instance has fired."""
+    return TimerFired(struct.unpack_from("<Q", data, 4)[0])
+
+
+def decode_probe_completed(data: bytes) -> ProbeCompleted:
+    """The result of a health check."""
+    endpoint, result, latency_ms, report_size = struct.unpack_from("<IBdB", data, 4)
+    report = struct.unpack_from(f"<{report_size}f", data, 18)
+    return ProbeCompleted(endpoint, outcome_of(result), latency_ms, report)
+
+
+def decode_message_cancelled(data: bytes) -> MessageCancelled:
+    """A message that its client has withdrawn."""
+    return MessageCancelled(struct.unpack_from("<I", data, 4)[0])
+
+
+DECODERS: dict[int, Callable[[bytes], Event]] = {
+    TIMER_FIRED: decode_timer_fired,
+    PROBE_COMPLETED: decode_probe_completed,
+    MESSAGE_CANCELLED: decode_message_cancelled,
+    ATTEMPT_COMPLETED: decode_attempt_completed,
+    MESSAGE: decode_message,
+}
 
 
 def outcome_of(code: int) -> Outcome:
+    """The outcome with this code. Raises WireError."""
     if code >= len(OUTCOMES):
         raise WireError(f"unknown outcome {code}")
     return OUTCOMES[code]
 
 
-def entry(row: tuple[Any, ...]) -> Endpoint:
-    status, weight, _, kind, zone, destination, ident = row
+def endpoint_of(row: tuple[Any, ...]) -> Endpoint:
+    """An endpoint from the fields of its entry in a list. Raises WireError."""
+    status, weight, _, kind, zone, destination, number = row
     if status not in LISTINGS:
         raise WireError(f"unknown endpoint status {status}")
-    return Endpoint(ident, destination, LISTINGS[status], kind, zone, weight)
+    return Endpoint(number, destination, LISTINGS[status], kind, zone, weight)
 
 
-def encode(instance: int, now: float, action: Action) -> bytes:
-    """One action as a record."""
+def encode(instance: int, action: Action) -> bytes:
+    """One action of an instance as a record."""
     match action:
-        case StartAttempt(ident, endpoint, until):
-            code, body = 10, struct.pack("<IIId", instance, ident, endpoint, until)
-        case Reject(ident, stay):
-            code, body = 20, struct.pack("<IId", instance, ident, stay)
-        case Fail(ident):
-            code, body = 30, struct.pack("<II", instance, ident)
-        case Cancel(ident, attempt):
-            code, body = 40, struct.pack("<IIH", instance, ident, attempt)
-        case SetTimer(delay, token):
-            code, body = 50, struct.pack("<IdQ", instance, delay, token)
+        case StartAttempt(message, endpoint, until_ms):
+            code, body = START_ATTEMPT, struct.pack("<IIId", instance, message, endpoint, until_ms)
+        case Reject(message, after_ms):
+            code, body = REJECT, struct.pack("<IId", instance, message, after_ms)
+        case Fail(message):
+            code, body = FAIL, struct.pack("<II", instance, message)
+        case Cancel(message, attempt):
+            code, body = CANCEL, struct.pack("<IIH", instance, message, attempt)
+        case SetTimer(delay_ms, token):
+            code, body = SET_TIMER, struct.pack("<IdQ", instance, delay_ms, token)
         case Probe(endpoint):
-            code, body = 60, struct.pack("<II", instance, endpoint)
+            code, body = PROBE, struct.pack("<II", instance, endpoint)
         case WatchEndpoints():
-            code, body = 110, struct.pack("<IB", instance, 1)
+            code, body = WATCH_ENDPOINTS, struct.pack("<IB", instance, 1)
         case Log(text):
-            line = text.encode()[:65535]
-            code, body = 90, struct.pack("<IH", instance, len(line)) + line
-    return struct.pack("<BI", code, len(body)) + body
+            line = text.encode()[:MAX_LOG_BYTES]
+            code, body = LOG, struct.pack("<IH", instance, len(line)) + line
+    return RECORD_HEADER.pack(code, len(body)) + body
 
 
-def exactly(stream: BinaryIO, size: int) -> bytes:
+def read_exactly(stream: BinaryIO, size: int) -> bytes:
+    """So many bytes. Raises WireError where the input ends before."""
     data = stream.read(size)
     if len(data) != size:
         raise WireError("input ends inside a frame")
@@ -203,16 +286,18 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    host = Host()
-    while head := source.read(16):
-        if len(head) != 16:
+    """Answers each frame until the input ends. Raises WireError, SettingsError or struct.error."""
+    adapter = SimulatorAdapter()
+    while header := source.read(FRAME_HEADER.size):
+        if len(header) != FRAME_HEADER.size:
             raise WireError("input ends inside a frame header")
-        size, now, count = struct.unpack("<IdI", head)
-        sink.write(host.batch(now, count, exactly(source, size)))
+        size, now, count = FRAME_HEADER.unpack(header)
+        sink.write(adapter.handle_frame(now, count, read_exactly(source, size)))
         sink.flush()
 
 
 def main() -> int:
+    """Serves on standard input and output; the exit code is 1 where the input cannot be read."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError, struct.error) as error:
--- a/message_relay/structured_logging.py
+++ b/message_relay/structured_logging.py
@@ -1,8 +1,9 @@
-"""What the relay logs: an event's name and its fields, never a body, a key or a secret.
+"""Structured logging: an event's name and its fields, never a body, a key or a secret.
 
 Plain lines through the standard library are the default. Where the operator's file asks for it, structlog
-(extra `ops`) makes JSON or console lines of the same records, and a thread writes them: a reader that is slow
-or has stopped costs lines, which are counted, and never a turn of the loop."""
+(extra `ops`) renders the same records as JSON or console lines, and a thread writes them: a reader that is
+slow or has stopped costs lines, which are counted, but never blocks the event loop.
+"""
 
 from __future__ import annotations
 
@@ -15,45 +16,48 @@
 from typing import Any
 
 FORMATS = ("plain", "json", "console")
-FLUSH_S = 1.0  # at the end what still waits may take so long
-LINE_BYTES = 8192  # a longer line is cut: one record must not fill the buffer
+FLUSH_TIMEOUT_S = 1.0  # at the end, for the lines that are still queued
+MAX_LINE_BYTES = 8192  # a longer line is cut: one record must not fill the buffer
 
 
 class LogEvent:
-    """An event's name with its fields; as text only where a line of it is written."""
+    """An event's name with its fields; rendered as text only where a line is written."""
 
     __slots__ = ("event", "fields")
 
     def __init__(self, event: str, **fields: object) -> None:
-        self.event, self.fields = event, fields
+        self.event = event
+        self.fields = fields
 
     def __str__(self) -> str:
         return " ".join((self.event, *(f"{name}={value}" for name, value in self.fields.items())))
 
 
 class BoundedLogWriter(logging.Handler):
-    """Lines for a descriptor, written by a thread; `most` wait at the most, others are dropped and told."""
+    """Writes lines to a file descriptor from a thread; past `capacity` lines, drops and counts them."""
 
-    def __init__(self, descriptor: int, most: int) -> None:
+    def __init__(self, descriptor: int, capacity: int) -> None:
         super().__init__()
-        self.descriptor, self.dropped = descriptor, 0
-        self.waiting: queue.Queue[bytes | None] = queue.Queue(most)
-        self.thread = threading.Thread(target=self._work, name="log", daemon=True)
+        self.descriptor = descriptor
+        self.dropped = 0
+        self.lines: queue.Queue[bytes | None] = queue.Queue(capacity)
+        self.thread = threading.Thread(target=self._write_lines, name="log", daemon=True)
         self.thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Queues a record's line, without blocking."""
         try:
-            line = self.format(record).encode(errors="replace")[:LINE_BYTES] + b"\n"
+            line = self.format(record).encode(errors="replace")[:MAX_LINE_BYTES] + b"\n"
         except Exception:
             self.handleError(record)
             return
         try:
-            self.waiting.put_nowait(line)
+            self.lines.put_nowait(line)
         except queue.Full:
             self.dropped += 1
 
-    def _work(self) -> None:
-        while (line := self.waiting.get()) is not None:
+    def _write_lines(self) -> None:
+        while (line := self.lines.get()) is not None:
             if self.dropped:
                 lost, self.dropped = self.dropped, 0
                 line += f"{lost} log lines were dropped: nobody read them\n".encode()
@@ -64,24 +68,28 @@
                 pass  # nobody reads any more; the relay goes on without a log
 
     def close(self) -> None:
+        """Writes the queued lines, within FLUSH_TIMEOUT_S."""
         try:
-            self.waiting.put(None, timeout=FLUSH_S)
+            self.lines.put(None, timeout=FLUSH_TIMEOUT_S)
         except queue.Full:
             return  # the thread hangs in its write, and ends with the process
-        self.thread.join(FLUSH_S)
+        self.thread.join(FLUSH_TIMEOUT_S)
         super().close()
 
 
 def configure_plain_logging(level: str = "info") -> None:
-    """Lines to standard error, as on the platform."""
+    """Logs plain lines to standard error, as on the platform."""
     logging.basicConfig(level=level.upper(), format="%(asctime)s %(levelname)s %(name)s: %(message)s")
 
 
 def configure_structured_logging(
-    format_: str, level: str, most: int, descriptor: int = 2
+    format_: str, level: str, capacity: int, descriptor: int = 2
 ) -> BoundedLogWriter:
-    """Replaces whatever was set up. Raises ImportError where structlog is not installed."""
-    writer = BoundedLogWriter(descriptor, most)
+    """Replaces whatever was configured. Raises ImportError where structlog is not installed.
+
+    `format_` is one of FORMATS; `capacity`: lines queued at most.
+    """
+    writer = BoundedLogWriter(descriptor, capacity)
     if format_ == "plain":
         writer.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s: %(message)s"))
     else:
@@ -99,28 +107,30 @@
     import structlog
 
     shared: list[Callable[..., Any]] = [
-        _fields,
+        _add_event_fields,
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         structlog.processors.format_exc_info,
     ]
-    last: Callable[..., Any] = (
+    renderer: Callable[..., Any] = (
         structlog.processors.JSONRenderer(default=str)
         if format_ == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     return structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=shared,
-        processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, last],
+        processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
     )
 
 
-def _fields(_: object, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """A record's `Note` as fields of the line; the names that every line has are the line's."""
-    note = event["_record"].msg
-    if isinstance(note, LogEvent):
-        event["event"] = note.event
-        for name, value in note.fields.items():
+def _add_event_fields(
+    _logger: object, _method: str, event: MutableMapping[str, Any]
+) -> MutableMapping[str, Any]:
+    """Adds the fields of a record's `LogEvent` to the line, but not over those that every line has."""
+    message = event["_record"].msg
+    if isinstance(message, LogEvent):
+        event["event"] = message.event
+        for name, value in message.fields.items():
             event.setdefault(name, value)
     return event
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -104,7 +104,7 @@
 
 
 def test_documented_events_are_decoded() -> None:
-    host = simulator_adapter.Host()
+    host = simulator_adapter.SimulatorAdapter()
     data = bytes.fromhex(
         "03000000c4913a5d0000000000640ad2557c3bf091" "0000000000006e4000000000000028400000644201"
     )
@@ -120,8 +120,8 @@
     events: dict[int, list[Event]] = {}
     rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
     rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
-    host._take(20, b"\0" + bytes.fromhex(rows), events)
-    host._take(30, bytes.fromhex("0300000002290000000000000000"), events)
+    host._handle_record(20, b"\0" + bytes.fromhex(rows), events)
+    host._handle_record(30, bytes.fromhex("0300000002290000000000000000"), events)
     assert events[3] == [
         EndpointList(
             ListKind.CACHED,
@@ -146,7 +146,7 @@
     ],
 )
 def test_documented_actions_are_encoded(action: Action, wire: str | None) -> None:
-    coded = simulator_adapter.encode(3, 0.0, action)
+    coded = simulator_adapter.encode(3, action)
     if wire is None:
         assert coded.hex() == "0a1400000003000000c4913a5d074a1203" + struct.pack("<d", 8512.25).hex()
     else:
@@ -155,7 +155,7 @@
 
 def test_debug_line_is_encoded() -> None:
     wire = "5a1700000005000000110074776f2073657276657273206b6e6f776e"
-    assert simulator_adapter.encode(5, 0.0, Log("two servers known")).hex() == wire
+    assert simulator_adapter.encode(5, Log("two servers known")).hex() == wire
 
 
 def conversation() -> bytes:
@@ -176,7 +176,7 @@
     while at < len(data):
         size, count = struct.unpack_from("<II", data, at)
         at += 8
-        records = list(simulator_adapter.Host._records(count, data[at : at + size]))
+        records = list(simulator_adapter.SimulatorAdapter._records(count, data[at : at + size]))
         out.append(records)
         at += size
     return out
