--- a/tests/http/harness.py
+++ b/tests/http/harness.py
@@ -1,10 +1,15 @@
-"""A relay with one endpoint on loopback, and helpers that read a client's connection to its end."""
+"""What tests of this folder share: a relay with one endpoint on loopback, clients and attempts."""
 
 from __future__ import annotations
 
+import asyncio
+from collections.abc import Callable
 from contextlib import AsyncExitStack
 from pathlib import Path
 
+from message_relay.core.ports import Attempt
+from message_relay.http.endpoint_client import EndpointClient
+
 from ..loopback import Agent, Client, Running, Server, relay
 
 
@@ -34,3 +39,22 @@
     except ConnectionError:
         pass
     return True
+
+
+def make_attempt(
+    address: tuple[str, int],
+    seconds: float = 20.0,
+    may: Callable[[], bool] = lambda: True,
+    body: bytes = b"b",
+    endpoint: int = 1,
+    careful: bool = False,
+    kind: str = "k",
+) -> Attempt:
+    """An attempt that times out after so many seconds; `careful`: an ambiguous outcome would be final."""
+    deadline_s = asyncio.get_running_loop().time() + seconds
+    return Attempt(endpoint, address, "id", "key", body, deadline_s, may, careful, kind=kind)
+
+
+def make_client(idle_ms: float = 60000.0, connect_ms: float = 20000.0, max_idle: int = 10) -> EndpointClient:
+    """A client with a pool of its own."""
+    return EndpointClient(idle_ms, connect_ms, max_idle)
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -4,12 +4,11 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
 from typing import Any
 
 import pytest
 
-from message_relay.core.ports import Attempt, AttemptResult
+from message_relay.core.ports import AttemptResult
 from message_relay.decisions.events import AttemptCompleted, EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
 from message_relay.http.attempt_results import parse_load_report
@@ -20,23 +19,11 @@
 
 from ..conftest import Driver, make_settings
 from ..loopback import OK, Server, answer, run, until
+from .harness import make_attempt
 
 CONNECTION_REJECTED = answer(503, "Connection: close")
 
 
-def make_attempt(
-    address: tuple[str, int],
-    body: bytes = b"b",
-    endpoint: int = 1,
-    kind: str = "k",
-    may: Callable[[], bool] = lambda: True,
-    careful: bool = False,
-    seconds: float = 20.0,
-) -> Attempt:
-    give_up_at = asyncio.get_running_loop().time() + seconds
-    return Attempt(endpoint, address, "id", "key", body, give_up_at, may, careful, kind=kind)
-
-
 # -- may it have run --------------------------------------------------------------------------------------
 
 
@@ -72,7 +59,7 @@
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=sock, limit=1 << 16)
         made = asyncio.ensure_future(
-            EndpointClient(60000.0, 20000.0, 10).attempt(make_attempt(sock.getsockname(), b"x" * size))
+            EndpointClient(60000.0, 20000.0, 10).attempt(make_attempt(sock.getsockname(), body=b"x" * size))
         )
         await until(lambda: bool(limits))
         gate.set()
@@ -91,7 +78,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.listen()
         result = await EndpointClient(60000.0, 20000.0, 10).attempt(
-            make_attempt(sock.getsockname(), b"x" * (32 << 20), seconds=0.2)
+            make_attempt(sock.getsockname(), body=b"x" * (32 << 20), seconds=0.2)
         )
         assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.close()
