--- a/benchmarks/capacity/planner.py
+++ b/benchmarks/capacity/planner.py
@@ -6,14 +6,9 @@
 import time
 from collections.abc import Callable, Mapping
 
-from message_relay.failover.planner import (
-    Plan,
-    PlanningProblem,
-    Solver,
-    TrafficGroup,
-    plan_all,
-    plan_greedily,
-)
+from message_relay.failover.greedy_planner import plan_greedily
+from message_relay.failover.plan_model import Plan, PlanningProblem, TrafficGroup
+from message_relay.failover.planner import Solver, plan_all
 
 from .form import Measure
 
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -23,7 +23,8 @@
 import time
 from typing import Any
 
-from message_relay.failover.planner import PlanningProblem, TrafficGroup, plan_all
+from message_relay.failover.plan_model import PlanningProblem, TrafficGroup
+from message_relay.failover.planner import plan_all
 from message_relay.failover.solver import solve
 
 from .cluster_harness import cluster
--- a/message_relay/failover/controller.py
+++ b/message_relay/failover/controller.py
@@ -32,6 +32,7 @@
     ZoneSeries,
     summed,
 )
+from .plan_model import Plan, PlanningProblem, Route, TrafficGroup
 from .plan_rules import (
     Capacities,
     declared_relay_count,
@@ -40,7 +41,7 @@
     relay_shares,
     spare_flows,
 )
-from .planner import Plan, PlanningProblem, Route, Solver, TrafficGroup, plan_all
+from .planner import Solver, plan_all
 from .settings import FailoverSettings
 from .zone_health import RECOVERY_RAMP, HealthState, ZoneHealth, ZoneHealthJudge
 
--- a/message_relay/failover/plan_rules.py
+++ b/message_relay/failover/plan_rules.py
@@ -9,7 +9,7 @@
 
 from ..consensus.rule_enforcement import hash_position
 from ..consensus.rules import FlowRule, Rules
-from .planner import Plan, PlanningProblem
+from .plan_model import Plan, PlanningProblem
 from .settings import FailoverSettings
 
 MIN_RELATIVE_CHANGE = 0.2  # of a bound: a smaller change is no reason for a version
--- a/message_relay/failover/solver.py
+++ b/message_relay/failover/solver.py
@@ -15,7 +15,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix, hstack
 
-from .planner import NEGLIGIBLE_RATE, STABILITY_BONUS, Plan, PlanningProblem, Route
+from .plan_model import NEGLIGIBLE_RATE, STABILITY_BONUS, Plan, PlanningProblem, Route
 
 
 def solve(problem: PlanningProblem, seconds: float) -> Plan | None:
--- a/message_relay/failover/views.py
+++ b/message_relay/failover/views.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .controller import FailoverController
-from .planner import Plan, PlanningProblem
+from .plan_model import Plan, PlanningProblem
 
 MOST_NAMES = 5  # destinations named in a cause
 
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -30,7 +30,9 @@
 from message_relay.endpoint_discovery.poll_schedule import PollSchedule
 from message_relay.endpoint_discovery.source_merge import SourceMerge
 from message_relay.failover.observations import Aggregate, Observations, ZonePair
-from message_relay.failover.planner import TrafficGroup, PlanningProblem, plan_greedily, plan_locally
+from message_relay.failover.plan_model import TrafficGroup, PlanningProblem
+from message_relay.failover.greedy_planner import plan_greedily
+from message_relay.failover.planner import plan_locally
 from message_relay.failover.zone_health import HealthState as Standing
 from message_relay.failover.zone_health import ZoneHealthJudge, success_interval
 from message_relay.fleet.fleet_size import FleetSize
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -10,14 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_relay.failover.planner import (
-    Plan,
-    PlanningProblem,
-    TrafficGroup,
-    plan_all,
-    plan_greedily,
-    plan_locally,
-)
+from message_relay.failover.greedy_planner import plan_greedily
+from message_relay.failover.plan_model import Plan, PlanningProblem, TrafficGroup
+from message_relay.failover.planner import plan_all, plan_locally
 from message_relay.failover.solver import solve
 
 ALL = ("a", "b", "c", "d")
