--- a/message_relay/store/__init__.py
+++ b/message_relay/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlasts the process."""
+"""State that outlives the process: the write-ahead journal, its recovery and the destination snapshot."""
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -8,6 +8,7 @@
 import base64
 import re
 import zlib
+from typing import NamedTuple
 
 import msgspec
 
@@ -64,8 +65,15 @@
     state: str = ""
 
 
-def read(data: bytes) -> tuple[dict[str, JournalEntry], list[str]]:
-    """The messages of the file, and a line for each damage of it."""
+class FileState(NamedTuple):
+    """What a file of format 1 holds."""
+
+    entries: dict[str, JournalEntry]
+    findings: list[str]  # a line for each damage, for people
+
+
+def read(data: bytes) -> FileState:
+    """Applies all records of a file; those that can't be read are findings."""
     entries: dict[str, JournalEntry] = {}
     findings: list[str] = []
     corrupt_ids: dict[str, None] = {}
@@ -84,7 +92,7 @@
             entries[message_id] = failed_entry(message_id)
     for entry in entries.values():
         entry.assume_in_flight_has_run()
-    return entries, findings
+    return FileState(entries, findings)
 
 
 def _decode_line(text: bytes) -> Line:
--- a/message_relay/store/upgrade.py
+++ b/message_relay/store/upgrade.py
@@ -26,16 +26,16 @@
     sizes = files.sizes()
     if format_v1.FILE_NAME in sizes and not state.segments:
         content = files.read(format_v1.FILE_NAME)
-        entries, findings = format_v1.read(content.data)
+        old_state = format_v1.read(content.data)
         if not content.is_complete:
             state.findings.append("journal: parts cannot be read from the disk")
-        state.findings.extend(findings)
-        state.entries.update(entries)
+        state.findings.extend(old_state.findings)
+        state.entries.update(old_state.entries)
         if TEMPORARY_NAME in sizes:
             files.unlink(TEMPORARY_NAME)
-        state.segments.append(_write_segment(files, entries))
-        state.next_sequence = 1 + len(entries)
-        log.info(LogEvent("journal upgraded from format 1", messages=len(entries)))
+        state.segments.append(_write_segment(files, old_state.entries))
+        state.next_sequence = 1 + len(old_state.entries)
+        log.info(LogEvent("journal upgraded from format 1", messages=len(old_state.entries)))
     for name in (*format_v1.NAMES, TEMPORARY_NAME):
         if name in files.sizes():
             files.unlink(name)
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -191,16 +191,7 @@
             ident, choice = f"m{rng.randrange(9)}", rng.random()
             entry = journal.entries.get(ident)
             if entry is None:
-                for ids in (self.accepted, self.attempted):
-                    ids.discard(ident)
-                self.final_states.pop(ident, None)
-                journal.append_accepted(
-                    JournalEntry(
-                        ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(rng.choice((30, 9000)))
-                    )
-                )
-                self.accepted.add(ident)
-                self.incarnations += 1
+                self.accept(journal, ident, now, rng.choice((30, 9000)))
             elif entry.final_state:
                 journal.append_notified([ident])
                 journal.compact(now)
@@ -216,15 +207,26 @@
                 self.accepted.discard(ident)
                 journal.append_cancelled(entry)
             if superseded and rng.random() < 0.4:
-                old = superseded.pop(0)
-                journal.append_outcome(
-                    old, False
-                )  # its call completes now, when the id may be another message's
-                if journal.entries.get(old.id) is not old:
-                    with pytest.raises(JournalError, match="is over"):
-                        journal.append_attempt(old, now, "s-1", 0)
+                self.complete_call(journal, superseded.pop(0), now)
         journal.close()
 
+    def accept(self, journal: Journal, ident: str, now: float, body_size: int) -> None:
+        self.accepted.discard(ident)
+        self.attempted.discard(ident)
+        self.final_states.pop(ident, None)
+        journal.append_accepted(
+            JournalEntry(ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(body_size))
+        )
+        self.accepted.add(ident)
+        self.incarnations += 1
+
+    def complete_call(self, journal: Journal, old: JournalEntry, now: float) -> None:
+        """A call completes when the id of its message may be another message's."""
+        journal.append_outcome(old, False)
+        if journal.entries.get(old.id) is not old:
+            with pytest.raises(JournalError, match="is over"):
+                journal.append_attempt(old, now, "s-1", 0)
+
     def check(self, files: dict[str, bytes]) -> None:
         after = Journal(NOWHERE, BUDGET_BYTES, Disk(files)).entries
         for ident in self.accepted:
