--- a/message_relay/failover/solver.py
+++ b/message_relay/failover/solver.py
@@ -1,70 +1,86 @@
-"""The best plan of one destination, by HiGHS (scipy.optimize.linprog). Imported only where failover is on and
-scipy is there (extra `failover`).
+"""The optimal plan of one destination, by HiGHS (scipy.optimize.linprog).
 
-Weighed against ortools (GLOP): both find the same optimum; scipy is in this project's lab already, needs no
-model of its own and takes sparse matrices; ortools is ten times as large. `benchmarks/failover.py` measures
-what it costs beside the greedy plan.
+Imported only where failover is on and scipy is installed (extra `failover`).
+
+Compared with ortools (GLOP): both find the same optimum; scipy is already among this project's lab
+dependencies, needs no model of its own and takes sparse matrices; ortools is ten times as large.
+`benchmarks/failover.py` measures its cost against the greedy plan.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Any, TypeVar
 
 import numpy as np
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix, hstack
 
-from .plan_model import NEGLIGIBLE_RATE, STABILITY_BONUS, Plan, PlanningProblem, Route
+from .plan_model import (
+    NEGLIGIBLE_RATE,
+    STABILITY_BONUS,
+    Plan,
+    PlanningProblem,
+    Route,
+)
+
+MIN_TIME_LIMIT_S = 0.001
+SOLVER_TOLERANCE = 1e-7  # rates below are zero up to the solver's error
+OPTIMAL = 0  # linprog's status
+
+Key = TypeVar("Key")
 
 
 def solve(problem: PlanningProblem, seconds: float) -> Plan | None:
-    """None where it fails or takes longer. Zones are put into an order by what they are and not by their
-    names, so that of equally good plans the same one is chosen whatever they are called."""
+    """Return the best plan; None if the solver fails or takes longer.
+
+    Zones are sorted by their properties and not by their names, so that of equally good plans the same one
+    is chosen whatever they are called.
+    """
     zones = _name_independent_order(problem)
-    ways, scores = _usable_routes(problem, zones)
-    if not ways:
+    routes, scores = _usable_routes(problem, zones)
+    if not routes:
         return Plan({}, "solved")
-    matrix, bounds = _limit_matrix(problem, zones, ways)
-    last = np.array([problem.previous_flows.get(way, 0.0) for way in ways])
-    count = len(ways)
-    stay = STABILITY_BONUS * np.array(scores) / 2
-    # x: the flow; u, v: how far it is above and under the last one.
-    cost = np.concatenate([-np.array(scores), stay, stay])
-    eye = coo_matrix((np.ones(count), (range(count), range(count))), shape=(count, count))
-    equal = hstack([eye, -eye, eye]).tocsr()
-    empty = coo_matrix((matrix.shape[0], 2 * count))
+    matrix, limits = _limit_matrix(problem, routes)
+    count = len(routes)
+    # Variables: the flow of each route, and how far it is above and below the previous one.
+    change_cost = STABILITY_BONUS * np.array(scores) / 2
+    identity = coo_matrix((np.ones(count), (range(count), range(count))), shape=(count, count))
+    unlimited = coo_matrix((matrix.shape[0], 2 * count))
     result: Any = linprog(
-        cost,
-        A_ub=hstack([matrix, empty]).tocsr(),
-        b_ub=bounds,
-        A_eq=equal,
-        b_eq=last,
-        bounds=[(0.0, problem.route_limit(way)) for way in ways] + [(0.0, None)] * (2 * count),
+        np.concatenate([-np.array(scores), change_cost, change_cost]),
+        A_ub=hstack([matrix, unlimited]).tocsr(),
+        b_ub=limits,
+        A_eq=hstack([identity, -identity, identity]).tocsr(),
+        b_eq=np.array([problem.previous_flows.get(route, 0.0) for route in routes]),
+        bounds=[(0.0, problem.route_limit(route)) for route in routes] + [(0.0, None)] * (2 * count),
         method="highs",
-        options={"time_limit": max(0.001, seconds), "presolve": False},
+        options={"time_limit": max(MIN_TIME_LIMIT_S, seconds), "presolve": False},
     )
-    if result.status != 0 or result.x is None:
+    if result.status != OPTIMAL or result.x is None:
         return None
-    return Plan(_trim_to_limits(problem, dict(zip(ways, result.x[:count], strict=True))), "solved")
+    flows = dict(zip(routes, result.x[:count], strict=True))
+    return Plan(_trim_to_limits(problem, flows), "solved")
 
 
 def _name_independent_order(problem: PlanningProblem) -> list[str]:
-    def features(zone: str) -> tuple[Any, ...]:
+    def properties(zone: str) -> tuple[Any, ...]:
         rates = tuple(problem.demand.get((zone, group.name), 0.0) for group in problem.groups)
-        out = sorted(problem.success_ratio.get((zone, other), 1.0) for other in problem.zones)
-        into = sorted(problem.success_ratio.get((other, zone), 1.0) for other in problem.zones)
-        last = sorted(
+        success_from = sorted(problem.success_ratio.get((zone, other), 1.0) for other in problem.zones)
+        success_into = sorted(problem.success_ratio.get((other, zone), 1.0) for other in problem.zones)
+        previous = sorted(
             rate for (source, _, target), rate in problem.previous_flows.items() if zone in (source, target)
         )
-        prices = sorted(problem.cost.get((zone, other), 0.0) for other in problem.zones)
-        return problem.capacity.get(zone, math.inf), rates, out, into, last, prices
+        costs = sorted(problem.cost.get((zone, other), 0.0) for other in problem.zones)
+        return problem.capacity.get(zone, math.inf), rates, success_from, success_into, previous, costs
 
-    return sorted(problem.zones, key=features)
+    return sorted(problem.zones, key=properties)
 
 
 def _usable_routes(problem: PlanningProblem, zones: list[str]) -> tuple[list[Route], list[float]]:
-    ways: list[Route] = []
+    """Return the routes that may carry calls, and the score of each."""
+    routes: list[Route] = []
     scores: list[float] = []
     for group in problem.groups:
         for source in zones:
@@ -73,41 +89,49 @@
             for target in zones:
                 score = problem.score(group, (source, target))
                 if score > 0 and problem.capacity.get(target, math.inf) > NEGLIGIBLE_RATE:
-                    ways.append((source, group.name, target))
+                    routes.append((source, group.name, target))
                     scores.append(score)
-    return ways, scores
+    return routes, scores
 
 
-def _limit_matrix(problem: PlanningProblem, zones: list[str], ways: list[Route]) -> tuple[Any, list[float]]:
-    """A row for each source's demand, and one for each target's room."""
-    rows: dict[tuple[str, ...], int] = {}
-    bounds: list[float] = []
-    places: list[tuple[int, int]] = []
-    for column, (source, group, target) in enumerate(ways):
-        for key, most in (
+def _limit_matrix(problem: PlanningProblem, routes: list[Route]) -> tuple[Any, list[float]]:
+    """Return a row for each source's demand and for each target's capacity, and the limits of the rows."""
+    row_numbers: dict[tuple[str, ...], int] = {}
+    limits: list[float] = []
+    rows: list[int] = []
+    columns: list[int] = []
+    for column, (source, group, target) in enumerate(routes):
+        route_limits: tuple[tuple[tuple[str, ...], float], ...] = (
             ((source, group), problem.demand[source, group]),
             ((target,), problem.capacity.get(target, math.inf)),
-        ):
-            if math.isinf(most):
+        )
+        for key, limit in route_limits:
+            if math.isinf(limit):
                 continue
-            if key not in rows:
-                rows[key] = len(bounds)
-                bounds.append(most)
-            places.append((rows[key], column))
-    at = ([row for row, _ in places], [column for _, column in places])
-    return coo_matrix((np.ones(len(places)), at), shape=(len(bounds), len(ways))), bounds
+            if key not in row_numbers:
+                row_numbers[key] = len(limits)
+                limits.append(limit)
+            rows.append(row_numbers[key])
+            columns.append(column)
+    shape = (len(limits), len(routes))
+    return coo_matrix((np.ones(len(rows)), (rows, columns)), shape=shape), limits
 
 
 def _trim_to_limits(problem: PlanningProblem, flows: dict[Route, float]) -> dict[Route, float]:
-    """The solver keeps to its bounds up to a small error; the plan does so exactly."""
-    found = {way: float(rate) for way, rate in flows.items() if rate > 1e-7}
-    for key, limits in ((slice(0, 2), problem.demand), (slice(2, 3), problem.capacity)):
-        sums: dict[Any, float] = {}
-        for way, rate in found.items():
-            sums[way[key]] = sums.get(way[key], 0.0) + rate
-        for way in found:
-            name = way[key]
-            most = limits.get(name if len(name) == 2 else name[0], math.inf)  # type: ignore[call-overload]
-            if sums[name] > most:
-                found[way] *= most / sums[name]
-    return found
+    """Reduce flows to the limits, which the solver respects only up to a small error."""
+    trimmed = {route: float(rate) for route, rate in flows.items() if rate > SOLVER_TOLERANCE}
+    _trim(trimmed, problem.demand, lambda route: route[:2])
+    _trim(trimmed, problem.capacity, lambda route: route[2])
+    return trimmed
+
+
+def _trim(flows: dict[Route, float], limits: Mapping[Key, float], key_of: Callable[[Route], Key]) -> None:
+    sums: dict[Key, float] = {}
+    for route, rate in flows.items():
+        key = key_of(route)
+        sums[key] = sums.get(key, 0.0) + rate
+    for route in flows:
+        key = key_of(route)
+        limit = limits.get(key, math.inf)
+        if sums[key] > limit:
+            flows[route] *= limit / sums[key]
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans: no bound is ever passed, names play no part, small changes stay small, all near the best."""
+"""Plans: limits are respected, names have no influence, small changes stay small, all near the optimum."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from message_relay.failover.planner import plan_all, plan_locally
 from message_relay.failover.solver import solve
 
-ALL = ("a", "b", "c", "d")
+ZONES = ("a", "b", "c", "d")
 PLANNERS: list[Callable[[PlanningProblem], Plan | None]] = [
     plan_greedily,
     lambda problem: solve(problem, 5.0),
 ]
 
 
-def made(seed: int, zones: tuple[str, ...] = ALL) -> PlanningProblem:
-    """Drawn by zones' places and not by their names."""
+def random_problem(seed: int, zones: tuple[str, ...] = ZONES) -> PlanningProblem:
+    """Draw a problem by the positions of the zones and not by their names."""
     rng = random.Random(seed)
     count = rng.randrange(2, len(zones) + 1)
     zones = zones[:count]
@@ -44,37 +44,37 @@
     return PlanningProblem(zones, groups, demand, room, ability, price, last, part)
 
 
-def kept(problem: PlanningProblem, plan: Plan) -> None:
+def assert_respects_limits(problem: PlanningProblem, plan: Plan) -> None:
     groups = {group.name: group for group in problem.groups}
-    for way, rate in plan.flows.items():
-        source, group, target = way
-        assert rate >= 0 and rate <= problem.route_limit(way) * (1 + 1e-9)
+    for route, rate in plan.flows.items():
+        source, group, target = route
+        assert rate >= 0 and rate <= problem.route_limit(route) * (1 + 1e-9)
         assert problem.score(groups[group], (source, target)) > 0
     for zone in problem.zones:
         assert plan.rate_into(zone) <= problem.capacity[zone] * (1 + 1e-9) + 1e-9
-    for who, rate in problem.demand.items():
-        out = sum(each for way, each in plan.flows.items() if way[:2] == who)
+    for key, rate in problem.demand.items():
+        out = sum(each for route, each in plan.flows.items() if route[:2] == key)
         assert out <= rate * (1 + 1e-9) + 1e-9
-        assert math.isclose(plan.shed_rates(problem).get(who, 0.0), rate - out, abs_tol=2e-6)
+        assert math.isclose(plan.shed_rates(problem).get(key, 0.0), rate - out, abs_tol=2e-6)
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 10**9))
-def test_no_bound_is_ever_passed_and_the_greedy_plan_is_near_the_best(seed: int) -> None:
-    problem = made(seed)
+def test_plans_respect_all_limits_and_the_greedy_plan_is_near_the_optimum(seed: int) -> None:
+    problem = random_problem(seed)
     best, quick = solve(problem, 5.0), plan_greedily(problem)
     assert best is not None
-    kept(problem, best)
-    kept(problem, quick)
-    # What it gains by staying with the last plan is a hundredth of a call's worth.
+    assert_respects_limits(problem, best)
+    assert_respects_limits(problem, quick)
+    # The bonus for keeping the previous plan is a hundredth of a call's score.
     assert best.total_value(problem) >= quick.total_value(problem) * 0.99 - 1e-6
     assert quick.total_value(problem) >= best.total_value(problem) * 0.75 - 1e-6
 
 
-def test_the_greedy_plan_is_a_hundredth_under_the_best_on_the_whole() -> None:
+def test_the_greedy_plan_is_about_a_hundredth_below_the_optimum_on_average() -> None:
     ratios = []
     for seed in range(300):
-        problem = made(seed)
+        problem = random_problem(seed)
         best = solve(problem, 5.0)
         assert best is not None
         if best.total_value(problem) > 0:
@@ -83,27 +83,27 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.integers(0, 10**9), st.permutations(ALL))
-def test_names_change_nothing(seed: int, names: list[str]) -> None:
-    one, other = made(seed), made(seed, tuple(names))
-    called = dict(zip(ALL, names, strict=True))
+@given(st.integers(0, 10**9), st.permutations(ZONES))
+def test_zone_names_have_no_influence_on_a_plan(seed: int, names: list[str]) -> None:
+    one, other = random_problem(seed), random_problem(seed, tuple(names))
+    renamed = dict(zip(ZONES, names, strict=True))
     for planner in PLANNERS:
         first, second = planner(one), planner(other)
         assert first is not None and second is not None
         for (source, group, target), rate in first.flows.items():
-            found = second.flows.get((called[source], group, called[target]), 0.0)
+            found = second.flows.get((renamed[source], group, renamed[target]), 0.0)
             assert math.isclose(rate, found, rel_tol=1e-4, abs_tol=1e-3), (planner, source, group, target)
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 10**9))
-def test_a_small_change_of_demand_is_a_small_change_of_the_plan(seed: int) -> None:
-    problem = made(seed)
+def test_a_small_change_of_demand_makes_a_small_change_of_the_plan(seed: int) -> None:
+    problem = random_problem(seed)
     rng = random.Random(seed)
     for planner in PLANNERS:
         first = planner(problem)
         assert first is not None
-        demand = {who: rate * rng.uniform(0.98, 1.02) for who, rate in problem.demand.items()}
+        demand = {key: rate * rng.uniform(0.98, 1.02) for key, rate in problem.demand.items()}
         after = PlanningProblem(
             problem.zones,
             problem.groups,
@@ -116,11 +116,11 @@
         )
         second = planner(after)
         assert second is not None
-        moved = sum(abs(demand[who] - rate) for who, rate in problem.demand.items())
+        moved = sum(abs(demand[key] - rate) for key, rate in problem.demand.items())
         assert second.moved_rate(after) <= 6 * moved + 0.02 * sum(demand.values())
 
 
-def test_all_at_home_needs_no_plan_and_a_lost_zone_goes_where_there_is_room() -> None:
+def test_local_traffic_needs_no_plan_and_a_lost_zone_uses_free_capacity() -> None:
     groups = (TrafficGroup("all"),)
     room = {"a": 100.0, "b": 80.0, "c": 300.0}
     demand = {("a", "all"): 50.0, ("b", "all"): 60.0, ("c", "all"): 70.0}
@@ -137,7 +137,7 @@
         ] == pytest.approx(70)
 
 
-def test_what_has_no_room_is_shed_by_worth_and_nothing_leaves_where_it_has_to_stay() -> None:
+def test_demand_without_capacity_is_shed_by_weight_and_locality_is_respected() -> None:
     pairs = frozenset({("a", "a"), ("b", "b")})
     groups = (TrafficGroup("low", 1.0), TrafficGroup("high", 5.0), TrafficGroup("stays", 9.0, pairs))
     demand = {("a", "low"): 50.0, ("a", "high"): 40.0, ("a", "stays"): 10.0, ("b", "low"): 30.0}
@@ -150,25 +150,25 @@
         assert sum(rate for (_, group), rate in shed.items() if group == "low") == pytest.approx(60.0)
 
 
-def test_many_destinations_get_plans_in_time_whatever_the_solver_does() -> None:
-    problems = {n: made(n) for n in range(60)}
+def test_many_destinations_are_planned_in_time_whatever_the_solver_does() -> None:
+    problems = {n: random_problem(n) for n in range(60)}
     now = [0.0]
-    asked: list[int] = []
+    solver_calls: list[int] = []
 
     def slow(problem: PlanningProblem, seconds: float) -> Plan | None:
         assert seconds > 0
         now[0] += 0.05
-        asked.append(1)
-        return None if len(asked) == 2 else solve(problem, 5.0)
+        solver_calls.append(1)
+        return None if len(solver_calls) == 2 else solve(problem, 5.0)
 
     found = plan_all(problems, slow, 0.2, lambda: now[0])
-    hows = [plan.method for plan in found.values()]
-    assert set(found) == set(problems) and hows.count("solved") == 3 and len(asked) == 4
+    methods = [plan.method for plan in found.values()]
+    assert set(found) == set(problems) and methods.count("solved") == 3 and len(solver_calls) == 4
     for n, plan in found.items():
-        kept(problems[n], plan)
+        assert_respects_limits(problems[n], plan)
 
 
-def test_what_makes_no_sense_is_told_by_its_field() -> None:
+def test_invalid_problems_are_rejected_with_the_field() -> None:
     with pytest.raises(ValueError, match="demand: rates are 0 or more"):
         PlanningProblem(("a",), (TrafficGroup("x"),), {("a", "x"): -1.0}, {})
     with pytest.raises(ValueError, match="room: rates are 0 or more"):
