--- a/tests/test_owed.py
+++ b/tests/core/test_owed_outcomes.py
@@ -25,9 +25,9 @@
 from message_relay.http.outcome_notifier import OutcomeNotifier
 from message_relay.http.socket_state import is_socket_ready
 
-from .conftest import make_settings
-from .http.harness import RelayWithEndpoint
-from .loopback import Agent, Client, Server, answer, message, relay, run, until
+from ..conftest import make_settings
+from ..http.harness import RelayWithEndpoint
+from ..loopback import Agent, Client, Server, answer, message, relay, run, until
 
 OWED_S = 0.3  # an end comes no later after its message's time
 
@@ -46,7 +46,7 @@
         return 204, b""
 
 
-def test_a_notice_on_a_connection_that_has_fallen_silent_is_sent_anew_in_its_time() -> None:
+def test_an_outcome_on_a_silent_connection_is_sent_again_in_time() -> None:
     """Seen to fail where the agent's answer was waited for 1 s: each end in that batch came too late."""
 
     async def work() -> None:
@@ -63,7 +63,7 @@
     run(work())
 
 
-def test_a_slow_agent_is_waited_for_longer_and_longer_and_not_for_good() -> None:
+def test_the_timeout_for_a_slow_agent_grows_up_to_a_bound() -> None:
     async def work() -> None:
         agent, told = Silent(6), list[str]()
         notices = OutcomeNotifier(agent, told.extend)  # type: ignore[arg-type]
@@ -77,7 +77,7 @@
     run(work())
 
 
-def test_a_silent_connection_to_the_agent_is_left_for_another() -> None:
+def test_a_silent_connection_to_the_agent_is_replaced() -> None:
     """The same on real connections: the second batch goes out on a second one."""
 
     async def work() -> None:
@@ -96,7 +96,7 @@
     run(work())
 
 
-def test_the_time_of_a_message_that_is_written_slowly_runs_from_its_last_byte(tmp_path: Path) -> None:
+def test_the_deadline_of_a_slowly_written_message_runs_from_its_last_byte(tmp_path: Path) -> None:
     """As the protocol page says of a request's time. Its client's answer comes after it, in its own 0.4 s."""
 
     async def work() -> None:
@@ -126,7 +126,7 @@
         return acts
 
 
-def test_an_action_that_cannot_be_carried_out_costs_neither_the_ends_behind_it_nor_the_timer(
+def test_a_failing_action_affects_neither_later_actions_nor_the_timer(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Seen to fail without the guard: all that stood behind it was dropped, and nothing woke the module."""
@@ -149,7 +149,7 @@
         run(work())
 
 
-def test_a_call_that_is_given_up_in_the_moment_it_is_begun_has_its_outcome(tmp_path: Path) -> None:
+def test_an_attempt_cancelled_as_it_starts_has_a_result(tmp_path: Path) -> None:
     """Seen to fail where its task was cancelled before its first step: the module never heard of it."""
 
     async def work() -> None:
@@ -179,7 +179,7 @@
     run(work())
 
 
-def test_one_that_comes_again_while_its_first_answer_waits_for_a_sync_is_kept_for_whom_hears_it(
+def test_a_message_submitted_twice_before_a_sync_stays_for_the_client_that_was_answered(
     tmp_path: Path,
 ) -> None:
     """Seen to fail where a repeat was answered at once: it was told that it is taken on before that outlasted
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("what", ("a notice that is not taken", "a call that is out"))
-def test_what_is_owed_at_the_end_of_a_stop_is_paid_by_the_next_process(
+def test_what_is_owed_at_the_end_of_a_stop_is_done_by_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
 ) -> None:
     """The process goes when its drain is over, whatever is still undone: SIGKILL comes 0.3 s later."""
@@ -244,7 +244,7 @@
     run(work())
 
 
-def test_a_call_that_the_end_of_the_process_cuts_off_before_its_first_byte_leaves_its_message_untried(
+def test_an_attempt_cut_off_before_its_first_byte_leaves_its_message_untried(
     tmp_path: Path,
 ) -> None:
     """Seen to fail where the module still decided on the outcome, and so failed what must not run twice: that
--- a/tests/test_seams.py
+++ b/tests/core/test_ports.py
@@ -29,13 +29,13 @@
 from message_relay.decisions.model import Listing, Outcome
 from message_relay.store.journal import Journal
 
-from .loopback import Agent, raw_config, run, until
-from .store.disk import Disk
+from ..loopback import Agent, raw_config, run, until
+from ..store.disk import Disk
 
 HERE = EndpointRecord("a", 7, Listing.READY, ("queue", 1), rate=50.0)
 
 
-class Front:
+class FakeIntake:
     def __init__(self) -> None:
         self.ends: list[FinalOutcome] = []
         self.open_ = self.stopped = self.closed = False
@@ -65,7 +65,7 @@
         self.closed = True
 
 
-class Carrier:
+class FakeTransport:
     """Answers each attempt with the next outcome of its script."""
 
     def __init__(self, *script: Outcome) -> None:
@@ -124,7 +124,7 @@
     return host
 
 
-def offer(ident: str, class_: str = "safe", **more: object) -> Submission:
+def submission(ident: str, class_: str = "safe", **more: object) -> Submission:
     values = {
         "id": ident,
         "class_name": class_,
@@ -139,11 +139,11 @@
     return Submission(**{**values, **more})  # type: ignore[arg-type]
 
 
-def test_a_message_passes_through_other_kinds_of_each_seam(tmp_path: Path) -> None:
+def test_a_message_passes_through_other_implementations_of_each_port(tmp_path: Path) -> None:
     async def work() -> None:
         front, carrier, source = (
-            Front(),
-            Carrier(Outcome.FULL, Outcome.OK),
+            FakeIntake(),
+            FakeTransport(Outcome.FULL, Outcome.OK),
             Source(EndpointUpdate(True, (HERE,))),
         )
         host = made(tmp_path, front, carrier, source)
@@ -151,12 +151,12 @@
         assert front.open_ and host.messages.is_ready
         await until(lambda: 7 in host.messages.known_destinations)
         assert carrier.listed == {(1, ("queue", 1))}
-        receipt = host.messages.accept(offer("m"))
-        assert receipt.accepted and receipt.is_new and not host.messages.accept(offer("m")).is_new
+        receipt = host.messages.accept(submission("m"))
+        assert receipt.accepted and receipt.is_new and not host.messages.accept(submission("m")).is_new
         await until(lambda: host.journal.entries["m"].final_state == "delivered")
         assert [(a.trace_id, a.idempotency_key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
         carrier.script = [Outcome.RESET]
-        host.messages.accept(offer("u", "unsafe"))
+        host.messages.accept(submission("u", "unsafe"))
         await until(lambda: front.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
         assert not host.journal.entries["u"].is_notified
         host.messages.mark_notified(["u"])
@@ -167,9 +167,9 @@
     run(work())
 
 
-def test_what_a_source_takes_back_is_told_to_the_transport_and_gets_nothing_new(tmp_path: Path) -> None:
+def test_a_removed_endpoint_is_reported_to_the_transport_and_gets_no_new_attempt(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = Front(), Carrier(), Source(EndpointUpdate(True, (HERE,)))
+        front, carrier, source = FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (HERE,)))
         host = made(tmp_path, front, carrier, source)
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
@@ -177,13 +177,13 @@
             EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.REMOVED)))
         )
         await until(lambda: carrier.gone == [(1, ("queue", 1))])
-        host.messages.accept(offer("m", remaining_ms=200))
+        host.messages.accept(submission("m", remaining_ms=200))
         await until(lambda: bool(front.ends))
         assert front.ends[0].state == "returned" and not carrier.attempts
         moved = EndpointRecord("a", 7, Listing.READY, ("queue", 2), rate=50.0)
         source.updates.put_nowait(EndpointUpdate(False, (moved,)))
         await until(lambda: carrier.listed == {(1, ("queue", 2))})
-        host.messages.accept(offer("n"))
+        host.messages.accept(submission("n"))
         await until(lambda: [a.address for a in carrier.attempts] == [("queue", 2)])
         host.reload(host.config)
         assert source.reloads == front.reloads == 1
@@ -192,22 +192,22 @@
     run(work())
 
 
-def test_an_end_waits_in_the_journal_for_the_front_that_its_message_came_by(tmp_path: Path) -> None:
+def test_an_outcome_waits_in_the_journal_for_the_intake_of_its_message(tmp_path: Path) -> None:
     async def work() -> None:
-        first = Front()
-        host = made(tmp_path, first, Carrier(Outcome.RESET), Source(EndpointUpdate(True, (HERE,))))
+        first = FakeIntake()
+        host = made(tmp_path, first, FakeTransport(Outcome.RESET), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
-        host.messages.accept(offer("u", "unsafe"))
+        host.messages.accept(submission("u", "unsafe"))
         await until(lambda: bool(first.ends))
         await host.close()  # before it was confirmed
-        other = Front()
-        host = made(tmp_path, other, Carrier(), name="other")
+        other = FakeIntake()
+        host = made(tmp_path, other, FakeTransport(), name="other")
         await host.start()
         assert not other.ends
         await host.close()
-        again = Front()
-        host = made(tmp_path, again, Carrier())
+        again = FakeIntake()
+        host = made(tmp_path, again, FakeTransport())
         await host.start()
         assert again.ends == [FinalOutcome("u", "failed", 0.0, "fake")]
         await host.close()
@@ -231,24 +231,26 @@
         ({"body": b"x" * 65537}, "body"),
     ],
 )
-def test_each_front_gets_the_same_checks(tmp_path: Path, more: dict[str, object], field: str) -> None:
+def test_submissions_of_every_intake_are_validated_alike(
+    tmp_path: Path, more: dict[str, object], field: str
+) -> None:
     async def work() -> None:
-        host = made(tmp_path, Front(), Carrier(), Source(EndpointUpdate(True, (HERE,))))
+        host = made(tmp_path, FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (HERE,))))
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         with pytest.raises(InvalidMessageError) as caught:
-            host.messages.accept(replace(offer("m"), **more))  # type: ignore[arg-type]
+            host.messages.accept(replace(submission("m"), **more))  # type: ignore[arg-type]
         assert caught.value.field == field and not host.journal.entries and not host.messages.accepted
         await host.close()
 
     run(work())
 
 
-def test_an_end_is_passed_on_once_it_is_written_and_not_before(tmp_path: Path) -> None:
+def test_an_outcome_is_passed_on_once_it_is_journaled_and_not_before(tmp_path: Path) -> None:
     """Guards against a process that is killed then, takes up the message again, and says something else."""
 
     async def work() -> None:
-        front, disk, carrier = Front(), Disk(), Carrier()
+        front, disk, carrier = FakeIntake(), Disk(), FakeTransport()
         host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (HERE,))))
         host.journal = host.messages.journal = host.messages.outcomes.journal = Journal(
             tmp_path / "other", 3_000_000, disk
@@ -256,7 +258,7 @@
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
-        host.messages.accept(offer("m", "unsafe", remaining_ms=900))
+        host.messages.accept(submission("m", "unsafe", remaining_ms=900))
         while not host.messages.outcomes.unwritten:
             host.journal.log.written_bytes = 1000
             await asyncio.sleep(0.005)
@@ -265,12 +267,12 @@
         ].final_state  # its attempt could not be written down, so that none was made
         assert end == "returned" and not carrier.attempts and not front.ends
         assert not host.messages.accept(
-            offer("n")
+            submission("n")
         ).accepted  # nothing new while what is owed can't be written
         disk.fail = lambda call, name, number: None
         await until(lambda: [end.id for end in front.ends] == ["m"])
         assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].final_state == end
-        assert host.messages.accept(offer("n")).accepted
+        assert host.messages.accept(submission("n")).accepted
         await host.close()
 
     run(work())
--- a/tests/test_process.py
+++ b/tests/core/test_process.py
@@ -17,7 +17,7 @@
 
 from message_relay.store.journal import Journal
 
-from .loopback import Agent, Client, Server, answer, listing, message, raw_config, run, until
+from ..loopback import Agent, Client, Server, answer, listing, message, raw_config, run, until
 
 
 def free_port() -> int:
@@ -67,7 +67,7 @@
     return agent, server, Process(folder, agent, server)
 
 
-def test_a_kill_while_calls_are_out_repeats_only_what_may_be_repeated(tmp_path: Path) -> None:
+def test_a_kill_with_attempts_in_flight_retries_only_what_is_safe_to_retry(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await world(tmp_path)
         server.usual = None
@@ -85,7 +85,7 @@
     run(work())
 
 
-def test_a_kill_right_after_the_answer_loses_nothing(tmp_path: Path) -> None:
+def test_a_kill_right_after_the_response_loses_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         _, server, process = await world(tmp_path)
         for turn in range(3):
@@ -102,7 +102,7 @@
     run(work())
 
 
-def test_an_unsent_notice_is_sent_after_a_kill(tmp_path: Path) -> None:
+def test_an_unsent_outcome_is_sent_after_a_kill(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await world(tmp_path)
         server.usual = answer(500)
@@ -119,7 +119,7 @@
     run(work())
 
 
-def test_sigterm_lets_a_call_that_is_out_end(tmp_path: Path) -> None:
+def test_sigterm_waits_for_an_attempt_in_flight(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await world(tmp_path)
         server.hold = asyncio.Event()
@@ -151,7 +151,7 @@
     run(work())
 
 
-def test_sighup_moves_the_watch_and_the_notices_to_the_new_agent(tmp_path: Path) -> None:
+def test_sighup_moves_watches_and_notifications_to_the_new_agent(tmp_path: Path) -> None:
     """Guards against a process that ends on SIGHUP, and against one that waits on the agent that goes."""
 
     async def work() -> None:
@@ -238,7 +238,7 @@
     assert says in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_folder_that_another_process_works_in_is_left_alone(tmp_path: Path) -> None:
+def test_a_locked_state_folder_is_left_alone(tmp_path: Path) -> None:
     """Guards the journal: two writers would each undo what the other has promised."""
 
     async def work() -> None:
--- a/tests/test_bad_settings.py
+++ b/tests/core/test_rejected_settings.py
@@ -16,7 +16,7 @@
 
 from message_relay import config
 
-from .loopback import SETTINGS, Agent, listing, raw_config, run, until
+from ..loopback import SETTINGS, Agent, listing, raw_config, run, until
 from .test_process import world
 
 Change = Callable[[dict[str, Any]], object]
@@ -51,14 +51,14 @@
 
 
 @pytest.mark.parametrize(("change", "field"), BAD)
-def test_it_is_refused_with_the_fields_name(tmp_path: Path, change: Change, field: str) -> None:
+def test_settings_are_rejected_with_the_fields_name(tmp_path: Path, change: Change, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(tmp_path, change)))
     with pytest.raises(config.ConfigError, match=field):
         config.load({"RELAY_CONFIG": str(path)})
 
 
-def test_a_process_says_so_in_one_line_and_ends_with_2(tmp_path: Path) -> None:
+def test_a_process_with_rejected_settings_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(tmp_path, BAD[8][0])))
     done = subprocess.run(
@@ -72,7 +72,7 @@
     assert done.returncode == 2 and "window_ms" in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_keys_that_nobody_knows_are_skipped(tmp_path: Path) -> None:
+def test_unknown_keys_are_ignored(tmp_path: Path) -> None:
     def more(raw: dict[str, Any]) -> None:
         settings = raw["settings"]
         for place in (raw, raw["limits"], settings, settings["classes"][0], settings["extra"]):
@@ -83,7 +83,7 @@
     assert config.load({"RELAY_CONFIG": str(path)}).settings.classes[0].name == "keyed"
 
 
-def test_at_sighup_the_old_one_stays(tmp_path: Path) -> None:
+def test_sighup_with_rejected_settings_keeps_the_old_ones(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await world(tmp_path)
         await process.start()
--- a/tests/test_host.py
+++ b/tests/core/test_relay.py
@@ -20,7 +20,7 @@
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
 
-from .loopback import Agent, Client, Server, answer, host_of, listing, message, relay, run, until
+from ..loopback import Agent, Client, Server, answer, host_of, listing, message, relay, run, until
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
     return agent, server
 
 
-def test_a_message_is_taken_on_delivered_unchanged_and_journaled(state: Path) -> None:
+def test_a_message_is_accepted_delivered_unchanged_and_journaled(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
@@ -77,7 +77,7 @@
         (b"GET / HTTP/1.1\r\nHost: x\r\nX-A: " + b"a" * 40000, 431, ""),
     ],
 )
-def test_what_cannot_be_taken_is_answered_with_its_reason(
+def test_an_invalid_message_is_answered_with_its_reason(
     state: Path, request_: bytes, status: int, says: str
 ) -> None:
     async def work() -> None:
@@ -104,7 +104,7 @@
     run(work())
 
 
-def test_a_full_hold_and_a_full_disk_refuse(state: Path) -> None:
+def test_too_many_pending_messages_and_a_full_disk_reject(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         server.usual = None
@@ -126,7 +126,7 @@
     run(work())
 
 
-def test_a_record_that_cannot_be_written_is_not_promised(
+def test_a_message_that_cannot_be_journaled_is_not_accepted(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
@@ -146,7 +146,7 @@
     run(work())
 
 
-def test_a_client_that_hangs_up_unanswered_leaves_no_message(state: Path) -> None:
+def test_a_client_that_disconnects_unanswered_leaves_no_message(state: Path) -> None:
     """Guards against second copies: it hands the message in again, under another id."""
 
     async def work() -> None:
@@ -165,7 +165,7 @@
     run(work())
 
 
-def test_a_client_that_only_ends_its_sending_is_answered(state: Path) -> None:
+def test_a_client_that_half_closes_is_answered(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         async with relay(state, agent, server) as host:
@@ -179,7 +179,7 @@
     run(work())
 
 
-def test_an_answer_that_is_never_read_withdraws_its_message(state: Path) -> None:
+def test_a_response_that_is_never_read_cancels_its_message(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         server.usual = None
@@ -195,7 +195,7 @@
     run(work())
 
 
-def test_a_told_wait_is_kept_for_every_message(state: Path) -> None:
+def test_retry_after_holds_for_every_message(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         server.script.append(answer(429, "X-RateLimit-Wait-Ms: 400"))
@@ -209,7 +209,7 @@
     run(work())
 
 
-def test_an_endpoint_that_drains_gets_nothing_new(state: Path) -> None:
+def test_a_draining_endpoint_gets_no_new_attempt(state: Path) -> None:
     async def work() -> None:
         agent, old = await pair()
         new = await Server().start()
@@ -257,7 +257,7 @@
     run(work())
 
 
-def test_an_entry_that_cannot_be_read_leaves_the_others_alone(state: Path) -> None:
+def test_a_malformed_endpoint_entry_does_not_affect_the_others(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         async with relay(state, agent, server) as host:
@@ -281,7 +281,7 @@
     run(work())
 
 
-def test_nothing_grows_with_endpoints_clients_and_messages_that_come_and_go(
+def test_memory_does_not_grow_with_endpoints_clients_and_messages_that_come_and_go(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the long day: each map has a moment at which its entries leave."""
@@ -339,7 +339,7 @@
     run(work())
 
 
-def test_a_notice_is_repeated_until_it_is_taken(state: Path) -> None:
+def test_an_outcome_is_sent_again_until_it_is_acknowledged(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         server.usual = answer(500)
@@ -353,7 +353,7 @@
     run(work())
 
 
-def test_one_notice_that_is_not_taken_does_not_hold_up_the_others(state: Path) -> None:
+def test_one_unacknowledged_outcome_does_not_delay_the_others(state: Path) -> None:
     async def work() -> None:
         agent = Agent()
         await agent.start()
@@ -371,7 +371,7 @@
     run(work())
 
 
-def test_a_fault_of_ours_is_answered_and_reported(
+def test_an_internal_error_is_answered_and_logged(
     state: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def work() -> None:
@@ -449,7 +449,7 @@
     run(work())
 
 
-def test_a_stop_lets_the_call_that_is_out_end_and_finishes_requests_in_use(
+def test_a_stop_waits_for_attempts_in_flight_and_open_requests(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("message_relay.core.relay.ACCEPT_AFTER_STOP_S", 0.05)
@@ -477,7 +477,7 @@
     run(work())
 
 
-def test_what_cannot_end_before_the_stop_stays_in_the_journal(state: Path) -> None:
+def test_what_cannot_finish_before_the_stop_stays_in_the_journal(state: Path) -> None:
     async def work() -> None:
         agent, server = await pair()
         server.usual = None
--- a/tests/test_restarts.py
+++ b/tests/core/test_restarts.py
@@ -22,8 +22,8 @@
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
 
-from .conftest import Driver, make_settings
-from .loopback import SETTINGS, Agent, Client, Server, answer, host_of, listing, message, run, until
+from ..conftest import Driver, make_settings
+from ..loopback import SETTINGS, Agent, Client, Server, answer, host_of, listing, message, run, until
 from .test_process import Process
 
 LEFT = 500
@@ -43,7 +43,7 @@
     return agent, server, process
 
 
-def test_what_a_restart_finds_untried_is_tried_though_the_limits_were_lowered(tmp_path: Path) -> None:
+def test_untried_messages_are_attempted_after_a_restart_with_lower_limits(tmp_path: Path) -> None:
     """500 untried, half of their time left, and a hold that is lowered to where they fill it: each gets its
     call. Seen to fail where room was made in a full hold by what is worth least: 75 of 500 were given up
     uncalled."""
@@ -68,7 +68,7 @@
     run(work())
 
 
-def test_of_what_was_left_and_counts_alike_the_earliest_end_goes_first(tmp_path: Path) -> None:
+def test_of_equal_resumed_messages_the_earliest_deadline_goes_first(tmp_path: Path) -> None:
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["extra"]["call-slots"] = 1
@@ -91,7 +91,7 @@
     ("dead_ms", "goes"),
     [(0.0, True), (900.0, True), (990.0, True), (996.0, False), (1000.0, False), (60_000.0, False)],
 )
-def test_a_keyed_message_that_may_have_run_goes_again_within_a_window_of_a_second_only(
+def test_a_keyed_message_that_may_have_run_is_retried_within_its_window_only(
     dead_ms: float, goes: bool
 ) -> None:
     """The time spent dead counts, from the first byte of the attempt that was out at the kill."""
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("step_ms", (-3_600_000, -20_000, 2_000, 3_600_000))
-def test_a_wall_clock_that_steps_between_two_lives_sends_no_keyed_message_past_its_window(
+def test_a_wall_clock_step_between_processes_sends_no_keyed_message_past_its_window(
     tmp_path: Path, step_ms: int
 ) -> None:
     """The journal's newest record is later than the clock says now, or much earlier: in doubt it is not
@@ -251,7 +251,7 @@
             return False
 
 
-def test_idle_clients_at_the_limit_while_discovery_is_down_starve_nothing(tmp_path: Path) -> None:
+def test_idle_clients_at_the_limit_starve_nothing_while_discovery_is_down(tmp_path: Path) -> None:
     """150 clients connect and say nothing to a process with 96 descriptors, while discovery is silent: a
     message is still taken on, journalled and delivered, and the new configuration is read and its discovery
     asked."""
@@ -285,7 +285,7 @@
     run(work())
 
 
-def test_what_was_left_counts_as_held_before_it_is_taken_up(tmp_path: Path) -> None:
+def test_unresumed_messages_count_as_pending(tmp_path: Path) -> None:
     """Whoever waits until a process holds nothing, and a stop within the first moments, must not pass it
     over. Seen to fail where only what had been taken up was counted: a fleet was reported drained right
     after a restart."""
--- a/tests/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -7,7 +7,7 @@
 from message_relay.core.tasks import BackgroundTasks, wait_for_event
 
 
-def test_a_task_that_is_woken_and_cancelled_in_one_turn_ends() -> None:
+def test_a_task_whose_event_is_set_and_that_is_cancelled_in_one_turn_ends() -> None:
     async def work() -> None:
         event, tasks = asyncio.Event(), BackgroundTasks()
 
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -24,8 +24,8 @@
 from message_relay.sharded_directory.rendezvous_hash import shard_of
 from message_relay.sharded_directory.settings import ShardedDirectorySettings
 
+from ..core.test_ports import FakeIntake, FakeTransport
 from ..loopback import Agent, raw_config
-from ..test_seams import Carrier, Front
 
 SHARDS = 64
 HOLD = 400
@@ -59,7 +59,7 @@
     return list(found.values())
 
 
-class Slow(Carrier):
+class Slow(FakeTransport):
     """Looks for a connection for as long as `connects` is not set; asks right before the first byte."""
 
     def __init__(self, *script: Outcome) -> None:
@@ -80,7 +80,7 @@
         return AttemptResult(outcome, finished=outcome is Outcome.OK)
 
 
-def made(folder: Path, front: Front, carrier: Carrier) -> Relay:
+def made(folder: Path, front: FakeIntake, carrier: FakeTransport) -> Relay:
     (folder / "state").mkdir(exist_ok=True, parents=True)
     raw = copy.deepcopy(raw_config(folder / "state", Agent(address=("127.0.0.1", 1))))
     raw["settings"]["limits"]["open-cap"] = HOLD
@@ -95,7 +95,7 @@
     """One relay; a keeper too, if its number is among the part's."""
 
     def __init__(self, number: int, part: ShardedDirectorySettings, folder: Path, port: int) -> None:
-        self.front, self.carrier = Front(), Slow()
+        self.front, self.carrier = FakeIntake(), Slow()
         self.folder = folder / str(number)
         self.host = made(self.folder, self.front, self.carrier)
         peers = GossipSettings(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -22,8 +22,8 @@
     encode_message,
 )
 
+from ..core.test_ports import submission
 from ..loopback import run
-from ..test_seams import offer
 from .loopback import SHARDS, Fleet, Instance, entry, fleet, in_shards, until
 
 
@@ -33,7 +33,7 @@
 
 async def learned(relay: Instance, dest: int, ident: str = "first") -> None:
     """A message for it went, so that its shard is here."""
-    assert relay.messages.accept(offer(ident, destination=dest)).is_new
+    assert relay.messages.accept(submission(ident, destination=dest)).is_new
     await until(lambda: relay.entries[ident].final_state == "delivered")
     relay.carrier.attempts.clear()
 
@@ -52,7 +52,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:  # the keeper is not there yet
             relay = it.instances[1]
-            receipt = relay.messages.accept(offer("m"))
+            receipt = relay.messages.accept(submission("m"))
             assert receipt.accepted and receipt.is_new and not relay.entries["m"].final_state
             await asyncio.sleep(0.3)
             assert not relay.carrier.connecting and relay.host.scheduler.pending.queues[7].length == 1
@@ -68,7 +68,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
-            assert relay.messages.accept(offer("m", destination=8)).accepted
+            assert relay.messages.accept(submission("m", destination=8)).accepted
             await until(lambda: bool(relay.front.ends))
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
             assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connecting
@@ -88,11 +88,11 @@
             await until(lambda: not relay.shards.contains(7))
             assert relay.shards.is_resident(7)
             assert relay.messages.accept(
-                offer("m")
+                submission("m")
             ).accepted  # all its endpoints may be on their way to others
             relay.messages.known_destinations.clear()  # a minute later
             with pytest.raises(InvalidMessageError) as caught:
-                relay.messages.accept(offer("n"))
+                relay.messages.accept(submission("n"))
             assert caught.value.field == "dest" and "n" not in relay.entries
 
     run(work())
@@ -108,7 +108,7 @@
             for n, dest in enumerate(dests):
                 left = 60_000 - 1_000 * n  # the last one that comes ends first
                 assert relay.messages.accept(
-                    offer(f"m{n}", "keyed", destination=dest, remaining_ms=left)
+                    submission(f"m{n}", "keyed", destination=dest, remaining_ms=left)
                 ).accepted
             await it.end(1)
             relay = await it.begin(1)
@@ -143,7 +143,7 @@
 
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
-            it.instances[1].messages.accept(offer("m", destination=8))
+            it.instances[1].messages.accept(submission("m", destination=8))
             await it.end(1)
             await it.begin(0)
             relay = await it.begin(1)
@@ -159,7 +159,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
             relay = it.instances[1]
-            relay.messages.accept(offer("m"))
+            relay.messages.accept(submission("m"))
             it.tell(listed(7, port=2))
             await it.begin(0)
             await until(lambda: relay.entries["m"].final_state == "delivered")
@@ -176,7 +176,7 @@
             relay = it.instances[1]
             await learned(relay, 7)
             relay.carrier.connects.clear()
-            relay.messages.accept(offer("m"))
+            relay.messages.accept(submission("m"))
             begun = relay.carrier.connecting
             await until(lambda: relay.carrier.connecting > begun)
             it.tell(listed(7, port=2))
@@ -218,7 +218,7 @@
             relay.node.datagram_handlers.update(datagrams)
             relay.shards.running = True
             connecting = relay.carrier.connecting
-            relay.messages.accept(offer("m"))
+            relay.messages.accept(submission("m"))
             await asyncio.sleep(0.2)
             assert relay.carrier.connecting == connecting  # it waits, and isn't made again and again
             await until(lambda: relay.entries["m"].final_state == "delivered", 6.0)
@@ -245,7 +245,7 @@
             relay = it.instances[1]
             await learned(relay, 7)
             relay.carrier.connects.clear()
-            relay.messages.accept(offer("m"))
+            relay.messages.accept(submission("m"))
             begun = relay.carrier.connecting
             await until(lambda: relay.carrier.connecting > begun)
             current = relay.shards.client.is_current
@@ -271,13 +271,13 @@
             cut(relay)
             await asyncio.sleep(7.0)
             for n in range(3):
-                relay.messages.accept(offer(f"m{n}"))
+                relay.messages.accept(submission(f"m{n}"))
                 await until(lambda n=n: relay.entries[f"m{n}"].final_state == "delivered")  # type: ignore[misc]
             told = relay.shards.status()["reader"]
             assert told["behind"] is False or told["age_s"] > 5.0
             assert 5.0 < told["age_s"] < 20.0 and told["failures"] > 0
             assert relay.messages.accept(
-                offer("x", destination=8)
+                submission("x", destination=8)
             ).accepted  # nobody can say that there is none
             await asyncio.sleep(0.3)
             assert not relay.front.ends and not relay.entries["x"].final_state
@@ -307,7 +307,7 @@
             relay.carrier.script = [Outcome.FULL]
             await learned(relay, 8)
             relay.carrier.connects.clear()
-            relay.messages.accept(offer("m"))  # its call is out
+            relay.messages.accept(submission("m"))  # its call is out
             await until(lambda: relay.shards.is_resident(7))
             await until(lambda: not relay.shards.is_resident(8))
             await asyncio.sleep(2.0)
@@ -365,7 +365,7 @@
             assert [lane.destination for lane in relay.host.snapshot_file.destinations] == [
                 7
             ]  # for the next process too
-            relay.messages.accept(offer("m"))
+            relay.messages.accept(submission("m"))
             begun = asyncio.get_running_loop().time()
             await it.begin(0)
             await until(lambda: 7 in relay.host.scheduler.destinations)
@@ -392,7 +392,7 @@
                 return b"\x91\xa1x"
 
             relay.node.request = spoilt  # type: ignore[method-assign, assignment]
-            relay.messages.accept(offer("m", destination=8))
+            relay.messages.accept(submission("m", destination=8))
             await until(lambda: bool(relay.front.ends))
             assert relay.shards.counts["unreadable"] == 5 and relay.shards.contains(7)
 
@@ -463,7 +463,7 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
-            relay.messages.accept(offer("m", destination=8))
+            relay.messages.accept(submission("m", destination=8))
             await until(lambda: bool(relay.front.ends))
             await it.end(1)
             again = await it.begin(1)
