--- a/benchmarks/capacity/gossip.py
+++ b/benchmarks/capacity/gossip.py
@@ -64,7 +64,7 @@
                 it = self._made(word)
                 it.receive(0.0, "n0", 1, Sync(False, tuple(each for each in words if each is not word)))
                 it.dissemination_queue.clear()
-                it.is_synced, it.next_sync_at = True, self.rng.uniform(0.0, 15.0)
+                it.sync.is_synced, it.sync.next_at = True, self.rng.uniform(0.0, 15.0)
                 it.next_period_at = self.rng.uniform(0.0, 1.0)
                 it.changes.clear()
                 self._schedule(n, it)
--- a/message_relay/gossip/claim_packing.py
+++ b/message_relay/gossip/claim_packing.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable, Iterable, Iterator, Mapping
 
 from .dissemination_queue import DisseminationQueue
 from .wire import Claim, MemberState, Sync, encoded_size
 
 CLAIMS_BYTES_MAX = 1000  # of claims in one packet
+CLAIMS_EXAMINED_MAX = 40  # for one packet, which has room for 25 at most
+DISSEMINATION_FACTOR = 3.0  # each claim is sent this often times log2(members): nearly all get it (SWIM, 4.1)
 
 
 def select_claims(
@@ -15,8 +18,6 @@
     members: Mapping[str, Claim],
     queue: DisseminationQueue,
     recipient: str,
-    examined_max: int,
-    send_limit: int,
 ) -> tuple[Claim, ...]:
     """Return the queued claims that fit into one packet, the least sent first, and mark them as sent.
 
@@ -28,7 +29,8 @@
     if about_recipient is not None and about_recipient.state is not MemberState.ALIVE:
         selected.append(about_recipient)
         free_bytes -= encoded_size(about_recipient)
-    for name in queue.least_sent(examined_max):
+    send_limit = math.ceil(DISSEMINATION_FACTOR * math.log2(len(members) + 2))
+    for name in queue.least_sent(CLAIMS_EXAMINED_MAX):
         claim = own_claim if name == own_claim.name else members.get(name)
         if claim is None:
             queue.drop(name)
--- a/message_relay/gossip/claim_rules.py
+++ b/message_relay/gossip/claim_rules.py
@@ -1,4 +1,12 @@
-"""Rules on claims: what a claim means next to the one that is known. Pure functions."""
+"""Claim rules: what a claim means in view of the one that is known. Pure functions.
+
+- Claims about a member are ordered by (process epoch, incarnation, state), and the highest wins. So they may
+  arrive late, twice and in any order, and all members converge. Only a member itself raises its incarnation,
+  to refute a suspicion. A restart raises the epoch, which outranks all claims about earlier processes.
+- A name belongs to one identity while that lives. A second process of the same folder (copied, or started
+  twice) has another nonce: both learn of the other by gossip, and the one with the lower (process epoch,
+  nonce) knows that it is the one to stop. A folder restored from a backup has an epoch that was seen already.
+"""
 
 from __future__ import annotations
 
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -110,12 +110,16 @@
         checksums[slice_index(own_claim.name)] ^= _claim_hash(own_claim)
         return _CHECKSUMS.pack(*checksums)
 
-    def differing_slices(self, own_claim: Claim, received: bytes) -> frozenset[int] | None:
-        """Return the slices in which the other instance differs, None (all) if its sums can't be compared."""
-        if len(received) != _CHECKSUMS.size:
-            return None
+    def differing_slices(self, own_claim: Claim, checksum: int, slices: bytes) -> frozenset[int] | None:
+        """Return the slices in which another instance differs, by its checksums; None if all may differ.
+
+        A build without slice checksums sends none, and 0 for a checksum that it does not know.
+        """
+        if len(slices) != _CHECKSUMS.size:  # none, or of another number
+            is_equal = checksum != 0 and checksum == self.checksum(own_claim)
+            return frozenset() if is_equal else None
         own_checksums = _CHECKSUMS.unpack(self.slice_checksums(own_claim))
-        other_checksums = _CHECKSUMS.unpack(received)
+        other_checksums = _CHECKSUMS.unpack(slices)
         return frozenset(n for n in range(SLICES) if own_checksums[n] != other_checksums[n])
 
     def claims_in(self, slices: frozenset[int] | None) -> Iterator[Claim]:
--- a/message_relay/gossip/suspicion.py
+++ b/message_relay/gossip/suspicion.py
@@ -8,13 +8,40 @@
 from __future__ import annotations
 
 import math
+import random
+from collections.abc import Mapping
 from dataclasses import dataclass
 
+from .wire import Claim
+
 SUSPICION_PERIODS = 4.0  # shortest time of a suspicion, in periods times log10 of the members
 SUSPICION_MAX_FACTOR = 6.0  # longest time, in shortest times
+INDIRECT_TIMEOUT_SHARE = 0.55  # of a period: the base of the time after which a nack is due
+INDIRECT_TIMEOUT_FACTOR = 0.6
 CONFIRMATIONS_MAX = 3  # independent confirmations that reduce a suspicion to its shortest time
 
 
+class ProbeOrder:
+    """Order in which members are probed, shuffled each round, so that each is probed within two rounds."""
+
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
+        self.remaining: list[str] = []  # of this round
+
+    def next_target(self, members: Mapping[str, Claim]) -> str | None:
+        """Return the next present member, None if there is none."""
+        while self.remaining or self._start_round(members):
+            name = self.remaining.pop()
+            if name in members and not members[name].is_gone:
+                return name
+        return None
+
+    def _start_round(self, members: Mapping[str, Claim]) -> bool:
+        self.remaining = [name for name, claim in members.items() if not claim.is_gone]
+        self.rng.shuffle(self.remaining)
+        return bool(self.remaining)
+
+
 @dataclass
 class Probe:
     """The ping of the current period."""
@@ -40,15 +67,17 @@
 class IndirectProbes:
     """Indirect probes without an answer, by the sequence number of their ping, the earliest first."""
 
-    def __init__(self) -> None:
+    def __init__(self, period_s: float) -> None:
+        self.period_s = period_s
         self.pending: dict[int, IndirectProbe] = {}
 
     def __len__(self) -> int:
         return len(self.pending)
 
-    def add(self, sequence: int, probe: IndirectProbe) -> None:
+    def add(self, now: float, sequence: int, requester: str, requested_sequence: int) -> None:
         """Add a probe. All have the same timeout, so that insertion order is order of expiry."""
-        self.pending[sequence] = probe
+        nack_at = now + INDIRECT_TIMEOUT_SHARE * self.period_s * INDIRECT_TIMEOUT_FACTOR
+        self.pending[sequence] = IndirectProbe(requester, requested_sequence, nack_at)
 
     def pop(self, sequence: int) -> IndirectProbe | None:
         """Remove and return the probe whose ping was answered, None if there is none."""
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -204,7 +204,7 @@
     claims = [gossip.claim(n, MemberState.ALIVE) for n in range(1, 2000)]
     it.receive(0.0, "n2", 1, Sync(False, tuple(claims)))
     it.dissemination_queue.clear()
-    it.next_period_at = it.next_sync_at = 1e9
+    it.next_period_at = it.sync.next_at = 1e9
     sent_at_once = []
     for n in range(300):
         new = gossip.claim(5000 + n)
@@ -315,7 +315,7 @@
     it.dissemination_queue.clear()
     it.outbox.clear()
     it.changes.clear()
-    it.next_sync_at = 1e9  # an exchange looks at all, once in 15 periods
+    it.sync.next_at = 1e9  # an exchange looks at all, once in 15 periods
     it.member_table.members = Walked(it.member_table.members)
     it.tick(1.0)  # the probe order is shuffled
     it.outbox.clear()
