--- a/tests/decisions/full_scan_oracle.py
+++ b/tests/decisions/full_scan_oracle.py
@@ -1,5 +1,7 @@
-"""The plain scan over everything that waits, kept as the oracle for the index: what is best to send and what
-is worth least to keep, found by looking at every message. It decides nothing and changes nothing else."""
+"""A full scan over all waiting messages: the oracle for the priority index and load shedding.
+
+It finds what is best to send, and what costs least to shed, by looking at every message.
+"""
 
 from __future__ import annotations
 
@@ -17,148 +19,164 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 
 
-def waiting(relay: DeliveryScheduler) -> dict[int, list[PendingMessage]]:
-    """By destination, from the messages held alone: nothing of the index is believed."""
+def waiting(scheduler: DeliveryScheduler) -> dict[int, list[PendingMessage]]:
+    """The waiting messages by destination, found without any queue or index."""
     queues: dict[int, list[PendingMessage]] = {}
-    for held in relay.pending.by_id.values():
-        if held.in_flight_on is None:
-            queues.setdefault(held.message.destination, []).append(held)
+    for entry in scheduler.pending.by_id.values():
+        if entry.in_flight_on is None:
+            queues.setdefault(entry.message.destination, []).append(entry)
     return queues
 
 
-def opens(
-    relay: DeliveryScheduler,
+def sendable_at(
+    scheduler: DeliveryScheduler,
     now: float,
-    held: PendingMessage,
-    lane: DestinationState,
+    entry: PendingMessage,
+    destination: DestinationState,
     queues: dict[int, list[PendingMessage]],
 ) -> float:
-    out = is_suspected(lane, now)
-    cap = max(1, relay.settings.max_concurrent_attempts // (4 if out else 2))
-    if len(lane.in_flight) >= cap and (out or len(queues) > 1):
+    """When a message may be sent to a destination, as far as can be known now."""
+    is_out = is_suspected(destination, now)
+    most = max(1, scheduler.settings.max_concurrent_attempts // (4 if is_out else 2))
+    if len(destination.in_flight) >= most and (is_out or len(queues) > 1):
         return FOREVER
-    room_at, overdraw_at = relay.rate_controller.next_send_times(now, lane, out)
-    line = [h for h in relay.pending.by_id.values() if h.ordering_key and h.ordering_key == held.ordering_key]
-    hurried = held.deadline_at < held.submitted_at + held.message_class.latency_objective_ms or len(line) > 1
-    turn = (
-        FOREVER
-        if line and line[0] is not held
-        else relay.pending.key_paused_until.get(held.ordering_key, 0.0)
+    opens_at, urgent_at = scheduler.rate_controller.next_send_times(now, destination, is_out)
+    key = entry.ordering_key
+    same_key = [
+        each for each in scheduler.pending.by_id.values() if each.ordering_key and each.ordering_key == key
+    ]
+    objective_at = entry.submitted_at + entry.message_class.latency_objective_ms
+    is_urgent = entry.deadline_at < objective_at or len(same_key) > 1
+    if same_key and same_key[0] is not entry:
+        order_at = FOREVER
+    else:
+        order_at = scheduler.pending.key_paused_until.get(key, 0.0)
+    at = max(
+        entry.backoff_until,
+        destination.retry_after_until,
+        urgent_at if is_urgent else opens_at,
+        order_at,
     )
-    at = max(held.backoff_until, lane.retry_after_until, overdraw_at if hurried else room_at, turn)
-    if (
-        (out or lane.failure_score > TRUSTED_FAILURE_SCORE)
-        and not lane.last_failure_had_no_effect
-        and held.message_class.effect is Effect.UNSAFE
-    ):
-        at = max(at, lane.last_failure_at + EVIDENCE_TTL_MS)
+    is_risky = is_out or destination.failure_score > TRUSTED_FAILURE_SCORE
+    is_unsafe = entry.message_class.effect is Effect.UNSAFE
+    if is_risky and not destination.last_failure_had_no_effect and is_unsafe:
+        at = max(at, destination.last_failure_at + EVIDENCE_TTL_MS)
     return at
 
 
 def best(
-    relay: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
+    scheduler: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
 ) -> list[tuple[float, PendingMessage, DestinationState]]:
     """All that may be sent now, the best first."""
     found = []
-    for dest, queue in queues.items():
-        for lane in relay.destinations.get(dest, {}).values():
-            cost = lane.latency_mean_ms + lane.failure_score * (
-                lane.latency_mean_ms + TIMEOUT_DEVIATIONS * lane.latency_deviation_ms
-            ) / (1 - lane.failure_score)
-            for held in queue:
-                if opens(relay, now, held, lane, queues) <= now and relay.dispatcher.choose_endpoint(
-                    now, held, lane
-                ):
-                    soon = held.value_at(now + lane.latency_mean_ms, relay.settings.decay)
-                    later = held.value_at(now + lane.latency_mean_ms + 1000.0, relay.settings.decay)
-                    found.append(((2 * soon - later) / cost, held, lane))
+    decay = scheduler.settings.decay
+    for destination_id, queue in queues.items():
+        for destination in scheduler.destinations.get(destination_id, {}).values():
+            mean_ms, score = destination.latency_mean_ms, destination.failure_score
+            timeout_ms = mean_ms + TIMEOUT_DEVIATIONS * destination.latency_deviation_ms
+            slot_time_ms = mean_ms + score * timeout_ms / (1 - score)
+            for entry in queue:
+                if sendable_at(scheduler, now, entry, destination, queues) > now:
+                    continue
+                if scheduler.dispatcher.choose_endpoint(now, entry, destination) is None:
+                    continue
+                soon = entry.value_at(now + mean_ms, decay)
+                later = entry.value_at(now + mean_ms + 1000.0, decay)
+                found.append(((2 * soon - later) / slot_time_ms, entry, destination))
     return sorted(found, key=lambda each: -each[0])
 
 
-def poorest(
-    relay: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
+def lowest_value(
+    scheduler: DeliveryScheduler, now: float, queues: dict[int, list[PendingMessage]]
 ) -> tuple[float, float] | None:
+    """What ending the cheapest message loses, and its value now."""
     found = []
-    for dest, queue in queues.items():
-        drained = now + 1000 * len(queue) / relay.drain_estimate.expected_rate(now, dest)
+    for destination_id, queue in queues.items():
+        rate = scheduler.drain_estimate.expected_rate(now, destination_id)
+        drained_at = now + 1000 * len(queue) / rate
         found += [
-            (lost(relay, now, drained, held), held.value_at(now, relay.settings.decay))
-            for held in queue
-            if can_reject_safely(held) and not left_untried(held)
+            (cost_of_loss(scheduler, now, drained_at, entry), entry.value_at(now, scheduler.settings.decay))
+            for entry in queue
+            if can_reject_safely(entry) and not is_left_untried(entry)
         ]
     return min(found, default=None)
 
 
-def left_untried(held: PendingMessage) -> bool:
-    """By an earlier process: it has its try before it makes room for others."""
-    return held.message.age_ms is not None and not held.attempts
+def is_left_untried(entry: PendingMessage) -> bool:
+    """Whether an earlier process left it untried: it gets an attempt before it may be shed."""
+    return entry.message.age_ms is not None and not entry.attempts
 
 
-def lost(relay: DeliveryScheduler, now: float, drained: float, held: PendingMessage) -> float:
-    early = now < held.submitted_at + EARLY_PART * (held.deadline_at - held.submitted_at)
-    return held.value_at(drained, relay.settings.decay) + (
-        EARLY_PENALTY * held.priority_weight if early else 0.0
-    )
+def cost_of_loss(scheduler: DeliveryScheduler, now: float, drained_at: float, entry: PendingMessage) -> float:
+    """What ending a message now loses."""
+    is_early = now < entry.submitted_at + EARLY_PART * (entry.deadline_at - entry.submitted_at)
+    penalty = EARLY_PENALTY * entry.priority_weight if is_early else 0.0
+    return entry.value_at(drained_at, scheduler.settings.decay) + penalty
 
 
-class Watched(DeliveryScheduler):
-    """A relay each of whose choices is held against the plain scan over the state in which it was made.
+class VerifyingScheduler(DeliveryScheduler):
+    """A scheduler each of whose choices is compared with the full scan over the same state.
 
-    The one difference allowed: where more than EXACT candidates lie within the width of a band and of the
-    time between two renewals, the choice may be any of those. What a cold destination takes rises all the
-    time, and so does a pace of many relays after a refusal; such a one is looked at every LOOK_MS, and until
-    then may have more room than the index knows of.
+    One difference is allowed: where more than EXACT_COMPARISONS candidates lie within the width of a band and
+    of the time between two renewals, the choice may be any of those. The rate of a warming destination rises
+    all the time, and so does that of a throttled one in a large fleet; such a one is scanned every RESCAN_MS,
+    and until then may accept more than the index knows of.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.choices = self.evictions = self.spared = 0
-        self.index.pop_best, self._find = self._checked, self.index.pop_best  # type: ignore[method-assign]
-        self.load_shedder.lowest_value, self._found = self._least, self.load_shedder.lowest_value  # type: ignore[method-assign]
-
-    def _checked(self, now: float) -> IndexEntry | None:
-        entry = self._find(now)
-        if entry is not None and not self.dispatcher.is_still_sendable(now, entry[2], entry[3]):
-            return entry  # it is not sent: its queue is looked at again, and the next one found
+        self._find = self.index.pop_best
+        self._find_lowest = self.load_shedder.lowest_value
+        self.index.pop_best = self._verified_best  # type: ignore[method-assign]
+        self.load_shedder.lowest_value = self._verified_lowest  # type: ignore[method-assign]
+
+    def _verified_best(self, now: float) -> IndexEntry | None:
+        chosen = self._find(now)
+        if chosen is not None and not self.dispatcher.is_still_sendable(now, chosen[2], chosen[3]):
+            return chosen  # it is not sent: its queue is scanned again, and the next one found
         queues = waiting(self)
-        ranked = [each for each in best(self, now, queues) if not self._unseen(now, each[2], each[1])]
+        ranked = [
+            each for each in best(self, now, queues) if not self._may_be_unindexed(now, each[2], each[1])
+        ]
         self.choices += 1
-        if entry is None:
+        if chosen is None:
             assert not ranked, f"may be sent at {now} and was not found: {ranked[0]}"
             return None
-        value = self.index.gain(now, entry[2], entry[3]) / entry[0]
+        value = self.index.gain(now, chosen[2], chosen[3]) / chosen[0]
         better = [each for each in ranked if each[0] > value * (1 + 1e-9) + 1e-12]
         if len(better) >= EXACT_COMPARISONS:
             assert value > 0.85 * better[0][0], f"{value} was chosen, {better[0]} is best"
             self.spared += 1
         else:
             assert not better, f"{value} was chosen, {better[0]} is best"
-        return entry
-
-    def _unseen(self, now: float, lane: DestinationState, held: PendingMessage) -> bool:
-        queue = self.pending.queues[held.message.destination]
-        cold = now < lane.warming_since + self.settings.safety.warm_up_ms
-        rising = self.rate_controller.is_large_fleet and now < lane.throttled_until
-        return (
-            (cold or rising)
-            and queue.next_scan_at > now
-            and queue.destination_id not in self.pending.scans_due
-        )
-
-    def _least(self, now: float) -> tuple[float, float, PendingMessage] | None:
-        least, plain = self._found(now), poorest(self, now, waiting(self))
+        return chosen
+
+    def _may_be_unindexed(self, now: float, destination: DestinationState, entry: PendingMessage) -> bool:
+        queue = self.pending.queues[entry.message.destination]
+        is_warming_up = now < destination.warming_since + self.settings.safety.warm_up_ms
+        is_rising = self.rate_controller.is_large_fleet and now < destination.throttled_until
+        is_scan_due = queue.destination_id in self.pending.scans_due
+        return (is_warming_up or is_rising) and queue.next_scan_at > now and not is_scan_due
+
+    def _verified_lowest(self, now: float) -> tuple[float, float, PendingMessage] | None:
+        found = self._find_lowest(now)
+        expected = lowest_value(self, now, waiting(self))
         self.evictions += 1
-        if least is None:
-            assert plain is None or len(self.pending.queues) > EXACT_COMPARISONS
+        if found is None:
+            assert expected is None or len(self.pending.queues) > EXACT_COMPARISONS
             return None
-        assert plain is not None
-        held, dest = least[2], least[2].message.destination
-        drained = now + 1000 * len(self.pending.queues[dest]) / self.drain_estimate.expected_rate(now, dest)
-        mine = lost(self, now, drained, held), held.value_at(now, self.settings.decay)
+        assert expected is not None
+        entry, destination_id = found[2], found[2].message.destination
+        rate = self.drain_estimate.expected_rate(now, destination_id)
+        drained_at = now + 1000 * len(self.pending.queues[destination_id]) / rate
+        value = entry.value_at(now, self.settings.decay)
+        actual = cost_of_loss(self, now, drained_at, entry), value
         if len(self.pending.queues) <= EXACT_COMPARISONS:
-            assert mine <= plain, f"{mine} was refused, {plain} is least"
-        return least
+            assert actual <= expected, f"{actual} was shed, {expected} is lowest"
+        return found
 
 
-def watched(settings: Settings, **more: Any) -> Watched:
-    return Watched(settings, **{"seed": 5, **more})
+def watched(settings: Settings, **more: Any) -> VerifyingScheduler:
+    """A verifying scheduler with a fixed seed, unless another is given."""
+    return VerifyingScheduler(settings, **{"seed": 5, **more})
--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -9,13 +9,13 @@
 from message_relay.decisions.model import Effect, Endpoint, Listing, ListKind, Outcome, Scope, Settings
 
 
-class Breach(AssertionError):
+class RuleViolation(AssertionError):
     """A rule was broken; the first word names it."""
 
 
 @dataclass
-class Seen:
-    msg: Message
+class MessageRecord:
+    message: Message
     due: float
     attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)
     over: bool = False
@@ -26,7 +26,7 @@
 @dataclass
 class Checker:
     settings: Settings
-    seen: dict[int, Seen] = field(default_factory=dict)
+    seen: dict[int, MessageRecord] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     drained: dict[int, float] = field(default_factory=dict)
     waits: dict[int, float] = field(default_factory=dict)
@@ -42,7 +42,9 @@
     def event(self, now: float, event: Event) -> None:
         match event:
             case Message():
-                seen = self.seen[event.id] = Seen(event, now + event.remaining_ms, tries=event.attempts)
+                seen = self.seen[event.id] = MessageRecord(
+                    event, now + event.remaining_ms, tries=event.attempts
+                )
                 if event.uncertain_endpoint is not None and event.uncertain_for_ms is not None:
                     seen.past = now - event.uncertain_for_ms, event.uncertain_endpoint.id
                     self.endpoints.setdefault(event.uncertain_endpoint.id, event.uncertain_endpoint)
@@ -54,12 +56,12 @@
                     gone = set(self.endpoints) - named
                 for entry in entries:
                     self.endpoints.setdefault(entry.id, entry)
-                for ident in gone:
-                    self.drained.setdefault(ident, now)
-                for ident in named:
-                    self.drained.pop(ident, None)
-            case MessageCancelled(ident):
-                self.seen[ident].over = True
+                for message_id in gone:
+                    self.drained.setdefault(message_id, now)
+                for message_id in named:
+                    self.drained.pop(message_id, None)
+            case MessageCancelled(message_id):
+                self.seen[message_id].over = True
             case AttemptCompleted():
                 seen = self.seen[event.id]
                 sent, endpoint, _ = seen.attempts[event.attempt]
@@ -75,22 +77,22 @@
                 if event.retry_after_ms:
                     self.waits[lane] = max(self.waits.get(lane, 0.0), now + event.retry_after_ms)
                 lingers = event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-                if lingers and self.settings.classes[seen.msg.class_index].in_order:
-                    self.rests[seen.msg.key] = now + self.settings.safety.key_pause_ms
+                if lingers and self.settings.classes[seen.message.class_index].in_order:
+                    self.rests[seen.message.key] = now + self.settings.safety.key_pause_ms
 
-    def risks(self, seen: Seen) -> list[tuple[float, int]]:
+    def risks(self, seen: MessageRecord) -> list[tuple[float, int]]:
         past = [] if seen.past is None else [seen.past]
         return past + [(at, e) for at, e, out in seen.attempts if out is None or not out.proves_no_effect]
 
     def action(self, now: float, action: Action) -> None:
         match action:
-            case StartAttempt(ident, endpoint, _):
-                self.send(now, self.seen[ident], endpoint)
-            case Reject(ident) | Fail(ident):
-                seen = self.seen[ident]
+            case StartAttempt(message_id, endpoint, _):
+                self.send(now, self.seen[message_id], endpoint)
+            case Reject(message_id) | Fail(message_id):
+                seen = self.seen[message_id]
                 if seen.over:
-                    raise Breach("lost: a second final answer")
-                effect = self.settings.classes[seen.msg.class_index].effect
+                    raise RuleViolation("lost: a second final answer")
+                effect = self.settings.classes[seen.message.class_index].effect
                 if (
                     isinstance(action, Reject)
                     and self.risks(seen)
@@ -98,49 +100,49 @@
                         effect is Effect.UNSAFE
                         or (
                             effect is Effect.KEYED
-                            and self.settings.classes[seen.msg.class_index].key_scope is not Scope.ALL
+                            and self.settings.classes[seen.message.class_index].key_scope is not Scope.ALL
                         )
                     )
                 ):
-                    raise Breach("twice: refused though it may have run")
+                    raise RuleViolation("twice: refused though it may have run")
                 seen.over = True
 
-    def send(self, now: float, seen: Seen, endpoint: int) -> None:
-        cls = self.settings.classes[seen.msg.class_index]
+    def send(self, now: float, seen: MessageRecord, endpoint: int) -> None:
+        cls = self.settings.classes[seen.message.class_index]
         entry = self.endpoints[endpoint]
         if seen.over:
-            raise Breach("lost: sent after its end")
-        if entry.destination != seen.msg.destination:
-            raise Breach("fault: not an endpoint of its destination")
+            raise RuleViolation("lost: sent after its end")
+        if entry.destination != seen.message.destination:
+            raise RuleViolation("fault: not an endpoint of its destination")
         if any(out is None for _, _, out in seen.attempts):
-            raise Breach("twice: two attempts out at once")
+            raise RuleViolation("twice: two attempts out at once")
         if seen.tries + len(seen.attempts) >= self.settings.max_attempts:
-            raise Breach("fault: too many attempts")
+            raise RuleViolation("fault: too many attempts")
         for at, other in self.risks(seen):
             if cls.effect is Effect.UNSAFE:
-                raise Breach("twice: unsafe message may have run")
+                raise RuleViolation("twice: unsafe message may have run")
             if cls.effect is Effect.KEYED:
                 zones = self.endpoints[other].zone == entry.zone
                 if now - at > cls.key_window_ms:
-                    raise Breach("twice: outside the key's window")
+                    raise RuleViolation("twice: outside the key's window")
                 if cls.key_scope is Scope.ZONE and not zones:
-                    raise Breach("twice: outside the key's zone")
+                    raise RuleViolation("twice: outside the key's zone")
         if endpoint in self.drained and now > self.drained[endpoint] + self.settings.safety.drain_grace_ms:
-            raise Breach("drain: sent to a draining endpoint")
+            raise RuleViolation("drain: sent to a draining endpoint")
         if now < self.waits.get(self.lane(endpoint), 0.0):
-            raise Breach("wait: sent before a told wait was over")
-        if cls.in_order and seen.msg.key:
+            raise RuleViolation("wait: sent before a told wait was over")
+        if cls.in_order and seen.message.key:
             for other_id, earlier in self.seen.items():
-                if other_id == seen.msg.id:
+                if other_id == seen.message.id:
                     break
                 same = (
-                    earlier.msg.key == seen.msg.key
-                    and self.settings.classes[earlier.msg.class_index].in_order
+                    earlier.message.key == seen.message.key
+                    and self.settings.classes[earlier.message.class_index].in_order
                 )
                 if same and (not earlier.over or any(out is None for _, _, out in earlier.attempts)):
-                    raise Breach("order: an earlier message of its key is open")
-            if not seen.attempts and now < self.rests.get(seen.msg.key, 0.0):
-                raise Breach("order: its key must rest")
+                    raise RuleViolation("order: an earlier message of its key is open")
+            if not seen.attempts and now < self.rests.get(seen.message.key, 0.0):
+                raise RuleViolation("order: its key must rest")
         self.spend(now, self.lane(endpoint), entry.rate)
         seen.attempts.append((now, endpoint, None))
 
@@ -162,9 +164,9 @@
             )
             recent = [at for at in sends if at > max(self.cold[lane], now - safety.overload_window_ms)]
             if len(recent) > budget + 3:
-                raise Breach("failback: over the budget of a cold destination")
+                raise RuleViolation("failback: over the budget of a cold destination")
 
     def end_of(self, now: float) -> None:
         for seen in self.seen.values():
             if not seen.over and now > seen.due + self.settings.safety.answer_slack_ms:
-                raise Breach("lost: no final answer in time")
+                raise RuleViolation("lost: no final answer in time")
--- a/tests/decisions/test_destination_snapshot.py
+++ b/tests/decisions/test_destination_snapshot.py
@@ -26,32 +26,32 @@
 
 
 def test_a_retry_after_is_respected_over_a_restart(tmp_path: Path) -> None:
-    d = Driver()
-    d.listed((11, 1), rate=10.0)
-    d.answer(d.message(), Outcome.FULL, wait=5000.0)
-    left = d.relay.destination_snapshot(d.now)[0].retry_after_ms
+    driver = Driver()
+    driver.listed((11, 1), rate=10.0)
+    driver.answer(driver.message(), Outcome.FULL, wait=5000.0)
+    left = driver.relay.destination_snapshot(driver.now)[0].retry_after_ms
     assert left >= 5000.0
-    after = restarted(d, 600.0, tmp_path)
+    after = restarted(driver, 600.0, tmp_path)
     start = after.now
-    ident = after.message()
+    message_id = after.message()
     after.pass_time(left - 605.0)
     assert not after.sent
     after.pass_time(2000)
-    assert after.last(ident)[0] >= start + left - 600.0
+    assert after.last(message_id)[0] >= start + left - 600.0
 
 
-def test_a_destination_that_was_out_gets_a_trickle_from_the_next_process_too(tmp_path: Path) -> None:
+def test_ejected_destination_gets_trials_from_the_next_process_too(tmp_path: Path) -> None:
     settings = make_settings(relays=10)
-    d = Driver(settings)
-    d.listed((11, 1), rate=10.0)
+    driver = Driver(settings)
+    driver.listed((11, 1), rate=10.0)
     for _ in range(2):
-        ident = d.message()
-        d.pass_time(3000, 50)
-        d.answer(ident, Outcome.CONNECT_FAILED)
-    assert d.relay.destinations[1][-1].is_ejected
+        message_id = driver.message()
+        driver.pass_time(3000, 50)
+        driver.answer(message_id, Outcome.CONNECT_FAILED)
+    assert driver.relay.destinations[1][-1].is_ejected
     fresh = Driver(settings, seed=2)
     fresh.listed((11, 1), rate=10.0)
-    after = restarted(d, 600.0, tmp_path)
+    after = restarted(driver, 600.0, tmp_path)
     for each in (fresh, after):
         for _ in range(4):
             each.message()
@@ -59,38 +59,42 @@
     assert len(fresh.sent) >= 2 and len(after.sent) <= 1
 
 
-def test_a_cold_return_goes_on_where_it_was(tmp_path: Path) -> None:
-    d = Driver()
-    d.listed((11, 1), rate=10.0)
+def test_warm_up_continues_in_the_next_process(tmp_path: Path) -> None:
+    driver = Driver()
+    driver.listed((11, 1), rate=10.0)
     for _ in range(2):
-        ident = d.message()
-        d.pass_time(3000, 50)
-        d.answer(ident, Outcome.CONNECT_FAILED)
-    while d.relay.destinations[1][-1].is_ejected:
-        for ident in list(d.out):
-            d.answer(ident)
-        d.pass_time(100)
-        d.message()
-    (lane,) = restarted(d, 600.0, tmp_path).relay.destinations[1].values()
-    began = d.relay.destinations[1][-1].warming_since
-    assert 5e6 - lane.warming_since == pytest.approx(d.now - began + 600.0)
-
-
-def test_nothing_is_believed_over_what_this_process_has_seen() -> None:
-    d = Driver()
-    d.listed((11, 1), rate=10.0)
-    d.warm_up()
-    d.feed(RestoredDestination(1, 9000.0, True, 500.0, None), RestoredDestination(77, 9000.0))
-    lane = d.relay.destinations[1][-1]
-    assert not lane.is_ejected and lane.retry_after_until < d.now and 77 not in d.relay.destinations
+        message_id = driver.message()
+        driver.pass_time(3000, 50)
+        driver.answer(message_id, Outcome.CONNECT_FAILED)
+    while driver.relay.destinations[1][-1].is_ejected:
+        for message_id in list(driver.out):
+            driver.answer(message_id)
+        driver.pass_time(100)
+        driver.message()
+    (destination,) = restarted(driver, 600.0, tmp_path).relay.destinations[1].values()
+    began = driver.relay.destinations[1][-1].warming_since
+    assert 5e6 - destination.warming_since == pytest.approx(driver.now - began + 600.0)
+
+
+def test_own_observations_take_precedence_over_restored_ones() -> None:
+    driver = Driver()
+    driver.listed((11, 1), rate=10.0)
+    driver.warm_up()
+    driver.feed(RestoredDestination(1, 9000.0, True, 500.0, None), RestoredDestination(77, 9000.0))
+    destination = driver.relay.destinations[1][-1]
+    assert (
+        not destination.is_ejected
+        and destination.retry_after_until < driver.now
+        and 77 not in driver.relay.destinations
+    )
 
 
 def test_healthy_destinations_are_not_saved(tmp_path: Path) -> None:
-    d = Driver()
-    d.listed((11, 1), rate=10.0)
-    d.warm_up()
-    DestinationSnapshotFile(tmp_path).save(1e12, d.relay.destination_snapshot(d.now))
-    assert d.relay.destination_snapshot(d.now) == [] and not list(tmp_path.iterdir())
+    driver = Driver()
+    driver.listed((11, 1), rate=10.0)
+    driver.warm_up()
+    DestinationSnapshotFile(tmp_path).save(1e12, driver.relay.destination_snapshot(driver.now))
+    assert driver.relay.destination_snapshot(driver.now) == [] and not list(tmp_path.iterdir())
 
 
 @pytest.mark.parametrize(
@@ -145,14 +149,14 @@
         await host.start()
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
-            told = await server.came.get()
+            returned = await server.came.get()
             await until(lambda: bool(host.relay.destination_snapshot(host.now())))
         await host.close()
         server.usual = answer(200)
         host = host_of(state, agent, server)
         await host.start()
         again = await server.came.get()
-        assert again.headers["x-trace-id"] == "m" and again.at >= told.at + 1.45
+        assert again.headers["x-trace-id"] == "m" and again.at >= returned.at + 1.45
         await host.close()
 
     run(work())
--- a/tests/decisions/test_name_independence.py
+++ b/tests/decisions/test_name_independence.py
@@ -108,7 +108,7 @@
     st.lists(st.tuples(st.integers(0, 3), st.integers(1, 2), st.integers(0, 9)), min_size=5, max_size=60),
     st.integers(0, 99),
 )
-def test_classes_that_are_renamed_and_reordered_are_decided_alike(
+def test_renamed_and_reordered_classes_are_treated_alike(
     classes: list[MessageClass], chance: object, names: list[str], steps: list[Step], seed: int
 ) -> None:
     assert isinstance(chance, Random)
@@ -122,7 +122,7 @@
     assert first == second
 
 
-def test_no_name_of_a_deployment_stands_in_the_program() -> None:
+def test_program_contains_no_name_of_a_deployment() -> None:
     found = []
     for path in Path(message_relay.__path__[0]).rglob("*.py"):
         text = path.read_text().lower()
--- a/tests/decisions/test_rate_slots.py
+++ b/tests/decisions/test_rate_slots.py
@@ -59,7 +59,9 @@
 
 @settings(max_examples=60)
 @given(st.integers(1, 60), st.integers(1, 200), st.integers(0, 2**32))
-def test_all_together_never_pass_the_agreed_rate_in_any_second(size: int, rate: int, seed: int) -> None:
+def test_all_instances_together_never_exceed_the_agreed_rate_in_any_second(
+    size: int, rate: int, seed: int
+) -> None:
     rng = random.Random(seed)
     sent: list[float] = []
     for number in range(size):
@@ -69,14 +71,14 @@
     assert most(sent, 999.9) <= rate
 
 
-def test_a_share_uses_what_it_has() -> None:
+def test_instance_uses_its_full_share() -> None:
     sent = [at for number in range(40) for at in sends(share(number, cold=1.0), 0.0, 60_000.0)]
     assert len(sent) >= 0.99 * GUARD * 60 * 60
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 30, 40, 41])
 @pytest.mark.parametrize("part", [0.05, 0.18, 0.5, 0.83, 1.0])
-def test_as_many_are_open_in_a_frame_as_the_part_says(size: int, part: float) -> None:
+def test_open_slots_in_a_frame_match_the_open_share(size: int, part: float) -> None:
     assert sorted(round(circle_position(n, size) * size) for n in range(size)) == list(range(size))
     shares = [share(number, size) for number in range(size)]
     counts = [sum(one._is_open(frame, part) for one in shares) for frame in range(500)]
@@ -84,7 +86,7 @@
     assert sum(counts) / 500 == pytest.approx(part * size, rel=0.05, abs=0.02)
 
 
-def test_a_slot_is_used_once_also_on_its_very_edge() -> None:
+def test_slot_is_used_once_even_at_its_boundary() -> None:
     for number in range(40):
         one, now = share(number, cold=1.0), 0.0
         for _ in range(200):
@@ -93,7 +95,7 @@
             assert one.next_slot_at(now) > now + 0.9 * one.frame_ms - one.slot_tolerance_ms
 
 
-def test_the_part_grows_with_own_answers_only() -> None:
+def test_open_share_grows_only_with_own_successes() -> None:
     one = share()
     assert one.open_share(0.0) == one.open_share(1e6) == 0.18  # a fresh process knows nothing
     for at in range(0, 20_000, 700):
@@ -106,7 +108,7 @@
     assert one.open_share(20_600.0) == 0.18
 
 
-def test_what_said_nothing_for_long_counts_as_cold() -> None:
+def test_evidence_expires_without_answers() -> None:
     one = share()
     for at in range(0, 20_000, 700):
         one.on_success(float(at))
@@ -115,7 +117,7 @@
     assert one.open_share(40_000.0) == pytest.approx(WARM_UP_SHARE * 0.18)
 
 
-def test_between_a_failure_and_an_answer_the_middle_is_taken_for_the_return() -> None:
+def test_recovery_is_assumed_halfway_between_failure_and_success() -> None:
     one, other = share(), share()
     one.on_failure(10_000.0, is_ejected=True)
     one.on_success(12_000.0)
@@ -126,7 +128,7 @@
     assert one.healthy_since == 60_000.0  # too long ago to tell anything
 
 
-def test_another_rate_moves_the_slots() -> None:
+def test_changed_rate_moves_the_slots() -> None:
     one = share(3, 10, 10.0, cold=1.0)
     assert len(sends(one, 0.0, 50_000.0)) == pytest.approx(50 * GUARD, abs=1)
     one.set_rate(20.0)
@@ -136,12 +138,12 @@
 @pytest.mark.parametrize(
     ("number", "size", "says"), [(0, 0, "fleet.size"), (-1, 4, "fleet.number"), (4, 4, "must lie in 0 to 3")]
 )
-def test_a_fleet_that_makes_no_sense_names_its_field(number: int, size: int, says: str) -> None:
+def test_invalid_fleet_names_its_field(number: int, size: int, says: str) -> None:
     with pytest.raises(ValueError, match=says):
         Fleet(number, size)
 
 
-def test_a_relay_sends_in_its_slots_only_and_without_a_fleet_as_before() -> None:
+def test_relay_sends_only_in_its_slots_where_there_is_a_fleet() -> None:
     for fleet in (None, Fleet(2, 10, 12_345.0)):
         relay = DeliveryScheduler(make_settings(fleet=fleet, safety=SAFETY, max_pending_messages=100), 1)
         now = 1000.0
@@ -166,7 +168,7 @@
             assert min(b - a for a, b in itertools.pairwise(at)) > 0.8 * frame
 
 
-def test_a_fleet_spares_a_returning_partner_and_keeps_the_agreed_rate() -> None:
+def test_fleet_warms_up_a_recovered_destination_and_keeps_the_agreed_rate() -> None:
     """The forty are in experiments/forty.toml; three of these ten are restarted in the outage."""
     it = decoded(
         {
@@ -197,7 +199,7 @@
 
 @settings(max_examples=40)
 @given(st.integers(0, 2**32), st.integers(2, 30), st.integers(10, 120))
-def test_the_rate_holds_while_instances_become_more_or_fewer_at_different_moments(
+def test_agreed_rate_holds_while_instances_resize_at_different_moments(
     seed: int, size: int, rate: int
 ) -> None:
     """Each hears of it at another moment: a smaller part at once, a larger one when others have left."""
@@ -224,7 +226,7 @@
     assert most(sent, 999.9) <= max(rate, 1) + 1  # one window may hold both an old slot and a new one
 
 
-def test_a_clock_that_is_set_costs_no_second_call_in_a_frame() -> None:
+def test_clock_change_allows_no_second_call_in_a_frame() -> None:
     one = share(5, 40, 60.0, cold=1.0)
     sent = sends(one, 0.0, 5000.0)
     one.resize(Fleet(5, 40, -150.0))
@@ -232,13 +234,17 @@
     assert later[0] + 150.0 - sent[-1] >= one.frame_ms - 0.01
 
 
-def test_the_relay_follows_another_size() -> None:
+def test_relay_applies_a_changed_fleet_size() -> None:
     relay = DeliveryScheduler(make_settings(fleet=Fleet(2, 10), safety=SAFETY), 1)
     entry = Endpoint(1, 1, Listing.READY, rate=50.0)
     relay.handle(0.0, [EndpointList(ListKind.COMPLETE, (entry,))])
     relay.handle(5.0, [Fleet(2, 20)])
-    lane = relay.destinations[1][-1]
-    assert relay.settings.relays == 20 and lane.time_slots is not None and lane.time_slots.fleet.size == 20
+    destination = relay.destinations[1][-1]
+    assert (
+        relay.settings.relays == 20
+        and destination.time_slots is not None
+        and destination.time_slots.fleet.size == 20
+    )
     alone = DeliveryScheduler(make_settings(), 1)
     alone.handle(5.0, [Fleet(2, 20)])
     assert alone.settings.relays == 20 and alone.settings.fleet is None
--- a/tests/decisions/test_rule_invariants.py
+++ b/tests/decisions/test_rule_invariants.py
@@ -37,20 +37,20 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 
 from ..conftest import make_settings
-from .rule_checker import Breach, Checker
+from .rule_checker import Checker, RuleViolation
 
 OUTCOMES = list(Outcome)
 
 
 @st.composite
 def setups(draw: st.DrawFn) -> Settings:
-    def cls(effect: Effect, scope: Scope, ordered: bool) -> MessageClass:
+    def message_class(effect: Effect, scope: Scope, ordered: bool) -> MessageClass:
         return MessageClass("c", effect, 400.0, 4000.0, 1.0, 0.5, 1200.0, scope, ordered)
 
     classes = draw(
         st.lists(
             st.builds(
-                cls,
+                message_class,
                 st.sampled_from(Effect),
                 st.sampled_from([Scope.ALL, Scope.ZONE]),
                 st.booleans(),
@@ -103,24 +103,26 @@
         timers = [t for t in timers if t > now]
         if step % 20 == 0:
             mood = rng.choice([0.0, 0.2, 0.9])
-        for (ident, number), send in list(out.items()):
+        for (message_id, number), send in list(out.items()):
             if now >= send.give_up_at_ms or rng.random() < 0.15:
                 outcome = rng.choice(OUTCOMES) if rng.random() < mood else Outcome.OK
                 outcome = Outcome.TIMEOUT if now >= send.give_up_at_ms else outcome
                 wait = rng.choice([0.0, 300.0]) if outcome is Outcome.FULL else 0.0
-                finished = outcome is Outcome.OK or watch.seen[ident].over
-                del out[ident, number]
-                events.append(AttemptCompleted(ident, number, send.endpoint, outcome, 80.0, finished, wait))
+                finished = outcome is Outcome.OK or watch.seen[message_id].over
+                del out[message_id, number]
+                events.append(
+                    AttemptCompleted(message_id, number, send.endpoint, outcome, 80.0, finished, wait)
+                )
         for _ in range(rng.choice([0, 0, 0, 1, 1, dests]) if step < 0.75 * steps else 0):
             ids += 1
             left = rng.choice([300.0, 2000.0, rng.uniform(500.0, 4000.0), 4000.0])
-            dest, age = rng.randint(1, dests + 1), rng.choice([None] * 9 + [700.0])
-            there = [entry for entry in listed if entry.destination == dest]
+            destination_id, age = rng.randint(1, dests + 1), rng.choice([None] * 9 + [700.0])
+            there = [entry for entry in listed if entry.destination == destination_id]
             risk = rng.choice(there) if age is not None and there and rng.random() < 0.6 else None
             events.append(
                 Message(
                     ids,
-                    dest,
+                    destination_id,
                     rng.randrange(len(setup.classes)),
                     left,
                     rng.randrange(2),
@@ -143,9 +145,9 @@
             entries = tuple(Endpoint(e.id, e.destination, state, 0, e.zone, e.rate) for e in part)
             events.append(EndpointList(kind, () if kind is ListKind.FAILED else entries))
         if rng.random() < 0.02 and any(not seen.over for seen in watch.seen.values()):
-            ident = next(i for i, seen in watch.seen.items() if not seen.over)
-            events.append(MessageCancelled(ident))
-            watch.seen[ident].over = True
+            message_id = next(i for i, seen in watch.seen.items() if not seen.over)
+            events.append(MessageCancelled(message_id))
+            watch.seen[message_id].over = True
         if step == steps - 20 and seed % 5 == 0:
             events.append(ShutdownScheduled(now + 500.0))
         watch.end_of(now - 60.0)  # a step may be longer than the slack
@@ -154,7 +156,7 @@
 
 @settings(max_examples=150)
 @given(setups(), st.integers(0, 2**32))
-def test_no_rule_breaks_under_legal_events(setup: Settings, seed: int) -> None:
+def test_no_rule_is_violated_by_legal_events(setup: Settings, seed: int) -> None:
     drive(DeliveryScheduler(setup, 5), setup, seed)
 
 
@@ -172,55 +174,55 @@
             tuple(Endpoint(e, 1, Listing.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1))),
         ),
     )
-    for ident, class_ in enumerate([0, 1, 2, 2]):
-        watch.event(0.0, Message(ident, 1, class_, 4000.0, 0, 7))
+    for message_id, class_ in enumerate([0, 1, 2, 2]):
+        watch.event(0.0, Message(message_id, 1, class_, 4000.0, 0, 7))
     return watch
 
 
-def ended(watch: Checker, ident: int, outcome: Outcome, at: float, wait: float = 0.0) -> None:
-    number = len(watch.seen[ident].attempts) - 1
-    watch.event(at, AttemptCompleted(ident, number, 11, outcome, 1.0, outcome is Outcome.OK, wait))
+def ended(watch: Checker, message_id: int, outcome: Outcome, at: float, wait: float = 0.0) -> None:
+    number = len(watch.seen[message_id].attempts) - 1
+    watch.event(at, AttemptCompleted(message_id, number, 11, outcome, 1.0, outcome is Outcome.OK, wait))
 
 
-def test_checker_catches_a_breach_of_each_rule() -> None:
+def test_checker_detects_a_violation_of_each_rule() -> None:
     send = StartAttempt(0, 11, 4000.0)
     watch = watched()
-    with pytest.raises(Breach, match="lost: no final"):
+    with pytest.raises(RuleViolation, match="lost: no final"):
         watch.end_of(4100.0)
     watch.action(1.0, Fail(0))
-    with pytest.raises(Breach, match="lost: sent after"):
+    with pytest.raises(RuleViolation, match="lost: sent after"):
         watch.action(2.0, send)
-    with pytest.raises(Breach, match="lost: a second"):
+    with pytest.raises(RuleViolation, match="lost: a second"):
         watch.action(2.0, Fail(0))
     watch = watched()
     watch.action(1.0, send)
-    with pytest.raises(Breach, match="twice: two attempts"):
+    with pytest.raises(RuleViolation, match="twice: two attempts"):
         watch.action(2.0, send)
     ended(watch, 0, Outcome.TIMEOUT, 3.0)
-    with pytest.raises(Breach, match="twice: unsafe"):
+    with pytest.raises(RuleViolation, match="twice: unsafe"):
         watch.action(4.0, send)
-    with pytest.raises(Breach, match="twice: refused"):
+    with pytest.raises(RuleViolation, match="twice: refused"):
         watch.action(4.0, Reject(0))
     watch.action(5.0, StartAttempt(1, 11, 4000.0))
     ended(watch, 1, Outcome.RESET, 6.0)
-    with pytest.raises(Breach, match="twice: outside the key's zone"):
+    with pytest.raises(RuleViolation, match="twice: outside the key's zone"):
         watch.action(7.0, StartAttempt(1, 12, 4000.0))
-    with pytest.raises(Breach, match="twice: outside the key's window"):
+    with pytest.raises(RuleViolation, match="twice: outside the key's window"):
         watch.action(1100.0, StartAttempt(1, 11, 4000.0))
-    with pytest.raises(Breach, match="order: an earlier"):
+    with pytest.raises(RuleViolation, match="order: an earlier"):
         watch.action(8.0, StartAttempt(3, 11, 4000.0))
     watch.action(8.0, StartAttempt(2, 11, 4000.0))
     ended(watch, 2, Outcome.TIMEOUT, 8.5)
     watch.event(8.5, MessageCancelled(2))
-    with pytest.raises(Breach, match="order: its key"):
+    with pytest.raises(RuleViolation, match="order: its key"):
         watch.action(9.0, StartAttempt(3, 11, 4000.0))
     watch = watched()
     watch.action(1.0, send)
     ended(watch, 0, Outcome.FULL, 2.0, wait=500.0)
-    with pytest.raises(Breach, match="wait"):
+    with pytest.raises(RuleViolation, match="wait"):
         watch.action(400.0, send)
     watch.event(500.0, EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.DRAINING),)))
-    with pytest.raises(Breach, match="drain"):
+    with pytest.raises(RuleViolation, match="drain"):
         watch.action(800.0, send)
     watch = watched(max_attempts=20)
     for at in (1.0, 2.0, 3.0):
@@ -228,7 +230,7 @@
         ended(watch, 0, Outcome.CONNECT_FAILED, at)
     watch.action(4.0, StartAttempt(2, 11, 4000.0))
     ended(watch, 2, Outcome.OK, 5.0)
-    with pytest.raises(Breach, match="failback"):
+    with pytest.raises(RuleViolation, match="failback"):
         for _ in range(6):
             watch.action(6.0, send)
             ended(watch, 0, Outcome.FULL, 6.0)
--- a/tests/decisions/test_scalability.py
+++ b/tests/decisions/test_scalability.py
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class Big:
+class LargeRelay:
     """A relay that is fed one event a turn, each turn counted, and watched by the checker of the rules."""
 
     settings: Settings
@@ -109,8 +109,8 @@
             yield
 
 
-def big(**more: Any) -> Big:
-    return Big(
+def large_relay(**more: Any) -> LargeRelay:
+    return LargeRelay(
         make_settings(
             **{
                 "classes": LONG,
@@ -123,8 +123,8 @@
     )
 
 
-def test_a_destination_with_20000_messages_is_out_for_a_minute_and_comes_back() -> None:
-    b = big()
+def test_destination_with_20000_pending_messages_recovers_from_an_outage_of_a_minute() -> None:
+    b = large_relay()
     b.listed((11, 1))
     for _ in range(20_000):
         b.take()
@@ -142,9 +142,9 @@
     assert len([at for at, _ in b.sent if at > back]) > 200
 
 
-def test_a_clump_of_one_key_costs_no_more_while_its_head_is_out() -> None:
+def test_burst_of_one_ordering_key_costs_no_more_while_its_first_is_in_flight() -> None:
     classes = (MessageClass("o", Effect.SAFE, 1000.0, 120_000.0, in_order=True),)
-    b = big(classes=classes)
+    b = large_relay(classes=classes)
     b.watch.send = lambda *_: None  # type: ignore[method-assign]  # it is quadratic; the order is checked here
     b.listed((11, 1))
     idents = [b.take(key=7) for _ in range(5000)]
@@ -160,8 +160,8 @@
     assert max(steps) <= 20
 
 
-def test_a_told_wait_ends_while_5000_wait() -> None:
-    b = big()
+def test_retry_after_ends_while_5000_messages_wait() -> None:
+    b = large_relay()
     b.listed((11, 1))
     first = b.take()
     b.end(first, Outcome.FULL, wait=2000.0)
@@ -176,8 +176,8 @@
     assert min(after) < told + 1000.0
 
 
-def test_the_last_endpoint_drains_with_10000_queued() -> None:
-    b = big(max_concurrent_attempts=4)
+def test_last_endpoint_drains_with_10000_queued() -> None:
+    b = large_relay(max_concurrent_attempts=4)
     b.listed((11, 1))
     for _ in range(10_000):
         b.take()
@@ -194,7 +194,7 @@
     assert {send.endpoint for at, send in b.sent if at > drained} == {12}
 
 
-def test_one_whose_worth_halves_is_overtaken_by_a_younger_one_of_another_class() -> None:
+def test_message_of_halving_value_is_overtaken_by_a_younger_one_of_another_class() -> None:
     """Worth 4 and an aim of 1.5 s against worth 2 and 4 s: the first leads, until it has lost enough."""
     classes = (
         MessageClass("status", Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
@@ -210,7 +210,7 @@
         assert [a.id for a in acts if isinstance(a, StartAttempt)] == [2 + leads], age
 
 
-def test_a_message_gains_when_its_last_second_begins_without_an_event() -> None:
+def test_message_gains_priority_in_its_last_second_without_an_event() -> None:
     """Nothing would be left of it a second later, so it is worth twice as much to send: nobody tells the
     index, since nothing has happened at its destination."""
     classes = (MessageClass("c", Effect.SAFE, 1000.0, 8000.0, 1.0, 0.1),)
@@ -249,8 +249,8 @@
     assert ident in (0, 1, 2) and relay.choices >= 3  # their answers would come at 7.0 to 7.2 s of 8
 
 
-def test_5000_destinations_are_due_in_one_tick() -> None:
-    b = big(max_pending_messages=30_000)
+def test_5000_queues_are_due_for_a_scan_in_one_tick() -> None:
+    b = large_relay(max_pending_messages=30_000)
     b.listed(*((d, d) for d in range(1, 5001)))
     for dest in range(1, 5001):
         for _ in range(4):
@@ -267,10 +267,10 @@
     assert sum(steps) / len(steps) < 60
 
 
-def test_what_an_event_looks_at_does_not_grow_with_what_is_held() -> None:
+def test_messages_examined_per_event_do_not_grow_with_pending_messages() -> None:
     means = {}
     for held, dests in ((70, 1), (2000, 500), (8000, 2000)):
-        b = big(max_concurrent_attempts=32)
+        b = large_relay(max_concurrent_attempts=32)
         b.listed(*((d, d) for d in range(1, dests + 1)), rate=1e4)
         for n in range(held):
             b.take(1 + n % dests, left=60_000.0 + n % 7)
@@ -283,8 +283,8 @@
     assert means[8000] < 3 * means[70] + 10, means
 
 
-def test_all_of_20000_that_are_due_at_once_end_in_time_and_in_slices() -> None:
-    b = big()
+def test_20000_messages_that_expire_at_once_end_in_time_over_several_turns() -> None:
+    b = large_relay()
     for _ in range(20_000):
         b.take(left=3000.0)  # no endpoint is known
     for _ in b.ticks(3000.0):
@@ -294,9 +294,9 @@
 
 
 @pytest.mark.parametrize("dests", [1, 2000])
-def test_memory_for_each_message_and_destination(dests: int) -> None:
+def test_memory_per_message_and_destination(dests: int) -> None:
     """What docs/sizing.md states: under 1.6 KB a message and 3 KB a destination in the module."""
-    b = big()
+    b = large_relay()
     tracemalloc.start()
     b.listed(*((d, d) for d in range(1, dests + 1)))
     relay = b.relay
@@ -308,7 +308,7 @@
     assert (full - empty - 3000 * dests) / 4000 < 1600 and empty / dests < 3000 + 200_000 / dests
 
 
-def test_memory_for_each_message_in_all(tmp_path: Path) -> None:
+def test_memory_per_message_in_total(tmp_path: Path) -> None:
     """What docs/sizing.md states, with a body of 300 bytes: under 4 KB held, under 1.5 KB once it ended."""
     settings = make_settings(max_pending_messages=30_000, max_concurrent_attempts=64)
     relay, count = DeliveryScheduler(settings, 1), 4000
@@ -334,7 +334,7 @@
     assert 300 < (full - empty) / count < 4000 and 0 < (ended - empty) / count < 1500
 
 
-def test_10000_destinations_that_come_and_go_leave_nothing() -> None:
+def test_10000_destinations_that_come_and_go_leave_no_state() -> None:
     relay, now, ids = (
         DeliveryScheduler(
             make_settings(classes=LONG, max_concurrent_attempts=64, max_pending_messages=1000), 1
--- a/tests/decisions/test_scheduling_weights.py
+++ b/tests/decisions/test_scheduling_weights.py
@@ -14,12 +14,15 @@
 GOAL = Goal(total=0.4, worst_window=0.3, worst_class=0.2, worst_tenant=0.1)
 
 
-def classes(*worths: float) -> tuple[MessageClass, ...]:
-    return tuple(replace(cls, priority_weight=worth) for cls, worth in zip(CLASSES, worths, strict=False))
+def classes(*weights: float) -> tuple[MessageClass, ...]:
+    return tuple(
+        replace(message_class, priority_weight=weight)
+        for message_class, weight in zip(CLASSES, weights, strict=False)
+    )
 
 
 @pytest.mark.parametrize(
-    ("worths", "goal", "expected"),
+    ("weights", "goal", "expected"),
     [
         ((2.0, 1.0, 4.0), GOAL, [2.0, 2.0, 4.0]),  # no more than the next
         ((2.0, 1.0, 4.0), Goal(), [2.0, 1.0, 4.0]),  # the goal gives nothing for it
@@ -31,10 +34,8 @@
         ((0.0, 0.0), GOAL, [0.0, 0.0]),
     ],
 )
-def test_what_a_message_of_each_class_counts(
-    worths: tuple[float, ...], goal: Goal, expected: list[float]
-) -> None:
-    assert scheduling_weights(make_settings(classes=classes(*worths), goal=goal)) == pytest.approx(expected)
+def test_weight_of_each_class(weights: tuple[float, ...], goal: Goal, expected: list[float]) -> None:
+    assert scheduling_weights(make_settings(classes=classes(*weights), goal=goal)) == pytest.approx(expected)
 
 
 def served(goal: Goal) -> dict[int, int]:
@@ -43,7 +44,7 @@
     second = replace(
         second, latency_objective_ms=0.75 * first.latency_objective_ms
     )  # wanted sooner, as payments are
-    d = Driver(
+    driver = Driver(
         make_settings(
             classes=(first, second, third),
             goal=goal,
@@ -52,19 +53,19 @@
             relays=1,
         )
     )
-    d.listed((11, 1), rate=10.0)
+    driver.listed((11, 1), rate=10.0)
     of: dict[int, int] = {}
     went = {0: 0, 1: 0}
     for n in range(800):
-        of[d.message(n % 2)] = n % 2
-        d.pass_time(50, 25)
-        for ident in list(d.out):
-            went[of[ident]] += 1
-            d.answer(ident, took=50.0)
+        of[driver.message(n % 2)] = n % 2
+        driver.pass_time(50, 25)
+        for message_id in list(driver.out):
+            went[of[message_id]] += 1
+            driver.answer(message_id, took=50.0)
     return went
 
 
-def test_the_class_of_least_worth_is_not_left_out_where_the_goal_counts_the_worst_served() -> None:
+def test_lowest_class_is_served_where_the_goal_counts_the_worst_served() -> None:
     """Broken by hand: counted by worth alone, the class of less worth gets next to nothing."""
     by_worth, by_goal = served(Goal()), served(GOAL)
     assert by_worth[1] < 0.05 * by_worth[0]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,13 +11,13 @@
 
 @pytest.mark.parametrize("way", cold.WAYS)
 @pytest.mark.parametrize("relays", (1, 20, 30))
-def test_the_budget_of_a_cold_destination_holds_for_the_sum_of_the_fleet(relays: int, way: str) -> None:
+def test_fleet_stays_within_the_budget_of_a_warming_destination(relays: int, way: str) -> None:
     row = cold.row(relays, way, 3)
     assert row.worst_max <= 1.0 and row.over == 0
     assert row.full_use_s_p50 <= 6.0  # and what it can do is used
 
 
-def test_it_breaks_where_no_relay_reckons_with_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_budget_is_exceeded_without_the_estimate_of_senders(monkeypatch: pytest.MonkeyPatch) -> None:
     """The play can fail: without each relay's estimate of how many others know, the sum goes over."""
     monkeypatch.setattr(slow_start, "estimate_senders", lambda settings, now, destination: 1.0)
     assert cold.row(20, "all know", 2).over == 2
