--- a/message_relay/gossip/node.py
+++ b/message_relay/gossip/node.py
@@ -119,7 +119,13 @@
     """
 
     def __init__(
-        self, part: GossipSettings, identity: Identity, folder: Path, number: int, zone: str, caps: int
+        self,
+        settings: GossipSettings,
+        identity: Identity,
+        folder: Path,
+        number: int,
+        zone: str,
+        capabilities: int,
     ) -> None:
         """`folder` is that of the identity. Raises ValueError or OSError if the secret can't be read."""
         self.identity = identity
@@ -127,17 +133,17 @@
         self.on_epoch_raised: list[Callable[[Identity], None]] = []  # the folder was restored from a backup
         self.on_identity_conflict: list[Callable[[str], None]] = []  # another process outranks this one
         self.identity_conflict: Claim | None = None
-        self.settings = part
+        self.settings = settings
         self.number = number
         self.rng = random.Random(secrets.randbits(64))
-        self.secret = part.secret()
-        own_claim = self._first_claim(zone, caps)
-        own_host = part.listen_address(number)[0]
+        self.secret = settings.secret()
+        own_claim = self._first_claim(zone, capabilities)
+        own_host = settings.listen_address(number)[0]
         # Others know this instance by the address that it connects from.
         self.source = None if own_host in ("0.0.0.0", "::") else (own_host, 0)
-        seeds = [parse_address(seed, "seeds") for seed in part.seeds]
+        seeds = [parse_address(seed, "seeds") for seed in settings.seeds]
         other_seeds = tuple(seed for seed in seeds if seed != own_claim.address)
-        self.swim = Swim(own_claim, other_seeds, self.rng, part.period_s)
+        self.swim = Swim(own_claim, other_seeds, self.rng, settings.period_s)
         self.datagram_handlers: dict[str, DatagramHandler] = {}
         self.frame_handlers: dict[str, FrameHandler] = {}
         self.on_member_changed: list[Callable[[Claim], None]] = []
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -124,25 +124,25 @@
             0.0, "n2", 1, Sync(False, tuple(each for each in claims if each.name != it.own_claim.name))
         )
         it.dissemination_queue.clear()
-    assert not answers(other, one._sync_request())
+    assert not first_replies(other, one._sync_request())
     one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, boot=2),)))
     one.outbox.clear()
-    told = answers(one, other._sync_request(), 1.0)
-    names = {claim.name for body in told for claim in body.claims}
+    replies = first_replies(one, other._sync_request(), 1.0)
+    names = {claim.name for body in replies for claim in body.claims}
     assert "n7" in names and len(names) < 3 * 800 / SLICES
-    for body in told:
+    for body in replies:
         other.receive(0.0, "n0", 1, body)
     assert (
         other.members["n7"].process_epoch == 2
-        and not answers(one, other._sync_request())
-        and not answers(other, one._sync_request())
+        and not first_replies(one, other._sync_request())
+        and not first_replies(other, one._sync_request())
     )
 
 
-def answers(it: Swim, asked: Sync, now: float = 0.0) -> list[Sync]:
+def first_replies(it: Swim, request: Sync, now: float = 0.0) -> list[Sync]:
     """Return the replies of the first burst."""
     it.outbox.clear()
-    it.receive(now, asked.claims[0].name, 1, asked)
+    it.receive(now, request.claims[0].name, 1, request)
     found = [body for _, body in it.outbox if isinstance(body, Sync) and not body.wants_reply]
     it.outbox.clear()
     return found
@@ -156,9 +156,9 @@
     old = Swim(claims[1], (), random.Random(1))
     old.receive(0.0, "n2", 1, Sync(False, (claims[0], *claims[2:])))
     same = old.member_table.checksum(old.own_claim)
-    assert not answers(it, Sync(True, (claims[1],), same))
+    assert not first_replies(it, Sync(True, (claims[1],), same))
     assert {
-        each.name for body in answers(it, Sync(True, (claims[1],), same ^ 1)) for each in body.claims
+        each.name for body in first_replies(it, Sync(True, (claims[1],), same ^ 1)) for each in body.claims
     } == {each.name for each in claims}
 
     class Before(msgspec.Struct, frozen=True, array_like=True, tag="s"):
@@ -178,8 +178,8 @@
     claims = [gossip.claim(n, MemberState.ALIVE) for n in range(30)]
     it = Swim(claims[0], (), random.Random(1))
     it.receive(0.0, "n2", 1, Sync(False, tuple(claims[1:])))
-    told = answers(it, Sync(True, (claims[1],), it.member_table.checksum(it.own_claim) ^ 1, b"xyz"))
-    assert {each.name for body in told for each in body.claims} == {each.name for each in claims}
+    replies = first_replies(it, Sync(True, (claims[1],), it.member_table.checksum(it.own_claim) ^ 1, b"xyz"))
+    assert {each.name for body in replies for each in body.claims} == {each.name for each in claims}
 
 
 def test_equal_changes_of_two_members_change_their_slice_checksum() -> None:
@@ -187,15 +187,15 @@
     to alive left the sum as it was. A fleet of 100 never came to know each other's states."""
     table = MemberTable()
     names = [n for n in range(1000) if slice_index(f"n{n}") == 5]
-    me = gossip.claim(10_000)
+    own_claim = gossip.claim(10_000)
     for n in names:
         table.put(0.0, gossip.claim(n, MemberState.JOINING))
-    before = table.slice_checksums(me)
+    before = table.slice_checksums(own_claim)
     for one, other in zip(names[::2], names[1::2], strict=False):
         table.put(0.0, gossip.claim(one, MemberState.ALIVE))
         table.put(0.0, gossip.claim(other, MemberState.ALIVE))
-        assert table.slice_checksums(me) != before
-        before = table.slice_checksums(me)
+        assert table.slice_checksums(own_claim) != before
+        before = table.slice_checksums(own_claim)
 
 
 def test_seed_answers_many_requests_in_bursts() -> None:
@@ -216,7 +216,7 @@
         and sum(sent_at_once) == BURST_PACKETS + 300 - CONCURRENT_REPLIES_MAX
         and len(it.paced_replies.in_progress) == CONCURRENT_REPLIES_MAX
     )
-    told: dict[tuple[str, int], set[str]] = {}
+    replies: dict[tuple[str, int], set[str]] = {}
     now = 0.0
     while it.paced_replies.in_progress:
         now = it.next_at()
@@ -224,10 +224,10 @@
         assert len(it.outbox) <= BURST_PACKETS
         for to, body in it.outbox:
             assert isinstance(body, Sync)
-            told.setdefault(to, set()).update(claim.name for claim in body.claims)
+            replies.setdefault(to, set()).update(claim.name for claim in body.claims)
         it.outbox.clear()
-    assert len(told) == CONCURRENT_REPLIES_MAX and all(
-        len(names) >= 1999 - BURST_PACKETS * 25 for names in told.values()
+    assert len(replies) == CONCURRENT_REPLIES_MAX and all(
+        len(names) >= 1999 - BURST_PACKETS * 25 for names in replies.values()
     )
     assert now <= CONCURRENT_REPLIES_MAX * (2300 / 12 / BURST_PACKETS + 2) * BURST_INTERVAL_S
 
@@ -417,21 +417,21 @@
 
 
 def test_queued_members_are_sent_least_sent_first_up_to_the_limit() -> None:
-    it, rng, told = DisseminationQueue(), random.Random(3), dict[str, int]()
+    queue, rng, send_counts = DisseminationQueue(), random.Random(3), dict[str, int]()
     for n in range(100):
-        it.add(f"n{n}")
-    while it:
-        some = it.least_sent(7)
-        assert len({it.send_counts[name] for name in some}) <= 2
+        queue.add(f"n{n}")
+    while queue:
+        some = queue.least_sent(7)
+        assert len({queue.send_counts[name] for name in some}) <= 2
         for name in some:
-            assert it.send_counts[name] == told.get(name, 0)
-            told[name] = told.get(name, 0) + 1
-            it.mark_sent(name, 6)
-        if rng.random() < 0.02 and told:
-            again = rng.choice(sorted(told))
-            it.add(again)
-            told[again] = 0
-    assert set(told.values()) == {6} and it.least_sent(5) == []
+            assert queue.send_counts[name] == send_counts.get(name, 0)
+            send_counts[name] = send_counts.get(name, 0) + 1
+            queue.mark_sent(name, 6)
+        if rng.random() < 0.02 and send_counts:
+            again = rng.choice(sorted(send_counts))
+            queue.add(again)
+            send_counts[again] = 0
+    assert set(send_counts.values()) == {6} and queue.least_sent(5) == []
 
 
 # -- evidence ----------------------------------------------------------------------------------------------
