--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -1,5 +1,4 @@
-"""What instances do in common, put together: peers, and the rules on which they agree. Only where it is
-on."""
+"""The subsystems that instances share: gossip, consensus, failover, sharded directory. Only where enabled."""
 
 from __future__ import annotations
 
@@ -27,8 +26,10 @@
 
 
 class SharedSubsystems:
-    def __init__(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
-        """Raises ConfigError; nothing listens yet. From here on nothing is sent that no rules allow."""
+    """Builds, starts and stops the subsystems that the operator's file enables."""
+
+    def __init__(self, operator_config: OperatorConfig, number: int, config: Config, relay: Relay) -> None:
+        """Raises ConfigError. Nothing listens yet; from here on no call is made that no rules allow."""
         folder = config.state / FOLDER
         try:
             self.identity = claim_identity(folder, f"n{number}")
@@ -38,7 +39,7 @@
         try:
             from ..consensus.capabilities import SUPPORTED
 
-            self.gossip = GossipNode(told.peers, self.identity, folder, number, zone, SUPPORTED)
+            self.gossip = GossipNode(operator_config.peers, self.identity, folder, number, zone, SUPPORTED)
         except (OSError, ValueError) as error:
             raise ConfigError(f"peers.{error}") from error
         self.consensus: ConsensusInstance | None = None
@@ -46,67 +47,69 @@
         self.failover: Failover | None = None
         self.closing: asyncio.Task[None] | None = None
         self.sharded_directory: ShardedDirectory | None = None
-        if told.shards.on:
-            self._start_sharded_directory(told, number, config, host)
-        if told.accord.is_enabled:
-            self._start_consensus(told, number, config, host)
+        if operator_config.shards.on:
+            self._start_sharded_directory(operator_config, number, config, relay)
+        if operator_config.accord.is_enabled:
+            self._start_consensus(operator_config, number, config, relay)
 
-    def _start_consensus(self, told: OperatorConfig, number: int, config: Config, host: Relay) -> None:
+    def _start_consensus(
+        self, operator_config: OperatorConfig, number: int, config: Config, relay: Relay
+    ) -> None:
         try:
             from ..consensus.admin_socket import AdminSocket
             from ..consensus.instance import ConsensusInstance
             from ..consensus.lease_protocol import DeliveryCounts
         except ImportError as error:
             raise ConfigError(f"accord: needs the extra 'fleet' ({error})") from error
-        tally = host.messages.outcomes.counts
+        tally = relay.messages.outcomes.counts
 
         def counts() -> DeliveryCounts:
             delivered = tally["delivered"]
             return DeliveryCounts(delivered, delivered + tally["failed"] + tally["returned"])
 
         self.consensus = ConsensusInstance(
-            told.accord,
+            operator_config.accord,
             self.gossip,
             config.state / FOLDER,
             self.identity,
             config.settings,
             config.zones,
-            told.fleet.instances,
-            host.reapply_rules,
+            operator_config.fleet.instances,
+            relay.reapply_rules,
             counts,
         )
-        host.set_call_policy(self.consensus)
+        relay.set_call_policy(self.consensus)
         self.gossip.on_member_changed.append(self.consensus.on_member_changed)
-        if told.failover.is_enabled:
-            self._start_failover(told, config, host)
-        folder = socket_folder(told.status.folder)
+        if operator_config.failover.is_enabled:
+            self._start_failover(operator_config, config, relay)
+        folder = socket_folder(operator_config.status.folder)
         if folder is not None:
             self.admin_socket = AdminSocket(folder / f"{number}.rules", self.consensus.handle_admin_request)
 
     def _start_sharded_directory(
-        self, told: OperatorConfig, number: int, config: Config, host: Relay
+        self, operator_config: OperatorConfig, number: int, config: Config, relay: Relay
     ) -> None:
         try:
             from ..sharded_directory.node import ShardedDirectory  # only where it is on
         except ImportError as error:
             raise ConfigError(f"shards: needs the extra 'fleet' ({error})") from error
-        self.sharded_directory = ShardedDirectory(told.shards, self.gossip, host, number, config)
-        host.use_destination_interest(self.sharded_directory, self.sharded_directory)
+        self.sharded_directory = ShardedDirectory(operator_config.shards, self.gossip, relay, number, config)
+        relay.use_destination_interest(self.sharded_directory, self.sharded_directory)
 
-    def _start_failover(self, told: OperatorConfig, config: Config, host: Relay) -> None:
+    def _start_failover(self, operator_config: OperatorConfig, config: Config, relay: Relay) -> None:
         from ..failover.node import Failover  # only where it is on
 
-        unknown = sorted({*told.failover.zones} ^ {*config.zones})
+        unknown = sorted({*operator_config.failover.zones} ^ {*config.zones})
         if unknown:
             raise ConfigError(
                 f"failover.zones: must be those of the platform, {', '.join(config.zones)}: "
                 f"{', '.join(unknown)} differ"
             )
         assert self.consensus is not None
-        self.failover = Failover(told.failover, self.gossip, self.consensus, host)
+        self.failover = Failover(operator_config.failover, self.gossip, self.consensus, relay)
 
     async def start(self) -> None:
-        """Raises ConfigError where the place can't be had."""
+        """Opens the sockets. Raises ConfigError where an address is not available."""
         try:
             await self.gossip.start()
         except OSError as error:
@@ -120,11 +123,11 @@
         if self.admin_socket is not None:
             try:
                 await self.admin_socket.open()
-            except StatusError as error:  # one that can't be asked still serves
-                log.error(LogEvent("no questions on rules are answered", why=error))
+            except StatusError as error:  # an instance without an admin socket still serves
+                log.error(LogEvent("admin socket not available", why=error))
 
     def close(self) -> None:
-        """Called as the process ends: says so to the others, and lets go."""
+        """Announces to the other instances that this one leaves, and closes."""
         if self.admin_socket is not None:
             self.admin_socket.close()
         self.gossip.leave()
--- a/message_relay/fleet/fleet_size.py
+++ b/message_relay/fleet/fleet_size.py
@@ -1,8 +1,9 @@
-"""When an instance takes up another number of instances, and another reading of the shared clock. No I/O.
+"""Fleet size: when an instance applies another number of instances, or another reading of the clock.
 
-Instances hear of a change one after the other, and in any order. While some still count with the old number,
-all of them together must not pass a partner's rate: a smaller part is taken up at once, a larger one only
-after all have heard of it and those that leave have left (`settle_ms`)."""
+No I/O. Instances learn of a change one after the other, in any order. While some still count with the old
+number, all of them together must not exceed a destination's rate: a smaller share is applied at once, a
+larger one only after all have learned of the change and those that leave have left (`settle_ms`).
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 
 @dataclass
 class FleetSize:
-    """This instance's number, and how many it takes part among."""
+    """This instance's number, and the fleet size by which it computes its share."""
 
     number: int
     counted_size: int  # as it counts now
@@ -26,7 +27,7 @@
     pending_from: float = 0.0
 
     def request_size(self, now: float, size: int, settle_ms: float) -> bool:
-        """The file names so many. False: this one is not among them, and has to retire."""
+        """Applies the operator's size. False: this instance is not part of it, and has to retire."""
         if self.number >= size:
             return False
         if size != (self.pending_size or self.counted_size):
@@ -35,7 +36,7 @@
         return True
 
     def poll(self, now: float, clock_ms: float) -> Fleet | None:
-        """Called now and then: what the decisions have to be told, if anything has changed."""
+        """Called periodically; the event for the scheduler if size or clock have changed."""
         changed = abs(clock_ms - self.clock_ms) > CLOCK_STEP_MS
         if changed:
             self.clock_ms = clock_ms
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -1,4 +1,4 @@
-"""An instance with an operator's file: one of a fleet, with a report, logs for machines, and a lifeline."""
+"""A relay process with an operator's file: part of a fleet, with status reports and structured logs."""
 
 from __future__ import annotations
 
@@ -21,40 +21,45 @@
 
 log = logging.getLogger(__name__)
 
-POLL_S = 1.0  # how often the shared clock and the fleet's size are looked at
-RETIRE_POLL_S = 0.1  # how often one that retires looks whether it holds nothing any more
+POLL_S = 1.0  # how often the shared clock and the fleet's size are checked
+RETIRE_POLL_S = 0.1  # how often a retiring instance checks whether it has finished
 
 
 def clock_offset_ms() -> float:
-    """What is to be added to the loop's clock for the one that all machines read."""
+    """What to add to the loop's clock for the wall clock that all machines share."""
     return unix_time_ms() - asyncio.get_running_loop().time() * 1000
 
 
 def operated_process(signals: ProcessSignals, notifier: SystemdNotifier) -> OperatedRelayProcess:
-    """As the environment says. Raises ConfigError, where the operator's file makes no sense too."""
+    """The process that the environment describes. Raises ConfigError, also for a faulty operator's file."""
     try:
-        told = operator.config_from_environment()
-        assert told is not None
-        number = operator.instance_number(told)
+        operator_config = operator.config_from_environment()
+        assert operator_config is not None
+        number = operator.instance_number(operator_config)
         parent_watch.watch_parent()
-        if told.log.format != "plain" or told.log != operator.LogSection():
-            configure_structured_logging(told.log.format, told.log.level, told.log.lines)
+        if operator_config.log.format != "plain" or operator_config.log != operator.LogSection():
+            configure_structured_logging(
+                operator_config.log.format, operator_config.log.level, operator_config.log.lines
+            )
     except ImportError as error:
         raise ConfigError(f"log.format: needs the extra 'ops' ({error})") from error
     except ValueError as error:
         raise ConfigError(str(error)) from error
     config = load()
-    if told.state.own:
+    if operator_config.state.own:
         require_owned_state(config)
-    return OperatedRelayProcess(config, signals, notifier, told, number)
+    return OperatedRelayProcess(config, signals, notifier, operator_config, number)
 
 
 def require_owned_state(config: Config) -> None:
-    """Guards a folder against a process that would leave files there which its owner cannot use."""
+    """Raises ConfigError for a state folder of another user.
+
+    Guards a folder against a process that would leave files there which its owner cannot use.
+    """
     try:
         uid = config.state.stat().st_uid
     except OSError:
-        return  # told better when it is opened
+        return  # opening it gives a better error
     if uid != os.geteuid():
         raise ConfigError(
             f"state: {config.state} belongs to user {uid}, and this process runs as "
@@ -63,31 +68,34 @@
 
 
 class OperatedRelayProcess(RelayProcess):
+    """A relay process that follows the operator's file."""
+
     def __init__(
         self,
         config: Config,
         signals: ProcessSignals,
         notifier: SystemdNotifier,
-        told: operator.OperatorConfig,
+        operator_config: operator.OperatorConfig,
         number: int,
     ) -> None:
-        self.operator_config, self.number, self.began_at = told, number, time.time()
+        self.operator_config, self.number, self.began_at = operator_config, number, time.time()
         clock = clock_offset_ms()
-        self.fleet_size = FleetSize(number, max(told.fleet.instances, number + 1), clock)
-        settings = operator.apply_fleet(config.settings, told, number, clock)
-        config = replace(config, settings=settings, sync_ms=told.state.sync_every_ms)
-        super().__init__(config, signals, notifier, told.amqp)
+        self.fleet_size = FleetSize(number, max(operator_config.fleet.instances, number + 1), clock)
+        settings = operator.apply_fleet(config.settings, operator_config, number, clock)
+        config = replace(config, settings=settings, sync_ms=operator_config.state.sync_every_ms)
+        super().__init__(config, signals, notifier, operator_config.amqp)
         self.shared = None
-        if told.peers.is_enabled:
+        if operator_config.peers.is_enabled:
             from .common import SharedSubsystems  # not imported where instances share nothing
 
-            self.shared = SharedSubsystems(told, number, config, self.relay)
+            self.shared = SharedSubsystems(operator_config, number, config, self.relay)
         self.recorder: Recorder | None = None
         self.state, self.loop_lag = "starting", LoopLag()
-        folder = socket_folder(told.status.folder)
+        folder = socket_folder(operator_config.status.folder)
         self.status = None if folder is None else StatusSocket(folder / f"{number}.sock", self.report)
 
     def report(self) -> report.Report:
+        """The current status report."""
         shards = (
             None
             if self.shared is None or self.shared.sharded_directory is None
@@ -104,14 +112,15 @@
         )
 
     async def on_serving(self) -> None:
+        """Starts status, recording and shared subsystems, once messages are accepted."""
         self.state = "serving"
         self.start_recording()
         if self.status is not None:
             self.loop_lag.start()
             try:
                 await self.status.open()
-            except StatusError as error:  # one without a report still serves
-                log.error(LogEvent("no report is given", why=error))
+            except StatusError as error:  # an instance without a report still serves
+                log.error(LogEvent("status socket not available", why=error))
         if self.shared is not None:
             await self.shared.start()
         self.relay.tasks.start(self.follow_fleet())
@@ -119,18 +128,20 @@
             self.retire()
 
     def start_recording(self) -> None:
+        """Records the traffic if the file asks for it."""
         part = self.operator_config.record
         if not part.file:
             return
         path = Path(part.file.replace("{n}", str(self.number)))
         try:
             self.recorder = Recorder(path, part.mb)
-        except OSError as error:  # one without a recording still serves
-            log.error(LogEvent("no recording is made", file=path, why=error))
+        except OSError as error:  # an instance without a recording still serves
+            log.error(LogEvent("recording not available", file=path, why=error))
             return
         self.relay.messages.on_submission = self.recorder.record
 
     def on_stopped(self) -> None:
+        """Stops recording, status and shared subsystems."""
         if self.recorder is not None:
             self.relay.messages.on_submission = None
             self.recorder.close()
@@ -147,31 +158,34 @@
             fleet = self.fleet_size.poll(now, clock_offset_ms())
             if fleet is not None:
                 log.info(
-                    LogEvent("the fleet has changed", instances=fleet.size, clock_ms=round(fleet.clock_ms))
+                    LogEvent(
+                        "fleet size or clock changed", instances=fleet.size, clock_ms=round(fleet.clock_ms)
+                    )
                 )
                 self.relay.driver.feed(fleet)
             await asyncio.sleep(POLL_S)
 
     def reload(self) -> None:
+        """Applies what can be changed at run time. Raises ConfigError; then nothing has changed."""
         try:
-            told = operator.config_from_environment()
+            operator_config = operator.config_from_environment()
         except operator.OperatorError as error:
             raise ConfigError(str(error)) from error
-        assert told is not None
-        if told.fleet.share_rates != self.operator_config.fleet.share_rates:
-            log.warning(LogEvent("a change of fleet.share_rates waits for a restart"))
-        if told.shards != self.operator_config.shards:
-            log.warning(LogEvent("a change of [shards] waits for a restart"))
+        assert operator_config is not None
+        if operator_config.fleet.share_rates != self.operator_config.fleet.share_rates:
+            log.warning(LogEvent("fleet.share_rates change needs a restart"))
+        if operator_config.shards != self.operator_config.shards:
+            log.warning(LogEvent("[shards] change needs a restart"))
         super().reload()
-        self.operator_config = told
-        logging.getLogger().setLevel(told.log.level.upper())
+        self.operator_config = operator_config
+        logging.getLogger().setLevel(operator_config.log.level.upper())
         if not self.fleet_size.request_size(
-            self.relay.driver.now(), told.fleet.instances, told.fleet.settle_s * 1000
+            self.relay.driver.now(), operator_config.fleet.instances, operator_config.fleet.settle_s * 1000
         ):
             self.retire()
 
     def retire(self) -> None:
-        """It is not one of the fleet any more: takes nothing new, ends what it holds, and then itself."""
+        """Leaves the fleet: rejects new messages, finishes pending ones, then stops the process."""
         if self.state != "retiring":
             self.state = "retiring"
             log.info(LogEvent("retiring", held=self.relay.messages.pending_count))
@@ -179,6 +193,7 @@
             self.relay.tasks.start(self.stop_when_idle())
 
     async def stop_when_idle(self) -> None:
+        """Stops the process once nothing is pending."""
         while not self.relay.is_idle:
             await asyncio.sleep(RETIRE_POLL_S)
         self.signals.stop.set()
--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -1,7 +1,8 @@
-"""The operator's file (TOML): all that is not the platform's; without one a relay runs as it does there.
+"""The operator's file (TOML): everything that the platform does not configure. Without one all of it is off.
 
-Checked as a whole: each fault is told with its field's path and what would be right, and a name that is not
-known with the nearest one that is. `deploy/relay.toml` shows every field with its default.
+The file is validated as a whole: each fault is reported with its field's path and what would be right, an
+unknown name with the nearest known one. `deploy/relay.toml` shows every field with its default. Field names
+are the file's keys.
 """
 
 from __future__ import annotations
@@ -26,78 +27,80 @@
 from ..sharded_directory.settings import ShardedDirectorySettings
 
 FILE_VARIABLE, NUMBER_VARIABLE = "RELAY_OPERATOR", "RELAY_INSTANCE"
-INSTANCES_VARIABLE = "RELAY_INSTANCES"  # goes before fleet.instances
-RETIRE_VARIABLE = (
-    "RELAY_RETIRE"  # "1": it is no longer one of the fleet, and ends what an earlier process left
-)
+INSTANCES_VARIABLE = "RELAY_INSTANCES"  # overrides fleet.instances
+RETIRE_VARIABLE = "RELAY_RETIRE"  # "1": no longer part of the fleet; finishes what an earlier process left
 
 Seconds = Annotated[float, Meta(ge=0.05, le=3600)]
-MAX_NUMBER_DIGITS = 9  # of an instance, with zeros in front: more is no number of one
+MAX_NUMBER_DIGITS = 9  # of an instance's number, leading zeros included
 InstanceCount = Annotated[int, Meta(ge=1, le=INSTANCES_MAX)]
 LineCount = Annotated[int, Meta(ge=10, le=1_000_000)]
 
 
 class OperatorError(ValueError):
-    """The operator's file can't be used; each of its lines tells one fault."""
+    """The operator's file is not usable; each line of the text is one fault."""
 
 
 class FleetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of how many instances this is one, and what they keep together."""
+    """`[fleet]`: the number of instances, and what they share."""
 
-    instances: InstanceCount = 1  # all there are, on all machines
-    share_rates: bool = False  # keep each listed rate together, by slots of the shared clock
-    settle_s: Seconds = 20.0  # a larger part of a rate is taken up so long after instances became fewer
+    instances: InstanceCount = 1  # on all machines together
+    share_rates: bool = False  # share each listed rate by slots of the common clock
+    settle_s: Seconds = 20.0  # delay before a larger share of a rate is used after instances have left
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`[log]`: format and level of log lines."""
+
     format: Literal["plain", "json", "console"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: LineCount = 2000  # wait at the most for a slow reader; later ones are dropped and counted
+    lines: LineCount = 2000  # buffered for a slow reader; further ones are dropped and counted
 
 
 class StatusSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where `status` asks: a socket with mode 0600 for each instance."""
+    """`[status]`: the sockets that the command `status` reads."""
 
-    folder: str = ""  # empty: $RUNTIME_DIRECTORY; neither: there is no report
-    destinations: Annotated[int, Meta(ge=0, le=10_000)] = 200  # told one by one at the most, busiest first
+    folder: str = ""  # empty: $RUNTIME_DIRECTORY; without either there is no report
+    destinations: Annotated[int, Meta(ge=0, le=10_000)] = 200  # listed one by one at the most, busiest first
 
 
 class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`[state]`: the state folder and its durability."""
+
     own: bool = True  # refuse a state folder that belongs to another user
     durability: Literal["none", "interval", "group"] = "none"  # what a power cut may cost: docs/store.md
     sync_ms: Annotated[float, Meta(ge=1, le=60_000)] = 50.0  # with interval: between two syncs
 
     @property
     def sync_every_ms(self) -> float | None:
-        """As the journal takes it."""
+        """Interval of syncs for the journal: None without syncs, 0 for a sync before each promise."""
         return {"none": None, "interval": self.sync_ms, "group": 0.0}[self.durability]
 
 
 class RecordSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A recording of the traffic, for `python -m emulator`; no bodies, keys or names."""
+    """`[record]`: a recording of the traffic for `python -m emulator`, without bodies, keys or names."""
 
     file: str = ""  # empty: none; `{n}` becomes the instance's number
-    mb: Annotated[float, Meta(gt=0, le=10_000)] = 50.0  # it grows no further
+    mb: Annotated[float, Meta(gt=0, le=10_000)] = 50.0  # maximum size
 
 
 class SupervisorSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """For `fleet`: what instance N is given, and how instances are started and ended."""
+    """`[supervisor]`: what the command `fleet` gives to instances, and how it starts and stops them."""
 
-    config: str = ""  # the platform's part, the same for each: what RELAY_CONFIG names
+    config: str = ""  # RELAY_CONFIG of each instance
     host: str = "127.0.0.1"
     port: Annotated[int, Meta(ge=1, le=65535)] = 7000  # instance N listens on port + N
     state: str = "state"  # instance N works in state/N
     together: InstanceCount = 8  # started at once at the most
     stagger_s: Annotated[float, Meta(ge=0, le=60)] = 0.05  # between one start and the next
-    ready_s: Seconds = 30.0  # one that is not ready by then is ended and started anew
-    stop_s: Seconds = 10.0  # one that has not ended so long after SIGTERM is killed
+    ready_s: Seconds = 30.0  # an instance that is not ready by then is restarted
+    stop_s: Seconds = 10.0  # an instance that runs on so long after SIGTERM is killed
     watchdog_s: Annotated[float, Meta(ge=0, le=3600)] = (
-        10.0  # one whose loop is silent so long is killed; 0: none
+        10.0  # an instance whose loop hangs so long is killed; 0: never
     )
-    first_wait_s: Seconds = 0.5  # before one that crashed is started again; doubles, with jitter
+    first_wait_s: Seconds = 0.5  # before a crashed instance is restarted; doubles, with jitter
     most_wait_s: Seconds = 30.0
-    loop_crashes: Annotated[int, Meta(ge=2, le=100)] = 5  # so many crashes
-    loop_s: Seconds = 120.0  # within so long are a crash loop, which is reported
+    loop_crashes: Annotated[int, Meta(ge=2, le=100)] = 5  # this many crashes
+    loop_s: Seconds = 120.0  # within this time are a crash loop, which is reported
 
     def __post_init__(self) -> None:
         if self.most_wait_s < self.first_wait_s:
@@ -107,6 +110,8 @@
 
 
 class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The whole file; raises ValueError where sections contradict each other."""
+
     fleet: FleetSection = FleetSection()
     log: LogSection = LogSection()
     status: StatusSection = StatusSection()
@@ -151,7 +156,7 @@
             )
 
     def _check_shards(self) -> None:
-        """What [shards] needs of the other parts."""
+        """What [shards] needs of the other sections."""
         if not self.shards.on:
             return
         if not self.peers.is_enabled:
@@ -179,22 +184,23 @@
 
 
 def read(path: Path, env: Mapping[str, str] = os.environ) -> OperatorConfig:
-    """Raises OperatorError with all faults of the file, a line each."""
+    """Reads the file. Raises OperatorError with all its faults, a line each."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror}") from error
     except ValueError as error:  # not TOML, or not text
         raise OperatorError(f"{path}: {error}") from error
-    told = env.get(INSTANCES_VARIABLE, "")
-    if told:
-        if not told.isdecimal() or not isinstance(raw.get("fleet", {}), dict):
-            raise OperatorError(f"{INSTANCES_VARIABLE}: {told!r} must be a number of instances")
-        raw.setdefault("fleet", {})["instances"] = int(told)
+    text = env.get(INSTANCES_VARIABLE, "")
+    if text:
+        if not text.isdecimal() or not isinstance(raw.get("fleet", {}), dict):
+            raise OperatorError(f"{INSTANCES_VARIABLE}: {text!r} must be a number of instances")
+        raw.setdefault("fleet", {})["instances"] = int(text)
     return decoded(raw, str(path))
 
 
 def decoded(raw: Mapping[str, Any], where: str) -> OperatorConfig:
+    """Validates a parsed file; `where` begins each line of OperatorError."""
     found = list(faults(raw, OperatorConfig, ""))
     if found:
         raise OperatorError("\n".join(f"{where}: {fault}" for fault in found))
@@ -244,20 +250,20 @@
     return isinstance(shape, type) and issubclass(shape, msgspec.Struct)
 
 
-def _expected_shape(told: Any, value: object) -> Any:
-    """Without its bounds, and of `TABLE | None` the table where one is given."""
-    if get_origin(told) is Annotated:
-        told = get_args(told)[0]
-    if get_origin(told) in (Union, UnionType) and isinstance(value, Mapping):
-        told = next((part for part in get_args(told) if _is_table(part)), told)
-    return told
+def _expected_shape(expected: Any, value: object) -> Any:
+    """The type without its bounds; of `TABLE | None` the table where one is given."""
+    if get_origin(expected) is Annotated:
+        expected = get_args(expected)[0]
+    if get_origin(expected) in (Union, UnionType) and isinstance(value, Mapping):
+        expected = next((part for part in get_args(expected) if _is_table(part)), expected)
+    return expected
 
 
-def _value_faults(value: object, told: Any, where: str) -> Iterator[str]:
+def _value_faults(value: object, expected: Any, where: str) -> Iterator[str]:
     try:
-        msgspec.convert(value, told)
+        msgspec.convert(value, expected)
     except msgspec.ValidationError as error:
-        choices = get_args(told) if get_origin(told) is Literal else ()
+        choices = get_args(expected) if get_origin(expected) is Literal else ()
         right = f"one of {', '.join(choices)} is needed" if choices else _message_of(error)
         yield f"{where}: {value!r}: {right}"
 
@@ -267,13 +273,13 @@
 
 
 def config_from_environment(env: Mapping[str, str] = os.environ) -> OperatorConfig | None:
-    """What the environment names; None: there is no such file, as on the platform. Raises OperatorError."""
+    """The file that the environment names; None without one. Raises OperatorError."""
     path = env.get(FILE_VARIABLE, "")
     return read(Path(path), env) if path else None
 
 
 def instance_number(operator: OperatorConfig, env: Mapping[str, str] = os.environ) -> int:
-    """Which one this is; raises OperatorError unless it is one of the fleet, or retires from it."""
+    """This instance's number. Raises OperatorError unless it is part of the fleet or retires from it."""
     size = operator.fleet.instances
     text = env.get(NUMBER_VARIABLE, "")
     if not text and size == 1:
@@ -288,9 +294,8 @@
 
 
 def apply_fleet(settings: Settings, operator: OperatorConfig, number: int, clock_ms: float) -> Settings:
-    """The platform's settings with what the operator's file says of the fleet."""
-    size = max(
-        operator.fleet.instances, number + 1
-    )  # one that retires takes a part as if it were still there
+    """The platform's settings with the fleet of the operator's file."""
+    # A retiring instance uses a share as if it were still part of the fleet.
+    size = max(operator.fleet.instances, number + 1)
     fleet = Fleet(number, size, clock_ms) if operator.fleet.share_rates else None
     return replace(settings, relays=size, fleet=fleet)
--- a/message_relay/fleet/parent_watch.py
+++ b/message_relay/fleet/parent_watch.py
@@ -1,8 +1,9 @@
-"""No instance outlives its supervisor: the end of a pipe that only the supervisor holds open.
+"""Parent watch: no instance outlives its supervisor.
 
-However the supervisor ends, SIGKILL included, the system closes its end. A thread waits for that, so that
-also an instance whose loop hangs hears of it; it asks for an orderly stop, and ends the process if none
-comes."""
+The supervisor alone keeps one end of a pipe open; however it ends, SIGKILL included, the system closes it.
+A thread of the instance waits for that, so that it works for a hanging loop too. It requests a graceful
+shutdown and kills the process if none follows.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +13,15 @@
 import time
 from collections.abc import MutableMapping
 
-LIFELINE_VARIABLE = "RELAY_LIFELINE"  # the descriptor
-STOP_S = 6.0  # an orderly stop takes 3.5 s at the most
+LIFELINE_VARIABLE = "RELAY_LIFELINE"  # names the descriptor
+STOP_S = 6.0  # a graceful shutdown takes 3.5 s at the most
 
 
 def watch_parent(env: MutableMapping[str, str] = os.environ) -> None:
-    """Follows the lifeline that the environment names, if any; removes it, so that no child follows it.
-    ValueError if it names no descriptor."""
+    """Starts the watch if the environment names a descriptor, and removes the variable from the environment.
+
+    Raises ValueError if the variable is no descriptor's number.
+    """
     text = env.pop(LIFELINE_VARIABLE, "")
     if not text:
         return
--- a/message_relay/fleet/plan.py
+++ b/message_relay/fleet/plan.py
@@ -1,15 +1,15 @@
-"""What a supervisor does next with its instances: start, reload, end, kill. No I/O; the clock is passed in.
+"""Supervisor plan: which instance to start, reload, stop or kill next. No I/O; the clock is passed in.
 
-Each instance is in one state; what is heard of it (`started`, `ready`, `beat`, `exited`) and time (`next`)
-move it:
+Each instance is in one state, moved by notifications (`on_ready`, `on_heartbeat`, `on_exited`), requests and
+time (`next_steps`):
 
-    DOWN --start--> STARTING --ready--> UP --term--> ENDING --exited--> DOWN (started again at once) or GONE
+    DOWN --start--> STARTING --ready--> UP --term--> ENDING --exited--> DOWN (restarted at once) or GONE
      ^                 |  exited, or not ready in time      | not ended in time: kill
-     +--- growing, jittered wait ---- exited, or silent ----+
-    FAILED: it ended with 2, its configuration makes no sense; only a reload starts it again.
+     +--- backoff with jitter --------- exited, or no heartbeat
+    FAILED: it exited with 2, its configuration is not usable; only a reload starts it again.
 
-A rolling restart has one instance ENDING or STARTING at a time, and stops at the first that does not come
-back."""
+A rolling restart has one instance ENDING or STARTING at a time, and stops at the first that does not return.
+"""
 
 from __future__ import annotations
 
@@ -24,6 +24,8 @@
 
 
 class InstanceState(Enum):
+    """State of one instance. Values are shown by `status`."""
+
     DOWN = "down"
     STARTING = "starting"
     UP = "up"
@@ -33,6 +35,8 @@
 
 
 class SupervisorAction(Enum):
+    """What the supervisor carries out for an instance."""
+
     START = "start"
     RELOAD = "reload"
     TERM = "term"
@@ -44,239 +48,267 @@
 
 @dataclass
 class Instance:
+    """What the plan knows of one instance."""
+
     state: InstanceState = InstanceState.DOWN
-    since: float = 0.0  # when it came into this state
-    not_before: float = 0.0  # DOWN: not started before
-    last_heartbeat: float = 0.0  # from its watchdog
+    since: float = 0.0  # when this state began
+    not_before: float = 0.0  # DOWN: earliest start
+    last_heartbeat: float = 0.0  # latest heartbeat
     is_killed: bool = False  # in this state
     is_reloading: bool = False
-    is_outdated: bool = False  # it may have read the old file: told to reload once it can hear it
+    is_outdated: bool = False  # may have read the old file: reloads once it is ready
     retire_by: float = 0.0
-    is_retiring: bool = False  # it leaves the fleet by itself once it holds nothing
+    is_retiring: bool = False  # leaves the fleet once nothing is pending
     crashes: deque[float] = field(default_factory=lambda: deque(maxlen=100))
     restarts: int = 0
-    start_s: float = 0.0  # the latest start took, until it was ready
-    reason: str = ""  # it is not up
+    start_s: float = 0.0  # duration of the latest start
+    reason: str = ""  # why it is not up
 
     def enter(self, state: InstanceState, now: float, why: str = "") -> None:
-        self.state, self.since, self.reason, self.is_killed = state, now, why, False
+        """Changes the state; `why` is shown while the instance is not up."""
+        self.state = state
+        self.since = now
+        self.reason = why
+        self.is_killed = False
         if state is not InstanceState.UP:
             self.is_reloading = False
 
 
 class Plan:
-    """Decides for all instances of one supervisor."""
+    """Plans for all instances of one supervisor."""
 
     def __init__(self, part: SupervisorSection, count: int, now: float, seed: int) -> None:
-        self.section, self.rng = part, random.Random(seed)
-        self.instances = {n: Instance(since=now, not_before=now) for n in range(count)}
+        self.section = part
+        self.rng = random.Random(seed)
+        self.instances = {number: Instance(since=now, not_before=now) for number in range(count)}
         self.count = count
         self.stopping = False
-        self.rolling: deque[int] = deque()  # still to be restarted, the one in work first
-        self.restart_began_at: float | None = None  # when the one in work was told to end
+        self.rolling: deque[int] = deque()  # still to be restarted, the current one first
+        self.restart_began_at: float | None = None  # of the current one
         self.last_start = -1e9
-        self.log_events: list[tuple[str, dict[str, object]]] = []  # for the log; taken by the caller
+        self.log_events: list[tuple[str, dict[str, object]]] = []  # for the log; the caller clears them
         self.steps: list[Step] = []
 
-    # -- what is heard -----------------------------------------------------------------------------------
-
-    def on_ready(self, n: int, now: float) -> None:
-        one = self.instances[n]
-        one.is_reloading = False
-        one.last_heartbeat = now
-        if one.state is InstanceState.STARTING:
-            one.start_s = now - one.since
-            one.enter(InstanceState.UP, now)
-            if one.is_outdated:
-                self._reload(n)
-            if self.rolling and self.rolling[0] == n:
+    # -- notifications -----------------------------------------------------------------------------------
+
+    def on_ready(self, number: int, now: float) -> None:
+        """The instance accepts messages, or has completed a reload."""
+        instance = self.instances[number]
+        instance.is_reloading = False
+        instance.last_heartbeat = now
+        if instance.state is InstanceState.STARTING:
+            instance.start_s = now - instance.since
+            instance.enter(InstanceState.UP, now)
+            if instance.is_outdated:
+                self._reload(number)
+            if self.rolling and self.rolling[0] == number:
                 self._on_restarted(now)
 
-    def on_heartbeat(self, n: int, now: float) -> None:
-        self.instances[n].last_heartbeat = now
-
-    def on_exited(self, n: int, now: float, code: int) -> None:
-        """Its process has ended and is reaped."""
-        one = self.instances[n]
-        self.steps = [step for step in self.steps if step[1] != n]  # they were meant for that process
-        if self.stopping or n >= self.count and code in (0, BAD_CONFIG_EXIT_CODE):
-            one.enter(InstanceState.GONE, now, f"ended with {code}")
+    def on_heartbeat(self, number: int, now: float) -> None:
+        """The instance's event loop runs."""
+        self.instances[number].last_heartbeat = now
+
+    def on_exited(self, number: int, now: float, code: int) -> None:
+        """The process has ended and is reaped."""
+        instance = self.instances[number]
+        self.steps = [step for step in self.steps if step[1] != number]  # they were for that process
+        has_left = number >= self.count and code in (0, BAD_CONFIG_EXIT_CODE)
+        if self.stopping or has_left:
+            instance.enter(InstanceState.GONE, now, f"ended with {code}")
             return
-        if one.is_retiring and n < self.count:
-            one.is_retiring = False  # it is wanted again
-        if one.state is InstanceState.ENDING and not one.is_killed and code == 0:
-            one.enter(InstanceState.DOWN, now)
-            one.not_before = now
+        if instance.is_retiring and number < self.count:
+            instance.is_retiring = False  # it is part of the fleet again
+        if instance.state is InstanceState.ENDING and not instance.is_killed and code == 0:
+            instance.enter(InstanceState.DOWN, now)
+            instance.not_before = now
             return
-        asked = one.state is InstanceState.ENDING
-        one.crashes.append(now)
-        why = f"ended with {code}" + (" after it was killed" if one.is_killed else "")
-        if self.rolling and self.rolling[0] == n and not asked:
-            self._halt_rolling_restart(n, why)
+        was_requested = instance.state is InstanceState.ENDING
+        instance.crashes.append(now)
+        why = f"ended with {code}" + (" after it was killed" if instance.is_killed else "")
+        if self.rolling and self.rolling[0] == number and not was_requested:
+            self._halt_rolling_restart(number, why)
         if code == BAD_CONFIG_EXIT_CODE:
-            one.enter(InstanceState.FAILED, now, "its configuration makes no sense")
-            self._log("an instance does not start again before a reload", instance=n, code=code)
+            instance.enter(InstanceState.FAILED, now, "its configuration makes no sense")
+            self._log("instance configuration rejected", instance=number, code=code)
             return
-        tries = 0 if asked else len(self._recent_crashes(one, now)) - 1
+        tries = 0 if was_requested else len(self._recent_crashes(instance, now)) - 1
         wait = min(self.section.most_wait_s, self.section.first_wait_s * 2.0 ** min(tries, 16))
-        one.enter(InstanceState.DOWN, now, why)
-        one.not_before = now + wait * self.rng.uniform(0.7, 1.3)
+        instance.enter(InstanceState.DOWN, now, why)
+        instance.not_before = now + wait * self.rng.uniform(0.7, 1.3)
         self._log(
-            "an instance crashed",
-            instance=n,
+            "instance crashed",
+            instance=number,
             code=code,
-            again_in_s=round(one.not_before - now, 2),
-            crash_loop=self.is_crash_looping(n, now),
+            again_in_s=round(instance.not_before - now, 2),
+            crash_loop=self.is_crash_looping(number, now),
         )
 
     def request_stop(self, now: float) -> None:
+        """Stops all instances, for good."""
         self.stopping = True
         self.rolling.clear()
-        for n, one in self.instances.items():
-            if one.state in (InstanceState.DOWN, InstanceState.FAILED):
-                one.enter(InstanceState.GONE, now)
-            elif one.state in (InstanceState.STARTING, InstanceState.UP):
-                self._terminate(n, now)
+        for number, instance in self.instances.items():
+            if instance.state in (InstanceState.DOWN, InstanceState.FAILED):
+                instance.enter(InstanceState.GONE, now)
+            elif instance.state in (InstanceState.STARTING, InstanceState.UP):
+                self._terminate(number, now)
 
     def request_reload(self, now: float, part: SupervisorSection, count: int, settle_s: float) -> None:
-        """A file that makes sense has replaced the old one; instances read it themselves. Those that are no
-        longer among them retire: they take nothing new, and end once they hold nothing."""
+        """A valid file has replaced the old one; instances read it themselves.
+
+        Instances that are no longer part of the fleet retire: they reject new messages and stop once nothing
+        is pending.
+        """
         if self.stopping:
             return
-        self.section, self.count = part, count
-        for n, one in self.instances.items():
-            if n >= count and one.state in (InstanceState.DOWN, InstanceState.FAILED) and not one.crashes:
-                one.enter(InstanceState.GONE, now)
-            elif n >= count and one.state is not InstanceState.GONE and not one.is_retiring:
-                one.is_retiring, one.retire_by = True, now + settle_s
-            elif one.state is InstanceState.FAILED or one.state is InstanceState.GONE and n < count:
-                one.enter(InstanceState.DOWN, now)
-                one.not_before, one.is_retiring = now, False
-            if one.state is InstanceState.UP:
-                self._reload(n)
-            one.is_outdated = one.state is InstanceState.STARTING
-        for n in range(count):
-            self.instances.setdefault(n, Instance(since=now, not_before=now))
+        self.section = part
+        self.count = count
+        for number, instance in self.instances.items():
+            self._apply_count(number, instance, now, now + settle_s)
+            if instance.state is InstanceState.UP:
+                self._reload(number)
+            instance.is_outdated = instance.state is InstanceState.STARTING
+        for number in range(count):
+            self.instances.setdefault(number, Instance(since=now, not_before=now))
         if self.rolling and self.rolling[0] >= count:
-            self.restart_began_at = None  # the one in work leaves
-        self.rolling = deque(n for n in self.rolling if n < count)
-
-    def _reload(self, n: int) -> None:
-        self.instances[n].is_reloading, self.instances[n].is_outdated = True, False
-        self.steps.append((SupervisorAction.RELOAD, n))
+            self.restart_began_at = None  # the current one leaves
+        self.rolling = deque(number for number in self.rolling if number < count)
+
+    def _apply_count(self, number: int, instance: Instance, now: float, retire_by: float) -> None:
+        """Whether an instance stays, leaves or returns by the new count."""
+        leaves = number >= self.count
+        is_stopped = instance.state in (InstanceState.DOWN, InstanceState.FAILED)
+        if leaves and is_stopped and not instance.crashes:
+            instance.enter(InstanceState.GONE, now)
+        elif leaves and instance.state is not InstanceState.GONE and not instance.is_retiring:
+            instance.is_retiring = True
+            instance.retire_by = retire_by
+        elif instance.state is InstanceState.FAILED or (instance.state is InstanceState.GONE and not leaves):
+            instance.enter(InstanceState.DOWN, now)
+            instance.not_before = now
+            instance.is_retiring = False
+
+    def _reload(self, number: int) -> None:
+        self.instances[number].is_reloading = True
+        self.instances[number].is_outdated = False
+        self.steps.append((SupervisorAction.RELOAD, number))
 
     def request_rolling_restart(self, now: float) -> None:
-        """Restarts all, one at a time; told again while one goes on, all come again."""
+        """Restarts all instances, one at a time; a request during a restart begins with all of them again."""
         if self.stopping:
             return
-        begun = list(self.rolling)[:1]
-        self.rolling = deque(begun + [n for n in range(self.count) if n not in begun])
-        if not begun:
+        current = list(self.rolling)[:1]
+        self.rolling = deque(current + [number for number in range(self.count) if number not in current])
+        if not current:
             self.restart_began_at = None
-        self._log("a rolling restart begins", instances=self.count)
+        self._log("rolling restart started", instances=self.count)
 
-    # -- what to do --------------------------------------------------------------------------------------
+    # -- planning ----------------------------------------------------------------------------------------
 
     def next_steps(self, now: float) -> list[Step]:
-        """Everything to be done now; called on each change, and when `wake` says."""
+        """Everything to do now; called on each change and at `next_wake`."""
         self._kill_overdue(now)
         self._continue_rolling_restart(now)
         self._start_due(now)
-        steps, self.steps = self.steps, []
+        steps = self.steps
+        self.steps = []
         return steps
 
     def next_wake(self, now: float) -> float:
-        """When `next` has something to do that nothing heard will tell; at least once a second."""
+        """When `next_steps` has something to do without a notification; at least once a second."""
         at = now + 1.0
-        for one in self.instances.values():
-            if one.state is InstanceState.DOWN:
-                at = min(at, max(one.not_before, self.last_start + self.section.stagger_s))
+        for instance in self.instances.values():
+            if instance.state is InstanceState.DOWN:
+                at = min(at, max(instance.not_before, self.last_start + self.section.stagger_s))
         return max(at, now + 0.01)
 
     @property
     def is_done(self) -> bool:
-        return all(one.state is InstanceState.GONE for one in self.instances.values())
+        """Whether all instances have stopped for good."""
+        return all(instance.state is InstanceState.GONE for instance in self.instances.values())
 
-    def is_crash_looping(self, n: int, now: float) -> bool:
-        """Whether it crashes again and again."""
-        return len(self._recent_crashes(self.instances[n], now)) >= self.section.loop_crashes
+    def is_crash_looping(self, number: int, now: float) -> bool:
+        """Whether an instance has crashed too often lately."""
+        return len(self._recent_crashes(self.instances[number], now)) >= self.section.loop_crashes
 
-    def _recent_crashes(self, one: Instance, now: float) -> list[float]:
-        return [at for at in one.crashes if now - at <= self.section.loop_s]
+    def _recent_crashes(self, instance: Instance, now: float) -> list[float]:
+        return [at for at in instance.crashes if now - at <= self.section.loop_s]
 
     def _kill_overdue(self, now: float) -> None:
-        part = self.section
-        for n, one in self.instances.items():
+        for number, instance in self.instances.items():
             if (
-                one.is_retiring
-                and one.state is InstanceState.UP
-                and now >= one.retire_by
-                and not one.is_killed
+                instance.is_retiring
+                and instance.state is InstanceState.UP
+                and now >= instance.retire_by
+                and not instance.is_killed
             ):
-                self._log("a retiring instance still holds messages: they stay in its journal", instance=n)
-                self._terminate(n, now)
-            if one.is_killed:
+                self._log("retiring instance terminated with pending messages", instance=number)
+                self._terminate(number, now)
+            if instance.is_killed:
                 continue
-            late = (
-                one.state is InstanceState.STARTING
-                and now - one.since > part.ready_s
-                and "was not ready in time"
-                or one.state is InstanceState.ENDING
-                and now - one.since > part.stop_s
-                and "did not end in time"
-                or one.state is InstanceState.UP
-                and part.watchdog_s > 0
-                and now - one.last_heartbeat > part.watchdog_s
-                and "did not turn its loop"
-            )
-            if late:
-                one.is_killed = True
-                self.steps.append((SupervisorAction.KILL, n))
-                self._log("an instance is killed", instance=n, why=late)
+            overdue = self._overdue_reason(instance, now)
+            if overdue:
+                instance.is_killed = True
+                self.steps.append((SupervisorAction.KILL, number))
+                self._log("instance killed", instance=number, why=overdue)
+
+    def _overdue_reason(self, instance: Instance, now: float) -> str:
+        """Why an instance is to be killed; empty if it is not."""
+        in_state_s = now - instance.since
+        if instance.state is InstanceState.STARTING and in_state_s > self.section.ready_s:
+            return "was not ready in time"
+        if instance.state is InstanceState.ENDING and in_state_s > self.section.stop_s:
+            return "did not end in time"
+        silent_s = now - instance.last_heartbeat
+        if instance.state is InstanceState.UP and 0 < self.section.watchdog_s < silent_s:
+            return "did not turn its loop"
+        return ""
 
     def _continue_rolling_restart(self, now: float) -> None:
         if not self.rolling or self.restart_began_at is not None:
             return
-        n = self.rolling[0]
-        one = self.instances[n]
-        if one.state is InstanceState.UP and not one.is_killed:
+        number = self.rolling[0]
+        instance = self.instances[number]
+        if instance.state is InstanceState.UP and not instance.is_killed:
             if all(other.state is not InstanceState.ENDING for other in self.instances.values()):
                 self.restart_began_at = now
-                one.restarts += 1
-                self._terminate(n, now)
-        elif one.state in (InstanceState.FAILED, InstanceState.GONE) or self.is_crash_looping(n, now):
-            self._halt_rolling_restart(n, one.reason or "it is not up")
+                instance.restarts += 1
+                self._terminate(number, now)
+        elif instance.state in (InstanceState.FAILED, InstanceState.GONE) or self.is_crash_looping(
+            number, now
+        ):
+            self._halt_rolling_restart(number, instance.reason or "it is not up")
 
     def _on_restarted(self, now: float) -> None:
         self.rolling.popleft()
         self.restart_began_at = None
         if not self.rolling:
-            self._log("the rolling restart is done")
+            self._log("rolling restart completed")
 
-    def _halt_rolling_restart(self, n: int, why: str) -> None:
-        self._log("the rolling restart stops", instance=n, why=why, left=len(self.rolling))
+    def _halt_rolling_restart(self, number: int, why: str) -> None:
+        self._log("rolling restart aborted", instance=number, why=why, left=len(self.rolling))
         self.rolling.clear()
         self.restart_began_at = None
 
     def _start_due(self, now: float) -> None:
-        starting = sum(one.state is InstanceState.STARTING for one in self.instances.values())
-        # Newcomers wait until those that are there count with them: see fleet/fleet_size.py.
-        heard = not any(one.is_reloading for one in self.instances.values())
-        for n in sorted(self.instances):
-            one = self.instances[n]
-            if one.state is not InstanceState.DOWN or now < one.not_before or self.stopping:
+        starting = sum(instance.state is InstanceState.STARTING for instance in self.instances.values())
+        # New instances wait until the running ones count with them: see fleet/fleet_size.py.
+        all_reloaded = not any(instance.is_reloading for instance in self.instances.values())
+        for number in sorted(self.instances):
+            instance = self.instances[number]
+            if instance.state is not InstanceState.DOWN or now < instance.not_before or self.stopping:
                 continue
             if starting >= self.section.together or now < self.last_start + self.section.stagger_s:
                 return
-            if heard or one.crashes or one.restarts:
+            if all_reloaded or instance.crashes or instance.restarts:
                 starting += 1
                 self.last_start = now
-                one.enter(InstanceState.STARTING, now)
-                self.steps.append((SupervisorAction.START, n))
+                instance.enter(InstanceState.STARTING, now)
+                self.steps.append((SupervisorAction.START, number))
 
-    def _terminate(self, n: int, now: float) -> None:
-        self.instances[n].enter(InstanceState.ENDING, now)
-        self.steps.append((SupervisorAction.TERM, n))
+    def _terminate(self, number: int, now: float) -> None:
+        self.instances[number].enter(InstanceState.ENDING, now)
+        self.steps.append((SupervisorAction.TERM, number))
 
     def _log(self, event: str, **fields: object) -> None:
         self.log_events.append((event, fields))
--- a/message_relay/fleet/recording.py
+++ b/message_relay/fleet/recording.py
@@ -1,4 +1,4 @@
-"""A recording of the traffic: one line for each message that was handed in, for `emulator` to play.
+"""Traffic recording: one line for each submitted message, to be replayed by `emulator`.
 
     {"v":1,"begun":UNIX_MS,"salt":...}                   first; `salt` names the hashes, not their key
     [MS, "class", DESTINATION, "tenant", BYTES, LEFT_MS, "ID HASH"]
@@ -31,8 +31,10 @@
 
 
 class Recorder:
+    """Writes one line for each submitted message, bounded in memory and on disk."""
+
     def __init__(self, path: Path, mb: float) -> None:
-        """Raises OSError if the file can't be made; an earlier one of that name is replaced."""
+        """Replaces an earlier file of that name. Raises OSError if the file cannot be created."""
         self.remaining_bytes = int(mb * 1e6)
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         self.secret, self.started_at_ms = os.urandom(32), time.time() * 1000
@@ -42,20 +44,20 @@
         self.writing: Future[None] | None = None
         self._add({"v": FORMAT_VERSION, "begun": round(self.started_at_ms), "salt": os.urandom(4).hex()})
 
-    def record(self, offer: Submission) -> None:
-        """A message was handed in, whatever becomes of it."""
+    def record(self, submission: Submission) -> None:
+        """Records a submitted message, whether or not it is accepted."""
         if self.is_closed:
             self.dropped += 1
             return
         self._add(
             [
                 round(time.time() * 1000 - self.started_at_ms, 1),
-                offer.class_name,
-                offer.destination,
-                self._hashed(offer.tenant, 4),
-                len(offer.body),
-                offer.remaining_ms,
-                self._hashed(offer.id, 8),
+                submission.class_name,
+                submission.destination,
+                self._hashed(submission.tenant, 4),
+                len(submission.body),
+                submission.remaining_ms,
+                self._hashed(submission.id, 8),
             ]
         )
 
@@ -83,11 +85,11 @@
                 data = data[os.write(self.file, data) :]
         except OSError as error:
             if not self.is_closed:
-                log.error(LogEvent("recording: cannot be written: it ends here", why=error))
+                log.error(LogEvent("recording write failed", why=error))
             self.is_closed = True
 
     def close(self) -> None:
-        """Writes what waits, and how many lines are missing. Waits for the disk: at the end only."""
+        """Writes the remaining lines and the number of dropped ones. Blocks: at shutdown only."""
         if self.dropped:
             self.lines.append(self.encode({"dropped": self.dropped}) + b"\n")
         self._write()
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -1,5 +1,4 @@
-"""What an instance and a supervisor tell of themselves: `status` shows it. Read from the parts; changes
-nothing."""
+"""Status reports of an instance and of a supervisor, as `status` shows them. Field names are JSON keys."""
 
 from __future__ import annotations
 
@@ -21,24 +20,24 @@
 
 
 class Destination(msgspec.Struct, frozen=True):
-    """One lane: a destination, or one route of it where routes are apart."""
+    """One destination, or one route of it where each route has its own limits."""
 
     destination: int
     route: int | None
-    endpoints: int  # that take calls
-    held: int  # messages that wait for the destination
-    out: int  # calls out
-    pace: float  # calls a second that this instance allows itself
-    part: float | None  # of its slots, where a rate is kept together
-    blame: float  # 0 to 1
-    down: bool  # taken as out
-    wait_ms: float  # told, and still to be waited
-    cold_ms: float | None  # since it came back, while it is cold
+    endpoints: int  # ready for calls
+    held: int  # pending messages that wait
+    out: int  # calls in flight
+    pace: float  # send rate of this instance, calls a second
+    part: float | None  # share of its time slots, where a rate is shared
+    blame: float  # failure score, 0 to 1
+    down: bool  # ejected
+    wait_ms: float  # rest of a Retry-After
+    cold_ms: float | None  # since its return, while it warms up
     latency_ms: float
 
 
 class Lag(msgspec.Struct, frozen=True):
-    """How late the loop came to a timer, over the last seconds (fleet/status.py), in ms."""
+    """How late the event loop ran its timers over the last seconds (fleet/status.py)."""
 
     median_ms: float = 0.0
     p99_ms: float = 0.0
@@ -46,6 +45,8 @@
 
 
 class Report(msgspec.Struct, frozen=True):
+    """One instance."""
+
     name: str
     instance: int
     instances: int
@@ -53,22 +54,22 @@
     state: str  # starting, serving, retiring or stopping
     at_ms: float  # Unix time of this report
     up_s: float
-    held: int
-    hold: int  # the most
+    held: int  # pending messages
+    hold: int  # the most there may be
     by_class: dict[str, int]
-    slots_out: int
+    slots_out: int  # attempts in flight
     slots: int
-    ends_waiting: int  # final answers that are still to be passed on
+    ends_waiting: int  # final outcomes not yet notified
     reading: int  # connections of clients
     journal_bytes: int
-    journal_live: int  # of them, what a compaction would keep
+    journal_live: int  # what a compaction would keep
     journal_limit: int
     rss_mb: float
     cpu_s: float
     lag: Lag
     destinations: list[Destination]
-    more: int  # destinations that are not told
-    shards: dict[str, Any] | None = None  # of a directory by interest: its reader's state, and its keeper's
+    more: int  # destinations not listed
+    shards: dict[str, Any] | None = None  # of the sharded directory: client and server
     kind: str = "instance"
     version: int = REPORT_VERSION
 
@@ -88,12 +89,14 @@
 
 
 class FleetReport(msgspec.Struct, frozen=True):
+    """All instances of one supervisor."""
+
     pid: int
     at_ms: float
-    instances: int  # wanted
+    instances: int  # configured
     up: int
     stopping: bool
-    rolling: int  # instances that the rolling restart has still to do
+    rolling: int  # instances left in the rolling restart
     lines: list[InstanceLine]
     kind: str = "fleet"
     version: int = REPORT_VERSION
@@ -105,75 +108,81 @@
 
 
 def report_of(
-    host: Relay,
+    relay: Relay,
     number: int,
     state: str,
-    began: float,
+    began_at: float,
     lag: Lag,
     most: int,
     shards: dict[str, Any] | None = None,
 ) -> Report:
-    """`began`: Unix time in s; `most` destinations are told one by one."""
-    now, messages, settings = host.driver.now(), host.messages, host.scheduler.settings
+    """Builds the report of an instance.
+
+    `began_at`: Unix time in s; at most `most` destinations are listed, busiest first.
+    """
+    now, messages, settings = relay.driver.now(), relay.messages, relay.scheduler.settings
     counts = Counter(entry.class_name for entry in messages.pending_entries())
-    lanes = [
-        (dest, key, lane)
-        for dest, routes in host.scheduler.destinations.items()
-        for key, lane in routes.items()
+    states = [
+        (destination, key, destination_state)
+        for destination, routes in relay.scheduler.destinations.items()
+        for key, destination_state in routes.items()
     ]
-    waiting = _pending_counter(host)
-    told = heapq.nlargest(
-        most, lanes, key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score)
+    waiting = _pending_counter(relay)
+    listed = heapq.nlargest(
+        most, states, key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score)
     )
     return Report(
-        name=host.config.name,
+        name=relay.config.name,
         instance=number,
         instances=settings.relays,
         pid=os.getpid(),
         state=state,
         at_ms=time.time() * 1000,
-        up_s=time.time() - began,
+        up_s=time.time() - began_at,
         held=messages.pending_count,
         hold=settings.max_pending_messages,
         by_class={cls.name: counts[cls.name] for cls in settings.classes},
-        slots_out=host.scheduler.in_flight,
+        slots_out=relay.scheduler.in_flight,
         slots=settings.max_concurrent_attempts,
-        ends_waiting=host.pending_outcomes,
-        reading=host.open_requests,
-        journal_bytes=host.journal.disk_bytes,
-        journal_live=host.journal.live_bytes,
-        journal_limit=host.journal.budget_bytes,
+        ends_waiting=relay.pending_outcomes,
+        reading=relay.open_requests,
+        journal_bytes=relay.journal.disk_bytes,
+        journal_live=relay.journal.live_bytes,
+        journal_limit=relay.journal.budget_bytes,
         rss_mb=resident_memory_mb(),
         cpu_s=time.process_time(),
         lag=lag,
         destinations=[
-            _destination_line(host, dest, key, lane, waiting(dest), now) for dest, key, lane in told
+            _destination_line(relay, destination, key, destination_state, waiting(destination), now)
+            for destination, key, destination_state in listed
         ],
-        more=len(lanes) - len(told),
+        more=len(states) - len(listed),
         shards=shards,
     )
 
 
-def _pending_counter(host: Relay) -> Callable[[int], int]:
-    queues = host.scheduler.pending.queues
-    return lambda dest: len(queues[dest]) if dest in queues else 0
+def _pending_counter(relay: Relay) -> Callable[[int], int]:
+    queues = relay.scheduler.pending.queues
+    return lambda destination: len(queues[destination]) if destination in queues else 0
 
 
 def _destination_line(
-    host: Relay, dest: int, key: int, lane: DestinationState, held: int, now: float
+    relay: Relay, destination: int, key: int, destination_state: DestinationState, held: int, now: float
 ) -> Destination:
-    cold = now - lane.warming_since
+    cold = now - destination_state.warming_since
     return Destination(
-        destination=dest,
+        destination=destination,
         route=None if key == -1 else key,
-        endpoints=len(lane.endpoints),
+        endpoints=len(destination_state.endpoints),
         held=held,
-        out=len(lane.in_flight),
-        pace=round(lane.send_rate, 3),
-        part=None if lane.time_slots is None else round(lane.time_slots.open_share(now), 3),
-        blame=round(lane.failure_score, 3),
-        down=lane.is_ejected,
-        wait_ms=round(max(0.0, lane.retry_after_until - now)),
-        cold_ms=round(cold) if cold < host.scheduler.settings.safety.warm_up_ms else None,
-        latency_ms=round(lane.latency_mean_ms, 1),
+        out=len(destination_state.in_flight),
+        pace=round(destination_state.send_rate, 3),
+        part=None
+        if destination_state.time_slots is None
+        else round(destination_state.time_slots.open_share(now), 3),
+        blame=round(destination_state.failure_score, 3),
+        down=destination_state.is_ejected,
+        wait_ms=round(max(0.0, destination_state.retry_after_until - now)),
+        cold_ms=round(cold) if cold < relay.scheduler.settings.safety.warm_up_ms else None,
+        latency_ms=round(destination_state.latency_mean_ms, 1),
     )
--- a/message_relay/fleet/socket_activation.py
+++ b/message_relay/fleet/socket_activation.py
@@ -1,7 +1,7 @@
-"""Listening sockets that the service manager holds: `LISTEN_PID`, `LISTEN_FDS` and `LISTEN_FDNAMES`.
+"""Socket activation: listening sockets inherited from the service manager, as in sd_listen_fds(3).
 
-As sd_listen_fds(3) describes it. The manager keeps them open while this process restarts, so that clients who
-connect meanwhile wait in the system's queue instead of being refused.
+The manager keeps them open while this process restarts, so that clients who connect meanwhile wait in the
+system's queue instead of being refused.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 FIRST_DESCRIPTOR = 3  # the first descriptor handed over
 MAX_SOCKETS = 16
-CLIENT_SOCKET = "clients"  # the name of the one on which messages are taken
+CLIENT_SOCKET = "clients"  # name of the socket for client connections
 
 
 class SocketActivationError(ValueError):
-    """What was handed over makes no sense."""
+    """The inherited descriptors or their variables are not usable."""
 
 
 def inherited_sockets(
     env: MutableMapping[str, str] = os.environ, first: int = FIRST_DESCRIPTOR
 ) -> dict[str, socket.socket]:
     """The sockets by name, if they are meant for this process; a single one without a name is for clients.
-    Removes the variables, so that no child takes them for its own. Raises HandoverError."""
+    Removes the variables from the environment. Raises SocketActivationError."""
     pid, number = env.pop("LISTEN_PID", ""), env.pop("LISTEN_FDS", "")
     names = env.pop("LISTEN_FDNAMES", "")
     if not number or pid != str(os.getpid()):
--- a/message_relay/fleet/status.py
+++ b/message_relay/fleet/status.py
@@ -1,7 +1,8 @@
-"""A report on a Unix socket: whoever connects gets one JSON object. Mode 0600, in the runtime folder.
+"""Status sockets: whoever connects to the Unix socket (mode 0600) gets one report as JSON.
 
-No request is read, so nothing that a caller sends can matter. At most `MOST` callers at once, each for
-`GIVE_S`."""
+No request is read, so callers cannot influence the process. At most `MAX_CALLERS` at once, each for
+`ANSWER_TIMEOUT_S`.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +22,10 @@
 log = logging.getLogger(__name__)
 
 MAX_CALLERS = 8
-ANSWER_TIMEOUT_S = 2.0  # a caller reads as quickly, or is cut off
+ANSWER_TIMEOUT_S = 2.0  # a caller that reads more slowly is cut off
 MAX_REPORT_BYTES = 16 << 20  # no report is longer
 MAX_PATH_BYTES = 107  # of a Unix socket's path (unix(7))
-LAG_SAMPLE_S, LAG_SAMPLES = 0.25, 40  # the loop's lag is looked at so often, and so many looks are kept: 10 s
+LAG_SAMPLE_S, LAG_SAMPLES = 0.25, 40  # interval and number of retained samples of the loop's lag: 10 s
 
 
 class _Kind(msgspec.Struct):
@@ -32,17 +33,18 @@
 
 
 class StatusError(Exception):
-    """No report can be had or given there; the text says why."""
+    """A report cannot be served or fetched; the text says why."""
 
 
 class LoopLag:
-    """How late a timer of the loop fires."""
+    """Measures how late the event loop runs its timers."""
 
     def __init__(self) -> None:
         self.samples_ms: deque[float] = deque(maxlen=LAG_SAMPLES)
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Schedules the next sample."""
         loop = asyncio.get_running_loop()
         self.due = loop.time() + LAG_SAMPLE_S
         self.timer = loop.call_at(self.due, self._sample)
@@ -52,10 +54,12 @@
         self.start()
 
     def stop(self) -> None:
+        """Takes no more samples."""
         if self.timer is not None:
             self.timer.cancel()
 
     def summary(self) -> Lag:
+        """Median, 99th percentile and maximum of the retained samples."""
         late = sorted(self.samples_ms)
         if not late:
             return Lag()
@@ -65,7 +69,7 @@
 
 
 class UnixSocket:
-    """One that only its owner may use; what it answers is a subclass's matter."""
+    """A Unix socket that only its owner may use; subclasses answer connections."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -73,7 +77,7 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Raises StatusError. A socket that a dead process left is replaced, anything else is not."""
+        """Listens. Replaces the socket of a dead process, but no other file. Raises StatusError."""
         if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             raise StatusError(
                 f"{self.path}: a socket's path has {MAX_PATH_BYTES} bytes at most; "
@@ -102,6 +106,7 @@
         raise NotImplementedError
 
     def close(self) -> None:
+        """Stops listening and removes the socket."""
         if self.server is not None:
             self.server.close()
             self.path.unlink(missing_ok=True)
@@ -109,6 +114,8 @@
 
 
 class StatusSocket(UnixSocket):
+    """Sends the current report to each caller."""
+
     def __init__(self, path: Path, report: Callable[[], Report | FleetReport]) -> None:
         super().__init__(path)
         self.report = report
@@ -121,22 +128,22 @@
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     await writer.drain()
         except (OSError, TimeoutError):
-            pass  # it went away, or does not read
+            pass  # the caller left, or does not read
         except Exception:
-            log.exception("a report failed")
+            log.exception("status report failed")
         finally:
             self.open_connections -= 1
             writer.close()
 
 
 def socket_folder(named: str, env: dict[str, str] | None = None) -> Path | None:
-    """Where sockets go: as named, else the service manager's $RUNTIME_DIRECTORY (its first)."""
+    """The folder for sockets: as configured, else the first of the service manager's $RUNTIME_DIRECTORY."""
     told = named or (os.environ if env is None else env).get("RUNTIME_DIRECTORY", "").partition(":")[0]
     return Path(told) if told else None
 
 
 async def fetch_report(path: Path, seconds: float = 2.0) -> Report | FleetReport:
-    """Raises StatusError where nobody answers in time, or with what is no report."""
+    """Fetches a report. Raises StatusError without an answer in time, or for one that is no report."""
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_REPORT_BYTES)
--- a/message_relay/fleet/supervisor.py
+++ b/message_relay/fleet/supervisor.py
@@ -1,10 +1,10 @@
-"""Many instances under one command, where there is no service manager: carries out what `plan` decides.
+"""Supervisor: many instances under one command, where there is no service manager; carries out `plan`.
 
-Each instance is a process of its own, and hears of the others through nothing. The supervisor holds their
-listening sockets (so a restart refuses no connection), hears their notifications
-(fleet/systemd_notify.py), and holds
-the lifeline on which they end with it (fleet/parent_watch.py). SIGHUP: reads the operator's file again.
-SIGUSR2: a rolling restart. SIGTERM, SIGINT: ends all, and then itself."""
+Each instance is a process of its own. The supervisor holds their listening sockets, so that a restart refuses
+no connection, receives their notifications (fleet/systemd_notify.py) and holds the pipe whose end stops them
+(fleet/parent_watch.py). SIGHUP reads the operator's file again, SIGUSR2 starts a rolling restart, SIGTERM and
+SIGINT stop all instances and then the supervisor.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 from ..structured_logging import LogEvent
 from .operator import FILE_VARIABLE, NUMBER_VARIABLE, RETIRE_VARIABLE, OperatorConfig, OperatorError, read
-from .parent_watch import LIFELINE_VARIABLE as LIFELINE
+from .parent_watch import LIFELINE_VARIABLE
 from .plan import InstanceState, Plan, SupervisorAction
 from .report import FleetReport, InstanceLine
 from .socket_activation import CLIENT_SOCKET, FIRST_DESCRIPTOR
@@ -33,15 +33,15 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-FIRST_PRIVATE_DESCRIPTOR = 10  # descriptors for instances lie here and above: FIRST is where the socket goes
+FIRST_PRIVATE_DESCRIPTOR = 10  # and above; the inherited socket goes to FIRST_DESCRIPTOR
 MAX_DATAGRAM_BYTES = 4096
 SIGNALS = {
     SupervisorAction.RELOAD: signal.SIGHUP,
     SupervisorAction.TERM: signal.SIGTERM,
     SupervisorAction.KILL: signal.SIGKILL,
 }
-# Puts the listening socket where LISTEN_FDS says, and becomes the program. SIGHUP is ignored until the
-# program has a handler: its default would end it.
+# Moves the listening socket to where LISTEN_FDS expects it, and becomes the program. SIGHUP is ignored until
+# the program has a handler: its default action would end it.
 LAUNCH_SCRIPT = """
 import os, signal, sys
 given = int(sys.argv[1])
@@ -59,7 +59,7 @@
 
 @dataclass
 class Child:
-    """What belongs to one number, whether its process runs or not."""
+    """The sockets of one instance, and its process while it runs."""
 
     listener: socket.socket
     notify: socket.socket
@@ -70,8 +70,10 @@
 
 
 class Supervisor:
+    """Starts and stops the instances of one operator's file."""
+
     def __init__(self, file: Path, operator: OperatorConfig, runtime: Path | None) -> None:
-        """Raises OSError where a port cannot be had. `runtime`: where sockets of `status` go, if anywhere."""
+        """Raises OSError where a port is not available. `runtime`: the folder of status sockets, if any."""
         self.file, self.operator, self.runtime = file, operator, runtime
         self.clock = time.monotonic
         self.plan = Plan(
@@ -87,24 +89,24 @@
         self.lifeline_reader = fcntl.fcntl(reading, fcntl.F_DUPFD_CLOEXEC, FIRST_PRIVATE_DESCRIPTOR)
         os.close(reading)
         self.status = StatusSocket(runtime / "fleet.sock", self.report) if runtime else None
-        for n in range(operator.fleet.instances):
-            self._prepare(n)
+        for number in range(operator.fleet.instances):
+            self._prepare(number)
 
-    def _prepare(self, n: int) -> None:
-        if n in self.children:
+    def _prepare(self, number: int) -> None:
+        if number in self.children:
             return
         part = self.operator.supervisor
-        listener = socket.create_server((part.host, part.port + n), backlog=LISTEN_BACKLOG)
-        path = Path(self.folder.name) / str(n)
+        listener = socket.create_server((part.host, part.port + number), backlog=LISTEN_BACKLOG)
+        path = Path(self.folder.name) / str(number)
         notify = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         notify.bind(str(path))
         notify.setblocking(False)
-        self.children[n] = Child(listener, notify, path)
+        self.children[number] = Child(listener, notify, path)
 
     # -- life --------------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Until all instances have ended, after SIGTERM."""
+        """Runs until all instances have stopped, after SIGTERM."""
         loop = asyncio.get_running_loop()
         handlers: dict[signal.Signals, Callable[[], None]] = {
             signal.SIGTERM: self._stop,
@@ -112,17 +114,17 @@
             signal.SIGHUP: self._reload,
             signal.SIGUSR2: self._restart_all,
         }
-        for number, handler in handlers.items():
-            loop.add_signal_handler(number, handler)
-        for n in self.children:
-            self._listen(n)
+        for signal_number, handler in handlers.items():
+            loop.add_signal_handler(signal_number, handler)
+        for number in self.children:
+            self._listen(number)
         if self.status is not None:
             await self._open_status()
         try:
             while not self.plan.is_done:
                 now = self.clock()
-                for do, n in self.plan.next_steps(now):
-                    self._carry_out(do, n)
+                for action, number in self.plan.next_steps(now):
+                    self._carry_out(action, number)
                 self._log_plan_events()
                 try:
                     async with asyncio.timeout(self.plan.next_wake(now) - now):
@@ -138,10 +140,10 @@
         try:
             await self.status.open()
         except StatusError as error:
-            log.error(LogEvent("no report is given", why=error))
+            log.error(LogEvent("status socket not available", why=error))
 
     def close(self) -> None:
-        """Leaves nothing behind, also after a fault of its own."""
+        """Kills remaining instances and closes all sockets, also after an internal error."""
         for child in self.children.values():
             if child.process is not None and child.process.poll() is None:
                 child.process.kill()
@@ -165,106 +167,110 @@
         self.changed.set()
 
     def _reload(self) -> None:
-        """A file that makes no sense, or a port that cannot be had, changes nothing."""
+        """Applies a replaced file; an invalid file or an unavailable port changes nothing."""
         try:
             operator = read(self.file)
-            before, self.operator = self.operator, operator
+            before = self.operator
+            self.operator = operator
             try:
-                for n in range(operator.fleet.instances):
-                    if n not in self.children:
-                        self._prepare(n)
-                        self._listen(n)
+                for number in range(operator.fleet.instances):
+                    if number not in self.children:
+                        self._prepare(number)
+                        self._listen(number)
             except OSError:
                 self.operator = before
                 raise
         except (OperatorError, OSError) as error:
-            log.error(LogEvent("the new operator's file is passed over", why=error))
+            log.error(LogEvent("operator's file rejected", why=error))
             return
         self.plan.request_reload(
             self.clock(), operator.supervisor, operator.fleet.instances, operator.fleet.settle_s
         )
         self.changed.set()
 
-    # -- what the plan says ------------------------------------------------------------------------------
+    # -- carrying out the plan ---------------------------------------------------------------------------
 
-    def _carry_out(self, do: SupervisorAction, n: int) -> None:
-        if do is SupervisorAction.START:
-            self._start(n)
+    def _carry_out(self, action: SupervisorAction, number: int) -> None:
+        if action is SupervisorAction.START:
+            self._start(number)
             return
-        process = self.children[n].process
+        process = self.children[number].process
         if process is not None:
-            process.send_signal(SIGNALS[do])
+            process.send_signal(SIGNALS[action])
 
-    def _start(self, n: int) -> None:
-        child, part = self.children[n], self.operator.supervisor
-        state = Path(part.state) / str(n)
-        env = {
-            **os.environ,
-            FILE_VARIABLE: str(self.file),
-            NUMBER_VARIABLE: str(n),
-            "RELAY_NAME": str(n),
-            "RELAY_LISTEN": f"{part.host}:{part.port + n}",
-            "RELAY_STATE": str(state),
-            "NOTIFY_SOCKET": str(child.notify_path),
-            "LISTEN_FDS": "1",
-            "LISTEN_FDNAMES": CLIENT_SOCKET,
-            LIFELINE: str(self.lifeline_reader),
-        }
-        if part.config:
-            env["RELAY_CONFIG"] = part.config
-        if part.watchdog_s:
-            env["WATCHDOG_USEC"] = str(int(part.watchdog_s * 1e6))
-        if self.plan.instances[n].is_retiring:
-            env[RETIRE_VARIABLE] = "1"
+    def _start(self, number: int) -> None:
+        child = self.children[number]
+        section = self.operator.supervisor
+        state = Path(section.state) / str(number)
         try:
             state.mkdir(mode=0o700, parents=True, exist_ok=True)
             child.process = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-I",
-                    "-S",
-                    "-c",
-                    LAUNCH_SCRIPT,
-                    str(child.listener.fileno()),
-                    sys.executable,
-                    "-m",
-                    "message_relay",
-                ],
-                env=env,
+                self._command(child),
+                env=self._environment(number, child, state),
                 pass_fds=(child.listener.fileno(), self.lifeline_reader),
                 stdin=subprocess.DEVNULL,
             )
             child.pidfd = os.pidfd_open(child.process.pid)
         except OSError as error:
-            log.error(LogEvent("an instance cannot be started", instance=n, why=error))
+            log.error(LogEvent("instance start failed", instance=number, why=error))
             if child.process is not None:
                 child.process.kill()
                 child.process.wait()
                 child.process = None
-            self.plan.on_exited(n, self.clock(), -1)
+            self.plan.on_exited(number, self.clock(), -1)
             return
-        asyncio.get_running_loop().add_reader(child.pidfd, self._on_exit, n)
+        asyncio.get_running_loop().add_reader(child.pidfd, self._on_exit, number)
+
+    @staticmethod
+    def _command(child: Child) -> list[str]:
+        listener = str(child.listener.fileno())
+        program = [sys.executable, "-m", "message_relay"]
+        return [sys.executable, "-I", "-S", "-c", LAUNCH_SCRIPT, listener, *program]
 
-    def _on_exit(self, n: int) -> None:
-        child = self.children[n]
+    def _environment(self, number: int, child: Child, state: Path) -> dict[str, str]:
+        section = self.operator.supervisor
+        env = {
+            **os.environ,
+            FILE_VARIABLE: str(self.file),
+            NUMBER_VARIABLE: str(number),
+            "RELAY_NAME": str(number),
+            "RELAY_LISTEN": f"{section.host}:{section.port + number}",
+            "RELAY_STATE": str(state),
+            "NOTIFY_SOCKET": str(child.notify_path),
+            "LISTEN_FDS": "1",
+            "LISTEN_FDNAMES": CLIENT_SOCKET,
+            LIFELINE_VARIABLE: str(self.lifeline_reader),
+        }
+        if section.config:
+            env["RELAY_CONFIG"] = section.config
+        if section.watchdog_s:
+            env["WATCHDOG_USEC"] = str(int(section.watchdog_s * 1e6))
+        if self.plan.instances[number].is_retiring:
+            env[RETIRE_VARIABLE] = "1"
+        return env
+
+    def _on_exit(self, number: int) -> None:
+        child = self.children[number]
         assert child.process is not None
         asyncio.get_running_loop().remove_reader(child.pidfd)
         os.close(child.pidfd)
         code = child.process.wait()  # at once: its pidfd says that it has ended
         child.process, child.pidfd = None, -1
         child.status_lines.clear()
-        self._on_notification(n)  # what it said last, before what comes of its end
-        self.plan.on_exited(n, self.clock(), code)
+        self._on_notification(number)  # its last notifications, before its exit is handled
+        self.plan.on_exited(number, self.clock(), code)
         self.changed.set()
 
-    # -- what is heard -----------------------------------------------------------------------------------
+    # -- notifications -----------------------------------------------------------------------------------
 
-    def _listen(self, n: int) -> None:
-        asyncio.get_running_loop().add_reader(self.children[n].notify.fileno(), self._on_notification, n)
+    def _listen(self, number: int) -> None:
+        asyncio.get_running_loop().add_reader(
+            self.children[number].notify.fileno(), self._on_notification, number
+        )
 
-    def _on_notification(self, n: int) -> None:
-        child = self.children[n]
-        for _ in range(64):  # the loop has others to hear
+    def _on_notification(self, number: int) -> None:
+        child = self.children[number]
+        for _ in range(64):  # bounded: the loop has other instances to read from
             try:
                 text = child.notify.recv(MAX_DATAGRAM_BYTES).decode(errors="replace")
             except BlockingIOError:
@@ -272,10 +278,10 @@
             lines = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
             child.status_lines.update({name: value for name, value in lines.items() if name == "STATUS"})
             if lines.get("READY") == "1" and child.process is not None:
-                self.plan.on_ready(n, self.clock())
+                self.plan.on_ready(number, self.clock())
                 self.changed.set()
             elif lines.get("WATCHDOG") == "1":
-                self.plan.on_heartbeat(n, self.clock())
+                self.plan.on_heartbeat(number, self.clock())
 
     def _log_plan_events(self) -> None:
         for event, fields in self.plan.log_events:
@@ -283,29 +289,31 @@
         self.plan.log_events.clear()
 
     def report(self) -> FleetReport:
-        now, lines = self.clock(), []
-        for n, one in sorted(self.plan.instances.items()):
-            process = self.children[n].process
+        """The current report on all instances."""
+        now = self.clock()
+        lines = []
+        for number, instance in sorted(self.plan.instances.items()):
+            process = self.children[number].process
             lines.append(
                 InstanceLine(
-                    instance=n,
+                    instance=number,
                     state="retiring"
-                    if one.is_retiring and one.state is InstanceState.UP
-                    else one.state.value,
+                    if instance.is_retiring and instance.state is InstanceState.UP
+                    else instance.state.value,
                     pid=None if process is None else process.pid,
-                    for_s=round(now - one.since, 1),
-                    crashes=sum(now - at <= self.plan.section.loop_s for at in one.crashes),
-                    crash_loop=self.plan.is_crash_looping(n, now),
-                    restarts=one.restarts,
-                    start_s=round(one.start_s, 3),
-                    why=one.reason or self.children[n].status_lines.get("STATUS", ""),
+                    for_s=round(now - instance.since, 1),
+                    crashes=sum(now - at <= self.plan.section.loop_s for at in instance.crashes),
+                    crash_loop=self.plan.is_crash_looping(number, now),
+                    restarts=instance.restarts,
+                    start_s=round(instance.start_s, 3),
+                    why=instance.reason or self.children[number].status_lines.get("STATUS", ""),
                 )
             )
         return FleetReport(
             pid=os.getpid(),
             at_ms=time.time() * 1000,
             instances=self.plan.count,
-            up=sum(one.state is InstanceState.UP for one in self.plan.instances.values()),
+            up=sum(instance.state is InstanceState.UP for instance in self.plan.instances.values()),
             stopping=self.plan.stopping,
             rolling=len(self.plan.rolling),
             lines=lines,
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -181,7 +181,7 @@
             (it.folder / "relay.toml").write_text(good.replace("instances = 4", "instances = none"))
             it.tell("fleet", signal.SIGHUP)
             log = it.folder / "fleet.log"
-            await until(lambda: b"passed over" in log.read_bytes())
+            await until(lambda: b"operator's file rejected" in log.read_bytes())
             it.configure(2)
             assert (await it.until(whole)).instances == 4
             it.tell("fleet", signal.SIGHUP)
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -63,7 +63,7 @@
     for want, wait in zip((0.5, 1, 2, 4, 4, 4), waits, strict=True):
         assert 0.7 * want <= wait <= 1.3 * want
     assert len({round(wait, 6) for wait in waits[3:]}) == 3  # by chance
-    assert [fields["crash_loop"] for event, fields in plan.log_events if event == "an instance crashed"][-1]
+    assert [fields["crash_loop"] for event, fields in plan.log_events if event == "instance crashed"][-1]
 
 
 def test_one_that_says_its_configuration_makes_no_sense_waits_for_a_reload() -> None:
@@ -107,7 +107,7 @@
         assert plan.next_steps(1.2) == [(SupervisorAction.START, n)] and plan.next_steps(1.3) == []
         plan.on_ready(n, 1.4)
     assert plan.next_steps(1.5) == [] and not plan.rolling
-    assert [event for event, _ in plan.log_events][-1] == "the rolling restart is done"
+    assert [event for event, _ in plan.log_events][-1] == "rolling restart completed"
 
 
 def test_a_rolling_restart_stops_at_one_that_does_not_come_back() -> None:
@@ -118,7 +118,7 @@
     plan.next_steps(1.2)
     plan.on_exited(0, 1.3, 1)  # it crashes at its start
     assert not plan.rolling and all(plan.instances[n].state is InstanceState.UP for n in (1, 2))
-    assert "stops" in plan.log_events[0][0] or "stops" in plan.log_events[1][0]
+    assert "rolling restart aborted" in (plan.log_events[0][0], plan.log_events[1][0])
     assert plan.instances[0].state is InstanceState.DOWN  # and is tried again by itself
 
 
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -55,7 +55,7 @@
     told = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
     parts = compose(replace(told, settings=replace(told.settings, fleet=fleet)))
     await parts.start()
-    async with Client(parts.relay.intakes["http"].clients.port) as client:  # type: ignore[attr-defined]
+    async with Client(parts.relay.intakes["http"].listener.port) as client:  # type: ignore[attr-defined]
         assert await client.ask(message("a")) == 202
         await until(lambda: bool(server.seen) and not parts.relay.scheduler.in_flight)
         assert [await client.ask(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
@@ -213,7 +213,7 @@
         code = (
             "import time, signal; from message_relay.fleet import parent_watch; parent_watch.STOP_S = 0.2;"
             "signal.signal(signal.SIGTERM, lambda *_: print('told', flush=True));"
-            "parent_watch.hold(); print('ready', flush=True)\nwhile True: time.sleep(0.01)"
+            "parent_watch.watch_parent(); print('ready', flush=True)\nwhile True: time.sleep(0.01)"
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
