--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -1,4 +1,4 @@
-"""An independent watch over the six rules: sees what a relay is told and what it does, nothing inside."""
+"""An independent check of the six delivery rules, from the events and actions of a scheduler alone."""
 
 from __future__ import annotations
 
@@ -6,167 +6,210 @@
 
 from message_relay.decisions.actions import Action, Fail, Reject, StartAttempt
 from message_relay.decisions.events import AttemptCompleted, EndpointList, Event, Message, MessageCancelled
-from message_relay.decisions.model import Effect, Endpoint, Listing, ListKind, Outcome, Scope, Settings
+from message_relay.decisions.model import (
+    Effect,
+    Endpoint,
+    Listing,
+    ListKind,
+    MessageClass,
+    Outcome,
+    Scope,
+    Settings,
+)
+
+OUTAGE_FAILURES = 3  # connections that fail in a row mean an outage
+BUDGET_SLACK = 3  # calls allowed above the budget of a warming destination
+MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class RuleViolation(AssertionError):
-    """A rule was broken; the first word names it."""
+    """A rule is violated; the first word names it."""
 
 
 @dataclass
 class MessageRecord:
+    """What has happened to one message."""
+
     message: Message
-    due: float
-    attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)
-    over: bool = False
-    past: tuple[float, int] | None = None  # when and where an earlier process tried it, if that may have run
-    tries: int = 0  # of earlier processes
+    deadline_at: float
+    attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)  # at, endpoint, outcome
+    has_ended: bool = False
+    earlier_attempt: tuple[float, int] | None = None  # of an earlier process, if it may have run
+    earlier_attempts: int = 0  # of earlier processes
+
+    @property
+    def is_in_flight(self) -> bool:
+        return any(outcome is None for _, _, outcome in self.attempts)
+
+    def uncertain_attempts(self) -> list[tuple[float, int]]:
+        """When and where it was sent by attempts that may have run."""
+        earlier = [] if self.earlier_attempt is None else [self.earlier_attempt]
+        return earlier + [
+            (at, endpoint)
+            for at, endpoint, outcome in self.attempts
+            if outcome is None or not outcome.proves_no_effect
+        ]
 
 
 @dataclass
 class Checker:
+    """Raises RuleViolation on the first event or action after which a rule does not hold."""
+
     settings: Settings
-    seen: dict[int, MessageRecord] = field(default_factory=dict)
+    messages: dict[int, MessageRecord] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
-    drained: dict[int, float] = field(default_factory=dict)
-    waits: dict[int, float] = field(default_factory=dict)
-    rests: dict[int, float] = field(default_factory=dict)
-    streak: dict[int, int] = field(default_factory=dict)  # lane -> connections failed in a row
-    cold: dict[int, float] = field(default_factory=dict)  # lane -> end of the cold time after an outage
-    sends: dict[int, list[float]] = field(default_factory=dict)
-
-    def lane(self, endpoint: int) -> int:
-        entry = self.endpoints[endpoint]
-        return -1 - endpoint if self.settings.kinds[entry.kind].has_separate_routes else entry.destination
+    draining_since: dict[int, float] = field(default_factory=dict)  # by endpoint
+    retry_after_until: dict[int, float] = field(default_factory=dict)  # by route
+    key_paused_until: dict[int, float] = field(default_factory=dict)
+    failed_connections: dict[int, int] = field(default_factory=dict)  # by route: in a row
+    warming_since: dict[int, float] = field(default_factory=dict)  # by route
+    sends: dict[int, list[float]] = field(default_factory=dict)  # by route
+
+    def route(self, endpoint_id: int) -> int:
+        """What shares one limit: the endpoint itself (as a negative number), or its destination."""
+        endpoint = self.endpoints[endpoint_id]
+        if self.settings.kinds[endpoint.kind].has_separate_routes:
+            return -1 - endpoint_id
+        return endpoint.destination
+
+    def class_of(self, record: MessageRecord) -> MessageClass:
+        return self.settings.classes[record.message.class_index]
 
     def event(self, now: float, event: Event) -> None:
+        """Notes an event that the scheduler gets."""
         match event:
             case Message():
-                seen = self.seen[event.id] = MessageRecord(
-                    event, now + event.remaining_ms, tries=event.attempts
-                )
-                if event.uncertain_endpoint is not None and event.uncertain_for_ms is not None:
-                    seen.past = now - event.uncertain_for_ms, event.uncertain_endpoint.id
-                    self.endpoints.setdefault(event.uncertain_endpoint.id, event.uncertain_endpoint)
+                self._note_message(now, event)
             case EndpointList(kind, entries) if kind is not ListKind.FAILED:
-                named = {e.id for e in entries if e.listing is Listing.READY}
-                if kind is ListKind.CHANGES:
-                    gone = {e.id for e in entries} - named
-                else:
-                    gone = set(self.endpoints) - named
-                for entry in entries:
-                    self.endpoints.setdefault(entry.id, entry)
-                for message_id in gone:
-                    self.drained.setdefault(message_id, now)
-                for message_id in named:
-                    self.drained.pop(message_id, None)
+                self._note_endpoints(now, kind, entries)
             case MessageCancelled(message_id):
-                self.seen[message_id].over = True
+                self.messages[message_id].has_ended = True
             case AttemptCompleted():
-                seen = self.seen[event.id]
-                sent, endpoint, _ = seen.attempts[event.attempt]
-                seen.attempts[event.attempt] = (sent, endpoint, event.outcome)
-                seen.over |= event.is_final
-                lane = self.lane(endpoint)
-                if event.outcome is Outcome.CONNECT_FAILED:
-                    self.streak[lane] = self.streak.get(lane, 0) + 1
-                elif event.outcome is Outcome.OK:
-                    if self.streak.get(lane, 0) >= 3:
-                        self.cold[lane] = now
-                    self.streak[lane] = 0
-                if event.retry_after_ms:
-                    self.waits[lane] = max(self.waits.get(lane, 0.0), now + event.retry_after_ms)
-                lingers = event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-                if lingers and self.settings.classes[seen.message.class_index].in_order:
-                    self.rests[seen.message.key] = now + self.settings.safety.key_pause_ms
-
-    def risks(self, seen: MessageRecord) -> list[tuple[float, int]]:
-        past = [] if seen.past is None else [seen.past]
-        return past + [(at, e) for at, e, out in seen.attempts if out is None or not out.proves_no_effect]
+                self._note_completed(now, event)
+
+    def _note_message(self, now: float, message: Message) -> None:
+        record = MessageRecord(message, now + message.remaining_ms, earlier_attempts=message.attempts)
+        self.messages[message.id] = record
+        endpoint = message.uncertain_endpoint
+        if endpoint is not None and message.uncertain_for_ms is not None:
+            record.earlier_attempt = now - message.uncertain_for_ms, endpoint.id
+            self.endpoints.setdefault(endpoint.id, endpoint)
+
+    def _note_endpoints(self, now: float, kind: ListKind, entries: tuple[Endpoint, ...]) -> None:
+        ready = {endpoint.id for endpoint in entries if endpoint.listing is Listing.READY}
+        if kind is ListKind.CHANGES:
+            draining = {endpoint.id for endpoint in entries} - ready
+        else:
+            draining = set(self.endpoints) - ready
+        for endpoint in entries:
+            self.endpoints.setdefault(endpoint.id, endpoint)
+        for endpoint_id in draining:
+            self.draining_since.setdefault(endpoint_id, now)
+        for endpoint_id in ready:
+            self.draining_since.pop(endpoint_id, None)
+
+    def _note_completed(self, now: float, event: AttemptCompleted) -> None:
+        record = self.messages[event.id]
+        sent_at, endpoint_id, _ = record.attempts[event.attempt]
+        record.attempts[event.attempt] = (sent_at, endpoint_id, event.outcome)
+        record.has_ended |= event.is_final
+        route = self.route(endpoint_id)
+        if event.outcome is Outcome.CONNECT_FAILED:
+            self.failed_connections[route] = self.failed_connections.get(route, 0) + 1
+        elif event.outcome is Outcome.OK:
+            if self.failed_connections.get(route, 0) >= OUTAGE_FAILURES:
+                self.warming_since[route] = now
+            self.failed_connections[route] = 0
+        if event.retry_after_ms:
+            until = now + event.retry_after_ms
+            self.retry_after_until[route] = max(self.retry_after_until.get(route, 0.0), until)
+        if event.outcome in MAY_STILL_RUN and self.class_of(record).in_order:
+            self.key_paused_until[record.message.key] = now + self.settings.safety.key_pause_ms
 
     def action(self, now: float, action: Action) -> None:
+        """Checks an action of the scheduler."""
         match action:
-            case StartAttempt(message_id, endpoint, _):
-                self.send(now, self.seen[message_id], endpoint)
-            case Reject(message_id) | Fail(message_id):
-                seen = self.seen[message_id]
-                if seen.over:
-                    raise RuleViolation("lost: a second final answer")
-                effect = self.settings.classes[seen.message.class_index].effect
-                if (
-                    isinstance(action, Reject)
-                    and self.risks(seen)
-                    and (
-                        effect is Effect.UNSAFE
-                        or (
-                            effect is Effect.KEYED
-                            and self.settings.classes[seen.message.class_index].key_scope is not Scope.ALL
-                        )
-                    )
-                ):
-                    raise RuleViolation("twice: refused though it may have run")
-                seen.over = True
-
-    def send(self, now: float, seen: MessageRecord, endpoint: int) -> None:
-        cls = self.settings.classes[seen.message.class_index]
-        entry = self.endpoints[endpoint]
-        if seen.over:
+            case StartAttempt(message_id, endpoint_id, _):
+                self.check_send(now, self.messages[message_id], endpoint_id)
+            case Reject(message_id):
+                self._check_end(self.messages[message_id], is_rejected=True)
+            case Fail(message_id):
+                self._check_end(self.messages[message_id], is_rejected=False)
+
+    def _check_end(self, record: MessageRecord, is_rejected: bool) -> None:
+        if record.has_ended:
+            raise RuleViolation("lost: a second final answer")
+        message_class = self.class_of(record)
+        may_repeat = message_class.effect is Effect.SAFE or (
+            message_class.effect is Effect.KEYED and message_class.key_scope is Scope.ALL
+        )
+        if is_rejected and record.uncertain_attempts() and not may_repeat:
+            raise RuleViolation("twice: refused though it may have run")
+        record.has_ended = True
+
+    def check_send(self, now: float, record: MessageRecord, endpoint_id: int) -> None:
+        """Checks and notes the start of an attempt."""
+        endpoint = self.endpoints[endpoint_id]
+        if record.has_ended:
             raise RuleViolation("lost: sent after its end")
-        if entry.destination != seen.message.destination:
+        if endpoint.destination != record.message.destination:
             raise RuleViolation("fault: not an endpoint of its destination")
-        if any(out is None for _, _, out in seen.attempts):
+        if record.is_in_flight:
             raise RuleViolation("twice: two attempts out at once")
-        if seen.tries + len(seen.attempts) >= self.settings.max_attempts:
+        if record.earlier_attempts + len(record.attempts) >= self.settings.max_attempts:
             raise RuleViolation("fault: too many attempts")
-        for at, other in self.risks(seen):
-            if cls.effect is Effect.UNSAFE:
+        self._check_effect(now, record, endpoint)
+        drain_grace_ms = self.settings.safety.drain_grace_ms
+        if endpoint_id in self.draining_since and now > self.draining_since[endpoint_id] + drain_grace_ms:
+            raise RuleViolation("drain: sent to a draining endpoint")
+        if now < self.retry_after_until.get(self.route(endpoint_id), 0.0):
+            raise RuleViolation("wait: sent before a Retry-After was over")
+        if self.class_of(record).in_order and record.message.key:
+            self._check_order(now, record)
+        self._check_budget(now, self.route(endpoint_id), endpoint.rate)
+        record.attempts.append((now, endpoint_id, None))
+
+    def _check_effect(self, now: float, record: MessageRecord, endpoint: Endpoint) -> None:
+        message_class = self.class_of(record)
+        for sent_at, earlier_id in record.uncertain_attempts():
+            if message_class.effect is Effect.UNSAFE:
                 raise RuleViolation("twice: unsafe message may have run")
-            if cls.effect is Effect.KEYED:
-                zones = self.endpoints[other].zone == entry.zone
-                if now - at > cls.key_window_ms:
+            if message_class.effect is Effect.KEYED:
+                if now - sent_at > message_class.key_window_ms:
                     raise RuleViolation("twice: outside the key's window")
-                if cls.key_scope is Scope.ZONE and not zones:
+                is_same_zone = self.endpoints[earlier_id].zone == endpoint.zone
+                if message_class.key_scope is Scope.ZONE and not is_same_zone:
                     raise RuleViolation("twice: outside the key's zone")
-        if endpoint in self.drained and now > self.drained[endpoint] + self.settings.safety.drain_grace_ms:
-            raise RuleViolation("drain: sent to a draining endpoint")
-        if now < self.waits.get(self.lane(endpoint), 0.0):
-            raise RuleViolation("wait: sent before a told wait was over")
-        if cls.in_order and seen.message.key:
-            for other_id, earlier in self.seen.items():
-                if other_id == seen.message.id:
-                    break
-                same = (
-                    earlier.message.key == seen.message.key
-                    and self.settings.classes[earlier.message.class_index].in_order
-                )
-                if same and (not earlier.over or any(out is None for _, _, out in earlier.attempts)):
-                    raise RuleViolation("order: an earlier message of its key is open")
-            if not seen.attempts and now < self.rests.get(seen.message.key, 0.0):
-                raise RuleViolation("order: its key must rest")
-        self.spend(now, self.lane(endpoint), entry.rate)
-        seen.attempts.append((now, endpoint, None))
-
-    def spend(self, now: float, lane: int, rate: float) -> None:
-        """The own part of the budget at a destination that was down, and three calls of slack."""
+
+    def _check_order(self, now: float, record: MessageRecord) -> None:
+        key = record.message.key
+        for message_id, earlier in self.messages.items():
+            if message_id == record.message.id:
+                break
+            is_same_key = earlier.message.key == key and self.class_of(earlier).in_order
+            if is_same_key and (not earlier.has_ended or earlier.is_in_flight):
+                raise RuleViolation("order: an earlier message of its key is open")
+        if not record.attempts and now < self.key_paused_until.get(key, 0.0):
+            raise RuleViolation("order: its key must pause")
+
+    def _check_budget(self, now: float, route: int, rate: float) -> None:
+        """This relay's part of the budget of a destination that was down, with some slack."""
         safety = self.settings.safety
-        sends = self.sends.setdefault(lane, [])
+        sends = self.sends.setdefault(route, [])
         sends.append(now)
-        if lane in self.cold and now < self.cold[lane] + safety.warm_up_ms:
-            warm = (now - self.cold[lane]) / safety.warm_up_ms
-            share = safety.warm_up_initial_share + (1 - safety.warm_up_initial_share) * warm
-            budget = (
-                safety.overload_multiple
-                * share
-                * rate
-                / self.settings.relays
-                * safety.overload_window_ms
-                / 1000
-            )
-            recent = [at for at in sends if at > max(self.cold[lane], now - safety.overload_window_ms)]
-            if len(recent) > budget + 3:
-                raise RuleViolation("failback: over the budget of a cold destination")
-
-    def end_of(self, now: float) -> None:
-        for seen in self.seen.values():
-            if not seen.over and now > seen.due + self.settings.safety.answer_slack_ms:
+        since = self.warming_since.get(route)
+        if since is None or now >= since + safety.warm_up_ms:
+            return
+        progress = (now - since) / safety.warm_up_ms
+        share = safety.warm_up_initial_share + (1 - safety.warm_up_initial_share) * progress
+        budget_rate = safety.overload_multiple * share * rate / self.settings.relays
+        budget = budget_rate * safety.overload_window_ms / 1000
+        recent = [at for at in sends if at > max(since, now - safety.overload_window_ms)]
+        if len(recent) > budget + BUDGET_SLACK:
+            raise RuleViolation("failback: over the budget of a warming destination")
+
+    def check_deadlines(self, now: float) -> None:
+        """Checks that each message whose deadline has passed has ended."""
+        for record in self.messages.values():
+            if not record.has_ended and now > record.deadline_at + self.settings.safety.answer_slack_ms:
                 raise RuleViolation("lost: no final answer in time")
--- a/tests/decisions/test_rule_invariants.py
+++ b/tests/decisions/test_rule_invariants.py
@@ -108,7 +108,7 @@
                 outcome = rng.choice(OUTCOMES) if rng.random() < mood else Outcome.OK
                 outcome = Outcome.TIMEOUT if now >= send.give_up_at_ms else outcome
                 wait = rng.choice([0.0, 300.0]) if outcome is Outcome.FULL else 0.0
-                finished = outcome is Outcome.OK or watch.seen[message_id].over
+                finished = outcome is Outcome.OK or watch.messages[message_id].has_ended
                 del out[message_id, number]
                 events.append(
                     AttemptCompleted(message_id, number, send.endpoint, outcome, 80.0, finished, wait)
@@ -144,13 +144,13 @@
             state = rng.choice(list(Listing)) if kind is ListKind.CHANGES else Listing.READY
             entries = tuple(Endpoint(e.id, e.destination, state, 0, e.zone, e.rate) for e in part)
             events.append(EndpointList(kind, () if kind is ListKind.FAILED else entries))
-        if rng.random() < 0.02 and any(not seen.over for seen in watch.seen.values()):
-            message_id = next(i for i, seen in watch.seen.items() if not seen.over)
+        if rng.random() < 0.02 and any(not record.has_ended for record in watch.messages.values()):
+            message_id = next(i for i, record in watch.messages.items() if not record.has_ended)
             events.append(MessageCancelled(message_id))
-            watch.seen[message_id].over = True
+            watch.messages[message_id].has_ended = True
         if step == steps - 20 and seed % 5 == 0:
             events.append(ShutdownScheduled(now + 500.0))
-        watch.end_of(now - 60.0)  # a step may be longer than the slack
+        watch.check_deadlines(now - 60.0)  # a step may be longer than the slack
     return watch
 
 
@@ -180,7 +180,7 @@
 
 
 def ended(watch: Checker, message_id: int, outcome: Outcome, at: float, wait: float = 0.0) -> None:
-    number = len(watch.seen[message_id].attempts) - 1
+    number = len(watch.messages[message_id].attempts) - 1
     watch.event(at, AttemptCompleted(message_id, number, 11, outcome, 1.0, outcome is Outcome.OK, wait))
 
 
@@ -188,7 +188,7 @@
     send = StartAttempt(0, 11, 4000.0)
     watch = watched()
     with pytest.raises(RuleViolation, match="lost: no final"):
-        watch.end_of(4100.0)
+        watch.check_deadlines(4100.0)
     watch.action(1.0, Fail(0))
     with pytest.raises(RuleViolation, match="lost: sent after"):
         watch.action(2.0, send)
@@ -214,12 +214,12 @@
     watch.action(8.0, StartAttempt(2, 11, 4000.0))
     ended(watch, 2, Outcome.TIMEOUT, 8.5)
     watch.event(8.5, MessageCancelled(2))
-    with pytest.raises(RuleViolation, match="order: its key"):
+    with pytest.raises(RuleViolation, match="order: its key must pause"):
         watch.action(9.0, StartAttempt(3, 11, 4000.0))
     watch = watched()
     watch.action(1.0, send)
     ended(watch, 0, Outcome.FULL, 2.0, wait=500.0)
-    with pytest.raises(RuleViolation, match="wait"):
+    with pytest.raises(RuleViolation, match="wait: sent"):
         watch.action(400.0, send)
     watch.event(500.0, EndpointList(ListKind.CHANGES, (Endpoint(11, 1, Listing.DRAINING),)))
     with pytest.raises(RuleViolation, match="drain"):
--- a/tests/decisions/test_scalability.py
+++ b/tests/decisions/test_scalability.py
@@ -91,7 +91,7 @@
 
     def end(self, ident: int, outcome: Outcome = Outcome.OK, wait: float = 0.0) -> int:
         send = self.out.pop(ident)
-        tries = len(self.watch.seen[ident].attempts)
+        tries = len(self.watch.messages[ident].attempts)
         return self.feed(
             AttemptCompleted(ident, tries - 1, send.endpoint, outcome, 50.0, outcome is Outcome.OK, wait)
         )
@@ -145,7 +145,7 @@
 def test_burst_of_one_ordering_key_costs_no_more_while_its_first_is_in_flight() -> None:
     classes = (MessageClass("o", Effect.SAFE, 1000.0, 120_000.0, in_order=True),)
     b = large_relay(classes=classes)
-    b.watch.send = lambda *_: None  # type: ignore[method-assign]  # it is quadratic; the order is checked here
+    b.watch.check_send = lambda *_: None  # type: ignore[method-assign]  # it is quadratic; the order is checked here
     b.listed((11, 1))
     idents = [b.take(key=7) for _ in range(5000)]
     assert list(b.out) == idents[:1]
@@ -153,7 +153,7 @@
     for n in range(1000):
         (head,) = b.out
         assert head == idents[n]
-        b.watch.seen[head].attempts.append((b.now, 11, None))
+        b.watch.messages[head].attempts.append((b.now, 11, None))
         steps.append(b.end(head))
         for _ in b.ticks(60.0):
             pass
@@ -290,7 +290,7 @@
     for _ in b.ticks(3000.0):
         pass
     assert len(b.ended) == 20_000  # each exactly once, or the checker would have said so
-    b.watch.end_of(b.now)
+    b.watch.check_deadlines(b.now)
 
 
 @pytest.mark.parametrize("dests", [1, 2000])
