--- a/emulator/consensus/network.py
+++ b/emulator/consensus/network.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from message_relay.consensus.active_rules import ActiveRules
 from message_relay.consensus.lease_grantor import LeaseGrantor
-from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder
+from message_relay.consensus.lease_holder import LeaseHolder
 from message_relay.consensus.version_history import VersionHistory
 
 Callback = Callable[[], None]
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.rule_enforcement import RuleEnforcer
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.rules_meet import normalize
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -16,13 +16,14 @@
 from ..gossip.node import GossipNode
 from ..gossip.wire import Claim
 from ..structured_logging import LogEvent
+from .active_rules import ActiveRules
 from .admin_requests import AdminRequestHandler
 from .admin_socket import AdminRequest
 from .call_observer import CallObserver
 from .clock import Clock
 from .context import ConsensusContext
 from .lease_client import RENEW, VERSION_QUERY, LeaseClient
-from .lease_holder import ActiveRules, LeaseHolder
+from .lease_holder import LeaseHolder
 from .lease_protocol import DeliveryCounts
 from .proposer import COMMAND, Proposer
 from .replicated_log import ReplicatedLog
--- a/message_relay/consensus/lease_client.py
+++ b/message_relay/consensus/lease_client.py
@@ -10,8 +10,8 @@
 
 from ..core.tasks import wait_for_event
 from ..structured_logging import LogEvent
+from .active_rules import ActiveRules
 from .context import REQUEST_TIMEOUT_S, ConsensusContext
-from .lease_holder import ActiveRules
 from .lease_protocol import DeliveryCounts, LeaseGrant
 from .rules import RulesError
 from .rules_codec import decode_rules, digest
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -19,11 +19,9 @@
 
 from collections import OrderedDict
 from dataclasses import dataclass
-from enum import Enum
 from typing import NamedTuple
 
-import msgspec
-
+from .active_rules import ActiveRules, LeaseTier
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
 from .rules import DENY_ALL, Rules
 from .rules_meet import intersect, intersect_all, standby_rules
@@ -37,32 +35,6 @@
 NO_COUNTS = DeliveryCounts()
 
 
-class LeaseTier(Enum):
-    """How much a relay may do, by the age of its lease."""
-
-    LEASE = "lease"
-    STANDBY = "standby"
-    FLOOR = "floor"
-
-
-class ActiveRules(msgspec.Struct, frozen=True):
-    """The rules that a relay acts on, and where they come from."""
-
-    rules: Rules
-    versions: tuple[int, ...]  # more than one: `rules` is their meet
-    tier: LeaseTier
-
-    @property
-    def label(self) -> str:
-        """For people, and for the header of each call: `7`, `7+8`, `7/standby`, `floor`."""
-        versions = "+".join(map(str, self.versions))
-        if self.tier is LeaseTier.LEASE:
-            return versions
-        if self.tier is LeaseTier.STANDBY:
-            return f"{versions}/standby"
-        return "floor"
-
-
 class SentRenewal(NamedTuple):
     """A renewal that may still be answered."""
 
--- a/message_relay/consensus/rule_enforcement.py
+++ b/message_relay/consensus/rule_enforcement.py
@@ -17,7 +17,7 @@
 
 from ..core.ports import CallContext
 from ..decisions.model import Endpoint, Listing
-from .lease_holder import ActiveRules, LeaseTier
+from .active_rules import ActiveRules, LeaseTier
 from .rules import ANY, Rules
 
 MAX_DECISIONS = 2000  # latest calls that are kept for the `explain` command
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -24,7 +24,7 @@
 from message_relay.composition import compose
 from message_relay.config import load
 from message_relay.consensus.admin_socket import AdminSocket
-from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.raft_storage import with_checksum
 from message_relay.consensus.raft_transport import FRAME_KIND
 from message_relay.consensus.replicated_log import ReplicatedLog
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -16,7 +16,8 @@
 
 from message_relay.consensus.canary_guard import CanaryWatch, RecentOutcomes, Verdict
 from message_relay.consensus.lease_grantor import LeaseGrantor, RelayLease
-from message_relay.consensus.lease_holder import ActiveRules, LeaseHolder, LeaseTier
+from message_relay.consensus.active_rules import ActiveRules, LeaseTier
+from message_relay.consensus.lease_holder import LeaseHolder
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseTerms
 from message_relay.consensus.process_epochs import ProcessEpochs
 from message_relay.consensus.rule_enforcement import RuleEnforcer
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -6,8 +6,9 @@
 
 from emulator.consensus import model
 from emulator.consensus.world import World
+from message_relay.consensus.active_rules import LeaseTier
 from message_relay.consensus.lease_grantor import LeaseGrantor
-from message_relay.consensus.lease_holder import LeaseHolder, LeaseTier
+from message_relay.consensus.lease_holder import LeaseHolder
 from message_relay.consensus.lease_protocol import LeaseTerms
 from message_relay.consensus.rules import ANY, DENY_ALL, DestinationRule, Rules
 from message_relay.consensus.rules_codec import encode_rules
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from message_relay.consensus.lease_holder import ActiveRules, LeaseTier
+from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.rule_enforcement import RuleEnforcer
 from message_relay.consensus.rules import FlowRule, Policies, Rules
 from message_relay.consensus.rules_meet import is_subset, normalize, standby_rules
