--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -105,9 +105,9 @@
         self.host = Relay(config)
         self.host.connect({}, Silent(), [])
         self.common = SharedSubsystems(told, number, config, self.host)
-        if config.known:
+        if config.known_endpoints:
             known: EndpointUpdate = DiscoveryClient(config.discovery, config.settings.relays).load_configured(
-                config.known
+                config.known_endpoints
             )
             self.host.on_endpoint_update(known)
         self.common.gossip.on_member_changed.append(watch.changed)
@@ -152,7 +152,7 @@
         self.ended: Counter[str] = Counter()  # what those counted that have ended
         self.told: OperatorConfig = operator.read(args.operator)
         config = load({"RELAY_CONFIG": str(args.config), "RELAY_NAME": "x", "RELAY_STATE": args.state})
-        self.config, self.listed = config, config.known
+        self.config, self.listed = config, config.known_endpoints
 
     def _one(self, number: int, of: int, zone: int) -> Hollow:
         listen = f"{self.args.address}:{PORT}"
@@ -173,7 +173,7 @@
             seed=number,
             sockets=self.config.sockets,
             disk_bytes=self.config.disk_bytes,
-            known=self.listed,
+            known_endpoints=self.listed,
             settings=settings,
             zones=self.config.zones,
         )
--- a/message_relay/amqp/transport.py
+++ b/message_relay/amqp/transport.py
@@ -206,7 +206,7 @@
     """The table above, for what came back."""
     match fate:
         case Fate.ACKED:
-            return AttemptResult(Outcome.OK, finished=True)
+            return AttemptResult(Outcome.OK, is_finished=True)
         case Fate.NACKED:
             return AttemptResult(Outcome.FULL if target.nack == "never_ran" else Outcome.ERROR)
         case Fate.RETURNED:
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -113,10 +113,10 @@
 
 def _initial_endpoints(config: Config, discovery: DiscoveryClient) -> EndpointUpdate | None:
     """The endpoints that the configuration lists; None where there are none, or none that can be used."""
-    if not config.known:
+    if not config.known_endpoints:
         return None
     try:
-        return discovery.load_configured(config.known)
+        return discovery.load_configured(config.known_endpoints)
     except ValueError as error:
         log.warning(LogEvent("known endpoints rejected", why=error))
         return None
--- a/message_relay/config.py
+++ b/message_relay/config.py
@@ -36,7 +36,7 @@
     seed: int
     sockets: int
     disk_bytes: int
-    known: dict[str, Any]
+    known_endpoints: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
     sync_ms: float | None = None  # of the journal: see store/durability.py; None: as on the platform, no sync
@@ -122,7 +122,7 @@
             seed=int(raw.seed, 16),
             sockets=min(MAX_SOCKETS, raw.limits.sockets),
             disk_bytes=int(raw.limits.disk_mb * 1e6),
-            known=raw.known or {},
+            known_endpoints=raw.known or {},
             settings=settings,
             zones=zones.zones,
         )
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -91,7 +91,7 @@
         entry = accepted.entry
         attempt_index = accepted.attempts - 1
         permit: CallPermit | None = None
-        result = AttemptResult(Outcome.NOT_SENT, withheld=True)
+        result = AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         try:
             if self.destination_interest is not None:
                 await self._wait_until_current(self.destination_interest, entry.destination, until_ms)
@@ -117,11 +117,11 @@
             endpoint,
             result.outcome,
             self.driver.now() - started_ms,
-            result.finished,
+            result.is_finished,
             result.retry_after_ms,
             result.no_connection_slot,
             result.load_report,
-            result.withheld,
+            result.is_withheld,
         )
         self._complete(number, accepted, event)
 
--- a/message_relay/core/ports.py
+++ b/message_relay/core/ports.py
@@ -212,8 +212,8 @@
     outcome: Outcome
     retry_after_ms: float = 0.0
     no_connection_slot: bool = False
-    finished: bool = False  # the endpoint says that nothing more is owed
-    withheld: bool = False  # nothing of it was sent: with Outcome.NOT_SENT
+    is_finished: bool = False  # the endpoint says that nothing more is owed
+    is_withheld: bool = False  # nothing of it was sent: with Outcome.NOT_SENT
     load_report: tuple[float, ...] = ()  # the load that the endpoint reports, in the order of the settings
 
 
--- a/message_relay/http/attempt_results.py
+++ b/message_relay/http/attempt_results.py
@@ -14,7 +14,7 @@
     retry_after_ms = parse_wait_ms(head.headers.get("x-ratelimit-wait-ms", ""))
     match head.status:
         case 200:
-            return AttemptResult(Outcome.OK, finished=True)
+            return AttemptResult(Outcome.OK, is_finished=True)
         case 429:
             return AttemptResult(Outcome.FULL, retry_after_ms=retry_after_ms)
         case 503 if head.headers.get("x-over-slots") == "1":
@@ -24,7 +24,7 @@
         case 504:
             return AttemptResult(Outcome.NOT_SENT)
         case 410:
-            return AttemptResult(Outcome.NOT_SENT, finished=True)
+            return AttemptResult(Outcome.NOT_SENT, is_finished=True)
         case _:  # 500, and whatever else the protocol does not define: it may have run
             return AttemptResult(Outcome.ERROR)
 
--- a/message_relay/http/endpoint_client.py
+++ b/message_relay/http/endpoint_client.py
@@ -82,7 +82,7 @@
             async with asyncio.timeout_at(attempt.deadline_s):
                 connection = await self._write_request(attempt, key, current)
                 if connection is None:
-                    return AttemptResult(Outcome.NOT_SENT, withheld=True)
+                    return AttemptResult(Outcome.NOT_SENT, is_withheld=True)
                 result = await self._read_result(attempt, connection, current)
             current.connection = None
             self._release_after_body(key, connection)
@@ -106,7 +106,7 @@
         if await connection.status == 200:
             # True also if the rest of the response is malformed: the message is delivered.
             report = self._available_report(connection)
-            return AttemptResult(Outcome.OK, finished=True, load_report=report)
+            return AttemptResult(Outcome.OK, is_finished=True, load_report=report)
         head = await connection.head
         result = replace(attempt_result(head), load_report=parse_load_report(head, self.report_fields))
         if is_connection_rejection(
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -72,7 +72,7 @@
             if effects:
                 assert not got.outcome.proves_no_effect
             if outcome is Outcome.OK:
-                assert got.finished and broker.effects == [("m1", "km1")]
+                assert got.is_finished and broker.effects == [("m1", "km1")]
                 message = broker.queues["q"].waiting[0]
                 assert message.properties.delivery_mode == 2 and message.body == b"x" * 60_000
                 assert 0 < int(message.properties.expiration or "0") <= 5000
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -111,8 +111,8 @@
         "outcome": result.outcome.value,
         "wait ms": result.retry_after_ms,
         "no slot": result.no_connection_slot,
-        "over": result.finished,
-        "held back": result.withheld,
+        "over": result.is_finished,
+        "held back": result.is_withheld,
         "load report": list(result.load_report),
     }
 
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -229,7 +229,7 @@
         "seed": config.seed,
         "sockets": config.sockets,
         "disk bytes": config.disk_bytes,
-        "known list": config.known,
+        "known list": config.known_endpoints,
         "zones": list(config.zones),
         "settings": _settings(config.settings),
     }
--- a/tests/core/test_ports.py
+++ b/tests/core/test_ports.py
@@ -78,7 +78,7 @@
             return AttemptResult(Outcome.NOT_SENT)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
-        return AttemptResult(outcome, finished=outcome is Outcome.OK)
+        return AttemptResult(outcome, is_finished=outcome is Outcome.OK)
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
         self.listed = set(listed)
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize(
     ("reply", "expected"),
     [
-        (OK, AttemptResult(Outcome.OK, finished=True)),
+        (OK, AttemptResult(Outcome.OK, is_finished=True)),
         (answer(500), AttemptResult(Outcome.ERROR)),
         (answer(429, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, retry_after_ms=350.0)),
         (answer(429), AttemptResult(Outcome.FULL)),
@@ -31,9 +31,9 @@
         (answer(503, "X-RateLimit-Wait-Ms: 350"), AttemptResult(Outcome.FULL, retry_after_ms=350.0)),
         (answer(503, "X-Over-Slots: 1"), AttemptResult(Outcome.NOT_SENT, no_connection_slot=True)),
         (answer(504), AttemptResult(Outcome.NOT_SENT)),
-        (answer(410), AttemptResult(Outcome.NOT_SENT, finished=True)),
+        (answer(410), AttemptResult(Outcome.NOT_SENT, is_finished=True)),
         (answer(400), AttemptResult(Outcome.ERROR)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, AttemptResult(Outcome.OK, finished=True)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, AttemptResult(Outcome.OK, is_finished=True)),
         (b"rubbish\r\n\r\n", AttemptResult(Outcome.RESET)),
         ("reset", AttemptResult(Outcome.RESET)),
         ("close", AttemptResult(Outcome.RESET)),
@@ -59,26 +59,29 @@
     ("reply", "expected"),
     [
         # The first line is valid, whatever follows it.
-        (HEAD + b"Content-Length: x\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
-        (HEAD + b"Content-Length: -1\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
-        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
-        (HEAD + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"Content-Length: x\r\n\r\n", AttemptResult(Outcome.OK, is_finished=True)),
+        (HEAD + b"Content-Length: -1\r\n\r\n", AttemptResult(Outcome.OK, is_finished=True)),
+        (
+            HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n",
+            AttemptResult(Outcome.OK, is_finished=True),
+        ),
+        (HEAD + b"Content-Length: 9\r\n\r\nx", AttemptResult(Outcome.OK, is_finished=True)),
         (
             HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 300000,
-            AttemptResult(Outcome.OK, finished=True),
+            AttemptResult(Outcome.OK, is_finished=True),
         ),
         (
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000,
-            AttemptResult(Outcome.OK, finished=True),
+            AttemptResult(Outcome.OK, is_finished=True),
         ),
-        (HEAD + b"\x00\xff: \x01\r\n\r\n", AttemptResult(Outcome.OK, finished=True)),
-        (HEAD + b"X-A: " + b"a" * 40000, AttemptResult(Outcome.OK, finished=True)),
-        (HEAD + b"X-A: it goes on, but not now", AttemptResult(Outcome.OK, finished=True)),
+        (HEAD + b"\x00\xff: \x01\r\n\r\n", AttemptResult(Outcome.OK, is_finished=True)),
+        (HEAD + b"X-A: " + b"a" * 40000, AttemptResult(Outcome.OK, is_finished=True)),
+        (HEAD + b"X-A: it goes on, but not now", AttemptResult(Outcome.OK, is_finished=True)),
         (
             b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" * 3 + HEAD + b"\xff\r\n\r\n",
-            AttemptResult(Outcome.OK, finished=True),
+            AttemptResult(Outcome.OK, is_finished=True),
         ),
-        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, AttemptResult(Outcome.OK, finished=True)),
+        (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, AttemptResult(Outcome.OK, is_finished=True)),
         # Without that, the request may have run: malformed bytes never prove a rejection.
         (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", AttemptResult(Outcome.RESET)),
         (b"HTTP/1.1 2000 X\r\n\r\n", AttemptResult(Outcome.RESET)),
@@ -104,7 +107,9 @@
         server, calls = await Server().start(), make_client()
         server.script.append(reply)
         assert await calls.attempt(make_attempt(server.address)) == expected
-        assert await calls.attempt(make_attempt(server.address)) == AttemptResult(Outcome.OK, finished=True)
+        assert await calls.attempt(make_attempt(server.address)) == AttemptResult(
+            Outcome.OK, is_finished=True
+        )
         assert [seen.connection for seen in server.seen] == [1, 2]
         await until(lambda: server.readers[0].at_eof() or server.readers[0].exception() is not None)
 
@@ -166,7 +171,7 @@
         address = await server.start()
         assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
         got = await calls.attempt(make_attempt(address, careful=True, may=may))
-        assert got == AttemptResult(Outcome.OK, finished=True)
+        assert got == AttemptResult(Outcome.OK, is_finished=True)
         assert server.complete_requests == server.opened_count == 2 and len(asked) == 3
 
     run(work())
@@ -194,7 +199,7 @@
         server, calls, may = await Server().start(), make_client(), iter([True, False])
         assert await calls.attempt(
             make_attempt(server.address, careful=True, may=lambda: next(may))
-        ) == AttemptResult(Outcome.NOT_SENT, withheld=True)
+        ) == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         await until(server.left)
         assert server.opened == 1 and not server.seen and not calls.pool.idle_by_endpoint
 
@@ -311,7 +316,7 @@
     async def work() -> None:
         server, calls = await Server().start(), make_client()
         got = await calls.attempt(make_attempt(server.address, may=lambda: False))
-        assert got == AttemptResult(Outcome.NOT_SENT, withheld=True)
+        assert got == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
 
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -96,7 +96,7 @@
         server = await Server(OK).start(address[1])
         results = await asyncio.gather(*work)
         assert loop.time() - begun > SLOW_CONNECT_MS / 1000
-        assert [result for result in results if not result.withheld] == [] and server.seen == []
+        assert [result for result in results if not result.is_withheld] == [] and server.seen == []
         assert all(
             len(each.pool.idle_by_age) == 1 for each in calls
         )  # the next attempt there needs no new connection
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -74,10 +74,10 @@
         await self.connects.wait()
         if not attempt.may_write():
             self.held_back += 1
-            return AttemptResult(Outcome.NOT_SENT, withheld=True)
+            return AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
-        return AttemptResult(outcome, finished=outcome is Outcome.OK)
+        return AttemptResult(outcome, is_finished=outcome is Outcome.OK)
 
 
 def made(folder: Path, front: FakeIntake, carrier: FakeTransport) -> Relay:
