--- a/benchmarks/capacity/commands.py
+++ b/benchmarks/capacity/commands.py
@@ -18,7 +18,7 @@
 from functools import partial
 from pathlib import Path
 
-from message_relay.cli.status import as_json, asked
+from message_relay.cli.status import as_json, fetch_reports
 from message_relay.fleet.operator import SupervisorSection
 from message_relay.fleet.plan import Plan, SupervisorAction
 from message_relay.fleet.report import Destination, Lag, Report, resident_memory_mb
@@ -71,7 +71,7 @@
                 stack.callback(one.close)
             gc.collect()
             cpu, before = time.process_time(), resident_memory_mb()
-            found, fleet, silent = await asked(folder)
+            found, fleet, silent = await fetch_reports(folder)
             text = as_json(found, fleet, silent)
             cpu = time.process_time() - cpu
             assert len(found) == size and not silent
--- a/message_relay/cli/demo.py
+++ b/message_relay/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: a relay and all round it on loopback, for a newcomer to watch. Ends by itself."""
+"""`demo`: a relay, two endpoints and a client on loopback, for a newcomer to watch. Ends by itself."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from ..fleet.report import Report
 from ..fleet.status import StatusError, fetch_report
 
-RATE = 20.0  # messages a second that the client hands in
-LEAST_S = 12.0
-LAST_S = 5.0  # before the end nothing more is handed in: what is held has time to end
+MESSAGES_PER_S = 20.0  # submitted by the client
+MIN_DURATION_S = 12.0
+QUIET_END_S = 5.0  # nothing is submitted so long before the end: pending messages have time to finish
 DOWN_FROM, DOWN_FOR = 0.25, 0.2  # parts of the whole time
-START_S = 20.0  # a part that has not said it is ready by then is a fault
+START_TIMEOUT_S = 20.0  # a process that is not ready by then is a fault
 CLASSES = (  # name, effect, deadline: as an office for translations might have them
     ("order", "by_key", 9000),
     ("payout", "once", 9000),
@@ -35,7 +35,7 @@
 
 
 def settings() -> dict[str, Any]:
-    """In the platform's form."""
+    """Settings of the demo in the platform's form."""
     return {
         "az": 0,
         "balancers": 1,
@@ -70,15 +70,17 @@
 
 @dataclass
 class Demo:
+    """The processes of the demo, and what its client saw."""
+
     folder: Path
     seconds: float
     port: int = 0
     processes: list[asyncio.subprocess.Process] = field(default_factory=list)
-    taken: set[str] = field(default_factory=set)
-    refused: int = 0
+    accepted: set[str] = field(default_factory=set)
+    rejected: int = 0
 
     async def start(self, *args: str, **env: str) -> str:
-        """A program as a process of its own; its first line, where it has one to tell."""
+        """Starts a module as a process of its own; the address that it prints, if it prints one."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -91,12 +93,13 @@
         if args[0] == "message_relay":
             return ""
         assert process.stdout is not None
-        line = (await asyncio.wait_for(process.stdout.readline(), START_S)).decode()
+        line = (await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)).decode()
         if not line.startswith("ready "):
             raise click.ClickException(f"{args[0]} does not start: is this run from the repository's folder?")
         return line.split()[1]
 
     async def set_up(self) -> None:
+        """Starts endpoints, discovery and the relay."""
         self.folder.joinpath("state").mkdir()
         down = f"{self.seconds * DOWN_FROM:.1f}:{self.seconds * DOWN_FOR:.1f}"
         ledgers = [("--ledger", str(self.folder / f"partner-{n}")) for n in (1, 2)]
@@ -159,13 +162,14 @@
             str(self.folder / "relay.toml"),
             RELAY_CONFIG=str(self.folder / "config.json"),
         )
-        ends = time.monotonic() + START_S
+        ends = time.monotonic() + START_TIMEOUT_S
         while await self.report() is None:
             if time.monotonic() > ends or self.processes[-1].returncode is not None:
                 raise click.ClickException("the relay does not start: DEMO_LOG=1 shows why")
             await asyncio.sleep(0.05)
 
     async def report(self) -> Report | None:
+        """The relay's status report, if it answers."""
         try:
             told = await fetch_report(self.folder / "0.sock")
         except StatusError:
@@ -178,7 +182,7 @@
         begun = time.monotonic()
         with contextlib.closing(writer):
             for n in itertools.count():
-                await asyncio.sleep(max(0.0, begun + n / RATE - time.monotonic()))
+                await asyncio.sleep(max(0.0, begun + n / MESSAGES_PER_S - time.monotonic()))
                 class_, _, deadline = CLASSES[n % len(CLASSES)]
                 ident, body = f"demo-{n}", b"a document to translate"
                 writer.write(
@@ -192,9 +196,9 @@
                 length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
                 await reader.readexactly(int(length or 0))
                 if head.split(b" ", 2)[1] == b"202":
-                    self.taken.add(ident)
+                    self.accepted.add(ident)
                 else:
-                    self.refused += 1
+                    self.rejected += 1
 
     def effects(self) -> list[Counter[str]]:
         """What took effect at each partner, by message."""
@@ -206,6 +210,7 @@
         return Counter(ident for ident, _ in told)
 
     async def progress(self, second: int) -> str:
+        """One line about the state of the demo."""
         told = await self.report()
         counts = [sum(partner.values()) for partner in self.effects()]
         state = "no report"
@@ -218,7 +223,7 @@
             ]
             state = f"held {told.held:3}  " + (", ".join(down + cold) or "all well")
         return (
-            f"{second:3} s  taken {len(self.taken):4}  delivered {counts[0]:4} + {counts[1]:4}  "
+            f"{second:3} s  taken {len(self.accepted):4}  delivered {counts[0]:4} + {counts[1]:4}  "
             f"given back {sum(self.ends().values()):3}  {state}"
         )
 
@@ -232,20 +237,23 @@
             await asyncio.sleep(0.2)
 
     async def close(self) -> None:
+        """Stops all processes."""
         for process in reversed(self.processes):  # the relay first: others hear its last words
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
             try:
-                await asyncio.wait_for(process.wait(), START_S)
+                await asyncio.wait_for(process.wait(), START_TIMEOUT_S)
             except TimeoutError:
                 process.kill()
 
 
 def lines(path: Path) -> list[str]:
+    """Lines of a ledger; none before it is written."""
     return path.read_text().splitlines() if path.exists() else []
 
 
 def free_port() -> int:
+    """A port that is free at this moment."""
     import socket
 
     with socket.socket() as sock:
@@ -255,6 +263,7 @@
 
 @contextlib.asynccontextmanager
 async def prepared(seconds: float) -> AsyncIterator[Demo]:
+    """A running demo; everything is stopped at the end."""
     with tempfile.TemporaryDirectory(prefix="message_relay-demo-") as folder:
         it = Demo(Path(folder), seconds)
         try:
@@ -265,12 +274,13 @@
 
 
 async def show(seconds: float) -> bool:
+    """Plays the demo; whether each accepted message finished exactly once."""
     """True if each message that was taken had exactly one end, and none took effect twice."""
     async with prepared(seconds) as it:
         click.echo("A relay, two partners, one client. Partner 2 goes down for a while and comes back cold.")
         client = asyncio.ensure_future(it.hand_in())
         begun = time.monotonic()
-        for second in range(1, int(seconds - LAST_S) + 1):
+        for second in range(1, int(seconds - QUIET_END_S) + 1):
             await asyncio.sleep(max(0.0, begun + second - time.monotonic()))
             click.echo(await it.progress(second))
             if client.done():
@@ -281,17 +291,17 @@
         click.echo(await it.progress(int(time.monotonic() - begun)))
         effects, ends = it.effects(), it.ends()
         delivered = effects[0] + effects[1]
-        without = [ident for ident in it.taken if ident not in delivered and ident not in ends]
+        without = [ident for ident in it.accepted if ident not in delivered and ident not in ends]
         twice = [ident for ident, count in delivered.items() if count > 1]
         click.echo(
-            f"{len(it.taken)} taken, {len(delivered)} took effect, {len(ends)} given back, "
-            f"{it.refused} refused; without an end {len(without)}, twice {len(twice)}"
+            f"{len(it.accepted)} taken, {len(delivered)} took effect, {len(ends)} given back, "
+            f"{it.rejected} refused; without an end {len(without)}, twice {len(twice)}"
         )
         return not without and not twice
 
 
 @click.command()
-@click.option("--seconds", type=click.FloatRange(LEAST_S, 3600), default=30.0, show_default=True)
+@click.option("--seconds", type=click.FloatRange(MIN_DURATION_S, 3600), default=30.0, show_default=True)
 def demo(seconds: float) -> None:
     """Show a relay at work on loopback: deliveries, a partner that goes down, its return. Ends by itself."""
     sys.exit(0 if asyncio.run(show(seconds)) else 1)
--- a/message_relay/cli/fleet.py
+++ b/message_relay/cli/fleet.py
@@ -18,14 +18,14 @@
 
 
 async def supervise(file: Path) -> None:
-    """Raises OperatorError, or OSError where a port or a folder cannot be had."""
-    told = read(file)
-    if told.log != LogSection():
-        configure_structured_logging(told.log.format, told.log.level, told.log.lines)
-    folder = socket_folder(told.status.folder)
+    """Runs the supervisor. Raises OperatorError, or OSError where a port or folder is not available."""
+    operator = read(file)
+    if operator.log != LogSection():
+        configure_structured_logging(operator.log.format, operator.log.level, operator.log.lines)
+    folder = socket_folder(operator.status.folder)
     if folder is not None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    await Supervisor(file, told, folder).run()
+    await Supervisor(file, operator, folder).run()
 
 
 @click.command()
--- a/message_relay/cli/main.py
+++ b/message_relay/cli/main.py
@@ -27,5 +27,6 @@
 
 
 def main() -> int:
-    group(prog_name="message_relay")  # ends the process
+    """Runs the command line; ends the process."""
+    group(prog_name="message_relay")
     return 0
--- a/message_relay/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -23,65 +23,65 @@
 from ..fleet.status import StatusError, socket_folder
 from ..gossip.settings import INSTANCES_MAX
 
-Asked = Callable[..., dict[str, Any]]
 
-
-class Instances:
-    """Those whose sockets lie in the status folder of the operator's file."""
+class InstanceSockets:
+    """The admin sockets in the status folder of the operator's file."""
 
     def __init__(self, config: Path, number: int | None, as_json: bool) -> None:
-        self.json = as_json
+        self.as_json = as_json
         try:
-            self.told = read(config)
+            self.operator_config = read(config)
         except OperatorError as error:
             raise click.UsageError(str(error)) from error
-        folder = socket_folder(self.told.status.folder)
+        folder = socket_folder(self.operator_config.status.folder)
         if folder is None:
             raise click.UsageError(f"{config}: status.folder is needed: instances are asked there")
         self.paths = sorted(folder.glob("*.rules")) if number is None else [folder / f"{number}.rules"]
 
-    def ask(self, **told: Any) -> dict[str, Any]:
-        """Of the first that answers. Ends with 1 where none does."""
+    def request(self, **request: Any) -> dict[str, Any]:
+        """Sends a request to the first instance that answers. Exits with 1 if none does."""
         why = "no instance has a socket there"
         for path in self.paths:
             try:
-                return asyncio.run(send_request(path, told))
+                return asyncio.run(send_request(path, request))
             except StatusError as error:
                 why = str(error)
         raise click.ClickException(why)
 
-    def all(self, **told: Any) -> list[dict[str, Any]]:
+    def request_all(self, **request: Any) -> list[dict[str, Any]]:
+        """Sends a request to each instance; a row with `silent` for one that does not answer."""
         found = []
         for path in self.paths:
             try:
-                found.append(asyncio.run(send_request(path, told)))
+                found.append(asyncio.run(send_request(path, request)))
             except StatusError as error:
                 found.append({"name": path.stem, "silent": str(error)})
         return found
 
-    def say(self, what: Any, table: Callable[[], Table | str]) -> None:
-        if self.json:
+    def show(self, what: Any, table: Callable[[], Table | str]) -> None:
+        """Prints an answer as JSON or as a table."""
+        if self.as_json:
             click.echo(msgspec.json.format(msgspec.json.encode(what)).decode())
         else:
             Console().print(table())
 
-    def over(self, answer: dict[str, Any], done: str) -> None:
-        """Of a command: 1 where it was refused."""
-        self.say(answer, lambda: answer.get("refused") or done.format(**answer))
+    def finish(self, answer: dict[str, Any], done: str) -> None:
+        """Prints the result of a command. Exits with 1 if it was refused."""
+        self.show(answer, lambda: answer.get("refused") or done.format(**answer))
         if answer.get("refused"):
             sys.exit(1)
 
 
-pass_instances = click.make_pass_decorator(Instances)
+pass_instances = click.make_pass_decorator(InstanceSockets)
 author = click.option("--author", default=getpass.getuser, help="Who says so; you, unless named.")
 cause = click.option("--cause", required=True, help="Why, in a sentence: it stays with the version.")
 
 
-def asking(command: Callable[..., None]) -> Callable[..., None]:
-    """The options of a group of questions to instances."""
+def instance_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options that name the instances to ask."""
     for option in (
         click.pass_context,
-        click.option("--json", "as_json", is_flag=True, help="All that is told, as JSON."),
+        click.option("--json", "as_json", is_flag=True, help="All that is answer, as JSON."),
         click.option(
             "--instance",
             type=click.IntRange(0, INSTANCES_MAX - 1),
@@ -96,10 +96,10 @@
 
 
 @click.group()
-@asking
+@instance_options
 def rules(context: click.Context, config: Path, instance: int | None, as_json: bool) -> None:
     """Agree on versions of rules: propose, look, promote, take back."""
-    context.obj = Instances(config, instance, as_json)
+    context.obj = InstanceSockets(config, instance, as_json)
 
 
 @rules.command()
@@ -121,7 +121,7 @@
 @author
 @pass_instances
 def propose(
-    it: Instances,
+    instances: InstanceSockets,
     file: Path,
     share: float,
     guard: float | None,
@@ -138,7 +138,7 @@
         validate_rules(decode_rules(raw))
     except RulesError as error:
         raise click.ClickException(str(error)) from error
-    told: dict[str, Any] = {
+    request: dict[str, Any] = {
         "rules": msgspec.Raw(raw),
         "share": share,
         "cause": cause,
@@ -146,17 +146,19 @@
         "base": base,
     }
     if guard is not None:
-        told["guard"] = {"least_ratio": guard, "watch_s": watch, "least_count": least, "promote": promoted}
-    it.over(it.ask(ask="propose", **told), "version {number} is agreed on")
+        request["guard"] = {"least_ratio": guard, "watch_s": watch, "least_count": least, "promote": promoted}
+    instances.finish(instances.request(ask="propose", **request), "version {number} is agreed on")
 
 
 @rules.command()
 @click.argument("number", type=int)
 @author
 @pass_instances
-def promote(it: Instances, number: int, author: str) -> None:
+def promote(instances: InstanceSockets, number: int, author: str) -> None:
     """Have a version that is on trial hold for all."""
-    it.over(it.ask(ask="promote", number=number, author=author), "version {number} is current")
+    instances.finish(
+        instances.request(ask="promote", number=number, author=author), "version {number} is current"
+    )
 
 
 @rules.command()
@@ -164,10 +166,11 @@
 @cause
 @author
 @pass_instances
-def withdraw(it: Instances, number: int, cause: str, author: str) -> None:
+def withdraw(instances: InstanceSockets, number: int, cause: str, author: str) -> None:
     """Take back a version that is on trial."""
-    it.over(
-        it.ask(ask="withdraw", number=number, cause=cause, author=author), "version {number} is withdrawn"
+    instances.finish(
+        instances.request(ask="withdraw", number=number, cause=cause, author=author),
+        "version {number} is withdrawn",
     )
 
 
@@ -176,9 +179,12 @@
 @click.option("--cause", default="", help="Why.")
 @author
 @pass_instances
-def revert(it: Instances, number: int, cause: str, author: str) -> None:
+def revert(instances: InstanceSockets, number: int, cause: str, author: str) -> None:
     """Bring back the rules of version NUMBER as a new version."""
-    it.over(it.ask(ask="revert", number=number, cause=cause, author=author), "version {number} is agreed on")
+    instances.finish(
+        instances.request(ask="revert", number=number, cause=cause, author=author),
+        "version {number} is agreed on",
+    )
 
 
 @rules.command()
@@ -186,12 +192,12 @@
 @click.option("--remove", type=click.IntRange(0, INSTANCES_MAX - 1), help="One that is not to vote any more.")
 @author
 @pass_instances
-def voters(it: Instances, add: int | None, remove: int | None, author: str) -> None:
+def voters(instances: InstanceSockets, add: int | None, remove: int | None, author: str) -> None:
     """Change who votes, one instance at a time; ask one that votes."""
     if (add is None) == (remove is None):
         raise click.UsageError("--add or --remove is needed, not both: a step at a time")
-    it.over(
-        it.ask(ask="voters", add=add, remove=remove, author=author),
+    instances.finish(
+        instances.request(ask="voters", add=add, remove=remove, author=author),
         "version {number}: the voters are others",
     )
 
@@ -200,21 +206,21 @@
 @click.argument("name")
 @author
 @pass_instances
-def forget(it: Instances, name: str, author: str) -> None:
+def forget(instances: InstanceSockets, name: str, author: str) -> None:
     """Say that instance NAME's process has ended for good: nothing waits for it any more.
 
     A process that has not ended and is only cut off would break the rules that are agreed on meanwhile."""
-    it.over(it.ask(ask="forget", name=name, author=author), f"{name} is forgotten")
+    instances.finish(instances.request(ask="forget", name=name, author=author), f"{name} is forgotten")
 
 
 @rules.command()
 @pass_instances
-def status(it: Instances) -> None:
+def status(instances: InstanceSockets) -> None:
     """By which version each instance acts, and what it waits for; 1 if one does not answer."""
-    told = it.all(ask="status")
+    answer = instances.request_all(ask="status")
 
     def table() -> Table:
-        made = Table(
+        rows = Table(
             "instance",
             "acts by",
             "newest",
@@ -224,12 +230,12 @@
             "leader",
             "waits for, or why not",
         )
-        for each in told:
+        for each in answer:
             if "silent" in each:
-                made.add_row(each["name"], "-", "-", "-", "-", "-", "-", each["silent"])
+                rows.add_row(each["name"], "-", "-", "-", "-", "-", "-", each["silent"])
                 continue
             left = each["lease left s"]
-            made.add_row(
+            rows.add_row(
                 each["name"],
                 each["acts by"],
                 str(each["newest"]),
@@ -239,23 +245,23 @@
                 each["leader"],
                 ", ".join(each["waits for"]) or each["why not"],
             )
-        return made
+        return rows
 
-    it.say(told, table)
-    if not told or any("silent" in each for each in told):
+    instances.show(answer, table)
+    if not answer or any("silent" in each for each in answer):
         sys.exit(1)
 
 
 @rules.command()
 @pass_instances
-def history(it: Instances) -> None:
+def history(instances: InstanceSockets) -> None:
     """The versions, newest last."""
-    told = it.ask(ask="history")
+    answer = instances.request(ask="history")
 
     def table() -> Table:
-        made = Table("version", "stage", "share", "digest", "author", "cause")
-        for each in told["versions"]:
-            made.add_row(
+        rows = Table("version", "stage", "share", "digest", "author", "cause")
+        for each in answer["versions"]:
+            rows.add_row(
                 str(each["number"]),
                 each["stage"],
                 f"{each['share']:g}",
@@ -263,44 +269,46 @@
                 each["author"],
                 each["cause"],
             )
-        return made
+        return rows
 
-    it.say(told, table)
+    instances.show(answer, table)
 
 
 @rules.command()
 @click.argument("first", type=int)
 @click.argument("second", type=int)
 @pass_instances
-def diff(it: Instances, first: int, second: int) -> None:
+def diff(instances: InstanceSockets, first: int, second: int) -> None:
     """What changes from version FIRST to SECOND."""
     sets = []
     for number in (first, second):
-        told = it.ask(ask="version", number=number)
-        if told.get("refused"):
-            raise click.ClickException(told["refused"])
-        sets.append(decode_rules(msgspec.json.encode(told["rules"])))
+        answer = instances.request(ask="version", number=number)
+        if answer.get("refused"):
+            raise click.ClickException(answer["refused"])
+        sets.append(decode_rules(msgspec.json.encode(answer["rules"])))
     found = diff_rules(*sets)
-    it.say(found, lambda: "\n".join(found) or "they allow the same")
+    instances.show(found, lambda: "\n".join(found) or "they allow the same")
 
 
 @rules.command()
 @click.argument("message")
 @pass_instances
-def explain(it: Instances, message: str) -> None:
+def explain(instances: InstanceSockets, message: str) -> None:
     """Under which version a message was sent or held back, and why: of the latest calls of each instance."""
     found = [
         {"instance": path.stem, **call}
-        for path, told in zip(it.paths, it.all(ask="explain", message=message), strict=True)
-        for call in told.get("calls", ())
+        for path, answer in zip(
+            instances.paths, instances.request_all(ask="explain", message=message), strict=True
+        )
+        for call in answer.get("calls", ())
     ]
 
     def table() -> Table:
-        made = Table("instance", "at ms", "version", "verdict")
+        rows = Table("instance", "at ms", "version", "verdict")
         for each in found:
-            made.add_row(each["instance"], f"{each['at_ms']:.0f}", each["version"], each["why"] or "allowed")
-        return made
+            rows.add_row(each["instance"], f"{each['at_ms']:.0f}", each["version"], each["why"] or "allowed")
+        return rows
 
-    it.say(found, table)
+    instances.show(found, table)
     if not found:
         sys.exit(1)
--- a/message_relay/cli/status.py
+++ b/message_relay/cli/status.py
@@ -1,4 +1,4 @@
-"""`status`: what instances and their supervisor tell of themselves, as tables, JSON or Prometheus' text."""
+"""`status`: reports of instances and their supervisor, as tables, JSON or Prometheus' text format."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from ..fleet.report import FleetReport, Report
 from ..fleet.status import StatusError, fetch_report, socket_folder
 
-SHOWN = 20  # destinations in the table; --json has all that are told
-TOGETHER = 16  # sockets asked at once
+MAX_TABLE_ROWS = 20  # destinations; --json has all that are reported
+CONCURRENT_REQUESTS = 16  # sockets read at once
 
 
-async def asked(folder: Path) -> tuple[list[Report], FleetReport | None, list[str]]:
-    """What answers in a folder, and what does not."""
-    gate = asyncio.Semaphore(TOGETHER)
+async def fetch_reports(folder: Path) -> tuple[list[Report], FleetReport | None, list[str]]:
+    """Reports of all sockets in a folder, the supervisor's report, and errors of those that do not answer."""
+    gate = asyncio.Semaphore(CONCURRENT_REQUESTS)
 
     async def one(path: Path) -> Report | FleetReport | str:
         async with gate:
@@ -34,12 +34,15 @@
                 return str(error)
 
     found = await asyncio.gather(*(one(path) for path in sorted(folder.glob("*.sock"))))
-    instances = sorted((it for it in found if isinstance(it, Report)), key=lambda it: it.instance)
-    fleet = next((it for it in found if isinstance(it, FleetReport)), None)
-    return instances, fleet, [it for it in found if isinstance(it, str)]
+    instances = sorted(
+        (report for report in found if isinstance(report, Report)), key=lambda report: report.instance
+    )
+    fleet = next((report for report in found if isinstance(report, FleetReport)), None)
+    return instances, fleet, [report for report in found if isinstance(report, str)]
 
 
 def instances_table(reports: Sequence[Report]) -> Table:
+    """One row for each instance."""
     table = Table(
         "instance",
         "state",
@@ -52,22 +55,23 @@
         "lag ms",
         title=f"{len(reports)} instances",
     )
-    for it in reports:
+    for report in reports:
         table.add_row(
-            f"{it.instance} ({it.name})",
-            it.state,
-            f"{it.held}/{it.hold}",
-            f"{it.slots_out}/{it.slots}",
-            str(it.ends_waiting),
-            f"{it.journal_bytes / 1000:.0f}/{it.journal_limit / 1000:.0f}",
-            f"{it.rss_mb:.1f}",
-            f"{it.cpu_s:.1f}",
-            f"{it.lag.median_ms:.1f} to {it.lag.most_ms:.1f}",
+            f"{report.instance} ({report.name})",
+            report.state,
+            f"{report.held}/{report.hold}",
+            f"{report.slots_out}/{report.slots}",
+            str(report.ends_waiting),
+            f"{report.journal_bytes / 1000:.0f}/{report.journal_limit / 1000:.0f}",
+            f"{report.rss_mb:.1f}",
+            f"{report.cpu_s:.1f}",
+            f"{report.lag.median_ms:.1f} to {report.lag.most_ms:.1f}",
         )
     return table
 
 
 def destinations_table(reports: Sequence[Report]) -> Table:
+    """One row for each destination of each instance, most pending messages first."""
     table = Table(
         "destination",
         "instance",
@@ -81,16 +85,16 @@
         title="destinations, most held first",
     )
     rows = sorted(
-        ((one, it) for it in reports for one in it.destinations),
+        ((one, report) for report in reports for one in report.destinations),
         key=lambda row: (-row[0].held, -row[0].out, row[0].destination, row[1].instance),
     )
-    for one, it in rows[:SHOWN]:
+    for one, report in rows[:MAX_TABLE_ROWS]:
         state = ["down"] * one.down + [f"told to wait {one.wait_ms:.0f} ms"] * (one.wait_ms > 0)
         state += ["cold"] * (one.cold_ms is not None)
         name = str(one.destination) if one.route is None else f"{one.destination}, route {one.route}"
         table.add_row(
             name,
-            str(it.instance),
+            str(report.instance),
             str(one.endpoints),
             str(one.held),
             str(one.out),
@@ -99,29 +103,31 @@
             f"{one.blame:.2f}",
             ", ".join(state) or "well",
         )
-    more = len(rows) - SHOWN + sum(it.more for it in reports)
+    more = len(rows) - MAX_TABLE_ROWS + sum(report.more for report in reports)
     if more > 0:
         table.caption = f"and {more} more: --json tells them"
     return table
 
 
 def shards_table(reports: Sequence[Report]) -> Table:
-    """Of a directory by interest: what each instance knows, and how old that is."""
+    """State of the sharded directory's client and server at each instance."""
     table = Table("instance", "role", "state", title="directory by interest")
-    for it in reports:
-        for role, told in (it.shards or {}).items():
-            said = ", ".join(f"{name} {shown_value(value)}" for name, value in told.items())
-            table.add_row(str(it.instance), role, said)
+    for report in reports:
+        for role, state in (report.shards or {}).items():
+            text = ", ".join(f"{name} {formatted_value(value)}" for name, value in state.items())
+            table.add_row(str(report.instance), role, text)
     return table
 
 
-def shown_value(value: object) -> str:
+def formatted_value(value: object) -> str:
+    """A status value as text: one decimal, versions with dots."""
     if isinstance(value, float):
         return f"{value:.1f}"
     return ".".join(map(str, value)) if isinstance(value, list | tuple) else str(value)
 
 
 def fleet_table(fleet: FleetReport) -> Table:
+    """One row for each instance that is not simply up."""
     table = Table(
         "instance",
         "state",
@@ -145,7 +151,7 @@
 
 
 def prometheus(reports: Sequence[Report], fleet: FleetReport | None) -> str:
-    """Prometheus' text format, as of now."""
+    """The reports in Prometheus' text format. Metric names are kept: dashboards use them."""
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     registry = CollectorRegistry()
@@ -166,13 +172,13 @@
     }
     lag = gauge("loop_lag_ms", "Longest delay of the loop over the last 10 s", "instance")
     down = gauge("destinations_down", "Destinations taken as out", "instance")
-    for it in reports:
-        for name, count in it.by_class.items():
-            held.labels(it.instance, name).set(count)
+    for report in reports:
+        for name, count in report.by_class.items():
+            held.labels(report.instance, name).set(count)
         for name, one in simple.items():
-            one.labels(it.instance).set(getattr(it, name))
-        lag.labels(it.instance).set(it.lag.most_ms)
-        down.labels(it.instance).set(sum(dest.down for dest in it.destinations))
+            one.labels(report.instance).set(getattr(report, name))
+        lag.labels(report.instance).set(report.lag.most_ms)
+        down.labels(report.instance).set(sum(destination.down for destination in report.destinations))
     if fleet is not None:
         gauge("instances_up", "Instances that are up").set(fleet.up)
         gauge("crash_loops", "Instances that crash again and again").set(
@@ -182,14 +188,16 @@
 
 
 def as_json(reports: Sequence[Report], fleet: FleetReport | None, silent: Sequence[str]) -> str:
-    whole = msgspec.json.encode({"fleet": fleet, "instances": reports, "silent": silent})
-    return msgspec.json.format(whole).decode()
+    """The reports as indented JSON."""
+    document = msgspec.json.encode({"fleet": fleet, "instances": reports, "silent": silent})
+    return msgspec.json.format(document).decode()
 
 
-def shown(reports: Sequence[Report], fleet: FleetReport | None, silent: Sequence[str]) -> Group:
+def rendered(reports: Sequence[Report], fleet: FleetReport | None, silent: Sequence[str]) -> Group:
+    """The reports as tables."""
     parts: list[Table | str] = [] if fleet is None else [fleet_table(fleet)]
     parts += [instances_table(reports), destinations_table(reports)] if reports else []
-    parts += [shards_table(reports)] if any(it.shards for it in reports) else []
+    parts += [shards_table(reports)] if any(report.shards for report in reports) else []
     return Group(*parts, *(f"silent: {text}" for text in silent))
 
 
@@ -215,15 +223,15 @@
     if watch:
         with Live(console=console, auto_refresh=False) as live:
             while True:
-                live.update(shown(*asyncio.run(asked(where))), refresh=True)
+                live.update(rendered(*asyncio.run(fetch_reports(where))), refresh=True)
                 time.sleep(1.0)
-    reports, fleet, silent = asyncio.run(asked(where))
+    reports, fleet, silent = asyncio.run(fetch_reports(where))
     if json_:
         click.echo(as_json(reports, fleet, silent))
     elif prometheus_:
         click.echo(prometheus(reports, fleet), nl=False)
     else:
-        console.print(shown(reports, fleet, silent))
+        console.print(rendered(reports, fleet, silent))
     if silent or not (reports or fleet):
         if not silent:
             click.echo(f"{where}: nobody answers there", err=True)
--- a/message_relay/cli/zone.py
+++ b/message_relay/cli/zone.py
@@ -8,14 +8,14 @@
 import click
 from rich.table import Table
 
-from .rules import Instances, asking, author, cause, pass_instances
+from .rules import InstanceSockets, author, cause, instance_options, pass_instances
 
 
 @click.group()
-@asking
+@instance_options
 def zone(context: click.Context, config: Path, instance: int | None, as_json: bool) -> None:
     """Where traffic goes, and why; have a zone left, and used again."""
-    context.obj = Instances(config, instance, as_json)
+    context.obj = InstanceSockets(config, instance, as_json)
 
 
 @zone.command()
@@ -23,11 +23,12 @@
 @cause
 @author
 @pass_instances
-def evacuate(it: Instances, name: str, cause: str, author: str) -> None:
+def evacuate(instances: InstanceSockets, name: str, cause: str, author: str) -> None:
     """Have all traffic leave zone NAME, as far as there is room elsewhere. `plan --without NAME` shows it
     first."""
-    it.over(
-        it.ask(ask="evacuate", name=name, cause=cause, author=author), f"version {{number}}: {name} is left"
+    instances.finish(
+        instances.request(ask="evacuate", name=name, cause=cause, author=author),
+        f"version {{number}}: {name} is left",
     )
 
 
@@ -36,18 +37,19 @@
 @cause
 @author
 @pass_instances
-def return_(it: Instances, name: str, cause: str, author: str) -> None:
+def return_(instances: InstanceSockets, name: str, cause: str, author: str) -> None:
     """Use zone NAME again."""
-    it.over(
-        it.ask(ask="return", name=name, cause=cause, author=author), f"version {{number}}: {name} is used"
+    instances.finish(
+        instances.request(ask="return", name=name, cause=cause, author=author),
+        f"version {{number}}: {name} is used",
     )
 
 
 @zone.command()
 @pass_instances
-def status(it: Instances) -> None:
+def status(instances: InstanceSockets) -> None:
     """What each instance thinks of each pair of zones, and who decides."""
-    rows = it.all(ask="zones")
+    rows = instances.request_all(ask="zones")
 
     def table() -> Table:
         found = Table(
@@ -64,26 +66,26 @@
                 found.add_row(row["name"], decides, *(str(pair.get(key, "")) for key in keys))
         return found
 
-    it.say(rows, table)
+    instances.show(rows, table)
 
 
 @zone.command()
 @click.option("--without", default="", help="As if this zone were left.")
 @click.option("--explain", is_flag=True, help="Each flow, in calls a second.")
 @pass_instances
-def plan(it: Instances, without: str, explain: bool) -> None:
+def plan(instances: InstanceSockets, without: str, explain: bool) -> None:
     """What would be planned just now, by the evidence that a voter has; nothing is changed."""
-    told = it.ask(ask="plan", name=without)
+    answer = instances.request(ask="plan", name=without)
 
     def table() -> Table | str:
-        if not told["plans"]:
+        if not answer["plans"]:
             return "all stays at home: there is nothing to plan"
         found = Table("destination", "demand", "moved", "shed", "how", *(["flows"] if explain else []))
-        for row in told["plans"]:
+        for row in answer["plans"]:
             cells: list[Any] = [row[key] for key in ("destination", "demand", "moved", "shed", "how")]
             if explain:
-                cells.append("\n".join(f"{way}: {rate}" for way, rate in row["flows"].items()))
+                cells.append("\n".join(f"{flow}: {rate}" for flow, rate in row["flows"].items()))
             found.add_row(*map(str, cells))
         return found
 
-    it.say(told, table)
+    instances.show(answer, table)
--- a/message_relay/failover/observations.py
+++ b/message_relay/failover/observations.py
@@ -64,7 +64,7 @@
             raise ValueError(f"sample of {self.destination}: counts do not add up: {self}")
         if any(not 0 <= at < LATENCY_BUCKETS or n < 0 for at, n in self.latency_sketch):
             raise ValueError(f"sample of {self.destination}: sketch: buckets 0 to {LATENCY_BUCKETS - 1}")
-        if self.avoided_after < 0 or self.avoided_after and self.calls:
+        if self.avoided_after < 0 or (self.avoided_after and self.calls):
             raise ValueError(f"sample of {self.destination}: shunned: what was called was not shunned")
 
 
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -20,7 +20,7 @@
 
 from message_relay import process
 from message_relay.cli.main import group
-from message_relay.cli.status import as_json, prometheus, shown
+from message_relay.cli.status import as_json, prometheus, rendered
 from message_relay.composition import compose
 from message_relay.config import load
 from message_relay.consensus.admin_socket import AdminSocket
@@ -72,7 +72,7 @@
 def status_tables(reports: Sequence[Values], fleet: Values | None, silent: list[str]) -> list[str]:
     """As they are printed on a wide terminal."""
     out = io.StringIO()
-    Console(file=out, width=220, color_system=None).print(shown(_reports(reports), _fleet(fleet), silent))
+    Console(file=out, width=220, color_system=None).print(rendered(_reports(reports), _fleet(fleet), silent))
     return [line.rstrip() for line in out.getvalue().splitlines()]
 
 
