--- a/tests/core/test_owed_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -29,7 +29,7 @@
 from ..http.harness import RelayWithEndpoint
 from ..loopback import Agent, Client, Server, answer, message, relay, run, until
 
-OWED_S = 0.3  # an end comes no later after its message's time
+NOTIFIED_WITHIN_S = 0.3  # an outcome arrives no later than this after its message's deadline
 
 
 class Silent:
@@ -57,7 +57,7 @@
         await until(lambda: told == ["m"])
         task.cancel()
         assert (
-            sum(agent.waited) + MAX_JITTER * outcome_notifier.MIN_BACKOFF_S < OWED_S / 1.5
+            sum(agent.waited) + MAX_JITTER * outcome_notifier.MIN_BACKOFF_S < NOTIFIED_WITHIN_S / 1.5
         )  # a half is left for all else
 
     run(work())
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("what", ("a notice that is not taken", "a call that is out"))
-def test_what_is_owed_at_the_end_of_a_stop_is_done_by_the_next_process(
+def test_what_is_pending_at_the_end_of_a_stop_is_done_by_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
 ) -> None:
     """The process goes when its drain is over, whatever is still undone: SIGKILL comes 0.3 s later."""
--- a/tests/core/test_ports.py
+++ b/tests/core/test_ports.py
@@ -32,7 +32,7 @@
 from ..loopback import Agent, raw_config, run, until
 from ..store.disk import Disk
 
-HERE = EndpointRecord("a", 7, Listing.READY, ("queue", 1), rate=50.0)
+LISTED_ENDPOINT = EndpointRecord("a", 7, Listing.READY, ("queue", 1), rate=50.0)
 
 
 class FakeIntake:
@@ -144,7 +144,7 @@
         front, carrier, source = (
             FakeIntake(),
             FakeTransport(Outcome.FULL, Outcome.OK),
-            Source(EndpointUpdate(True, (HERE,))),
+            Source(EndpointUpdate(True, (LISTED_ENDPOINT,))),
         )
         host = made(tmp_path, front, carrier, source)
         await host.start()
@@ -169,7 +169,11 @@
 
 def test_a_removed_endpoint_is_reported_to_the_transport_and_gets_no_new_attempt(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (HERE,)))
+        front, carrier, source = (
+            FakeIntake(),
+            FakeTransport(),
+            Source(EndpointUpdate(True, (LISTED_ENDPOINT,))),
+        )
         host = made(tmp_path, front, carrier, source)
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
@@ -195,7 +199,9 @@
 def test_an_outcome_waits_in_the_journal_for_the_intake_of_its_message(tmp_path: Path) -> None:
     async def work() -> None:
         first = FakeIntake()
-        host = made(tmp_path, first, FakeTransport(Outcome.RESET), Source(EndpointUpdate(True, (HERE,))))
+        host = made(
+            tmp_path, first, FakeTransport(Outcome.RESET), Source(EndpointUpdate(True, (LISTED_ENDPOINT,)))
+        )
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         host.messages.accept(submission("u", "unsafe"))
@@ -235,7 +241,7 @@
     tmp_path: Path, more: dict[str, object], field: str
 ) -> None:
     async def work() -> None:
-        host = made(tmp_path, FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (HERE,))))
+        host = made(tmp_path, FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (LISTED_ENDPOINT,))))
         await host.start()
         await until(lambda: 7 in host.messages.known_destinations)
         with pytest.raises(InvalidMessageError) as caught:
@@ -246,12 +252,12 @@
     run(work())
 
 
-def test_an_outcome_is_passed_on_once_it_is_journaled_and_not_before(tmp_path: Path) -> None:
+def test_an_outcome_is_notified_once_it_is_journaled_and_not_before(tmp_path: Path) -> None:
     """Guards against a process that is killed then, takes up the message again, and says something else."""
 
     async def work() -> None:
         front, disk, carrier = FakeIntake(), Disk(), FakeTransport()
-        host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (HERE,))))
+        host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (LISTED_ENDPOINT,))))
         host.journal = host.messages.journal = host.messages.outcomes.journal = Journal(
             tmp_path / "other", 3_000_000, disk
         )
--- a/tests/core/test_restarts.py
+++ b/tests/core/test_restarts.py
@@ -68,7 +68,7 @@
     run(work())
 
 
-def test_of_equal_resumed_messages_the_earliest_deadline_goes_first(tmp_path: Path) -> None:
+def test_of_equal_resumed_messages_the_earliest_deadline_is_first(tmp_path: Path) -> None:
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["extra"]["call-slots"] = 1
