--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -300,6 +300,20 @@
     again.close()
 
 
+def test_a_message_that_ends_during_an_attempt_is_accounted_in_full(tmp_path: Path) -> None:
+    """The size that counts for it must not grow by a restart, or the stated upper bound does not hold."""
+    journal = Journal(tmp_path, BUDGET_BYTES)
+    journal.append_accepted(entry("m1"))
+    journal.append_attempt(journal.entries["m1"], 1500.0, "s-1", 1)
+    journal.append_final_outcome(journal.entries["m1"], "failed", 25.0)
+    before = journal.live_bytes
+    journal.close()
+    again = Journal(tmp_path, BUDGET_BYTES)
+    after = again.live_bytes
+    again.close()
+    assert after == before
+
+
 @given(st.lists(st.sampled_from(["ran", "not", "killed"]), min_size=1, max_size=6))
 def test_the_first_uncertain_attempt_survives_any_number_of_restarts(
     tmp_path_factory: pytest.TempPathFactory, ends: list[str]
