--- a/emulator/commands.py
+++ b/emulator/commands.py
@@ -22,7 +22,7 @@
 from .draws import stream
 from .experiment import Experiment, ExperimentError, decoded, read
 from .intervals import difference, interval, verdict
-from .measures import MEASURES
+from .measure_names import MEASURES
 from .runs import Result, Runs, RunsError, by_variant, manifest, row
 
 FILE = click.Path(path_type=Path)
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -18,6 +18,7 @@
 from message_relay.fleet.operator import faults
 
 from . import engines, spec
+from .measure_names import MEASURES
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -256,8 +257,6 @@
     grid: dict[str, list[float]] = {}  # constants and the values of each: one variant for each combination
 
     def __post_init__(self) -> None:
-        from .measures import MEASURES
-
         spec.need(bool(self.classes), "classes", "at least one is needed")
         names = [each.name for each in self.variants]
         spec.need(len(set(names)) == len(names), "variants.name", f"{names} must differ from each other")
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -19,7 +19,7 @@
 
 from .experiment import Experiment
 from .intervals import Interval, correlation, difference, interval, verdict
-from .measures import MEASURES
+from .measure_names import MEASURES
 from .runs import Result, by_variant, manifest, row
 
 PERCENTILES = [50, 75, 90, 95, 99, 99.9, 99.99]
--- a/emulator/runs.py
+++ b/emulator/runs.py
@@ -23,7 +23,8 @@
 from .engines import set_constants
 from .experiment import Experiment, Variant
 from .intervals import difference, looks
-from .measures import MEASURES, Record
+from .measure_names import MEASURES
+from .measures import Record
 from .world import World
 
 FORMAT = 1
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -22,7 +22,7 @@
 from emulator.draws import Draws, Luck, stream
 from emulator.experiment import Experiment, decoded
 from emulator.intervals import difference, interval, looks, verdict
-from emulator.measures import MEASURES
+from emulator.measure_names import MEASURES
 from emulator.runs import Runs, RunsError, by_variant, manifest, row
 
 SMALL: dict[str, Any] = {
