--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -30,9 +30,9 @@
 from .processes import Fleet, free_ports, lines, settings
 
 SECRET = "of this test's fleet alone"
-START_S, STOP_S = 60.0, 15.0
+START_TIMEOUT_S, STOP_TIMEOUT_S = 60.0, 15.0
 PORT = 7400
-TOLD = "acts by", "newest", "votes", "mute", "leader", "why not", "waits for", "members"
+DESCRIBED_FIELDS = "acts by", "newest", "votes", "mute", "leader", "why not", "waits for", "members"
 
 
 @dataclass
@@ -137,7 +137,7 @@
             (self.folder / f"config{n}.json").write_text(json.dumps(platform))
         (self.folder / "secret").write_text(SECRET)
         self.configure(self.instances)
-        await asyncio.gather(*(self.begin(n) for n in range(self.instances)))
+        await asyncio.gather(*(self.start_instance(n) for n in range(self.instances)))
 
     def _settings(self) -> dict[str, Any]:
         """Partners of different zones know nothing of each other's keys."""
@@ -191,7 +191,7 @@
 
     # -- instances -------------------------------------------------------------------------------------------
 
-    async def begin(self, n: int, wait: bool = True) -> None:
+    async def start_instance(self, n: int, wait: bool = True) -> None:
         state = self.folder / "state" / str(n)
         state.mkdir(parents=True, exist_ok=True)
         env = {
@@ -211,10 +211,10 @@
                 sys.executable, "-m", "message_relay", "run", stdout=log, stderr=log, env=env
             )
         if wait:
-            await self.serving(n)
+            await self.wait_until_serving(n)
 
-    async def serving(self, n: int) -> None:
-        async with asyncio.timeout(START_S):
+    async def wait_until_serving(self, n: int) -> None:
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
                     _, writer = await asyncio.open_connection("127.0.0.1", self.port + n)
@@ -230,12 +230,12 @@
         process = self.processes[self.name(n)]
         if process.returncode is None:
             process.send_signal(how)
-            await asyncio.wait_for(process.wait(), STOP_S)
+            await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
 
     def freeze(self, n: int) -> None:
         self.tell(self.name(n), signal.SIGSTOP)
 
-    def thaw(self, n: int) -> None:
+    def resume(self, n: int) -> None:
         self.tell(self.name(n), signal.SIGCONT)
 
     def full_disk(self, n: int, full: bool = True) -> None:
@@ -244,13 +244,13 @@
         hard = resource.prlimit(pid, resource.RLIMIT_FSIZE)[1]
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard, hard))
 
-    def keep_folder(self, n: int) -> None:
+    def save_state_folder(self, n: int) -> None:
         """As it is now, for `old_folder`."""
         kept = self.folder / "kept" / str(n)
         shutil.rmtree(kept, ignore_errors=True)
         shutil.copytree(self.folder / "state" / str(n) / "peers", kept)
 
-    def old_folder(self, n: int) -> None:
+    def restore_state_folder(self, n: int) -> None:
         """Puts its part on peers and rules back to what was kept, in its place."""
         place = self.folder / "state" / str(n) / "peers"
         for path in place.iterdir():
@@ -295,7 +295,7 @@
     async def status(self, n: int) -> dict[str, Any]:
         return await self.rules(n, "status")
 
-    async def acting(self, label: str, of: list[int] | None = None, seconds: float = 30.0) -> float:
+    async def wait_for_version(self, label: str, of: list[int] | None = None, seconds: float = 30.0) -> float:
         """Until these (or all) act by that version: how long it took."""
         begun = time.monotonic()
         wanted = list(range(self.instances)) if of is None else of
@@ -309,16 +309,16 @@
                     if wanted:
                         await asyncio.sleep(0.02)
         except TimeoutError:
-            raise TimeoutError(f"{wanted} don't act by {label}: {await self.told()}") from None
+            raise TimeoutError(f"{wanted} don't act by {label}: {await self.describe_instances()}") from None
         return time.monotonic() - begun
 
-    async def told(self) -> str:
+    async def describe_instances(self) -> str:
         """Of each instance what its rules' socket says, for whoever looks for a cause."""
         found = []
         for n in range(self.instances):
             try:
                 said = await asyncio.wait_for(self.status(n), 2.0)
-                found.append(f"{n}: { {name: said[name] for name in TOLD} }")
+                found.append(f"{n}: { {name: said[name] for name in DESCRIBED_FIELDS} }")
             except (StatusError, TimeoutError) as error:
                 found.append(f"{n}: {error!r}")
         return "; ".join(found)
@@ -334,7 +334,7 @@
                         return told
                 await asyncio.sleep(0.05)
 
-    def labels(self) -> list[tuple[float, str, str]]:
+    def labelled_calls(self) -> list[tuple[float, str, str]]:
         """Of each whole call: Unix ms, message, and by what it was made."""
         found = []
         for path in self.folder.glob("calls*"):
@@ -357,7 +357,7 @@
         for name, process in self.processes.items():
             if name.startswith("i"):
                 try:
-                    await asyncio.wait_for(process.wait(), STOP_S)
+                    await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
                 except TimeoutError:
                     late.append(name)
                     process.kill()
@@ -373,7 +373,7 @@
             await net.wait()
         await super().close()
         if late:
-            raise RuntimeError(f"{', '.join(late)}: not ended {STOP_S:g} s after SIGTERM")
+            raise RuntimeError(f"{', '.join(late)}: not ended {STOP_TIMEOUT_S:g} s after SIGTERM")
 
 
 @contextlib.asynccontextmanager
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -78,7 +78,7 @@
 async def size_row(members: int, changes: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
     async with cluster(members, voters=3 if members < 15 else 5, bound=2.0, horizon=6.0) as it:
-        await it.acting("1")
+        await it.wait_for_version("1")
         times = await activated(it, changes, rng)
         before = await traffic(it)
         await asyncio.sleep(5.0)
@@ -103,7 +103,7 @@
         for n in range(members):
             it.tell(it.name(n), signal.SIGHUP)
         await asyncio.sleep(3.0)
-        it.thaw(members - 1)
+        it.resume(members - 1)
         await asyncio.sleep(1.0)
         times = []
         for n in range(members):
@@ -115,15 +115,15 @@
 async def frozen(members: int) -> float:
     """The same with agreed rules: s by which a contrary call came after the first by the new version."""
     async with cluster(members, bound=2.0, horizon=6.0) as it:
-        await it.acting("1")
+        await it.wait_for_version("1")
         clients = Clients(it.port, members, deadline_share=0.5)
         work = asyncio.ensure_future(clients.run(100.0, 600.0))
         await asyncio.sleep(1.0)
         it.freeze(members - 1)
         number = (await it.propose(0, SETS[2]))["number"]
         await asyncio.sleep(3.0)
-        it.thaw(members - 1)
-        await it.acting(str(number))
+        it.resume(members - 1)
+        await it.wait_for_version(str(number))
         await asyncio.sleep(1.0)
         await ended(work, clients)
         return contradiction(it, await versions(it))[0]
@@ -149,7 +149,7 @@
     """The worst, in s, over all calls in the ledger, and how many calls there are. Versions that are too
     old to be known any more are not judged."""
     share, first, worst = LeaseTerms().standby_share, dict[int, float](), 0.0
-    calls = it.labels()
+    calls = it.labelled_calls()
     for at, _, label in calls:
         numbers, _, tier = label.partition("/")
         named = [int(number) for number in numbers.split("+") if number.isdecimal()]
@@ -195,11 +195,11 @@
                 case "freeze":
                     it.freeze(n)
                     await asyncio.sleep(rng.choice((0.5, 3.0)))
-                    it.thaw(n)
+                    it.resume(n)
                 case "kill":
                     those = range(it.instances) if rng.random() < 0.1 else [n]
                     await asyncio.gather(*(it.kill(each) for each in those))
-                    await asyncio.gather(*(it.begin(each) for each in those))
+                    await asyncio.gather(*(it.start_instance(each) for each in those))
                 case "cut":
                     await it.cut(some)
                 case "one way":
@@ -217,7 +217,7 @@
         await asyncio.sleep(rng.uniform(0.1, 1.0))
     await it.net("heal")
     for n in range(it.instances):
-        it.thaw(n)
+        it.resume(n)
     return done
 
 
@@ -234,7 +234,7 @@
         net_seed=seed,
         clock_rates=rates,
     ) as it:
-        await it.acting("1")
+        await it.wait_for_version("1")
         clients = Clients(it.port, instances, deadline_share=0.5, rng=random.Random(seed))
         work = asyncio.ensure_future(clients.run(60.0, seconds + 600.0))
         begun = time.monotonic()
@@ -245,7 +245,7 @@
             with contextlib.suppress(StatusError):
                 number = (await it.propose(1, {}))["number"]
             await asyncio.sleep(0.2)
-        together = await it.acting(str(number), seconds=60.0)
+        together = await it.wait_for_version(str(number), seconds=60.0)
         await ended(work, clients)
         await it.drained(20.0)
         worst, calls = contradiction(it, await versions(it))
@@ -266,17 +266,17 @@
 async def grown() -> dict[str, Any]:
     """3 to 30 to 5 instances under traffic: how soon a version holds at each size, and what was lost."""
     async with cluster(3, bound=2.0, horizon=6.0, deadline_share=0.5) as it:
-        await it.acting("1")
+        await it.wait_for_version("1")
         clients = Clients(it.port, 3, deadline_share=0.5)
         work = asyncio.ensure_future(clients.run(60.0, 600.0))
         row: dict[str, Any] = {}
         for size, leaving in ((30, []), (5, list(range(5, 30)))):
             for first in range(it.instances, size, 9):
-                await asyncio.gather(*(it.begin(n) for n in range(first, min(size, first + 9))))
+                await asyncio.gather(*(it.start_instance(n) for n in range(first, min(size, first + 9))))
             it.instances = size
             await asyncio.gather(*(it.kill(n, signal.SIGTERM) for n in leaving))
             number = (await it.propose(0, SETS[size == 5]))["number"]
-            row[f"activate_s_{size}"] = round(await it.acting(str(number)), 3)
+            row[f"activate_s_{size}"] = round(await it.wait_for_version(str(number)), 3)
         await ended(work, clients)
         await it.drained(20.0)
         row["contradiction_s_worst"], row["calls"] = contradiction(it, await versions(it))
@@ -286,9 +286,9 @@
 
 async def service_ratio() -> float:
     async with cluster(4, voters=3, bound=2.0, horizon=30.0) as it:
-        await it.acting("1")
+        await it.wait_for_version("1")
         await it.propose(0, {"destinations": {"1": {"rate": 400}}})
-        await it.acting("2")
+        await it.wait_for_version("2")
         await it.cut([3])
         await it.wait_for(lambda told: told["tier"] == "standby", 3, 5.0)
         lost = await delivered(it, 3, 8.0)
@@ -309,7 +309,7 @@
     """ms of processor time a delivered message, over 4 instances at 100 messages a second each."""
     async with cluster(4, agreed=agreed, block=90 + agreed) as it:
         if agreed:
-            await it.acting("1")
+            await it.wait_for_version("1")
         clients = Clients(it.port, 4)
         await clients.run(400.0, 2.0)
         before, effects = used(it), len(it.effects())
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -97,7 +97,7 @@
         await it.kill(0)
         await asyncio.sleep(8.0)
         await it.net("heal")
-        await it.begin(0)
+        await it.start_instance(0)
         await asyncio.sleep(5.0)
 
     return await under(fault)
@@ -109,11 +109,11 @@
     async def fault(it: ShardsTown, clients: Clients) -> None:
         it.freeze(0)
         await asyncio.sleep(20.0)
-        it.thaw(0)
+        it.resume(0)
         await asyncio.sleep(3.0)
         it.freeze(it.relays[0])
         await asyncio.sleep(15.0)
-        it.thaw(it.relays[0])
+        it.resume(it.relays[0])
         await asyncio.sleep(5.0)
 
     return await under(fault)
@@ -158,7 +158,7 @@
         for dest in range(61, 361):
             clients.hand_in(dest, it.relays[dest % 3])
         await asyncio.sleep(1.0)
-        await asyncio.gather(*(it.begin(n) for n in range(3)))
+        await asyncio.gather(*(it.start_instance(n) for n in range(3)))
         await asyncio.sleep(8.0)
 
     return await under(fault)
@@ -232,7 +232,7 @@
         moved = [1 + 2 * n for n in range(0, 500, 10)]
         it.move(*moved)
         begun = time.monotonic()
-        await asyncio.gather(*(it.begin(n) for n in range(6)))
+        await asyncio.gather(*(it.start_instance(n) for n in range(6)))
         await it.drained(60.0)
         took = time.monotonic() - begun
         wrong = sum(len(it.calls_to(dest, "a")) for dest in moved)
@@ -257,7 +257,7 @@
         await clients.settled()
         it.move(*moved)
         it.move(*moved[:30])
-        await asyncio.gather(*(it.begin(n) for n in range(3)))
+        await asyncio.gather(*(it.start_instance(n) for n in range(3)))
         found = await told(it, clients)
         wrong = sum(len(it.calls_to(dest, "b" if it.where[dest] == "a" else "a")) for dest in moved)
         clients.close()
--- a/tests/consensus/test_apart.py
+++ b/tests/consensus/test_mixed_builds_and_clocks.py
@@ -11,13 +11,13 @@
 from benchmarks.cluster_harness import ClusterHarness, cluster
 from message_relay.fleet.status import StatusError
 
-from .test_cluster import CLOSED, OPEN, go, leader, served
+from .test_cluster import CLOSED, OPEN, leader_number, run_with_timeout, traffic
 
 CLASSES: dict[str, Any] = {"destinations": {"1": {"rate": 500}}, "classes": {"pay": {"attempts": 3}}}
 
 # Read by the interpreter before the program: a build of before classes were known to rules, and a wall clock
 # set apart by so many seconds as stand in a file at the moment.
-APART = """
+SITECUSTOMIZE = """
 import os, time
 if os.environ.get("TOWN_OLDER"):
     from message_relay.consensus import capabilities
@@ -31,19 +31,19 @@
 """
 
 
-def apart(folder: Path) -> dict[str, str]:
-    (folder / "sitecustomize.py").write_text(APART)
+def install_sitecustomize(folder: Path) -> dict[str, str]:
+    (folder / "sitecustomize.py").write_text(SITECUSTOMIZE)
     return {"PYTHONPATH": str(folder)}
 
 
-def test_a_rolling_upgrade_agrees_on_a_new_field_only_once_the_last_build_knows_it(tmp_path: Path) -> None:
+def test_rolling_upgrade_refuses_a_new_field_until_every_build_supports_it(tmp_path: Path) -> None:
     async def work() -> None:
-        older = {**apart(tmp_path), "TOWN_OLDER": "1"}
+        older = {**install_sitecustomize(tmp_path), "TOWN_OLDER": "1"}
         async with cluster(
             5, bound=1.0, horizon=3.0, deadline_share=0.3, more_env={3: older, 4: older}
         ) as it:
-            await it.acting("1")
-            async with served(it) as clients:
+            await it.wait_for_version("1")
+            async with traffic(it) as clients:
                 number = 1
                 for n in (3, 4):
                     for asked in (0, 4):  # a voter, and one of the old build
@@ -52,20 +52,20 @@
                     # What all of them know goes on being agreed on meanwhile.
                     assert not (await it.propose(4, OPEN if n == 3 else CLOSED))["refused"]
                     number += 1
-                    await it.acting(str(number))
+                    await it.wait_for_version(str(number))
                     await it.kill(n, signal.SIGTERM)
                     del it.more_env[n]
-                    await it.begin(n)
-                    await it.acting(str(number))
-                answer = await taken(it, CLASSES)
-                await it.acting(str(answer["number"]))
+                    await it.start_instance(n)
+                    await it.wait_for_version(str(number))
+                answer = await propose_until_accepted(it, CLASSES)
+                await it.wait_for_version(str(answer["number"]))
             await it.drained(12.0)
             assert it.broken(clients.taken) == [] and len(clients.taken) > 50
 
-    go(work())
+    run_with_timeout(work())
 
 
-async def taken(it: ClusterHarness, rules: dict[str, Any]) -> dict[str, Any]:
+async def propose_until_accepted(it: ClusterHarness, rules: dict[str, Any]) -> dict[str, Any]:
     """Proposed until it is taken: that the last old build is gone may be news to the voter."""
     async with asyncio.timeout(20.0):
         while True:
@@ -76,36 +76,38 @@
             await asyncio.sleep(0.2)
 
 
-def test_wall_clocks_that_step_change_neither_the_bound_nor_when_voters_may_change(tmp_path: Path) -> None:
+def test_wall_clock_steps_affect_neither_the_bound_nor_voter_changes(tmp_path: Path) -> None:
     async def work() -> None:
         clock = tmp_path / "clock"
         clock.write_text("0")
-        env = {**apart(tmp_path), "TOWN_CLOCK": str(clock)}
+        env = {**install_sitecustomize(tmp_path), "TOWN_CLOCK": str(clock)}
         more = {n: env for n in range(3)}
         async with cluster(4, bound=1.0, horizon=8.0, deadline_share=0.3, more_env=more) as it:
-            await it.acting("1")
-            async with served(it):
-                await voters(it, "", add=3)
+            await it.wait_for_version("1")
+            async with traffic(it):
+                await change_voters(it, "", add=3)
                 clock.write_text("-3600")  # an hour back, on all that vote
-                await it.acting("2")
-                leads = await leader(it)
+                await it.wait_for_version("2")
+                leads = await leader_number(it)
                 away = next(n for n in range(3) if n != leads)
-                assert "they changed" in await voters(it, "they changed", remove=away)
+                assert "they changed" in await change_voters(it, "they changed", remove=away)
                 clock.write_text("3600")  # and two hours on: the wait is not over by that
-                assert "they changed" in await voters(it, "they changed", remove=away)
-                await voters(it, "", remove=away)  # once the wait after the last change is over
-                await it.acting("3")
+                assert "they changed" in await change_voters(it, "they changed", remove=away)
+                await change_voters(it, "", remove=away)  # once the wait after the last change is over
+                await it.wait_for_version("3")
 
-    go(work())
+    run_with_timeout(work())
 
 
-async def voters(it: ClusterHarness, wanted: str, **more: Any) -> str:
+async def change_voters(it: ClusterHarness, wanted: str, **more: Any) -> str:
     """Asks whoever leads until the answer is the one wanted (empty: taken), or that they are changed already:
     a leader may be on its way out, or a member not known yet."""
     async with asyncio.timeout(40.0):
         while True:
             with contextlib.suppress(StatusError):
-                said = str((await it.rules(await leader(it), "voters", author="test", **more))["refused"])
+                said = str(
+                    (await it.rules(await leader_number(it), "voters", author="test", **more))["refused"]
+                )
                 if said == wanted or (wanted and (wanted in said or not said)):
                     return said
             await asyncio.sleep(0.1)
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -25,13 +25,13 @@
 from ..conftest import make_settings
 
 
-def test_one_that_asks_again_is_not_told_of_itself() -> None:
+def test_repeated_query_does_not_report_its_own_epoch() -> None:
     it = ProcessEpochs({"a": 4})
     assert it.observe("a", 5, 77) == 4
     assert it.observe("a", 5, 77) == 4 and it.observe("a", 5, 77) == 4
 
 
-def test_another_process_of_the_same_boot_is_told_of_the_first() -> None:
+def test_second_process_with_the_same_epoch_learns_of_the_first() -> None:
     it = ProcessEpochs({})
     assert it.observe("a", 5, 77) == 0
     assert it.observe("a", 5, 78) == 5  # a folder put back runs from the same number
@@ -40,7 +40,7 @@
     assert it.observe("a", 6, 79) == 5 and it.observe("a", 5, 77) == 6
 
 
-def test_what_could_not_be_written_was_never_heard() -> None:
+def test_undo_restores_an_epoch_that_could_not_be_saved() -> None:
     it = ProcessEpochs({"a": 4})
     assert it.observe("a", 5, 77) == 4
     it.undo_observe("a", 4)
@@ -50,13 +50,13 @@
     assert "b" not in it.highest
 
 
-def test_a_nonce_of_0_is_a_nonce_of_nobody() -> None:
+def test_nonce_zero_matches_no_process() -> None:
     it = ProcessEpochs({})
     assert it.observe("a", 5, 0) == 0 and it.observe("a", 5, 0) == 5
 
 
 @contextlib.asynccontextmanager
-async def voters(folder: Path) -> AsyncIterator[list[ConsensusInstance]]:
+async def two_of_three_voters(folder: Path) -> AsyncIterator[list[ConsensusInstance]]:
     """Two of three voters on loopback, which know each other; neither has begun to vote."""
     port = free_ports(2)
     made: list[ConsensusInstance] = []
@@ -91,16 +91,14 @@
             await one.gossip.close()
 
 
-def test_an_answer_that_comes_too_late_does_not_cost_a_voter_its_vote(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_late_answer_does_not_disable_a_voter(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The others may be starting too, all on one disk: an answer that waits for it comes after the question
     was given up. Asked again they have seen this boot: of this very process."""
     monkeypatch.setattr(voter, "REQUEST_TIMEOUT_S", 0.2)
     questions: list[int] = []
 
     async def work() -> None:
-        async with voters(tmp_path) as (asking, asked):
+        async with two_of_three_voters(tmp_path) as (asking, asked):
 
             async def late(hello: Hello, raw: bytes) -> bytes:
                 answer = asked.voter.on_epoch_query(hello, raw)
--- a/tests/consensus/test_commands.py
+++ b/tests/consensus/test_proposer.py
@@ -16,10 +16,10 @@
 from message_relay.gossip.framing import Hello
 
 SILENT, STARTING = "silent", "starting"
-TOLD = Withdraw(2, "test", "a test")
+WITHDRAWAL = Withdraw(2, "test", "a test")
 
 
-class Peers:
+class ScriptedPeers:
     """Voters, and what each of them says."""
 
     def __init__(self, voters: dict[str, str | CommandResult]) -> None:
@@ -35,15 +35,15 @@
         return msgspec.json.encode(said)
 
 
-def proposer(peers: Peers) -> Proposer:
+def proposer(peers: ScriptedPeers) -> Proposer:
     """Of an instance without a log."""
     context = cast(ConsensusContext, SimpleNamespace(gossip=peers))
     voter = SimpleNamespace(replicated_log=None, all_known_voters=lambda: sorted(peers.voters))
     return Proposer(context, cast(Voter, voter), [], ())
 
 
-def agreed(peers: Peers) -> CommandResult:
-    return asyncio.run(proposer(peers).propose(TOLD))
+def propose(peers: ScriptedPeers) -> CommandResult:
+    return asyncio.run(proposer(peers).propose(WITHDRAWAL))
 
 
 @pytest.mark.parametrize(
@@ -61,10 +61,10 @@
         ({"n0": SILENT, "n1": SILENT}, 0, "no voter can be reached", ["n0", "n1"]),
     ],
 )
-def test_a_voter_that_has_only_just_started_does_not_speak_for_the_others(
+def test_starting_voter_does_not_answer_for_the_others(
     voters: dict[str, str | CommandResult], number: int, refused: str, asked: list[str]
 ) -> None:
     """Seen to fail where the first voter's word was the last: on a busy machine the first of three was the
     latest to open its log, and a command was refused that the two others would have taken."""
-    peers = Peers(voters)
-    assert agreed(peers) == CommandResult(number, refused) and peers.asked == asked
+    peers = ScriptedPeers(voters)
+    assert propose(peers) == CommandResult(number, refused) and peers.asked == asked
--- a/tests/consensus/test_raft_storage.py
+++ b/tests/consensus/test_raft_storage.py
@@ -6,7 +6,7 @@
 import functools
 import pickle
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 from pysyncobj.journal import FileJournal
@@ -25,11 +25,12 @@
 from message_relay.consensus.replicated_log import ReplicatedLog
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.version_history import VersionHistory
+from message_relay.gossip.node import GossipNode
 
 VOTERS = ("n0", "n1", "n2")
 
 
-def written(folder: Path) -> FileJournal:
+def write_journal(folder: Path) -> FileJournal:
     journal = FileJournal(str(folder / JOURNAL))
     for number, term in ((1, 0), (2, 1), (3, 1), (4, 3)):
         journal.add(b"\0" + with_checksum(b"command %d" % number), number, term)
@@ -38,9 +39,9 @@
     return journal
 
 
-def test_what_the_library_writes_is_believed_and_its_payloads_are_sealed(tmp_path: Path) -> None:
+def test_journal_of_the_library_is_valid_and_its_commands_have_checksums(tmp_path: Path) -> None:
     verify_log(tmp_path)  # nothing lies there yet
-    written(tmp_path)
+    write_journal(tmp_path)
     verify_log(tmp_path)
     told = parse_journal((tmp_path / JOURNAL).read_bytes())
     assert [(number, term) for number, term, _ in told] == [(1, 0), (2, 1), (3, 1), (4, 3)]
@@ -49,8 +50,8 @@
     assert not list(tmp_path.iterdir())
 
 
-def test_each_cut_and_each_changed_byte_is_told_or_changes_a_sealed_command(tmp_path: Path) -> None:
-    written(tmp_path)
+def test_truncated_and_corrupted_journals_are_detected(tmp_path: Path) -> None:
+    write_journal(tmp_path)
     whole = (tmp_path / JOURNAL).read_bytes()
     last = int.from_bytes(whole[36:40], "little")
     for length in range(last):
@@ -78,8 +79,8 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"\x80", pickle.dumps([1]), pickle.dumps({"currentTerm": "x"})])
-def test_a_vote_that_cannot_be_read_is_no_vote_that_was_not_given(tmp_path: Path, raw: bytes) -> None:
-    written(tmp_path)
+def test_unreadable_vote_is_not_treated_as_a_missing_one(tmp_path: Path, raw: bytes) -> None:
+    write_journal(tmp_path)
     (tmp_path / META).write_bytes(raw)
     with pytest.raises(TornWriteError, match="its vote can't be read"):
         verify_log(tmp_path)
@@ -88,7 +89,7 @@
         verify_log(tmp_path)
 
 
-class Stub:
+class UnreachableGossip:
     """A peers' node that nobody can be reached by."""
 
     def __init__(self) -> None:
@@ -101,12 +102,14 @@
         uniform = staticmethod(lambda a, b: a)
 
 
-def begun(folder: Path, did: list[str]) -> ReplicatedLog:
+def open_log(folder: Path, did: list[str]) -> ReplicatedLog:
     def say(what: str, raw: bytes) -> bool:
         did.append(what)
         return True
 
-    log = ReplicatedLog(folder, Stub(), "n0", ["n1", "n2"], VersionHistory(Rules(), VOTERS), lambda: None)  # type: ignore[arg-type]
+    gossip = cast(GossipNode, UnreachableGossip())
+    history = VersionHistory(Rules(), VOTERS)
+    log = ReplicatedLog(folder, gossip, "n0", ["n1", "n2"], history, lambda: None)
     for name, stream in log.transport.streams.items():
         stream.is_connected = True
         log.transport._on_connection_changed(name, True)
@@ -121,10 +124,10 @@
     return log
 
 
-def test_a_vote_lies_on_the_disk_before_it_is_told_and_a_failed_disk_tells_nothing(tmp_path: Path) -> None:
+def test_vote_is_synced_before_it_is_sent_and_a_disk_failure_sends_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         did: list[str] = []
-        log = begun(tmp_path, did)
+        log = open_log(tmp_path, did)
         running = asyncio.ensure_future(log.run())
         async with asyncio.timeout(10.0):
             while "says to n2" not in did:
@@ -142,7 +145,7 @@
     asyncio.run(work())
 
 
-def test_an_entry_that_is_written_is_seen_also_in_the_place_of_another(
+def test_written_entry_is_noticed_also_when_it_replaces_another(
     tmp_path: Path,
 ) -> None:
     journal = FileJournal(str(tmp_path / JOURNAL))
--- a/tests/consensus/test_version_fetch.py
+++ b/tests/consensus/test_version_fetch.py
@@ -22,7 +22,7 @@
 HINTS_S = 0.3  # by then each voter has told each relay: the time of a renewal
 
 
-class Voters:
+class LimitedVoters:
     """Each takes so many conversations at once, and refuses what is more."""
 
     def __init__(self, number: int) -> None:
@@ -40,11 +40,11 @@
         return True
 
 
-def fetched(
+def simulate_fetches(
     relays: int, voters: int, seed: int, down: frozenset[int] = frozenset()
-) -> tuple[Voters, list[float]]:
+) -> tuple[LimitedVoters, list[float]]:
     """All relays hear of a version at 0 from voter 0, of the others within HINTS_S: when each has it."""
-    rng, them, had = random.Random(seed), Voters(voters), list[float]()
+    rng, them, had = random.Random(seed), LimitedVoters(voters), list[float]()
     turns: list[tuple[float, int, str]] = []
     lacking = {n: VersionFetcher(random.Random(rng.random())) for n in range(relays)}
     for n in range(relays):
@@ -74,21 +74,21 @@
 
 
 @pytest.mark.parametrize("relays", [40, 375, 3500])
-def test_a_version_that_all_lack_is_asked_for_at_all_voters_and_none_is_run_over(relays: int) -> None:
+def test_fetches_of_all_relays_spread_over_the_voters_and_overload_none(relays: int) -> None:
     for seed in range(3):
-        them, had = fetched(relays, 5, seed)
+        them, had = simulate_fetches(relays, 5, seed)
         assert len(had) == relays and sum(them.refused.values()) <= relays // 50
         assert max(them.answered.values()) <= max(relays / 5 * 1.3, FEW)
         assert max(had) <= FIRST_PAUSE_MAX_S + 1.0 and (relays > 40 or max(had) < 0.2)
 
 
-def test_voters_that_do_not_answer_cost_one_pause_each_and_nobody_gives_up() -> None:
-    them, had = fetched(375, 5, 1, down=frozenset({0, 3}))
+def test_unreachable_voters_cost_one_pause_each_and_end_no_fetch() -> None:
+    them, had = simulate_fetches(375, 5, 1, down=frozenset({0, 3}))
     assert len(had) == 375 and set(them.answered) == {1, 2, 4}
     assert max(had) < 3.0
 
 
-def test_one_that_is_refused_by_all_is_given_up_and_begun_anew_by_the_next_word() -> None:
+def test_search_refused_by_all_ends_and_restarts_on_the_next_report() -> None:
     it = VersionFetcher(random.Random(1))
     sought = it.on_version_reported(7, "n0")
     assert sought is not None and it.on_version_reported(7, "n1") is None
@@ -98,7 +98,7 @@
     assert it.on_version_reported(7, "n0") is not None
 
 
-def test_pauses_grow_and_end_and_orders_differ() -> None:
+def test_pauses_grow_to_a_bound_and_orders_differ() -> None:
     sought = VersionFetcher(random.Random(2)).on_version_reported(7, "n0")
     assert sought is not None
     for n in range(1, 5):
@@ -119,7 +119,7 @@
     assert len(orders) > 10 and len({order[0] for order in orders}) > 2
 
 
-def test_versions_that_are_sought_at_once_are_bounded() -> None:
+def test_concurrent_searches_are_bounded() -> None:
     it = VersionFetcher(random.Random(3))
     assert all(it.on_version_reported(n, "n0") is not None for n in range(CONCURRENT_SEARCHES_MAX))
     assert (
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -22,34 +22,34 @@
 LOOSE = Rules({ANY: DestinationRule(rate=50.0)})
 
 
-def book() -> VersionHistory:
+def make_history() -> VersionHistory:
     return VersionHistory(Rules(), ("n0", "n1", "n2"))
 
 
-def propose(base: int, rules: Rules, share: float = 1.0) -> Propose:
+def make_proposal(base: int, rules: Rules, share: float = 1.0) -> Propose:
     return Propose(base, encode_rules(rules), "ana", "because", 0.0, share)
 
 
-def test_of_two_who_propose_against_the_same_version_the_second_is_told_what_came_first() -> None:
-    it = book()
-    assert it.apply(propose(1, STRICT)).number == 2
-    answer = it.apply(propose(1, LOOSE))
+def test_second_of_two_proposals_on_the_same_base_is_refused() -> None:
+    it = make_history()
+    assert it.apply(make_proposal(1, STRICT)).number == 2
+    answer = it.apply(make_proposal(1, LOOSE))
     assert answer.refused == (
         "base: the newest version is 2 (by ana: because), not 1: look at it, and propose again"
     )
     assert it.current.decoded_rules == STRICT and len(it.versions) == 2
 
 
-def test_a_trial_is_stricter_and_ends_by_promotion_or_withdrawal() -> None:
-    it = book()
-    it.apply(propose(1, LOOSE))
-    assert "stricter" in it.apply(propose(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
-    assert it.apply(propose(2, STRICT, 0.2)).number == 3
+def test_canary_must_be_stricter_and_ends_by_promotion_or_withdrawal() -> None:
+    it = make_history()
+    it.apply(make_proposal(1, LOOSE))
+    assert "stricter" in it.apply(make_proposal(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
+    assert it.apply(make_proposal(2, STRICT, 0.2)).number == 3
     assert it.canary is not None and it.current.number == 2
-    assert "on trial" in it.apply(propose(3, LOOSE)).refused
+    assert "on trial" in it.apply(make_proposal(3, LOOSE)).refused
     assert it.apply(Withdraw(3, "ana", "harm")).number == 3 and it.canary is None and it.current.number == 2
     assert "it is withdrawn" in it.apply(Promote(3, "ana")).refused
-    assert it.apply(propose(3, STRICT, 0.2)).number == 4 and it.apply(Promote(4, "ana")).number == 4
+    assert it.apply(make_proposal(3, STRICT, 0.2)).number == 4 and it.apply(Promote(4, "ana")).number == 4
     assert it.current.number == 4 and [each.stage for each in it.versions] == [
         Stage.PAST,
         Stage.PAST,
@@ -59,7 +59,7 @@
 
 
 def test_voters_change_one_at_a_time() -> None:
-    it = book()
+    it = make_history()
     assert it.apply(ChangeVoters(1, "n3", "", "ana", 5.0)).number == 2
     assert it.newest.voters == ("n0", "n1", "n2", "n3") and it.voters_changed_at_ms == 5.0
     for told, why in (
@@ -71,10 +71,10 @@
     assert it.apply(ChangeVoters(2, "", "n0", "ana", 7.0)).number == 3 and it.newest.decoded_rules == Rules()
 
 
-def test_it_is_the_same_after_a_snapshot_and_holds_so_many_versions() -> None:
-    it, again = book(), book()
+def test_snapshot_restores_the_state_and_retained_versions_are_bounded() -> None:
+    it, again = make_history(), make_history()
     for n in range(VERSIONS_RETAINED + 10):
-        it.apply(propose(n + 1, STRICT if n % 2 else LOOSE))
+        it.apply(make_proposal(n + 1, STRICT if n % 2 else LOOSE))
     it.apply(Forget("n2", 4, "ana", 0.0))
     again.load(it.dump())
     assert (
@@ -86,6 +86,6 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"{}", b'{"type": "propose"}', b'{"type": "no"}'])
-def test_a_faulty_command_changes_nothing(raw: bytes) -> None:
+def test_malformed_command_is_rejected(raw: bytes) -> None:
     with pytest.raises(RulesError, match="command: "):
         decode_command(raw)
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -114,7 +114,7 @@
             await it.kill(decides)
             told = await until(it, lambda told: int(told["name"][1:]) != decides and told["pairs"])
             assert share(told, "a", "a") < 1.0  # it goes on, and begins not anew
-            await it.begin(decides)
+            await it.start_instance(decides)
             await called(it, "bc", time.time() * 1000, 20)
             back = time.time() * 1000
             await until(it, lambda told: states(told).get("a>a") == "well", 60.0)
@@ -141,13 +141,13 @@
             shifted = time.time() * 1000
             await until(it, lambda told: told["pairs"], of=others)
             await asyncio.sleep(3.0)
-            it.thaw(decides)
+            it.resume(decides)
             for zone in "bc":
                 calls = [at for at in it.calls_at(zone) if shifted < at < shifted + 4000.0]
                 assert len(calls) <= 1.25 * 40 * 4, (zone, len(calls))
             await until(it, lambda told: share(told, "a", "a") == 1.0, 60.0)
             number = str((await it.status(others[0]))["newest"])
-            await it.acting(number, seconds=10.0)  # the one that woke has no version of its own
+            await it.wait_for_version(number, seconds=10.0)  # the one that woke has no version of its own
 
     go(work())
 
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -29,7 +29,7 @@
             assert clients.answers == {"202": 61} and not it.effects()
             await asyncio.gather(*(it.kill(n) for n in it.relays))
             it.move(*range(1, 21))
-            await asyncio.gather(*(it.begin(n) for n in range(4)))
+            await asyncio.gather(*(it.start_instance(n) for n in range(4)))
             await it.drained(30.0)
             assert it.broken(clients.taken) == []
             assert it.ends() == {"m60-999": {"failed"}} and len(it.effects()) == 60
@@ -55,11 +55,11 @@
                 await it.kill(1)
                 it.move(*range(11, 21))
                 await asyncio.sleep(3.0)
-                await it.begin(1)
+                await it.start_instance(1)
                 it.freeze(it.relays[0])
                 it.move(*range(1, 31))
                 await asyncio.sleep(13.0)
-                it.thaw(it.relays[0])
+                it.resume(it.relays[0])
                 await asyncio.sleep(2.0)
             await it.drained(25.0)
             assert it.broken(clients.taken) == [] and len(clients.taken) > 500
