--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -28,9 +28,9 @@
 
 
 @contextlib.asynccontextmanager
-async def traffic(it: ClusterHarness, rate: float = 40.0) -> Any:
+async def traffic(fleet: ClusterHarness, rate: float = 40.0) -> Any:
     """Traffic to all that goes on meanwhile; afterwards nothing is lost or doubled."""
-    clients = Clients(it.port, it.instances, deadline_share=0.3)
+    clients = Clients(fleet.port, fleet.instances, deadline_share=0.3)
     work = asyncio.ensure_future(clients.run(rate, 600.0))
     try:
         yield clients
@@ -39,14 +39,14 @@
         clients.close()
 
 
-async def leader_number(it: ClusterHarness) -> int:
-    told = await it.wait_for(lambda told: bool(told["leader"]), 0)
-    return int(told["leader"][1:])
+async def leader_number(fleet: ClusterHarness) -> int:
+    status = await fleet.wait_for(lambda status: bool(status["leader"]), 0)
+    return int(status["leader"][1:])
 
 
-def calls_after(it: ClusterHarness, after: float) -> list[tuple[float, str, str]]:
+def calls_after(fleet: ClusterHarness, after: float) -> list[tuple[float, str, str]]:
     """Calls that were made after this moment (Unix ms)."""
-    return [line for line in it.labelled_calls() if line[0] > after]
+    return [line for line in fleet.labelled_calls() if line[0] > after]
 
 
 def test_frozen_leader_makes_no_call_by_old_rules_when_it_resumes() -> None:
@@ -54,163 +54,169 @@
     right before the first byte, so that not one call goes out by the old rules."""
 
     async def work() -> None:
-        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
-            await it.wait_for_version("1")
-            async with traffic(it) as clients:
-                first = await leader_number(it)
+        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
+            await fleet.wait_for_version("1")
+            async with traffic(fleet) as clients:
+                first = await leader_number(fleet)
                 others = [n for n in range(4) if n != first]
-                it.freeze(first)
-                await it.wait_for(
-                    lambda told: told["leader"] not in ("", f"n{first}"), next(iter(others))
+                fleet.freeze(first)
+                await fleet.wait_for(
+                    lambda status: status["leader"] not in ("", f"n{first}"), next(iter(others))
                 )
-                answer = await it.propose(others[-1], CLOSED)
+                answer = await fleet.propose(others[-1], CLOSED)
                 assert not answer["refused"]
-                await it.wait_for_version("2", others)
-                closed = max(at for at, _, _ in it.labelled_calls()) + 200.0
-                it.resume(first)
-                await it.wait_for_version("2", [first])
+                await fleet.wait_for_version("2", others)
+                closed = max(at for at, _, _ in fleet.labelled_calls()) + 200.0
+                fleet.resume(first)
+                await fleet.wait_for_version("2", [first])
                 await asyncio.sleep(0.5)
-            await it.drained(12.0)
-            assert not calls_after(it, closed), calls_after(it, closed)
-            assert it.broken(clients.taken) == [] and len(clients.taken) > 50
+            await fleet.drained(12.0)
+            assert not calls_after(fleet, closed), calls_after(fleet, closed)
+            assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(work())
 
 
 def test_partitions_with_and_without_a_majority_and_in_one_direction() -> None:
     async def work() -> None:
-        async with cluster(5, bound=1.0, horizon=4.0, deadline_share=0.3) as it:
-            await it.wait_for_version("1")
-            async with traffic(it) as clients:
-                await it.cut([0, 3])
-                told = await it.wait_for(lambda told: told["tier"] == "standby", 3, 3.0)
-                assert told["acts by"] == "1/standby"
-                assert not (await it.propose(1, OPEN))["refused"]
-                await it.wait_for_version("2", [1, 2, 4])
-                small = await it.propose(0, OPEN)
+        async with cluster(5, bound=1.0, horizon=4.0, deadline_share=0.3) as fleet:
+            await fleet.wait_for_version("1")
+            async with traffic(fleet) as clients:
+                await fleet.cut([0, 3])
+                status = await fleet.wait_for(lambda status: status["tier"] == "standby", 3, 3.0)
+                assert status["acts by"] == "1/standby"
+                assert not (await fleet.propose(1, OPEN))["refused"]
+                await fleet.wait_for_version("2", [1, 2, 4])
+                small = await fleet.propose(0, OPEN)
                 assert small["refused"]  # it reaches no majority
-                assert (await it.status(3))["acts by"] in ("1/standby", "floor")
-                await it.net("heal")
-                await it.wait_for_version("2")
+                assert (await fleet.status(3))["acts by"] in ("1/standby", "floor")
+                await fleet.net("heal")
+                await fleet.wait_for_version("2")
                 # n4 is heard by nobody, and hears all: it may not go on with what it can't renew.
-                await it.net("set", "n4", "*", cut=True)
-                await it.wait_for(lambda told: told["tier"] != "lease", 4, 5.0)
-                assert not (await it.propose(0, {"destinations": {"1": {"rate": 400}}}))["refused"]
-                await it.net("heal")
-                await it.wait_for_version("3")
-            await it.drained(12.0)
-            assert it.broken(clients.taken) == [] and len(clients.taken) > 50
+                await fleet.net("set", "n4", "*", cut=True)
+                await fleet.wait_for(lambda status: status["tier"] != "lease", 4, 5.0)
+                assert not (await fleet.propose(0, {"destinations": {"1": {"rate": 400}}}))["refused"]
+                await fleet.net("heal")
+                await fleet.wait_for_version("3")
+            await fleet.drained(12.0)
+            assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(work())
 
 
 def test_restart_of_all_with_one_outdated_state_folder() -> None:
     async def work() -> None:
-        async with cluster(5, voters=5, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
-            await it.wait_for_version("1")
-            it.save_state_folder(2)
-            await it.kill(2)
-            await it.start_instance(2)  # a boot that the others have seen
-            await it.wait_for(lambda told: told["votes"], 2)
-            assert not (await it.propose(0, OPEN))["refused"]
-            await it.wait_for_version("2")
-            await asyncio.gather(*(it.kill(n) for n in range(5)))
-            it.restore_state_folder(2)
-            await asyncio.gather(*(it.start_instance(n) for n in range(5)))
-            await it.wait_for_version("2")  # none acts on an older version than before
-            told = await it.wait_for(lambda told: bool(told["mute"]), 2)
-            assert "older than one seen" in told["mute"] and not told["votes"]
+        async with cluster(5, voters=5, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
+            await fleet.wait_for_version("1")
+            fleet.save_state_folder(2)
+            await fleet.kill(2)
+            await fleet.start_instance(2)  # a boot that the others have seen
+            await fleet.wait_for(lambda status: status["votes"], 2)
+            assert not (await fleet.propose(0, OPEN))["refused"]
+            await fleet.wait_for_version("2")
+            await asyncio.gather(*(fleet.kill(n) for n in range(5)))
+            fleet.restore_state_folder(2)
+            await asyncio.gather(*(fleet.start_instance(n) for n in range(5)))
+            await fleet.wait_for_version("2")  # none acts on an older version than before
+            status = await fleet.wait_for(lambda status: bool(status["mute"]), 2)
+            assert "older than one seen" in status["mute"] and not status["votes"]
             # A copy of a folder is refused at the start.
-            await it.kill(4)
-            place = it.folder / "state" / "4"
-            place.rename(it.folder / "moved")
-            shutil.copytree(it.folder / "moved", place)
-            await it.start_instance(4, wait=False)
-            assert await it.processes["i4"].wait() == 2
-            assert "was copied or moved" in (it.folder / "i4.log").read_text()
+            await fleet.kill(4)
+            place = fleet.folder / "state" / "4"
+            place.rename(fleet.folder / "moved")
+            shutil.copytree(fleet.folder / "moved", place)
+            await fleet.start_instance(4, wait=False)
+            assert await fleet.processes["i4"].wait() == 2
+            assert "was copied or moved" in (fleet.folder / "i4.log").read_text()
 
     run_with_timeout(work())
 
 
 def test_full_disk_at_a_vote_torn_log_and_replaced_voter() -> None:
     async def work() -> None:
-        async with cluster(4, bound=1.0, horizon=2.5, deadline_share=0.3) as it:
-            await it.wait_for_version("1")
-            async with traffic(it) as clients:
-                first = await leader_number(it)
+        async with cluster(4, bound=1.0, horizon=2.5, deadline_share=0.3) as fleet:
+            await fleet.wait_for_version("1")
+            async with traffic(fleet) as clients:
+                first = await leader_number(fleet)
                 full, other = [n for n in range(3) if n != first]
-                it.full_disk(full)
-                it.freeze(first)  # the other two elect one, for which both have to write a vote down
-                told = await it.wait_for(lambda told: "disk has failed" in told["mute"], full)
-                assert not told["votes"]
-                assert (await it.propose(other, OPEN))["refused"]  # no vote was given without being written
-                it.full_disk(full, False)
-                await it.wait_for(
-                    lambda told: told["votes"] and told["leader"] not in ("", f"n{first}"), other
+                fleet.full_disk(full)
+                fleet.freeze(first)  # the other two elect one, for which both have to write a vote down
+                status = await fleet.wait_for(lambda status: "disk has failed" in status["mute"], full)
+                assert not status["votes"]
+                assert (await fleet.propose(other, OPEN))[
+                    "refused"
+                ]  # no vote was given without being written
+                fleet.full_disk(full, False)
+                await fleet.wait_for(
+                    lambda status: status["votes"] and status["leader"] not in ("", f"n{first}"), other
                 )
-                told = await it.propose(other, OPEN)  # unless the one that had no answer was taken after all
-                assert not told["refused"] or "the newest version is 2" in told["refused"]
-                it.resume(first)
-                await it.wait_for_version("2")
+                status = await fleet.propose(
+                    other, OPEN
+                )  # unless the one that had no answer was taken after all
+                assert not status["refused"] or "the newest version is 2" in status["refused"]
+                fleet.resume(first)
+                await fleet.wait_for_version("2")
                 # Its journal is torn: it votes no more, and an instance that did not takes its place.
-                await it.kill(full)
-                journal = it.folder / "state" / str(full) / "peers" / "raft.journal"
+                await fleet.kill(full)
+                journal = fleet.folder / "state" / str(full) / "peers" / "raft.journal"
                 raw = journal.read_bytes()
                 journal.write_bytes(raw[:60] + b"\xff" * 8 + raw[68:])
-                await it.start_instance(full)
-                told = await it.wait_for(lambda told: bool(told["mute"]), full)
-                assert "its log can't be read: its journal" in told["mute"] and not told["votes"]
+                await fleet.start_instance(full)
+                status = await fleet.wait_for(lambda status: bool(status["mute"]), full)
+                assert "its log can't be read: its journal" in status["mute"] and not status["votes"]
                 # It may have led: the others notice its silence first, and choose who takes it out.
-                await it.wait_for(lambda told: told["leader"] not in ("", f"n{full}"), other)
-                assert not (await it.rules(other, "voters", remove=full, author="test"))["refused"]
-                await it.wait_for_version("3")
-                assert (await it.status(full))["mute"] == "" and not journal.exists()
-                said = await it.rules(other, "voters", add=3, author="test")
-                assert "they changed" in said["refused"]
+                await fleet.wait_for(lambda status: status["leader"] not in ("", f"n{full}"), other)
+                assert not (await fleet.rules(other, "voters", remove=full, author="test"))["refused"]
+                await fleet.wait_for_version("3")
+                assert (await fleet.status(full))["mute"] == "" and not journal.exists()
+                answer = await fleet.rules(other, "voters", add=3, author="test")
+                assert "they changed" in answer["refused"]
                 await asyncio.sleep(2.7)
-                assert not (await it.rules(other, "voters", add=3, author="test"))["refused"]
-                await it.wait_for_version("4")
-                await it.wait_for(lambda told: told["votes"], 3)
+                assert not (await fleet.rules(other, "voters", add=3, author="test"))["refused"]
+                await fleet.wait_for_version("4")
+                await fleet.wait_for(lambda status: status["votes"], 3)
                 # Who is in its place counts: without one of the two old ones the majority is with it.
-                await it.kill(other)
-                told = await it.wait_for(lambda told: told["leader"] not in ("", f"n{other}"), first)
-                assert not (await it.propose(first, CLOSED))["refused"]
-                await it.start_instance(other)
-                await it.wait_for_version("5")
+                await fleet.kill(other)
+                status = await fleet.wait_for(lambda status: status["leader"] not in ("", f"n{other}"), first)
+                assert not (await fleet.propose(first, CLOSED))["refused"]
+                await fleet.start_instance(other)
+                await fleet.wait_for_version("5")
                 # All start anew: that n3 votes and the torn one does not stands in no file of the operator's.
-                await asyncio.gather(*(it.kill(n) for n in range(4)))
-                await asyncio.gather(*(it.start_instance(n) for n in range(4)))
-                await it.wait_for_version("5")
-                assert (await it.wait_for(lambda told: told["votes"], 3))["newest"] == 5
-                assert not (await it.status(full))["votes"]
-            await it.drained(12.0)
-            assert it.broken(clients.taken) == [] and len(clients.taken) > 50
+                await asyncio.gather(*(fleet.kill(n) for n in range(4)))
+                await asyncio.gather(*(fleet.start_instance(n) for n in range(4)))
+                await fleet.wait_for_version("5")
+                assert (await fleet.wait_for(lambda status: status["votes"], 3))["newest"] == 5
+                assert not (await fleet.status(full))["votes"]
+            await fleet.drained(12.0)
+            assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(work())
 
 
 def test_concurrent_operators_and_rollback_of_a_harmful_version(tmp_path: Path) -> None:
     async def work() -> None:
-        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as it:
-            await it.wait_for_version("1")
-            first, second = await asyncio.gather(it.propose(0, OPEN, base=1), it.propose(3, CLOSED, base=1))
+        async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
+            await fleet.wait_for_version("1")
+            first, second = await asyncio.gather(
+                fleet.propose(0, OPEN, base=1), fleet.propose(3, CLOSED, base=1)
+            )
             refused = [each for each in (first, second) if each["refused"]]
             assert len(refused) == 1 and "the newest version is 2 (by test: a test)" in refused[0]["refused"]
-            newest = (await it.propose(0, OPEN) if first["refused"] else first)["number"]
+            newest = (await fleet.propose(0, OPEN) if first["refused"] else first)["number"]
             file = tmp_path / "rules.json"
             file.write_text(json.dumps({"destinations": {"x": {}}}))
-            words = ["rules", "--config", str(it.folder / "relay.toml")]
+            words = ["rules", "--config", str(fleet.folder / "relay.toml")]
 
             async def command(*more: str) -> Any:
                 return await asyncio.to_thread(CliRunner().invoke, group, [*words, *more])
 
-            said = await command("propose", str(file), "--cause", "a mistake")
-            assert said.exit_code == 1 and "destinations.x: a number or '*' is needed" in said.output
-            await it.wait_for_version(str(newest))
-            async with traffic(it, 80.0) as clients:
+            answer = await command("propose", str(file), "--cause", "a mistake")
+            assert answer.exit_code == 1 and "destinations.x: a number or '*' is needed" in answer.output
+            await fleet.wait_for_version(str(newest))
+            async with traffic(fleet, 80.0) as clients:
                 await asyncio.sleep(1.5)
                 file.write_text(json.dumps({"destinations": {"1": {"endpoints": ["nobody"]}}}))
-                said = await command(
+                answer = await command(
                     "propose",
                     str(file),
                     "--cause",
@@ -222,23 +228,23 @@
                     "--watch",
                     "5",
                 )
-                assert said.exit_code == 0, said.output
-                told = await it.wait_for(lambda told: told["newest"] >= newest + 2, 0, 40.0)
+                assert answer.exit_code == 0, answer.output
+                status = await fleet.wait_for(lambda status: status["newest"] >= newest + 2, 0, 40.0)
                 history = json.loads((await command("--json", "history")).output)["versions"]
                 assert history[-1]["author"] == "guard" and history[-1]["of"] == newest
                 assert "delivered" in history[-1]["cause"]
-                await it.wait_for_version(str(told["newest"]))
+                await fleet.wait_for_version(str(status["newest"]))
                 shown = await command("status")
                 assert shown.exit_code == 0 and "n0" in shown.output
                 diff = await command("diff", str(newest), str(newest + 1))
                 assert "destinations.1.endpoints: - -> nobody" in diff.output
                 ident = next(
-                    ident for _, ident, label in reversed(it.labelled_calls()) if label == str(newest)
+                    ident for _, ident, label in reversed(fleet.labelled_calls()) if label == str(newest)
                 )
                 explained = await command("explain", ident)
                 assert explained.exit_code == 0 and "allowed" in explained.output
-            await it.drained(12.0)
-            assert it.broken(clients.taken) == []
+            await fleet.drained(12.0)
+            assert fleet.broken(clients.taken) == []
 
     run_with_timeout(work())
 
@@ -247,14 +253,14 @@
     """A renewal after the word that it leaves would be granted, and each contrary version wait a horizon."""
 
     async def work() -> None:
-        async with cluster(12, bound=1.0, horizon=10.0) as it:
-            await it.wait_for_version("1")
-            assert not (await it.propose(0, OPEN))["refused"]
-            await it.wait_for_version("2")
-            it.instances = 3
-            await asyncio.gather(*(it.kill(n, signal.SIGTERM) for n in range(3, 12)))
-            assert not (await it.propose(0, CLOSED))["refused"]
-            assert await it.wait_for_version("3") < 5.0
+        async with cluster(12, bound=1.0, horizon=10.0) as fleet:
+            await fleet.wait_for_version("1")
+            assert not (await fleet.propose(0, OPEN))["refused"]
+            await fleet.wait_for_version("2")
+            fleet.instances = 3
+            await asyncio.gather(*(fleet.kill(n, signal.SIGTERM) for n in range(3, 12)))
+            assert not (await fleet.propose(0, CLOSED))["refused"]
+            assert await fleet.wait_for_version("3") < 5.0
 
     run_with_timeout(work())
 
@@ -264,14 +270,14 @@
 ) -> None:
     async def work() -> None:
         file = tmp_path / "rules.json"
-        async with cluster(3, bound=1.0, horizon=3.0, first=f'folder = "{tmp_path}"\n') as it:
-            await it.wait_for_version("1")
+        async with cluster(3, bound=1.0, horizon=3.0, first=f'folder = "{tmp_path}"\n') as fleet:
+            await fleet.wait_for_version("1")
             file.write_text(json.dumps(OPEN))
-            await it.wait_for_version("2")
+            await fleet.wait_for_version("2")
             file.write_text("{")
             await asyncio.sleep(2.2)
-            assert {(await it.status(n))["newest"] for n in range(3)} == {2}
-            assert "rules file unusable" in (it.folder / "i0.log").read_text()
+            assert {(await fleet.status(n))["newest"] for n in range(3)} == {2}
+            assert "rules file unusable" in (fleet.folder / "i0.log").read_text()
 
     run_with_timeout(work())
 
--- a/tests/consensus/test_mixed_builds_and_clocks.py
+++ b/tests/consensus/test_mixed_builds_and_clocks.py
@@ -41,35 +41,35 @@
         older = {**install_sitecustomize(tmp_path), "TOWN_OLDER": "1"}
         async with cluster(
             5, bound=1.0, horizon=3.0, deadline_share=0.3, more_env={3: older, 4: older}
-        ) as it:
-            await it.wait_for_version("1")
-            async with traffic(it) as clients:
+        ) as fleet:
+            await fleet.wait_for_version("1")
+            async with traffic(fleet) as clients:
                 number = 1
                 for n in (3, 4):
                     for asked in (0, 4):  # a voter, and one of the old build
-                        said = (await it.propose(asked, CLASSES))["refused"]
-                        assert "runs a build that does not know classes: upgrade it first" in said
+                        refusal = (await fleet.propose(asked, CLASSES))["refused"]
+                        assert "runs a build that does not know classes: upgrade it first" in refusal
                     # What all of them know goes on being agreed on meanwhile.
-                    assert not (await it.propose(4, OPEN if n == 3 else CLOSED))["refused"]
+                    assert not (await fleet.propose(4, OPEN if n == 3 else CLOSED))["refused"]
                     number += 1
-                    await it.wait_for_version(str(number))
-                    await it.kill(n, signal.SIGTERM)
-                    del it.more_env[n]
-                    await it.start_instance(n)
-                    await it.wait_for_version(str(number))
-                answer = await propose_until_accepted(it, CLASSES)
-                await it.wait_for_version(str(answer["number"]))
-            await it.drained(12.0)
-            assert it.broken(clients.taken) == [] and len(clients.taken) > 50
+                    await fleet.wait_for_version(str(number))
+                    await fleet.kill(n, signal.SIGTERM)
+                    del fleet.more_env[n]
+                    await fleet.start_instance(n)
+                    await fleet.wait_for_version(str(number))
+                answer = await propose_until_accepted(fleet, CLASSES)
+                await fleet.wait_for_version(str(answer["number"]))
+            await fleet.drained(12.0)
+            assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(work())
 
 
-async def propose_until_accepted(it: ClusterHarness, rules: dict[str, Any]) -> dict[str, Any]:
+async def propose_until_accepted(fleet: ClusterHarness, rules: dict[str, Any]) -> dict[str, Any]:
     """Proposed until it is taken: that the last old build is gone may be news to the voter."""
     async with asyncio.timeout(20.0):
         while True:
-            answer = await it.propose(0, rules)
+            answer = await fleet.propose(0, rules)
             if not answer["refused"]:
                 return answer
             assert "upgrade it first" in answer["refused"]
@@ -82,32 +82,34 @@
         clock.write_text("0")
         env = {**install_sitecustomize(tmp_path), "TOWN_CLOCK": str(clock)}
         more = {n: env for n in range(3)}
-        async with cluster(4, bound=1.0, horizon=8.0, deadline_share=0.3, more_env=more) as it:
-            await it.wait_for_version("1")
-            async with traffic(it):
-                await change_voters(it, "", add=3)
+        async with cluster(4, bound=1.0, horizon=8.0, deadline_share=0.3, more_env=more) as fleet:
+            await fleet.wait_for_version("1")
+            async with traffic(fleet):
+                await change_voters(fleet, "", add=3)
                 clock.write_text("-3600")  # an hour back, on all that vote
-                await it.wait_for_version("2")
-                leads = await leader_number(it)
+                await fleet.wait_for_version("2")
+                leads = await leader_number(fleet)
                 away = next(n for n in range(3) if n != leads)
-                assert "they changed" in await change_voters(it, "they changed", remove=away)
+                assert "they changed" in await change_voters(fleet, "they changed", remove=away)
                 clock.write_text("3600")  # and two hours on: the wait is not over by that
-                assert "they changed" in await change_voters(it, "they changed", remove=away)
-                await change_voters(it, "", remove=away)  # once the wait after the last change is over
-                await it.wait_for_version("3")
+                assert "they changed" in await change_voters(fleet, "they changed", remove=away)
+                await change_voters(fleet, "", remove=away)  # once the wait after the last change is over
+                await fleet.wait_for_version("3")
 
     run_with_timeout(work())
 
 
-async def change_voters(it: ClusterHarness, wanted: str, **more: Any) -> str:
+async def change_voters(fleet: ClusterHarness, wanted: str, **more: Any) -> str:
     """Asks whoever leads until the answer is the one wanted (empty: taken), or that they are changed already:
     a leader may be on its way out, or a member not known yet."""
     async with asyncio.timeout(40.0):
         while True:
             with contextlib.suppress(StatusError):
-                said = str(
-                    (await it.rules(await leader_number(it), "voters", author="test", **more))["refused"]
+                refusal = str(
+                    (await fleet.rules(await leader_number(fleet), "voters", author="test", **more))[
+                        "refused"
+                    ]
                 )
-                if said == wanted or (wanted and (wanted in said or not said)):
-                    return said
+                if refusal == wanted or (wanted and (wanted in refusal or not refusal)):
+                    return refusal
             await asyncio.sleep(0.1)
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -26,33 +26,33 @@
 
 
 def test_repeated_query_does_not_report_its_own_epoch() -> None:
-    it = ProcessEpochs({"a": 4})
-    assert it.observe("a", 5, 77) == 4
-    assert it.observe("a", 5, 77) == 4 and it.observe("a", 5, 77) == 4
+    epochs = ProcessEpochs({"a": 4})
+    assert epochs.observe("a", 5, 77) == 4
+    assert epochs.observe("a", 5, 77) == 4 and epochs.observe("a", 5, 77) == 4
 
 
 def test_second_process_with_the_same_epoch_learns_of_the_first() -> None:
-    it = ProcessEpochs({})
-    assert it.observe("a", 5, 77) == 0
-    assert it.observe("a", 5, 78) == 5  # a folder put back runs from the same number
-    assert it.observe("a", 5, 0) == 5  # a build that tells no nonce may be any process
-    assert it.observe("a", 3, 77) == 5 and it.highest == {"a": 5}
-    assert it.observe("a", 6, 79) == 5 and it.observe("a", 5, 77) == 6
+    epochs = ProcessEpochs({})
+    assert epochs.observe("a", 5, 77) == 0
+    assert epochs.observe("a", 5, 78) == 5  # a folder put back runs from the same number
+    assert epochs.observe("a", 5, 0) == 5  # a build that tells no nonce may be any process
+    assert epochs.observe("a", 3, 77) == 5 and epochs.highest == {"a": 5}
+    assert epochs.observe("a", 6, 79) == 5 and epochs.observe("a", 5, 77) == 6
 
 
 def test_undo_restores_an_epoch_that_could_not_be_saved() -> None:
-    it = ProcessEpochs({"a": 4})
-    assert it.observe("a", 5, 77) == 4
-    it.undo_observe("a", 4)
-    assert it.highest == {"a": 4} and it.observe("a", 5, 78) == 4
-    assert it.observe("b", 1, 1) == 0
-    it.undo_observe("b", None)
-    assert "b" not in it.highest
+    epochs = ProcessEpochs({"a": 4})
+    assert epochs.observe("a", 5, 77) == 4
+    epochs.undo_observe("a", 4)
+    assert epochs.highest == {"a": 4} and epochs.observe("a", 5, 78) == 4
+    assert epochs.observe("b", 1, 1) == 0
+    epochs.undo_observe("b", None)
+    assert "b" not in epochs.highest
 
 
 def test_nonce_zero_matches_no_process() -> None:
-    it = ProcessEpochs({})
-    assert it.observe("a", 5, 0) == 0 and it.observe("a", 5, 0) == 5
+    epochs = ProcessEpochs({})
+    assert epochs.observe("a", 5, 0) == 0 and epochs.observe("a", 5, 0) == 5
 
 
 @contextlib.asynccontextmanager
--- a/tests/consensus/test_version_fetch.py
+++ b/tests/consensus/test_version_fetch.py
@@ -89,13 +89,13 @@
 
 
 def test_search_refused_by_all_ends_and_restarts_on_the_next_report() -> None:
-    it = VersionFetcher(random.Random(1))
-    sought = it.on_version_reported(7, "n0")
-    assert sought is not None and it.on_version_reported(7, "n1") is None
+    fetcher = VersionFetcher(random.Random(1))
+    sought = fetcher.on_version_reported(7, "n0")
+    assert sought is not None and fetcher.on_version_reported(7, "n1") is None
     asked = [sought.next_voter() for _ in range(2 * ROUNDS)]
     assert Counter(asked) == {"n0": ROUNDS, "n1": ROUNDS} and sought.next_voter() is None
-    it.finish(7)
-    assert it.on_version_reported(7, "n0") is not None
+    fetcher.finish(7)
+    assert fetcher.on_version_reported(7, "n0") is not None
 
 
 def test_pauses_grow_to_a_bound_and_orders_differ() -> None:
@@ -120,11 +120,11 @@
 
 
 def test_concurrent_searches_are_bounded() -> None:
-    it = VersionFetcher(random.Random(3))
-    assert all(it.on_version_reported(n, "n0") is not None for n in range(CONCURRENT_SEARCHES_MAX))
+    fetcher = VersionFetcher(random.Random(3))
+    assert all(fetcher.on_version_reported(n, "n0") is not None for n in range(CONCURRENT_SEARCHES_MAX))
     assert (
-        it.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is None
-        and len(it.searches) == CONCURRENT_SEARCHES_MAX
+        fetcher.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is None
+        and len(fetcher.searches) == CONCURRENT_SEARCHES_MAX
     )
-    it.finish(0)
-    assert it.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is not None
+    fetcher.finish(0)
+    assert fetcher.on_version_reported(CONCURRENT_SEARCHES_MAX, "n0") is not None
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -31,26 +31,35 @@
 
 
 def test_second_of_two_proposals_on_the_same_base_is_refused() -> None:
-    it = make_history()
-    assert it.apply(make_proposal(1, STRICT)).number == 2
-    answer = it.apply(make_proposal(1, LOOSE))
+    history = make_history()
+    assert history.apply(make_proposal(1, STRICT)).number == 2
+    answer = history.apply(make_proposal(1, LOOSE))
     assert answer.refused == (
         "base: the newest version is 2 (by ana: because), not 1: look at it, and propose again"
     )
-    assert it.current.decoded_rules == STRICT and len(it.versions) == 2
+    assert history.current.decoded_rules == STRICT and len(history.versions) == 2
 
 
 def test_canary_must_be_stricter_and_ends_by_promotion_or_withdrawal() -> None:
-    it = make_history()
-    it.apply(make_proposal(1, LOOSE))
-    assert "stricter" in it.apply(make_proposal(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
-    assert it.apply(make_proposal(2, STRICT, 0.2)).number == 3
-    assert it.canary is not None and it.current.number == 2
-    assert "on trial" in it.apply(make_proposal(3, LOOSE)).refused
-    assert it.apply(Withdraw(3, "ana", "harm")).number == 3 and it.canary is None and it.current.number == 2
-    assert "it is withdrawn" in it.apply(Promote(3, "ana")).refused
-    assert it.apply(make_proposal(3, STRICT, 0.2)).number == 4 and it.apply(Promote(4, "ana")).number == 4
-    assert it.current.number == 4 and [each.stage for each in it.versions] == [
+    history = make_history()
+    history.apply(make_proposal(1, LOOSE))
+    assert (
+        "stricter" in history.apply(make_proposal(2, Rules({ANY: DestinationRule(rate=60.0)}), 0.2)).refused
+    )
+    assert history.apply(make_proposal(2, STRICT, 0.2)).number == 3
+    assert history.canary is not None and history.current.number == 2
+    assert "on trial" in history.apply(make_proposal(3, LOOSE)).refused
+    assert (
+        history.apply(Withdraw(3, "ana", "harm")).number == 3
+        and history.canary is None
+        and history.current.number == 2
+    )
+    assert "it is withdrawn" in history.apply(Promote(3, "ana")).refused
+    assert (
+        history.apply(make_proposal(3, STRICT, 0.2)).number == 4
+        and history.apply(Promote(4, "ana")).number == 4
+    )
+    assert history.current.number == 4 and [each.stage for each in history.versions] == [
         Stage.PAST,
         Stage.PAST,
         Stage.WITHDRAWN,
@@ -59,30 +68,33 @@
 
 
 def test_voters_change_one_at_a_time() -> None:
-    it = make_history()
-    assert it.apply(ChangeVoters(1, "n3", "", "ana", 5.0)).number == 2
-    assert it.newest.voters == ("n0", "n1", "n2", "n3") and it.voters_changed_at_ms == 5.0
+    history = make_history()
+    assert history.apply(ChangeVoters(1, "n3", "", "ana", 5.0)).number == 2
+    assert history.newest.voters == ("n0", "n1", "n2", "n3") and history.voters_changed_at_ms == 5.0
     for told, why in (
         (ChangeVoters(2, "n4", "n0", "ana", 6.0), "a step at a time"),
         (ChangeVoters(2, "n3", "", "ana", 6.0), "already"),
         (ChangeVoters(2, "", "n9", "ana", 6.0), "not among"),
     ):
-        assert why in it.apply(told).refused
-    assert it.apply(ChangeVoters(2, "", "n0", "ana", 7.0)).number == 3 and it.newest.decoded_rules == Rules()
+        assert why in history.apply(told).refused
+    assert (
+        history.apply(ChangeVoters(2, "", "n0", "ana", 7.0)).number == 3
+        and history.newest.decoded_rules == Rules()
+    )
 
 
 def test_snapshot_restores_the_state_and_retained_versions_are_bounded() -> None:
-    it, again = make_history(), make_history()
+    history, again = make_history(), make_history()
     for n in range(VERSIONS_RETAINED + 10):
-        it.apply(make_proposal(n + 1, STRICT if n % 2 else LOOSE))
-    it.apply(Forget("n2", 4, "ana", 0.0))
-    again.load(it.dump())
+        history.apply(make_proposal(n + 1, STRICT if n % 2 else LOOSE))
+    history.apply(Forget("n2", 4, "ana", 0.0))
+    again.load(history.dump())
     assert (
-        again.dump() == it.dump()
-        and len(it.versions) == VERSIONS_RETAINED
+        again.dump() == history.dump()
+        and len(history.versions) == VERSIONS_RETAINED
         and again.forgotten_epochs == {"n2": 4}
     )
-    assert it.get(1) is None and it.get(it.newest.number) is it.newest
+    assert history.get(1) is None and history.get(history.newest.number) is history.newest
 
 
 @pytest.mark.parametrize("raw", [b"", b"{}", b'{"type": "propose"}', b'{"type": "no"}'])
