--- a/message_relay/sharded_directory/bitset.py
+++ b/message_relay/sharded_directory/bitset.py
@@ -1,22 +1,22 @@
-"""Sets of small numbers as one integer: shards that a reader holds, readers that hold a shard."""
+"""Sets of small numbers as one integer: the shards a client has, the clients that have a shard."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-SPARSE_BIT_COUNT = 64  # numbers: below, one step each is cheaper than a look at every byte
+SPARSE_BIT_COUNT = 64  # with fewer numbers, a step for each is cheaper than a look at every byte
 
 
 def set_bits(bitset: int) -> Iterator[int]:
-    """Ascending."""
+    """Yield the numbers in the set, ascending."""
     if bitset.bit_count() < SPARSE_BIT_COUNT:
         while bitset:
-            low = bitset & -bitset
-            yield low.bit_length() - 1
-            bitset ^= low
+            lowest = bitset & -bitset
+            yield lowest.bit_length() - 1
+            bitset ^= lowest
         return
     for place, byte in enumerate(bitset.to_bytes((bitset.bit_length() + 7) // 8, "little")):
         while byte:
-            low = byte & -byte
-            yield 8 * place + low.bit_length() - 1
-            byte ^= low
+            lowest = byte & -byte
+            yield 8 * place + lowest.bit_length() - 1
+            byte ^= lowest
--- a/message_relay/sharded_directory/bulk_load.py
+++ b/message_relay/sharded_directory/bulk_load.py
@@ -1,12 +1,13 @@
-"""A whole list, or many changes at once, made ready in pieces and taken in one moment. No I/O.
+"""A whole list, or many changes at once, staged in steps and committed at once. No I/O.
 
-Until then the old rows answer, with the old version: a reader never gets rows of two versions under one. What
-is given up halfway has changed nothing.
+Until the commit the old rows are served under the old version: a client never gets rows of two versions under
+one. An update that is dropped halfway has changed nothing.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
 import msgspec
 
@@ -14,9 +15,10 @@
 from .shard_table import EMPTY_SHARD, ShardEdit, ShardTable, name_hash
 from .wire import CHECKSUM_MASK, GONE, Row, Version, row_checksum
 
-STEP_ROWS = 2_000  # read and compared in one step: some 4 ms
-STEP_SHARDS = 2_048  # looked at in one step, nearly all alike: below a millisecond
+STEP_ROWS = 2_000  # decoded and compared in one step: some 4 ms
+STEP_SHARDS = 2_048  # looked at in one step, nearly all unchanged: below a millisecond
 ARRAY_HEADER = b"\xdd"  # of a msgpack array with four bytes of length
+EMPTY_ARRAY = ARRAY_HEADER + bytes(4)
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
@@ -24,144 +26,165 @@
 
 
 class StagedUpdate:
-    """What a list and changes have in common. `taken` tells at the end whether it came into force."""
+    """What a list and changes have in common.
+
+    Entries are added, the update is sealed, and then `step` is called until it returns True. The callback
+    commits it and says whether it is in force.
+    """
 
     def __init__(
-        self, table: ShardTable, now: float, version: Version, allowed: bool, taken: CommitCallback
+        self, table: ShardTable, now: float, version: Version, is_allowed: bool, on_complete: CommitCallback
     ) -> None:
-        self.table, self.started_at, self.version, self.is_allowed = table, now, version, allowed
-        self._on_complete = taken
+        self.table = table
+        self.started_at = now
+        self.version = version
+        self.is_allowed = is_allowed  # not older than what is in force
         self.edits: dict[int, ShardEdit] = {}
-        self.is_sealed = self.is_committed = False
+        self.is_sealed = False
+        self.is_committed = False
         self.commit_count = table.commit_count
+        self._on_complete = on_complete
 
     def seal(self, now: float) -> bool:
-        """All is added; False: it is refused, and no step is needed."""
+        """All entries are added. Return False if the update is refused: then no step is needed."""
         self.is_sealed = True
         return self.is_allowed
 
     def step(self) -> bool:
-        """Some work; True: done, and `taken` says whether it is in force."""
+        """Do some of the work; return True once it is done, `is_committed` having the result."""
         assert self.is_sealed
         if not self.is_allowed:
             return True
-        if self.commit_count != self.table.commit_count:  # what it was compared with is no more
+        if self.commit_count != self.table.commit_count:  # what it was compared with is no longer in force
             self.commit_count = self.table.commit_count
             self.edits.clear()
             self._restart()
-        if self._work():
-            self.is_committed = self._on_complete(self)
-            return True
-        return False
+        if not self._work():
+            return False
+        self.is_committed = self._on_complete(self)
+        return True
 
     def _restart(self) -> None:
+        """Begin the comparison again."""
         raise NotImplementedError
 
     def _work(self) -> bool:
+        """Do one step; whether it was the last one."""
         raise NotImplementedError
 
 
+class _ReportedChange(NamedTuple):
+    row: Row | None  # None: only the listing is known
+    name: str
+    listing: int
+
+
 class StagedChanges(StagedUpdate):
-    """Changes of one generation."""
+    """Changes up to one generation."""
 
     def __init__(
-        self, table: ShardTable, now: float, version: Version, allowed: bool, taken: CommitCallback
+        self, table: ShardTable, now: float, version: Version, is_allowed: bool, on_complete: CommitCallback
     ) -> None:
-        super().__init__(table, now, version, allowed, taken)
-        self.reported: list[tuple[Row | None, str, int]] = []  # for another start; the source bounds it
+        super().__init__(table, now, version, is_allowed, on_complete)
+        self.reported: list[_ReportedChange] = []  # retained for a restart; bounded by the source
+        self.sorted_count = 0  # of `reported`
         self.changes_by_shard: dict[int, dict[str, Row | int]] = {}
-        self.shard_by_name_hash: dict[int, int | None] = {}
+        self.shard_by_name_hash: dict[int, int | None] = {}  # None: the name is gone
         self.remaining_shards: list[int] = []
-        self.sorted_count = 0  # of what was told
 
-    def add(self, rows: Iterable[Row], lives: Iterable[tuple[str, int]] = ()) -> None:
+    def add(self, rows: Iterable[Row], listings: Iterable[tuple[str, int]] = ()) -> None:
+        """Add new rows, and listings of names whose rows are otherwise unchanged."""
         if self.is_allowed:
-            self.reported += [(row, row.name, row.listing) for row in rows]
-            self.reported += [(None, name, listing) for name, listing in lives]
+            self.reported += [_ReportedChange(row, row.name, row.listing) for row in rows]
+            self.reported += [_ReportedChange(None, name, listing) for name, listing in listings]
 
     def _restart(self) -> None:
         self.changes_by_shard.clear()
         self.shard_by_name_hash.clear()
         self.sorted_count = 0
 
-    def _sort(self, some: list[tuple[Row | None, str, int]]) -> None:
-        for row, name, listing in some:
-            mark = name_hash(name)
-            at = (
-                self.shard_by_name_hash[mark]
-                if mark in self.shard_by_name_hash
-                else self.table.shard_by_name_hash.get(mark)
-            )
-            if row is None or listing == GONE:
-                if at is None:
-                    continue
-                changes = self.changes_by_shard.setdefault(at, {})
-                known = changes.get(name)
-                changes[name] = (
-                    msgspec.structs.replace(known, listing=listing)
-                    if isinstance(known, Row) and listing != GONE
-                    else listing
-                )
-                if listing == GONE:
-                    self.shard_by_name_hash[mark] = None
-            else:
-                shard = shard_of(row.destination, self.table.shard_count)
-                if at is not None and at != shard:
-                    self.changes_by_shard.setdefault(at, {})[name] = GONE
-                self.changes_by_shard.setdefault(shard, {})[name] = row
-                self.shard_by_name_hash[mark] = shard
-
     def _work(self) -> bool:
         if self.sorted_count < len(self.reported):
-            self._sort(self.reported[self.sorted_count : self.sorted_count + STEP_ROWS])
+            self._sort_by_shard(self.reported[self.sorted_count : self.sorted_count + STEP_ROWS])
             self.sorted_count += STEP_ROWS
             self.remaining_shards = list(self.changes_by_shard)
             if self.sorted_count < len(self.reported):
                 return False
-        rows = 0
-        while self.remaining_shards and rows < STEP_ROWS:
+        row_count = 0
+        while self.remaining_shards and row_count < STEP_ROWS:
             shard = self.remaining_shards.pop()
-            rows += self.table.row_counts[shard] + len(self.changes_by_shard[shard])
-            edit = self.table.edit_shard(shard, self.changes_by_shard[shard])
+            changes = self.changes_by_shard[shard]
+            row_count += self.table.row_counts[shard] + len(changes)
+            edit = self.table.edit_shard(shard, changes)
             if edit is not None:
                 self.edits[shard] = edit
         return not self.remaining_shards
 
+    def _sort_by_shard(self, changes: list[_ReportedChange]) -> None:
+        for row, name, listing in changes:
+            hashed = name_hash(name)
+            if hashed in self.shard_by_name_hash:
+                shard_before = self.shard_by_name_hash[hashed]
+            else:
+                shard_before = self.table.shard_by_name_hash.get(hashed)
+            if row is not None and listing != GONE:
+                self._add_row(row, hashed, shard_before)
+            elif shard_before is not None:
+                self._add_listing(name, listing, hashed, shard_before)
+
+    def _add_row(self, row: Row, hashed: int, shard_before: int | None) -> None:
+        shard = shard_of(row.destination, self.table.shard_count)
+        if shard_before is not None and shard_before != shard:
+            self.changes_by_shard.setdefault(shard_before, {})[row.name] = GONE
+        self.changes_by_shard.setdefault(shard, {})[row.name] = row
+        self.shard_by_name_hash[hashed] = shard
+
+    def _add_listing(self, name: str, listing: int, hashed: int, shard: int) -> None:
+        changes = self.changes_by_shard.setdefault(shard, {})
+        known = changes.get(name)
+        if listing == GONE:
+            changes[name] = GONE
+            self.shard_by_name_hash[hashed] = None
+        elif isinstance(known, Row):
+            changes[name] = msgspec.structs.replace(known, listing=listing)
+        else:
+            changes[name] = listing
+
 
 class StagedList(StagedUpdate):
-    """A whole list. A name that comes twice is where it came last."""
+    """A whole list. Of a name that comes twice the last entry counts."""
 
     def __init__(
-        self, table: ShardTable, now: float, version: Version, allowed: bool, taken: CommitCallback
+        self, table: ShardTable, now: float, version: Version, is_allowed: bool, on_complete: CommitCallback
     ) -> None:
-        super().__init__(table, now, version, allowed, taken)
-        shards = table.shard_count
-        self.encoded_parts: list[bytearray | None] = [None] * shards
-        self.row_counts, self.checksums = [0] * shards, [0] * shards
+        super().__init__(table, now, version, is_allowed, on_complete)
+        shard_count = table.shard_count
+        self.encoded_parts: list[bytearray | None] = [None] * shard_count
+        self.row_counts = [0] * shard_count
+        self.checksums = [0] * shard_count
+        self.destination_counts = [0] * shard_count
         self.shard_by_name_hash: dict[int, int] = {}
-        self.seen_destinations: set[int] = set()  # destinations
-        self.destination_counts = [0] * shards
-        self.shards_to_reread: set[int] = (
-            set()
-        )  # shards in which a name came twice or is gone: they are read once more
+        self.seen_destinations: set[int] = set()
+        self.shards_to_reread: set[int] = set()  # a name came twice in them, or is gone
         self.next_shard = 0
 
     def add(self, rows: Iterable[Row]) -> None:
+        """Add entries."""
         if not self.is_allowed:
             return
-        names, shards = self.shard_by_name_hash, self.table.shard_count
+        names, shard_count = self.shard_by_name_hash, self.table.shard_count
         for row in rows:
-            shard = shard_of(row.destination, shards)
-            mark = name_hash(row.name)
-            before = names.get(mark)
-            if before is not None or row.listing == GONE:
+            shard = shard_of(row.destination, shard_count)
+            hashed = name_hash(row.name)
+            shard_before = names.get(hashed)
+            if shard_before is not None or row.listing == GONE:
                 self.shards_to_reread.add(shard)
-                if before is not None:
-                    self.shards_to_reread.add(before)
-            names[mark] = shard
+                if shard_before is not None:
+                    self.shards_to_reread.add(shard_before)
+            names[hashed] = shard
             part = self.encoded_parts[shard]
             if part is None:
-                part = self.encoded_parts[shard] = bytearray(ARRAY_HEADER + bytes(4))
+                part = self.encoded_parts[shard] = bytearray(EMPTY_ARRAY)
             if row.destination not in self.seen_destinations:
                 self.seen_destinations.add(row.destination)
                 self.destination_counts[shard] += 1
@@ -173,28 +196,32 @@
         self.next_shard = 0
 
     def _work(self) -> bool:
-        rows, until = 0, min(self.table.shard_count, self.next_shard + STEP_SHARDS)
-        while self.next_shard < until and rows < STEP_ROWS:
-            shard = self.next_shard
+        row_count = 0
+        end = min(self.table.shard_count, self.next_shard + STEP_SHARDS)
+        while self.next_shard < end and row_count < STEP_ROWS:
+            row_count += self._stage_shard(self.next_shard)
             self.next_shard += 1
-            if shard in self.shards_to_reread:
-                rows += self.row_counts[shard]
-                self._reread(shard)
-            total = self.checksums[shard] & CHECKSUM_MASK
-            if (
-                total == self.table.checksums[shard]
-                and self.row_counts[shard] == self.table.row_counts[shard]
-            ):
-                continue
-            blob, new = self._encoded_rows(shard), []
-            if self.table.history_start >= 0:
-                rows += self.row_counts[shard] + self.table.row_counts[shard]
-                new = self._changed_rows(shard, blob)
-            self.edits[shard] = ShardEdit(
-                blob, self.row_counts[shard], self.destination_counts[shard], total, new
-            )
         return self.next_shard == self.table.shard_count
 
+    def _stage_shard(self, shard: int) -> int:
+        """Compare a shard with what is in force; return how many rows were decoded, about."""
+        decoded = 0
+        if shard in self.shards_to_reread:
+            decoded += self.row_counts[shard]
+            self._reread(shard)
+        checksum = self.checksums[shard] & CHECKSUM_MASK
+        row_count = self.row_counts[shard]
+        if checksum == self.table.checksums[shard] and row_count == self.table.row_counts[shard]:
+            return decoded
+        encoded_rows = self._encoded_rows(shard)
+        changed_rows: list[Row] = []
+        if self.table.history_start >= 0:
+            decoded += row_count + self.table.row_counts[shard]
+            changed_rows = self._changed_rows(shard, encoded_rows)
+        destination_count = self.destination_counts[shard]
+        self.edits[shard] = ShardEdit(encoded_rows, row_count, destination_count, checksum, changed_rows)
+        return decoded
+
     def _encoded_rows(self, shard: int) -> bytes:
         part = self.encoded_parts[shard]
         if part is None:
@@ -203,25 +230,25 @@
         return bytes(part)
 
     def _reread(self, shard: int) -> None:
+        """Drop the rows of names that came again, and of those that are gone."""
         self.shards_to_reread.discard(shard)
         rows = {row.name: row for row in _ROWS.decode(self._encoded_rows(shard))}
         for name, row in list(rows.items()):
-            mark = name_hash(name)
-            if self.shard_by_name_hash.get(mark) != shard:
-                del rows[name]  # it came again, elsewhere
+            hashed = name_hash(name)
+            if self.shard_by_name_hash.get(hashed) != shard:
+                del rows[name]  # it came again, in another shard
             elif row.listing == GONE:
                 del rows[name]
-                del self.shard_by_name_hash[mark]
-        self.encoded_parts[shard] = bytearray(
-            ARRAY_HEADER + bytes(4) + b"".join(map(_ENCODER.encode, rows.values()))
-        )
+                del self.shard_by_name_hash[hashed]
+        self.encoded_parts[shard] = bytearray(EMPTY_ARRAY + b"".join(map(_ENCODER.encode, rows.values())))
         self.row_counts[shard] = len(rows)
         self.destination_counts[shard] = len({row.destination for row in rows.values()})
         self.checksums[shard] = sum(map(row_checksum, rows.values()))
 
-    def _changed_rows(self, shard: int, blob: bytes) -> list[Row]:
+    def _changed_rows(self, shard: int, encoded_rows: bytes) -> list[Row]:
+        """The rows that differ from those in force; those that left have the listing GONE."""
         before = {row.name: row for row in self.table.decode_rows(shard)}
-        after = {row.name: row for row in _ROWS.decode(blob)}
-        new = [row for name, row in after.items() if row != before.get(name)]
-        left = [row for name, row in before.items() if name not in after]
-        return new + [msgspec.structs.replace(row, listing=GONE) for row in left]
+        after = {row.name: row for row in _ROWS.decode(encoded_rows)}
+        changed = [row for name, row in after.items() if row != before.get(name)]
+        removed = [row for name, row in before.items() if name not in after]
+        return changed + [msgspec.structs.replace(row, listing=GONE) for row in removed]
