--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -25,11 +25,11 @@
 from message_relay.core.directory import EndpointDirectory
 from message_relay.core.ports import EndpointUpdate
 from message_relay.decisions.model import DestinationKind, Effect, MessageClass, Settings
+from message_relay.sharded_directory.response_builder import MAX_RESPONSE_BYTES
 from message_relay.sharded_directory.shard_client import ShardClient
 from message_relay.sharded_directory.shard_server import (
     BURST_S,
     BYTES_S,
-    MAX_RESPONSE_BYTES,
     RESPONSES_PER_S,
     ShardServer,
 )
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -11,7 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_relay.sharded_directory import bulk_load, shard_server, shard_table, subscribers
+from message_relay.sharded_directory import (
+    bulk_load,
+    response_builder,
+    shard_server,
+    shard_table,
+    subscribers,
+)
 from message_relay.sharded_directory.errors import UnreadableFrameError
 from message_relay.sharded_directory.rendezvous_hash import rank_servers, shard_of
 from message_relay.sharded_directory.shard_server import ShardServer
@@ -282,7 +288,7 @@
         ),
     )
     answer = asked(keeper, told)
-    assert len(encode_message(answer)) <= shard_server.MAX_RESPONSE_BYTES + 4_000
+    assert len(encode_message(answer)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
     assert [part.shard for part in answer.parts] == list(range(63, 63 - len(answer.parts), -1))
     assert len(answer.parts) > 8
     # Changes are told beside shards that are wanted; and in pieces, if they are many.
@@ -294,7 +300,7 @@
             ask(layout, (1, 1), range(64)), ahead_version=(1, 2), ahead_shards=bits
         )
         answer = asked(keeper, more)
-        assert len(encode_message(answer)) <= shard_server.MAX_RESPONSE_BYTES + 4_000
+        assert len(encode_message(answer)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
         assert not has & {part.shard for part in answer.parts}
         has |= {part.shard for part in answer.parts}
         if answer.is_complete:
@@ -336,7 +342,7 @@
     assert keeper.overloaded > 0
     assert (
         keeper.sent_bytes
-        <= shard_server.BYTES_S * (10.0 + shard_server.BURST_S) + shard_server.MAX_RESPONSE_BYTES
+        <= shard_server.BYTES_S * (10.0 + shard_server.BURST_S) + response_builder.MAX_RESPONSE_BYTES
     )
 
 
