--- a/message_relay/sharded_directory/__init__.py
+++ b/message_relay/sharded_directory/__init__.py
@@ -1,8 +1,11 @@
-"""The directory by interest: a relay knows the destinations that it needs, and not all.
+"""Sharded directory: a relay knows the endpoints of the destinations that it needs, and not all.
 
-Destinations fall into shards. *Keepers* (instances of a role) hold all shards and take them from the
-sources that there are; *readers* (relays) hold the shards that they use. Off unless the operator's file
-names keepers; the platform's relays import nothing of it. `keeping.py` (with `table.py`, `staging.py`,
-`audience.py`) and `reading.py` (with `holding.py`, `freshness.py`) decide, without I/O and with the clock
-passed in; `node.py` and `source.py` have the sockets. Why it is so: docs/design/capacity.md.
+Destinations fall into shards. Shard servers (instances that the operator's file names) have all shards, from
+the platform's register or a file; shard clients (all relays) have the shards that they use. Off unless the
+operator's file names servers; then nothing of it is imported.
+
+Without I/O and with the clock passed in: `shard_server.py` (with `response_builder.py`, `shard_table.py`,
+`bulk_load.py`, `subscribers.py`) and `shard_client.py` (with `request_scheduler.py`, `pending_shards.py`,
+`shard_cache.py`, `staleness.py`). `wire.py` has the messages between them. `node.py` and `source.py` have the
+sockets. The reasons are in docs/design/capacity.md.
 """
--- a/message_relay/sharded_directory/list_transfer.py
+++ b/message_relay/sharded_directory/list_transfer.py
@@ -34,7 +34,7 @@
     """What a list says beside its entries."""
 
     generation: int
-    is_whole: bool  # the whole list; else the changes since the generation that was asked from
+    is_full_list: bool  # the whole list; else the changes since the generation that was asked from
 
 
 def row_of(record: EndpointRecord) -> Row:
@@ -123,9 +123,9 @@
         self.splitter.check_complete()
         header = self._header()
         await self._stage_deferred()
-        if header.is_whole or self.entry_count or header.generation != self.from_generation:
+        if header.is_full_list or self.entry_count or header.generation != self.from_generation:
             await self._commit(self._staged_update(), header.generation)
-        if not header.is_whole:
+        if not header.is_full_list:
             self.server.confirm_source(self.requested_at)
         return header.generation
 
@@ -168,7 +168,7 @@
         header = self._header()
         if self._staged is not None:
             return self._staged
-        if header.is_whole:
+        if header.is_full_list:
             self._staged = self.server.start_list(self.requested_at, (self.epoch, header.generation))
         elif self.from_generation is None:
             raise SourceError("changes came where the whole list was asked for")
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -1,5 +1,8 @@
-"""The directory by interest on the loop: what `Keeper` and `Reader` decide is carried out over the peers'
-connections, the host hears what its reader has learned, and a keeper has its source."""
+"""The sharded directory on the event loop, for one instance.
+
+Carries out what ShardClient and ShardServer decide, over the gossip node's connections: sends requests and
+digests, gives updates to the relay, and runs the server's source.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,6 @@
 from .source import FileSource, RegisterSource
 from .wire import (
     Digest,
-    DirectoryMessage,
     Layout,
     LayoutMismatch,
     Overloaded,
@@ -40,54 +42,64 @@
 
 log = logging.getLogger(__name__)
 
-MESSAGE_KIND = "shards"  # of frames and datagrams on the peers' node
-REQUEST_TIMEOUT_S = 1.0  # an ask has its answer within it, or another keeper is asked
-MIN_TICK_INTERVAL_S = 0.005  # between two turns: what is wanted meanwhile goes in one ask
-MAX_TICK_INTERVAL_S = 1.0  # a turn comes at the latest after it, whatever is due
-TICK_RETRY_S = 1.0  # after a turn that failed
+MESSAGE_KIND = "shards"  # of frames and datagrams on the gossip node
+REQUEST_TIMEOUT_S = 1.0  # then another server is asked
+MIN_TICK_INTERVAL_S = 0.005  # what is requested meanwhile goes into one request
+MAX_TICK_INTERVAL_S = 1.0
+TICK_RETRY_S = 1.0  # after a tick that failed
+
+
+def _create_source(
+    settings: ShardedDirectorySettings, server: ShardServer, config: Config
+) -> RegisterSource | FileSource:
+    if settings.file:
+        return FileSource(server, settings.epoch, Path(settings.file))
+    return RegisterSource(
+        server,
+        settings.epoch,
+        config.discovery,
+        len(settings.keepers),
+        config.seed,
+        config.settings.polls_discovery,
+    )
 
 
 class ShardedDirectory:
-    """The host's `Interest`, and its one source of members."""
+    """The relay's destination interest, and its one source of endpoints."""
 
     def __init__(
-        self, part: ShardedDirectorySettings, peers: GossipNode, host: Relay, number: int, config: Config
+        self,
+        settings: ShardedDirectorySettings,
+        gossip: GossipNode,
+        relay: Relay,
+        number: int,
+        config: Config,
     ) -> None:
-        self.peers, self.host, self.name = peers, host, peers.swim.own_claim.name
+        """Create the client, and the server if instance `number` is among the servers."""
+        self.gossip = gossip
+        self.relay = relay
+        self.name = gossip.swim.own_claim.name
         rng = random.Random(secrets.randbits(64))
-        self.layout = Layout(part.count, tuple(sorted(part.keepers)))
-        self.server_names = frozenset(f"n{keeper}" for keeper in part.keepers)
-        self.client = ShardClient(self.name, self.layout, rng, part.bound_s, part.idle_s)
+        self.layout = Layout(settings.count, tuple(sorted(settings.keepers)))
+        self.server_names = frozenset(f"n{server}" for server in settings.keepers)
+        self.client = ShardClient(self.name, self.layout, rng, settings.bound_s, settings.idle_s)
         self.server: ShardServer | None = None
         self.source: RegisterSource | FileSource | None = None
-        if number in part.keepers:
-            self.server = ShardServer(self.layout, part.epoch, rng)
-            self.source = (
-                FileSource(self.server, part.epoch, Path(part.file))
-                if part.file
-                else (
-                    RegisterSource(
-                        self.server,
-                        part.epoch,
-                        config.discovery,
-                        len(part.keepers),
-                        config.seed,
-                        config.settings.polls_discovery,
-                    )
-                )
-            )
+        if number in settings.keepers:
+            self.server = ShardServer(self.layout, settings.epoch, rng)
+            self.source = _create_source(settings, self.server, config)
         self.tasks = BackgroundTasks()
         self.counts: Counter[str] = Counter()
-        self.listener: EndpointUpdateCallback = host.on_endpoint_update
+        self.listener: EndpointUpdateCallback = relay.on_endpoint_update
         self.timer: asyncio.TimerHandle | None = None
         self.running = False
         self.renewed = asyncio.Event()
-        peers.frame_handlers[MESSAGE_KIND] = self._on_frame
-        peers.datagram_handlers[MESSAGE_KIND] = self._on_datagram
-        peers.on_member_changed.append(self._on_member_changed)
+        gossip.frame_handlers[MESSAGE_KIND] = self._on_frame
+        gossip.datagram_handlers[MESSAGE_KIND] = self._on_datagram
+        gossip.on_member_changed.append(self._on_member_changed)
 
     def start(self) -> None:
-        """Once the peers' node has started."""
+        """Start once the gossip node has started."""
         self.running = True
         self._update_reachable()
         if self.source is not None:
@@ -95,6 +107,7 @@
         self._tick()
 
     async def stop(self) -> None:
+        """Stop, and wait until all tasks have ended."""
         self.running = False
         if self.timer is not None:
             self.timer.cancel()
@@ -102,51 +115,59 @@
 
     @staticmethod
     def now() -> float:
+        """Return the loop's time, in seconds."""
         return asyncio.get_running_loop().time()
 
     # -- for the core ----------------------------------------------------------------------------------------
 
     def is_resident(self, destination: int) -> bool:
+        """Whether the directory has all that is known of the destination."""
         return self.client.is_resident(destination)
 
     def contains(self, destination: int) -> bool:
+        """Whether the destination is resident and exists."""
         return self.client.contains(destination)
 
-    def request(self, destination: int, due: float) -> None:
-        self.client.request(self.now(), destination, due)
+    def request(self, destination: int, deadline: float) -> None:
+        """Make a destination resident for a message that expires at `deadline`."""
+        self.client.request(self.now(), destination, deadline)
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     def touch(self, destination: int) -> None:
+        """Note a use of the destination."""
         self.client.touch(self.now(), destination)
         if self.client.updates or self.client.next_tick_at() <= self.now():
             self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     def is_current(self, destination: int) -> bool:
+        """Whether a first byte may be written by what is known of the destination."""
         return self.client.is_current(self.now(), destination)
 
     async def wait_for_renewal(self) -> None:
-        self._schedule_tick(
-            self.now() + MIN_TICK_INTERVAL_S
-        )  # what has to be asked is asked now: one that was frozen is late
+        """Wait until `is_current` may have changed."""
+        # Requests are due now: a process that was frozen is late.
+        self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
         await self.renewed.wait()
 
-    async def run(self, told: EndpointUpdateCallback) -> None:
-        """As a source: tells for as long as it runs. What is told meanwhile is told at `host.listed` too."""
-        self.listener = told
+    async def run(self, on_update: EndpointUpdateCallback) -> None:
+        """Give endpoint updates to the callback until cancelled."""
+        self.listener = on_update
         await asyncio.get_running_loop().create_future()
 
     def reload(self, config: Config) -> None:
+        """Use the configuration's register from now on."""
         if isinstance(self.source, RegisterSource):
             self.source.reload(config.discovery)
 
     def close(self) -> None:
+        """Stop at once; tasks end on their own."""
         self.running = False
         if self.timer is not None:
             self.timer.cancel()
         for task in list(self.tasks.running):
             task.cancel()
 
-    # -- turns -----------------------------------------------------------------------------------------------
+    # -- ticks -----------------------------------------------------------------------------------------------
 
     def _schedule_tick(self, at: float) -> None:
         if not self.running:
@@ -163,24 +184,27 @@
         self.timer = None
         now = self.now()
         try:
-            self.client.tick(now, self.host.is_in_use)
+            self.client.tick(now, self.relay.is_in_use)
             if self.server is not None:
-                for name, digest in self.server.due_digests(now):
-                    if name == self.name:
-                        self.client.on_digest(now, name, digest)
-                    else:
-                        self.peers.send_datagram(name, MESSAGE_KIND, encode_message(digest))
+                self._send_digests(now, self.server)
             self._execute_decisions()
             next_at = self.client.next_tick_at()
             if self.server is not None:
                 next_at = min(next_at, self.server.next_digest_at())
         except Exception:
-            log.exception("a turn of the directory failed")  # and the next one comes
+            log.exception("sharded directory tick failed")  # it is tried again
             next_at = now + TICK_RETRY_S
         self._schedule_tick(min(max(next_at, now + MIN_TICK_INTERVAL_S), now + MAX_TICK_INTERVAL_S))
 
+    def _send_digests(self, now: float, server: ShardServer) -> None:
+        for name, digest in server.due_digests(now):
+            if name == self.name:
+                self.client.on_digest(now, name, digest)
+            else:
+                self.gossip.send_datagram(name, MESSAGE_KIND, encode_message(digest))
+
     def _execute_decisions(self) -> None:
-        """What the reader has decided."""
+        """Carry out what the client has decided."""
         requests = list(self.client.outgoing)
         self.client.outgoing.clear()
         for server_name, request in requests:
@@ -189,65 +213,72 @@
         self.client.updates.clear()
         for update in updates:
             self.listener(update)
-        absent = list(self.client.missing_destinations)
+        missing = list(self.client.missing_destinations)
         self.client.missing_destinations.clear()
-        for destination in absent:
-            self.host.messages.fail_unknown_destination(destination)
+        for destination in missing:
+            self.relay.messages.fail_unknown_destination(destination)
 
     def _notify_renewed(self) -> None:
-        """`current` may have changed."""
+        """`is_current` may have changed."""
         self._execute_decisions()
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
-        news, self.renewed = self.renewed, asyncio.Event()
-        news.set()
+        renewed = self.renewed
+        self.renewed = asyncio.Event()
+        renewed.set()
 
-    # -- words -----------------------------------------------------------------------------------------------
+    # -- messages --------------------------------------------------------------------------------------------
 
-    async def _send_request(self, keeper: str, ask: ShardRequest) -> None:
-        word: ShardResponse | Overloaded | LayoutMismatch | None = None
+    async def _send_request(self, server_name: str, request: ShardRequest) -> None:
+        """Send a request and give the client its result."""
+        response = await self._response_to(server_name, request)
         try:
-            if keeper == self.name and self.server is not None:
-                await asyncio.sleep(0)  # in a turn of its own
-                word = self.server.handle_request(self.now(), self.name, ask)
+            if response is None:
+                self.client.on_request_failed(self.now(), server_name)
             else:
-                came = decode_message(
-                    await self.peers.request(keeper, MESSAGE_KIND, encode_message(ask), REQUEST_TIMEOUT_S)
-                )
-                if not isinstance(came, ShardResponse | Overloaded | LayoutMismatch):
-                    raise UnreadableFrameError(f"{type(came).__name__} is no answer")
-                word = came
+                self.client.on_response(self.now(), server_name, response)
+        except Exception:
+            log.exception("shard response processing failed: %s", server_name)
+        self._notify_renewed()
+
+    async def _response_to(
+        self, server_name: str, request: ShardRequest
+    ) -> ShardResponse | Overloaded | LayoutMismatch | None:
+        """The response, or None where there is none in time; failures are counted and logged."""
+        try:
+            if server_name == self.name and self.server is not None:
+                await asyncio.sleep(0)  # in a turn of its own
+                return self.server.handle_request(self.now(), self.name, request)
+            frame = encode_message(request)
+            raw = await self.gossip.request(server_name, MESSAGE_KIND, frame, REQUEST_TIMEOUT_S)
+            message = decode_message(raw)
+            if not isinstance(message, ShardResponse | Overloaded | LayoutMismatch):
+                raise UnreadableFrameError(f"{type(message).__name__} is no answer")
+            return message
         except ValueError as error:
-            self._record_unreadable(keeper, error)
+            self._record_unreadable(server_name, error)
         except OSError:
             self.counts["unanswered"] += 1
         except Exception:
-            log.exception("an ask of %s failed", keeper)
-        try:
-            if word is None:
-                self.client.on_request_failed(self.now(), keeper)
-            else:
-                self.client.on_response(self.now(), keeper, word)
-        except Exception:
-            log.exception("an answer of %s could not be taken", keeper)
-        self._notify_renewed()
+            log.exception("shard request failed unexpectedly: %s", server_name)
+        return None
 
     def _on_frame(self, hello: Hello, raw: bytes) -> bytes:
-        """A frame; ValueError for what is no ask: the peers' node ends its connection."""
+        """Respond to a request; ValueError for any other frame: the gossip node closes its connection."""
         try:
-            ask = decode_message(raw)
-            if not isinstance(ask, ShardRequest):
-                raise UnreadableFrameError(f"{type(ask).__name__} is no ask")
+            request = decode_message(raw)
+            if not isinstance(request, ShardRequest):
+                raise UnreadableFrameError(f"{type(request).__name__} is no ask")
         except ValueError as error:
             self._record_unreadable(hello.sender, error)
             raise
         if self.server is None:
-            return encode_message(LayoutMismatch(ask.number, self.layout))
-        answer: DirectoryMessage = self.server.handle_request(self.now(), hello.sender, ask)
+            return encode_message(LayoutMismatch(request.number, self.layout))
+        response = self.server.handle_request(self.now(), hello.sender, request)
         self._schedule_tick(max(self.server.next_digest_at(), self.now() + MIN_TICK_INTERVAL_S))
-        return encode_message(answer)
+        return encode_message(response)
 
     def _on_datagram(self, sender: str, raw: bytes) -> None:
-        """A datagram."""
+        """Process a digest; other datagrams are counted."""
         try:
             digest = decode_message(raw)
             if not isinstance(digest, Digest):
@@ -261,14 +292,10 @@
 
     def _record_unreadable(self, sender: str, error: Exception) -> None:
         self.counts["unreadable"] += 1
-        if self.counts["unreadable"].bit_count() == 1:  # the first, second, fourth ...: it may go on
+        so_far = self.counts["unreadable"]
+        if so_far.bit_count() == 1:  # the first, second, fourth ...: it may go on
             log.warning(
-                LogEvent(
-                    "a word on the directory is passed over",
-                    sender=sender,
-                    why=error,
-                    so_far=self.counts["unreadable"],
-                )
+                LogEvent("unreadable directory message skipped", sender=sender, why=error, so_far=so_far)
             )
 
     def _on_member_changed(self, claim: Claim) -> None:
@@ -276,27 +303,26 @@
             self._update_reachable()
 
     def _update_reachable(self) -> None:
-        members = self.peers.swim.members
-        self.client.set_reachable(
-            self.now(),
-            [
-                name
-                for name in sorted(self.server_names)
-                if name == self.name or name in members and not members[name].is_gone
-            ],
-        )
+        members = self.gossip.swim.members
+        reachable = [
+            name
+            for name in sorted(self.server_names)
+            if name == self.name or name in members and not members[name].is_gone
+        ]
+        self.client.set_reachable(self.now(), reachable)
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
-    # -- for people ------------------------------------------------------------------------------------------
+    # -- status ----------------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        told = {
+        """Return the status report: the keys are its JSON keys."""
+        report = {
             "reader": msgspec.to_builtins(self.client.status(self.now())) | dict(self.counts),
-            "peers": {name: self.peers.counts[name] for name in ("sent_bytes", "received_bytes")},
+            "peers": {name: self.gossip.counts[name] for name in ("sent_bytes", "received_bytes")},
         }
         if self.server is not None and self.source is not None:
-            told["keeper"] = msgspec.to_builtins(self.server.status(self.now())) | {
+            report["keeper"] = msgspec.to_builtins(self.server.status(self.now())) | {
                 "source_failures": self.source.failures,
                 "entries_passed_over": self.source.entry_reader.skipped,
             }
-        return told
+        return report
--- a/message_relay/sharded_directory/pending_shards.py
+++ b/message_relay/sharded_directory/pending_shards.py
@@ -70,8 +70,8 @@
             heapq.heappop(self.queue)
         return False
 
-    def take_requestable(self, limit: int) -> list[int]:
-        """Take up to `limit` shards off the queue, the earliest deadline first."""
+    def pop_requestable(self, limit: int) -> list[int]:
+        """Pop up to `limit` shards off the queue, the earliest deadline first."""
         found: dict[int, None] = {}
         while len(found) < limit and self.has_requestable():
             found[heapq.heappop(self.queue)[1]] = None
--- a/message_relay/sharded_directory/request_scheduler.py
+++ b/message_relay/sharded_directory/request_scheduler.py
@@ -246,7 +246,7 @@
             if server.paused_until > now:
                 self.wake(server.paused_until)
                 continue
-            shards = self.pending.take_requestable(MAX_SHARDS_PER_REQUEST) if requests_shards else []
+            shards = self.pending.pop_requestable(MAX_SHARDS_PER_REQUEST) if requests_shards else []
             self._send_request(now, server, shards)
 
     def _refill_receive_tokens(self, now: float) -> None:
--- a/message_relay/sharded_directory/response_builder.py
+++ b/message_relay/sharded_directory/response_builder.py
@@ -35,7 +35,7 @@
         self.reached_version: Version = NO_VERSION  # all that it has is as of this or later then
         self.size = 0  # bytes, about
 
-    def has_room(self, size: int, limit: int) -> bool:
+    def fits(self, size: int, limit: int) -> bool:
         """Whether a part of this size may be added; the first always may."""
         return not self.parts or self.size + size <= limit
 
@@ -85,7 +85,7 @@
         if response.includes(shard) or resident >> shard & 1:
             continue
         size = len(table.encoded_rows[shard])
-        if not response.has_room(size, MAX_REQUESTED_BYTES):
+        if not response.fits(size, MAX_REQUESTED_BYTES):
             return
         response.add(_full_shard(table, shard), size)
 
@@ -96,7 +96,7 @@
             continue
         is_unchanged = checksum == table.checksums[shard]
         size = UNCHANGED_BYTES if is_unchanged else len(table.encoded_rows[shard])
-        if not response.has_room(size, MAX_RESPONSE_BYTES):
+        if not response.fits(size, MAX_RESPONSE_BYTES):
             return
         response.add(UnchangedShard(shard) if is_unchanged else _full_shard(table, shard), size)
 
@@ -123,13 +123,13 @@
 
 
 def _add_changes_since(response: ResponseParts, table: ShardTable, shards: int, generation: int) -> bool:
-    """Add the changes of these shards; whether all had room."""
+    """Add the changes of these shards; whether all fitted."""
     changed: Iterator[int] = table.changed_since(generation) if shards else iter(())
     for shard in changed:
         if response.includes(shard) or not shards >> shard & 1:
             continue
         part, size = _changed_part(table, shard, generation)
-        if not response.has_room(size, MAX_RESPONSE_BYTES):
+        if not response.fits(size, MAX_RESPONSE_BYTES):
             return False
         response.add(part, size)
     return True
--- a/message_relay/sharded_directory/settings.py
+++ b/message_relay/sharded_directory/settings.py
@@ -1,5 +1,7 @@
-"""The operator's part on the directory by interest. Without keepers there is none, and nothing of it is
-imported."""
+"""Settings of the sharded directory: the section `shards` of the operator's file.
+
+Without servers it is off, and no other module of the package is imported.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +10,24 @@
 import msgspec
 from msgspec import Meta
 
-MAX_SHARDS = 1 << 16  # as ring.SHARDS_MOST, which is not imported here
-MAX_SERVERS = 16  # as ring.KEEPERS_MOST: so many can be tried within the bound
+MAX_SHARDS = 1 << 16  # as rendezvous_hash.MAX_SHARDS, which is not imported here
+MAX_SERVERS = 16  # as rendezvous_hash.MAX_SERVERS: can be tried within the staleness bound
 
 
 class ShardedDirectorySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Relays know the destinations that they need, and not all. Needs [peers]; not with [amqp] or
-    [failover]."""
+    """How a relay gets the endpoints of the destinations that it needs, and not all.
+
+    Needs [peers]; not with [amqp] or [failover]. The field names are keys of the operator's file.
+    """
 
-    keepers: tuple[Annotated[int, Meta(ge=0)], ...] = ()  # instance numbers, the same in each file
+    keepers: tuple[Annotated[int, Meta(ge=0)], ...] = ()  # servers' instance numbers, the same in each file
     count: int = 8192  # shards: a power of two, the same in each file
-    epoch: Annotated[int, Meta(ge=1, le=1 << 31)] = 1  # raised where the source counts anew
-    file: str = ""  # of the list, in the platform's form; empty: the register
-    idle_s: Annotated[float, Meta(ge=1, le=86_400)] = 300.0  # a shard that nobody needs is given up so late
-    bound_s: Annotated[float, Meta(ge=6, le=600)] = 12.0  # from a change to the last first byte before it
+    epoch: Annotated[int, Meta(ge=1, le=1 << 31)] = 1  # raised where the source's generations restart
+    file: str = ""  # with the list, in the platform's form; empty: the register
+    idle_s: Annotated[float, Meta(ge=1, le=86_400)] = 300.0  # an unused shard is evicted after this time
+    bound_s: Annotated[float, Meta(ge=6, le=600)] = (
+        12.0  # staleness: from a change to the last call before it
+    )
 
     def __post_init__(self) -> None:
         if len(set(self.keepers)) != len(self.keepers):
@@ -35,4 +41,5 @@
 
     @property
     def on(self) -> bool:
+        """Whether the operator's file names servers."""
         return bool(self.keepers)
--- a/message_relay/sharded_directory/shard_cache.py
+++ b/message_relay/sharded_directory/shard_cache.py
@@ -236,7 +236,7 @@
                 continue
             if row.destination in cached.last_used:
                 self._publish_row(shard, cached, row, publication)
-            elif self._take_over_name(shard, cached, row.name):
+            elif self._claim_moved_name(shard, cached, row.name):
                 publication.listings.append((row.name, Listing.REMOVED))
         for name in cached.published:
             if name not in publication.published:
@@ -259,7 +259,7 @@
             cached.existing_destinations.add(row.destination)
             return
         is_known = row.name in self.shard_by_name
-        if checksum_before is None and is_known and not self._take_over_name(shard, cached, row.name):
+        if checksum_before is None and is_known and not self._claim_moved_name(shard, cached, row.name):
             return  # two shards of one version have it: a server's fault
         if checksum_before != checksum and not self._publish_change(
             cached, row, checksum, is_known, publication
@@ -283,7 +283,7 @@
             publication.listings.append((row.name, LISTINGS[row.listing]))
         return is_known
 
-    def _take_over_name(self, shard: int, cached: CachedShard, name: str) -> bool:
+    def _claim_moved_name(self, shard: int, cached: CachedShard, name: str) -> bool:
         """Whether the name was published from another shard as of an earlier version: it has moved."""
         other_shard = self.shard_by_name.get(name)
         if other_shard is None or other_shard == shard:
--- a/message_relay/sharded_directory/shard_client.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -1,9 +1,9 @@
 """What a relay knows of the destinations that it needs: requested, resident and current shards. No I/O.
 
-    a message for a shard that isn't resident  request -> ShardRequest -> ShardResponse -> updates
-    a digest that differs from what is resident a ShardRequest for the changes since -> updates
-    no digest for some time                     a ShardRequest; to the next server if it fails
-    a shard that was unused for long            evicted, and its endpoints leave the directory
+    a message for a shard that isn't resident   request -> ShardRequest -> ShardResponse -> updates
+    a digest that differs from what is resident  a ShardRequest for the changes since -> updates
+    no digest for some time                      a ShardRequest; to the next server if it fails
+    a shard that was unused for long             evicted, and its endpoints leave the directory
 
 The staleness bound of 12 s is kept by `is_current`, which is asked before a first byte is written: see
 staleness.py. shard_cache.py decides which data stand where servers differ, request_scheduler.py which server
