--- a/message_relay/sharded_directory/settings.py
+++ b/message_relay/sharded_directory/settings.py
@@ -25,9 +25,7 @@
     epoch: Annotated[int, Meta(ge=1, le=1 << 31)] = 1  # raised where the source's generations restart
     file: str = ""  # with the list, in the platform's form; empty: the register
     idle_s: Annotated[float, Meta(ge=1, le=86_400)] = 300.0  # an unused shard is evicted after this time
-    bound_s: Annotated[float, Meta(ge=6, le=600)] = (
-        12.0  # staleness: from a change to the last call before it
-    )
+    bound_s: Annotated[float, Meta(ge=6, le=600)] = 12.0  # longest use of data that have changed
 
     def __post_init__(self) -> None:
         if len(set(self.keepers)) != len(self.keepers):
--- /dev/null
+++ b/tests/sharded_directory/test_client_any_order.py
@@ -0,0 +1,169 @@
+"""Whatever comes in whatever order, what the real directory has is never older than what it had."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from message_relay.core.directory import EndpointDirectory
+from message_relay.decisions.model import Listing
+from message_relay.sharded_directory.shard_client import ShardClient
+from message_relay.sharded_directory.wire import (
+    DRAINING,
+    GONE,
+    Digest,
+    Layout,
+    Row,
+    ShardRequest,
+)
+
+from ..conftest import make_settings
+from .common import by_shard, filled, row
+
+NAMES = [f"e{i}" for i in range(4)]
+
+
+OPS = st.lists(st.tuples(st.sampled_from("ccckkkaaatttdddDDDwwgfi"), st.integers(0, 11)), max_size=60)
+
+
+class Drawn:
+    """Keepers that hear of changes at their own time; asks, answers and digests that wait to be delivered, in
+    any order, more than once or never."""
+
+    def __init__(self) -> None:
+        self.layout = Layout(2, (1, 2))
+        self.now = 100.0
+        self.rng = random.Random(7)
+        self.log: list[Row] = []  # generation g is self.log[g - 2]
+        self.rows: list[dict[str, Row]] = [{}, {name: row(name, i, mark=1.0) for i, name in enumerate(NAMES)}]
+        first = list(self.rows[1].values())
+        self.keepers = {f"n{i}": filled(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
+        self.reader = ShardClient("n100", self.layout, random.Random(3), idle_s=10.0)
+        self.directory = EndpointDirectory(make_settings(), ("z",))
+        self.asks: list[tuple[str, ShardRequest]] = []
+        self.answers: list[tuple[str, Any]] = []
+        self.digests: list[tuple[str, Digest]] = []
+        self.marks: dict[str, int] = {}
+        self.evidence = 0
+
+    def change(self, pick: int) -> None:
+        generation = len(self.rows)
+        name = NAMES[pick % 4]
+        known = self.rows[-1].get(name)
+        listing = (0, DRAINING, GONE)[pick // 4] if known else 0
+        place = known.destination if known and listing else pick % 5
+        new = row(name, place, listing, mark=float(generation))
+        after = {each: kept for each, kept in self.rows[-1].items() if each != name}
+        if listing != GONE:
+            after[name] = new
+        self.rows.append(after)
+        self.log.append(new)
+
+    def learn(self, name: str) -> None:
+        keeper = self.keepers[name]
+        generation = keeper.version[1] + 1
+        if generation < len(self.rows):
+            assert keeper.apply_changes(self.now, generation, [self.log[generation - 2]])
+        else:
+            keeper.confirm_source(self.now)
+
+    def after(self) -> None:
+        self.reader.tick(self.now, lambda destination: False)
+        self.asks += self.reader.outgoing
+        self.reader.outgoing.clear()
+        self.reader.missing_destinations.clear()
+        for update in self.reader.updates:
+            evidence = self.evidence
+            for member in update.endpoints:
+                mark = int(member.rate)
+                assert mark >= self.marks.get(member.name, 0), "older than it was"
+                if member.name not in self.directory.by_name:
+                    replaced = [
+                        g for g in range(mark + 1, len(self.rows)) if self.log[g - 2].name == member.name
+                    ]
+                    assert not replaced or replaced[0] > evidence, "came back"
+                self.marks[member.name] = mark
+                self.evidence = max(self.evidence, mark)
+            self.directory.apply(update)
+        self.reader.updates.clear()
+
+    def do(self, op: str, pick: int) -> None:
+        name = f"n{1 + pick % 2}"
+        self.now += 0.05
+        if op == "c":
+            self.change(pick)
+        elif op == "k":
+            self.learn(name)
+        elif op == "a" and self.asks:
+            keeper, told = self.asks[pick % len(self.asks)]
+            self.answers.append((keeper, self.keepers[keeper].handle_request(self.now, "n100", told)))
+        elif op == "t" and self.answers:
+            keeper, word = self.answers[-1 - pick % len(self.answers)]
+            self.reader.on_response(self.now, keeper, word)
+        elif op == "d":
+            for _, digest in self.keepers[name].due_digests(self.now):
+                self.digests.append((name, digest))
+            self.now += 0.5
+        elif op == "D" and self.digests:
+            keeper, digest = self.digests[-1 - pick % len(self.digests)]
+            self.reader.on_digest(self.now, keeper, digest)
+        elif op == "w":
+            self.reader.request(self.now, pick % 5, self.now + 5.0)
+        elif op == "g":
+            self.reader.touch(self.now, pick % 5)
+        elif op == "f":
+            self.reader.on_request_failed(self.now, name)
+        elif op == "i":
+            self.now += 4.0
+        self.after()
+
+    def quiet(self) -> None:
+        """All is delivered from now on: it comes to what there is."""
+        for _ in range(400):
+            self.now += 0.1
+            for name in self.keepers:
+                self.learn(name)
+                for _, digest in self.keepers[name].due_digests(self.now):
+                    self.reader.on_digest(self.now, name, digest)
+                if (
+                    self.reader.scheduler.servers[name].outstanding is not None
+                    and self.asks
+                    and self.asks[-1][0] != name
+                ):
+                    self.reader.on_request_failed(self.now, name)
+            for destination in range(5):
+                self.reader.touch(self.now, destination)
+                if not self.reader.is_resident(destination):
+                    self.reader.request(self.now, destination, self.now + 5.0)
+            self.after()
+            while self.asks:
+                keeper, told = self.asks.pop()
+                self.reader.on_response(
+                    self.now, keeper, self.keepers[keeper].handle_request(self.now, "n100", told)
+                )
+                self.after()
+
+
+@given(ops=OPS)
+@settings(max_examples=250, deadline=None)
+def test_whatever_comes_in_whatever_order_nothing_gets_older(ops: list[tuple[str, int]]) -> None:
+    drawn = Drawn()
+    for op, pick in [("w", 0), ("w", 1), *ops]:
+        drawn.do(op, pick)
+    drawn.quiet()
+    has = {
+        name: (known.endpoint.destination, known.endpoint.rate, known.endpoint.listing)
+        for name, known in drawn.directory.by_name.items()
+    }
+    is_ = {
+        name: (each.destination, each.rate, (Listing.READY, Listing.DRAINING)[each.listing])
+        for name, each in drawn.rows[-1].items()
+    }
+    assert has == is_
+    shards = by_shard(drawn.rows[-1], 2)
+    for shard, held in drawn.reader.cache.resident.items():
+        assert len(drawn.reader.cache._decode_rows(held)) == len(shards[shard])
+    assert drawn.reader.status(drawn.now).endpoints == len(has)
