--- a/tests/sharded_directory/common.py
+++ b/tests/sharded_directory/common.py
@@ -32,22 +32,22 @@
 def filled(
     layout: Layout, rows: Iterable[Row], generation: int = 1, now: float = 0.0, seed: int = 1
 ) -> ShardServer:
-    keeper = ShardServer(layout, 1, random.Random(seed))
-    assert load(keeper, rows, generation, now)
-    return keeper
+    server = ShardServer(layout, 1, random.Random(seed))
+    assert load(server, rows, generation, now)
+    return server
 
 
-def load(keeper: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
-    begun = keeper.start_list(now, (epoch, generation))
-    begun.add(rows)
-    if not begun.seal(now):
+def load(server: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
+    staged = server.start_list(now, (epoch, generation))
+    staged.add(rows)
+    if not staged.seal(now):
         return False
-    while not begun.step():
+    while not staged.step():
         pass
-    return begun.is_committed
+    return staged.is_committed
 
 
-def ask(
+def shard_request(
     layout: Layout,
     version: Version = NO_VERSION,
     holds: Iterable[int] = (),
@@ -62,12 +62,12 @@
     )
 
 
-def asked(
-    keeper: ShardServer, told: ShardRequest, now: float = 1000.0, reader: str = "n100"
+def respond(
+    server: ShardServer, request: ShardRequest, now: float = 1000.0, client: str = "n100"
 ) -> ShardResponse:
-    answer = keeper.handle_request(now, reader, told)
-    assert isinstance(answer, ShardResponse), answer
-    return answer
+    response = server.handle_request(now, client, request)
+    assert isinstance(response, ShardResponse), response
+    return response
 
 
 def by_shard(rows: dict[str, Row], shards: int) -> list[dict[str, Row]]:
@@ -77,13 +77,13 @@
     return found
 
 
-def sum_of(rows: Iterable[Row]) -> int:
+def checksum_of(rows: Iterable[Row]) -> int:
     return sum(map(row_checksum, rows)) & CHECKSUM_MASK
 
 
-def followed(shards: dict[int, dict[str, Row]], answer: ShardResponse) -> None:
+def apply_response(shards: dict[int, dict[str, Row]], response: ShardResponse) -> None:
     """The plainest reader there is."""
-    for part in answer.parts:
+    for part in response.parts:
         if isinstance(part, FullShard):
             shards[part.shard] = {each.name: each for each in part.rows}
         elif isinstance(part, ShardChanges):
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -127,10 +127,10 @@
 
 
 class Fleet:
-    def __init__(self, folder: Path, entries: list[dict[str, Any]], keepers: int = 1, **more: Any) -> None:
+    def __init__(self, folder: Path, entries: list[dict[str, Any]], servers: int = 1, **more: Any) -> None:
         self.folder, self.file, self.generation = folder, folder / "list.json", 0
         self.port = free_ports(8, 3)
-        self.part = ShardedDirectorySettings(tuple(range(keepers)), SHARDS, file=str(self.file), **more)
+        self.part = ShardedDirectorySettings(tuple(range(servers)), SHARDS, file=str(self.file), **more)
         self.instances: dict[int, Instance] = {}
         self.tell(entries)
 
@@ -152,8 +152,8 @@
 
     async def loaded(self) -> None:
         """Each keeper has the list as it is in the file."""
-        keepers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
-        await until(lambda: all(it.version == (1, self.generation) for it in keepers))
+        servers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
+        await until(lambda: all(it.version == (1, self.generation) for it in servers))
 
 
 @contextlib.asynccontextmanager
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -70,16 +70,16 @@
     def __init__(self, rows: dict[int, list[Row]], shards: int, destinations: Sequence[int]) -> None:
         self.rows, self.destinations, self.now = rows, destinations, 100.0
         layout = Layout(shards, (1, 2))
-        self.keepers: dict[str, ShardServer] = {}
+        self.servers: dict[str, ShardServer] = {}
         self.learned = {name: {1: self.now} for name in ("n1", "n2")}
         self.failed_at = dict.fromkeys(("n1", "n2"), 0.0)
         for boot, name in enumerate(self.learned):
-            self.keepers[name] = ShardServer(layout, 1, Middle(boot))
-            load(self.keepers[name], rows[1], 1, self.now)
-        self.reader = ShardClient("n100", layout, Middle(9), idle_s=25.0)
+            self.servers[name] = ShardServer(layout, 1, Middle(boot))
+            load(self.servers[name], rows[1], 1, self.now)
+        self.client = ShardClient("n100", layout, Middle(9), idle_s=25.0)
         self.directory = EndpointDirectory(make_settings(), ("z",))
-        self.asks: list[tuple[str, ShardRequest]] = []
-        self.answers: list[
+        self.requests: list[tuple[str, ShardRequest]] = []
+        self.responses: list[
             tuple[int, str, ShardResponse | Overloaded | LayoutMismatch]
         ] = []  # (times delivered, keeper, ...)
         self.digests: list[tuple[int, str, Digest]] = []
@@ -90,23 +90,23 @@
 
     def want(self) -> None:
         for destination in self.destinations:
-            self.reader.touch(self.now, destination)
-            if not self.reader.is_resident(destination):
-                self.reader.request(self.now, destination, self.now + 60.0)
+            self.client.touch(self.now, destination)
+            if not self.client.is_resident(destination):
+                self.client.request(self.now, destination, self.now + 60.0)
 
     # -- what may happen -------------------------------------------------------------------------------------
 
     def actions(self) -> Iterator[Action]:
-        for name, keeper in self.keepers.items():
-            if keeper.version[1] < LATEST:
+        for name, server in self.servers.items():
+            if server.version[1] < LATEST:
                 yield "learn", name
-            if sum(each[1] == name for each in self.digests) < POOLED and keeper.subscribers.by_name:
+            if sum(each[1] == name for each in self.digests) < POOLED and server.subscribers.by_name:
                 yield "digest", name
-            if self.reader.scheduler.servers[name].outstanding is not None:
+            if self.client.scheduler.servers[name].outstanding is not None:
                 yield "fail", name
-        for place, _ in enumerate(self.asks):
+        for place, _ in enumerate(self.requests):
             yield "ask", place
-        for place, (times, _, _) in enumerate(self.answers):
+        for place, (times, _, _) in enumerate(self.responses):
             if times < TWICE:
                 yield "answer", place
         for place, (times, _, _) in enumerate(self.digests):
@@ -123,51 +123,51 @@
         self.check()
 
     def do_learn(self, name: str) -> None:
-        keeper = self.keepers[name]
-        generation = keeper.version[1] + 1
+        server = self.servers[name]
+        generation = server.version[1] + 1
         self.confirm()
-        keeper.apply_changes(self.now, generation, self.rows[generation])
+        server.apply_changes(self.now, generation, self.rows[generation])
         self.learned[name][generation] = self.now
 
     def confirm(self) -> None:
         """Keepers that have all that any has are told so by the source."""
-        latest = max(keeper.version for keeper in self.keepers.values())
-        for keeper in self.keepers.values():
-            if keeper.version == latest:
-                keeper.confirm_source(self.now)
+        latest = max(server.version for server in self.servers.values())
+        for server in self.servers.values():
+            if server.version == latest:
+                server.confirm_source(self.now)
 
     def do_digest(self, name: str) -> None:
         self.confirm()
-        keeper = self.keepers[name]
-        keeper.subscribers.digest_queue = [(self.now, slot) for _, slot in keeper.subscribers.digest_queue]
+        server = self.servers[name]
+        server.subscribers.digest_queue = [(self.now, slot) for _, slot in server.subscribers.digest_queue]
         self.now += 0.001  # a keeper's digests are told apart by its clock
-        self.digests += [(0, name, digest) for _, digest in keeper.due_digests(self.now)]
+        self.digests += [(0, name, digest) for _, digest in server.due_digests(self.now)]
 
     def do_tell(self, place: int) -> None:
         times, name, digest = self.digests[place]
         self.digests[place] = (times + 1, name, digest)
-        self.reader.on_digest(self.now, name, digest)
+        self.client.on_digest(self.now, name, digest)
 
     def do_ask(self, place: int) -> None:
         self.confirm()
-        name, ask = self.asks.pop(place)
-        self.answers.append((0, name, self.keepers[name].handle_request(self.now, "n100", ask)))
+        name, shard_request = self.requests.pop(place)
+        self.responses.append((0, name, self.servers[name].handle_request(self.now, "n100", shard_request)))
 
     def do_answer(self, place: int) -> None:
-        times, name, word = self.answers[place]
-        self.answers[place] = (times + 1, name, word)
-        self.reader.on_response(self.now, name, word)
+        times, name, word = self.responses[place]
+        self.responses[place] = (times + 1, name, word)
+        self.client.on_response(self.now, name, word)
 
     def do_fail(self, name: str) -> None:
-        out = self.reader.scheduler.servers[name].outstanding
+        out = self.client.scheduler.servers[name].outstanding
         assert out is not None
         self.failed_at[name] = max(self.failed_at[name], out.sent_at)
-        self.reader.on_request_failed(self.now, name)
+        self.client.on_request_failed(self.now, name)
 
     def do_wait(self) -> None:
         self.now += 1.0
-        for name, keeper in self.reader.scheduler.servers.items():
-            if keeper.outstanding is not None:
+        for name, server in self.client.scheduler.servers.items():
+            if server.outstanding is not None:
                 self.do_fail(name)
         self.now += WAIT_S - 1.0
 
@@ -176,27 +176,27 @@
 
     def tick(self) -> None:
         self.confirm()
-        self.reader.tick(self.now, lambda destination: False)
+        self.client.tick(self.now, lambda destination: False)
         self.drain()
 
     def drain(self) -> None:
         """As the node does, after whatever it tells the reader."""
-        self.asks += self.reader.outgoing
-        self.reader.outgoing.clear()
-        self.reader.missing_destinations.clear()
-        for update in self.reader.updates:
+        self.requests += self.client.outgoing
+        self.client.outgoing.clear()
+        self.client.missing_destinations.clear()
+        for update in self.client.updates:
             for member in update.endpoints:
                 if int(member.rate) < self.mark:
                     self.wrong = self.wrong or f"{member} after one of {self.mark}"
                 self.mark = max(self.mark, int(member.rate))
             self.directory.apply(update)
-        self.reader.updates.clear()
+        self.client.updates.clear()
 
     # -- what must hold --------------------------------------------------------------------------------------
 
     def check(self) -> None:
         for destination in self.destinations:
-            if not self.reader.is_resident(destination) or not self.reader.is_current(self.now, destination):
+            if not self.client.is_resident(destination) or not self.client.is_current(self.now, destination):
                 continue
             for known in self.directory.by_name.values():
                 if known.endpoint.destination == destination and known.is_ready:
@@ -211,19 +211,19 @@
     def fair(self) -> str:
         """From here on all is delivered in order: what is wanted comes, and is what there is."""
         for _ in range(8):
-            for name in self.keepers:
-                while self.keepers[name].version[1] < LATEST:
+            for name in self.servers:
+                while self.servers[name].version[1] < LATEST:
                     self.do_learn(name)
-                if self.reader.scheduler.servers[name].outstanding is not None and name not in {
-                    each for each, _ in self.asks
+                if self.client.scheduler.servers[name].outstanding is not None and name not in {
+                    each for each, _ in self.requests
                 }:
                     self.do_fail(name)
             self.want()
             self.tick()
-            while self.asks:
+            while self.requests:
                 self.do_ask(0)
-                self.answers[-1] = (TWICE, *self.answers[-1][1:])
-                self.reader.on_response(self.now, self.answers[-1][1], self.answers[-1][2])
+                self.responses[-1] = (TWICE, *self.responses[-1][1:])
+                self.client.on_response(self.now, self.responses[-1][1], self.responses[-1][2])
                 self.tick()
             self.check()
             self.now += 2.0
@@ -239,33 +239,33 @@
         if has != is_:
             return f"has {has}, is {is_}"
         if not all(
-            self.reader.is_current(self.now, destination)
+            self.client.is_current(self.now, destination)
             for destination in self.destinations
-            if self.reader.is_resident(destination)
+            if self.client.is_resident(destination)
         ):
             return "not current"
         return self.wrong
 
     def key(self) -> bytes:
         """What the state is, without what only counts."""
-        reader, store = self.reader, self.reader.cache
+        client, store = self.client, self.client.cache
         return pickle.dumps(
             (
                 round(self.now, 3),
                 [
                     (
-                        keeper.version,
-                        sorted(keeper.subscribers.by_name),
-                        keeper.source_confirmed_at,
-                        keeper.tokens_at,
+                        server.version,
+                        sorted(server.subscribers.by_name),
+                        server.source_confirmed_at,
+                        server.tokens_at,
                     )
-                    for keeper in self.keepers.values()
+                    for server in self.servers.values()
                 ],
                 self.learned,
                 self.failed_at,
                 self.mark,
-                self.asks,
-                sorted(map(repr, self.answers)),
+                self.requests,
+                sorted(map(repr, self.responses)),
                 sorted(map(repr, self.digests)),
                 [
                     (
@@ -281,22 +281,22 @@
                 store.common_version,
                 store.latest_version,
                 sorted(store.shard_by_name.items()),
-                sorted(reader.pending.by_shard),
-                sorted(reader.scheduler.shards_to_compare),
+                sorted(client.pending.by_shard),
+                sorted(client.scheduler.shards_to_compare),
                 [
                     (
-                        keeper.outstanding and (keeper.outstanding.number, keeper.outstanding.sent_at),
-                        keeper.paused_until,
-                        keeper.is_failing,
-                        keeper.lagging_until,
-                        keeper.has_more,
+                        server.outstanding and (server.outstanding.number, server.outstanding.sent_at),
+                        server.paused_until,
+                        server.is_failing,
+                        server.lagging_until,
+                        server.has_more,
                     )
-                    for keeper in reader.scheduler.servers.values()
+                    for server in client.scheduler.servers.values()
                 ],
-                reader.staleness.fact_versions,
-                reader.staleness.fact_times,
-                sorted(reader.staleness.last_contacts.items()),
-                sorted((name, clock.offset) for name, clock in reader.staleness.clocks.items()),
+                client.staleness.fact_versions,
+                client.staleness.fact_times,
+                sorted(client.staleness.last_contacts.items()),
+                sorted((name, clock.offset) for name, clock in client.staleness.clocks.items()),
             )
         )
 
@@ -310,7 +310,7 @@
     fair_every: int = 1,
 ) -> tuple[int, str]:
     """Every order of up to so many happenings after those of `before`: how many states, and the first that is
-    wrong with its way. From each `fair_every`th all comes right in the end."""
+    wrong with its path. From each `fair_every`th all comes right in the end."""
     first = Model(rows, shards, destinations)
     for action in before:
         first.do(action)
@@ -318,13 +318,13 @@
     seen = {first.key()}
     for _ in range(depth):
         following = []
-        for raw, way in level:
+        for raw, path_before in level:
             for action in list(pickle.loads(raw).actions()):
                 model: Model = pickle.loads(raw)
                 model.do(action)
-                told = (*way, action)
+                path = (*path_before, action)
                 if model.wrong:
-                    return len(seen), f"{model.wrong}: {told}"
+                    return len(seen), f"{model.wrong}: {path}"
                 key = model.key()
                 if key in seen:
                     continue
@@ -332,8 +332,8 @@
                 after = pickle.dumps(model, -1)
                 wrong = model.fair() if len(seen) % fair_every == 0 else ""
                 if wrong:
-                    return len(seen), f"in the end {wrong}: {told}"
-                following.append((after, told))
+                    return len(seen), f"in the end {wrong}: {path}"
+                following.append((after, path))
         level = following
     return len(seen), ""
 
@@ -360,10 +360,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--depth", type=int, default=5)
     parser.add_argument("--fair-every", type=int, default=10)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     for name, (rows, shards, destinations, before) in STARTS.items():
-        states, wrong = explore(rows, shards, destinations, told.depth, before, told.fair_every)
-        print(f"{name}, depth {told.depth}: {states} states, {wrong or 'nothing wrong'}", flush=True)
+        states, wrong = explore(rows, shards, destinations, arguments.depth, before, arguments.fair_every)
+        print(f"{name}, depth {arguments.depth}: {states} states, {wrong or 'nothing wrong'}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/sharded_directory/test_client_any_order.py
+++ b/tests/sharded_directory/test_client_any_order.py
@@ -40,11 +40,11 @@
         self.log: list[Row] = []  # generation g is self.log[g - 2]
         self.rows: list[dict[str, Row]] = [{}, {name: row(name, i, mark=1.0) for i, name in enumerate(NAMES)}]
         first = list(self.rows[1].values())
-        self.keepers = {f"n{i}": filled(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
-        self.reader = ShardClient("n100", self.layout, random.Random(3), idle_s=10.0)
+        self.servers = {f"n{i}": filled(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
+        self.client = ShardClient("n100", self.layout, random.Random(3), idle_s=10.0)
         self.directory = EndpointDirectory(make_settings(), ("z",))
-        self.asks: list[tuple[str, ShardRequest]] = []
-        self.answers: list[tuple[str, Any]] = []
+        self.requests: list[tuple[str, ShardRequest]] = []
+        self.responses: list[tuple[str, Any]] = []
         self.digests: list[tuple[str, Digest]] = []
         self.marks: dict[str, int] = {}
         self.evidence = 0
@@ -63,19 +63,19 @@
         self.log.append(new)
 
     def learn(self, name: str) -> None:
-        keeper = self.keepers[name]
-        generation = keeper.version[1] + 1
+        server = self.servers[name]
+        generation = server.version[1] + 1
         if generation < len(self.rows):
-            assert keeper.apply_changes(self.now, generation, [self.log[generation - 2]])
+            assert server.apply_changes(self.now, generation, [self.log[generation - 2]])
         else:
-            keeper.confirm_source(self.now)
+            server.confirm_source(self.now)
 
     def after(self) -> None:
-        self.reader.tick(self.now, lambda destination: False)
-        self.asks += self.reader.outgoing
-        self.reader.outgoing.clear()
-        self.reader.missing_destinations.clear()
-        for update in self.reader.updates:
+        self.client.tick(self.now, lambda destination: False)
+        self.requests += self.client.outgoing
+        self.client.outgoing.clear()
+        self.client.missing_destinations.clear()
+        for update in self.client.updates:
             evidence = self.evidence
             for member in update.endpoints:
                 mark = int(member.rate)
@@ -88,7 +88,7 @@
                 self.marks[member.name] = mark
                 self.evidence = max(self.evidence, mark)
             self.directory.apply(update)
-        self.reader.updates.clear()
+        self.client.updates.clear()
 
     def do(self, op: str, pick: int) -> None:
         name = f"n{1 + pick % 2}"
@@ -97,25 +97,25 @@
             self.change(pick)
         elif op == "k":
             self.learn(name)
-        elif op == "a" and self.asks:
-            keeper, told = self.asks[pick % len(self.asks)]
-            self.answers.append((keeper, self.keepers[keeper].handle_request(self.now, "n100", told)))
-        elif op == "t" and self.answers:
-            keeper, word = self.answers[-1 - pick % len(self.answers)]
-            self.reader.on_response(self.now, keeper, word)
+        elif op == "a" and self.requests:
+            server, sent = self.requests[pick % len(self.requests)]
+            self.responses.append((server, self.servers[server].handle_request(self.now, "n100", sent)))
+        elif op == "t" and self.responses:
+            server, word = self.responses[-1 - pick % len(self.responses)]
+            self.client.on_response(self.now, server, word)
         elif op == "d":
-            for _, digest in self.keepers[name].due_digests(self.now):
+            for _, digest in self.servers[name].due_digests(self.now):
                 self.digests.append((name, digest))
             self.now += 0.5
         elif op == "D" and self.digests:
-            keeper, digest = self.digests[-1 - pick % len(self.digests)]
-            self.reader.on_digest(self.now, keeper, digest)
+            server, digest = self.digests[-1 - pick % len(self.digests)]
+            self.client.on_digest(self.now, server, digest)
         elif op == "w":
-            self.reader.request(self.now, pick % 5, self.now + 5.0)
+            self.client.request(self.now, pick % 5, self.now + 5.0)
         elif op == "g":
-            self.reader.touch(self.now, pick % 5)
+            self.client.touch(self.now, pick % 5)
         elif op == "f":
-            self.reader.on_request_failed(self.now, name)
+            self.client.on_request_failed(self.now, name)
         elif op == "i":
             self.now += 4.0
         self.after()
@@ -124,32 +124,32 @@
         """All is delivered from now on: it comes to what there is."""
         for _ in range(400):
             self.now += 0.1
-            for name in self.keepers:
+            for name in self.servers:
                 self.learn(name)
-                for _, digest in self.keepers[name].due_digests(self.now):
-                    self.reader.on_digest(self.now, name, digest)
+                for _, digest in self.servers[name].due_digests(self.now):
+                    self.client.on_digest(self.now, name, digest)
                 if (
-                    self.reader.scheduler.servers[name].outstanding is not None
-                    and self.asks
-                    and self.asks[-1][0] != name
+                    self.client.scheduler.servers[name].outstanding is not None
+                    and self.requests
+                    and self.requests[-1][0] != name
                 ):
-                    self.reader.on_request_failed(self.now, name)
+                    self.client.on_request_failed(self.now, name)
             for destination in range(5):
-                self.reader.touch(self.now, destination)
-                if not self.reader.is_resident(destination):
-                    self.reader.request(self.now, destination, self.now + 5.0)
+                self.client.touch(self.now, destination)
+                if not self.client.is_resident(destination):
+                    self.client.request(self.now, destination, self.now + 5.0)
             self.after()
-            while self.asks:
-                keeper, told = self.asks.pop()
-                self.reader.on_response(
-                    self.now, keeper, self.keepers[keeper].handle_request(self.now, "n100", told)
+            while self.requests:
+                server, sent = self.requests.pop()
+                self.client.on_response(
+                    self.now, server, self.servers[server].handle_request(self.now, "n100", sent)
                 )
                 self.after()
 
 
 @given(ops=OPS)
 @settings(max_examples=250, deadline=None)
-def test_whatever_comes_in_whatever_order_nothing_gets_older(ops: list[tuple[str, int]]) -> None:
+def test_nothing_gets_older_in_any_order_of_events(ops: list[tuple[str, int]]) -> None:
     drawn = Drawn()
     for op, pick in [("w", 0), ("w", 1), *ops]:
         drawn.do(op, pick)
@@ -164,6 +164,6 @@
     }
     assert has == is_
     shards = by_shard(drawn.rows[-1], 2)
-    for shard, held in drawn.reader.cache.resident.items():
-        assert len(drawn.reader.cache._decode_rows(held)) == len(shards[shard])
-    assert drawn.reader.status(drawn.now).endpoints == len(has)
+    for shard, held in drawn.client.cache.resident.items():
+        assert len(drawn.client.cache._decode_rows(held)) == len(shards[shard])
+    assert drawn.client.status(drawn.now).endpoints == len(has)
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -17,7 +17,7 @@
     asyncio.run(asyncio.wait_for(work, 100.0))
 
 
-def test_messages_for_shards_that_are_not_here_outlast_relays_and_keepers_and_go_where_they_are_now() -> None:
+def test_pending_messages_outlast_relays_and_servers_and_reach_current_addresses() -> None:
     async def work() -> None:
         async with shards_town(2, 2, dests=300) as it:
             await asyncio.gather(it.kill(0), it.kill(1))
@@ -42,7 +42,7 @@
     go(work())
 
 
-def test_changes_come_into_force_over_a_cut_a_kill_and_a_freeze() -> None:
+def test_changes_take_effect_over_a_partition_a_kill_and_a_freeze() -> None:
     async def work() -> None:
         async with shards_town(2, 2, dests=100) as it:
             used = list(range(1, 31))
@@ -68,7 +68,7 @@
     go(work())
 
 
-def test_without_keepers_what_is_known_serves_and_the_status_tells_it() -> None:
+def test_without_servers_known_data_serve_and_the_status_shows_it() -> None:
     async def work() -> None:
         async with shards_town(1, 1, dests=100, bound_s=6.0) as it:
             used = list(range(1, 11))
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -17,27 +17,31 @@
     encode_message,
 )
 
-from .common import ask, asked, filled, row
+from .common import filled, respond, row, shard_request
 
 SMALL, LARGE = (1_000, 32), (20_000, 512)  # destinations, shards: some 35 in each
 NOW = 100.0
 
 
-def keeper_of(size: tuple[int, int], readers: int = 0) -> ShardServer:
+def keeper_of(size: tuple[int, int], clients: int = 0) -> ShardServer:
     destinations, shards = size
-    keeper = filled(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
-    for number in range(readers):
-        keeper.handle_request(NOW + number, f"n{number}", ask(keeper.layout, (1, 1), holds=range(shards)))
-    return keeper
+    server = filled(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
+    for number in range(clients):
+        server.handle_request(
+            NOW + number, f"n{number}", shard_request(server.layout, (1, 1), holds=range(shards))
+        )
+    return server
 
 
-def cost_of_a_change(size: tuple[int, int], readers: int) -> tuple[int, int, int]:
+def cost_of_a_change(size: tuple[int, int], clients: int) -> tuple[int, int, int]:
     """Rows read, sums touched, bytes told to one reader."""
-    keeper = keeper_of(size, readers)
-    before = keeper.table.decoded_rows, keeper.subscribers.update_count
-    keeper.apply_changes(NOW, 2, [row("e7", 7, 1)])
-    after = keeper.table.decoded_rows - before[0], keeper.subscribers.update_count - before[1]
-    return *after, len(encode_message(asked(keeper, ask(keeper.layout, (1, 1), range(size[1])), NOW + 500.0)))
+    server = keeper_of(size, clients)
+    before = server.table.decoded_rows, server.subscribers.update_count
+    server.apply_changes(NOW, 2, [row("e7", 7, 1)])
+    after = server.table.decoded_rows - before[0], server.subscribers.update_count - before[1]
+    return *after, len(
+        encode_message(respond(server, shard_request(server.layout, (1, 1), range(size[1])), NOW + 500.0))
+    )
 
 
 def rows_beside(size: tuple[int, int], destination: int) -> int:
@@ -45,82 +49,82 @@
     return sum(shard_of(each, shards) == shard_of(destination, shards) for each in range(destinations))
 
 
-@pytest.mark.parametrize("readers", [0, 20])
-def test_a_change_costs_the_same_at_a_thousand_destinations_and_at_twenty_thousand(readers: int) -> None:
-    small, large = cost_of_a_change(SMALL, readers), cost_of_a_change(LARGE, readers)
+@pytest.mark.parametrize("clients", [0, 20])
+def test_cost_of_a_change_does_not_depend_on_the_number_of_destinations(clients: int) -> None:
+    small, large = cost_of_a_change(SMALL, clients), cost_of_a_change(LARGE, clients)
     assert small[0] == rows_beside(SMALL, 7) and large[0] == rows_beside(LARGE, 7)  # its shard, read once
     assert max(small[0], large[0]) < 100
-    assert small[1] == large[1] == readers
+    assert small[1] == large[1] == clients
     assert abs(large[2] - small[2]) <= 4 and large[2] < 200
 
 
-def test_an_ask_costs_by_what_changed_and_not_by_what_is_held() -> None:
+def test_cost_of_a_request_depends_on_changes_and_not_on_resident_shards() -> None:
     costs = []
     for holds in (16, 512):
-        keeper = keeper_of(LARGE)
-        keeper.handle_request(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
-        keeper.apply_changes(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
-        before = keeper.table.decoded_rows, keeper.subscribers.update_count
-        keeper.handle_request(NOW, "n1", ask(keeper.layout, (1, 1), range(holds)))
-        costs.append((keeper.table.decoded_rows - before[0], keeper.subscribers.update_count - before[1]))
+        server = keeper_of(LARGE)
+        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(holds)))
+        server.apply_changes(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
+        before = server.table.decoded_rows, server.subscribers.update_count
+        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(holds)))
+        costs.append((server.table.decoded_rows - before[0], server.subscribers.update_count - before[1]))
     assert costs[0] == costs[1] == (0, 0)  # from the logs, and no set has changed
 
 
-def test_what_changed_long_ago_is_not_looked_at() -> None:
-    keeper = keeper_of(LARGE)
+def test_old_changes_are_not_visited() -> None:
+    server = keeper_of(LARGE)
     for generation in range(2, 302):
-        keeper.apply_changes(NOW, generation, [row(f"e{generation}", generation, 1)])
-    assert len(list(keeper.table.changed_since(300))) == 1 and len(list(keeper.table.changed_since(301))) == 0
-    assert 100 < len(list(keeper.table.changed_since(1))) <= 300
+        server.apply_changes(NOW, generation, [row(f"e{generation}", generation, 1)])
+    assert len(list(server.table.changed_since(300))) == 1 and len(list(server.table.changed_since(301))) == 0
+    assert 100 < len(list(server.table.changed_since(1))) <= 300
 
 
 def reader_of(
     size: tuple[int, int], used: int
 ) -> tuple[ShardServer, ShardClient, list[tuple[str, ShardRequest]]]:
-    keeper = keeper_of(size)
-    reader = ShardClient("n100", keeper.layout, random.Random(1))
+    server = keeper_of(size)
+    client = ShardClient("n100", server.layout, random.Random(1))
     for destination in range(used):
-        reader.request(NOW, destination, NOW + 9.0)
-    now, asks = NOW, []
+        client.request(NOW, destination, NOW + 9.0)
+    now, requests = NOW, []
     for _ in range(600):
         now += 0.1
-        keeper.confirm_source(now)
-        reader.tick(now, lambda destination: False)
-        for name, told in reader.outgoing:
-            asks.append((name, told))
-            answer = keeper.handle_request(now, "n100", told)
-            reader.on_response(now, name, answer)
-        reader.outgoing.clear()
-        if not reader.status(now).waiting:
+        server.confirm_source(now)
+        client.tick(now, lambda destination: False)
+        for name, request in client.outgoing:
+            requests.append((name, request))
+            response = server.handle_request(now, "n100", request)
+            client.on_response(now, name, response)
+        client.outgoing.clear()
+        if not client.status(now).waiting:
             break
-    assert reader.status(now).waiting == 0
-    return keeper, reader, asks
+    assert client.status(now).waiting == 0
+    return server, client, requests
 
 
-def test_a_change_costs_a_reader_the_rows_of_its_shard_whatever_it_holds() -> None:
+def test_cost_of_a_change_at_a_client_is_the_rows_of_one_shard() -> None:
     costs = []
     for used in (10, 2_000):
-        keeper, reader, _ = reader_of(LARGE, used)
+        server, client, _ = reader_of(LARGE, used)
         now = NOW + 70.0
-        keeper.apply_changes(now, 2, [row("e7", 7, 1)])
-        before = reader.cache.decoded_rows
-        reader.tick(now, lambda destination: False)
-        ((name, told),) = reader.outgoing
-        reader.outgoing.clear()
-        answer = decode_message(encode_message(keeper.handle_request(now, "n100", told)))
-        assert isinstance(answer, ShardResponse) and answer.is_complete and len(answer.parts) == 1
-        reader.on_response(now, name, answer)
-        costs.append(reader.cache.decoded_rows - before)
+        server.apply_changes(now, 2, [row("e7", 7, 1)])
+        before = client.cache.decoded_rows
+        client.tick(now, lambda destination: False)
+        ((name, request),) = client.outgoing
+        client.outgoing.clear()
+        response = decode_message(encode_message(server.handle_request(now, "n100", request)))
+        assert isinstance(response, ShardResponse) and response.is_complete and len(response.parts) == 1
+        client.on_response(now, name, response)
+        costs.append(client.cache.decoded_rows - before)
     assert costs[0] == costs[1] < 80
 
 
-def test_the_directory_hears_of_what_is_used_and_not_of_all_that_shares_its_shards() -> None:
-    _, reader, _ = reader_of(LARGE, 50)
-    assert reader.status(NOW).shards > 40 and reader.status(NOW).endpoints == 50
-    assert sum(len(update.endpoints) for update in reader.updates) == 50
+def test_directory_gets_only_destinations_in_use() -> None:
+    _, client, _ = reader_of(LARGE, 50)
+    assert client.status(NOW).shards > 40 and client.status(NOW).endpoints == 50
+    assert sum(len(update.endpoints) for update in client.updates) == 50
 
 
-def test_wanted_shards_come_in_few_asks() -> None:
-    _, reader, asks = reader_of(LARGE, 2_000)
-    assert reader.status(NOW).shards > 450
-    assert len(asks) < 2 * (reader.status(NOW).bytes_in / (36 << 10) + 2)
+def test_requested_shards_come_in_few_requests() -> None:
+    _, client, requests = reader_of(LARGE, 2_000)
+    assert client.status(NOW).shards > 450
+    assert len(requests) < 2 * (client.status(NOW).bytes_in / (36 << 10) + 2)
--- a/tests/sharded_directory/test_model.py
+++ b/tests/sharded_directory/test_model.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("start", STARTS)
-def test_in_every_order_nothing_gets_older_no_call_is_late_and_all_comes_right(start: str) -> None:
+def test_every_order_keeps_versions_bounds_and_convergence(start: str) -> None:
     rows, shards, destinations, before = STARTS[start]
     states, wrong = explore(rows, shards, destinations, DEPTH, before, fair_every=4)
     assert not wrong
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -41,14 +41,14 @@
 def cut(relay: Instance) -> None:
     """No keeper can be reached, and what they say does not come."""
 
-    async def ask(*_: object) -> bytes:
+    async def shard_request(*_: object) -> bytes:
         raise OSError("cut off")
 
-    relay.node.request = ask  # type: ignore[method-assign, assignment]
+    relay.node.request = shard_request  # type: ignore[method-assign, assignment]
     relay.node.datagram_handlers.clear()
 
 
-def test_a_message_whose_shard_is_not_here_is_accepted_and_goes_when_it_comes(tmp_path: Path) -> None:
+def test_message_for_a_shard_that_is_not_resident_is_accepted_and_sent_when_it_is(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:  # the keeper is not there yet
             relay = it.instances[1]
@@ -64,7 +64,7 @@
     run(work())
 
 
-def test_one_that_is_in_no_shard_ends_as_failed_at_once_and_is_never_silent(tmp_path: Path) -> None:
+def test_message_for_an_unknown_destination_fails_at_once(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -78,7 +78,7 @@
     run(work())
 
 
-def test_no_such_destination_is_said_only_by_a_shard_that_is_here(tmp_path: Path) -> None:
+def test_unknown_destination_needs_a_resident_shard(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -98,7 +98,7 @@
     run(work())
 
 
-def test_after_a_restart_what_was_held_over_many_shards_is_asked_for_the_earliest_end_first(
+def test_after_a_restart_pending_shards_are_requested_by_earliest_deadline(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
@@ -112,21 +112,21 @@
                 ).accepted
             await it.end(1)
             relay = await it.begin(1)
-            asked: list[list[int]] = []
-            ask = relay.node.request
+            respond: list[list[int]] = []
+            shard_request = relay.node.request
 
             async def noted(name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
                 word = decode_message(raw)
                 assert isinstance(word, ShardRequest)
-                asked.append([want.shard for want in word.requested_shards])
-                return await ask(name, kind, raw, seconds)
+                respond.append([want.shard for want in word.requested_shards])
+                return await shard_request(name, kind, raw, seconds)
 
             relay.node.request = noted  # type: ignore[method-assign]
             assert relay.messages.pending_count == 50
             assert not relay.host.is_dispatching and len(relay.shards.client.pending) == 50  # before all else
             await it.begin(0)
             await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
-            wanted = next(each for each in asked if each)
+            wanted = next(each for each in respond if each)
             assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(wanted)]
             assert sorted(each.trace_id for each in relay.carrier.attempts) == sorted(
                 f"m{n}" for n in range(50)
@@ -135,7 +135,7 @@
     run(work())
 
 
-def test_one_that_was_left_for_a_shard_without_it_ends_as_failed(
+def test_message_whose_destination_left_its_shard_fails(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its shard has come before it is taken up."""
@@ -155,7 +155,7 @@
     run(work())
 
 
-def test_a_destination_that_moves_while_its_message_waits_gets_it_where_it_is(tmp_path: Path) -> None:
+def test_destination_that_moves_gets_its_pending_message_at_its_new_address(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
             relay = it.instances[1]
@@ -168,7 +168,7 @@
     run(work())
 
 
-def test_one_that_moves_while_a_connection_is_looked_for_gets_no_byte_at_its_old_place(
+def test_destination_that_moves_during_connect_gets_no_byte_at_its_old_address(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
@@ -190,7 +190,7 @@
     run(work())
 
 
-def test_one_that_was_frozen_sends_no_byte_before_it_has_heard_what_is_new(
+def test_frozen_relay_sends_no_byte_before_it_is_current(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
@@ -201,7 +201,7 @@
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            ask, datagrams = relay.node.request, dict(relay.node.datagram_handlers)
+            shard_request, datagrams = relay.node.request, dict(relay.node.datagram_handlers)
             relay.node.datagram_handlers.clear()  # what comes while it stands still
             relay.shards.running = False
             if relay.shards.timer is not None:
@@ -212,7 +212,7 @@
 
             async def slow(*args: Any) -> bytes:
                 await asyncio.sleep(0.4)
-                return await ask(*args)
+                return await shard_request(*args)
 
             relay.node.request = slow  # type: ignore[method-assign, assignment]
             relay.node.datagram_handlers.update(datagrams)
@@ -228,7 +228,7 @@
     run(work())
 
 
-def test_who_waits_for_what_is_new_goes_on_when_it_has_come(tmp_path: Path) -> None:
+def test_wait_for_renewal_ends_when_updates_arrive(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -239,7 +239,7 @@
     run(work())
 
 
-def test_the_gate_holds_back_what_has_become_old_while_a_connection_was_looked_for(tmp_path: Path) -> None:
+def test_send_guard_withholds_a_call_whose_data_became_stale_during_connect(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -262,7 +262,7 @@
     run(work())
 
 
-def test_without_any_keeper_what_is_known_serves_and_the_status_tells_how_old_it_is(tmp_path: Path) -> None:
+def test_without_servers_known_data_serve_and_the_status_has_their_age(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
@@ -285,7 +285,7 @@
     run(work())
 
 
-def test_what_is_given_up_is_not_taken_for_down_when_it_is_needed_again(tmp_path: Path) -> None:
+def test_evicted_destination_is_not_considered_down_when_needed_again(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1, idle_s=1.0) as it:
             relay = it.instances[1]
@@ -300,7 +300,7 @@
     run(work())
 
 
-def test_what_is_needed_is_not_given_up(tmp_path: Path) -> None:
+def test_destination_in_use_is_not_evicted(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7, 8), 0, 1, idle_s=1.0) as it:
             relay = it.instances[1]
@@ -319,7 +319,7 @@
     run(work())
 
 
-def test_what_was_learned_of_a_destination_keeps_its_shard_here(tmp_path: Path) -> None:
+def test_learned_state_of_a_destination_keeps_its_shard_resident(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7, 8), 0, 1, idle_s=1.0) as it:
             relay = it.instances[1]
@@ -336,7 +336,7 @@
     run(work())
 
 
-def test_a_destination_that_is_not_known_yet_is_taken_to_be_as_fast_as_one_whose_rate_is_not_listed(
+def test_unknown_destination_has_the_rate_of_one_without_a_listed_rate(
     tmp_path: Path,
 ) -> None:
     """Else what waits for its shard would be refused first, and its clients told to stay away for minutes."""
@@ -348,7 +348,7 @@
     run(work())
 
 
-def test_a_told_wait_outlasts_a_restart_though_its_shard_comes_later(tmp_path: Path) -> None:
+def test_retry_after_outlasts_a_restart_though_its_shard_comes_later(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -375,20 +375,20 @@
     run(work())
 
 
-def test_words_that_cannot_be_read_are_counted_and_lose_nothing(tmp_path: Path) -> None:
+def test_unreadable_messages_are_counted_and_lose_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
-            relay, keeper = it.instances[1], it.instances[0]
+            relay, server = it.instances[1], it.instances[0]
             await learned(relay, 7)
             for raw in (b"", b"\xff", b"\x93\xa1d", encode_message(Overloaded(1, 1.0))):
                 relay.shards._on_datagram("n0", raw)
                 with pytest.raises(OSError):
                     await relay.node.request("n0", "shards", raw, 1.0)
-            assert relay.shards.counts["unreadable"] == 4 and keeper.shards.counts["unreadable"] == 4
-            ask = relay.node.request
+            assert relay.shards.counts["unreadable"] == 4 and server.shards.counts["unreadable"] == 4
+            shard_request = relay.node.request
 
             async def spoilt(*args: Any) -> bytes:
-                relay.node.request = ask  # type: ignore[method-assign]
+                relay.node.request = shard_request  # type: ignore[method-assign]
                 return b"\x91\xa1x"
 
             relay.node.request = spoilt  # type: ignore[method-assign, assignment]
@@ -399,7 +399,7 @@
     run(work())
 
 
-def test_a_fault_in_a_turn_is_told_and_the_next_one_comes(
+def test_failed_tick_is_logged_and_the_next_one_runs(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def work() -> None:
@@ -420,28 +420,28 @@
     run(work())
 
 
-def test_a_keepers_own_relay_is_a_reader_too(tmp_path: Path) -> None:
+def test_a_servers_own_relay_is_a_client_too(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0) as it:
-            keeper = it.instances[0]
-            await learned(keeper, 7)
-            told = keeper.shards.status()
+            server = it.instances[0]
+            await learned(server, 7)
+            told = server.shards.status()
             assert told["reader"]["shards"] == 1 and told["keeper"]["endpoints"] == 1
 
     run(work())
 
 
-def test_an_instance_that_keeps_nothing_says_so_when_it_is_asked(tmp_path: Path) -> None:
+def test_instance_without_a_server_responds_with_a_layout_mismatch(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
-            ask = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
-            raw = it.instances[1].shards._on_frame(Hello("n0", MESSAGE_KIND), encode_message(ask))
+            shard_request = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
+            raw = it.instances[1].shards._on_frame(Hello("n0", MESSAGE_KIND), encode_message(shard_request))
             assert decode_message(raw) == LayoutMismatch(5, it.instances[1].shards.layout)
 
     run(work())
 
 
-def test_the_sweep_walks_over_no_destination_and_what_is_long_gone_is_forgotten(tmp_path: Path) -> None:
+def test_eviction_walks_over_no_destination_and_forgets_removed_ones(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
@@ -459,7 +459,7 @@
     run(work())
 
 
-def test_ends_are_told_once_over_a_kill_between(tmp_path: Path) -> None:
+def test_final_outcomes_are_notified_once_over_a_kill(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
--- a/tests/sharded_directory/test_schedules.py
+++ b/tests/sharded_directory/test_schedules.py
@@ -16,24 +16,26 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
-def test_twelve_readers_and_three_keepers(seed: int) -> None:
+def test_twelve_clients_and_three_servers(seed: int) -> None:
     sound(played(Plan(seed, readers=12, keepers=3, destinations=120, shards=16, seconds=45.0, faults=9)))
 
 
 @pytest.mark.parametrize("seed", range(101, 109))
-def test_two_keepers_with_hardly_any_digests(seed: int) -> None:
+def test_two_servers_with_most_digests_lost(seed: int) -> None:
     plan = Plan(seed, readers=8, keepers=2, destinations=60, shards=8, seconds=60.0, faults=8, loss=0.9)
     sound(played(plan))
 
 
 @pytest.mark.parametrize("seed", (201, 202))
-def test_two_hundred_readers_and_eight_keepers_that_restart_together(seed: int) -> None:
+def test_two_hundred_clients_and_eight_servers_that_restart_together(seed: int) -> None:
     found = played(Plan(seed, readers=200, seconds=40.0, all_restart=True, call_s=2.0))
     sound(found)
     assert found.answers > 500
 
 
-def test_a_return_is_not_run_over_and_the_most_needed_come_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_recovered_servers_are_not_overloaded_and_urgent_requests_come_first(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """All keepers are away, 150 readers come to need 60 shards each, then one keeper returns alone, with a
     quarter of the bytes a second, so that they press on it as 600 would."""
     monkeypatch.setattr(shard_server, "BYTES_S", 1e6)
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("seed", (1015, 1193, 1337))
-def test_a_keeper_that_is_back_is_tried_though_others_hang(seed: int) -> None:
+def test_recovered_server_is_tried_though_others_hang(seed: int) -> None:
     """Three of 400 in which calls were held back for a second, though a keeper that knew all had been there
     for 10 s: the first of those that hang were asked again and again before it."""
     sound(played(Plan(seed, readers=12)))
--- a/tests/sharded_directory/test_settings.py
+++ b/tests/sharded_directory/test_settings.py
@@ -17,7 +17,7 @@
 ACCORD = {"accord": {"voters": [0]}}
 
 
-def test_what_is_given_stands_and_without_keepers_it_is_off() -> None:
+def test_given_settings_apply_and_without_servers_it_is_off() -> None:
     part = {"keepers": [0, 2], "count": 64, "epoch": 3, "file": "list.json", "idle_s": 9.0, "bound_s": 20.0}
     assert decoded({**HERE, "shards": part}, "f").shards == ShardedDirectorySettings(
         (0, 2), 64, 3, "list.json", 9.0, 20.0
@@ -30,7 +30,7 @@
     assert "[shards]" in Path("deploy/relay.toml").read_text()
 
 
-def test_the_bounds_that_are_written_down_twice_are_the_same() -> None:
+def test_limits_defined_twice_are_the_same() -> None:
     assert (settings.MAX_SHARDS, settings.MAX_SERVERS) == (
         rendezvous_hash.MAX_SHARDS,
         rendezvous_hash.MAX_SERVERS,
@@ -75,6 +75,8 @@
         ),
     ],
 )
-def test_bad_input_is_refused_with_the_field_and_what_would_be_right(told: dict[str, Any], said: str) -> None:
+def test_invalid_settings_are_rejected_with_the_field_and_the_expected_value(
+    told: dict[str, Any], said: str
+) -> None:
     with pytest.raises(OperatorError, match=said):
         decoded(told, "f")
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -39,7 +39,7 @@
     shard_number_hash,
 )
 
-from .common import ask, asked, by_shard, filled, followed, load, row, sum_of
+from .common import apply_response, by_shard, checksum_of, filled, load, respond, row, shard_request
 
 LAYOUT = Layout(4, (1, 2))
 NAMES = [f"e{i}" for i in range(7)]
@@ -78,185 +78,187 @@
 @pytest.mark.parametrize(("log_shard", "log_rows", "step_rows"), [(64, 50_000, 2_000), (3, 7, 1)])
 @given(steps=st.lists(STEP, max_size=10), data=st.data())
 @settings(max_examples=80, deadline=None)
-def test_whatever_the_source_tells_the_answers_make_the_same(
+def test_responses_reproduce_whatever_the_source_has(
     log_shard: int, log_rows: int, step_rows: int, steps: list[Any], data: st.DataObject
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(shard_table, "MAX_LOG_ROWS_PER_SHARD", log_shard)
         patch.setattr(shard_table, "MAX_LOG_ROWS", log_rows)
         patch.setattr(bulk_load, "STEP_ROWS", step_rows)
-        oracle, keeper = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
+        oracle, server = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
         oracle.take("load", [], [], 0)
-        assert load(keeper, [], 0)
+        assert load(server, [], 0)
         for generation, (what, rows, lives) in enumerate(steps, 1):
             holds = data.draw(st.sets(st.integers(0, 3)))
-            keeper.handle_request(float(generation), "n200", ask(LAYOUT, keeper.version, holds))
+            server.handle_request(float(generation), "n200", shard_request(LAYOUT, server.version, holds))
             oracle.take(what, rows, lives, generation)
             if what == "load":
-                assert load(keeper, rows, generation)
+                assert load(server, rows, generation)
             else:
-                assert keeper.apply_changes(0.0, generation, rows, lives)
-            check_table(keeper, oracle.versions[generation])
-            check_since(keeper, oracle, data.draw(st.sets(st.integers(0, 3))))
-            check_digest(keeper, oracle.versions[generation], holds, float(generation))
+                assert server.apply_changes(0.0, generation, rows, lives)
+            check_table(server, oracle.versions[generation])
+            check_since(server, oracle, data.draw(st.sets(st.integers(0, 3))))
+            check_digest(server, oracle.versions[generation], holds, float(generation))
         assert (
-            keeper.table.log_row_count
-            == sum(len(log.rows) for log in keeper.table.change_logs.values())
+            server.table.log_row_count
+            == sum(len(log.rows) for log in server.table.change_logs.values())
             <= log_rows
         )
-        assert all(len(log.rows) <= log_shard for log in keeper.table.change_logs.values())
+        assert all(len(log.rows) <= log_shard for log in server.table.change_logs.values())
 
 
-def check_table(keeper: ShardServer, now: list[dict[str, Row]]) -> None:
+def check_table(server: ShardServer, now: list[dict[str, Row]]) -> None:
     for shard, rows in enumerate(now):
-        assert {each.name: each for each in keeper.table.decode_rows(shard)} == rows
-        assert keeper.table.checksums[shard] == sum_of(rows.values())
-        assert keeper.table.row_counts[shard] == len(rows)
-        assert keeper.table.destination_counts[shard] == len({each.destination for each in rows.values()})
+        assert {each.name: each for each in server.table.decode_rows(shard)} == rows
+        assert server.table.checksums[shard] == checksum_of(rows.values())
+        assert server.table.row_counts[shard] == len(rows)
+        assert server.table.destination_counts[shard] == len({each.destination for each in rows.values()})
     there = {shard_table.name_hash(name): shard for shard, rows in enumerate(now) for name in rows}
-    assert keeper.table.shard_by_name_hash == there
+    assert server.table.shard_by_name_hash == there
 
 
-def check_since(keeper: ShardServer, oracle: Oracle, holds: set[int]) -> None:
+def check_since(server: ShardServer, oracle: Oracle, holds: set[int]) -> None:
     for generation, before in oracle.versions.items():
         has = {shard: dict(before[shard]) for shard in holds}
-        answer = asked(keeper, ask(LAYOUT, (1, generation), holds))
-        assert answer.is_complete and answer.version == keeper.version
-        followed(has, answer)
-        current = oracle.versions[keeper.version[1]]
+        response = respond(server, shard_request(LAYOUT, (1, generation), holds))
+        assert response.is_complete and response.version == server.version
+        apply_response(has, response)
+        current = oracle.versions[server.version[1]]
         assert has == {shard: current[shard] for shard in holds}
         # What has not changed since is not told.
-        for part in answer.parts:
-            assert keeper.table.changed_at[part.shard] > generation
+        for part in response.parts:
+            assert server.table.changed_at[part.shard] > generation
 
 
-def check_digest(keeper: ShardServer, now: list[dict[str, Row]], holds: set[int], at: float) -> None:
-    told = [
-        digest for name, digest in keeper.due_digests(at + subscribers.DIGEST_INTERVAL_S) if name == "n200"
+def check_digest(server: ShardServer, now: list[dict[str, Row]], holds: set[int], at: float) -> None:
+    request = [
+        digest for name, digest in server.due_digests(at + subscribers.DIGEST_INTERVAL_S) if name == "n200"
     ]
-    for digest in told:
-        assert digest.rows_checksum == sum(sum_of(now[shard].values()) for shard in holds) & CHECKSUM_MASK
+    for digest in request:
+        assert (
+            digest.rows_checksum == sum(checksum_of(now[shard].values()) for shard in holds) & CHECKSUM_MASK
+        )
         assert digest.shard_set_checksum == sum(map(shard_number_hash, holds)) & CHECKSUM_MASK
-        assert digest.version == keeper.version
+        assert digest.version == server.version
         assert len(encode_message(digest)) < 200
 
 
-def test_a_change_is_told_by_its_rows_and_many_by_the_whole() -> None:
+def test_few_changes_are_sent_as_rows_and_many_as_a_full_shard() -> None:
     layout = Layout(1, (1,))
-    keeper = filled(layout, [row(f"e{i}", i) for i in range(200)])
-    keeper.apply_changes(0.0, 2, [row("e1", 1, 1)], [("e2", GONE)])
-    (part,) = asked(keeper, ask(layout, (1, 1), [0])).parts
+    server = filled(layout, [row(f"e{i}", i) for i in range(200)])
+    server.apply_changes(0.0, 2, [row("e1", 1, 1)], [("e2", GONE)])
+    (part,) = respond(server, shard_request(layout, (1, 1), [0])).parts
     assert isinstance(part, ShardChanges)
     assert {(each.name, each.listing) for each in part.rows} == {("e1", 1), ("e2", GONE)}
     many = [row(f"e{i}", i, 1) for i in range(100, 100 + shard_table.MAX_LOG_ROWS_PER_SHARD)]
-    keeper.apply_changes(0.0, 3, [row("e1", 1, 0), *many])
-    (part,) = asked(keeper, ask(layout, (1, 1), [0])).parts
+    server.apply_changes(0.0, 3, [row("e1", 1, 0), *many])
+    (part,) = respond(server, shard_request(layout, (1, 1), [0])).parts
     assert isinstance(part, FullShard) and len(part.rows) == 199  # the log does not reach back
-    keeper.apply_changes(0.0, 4, [row("e1", 1, 1)])
-    (part,) = asked(keeper, ask(layout, (1, 3), [0])).parts
+    server.apply_changes(0.0, 4, [row("e1", 1, 1)])
+    (part,) = respond(server, shard_request(layout, (1, 3), [0])).parts
     assert isinstance(part, ShardChanges) and len(part.rows) == 1
 
 
-def test_what_changed_before_its_start_is_compared_by_sums() -> None:
-    keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)], generation=9)
-    sums = [(shard, keeper.table.checksums[shard]) for shard in range(4)]
+def test_changes_before_the_history_start_are_compared_by_checksums() -> None:
+    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)], generation=9)
+    sums = [(shard, server.table.checksums[shard]) for shard in range(4)]
     sums[2] = (2, 1)
-    answer = asked(keeper, ask(LAYOUT, (1, 5), range(4)))
-    assert (answer.is_complete, answer.parts, answer.history_start) == (False, (), (1, 9))
-    answer = asked(keeper, ask(LAYOUT, (1, 5), range(4), sums=sums[:3]))
-    assert [(type(part), part.shard) for part in answer.parts] == [
+    response = respond(server, shard_request(LAYOUT, (1, 5), range(4)))
+    assert (response.is_complete, response.parts, response.history_start) == (False, (), (1, 9))
+    response = respond(server, shard_request(LAYOUT, (1, 5), range(4), sums=sums[:3]))
+    assert [(type(part), part.shard) for part in response.parts] == [
         (UnchangedShard, 0),
         (UnchangedShard, 1),
         (FullShard, 2),
     ]
-    assert not answer.is_complete
-    assert asked(keeper, ask(LAYOUT, (1, 5), range(4), sums=sums)).is_complete
+    assert not response.is_complete
+    assert respond(server, shard_request(LAYOUT, (1, 5), range(4), sums=sums)).is_complete
 
 
-def test_a_list_that_comes_to_the_same_changes_no_version() -> None:
+def test_unchanged_list_changes_no_version() -> None:
     rows = [row(f"e{i}", i) for i in range(40)]
-    keeper = filled(LAYOUT, rows, generation=3)
-    changed = dict(keeper.table.changed_at)
-    assert load(keeper, reversed(rows), 3)
+    server = filled(LAYOUT, rows, generation=3)
+    changed = dict(server.table.changed_at)
+    assert load(server, reversed(rows), 3)
     assert (
-        keeper.version == (1, 3) and keeper.table.changed_at == changed and keeper.same_version_rewrites == 0
+        server.version == (1, 3) and server.table.changed_at == changed and server.same_version_rewrites == 0
     )
-    assert load(keeper, rows, 4)
-    assert keeper.version == (1, 4) and keeper.table.changed_at == changed
-    assert asked(keeper, ask(LAYOUT, (1, 3), range(4))).parts == ()
-
-
-def test_a_generation_that_goes_back_is_refused_and_confirms_nothing() -> None:
-    keeper = filled(LAYOUT, [row("e1", 1, mark=1.0)], generation=5, now=10.0)
-    assert not load(keeper, [row("e1", 1)], 4, now=20.0)
-    assert not keeper.apply_changes(20.0, 3, [row("e1", 1)])
-    assert keeper.rejected_updates == 2
-    keeper.confirm_source(20.0)
-    assert keeper.status(21.0).source_age_s == 11.0
-    assert [each.rate for each in keeper.table.decode_rows(shard_of(1, 4))] == [1.0]
-    assert load(keeper, [row("e1", 1)], 1, epoch=2, now=30.0)  # unless the operator says that it counts anew
-    keeper.confirm_source(31.0)
-    assert keeper.version == (2, 1) and keeper.status(31.0).source_age_s == 0.0
-    assert asked(keeper, ask(LAYOUT, (1, 5), range(4))).history_start == (2, 1)
-
-
-def test_another_list_under_the_same_generation_is_noted() -> None:
-    keeper = filled(LAYOUT, [row("e1", 1)], generation=5)
-    assert load(keeper, [row("e1", 1, 1)], 5)
-    assert keeper.same_version_rewrites == 1 and keeper.table.checksums[shard_of(1, 4)] == sum_of(
+    assert load(server, rows, 4)
+    assert server.version == (1, 4) and server.table.changed_at == changed
+    assert respond(server, shard_request(LAYOUT, (1, 3), range(4))).parts == ()
+
+
+def test_older_generation_is_rejected_and_confirms_nothing() -> None:
+    server = filled(LAYOUT, [row("e1", 1, mark=1.0)], generation=5, now=10.0)
+    assert not load(server, [row("e1", 1)], 4, now=20.0)
+    assert not server.apply_changes(20.0, 3, [row("e1", 1)])
+    assert server.rejected_updates == 2
+    server.confirm_source(20.0)
+    assert server.status(21.0).source_age_s == 11.0
+    assert [each.rate for each in server.table.decode_rows(shard_of(1, 4))] == [1.0]
+    assert load(server, [row("e1", 1)], 1, epoch=2, now=30.0)  # unless the operator says that it counts anew
+    server.confirm_source(31.0)
+    assert server.version == (2, 1) and server.status(31.0).source_age_s == 0.0
+    assert respond(server, shard_request(LAYOUT, (1, 5), range(4))).history_start == (2, 1)
+
+
+def test_different_list_under_the_same_generation_is_counted() -> None:
+    server = filled(LAYOUT, [row("e1", 1)], generation=5)
+    assert load(server, [row("e1", 1, 1)], 5)
+    assert server.same_version_rewrites == 1 and server.table.checksums[shard_of(1, 4)] == checksum_of(
         [row("e1", 1, 1)]
     )
 
 
-def test_until_a_list_is_done_the_old_one_answers_and_one_given_up_changes_nothing(
+def test_old_list_is_served_until_the_commit_and_a_dropped_one_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(bulk_load, "STEP_ROWS", 3)
     rows = [row(f"e{i}", i) for i in range(40)]
-    keeper = filled(LAYOUT, rows)
-    before = list(keeper.table.encoded_rows), dict(keeper.table.shard_by_name_hash), keeper.version
-    begun = keeper.start_list(1.0, (1, 2))
+    server = filled(LAYOUT, rows)
+    before = list(server.table.encoded_rows), dict(server.table.shard_by_name_hash), server.version
+    begun = server.start_list(1.0, (1, 2))
     begun.add([row(f"e{i}", i + 1, 1) for i in range(30)])
     assert begun.seal(2.0)
     steps = 1
     while not begun.step():
         steps += 1
-        assert (list(keeper.table.encoded_rows), keeper.table.shard_by_name_hash, keeper.version) == before
-    assert steps > 3 and begun.is_committed and keeper.version == (1, 2)
-    assert keeper.status(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
-    assert keeper.status(2.0).endpoints == 30
-    keeper.start_list(3.0, (1, 3)).add([row("e1", 1)])
-    assert keeper.version == (1, 2) and keeper.status(2.0).endpoints == 30
+        assert (list(server.table.encoded_rows), server.table.shard_by_name_hash, server.version) == before
+    assert steps > 3 and begun.is_committed and server.version == (1, 2)
+    assert server.status(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
+    assert server.status(2.0).endpoints == 30
+    server.start_list(3.0, (1, 3)).add([row("e1", 1)])
+    assert server.version == (1, 2) and server.status(2.0).endpoints == 30
 
 
-def test_a_change_beside_a_list_that_is_being_read() -> None:
+def test_change_committed_while_a_list_is_staged() -> None:
     """The list is older than the change: it is refused at its end, and nothing goes back."""
-    keeper = filled(LAYOUT, [row("e1", 1)])
-    begun = keeper.start_list(1.0, (1, 2))
+    server = filled(LAYOUT, [row("e1", 1)])
+    begun = server.start_list(1.0, (1, 2))
     begun.add([row("e1", 1)])
     assert begun.seal(1.0)
-    assert keeper.apply_changes(1.0, 3, [row("e1", 1, 1)])
+    assert server.apply_changes(1.0, 3, [row("e1", 1, 1)])
     while not begun.step():
         pass
-    assert not begun.is_committed and keeper.version == (1, 3)
-    later = keeper.start_list(1.0, (1, 9))
+    assert not begun.is_committed and server.version == (1, 3)
+    later = server.start_list(1.0, (1, 9))
     later.add([row("e1", 1), row("e2", 2)])
     assert later.seal(1.0)
-    assert keeper.apply_changes(1.0, 4, [row("e3", 3)])  # compared with what is there at the end
+    assert server.apply_changes(1.0, 4, [row("e3", 3)])  # compared with what is there at the end
     while not later.step():
         pass
     assert later.is_committed
-    assert {each.name for shard in range(4) for each in keeper.table.decode_rows(shard)} == {"e1", "e2"}
+    assert {each.name for shard in range(4) for each in server.table.decode_rows(shard)} == {"e1", "e2"}
 
 
-def test_another_layout_and_a_keeper_without_a_list() -> None:
-    keeper = ShardServer(LAYOUT, 1, random.Random(1))
-    told = keeper.handle_request(1.0, "n100", ask(LAYOUT))
-    assert isinstance(told, LayoutMismatch) and told.is_loading
-    load(keeper, [], 1)
+def test_layout_mismatch_and_server_without_a_list() -> None:
+    server = ShardServer(LAYOUT, 1, random.Random(1))
+    request = server.handle_request(1.0, "n100", shard_request(LAYOUT))
+    assert isinstance(request, LayoutMismatch) and request.is_loading
+    load(server, [], 1)
     for other in (Layout(8, (1, 2)), Layout(4, (1, 3))):
-        told = keeper.handle_request(1.0, "n100", ask(other))
-        assert told == LayoutMismatch(1, LAYOUT) and decode_message(encode_message(told)) == told
+        request = server.handle_request(1.0, "n100", shard_request(other))
+        assert request == LayoutMismatch(1, LAYOUT) and decode_message(encode_message(request)) == request
 
 
 @pytest.mark.parametrize(
@@ -264,131 +266,138 @@
     [
         ShardRequest(1, LAYOUT, NO_VERSION, b"no zlib"),
         ShardRequest(1, LAYOUT, NO_VERSION, pack_shard_set(0, 1 << 20)),
-        ask(LAYOUT, wants=[4]),
-        ask(LAYOUT, wants=[-1]),
-        ask(LAYOUT, sums=[(9, 0)]),
+        shard_request(LAYOUT, wants=[4]),
+        shard_request(LAYOUT, wants=[-1]),
+        shard_request(LAYOUT, sums=[(9, 0)]),
     ],
 )
-def test_an_ask_that_cannot_be_read_changes_nothing(wrong: ShardRequest) -> None:
-    keeper = filled(LAYOUT, [])
+def test_unreadable_request_changes_nothing(wrong: ShardRequest) -> None:
+    server = filled(LAYOUT, [])
     with pytest.raises(UnreadableFrameError):
-        keeper.handle_request(1.0, "n100", wrong)
-    assert not keeper.subscribers.by_name and keeper.responses == 0
+        server.handle_request(1.0, "n100", wrong)
+    assert not server.subscribers.by_name and server.responses == 0
 
 
-def test_answers_are_bounded_and_the_most_needed_comes_first() -> None:
+def test_responses_are_bounded_and_the_earliest_deadline_comes_first() -> None:
     layout = Layout(64, (1,))
-    keeper = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
-    told = ask(layout, wants=range(64))
-    told = msgspec.structs.replace(
-        told,
+    server = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
+    request = shard_request(layout, wants=range(64))
+    request = msgspec.structs.replace(
+        request,
         requested_shards=tuple(
             msgspec.structs.replace(want, time_left_ms=1e4 - 100.0 * want.shard)
-            for want in told.requested_shards
+            for want in request.requested_shards
         ),
     )
-    answer = asked(keeper, told)
-    assert len(encode_message(answer)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
-    assert [part.shard for part in answer.parts] == list(range(63, 63 - len(answer.parts), -1))
-    assert len(answer.parts) > 8
+    response = respond(server, request)
+    assert len(encode_message(response)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
+    assert [part.shard for part in response.parts] == list(range(63, 63 - len(response.parts), -1))
+    assert len(response.parts) > 8
     # Changes are told beside shards that are wanted; and in pieces, if they are many.
-    keeper.apply_changes(2.0, 2, [row(f"a-name-of-usual-length-{i}", i, 1) for i in range(64 * 44)])
+    server.apply_changes(2.0, 2, [row(f"a-name-of-usual-length-{i}", i, 1) for i in range(64 * 44)])
     has: set[int] = set()
     for _ in range(20):
         bits = pack_shard_set(sum(1 << shard for shard in has), 64)
         more = msgspec.structs.replace(
-            ask(layout, (1, 1), range(64)), ahead_version=(1, 2), ahead_shards=bits
+            shard_request(layout, (1, 1), range(64)), ahead_version=(1, 2), ahead_shards=bits
         )
-        answer = asked(keeper, more)
-        assert len(encode_message(answer)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
-        assert not has & {part.shard for part in answer.parts}
-        has |= {part.shard for part in answer.parts}
-        if answer.is_complete:
+        response = respond(server, more)
+        assert len(encode_message(response)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
+        assert not has & {part.shard for part in response.parts}
+        has |= {part.shard for part in response.parts}
+        if response.is_complete:
             break
     assert has == set(range(64))
 
 
-def test_a_shard_that_is_larger_than_an_answer_comes_alone() -> None:
+def test_shard_larger_than_a_response_is_sent_alone() -> None:
     layout = Layout(2, (1,))
-    keeper = filled(layout, [row(f"e{i}", i) for i in range(4_000)])
-    answer = asked(keeper, ask(layout, wants=[0, 1]))
-    assert len(answer.parts) == 1
+    server = filled(layout, [row(f"e{i}", i) for i in range(4_000)])
+    response = respond(server, shard_request(layout, wants=[0, 1]))
+    assert len(response.parts) == 1
 
 
-def test_too_many_asks_are_told_when_to_come_and_urgent_ones_get_through() -> None:
-    keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+def test_excess_requests_get_a_retry_after_and_urgent_ones_are_served() -> None:
+    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     now, answers, after = 50.0, 0, []
     for number in range(2_000):
-        told = keeper.handle_request(now, f"n{number}", ask(LAYOUT, holds=[0], wants=[1], due_ms=30_000.0))
-        if isinstance(told, Overloaded):
-            after.append(told.retry_after_ms)
+        request = server.handle_request(
+            now, f"n{number}", shard_request(LAYOUT, holds=[0], wants=[1], due_ms=30_000.0)
+        )
+        if isinstance(request, Overloaded):
+            after.append(request.retry_after_ms)
         else:
             answers += 1
     assert answers <= shard_server.RESPONSES_PER_S * shard_server.BURST_S
     assert answers == shard_server.RESPONSES_PER_S * (1 - shard_server.RESERVED_SHARE)
     assert min(after) >= 50.0 and max(after) <= 1.3 * shard_server.MAX_RETRY_AFTER_S * 1e3
     assert max(after) > 10 * min(after) and len(set(after)) > 1_000  # spread: who comes later waits longer
-    urgent = [keeper.handle_request(now, f"n{i}", ask(LAYOUT, wants=[1], due_ms=500.0)) for i in range(200)]
-    assert sum(not isinstance(told, Overloaded) for told in urgent) == 100
-    told = keeper.handle_request(now + 1.0, "n1", ask(LAYOUT, holds=[0], wants=[1]))
-    assert not isinstance(told, Overloaded)
+    urgent = [
+        server.handle_request(now, f"n{i}", shard_request(LAYOUT, wants=[1], due_ms=500.0))
+        for i in range(200)
+    ]
+    assert sum(not isinstance(request, Overloaded) for request in urgent) == 100
+    request = server.handle_request(now + 1.0, "n1", shard_request(LAYOUT, holds=[0], wants=[1]))
+    assert not isinstance(request, Overloaded)
 
 
-def test_bytes_a_second_are_bounded() -> None:
+def test_sent_bytes_are_rate_limited() -> None:
     layout = Layout(64, (1,))
-    keeper = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
+    server = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
     for step in range(3_000):
-        keeper.handle_request(step / 300.0, f"n{step % 10}", ask(layout, wants=range(64), due_ms=100.0))
-    assert keeper.overloaded > 0
+        server.handle_request(
+            step / 300.0, f"n{step % 10}", shard_request(layout, wants=range(64), due_ms=100.0)
+        )
+    assert server.overloaded > 0
     assert (
-        keeper.sent_bytes
+        server.sent_bytes
         <= shard_server.BYTES_S * (10.0 + shard_server.BURST_S) + response_builder.MAX_RESPONSE_BYTES
     )
 
 
-def test_digests_go_to_those_that_asked_of_late_spread_and_bounded() -> None:
-    keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+def test_digests_go_to_recent_clients_spread_and_bounded() -> None:
+    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     for number in range(300):
-        keeper.handle_request(0.0, f"n{number}", ask(LAYOUT, holds=[0]))
+        server.handle_request(0.0, f"n{number}", shard_request(LAYOUT, holds=[0]))
     times: dict[str, list[float]] = {}
     now = 0.0
     while now < 30.0:
-        found = keeper.due_digests(now)
+        found = server.due_digests(now)
         assert len(found) <= subscribers.MAX_DIGESTS_PER_CALL
         for name, _ in found:
             times.setdefault(name, []).append(now)
-        now = max(now + 0.01, min(keeper.next_digest_at(), now + 1.0))
+        now = max(now + 0.01, min(server.next_digest_at(), now + 1.0))
     assert len(times) == 300
-    first = sorted(told[0] for told in times.values())
+    first = sorted(request[0] for request in times.values())
     assert first[75] > 0.4 and first[225] < 2.6  # those that came at once are not told at once
-    for told in times.values():
-        gaps = [b - a for a, b in itertools.pairwise(told)]
+    for request in times.values():
+        gaps = [b - a for a, b in itertools.pairwise(request)]
         assert all(2.6 <= gap <= 3.4 for gap in gaps) and len(gaps) >= 6
     now = 10.0 + subscribers.SUBSCRIPTION_S
     for _ in range(20):
-        keeper.due_digests(now)
-    assert not keeper.subscribers.by_name and not any(keeper.subscribers.slots_by_shard)
+        server.due_digests(now)
+    assert not server.subscribers.by_name and not any(server.subscribers.slots_by_shard)
 
 
-def test_more_readers_than_are_remembered_still_get_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_past_the_maximum_of_subscribers_still_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subscribers, "MAX_SUBSCRIBERS", 3)
-    keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     for number in range(5):
-        assert asked(keeper, ask(LAYOUT, wants=[1]), reader=f"n{number}").parts
-    assert len(keeper.subscribers.by_name) == 3
+        assert respond(server, shard_request(LAYOUT, wants=[1]), client=f"n{number}").parts
+    assert len(server.subscribers.by_name) == 3
 
 
-def test_many_shards_at_once_and_the_digest_is_still_right(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_digest_is_right_after_many_shards_change_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subscribers, "MAX_TRACKED_SHARDS", 2)
-    keeper = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
-    keeper.handle_request(0.0, "n1", ask(LAYOUT, holds=[0, 1, 2]))
-    keeper.apply_changes(1.0, 2, [row(f"e{i}", i, 1) for i in range(40)])
-    keeper.apply_changes(1.0, 3, [row("e0", 0, 0)])
-    ((_, digest),) = keeper.due_digests(5.0)
-    assert digest.rows_checksum == sum(keeper.table.checksums[:3]) & CHECKSUM_MASK
+    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server.handle_request(0.0, "n1", shard_request(LAYOUT, holds=[0, 1, 2]))
+    server.apply_changes(1.0, 2, [row(f"e{i}", i, 1) for i in range(40)])
+    server.apply_changes(1.0, 3, [row("e0", 0, 0)])
+    ((_, digest),) = server.due_digests(5.0)
+    assert digest.rows_checksum == sum(server.table.checksums[:3]) & CHECKSUM_MASK
 
 
-def test_shards_and_ranks_are_the_same_in_every_process() -> None:
+def test_shards_and_server_ranks_are_the_same_in_every_process() -> None:
     assert [shard_of(each, 8192) for each in (0, 1, 2, 360_000)] == SHARDS
     assert rank_servers("n7", [f"n{i}" for i in range(1, 9)]) == RANKED
     # Where one keeper goes, only its own readers move.
@@ -407,21 +416,21 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_what_was_made_ready_is_compared_anew_if_something_else_was_taken_meanwhile(
+def test_staged_update_is_compared_again_after_another_commit(
     whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(bulk_load, "STEP_ROWS", 1)
     monkeypatch.setattr(bulk_load, "STEP_SHARDS", 1)
     before = [row(f"e{i}", i) for i in range(40)]
     after = [row(f"e{i}", i, 1) for i in range(40)]
-    keeper = filled(LAYOUT, before)
-    staged = keeper.start_list(1.0, (1, 9)) if whole else keeper.start_changes(1.0, 9)
+    server = filled(LAYOUT, before)
+    staged = server.start_list(1.0, (1, 9)) if whole else server.start_changes(1.0, 9)
     staged.add(after)
     assert staged.seal(1.0)
     for _ in range(3):  # most shards have been compared
         assert not staged.step()
-    assert keeper.apply_changes(1.0, 4, [row(f"e{i}", i + 1, mark=4.0) for i in range(40)], [("e3", GONE)])
+    assert server.apply_changes(1.0, 4, [row(f"e{i}", i + 1, mark=4.0) for i in range(40)], [("e3", GONE)])
     while not staged.step():
         pass
-    assert staged.is_committed and keeper.version == (1, 9)
-    check_table(keeper, by_shard({each.name: each for each in after}, 4))
+    assert staged.is_committed and server.version == (1, 9)
+    check_table(server, by_shard({each.name: each for each in after}, 4))
--- a/tests/sharded_directory/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -24,7 +24,7 @@
 from .loopback import entry, listing, until
 
 
-def keeper(shards: int = 64) -> ShardServer:
+def server(shards: int = 64) -> ShardServer:
     return ShardServer(Layout(shards, (0,)), 1, random.Random(1))
 
 
@@ -50,7 +50,7 @@
     return [entry(f"e-{n:07}", n, 1 + n % 60_000) for n in range(count)]
 
 
-def test_a_list_is_the_same_in_whatever_pieces_it_comes() -> None:
+def test_list_is_the_same_in_any_pieces() -> None:
     told = listing([entry("ä", 1, 5), entry('"}],', 2, 6, lifecycle="draining"), entry("c", 3, 7, zone=None)])
     behind = {"instances": told["instances"], "more": [{"x": 1.5}], "reset": True, "generation": 1}
     texts = [json.dumps(told), json.dumps(told, ensure_ascii=False, indent=2), json.dumps(behind)]
@@ -58,7 +58,7 @@
     async def work() -> None:
         for text in texts:
             for size in (1, 2, 3, 7, 50, 10_000):
-                it = keeper()
+                it = server()
                 await taken(it, text.encode(), size=size)
                 assert it.version == (1, 1)
                 assert rows(it) == {
@@ -70,12 +70,12 @@
     run(work())
 
 
-def test_a_list_of_20_mb_takes_no_turn_of_more_than_some_hundred_entries() -> None:
+def test_list_of_20_mb_reads_a_bounded_batch_in_each_turn() -> None:
     raw = json.dumps(listing(many(140_000))).encode()
     assert len(raw) > 20_000_000
 
     async def work() -> None:
-        it, turns = keeper(8192), 0
+        it, turns = server(8192), 0
 
         async def others() -> None:
             nonlocal turns
@@ -93,11 +93,11 @@
     run(work())
 
 
-def test_each_cut_of_a_list_changes_nothing() -> None:
+def test_list_cut_at_any_place_changes_nothing() -> None:
     raw = json.dumps(listing([entry("a", 1), entry("b", 2)], 2)).encode()
 
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing([entry("old", 3)]))
         for length in range(len(raw)):
             with pytest.raises(SourceError):
@@ -131,9 +131,9 @@
         b'{"generation": 1, "reset": false, "instances": []}',  # changes, and nothing that they change
     ],
 )
-def test_what_is_no_list_changes_nothing(raw: bytes) -> None:
+def test_malformed_list_changes_nothing(raw: bytes) -> None:
     async def work() -> None:
-        it = keeper()
+        it = server()
         with pytest.raises(SourceError):
             await taken(it, raw)
         assert not it.is_loaded
@@ -141,11 +141,11 @@
     run(work())
 
 
-def test_a_list_that_is_too_long_is_told_and_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_above_the_size_limit_is_reported_and_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_splitter, "MAX_LIST_BYTES", 50_000)
 
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing(many(100)))
         with pytest.raises(SourceError, match="longer than 50000 bytes"):
             await taken(it, listing(many(1000), 2))
@@ -154,7 +154,7 @@
     run(work())
 
 
-def test_entries_that_cannot_be_read_are_passed_over_and_stand_but_for_their_life() -> None:
+def test_malformed_entries_are_skipped_but_for_their_listing() -> None:
     good = [entry("a", 1), entry("b", 2), entry("c", 3)]
     bad: list[Any] = [
         entry("a", 1, hostPort="x"),
@@ -169,7 +169,7 @@
     ]
 
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing(good))
         taking = await taken(it, listing([*bad, entry("e", 5)], 2))
         assert taking.entry_reader.skipped == len(bad)
@@ -184,9 +184,9 @@
     run(work())
 
 
-def test_changes_change_and_too_many_are_asked_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_are_applied_and_too_many_require_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing(many(100)))
         changes = [entry("e-0000001", 1, 9), entry("e-0000002", 2, lifecycle="gone")]
         await taken(it, listing(changes, 5, False), 1)
@@ -201,10 +201,10 @@
     run(work())
 
 
-def test_many_changes_are_taken_in_steps_and_come_into_force_in_one() -> None:
+def test_many_changes_are_staged_in_steps_and_committed_at_once() -> None:
     from message_relay.sharded_directory.bulk_load import STEP_ROWS
 
-    it, count = keeper(8192), 5 * STEP_ROWS
+    it, count = server(8192), 5 * STEP_ROWS
     change = it.start_changes(1.0, 2)
     assert not change.seal(1.0)  # there is no list yet
     load = it.start_list(1.0, (1, 1))
@@ -225,9 +225,9 @@
     assert len(found) == count - 1 and found["e7"] == Row("e7", 8, 0, "h", 2)
 
 
-def test_a_generation_that_goes_back_is_refused() -> None:
+def test_older_generation_is_rejected() -> None:
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing(many(10), 7))
         with pytest.raises(OutdatedListError, match="shards.epoch"):
             await taken(it, listing(many(5), 6))
@@ -238,11 +238,11 @@
     run(work())
 
 
-def test_a_list_counts_as_of_when_it_was_asked_for() -> None:
+def test_list_counts_as_of_its_request() -> None:
     """It may have lain unread while this process stood still."""
 
     async def work() -> None:
-        it = keeper()
+        it = server()
         await taken(it, listing(many(10)))
         assert it.status(9.0).source_age_s == 4.0
         await taken(it, listing([], 1, False), 1)
@@ -251,7 +251,7 @@
     run(work())
 
 
-def test_a_splitter_gives_no_more_entries_than_it_is_asked_for() -> None:
+def test_splitter_returns_at_most_the_requested_number_of_entries() -> None:
     split = ListSplitter()
     split.feed(json.dumps(listing(many(20))).encode())
     assert [len(split.read_entries(8)) for _ in range(4)] == [8, 8, 4, 0]
@@ -265,9 +265,9 @@
     return RegisterSource(it, 1, agent.address, 8, 1, is_shared=True)
 
 
-def test_the_register_is_watched_and_what_fails_is_asked_again() -> None:
+def test_register_is_watched_and_failures_are_retried() -> None:
     async def work() -> None:
-        agent, it = await Agent().start(), keeper()
+        agent, it = await Agent().start(), server()
         agent.silent = True
         agent.changes.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         agent.tell(listing(many(3000)))
@@ -289,13 +289,13 @@
     run(work())
 
 
-def test_a_list_past_the_agents_own_cap_is_taken() -> None:
+def test_list_above_the_agents_own_limit_is_accepted() -> None:
     from message_relay.http.agent import ANSWER_BYTES
 
     count = ANSWER_BYTES // 140  # each takes some 155 bytes
 
     async def work() -> None:
-        agent, it = await Agent().start(), keeper()
+        agent, it = await Agent().start(), server()
         agent.tell(listing(many(count)))
         assert len(json.dumps(listing(many(count)))) > ANSWER_BYTES
         task = asyncio.ensure_future(registered(it, agent).run())
@@ -306,9 +306,9 @@
     run(work())
 
 
-def test_a_register_that_counts_anew_is_asked_for_all_and_refused_until_it_has_caught_up() -> None:
+def test_register_with_restarted_generations_is_rejected_until_it_has_caught_up() -> None:
     async def work() -> None:
-        agent, it = await Agent().start(), keeper()
+        agent, it = await Agent().start(), server()
         agent.tell(listing(many(10), 9))
         watch = registered(it, agent)
         task = asyncio.ensure_future(watch.run())
@@ -325,11 +325,13 @@
     run(work())
 
 
-def test_too_many_changes_in_one_answer_make_it_ask_for_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_many_changes_in_one_response_cause_a_poll_of_the_whole_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(list_transfer, "MAX_CHANGES", 50)
 
     async def work() -> None:
-        agent, it = await Agent().start(), keeper()
+        agent, it = await Agent().start(), server()
         agent.tell(listing(many(100)))
         agent.tell(listing(many(60), 2, False))
         agent.tell(listing(many(60), 2))
@@ -342,9 +344,9 @@
     run(work())
 
 
-def test_another_register_is_asked_for_all_of_its_list() -> None:
+def test_new_register_is_polled_for_its_whole_list() -> None:
     async def work() -> None:
-        one, other, it = await Agent().start(), await Agent().start(), keeper()
+        one, other, it = await Agent().start(), await Agent().start(), server()
         one.tell(listing(many(3), 1))
         other.tell(listing(many(5), 2))
         watch = registered(it, one)
@@ -371,9 +373,9 @@
     os.replace(part, path)
 
 
-def test_a_file_is_read_again_when_it_changes_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
+def test_changed_file_is_read_again_and_a_malformed_one_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        it, path = keeper(), tmp_path / "list.json"
+        it, path = server(), tmp_path / "list.json"
         watch = FileSource(it, 1, path)
         with pytest.raises(OSError):
             await watch.check_file()
@@ -396,9 +398,9 @@
     run(work())
 
 
-def test_a_file_that_cannot_be_read_is_tried_again_and_told(tmp_path: Path) -> None:
+def test_unreadable_file_is_retried_and_reported(tmp_path: Path) -> None:
     async def work() -> None:
-        it, path = keeper(), tmp_path / "list.json"
+        it, path = server(), tmp_path / "list.json"
         watch = FileSource(it, 1, path)
         task = asyncio.ensure_future(watch.run())
         await until(lambda: watch.failures == 1)
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -29,7 +29,7 @@
     pack_shard_set,
 )
 
-from .common import ask, asked, by_shard, filled, followed, row
+from .common import apply_response, by_shard, filled, respond, row, shard_request
 
 DESTS, SHARDS, USED = 20_000, 512, 600  # some 39 destinations a shard
 STORM, PIECES, STORM_S = 4_000, 60, 30.0  # changes, in so many steps: for each shard as 72,000 in 8,192
@@ -47,13 +47,13 @@
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.layout = Layout(shards, (0, 1))
         self.rows = {f"e{n}": row(f"e{n}", n) for n in range(DESTS)}
-        self.keepers = {f"n{n}": filled(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
-        self.reader = ShardClient(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
-        self.reader.set_reachable(0.0, self.keepers)
+        self.servers = {f"n{n}": filled(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
+        self.client = ShardClient(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
+        self.client.set_reachable(0.0, self.servers)
         self.used = random.Random(5).sample(range(DESTS), USED)
         self.generations = count(2)
-        self.asks: list[ShardRequest] = []
-        self.answers: list[ShardResponse] = []
+        self.requests: list[ShardRequest] = []
+        self.responses: list[ShardResponse] = []
         self.digests = 0
         self.cut = False
         self.old_s = 0.0  # how old what is known was, at most
@@ -70,54 +70,54 @@
         self.now = until
 
     def turn(self, until: float) -> None:
-        reader, now = self.reader, self.now
-        for name, keeper in self.keepers.items():
-            keeper.confirm_source(now)
-            for _, digest in keeper.due_digests(now):
+        client, now = self.client, self.now
+        for name, server in self.servers.items():
+            server.confirm_source(now)
+            for _, digest in server.due_digests(now):
                 self.digests += 1
                 self.at(now + WAY_S, partial(self.said, name, digest))
-        reader.tick(now, lambda destination: True)
-        for name, told in reader.outgoing:
-            self.asks.append(told)
-            self.at(now + WAY_S, partial(self.answer, name, told))
-        reader.outgoing.clear()
-        self.old_s = max(self.old_s, reader.status(now).age_s)
+        client.tick(now, lambda destination: True)
+        for name, request in client.outgoing:
+            self.requests.append(request)
+            self.at(now + WAY_S, partial(self.response, name, request))
+        client.outgoing.clear()
+        self.old_s = max(self.old_s, client.status(now).age_s)
         if now + 0.01 <= until:
             self.at(now + 0.01, lambda: self.turn(until))
 
     def said(self, name: str, digest: Digest) -> None:
         if not self.cut:
-            self.reader.on_digest(self.now, name, digest)
+            self.client.on_digest(self.now, name, digest)
 
     def wants(self, destination: int) -> None:
-        self.reader.request(self.now, destination, self.now + 30.0)
+        self.client.request(self.now, destination, self.now + 30.0)
 
-    def hears(self, keeper: ShardServer, generation: int, rows: list[Row]) -> None:
-        keeper.apply_changes(self.now, generation, rows)
+    def hears(self, server: ShardServer, generation: int, rows: list[Row]) -> None:
+        server.apply_changes(self.now, generation, rows)
 
-    def answer(self, name: str, told: ShardRequest) -> None:
+    def response(self, name: str, request: ShardRequest) -> None:
         if self.cut:
-            self.at(self.now + 1.0, lambda: self.reader.on_request_failed(self.now, name))
+            self.at(self.now + 1.0, lambda: self.client.on_request_failed(self.now, name))
             return
-        word = asked(self.keepers[name], told, self.now, ME)
-        self.answers.append(word)
-        self.at(self.now + WAY_S, lambda: self.reader.on_response(self.now, name, word))
+        word = respond(self.servers[name], request, self.now, ME)
+        self.responses.append(word)
+        self.at(self.now + WAY_S, lambda: self.client.on_response(self.now, name, word))
 
     def change(self, dests: list[int]) -> None:
         """One step of the register's; the second keeper hears of it later."""
         generation = next(self.generations)
         rows = [row(f"e{n}", n, mark=float(generation)) for n in dests]
         self.rows |= {each.name: each for each in rows}
-        for late, keeper in enumerate(self.keepers.values()):
-            self.at(self.now + 0.1 * late, partial(self.hears, keeper, generation, rows))
+        for late, server in enumerate(self.servers.values()):
+            self.at(self.now + 0.1 * late, partial(self.hears, server, generation, rows))
 
     def play(self, cut_s: float = 0.0) -> list[int]:
         """Which destinations changed. `cut_s`: so long nothing comes through, in the middle of it."""
         for n, destination in enumerate(self.used):
             self.at(n * 0.01, partial(self.wants, destination))
         self.run(WITHOUT_S)
-        assert self.reader.status(self.now).waiting == 0
-        self.asks, self.answers, self.digests, self.old_s = [], [], 0, 0.0
+        assert self.client.status(self.now).waiting == 0
+        self.requests, self.responses, self.digests, self.old_s = [], [], 0, 0.0
         changed = random.Random(6).sample(range(DESTS), STORM)
         for n in range(PIECES):
             self.at(self.now + n * STORM_S / PIECES, partial(self.change, changed[n::PIECES]))
@@ -129,88 +129,90 @@
         return changed
 
 
-def test_a_storm_costs_a_reader_what_changed_in_its_shards_and_few_asks() -> None:
+def test_storm_costs_a_client_the_changes_of_its_shards_and_few_requests() -> None:
     it = Storm()
     changed = it.play()
-    held = it.reader.cache.resident
+    held = it.client.cache.resident
     here = [n for n in changed if shard_of(n, SHARDS) in held]
     assert len(held) > 300 and len(here) > 2_000
-    parts = [part for answer in it.answers for part in answer.parts]
+    parts = [part for response in it.responses for part in response.parts]
     assert all(isinstance(part, ShardChanges) for part in parts)  # no shard is told as a whole
-    told = [each.name for part in parts if isinstance(part, ShardChanges) for each in part.rows]
-    assert sorted(told) == sorted(f"e{n}" for n in here)  # each change once
+    request = [each.name for part in parts if isinstance(part, ShardChanges) for each in part.rows]
+    assert sorted(request) == sorted(f"e{n}" for n in here)  # each change once
     # Bytes: the rows, and beside them 8 a part and 64 an answer; asks: the bitmap, and 64 each.
-    least = sum(len(msgspec.msgpack.encode(it.rows[name])) for name in told)
-    assert sum(len(encode_message(answer)) for answer in it.answers) <= least + 8 * len(parts) + 64 * len(
-        it.answers
+    least = sum(len(msgspec.msgpack.encode(it.rows[name])) for name in request)
+    assert sum(len(encode_message(response)) for response in it.responses) <= least + 8 * len(
+        parts
+    ) + 64 * len(it.responses)
+    assert sum(len(encode_message(each)) for each in it.requests) <= len(it.requests) * (
+        SHARDS // 8 + 16 + 64
     )
-    assert sum(len(encode_message(each)) for each in it.asks) <= len(it.asks) * (SHARDS // 8 + 16 + 64)
-    assert len(it.asks) <= it.digests <= 2 * (STORM_S + 4.0) / 2.7 + 2  # one for a digest, at most
+    assert len(it.requests) <= it.digests <= 2 * (STORM_S + 4.0) / 2.7 + 2  # one for a digest, at most
     assert it.old_s < BOUND_S
     # And the reader has it all.
     truth = by_shard(it.rows, SHARDS)
-    assert it.reader.cache.common_version == (1, PIECES + 1)
+    assert it.client.cache.common_version == (1, PIECES + 1)
     for shard, each in held.items():
         shard_rows: list[Row] = msgspec.msgpack.decode(each.encoded_rows, type=list[Row])
         assert {one.name: one for one in shard_rows} == truth[shard]
 
 
-def test_a_storm_costs_less_with_smaller_shards_which_hold_less_of_what_is_not_used() -> None:
+def test_storm_costs_less_with_smaller_shards() -> None:
     """What operators choose `count` by: a shard is followed whole."""
     cost = {}
     for shards in (SHARDS, 4 * SHARDS):
         it = Storm(shards)
         it.play()
-        assert it.reader.cache.common_version == (1, PIECES + 1) and it.old_s < BOUND_S
-        told = sum(len(encode_message(each)) for each in it.answers)
-        cost[shards] = told, told + sum(len(encode_message(each)) for each in it.asks)
+        assert it.client.cache.common_version == (1, PIECES + 1) and it.old_s < BOUND_S
+        request = sum(len(encode_message(each)) for each in it.responses)
+        cost[shards] = request, request + sum(len(encode_message(each)) for each in it.requests)
     assert cost[4 * SHARDS][0] < 0.45 * cost[SHARDS][0]  # 9 destinations in use or beside one, not 39
     assert cost[4 * SHARDS][1] < 0.6 * cost[SHARDS][1]  # with the larger bitmaps
 
 
-def test_bytes_in_are_those_of_what_changed_and_not_of_the_whole_shards() -> None:
+def test_received_bytes_are_those_of_changes_and_not_of_whole_shards() -> None:
     it = Storm()
     it.play()
-    before = it.reader.scheduler.received_bytes
+    before = it.client.scheduler.received_bytes
     it.change([it.used[0]])
     it.run(4.0)
-    assert 0 < it.reader.scheduler.received_bytes - before < 100
+    assert 0 < it.client.scheduler.received_bytes - before < 100
 
 
-def test_a_shards_first_change_is_told_as_a_change_also_to_who_is_generations_behind() -> None:
+def test_first_change_of_a_shard_is_sent_as_a_change_to_clients_generations_behind() -> None:
     layout = Layout(SHARDS, (1,))
     rows = {f"e{n}": row(f"e{n}", n) for n in range(2_000)}
-    keeper = filled(layout, rows.values())
+    server = filled(layout, rows.values())
     for generation in range(2, 12):
         new = row(f"e{generation}", generation, mark=float(generation))
         rows[new.name] = new
-        keeper.apply_changes(0.0, generation, [new])
-    answer = asked(keeper, ask(layout, (1, 1), range(SHARDS)))
-    assert answer.is_complete and {type(part) for part in answer.parts} == {ShardChanges}
+        server.apply_changes(0.0, generation, [new])
+    response = respond(server, shard_request(layout, (1, 1), range(SHARDS)))
+    assert response.is_complete and {type(part) for part in response.parts} == {ShardChanges}
     mine = dict(enumerate(by_shard({f"e{n}": row(f"e{n}", n) for n in range(2_000)}, SHARDS)))
-    followed(mine, answer)
+    apply_response(mine, response)
     assert mine == dict(enumerate(by_shard(rows, SHARDS)))
 
 
-def test_a_log_that_was_given_up_begins_anew_where_its_shard_changed_last(
+def test_dropped_change_log_restarts_at_the_last_change_of_its_shard(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(shard_table, "MAX_LOG_ROWS", 1)
     layout = Layout(SHARDS, (1,))
-    keeper = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
+    server = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
     other = next(n for n in range(2_000) if shard_of(n, SHARDS) != shard_of(0, SHARDS))
-    keeper.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
-    keeper.apply_changes(0.0, 3, [row(f"e{other}", other, mark=3.0)])  # the first one's log is given up
-    keeper.apply_changes(0.0, 4, [row(f"e{other}", other, mark=4.0)])
-    keeper.apply_changes(0.0, 5, [row("e0", 0, mark=5.0)])
+    server.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
+    server.apply_changes(0.0, 3, [row(f"e{other}", other, mark=3.0)])  # the first one's log is given up
+    server.apply_changes(0.0, 4, [row(f"e{other}", other, mark=4.0)])
+    server.apply_changes(0.0, 5, [row("e0", 0, mark=5.0)])
     shard = shard_of(0, SHARDS)
-    (before,) = asked(keeper, ask(layout, (1, 1), [shard])).parts
-    (after,) = asked(keeper, ask(layout, (1, 2), [shard])).parts
+    (before,) = respond(server, shard_request(layout, (1, 1), [shard])).parts
+    (after,) = respond(server, shard_request(layout, (1, 2), [shard])).parts
     assert isinstance(before, FullShard)
     assert after == ShardChanges(shard, (row("e0", 0, mark=5.0),))
 
 
-def test_an_answer_in_many_pieces_goes_on_where_it_was_though_versions_come_faster(
+def test_response_in_pieces_makes_progress_though_versions_come_faster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
@@ -219,36 +221,36 @@
     it = Storm()
     it.play(cut_s=10.0)
     wholes = Counter(
-        part.shard for answer in it.answers for part in answer.parts if isinstance(part, FullShard)
+        part.shard for response in it.responses for part in response.parts if isinstance(part, FullShard)
     )
     assert len(wholes) > 250  # many pieces of 18 or so
     assert max(wholes.values()) <= 2  # at most once of each keeper
-    assert it.reader.cache.common_version == (1, PIECES + 1)
+    assert it.client.cache.common_version == (1, PIECES + 1)
 
 
-def test_what_a_reader_lacks_the_most_is_told_first_and_how_far_all_is_then() -> None:
+def test_oldest_shards_are_sent_first_with_the_version_reached() -> None:
     layout = Layout(SHARDS, (1,))
     rows = [row(f"e{n}", n) for n in range(DESTS)]
-    keeper = filled(layout, rows)
+    server = filled(layout, rows)
     for generation in (2, 3, 4):  # all shards, each time by so many rows that no answer has them all
-        keeper.apply_changes(0.0, generation, [row(f"e{n}", n, mark=float(generation)) for n in range(6_000)])
+        server.apply_changes(0.0, generation, [row(f"e{n}", n, mark=float(generation)) for n in range(6_000)])
     half = list(range(SHARDS // 2))
     further = pack_shard_set(sum(1 << shard for shard in half), SHARDS)
-    told = msgspec.structs.replace(
-        ask(layout, (1, 1), range(SHARDS)), ahead_version=(1, 3), ahead_shards=further
+    request = msgspec.structs.replace(
+        shard_request(layout, (1, 1), range(SHARDS)), ahead_version=(1, 3), ahead_shards=further
     )
-    answer = asked(keeper, told)
-    assert not answer.is_complete and answer.reached_version == NO_VERSION
-    assert not {part.shard for part in answer.parts} & set(half)
-    lacks = set(range(SHARDS)) - {part.shard for part in answer.parts} - set(half)
+    response = respond(server, request)
+    assert not response.is_complete and response.reached_version == NO_VERSION
+    assert not {part.shard for part in response.parts} & set(half)
+    lacks = set(range(SHARDS)) - {part.shard for part in response.parts} - set(half)
     keeps = pack_shard_set(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
-    answer = asked(keeper, msgspec.structs.replace(told, ahead_shards=keeps))
-    while not answer.is_complete and answer.reached_version == NO_VERSION:
-        lacks -= {part.shard for part in answer.parts}
+    response = respond(server, msgspec.structs.replace(request, ahead_shards=keeps))
+    while not response.is_complete and response.reached_version == NO_VERSION:
+        lacks -= {part.shard for part in response.parts}
         keeps = pack_shard_set(sum(1 << shard for shard in range(SHARDS) if shard not in lacks), SHARDS)
-        answer = asked(keeper, msgspec.structs.replace(told, ahead_shards=keeps))
-    assert lacks <= {part.shard for part in answer.parts}
-    assert answer.reached_version == (1, 3)
+        response = respond(server, msgspec.structs.replace(request, ahead_shards=keeps))
+    assert lacks <= {part.shard for part in response.parts}
+    assert response.reached_version == (1, 3)
     behind = filled(layout, rows)
     behind.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
-    assert asked(behind, told).reached_version == NO_VERSION  # it has not come so far itself
+    assert respond(behind, request).reached_version == NO_VERSION  # it has not come so far itself
