--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -1,12 +1,12 @@
-"""The directory by interest in virtual time: keepers and readers as they are, with links, sources and
-processes that fail by a seed. What may never be is counted, and how late the last call by an older entry was.
+"""The sharded directory in virtual time: the product's servers and clients, with simulated links and sources.
 
     python -m benchmarks.sharded_directory_schedules --seeds 1000 [--readers 200] [--json]
 
-A call is *late* by the time since which a keeper that has the newer entry could be reached by its reader
-without a break: alive, not frozen, both ways of the link open. Asks go over TCP (late, or not at all where a
-way is cut); digests are datagrams (lost, doubled, out of order). Each row's rate is the generation that it is
-from, so that the directory itself tells how old it is.
+Processes are killed, frozen and restarted, links cut and sources silent, by seeds. A call is *late* by the
+time since which a server that has the newer entry could be reached by its client without a break: alive, not
+frozen, both ways of the link open. Requests go over TCP (late, or not at all where a way is cut); digests are
+datagrams (lost, doubled, out of order). Each row's rate is the generation that it is from, so that the
+directory itself tells its age.
 """
 
 from __future__ import annotations
@@ -46,9 +46,9 @@
 )
 
 BOUND_S = 12.0
-STUCK_S = 10.0  # a keeper that knows all could be reached for so long: calls go, wanted shards are here
-POLL_S = 2.0  # of a keeper at its source
-PATIENCE_S = 1.0  # of an ask
+MAX_BLOCKED_S = 10.0  # a server that knows all could be reached for so long: calls go, wanted shards are here
+SOURCE_POLL_S = 2.0  # of a server at its source
+REQUEST_TIMEOUT_S = 1.0  # of an ask
 SETTINGS = Settings(
     classes=(MessageClass("order", Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),),
     kinds=(DestinationKind("k"),),
@@ -60,48 +60,48 @@
 
 @dataclass
 class Plan:
-    """What is played; drawn from the seed where it isn't given."""
+    """A schedule; what isn't given is drawn from the seed."""
 
     seed: int
-    readers: int = 200
-    keepers: int = 8
+    clients: int = 200
+    servers: int = 8
     destinations: int = 800
-    shards: int = 128
-    used: int = 12  # destinations of a reader
+    shard_count: int = 128
+    destinations_per_client: int = 12  # destinations of a client
     seconds: float = 50.0
-    call_s: float = 1.0  # between two calls of a reader
-    change_s: float = 0.7  # between two changes
-    faults: int | None = None
-    all_restart: bool | None = None  # all keepers at once, in the middle
-    frozen_s: float = 25.0  # a process, at most
-    loss: float | None = None  # of digests
+    call_interval_s: float = 1.0  # between two calls of a client
+    change_interval_s: float = 0.7  # between two changes
+    fault_count: int | None = None
+    restarts_all: bool | None = None  # all servers at once, in the middle
+    max_freeze_s: float = 25.0  # a process, at most
+    digest_loss: float | None = None  # of digests
 
 
 @dataclass
-class Found:
-    """What came of it."""
+class Findings:
+    """Counters and violations of one run; the field names are keys of `--json`."""
 
     seed: int
     calls: int = 0
-    blocked: int = 0  # calls that `current` held back
+    blocked: int = 0  # calls that `is_current` held back
     late_s: float = 0.0  # the last call by an older entry, at its latest
     late_calls: int = 0  # past the bound
     older: int = 0  # entries that went back in the directory
     returned: int = 0  # entries that were replaced before something that the directory had already
-    stuck: int = 0  # calls held back, and shards not here, though a keeper that knows all was there for long
-    wait_s: float = 0.0  # for a wanted shard, while such a keeper was there
+    stuck: int = 0  # calls held back, and shards not here, though a server that knows all was there for long
+    wait_s: float = 0.0  # for a wanted shard, while such a server was there
     wrong_absent: int = 0  # "no such destination" of one that there was within the bound
-    unmet: int = 0  # readers that differ from the truth after a quiet end
+    unmet: int = 0  # clients that differ from the truth after a quiet end
     answers: int = 0
     busy: int = 0
     stale_refused: int = 0
-    answers_s: float = 0.0  # the most in a second at one keeper
+    answers_s: float = 0.0  # the most in a second at one server
     bytes_s: float = 0.0
     reader_bytes_s: float = 0.0  # mean, of asks and answers as they are packed
     notes: list[str] = field(default_factory=list)
 
     @property
-    def bad(self) -> bool:
+    def has_violations(self) -> bool:
         wrong = (self.late_calls, self.older, self.returned, self.stuck, self.wrong_absent, self.unmet)
         return bool(
             any(wrong)
@@ -110,16 +110,17 @@
         )
 
 
-class Truth:
-    """The source: all rows, and every change that there was."""
+class SourceModel:
+    """The source: all rows, and every change so far."""
 
     def __init__(self, plan: Plan, rng: random.Random) -> None:
         self.rng, self.plan = rng, plan
         self.rows: dict[str, Row] = {}
-        self.log: list[tuple[int, list[Row], list[tuple[str, int]]]] = []
+        self.changes: list[tuple[int, list[Row], list[tuple[str, int]]]] = []
         self.history: dict[str, list[int]] = defaultdict(list)  # generations at which a name changed
-        self.there: dict[int, list[tuple[float, int]]] = defaultdict(list)  # destination: (since, endpoints)
-        self.times = [0.0]
+        # By destination: (since, how many).
+        self.endpoint_counts: dict[int, list[tuple[float, int]]] = defaultdict(list)
+        self.generation_times = [0.0]
         self.generation = 0
         for number in range(plan.destinations):
             for each in range(1 + (number % 5 == 0)):
@@ -132,13 +133,13 @@
         self.history[row.name].append(self.generation)
         for one, by in ((before, -1), (row if row.listing != GONE else None, 1)):
             if one is not None:
-                there = self.there[one.destination]
+                there = self.endpoint_counts[one.destination]
                 there.append((now, (there[-1][1] if there else 0) + by))
 
     def change(self, now: float, many: int = 1) -> None:
         self.generation += 1
-        self.times.append(now)
-        rows, lives = [], []
+        self.generation_times.append(now)
+        rows, listings = [], []
         for _ in range(many):
             name = f"e{self.rng.randrange(self.plan.destinations)}.{self.rng.randrange(2)}"
             known = self.rows.get(name)
@@ -154,416 +155,438 @@
                 row = Row(name, known.destination, DRAINING, "h", known.port, None, "z", mark)
             else:
                 row = Row(name, known.destination, GONE, "h", known.port, None, "z", mark)
-                lives.append((name, GONE))
+                listings.append((name, GONE))
                 self._set(now, row)
                 continue
             rows.append(row)
             self._set(now, row)
         # As some sources do: rows first, lives after. One that is told twice in a generation is left out.
         last = {row.name: row for row in rows}
-        gone = [(name, life) for name, life in lives if name not in self.rows]
-        self.log.append((self.generation, [row for name, row in last.items() if name in self.rows], gone))
+        removed = [(name, life) for name, life in listings if name not in self.rows]
+        self.changes.append(
+            (self.generation, [row for name, row in last.items() if name in self.rows], removed)
+        )
 
-    def replaced(self, name: str, mark: int) -> int | None:
+    def replaced_at(self, name: str, mark: int) -> int | None:
         """At which generation what had this mark was replaced."""
         known = self.history[name]
         place = bisect_right(known, mark)
         return known[place] if place < len(known) else None
 
-    def was_there(self, destination: int, since: float) -> bool:
+    def existed_since(self, destination: int, since: float) -> bool:
         """At each moment since then."""
-        there = self.there[destination]
+        there = self.endpoint_counts[destination]
         place = bisect_right(there, (since, 1 << 30))
         return bool(place) and there[place - 1][1] > 0 and all(count > 0 for _, count in there[place:])
 
 
-class KeeperSide:
-    def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+class SimulatedServer:
+    def __init__(self, simulation: Simulation, name: str) -> None:
+        self.simulation, self.name = simulation, name
         self.up_since: float | None = None  # None: dead
         self.frozen_until = 0.0
         self.source_cut_until = 0.0
-        self.life = 0
-        self.keeper: ShardServer
-        self.gens: list[int] = []  # what it had in this life, and when
-        self.times: list[float] = []
-        self.seconds: Counter[int] = Counter()
-        self.bytes: Counter[int] = Counter()
+        self.process_number = 0
+        self.server: ShardServer
+        self.generations: list[int] = []  # what it had in this life, and when
+        self.generation_times: list[float] = []
+        self.responses_by_second: Counter[int] = Counter()
+        self.bytes_by_second: Counter[int] = Counter()
         self.start(0.0)
 
     def start(self, now: float) -> None:
-        self.life += 1
-        rng = random.Random(f"{self.world.plan.seed} {self.name} {self.life}")
-        self.keeper = ShardServer(self.world.layout, 1, rng)
+        self.process_number += 1
+        rng = random.Random(f"{self.simulation.plan.seed} {self.name} {self.process_number}")
+        self.server = ShardServer(self.simulation.layout, 1, rng)
         self.up_since, self.frozen_until = now, 0.0
-        self.gens, self.times = [], []
-        self.world.at(now + (0.0 if now == 0.0 else rng.uniform(0.2, 1.0)), lambda: self.poll(self.life))
+        self.generations, self.generation_times = [], []
+        self.simulation.at(
+            now + (0.0 if now == 0.0 else rng.uniform(0.2, 1.0)),
+            lambda: self.poll_source(self.process_number),
+        )
 
     def stop(self) -> None:
         self.up_since = None
 
-    def poll(self, life: int) -> None:
-        world, now = self.world, self.world.now
-        if life != self.life or self.up_since is None:
+    def poll_source(self, life: int) -> None:
+        simulation, now = self.simulation, self.simulation.now
+        if life != self.process_number or self.up_since is None:
             return
         if self.frozen_until > now:
-            world.at(self.frozen_until, lambda: self.poll(life))
+            simulation.at(self.frozen_until, lambda: self.poll_source(life))
             return
-        truth = world.truth
+        truth = simulation.source
         if self.source_cut_until <= now:
-            if not self.keeper.is_loaded:
-                load = self.keeper.start_list(now, (1, truth.generation))
-                load.add(truth.rows.values())
-                assert load.seal(now)
-                while not load.step():
+            if not self.server.is_loaded:
+                staged = self.server.start_list(now, (1, truth.generation))
+                staged.add(truth.rows.values())
+                assert staged.seal(now)
+                while not staged.step():
                     pass
-                assert load.is_committed
-            elif self.keeper.table.generation < truth.generation:
-                for generation, rows, lives in truth.log[self.keeper.table.generation :]:
-                    assert self.keeper.apply_changes(now, generation, rows, lives)
-            self.keeper.confirm_source(now)
-            if not self.gens or self.gens[-1] < truth.generation:
-                self.gens.append(truth.generation)
-                self.times.append(now)
-        world.at(now + POLL_S * world.rng.uniform(0.7, 1.1), lambda: self.poll(life))
-
-    def had(self, generation: int) -> float | None:
+                assert staged.is_committed
+            elif self.server.table.generation < truth.generation:
+                for generation, rows, listings in truth.changes[self.server.table.generation :]:
+                    assert self.server.apply_changes(now, generation, rows, listings)
+            self.server.confirm_source(now)
+            if not self.generations or self.generations[-1] < truth.generation:
+                self.generations.append(truth.generation)
+                self.generation_times.append(now)
+        simulation.at(now + SOURCE_POLL_S * simulation.rng.uniform(0.7, 1.1), lambda: self.poll_source(life))
+
+    def known_since(self, generation: int) -> float | None:
         """Since when it has this or a later one."""
-        place = bisect_left(self.gens, generation)
-        return self.times[place] if place < len(self.gens) else None
+        place = bisect_left(self.generations, generation)
+        return self.generation_times[place] if place < len(self.generations) else None
 
-    def asked(self, reader: str, raw: ShardRequest) -> ShardResponse | Overloaded | LayoutMismatch:
-        word = self.keeper.handle_request(self.world.now, reader, raw)
-        if isinstance(word, ShardResponse):
-            self.seconds[int(self.world.now)] += 1
-        return word
+    def handle_request(self, client: str, raw: ShardRequest) -> ShardResponse | Overloaded | LayoutMismatch:
+        message = self.server.handle_request(self.simulation.now, client, raw)
+        if isinstance(message, ShardResponse):
+            self.responses_by_second[int(self.simulation.now)] += 1
+        return message
 
-    def fresh_since(self, now: float) -> float | None:
+    def current_since(self, now: float) -> float | None:
         """Since when it was up and had a source that it reaches."""
-        if self.up_since is None or self.frozen_until > now or self.source_cut_until > now or not self.gens:
+        if (
+            self.up_since is None
+            or self.frozen_until > now
+            or self.source_cut_until > now
+            or not self.generations
+        ):
             return None
-        return max(self.up_since, self.frozen_until, self.source_cut_until + 1.1 * POLL_S, self.times[0])
+        return max(
+            self.up_since,
+            self.frozen_until,
+            self.source_cut_until + 1.1 * SOURCE_POLL_S,
+            self.generation_times[0],
+        )
 
 
-class ReaderSide:
-    def __init__(self, world: World, name: str, rng: random.Random) -> None:
-        self.world, self.name, self.rng = world, name, rng
-        plan = world.plan
-        self.reader = ShardClient(name, world.layout, rng, idle_s=15.0)
+class SimulatedClient:
+    def __init__(self, simulation: Simulation, name: str, rng: random.Random) -> None:
+        self.simulation, self.name, self.rng = simulation, name, rng
+        plan = simulation.plan
+        self.client = ShardClient(name, simulation.layout, rng, idle_s=15.0)
         self.directory = EndpointDirectory(SETTINGS, ("z",))
-        self.used = rng.sample(range(plan.destinations), plan.used)
+        self.destinations = rng.sample(range(plan.destinations), plan.destinations_per_client)
         self.frozen_until = 0.0
-        self.queue: list[Callable[[], None]] = []  # what came while it was frozen
-        self.marks: dict[str, int] = {}  # the latest that the directory had of a name
-        self.evidence = 0  # the latest of any name
-        self.wanted: dict[int, float] = {}
-        self.ticking = -1.0
-        self.bytes = 0
-
-    def do(self, work: Callable[[], None]) -> None:
-        """Something comes in for it: once it wakes."""
-        if self.frozen_until > self.world.now:
-            self.queue.append(work)
+        self.delayed: list[Callable[[], None]] = []  # what came while it was frozen
+        self.latest_marks: dict[str, int] = {}  # the latest that the directory had of a name
+        self.latest_mark = 0  # the latest of any name
+        self.waiting_since: dict[int, float] = {}
+        self.next_tick = -1.0
+        self.byte_count = 0
+
+    def deliver(self, work: Callable[[], None]) -> None:
+        """Process something that comes in; a frozen client does so once it wakes."""
+        if self.frozen_until > self.simulation.now:
+            self.delayed.append(work)
         else:
             work()
-            self.drain()
+            self.process()
 
     def wake(self) -> None:
-        if self.frozen_until > self.world.now:
+        if self.frozen_until > self.simulation.now:
             return
-        for _ in range(3):  # what it held goes on at once, before anything that came meanwhile is read
+        for _ in range(3):  # pending messages go on at once, before anything delayed is read
             self.call()
-        work, self.queue = self.queue, []
+        work, self.delayed = self.delayed, []
         self.rng.shuffle(work)
         for each in work:
             each()
-        self.drain()
-
-    def drain(self) -> None:
-        world, reader, now = self.world, self.reader, self.world.now
-        if reader.next_tick_at() <= now:
-            reader.tick(now, lambda destination: False)
-        for update in reader.updates:
-            self.check(update)
-        reader.updates.clear()
-        for destination in reader.missing_destinations:
-            self.wanted.pop(destination, None)
-            there = world.truth.was_there(destination, now - BOUND_S)
-            if there and world.could(self, now, BOUND_S):
-                world.found.wrong_absent += 1
-                world.note(f"{now:.1f} {self.name}: {destination} is said not to be")
-        reader.missing_destinations.clear()
-        for destination in [each for each in self.wanted if reader.is_resident(each)]:
-            del self.wanted[destination]
-        for keeper, ask in reader.outgoing:
-            world.carry(self, keeper, ask)
-        reader.outgoing.clear()
-        due = max(reader.next_tick_at(), now + 0.02)
-        if not now < self.ticking <= due:
-            self.ticking = due
-            world.at(due, lambda: self.do(lambda: None))
-
-    def check(self, update: EndpointUpdate) -> None:
-        world, directory = self.world, self.directory
-        evidence = self.evidence
+        self.process()
+
+    def process(self) -> None:
+        simulation, client, now = self.simulation, self.client, self.simulation.now
+        if client.next_tick_at() <= now:
+            client.tick(now, lambda destination: False)
+        for update in client.updates:
+            self.check_update(update)
+        client.updates.clear()
+        for destination in client.missing_destinations:
+            self.waiting_since.pop(destination, None)
+            there = simulation.source.existed_since(destination, now - BOUND_S)
+            if there and simulation.had_current_server(self, now, BOUND_S):
+                simulation.findings.wrong_absent += 1
+                simulation.note(f"{now:.1f} {self.name}: {destination} is said not to be")
+        client.missing_destinations.clear()
+        for destination in [each for each in self.waiting_since if client.is_resident(each)]:
+            del self.waiting_since[destination]
+        for server, request in client.outgoing:
+            simulation.send_request(self, server, request)
+        client.outgoing.clear()
+        due = max(client.next_tick_at(), now + 0.02)
+        if not now < self.next_tick <= due:
+            self.next_tick = due
+            simulation.at(due, lambda: self.deliver(lambda: None))
+
+    def check_update(self, update: EndpointUpdate) -> None:
+        simulation, directory = self.simulation, self.directory
+        evidence = self.latest_mark
         for member in update.endpoints:
             mark = int(member.rate)
-            if mark < self.marks.get(member.name, 0):
-                world.found.older += 1
-                world.note(f"{self.name}: {member.name} of {mark}, had {self.marks[member.name]}")
+            if mark < self.latest_marks.get(member.name, 0):
+                simulation.findings.older += 1
+                simulation.note(f"{self.name}: {member.name} of {mark}, had {self.latest_marks[member.name]}")
             elif member.name not in directory.by_name:
-                replaced = world.truth.replaced(member.name, mark)
+                replaced = simulation.source.replaced_at(member.name, mark)
                 if replaced is not None and replaced <= evidence:
-                    world.found.returned += 1
-                    world.note(
+                    simulation.findings.returned += 1
+                    simulation.note(
                         f"{self.name}: {member.name} of {mark}, replaced at {replaced}; had {evidence}"
                     )
-            self.marks[member.name] = max(mark, self.marks.get(member.name, 0))
-            self.evidence = max(self.evidence, mark)
+            self.latest_marks[member.name] = max(mark, self.latest_marks.get(member.name, 0))
+            self.latest_mark = max(self.latest_mark, mark)
         directory.apply(update)
 
     def call(self) -> None:
         """One message: it goes, is held back, or waits for its shard."""
-        world, reader, now = self.world, self.reader, self.world.now
+        simulation, client, now = self.simulation, self.client, self.simulation.now
         if self.rng.random() < 0.05:
-            self.used[self.rng.randrange(len(self.used))] = self.rng.randrange(world.plan.destinations + 5)
-        destination = self.rng.choice(self.used)
-        world.found.calls += 1
-        if not reader.is_resident(destination):
-            self.wanted.setdefault(destination, now)
-            reader.request(now, destination, now + self.rng.choice((1.0, 5.0, 30.0)))
+            self.destinations[self.rng.randrange(len(self.destinations))] = self.rng.randrange(
+                simulation.plan.destinations + 5
+            )
+        destination = self.rng.choice(self.destinations)
+        simulation.findings.calls += 1
+        if not client.is_resident(destination):
+            self.waiting_since.setdefault(destination, now)
+            client.request(now, destination, now + self.rng.choice((1.0, 5.0, 30.0)))
             return
-        reader.touch(now, destination)
-        if not reader.is_current(now, destination):
-            world.found.blocked += 1
-            if world.could(self, now, STUCK_S):
-                world.found.stuck += 1
-                world.note(f"{now:.1f} {self.name}: held back for {destination}: {reader.status(now)}")
+        client.touch(now, destination)
+        if not client.is_current(now, destination):
+            simulation.findings.blocked += 1
+            if simulation.had_current_server(self, now, MAX_BLOCKED_S):
+                simulation.findings.stuck += 1
+                simulation.note(f"{now:.1f} {self.name}: held back for {destination}: {client.status(now)}")
             return
         for known in list(self.directory.by_name.values()):
             if known.endpoint.destination == destination and known.is_ready:
-                self.late(known.name, int(known.endpoint.rate))
+                self.check_lateness(known.name, int(known.endpoint.rate))
 
-    def late(self, name: str, mark: int) -> None:
-        world, now = self.world, self.world.now
-        replaced = world.truth.replaced(name, mark)
+    def check_lateness(self, name: str, mark: int) -> None:
+        simulation, now = self.simulation, self.simulation.now
+        replaced = simulation.source.replaced_at(name, mark)
         if replaced is None:
             return
-        for keeper in world.keepers.values():
-            had = keeper.had(replaced)
-            since = world.open_since(self, keeper, now)
+        for server in simulation.servers.values():
+            had = server.known_since(replaced)
+            since = simulation.reachable_since(self, server, now)
             if had is None or since is None:
                 continue
             late = now - max(had, since)
-            world.found.late_s = max(world.found.late_s, late)
+            simulation.findings.late_s = max(simulation.findings.late_s, late)
             if late > BOUND_S:
-                world.found.late_calls += 1
-                world.note(f"{now:.1f} {self.name}: {name} of {mark}, not {replaced}, {late:.1f} s late")
+                simulation.findings.late_calls += 1
+                simulation.note(f"{now:.1f} {self.name}: {name} of {mark}, not {replaced}, {late:.1f} s late")
                 break
 
 
-class World:
+class Simulation:
     def __init__(self, plan: Plan) -> None:
         self.plan, self.rng = plan, random.Random(plan.seed)
         self.now = 0.0
-        self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        self.found = Found(plan.seed)
-        self.layout = Layout(plan.shards, tuple(range(1, plan.keepers + 1)))
-        self.truth = Truth(plan, self.rng)
-        self.loss = self.rng.choice((0.0, 0.1, 0.5)) if plan.loss is None else plan.loss
-        self.cuts: dict[tuple[str, str], list[float]] = {}  # (reader, keeper): each way is cut until then
-        self.keepers = {f"n{i}": KeeperSide(self, f"n{i}") for i in range(1, plan.keepers + 1)}
-        self.readers = {
-            name: ReaderSide(self, name, random.Random(f"{plan.seed} {name}"))
-            for name in (f"n{100 + i}" for i in range(plan.readers))
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_count = 0
+        self.findings = Findings(plan.seed)
+        self.layout = Layout(plan.shard_count, tuple(range(1, plan.servers + 1)))
+        self.source = SourceModel(plan, self.rng)
+        self.digest_loss = self.rng.choice((0.0, 0.1, 0.5)) if plan.digest_loss is None else plan.digest_loss
+        self.cuts: dict[tuple[str, str], list[float]] = {}  # (client, server): cut until, each way
+        self.servers = {f"n{i}": SimulatedServer(self, f"n{i}") for i in range(1, plan.servers + 1)}
+        self.clients = {
+            name: SimulatedClient(self, name, random.Random(f"{plan.seed} {name}"))
+            for name in (f"n{100 + i}" for i in range(plan.clients))
         }
-        self.quiet = False
+        self.is_quiet = False
 
     def at(self, when: float, work: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, work))
+        self.event_count += 1
+        heapq.heappush(self.events, (when, self.event_count, work))
 
     def note(self, text: str) -> None:
-        if len(self.found.notes) < 5:
-            self.found.notes.append(text)
+        if len(self.findings.notes) < 5:
+            self.findings.notes.append(text)
 
     # -- the network -----------------------------------------------------------------------------------------
 
-    def open(self, reader: str, keeper: str, way: int) -> bool:
-        cut = self.cuts.get((reader, keeper))
-        return cut is None or cut[way] <= self.now
+    def is_open(self, client: str, server: str, direction: int) -> bool:
+        cut = self.cuts.get((client, server))
+        return cut is None or cut[direction] <= self.now
 
-    def carry(self, side: ReaderSide, name: str, ask: ShardRequest) -> None:
-        """An ask, over a connection."""
-        sent, keeper, ended = self.now, self.keepers[name], [False]
+    def send_request(self, side: SimulatedClient, name: str, request: ShardRequest) -> None:
+        """Carry a request over a connection."""
+        sent, server, ended = self.now, self.servers[name], [False]
 
         def end() -> None:
             if not ended[0]:
                 ended[0] = True
-                side.do(lambda: side.reader.on_request_failed(self.now, name))
+                side.deliver(lambda: side.client.on_request_failed(self.now, name))
 
         def arrive() -> None:
-            if keeper.up_since is None or not self.open(side.name, name, 0):
+            if server.up_since is None or not self.is_open(side.name, name, 0):
                 return
-            if keeper.frozen_until > self.now:
-                self.at(keeper.frozen_until + 0.01, arrive)
+            if server.frozen_until > self.now:
+                self.at(server.frozen_until + 0.01, arrive)
                 return
-            word = keeper.asked(side.name, ask)
-            side.bytes += 600
-            if isinstance(word, ShardResponse):
-                size = sum(64 * len(getattr(part, "rows", ())) for part in word.parts)
-                keeper.bytes[int(self.now)] += size
-                side.bytes += size + 60
-            self.at(self.now + self.rng.uniform(0.001, 0.2), lambda: back(word))
+            message = server.handle_request(side.name, request)
+            side.byte_count += 600
+            if isinstance(message, ShardResponse):
+                size = sum(64 * len(getattr(part, "rows", ())) for part in message.parts)
+                server.bytes_by_second[int(self.now)] += size
+                side.byte_count += size + 60
+            self.at(self.now + self.rng.uniform(0.001, 0.2), lambda: back(message))
             if self.rng.random() < 0.05:  # doubled, and out of order
-                self.at(self.now + self.rng.uniform(0.001, 6.0), lambda: twice(word))
+                self.at(self.now + self.rng.uniform(0.001, 6.0), lambda: twice(message))
 
-        def back(word: ShardResponse | Overloaded | LayoutMismatch) -> None:
-            if not self.open(side.name, name, 1) or ended[0] or self.now - sent > PATIENCE_S:
+        def back(message: ShardResponse | Overloaded | LayoutMismatch) -> None:
+            if not self.is_open(side.name, name, 1) or ended[0] or self.now - sent > REQUEST_TIMEOUT_S:
                 return
             ended[0] = True
-            side.do(lambda: side.reader.on_response(self.now, name, word))
+            side.deliver(lambda: side.client.on_response(self.now, name, message))
 
-        def twice(word: ShardResponse | Overloaded | LayoutMismatch) -> None:
-            side.do(lambda: side.reader.on_response(self.now, name, word))
+        def twice(message: ShardResponse | Overloaded | LayoutMismatch) -> None:
+            side.deliver(lambda: side.client.on_response(self.now, name, message))
 
         self.at(sent + self.rng.uniform(0.001, 0.1), arrive)
-        self.at(sent + PATIENCE_S, end)
+        self.at(sent + REQUEST_TIMEOUT_S, end)
 
-    def digests(self, keeper: KeeperSide) -> None:
-        if keeper.up_since is not None and keeper.frozen_until <= self.now:
-            for reader, digest in keeper.keeper.due_digests(self.now):
-                self._throw(keeper, reader, digest)
-        self.at(self.now + 0.1, lambda: self.digests(keeper))
+    def send_due_digests(self, server: SimulatedServer) -> None:
+        if server.up_since is not None and server.frozen_until <= self.now:
+            for client, digest in server.server.due_digests(self.now):
+                self.send_digest(server, client, digest)
+        self.at(self.now + 0.1, lambda: self.send_due_digests(server))
 
-    def _throw(self, keeper: KeeperSide, reader: str, digest: Digest) -> None:
-        side = self.readers[reader]
+    def send_digest(self, server: SimulatedServer, client: str, digest: Digest) -> None:
+        side = self.clients[client]
 
         def arrive() -> None:
-            if self.open(reader, keeper.name, 1):
-                side.do(lambda: side.reader.on_digest(self.now, keeper.name, digest))
+            if self.is_open(client, server.name, 1):
+                side.deliver(lambda: side.client.on_digest(self.now, server.name, digest))
 
-        if self.rng.random() >= self.loss:
+        if self.rng.random() >= self.digest_loss:
             self.at(self.now + self.rng.uniform(0.001, 0.05), arrive)
         if self.rng.random() < 0.1:
             self.at(self.now + self.rng.uniform(0.001, 10.0), arrive)
 
-    def open_since(self, side: ReaderSide, keeper: KeeperSide, now: float) -> float | None:
-        """Since when an ask would have been answered; None: it would not."""
-        if keeper.up_since is None or keeper.frozen_until > now:
+    def reachable_since(self, side: SimulatedClient, server: SimulatedServer, now: float) -> float | None:
+        """Since when a request would have been answered; None: it would not."""
+        if server.up_since is None or server.frozen_until > now:
             return None
-        cut = max(self.cuts.get((side.name, keeper.name), [0.0]))
-        return None if cut > now else max(keeper.up_since, keeper.frozen_until, cut)
+        cut = max(self.cuts.get((side.name, server.name), [0.0]))
+        return None if cut > now else max(server.up_since, server.frozen_until, cut)
 
-    def could(self, side: ReaderSide, now: float, long: float) -> bool:
-        """Whether a keeper that knows all could be reached for so long, by a reader that ran."""
+    def had_current_server(self, side: SimulatedClient, now: float, long: float) -> bool:
+        """Whether a server that knows all could be reached for so long, by a client that ran."""
         if now - side.frozen_until < long:
             return False
-        for keeper in self.keepers.values():
-            fresh, since = keeper.fresh_since(now), self.open_since(side, keeper, now)
+        for server in self.servers.values():
+            fresh, since = server.current_since(now), self.reachable_since(side, server, now)
             if fresh is not None and since is not None and now - max(fresh, since) >= long:
                 return True
         return False
 
     # -- faults ----------------------------------------------------------------------------------------------
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         rng, now = self.rng, self.now
-        length = rng.uniform(2.0, self.plan.frozen_s)
+        length = rng.uniform(2.0, self.plan.max_freeze_s)
         until = min(now + length, self.end_of_faults)
-        some = rng.sample(sorted(self.readers), max(1, len(self.readers) // rng.choice((2, 5, 20))))
-        keeper = rng.choice(list(self.keepers.values()))
+        some = rng.sample(sorted(self.clients), max(1, len(self.clients) // rng.choice((2, 5, 20))))
+        server = rng.choice(list(self.servers.values()))
         kind = rng.choice(("kill", "freeze keeper", "cut", "one way", "source", "freeze readers", "most"))
         if kind == "kill":
-            keeper.stop()
-            self.at(until, lambda: self.back(keeper))
+            server.stop()
+            self.at(until, lambda: self.restart(server))
         elif kind == "freeze keeper":
-            keeper.frozen_until = until
+            server.frozen_until = until
         elif kind in ("cut", "one way"):
-            way = rng.randrange(2)
+            direction = rng.randrange(2)
             for name in some:
-                for other in rng.sample(sorted(self.keepers), max(1, len(self.keepers) - rng.randrange(3))):
+                for other in rng.sample(sorted(self.servers), max(1, len(self.servers) - rng.randrange(3))):
                     cut = self.cuts.setdefault((name, other), [0.0, 0.0])
-                    for side in (0, 1) if kind == "cut" else (way,):
+                    for side in (0, 1) if kind == "cut" else (direction,):
                         cut[side] = max(cut[side], until)
         elif kind == "source":
-            keeper.source_cut_until = until
+            server.source_cut_until = until
         elif kind == "freeze readers":
             for name in some:
-                side_ = self.readers[name]
+                side_ = self.clients[name]
                 side_.frozen_until = max(side_.frozen_until, until)
                 self.at(until + 0.001, side_.wake)
         else:  # all but one lose their source, or die
-            left = rng.choice(list(self.keepers))
+            left = rng.choice(list(self.servers))
             dies = rng.random() < 0.5
-            for name, each in self.keepers.items():
+            for name, each in self.servers.items():
                 if name != left:
                     if dies and each.up_since is not None:
                         each.stop()
-                        self.at(until + rng.random(), lambda each=each: self.back(each))  # type: ignore[misc]
+                        self.at(until + rng.random(), lambda each=each: self.restart(each))  # type: ignore[misc]
                     else:
                         each.source_cut_until = until
 
-    def back(self, keeper: KeeperSide) -> None:
-        if keeper.up_since is None:
-            keeper.start(self.now)
+    def restart(self, server: SimulatedServer) -> None:
+        if server.up_since is None:
+            server.start(self.now)
 
     def restart_all(self) -> None:
-        for keeper in self.keepers.values():
-            keeper.stop()
-            keeper.start(self.now)
+        for server in self.servers.values():
+            server.stop()
+            server.start(self.now)
 
     # -- a play ----------------------------------------------------------------------------------------------
 
-    def play(self) -> Found:
+    def run(self) -> Findings:
         plan, rng = self.plan, self.rng
         self.end_of_faults = plan.seconds * 0.75
         when = 0.0
         while when < self.end_of_faults:
-            when += rng.expovariate(1.0 / plan.change_s)
+            when += rng.expovariate(1.0 / plan.change_interval_s)
             many = 1 if rng.random() < 0.95 else rng.randrange(2, plan.destinations // 2)
-            self.at(when, lambda many=many: self.truth.change(self.now, many))  # type: ignore[misc]
-        for _ in range(rng.randrange(3, 16) if plan.faults is None else plan.faults):
-            self.at(rng.uniform(2.0, self.end_of_faults), self.fault)
-        if plan.all_restart if plan.all_restart is not None else rng.random() < 0.3:
+            self.at(when, lambda many=many: self.source.change(self.now, many))  # type: ignore[misc]
+        for _ in range(rng.randrange(3, 16) if plan.fault_count is None else plan.fault_count):
+            self.at(rng.uniform(2.0, self.end_of_faults), self.inject_fault)
+        if plan.restarts_all if plan.restarts_all is not None else rng.random() < 0.3:
             self.at(rng.uniform(5.0, self.end_of_faults), self.restart_all)
-        for keeper in self.keepers.values():
-            self.digests(keeper)
-        for side in self.readers.values():
-            self.at(rng.uniform(0.0, 3.0), lambda side=side: self.calls(side))  # type: ignore[misc]
-        while self.heap and self.heap[0][0] <= plan.seconds:
-            self.now, _, work = heapq.heappop(self.heap)
+        for server in self.servers.values():
+            self.send_due_digests(server)
+        for side in self.clients.values():
+            self.at(rng.uniform(0.0, 3.0), lambda side=side: self.call_repeatedly(side))  # type: ignore[misc]
+        while self.events and self.events[0][0] <= plan.seconds:
+            self.now, _, work = heapq.heappop(self.events)
             work()
-        return self.result()
+        return self.collect()
 
-    def calls(self, side: ReaderSide) -> None:
+    def call_repeatedly(self, side: SimulatedClient) -> None:
         if side.frozen_until <= self.now:
-            side.do(side.call)
-            for destination, since in side.wanted.items():
-                if self.now - since >= STUCK_S and self.could(side, self.now, STUCK_S):
-                    self.found.stuck += 1
+            side.deliver(side.call)
+            for destination, since in side.waiting_since.items():
+                if self.now - since >= MAX_BLOCKED_S and self.had_current_server(
+                    side, self.now, MAX_BLOCKED_S
+                ):
+                    self.findings.stuck += 1
                     self.note(f"{self.now:.1f} {side.name}: waits for {destination} since {since:.1f}")
-        self.at(self.now + self.plan.call_s * side.rng.uniform(0.5, 1.5), lambda: self.calls(side))
+        self.at(
+            self.now + self.plan.call_interval_s * side.rng.uniform(0.5, 1.5),
+            lambda: self.call_repeatedly(side),
+        )
 
-    def result(self) -> Found:
-        found = self.found
-        for side in self.readers.values():
-            found.stale_refused += side.reader.stale_rejected
+    def collect(self) -> Findings:
+        found = self.findings
+        for side in self.clients.values():
+            found.stale_refused += side.client.stale_rejected
             self._compare(side)
-        for keeper in self.keepers.values():
-            found.answers += sum(keeper.seconds.values())
-            found.busy += keeper.keeper.overloaded
-            found.answers_s = max([found.answers_s, *keeper.seconds.values()])
-            found.bytes_s = max([found.bytes_s, *keeper.bytes.values()])
-        total = sum(side.bytes for side in self.readers.values())
-        found.reader_bytes_s = total / len(self.readers) / self.now
+        for server in self.servers.values():
+            found.answers += sum(server.responses_by_second.values())
+            found.busy += server.server.overloaded
+            found.answers_s = max([found.answers_s, *server.responses_by_second.values()])
+            found.bytes_s = max([found.bytes_s, *server.bytes_by_second.values()])
+        total = sum(side.byte_count for side in self.clients.values())
+        found.reader_bytes_s = total / len(self.clients) / self.now
         return found
 
-    def _compare(self, side: ReaderSide) -> None:
+    def _compare(self, side: SimulatedClient) -> None:
         """After the quiet end the directory has of each destination in use what there is."""
-        for destination in set(side.used):
-            if side.reader.is_resident(destination):
+        for destination in set(side.destinations):
+            if side.client.is_resident(destination):
                 has = {
                     (known.name, int(known.endpoint.rate))
                     for known in side.directory.by_name.values()
@@ -571,16 +594,16 @@
                 }
                 is_ = {
                     (row.name, int(row.rate))
-                    for row in self.truth.rows.values()
+                    for row in self.source.rows.values()
                     if row.destination == destination
                 }
                 if has != is_:
-                    self.found.unmet += 1
+                    self.findings.unmet += 1
                     self.note(f"{side.name}: {destination} is {sorted(is_)}, has {sorted(has)}")
 
 
-def played(plan: Plan) -> Found:
-    return World(plan).play()
+def run_plan(plan: Plan) -> Findings:
+    return Simulation(plan).run()
 
 
 def main() -> None:
@@ -590,11 +613,14 @@
     parser.add_argument("--readers", type=int, default=200)
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--json", action="store_true")
-    told = parser.parse_args()
-    plans = [Plan(seed, readers=told.readers) for seed in range(told.first, told.first + told.seeds)]
-    with ProcessPoolExecutor(told.processes) as pool:
-        found = list(pool.map(played, plans, chunksize=4))
-    total: dict[str, Any] = {"schedules": len(found), "readers": told.readers}
+    arguments = parser.parse_args()
+    plans = [
+        Plan(seed, clients=arguments.readers)
+        for seed in range(arguments.first, arguments.first + arguments.seeds)
+    ]
+    with ProcessPoolExecutor(arguments.processes) as pool:
+        found = list(pool.map(run_plan, plans, chunksize=4))
+    total: dict[str, Any] = {"schedules": len(found), "readers": arguments.readers}
     for name in (
         "calls",
         "blocked",
@@ -614,8 +640,8 @@
     total["answers_s"] = max(each.answers_s for each in found)
     total["bytes_s"] = max(each.bytes_s for each in found)
     total["reader_bytes_s"] = sum(each.reader_bytes_s for each in found) / len(found)
-    total["bad"] = [asdict(each) for each in found if each.bad][:10]
-    if told.json:
+    total["bad"] = [asdict(each) for each in found if each.has_violations][:10]
+    if arguments.json:
         print(json.dumps(total))
     else:
         for name, value in total.items():
