--- a/tests/sharded_directory/client_world.py
+++ b/tests/sharded_directory/client_world.py
@@ -21,7 +21,7 @@
 )
 
 from ..conftest import make_settings
-from .common import filled
+from .common import loaded_server
 
 LAYOUT = Layout(4, (1, 2, 3))
 
@@ -32,22 +32,24 @@
 FIRST, SECOND, THIRD = rank_servers("n100", ("n1", "n2", "n3"))
 
 
-class World:
+class ClientWorld:
     """A client, servers and the directory; every request gets its response at once unless a test decides."""
 
     def __init__(self, rows: list[Row], layout: Layout = LAYOUT, now: float = 100.0, **more: Any) -> None:
         self.layout, self.now = layout, now
-        self.servers = {f"n{number}": filled(layout, rows, now=now, seed=number) for number in layout.servers}
+        self.servers = {
+            f"n{number}": loaded_server(layout, rows, now=now, seed=number) for number in layout.servers
+        }
         self.client = ShardClient("n100", layout, random.Random(1), **more)
         self.directory = EndpointDirectory(make_settings(), ("z",))
         self.updates: list[EndpointUpdate] = []
-        self.absent: list[int] = []
+        self.missing: list[int] = []
         self.in_use: set[int] = set()
         self.down: set[str] = set()
         self.served: list[tuple[str, ShardRequest]] = []
-        self.behind: set[str] = set()  # whose source is silent
+        self.lagging: set[str] = set()  # whose source is silent
 
-    def changed(
+    def apply_changes(
         self, generation: int, rows: list[Row], lives: list[tuple[str, int]] | None = None, *names: str
     ) -> None:
         for name in names or self.servers:
@@ -58,10 +60,10 @@
         for update in self.client.updates:
             self.directory.apply(update)
         self.client.updates.clear()
-        self.absent += self.client.missing_destinations
+        self.missing += self.client.missing_destinations
         self.client.missing_destinations.clear()
 
-    def turn(self) -> list[tuple[str, ShardRequest]]:
+    def tick(self) -> list[tuple[str, ShardRequest]]:
         """Run a tick; its requests are left to the caller."""
         self.client.tick(self.now, self.in_use.__contains__)
         self.apply()
@@ -88,7 +90,7 @@
         end = self.now + seconds
         while True:
             for _ in range(20):
-                requests = self.turn()
+                requests = self.tick()
                 if not requests:
                     break
                 self.serve(requests)
@@ -96,7 +98,7 @@
                 return
             self.now = min(end, self.now + step)
             for name, server in self.servers.items():
-                if name not in self.behind:
+                if name not in self.lagging:
                     server.confirm_source(self.now)
                 if name not in self.down and digests:
                     for _, digest in server.due_digests(self.now):
@@ -108,7 +110,7 @@
             self.client.request(self.now, destination, self.now + due)
         self.apply()
 
-    def has(self, name: str) -> Any:
+    def endpoint(self, name: str) -> Any:
         known = self.directory.by_name.get(name)
         return None if known is None else known.endpoint
 
@@ -128,9 +130,9 @@
     return ShardResponse(request[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
 
 
-def partly(world: World, version: tuple[int, int], *parts: Any) -> None:
+def respond_in_part(world: ClientWorld, version: tuple[int, int], *parts: Any) -> None:
     """The next ask is answered by this much, and more is to come."""
-    request = world.turn()[0]
+    request = world.tick()[0]
     world.client.on_response(world.now, request[0], response_to(request, version, parts, False, world.now))
     world.apply()
     world.now += 0.6
--- a/tests/sharded_directory/common.py
+++ b/tests/sharded_directory/common.py
@@ -29,15 +29,17 @@
     return Row(name, destination, listing, "host", port, None, "z", mark)
 
 
-def filled(
+def loaded_server(
     layout: Layout, rows: Iterable[Row], generation: int = 1, now: float = 0.0, seed: int = 1
 ) -> ShardServer:
     server = ShardServer(layout, 1, random.Random(seed))
-    assert load(server, rows, generation, now)
+    assert load_list(server, rows, generation, now)
     return server
 
 
-def load(server: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1) -> bool:
+def load_list(
+    server: ShardServer, rows: Iterable[Row], generation: int, now: float = 0.0, epoch: int = 1
+) -> bool:
     staged = server.start_list(now, (epoch, generation))
     staged.add(rows)
     if not staged.seal(now):
@@ -50,15 +52,20 @@
 def shard_request(
     layout: Layout,
     version: Version = NO_VERSION,
-    holds: Iterable[int] = (),
-    wants: Iterable[int] = (),
-    sums: Iterable[tuple[int, int]] = (),
-    due_ms: float = 1000.0,
+    resident: Iterable[int] = (),
+    requested: Iterable[int] = (),
+    checksums: Iterable[tuple[int, int]] = (),
+    time_left_ms: float = 1000.0,
     number: int = 1,
 ) -> ShardRequest:
-    bits = pack_shard_set(sum(1 << shard for shard in set(holds)), layout.shard_count)
+    bits = pack_shard_set(sum(1 << shard for shard in set(resident)), layout.shard_count)
     return ShardRequest(
-        number, layout, version, bits, tuple(RequestedShard(shard, due_ms) for shard in wants), tuple(sums)
+        number,
+        layout,
+        version,
+        bits,
+        tuple(RequestedShard(shard, time_left_ms) for shard in requested),
+        tuple(checksums),
     )
 
 
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -28,7 +28,7 @@
 from ..loopback import Agent, raw_config
 
 SHARDS = 64
-HOLD = 400
+MAX_PENDING = 400
 
 
 def entry(name: str, dest: int, port: int = 1, **more: Any) -> dict[str, Any]:
@@ -59,31 +59,31 @@
     return list(found.values())
 
 
-class Slow(FakeTransport):
+class SlowCarrier(FakeTransport):
     """Looks for a connection for as long as `connects` is not set; asks right before the first byte."""
 
     def __init__(self, *script: Outcome) -> None:
         super().__init__(*script)
-        self.connects = asyncio.Event()
-        self.connects.set()
-        self.connecting = 0
-        self.held_back = 0
+        self.can_connect = asyncio.Event()
+        self.can_connect.set()
+        self.connect_attempts = 0
+        self.withheld_calls = 0
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
-        self.connecting += 1
-        await self.connects.wait()
+        self.connect_attempts += 1
+        await self.can_connect.wait()
         if not attempt.may_write():
-            self.held_back += 1
-            return AttemptResult(Outcome.NOT_SENT, is_withheld=True)
+            self.withheld_calls += 1
+            return AttemptResult(Outcome.NOT_SENT, withheld=True)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
         return AttemptResult(outcome, is_finished=outcome is Outcome.OK)
 
 
-def made(folder: Path, front: FakeIntake, carrier: FakeTransport) -> Relay:
+def relay_in(folder: Path, front: FakeIntake, carrier: FakeTransport) -> Relay:
     (folder / "state").mkdir(exist_ok=True, parents=True)
     raw = copy.deepcopy(raw_config(folder / "state", Agent(address=("127.0.0.1", 1))))
-    raw["settings"]["limits"]["open-cap"] = HOLD
+    raw["settings"]["limits"]["open-cap"] = MAX_PENDING
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
     host = Relay(config.load({"RELAY_CONFIG": str(path)}))
@@ -95,9 +95,9 @@
     """One relay; a keeper too, if its number is among the part's."""
 
     def __init__(self, number: int, part: ShardedDirectorySettings, folder: Path, port: int) -> None:
-        self.front, self.carrier = FakeIntake(), Slow()
+        self.front, self.carrier = FakeIntake(), SlowCarrier()
         self.folder = folder / str(number)
-        self.host = made(self.folder, self.front, self.carrier)
+        self.host = relay_in(self.folder, self.front, self.carrier)
         peers = GossipSettings(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
         home = self.folder / "peers"
         self.node = GossipNode(peers, claim_identity(home, f"n{number}"), home, number, "z", 0)
@@ -116,7 +116,7 @@
         await self.node.close()
         await asyncio.sleep(0)
 
-    async def gone(self) -> None:
+    async def kill(self) -> None:
         """As if it were killed: nobody is told, and nothing more is written."""
         self.shards.close()
         await self.node.close()
@@ -132,25 +132,25 @@
         self.port = free_ports(8, 3)
         self.part = ShardedDirectorySettings(tuple(range(servers)), SHARDS, file=str(self.file), **more)
         self.instances: dict[int, Instance] = {}
-        self.tell(entries)
+        self.write_list(entries)
 
-    def tell(self, entries: list[dict[str, Any]], generation: int | None = None) -> None:
+    def write_list(self, entries: list[dict[str, Any]], generation: int | None = None) -> None:
         """The list is replaced."""
         self.generation = self.generation + 1 if generation is None else generation
         part = self.file.with_suffix(".part")
         part.write_text(json.dumps(listing(entries, self.generation)))
         os.replace(part, self.file)
 
-    async def begin(self, number: int) -> Instance:
+    async def start_instance(self, number: int) -> Instance:
         it = self.instances[number] = Instance(number, self.part, self.folder, self.port)
         await it.start()
         return it
 
-    async def end(self, number: int, killed: bool = True) -> None:
+    async def stop_instance(self, number: int, killed: bool = True) -> None:
         it = self.instances.pop(number)
-        await (it.gone() if killed else it.close())
+        await (it.kill() if killed else it.close())
 
-    async def loaded(self) -> None:
+    async def wait_until_loaded(self) -> None:
         """Each keeper has the list as it is in the file."""
         servers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
         await until(lambda: all(it.version == (1, self.generation) for it in servers))
@@ -163,8 +163,8 @@
     it = Fleet(folder, entries, **more)
     try:
         for number in numbers:
-            await it.begin(number)
-        await it.loaded()
+            await it.start_instance(number)
+        await it.wait_until_loaded()
         yield it
     finally:
         for each in it.instances.values():
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -1,9 +1,9 @@
-"""Two keepers, one reader and one or two shards, explored in every order to a depth.
+"""Two servers, one client and one or two shards, explored in every order of events to a depth.
 
-The program's own Keeper and Reader, and the real directory. Versions 1 to 3; a keeper hears of the next one
-when it is its turn. Asks, answers and digests lie in a pool: each may be delivered now, later, twice or
-never. The reader may wait 5 s (what it asked and was not told has failed), or be frozen for 13 s with all
-that it has out. Chance is taken out, so that the same state is found to be the same.
+The product's own ShardServer and ShardClient, and the real directory. Versions 1 to 3; a server gets the next
+one by an event. Requests, responses and digests lie in a pool: each may be delivered now, later, twice or
+never. The client may wait 5 s (requests without a response have failed), or be frozen for 13 s with all that
+is outstanding. Randomness is taken out, so that equal states are recognised.
 
     python -m tests.sharded_directory.model [--depth N]
 """
@@ -32,12 +32,12 @@
 )
 
 from ..conftest import make_settings
-from .common import load, row
+from .common import load_list, row
 
 BOUND_S = 12.0
 WAIT_S, FREEZE_S = 5.0, 13.0
-TWICE = 2  # deliveries of one answer or digest
-POOLED = 2  # digests of one keeper that wait
+TWICE = 2  # deliveries of one response or digest
+POOLED = 2  # undelivered digests of one server
 A, B = 0, next(each for each in range(9) if shard_of(each, 2) != shard_of(0, 2))
 ONE = {1: [row("x", A, 0, 1.0)], 2: [row("x", A, DRAINING, 2.0)], 3: [row("x", A, 0, 3.0, port=81)]}
 MOVE = {1: [row("x", A, 0, 1.0)], 2: [row("x", B, 0, 2.0)], 3: [row("x", B, DRAINING, 3.0)]}
@@ -46,15 +46,15 @@
 Action = tuple[Any, ...]
 
 
-class Middle(random.Random):
-    """No chance at all."""
+class ConstantRandom(random.Random):
+    """Returns the middle of every range."""
 
     def __init__(self, number: int) -> None:
         super().__init__(number)
         self.number = number
 
     def __reduce__(self) -> Any:
-        return Middle, (self.number,)  # not the generator's 2.5 KB
+        return ConstantRandom, (self.number,)  # not the generator's 2.5 KB
 
     def getrandbits(self, bits: int) -> int:
         return self.number
@@ -73,45 +73,45 @@
         self.servers: dict[str, ShardServer] = {}
         self.learned = {name: {1: self.now} for name in ("n1", "n2")}
         self.failed_at = dict.fromkeys(("n1", "n2"), 0.0)
-        for boot, name in enumerate(self.learned):
-            self.servers[name] = ShardServer(layout, 1, Middle(boot))
-            load(self.servers[name], rows[1], 1, self.now)
-        self.client = ShardClient("n100", layout, Middle(9), idle_s=25.0)
+        for number, name in enumerate(self.learned):
+            self.servers[name] = ShardServer(layout, 1, ConstantRandom(number))
+            load_list(self.servers[name], rows[1], 1, self.now)
+        self.client = ShardClient("n100", layout, ConstantRandom(9), idle_s=25.0)
         self.directory = EndpointDirectory(make_settings(), ("z",))
         self.requests: list[tuple[str, ShardRequest]] = []
         self.responses: list[
             tuple[int, str, ShardResponse | Overloaded | LayoutMismatch]
-        ] = []  # (times delivered, keeper, ...)
+        ] = []  # (times delivered, server, ...)
         self.digests: list[tuple[int, str, Digest]] = []
         self.mark = 0  # the latest that the directory had
         self.wrong = ""
-        self.want()
+        self.request_destinations()
         self.tick()
 
-    def want(self) -> None:
+    def request_destinations(self) -> None:
         for destination in self.destinations:
             self.client.touch(self.now, destination)
             if not self.client.is_resident(destination):
                 self.client.request(self.now, destination, self.now + 60.0)
 
-    # -- what may happen -------------------------------------------------------------------------------------
+    # -- events ----------------------------------------------------------------------------------------------
 
     def actions(self) -> Iterator[Action]:
         for name, server in self.servers.items():
             if server.version[1] < LATEST:
-                yield "learn", name
+                yield "update_server", name
             if sum(each[1] == name for each in self.digests) < POOLED and server.subscribers.by_name:
                 yield "digest", name
             if self.client.scheduler.servers[name].outstanding is not None:
                 yield "fail", name
         for place, _ in enumerate(self.requests):
-            yield "ask", place
+            yield "request", place
         for place, (times, _, _) in enumerate(self.responses):
             if times < TWICE:
-                yield "answer", place
+                yield "response", place
         for place, (times, _, _) in enumerate(self.digests):
             if times < TWICE:
-                yield "tell", place
+                yield "deliver_digest", place
         yield ("wait",)
         yield ("freeze",)
 
@@ -122,7 +122,7 @@
         self.tick()
         self.check()
 
-    def do_learn(self, name: str) -> None:
+    def do_update_server(self, name: str) -> None:
         server = self.servers[name]
         generation = server.version[1] + 1
         self.confirm()
@@ -130,7 +130,7 @@
         self.learned[name][generation] = self.now
 
     def confirm(self) -> None:
-        """Keepers that have all that any has are told so by the source."""
+        """Confirm the servers that are at the latest version of any."""
         latest = max(server.version for server in self.servers.values())
         for server in self.servers.values():
             if server.version == latest:
@@ -140,28 +140,28 @@
         self.confirm()
         server = self.servers[name]
         server.subscribers.digest_queue = [(self.now, slot) for _, slot in server.subscribers.digest_queue]
-        self.now += 0.001  # a keeper's digests are told apart by its clock
+        self.now += 0.001  # a server's digests differ by its clock
         self.digests += [(0, name, digest) for _, digest in server.due_digests(self.now)]
 
-    def do_tell(self, place: int) -> None:
+    def do_deliver_digest(self, place: int) -> None:
         times, name, digest = self.digests[place]
         self.digests[place] = (times + 1, name, digest)
         self.client.on_digest(self.now, name, digest)
 
-    def do_ask(self, place: int) -> None:
+    def do_request(self, place: int) -> None:
         self.confirm()
         name, shard_request = self.requests.pop(place)
         self.responses.append((0, name, self.servers[name].handle_request(self.now, "n100", shard_request)))
 
-    def do_answer(self, place: int) -> None:
-        times, name, word = self.responses[place]
-        self.responses[place] = (times + 1, name, word)
-        self.client.on_response(self.now, name, word)
+    def do_response(self, place: int) -> None:
+        times, name, message = self.responses[place]
+        self.responses[place] = (times + 1, name, message)
+        self.client.on_response(self.now, name, message)
 
     def do_fail(self, name: str) -> None:
-        out = self.client.scheduler.servers[name].outstanding
-        assert out is not None
-        self.failed_at[name] = max(self.failed_at[name], out.sent_at)
+        outstanding = self.client.scheduler.servers[name].outstanding
+        assert outstanding is not None
+        self.failed_at[name] = max(self.failed_at[name], outstanding.sent_at)
         self.client.on_request_failed(self.now, name)
 
     def do_wait(self) -> None:
@@ -180,7 +180,7 @@
         self.drain()
 
     def drain(self) -> None:
-        """As the node does, after whatever it tells the reader."""
+        """Do as the node does after each event."""
         self.requests += self.client.outgoing
         self.client.outgoing.clear()
         self.client.missing_destinations.clear()
@@ -209,19 +209,19 @@
                 self.wrong = self.wrong or f"a call {self.now - since:.1f} s after {name} had {replaced}"
 
     def fair(self) -> str:
-        """From here on all is delivered in order: what is wanted comes, and is what there is."""
+        """Deliver all in order: what was requested comes, and equals the source."""
         for _ in range(8):
             for name in self.servers:
                 while self.servers[name].version[1] < LATEST:
-                    self.do_learn(name)
+                    self.do_update_server(name)
                 if self.client.scheduler.servers[name].outstanding is not None and name not in {
                     each for each, _ in self.requests
                 }:
                     self.do_fail(name)
-            self.want()
+            self.request_destinations()
             self.tick()
             while self.requests:
-                self.do_ask(0)
+                self.do_request(0)
                 self.responses[-1] = (TWICE, *self.responses[-1][1:])
                 self.client.on_response(self.now, self.responses[-1][1], self.responses[-1][2])
                 self.tick()
@@ -270,13 +270,13 @@
                 [
                     (
                         shard,
-                        held.encoded_rows,
-                        held.version,
-                        sorted(held.last_used.items()),
-                        sorted(held.published),
-                        held.last_used_at,
+                        cached.encoded_rows,
+                        cached.version,
+                        sorted(cached.last_used.items()),
+                        sorted(cached.published),
+                        cached.last_used_at,
                     )
-                    for shard, held in sorted(store.resident.items())
+                    for shard, cached in sorted(store.resident.items())
                 ],
                 store.common_version,
                 store.latest_version,
@@ -309,8 +309,11 @@
     before: Sequence[Action] = (),
     fair_every: int = 1,
 ) -> tuple[int, str]:
-    """Every order of up to so many happenings after those of `before`: how many states, and the first that is
-    wrong with its path. From each `fair_every`th all comes right in the end."""
+    """Explore every order of up to `depth` events after those of `before`.
+
+    Returns how many states there are, and what is wrong in the first that is, with its path. From each
+    `fair_every`th state it is checked that the client converges.
+    """
     first = Model(rows, shards, destinations)
     for action in before:
         first.do(action)
@@ -338,20 +341,37 @@
     return len(seen), ""
 
 
-HELD: tuple[Action, ...] = (("ask", 0), ("answer", 0))  # the reader has it as of version 1
+RESIDENT: tuple[Action, ...] = (("request", 0), ("response", 0))  # the client has it as of version 1
 STARTS: dict[str, tuple[dict[int, list[Row]], int, Sequence[int], tuple[Action, ...]]] = {
-    "one shard, wanted": (ONE, 1, (A,), ()),
-    "one shard, held": (ONE, 1, (A,), HELD),
-    "a move, wanted": (MOVE, 2, (A, B), ()),
-    "a move, held": (MOVE, 2, (A, B), HELD),
-    "a move, one shard held": (MOVE, 2, (A,), HELD),
-    "one shard, held, one keeper ahead": (ONE, 1, (A,), (*HELD, ("learn", "n1"), ("learn", "n1"))),
-    "one shard, held, the other ahead": (ONE, 1, (A,), (*HELD, ("learn", "n2"), ("learn", "n2"))),
-    "one shard, held, one ahead and told": (
+    "one shard, requested": (ONE, 1, (A,), ()),
+    "one shard, resident": (ONE, 1, (A,), RESIDENT),
+    "a move, requested": (MOVE, 2, (A, B), ()),
+    "a move, resident": (MOVE, 2, (A, B), RESIDENT),
+    "a move, one shard resident": (MOVE, 2, (A,), RESIDENT),
+    "one shard, resident, one server ahead": (
+        ONE,
+        1,
+        (A,),
+        (*RESIDENT, ("update_server", "n1"), ("update_server", "n1")),
+    ),
+    "one shard, resident, the other ahead": (
+        ONE,
+        1,
+        (A,),
+        (*RESIDENT, ("update_server", "n2"), ("update_server", "n2")),
+    ),
+    "one shard, resident, one ahead and its digest delivered": (
         ONE,
         1,
         (A,),
-        (*HELD, ("learn", "n1"), ("digest", "n1"), ("tell", 0), ("ask", 0), ("answer", 1)),
+        (
+            *RESIDENT,
+            ("update_server", "n1"),
+            ("digest", "n1"),
+            ("deliver_digest", 0),
+            ("request", 0),
+            ("response", 1),
+        ),
     ),
 }
 
--- a/tests/sharded_directory/test_client_any_order.py
+++ b/tests/sharded_directory/test_client_any_order.py
@@ -21,7 +21,7 @@
 )
 
 from ..conftest import make_settings
-from .common import by_shard, filled, row
+from .common import by_shard, loaded_server, row
 
 NAMES = [f"e{i}" for i in range(4)]
 
@@ -29,7 +29,7 @@
 OPS = st.lists(st.tuples(st.sampled_from("ccckkkaaatttdddDDDwwgfi"), st.integers(0, 11)), max_size=60)
 
 
-class Drawn:
+class RandomEvents:
     """Keepers that hear of changes at their own time; asks, answers and digests that wait to be delivered, in
     any order, more than once or never."""
 
@@ -40,14 +40,14 @@
         self.log: list[Row] = []  # generation g is self.log[g - 2]
         self.rows: list[dict[str, Row]] = [{}, {name: row(name, i, mark=1.0) for i, name in enumerate(NAMES)}]
         first = list(self.rows[1].values())
-        self.servers = {f"n{i}": filled(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
+        self.servers = {f"n{i}": loaded_server(self.layout, first, now=self.now, seed=i) for i in (1, 2)}
         self.client = ShardClient("n100", self.layout, random.Random(3), idle_s=10.0)
         self.directory = EndpointDirectory(make_settings(), ("z",))
         self.requests: list[tuple[str, ShardRequest]] = []
         self.responses: list[tuple[str, Any]] = []
         self.digests: list[tuple[str, Digest]] = []
-        self.marks: dict[str, int] = {}
-        self.evidence = 0
+        self.latest_marks: dict[str, int] = {}
+        self.latest_mark = 0
 
     def change(self, pick: int) -> None:
         generation = len(self.rows)
@@ -62,7 +62,7 @@
         self.rows.append(after)
         self.log.append(new)
 
-    def learn(self, name: str) -> None:
+    def update_server(self, name: str) -> None:
         server = self.servers[name]
         generation = server.version[1] + 1
         if generation < len(self.rows):
@@ -70,23 +70,23 @@
         else:
             server.confirm_source(self.now)
 
-    def after(self) -> None:
+    def tick(self) -> None:
         self.client.tick(self.now, lambda destination: False)
         self.requests += self.client.outgoing
         self.client.outgoing.clear()
         self.client.missing_destinations.clear()
         for update in self.client.updates:
-            evidence = self.evidence
+            evidence = self.latest_mark
             for member in update.endpoints:
                 mark = int(member.rate)
-                assert mark >= self.marks.get(member.name, 0), "older than it was"
+                assert mark >= self.latest_marks.get(member.name, 0), "older than it was"
                 if member.name not in self.directory.by_name:
                     replaced = [
                         g for g in range(mark + 1, len(self.rows)) if self.log[g - 2].name == member.name
                     ]
                     assert not replaced or replaced[0] > evidence, "came back"
-                self.marks[member.name] = mark
-                self.evidence = max(self.evidence, mark)
+                self.latest_marks[member.name] = mark
+                self.latest_mark = max(self.latest_mark, mark)
             self.directory.apply(update)
         self.client.updates.clear()
 
@@ -96,7 +96,7 @@
         if op == "c":
             self.change(pick)
         elif op == "k":
-            self.learn(name)
+            self.update_server(name)
         elif op == "a" and self.requests:
             server, sent = self.requests[pick % len(self.requests)]
             self.responses.append((server, self.servers[server].handle_request(self.now, "n100", sent)))
@@ -118,14 +118,14 @@
             self.client.on_request_failed(self.now, name)
         elif op == "i":
             self.now += 4.0
-        self.after()
+        self.tick()
 
-    def quiet(self) -> None:
+    def deliver_all(self) -> None:
         """All is delivered from now on: it comes to what there is."""
         for _ in range(400):
             self.now += 0.1
             for name in self.servers:
-                self.learn(name)
+                self.update_server(name)
                 for _, digest in self.servers[name].due_digests(self.now):
                     self.client.on_digest(self.now, name, digest)
                 if (
@@ -138,22 +138,22 @@
                 self.client.touch(self.now, destination)
                 if not self.client.is_resident(destination):
                     self.client.request(self.now, destination, self.now + 5.0)
-            self.after()
+            self.tick()
             while self.requests:
                 server, sent = self.requests.pop()
                 self.client.on_response(
                     self.now, server, self.servers[server].handle_request(self.now, "n100", sent)
                 )
-                self.after()
+                self.tick()
 
 
 @given(ops=OPS)
 @settings(max_examples=250, deadline=None)
 def test_nothing_gets_older_in_any_order_of_events(ops: list[tuple[str, int]]) -> None:
-    drawn = Drawn()
+    drawn = RandomEvents()
     for op, pick in [("w", 0), ("w", 1), *ops]:
         drawn.do(op, pick)
-    drawn.quiet()
+    drawn.deliver_all()
     has = {
         name: (known.endpoint.destination, known.endpoint.rate, known.endpoint.listing)
         for name, known in drawn.directory.by_name.items()
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -17,7 +17,7 @@
     encode_message,
 )
 
-from .common import filled, respond, row, shard_request
+from .common import loaded_server, respond, row, shard_request
 
 SMALL, LARGE = (1_000, 32), (20_000, 512)  # destinations, shards: some 35 in each
 NOW = 100.0
@@ -25,10 +25,10 @@
 
 def keeper_of(size: tuple[int, int], clients: int = 0) -> ShardServer:
     destinations, shards = size
-    server = filled(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
+    server = loaded_server(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
     for number in range(clients):
         server.handle_request(
-            NOW + number, f"n{number}", shard_request(server.layout, (1, 1), holds=range(shards))
+            NOW + number, f"n{number}", shard_request(server.layout, (1, 1), resident=range(shards))
         )
     return server
 
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -55,8 +55,8 @@
             receipt = relay.messages.accept(submission("m"))
             assert receipt.accepted and receipt.is_new and not relay.entries["m"].final_state
             await asyncio.sleep(0.3)
-            assert not relay.carrier.connecting and relay.host.scheduler.pending.queues[7].length == 1
-            await it.begin(0)
+            assert not relay.carrier.connect_attempts and relay.host.scheduler.pending.queues[7].length == 1
+            await it.start_instance(0)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [(each.address, each.trace_id) for each in relay.carrier.attempts] == [(("h", 1), "m")]
             assert relay.shards.contains(7) and not relay.messages.pending_by_destination
@@ -71,7 +71,7 @@
             assert relay.messages.accept(submission("m", destination=8)).accepted
             await until(lambda: bool(relay.front.ends))
             assert [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")]
-            assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connecting
+            assert relay.entries["m"].deadline_ms > 0 and not relay.carrier.connect_attempts
             await until(lambda: not relay.host.scheduler.pending.by_id, 3.0)  # nothing is left of it
             assert not relay.messages.accepted and not relay.messages.pending_by_destination
 
@@ -83,8 +83,8 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            it.tell([])
-            await it.loaded()
+            it.write_list([])
+            await it.wait_until_loaded()
             await until(lambda: not relay.shards.contains(7))
             assert relay.shards.is_resident(7)
             assert relay.messages.accept(
@@ -110,8 +110,8 @@
                 assert relay.messages.accept(
                     submission(f"m{n}", "keyed", destination=dest, remaining_ms=left)
                 ).accepted
-            await it.end(1)
-            relay = await it.begin(1)
+            await it.stop_instance(1)
+            relay = await it.start_instance(1)
             respond: list[list[int]] = []
             shard_request = relay.node.request
 
@@ -124,7 +124,7 @@
             relay.node.request = noted  # type: ignore[method-assign]
             assert relay.messages.pending_count == 50
             assert not relay.host.is_dispatching and len(relay.shards.client.pending) == 50  # before all else
-            await it.begin(0)
+            await it.start_instance(0)
             await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
             wanted = next(each for each in respond if each)
             assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(wanted)]
@@ -144,9 +144,9 @@
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 1) as it:
             it.instances[1].messages.accept(submission("m", destination=8))
-            await it.end(1)
-            await it.begin(0)
-            relay = await it.begin(1)
+            await it.stop_instance(1)
+            await it.start_instance(0)
+            relay = await it.start_instance(1)
             await until(lambda: not relay.shards.client.pending)
             assert not relay.host.is_dispatching
             await until(lambda: [(end.id, end.state) for end in relay.front.ends] == [("m", "failed")])
@@ -160,8 +160,8 @@
         async with fleet(tmp_path, listed(7), 1) as it:
             relay = it.instances[1]
             relay.messages.accept(submission("m"))
-            it.tell(listed(7, port=2))
-            await it.begin(0)
+            it.write_list(listed(7, port=2))
+            await it.start_instance(0)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
 
@@ -175,15 +175,15 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            relay.carrier.connects.clear()
+            relay.carrier.can_connect.clear()
             relay.messages.accept(submission("m"))
-            begun = relay.carrier.connecting
-            await until(lambda: relay.carrier.connecting > begun)
-            it.tell(listed(7, port=2))
+            begun = relay.carrier.connect_attempts
+            await until(lambda: relay.carrier.connect_attempts > begun)
+            it.write_list(listed(7, port=2))
             await until(lambda: relay.host.directory.by_name["e7"].address == ("h", 2))
-            relay.carrier.connects.set()
+            relay.carrier.can_connect.set()
             await until(lambda: relay.entries["m"].final_state == "delivered")
-            assert relay.carrier.held_back == 1
+            assert relay.carrier.withheld_calls == 1
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
             assert relay.entries["m"].attempt_count == 1  # what was held back is no try
 
@@ -206,8 +206,8 @@
             relay.shards.running = False
             if relay.shards.timer is not None:
                 relay.shards.timer.cancel()
-            it.tell(listed(7, port=2))
-            await it.loaded()
+            it.write_list(listed(7, port=2))
+            await it.wait_until_loaded()
             await asyncio.sleep(6.0)
 
             async def slow(*args: Any) -> bytes:
@@ -217,13 +217,13 @@
             relay.node.request = slow  # type: ignore[method-assign, assignment]
             relay.node.datagram_handlers.update(datagrams)
             relay.shards.running = True
-            connecting = relay.carrier.connecting
+            connecting = relay.carrier.connect_attempts
             relay.messages.accept(submission("m"))
             await asyncio.sleep(0.2)
-            assert relay.carrier.connecting == connecting  # it waits, and isn't made again and again
+            assert relay.carrier.connect_attempts == connecting  # it waits, and isn't made again and again
             await until(lambda: relay.entries["m"].final_state == "delivered", 6.0)
             assert [each.address for each in relay.carrier.attempts] == [("h", 2)]
-            assert relay.carrier.connecting == connecting + 1
+            assert relay.carrier.connect_attempts == connecting + 1
 
     run(work())
 
@@ -244,17 +244,17 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            relay.carrier.connects.clear()
+            relay.carrier.can_connect.clear()
             relay.messages.accept(submission("m"))
-            begun = relay.carrier.connecting
-            await until(lambda: relay.carrier.connecting > begun)
+            begun = relay.carrier.connect_attempts
+            await until(lambda: relay.carrier.connect_attempts > begun)
             current = relay.shards.client.is_current
             relay.shards.client.is_current = lambda *_: False  # type: ignore[method-assign]
-            relay.carrier.connects.set()
-            await until(lambda: relay.carrier.held_back == 1)
+            relay.carrier.can_connect.set()
+            await until(lambda: relay.carrier.withheld_calls == 1)
             assert relay.entries["m"].attempt_count == 0 and not relay.carrier.attempts
             await asyncio.sleep(1.5)
-            assert relay.carrier.connecting <= begun + 3  # a wait of a second each time, no spin
+            assert relay.carrier.connect_attempts <= begun + 3  # a wait of a second each time, no spin
             relay.shards.client.is_current = current  # type: ignore[method-assign]
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert len(relay.carrier.attempts) == 1
@@ -267,7 +267,7 @@
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            await it.end(0)
+            await it.stop_instance(0)
             cut(relay)
             await asyncio.sleep(7.0)
             for n in range(3):
@@ -306,13 +306,13 @@
             relay = it.instances[1]
             relay.carrier.script = [Outcome.FULL]
             await learned(relay, 8)
-            relay.carrier.connects.clear()
+            relay.carrier.can_connect.clear()
             relay.messages.accept(submission("m"))  # its call is out
             await until(lambda: relay.shards.is_resident(7))
             await until(lambda: not relay.shards.is_resident(8))
             await asyncio.sleep(2.0)
             assert relay.shards.is_resident(7) and relay.host.is_in_use(7) and not relay.host.is_in_use(8)
-            relay.carrier.connects.set()
+            relay.carrier.can_connect.set()
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert not relay.host.is_in_use(7)
 
@@ -356,9 +356,9 @@
             lane = relay.host.scheduler.destinations[7][-1]
             lane.retry_after_until = relay.host.driver.now() + 4000.0
             relay.host.scheduler.pending.request_scan(7)
-            await it.end(0)
-            await it.end(1, killed=False)
-            relay = await it.begin(1)
+            await it.stop_instance(0)
+            await it.stop_instance(1, killed=False)
+            relay = await it.start_instance(1)
             await until(lambda: relay.host.is_dispatching)
             assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.destinations
             relay.host._save_snapshot()
@@ -367,7 +367,7 @@
             ]  # for the next process too
             relay.messages.accept(submission("m"))
             begun = asyncio.get_running_loop().time()
-            await it.begin(0)
+            await it.start_instance(0)
             await until(lambda: 7 in relay.host.scheduler.destinations)
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
@@ -415,7 +415,7 @@
 
             relay.shards.client.tick = failing  # type: ignore[method-assign, assignment]
             await learned(relay, 7)
-            assert "a turn of the directory failed" in caplog.text
+            assert "sharded directory tick failed" in caplog.text
 
     run(work())
 
@@ -465,8 +465,8 @@
             relay = it.instances[1]
             relay.messages.accept(submission("m", destination=8))
             await until(lambda: bool(relay.front.ends))
-            await it.end(1)
-            again = await it.begin(1)
+            await it.stop_instance(1)
+            again = await it.start_instance(1)
             assert [(end.id, end.state) for end in again.front.ends] == [("m", "failed")]
             assert isinstance(it, Fleet)
 
--- a/tests/sharded_directory/test_request_scheduler.py
+++ b/tests/sharded_directory/test_request_scheduler.py
@@ -18,16 +18,16 @@
     Overloaded,
 )
 
-from .client_world import FIRST, LAYOUT, ONE, SECOND, THIRD, World, in_shard, response_to
+from .client_world import FIRST, LAYOUT, ONE, SECOND, THIRD, ClientWorld, in_shard, response_to
 from .common import respond, row
 
 
 def test_earliest_deadline_is_requested_first_and_a_server_has_one_outstanding_request() -> None:
     layout = Layout(512, (1, 2, 3))
-    world = World([row(f"e{i}", i) for i in range(600)], layout)
+    world = ClientWorld([row(f"e{i}", i) for i in range(600)], layout)
     for destination in range(400):
         world.client.request(world.now, destination, world.now + 100.0 - destination / 10.0)
-    requests = world.turn()
+    requests = world.tick()
     assert [name for name, _ in requests] == [FIRST, SECOND]
     shards = [
         request_destinations.shard for _, each in requests for request_destinations in each.requested_shards
@@ -39,14 +39,14 @@
         for request_destinations in each.requested_shards
     ]
     assert due == sorted(due) and due[0] <= 60_200.0
-    assert not world.turn()  # two at most, one a keeper
+    assert not world.tick()  # two at most, one a keeper
     world.serve(requests)
     world.settle(1.0)
     assert world.client.status(world.now).waiting == 0 and len(world.directory.by_name) == 400
 
 
 def test_failing_server_is_replaced_by_the_next_and_retried_with_backoff() -> None:
-    world = World([row("a", 1)])
+    world = ClientWorld([row("a", 1)])
     world.down = {FIRST, SECOND}
     world.request_destinations(1)
     world.settle(0.1)
@@ -64,8 +64,8 @@
 
 def test_lagging_server_is_asked_last_for_shards_that_are_not_resident() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    world = World([row("a", a), row("b", b)])
-    world.behind = {FIRST}
+    world = ClientWorld([row("a", a), row("b", b)])
+    world.lagging = {FIRST}
     world.settle(15.0)
     world.request_destinations(a)
     world.settle(0.2)
@@ -83,11 +83,11 @@
 
 
 def test_loading_or_overloaded_server_is_retried_later() -> None:
-    world = World([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE)
     world.request_destinations(1)
-    (first,) = world.turn()
+    (first,) = world.tick()
     world.client.on_response(world.now, first[0], LayoutMismatch(first[1].number, ONE, is_loading=True))
-    (second,) = world.turn()
+    (second,) = world.tick()
     assert (first[0], second[0]) == (FIRST, SECOND)
     world.client.on_response(world.now, second[0], Overloaded(second[1].number, 2_000.0))
     world.settle()
@@ -96,10 +96,10 @@
 
 @pytest.mark.parametrize("after_ms", [float("nan"), float("inf"), -5.0, 1e300])
 def test_overloaded_with_an_invalid_retry_after(after_ms: float) -> None:
-    world = World([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE)
     world.down = {SECOND, THIRD}
     world.request_destinations(1)
-    (first,) = world.turn()
+    (first,) = world.tick()
     world.client.on_response(world.now, first[0], Overloaded(first[1].number, after_ms))
     world.settle(8.0)
     assert world.client.contains(1)
@@ -109,7 +109,7 @@
     monkeypatch.setattr(request_scheduler, "RECEIVE_BYTES_PER_S", 20_000.0)
     monkeypatch.setattr(request_scheduler, "RECEIVE_BURST_BYTES", 50_000.0)
     layout = Layout(256, (1, 2, 3))
-    world = World([row(f"a-name-of-usual-length-{i}", i) for i in range(256 * 44)], layout)
+    world = ClientWorld([row(f"a-name-of-usual-length-{i}", i) for i in range(256 * 44)], layout)
     world.request_destinations(*range(800))
     world.settle(2.0)
     assert world.client.status(world.now).bytes_in <= 2 * 20_000 + 50_000 + 2 * 48_000
@@ -119,7 +119,7 @@
 
 
 def test_next_tick_is_soon_while_something_is_pending() -> None:
-    world = World([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE)
     world.settle()
     assert world.now < world.client.next_tick_at() <= world.now + 1.0
     world.client.request(world.now, 1, world.now + 1.0)
@@ -129,27 +129,27 @@
 
 
 def test_older_response_is_counted_and_its_server_asked_last() -> None:
-    world = World([row("a", 1)], ONE)
-    world.changed(5, [], [("a", DRAINING)])
+    world = ClientWorld([row("a", 1)], ONE)
+    world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
     world.settle(1.0)
     world.now += 7.0
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
-    assert world.has("a").listing is Listing.DRAINING
+    assert world.endpoint("a").listing is Listing.DRAINING
     assert world.client.status(world.now).stale_refused == 2  # the shard, and the answer
     assert world.client.status(world.now).version == (1, 5)
     assert not world.client.is_current(world.now + 6.0, 1)
-    assert world.turn()[0][0] == SECOND
+    assert world.tick()[0][0] == SECOND
 
 
 def test_request_outstanding_during_a_freeze_does_not_count_as_contact() -> None:
-    world = World([row("a", 1)], Layout(1, (1,)))
+    world = ClientWorld([row("a", 1)], Layout(1, (1,)))
     world.request_destinations(1)
     world.settle(1.0)
     world.now += 7.0
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     world.now += 30.0
     world.client.on_request_failed(world.now, sent[0])  # its time ran out while this process stood
     assert not world.client.is_current(world.now, 1)
@@ -160,16 +160,16 @@
 
 def test_response_to_an_earlier_request_does_not_end_the_outstanding_one() -> None:
     """It would date what it says by an ask that went out after it was said."""
-    world = World([row("a", 1)], Layout(1, (1,)))
+    world = ClientWorld([row("a", 1)], Layout(1, (1,)))
     world.request_destinations(1)
     world.settle(1.0)
     world.now += 7.0
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     late = respond(world.servers["n1"], sent[1], world.now)
     world.client.on_request_failed(world.now, "n1")
     world.now += 20.0
-    world.changed(2, [row("a", 1, DRAINING)])
-    assert world.turn()
+    world.apply_changes(2, [row("a", 1, DRAINING)])
+    assert world.tick()
     world.now += 20.0
     world.client.on_response(world.now, "n1", late)
     assert world.client.unsolicited == 1 and not world.client.is_current(world.now, 1)
@@ -208,7 +208,7 @@
 @pytest.mark.parametrize("back", range(8))
 def test_any_server_that_recovers_is_found_soon(back: int) -> None:
     """Of eight that all hang, a second each, whatever its rank."""
-    world = World([row("a", 1)], Layout(1, tuple(range(1, 9))))
+    world = ClientWorld([row("a", 1)], Layout(1, tuple(range(1, 9))))
     world.request_destinations(1)
     world.settle(1.0)
     alive = rank_servers("n100", world.servers)[back]
@@ -221,7 +221,7 @@
         for at, name in [each for each in out if world.now - each[0] >= 1.0]:
             out.remove((at, name))
             world.client.on_request_failed(world.now, name)
-        for name, sent in world.turn():
+        for name, sent in world.tick():
             if name == alive and world.now > began + 40.0:
                 world.serve([(name, sent)])
                 assert world.now < began + 48.0
@@ -233,7 +233,7 @@
 
 def test_maximum_number_of_servers_is_tried_within_the_bound() -> None:
     """All hang, for long: each has its turn, so that what is known serves."""
-    world = World([row("a", 1)], Layout(1, tuple(range(1, MAX_SERVERS + 1))))
+    world = ClientWorld([row("a", 1)], Layout(1, tuple(range(1, MAX_SERVERS + 1))))
     world.request_destinations(1)
     world.settle(1.0)
     began = world.now
@@ -244,7 +244,7 @@
         for at, name in [each for each in out if world.now - each[0] >= 1.0]:
             out.remove((at, name))
             world.client.on_request_failed(world.now, name)
-        for name, _ in world.turn():
+        for name, _ in world.tick():
             out.append((world.now, name))
             assert world.now - last[name] < 11.0
             last[name] = max(last[name], world.now)
--- a/tests/sharded_directory/test_shard_cache.py
+++ b/tests/sharded_directory/test_shard_cache.py
@@ -16,55 +16,59 @@
     ShardChanges,
 )
 
-from .client_world import FIRST, ONE, SECOND, World, in_shard, partly, response_to
+from .client_world import FIRST, ONE, SECOND, ClientWorld, in_shard, respond_in_part, response_to
 from .common import respond, row
 
 
 def test_older_part_after_a_newer_one_is_ignored() -> None:
-    world = World([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE)
     world.request_destinations(1)
-    (ask_first,) = world.turn()
+    (ask_first,) = world.tick()
     old = respond(world.servers[SECOND], ask_first[1], world.now)
-    world.changed(2, [row("a", 1, DRAINING)], [], FIRST)
+    world.apply_changes(2, [row("a", 1, DRAINING)], [], FIRST)
     world.serve([ask_first])
-    assert world.has("a").listing is Listing.DRAINING
+    assert world.endpoint("a").listing is Listing.DRAINING
     world.now += 7.0
-    for name, sent in world.turn():
+    for name, sent in world.tick():
         world.client.on_response(world.now, name, msgspec.structs.replace(old, number=sent.number))
         world.apply()
-    assert world.has("a").listing is Listing.DRAINING and world.client.status(world.now).stale_refused > 0
+    assert (
+        world.endpoint("a").listing is Listing.DRAINING and world.client.status(world.now).stale_refused > 0
+    )
 
 
 def test_evicted_shard_is_not_accepted_at_an_older_version() -> None:
-    world = World([row("a", 1)], ONE, idle_s=20.0)
-    world.changed(2, [], [("a", DRAINING)], FIRST)
+    world = ClientWorld([row("a", 1)], ONE, idle_s=20.0)
+    world.apply_changes(2, [], [("a", DRAINING)], FIRST)
     world.request_destinations(1)
     world.settle()
-    assert world.has("a").listing is Listing.DRAINING
+    assert world.endpoint("a").listing is Listing.DRAINING
     world.settle(30.0)
-    assert world.has("a") is None and world.client.status(world.now).shards == 0
+    assert world.endpoint("a") is None and world.client.status(world.now).shards == 0
     world.down = {FIRST}
     world.request_destinations(1)
     world.settle(3.0)
-    assert world.has("a") is None and not world.client.is_resident(1)
-    world.changed(2, [], [("a", DRAINING)], SECOND)
+    assert world.endpoint("a") is None and not world.client.is_resident(1)
+    world.apply_changes(2, [], [("a", DRAINING)], SECOND)
     world.settle(6.0)
-    assert world.has("a").listing is Listing.DRAINING
+    assert world.endpoint("a").listing is Listing.DRAINING
 
 
 def test_name_that_moves_between_shards_stays_where_the_latest_version_has_it() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
     for first_here, then in ((a, b), (b, a)):
-        world = World([row("x", a, mark=1.0)])
+        world = ClientWorld([row("x", a, mark=1.0)])
         world.request_destinations(first_here)
         world.settle()
-        world.changed(2, [row("x", b, mark=2.0)])
+        world.apply_changes(2, [row("x", b, mark=2.0)])
         world.request_destinations(then)
         world.settle(4.0)
         world.request_destinations(b)  # who had asked for it before it came was told that there is none
-        assert (world.has("x").destination, world.has("x").rate) == (b, 2.0)
+        assert (world.endpoint("x").destination, world.endpoint("x").rate) == (b, 2.0)
         world.settle(4.0)
-        assert world.has("x").destination == b and world.client.contains(b) and not world.client.contains(a)
+        assert (
+            world.endpoint("x").destination == b and world.client.contains(b) and not world.client.contains(a)
+        )
         assert world.client.status(world.now).endpoints == 1
 
 
@@ -73,29 +77,29 @@
     says nothing for the first time until it has caught up."""
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
     other = in_shard(0, 2)[1]
-    world = World([row("x", a, mark=1.0), row("y", other)])
+    world = ClientWorld([row("x", a, mark=1.0), row("y", other)])
     world.request_destinations(other)
     world.settle()
-    world.changed(2, [row("x", b, mark=2.0)])
+    world.apply_changes(2, [row("x", b, mark=2.0)])
     world.request_destinations(b)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     response = respond(world.servers[sent[0]], sent[1], world.now)
     parts = tuple(part for part in response.parts if part.shard == shard_of(b, 4))
     world.client.on_response(
         world.now, sent[0], msgspec.structs.replace(response, parts=parts, is_complete=False)
     )
     world.apply()
-    assert world.has("x").rate == 2.0
+    assert world.endpoint("x").rate == 2.0
     world.request_destinations(a)
-    assert not world.client.is_resident(a) and world.has("x").rate == 2.0
+    assert not world.client.is_resident(a) and world.endpoint("x").rate == 2.0
     world.settle(1.0)
-    assert world.absent == [a] and world.has("x").rate == 2.0
+    assert world.missing == [a] and world.endpoint("x").rate == 2.0
 
 
 def test_idle_destinations_and_shards_are_evicted_and_used_ones_stay() -> None:
     a, b = in_shard(0, 2)
     c = in_shard(1, 1)[0]
-    world = World([row("a", a), row("b", b), row("c", c)], idle_s=20.0)
+    world = ClientWorld([row("a", a), row("b", b), row("c", c)], idle_s=20.0)
     world.in_use = {c}
     world.request_destinations(a, b, c)
     world.settle()
@@ -133,7 +137,7 @@
 )
 def test_unreadable_entry_is_skipped(wrong: dict[str, Any]) -> None:
     bad = msgspec.structs.replace(row("bad", 1), **wrong)
-    world = World([row("a", 1), bad], ONE)
+    world = ClientWorld([row("a", 1), bad], ONE)
     world.request_destinations(1)
     world.settle(4.0)
     assert set(world.directory.by_name) == {"a"}
@@ -143,23 +147,23 @@
 
 @pytest.mark.parametrize(("listing", "stands"), [(0, Listing.READY), (1, Listing.DRAINING)])
 def test_listing_of_an_unreadable_entry_counts(listing: int, stands: Listing) -> None:
-    world = World([row("a", 1, 1 - listing, port=8080)], ONE)
+    world = ClientWorld([row("a", 1, 1 - listing, port=8080)], ONE)
     world.request_destinations(1)
     world.settle(1.0)
-    world.changed(2, [row("a", 1, listing, port=0)])
+    world.apply_changes(2, [row("a", 1, listing, port=0)])
     world.settle(4.0)
     known = world.directory.by_name["a"]
     assert known.endpoint.listing is stands and known.address == ("host", 8080)
-    world.changed(3, [], [("a", GONE)])
+    world.apply_changes(3, [], [("a", GONE)])
     world.settle(4.0)
     assert not world.directory.by_name
 
 
 def test_rows_of_another_shard_and_unknown_shards_are_ignored() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    world = World([row("a", a)])
+    world = ClientWorld([row("a", a)])
     world.request_destinations(a)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     response = respond(world.servers[sent[0]], sent[1], world.now)
     parts = (
         FullShard(0, (row("a", a), row("wrong", b))),
@@ -174,109 +178,109 @@
 
 def test_new_shard_is_rejected_below_the_latest_version() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    world = World([row("a", a), row("b", b)])
-    world.changed(5, [], [("b", DRAINING)])
+    world = ClientWorld([row("a", a), row("b", b)])
+    world.apply_changes(5, [], [("b", DRAINING)])
     world.request_destinations(a)
     world.settle()
     world.request_destinations(b)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     old = FullShard(shard_of(b, 4), (row("b", b),))
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 4), [old]))
     world.apply()
-    assert world.has("b") is None and world.client.status(world.now).stale_refused == 2
-    requests = world.turn()
+    assert world.endpoint("b") is None and world.client.status(world.now).stale_refused == 2
+    requests = world.tick()
     assert [name for name, _ in requests] == [SECOND]  # another is asked, at once
     world.serve(requests)
-    assert world.has("b").listing is Listing.DRAINING
+    assert world.endpoint("b").listing is Listing.DRAINING
 
 
 def test_evicted_shard_sets_the_latest_version_of_an_empty_cache() -> None:
     """A shard that came in pieces, as of a later version than all else, is given up: it does not come back
     older, from a keeper that does not look at what it is asked."""
-    world = World([row("a", 1)], ONE, idle_s=20.0)
-    world.changed(5, [], [("a", DRAINING)])
+    world = ClientWorld([row("a", 1)], ONE, idle_s=20.0)
+    world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
     world.settle(30.0)
     assert world.client.status(world.now).shards == 0
     world.request_destinations(1)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
-    assert world.has("a") is None
+    assert world.endpoint("a") is None
 
 
 def test_new_shard_is_published_only_as_of_the_latest_version() -> None:
     """B was here as of version 1 when A came as of 2: a name that left A's neighbour meanwhile must not be
     told from B before B has caught up."""
     a, b, c = (in_shard(shard, 1)[0] for shard in (0, 1, 2))
-    world = World([row("x", b, mark=1.0), row("y", in_shard(1, 2)[1]), row("z", c)])
+    world = ClientWorld([row("x", b, mark=1.0), row("y", in_shard(1, 2)[1]), row("z", c)])
     world.request_destinations(in_shard(1, 2)[1])
     world.settle(1.0)
-    world.changed(2, [row("x", a, mark=2.0)])
+    world.apply_changes(2, [row("x", a, mark=2.0)])
     world.request_destinations(a)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     whole = FullShard(shard_of(a, 4), (row("x", a, mark=2.0),))
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 2), [whole], False, world.now))
     world.apply()
-    assert world.has("x").rate == 2.0
+    assert world.endpoint("x").rate == 2.0
     world.client.touch(world.now, b)
     world.apply()
-    assert world.has("x").rate == 2.0 and not world.client.is_resident(b)
+    assert world.endpoint("x").rate == 2.0 and not world.client.is_resident(b)
     world.settle(1.0)
-    assert world.has("x").rate == 2.0 and world.absent == [b]
+    assert world.endpoint("x").rate == 2.0 and world.missing == [b]
 
 
 def test_new_row_of_a_lagging_shard_waits_until_it_has_caught_up() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    world = World([row("q", b)])
+    world = ClientWorld([row("q", b)])
     world.request_destinations(b)
     world.settle(1.0)
     world.request_destinations(a)
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     parts = [FullShard(shard_of(a, 4), (row("p", a, mark=9.0),))]
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 9), parts, False, world.now))
     world.now += 0.5
-    (sent,) = world.turn()
+    (sent,) = world.tick()
     parts_ = [ShardChanges(shard_of(b, 4), (row("p", b, mark=8.0), row("q", b, DRAINING, mark=8.0)))]
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 8), parts_, False, world.now))
     world.apply()
-    assert world.has("p").rate == 9.0  # not from b, which is as of 8
-    assert world.has("q").listing is Listing.DRAINING  # but what was told of it goes on
+    assert world.endpoint("p").rate == 9.0  # not from b, which is as of 8
+    assert world.endpoint("q").listing is Listing.DRAINING  # but what was told of it goes on
 
 
 def test_moved_name_does_not_return_from_the_shard_that_it_left() -> None:
     """x went from b to a destination that is in no use, in the shard of a; b's shard hears of other things
     first."""
     (a, unused), b = in_shard(0, 2), in_shard(1, 1)[0]
-    world = World([row("x", b, mark=1.0), row("y", b)])
+    world = ClientWorld([row("x", b, mark=1.0), row("y", b)])
     world.request_destinations(b)
     world.settle(1.0)
     world.request_destinations(a)
-    partly(world, (1, 9), FullShard(0, (row("x", unused, mark=9.0),)))
-    assert world.has("x") is None  # it is elsewhere by now
-    partly(world, (1, 8), ShardChanges(1, (row("y", b, DRAINING, mark=8.0),)))
-    assert world.has("y").rate == 8.0 and world.has("x") is None
+    respond_in_part(world, (1, 9), FullShard(0, (row("x", unused, mark=9.0),)))
+    assert world.endpoint("x") is None  # it is elsewhere by now
+    respond_in_part(world, (1, 8), ShardChanges(1, (row("y", b, DRAINING, mark=8.0),)))
+    assert world.endpoint("y").rate == 8.0 and world.endpoint("x") is None
 
 
 def test_moved_name_is_published_before_the_shard_that_it_left_is_updated() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    world = World([row("x", b, mark=1.0)])
+    world = ClientWorld([row("x", b, mark=1.0)])
     world.request_destinations(b)
     world.settle(1.0)
     world.request_destinations(a)
-    partly(world, (1, 9), FullShard(0, (row("x", a, mark=9.0),)))
-    assert (world.has("x").destination, world.has("x").rate) == (a, 9.0)
-    partly(world, (1, 8), ShardChanges(1, (row("x", b, GONE, mark=1.0),)))
-    assert world.has("x").destination == a
+    respond_in_part(world, (1, 9), FullShard(0, (row("x", a, mark=9.0),)))
+    assert (world.endpoint("x").destination, world.endpoint("x").rate) == (a, 9.0)
+    respond_in_part(world, (1, 8), ShardChanges(1, (row("x", b, GONE, mark=1.0),)))
+    assert world.endpoint("x").destination == a
 
 
 def test_shard_of_an_incomplete_response_sets_the_latest_version_for_others() -> None:
     a, b, c = (in_shard(shard, 1)[0] for shard in (0, 1, 2))
-    world = World([row("y", b)])
+    world = ClientWorld([row("y", b)])
     world.request_destinations(b)
     world.settle(1.0)
     world.request_destinations(a)
-    partly(world, (1, 9), FullShard(0, (row("x", a),)))
+    respond_in_part(world, (1, 9), FullShard(0, (row("x", a),)))
     world.request_destinations(c)
-    partly(world, (1, 8), FullShard(2, (row("z", c),)))
-    assert not world.client.is_resident(c) and world.has("z") is None
+    respond_in_part(world, (1, 8), FullShard(2, (row("z", c),)))
+    assert not world.client.is_resident(c) and world.endpoint("z") is None
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -39,7 +39,16 @@
     shard_number_hash,
 )
 
-from .common import apply_response, by_shard, checksum_of, filled, load, respond, row, shard_request
+from .common import (
+    apply_response,
+    by_shard,
+    checksum_of,
+    load_list,
+    loaded_server,
+    respond,
+    row,
+    shard_request,
+)
 
 LAYOUT = Layout(4, (1, 2))
 NAMES = [f"e{i}" for i in range(7)]
@@ -87,13 +96,13 @@
         patch.setattr(bulk_load, "STEP_ROWS", step_rows)
         oracle, server = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
         oracle.take("load", [], [], 0)
-        assert load(server, [], 0)
+        assert load_list(server, [], 0)
         for generation, (what, rows, lives) in enumerate(steps, 1):
             holds = data.draw(st.sets(st.integers(0, 3)))
             server.handle_request(float(generation), "n200", shard_request(LAYOUT, server.version, holds))
             oracle.take(what, rows, lives, generation)
             if what == "load":
-                assert load(server, rows, generation)
+                assert load_list(server, rows, generation)
             else:
                 assert server.apply_changes(0.0, generation, rows, lives)
             check_table(server, oracle.versions[generation])
@@ -145,7 +154,7 @@
 
 def test_few_changes_are_sent_as_rows_and_many_as_a_full_shard() -> None:
     layout = Layout(1, (1,))
-    server = filled(layout, [row(f"e{i}", i) for i in range(200)])
+    server = loaded_server(layout, [row(f"e{i}", i) for i in range(200)])
     server.apply_changes(0.0, 2, [row("e1", 1, 1)], [("e2", GONE)])
     (part,) = respond(server, shard_request(layout, (1, 1), [0])).parts
     assert isinstance(part, ShardChanges)
@@ -160,51 +169,53 @@
 
 
 def test_changes_before_the_history_start_are_compared_by_checksums() -> None:
-    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)], generation=9)
+    server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)], generation=9)
     sums = [(shard, server.table.checksums[shard]) for shard in range(4)]
     sums[2] = (2, 1)
     response = respond(server, shard_request(LAYOUT, (1, 5), range(4)))
     assert (response.is_complete, response.parts, response.history_start) == (False, (), (1, 9))
-    response = respond(server, shard_request(LAYOUT, (1, 5), range(4), sums=sums[:3]))
+    response = respond(server, shard_request(LAYOUT, (1, 5), range(4), checksums=sums[:3]))
     assert [(type(part), part.shard) for part in response.parts] == [
         (UnchangedShard, 0),
         (UnchangedShard, 1),
         (FullShard, 2),
     ]
     assert not response.is_complete
-    assert respond(server, shard_request(LAYOUT, (1, 5), range(4), sums=sums)).is_complete
+    assert respond(server, shard_request(LAYOUT, (1, 5), range(4), checksums=sums)).is_complete
 
 
 def test_unchanged_list_changes_no_version() -> None:
     rows = [row(f"e{i}", i) for i in range(40)]
-    server = filled(LAYOUT, rows, generation=3)
+    server = loaded_server(LAYOUT, rows, generation=3)
     changed = dict(server.table.changed_at)
-    assert load(server, reversed(rows), 3)
+    assert load_list(server, reversed(rows), 3)
     assert (
         server.version == (1, 3) and server.table.changed_at == changed and server.same_version_rewrites == 0
     )
-    assert load(server, rows, 4)
+    assert load_list(server, rows, 4)
     assert server.version == (1, 4) and server.table.changed_at == changed
     assert respond(server, shard_request(LAYOUT, (1, 3), range(4))).parts == ()
 
 
 def test_older_generation_is_rejected_and_confirms_nothing() -> None:
-    server = filled(LAYOUT, [row("e1", 1, mark=1.0)], generation=5, now=10.0)
-    assert not load(server, [row("e1", 1)], 4, now=20.0)
+    server = loaded_server(LAYOUT, [row("e1", 1, mark=1.0)], generation=5, now=10.0)
+    assert not load_list(server, [row("e1", 1)], 4, now=20.0)
     assert not server.apply_changes(20.0, 3, [row("e1", 1)])
     assert server.rejected_updates == 2
     server.confirm_source(20.0)
     assert server.status(21.0).source_age_s == 11.0
     assert [each.rate for each in server.table.decode_rows(shard_of(1, 4))] == [1.0]
-    assert load(server, [row("e1", 1)], 1, epoch=2, now=30.0)  # unless the operator says that it counts anew
+    assert load_list(
+        server, [row("e1", 1)], 1, epoch=2, now=30.0
+    )  # unless the operator says that it counts anew
     server.confirm_source(31.0)
     assert server.version == (2, 1) and server.status(31.0).source_age_s == 0.0
     assert respond(server, shard_request(LAYOUT, (1, 5), range(4))).history_start == (2, 1)
 
 
 def test_different_list_under_the_same_generation_is_counted() -> None:
-    server = filled(LAYOUT, [row("e1", 1)], generation=5)
-    assert load(server, [row("e1", 1, 1)], 5)
+    server = loaded_server(LAYOUT, [row("e1", 1)], generation=5)
+    assert load_list(server, [row("e1", 1, 1)], 5)
     assert server.same_version_rewrites == 1 and server.table.checksums[shard_of(1, 4)] == checksum_of(
         [row("e1", 1, 1)]
     )
@@ -215,7 +226,7 @@
 ) -> None:
     monkeypatch.setattr(bulk_load, "STEP_ROWS", 3)
     rows = [row(f"e{i}", i) for i in range(40)]
-    server = filled(LAYOUT, rows)
+    server = loaded_server(LAYOUT, rows)
     before = list(server.table.encoded_rows), dict(server.table.shard_by_name_hash), server.version
     begun = server.start_list(1.0, (1, 2))
     begun.add([row(f"e{i}", i + 1, 1) for i in range(30)])
@@ -233,7 +244,7 @@
 
 def test_change_committed_while_a_list_is_staged() -> None:
     """The list is older than the change: it is refused at its end, and nothing goes back."""
-    server = filled(LAYOUT, [row("e1", 1)])
+    server = loaded_server(LAYOUT, [row("e1", 1)])
     begun = server.start_list(1.0, (1, 2))
     begun.add([row("e1", 1)])
     assert begun.seal(1.0)
@@ -255,7 +266,7 @@
     server = ShardServer(LAYOUT, 1, random.Random(1))
     request = server.handle_request(1.0, "n100", shard_request(LAYOUT))
     assert isinstance(request, LayoutMismatch) and request.is_loading
-    load(server, [], 1)
+    load_list(server, [], 1)
     for other in (Layout(8, (1, 2)), Layout(4, (1, 3))):
         request = server.handle_request(1.0, "n100", shard_request(other))
         assert request == LayoutMismatch(1, LAYOUT) and decode_message(encode_message(request)) == request
@@ -266,13 +277,13 @@
     [
         ShardRequest(1, LAYOUT, NO_VERSION, b"no zlib"),
         ShardRequest(1, LAYOUT, NO_VERSION, pack_shard_set(0, 1 << 20)),
-        shard_request(LAYOUT, wants=[4]),
-        shard_request(LAYOUT, wants=[-1]),
-        shard_request(LAYOUT, sums=[(9, 0)]),
+        shard_request(LAYOUT, requested=[4]),
+        shard_request(LAYOUT, requested=[-1]),
+        shard_request(LAYOUT, checksums=[(9, 0)]),
     ],
 )
 def test_unreadable_request_changes_nothing(wrong: ShardRequest) -> None:
-    server = filled(LAYOUT, [])
+    server = loaded_server(LAYOUT, [])
     with pytest.raises(UnreadableFrameError):
         server.handle_request(1.0, "n100", wrong)
     assert not server.subscribers.by_name and server.responses == 0
@@ -280,8 +291,8 @@
 
 def test_responses_are_bounded_and_the_earliest_deadline_comes_first() -> None:
     layout = Layout(64, (1,))
-    server = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
-    request = shard_request(layout, wants=range(64))
+    server = loaded_server(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
+    request = shard_request(layout, requested=range(64))
     request = msgspec.structs.replace(
         request,
         requested_shards=tuple(
@@ -312,17 +323,17 @@
 
 def test_shard_larger_than_a_response_is_sent_alone() -> None:
     layout = Layout(2, (1,))
-    server = filled(layout, [row(f"e{i}", i) for i in range(4_000)])
-    response = respond(server, shard_request(layout, wants=[0, 1]))
+    server = loaded_server(layout, [row(f"e{i}", i) for i in range(4_000)])
+    response = respond(server, shard_request(layout, requested=[0, 1]))
     assert len(response.parts) == 1
 
 
 def test_excess_requests_get_a_retry_after_and_urgent_ones_are_served() -> None:
-    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     now, answers, after = 50.0, 0, []
     for number in range(2_000):
         request = server.handle_request(
-            now, f"n{number}", shard_request(LAYOUT, holds=[0], wants=[1], due_ms=30_000.0)
+            now, f"n{number}", shard_request(LAYOUT, resident=[0], requested=[1], time_left_ms=30_000.0)
         )
         if isinstance(request, Overloaded):
             after.append(request.retry_after_ms)
@@ -333,20 +344,20 @@
     assert min(after) >= 50.0 and max(after) <= 1.3 * shard_server.MAX_RETRY_AFTER_S * 1e3
     assert max(after) > 10 * min(after) and len(set(after)) > 1_000  # spread: who comes later waits longer
     urgent = [
-        server.handle_request(now, f"n{i}", shard_request(LAYOUT, wants=[1], due_ms=500.0))
+        server.handle_request(now, f"n{i}", shard_request(LAYOUT, requested=[1], time_left_ms=500.0))
         for i in range(200)
     ]
     assert sum(not isinstance(request, Overloaded) for request in urgent) == 100
-    request = server.handle_request(now + 1.0, "n1", shard_request(LAYOUT, holds=[0], wants=[1]))
+    request = server.handle_request(now + 1.0, "n1", shard_request(LAYOUT, resident=[0], requested=[1]))
     assert not isinstance(request, Overloaded)
 
 
 def test_sent_bytes_are_rate_limited() -> None:
     layout = Layout(64, (1,))
-    server = filled(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
+    server = loaded_server(layout, [row(f"a-name-of-usual-length-{i}", i) for i in range(64 * 44)])
     for step in range(3_000):
         server.handle_request(
-            step / 300.0, f"n{step % 10}", shard_request(layout, wants=range(64), due_ms=100.0)
+            step / 300.0, f"n{step % 10}", shard_request(layout, requested=range(64), time_left_ms=100.0)
         )
     assert server.overloaded > 0
     assert (
@@ -356,9 +367,9 @@
 
 
 def test_digests_go_to_recent_clients_spread_and_bounded() -> None:
-    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     for number in range(300):
-        server.handle_request(0.0, f"n{number}", shard_request(LAYOUT, holds=[0]))
+        server.handle_request(0.0, f"n{number}", shard_request(LAYOUT, resident=[0]))
     times: dict[str, list[float]] = {}
     now = 0.0
     while now < 30.0:
@@ -381,16 +392,16 @@
 
 def test_clients_past_the_maximum_of_subscribers_still_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subscribers, "MAX_SUBSCRIBERS", 3)
-    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)])
     for number in range(5):
-        assert respond(server, shard_request(LAYOUT, wants=[1]), client=f"n{number}").parts
+        assert respond(server, shard_request(LAYOUT, requested=[1]), client=f"n{number}").parts
     assert len(server.subscribers.by_name) == 3
 
 
 def test_digest_is_right_after_many_shards_change_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subscribers, "MAX_TRACKED_SHARDS", 2)
-    server = filled(LAYOUT, [row(f"e{i}", i) for i in range(40)])
-    server.handle_request(0.0, "n1", shard_request(LAYOUT, holds=[0, 1, 2]))
+    server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)])
+    server.handle_request(0.0, "n1", shard_request(LAYOUT, resident=[0, 1, 2]))
     server.apply_changes(1.0, 2, [row(f"e{i}", i, 1) for i in range(40)])
     server.apply_changes(1.0, 3, [row("e0", 0, 0)])
     ((_, digest),) = server.due_digests(5.0)
@@ -423,7 +434,7 @@
     monkeypatch.setattr(bulk_load, "STEP_SHARDS", 1)
     before = [row(f"e{i}", i) for i in range(40)]
     after = [row(f"e{i}", i, 1) for i in range(40)]
-    server = filled(LAYOUT, before)
+    server = loaded_server(LAYOUT, before)
     staged = server.start_list(1.0, (1, 9)) if whole else server.start_changes(1.0, 9)
     staged.add(after)
     assert staged.seal(1.0)
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -29,7 +29,7 @@
     pack_shard_set,
 )
 
-from .common import apply_response, by_shard, filled, respond, row, shard_request
+from .common import apply_response, by_shard, loaded_server, respond, row, shard_request
 
 DESTS, SHARDS, USED = 20_000, 512, 600  # some 39 destinations a shard
 STORM, PIECES, STORM_S = 4_000, 60, 30.0  # changes, in so many steps: for each shard as 72,000 in 8,192
@@ -47,7 +47,7 @@
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.layout = Layout(shards, (0, 1))
         self.rows = {f"e{n}": row(f"e{n}", n) for n in range(DESTS)}
-        self.servers = {f"n{n}": filled(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
+        self.servers = {f"n{n}": loaded_server(self.layout, self.rows.values(), seed=n) for n in (0, 1)}
         self.client = ShardClient(ME, self.layout, random.Random(9), BOUND_S, 3600.0)
         self.client.set_reachable(0.0, self.servers)
         self.used = random.Random(5).sample(range(DESTS), USED)
@@ -182,7 +182,7 @@
 def test_first_change_of_a_shard_is_sent_as_a_change_to_clients_generations_behind() -> None:
     layout = Layout(SHARDS, (1,))
     rows = {f"e{n}": row(f"e{n}", n) for n in range(2_000)}
-    server = filled(layout, rows.values())
+    server = loaded_server(layout, rows.values())
     for generation in range(2, 12):
         new = row(f"e{generation}", generation, mark=float(generation))
         rows[new.name] = new
@@ -199,7 +199,7 @@
 ) -> None:
     monkeypatch.setattr(shard_table, "MAX_LOG_ROWS", 1)
     layout = Layout(SHARDS, (1,))
-    server = filled(layout, (row(f"e{n}", n) for n in range(2_000)))
+    server = loaded_server(layout, (row(f"e{n}", n) for n in range(2_000)))
     other = next(n for n in range(2_000) if shard_of(n, SHARDS) != shard_of(0, SHARDS))
     server.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
     server.apply_changes(0.0, 3, [row(f"e{other}", other, mark=3.0)])  # the first one's log is given up
@@ -231,7 +231,7 @@
 def test_oldest_shards_are_sent_first_with_the_version_reached() -> None:
     layout = Layout(SHARDS, (1,))
     rows = [row(f"e{n}", n) for n in range(DESTS)]
-    server = filled(layout, rows)
+    server = loaded_server(layout, rows)
     for generation in (2, 3, 4):  # all shards, each time by so many rows that no answer has them all
         server.apply_changes(0.0, generation, [row(f"e{n}", n, mark=float(generation)) for n in range(6_000)])
     half = list(range(SHARDS // 2))
@@ -251,6 +251,6 @@
         response = respond(server, msgspec.structs.replace(request, ahead_shards=keeps))
     assert lacks <= {part.shard for part in response.parts}
     assert response.reached_version == (1, 3)
-    behind = filled(layout, rows)
+    behind = loaded_server(layout, rows)
     behind.apply_changes(0.0, 2, [row("e0", 0, mark=2.0)])
     assert respond(behind, request).reached_version == NO_VERSION  # it has not come so far itself
