--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from .sharded_directory_budget import DESTS, SHARDS, budget
-from .sharded_directory_cluster import Clients, ShardsTown, entry, shards_town, traffic
+from .sharded_directory_cluster import Clients, ShardedCluster, entry, sharded_cluster, traffic
 
 RATE = 120.0  # messages a second, of all clients
 USED = list(range(1, 61))  # destinations with traffic all the time
@@ -32,24 +32,24 @@
 Play = Callable[[], Awaitable[dict[str, Any]]]
 
 
-async def moving(it: ShardsTown, seconds: float) -> None:
+async def move_destinations(cluster: ShardedCluster, seconds: float) -> None:
     rng, ends = random.Random(7), time.monotonic() + seconds
     while time.monotonic() < ends:
-        it.move(*rng.sample(USED, MOVED))
+        cluster.move(*rng.sample(USED, MOVED))
         await asyncio.sleep(MOVE_S)
 
 
-async def told(it: ShardsTown, clients: Clients) -> dict[str, Any]:
+async def measure(cluster: ShardedCluster, clients: Clients) -> dict[str, Any]:
     """After the play: what the ledgers say."""
-    await it.drained(DRAIN_S)
-    late = sorted(it.late())
-    readers = [await it.role(n, "reader") for n in it.relays]
+    await cluster.drained(DRAIN_S)
+    late = sorted(cluster.lateness_of_moves())
+    readers = [await cluster.role_status(n, "reader") for n in cluster.relays]
     found: dict[str, Any] = {
-        "handed in": len(clients.asked),
-        "taken": len(clients.taken),
-        "answers": clients.answers,
-        "broken": it.broken(clients.taken),
-        "failed": sum("failed" in ends for ends in it.ends().values()),
+        "handed in": len(clients.submitted),
+        "taken": len(clients.accepted),
+        "answers": clients.statuses,
+        "broken": cluster.broken(clients.accepted),
+        "failed": sum("failed" in ends for ends in cluster.ends().values()),
         "stale refused": sum(each["stale_refused"] for each in readers),
         "ask failures": sum(each["failures"] for each in readers),
         "unreadable": sum(each["unreadable"] for each in readers),
@@ -64,138 +64,140 @@
     return found
 
 
-async def under(fault: Callable[[ShardsTown, Clients], Awaitable[None]], **more: Any) -> dict[str, Any]:
+async def run_with_fault(
+    fault: Callable[[ShardedCluster, Clients], Awaitable[None]], **more: Any
+) -> dict[str, Any]:
     """Traffic and moves, with a fault among them."""
-    async with shards_town(3, 3, **more) as it:
-        async with traffic(it, RATE, USED) as clients:
+    async with sharded_cluster(3, 3, **more) as cluster:
+        async with traffic(cluster, RATE, USED) as clients:
             await asyncio.sleep(1.0)
-            moves = asyncio.ensure_future(moving(it, 600.0))
+            moves = asyncio.ensure_future(move_destinations(cluster, 600.0))
             await asyncio.sleep(3.0)
-            await fault(it, clients)
+            await fault(cluster, clients)
             moves.cancel()
             await asyncio.gather(moves, return_exceptions=True)
             await asyncio.sleep(BOUND_S)
-        return await told(it, clients)
+        return await measure(cluster, clients)
 
 
 async def calm() -> dict[str, Any]:
-    async def fault(it: ShardsTown, clients: Clients) -> None:
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await asyncio.sleep(12.0)
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def killed() -> dict[str, Any]:
     """A keeper is killed in the middle of a shard's answer: what comes of it is a trickle."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        for relay in it.relays:
-            await it.net("set", "n0", f"n{relay}", bytes_s=2000.0)
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        for relay in cluster.relays:
+            await cluster.net("set", "n0", f"n{relay}", bytes_s=2000.0)
         for dest in range(61, 361):
-            clients.hand_in(dest, it.relays[dest % 3])
+            clients.submit(dest, cluster.relays[dest % 3])
         await asyncio.sleep(0.4)
-        await it.kill(0)
+        await cluster.kill(0)
         await asyncio.sleep(8.0)
-        await it.net("heal")
-        await it.start_instance(0)
+        await cluster.net("heal")
+        await cluster.begin(0)
         await asyncio.sleep(5.0)
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def frozen() -> dict[str, Any]:
     """A keeper stands still for 20 s, and then a relay does."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        it.freeze(0)
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        cluster.freeze(0)
         await asyncio.sleep(20.0)
-        it.resume(0)
+        cluster.thaw(0)
         await asyncio.sleep(3.0)
-        it.freeze(it.relays[0])
+        cluster.freeze(cluster.relays[0])
         await asyncio.sleep(15.0)
-        it.resume(it.relays[0])
+        cluster.thaw(cluster.relays[0])
         await asyncio.sleep(5.0)
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def behind() -> dict[str, Any]:
     """One keeper hears of no change, though its source confirms it: it is behind by all changes of the play
     and 300 before it. For a while it is the only one that can be reached."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await asyncio.sleep(8.0)
         for dest in range(61, 161):
-            clients.hand_in(dest, it.relays[dest % 3])
+            clients.submit(dest, cluster.relays[dest % 3])
         others = ["n0", "n2"]
-        for relay in it.relays:
-            await it.net("set", f"n{relay}", others, cut=True)
-            await it.net("set", others, f"n{relay}", cut=True)
+        for relay in cluster.relays:
+            await cluster.net("set", f"n{relay}", others, cut=True)
+            await cluster.net("set", others, f"n{relay}", cut=True)
         await asyncio.sleep(6.0)
-        await it.net("heal")
+        await cluster.net("heal")
         await asyncio.sleep(6.0)
 
-    async with shards_town(3, 3, old=(1,)) as it:
+    async with sharded_cluster(3, 3, old=(1,)) as cluster:
         for _ in range(30):
-            it.move(*random.Random(3).sample(range(1, it.dests + 1), 10))
-        it.moves.clear()  # nobody has called yet
-        await it.followed()
-        async with traffic(it, RATE, USED) as clients:
+            cluster.move(*random.Random(3).sample(range(1, cluster.dests + 1), 10))
+        cluster.moves.clear()  # nobody has called yet
+        await cluster.wait_until_followed()
+        async with traffic(cluster, RATE, USED) as clients:
             await asyncio.sleep(1.0)
-            moves = asyncio.ensure_future(moving(it, 600.0))
-            await fault(it, clients)
+            moves = asyncio.ensure_future(move_destinations(cluster, 600.0))
+            await fault(cluster, clients)
             moves.cancel()
             await asyncio.gather(moves, return_exceptions=True)
             await asyncio.sleep(BOUND_S)
-        return await told(it, clients)
+        return await measure(cluster, clients)
 
 
 async def restarted() -> dict[str, Any]:
     """All keepers end and start together, while messages come for shards that no relay has."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        await asyncio.gather(*(it.kill(n) for n in range(3)))
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        await asyncio.gather(*(cluster.kill(n) for n in range(3)))
         for dest in range(61, 361):
-            clients.hand_in(dest, it.relays[dest % 3])
+            clients.submit(dest, cluster.relays[dest % 3])
         await asyncio.sleep(1.0)
-        await asyncio.gather(*(it.start_instance(n) for n in range(3)))
+        await asyncio.gather(*(cluster.begin(n) for n in range(3)))
         await asyncio.sleep(8.0)
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def one_way() -> dict[str, Any]:
     """What keepers say does not come, what is asked of them does; then the other way round."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        relays = [f"n{n}" for n in it.relays]
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        relays = [f"n{n}" for n in cluster.relays]
         for some, others in ((["n0", "n1", "n2"], relays), (relays, ["n0", "n1", "n2"])):
-            await it.net("set", some, others, cut=True)
+            await cluster.net("set", some, others, cut=True)
             await asyncio.sleep(4.0)
-            await it.net("heal")
+            await cluster.net("heal")
             await asyncio.sleep(4.0)
-        await it.net("set", "n0", relays, cut=True)
+        await cluster.net("set", "n0", relays, cut=True)
         await asyncio.sleep(15.0)
-        await it.net("heal")
+        await cluster.net("heal")
         await asyncio.sleep(4.0)
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def doubled() -> dict[str, Any]:
     """Datagrams come twice, late and in another order, and a third is lost; connections are slow and uneven,
     and end now and then in the middle."""
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        await it.net("set", twice=0.5, late=0.2, loss=0.3, delay_ms=20.0, jitter_ms=150.0)
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        await cluster.net("set", twice=0.5, late=0.2, loss=0.3, delay_ms=20.0, jitter_ms=150.0)
         for turn in range(8):
             for dest in range(61 + 40 * turn, 101 + 40 * turn):
-                clients.hand_in(dest, it.relays[dest % 3])
+                clients.submit(dest, cluster.relays[dest % 3])
             await asyncio.sleep(2.5)
-            await it.net("reset")
-        await it.net("heal")
+            await cluster.net("reset")
+        await cluster.net("heal")
 
-    return await under(fault)
+    return await run_with_fault(fault)
 
 
 async def unreadable() -> dict[str, Any]:
@@ -208,60 +210,62 @@
         {"instanceId": "x"},
     )
 
-    async def fault(it: ShardsTown, clients: Clients) -> None:
-        it.register.change([entry(dest, "nowhere") for dest in (300, 301)])
-        await it.followed()
+    async def fault(cluster: ShardedCluster, clients: Clients) -> None:
+        cluster.register.change([entry(dest, "nowhere") for dest in (300, 301)])
+        await cluster.wait_until_followed()
         for dest in (*range(295, 310), 900, 901, 902):
-            clients.hand_in(dest, it.relays[0])
+            clients.submit(dest, cluster.relays[0])
         await asyncio.sleep(8.0)
 
-    return await under(fault, spoilt=spoilt)
+    return await run_with_fault(fault, spoilt=spoilt)
 
 
 async def held() -> dict[str, Any]:
     """3 relays are killed with 500 messages held over 400 shards, whose keepers are away; some of their
     destinations move meanwhile."""
-    async with shards_town(3, 3, dests=1200, count=4096) as it:
-        await asyncio.gather(*(it.kill(n) for n in range(3)))
-        clients = Clients(it)
+    async with sharded_cluster(3, 3, dests=1200, count=4096) as cluster:
+        await asyncio.gather(*(cluster.kill(n) for n in range(3)))
+        clients = Clients(cluster)
         for n in range(500):
-            clients.hand_in(1 + 2 * n, it.relays[n % 3], "order", 60_000.0)
-        await clients.settled()
-        before = len(clients.taken)
-        await asyncio.gather(*(it.kill(n) for n in it.relays))
+            clients.submit(1 + 2 * n, cluster.relays[n % 3], "order", 60_000.0)
+        await clients.wait_until_settled()
+        before = len(clients.accepted)
+        await asyncio.gather(*(cluster.kill(n) for n in cluster.relays))
         moved = [1 + 2 * n for n in range(0, 500, 10)]
-        it.move(*moved)
-        begun = time.monotonic()
-        await asyncio.gather(*(it.start_instance(n) for n in range(6)))
-        await it.drained(60.0)
-        took = time.monotonic() - begun
-        wrong = sum(len(it.calls_to(dest, "a")) for dest in moved)
-        found = await told(it, clients)
+        cluster.move(*moved)
+        started_at = time.monotonic()
+        await asyncio.gather(*(cluster.begin(n) for n in range(6)))
+        await cluster.drained(60.0)
+        took = time.monotonic() - started_at
+        wrong = sum(len(cluster.calls_to(dest, "a")) for dest in moved)
+        found = await measure(cluster, clients)
         clients.close()
         return found | {
             "held": before,
             "drained s": round(took, 1),
-            "delivered": len(it.effects()),
+            "delivered": len(cluster.effects()),
             "calls at places that were left": wrong,
         }
 
 
 async def waiting() -> dict[str, Any]:
     """Destinations move, twice, while their messages wait for the shard."""
-    async with shards_town(3, 3) as it:
-        await asyncio.gather(*(it.kill(n) for n in range(3)))
-        clients = Clients(it)
+    async with sharded_cluster(3, 3) as cluster:
+        await asyncio.gather(*(cluster.kill(n) for n in range(3)))
+        clients = Clients(cluster)
         moved = list(range(100, 160))
         for dest in moved:
-            clients.hand_in(dest, it.relays[dest % 3])
-        await clients.settled()
-        it.move(*moved)
-        it.move(*moved[:30])
-        await asyncio.gather(*(it.start_instance(n) for n in range(3)))
-        found = await told(it, clients)
-        wrong = sum(len(it.calls_to(dest, "b" if it.where[dest] == "a" else "a")) for dest in moved)
+            clients.submit(dest, cluster.relays[dest % 3])
+        await clients.wait_until_settled()
+        cluster.move(*moved)
+        cluster.move(*moved[:30])
+        await asyncio.gather(*(cluster.begin(n) for n in range(3)))
+        found = await measure(cluster, clients)
+        wrong = sum(
+            len(cluster.calls_to(dest, "b" if cluster.current_places[dest] == "a" else "a")) for dest in moved
+        )
         clients.close()
-        return found | {"delivered": len(it.effects()), "calls at places that were left": wrong}
+        return found | {"delivered": len(cluster.effects()), "calls at places that were left": wrong}
 
 
 PLAYS: dict[str, Play] = {
@@ -300,11 +304,11 @@
     results: dict[str, Any] = {}
     bad: list[str] = []
     for name in (each for each in args.plays.split(",") if each):
-        results[name] = asyncio.run(_played(PLAYS[name]))
+        results[name] = asyncio.run(_run_play(PLAYS[name]))
         bad += faults(name, results[name])
         if not args.json:
-            said = ", ".join(f"{key} {value}" for key, value in results[name].items())
-            print(f"{name}: {said}", flush=True)
+            summary = ", ".join(f"{key} {value}" for key, value in results[name].items())
+            print(f"{name}: {summary}", flush=True)
     if args.budget:
         results["budget"] = asyncio.run(
             budget(
@@ -321,9 +325,9 @@
     return 1 if bad else 0
 
 
-async def _played(play: Play) -> dict[str, Any]:
-    begun = time.monotonic()
-    return await play() | {"took s": round(time.monotonic() - begun, 1)}
+async def _run_play(play: Play) -> dict[str, Any]:
+    started_at = time.monotonic()
+    return await play() | {"took s": round(time.monotonic() - started_at, 1)}
 
 
 if __name__ == "__main__":
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from .sharded_directory_cluster import Clients, ShardsTown, entry, shards_town
+from .sharded_directory_cluster import Clients, ShardedCluster, entry, sharded_cluster
 
 DESTS = 360_000
 DAY_S, PLAN = 86_400.0, 7_000  # changes
@@ -19,20 +19,22 @@
 SHARDS = 8192
 
 
-async def taken(it: ShardsTown) -> dict[str, float]:
-    """Of the relay, since its start. Bytes of connections are those of the net, in which there is no other
-    reader."""
-    told = await it.report(it.relays[0])
-    shards = told.shards or {}
-    counts = await it.net("count")
+async def resource_usage(cluster: ShardedCluster) -> dict[str, float]:
+    """Of the relay, since its start.
+
+    Bytes of connections are those of the net, in which there is no other client.
+    """
+    report = await cluster.report(cluster.relays[0])
+    shards = report.shards or {}
+    counts = await cluster.net("count")
     datagrams = shards.get("peers", {})
     moved = counts.get("bytes", 0) + datagrams.get("sent_bytes", 0) + datagrams.get("received_bytes", 0)
     return {
         "at": time.monotonic(),
-        "cpu": told.cpu_s,
-        "rss": told.rss_mb,
+        "cpu": report.cpu_s,
+        "rss": report.rss_mb,
         "bytes": float(moved),
-        "lag": told.lag.most_ms,
+        "lag": report.lag.most_ms,
     }
 
 
@@ -46,63 +48,65 @@
     }
 
 
-async def window(it: ShardsTown, seconds: float = WINDOW_S) -> dict[str, float]:
-    before = await taken(it)
+async def window(cluster: ShardedCluster, seconds: float = WINDOW_S) -> dict[str, float]:
+    before = await resource_usage(cluster)
     await asyncio.sleep(seconds)
-    return between(before, await taken(it))
+    return between(before, await resource_usage(cluster))
 
 
-async def changing(it: ShardsTown, a_second: float) -> None:
+async def changing(cluster: ShardedCluster, a_second: float) -> None:
     """Each of one destination, any of them."""
     rng = random.Random(5)
     while True:
         await asyncio.sleep(rng.expovariate(a_second))
-        it.register.change([entry(rng.randint(1, it.dests), it.at[rng.choice("ab")])])
+        cluster.register.change([entry(rng.randint(1, cluster.dests), cluster.at[rng.choice("ab")])])
 
 
-async def with_changes(it: ShardsTown, a_second: float) -> dict[str, float]:
-    work = asyncio.ensure_future(changing(it, a_second))
+async def with_changes(cluster: ShardedCluster, a_second: float) -> dict[str, float]:
+    work = asyncio.ensure_future(changing(cluster, a_second))
     try:
         await asyncio.sleep(3.0)
-        return await window(it)
+        return await window(cluster)
     finally:
         work.cancel()
         await asyncio.gather(work, return_exceptions=True)
 
 
-async def use(it: ShardsTown, clients: Clients, some: list[int]) -> float:
+async def use(cluster: ShardedCluster, clients: Clients, some: list[int]) -> float:
     """Hands in a message for each; how long until all have gone."""
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for n, dest in enumerate(some):
-        await asyncio.sleep(max(0.0, begun + n / HAND_IN - time.monotonic()))
-        clients.hand_in(dest, it.relays[0], "status", LEFT_MS)
-    await clients.settled()
-    await it.drained(LEFT_MS / 1000 + 5.0)
-    return time.monotonic() - begun
+        await asyncio.sleep(max(0.0, started_at + n / HAND_IN - time.monotonic()))
+        clients.submit(dest, cluster.relays[0], "status", LEFT_MS)
+    await clients.wait_until_settled()
+    await cluster.drained(LEFT_MS / 1000 + 5.0)
+    return time.monotonic() - started_at
 
 
-async def stormed(it: ShardsTown) -> dict[str, Any]:
-    rng, begun = random.Random(6), time.monotonic()
-    before = await taken(it)
-    dests = rng.sample(range(1, it.dests + 1), min(STORM, it.dests))
+async def stormed(cluster: ShardedCluster) -> dict[str, Any]:
+    rng, started_at = random.Random(6), time.monotonic()
+    before = await resource_usage(cluster)
+    dests = rng.sample(range(1, cluster.dests + 1), min(STORM, cluster.dests))
     pieces = 60
     for n in range(pieces):
-        it.register.change([entry(dest, it.at["b"]) for dest in dests[n::pieces]])
-        await asyncio.sleep(max(0.0, begun + STORM_S * (n + 1) / pieces - time.monotonic()))
-    ended = time.monotonic()
-    await it.followed(120.0)
-    kept = time.monotonic() - ended
+        cluster.register.change([entry(dest, cluster.at["b"]) for dest in dests[n::pieces]])
+        await asyncio.sleep(max(0.0, started_at + STORM_S * (n + 1) / pieces - time.monotonic()))
+    changed_at = time.monotonic()
+    await cluster.wait_until_followed(120.0)
+    servers_followed_s = time.monotonic() - changed_at
     async with asyncio.timeout(120.0):
-        while (await it.role(it.relays[0], "reader"))["version"][1] < it.register.generation:
+        while (await cluster.role_status(cluster.relays[0], "reader"))["version"][
+            1
+        ] < cluster.register.generation:
             await asyncio.sleep(0.05)
     return {
         "changes": len(dests),
         "within s": STORM_S,
-        "keepers follow after s": round(kept, 1),
-        "the relay follows after s": round(time.monotonic() - ended, 1),
-        **between(before, await taken(it)),
-        "reader": await it.role(it.relays[0], "reader"),
-        "keepers": [await it.role(n, "keeper") for n in range(it.keepers)],
+        "keepers follow after s": round(servers_followed_s, 1),
+        "the relay follows after s": round(time.monotonic() - changed_at, 1),
+        **between(before, await resource_usage(cluster)),
+        "reader": await cluster.role_status(cluster.relays[0], "reader"),
+        "keepers": [await cluster.role_status(n, "keeper") for n in range(cluster.keepers)],
     }
 
 
@@ -111,37 +115,37 @@
     `rows` (of each size), `storm`."""
     found: dict[str, Any] = {"destinations": known, "shards": count}
     if "without" in parts:
-        async with shards_town(1, 1, on=False, dests=1, hold=HOLD) as it:
+        async with sharded_cluster(1, 1, on=False, dests=1, hold=HOLD) as cluster:
             await asyncio.sleep(2.0)
-            clients = Clients(it)
-            await use(it, clients, [1] * 1000)
+            clients = Clients(cluster)
+            await use(cluster, clients, [1] * 1000)
             clients.close()
-            found["without"] = await window(it)
-    async with shards_town(2, 1, dests=known, count=count, hold=HOLD, idle_s=3600.0) as it:
+            found["without"] = await window(cluster)
+    async with sharded_cluster(2, 1, dests=known, count=count, hold=HOLD, idle_s=3600.0) as cluster:
         await asyncio.sleep(2.0)
-        found["keeper"] = {"RSS MB": round((await it.report(0)).rss_mb, 1)}
+        found["keeper"] = {"RSS MB": round((await cluster.report(0)).rss_mb, 1)}
         if "without" in parts:
-            found["none in use"] = await window(it)
+            found["none in use"] = await window(cluster)
         dests = list(range(1, known + 1))
         random.Random(4).shuffle(dests)
-        clients, before = Clients(it), 0
+        clients, before = Clients(cluster), 0
         for size in sizes:
             row: dict[str, Any] = {}
-            row["into use s"] = round(await use(it, clients, dests[before:size]), 1)
+            row["into use s"] = round(await use(cluster, clients, dests[before:size]), 1)
             before = size
             if "rows" in parts:
                 await asyncio.sleep(3.0)
-                row["at rest"] = await window(it)
-                row["plan"] = await with_changes(it, PLAN / DAY_S)
-                row["plan x 100"] = await with_changes(it, 100 * PLAN / DAY_S)
-            row["reader"] = await it.role(it.relays[0], "reader")
+                row["at rest"] = await window(cluster)
+                row["plan"] = await with_changes(cluster, PLAN / DAY_S)
+                row["plan x 100"] = await with_changes(cluster, 100 * PLAN / DAY_S)
+            row["reader"] = await cluster.role_status(cluster.relays[0], "reader")
             found[f"{size} in use"] = row
         if "storm" in parts:
-            found["storm"] = await stormed(it)
+            found["storm"] = await stormed(cluster)
         found["keeper after"] = {
-            "RSS MB": round((await it.report(0)).rss_mb, 1),
-            "lag ms": (await it.report(0)).lag.most_ms,
+            "RSS MB": round((await cluster.report(0)).rss_mb, 1),
+            "lag ms": (await cluster.report(0)).lag.most_ms,
         }
-        found["broken"] = it.broken(clients.taken)
+        found["broken"] = cluster.broken(clients.accepted)
         clients.close()
     return found
--- a/benchmarks/sharded_directory_cluster.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -1,8 +1,8 @@
-"""Real relays and keepers with a net between them in which faults are put, a register whose list changes, and
-two partners' endpoints between which destinations move: for tests and benchmarks/sharded_directory.py.
+"""Real relays and shard servers with a fault proxy between them, a register whose list changes, and two
+endpoints between which destinations move: for tests and benchmarks/sharded_directory.py.
 
-Instances 0 to `keepers` - 1 keep the list; clients hand in at the others. Each message's id tells its
-destination, so that the ledgers of the two places tell by which entry each call was made.
+Instances 0 to `keepers` - 1 are shard servers; clients submit at the others. Each message's id names its
+destination, so that the ledgers of the two places show by which entry each call was made.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 from .processes import CLASSES, lines
 
 PLACES = ("a", "b")
-LOG = 200_000  # changes that a register can tell since a version; older ones: all
+MAX_LOGGED_CHANGES = 200_000  # changes that a register knows; from before them it sends the whole list
 
 
-class Register(Agent):
-    """The platform's agent with a list that changes. In the process of the benchmark."""
+class ChangingRegister(Agent):
+    """The platform's agent with a list that changes. It runs in the benchmark's process."""
 
     def __init__(self, entries: Iterable[dict[str, Any]], ledger: TextIO | None = None) -> None:
         self.ledger, self.generation = ledger, 1
         self.entries = {entry["instanceId"]: entry for entry in entries}
-        self.log: list[tuple[int, dict[str, Any]]] = []
-        self.first = 1  # changes are known since this generation
-        self.whole = (0, b"")
-        self.news = asyncio.Event()
-        self.bytes = 0
-        self.at: dict[int, float] = {}  # Unix s of each generation
-
-    async def begin(self) -> str:
+        self.changes: list[tuple[int, dict[str, Any]]] = []
+        self.history_start = 1  # changes are known since this generation
+        self.full_list = (0, b"")
+        self.changed = asyncio.Event()
+        self.sent_bytes = 0
+        self.generation_times: dict[int, float] = {}  # Unix s of each generation
+
+    async def listen(self) -> str:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
@@ -55,38 +55,38 @@
         """In one generation."""
         self.generation += 1
         for entry in entries:
-            self.log.append((self.generation, entry))
+            self.changes.append((self.generation, entry))
             if entry["lifecycle"] == "gone":
                 self.entries.pop(entry["instanceId"], None)
             else:
                 self.entries[entry["instanceId"]] = entry
-        if len(self.log) > LOG:
-            self.first = self.log[-LOG][0] + 1
-            self.log = [each for each in self.log if each[0] >= self.first]
-        self.at[self.generation] = time.time()
-        self.news.set()
-        self.news = asyncio.Event()
-
-    async def answer(self, method: str, target: str, told: bytes) -> tuple[int, bytes]:
+        if len(self.changes) > MAX_LOGGED_CHANGES:
+            self.history_start = self.changes[-MAX_LOGGED_CHANGES][0] + 1
+            self.changes = [each for each in self.changes if each[0] >= self.history_start]
+        self.generation_times[self.generation] = time.time()
+        self.changed.set()
+        self.changed = asyncio.Event()
+
+    async def answer(self, method: str, target: str, report: bytes) -> tuple[int, bytes]:
         if method == "POST":
-            return await super().answer(method, target, told)
+            return await super().answer(method, target, report)
         query = parse_qs(urlsplit(target).query)
         known = int(query.get("from", ["-1"])[0])
-        if not self.first <= known <= self.generation:
-            if self.whole[0] != self.generation:
-                self.whole = self.generation, self._told(True, list(self.entries.values()))
-            return 200, self.whole[1]
+        if not self.history_start <= known <= self.generation:
+            if self.full_list[0] != self.generation:
+                self.full_list = self.generation, self._list_body(True, list(self.entries.values()))
+            return 200, self.full_list[1]
         if known == self.generation:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query.get("hold_ms", ["0"])[0]) / 1000):
-                    await self.news.wait()
-        changes = self.log[bisect_left(self.log, known + 1, key=lambda each: each[0]) :]
+                    await self.changed.wait()
+        changes = self.changes[bisect_left(self.changes, known + 1, key=lambda each: each[0]) :]
         latest = {entry["instanceId"]: entry for _, entry in changes}
-        return 200, self._told(False, list(latest.values()))
+        return 200, self._list_body(False, list(latest.values()))
 
-    def _told(self, reset: bool, entries: list[dict[str, Any]]) -> bytes:
+    def _list_body(self, reset: bool, entries: list[dict[str, Any]]) -> bytes:
         body = json.dumps({"generation": self.generation, "reset": reset, "instances": entries}).encode()
-        self.bytes += len(body)
+        self.sent_bytes += len(body)
         return body
 
 
@@ -106,15 +106,15 @@
 
 @dataclass
 class Clients:
-    """Messages handed in at relays by turns; each has its destination in its id."""
+    """Submits messages at relays by turns; each has its destination in its id."""
 
-    it: ShardsTown
+    cluster: ShardedCluster
     rng: random.Random = field(default_factory=lambda: random.Random(1))
-    asked: list[str] = field(default_factory=list)
-    taken: dict[str, str] = field(default_factory=dict)  # and their classes
-    answers: dict[str, int] = field(default_factory=dict)
-    work: set[asyncio.Task[None]] = field(default_factory=set)
-    kept: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
+    submitted: list[str] = field(default_factory=list)
+    accepted: dict[str, str] = field(default_factory=dict)  # and their classes
+    statuses: dict[str, int] = field(default_factory=dict)
+    tasks: set[asyncio.Task[None]] = field(default_factory=set)
+    pool: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
 
     async def run(self, rate: float, seconds: float, dests: list[int], to: list[int] | None = None) -> None:
         """Open loop; a message is handed in when its time has come."""
@@ -123,37 +123,37 @@
         ends = at + seconds
         while (at := at + self.rng.expovariate(rate)) < ends:
             await asyncio.sleep(max(0.0, at - loop.time()))
-            self.hand_in(self.rng.choice(dests), self.rng.choice(to or self.it.relays))
-        await self.settled()
+            self.submit(self.rng.choice(dests), self.rng.choice(to or self.cluster.relays))
+        await self.wait_until_settled()
 
-    def hand_in(self, dest: int, relay: int, class_: str = "", left_ms: float = 0.0) -> None:
-        task = asyncio.ensure_future(self.one(dest, relay, class_, left_ms))
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+    def submit(self, dest: int, relay: int, class_: str = "", left_ms: float = 0.0) -> None:
+        task = asyncio.ensure_future(self.submit_and_wait(dest, relay, class_, left_ms))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
-    async def settled(self) -> None:
-        while self.work:
-            await asyncio.gather(*list(self.work), return_exceptions=True)
+    async def wait_until_settled(self) -> None:
+        while self.tasks:
+            await asyncio.gather(*list(self.tasks), return_exceptions=True)
 
-    async def one(self, dest: int, relay: int, class_: str = "", left_ms: float = 0.0) -> None:
-        ident = f"m{len(self.asked)}-{dest}"
-        self.asked.append(ident)
+    async def submit_and_wait(self, dest: int, relay: int, class_: str = "", left_ms: float = 0.0) -> None:
+        ident = f"m{len(self.submitted)}-{dest}"
+        self.submitted.append(ident)
         names = [name for name, *_ in CLASSES]
         class_ = class_ or self.rng.choices(names, [weight for *_, weight in CLASSES])[0]
         deadline = left_ms or next(ms for name, _, ms, _ in CLASSES if name == class_)
         data = request(ident, class_, dest, deadline, b"x" * 200, f"k{ident}")
-        status = (await self.kept.hand_in(("127.0.0.1", self.it.port + relay), data)).status
-        self.answers[status] = self.answers.get(status, 0) + 1
+        status = (await self.pool.hand_in(("127.0.0.1", self.cluster.port + relay), data)).status
+        self.statuses[status] = self.statuses.get(status, 0) + 1
         if status in ("202", "200"):
-            self.taken[ident] = class_
+            self.accepted[ident] = class_
 
     def close(self) -> None:
-        self.kept.close()
+        self.pool.close()
 
 
 @dataclass
-class ShardsTown(ClusterHarness):
-    """`instances` counts keepers and relays."""
+class ShardedCluster(ClusterHarness):
+    """A cluster with shard servers; `instances` counts them and the relays."""
 
     agreed: bool = False
     keepers: int = 3
@@ -164,10 +164,10 @@
     hold: int = 1000
     on: bool = True  # False: the same processes with the whole list at each
     spoilt: tuple[dict[str, Any], ...] = ()  # entries of the list that can't be read
-    old: tuple[int, ...] = ()  # keepers with a register of their own, which hears of no change
+    old: tuple[int, ...] = ()  # servers with a register of their own, which never changes
     extra: int = 0  # destinations that nobody calls
     moves: list[tuple[float, int, str]] = field(default_factory=list)  # Unix s, destination, to which place
-    where: dict[int, str] = field(default_factory=dict)
+    current_places: dict[int, str] = field(default_factory=dict)
 
     @property
     def relays(self) -> list[int]:
@@ -180,11 +180,11 @@
         self.notices = open(self.folder / "notices", "a")  # noqa: SIM115  until it is closed
         listed = [entry(dest, self.at["a"]) for dest in range(1, self.dests + 1)]
         listed += [entry(dest, self.at["a"]) for dest in range(self.dests + 1, self.dests + 1 + self.extra)]
-        self.where = dict.fromkeys(range(1, self.dests + 1), "a")
-        self.register = Register([*listed, *self.spoilt], self.notices)
-        self.old_register = Register([*listed, *self.spoilt], self.notices)
-        self.old_at = await self.old_register.begin()
-        return await self.register.begin()
+        self.current_places = dict.fromkeys(range(1, self.dests + 1), "a")
+        self.register = ChangingRegister([*listed, *self.spoilt], self.notices)
+        self.old_register = ChangingRegister([*listed, *self.spoilt], self.notices)
+        self.old_register_address = await self.old_register.listen()
+        return await self.register.listen()
 
     async def set_up(self) -> None:
         self.at = {}
@@ -208,8 +208,8 @@
         return {"generation": 1, "reset": True, "instances": []}
 
     def _settings(self) -> dict[str, Any]:
-        told = super()._settings()
-        return told | {"limits": told["limits"] | {"open-cap": self.hold}}
+        report = super()._settings()
+        return report | {"limits": report["limits"] | {"open-cap": self.hold}}
 
     def configure(self, instances: int) -> None:
         seeds = ", ".join(f'"127.{self.block}.2.{n}:{PORT}"' for n in range(max(1, self.keepers)))
@@ -225,8 +225,10 @@
             )
         path = self.folder / "config0.json"
         if self.old:
-            told = json.loads(path.read_text())
-            (self.folder / "old.json").write_text(json.dumps(told | {"discovery": self.old_at}))
+            report = json.loads(path.read_text())
+            (self.folder / "old.json").write_text(
+                json.dumps(report | {"discovery": self.old_register_address})
+            )
         super().configure(instances)
 
     # -- changes ---------------------------------------------------------------------------------------------
@@ -234,12 +236,12 @@
     def move(self, *dests: int) -> None:
         """To the other place."""
         for dest in dests:
-            self.where[dest] = "b" if self.where[dest] == "a" else "a"
-            self.moves.append((time.time(), dest, self.where[dest]))
-        self.register.change(entry(dest, self.at[self.where[dest]]) for dest in dests)
+            self.current_places[dest] = "b" if self.current_places[dest] == "a" else "a"
+            self.moves.append((time.time(), dest, self.current_places[dest]))
+        self.register.change(entry(dest, self.at[self.current_places[dest]]) for dest in dests)
 
-    def late(self) -> list[float]:
-        """Of each move: how long after it the last call was made by the entry before it; 0: none was."""
+    def lateness_of_moves(self) -> list[float]:
+        """For each move, how long after it the last call was made by the entry before it; 0: none was."""
         calls: dict[tuple[str, int], list[float]] = {}
         for place in PLACES:
             for line in lines(self.folder / f"calls {place}"):
@@ -262,31 +264,31 @@
 
     async def report(self, n: int) -> Report:
         """Raises StatusError."""
-        told = await fetch_report(self.folder / "run" / f"{n}.sock")
-        assert isinstance(told, Report)
-        return told
+        report = await fetch_report(self.folder / "run" / f"{n}.sock")
+        assert isinstance(report, Report)
+        return report
 
-    async def role(self, n: int, role: str) -> dict[str, Any]:
-        told: dict[str, Any] = ((await self.report(n)).shards or {})[role]
-        return told
+    async def role_status(self, n: int, role: str) -> dict[str, Any]:
+        report: dict[str, Any] = ((await self.report(n)).shards or {})[role]
+        return report
 
-    async def loaded(self, seconds: float = 60.0) -> None:
-        """Until each keeper has a list."""
+    async def wait_until_loaded(self, seconds: float = 60.0) -> None:
+        """Wait until each server has a list."""
         async with asyncio.timeout(seconds):
             for n in range(self.keepers):
                 while True:
                     with contextlib.suppress(StatusError):
-                        if not (await self.role(n, "keeper"))["loading"]:
+                        if not (await self.role_status(n, "keeper"))["loading"]:
                             break
                     await asyncio.sleep(0.05)
 
-    async def followed(self, seconds: float = 60.0) -> None:
-        """Until each keeper but those with an old register is at the latest generation."""
+    async def wait_until_followed(self, seconds: float = 60.0) -> None:
+        """Wait until each server but those with an old register is at the latest generation."""
         async with asyncio.timeout(seconds):
             for n in (n for n in range(self.keepers) if n not in self.old):
                 while True:
                     with contextlib.suppress(StatusError):
-                        if (await self.role(n, "keeper"))["version"][1] == self.register.generation:
+                        if (await self.role_status(n, "keeper"))["version"][1] == self.register.generation:
                             break
                     await asyncio.sleep(0.05)
 
@@ -300,9 +302,9 @@
 
 
 @contextlib.asynccontextmanager
-async def shards_town(keepers: int = 3, relays: int = 3, **more: Any) -> AsyncIterator[ShardsTown]:
+async def sharded_cluster(keepers: int = 3, relays: int = 3, **more: Any) -> AsyncIterator[ShardedCluster]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
-        it = ShardsTown(
+        cluster = ShardedCluster(
             Path(folder),
             keepers + relays,
             more.pop("rate", 1000.0),
@@ -312,23 +314,23 @@
             **more,
         )
         try:
-            await it.set_up()
-            if it.on:
-                await it.loaded()
-            yield it
+            await cluster.set_up()
+            if cluster.on:
+                await cluster.wait_until_loaded()
+            yield cluster
         finally:
-            await it.close()
+            await cluster.close()
 
 
 @contextlib.asynccontextmanager
-async def traffic(it: ShardsTown, rate: float, dests: list[int]) -> AsyncIterator[Clients]:
-    """Goes on meanwhile."""
-    clients = Clients(it)
+async def traffic(cluster: ShardedCluster, rate: float, dests: list[int]) -> AsyncIterator[Clients]:
+    """Submit messages for as long as the context is open."""
+    clients = Clients(cluster)
     work = asyncio.ensure_future(clients.run(rate, 600.0, dests))
     try:
         yield clients
     finally:
         work.cancel()
         await asyncio.gather(work, return_exceptions=True)
-        await clients.settled()
+        await clients.wait_until_settled()
         clients.close()
