--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -3,10 +3,10 @@
     python -m benchmarks.sharded_directory [--json] [--plays killed,...] [--budget] [--sizes 1000,...]
             [--parts rows,...]
 
-Plays: 3 keepers and 3 relays through the fault net, traffic to 60 of 400 destinations, ten of which move to
+Plays: 3 servers and 3 relays through the fault net, traffic to 60 of 400 destinations, ten of which move to
 another address every two seconds. `force`: how long after a move, as the register told it, the last call was
 made by the entry before it. `broken`: messages that were lost, doubled or told two ends, by the ledgers. The
-budget: `--budget`, with keepers of 360,000 destinations beside one real relay. Nothing else should run.
+budget: `--budget`, with servers of 360,000 destinations beside one real relay. Nothing else should run.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
 
 
 async def killed() -> dict[str, Any]:
-    """A keeper is killed in the middle of a shard's answer: what comes of it is a trickle."""
+    """A server is killed in the middle of a shard's answer: what comes of it is a trickle."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         for relay in cluster.relays:
@@ -106,7 +106,7 @@
 
 
 async def frozen() -> dict[str, Any]:
-    """A keeper stands still for 20 s, and then a relay does."""
+    """A server stands still for 20 s, and then a relay does."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         cluster.freeze(0)
@@ -122,7 +122,7 @@
 
 
 async def behind() -> dict[str, Any]:
-    """One keeper hears of no change, though its source confirms it: it is behind by all changes of the play
+    """One server hears of no change, though its source confirms it: it is behind by all changes of the play
     and 300 before it. For a while it is the only one that can be reached."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
@@ -153,7 +153,7 @@
 
 
 async def restarted() -> dict[str, Any]:
-    """All keepers end and start together, while messages come for shards that no relay has."""
+    """All servers end and start together, while messages come for shards that no relay has."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await asyncio.gather(*(cluster.kill(n) for n in range(3)))
@@ -167,7 +167,7 @@
 
 
 async def one_way() -> dict[str, Any]:
-    """What keepers say does not come, what is asked of them does; then the other way round."""
+    """What servers say does not come, what is asked of them does; then the other way round."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         relays = [f"n{n}" for n in cluster.relays]
@@ -221,7 +221,7 @@
 
 
 async def held() -> dict[str, Any]:
-    """3 relays are killed with 500 messages held over 400 shards, whose keepers are away; some of their
+    """3 relays are killed with 500 messages held over 400 shards, whose servers are away; some of their
     destinations move meanwhile."""
     async with sharded_cluster(3, 3, dests=1200, count=4096) as cluster:
         await asyncio.gather(*(cluster.kill(n) for n in range(3)))
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -1,4 +1,4 @@
-"""What the directory by interest costs a real relay beside keepers of 360,000 destinations: memory, bytes and
+"""What the directory by interest costs a real relay beside servers of 360,000 destinations: memory, bytes and
 processor time, at rest and at changes. See benchmarks/sharded_directory.py."""
 
 from __future__ import annotations
--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -48,7 +48,7 @@
 BOUND_S = 12.0
 MAX_BLOCKED_S = 10.0  # a server that knows all could be reached for so long: calls go, wanted shards are here
 SOURCE_POLL_S = 2.0  # of a server at its source
-REQUEST_TIMEOUT_S = 1.0  # of an ask
+REQUEST_TIMEOUT_S = 1.0
 SETTINGS = Settings(
     classes=(MessageClass("order", Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),),
     kinds=(DestinationKind("k"),),
--- a/tests/sharded_directory/client_world.py
+++ b/tests/sharded_directory/client_world.py
@@ -126,12 +126,12 @@
     complete: bool = True,
     now: float = 0.0,
 ) -> ShardResponse:
-    """Of a keeper that does not look at what it is asked."""
+    """The response of a server that ignores what was requested."""
     return ShardResponse(request[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
 
 
 def respond_in_part(world: ClientWorld, version: tuple[int, int], *parts: Any) -> None:
-    """The next ask is answered by this much, and more is to come."""
+    """Respond to the next request with these parts, as an incomplete response."""
     request = world.tick()[0]
     world.client.on_response(world.now, request[0], response_to(request, version, parts, False, world.now))
     world.apply()
--- a/tests/sharded_directory/common.py
+++ b/tests/sharded_directory/common.py
@@ -89,7 +89,7 @@
 
 
 def apply_response(shards: dict[int, dict[str, Row]], response: ShardResponse) -> None:
-    """The plainest reader there is."""
+    """The plainest client there is."""
     for part in response.parts:
         if isinstance(part, FullShard):
             shards[part.shard] = {each.name: each for each in part.rows}
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -92,7 +92,7 @@
 
 
 class Instance:
-    """One relay; a keeper too, if its number is among the part's."""
+    """One relay; a server too, if its number is among the part's."""
 
     def __init__(self, number: int, part: ShardedDirectorySettings, folder: Path, port: int) -> None:
         self.front, self.carrier = FakeIntake(), SlowCarrier()
@@ -151,7 +151,7 @@
         await (it.kill() if killed else it.close())
 
     async def wait_until_loaded(self) -> None:
-        """Each keeper has the list as it is in the file."""
+        """Each server has the list as it is in the file."""
         servers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
         await until(lambda: all(it.version == (1, self.generation) for it in servers))
 
--- a/tests/sharded_directory/test_client_any_order.py
+++ b/tests/sharded_directory/test_client_any_order.py
@@ -30,8 +30,7 @@
 
 
 class RandomEvents:
-    """Keepers that hear of changes at their own time; asks, answers and digests that wait to be delivered, in
-    any order, more than once or never."""
+    """Servers updated at their own time, and messages delivered in any order, twice or never."""
 
     def __init__(self) -> None:
         self.layout = Layout(2, (1, 2))
@@ -56,7 +55,7 @@
         listing = (0, DRAINING, GONE)[pick // 4] if known else 0
         place = known.destination if known and listing else pick % 5
         new = row(name, place, listing, mark=float(generation))
-        after = {each: kept for each, kept in self.rows[-1].items() if each != name}
+        after = {each: unchanged for each, unchanged in self.rows[-1].items() if each != name}
         if listing != GONE:
             after[name] = new
         self.rows.append(after)
@@ -164,6 +163,6 @@
     }
     assert has == is_
     shards = by_shard(drawn.rows[-1], 2)
-    for shard, held in drawn.client.cache.resident.items():
-        assert len(drawn.client.cache._decode_rows(held)) == len(shards[shard])
+    for shard, cached in drawn.client.cache.resident.items():
+        assert len(drawn.client.cache._decode_rows(cached)) == len(shards[shard])
     assert drawn.client.status(drawn.now).endpoints == len(has)
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -1,4 +1,4 @@
-"""Real relays and keepers with a net between them. The plays of benchmarks/sharded_directory.py in small."""
+"""Real relays and servers with a net between them. The plays of benchmarks/sharded_directory.py in small."""
 
 from __future__ import annotations
 
@@ -79,12 +79,12 @@
                 before = len(it.effects())
                 await asyncio.sleep(2.0)
                 assert len(it.effects()) > before + 40
-                told = await it.role_status(1, "reader")
-                assert told["age_s"] > 8.0 and told["failures"] > 0 and told["shards"] > 5
-                shown = await asyncio.to_thread(
+                status = await it.role_status(1, "reader")
+                assert status["age_s"] > 8.0 and status["failures"] > 0 and status["shards"] > 5
+                output = await asyncio.to_thread(
                     CliRunner().invoke, group, ["status", "--folder", str(it.folder / "run")]
                 )
-                assert "directory by interest" in shown.output and "age_s" in shown.output.replace("\n", "")
+                assert "directory by interest" in output.output and "age_s" in output.output.replace("\n", "")
             await it.drained(25.0)
             assert it.broken(clients.accepted) == []
 
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -1,4 +1,4 @@
-"""What things cost, by counts: a change, an ask and an answer by what changed, not by what there is."""
+"""What things cost, by counts: a change, a request and a response by what changed, not by what there is."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 NOW = 100.0
 
 
-def keeper_of(size: tuple[int, int], clients: int = 0) -> ShardServer:
+def server_of(size: tuple[int, int], clients: int = 0) -> ShardServer:
     destinations, shards = size
     server = loaded_server(Layout(shards, (1,)), [row(f"e{i}", i) for i in range(destinations)], now=NOW)
     for number in range(clients):
@@ -34,8 +34,8 @@
 
 
 def cost_of_a_change(size: tuple[int, int], clients: int) -> tuple[int, int, int]:
-    """Rows read, sums touched, bytes told to one reader."""
-    server = keeper_of(size, clients)
+    """Rows read, sums touched, bytes told to one client."""
+    server = server_of(size, clients)
     before = server.table.decoded_rows, server.subscribers.update_count
     server.apply_changes(NOW, 2, [row("e7", 7, 1)])
     after = server.table.decoded_rows - before[0], server.subscribers.update_count - before[1]
@@ -61,7 +61,7 @@
 def test_cost_of_a_request_depends_on_changes_and_not_on_resident_shards() -> None:
     costs = []
     for holds in (16, 512):
-        server = keeper_of(LARGE)
+        server = server_of(LARGE)
         server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(holds)))
         server.apply_changes(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
         before = server.table.decoded_rows, server.subscribers.update_count
@@ -71,7 +71,7 @@
 
 
 def test_old_changes_are_not_visited() -> None:
-    server = keeper_of(LARGE)
+    server = server_of(LARGE)
     for generation in range(2, 302):
         server.apply_changes(NOW, generation, [row(f"e{generation}", generation, 1)])
     assert len(list(server.table.changed_since(300))) == 1 and len(list(server.table.changed_since(301))) == 0
@@ -81,7 +81,7 @@
 def reader_of(
     size: tuple[int, int], used: int
 ) -> tuple[ShardServer, ShardClient, list[tuple[str, ShardRequest]]]:
-    server = keeper_of(size)
+    server = server_of(size)
     client = ShardClient("n100", server.layout, random.Random(1))
     for destination in range(used):
         client.request(NOW, destination, NOW + 9.0)
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -1,4 +1,4 @@
-"""Messages and the directory by interest: a keeper and a relay on loopback, in this process."""
+"""Messages and the directory by interest: a server and a relay on loopback, in this process."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 
 def cut(relay: Instance) -> None:
-    """No keeper can be reached, and what they say does not come."""
+    """No server can be reached, and what they say does not come."""
 
-    async def shard_request(*_: object) -> bytes:
+    async def send_request(*_: object) -> bytes:
         raise OSError("cut off")
 
-    relay.node.request = shard_request  # type: ignore[method-assign, assignment]
+    relay.node.request = send_request  # type: ignore[method-assign, assignment]
     relay.node.datagram_handlers.clear()
 
 
 def test_message_for_a_shard_that_is_not_resident_is_accepted_and_sent_when_it_is(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(tmp_path, listed(7), 1) as it:  # the keeper is not there yet
+        async with fleet(tmp_path, listed(7), 1) as it:  # the server is not there yet
             relay = it.instances[1]
             receipt = relay.messages.accept(submission("m"))
             assert receipt.accepted and receipt.is_new and not relay.entries["m"].final_state
@@ -112,22 +112,22 @@
                 ).accepted
             await it.stop_instance(1)
             relay = await it.start_instance(1)
-            respond: list[list[int]] = []
-            shard_request = relay.node.request
+            requested: list[list[int]] = []
+            send_request = relay.node.request
 
-            async def noted(name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
-                word = decode_message(raw)
-                assert isinstance(word, ShardRequest)
-                respond.append([want.shard for want in word.requested_shards])
-                return await shard_request(name, kind, raw, seconds)
+            async def recording_request(name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
+                message = decode_message(raw)
+                assert isinstance(message, ShardRequest)
+                requested.append([each_shard.shard for each_shard in message.requested_shards])
+                return await send_request(name, kind, raw, seconds)
 
-            relay.node.request = noted  # type: ignore[method-assign]
+            relay.node.request = recording_request  # type: ignore[method-assign]
             assert relay.messages.pending_count == 50
             assert not relay.host.is_dispatching and len(relay.shards.client.pending) == 50  # before all else
             await it.start_instance(0)
             await until(lambda: all(each.final_state == "delivered" for each in relay.entries.values()))
-            wanted = next(each for each in respond if each)
-            assert wanted == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(wanted)]
+            first_request = next(each for each in requested if each)
+            assert first_request == [shard_of(dest, SHARDS) for dest in reversed(dests)][: len(first_request)]
             assert sorted(each.trace_id for each in relay.carrier.attempts) == sorted(
                 f"m{n}" for n in range(50)
             )
@@ -177,8 +177,8 @@
             await learned(relay, 7)
             relay.carrier.can_connect.clear()
             relay.messages.accept(submission("m"))
-            begun = relay.carrier.connect_attempts
-            await until(lambda: relay.carrier.connect_attempts > begun)
+            attempts_before = relay.carrier.connect_attempts
+            await until(lambda: relay.carrier.connect_attempts > attempts_before)
             it.write_list(listed(7, port=2))
             await until(lambda: relay.host.directory.by_name["e7"].address == ("h", 2))
             relay.carrier.can_connect.set()
@@ -201,7 +201,7 @@
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            shard_request, datagrams = relay.node.request, dict(relay.node.datagram_handlers)
+            send_request, datagrams = relay.node.request, dict(relay.node.datagram_handlers)
             relay.node.datagram_handlers.clear()  # what comes while it stands still
             relay.shards.running = False
             if relay.shards.timer is not None:
@@ -212,7 +212,7 @@
 
             async def slow(*args: Any) -> bytes:
                 await asyncio.sleep(0.4)
-                return await shard_request(*args)
+                return await send_request(*args)
 
             relay.node.request = slow  # type: ignore[method-assign, assignment]
             relay.node.datagram_handlers.update(datagrams)
@@ -246,15 +246,17 @@
             await learned(relay, 7)
             relay.carrier.can_connect.clear()
             relay.messages.accept(submission("m"))
-            begun = relay.carrier.connect_attempts
-            await until(lambda: relay.carrier.connect_attempts > begun)
+            attempts_before = relay.carrier.connect_attempts
+            await until(lambda: relay.carrier.connect_attempts > attempts_before)
             current = relay.shards.client.is_current
             relay.shards.client.is_current = lambda *_: False  # type: ignore[method-assign]
             relay.carrier.can_connect.set()
             await until(lambda: relay.carrier.withheld_calls == 1)
             assert relay.entries["m"].attempt_count == 0 and not relay.carrier.attempts
             await asyncio.sleep(1.5)
-            assert relay.carrier.connect_attempts <= begun + 3  # a wait of a second each time, no spin
+            assert (
+                relay.carrier.connect_attempts <= attempts_before + 3
+            )  # a wait of a second each time, no spin
             relay.shards.client.is_current = current  # type: ignore[method-assign]
             await until(lambda: relay.entries["m"].final_state == "delivered")
             assert len(relay.carrier.attempts) == 1
@@ -273,9 +275,9 @@
             for n in range(3):
                 relay.messages.accept(submission(f"m{n}"))
                 await until(lambda n=n: relay.entries[f"m{n}"].final_state == "delivered")  # type: ignore[misc]
-            told = relay.shards.status()["reader"]
-            assert told["behind"] is False or told["age_s"] > 5.0
-            assert 5.0 < told["age_s"] < 20.0 and told["failures"] > 0
+            status = relay.shards.status()["reader"]
+            assert status["behind"] is False or status["age_s"] > 5.0
+            assert 5.0 < status["age_s"] < 20.0 and status["failures"] > 0
             assert relay.messages.accept(
                 submission("x", destination=8)
             ).accepted  # nobody can say that there is none
@@ -294,8 +296,8 @@
             await until(lambda: 7 not in relay.host.scheduler.destinations)
             assert not relay.shards.is_resident(7) and not relay.shards.client.cache.resident
             await learned(relay, 7, "second")
-            lane = relay.host.scheduler.destinations[7][-1]
-            assert lane.warming_since < 0 and lane.failing_since is None
+            state = relay.host.scheduler.destinations[7][-1]
+            assert state.warming_since < 0 and state.failing_since is None
 
     run(work())
 
@@ -329,9 +331,9 @@
             relay.host.scheduler.pending.request_scan(7)
             await until(lambda: not relay.shards.is_resident(8))
             assert relay.shards.is_resident(7)
-            begun = asyncio.get_running_loop().time()
+            attempts_before = asyncio.get_running_loop().time()
             await until(lambda: not relay.shards.is_resident(7))
-            assert asyncio.get_running_loop().time() - begun > 1.0
+            assert asyncio.get_running_loop().time() - attempts_before > 1.0
 
     run(work())
 
@@ -353,8 +355,8 @@
         async with fleet(tmp_path, listed(7), 0, 1) as it:
             relay = it.instances[1]
             await learned(relay, 7)
-            lane = relay.host.scheduler.destinations[7][-1]
-            lane.retry_after_until = relay.host.driver.now() + 4000.0
+            state = relay.host.scheduler.destinations[7][-1]
+            state.retry_after_until = relay.host.driver.now() + 4000.0
             relay.host.scheduler.pending.request_scan(7)
             await it.stop_instance(0)
             await it.stop_instance(1, killed=False)
@@ -362,15 +364,15 @@
             await until(lambda: relay.host.is_dispatching)
             assert relay.host.is_in_use(7) and 7 not in relay.host.scheduler.destinations
             relay.host._save_snapshot()
-            assert [lane.destination for lane in relay.host.snapshot_file.destinations] == [
+            assert [state.destination for state in relay.host.snapshot_file.destinations] == [
                 7
             ]  # for the next process too
             relay.messages.accept(submission("m"))
-            begun = asyncio.get_running_loop().time()
+            attempts_before = asyncio.get_running_loop().time()
             await it.start_instance(0)
             await until(lambda: 7 in relay.host.scheduler.destinations)
             await until(lambda: relay.entries["m"].final_state == "delivered")
-            assert 1.0 < asyncio.get_running_loop().time() - begun < 5.0
+            assert 1.0 < asyncio.get_running_loop().time() - attempts_before < 5.0
 
     run(work())
 
@@ -385,10 +387,10 @@
                 with pytest.raises(OSError):
                     await relay.node.request("n0", "shards", raw, 1.0)
             assert relay.shards.counts["unreadable"] == 4 and server.shards.counts["unreadable"] == 4
-            shard_request = relay.node.request
+            send_request = relay.node.request
 
             async def spoilt(*args: Any) -> bytes:
-                relay.node.request = shard_request  # type: ignore[method-assign]
+                relay.node.request = send_request  # type: ignore[method-assign]
                 return b"\x91\xa1x"
 
             relay.node.request = spoilt  # type: ignore[method-assign, assignment]
@@ -425,8 +427,8 @@
         async with fleet(tmp_path, listed(7), 0) as it:
             server = it.instances[0]
             await learned(server, 7)
-            told = server.shards.status()
-            assert told["reader"]["shards"] == 1 and told["keeper"]["endpoints"] == 1
+            status = server.shards.status()
+            assert status["reader"]["shards"] == 1 and status["keeper"]["endpoints"] == 1
 
     run(work())
 
@@ -434,8 +436,8 @@
 def test_instance_without_a_server_responds_with_a_layout_mismatch(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1) as it:
-            shard_request = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
-            raw = it.instances[1].shards._on_frame(Hello("n0", MESSAGE_KIND), encode_message(shard_request))
+            send_request = ShardRequest(5, it.instances[1].shards.layout, (0, -1), b"")
+            raw = it.instances[1].shards._on_frame(Hello("n0", MESSAGE_KIND), encode_message(send_request))
             assert decode_message(raw) == LayoutMismatch(5, it.instances[1].shards.layout)
 
     run(work())
--- a/tests/sharded_directory/test_request_scheduler.py
+++ b/tests/sharded_directory/test_request_scheduler.py
@@ -39,7 +39,7 @@
         for request_destinations in each.requested_shards
     ]
     assert due == sorted(due) and due[0] <= 60_200.0
-    assert not world.tick()  # two at most, one a keeper
+    assert not world.tick()  # two at most, one a server
     world.serve(requests)
     world.settle(1.0)
     assert world.client.status(world.now).waiting == 0 and len(world.directory.by_name) == 400
@@ -159,7 +159,7 @@
 
 
 def test_response_to_an_earlier_request_does_not_end_the_outstanding_one() -> None:
-    """It would date what it says by an ask that went out after it was said."""
+    """It would date what it says by a request that went out after it was said."""
     world = ClientWorld([row("a", 1)], Layout(1, (1,)))
     world.request_destinations(1)
     world.settle(1.0)
@@ -181,16 +181,16 @@
         client = ShardClient(f"n{100 + number}", LAYOUT, random.Random(number))
         client.request(100.0, 1, 200.0)
         clients.append(client)
-    asked_at: list[float] = []
+    requested_at: list[float] = []
     for step in range(300):
         now = 100.0 + step / 10.0
         for client in clients:
             client.tick(now, lambda destination: False)
             for name, _ in client.outgoing:
                 client.on_request_failed(now, name)
-                asked_at.append(now)
+                requested_at.append(now)
             client.outgoing.clear()
-    late = [at for at in asked_at if at > 115.0]
+    late = [at for at in requested_at if at > 115.0]
     assert len(late) > 60 * 3
     assert max(map(late.count, set(late))) < len(late) / 15  # of 150 steps
     now = 140.0
--- a/tests/sharded_directory/test_schedules.py
+++ b/tests/sharded_directory/test_schedules.py
@@ -49,7 +49,7 @@
 def test_recovered_servers_are_not_overloaded_and_urgent_requests_come_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All keepers are away, 150 readers come to need 60 shards each, then one keeper returns alone, with a
+    """All servers are away, 150 clients come to need 60 shards each, then one server returns alone, with a
     quarter of the bytes a second, so that they press on it as 600 would."""
     monkeypatch.setattr(shard_server, "BYTES_S", 1e6)
     plan = Plan(
@@ -66,34 +66,34 @@
         restarts_all=False,
         digest_loss=0.0,
     )
-    world = Simulation(plan)
-    world.servers["n1"].stop()
+    simulation = Simulation(plan)
+    simulation.servers["n1"].stop()
     waits: dict[bool, list[float]] = {True: [], False: []}
-    wanted: list[tuple[str, int, bool]] = []
+    pending: list[tuple[str, int, bool]] = []
 
-    def need() -> None:
-        for place, side in enumerate(world.clients.values()):
+    def request_all() -> None:
+        for place, side in enumerate(simulation.clients.values()):
             for each in side.rng.sample(range(6_000), 60):
                 urgent = place % 10 == 0
-                wanted.append((side.name, each, urgent))
-                side.client.request(world.now, each, world.now + (21.0 if urgent else 300.0))
+                pending.append((side.name, each, urgent))
+                side.client.request(simulation.now, each, simulation.now + (21.0 if urgent else 300.0))
             side.process()
 
-    def look() -> None:
-        for one in list(wanted):
-            if world.clients[one[0]].client.is_resident(one[1]):
-                wanted.remove(one)
-                waits[one[2]].append(world.now - 20.0)
-        world.at(world.now + 0.1, look)
-
-    world.at(5.0, need)
-    world.at(20.0, lambda: world.servers["n1"].start(world.now))
-    world.at(20.05, look)
-    found = world.run()
+    def check_resident() -> None:
+        for one in list(pending):
+            if simulation.clients[one[0]].client.is_resident(one[1]):
+                pending.remove(one)
+                waits[one[2]].append(simulation.now - 20.0)
+        simulation.at(simulation.now + 0.1, check_resident)
+
+    simulation.at(5.0, request_all)
+    simulation.at(20.0, lambda: simulation.servers["n1"].start(simulation.now))
+    simulation.at(20.05, check_resident)
+    found = simulation.run()
     assert not found.has_violations, found
-    assert not wanted
+    assert not pending
     assert found.busy > 0
-    assert world.servers["n1"].server.sent_bytes <= 1e6 * (max(map(max, waits.values())) + 2.0)
+    assert simulation.servers["n1"].server.sent_bytes <= 1e6 * (max(map(max, waits.values())) + 2.0)
     assert found.answers_s <= shard_server.RESPONSES_PER_S * (1 + shard_server.BURST_S)
     median = {kind: sorted(each)[len(each) // 2] for kind, each in waits.items()}
     assert median[True] < median[False] and max(waits[True]) < 10.0
@@ -101,6 +101,6 @@
 
 @pytest.mark.parametrize("seed", (1015, 1193, 1337))
 def test_recovered_server_is_tried_though_others_hang(seed: int) -> None:
-    """Three of 400 in which calls were held back for a second, though a keeper that knew all had been there
+    """Three of 400 in which calls were held back for a second, though a server that knew all had been there
     for 10 s: the first of those that hang were asked again and again before it."""
     sound(run_plan(Plan(seed, clients=12)))
--- a/tests/sharded_directory/test_settings.py
+++ b/tests/sharded_directory/test_settings.py
@@ -11,7 +11,7 @@
 from message_relay.sharded_directory import rendezvous_hash, settings
 from message_relay.sharded_directory.settings import ShardedDirectorySettings
 
-HERE = {"peers": {"listen": "127.0.0.1:7000"}, "fleet": {"instances": 3}}
+BASE = {"peers": {"listen": "127.0.0.1:7000"}, "fleet": {"instances": 3}}
 BROKER = {"name": "b", "hosts": ["127.0.0.1:5672"]}
 ZONES = {zone: {"region": "r"} for zone in "yz"}
 ACCORD = {"accord": {"voters": [0]}}
@@ -19,7 +19,7 @@
 
 def test_given_settings_apply_and_without_servers_it_is_off() -> None:
     part = {"keepers": [0, 2], "count": 64, "epoch": 3, "file": "list.json", "idle_s": 9.0, "bound_s": 20.0}
-    assert decoded({**HERE, "shards": part}, "f").shards == ShardedDirectorySettings(
+    assert decoded({**BASE, "shards": part}, "f").shards == ShardedDirectorySettings(
         (0, 2), 64, 3, "list.json", 9.0, 20.0
     )
     assert not OperatorConfig().shards.on and not decoded({"shards": {"count": 64}}, "f").shards.on
@@ -38,45 +38,45 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "said"),
+    ("raw", "expected"),
     [
         ({"shards": {"keepers": [0]}}, "shards.keepers: needs peers.listen"),
-        ({**HERE, "shards": {"keepers": [3]}}, "shards.keepers: 3 is not among fleet.instances = 3"),
-        ({**HERE, "shards": {"keepers": [0, 0]}}, "shards.keepers: each is named once"),
-        ({**HERE, "shards": {"keepers": [-1]}}, r"shards.keepers: \[-1\]: Expected `int` >= 0"),
+        ({**BASE, "shards": {"keepers": [3]}}, "shards.keepers: 3 is not among fleet.instances = 3"),
+        ({**BASE, "shards": {"keepers": [0, 0]}}, "shards.keepers: each is named once"),
+        ({**BASE, "shards": {"keepers": [-1]}}, r"shards.keepers: \[-1\]: Expected `int` >= 0"),
         (
             {"shards": {"keepers": list(range(rendezvous_hash.MAX_SERVERS + 1))}},
             f"shards.keepers: 17: {rendezvous_hash.MAX_SERVERS} at most",
         ),
         (
-            {**HERE, "shards": {"keepers": [0], "count": 0}},
+            {**BASE, "shards": {"keepers": [0], "count": 0}},
             "shards.count: 0 must be a power of two, from 1 to",
         ),
-        ({**HERE, "shards": {"keepers": [0], "count": 6}}, "shards.count: 6 must be a power of two"),
+        ({**BASE, "shards": {"keepers": [0], "count": 6}}, "shards.count: 6 must be a power of two"),
         (
             {"shards": {"count": 2 * settings.MAX_SHARDS}},
             f"shards.count: {2 * settings.MAX_SHARDS} must be a power of two",
         ),
-        ({**HERE, "shards": {"keepers": [0], "epoch": 0}}, "shards.epoch: 0: Expected `int` >= 1"),
-        ({**HERE, "shards": {"keepers": [0], "bound_s": 1.0}}, "shards.bound_s: 1.0: Expected `float` >= 6"),
+        ({**BASE, "shards": {"keepers": [0], "epoch": 0}}, "shards.epoch: 0: Expected `int` >= 1"),
+        ({**BASE, "shards": {"keepers": [0], "bound_s": 1.0}}, "shards.bound_s: 1.0: Expected `float` >= 6"),
         ({"shards": {"file": "x"}}, "shards.file: needs keepers"),
-        ({**HERE, "shards": {"keeper": [0]}}, "shards.keeper: is not known; 'keepers' is the nearest name"),
+        ({**BASE, "shards": {"keeper": [0]}}, "shards.keeper: is not known; 'keepers' is the nearest name"),
         (
             {"shards": {"keepers": [0]}, "peers": {"listen": "10.0.0.1:7000"}},
             "peers.secret_file: is needed with " "shards.keepers",
         ),
         (
-            {**HERE, "shards": {"keepers": [0]}, "amqp": {"brokers": [BROKER]}},
+            {**BASE, "shards": {"keepers": [0]}, "amqp": {"brokers": [BROKER]}},
             "not together with amqp.brokers",
         ),
         (
-            {**HERE, **ACCORD, "shards": {"keepers": [0]}, "failover": {"zones": ZONES}},
+            {**BASE, **ACCORD, "shards": {"keepers": [0]}, "failover": {"zones": ZONES}},
             "not together with failover.zones",
         ),
     ],
 )
 def test_invalid_settings_are_rejected_with_the_field_and_the_expected_value(
-    told: dict[str, Any], said: str
+    raw: dict[str, Any], expected: str
 ) -> None:
-    with pytest.raises(OperatorError, match=said):
-        decoded(told, "f")
+    with pytest.raises(OperatorError, match=expected):
+        decoded(raw, "f")
--- a/tests/sharded_directory/test_shard_cache.py
+++ b/tests/sharded_directory/test_shard_cache.py
@@ -23,10 +23,10 @@
 def test_older_part_after_a_newer_one_is_ignored() -> None:
     world = ClientWorld([row("a", 1)], ONE)
     world.request_destinations(1)
-    (ask_first,) = world.tick()
-    old = respond(world.servers[SECOND], ask_first[1], world.now)
+    (first_request,) = world.tick()
+    old = respond(world.servers[SECOND], first_request[1], world.now)
     world.apply_changes(2, [row("a", 1, DRAINING)], [], FIRST)
-    world.serve([ask_first])
+    world.serve([first_request])
     assert world.endpoint("a").listing is Listing.DRAINING
     world.now += 7.0
     for name, sent in world.tick():
@@ -56,9 +56,9 @@
 
 def test_name_that_moves_between_shards_stays_where_the_latest_version_has_it() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    for first_here, then in ((a, b), (b, a)):
+    for first_destination, then in ((a, b), (b, a)):
         world = ClientWorld([row("x", a, mark=1.0)])
-        world.request_destinations(first_here)
+        world.request_destinations(first_destination)
         world.settle()
         world.apply_changes(2, [row("x", b, mark=2.0)])
         world.request_destinations(then)
@@ -142,7 +142,7 @@
     world.settle(4.0)
     assert set(world.directory.by_name) == {"a"}
     assert world.client.status(world.now).unreadable == 1
-    assert world.client.status(world.now).version == (1, 1)  # the sums are alike
+    assert world.client.status(world.now).version == (1, 1)  # the checksums are alike
 
 
 @pytest.mark.parametrize(("listing", "stands"), [(0, Listing.READY), (1, Listing.DRAINING)])
@@ -196,7 +196,7 @@
 
 def test_evicted_shard_sets_the_latest_version_of_an_empty_cache() -> None:
     """A shard that came in pieces, as of a later version than all else, is given up: it does not come back
-    older, from a keeper that does not look at what it is asked."""
+    older, from a server that does not look at what it is asked."""
     world = ClientWorld([row("a", 1)], ONE, idle_s=20.0)
     world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
@@ -219,8 +219,8 @@
     world.apply_changes(2, [row("x", a, mark=2.0)])
     world.request_destinations(a)
     (sent,) = world.tick()
-    whole = FullShard(shard_of(a, 4), (row("x", a, mark=2.0),))
-    world.client.on_response(world.now, sent[0], response_to(sent, (1, 2), [whole], False, world.now))
+    full_shard = FullShard(shard_of(a, 4), (row("x", a, mark=2.0),))
+    world.client.on_response(world.now, sent[0], response_to(sent, (1, 2), [full_shard], False, world.now))
     world.apply()
     assert world.endpoint("x").rate == 2.0
     world.client.touch(world.now, b)
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -67,7 +67,7 @@
 
 
 def test_older_response_is_rejected_and_another_server_asked() -> None:
-    """A drained endpoint does not come back from a keeper that has not heard of it."""
+    """A drained endpoint does not come back from a server that has not heard of it."""
     a, b = in_shard(0, 2)
     c = in_shard(1, 1)[0]
     world = ClientWorld([row("a", a), row("c", c)])
@@ -121,7 +121,7 @@
     assert not world.client.is_current(world.now, 1)
     early = [each for each in old if each[1].clock_ms < (world.now - 11.0) * 1e3]
     assert len(early) > 5
-    for name, digest in early + early:  # dated by their keepers' clocks, when they came is nothing
+    for name, digest in early + early:  # dated by their servers' clocks, when they came is nothing
         world.client.on_digest(world.now, name, digest)
     assert not world.client.is_current(world.now, 1)
     world.settle()
@@ -236,7 +236,7 @@
     world = ClientWorld(rows, layout)
     world.request_destinations(*range(2_000))
     world.settle(8.0)
-    here = world.client.status(world.now).shards
+    resident = world.client.status(world.now).shards
     world.updates.clear()
     changed = {i: row(f"e{i}", i, DRAINING) for i in range(0, 2_000, 500)}
     for name in world.servers:
@@ -245,7 +245,9 @@
             world.servers[name], [changed.get(i, each) for i, each in enumerate(rows)], 5, world.now
         )
     world.settle(15.0)
-    assert world.client.status(world.now).version == (1, 5) and world.client.status(world.now).shards == here
+    assert (
+        world.client.status(world.now).version == (1, 5) and world.client.status(world.now).shards == resident
+    )
     assert {each.name for update in world.updates for each in update.endpoints} == {f"e{i}" for i in changed}
     assert sum(server.sent_bytes for server in world.servers.values()) < 40_000
 
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -1,4 +1,4 @@
-"""A keeper against the plainest one: a dict of all rows, copied at every version."""
+"""A server against the plainest one: a dict of all rows, copied at every version."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         self.rows: dict[str, Row] = {}
         self.versions: dict[int, list[dict[str, Row]]] = {}
 
-    def take(self, what: str, rows: list[Row], lives: list[tuple[str, int]], generation: int) -> None:
+    def apply(self, what: str, rows: list[Row], lives: list[tuple[str, int]], generation: int) -> None:
         if what == "load":
             self.rows = {}
         for each in rows:
@@ -95,12 +95,12 @@
         patch.setattr(shard_table, "MAX_LOG_ROWS", log_rows)
         patch.setattr(bulk_load, "STEP_ROWS", step_rows)
         oracle, server = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
-        oracle.take("load", [], [], 0)
+        oracle.apply("load", [], [], 0)
         assert load_list(server, [], 0)
         for generation, (what, rows, lives) in enumerate(steps, 1):
             holds = data.draw(st.sets(st.integers(0, 3)))
             server.handle_request(float(generation), "n200", shard_request(LAYOUT, server.version, holds))
-            oracle.take(what, rows, lives, generation)
+            oracle.apply(what, rows, lives, generation)
             if what == "load":
                 assert load_list(server, rows, generation)
             else:
@@ -228,14 +228,14 @@
     rows = [row(f"e{i}", i) for i in range(40)]
     server = loaded_server(LAYOUT, rows)
     before = list(server.table.encoded_rows), dict(server.table.shard_by_name_hash), server.version
-    begun = server.start_list(1.0, (1, 2))
-    begun.add([row(f"e{i}", i + 1, 1) for i in range(30)])
-    assert begun.seal(2.0)
+    started = server.start_list(1.0, (1, 2))
+    started.add([row(f"e{i}", i + 1, 1) for i in range(30)])
+    assert started.seal(2.0)
     steps = 1
-    while not begun.step():
+    while not started.step():
         steps += 1
         assert (list(server.table.encoded_rows), server.table.shard_by_name_hash, server.version) == before
-    assert steps > 3 and begun.is_committed and server.version == (1, 2)
+    assert steps > 3 and started.is_committed and server.version == (1, 2)
     assert server.status(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
     assert server.status(2.0).endpoints == 30
     server.start_list(3.0, (1, 3)).add([row("e1", 1)])
@@ -245,13 +245,13 @@
 def test_change_committed_while_a_list_is_staged() -> None:
     """The list is older than the change: it is refused at its end, and nothing goes back."""
     server = loaded_server(LAYOUT, [row("e1", 1)])
-    begun = server.start_list(1.0, (1, 2))
-    begun.add([row("e1", 1)])
-    assert begun.seal(1.0)
+    started = server.start_list(1.0, (1, 2))
+    started.add([row("e1", 1)])
+    assert started.seal(1.0)
     assert server.apply_changes(1.0, 3, [row("e1", 1, 1)])
-    while not begun.step():
+    while not started.step():
         pass
-    assert not begun.is_committed and server.version == (1, 3)
+    assert not started.is_committed and server.version == (1, 3)
     later = server.start_list(1.0, (1, 9))
     later.add([row("e1", 1), row("e2", 2)])
     assert later.seal(1.0)
@@ -296,8 +296,8 @@
     request = msgspec.structs.replace(
         request,
         requested_shards=tuple(
-            msgspec.structs.replace(want, time_left_ms=1e4 - 100.0 * want.shard)
-            for want in request.requested_shards
+            msgspec.structs.replace(requested_shard, time_left_ms=1e4 - 100.0 * requested_shard.shard)
+            for requested_shard in request.requested_shards
         ),
     )
     response = respond(server, request)
@@ -411,7 +411,7 @@
 def test_shards_and_server_ranks_are_the_same_in_every_process() -> None:
     assert [shard_of(each, 8192) for each in (0, 1, 2, 360_000)] == SHARDS
     assert rank_servers("n7", [f"n{i}" for i in range(1, 9)]) == RANKED
-    # Where one keeper goes, only its own readers move.
+    # Where one server goes, only its own clients move.
     names = [f"n{i}" for i in range(1, 9)]
     moved = 0
     for number in range(1_000):
@@ -426,16 +426,16 @@
 RANKED = ["n3", "n1", "n7", "n2", "n6", "n4", "n5", "n8"]
 
 
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("is_full_list", [True, False])
 def test_staged_update_is_compared_again_after_another_commit(
-    whole: bool, monkeypatch: pytest.MonkeyPatch
+    is_full_list: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(bulk_load, "STEP_ROWS", 1)
     monkeypatch.setattr(bulk_load, "STEP_SHARDS", 1)
     before = [row(f"e{i}", i) for i in range(40)]
     after = [row(f"e{i}", i, 1) for i in range(40)]
     server = loaded_server(LAYOUT, before)
-    staged = server.start_list(1.0, (1, 9)) if whole else server.start_changes(1.0, 9)
+    staged = server.start_list(1.0, (1, 9)) if is_full_list else server.start_changes(1.0, 9)
     staged.add(after)
     assert staged.seal(1.0)
     for _ in range(3):  # most shards have been compared
--- a/tests/sharded_directory/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -1,4 +1,4 @@
-"""Where a keeper has its list from: in pieces, in any cut, and what can't be used changes nothing."""
+"""Where a server has its list from: in pieces, in any cut, and what can't be used changes nothing."""
 
 from __future__ import annotations
 
@@ -33,13 +33,16 @@
         yield raw[at : at + size]
 
 
-async def taken(
-    it: ShardServer, told: dict[str, Any] | bytes, least: int | None = None, size: int = source.READ_BYTES
+async def transferred(
+    it: ShardServer,
+    content: dict[str, Any] | bytes,
+    from_generation: int | None = None,
+    size: int = source.READ_BYTES,
 ) -> ListTransfer:
-    raw = told if isinstance(told, bytes) else json.dumps(told).encode()
-    taking = ListTransfer(it, 1, EntryReader(), 5.0, least)
-    await taking.run(pieces(raw, size))
-    return taking
+    raw = content if isinstance(content, bytes) else json.dumps(content).encode()
+    transfer = ListTransfer(it, 1, EntryReader(), 5.0, from_generation)
+    await transfer.run(pieces(raw, size))
+    return transfer
 
 
 def rows(it: ShardServer) -> dict[str, Row]:
@@ -51,15 +54,17 @@
 
 
 def test_list_is_the_same_in_any_pieces() -> None:
-    told = listing([entry("ä", 1, 5), entry('"}],', 2, 6, lifecycle="draining"), entry("c", 3, 7, zone=None)])
-    behind = {"instances": told["instances"], "more": [{"x": 1.5}], "reset": True, "generation": 1}
-    texts = [json.dumps(told), json.dumps(told, ensure_ascii=False, indent=2), json.dumps(behind)]
+    content = listing(
+        [entry("ä", 1, 5), entry('"}],', 2, 6, lifecycle="draining"), entry("c", 3, 7, zone=None)]
+    )
+    behind = {"instances": content["instances"], "more": [{"x": 1.5}], "reset": True, "generation": 1}
+    texts = [json.dumps(content), json.dumps(content, ensure_ascii=False, indent=2), json.dumps(behind)]
 
     async def work() -> None:
         for text in texts:
             for size in (1, 2, 3, 7, 50, 10_000):
                 it = server()
-                await taken(it, text.encode(), size=size)
+                await transferred(it, text.encode(), size=size)
                 assert it.version == (1, 1)
                 assert rows(it) == {
                     "ä": Row("ä", 1, 0, "h", 5, "k", "z", 500.0),
@@ -84,10 +89,10 @@
                 turns += 1
 
         beside = asyncio.ensure_future(others())
-        taking = await taken(it, raw)
+        transfer = await transferred(it, raw)
         beside.cancel()
         assert it.status(5.0).endpoints == 140_000
-        assert taking.largest_batch <= ENTRIES_PER_TURN
+        assert transfer.largest_batch <= ENTRIES_PER_TURN
         assert turns > 140_000 / ENTRIES_PER_TURN / 2  # in between all else has its turn
 
     run(work())
@@ -98,12 +103,12 @@
 
     async def work() -> None:
         it = server()
-        await taken(it, listing([entry("old", 3)]))
+        await transferred(it, listing([entry("old", 3)]))
         for length in range(len(raw)):
             with pytest.raises(SourceError):
-                await taken(it, raw[:length])
+                await transferred(it, raw[:length])
         assert it.version == (1, 1) and set(rows(it)) == {"old"}
-        await taken(it, raw)
+        await transferred(it, raw)
         assert it.version == (1, 2) and set(rows(it)) == {"a", "b"}
 
     run(work())
@@ -135,7 +140,7 @@
     async def work() -> None:
         it = server()
         with pytest.raises(SourceError):
-            await taken(it, raw)
+            await transferred(it, raw)
         assert not it.is_loaded
 
     run(work())
@@ -146,9 +151,9 @@
 
     async def work() -> None:
         it = server()
-        await taken(it, listing(many(100)))
+        await transferred(it, listing(many(100)))
         with pytest.raises(SourceError, match="longer than 50000 bytes"):
-            await taken(it, listing(many(1000), 2))
+            await transferred(it, listing(many(1000), 2))
         assert it.version == (1, 1) and len(rows(it)) == 100
 
     run(work())
@@ -170,15 +175,15 @@
 
     async def work() -> None:
         it = server()
-        await taken(it, listing(good))
-        taking = await taken(it, listing([*bad, entry("e", 5)], 2))
-        assert taking.entry_reader.skipped == len(bad)
+        await transferred(it, listing(good))
+        transfer = await transferred(it, listing([*bad, entry("e", 5)], 2))
+        assert transfer.entry_reader.skipped == len(bad)
         assert rows(it) == {
             "a": Row("a", 1, 0, "h", 1, "k", "z", 500.0),
             "b": Row("b", 2, 1, "h", 1, "k", "z", 500.0),
             "e": Row("e", 5, 0, "h", 1, "k", "z", 500.0),
         }
-        await taken(it, listing([entry("e", 5, hostPort="x", lifecycle="draining")], 3, reset=False), 2)
+        await transferred(it, listing([entry("e", 5, hostPort="x", lifecycle="draining")], 3, reset=False), 2)
         assert rows(it)["e"].listing == 1 and it.version == (1, 3)
 
     run(work())
@@ -187,15 +192,15 @@
 def test_changes_are_applied_and_too_many_require_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         it = server()
-        await taken(it, listing(many(100)))
+        await transferred(it, listing(many(100)))
         changes = [entry("e-0000001", 1, 9), entry("e-0000002", 2, lifecycle="gone")]
-        await taken(it, listing(changes, 5, False), 1)
+        await transferred(it, listing(changes, 5, False), 1)
         assert it.version == (1, 5) and len(rows(it)) == 99 and rows(it)["e-0000001"].port == 9
-        await taken(it, listing([], 5, False), 5)
+        await transferred(it, listing([], 5, False), 5)
         assert it.version == (1, 5)
         monkeypatch.setattr(list_transfer, "MAX_CHANGES", 50)
         with pytest.raises(TooManyChangesError):
-            await taken(it, listing(many(51), 6, False), 5)
+            await transferred(it, listing(many(51), 6, False), 5)
         assert it.version == (1, 5) and len(rows(it)) == 99
 
     run(work())
@@ -215,11 +220,11 @@
     change = it.start_changes(1.0, 2)
     change.add([Row(f"e{n}", n + 1, 0, "h", 2) for n in range(count)], [("e5", 2)])
     assert change.seal(1.0)
-    steps, looked = 0, 0
+    steps, checked = 0, 0
     while not change.step():
         steps += 1
-        assert change.sorted_count - looked <= STEP_ROWS and it.version == (1, 1)
-        looked = change.sorted_count
+        assert change.sorted_count - checked <= STEP_ROWS and it.version == (1, 1)
+        checked = change.sorted_count
     assert steps >= 5 and change.is_committed and it.version == (1, 2)
     found = rows(it)
     assert len(found) == count - 1 and found["e7"] == Row("e7", 8, 0, "h", 2)
@@ -228,11 +233,11 @@
 def test_older_generation_is_rejected() -> None:
     async def work() -> None:
         it = server()
-        await taken(it, listing(many(10), 7))
+        await transferred(it, listing(many(10), 7))
         with pytest.raises(OutdatedListError, match="shards.epoch"):
-            await taken(it, listing(many(5), 6))
+            await transferred(it, listing(many(5), 6))
         with pytest.raises(OutdatedListError):
-            await taken(it, listing(many(1), 6, False), 7)
+            await transferred(it, listing(many(1), 6, False), 7)
         assert it.version == (1, 7) and len(rows(it)) == 10 and it.status(5.0).refused == 2
 
     run(work())
@@ -243,9 +248,9 @@
 
     async def work() -> None:
         it = server()
-        await taken(it, listing(many(10)))
+        await transferred(it, listing(many(10)))
         assert it.status(9.0).source_age_s == 4.0
-        await taken(it, listing([], 1, False), 1)
+        await transferred(it, listing([], 1, False), 1)
         assert it.status(9.0).source_age_s == 4.0
 
     run(work())
@@ -367,9 +372,9 @@
 # -- a file ------------------------------------------------------------------------------------------------
 
 
-def put(path: Path, told: dict[str, Any] | str) -> None:
+def put(path: Path, content: dict[str, Any] | str) -> None:
     part = path.with_suffix(".part")
-    part.write_text(told if isinstance(told, str) else json.dumps(told))
+    part.write_text(content if isinstance(content, str) else json.dumps(content))
     os.replace(part, path)
 
 
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -1,4 +1,4 @@
-"""A storm of changes beside one reader, in virtual time: what goes between it and its keepers, by counts."""
+"""A storm of changes beside one client, in virtual time: what goes between it and its servers, by counts."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 DESTS, SHARDS, USED = 20_000, 512, 600  # some 39 destinations a shard
 STORM, PIECES, STORM_S = 4_000, 60, 30.0  # changes, in so many steps: for each shard as 72,000 in 8,192
-WAY_S = 0.02  # of a word, one way
+DELAY_S = 0.02  # of a word, one way
 BOUND_S = 12.0
 WITHOUT_S = 20.0  # at rest, before
 ME = "n100"
 
 
 class Storm:
-    """Two keepers and a reader that has USED destinations in use."""
+    """Two servers and a client that has USED destinations in use."""
 
     def __init__(self, shards: int = SHARDS) -> None:
         self.now, self.order = 0.0, count()
@@ -63,36 +63,36 @@
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
-        self.at(self.now, lambda: self.turn(until))
+        self.at(self.now, lambda: self.tick(until))
         while self.due and self.due[0][0] <= until:
             self.now, _, act = heapq.heappop(self.due)
             act()
         self.now = until
 
-    def turn(self, until: float) -> None:
+    def tick(self, until: float) -> None:
         client, now = self.client, self.now
         for name, server in self.servers.items():
             server.confirm_source(now)
             for _, digest in server.due_digests(now):
                 self.digests += 1
-                self.at(now + WAY_S, partial(self.said, name, digest))
+                self.at(now + DELAY_S, partial(self.receive_digest, name, digest))
         client.tick(now, lambda destination: True)
         for name, request in client.outgoing:
             self.requests.append(request)
-            self.at(now + WAY_S, partial(self.response, name, request))
+            self.at(now + DELAY_S, partial(self.response, name, request))
         client.outgoing.clear()
         self.old_s = max(self.old_s, client.status(now).age_s)
         if now + 0.01 <= until:
-            self.at(now + 0.01, lambda: self.turn(until))
+            self.at(now + 0.01, lambda: self.tick(until))
 
-    def said(self, name: str, digest: Digest) -> None:
+    def receive_digest(self, name: str, digest: Digest) -> None:
         if not self.cut:
             self.client.on_digest(self.now, name, digest)
 
     def wants(self, destination: int) -> None:
         self.client.request(self.now, destination, self.now + 30.0)
 
-    def hears(self, server: ShardServer, generation: int, rows: list[Row]) -> None:
+    def update_server(self, server: ShardServer, generation: int, rows: list[Row]) -> None:
         server.apply_changes(self.now, generation, rows)
 
     def response(self, name: str, request: ShardRequest) -> None:
@@ -101,15 +101,15 @@
             return
         word = respond(self.servers[name], request, self.now, ME)
         self.responses.append(word)
-        self.at(self.now + WAY_S, lambda: self.client.on_response(self.now, name, word))
+        self.at(self.now + DELAY_S, lambda: self.client.on_response(self.now, name, word))
 
     def change(self, dests: list[int]) -> None:
-        """One step of the register's; the second keeper hears of it later."""
+        """One step of the register's; the second server hears of it later."""
         generation = next(self.generations)
         rows = [row(f"e{n}", n, mark=float(generation)) for n in dests]
         self.rows |= {each.name: each for each in rows}
         for late, server in enumerate(self.servers.values()):
-            self.at(self.now + 0.1 * late, partial(self.hears, server, generation, rows))
+            self.at(self.now + 0.1 * late, partial(self.update_server, server, generation, rows))
 
     def play(self, cut_s: float = 0.0) -> list[int]:
         """Which destinations changed. `cut_s`: so long nothing comes through, in the middle of it."""
@@ -132,14 +132,14 @@
 def test_storm_costs_a_client_the_changes_of_its_shards_and_few_requests() -> None:
     it = Storm()
     changed = it.play()
-    held = it.client.cache.resident
-    here = [n for n in changed if shard_of(n, SHARDS) in held]
-    assert len(held) > 300 and len(here) > 2_000
+    resident = it.client.cache.resident
+    relevant = [n for n in changed if shard_of(n, SHARDS) in resident]
+    assert len(resident) > 300 and len(relevant) > 2_000
     parts = [part for response in it.responses for part in response.parts]
     assert all(isinstance(part, ShardChanges) for part in parts)  # no shard is told as a whole
     request = [each.name for part in parts if isinstance(part, ShardChanges) for each in part.rows]
-    assert sorted(request) == sorted(f"e{n}" for n in here)  # each change once
-    # Bytes: the rows, and beside them 8 a part and 64 an answer; asks: the bitmap, and 64 each.
+    assert sorted(request) == sorted(f"e{n}" for n in relevant)  # each change once
+    # Bytes: the rows, and beside them 8 a part and 64 a response; requests: the bitmap, and 64 each.
     least = sum(len(msgspec.msgpack.encode(it.rows[name])) for name in request)
     assert sum(len(encode_message(response)) for response in it.responses) <= least + 8 * len(
         parts
@@ -149,10 +149,10 @@
     )
     assert len(it.requests) <= it.digests <= 2 * (STORM_S + 4.0) / 2.7 + 2  # one for a digest, at most
     assert it.old_s < BOUND_S
-    # And the reader has it all.
+    # And the client has it all.
     truth = by_shard(it.rows, SHARDS)
     assert it.client.cache.common_version == (1, PIECES + 1)
-    for shard, each in held.items():
+    for shard, each in resident.items():
         shard_rows: list[Row] = msgspec.msgpack.decode(each.encoded_rows, type=list[Row])
         assert {one.name: one for one in shard_rows} == truth[shard]
 
@@ -189,9 +189,9 @@
         server.apply_changes(0.0, generation, [new])
     response = respond(server, shard_request(layout, (1, 1), range(SHARDS)))
     assert response.is_complete and {type(part) for part in response.parts} == {ShardChanges}
-    mine = dict(enumerate(by_shard({f"e{n}": row(f"e{n}", n) for n in range(2_000)}, SHARDS)))
-    apply_response(mine, response)
-    assert mine == dict(enumerate(by_shard(rows, SHARDS)))
+    own_changes = dict(enumerate(by_shard({f"e{n}": row(f"e{n}", n) for n in range(2_000)}, SHARDS)))
+    apply_response(own_changes, response)
+    assert own_changes == dict(enumerate(by_shard(rows, SHARDS)))
 
 
 def test_dropped_change_log_restarts_at_the_last_change_of_its_shard(
@@ -224,7 +224,7 @@
         part.shard for response in it.responses for part in response.parts if isinstance(part, FullShard)
     )
     assert len(wholes) > 250  # many pieces of 18 or so
-    assert max(wholes.values()) <= 2  # at most once of each keeper
+    assert max(wholes.values()) <= 2  # at most once of each server
     assert it.client.cache.common_version == (1, PIECES + 1)
 
 
