--- a/message_relay/sharded_directory/shard_client.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -16,9 +16,6 @@
 
 import random
 from collections.abc import Callable, Iterable
-from math import isfinite
-
-import msgspec
 
 from ..core.ports import EndpointUpdate
 from .pending_shards import PendingShards
@@ -31,7 +28,8 @@
     ServerState,
 )
 from .shard_cache import CachedShard, ShardCache
-from .staleness import StalenessTracker
+from .staleness import MAX_REPORTED_AGE_S, StalenessTracker, source_age_s
+from .status_report import ShardClientStatus
 from .wire import (
     Digest,
     FullShard,
@@ -50,32 +48,6 @@
 MIN_REFRESH_DIGESTS = 1.2  # likewise, where so many servers have to be tried that it has to begin sooner
 ATTEMPT_S = 1.2  # for two servers that hang, asked at once: the time-out of a second and its detection
 LAGGING_SOURCE_AGE_S = 10.0  # a server whose source is silent for so long is asked last
-MAX_REPORTED_AGE_S = 1e9  # stands for "never" in the status, and for ages that are not finite
-
-
-class ShardClientStatus(msgspec.Struct, frozen=True):
-    """Counters and state of a client, as the status report has them: the field names are its JSON keys."""
-
-    shards: int
-    endpoints: int
-    waiting: int  # pending shards
-    version: Version
-    age_s: float  # since all resident data were known to be right; MAX_REPORTED_AGE_S: never
-    behind: bool  # older than the bound
-    keepers: int  # servers that are reachable
-    asks: int  # requests
-    failures: int
-    busy: int  # overloaded responses
-    stale_refused: int  # responses and shards that were older than what is known
-    other_layout: int
-    unreadable: int  # entries
-    unasked: int  # responses that belong to no request
-    bytes_in: int
-
-
-def _source_age_s(age_ms: float) -> float:
-    """A reported age in seconds; an age that is not finite counts as very old."""
-    return max(0.0, age_ms / 1e3) if isfinite(age_ms) else MAX_REPORTED_AGE_S
 
 
 class ShardClient:
@@ -263,7 +235,7 @@
     def _record_source_age(
         self, now: float, server: ServerState, outstanding: OutstandingRequest, response: ShardResponse
     ) -> None:
-        age_s = _source_age_s(response.source_age_ms)
+        age_s = source_age_s(response.source_age_ms)
         sent_at = outstanding.sent_at
         self.staleness.record_response(server.name, sent_at, response.process_epoch, response.clock_ms)
         is_credible = response.version >= self.cache.common_version
@@ -360,7 +332,7 @@
         sent_at = self.staleness.earliest_sent_at(now, server_name, digest.process_epoch, digest.clock_ms)
         if sent_at is None:
             return  # of a process that was not asked yet: the response to the next request dates it
-        age_s = _source_age_s(digest.source_age_ms)
+        age_s = source_age_s(digest.source_age_ms)
         is_credible = digest.version >= self.cache.common_version
         self.staleness.record_version(server_name, sent_at, digest.version, age_s, is_credible)
         if age_s > LAGGING_SOURCE_AGE_S:
--- a/message_relay/sharded_directory/shard_server.py
+++ b/message_relay/sharded_directory/shard_server.py
@@ -16,12 +16,11 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-import msgspec
-
 from .bulk_load import StagedChanges, StagedList, StagedUpdate
 from .errors import UnreadableFrameError
 from .response_builder import build_response_parts
 from .shard_table import ShardTable, name_hash
+from .status_report import ShardServerStatus
 from .subscribers import MAX_DIGESTS_PER_CALL, Subscribers
 from .wire import (
     NO_VERSION,
@@ -48,24 +47,6 @@
 MAX_SOURCE_AGE_MS = 1e12
 
 
-class ShardServerStatus(msgspec.Struct, frozen=True):
-    """Counters and state of a server, as the status report has them: the field names are its JSON keys."""
-
-    version: Version
-    destinations: int
-    endpoints: int
-    shards: int
-    readers: int  # clients that get digests
-    source_age_s: float
-    bytes_out: int
-    answers: int  # responses
-    busy: int  # overloaded responses
-    refused: int  # lists and changes of a source that went back
-    rewritten: int  # times that the source changed rows under the same generation
-    loading: bool
-    behind: int  # requests of clients that know a later version
-
-
 class _ShardSets(NamedTuple):
     """The bitsets of a request."""
 
--- a/message_relay/sharded_directory/staleness.py
+++ b/message_relay/sharded_directory/staleness.py
@@ -13,12 +13,19 @@
 
 from bisect import bisect_right
 from collections.abc import Iterable
+from math import isfinite
 from typing import NamedTuple
 
 from .wire import Version
 
 MAX_FACTS = 32  # a version each: more than the changes of a second, of which each fact is one
 NEVER = float("-inf")
+MAX_REPORTED_AGE_S = 1e9  # stands for "never" in the status, and for reported ages that are not finite
+
+
+def source_age_s(age_ms: float) -> float:
+    """Return a reported age in seconds; an age that is not finite counts as very old."""
+    return max(0.0, age_ms / 1e3) if isfinite(age_ms) else MAX_REPORTED_AGE_S
 
 
 class ServerClock:
