--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -74,7 +74,7 @@
         await self.can_connect.wait()
         if not attempt.may_write():
             self.withheld_calls += 1
-            return AttemptResult(Outcome.NOT_SENT, withheld=True)
+            return AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         self.attempts.append(attempt)
         outcome = self.script.pop(0) if self.script else Outcome.OK
         return AttemptResult(outcome, is_finished=outcome is Outcome.OK)
