--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -99,7 +99,7 @@
         await cluster.kill(0)
         await asyncio.sleep(8.0)
         await cluster.net("heal")
-        await cluster.begin(0)
+        await cluster.start_instance(0)
         await asyncio.sleep(5.0)
 
     return await run_with_fault(fault)
@@ -111,11 +111,11 @@
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         cluster.freeze(0)
         await asyncio.sleep(20.0)
-        cluster.thaw(0)
+        cluster.resume(0)
         await asyncio.sleep(3.0)
         cluster.freeze(cluster.relays[0])
         await asyncio.sleep(15.0)
-        cluster.thaw(cluster.relays[0])
+        cluster.resume(cluster.relays[0])
         await asyncio.sleep(5.0)
 
     return await run_with_fault(fault)
@@ -160,7 +160,7 @@
         for dest in range(61, 361):
             clients.submit(dest, cluster.relays[dest % 3])
         await asyncio.sleep(1.0)
-        await asyncio.gather(*(cluster.begin(n) for n in range(3)))
+        await asyncio.gather(*(cluster.start_instance(n) for n in range(3)))
         await asyncio.sleep(8.0)
 
     return await run_with_fault(fault)
@@ -234,7 +234,7 @@
         moved = [1 + 2 * n for n in range(0, 500, 10)]
         cluster.move(*moved)
         started_at = time.monotonic()
-        await asyncio.gather(*(cluster.begin(n) for n in range(6)))
+        await asyncio.gather(*(cluster.start_instance(n) for n in range(6)))
         await cluster.drained(60.0)
         took = time.monotonic() - started_at
         wrong = sum(len(cluster.calls_to(dest, "a")) for dest in moved)
@@ -259,7 +259,7 @@
         await clients.wait_until_settled()
         cluster.move(*moved)
         cluster.move(*moved[:30])
-        await asyncio.gather(*(cluster.begin(n) for n in range(3)))
+        await asyncio.gather(*(cluster.start_instance(n) for n in range(3)))
         found = await measure(cluster, clients)
         wrong = sum(
             len(cluster.calls_to(dest, "b" if cluster.current_places[dest] == "a" else "a")) for dest in moved
