--- a/message_relay/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -32,9 +32,9 @@
 class _Class(_Raw, frozen=True):
     name: str
     effect: _Effect
-    aim_ms: float
+    latency_objective_ms: float = msgspec.field(name="aim-ms")
     deadline_ms: float
-    worth: float = 1.0
+    priority_weight: float = msgspec.field(name="worth", default=1.0)
     late_share: float = 0.0
     window_ms: float = 0.0
     dedup_scope: _Scope = _Scope.ALL
@@ -45,7 +45,7 @@
     call_slots: int
     per_call: list[int] = []
     separate_routes: list[bool] = []
-    loses_worth: str = ""
+    value_decay: str = msgspec.field(name="loses-worth", default="")
     carriage: list[float] = []
 
 
@@ -63,16 +63,16 @@
 class _Safety(_Raw, frozen=True):
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
+    warm_up_initial_share: float = msgspec.field(name="cold-from", default=1.0)
+    warm_up_ms: float = msgspec.field(name="cold-ms", default=0.0)
     fall_multiple: float = 1.0
     fall_ms: float = 1000.0
-    ask_within_ms: float = 0.0
+    poll_within_ms: float = msgspec.field(name="ask-within-ms", default=0.0)
     key_quiet_ms: float = 0.0
 
 
 class _Goal(_Raw, frozen=True):
-    whole: float = 1.0
+    total: float = msgspec.field(name="whole", default=1.0)
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -104,7 +104,7 @@
     balancers: int = 1
     az: int = 0
     orgs: list[_Org] = []
-    over_share_worth: float = 1.0
+    over_quota_weight: float = msgspec.field(name="over-share-worth", default=1.0)
     weight_kind: str = "silent"
     registry_mode: str = ""
     tick_ms: float = 1.0
@@ -147,8 +147,8 @@
         relays=raw.balancers,
         zone=raw.az,
         tenants=tuple(Tenant(org.name, org.quota_per_s) for org in raw.orgs),
-        over_quota_weight=raw.over_share_worth,
-        decay=Decay.HALVES if extra.loses_worth == "halves" else Decay.LINE,
+        over_quota_weight=raw.over_quota_weight,
+        decay=Decay.HALVES if extra.value_decay == "halves" else Decay.LINE,
         rates=RATES.get(raw.weight_kind, Rates.NONE),
         polls_discovery=raw.registry_mode == "ask",
         probing=limits.probing,
@@ -164,7 +164,7 @@
         report_fields=tuple(fields),
         limit_report=(fields.index("x0"), fields.index("x1")) if {"x0", "x1"} <= set(fields) else None,
         safety=_safety(raw.safety),
-        goal=Goal(raw.goal.whole, raw.goal.worst_window, raw.goal.worst_class, raw.goal.worst_tenant),
+        goal=Goal(raw.goal.total, raw.goal.worst_window, raw.goal.worst_class, raw.goal.worst_tenant),
     )
 
 
@@ -172,9 +172,9 @@
     return MessageClass(
         name=raw.name,
         effect=EFFECTS[raw.effect],
-        latency_objective_ms=raw.aim_ms,
+        latency_objective_ms=raw.latency_objective_ms,
         deadline_ms=raw.deadline_ms,
-        priority_weight=raw.worth,
+        priority_weight=raw.priority_weight,
         late_share=raw.late_share,
         key_window_ms=raw.window_ms,
         key_scope=SCOPES[raw.dedup_scope],
@@ -193,10 +193,10 @@
     return Safety(
         answer_slack_ms=raw.answer_slack_ms,
         drain_grace_ms=raw.drain_grace_ms,
-        warm_up_initial_share=raw.cold_from,
-        warm_up_ms=raw.cold_ms,
+        warm_up_initial_share=raw.warm_up_initial_share,
+        warm_up_ms=raw.warm_up_ms,
         overload_multiple=raw.fall_multiple,
         overload_window_ms=raw.fall_ms,
-        poll_within_ms=raw.ask_within_ms,
+        poll_within_ms=raw.poll_within_ms,
         key_pause_ms=raw.key_quiet_ms,
     )
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""What is turned away before it is taken on, and what is ended to make room: never the promised for less."""
+"""Which submissions are rejected, and which accepted messages are shed: never one for a lesser one."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def overloaded(weights: tuple[float, float] = (1.0, 1.0)) -> Driver:
-    """Destination 1 takes nothing (its calls stay out), 2 is well; the hold is as full as it gets."""
+    """Destination 1 accepts nothing (its calls stay in flight), 2 is healthy; the relay is full."""
     classes = tuple(
         MessageClass(str(n), Effect.SAFE, 1000.0, 1e4, weight, 0.5, 3000.0)
         for n, weight in enumerate(weights)
--- a/tests/decisions/test_delivery_rules.py
+++ b/tests/decisions/test_delivery_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, by effect kind and outcome."""
+"""The six delivery rules, by effect and outcome."""
 
 import pytest
 
--- a/tests/decisions/test_failure_scenarios.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -1,4 +1,4 @@
-"""What the module does, and must not do, under each kind of symptom."""
+"""How the scheduler reacts, and must not react, to each kind of failure."""
 
 from message_relay.decisions.actions import Fail, Reject
 from message_relay.decisions.events import EndpointList, Message, MessageCancelled, ShutdownScheduled
@@ -54,7 +54,7 @@
 
 
 def test_busy_destination_with_some_failed_calls_is_not_ejected() -> None:
-    """Resets and failed connects among many answers: taken for an outage, each would slow it for 11 s."""
+    """Resets and failed connects among many answers: an ejection for each would slow it for 11 s."""
     driver = Driver(make_settings(max_concurrent_attempts=20))
     driver.listed((11, 1), rate=200.0)
     driver.warm_up(calls=20)
@@ -185,7 +185,7 @@
 
 
 def calls_in(driver: Driver, ms: float, outcome: Outcome = Outcome.OK) -> int:
-    """Keeps messages coming for a while, answering each call after 50 ms; how many calls were made."""
+    """Submits messages for a while and answers each call after 50 ms; returns how many calls were made."""
     start, end = len(driver.sent), driver.now + ms
     while driver.now < end:
         if len(driver.out) < 3:
@@ -418,7 +418,7 @@
 
 
 def test_trials_of_an_ejected_destination_are_not_saved_up() -> None:
-    """Guards a returning destination: many relays whose turn is long past get a message at once."""
+    """Guards a recovering destination: many relays whose trial is long overdue get a message at once."""
     at_once = 0
     for seed in range(40):
         driver = Driver(make_settings(relays=40), seed=seed)
@@ -438,7 +438,7 @@
 
 
 def test_changes_while_connecting_stop_the_call() -> None:
-    """Guards drains, told waits, the stop and the deadline: all are asked again before the first byte."""
+    """Guards draining, Retry-After, shutdown and deadline: all are checked again before the first byte."""
     for change in ("none", "drained", "told", "closing", "late", "withdrawn"):
         driver = Driver()
         driver.listed((11, 1))
@@ -472,7 +472,7 @@
 
 
 def test_resumed_message_respects_its_earlier_attempts() -> None:
-    """Guards duplicates over a restart: tries, the first risk and the key window hold on."""
+    """Guards against duplicates after a restart: attempts and the key window count on."""
     driver = Driver()
     driver.listed((11, 1))
     resumed = {
@@ -538,7 +538,7 @@
 
 
 def test_resumed_messages_are_not_charged_to_their_tenants_quota() -> None:
-    """Guards what was held over a restart: taken for a surge, most of it would count as over its share."""
+    """Guards messages resumed after a restart: as a surge, most of them would count as over quota."""
     for age, within in ((1000.0, True), (None, False)):
         driver = Driver(make_settings(tenants=(Tenant("t", 2.0),), over_quota_weight=0.1))
         for message_id in range(1, 20):
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""What one of two hundred relays may do, where it meets a two-hundredth of what happens."""
+"""One of two hundred relays, which sees a two-hundredth of what happens."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_name_independence.py
+++ b/tests/decisions/test_name_independence.py
@@ -1,5 +1,4 @@
-"""Nothing is fitted to one deployment: what is named otherwise, or listed in another order, is treated
-alike."""
+"""Nothing is fitted to one deployment: other names, or another order, are treated alike."""
 
 from __future__ import annotations
 
@@ -68,7 +67,7 @@
     steps: list[Step],
     seed: int,
 ) -> list[tuple[float, Action]]:
-    """All that a relay does; `number`: of each class in these settings."""
+    """All actions of a scheduler; `number`: of each class in these settings."""
     driver = Driver(
         make_settings(
             classes=classes,
--- a/tests/decisions/test_rate_slots.py
+++ b/tests/decisions/test_rate_slots.py
@@ -1,4 +1,4 @@
-"""A share of an agreed rate: slots of the shared clock, and a part that only own evidence raises."""
+"""Time slots of an agreed rate, and the share of them that only own evidence opens."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def sends(one: TimeSlotShare, begin: float, end: float, late: random.Random | None = None) -> list[float]:
-    """All that it may send in a time, each as late as chance has it, and answered at once."""
+    """When it sends in an interval, each call as late as drawn and answered at once."""
     out, now = [], begin
     while (at := one.next_slot_at(now)) < end:
         now = max(now, at) + (late.uniform(0.0, 0.99 * one.slot_tolerance_ms) if late else 0.0)
@@ -202,7 +202,7 @@
 def test_agreed_rate_holds_while_instances_resize_at_different_moments(
     seed: int, size: int, rate: int
 ) -> None:
-    """Each hears of it at another moment: a smaller part at once, a larger one when others have left."""
+    """Each learns of it at another moment: a smaller share at once, a larger one when others have left."""
     rng = random.Random(seed)
     other = rng.randint(1, 40)
     sent: list[float] = []
--- a/tests/decisions/test_rule_invariants.py
+++ b/tests/decisions/test_rule_invariants.py
@@ -1,4 +1,4 @@
-"""Random legal events against the module, watched by the checker; and the checker against each breach."""
+"""Random legal events under the rule checker, and the checker against a violation of each rule."""
 
 from __future__ import annotations
 
@@ -75,8 +75,11 @@
 
 
 def drive(relay: DeliveryScheduler, setup: Settings, seed: int, steps: int = 160, dests: int = 2) -> Checker:
-    """Legal events at random, of all kinds: arrivals, resumed messages, each outcome, told waits, drains,
-    replaced endpoints, key order, withdrawals and a stop; the checker looks on."""
+    """Drives a scheduler with random legal events of all kinds under the rule checker.
+
+    Arrivals, resumed messages, each outcome, Retry-After, draining, replaced endpoints, ordering keys,
+    cancellations and a shutdown.
+    """
     rng = random.Random(seed)
     watch, now = Checker(setup), 500.0
     out: dict[tuple[int, int], StartAttempt] = {}
--- a/tests/decisions/test_scalability.py
+++ b/tests/decisions/test_scalability.py
@@ -1,4 +1,7 @@
-"""Large size: no turn is long, whatever is held. Counted in messages and cells looked at, not in time."""
+"""Scalability: no turn is long, however many messages are pending.
+
+Counted in messages and index buckets examined, not in time.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,7 @@
 
 @dataclass
 class LargeRelay:
-    """A relay that is fed one event a turn, each turn counted, and watched by the checker of the rules."""
+    """A scheduler that gets events turn by turn, with the rule checker and a count of the work of each."""
 
     settings: Settings
     now: float = 1000.0
@@ -101,7 +104,7 @@
         self.feed(EndpointList(kind, tuple(Endpoint(e, d, listing, rate=rate) for e, d in entries)))
 
     def ticks(self, ms: float) -> Iterator[None]:
-        """Turns at the relay's own timers, until so much time has passed."""
+        """Turns at the scheduler's own timers, until so much time has passed."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, max(self.timer, self.now + self.settings.tick_ms))
@@ -195,7 +198,7 @@
 
 
 def test_message_of_halving_value_is_overtaken_by_a_younger_one_of_another_class() -> None:
-    """Worth 4 and an aim of 1.5 s against worth 2 and 4 s: the first leads, until it has lost enough."""
+    """Weight 4 and an objective of 1.5 s against 2 and 4 s: the first leads until it has lost enough."""
     classes = (
         MessageClass("status", Effect.SAFE, 1500.0, 20_000.0, 4.0, 0.1),
         MessageClass("order", Effect.SAFE, 4000.0, 20_000.0, 2.0, 0.5),
@@ -211,8 +214,10 @@
 
 
 def test_message_gains_priority_in_its_last_second_without_an_event() -> None:
-    """Nothing would be left of it a second later, so it is worth twice as much to send: nobody tells the
-    index, since nothing has happened at its destination."""
+    """Nothing would be left of it a second later, so sending it gains twice as much.
+
+    No event tells the index, since nothing has happened at its destination.
+    """
     classes = (MessageClass("c", Effect.SAFE, 1000.0, 8000.0, 1.0, 0.1),)
     relay = watched(
         make_settings(
--- a/tests/decisions/test_scheduling_weights.py
+++ b/tests/decisions/test_scheduling_weights.py
@@ -1,4 +1,4 @@
-"""The goal's part for the class that is served worst: it counts in what is sent and in what is given up."""
+"""Weights by class: the goal's part for the class that is served worst counts in sending and shedding."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,5 +1,7 @@
-"""A destination that has just come back, and the sum of what a fleet sends it (benchmarks/cold.py has 200
-seeds)."""
+"""Slow start: the sum of what a fleet sends to a recovered destination.
+
+benchmarks/cold.py has 200 seeds.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +20,6 @@
 
 
 def test_budget_is_exceeded_without_the_estimate_of_senders(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The play can fail: without each relay's estimate of how many others know, the sum goes over."""
+    """The scenario can fail: without each relay's estimate of how many others know, the sum goes over."""
     monkeypatch.setattr(slow_start, "estimate_senders", lambda settings, now, destination: 1.0)
     assert cold.row(20, "all know", 2).over == 2
