--- a/message_relay/decisions/__init__.py
+++ b/message_relay/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What a relay decides: no I/O, no clock of its own. `control.Relay` is fed events and says actions."""
+"""Decisions of a relay: `scheduler.DeliveryScheduler` gets events and returns actions. No I/O, no clock."""
