--- a/tests/decisions/test_priority_index.py
+++ b/tests/decisions/test_priority_index.py
@@ -5,7 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_relay.decisions.model import Settings
+from message_relay.decisions.model import Effect, MessageClass, Rates, Scope, Settings, Tenant
+from tests.conftest import make_settings
 
 from .full_scan_oracle import watched
 from .test_rule_invariants import drive, setups
@@ -17,3 +18,18 @@
     relay = watched(setup)
     drive(relay, setup, seed, dests=5)
     assert relay.choices > 0
+
+
+def test_a_destination_whose_tokens_fill_within_a_tick_of_its_scan_is_chosen() -> None:
+    """One found by other drawn examples of the test above; seen before and after the renames."""
+    ordered = MessageClass("c", Effect.SAFE, 400.0, 4000.0, 1.0, 0.5, 1200.0, Scope.ALL, True)
+    setup = make_settings(
+        classes=(ordered,),
+        max_concurrent_attempts=6,
+        max_pending_messages=6,
+        max_attempts=1,
+        rates=Rates.NONE,
+        tenants=tuple(Tenant(name, 2.0) for name in "ab"),
+        over_quota_weight=0.1,
+    )
+    drive(watched(setup), setup, 6, dests=5)
