--- a/message_relay/consensus/active_rules.py
+++ b/message_relay/consensus/active_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a relay acts on at one moment, and by which right."""
+"""The rules that are active on a relay at one moment, and the lease tier that permits them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
     @property
     def label(self) -> str:
-        """For people, and for the header of each call: `7`, `7+8`, `7/standby`, `floor`."""
+        """The label in logs, status output and the header of each call: `7`, `7+8`, `7/standby`, `floor`."""
         versions = "+".join(map(str, self.versions))
         if self.tier is LeaseTier.LEASE:
             return versions
--- a/message_relay/consensus/admin_requests.py
+++ b/message_relay/consensus/admin_requests.py
@@ -1,4 +1,4 @@
-"""What an operator's command asks of an instance: queries, and changes that become commands of the log."""
+"""Handles operators' requests to an instance: queries, and changes that become commands of the log."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 CHANGES = ("propose", "promote", "withdraw", "revert", "voters", "forget", "evacuate", "return")
 EVACUATE = "evacuate"
-NO_PLANS = "failover.zones: there are no plans here"
+NO_PLANS = "failover.zones: failover planning is not enabled on this instance"
 
 
 class AdminRequestHandler:
-    """Answers `AdminRequest`s; `call_observer` is there while failover plans are made."""
+    """Answers `AdminRequest`s; `call_observer` is set while failover planning is enabled."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.call_observer: CallObserver | None = None
 
     async def handle(self, request: AdminRequest) -> dict[str, Any]:
-        """The answer to a request. Raises RulesError where it makes no sense."""
+        """Return the answer to a request. Raises RulesError if the request is invalid."""
         now_ms = time.time() * 1000
         if request.operation in CHANGES:
             result = await self.proposer.propose(await self._command(request, now_ms))
@@ -61,8 +61,8 @@
             case "explain":
                 return {"calls": self._decisions_on(request.message)}
             case "version":
-                found = self._version(request.number)
-                return {**_summary(found), "rules": msgspec.json.decode(found.rules)}
+                requested = self._version(request.number)
+                return {**_summary(requested), "rules": msgspec.json.decode(requested.rules)}
         raise RulesError(f"ask: {request.operation!r} is no question")
 
     def _observer(self) -> CallObserver:
@@ -72,7 +72,7 @@
 
     def _decisions_on(self, message: str) -> list[Any]:
         decisions = self.rule_enforcer.decisions
-        return [msgspec.to_builtins(each) for each in decisions if each.message == message]
+        return [msgspec.to_builtins(decision) for decision in decisions if decision.message == message]
 
     def _version(self, number: int) -> Version:
         for version in self.voter.known_versions():
@@ -115,14 +115,14 @@
         )
 
     def _revert(self, request: AdminRequest, now_ms: float) -> Propose:
-        found = self._version(request.number)
+        version = self._version(request.number)
         return Propose(
             self._base(request),
-            found.rules,
+            version.rules,
             request.author,
-            request.cause or f"back to {found.number}",
+            request.cause or f"back to {version.number}",
             now_ms,
-            restored_from=found.number,
+            restored_from=version.number,
         )
 
     def _evacuate_or_return(self, request: AdminRequest, now_ms: float) -> Propose:
@@ -136,20 +136,20 @@
         )
 
     async def _change_voters(self, request: AdminRequest, now_ms: float) -> ChangeVoters:
-        """Change pysyncobj's members first; the command that is returned writes it into the history."""
+        """Change pysyncobj's members first; the returned command records the change in the history."""
         add = "" if request.add is None else f"n{request.add}"
         remove = "" if request.remove is None else f"n{request.remove}"
         replicated_log = self.voter.replicated_log
         if replicated_log is None:
             raise RulesError("voters: ask an instance that votes")
         if add and self.context.gossip.address_of(add) is None:
-            raise RulesError(f"voters: {add} is no member just now")
+            raise RulesError(f"voters: {add} is not a member at present")
         command = ChangeVoters(self._base(request), add, remove, request.author, now_ms)
-        why = self.proposer.refusal_reason(command)
-        if not why:
-            why = await replicated_log.change_voters(add, remove, PROPOSE_TIMEOUT_S)
-        if why:
-            raise RulesError(why)
+        reason = self.proposer.refusal_reason(command)
+        if not reason:
+            reason = await replicated_log.change_voters(add, remove, PROPOSE_TIMEOUT_S)
+        if reason:
+            raise RulesError(reason)
         return command
 
     def _forget(self, request: AdminRequest, now_ms: float) -> Forget:
@@ -161,7 +161,7 @@
     # -- rules -----------------------------------------------------------------------------------------------
 
     def _with_plans(self, rules: Rules) -> Rules:
-        """An operator's rules with the plans in force, which are not the operator's to write."""
+        """Return an operator's rules with the failover plans in force, which operators do not write."""
         newest = self.voter.newest_rules()
         if self.call_observer is None or rules.flows:
             return rules
@@ -171,7 +171,7 @@
         return msgspec.structs.replace(rules, flows=newest.flows, zones=newest.zones, policies=policies)
 
     def _rules_with_zone(self, zone: str, evacuated: bool) -> Rules:
-        """The newest rules with one zone evacuated, or used again. Raises RulesError."""
+        """Return the newest rules with one zone evacuated, or returned to use. Raises RulesError."""
         newest = self.voter.newest_rules()
         before = newest.policies.evacuated
         self._observer()
@@ -181,7 +181,7 @@
             raise RulesError(f"zone: {zone} is {'' if evacuated else 'not '}evacuated already")
         after = before | {zone} if evacuated else before - {zone}
         if not set(self.zones) - after:
-            raise RulesError(f"zone: {zone} is the last one that is left")
+            raise RulesError(f"zone: {zone} is the last zone that is not evacuated")
         policies = msgspec.structs.replace(newest.policies, evacuated=after)
         return msgspec.structs.replace(newest, policies=policies)
 
--- a/message_relay/consensus/admin_socket.py
+++ b/message_relay/consensus/admin_socket.py
@@ -1,4 +1,4 @@
-"""Operators' requests on a Unix socket, mode 0600 in the status folder: one JSON object, one answer."""
+"""Unix socket for operators' requests, mode 0600 in the status folder: one JSON request, one JSON answer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AdminRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator's command asks of an instance."""
+    """Request of an operator's command to an instance."""
 
     # status, history, version, explain, zones, plan, or one of `admin_requests.CHANGES`
     operation: str = msgspec.field(name="ask")
@@ -54,7 +54,7 @@
                 writer.write(msgspec.json.encode(await self._answer(raw)))
                 await writer.drain()
         except (OSError, TimeoutError):
-            pass  # the client went away, or sends nothing
+            pass  # the client has closed the connection, or sends nothing
         except Exception:
             log.exception("admin request failed")
         finally:
@@ -69,7 +69,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
-    """Read until the client has sent all. Raises RulesError where that is too much."""
+    """Read the request to the end of the stream. Raises RulesError if it is too long."""
     parts = []
     length = 0
     while part := await reader.read(65536):
@@ -83,7 +83,7 @@
 async def send_request(
     path: Path, request: dict[str, Any], seconds: float = ANSWER_TIMEOUT_S
 ) -> dict[str, Any]:
-    """Send a request to an instance and return its answer. Raises StatusError without one in time."""
+    """Send a request to an instance and return its answer. Raises StatusError if there is none in time."""
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_unix_connection(str(path))
@@ -100,4 +100,4 @@
     except OSError as error:
         raise StatusError(f"{path.name}: {error.strerror}") from error
     except msgspec.MsgspecError as error:
-        raise StatusError(f"{path.name}: no answer: {error}") from error
+        raise StatusError(f"{path.name}: invalid answer: {error}") from error
--- a/message_relay/consensus/call_observer.py
+++ b/message_relay/consensus/call_observer.py
@@ -1,4 +1,4 @@
-"""The port through which failover plans take part in the agreed rules."""
+"""Interface between the agreed rules and failover planning."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class CallObserver(Protocol):
-    """Observes requests and calls, and plans by them."""
+    """Observes requests and calls, and plans failover from them."""
 
     def on_request(self, destination: int, class_: str) -> None:
-        """Handle that a message was handed in."""
+        """Handle the submission of a message."""
 
     def on_call_completed(
         self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float
     ) -> None:
-        """Handle that a call has ended, or did not come about."""
+        """Handle a call that has ended, or was not made after all."""
 
     def status(self) -> dict[str, Any]:
-        """The state of the zones and plans, for people."""
+        """Return the state of the zones and plans, for display."""
 
-    def plan(self, question: AdminRequest) -> dict[str, Any]:
-        """What would be planned. Raises RulesError."""
+    def plan(self, request: AdminRequest) -> dict[str, Any]:
+        """Return the plan that would be made now. Raises RulesError."""
--- a/message_relay/consensus/capabilities.py
+++ b/message_relay/consensus/capabilities.py
@@ -1,6 +1,6 @@
 """Which fields of rules a build supports, as bits that each member announces.
 
-A rule set that needs a bit which a member lacks is refused before it is agreed on, so that no relay has to
+A rule set that needs a bit that a member lacks is refused before it is agreed on, so that no relay has to
 act on rules that it can't read.
 """
 
--- a/message_relay/consensus/context.py
+++ b/message_relay/consensus/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one consensus instance share: settings, clock, lease and the way to its peers."""
+"""State shared by the parts of one consensus instance: settings, clock, lease and gossip."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from .lease_protocol import LeaseTerms
 from .settings import ConsensusSettings
 
-REQUEST_TIMEOUT_S = 1.0  # of a question to one peer
-PROPOSE_TIMEOUT_S = 5.0  # of a command, until the replicated log has agreed on it
+REQUEST_TIMEOUT_S = 1.0  # for a request to one peer
+PROPOSE_TIMEOUT_S = 5.0  # for a command, until the replicated log has agreed on it
 
 
 @dataclass
@@ -25,10 +25,10 @@
     gossip: GossipNode
     folder: Path
     name: str
-    configured_voters: tuple[str, ...]  # as the operator's file names them
+    configured_voters: tuple[str, ...]  # from the operator's file
     first_digest: str  # of the first version and the configured voters
     terms: LeaseTerms
     clock: Clock
     lease_holder: LeaseHolder
     tasks: BackgroundTasks = field(default_factory=BackgroundTasks)
-    renew_now: asyncio.Event = field(default_factory=asyncio.Event)  # set: the next renewal isn't waited for
+    renew_now: asyncio.Event = field(default_factory=asyncio.Event)  # set: renew the lease at once
--- a/message_relay/consensus/instance.py
+++ b/message_relay/consensus/instance.py
@@ -1,5 +1,4 @@
-"""One instance's part in agreed rules: puts together the lease client, the voter, the enforcement of rules,
-and the ways in for operators."""
+"""One instance's part in the agreed rules: lease client, voter, rule enforcement and admin requests."""
 
 from __future__ import annotations
 
@@ -38,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 0.05  # how often a change of the active rules is looked for
+POLL_INTERVAL_S = 0.05  # between two checks whether the active rules have changed
 FLOOR_TIER = "floor"
 
 
 class ConsensusInstance:
     """Implements `CallPolicy` of core/ports.py by the rules on which the instances agree.
 
-    Runs from `start` to `close`; `on_rules_changed` is called when the active rules are others.
+    Runs from `start` to `close`; `on_rules_changed` is called when the active rules have changed.
     """
 
     def __init__(
@@ -84,8 +83,8 @@
 
     def _subscribe(self) -> None:
         gossip = self.gossip
-        gossip.on_epoch_raised.append(self.voter.on_rebooted)
-        gossip.on_identity_conflict.append(self.voter.on_refused)
+        gossip.on_epoch_raised.append(self.voter.on_folder_outdated)
+        gossip.on_identity_conflict.append(self.voter.on_outranked)
         gossip.datagram_handlers |= {
             RENEW: self.voter.on_renewal,
             GRANT: self.lease_client.on_grant,
@@ -97,10 +96,10 @@
             EPOCH_QUERY: self.voter.on_epoch_query,
         }
 
-    # -- life ------------------------------------------------------------------------------------------------
+    # -- lifecycle -------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start to renew the lease, to follow the newest version, and to vote where it says so."""
+        """Start to renew the lease, to follow the newest version, and to vote if that names this instance."""
         tasks = self.context.tasks
         tasks.start(self.lease_client.run())
         tasks.start(self._poll_active_rules())
@@ -109,7 +108,7 @@
             tasks.start(RulesFile(self.context, self.proposer).run())
 
     def leave(self) -> None:
-        """Release the lease, so that no voter waits for it. No call is allowed from now on."""
+        """Release the lease, so that no voter waits for it. No call is allowed afterwards."""
         self.lease_client.leave()
 
     async def close(self) -> None:
@@ -118,7 +117,7 @@
         await self.voter.close()
 
     async def _poll_active_rules(self) -> None:
-        """Follow the newest version's voters, and report it when the active rules have changed."""
+        """Follow the newest version's voters, and report each change of the active rules."""
         while True:
             self.voter.update_role()
             active = self.active_rules()
@@ -130,7 +129,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def on_member_changed(self, claim: Claim) -> None:
-        """Renew at once: a voter may have come back."""
+        """Renew the lease at once: a voter may have returned."""
         self.context.renew_now.set()
 
     # -- call policy (core/ports.py) -------------------------------------------------------------------------
@@ -166,7 +165,7 @@
 
     @property
     def call_observer(self) -> CallObserver | None:
-        """What plans failover, if anything does."""
+        """The failover planner, if there is one."""
         return self.admin_requests.call_observer
 
     @call_observer.setter
@@ -175,7 +174,7 @@
 
     @property
     def history(self) -> VersionHistory:
-        """The versions by this instance's own log; the first one alone where it does not vote."""
+        """The versions in this instance's own log; only the first version if it does not vote."""
         return self.voter.history
 
     @property
@@ -184,29 +183,29 @@
         return self.voter.replicated_log
 
     def active_rules(self) -> ActiveRules:
-        """The rules that this relay may act on now."""
+        """Return the rules that this relay may act on now."""
         return self.lease_client.active_rules()
 
     def current_voters(self) -> tuple[str, ...]:
-        """Names of the voters by the newest version known."""
+        """Return the names of the voters according to the newest known version."""
         return self.voter.current_voters()
 
     def newest_rules(self) -> Rules:
-        """The rules of the newest version known."""
+        """Return the rules of the newest known version."""
         return self.voter.newest_rules()
 
-    async def propose_plan(self, rules: Rules, base: int, why: str) -> str:
-        """Propose the next plan; empty, or why it was refused."""
+    async def propose_plan(self, rules: Rules, base: int, cause: str) -> str:
+        """Propose the next plan; return why it was refused, or an empty text."""
         raw = encode_rules(rules)
-        command = Propose(base, raw, f"{self.name}:plan", why, time.time() * 1000)
+        command = Propose(base, raw, f"{self.name}:plan", cause, time.time() * 1000)
         return (await self.proposer.propose(command)).refused
 
     async def handle_admin_request(self, request: AdminRequest) -> dict[str, Any]:
-        """The answer to an operator's request. Raises RulesError where it makes no sense."""
+        """Return the answer to an operator's request. Raises RulesError if the request is invalid."""
         return await self.admin_requests.handle(request)
 
     def status(self) -> dict[str, Any]:
-        """The state of this instance, for people; the keys are part of the operators' interface."""
+        """Return the state of this instance for display; the keys are part of the operators' interface."""
         active, holder = self.active_rules(), self.lease_holder
         replicated_log, grantor = self.voter.replicated_log, self.voter.lease_grantor
         now = self.context.clock.now()
--- a/message_relay/consensus/lease_client.py
+++ b/message_relay/consensus/lease_client.py
@@ -1,4 +1,4 @@
-"""The relay's part of an instance: it renews its lease with the voters and fetches versions that it lacks."""
+"""Lease client of a relay: renews its lease at the voters and fetches versions that it does not have."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 log = logging.getLogger(__name__)
 
 RENEW = "renew"  # datagram
-VERSION_QUERY = "version"  # question on a connection
+VERSION_QUERY = "version"  # request on a connection
 RENEWAL_JITTER = 0.8, 1.0  # of the interval, so that relays don't renew in step
 
 
 class LeaseClient:
-    """Renews at all voters that are known, and fetches each version that a grant names and it lacks."""
+    """Renews the lease at all known voters, and fetches each missing version that a grant names."""
 
     def __init__(self, context: ConsensusContext, voter: Voter, counts: Callable[[], DeliveryCounts]) -> None:
         self.context = context
         self.voter = voter
         self.counts = counts
         self.version_fetcher = VersionFetcher(context.gossip.rng)
-        self.has_left = False  # a further renewal would be granted, and waited for
+        self.has_left = False  # no more renewals: voters would grant them, and wait for them
 
     def active_rules(self) -> ActiveRules:
-        """The rules that this relay may act on now."""
+        """Return the rules that this relay may act on now."""
         return self.context.lease_holder.active_rules(self.context.clock.now())
 
     def leave(self) -> None:
-        """Release the lease, so that no voter has to wait for it. No call is allowed from now on."""
+        """Release the lease, so that no voter has to wait for it. No call is allowed afterwards."""
         renewal = self.context.lease_holder.renew(self.context.clock.now(), self.counts(), is_leaving=True)
         for name in self.voter.all_known_voters():
             self.context.gossip.send_datagram(name, RENEW, msgspec.msgpack.encode(renewal))
@@ -55,7 +55,7 @@
             try:
                 self._renew()
             except Exception:
-                log.exception("lease renewal failed")  # and the next one comes
+                log.exception("lease renewal failed")  # tried again at the next interval
             context.renew_now.clear()
             pause = context.terms.renew_interval_s * context.gossip.rng.uniform(*RENEWAL_JITTER)
             if await wait_for_event(context.renew_now, pause):
@@ -91,7 +91,7 @@
             self.context.tasks.start(self._fetch(missing, search))
 
     async def _fetch(self, number: int, search: VersionSearch) -> None:
-        """Ask voters in turn until the version is known, also from the own log or a later version."""
+        """Ask voters in turn until the version is known, possibly from this instance's own log."""
         rng = self.context.gossip.rng
         try:
             relays = len(self.context.gossip.swim.members)
@@ -105,7 +105,7 @@
             self.version_fetcher.finish(number)
 
     async def _fetch_from(self, number: int, voter: str) -> bool:
-        """Whether this voter's answer brought the version."""
+        """Request the version from one voter; return whether it was received."""
         raw_number = msgspec.msgpack.encode(number)
         try:
             raw = await self.context.gossip.request(voter, VERSION_QUERY, raw_number, REQUEST_TIMEOUT_S)
@@ -113,7 +113,7 @@
                 return False
             version: Version = msgspec.msgpack.decode(raw, type=Version)
             if version.number != number or digest(decode_rules(version.rules)) != version.digest:
-                raise RulesError(f"version {number}: {voter} told one that is not it")
+                raise RulesError(f"version {number}: {voter} sent another version or a wrong digest")
         except (OSError, TimeoutError, msgspec.MsgspecError, RulesError) as error:
             log.warning(LogEvent("version fetch failed", number=number, voter=voter, why=repr(error)))
             return False
--- a/message_relay/consensus/lease_grantor.py
+++ b/message_relay/consensus/lease_grantor.py
@@ -1,26 +1,25 @@
-"""What a voter allows relays to act on. No I/O; the clock is passed in, in seconds.
+"""Lease grantor of a voter: what it allows relays to act on. No I/O; the clock is passed in, in seconds.
 
 A voter has *cleared* a version once nothing that any relay may be acting on goes beyond it, as far as this
 voter has recorded or granted it. A relay acts on a version only with grants of a majority of voters, each of
-which has cleared it, and so has recorded nothing beyond it; any majority that once allowed a relay something
-else has a voter in common with that one. So no call that the agreed version forbids is made once any relay
-acts on it.
+which has cleared it, and so has recorded nothing beyond it. Any majority that allowed a relay something else
+before has a voter in common with this majority. So once any relay acts on the agreed version, no call is made
+that it forbids.
 
-What a relay may be acting on, as a voter knows it, is what the relay stated (`active_versions`) and what it
-was granted since, each by its age. Up to a lease: the meet of those versions. After it, up to the horizon:
+As far as a voter knows, a relay may be acting on what it stated (`active_versions`) and on what it was
+granted since, each by its age. Up to a lease: the meet of those versions. After that, up to the horizon:
 their standby rules, which is all that a relay without a majority continues with. After that: the floor,
 which lies within every version.
 
-Guards (docs/design/agreed-rules.md says which of them a model or schedules were seen to miss):
-- a relay acts on what a majority has recorded, no fewer; its lease runs from when it was requested, and is
-  checked right before the first byte; a version that it has dropped it never uses again, whatever late
-  answers grant;
-- the relays that a version waits for are searched among all relays once in a while and before anything is
-  cleared, and in between only the one that renews is checked: with a search at each renewal a voter of 3,500
-  relays has no time left;
-- a voter waits for all that it has recorded, longer than a holder counts, and for the horizon where a version
-  forbids the standby rules; below what it has cleared it records and grants nothing, in its next process too;
-  and a process that starts waits as if everything had been granted.
+Guards (docs/design/agreed-rules.md says for which of them the model or schedules detect the removal):
+- A relay acts only on what a majority has recorded. Its lease runs from when it was requested, and is checked
+  right before the first byte. It never again uses a version that it has dropped, whatever late answers grant.
+- The relays that a version waits for are searched for among all relays at intervals and before a version is
+  cleared. In between only the relay that renews is checked: a search at each renewal would leave a voter of
+  3,500 relays no time for anything else.
+- A voter waits for everything that it has recorded, longer than a holder counts, and for the horizon if a
+  version forbids the standby rules. It records and grants nothing below what it has cleared, also in its next
+  process. A process that starts waits as if everything had been granted.
 """
 
 from __future__ import annotations
@@ -35,10 +34,10 @@
 from .rules_meet import intersect_all, is_subset, standby_rules
 from .version_history import Stage, Version, VersionHistory
 
-MAX_RELAYS = INSTANCES_MAX  # one record for each known peer, and a search over them to clear a version
-FULL_CHECKS_PER_LEASE = 8  # searches over all relays while a version waits
-MAX_CACHED_RESULTS = 4096  # for pairs of the version sets that relays act on at one time
-EARLIER_PROCESS = "what was held before this voter's start"  # named among the blocking relays
+MAX_RELAYS = INSTANCES_MAX  # one record each, and all are searched to clear a version
+FULL_CHECKS_PER_LEASE = 8  # searches among all relays while a version waits
+MAX_CACHED_RESULTS = 4096  # enough for the pairs of version sets that are active at one time
+EARLIER_PROCESS = "leases granted before this voter started"  # listed among the blocking relays
 
 
 class RecordedGrant(NamedTuple):
@@ -62,12 +61,12 @@
     counts: DeliveryCounts = DeliveryCounts()
 
     def possible_versions(self) -> list[tuple[tuple[int, ...], float]]:
-        """Return each set of versions that the relay may act on the meet of, with its time."""
-        found = [((number,), grant.granted_at) for number, grant in self.grants.items()]
-        return [(self.active_versions, self.recorded_at), *found] if self.active_versions else [*found]
+        """Return each set of versions whose meet the relay may be acting on, with the time of its record."""
+        granted = [((number,), grant.granted_at) for number, grant in self.grants.items()]
+        return [(self.active_versions, self.recorded_at), *granted] if self.active_versions else [*granted]
 
     def record(self, renewal: LeaseRenewal, now: float, oldest: float) -> None:
-        """Record what the relay acts on; grants that it refuses, or from before `oldest`, are dropped."""
+        """Record what the relay acts on; drop grants that it refuses or that were given before `oldest`."""
         self.active_versions = renewal.active_versions
         self.recorded_at = now
         self.grants = {
@@ -76,8 +75,8 @@
             if grant.sequence >= renewal.refused_before and grant.granted_at >= oldest
         }
 
-    def clock_stepped_back(self, now: float) -> None:
-        """Let no time of the record lie in the future."""
+    def clamp_times(self, now: float) -> None:
+        """Limit all recorded times to `now`, after the clock has stepped back."""
         self.recorded_at = min(self.recorded_at, now)
         self.grants = {
             number: RecordedGrant(grant.sequence, min(grant.granted_at, now))
@@ -101,10 +100,10 @@
 
         Args:
             name: of this voter.
-            history: the replicated versions, which move on outside this class.
+            history: the replicated versions, which are updated outside this class.
             terms: lease durations.
             first_digest: digest of the first version and its voters.
-            cleared_version: as an earlier process of this voter left it; 0 if there was none.
+            cleared_version: as saved by an earlier process of this voter; 0 if there was none.
             now: the clock's time, in seconds.
         """
         self.name = name
@@ -118,7 +117,7 @@
         # Versions never change, and each renewal needs the same results.
         self.intersections: dict[tuple[int, ...], Rules] = {}
         self.subset_results: dict[tuple[tuple[int, ...], int, bool], bool] = {}
-        self.blockers: dict[str, None] = {}  # relays that the current version waits for, as far as is known
+        self.blockers: dict[str, None] = {}  # known relays that the current version waits for
         self.blockers_revision = -1  # number of commands applied to the history at that search
         self.next_full_check = 0.0  # when all relays are searched again
         self.last_now = now
@@ -131,7 +130,7 @@
     # -- renewals --------------------------------------------------------------------------------------------
 
     def on_renewal(self, now: float, name: str, renewal: LeaseRenewal) -> LeaseGrant:
-        """Record a renewal of a relay; return the answer."""
+        """Record a relay's renewal; return the answer."""
         self._check_clock(now)
         grant = self._process_renewal(now, name, renewal)
         self._update_blocker(now, name)
@@ -156,9 +155,9 @@
         return self._record_renewal(now, lease, name, renewal)
 
     def _refusal_reason(self, name: str, renewal: LeaseRenewal) -> str:
-        """Return why nothing is recorded for this process; empty if something may be."""
+        """Return why no renewal of this process is recorded; empty if it may be."""
         if renewal.first_digest != self.first_digest:
-            return "its first version is another: the operators' files differ"
+            return "its first version is different: the operators' files differ"
         lease = self.leases.get(name)
         if lease is None:
             if len(self.leases) >= MAX_RELAYS:
@@ -175,8 +174,8 @@
             return self._make_grant(renewal, reason="this voter's log is behind")
         is_recorded = self._may_record(renewal.active_versions)
         if is_recorded:
-            # Only now is what the relay refuses no longer waited for. A relay whose renewal is not recorded
-            # may continue with what it was granted, for as long as that lasts.
+            # Grants that the relay refuses stop blocking only when its renewal is recorded: otherwise it may
+            # continue with what it was granted until that expires.
             oldest = now - self.terms.grantor_duration(self.terms.horizon_s)
             lease.record(renewal, now, oldest)
         granted_version = 0
@@ -212,16 +211,16 @@
         )
 
     def _may_record(self, versions: tuple[int, ...]) -> bool:
-        """Whether the meet of these lies within all that is cleared or agreed on.
+        """Whether the meet of these versions lies within all versions that are cleared or agreed on.
 
-        A relay that acts on such a meet need not be waited for. A relay that does not know the current
-        version is informed of it first, so that it does not continue with an older one for long.
+        A relay that acts on such a meet blocks no version. A relay that does not know the current version is
+        informed of it first, so that it does not continue with an older one for long.
         """
         if versions and max(versions) < self.history.current.number:
             return False
         if self._intersection(versions) is None:
             return False
-        # Also those between: another majority may have cleared one of them, and this voter the next already.
+        # Versions in between count too: another majority may have cleared one, and this voter the next one.
         oldest = min(self.cleared_version, *versions) if versions else self.cleared_version
         for version in reversed(self.history.versions):
             if version.number < oldest:
@@ -234,8 +233,8 @@
     def _can_use_grant(self, versions: tuple[int, ...], current: Version) -> bool:
         """Whether a relay that acts on these could still act on the current version.
 
-        It could not if it knows a later version than this voter, or acts on a canary version. A grant that
-        it can't use would be waited for in vain.
+        It could not if it knows a later version than this voter, or acts on a canary version. Voters would
+        wait in vain for a grant that it can't use.
         """
         newest = max(versions, default=0)
         if newest <= current.number:
@@ -247,38 +246,38 @@
 
     def _intersection(self, numbers: tuple[int, ...]) -> Rules | None:
         """Return the meet of these versions; None if one of them is unknown."""
-        found = self.intersections.get(numbers)
-        if found is None:
+        rules = self.intersections.get(numbers)
+        if rules is None:
             versions = [self.history.get(number) for number in numbers]
             if None in versions:
                 return None
-            found = intersect_all(version.decoded_rules for version in versions if version is not None)
+            rules = intersect_all(version.decoded_rules for version in versions if version is not None)
             if len(self.intersections) >= MAX_CACHED_RESULTS:
                 self.intersections.clear()
-            self.intersections[numbers] = found
-        return found
+            self.intersections[numbers] = rules
+        return rules
 
     def _is_intersection_subset(
         self, numbers: tuple[int, ...], version: Version, is_standby: bool = False
     ) -> bool:
         """Whether the meet of these versions, or its standby rules, lies within the given version."""
         key = numbers, version.number, is_standby
-        found = self.subset_results.get(key)
-        if found is None:
+        is_within = self.subset_results.get(key)
+        if is_within is None:
             rules = self._intersection(numbers)
             assert rules is not None
             if is_standby:
                 rules = standby_rules(rules, self.terms.standby_share)
-            found = is_subset(rules, version.decoded_rules)
+            is_within = is_subset(rules, version.decoded_rules)
             if len(self.subset_results) >= MAX_CACHED_RESULTS:
                 self.subset_results.clear()
-            self.subset_results[key] = found
-        return found
+            self.subset_results[key] = is_within
+        return is_within
 
     # -- clearing --------------------------------------------------------------------------------------------
 
     def clear_current_version(self, now: float) -> bool:
-        """Clear the current version if no relay goes beyond it; return whether it was cleared just now.
+        """Clear the current version if no relay goes beyond it; return whether this call has cleared it.
 
         The caller has to write `cleared_version` to disk before any answer is sent.
         """
@@ -318,15 +317,15 @@
         )
 
     def _find_blockers(self, now: float, version: Version) -> list[str]:
-        found = [] if self._is_past_start(now, version) else [EARLIER_PROCESS]
+        blockers = [] if self._is_past_start(now, version) else [EARLIER_PROCESS]
         for name, lease in list(self.leases.items()):
             if lease.epoch <= self.history.forgotten_epochs.get(name, -1):
                 del self.leases[name]
             elif not self._permits_clearing(now, lease, version):
-                found.append(name)
+                blockers.append(name)
             elif now - lease.received_at > 2 * self.terms.grantor_duration(self.terms.horizon_s):
-                del self.leases[name]  # it acts on the floor since long ago
-        return found
+                del self.leases[name]  # it has acted on the floor for a long time
+        return blockers
 
     def _is_possible_set_bounded(self, age: float, numbers: tuple[int, ...], version: Version) -> bool:
         """Whether a relay that may act on these versions since `age` seconds stays within the version."""
@@ -344,25 +343,25 @@
     def _is_past_start(self, now: float, version: Version) -> bool:
         """Whether nothing that an earlier process of this voter may have granted goes beyond the version.
 
-        Its grants are not known any more: any earlier version may be held.
+        The grants of that process are not known: relays may hold any earlier version.
         """
         if self.has_never_granted:
             return True
         age = now - self.started_at
-        older = [each for each in self.history.versions if each.number < version.number]
-        return all(self._is_bounded_by_age(age, (each.number,), version) for each in older)
+        older = [other for other in self.history.versions if other.number < version.number]
+        return all(self._is_bounded_by_age(age, (other.number,), version) for other in older)
 
     def _check_clock(self, now: float) -> None:
-        """Guards against a clock that steps back: ages are unknown then, as after a start."""
+        """Guards against a clock that steps back: ages are then unknown, as after a start."""
         if now < self.last_now:
             self.started_at = now
             self.has_never_granted = False
             self.next_full_check = now
             for lease in self.leases.values():
-                lease.clock_stepped_back(now)
+                lease.clamp_times(now)
         self.last_now = now
 
 
 def is_in_canary(name: str, version: Version) -> bool:
-    """Whether a relay acts on a canary version: by a hash, so that each version has other canaries."""
+    """Whether a relay acts on a canary version: by a hash that selects other relays for each version."""
     return zlib.crc32(f"{version.number} {version.digest} {name}".encode()) / 2**32 < version.share
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -1,17 +1,17 @@
-"""Which rules a relay may act on at the moment. No I/O; the clock is passed in, in seconds.
+"""Lease holder of a relay: which rules it may act on. No I/O; the clock is passed in, in seconds.
 
-A relay renews its lease at each voter, again and again, and states the versions that it acts on
-(`active_versions`: it acts on their meet). While a majority has recorded that within a lease, it continues.
+A relay renews its lease at each voter periodically, and states the versions that it acts on
+(`active_versions`: it acts on their meet). It continues while a majority has recorded that within a lease.
 Once it learns that another version is agreed on, it acts on the meet of both, which contradicts neither,
-refuses all grants of what it had, and says so in its next renewal: that allows other relays to switch to the
-new version. With grants of a majority for the new version, it acts on that one alone.
+refuses all earlier grants, and states so in its next renewal: that allows other relays to switch to the new
+version. With grants of a majority for the new version, it acts on that version alone.
 
     time since a majority last recorded it   the relay acts on
     up to a lease                            the meet of `active_versions`
     up to the horizon                        the standby rules of that: each version allows them, or waits
     later, and before the first lease        the floor, which lies within every version that is ever agreed on
 
-Each query is answered by the clock of that moment: a process that was frozen finds its lease expired when it
+Each query is answered by the clock at that moment: a process that was frozen finds its lease expired when it
 resumes.
 """
 
@@ -27,9 +27,9 @@
 from .rules_meet import intersect, intersect_all, standby_rules
 from .version_history import Version
 
-MAX_OUTSTANDING_RENEWALS = 64  # renewals whose answers still count: eight leases' worth and more
+MAX_OUTSTANDING_RENEWALS = 64  # renewals whose answers are still used: those of eight leases and more
 MAX_KNOWN_VERSIONS = 64
-# Guards against a grant to a relay that has left: no renewal of its process has so high a number.
+# Guards against a grant to a relay that has left: no renewal of its process reaches this sequence number.
 RELEASED_SEQUENCE_MARGIN = 1_000_000
 NEVER = float("-inf")
 NO_COUNTS = DeliveryCounts()
@@ -43,7 +43,7 @@
 
 
 class CachedRules(NamedTuple):
-    """The latest answer of `active_rules`, and what it depends on."""
+    """The latest result of `active_rules`, and the values that it depends on."""
 
     active_versions: tuple[int, ...]
     lease_start: float
@@ -55,9 +55,9 @@
 class GrantState:
     """What one voter has recorded and granted for this relay."""
 
-    recorded_at: float = NEVER  # when the renewal was sent that it recorded last
+    recorded_at: float = NEVER  # send time of the latest renewal that it recorded
     granted_version: int = 0
-    granted_at: float = NEVER  # when the renewal was sent that it answered with that grant last
+    granted_at: float = NEVER  # send time of the latest renewal that it answered with that grant
     granted_sequence: int = 0  # of that renewal
     cleared_version: int = 0
     canary_version: int = 0
@@ -71,7 +71,7 @@
         return self.granted_at if self.granted_version == granted_version else NEVER
 
     def add_grant(self, grant: LeaseGrant, sent_at: float) -> None:
-        """Take in a grant that answers the renewal sent then; an older version than before is ignored."""
+        """Add a grant that answers a renewal sent at `sent_at`; a version older than before is ignored."""
         if grant.granted_version > self.granted_version:
             self.granted_version = grant.granted_version
             self.granted_at = sent_at
@@ -87,7 +87,7 @@
 
 
 class LeaseHolder:
-    """The lease of one relay: makes renewals, takes in grants, and says which rules apply."""
+    """The lease of one relay: makes renewals, processes grants, and determines which rules apply."""
 
     def __init__(
         self, epoch: int, nonce: int, first_digest: str, terms: LeaseTerms, floor: Rules = DENY_ALL
@@ -97,16 +97,16 @@
         self.first_digest = first_digest
         self.terms = terms
         self.floor = floor
-        self.versions: OrderedDict[int, Version] = OrderedDict()  # known with their rules
+        self.versions: OrderedDict[int, Version] = OrderedDict()  # by number, those known with their rules
         self.active_versions: tuple[int, ...] = ()
         self.sequence = 0
         self.refused_before = 0  # grants that answer an earlier renewal are not used
         self.latest_agreed = 0  # the newest version that a voter has reported as agreed on
         self.sent_renewals: OrderedDict[int, SentRenewal] = OrderedDict()
         self.grant_states: dict[str, GrantState] = {}
-        self.lease_start = NEVER  # when the renewal was sent that a majority recorded last
+        self.lease_start = NEVER  # send time of the latest renewal that a majority recorded
         self.last_now = NEVER
-        self.denial_reason = ""  # of the latest voter that recorded nothing
+        self.denial_reason = ""  # reason of the latest voter that recorded nothing
         self._cached: CachedRules | None = None
 
     # -- renewals and versions -------------------------------------------------------------------------------
@@ -140,7 +140,7 @@
         """Return the first renewal whose grants can still start a lease.
 
         A relay without active versions needs grants of a majority within a lease. The answer to an older
-        renewal may be lost, and a voter that recorded its grant would wait for it in vain.
+        renewal may be lost, and a voter that recorded its grant would then wait for it in vain.
         """
         since = now - self.terms.holder_duration(self.terms.lease_s)
         return next(sequence for sequence, sent in self.sent_renewals.items() if sent.sent_at >= since)
@@ -152,7 +152,7 @@
         self.grant_states.clear()
 
     def release(self) -> None:
-        """Act on no version any more, after the last renewal has said so."""
+        """Stop acting on any version, after the last renewal has announced it."""
         self._drop_lease(self.sequence + RELEASED_SEQUENCE_MARGIN)
 
     def _drop_lease(self, refused_before: int) -> None:
@@ -172,7 +172,7 @@
 
     def missing_version(self, grant: LeaseGrant) -> int:
         """Return a version that the voter refers to and that is not known yet; 0 if there is none."""
-        # A relay that acts on a version also obeys all later ones.
+        # A relay that acts on a version also obeys all later agreed versions.
         first = max(self.active_versions, default=grant.current_version - 1) + 1
         numbers: list[int] = [*range(first, grant.current_version + 1), grant.canary_version]
         for number in numbers:
@@ -183,7 +183,7 @@
     # -- grants ----------------------------------------------------------------------------------------------
 
     def on_grant(self, now: float, voter: str, grant: LeaseGrant) -> bool:
-        """Take in a voter's answer; return whether to renew at once, since the active versions changed."""
+        """Process a voter's answer; return whether to renew at once, since the active versions changed."""
         self._check_clock(now)
         renewal = self.sent_renewals.get(grant.sequence)
         if renewal is None:
@@ -216,9 +216,8 @@
     def _on_newer_version(self, grant: LeaseGrant) -> bool:
         """Refuse grants of an earlier version if the relay has no active versions yet.
 
-        Guards against a relay that joins while a version changes: voters waited for each of its grants up to
-        the horizon, which delayed all other relays for that long. A voter that is behind may also grant such
-        a version later.
+        Guards against a delay of all relays when one joins during a change of version: voters waited for each
+        of its grants up to the horizon. A voter that is behind may also grant such a version later.
         """
         is_outdated_grant = 0 < grant.granted_version < self.latest_agreed
         if grant.current_version <= self.latest_agreed and not is_outdated_grant:
@@ -231,17 +230,17 @@
         return True
 
     def _refuse_grants_before(self, sequence: int) -> None:
-        """Use no answer to an earlier renewal: once the voters know this, they need not wait for it."""
+        """Ignore grants for earlier renewals: once the voters know this, they need not wait for them."""
         self.refused_before = max(self.refused_before, sequence)
         for state in self.grant_states.values():
             if state.granted_sequence < sequence:
                 state.drop_grant()
 
     def _narrow_active_versions(self, grant: LeaseGrant) -> bool:
-        """Also obey a version that was agreed on since, or switch to the canary version."""
+        """Also obey a version that was agreed on meanwhile, or switch to the canary version."""
         canary = self.versions.get(grant.canary_version)
         if canary is not None and self.active_versions == (grant.current_version,):
-            # It lies within the current one, so that no grant is needed.
+            # A canary lies within the current version, so that no grant is needed.
             self._set_narrower_versions((canary.number,))
             return True
         current = grant.current_version
@@ -252,7 +251,7 @@
         return False
 
     def _set_narrower_versions(self, versions: tuple[int, ...]) -> None:
-        """Act on less than before, which what the voters have recorded still covers."""
+        """Act on narrower rules than before, which the voters' records still cover."""
         self.active_versions = versions
         self.refused_before = self.sequence + 1
 
@@ -265,7 +264,7 @@
         if self._is_active_canary() or (
             number < max(self.active_versions, default=0) and not self._is_canary_withdrawn()
         ):
-            return False  # it acts on a canary version that is not agreed on yet, or knows a later version
+            return False  # a canary that is not agreed on yet, or a later version, is active
         granted_since = self._majority_time(version.voters, number)
         voters_before = self.versions.get(number - 1, version).voters
         if not self._has_cleared_majority(voters_before, number):
@@ -309,14 +308,14 @@
         return times[len(times) // 2] if times else NEVER
 
     def _extend_lease(self) -> None:
-        """Move the start of the lease: each active version needs the majority of its own voters."""
+        """Advance the start of the lease: each active version needs the majority of its own voters."""
         known = [self.versions[number] for number in self.active_versions if number in self.versions]
         if known:
             recorded_since = min(self._majority_time(version.voters) for version in known)
             self.lease_start = max(self.lease_start, recorded_since)
 
     def _check_clock(self, now: float) -> None:
-        """Guards against a clock that steps back: the age of the lease is unknown then, and it ends."""
+        """Guards against a clock that steps back: the age of the lease is then unknown, and it ends."""
         if now < self.last_now:
             self.lease_start = NEVER
             self.sent_renewals.clear()
@@ -327,7 +326,7 @@
     # -- active rules ----------------------------------------------------------------------------------------
 
     def tier(self, now: float) -> LeaseTier:
-        """Return the tier by the age of the lease."""
+        """Return the tier that follows from the age of the lease."""
         self._check_clock(now)
         age = now - self.lease_start
         if not self.active_versions or age > self.terms.holder_duration(self.terms.horizon_s):
@@ -337,8 +336,8 @@
     def active_rules(self, now: float) -> ActiveRules:
         """Return the rules that apply now.
 
-        Called for each message, and right before a call's first byte: the latest answer is reused while
-        nothing that it depends on has changed and its time has not run out.
+        Called for each message, and right before a call's first byte: the latest result is reused while
+        nothing that it depends on has changed and it has not expired.
         """
         cached = self._cached
         if (
--- a/message_relay/consensus/lease_protocol.py
+++ b/message_relay/consensus/lease_protocol.py
@@ -2,8 +2,8 @@
 
 All times are in seconds, on monotonic clocks. The operator states a bound T: no two relays act on versions
 that contradict each other for longer. A lease lasts `LEASE_SHARE_OF_BOUND` of T by the clock of its holder;
-a grantor counts it as longer, by the clock drift on each side, so that it has always expired for the holder
-first while no two clocks drift apart by more than `drift`.
+a grantor counts a longer time, by the clock drift on each side, so that the lease always expires for the
+holder first while no two clocks drift apart by more than `drift`.
 
 The messages are encoded as arrays: the order and types of their fields are a wire format.
 """
@@ -14,7 +14,7 @@
 
 import msgspec
 
-LEASE_SHARE_OF_BOUND = 0.6  # the rest of T is for network delay and a late turn of the event loop
+LEASE_SHARE_OF_BOUND = 0.6  # the rest of T allows for network delay and a late event loop
 RENEWALS_PER_LEASE = 4  # so that three in a row may be lost
 
 
@@ -23,9 +23,9 @@
     """The durations that all relays agree on, from the operator's file."""
 
     bound_s: float = 2.0  # T
-    horizon_s: float = 30.0  # a relay stops so long after its last contact to a majority
+    horizon_s: float = 30.0  # a relay stops this long after its last contact with a majority
     drift: float = 0.05  # between any two clocks, in seconds a second
-    standby_share: float = 0.9  # share of each rate that a relay without a majority continues with
+    standby_share: float = 0.9  # share of each rate with which a relay without a majority continues
 
     @property
     def lease_s(self) -> float:
@@ -42,7 +42,7 @@
         return seconds * (1 - self.drift)
 
     def grantor_duration(self, seconds: float) -> float:
-        """Return the longest time on another clock: what a grantor has to wait for."""
+        """Return the longest time on another clock: how long a grantor has to wait."""
         return seconds * (1 + self.drift)
 
 
@@ -54,7 +54,7 @@
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True):
-    """Sent by a relay to each voter: the versions that it acts on, and will not go beyond."""
+    """Sent by a relay to each voter: the versions that it acts on and will not go beyond."""
 
     epoch: int  # process epoch of the relay's folder
     nonce: int  # of the process
@@ -71,8 +71,8 @@
 
     sequence: int  # of the renewal
     is_recorded: bool  # the voter counts `active_versions` as allowed, from now on for a lease
-    granted_version: int  # the relay may act on this version; 0: on none
+    granted_version: int  # the version that the relay may act on; 0: none
     cleared_version: int  # no relay acts beyond this version, as far as this voter knows
     current_version: int  # the newest one that is agreed on, as far as this voter knows
-    canary_version: int = 0  # the relay is to act on this version as a canary; 0: on none
+    canary_version: int = 0  # the version that the relay is to act on as a canary; 0: none
     reason: str = ""  # why nothing was recorded or granted
--- a/message_relay/consensus/proposer.py
+++ b/message_relay/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""How a command reaches the replicated log: checked, and handed to a voter where this instance is none."""
+"""Checks commands and proposes them to the replicated log, through a voter if this instance is none."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from .version_history import ChangeVoters, Command, CommandResult, Propose, decode_command
 from .voter import Voter
 
-COMMAND = "command"  # question on a connection
+COMMAND = "command"  # request on a connection
 NOT_VOTING = "this voter does not vote"
 
 _RESULT: msgspec.json.Decoder[CommandResult] = msgspec.json.Decoder(CommandResult)
 
 
 class Proposer:
-    """Proposes commands to the replicated log, and answers those that other instances hand on."""
+    """Proposes commands to the replicated log, and answers those that other instances forward."""
 
     def __init__(
         self, context: ConsensusContext, voter: Voter, classes: list[str], zones: tuple[str, ...]
@@ -32,7 +32,7 @@
         self.zones = zones
 
     async def propose(self, command: Command) -> CommandResult:
-        """Propose a command here if this instance votes, else at the first voter that does."""
+        """Propose a command locally if this instance votes, otherwise at the first instance that does."""
         raw = msgspec.json.encode(command)
         if self.voter.replicated_log is not None:
             return await self._propose_locally(command, raw)
@@ -45,12 +45,12 @@
                 result = _RESULT.decode(answer)
             except (OSError, TimeoutError, msgspec.MsgspecError):
                 continue
-            if result.refused != NOT_VOTING:  # one that has just started, or is disabled, speaks for no other
+            if result.refused != NOT_VOTING:  # the refusal of one that starts or is disabled isn't final
                 break
         return result
 
     async def on_command(self, hello: Hello, raw: bytes) -> bytes:
-        """Answer a command that an instance without a vote hands on."""
+        """Answer a command that an instance without a vote forwards."""
         try:
             if self.voter.replicated_log is None:
                 raise RulesError(NOT_VOTING)
@@ -61,13 +61,13 @@
 
     async def _propose_locally(self, command: Command, raw: bytes) -> CommandResult:
         assert self.voter.replicated_log is not None
-        why = self.refusal_reason(command)
-        if why:
-            return CommandResult(refused=why)
+        reason = self.refusal_reason(command)
+        if reason:
+            return CommandResult(refused=reason)
         return await self.voter.replicated_log.propose(command, raw, PROPOSE_TIMEOUT_S)
 
     def refusal_reason(self, command: Command) -> str:
-        """Why a command may not be agreed on, or empty: afterwards every relay has to act on it."""
+        """Return why a command is refused, or an empty text: once agreed on, every relay has to act on it."""
         try:
             if isinstance(command, Propose):
                 self._check_rules(decode_rules(command.rules))
--- a/message_relay/consensus/raft_storage.py
+++ b/message_relay/consensus/raft_storage.py
@@ -1,9 +1,9 @@
-"""The files of a voter's log: whether they can be trusted at a start, and when they have to be synced.
+"""The files of a voter's log: whether they can be trusted at the start, and when they have to be synced.
 
-pysyncobj 0.3.17 writes votes and entries but leaves them to the page cache, treats a vote that can't be read
-as none, walks its journal by whatever sizes stand there, and keeps an entry in memory whose write has
-failed. So its files are checked before it is started, synced before its messages are sent, and it is stopped
-at the first turn that fails: what lies on the disk counts, not what was in memory.
+pysyncobj 0.3.17 writes votes and entries but does not sync them, treats an unreadable vote as no vote, does
+not check the record sizes in its journal, and retains an entry in memory whose write has failed. So its files
+are checked before it is started and synced before its messages are sent, and it is stopped at the first turn
+that fails: only the state on disk counts, not the state in memory.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 JOURNAL, DUMP, META = "raft.journal", "raft.dump", "raft.journal.meta"
 JOURNAL_NAME, JOURNAL_FORMAT = b"PYSYNCOBJ", 1
-# Name, the library's version, the format, and the offset at which the last record ends.
+# Name, version of the library, format, and end offset of the last record.
 HEADER = struct.Struct("<24s8sII")
 RECORD_SIZE = struct.Struct("<I")  # before and after each record
-RECORD_POSITION = struct.Struct("<QQ")  # number and term
+RECORD_POSITION = struct.Struct("<QQ")  # number and term of an entry
 CHECKSUM_BYTES = 8  # before each command
 
 
@@ -38,40 +38,40 @@
 
 
 class WrittenState(NamedTuple):
-    """What changes whenever the log writes: compared, to find out whether it has to be synced."""
+    """Values of which one changes with each write of the log; compared to decide whether to sync."""
 
-    meta: tuple[int, int] | None  # inode and time of modification
+    meta: tuple[int, int] | None  # inode and modification time
     journal_end: int
     last_position: bytes
 
 
 def with_checksum(raw: bytes) -> bytes:
-    """A command as it goes into the log: the journal has no checksums of its own."""
+    """Return a command as it is stored in the log: the journal has no checksums of its own."""
     return hashlib.sha256(raw).digest()[:CHECKSUM_BYTES] + raw
 
 
 def verified_payload(raw: bytes) -> bytes:
-    """The command of a log entry. Raises TornWriteError if its checksum is wrong."""
+    """Return the command of a log entry. Raises TornWriteError if its checksum is wrong."""
     payload = raw[CHECKSUM_BYTES:]
     if hashlib.sha256(payload).digest()[:CHECKSUM_BYTES] != raw[:CHECKSUM_BYTES]:
-        raise TornWriteError("an entry of its log has another sum")
+        raise TornWriteError("an entry of its log has a wrong checksum")
     return payload
 
 
 def _journal_end(raw: bytes) -> int:
-    """The offset at which the last record ends, by the header. Raises TornWriteError."""
+    """Return the end offset of the last record, from the header. Raises TornWriteError."""
     if len(raw) < HEADER.size:
         raise TornWriteError(f"its journal is {len(raw)} bytes long")
     name, _, journal_format, end = HEADER.unpack(raw[: HEADER.size])
     if name.rstrip(b"\0") != JOURNAL_NAME or journal_format != JOURNAL_FORMAT:
-        raise TornWriteError("its journal is of another form")
+        raise TornWriteError("its journal has an unknown format")
     if not HEADER.size <= end <= len(raw):
         raise TornWriteError(f"its journal ends at {end} of {len(raw)} bytes")
     return int(end)
 
 
 def parse_journal(raw: bytes) -> list[JournalRecord]:
-    """All records of a journal. Raises TornWriteError."""
+    """Return all records of a journal. Raises TornWriteError."""
     journal_end = _journal_end(raw)
     records: list[JournalRecord] = []
     offset = HEADER.size
@@ -93,18 +93,18 @@
 
 
 def parse_vote(raw: bytes) -> dict[str, Any]:
-    """What was written of the latest term and vote. Raises TornWriteError."""
+    """Decode the saved term and vote. Raises TornWriteError."""
     try:
-        found = pickle.loads(raw)
-    except Exception as error:  # whatever a torn pickle makes of itself
+        saved = pickle.loads(raw)
+    except Exception as error:  # a torn pickle may raise any exception
         raise TornWriteError(f"its vote can't be read: {error!r}") from error
-    if not isinstance(found, dict) or not isinstance(found.get("currentTerm", 0), int):
+    if not isinstance(saved, dict) or not isinstance(saved.get("currentTerm", 0), int):
         raise TornWriteError("its vote can't be read")
-    return found
+    return saved
 
 
 def verify_log(folder: Path) -> None:
-    """Raises TornWriteError where the log in a folder is damaged, OSError where it can't be read."""
+    """Raises TornWriteError if the log in a folder is damaged, OSError if it can't be read."""
     try:
         records = parse_journal((folder / JOURNAL).read_bytes())
     except FileNotFoundError:
@@ -125,17 +125,17 @@
 
 
 class RaftStorage:
-    """Knows whether the log has written since it was synced last, by two short reads."""
+    """Syncs the log, and detects by two short reads whether it has written since its last sync."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.synced_state: WrittenState | None = None
 
     def _written_state(self) -> WrittenState:
-        """Raises OSError.
+        """Return the current values. Raises OSError.
 
-        The journal is written through a mapping: reads see that at once, and its time of modification does
-        not change.
+        The journal is written through a memory mapping: reads see a write at once, and the modification time
+        does not change.
         """
         meta = None
         with contextlib.suppress(FileNotFoundError):
@@ -151,7 +151,7 @@
 
     @staticmethod
     def _last_position(descriptor: int, end: int) -> bytes:
-        """Number and term of the last record, as they were written."""
+        """Return the encoded number and term of the last record."""
         size = RECORD_SIZE.unpack(os.pread(descriptor, RECORD_SIZE.size, end - RECORD_SIZE.size))[0]
         return os.pread(descriptor, RECORD_POSITION.size, end - size - RECORD_SIZE.size)
 
@@ -160,7 +160,7 @@
         return self._written_state() != self.synced_state
 
     def sync(self) -> None:
-        """Block until all that was written is on the disk: not for the event loop. Raises OSError."""
+        """Block until all writes are on disk; must not run on the event loop. Raises OSError."""
         state = self._written_state()
         for name in (JOURNAL, META, "."):
             with contextlib.suppress(FileNotFoundError):
--- a/message_relay/consensus/raft_transport.py
+++ b/message_relay/consensus/raft_transport.py
@@ -1,7 +1,7 @@
 """pysyncobj's transport over this relay's own connections to its peers.
 
-Messages to other voters are collected during a turn of the log and sent by `flush`, once what they speak of
-lies on the disk; messages from them are collected in between and processed by `deliver`.
+Messages to other voters are collected during a turn of the log and sent by `flush`, once the state that they
+refer to is on disk. Messages from other voters are collected between turns and processed by `deliver`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class GossipTransport(Transport):  # type: ignore[misc]
-    """One stream to each other voter. The names in camel case are those of pysyncobj's interface."""
+    """One stream to each other voter. The camel-case names belong to pysyncobj's interface."""
 
     ready = True
 
@@ -69,7 +69,7 @@
             task.cancel()
 
     def send(self, node: RaftNode, message: Any) -> bool:
-        """Collect a message for `flush`. False: there is no connection."""
+        """Collect a message for `flush`; return False if there is no connection."""
         stream = self.streams.get(node.id)
         if stream is None or not stream.is_connected:
             return False
@@ -77,7 +77,7 @@
         return True
 
     def flush(self) -> None:
-        """Send what was collected: what it speaks of lies on the disk."""
+        """Send the collected messages. The state that they refer to has to be on disk."""
         collected = self.outbox
         self.outbox = []
         for stream, raw in collected:
@@ -103,10 +103,10 @@
         self.wakeup.set()
 
     def deliver(self) -> None:
-        """Process what was received since the last turn.
+        """Process the messages that were received since the last turn.
 
-        Only voters are listened to, and only over sealed connections where the fleet has a secret: their
-        messages are pickled.
+        Messages are accepted from voters only, and only over sealed connections if the fleet has a secret:
+        they are pickled.
         """
         received = self.inbox
         self.inbox = []
@@ -116,7 +116,7 @@
                 continue
             try:
                 message = pickle.loads(raw)
-            except Exception as error:  # whatever a torn pickle makes of itself
+            except Exception as error:  # a torn pickle may raise any exception
                 log.warning(LogEvent("raft message discarded", sender=sender, why=repr(error)))
                 continue
             self._onMessageReceived(node, message)
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -1,10 +1,10 @@
 """The version history as a replicated log: Raft by pysyncobj, embedded (see docs/design/agreed-rules.md).
 
-Its messages travel on this relay's own connections to its peers (`raft_transport.py`), so that they are
-sealed and named as all others are, and its turns run on this process's event loop. A voter whose state
-folder has gone back in time, or has lost the log, may have voted in a term that it no longer knows of: it
-must not start this (see `voter.py`). `raft_storage.py` says why its files are checked, synced before a
-message is sent, and opened anew after a failure.
+Its messages use this relay's own connections to its peers (`raft_transport.py`), so that they are sealed and
+carry the sender's name like all others, and its turns run on this process's event loop. A voter whose state
+folder was restored to an older state, or has lost the log, may have voted in a term that it no longer knows:
+it must not start the log (see `voter.py`). `raft_storage.py` explains why the files are checked, synced
+before a message is sent, and reopened after a failure.
 """
 
 from __future__ import annotations
@@ -30,27 +30,29 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.075  # between two turns of the log without messages: half a heartbeat
-ELECTION_S = 0.5, 1.2  # without a leader for so long, by chance between them
+TICK_S = 0.075  # between two turns of the log if no message arrives: half a heartbeat
+ELECTION_S = 0.5, 1.2  # election timeout, drawn at random between the two
 HEARTBEAT_S = 0.15
 RECONNECT_S = 0.2
-LEADER_FALLBACK_S = 2.0  # a leader without a majority for so long steps down
+LEADER_FALLBACK_S = 2.0  # a leader without a majority for this long steps down
 COMPACT_S, COMPACT_ENTRIES = 30, 200
-CHECKSUM_BYTES = 32  # SHA-256 before a snapshot
+CHECKSUM_BYTES = 32  # SHA-256 in front of a snapshot
 
-_TAKEN_OVER = "another leader has taken over: see whether it was taken, and propose again"
+_TAKEN_OVER = (
+    "another leader has taken over: check whether the command was applied, and propose it again if not"
+)
 FAILURE_MESSAGES = {
-    FAIL_REASON.QUEUE_FULL: "too many commands wait",
-    FAIL_REASON.MISSING_LEADER: "there is no leader just now",
+    FAIL_REASON.QUEUE_FULL: "too many commands are waiting",
+    FAIL_REASON.MISSING_LEADER: "there is no leader at present",
     FAIL_REASON.DISCARDED: _TAKEN_OVER,
     FAIL_REASON.NOT_LEADER: _TAKEN_OVER,
     FAIL_REASON.LEADER_CHANGED: _TAKEN_OVER,
-    FAIL_REASON.REQUEST_DENIED: "it is not possible now",
+    FAIL_REASON.REQUEST_DENIED: "the request was denied",
 }
 
 
 def _failure_message(error: int) -> str:
-    return FAILURE_MESSAGES.get(error, f"it failed ({error})")
+    return FAILURE_MESSAGES.get(error, f"the command failed (pysyncobj error {error})")
 
 
 def _set_commit_index_if_changed(journal: Any, set_commit_index: Callable[[int], None], index: int) -> None:
@@ -59,7 +61,7 @@
 
 
 class ReplicatedHistory(SyncObj):  # type: ignore[misc]
-    """pysyncobj's state machine. It numbers the replicated methods by name: keep a single one."""
+    """pysyncobj's state machine. pysyncobj numbers the replicated methods by name: keep a single one."""
 
     def __init__(
         self,
@@ -73,8 +75,8 @@
         self._history = history
         self._on_applied = on_applied
         super().__init__(own_node, others, conf, nodeClass=RaftNode, transport=transport)
-        # It writes its vote anew each second in which it was told how far the log is agreed on, which is each
-        # second: a rename that holds the loop up for 8 ms, and a sync. Only what is new is kept for that.
+        # pysyncobj rewrites the file of its vote each second in which the commit index was reported, which is
+        # every second: a rename that blocks the event loop for 8 ms, and a sync. So only a new index is set.
         journal = self._SyncObj__raftLog
         journal.setRaftCommitIndex = partial(
             _set_commit_index_if_changed, journal, journal.setRaftCommitIndex
@@ -82,14 +84,14 @@
 
     @replicated  # type: ignore[misc]
     def apply_command(self, raw: bytes) -> tuple[int, str]:
-        """Apply an agreed command. Returns the fields of its `CommandResult`, which pysyncobj pickles."""
+        """Apply an agreed command; return the fields of its `CommandResult`, which pysyncobj pickles."""
         result = self._history.apply(decode_command(verified_payload(raw)))
         self._on_applied()
         return result.number, result.refused
 
 
 class ReplicatedLog:
-    """One voter's copy of the log, and its part in agreeing on it."""
+    """One voter's replica of the log, and its participation in Raft."""
 
     def __init__(
         self,
@@ -100,7 +102,7 @@
         history: VersionHistory,
         on_applied: Callable[[], None],
     ) -> None:
-        """Raises TornWriteError where the folder can't be trusted, OSError where it can't be written."""
+        """Raises TornWriteError if the folder can't be trusted, OSError if it can't be written."""
         verify_log(folder)
         self.history = history
         self.on_applied = on_applied
@@ -131,22 +133,22 @@
         )
 
     def _write_snapshot(self, file: str, raft_state: Any) -> None:
-        """Write pysyncobj's own state and the history, behind a checksum."""
+        """Write a checksum, then the history and pysyncobj's own state."""
         raw = pickle.dumps((self.history.dump(), raft_state))
         Path(file).write_bytes(hashlib.sha256(raw).digest() + raw)
 
     def _read_snapshot(self, file: str) -> Any:
-        """Load the history and return pysyncobj's own state. Raises ValueError where it is damaged."""
+        """Load the history and return pysyncobj's own state. Raises ValueError if the file is damaged."""
         raw = Path(file).read_bytes()
         if hashlib.sha256(raw[CHECKSUM_BYTES:]).digest() != raw[:CHECKSUM_BYTES]:
-            raise ValueError("the snapshot's sum is wrong")
+            raise ValueError("the snapshot's checksum is wrong")
         dump, raft_state = pickle.loads(raw[CHECKSUM_BYTES:])
         self.history.load(dump)
         self.on_applied()
         return raft_state
 
     async def run(self) -> None:
-        """Run turns until one fails, and raise what that one raised: none of its messages was sent."""
+        """Run turns until one fails, and raise its exception; no message of that turn was sent."""
         loop = asyncio.get_running_loop()
         transport = self.transport
         while True:
@@ -154,23 +156,23 @@
             transport.deliver()
             self.raft.doTick(0.0)
             if transport.outbox and self.storage.has_unsynced_writes():
-                await loop.run_in_executor(None, self.storage.sync)  # nothing is sent that is not on the disk
+                await loop.run_in_executor(None, self.storage.sync)  # before anything is sent
             transport.flush()
             await wait_for_event(transport.wakeup, TICK_S)
 
     @property
     def leader(self) -> str:
-        """The leader's name, or empty."""
-        found = self.raft._getLeader()
-        return "" if found is None else str(found.id)
+        """The leader's name; empty if there is none."""
+        node = self.raft._getLeader()
+        return "" if node is None else str(node.id)
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads."""
+        """Whether this voter is the leader."""
         return bool(self.raft._isLeader())
 
     async def propose(self, command: Command, raw: bytes, seconds: float) -> CommandResult:
-        """Propose a command; `raw` is its encoding. One without an answer in time may still be agreed on."""
+        """Propose a command; `raw` is its encoding. Without an answer in time it may still be agreed on."""
         done: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
 
         def on_result(result: tuple[int, str] | None, error: int) -> None:
@@ -187,22 +189,22 @@
             return await asyncio.wait_for(done, seconds)
         except TimeoutError:
             return CommandResult(
-                refused=f"no answer within {seconds:g} s: it may be taken yet; look before you try again"
+                refused=f"no answer within {seconds:g} s: the command may still be applied; check that first"
             )
 
     async def change_voters(self, add: str, remove: str, seconds: float) -> str:
-        """Add or remove one voter; empty, or why it failed.
+        """Add or remove one voter; return why it failed, or an empty text.
 
-        What is so already is no error: the version history may not say so yet.
+        A change that was already made is not an error: the version history may lack it yet.
         """
         members = (*self.transport.nodes, self.raft.selfNode.id)
         if add in self.transport.nodes or (remove and remove not in members):
             return ""
         if remove and remove == self.leader:
             if not self.is_leader:
-                return f"{remove} leads just now: ask it (--instance)"
-            if not await self._hand_over(seconds):  # a leader can't take itself out
-                return f"{remove} leads, and no other voter has taken over yet: try again"
+                return f"{remove} is the leader: send the command to it (--instance)"
+            if not await self._hand_over(seconds):  # a leader can't remove itself
+                return f"{remove} is the leader, and no other voter has taken over yet: try again"
         return await self._change_members(add, remove, seconds)
 
     async def _change_members(self, add: str, remove: str, seconds: float) -> str:
@@ -223,7 +225,7 @@
         return "" if error == FAIL_REASON.SUCCESS else _failure_message(error)
 
     async def _hand_over(self, seconds: float) -> bool:
-        """Transfer the leadership. False: no other voter leads in time."""
+        """Transfer the leadership; return False if no other voter became leader in time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
         while loop.time() < deadline:
@@ -235,7 +237,7 @@
         return False
 
     async def close(self) -> None:
-        """Stop, also when the files can't be closed any more since a turn has failed."""
+        """Stop, even if the files can no longer be closed because a turn has failed."""
         await self.tasks.cancel()
         try:
             self.raft.destroy()
--- a/message_relay/consensus/rule_enforcement.py
+++ b/message_relay/consensus/rule_enforcement.py
@@ -1,7 +1,7 @@
 """Enforcement of the active rules: which calls and messages they allow, and how endpoints are constrained.
 
 No I/O. Whether a call may be made is decided right before its first byte, by the rules that are active at
-that moment. What the scheduler receives (rates, endpoints that are excluded) only spares calls that would be
+that moment. The limits that the scheduler receives (rates, excluded endpoints) only avoid calls that would be
 refused then.
 """
 
@@ -20,21 +20,20 @@
 from .active_rules import ActiveRules, LeaseTier
 from .rules import ANY, Rules
 
-MAX_DECISIONS = 2000  # latest calls that are kept for the `explain` command
-RATE_SHARE_FACTOR = (
-    1.25  # of its equal share of a rate an instance may use: the others do not use all of theirs
-)
-MIN_BURST_CALLS = 2.0  # capacity of a destination's token bucket, at the least
-CROSS_ZONE_BURST_S = 0.1  # calls to another zone may save up so long of their rate, beside one call
-MAX_BUCKETS = 5000  # as many destinations as a rule set may name
+MAX_DECISIONS = 2000  # latest calls that are retained for the `explain` command
+# An instance may use this multiple of its equal share of a rate: the others do not use all of theirs.
+RATE_SHARE_FACTOR = 1.25
+MIN_BURST_CALLS = 2.0  # least capacity of a destination's token bucket
+CROSS_ZONE_BURST_S = 0.1  # a bucket for another zone holds one call plus this many seconds of its rate
+MAX_BUCKETS = 5000  # the number of destinations that a rule set may name
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
-# Destination and target zone; "" is the limit on the destination as a whole.
+# (destination, target zone); the zone "" stands for the limit on the whole destination.
 BucketKey = tuple[int, str]
 
 
 class TokenBucket(NamedTuple):
-    """Calls that may be made at once, as of a time in seconds."""
+    """Number of calls that may be made at once, as of a time in seconds."""
 
     tokens: float
     updated_at: float
@@ -46,7 +45,7 @@
     message: str
     at_ms: float
     version: str
-    why: str  # empty: it was allowed
+    why: str  # reason of the refusal; empty: the call was allowed
 
 
 class RuleEnforcer:
@@ -70,7 +69,7 @@
         self.decisions: deque[CallDecision] = deque(maxlen=MAX_DECISIONS)
         self.refusal_counts: Counter[str] = Counter()  # by reason
         self.may_use_zone: Callable[[str, str], bool] | None = None  # class name, zone
-        self.checked_rules: ActiveRules | None = None  # what `may_deny_messages` was computed for
+        self.checked_rules: ActiveRules | None = None  # the rules for which `may_deny_messages` was computed
         self.may_deny_messages = False
 
     # -- calls -----------------------------------------------------------------------------------------------
@@ -87,7 +86,7 @@
         return active.label
 
     def is_still_authorized(self, call: CallContext) -> bool:
-        """Whether a call that was allowed may continue: checked before its last byte if that was delayed."""
+        """Whether an allowed call may continue: checked before its last byte if that was delayed."""
         return not self._refusal_reason(self.active_rules(), call, has_started=True)
 
     def _refusal_reason(self, active: ActiveRules, call: CallContext, has_started: bool = False) -> str:
@@ -116,7 +115,7 @@
         return ""
 
     def _consume_tokens(self, now: float, call: CallContext, active: ActiveRules) -> str:
-        """Take a token from each bucket of the call, if all of them have one; return why not otherwise."""
+        """Take a token from each bucket of the call if all have one; otherwise return why it is refused."""
         rules = active.rules
         destination = str(call.destination)
         rate = rules.destination_for(destination).rate
@@ -130,7 +129,7 @@
                 return "its part of the rate is used up"
             available.append((key, tokens))
         if zone_rate is not None:
-            # No more than its share, though others may not use theirs: that capacity was given away once.
+            # Exactly its share, even if others do not use theirs: the plan allots this capacity only once.
             key = (call.destination, call.zone)
             own_rate = zone_rate / self._instances_sharing(call.destination, call.zone, rules)
             tokens = self._available_tokens(now, key, own_rate, 1.0 + own_rate * CROSS_ZONE_BURST_S)
@@ -145,14 +144,14 @@
         return ""
 
     def _available_tokens(self, now: float, key: BucketKey, rate: float, capacity: float) -> float:
-        """Return the tokens in a bucket: a new one is full, but one for another zone starts with 1."""
+        """Return the tokens in a bucket: a new bucket is full, but one for another zone starts with 1."""
         bucket = self.buckets.get(key)
         if bucket is None:
             return min(capacity, 1.0 if key[1] else capacity)
         return min(capacity, bucket.tokens + rate * max(0.0, now - bucket.updated_at))
 
     def release(self, destination: int) -> None:
-        """Free the slot of a call that was allowed and has ended."""
+        """Free the slot of an allowed call that has ended."""
         self.in_flight[destination] -= 1
         if self.in_flight[destination] <= 0:
             del self.in_flight[destination]
@@ -162,7 +161,7 @@
     def denial_reason(self, destination: int, class_name: str) -> str:
         """Return why no new message is accepted; empty if it may be.
 
-        A relay without a lease accepts messages: they may well live until it has one.
+        A relay without a lease accepts messages: it may well have a lease before their deadlines.
         """
         active = self.active_rules()
         if active is not self.checked_rules:
@@ -179,7 +178,7 @@
     # -- endpoints -------------------------------------------------------------------------------------------
 
     def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
-        """Return an endpoint as the scheduler is to see it: draining if excluded, its rate limited."""
+        """Return an endpoint as passed to the scheduler: draining if excluded, with a limited rate."""
         rules = self.active_rules().rules
         if entry.listing is Listing.READY and self._is_excluded(name, zone, entry.destination, rules):
             return replace(entry, listing=Listing.DRAINING)
@@ -200,7 +199,7 @@
         return self._must_avoid_zone(destination, zone, rules)
 
     def _must_avoid_zone(self, destination: int, zone: str, rules: Rules) -> bool:
-        """Whether a failover plan has this instance use other zones.
+        """Whether a failover plan makes this instance use other zones.
 
         The same instances return first at each step of a recovery ramp, so that each step only adds to them.
         """
@@ -214,7 +213,7 @@
         return zone in limits and zone != self._preferred_zone(limits)
 
     def _zone_limits(self, destination: int, rules: Rules) -> dict[str, float]:
-        """Return the rates of the other zones that this zone may use up to a limit."""
+        """Return the rate limits of the other zones that this zone may use up to a limit."""
         flow = rules.flow_for(str(destination))
         names = sorted({*flow.bound.get(self.zone, {}), *flow.bound.get(ANY, {})})
         limits = {name: flow.rate_limit(self.zone, name) for name in names}
@@ -225,8 +224,8 @@
     def _preferred_zone(self, limits: dict[str, float]) -> str:
         """Return the one of these zones that this instance uses, in proportion to their limits.
 
-        Guards against all instances choosing the next zone in the list and leaving the others' capacity
-        unused. The choice goes by the instance's number, so that instances are spread evenly.
+        Guards against all instances choosing the next zone in the list and leaving the capacity of the other
+        zones unused. The choice depends on the instance's number, so that instances are spread evenly.
         """
         position = golden_ratio_position(self.instance_name) * sum(limits.values())
         for name, rate in limits.items():
@@ -236,9 +235,9 @@
         return next(reversed(limits), "")
 
     def _instances_sharing(self, destination: int, zone: str, rules: Rules) -> float:
-        """Return how many instances of this zone use that one.
+        """Return how many instances of this zone use the given zone.
 
-        As many as its share of the limits, and one by which the spread may be off.
+        This is its share of the limits, plus one by which the spread may be off.
         """
         count = max(1, rules.zones.get(self.zone, self.instances))
         limits = self._zone_limits(destination, rules)
@@ -250,20 +249,20 @@
 def golden_ratio_position(name: str) -> float:
     """Return a position from 0 to 1, spread evenly over instances whose numbers follow each other.
 
-    Multiples of the golden ratio leave no gap twice as wide as another; also where only each third number
-    is used.
+    Multiples of the golden ratio leave no gap twice as wide as another, even if only every third number is
+    used.
     """
     number = int(name[1:]) if name[1:].isdecimal() else zlib.crc32(name.encode())
     return number * GOLDEN_RATIO_FRACTION % 1.0
 
 
 def hash_position(destination: int, zone: str, name: str) -> float:
-    """Return a position from 0 to 1: an instance uses a zone once the allowed share is above it."""
+    """Return a position from 0 to 1: an instance uses a zone while the allowed share is above it."""
     return zlib.crc32(f"{destination} {zone} {name}".encode()) / 2**32
 
 
 def _may_deny_messages(active: ActiveRules) -> bool:
-    """Whether any message could be denied: computed once for each rule set, not for each message."""
+    """Whether any message could be denied; computed once for each rule set, not for each message."""
     if not active.versions or active.tier is LeaseTier.FLOOR:
         return False
     rules = active.rules
--- a/message_relay/consensus/rules.py
+++ b/message_relay/consensus/rules.py
@@ -4,7 +4,7 @@
 from strict to loose, so that rule sets form a meet-semilattice: `rules_meet.intersect` is the loosest set
 that both operands allow, and `rules_meet.is_subset(a, b)` holds if b allows whatever a allows.
 
-| field | strict to loose | meet | where the field is absent |
+| field | strict to loose | meet | if the field is absent |
 | --- | --- | --- | --- |
 | destinations.D.closed | true, false | or | open |
 | destinations.D.rate | 0 to any number: calls a second of all instances together | the smaller | as listed |
@@ -15,16 +15,16 @@
 | classes.C.attempts | 1 to any number | the smaller | as in the settings |
 | policies.zones | fewer, more: zones that may be called | those in both | all |
 | flows.D.bound.A.B | 0 to any number: calls a second of all in zone A to B | the smaller | no limit |
-| flows.D.spare.B | the same for the instances of one other zone that are cut off | the smaller | no limit |
-| zones.A | any number to 0: how many instances of zone A share a limit | the greater | all there are |
+| flows.D.spare.B | the same, of the isolated instances of one other zone | the smaller | no limit |
+| zones.A | any number to 0: how many instances of zone A share a limit | the greater | all instances |
 
 `flows.D.share.A.B`, the share of A's instances that may currently use B, is advice and not a rule: two
-instances that follow different advice contradict nothing. `is_subset` ignores it, and `intersect` keeps the
+instances that follow different advice break no rule. `is_subset` ignores it, and `intersect` keeps the
 smaller one. The same holds for `policies.evacuated`, the zones that an operator has evacuated.
 
 A destination that is closed, or has no rate, slot or endpoint, allows nothing: all such rules are equal, and
-the least. `*` stands for each destination or class that is not named. A name that only one set has is
-compared with the `*` of the other.
+they are the least. `*` applies to each destination or class that is not named. A name in only one set is
+compared with the `*` of the other set.
 """
 
 from __future__ import annotations
@@ -48,11 +48,11 @@
 
 
 class RulesError(ValueError):
-    """The rules can't be used; each line of the text names a field and what would be valid."""
+    """The rules can't be used; each line of the text names a field and its valid values."""
 
 
 def smaller_limit(a: Limit | None, b: Limit | None) -> Limit | None:
-    """Return the smaller of two limits; None is no limit."""
+    """Return the smaller of two limits; None means no limit."""
     if a is None:
         return b
     if b is None:
@@ -61,7 +61,7 @@
 
 
 class DestinationRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What may be sent to one destination."""
+    """Limits on the calls to one destination."""
 
     rate: RatePerSecond | None = None
     slots: Count | None = None
@@ -75,7 +75,7 @@
 
 
 class ClassRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What may be sent of one message class, and how it may be retried."""
+    """Limits on one message class: whether its messages are sent, and how they may be retried."""
 
     effect: Effect | None = None
     attempts: Annotated[int, Meta(ge=1, le=1000)] | None = None
@@ -90,7 +90,7 @@
     share: dict[Name, dict[Name, Annotated[float, Meta(ge=0, le=1)]]] = {}
 
     def rate_limit(self, source: str, target: str) -> float | None:
-        """Return the calls a second of all instances in `source` to `target`; None is no limit."""
+        """Return the calls a second of all instances in `source` to `target`; None means no limit."""
         if source == target:
             return None
         return smaller_limit(self.bound.get(source, {}).get(target), self.bound.get(ANY, {}).get(target))
@@ -101,7 +101,7 @@
 
 
 class Policies(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Rules on zones that hold for all destinations."""
+    """Rules on zones that apply to all destinations."""
 
     zones: frozenset[Name] | None = None
     evacuated: frozenset[Name] = frozenset()  # by an operator's command: advice to the failover plans
--- a/message_relay/consensus/rules_codec.py
+++ b/message_relay/consensus/rules_codec.py
@@ -15,7 +15,7 @@
 
 
 def encode_rules(rules: Rules) -> bytes:
-    """Encode a rule set: the same bytes for sets that allow the same, in every build."""
+    """Encode a rule set; equivalent sets have the same encoding in every build."""
     return _ENCODER.encode(normalize(rules))
 
 
@@ -25,10 +25,10 @@
 
 
 def decode_rules(raw: bytes) -> Rules:
-    """Decode a rule set and check it; nothing of a faulty set is used.
+    """Decode and validate a rule set; a faulty set is rejected as a whole.
 
     Raises:
-        RulesError: names the field and what would be valid.
+        RulesError: names the field and its valid values.
     """
     if len(raw) > MAX_RULES_BYTES:
         raise RulesError(f"rules: {len(raw)} bytes: {MAX_RULES_BYTES} at most")
--- a/message_relay/consensus/rules_file.py
+++ b/message_relay/consensus/rules_file.py
@@ -1,4 +1,4 @@
-"""A file of rules in a folder that is proposed as a new version whenever it changes."""
+"""Proposes the rules in a file as a new version whenever the file changes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RulesFile:
-    """Polls the file; its rules pass the same checks as those that an operator's command proposes."""
+    """Polls the file; its rules are checked like those that an operator's command proposes."""
 
     def __init__(self, context: ConsensusContext, proposer: Proposer) -> None:
         self.context = context
@@ -41,14 +41,14 @@
                 log.error(LogEvent("rules file unusable", file=self.path, why=error))
 
     async def _poll(self) -> None:
-        """Propose the file's rules unless they were seen before or are in the newest version already."""
+        """Propose the file's rules unless they were seen before or the newest version already has them."""
         rules = decode_rules(self.path.read_bytes())
-        found = digest(rules)
-        if found == self.seen_digest:
+        file_digest = digest(rules)
+        if file_digest == self.seen_digest:
             return
-        self.seen_digest = found
+        self.seen_digest = file_digest
         latest = self.context.lease_holder.latest_version
-        if latest is not None and latest.digest == found:
+        if latest is not None and latest.digest == file_digest:
             return
         base = latest.number if latest is not None else FIRST_NUMBER
         result = await self.proposer.propose(self._proposal(rules, base))
--- a/message_relay/consensus/rules_meet.py
+++ b/message_relay/consensus/rules_meet.py
@@ -1,6 +1,6 @@
 """The order of rule sets and their greatest lower bound. No I/O.
 
-`rules.py` has the table of the fields and how each is ordered.
+The table in `rules.py` lists the fields and how each is ordered.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def intersect(a: Rules, b: Rules) -> Rules:
-    """Return the loosest set that both allow: commutative, associative, idempotent."""
+    """Return the loosest set that both allow. The operation is commutative, associative and idempotent."""
     destinations = {
         name: intersect_destinations(a.destination_for(name), b.destination_for(name))
         for name in names_with_wildcard(a.destinations, b.destinations)
@@ -55,13 +55,13 @@
 
 
 def intersect_all(sets: Iterable[Rules]) -> Rules:
-    """Return the loosest set that all allow; of no sets, the one that denies everything."""
-    found = list(sets)
-    return reduce(intersect, found) if found else DENY_ALL
+    """Return the loosest set that all allow; for no sets, the set that denies everything."""
+    rule_sets = list(sets)
+    return reduce(intersect, rule_sets) if rule_sets else DENY_ALL
 
 
 def is_subset(a: Rules, b: Rules) -> bool:
-    """Whether b allows all that a allows."""
+    """Whether b allows everything that a allows."""
     if _denies_everything(a):
         return True
     return (
@@ -83,7 +83,7 @@
 
 
 def normalize(rules: Rules) -> Rules:
-    """Return the one form of all sets that allow the same: names that only repeat `*` are left out."""
+    """Return the normal form, the same for all equivalent sets: names that only repeat `*` are left out."""
     if _denies_everything(rules):
         return DENY_ALL
     destinations = {name: _normalize_destination(rule) for name, rule in sorted(rules.destinations.items())}
@@ -99,11 +99,11 @@
 
 
 def standby_rules(rules: Rules, share: float) -> Rules:
-    """Return what an instance without contact to a majority of voters continues with.
+    """Return the rules with which an instance without contact to a majority of voters continues.
 
-    Each later version either allows it, or waits until such an instance has stopped. Rates are multiplied
-    by `share`, and calls to other zones are limited to the rates that are reserved there for this case; all
-    else stays as it was.
+    Each later version either allows them, or waits until such an instance has stopped. Rates are multiplied
+    by `share`, and calls to other zones are limited to the rates that are reserved there for this case;
+    everything else is unchanged.
     """
     destinations = {
         name: msgspec.structs.replace(rule, rate=None if rule.rate is None else rule.rate * share)
@@ -122,7 +122,7 @@
 
 
 def names_with_wildcard(a: Iterable[str], b: Iterable[str]) -> list[str]:
-    """Return the names of both and `*`, sorted."""
+    """Return the names in both and `*`, sorted."""
     return sorted({ANY, *a, *b})
 
 
@@ -131,13 +131,13 @@
 
 def intersect_destinations(a: DestinationRule, b: DestinationRule) -> DestinationRule:
     """Return the loosest rule that both allow."""
-    found = DestinationRule(
+    rule = DestinationRule(
         smaller_limit(a.rate, b.rate),
         smaller_limit(a.slots, b.slots),
         _common_items(a.endpoints, b.endpoints),
         a.closed or b.closed,
     )
-    return _normalize_destination(found)
+    return _normalize_destination(rule)
 
 
 def intersect_classes(a: ClassRule, b: ClassRule) -> ClassRule:
@@ -150,7 +150,7 @@
 
 
 def intersect_flows(a: FlowRule, b: FlowRule) -> FlowRule:
-    """Return the loosest rule that both allow, with the smaller share of both."""
+    """Return the loosest rule that both allow, with the smaller share of the two."""
     return _normalize_flow(
         FlowRule(
             _smaller_zone_rates(a.bound, b.bound),
@@ -231,7 +231,7 @@
     )
 
 
-# -- one form of each field ----------------------------------------------------------------------------------
+# -- normal form of each field -------------------------------------------------------------------------------
 
 
 def _normalize_destination(rule: DestinationRule) -> DestinationRule:
@@ -245,19 +245,20 @@
 def _normalize_flow(flow: FlowRule) -> FlowRule:
     """Leave out limits and shares without effect.
 
-    These are limits within a zone, limits no stricter than the one of `*`, and shares of 1.
+    These are limits within a zone, limits no stricter than that of `*`, and shares of 1.
     """
-    usual = flow.bound.get(ANY, {})
+    wildcard_rates = flow.bound.get(ANY, {})
     bound = {
         source: {
             target: rate
             for target, rate in sorted(row.items())
-            if source != target and (source == ANY or target not in usual or rate < usual[target])
+            if source != target
+            and (source == ANY or target not in wildcard_rates or rate < wildcard_rates[target])
         }
         for source, row in sorted(flow.bound.items())
     }
     share = {
-        source: {target: part for target, part in sorted(row.items()) if part < 1.0}
+        source: {target: fraction for target, fraction in sorted(row.items()) if fraction < 1.0}
         for source, row in sorted(flow.share.items())
     }
     return FlowRule(
@@ -267,9 +268,9 @@
     )
 
 
-def _without_repeats(named: dict[str, Rule], usual: Rule, default: Rule) -> dict[str, Rule]:
-    """Return the rules that differ from the one of `*`, and that one last unless it is the default."""
-    found = {name: rule for name, rule in named.items() if name != ANY and rule != usual}
-    if usual != default:
-        found[ANY] = usual
-    return found
+def _without_repeats(named: dict[str, Rule], wildcard_rule: Rule, default: Rule) -> dict[str, Rule]:
+    """Return the rules that differ from that of `*`, and the latter at the end unless it is the default."""
+    distinct = {name: rule for name, rule in named.items() if name != ANY and rule != wildcard_rule}
+    if wildcard_rule != default:
+        distinct[ANY] = wildcard_rule
+    return distinct
--- a/message_relay/consensus/rules_validation.py
+++ b/message_relay/consensus/rules_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a rule set beyond the types of its fields. No I/O."""
+"""Validation of a rule set beyond the types of its fields. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def validate_rules(rules: Rules, classes: Iterable[str] = (), zones: Iterable[str] = ()) -> None:
-    """Check a rule set; names of classes and zones are compared with the known ones, if any are given.
+    """Validate a rule set; class and zone names are compared with the known names, if any are given.
 
     Raises:
         RulesError: with a line for each fault.
--- a/message_relay/consensus/settings.py
+++ b/message_relay/consensus/settings.py
@@ -1,6 +1,6 @@
 """The `[accord]` section of the operator's file.
 
-Without voters there are no agreed rules, and the rest of the package is not imported.
+Without voters there are no agreed rules, and the other modules of the package are not imported.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .rules_validation import validate_rules
 
 InstanceNumber = Annotated[int, Meta(ge=0, le=INSTANCES_MAX - 1)]
-MAX_VOTERS = 9  # more would cost more messages for each version and tolerate no likelier fault
+MAX_VOTERS = 9  # more would cost messages for each version, and tolerate only unlikely faults
 
 
 class ConsensusSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -24,18 +24,16 @@
 
     voters: tuple[InstanceNumber, ...] = ()  # instance numbers, the same in each file
     bound_s: Annotated[float, Meta(ge=0.2, le=600)] = (
-        2.0  # T: no two instances act on contrary versions for longer
-    )
-    horizon_s: Annotated[float, Meta(ge=1, le=86_400)] = (
-        30.0  # an instance that is cut off continues for so long
+        2.0  # T: no two instances act on contradicting versions for longer
     )
+    horizon_s: Annotated[float, Meta(ge=1, le=86_400)] = 30.0  # an isolated instance continues for this long
     drift: Annotated[float, Meta(ge=0.001, le=0.2)] = 0.05  # between any two clocks, in seconds a second
     standby: Annotated[float, Meta(gt=0, le=1)] = (
-        0.9  # share of the rates that an instance that is cut off continues with
+        0.9  # share of the rates with which an isolated instance continues
     )
     first: Rules = Rules()  # the first version, the same in each file
-    floor: Rules = DENY_ALL  # allowed to an instance that is cut off for longer: must lie within each version
-    folder: str = ""  # its file rules.json is proposed when it changes
+    floor: Rules = DENY_ALL  # for an instance that is isolated for longer: must lie within each version
+    folder: str = ""  # the file rules.json in this folder is proposed when it changes
 
     def __post_init__(self) -> None:
         if len(set(self.voters)) != len(self.voters):
--- a/message_relay/consensus/version_fetch.py
+++ b/message_relay/consensus/version_fetch.py
@@ -1,21 +1,21 @@
-"""Which voter a relay asks for a version that it lacks, and when. No I/O; random numbers are passed in.
-
-All relays learn of a version at one moment, and from the same voter: the log's leader, whose hint is sent
-first. Asked by all at once, it answers some and refuses the rest, and they ask again at the next grant,
-together: of 375 relays it refused 1,407 connections for one version. So:
-
-    first         after a pause drawn evenly from the time that the voters need to answer all relays, each
-                  `ANSWERS_S` a second; with few relays it is too short to
-                  matter. Many wait `SETTLE_S` before: of 1,500
-                  voter 0 refused 396 connections a version, estimated to have asked it alone, since
-                  only the leader had announced it yet
-    order         drawn anew for each version, of the voters that announced it
-    no answer     the next one, after a pause that grows and is drawn too; a voter that announces the version
-                  meanwhile gets a place among those not asked yet
-    all failed    `ROUNDS` times over: given up, and started again by the next grant that names it
-
-The pause has a cost: until the last relay has the version those that have it act on the meet of both. At
-3,500 relays and five voters it is 3.8 s at the most, of the 12 in which a change has to be in force.
+"""Which voter a relay asks for a missing version, and when. No I/O; random numbers are passed in.
+
+All relays learn of a version at the same moment and from the same voter: the log's leader, whose hint is sent
+first. If all ask the leader at once, it answers some and refuses the others, which ask again together at the
+next grant: with 375 relays it refused 1,407 connections for one version. So:
+
+    first request  after a pause drawn uniformly from the time that the voters need to answer all relays, each
+                   `ANSWERS_PER_S` a second; with few relays the pause is negligible. Many relays wait
+                   `SETTLE_S` in addition: with 1,500 relays voter 0 refused 396 connections per version,
+                   by estimate from relays that asked it alone, since only the leader had announced it yet
+    order          drawn at random for each version, among the voters that announced it
+    no answer      the next voter is asked, after a random pause that grows; a voter that announces the
+                   version meanwhile is inserted among those not asked yet
+    all failed     after `ROUNDS` rounds the search is given up; the next grant that names the version
+                   restarts it
+
+The pause has a cost: until the last relay has the version, those that have it act on the meet of both. With
+3,500 relays and five voters it is 3.8 s at most, of the 12 s within which a change has to be in force.
 """
 
 from __future__ import annotations
@@ -24,22 +24,18 @@
 
 from ..core.backoff import ExponentialBackoff
 
-ANSWERS_PER_S = (
-    200.0  # that a voter is asked for: a quarter of what it could give, for it has renewals to answer
-)
-FIRST_PAUSE_MAX_S = (
-    4.0  # however many there are (4,096 relays at five voters): so little is told later than this
-)
-SETTLE_S = 0.3  # the log's heartbeat twice: by then the other voters have it, and have said so
+# Requested from each voter: a quarter of its capacity, since it has renewals to answer.
+ANSWERS_PER_S = 200.0
+# Bound for any number of relays (4,096 relays with five voters), so that none has a version much later.
+FIRST_PAUSE_MAX_S = 4.0
+SETTLE_S = 0.3  # two heartbeats of the log: by then the other voters have the version and have announced it
 RETRY_S, RETRY_MAX_S = 0.04, 0.6
 ROUNDS = 2
-CONCURRENT_SEARCHES_MAX = (
-    8  # versions at once: who lacks more gets the oldest first, and the others after them
-)
+CONCURRENT_SEARCHES_MAX = 8  # versions; a relay that lacks more fetches the oldest first, then the others
 
 
 def first_pause(rng: random.Random, relays: int, voters: int) -> float:
-    """Seconds before the first ask for a version."""
+    """Return the seconds before the first request for a version."""
     spread = min(FIRST_PAUSE_MAX_S, relays / (max(1, voters) * ANSWERS_PER_S))
     return spread * rng.random() + (SETTLE_S if spread > SETTLE_S else 0.0)
 
@@ -54,14 +50,14 @@
         self.requests_sent = 0
 
     def add_voter(self, voter: str) -> None:
-        """Insert a voter that has the version among those not asked yet, in an order that no relay shares."""
+        """Insert a voter that has the version among those not asked yet, at a random place for each relay."""
         if voter not in self.voters:
             self.voters.insert(
                 self.rng.randint(min(self.requests_sent, len(self.voters)), len(self.voters)), voter
             )
 
     def next_voter(self) -> str | None:
-        """The voter to ask now; None: given up until a grant names the version again."""
+        """Return the voter to ask now; None: the search is given up until a grant names the version again."""
         if self.requests_sent >= ROUNDS * len(self.voters):
             return None
         voter = self.voters[self.requests_sent % len(self.voters)]
@@ -69,7 +65,7 @@
         return voter
 
     def next_pause(self) -> float:
-        """Seconds until the next voter is asked, after one that did not answer."""
+        """Return the seconds until the next voter is asked, after one did not answer."""
         return self.backoff.next_delay()
 
 
@@ -81,16 +77,16 @@
         self.searches: dict[int, VersionSearch] = {}
 
     def on_version_reported(self, number: int, voter: str) -> VersionSearch | None:
-        """Note that a voter has a version that is lacking. Returns the search if it is a new one."""
+        """Record that a voter has a missing version; return the search if it is a new one."""
         if number in self.searches:
             self.searches[number].add_voter(voter)
             return None
         if len(self.searches) >= CONCURRENT_SEARCHES_MAX:
             return None
-        found = VersionSearch(self.rng)
-        self.searches[number] = found
-        found.add_voter(voter)
-        return found
+        search = VersionSearch(self.rng)
+        self.searches[number] = search
+        search.add_voter(voter)
+        return search
 
     def finish(self, number: int) -> None:
         """End a search: the version is known, or the search was given up."""
--- a/message_relay/consensus/version_history.py
+++ b/message_relay/consensus/version_history.py
@@ -1,16 +1,16 @@
 """Version history: a replicated state machine of the versions that were agreed on. No I/O, no clock.
 
 Each voter applies the same commands in the same order and so holds the same history. A command that no
-longer fits (its base is not the newest version, its version is no longer a canary) changes nothing and is
-refused with a reason: of two operators who propose against the same version, the second learns what came
-first.
+longer applies (its base is not the newest version, its version is no longer a canary) changes nothing and is
+refused with a reason: if two operators propose against the same version, the second is informed of the first
+proposal.
 
     (none) --propose, share below 1--> CANARY --promote--> CURRENT --a later one is--> PAST
                                          '----withdraw--> WITHDRAWN
     (none) --propose, for all---------------------------> CURRENT
 
-A canary has to lie within the current version: relays that act on it then do nothing that the others are
-forbidden. A rollback is a new version with an earlier one's rules, so that numbers only ever rise.
+A canary has to lie within the current version: then relays that act on it do nothing that is forbidden to
+the others. A rollback is a new version with the rules of an earlier one, so that numbers only ever rise.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from .rules_codec import decode_rules, digest, encode_rules
 from .rules_meet import is_subset
 
-VERSIONS_RETAINED = 64  # with their rules: what a relay that is cut off may still hold lies among them
+VERSIONS_RETAINED = 64  # with their rules: includes all that an isolated relay may still hold
 CAUSE_CHARACTERS_MAX = 500
 FIRST_NUMBER = 1
 
 
 class Stage(Enum):
-    """Where a version stands; the values are part of the formats."""
+    """Stage of a version; the values are part of the encoded formats."""
 
     CANARY = "trial"
     CURRENT = "current"
@@ -40,11 +40,11 @@
 
 
 class Guard(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a version is taken back by itself: by the delivered share of the completed messages."""
+    """When a version is reverted automatically, by the delivered share of the completed messages."""
 
-    least_ratio: Annotated[float, Meta(ge=0, le=2)] = 0.9  # of the share with the version to that without
-    least_count: Annotated[int, Meta(ge=1, le=10**9)] = 50  # messages on each side, before it judges
-    watch_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0  # from when it was first seen in force
+    least_ratio: Annotated[float, Meta(ge=0, le=2)] = 0.9  # share with the version / share without it
+    least_count: Annotated[int, Meta(ge=1, le=10**9)] = 50  # messages on each side that a verdict needs
+    watch_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0  # from when the version was first seen in force
     promote: bool = False  # a canary becomes current once watched so long without harm
 
 
@@ -57,15 +57,15 @@
     voters: tuple[str, ...]
     author: str
     cause: str
-    at_ms: float  # Unix time, as its proposer had it
+    at_ms: float  # Unix time, by the clock of its proposer
     stage: Stage
     share: float = 1.0  # of the relays, while it is a canary
     guard: Guard | None = None
-    restored_from: int = msgspec.field(default=0, name="of")  # the version whose rules it brings back
+    restored_from: int = msgspec.field(default=0, name="of")  # the version whose rules it restores
 
     @property
     def decoded_rules(self) -> Rules:
-        """The rules; decoded once for all versions that have the same."""
+        """The rules; decoded once for all versions with the same rules."""
         return _decoded(self.rules)
 
 
@@ -73,18 +73,18 @@
 
 
 def _decoded(raw: bytes) -> Rules:
-    found = _DECODED.get(raw)
-    if found is None:
+    rules = _DECODED.get(raw)
+    if rules is None:
         if len(_DECODED) > 4 * VERSIONS_RETAINED:
             _DECODED.clear()
-        found = _DECODED[raw] = decode_rules(raw)
-    return found
+        rules = _DECODED[raw] = decode_rules(raw)
+    return rules
 
 
 class Propose(msgspec.Struct, frozen=True, tag="propose"):
     """Add a version with new rules."""
 
-    base: int  # the newest version that its author has seen
+    base: int  # newest version that its author has seen
     rules: bytes
     author: str
     cause: str
@@ -102,7 +102,7 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag="withdraw"):
-    """Take the canary back."""
+    """Withdraw the canary."""
 
     number: int
     author: str
@@ -120,7 +120,7 @@
 
 
 class Forget(msgspec.Struct, frozen=True, tag="forget"):
-    """An operator's statement that a process has ended for good: no voter waits for it any more."""
+    """An operator's statement that a process has ended for good: voters no longer wait for it."""
 
     name: str
     epoch: int = msgspec.field(name="boot")
@@ -140,7 +140,7 @@
 
 
 def decode_command(raw: bytes) -> Command:
-    """Decode a command as it goes into the log. Raises RulesError."""
+    """Decode a command of the log. Raises RulesError."""
     try:
         return _COMMAND.decode(raw)
     except msgspec.MsgspecError as error:
@@ -148,10 +148,10 @@
 
 
 class VersionHistory:
-    """The latest versions, and what was agreed on beside the rules."""
+    """The latest versions, and the other state that the commands change."""
 
     def __init__(self, first: Rules, voters: tuple[str, ...]) -> None:
-        """All instances start with the same first version, by their operator's file."""
+        """All instances start with the same first version, from their operator's files."""
         self.versions = [
             Version(
                 FIRST_NUMBER,
@@ -165,9 +165,9 @@
             )
         ]
         self.forgotten_epochs: dict[str, int] = {}  # by name: the epoch up to which it was forgotten
-        # Commands, and whole states that were loaded: another number means another state.
+        # Number of commands applied and snapshots loaded: another number means another state.
         self.applied_count = 0
-        self.voters_changed_at_ms = 0.0  # by the clock of who proposed it
+        self.voters_changed_at_ms = 0.0  # by the clock of the proposer
 
     # -- queries ---------------------------------------------------------------------------------------------
 
@@ -178,16 +178,16 @@
 
     @property
     def current(self) -> Version:
-        """The newest version that holds for all relays."""
-        return next(each for each in reversed(self.versions) if each.stage is Stage.CURRENT)
+        """The newest version that applies to all relays."""
+        return next(version for version in reversed(self.versions) if version.stage is Stage.CURRENT)
 
     @property
     def canary(self) -> Version | None:
-        """The version that a share of the relays tries, if there is one."""
+        """The version that only a share of the relays acts on, if there is one."""
         return self.newest if self.newest.stage is Stage.CANARY else None
 
     def get(self, number: int) -> Version | None:
-        """A version by its number; None if it is not known or not retained any more."""
+        """Return a version by its number; None if it is unknown or no longer retained."""
         index = number - self.versions[0].number
         return self.versions[index] if 0 <= index < len(self.versions) else None
 
@@ -229,7 +229,7 @@
         if is_canary and not is_subset(rules, self.current.decoded_rules):
             raise RulesError(
                 "share: only a version that is stricter than the current one in each field that "
-                "changes can be tried on a part of the relays; this one goes at once or not at all"
+                "changes can be tried on a part of the relays; this version applies to all of them or to none"
             )
         self._add(
             Version(
@@ -262,10 +262,10 @@
     def _end_canary(self, number: int, stage: Stage) -> CommandResult:
         newest = self.newest
         if newest.number != number or newest.stage is not Stage.CANARY:
-            found = self.get(number)
+            version = self.get(number)
             raise RulesError(
                 f"version {number} is not on trial: "
-                + ("there is none" if found is None else f"it is {found.stage.value}")
+                + ("there is none" if version is None else f"it is {version.stage.value}")
             )
         if stage is Stage.CURRENT:
             self._retire_current()
@@ -296,7 +296,7 @@
         return CommandResult(self.newest.number)
 
     def _voters_after(self, command: ChangeVoters) -> set[str]:
-        """The voters once a command is applied. Raises RulesError."""
+        """Return the voters after the command. Raises RulesError."""
         voters = set(self.newest.voters)
         add, remove = command.add, command.remove
         if bool(add) == bool(remove):
@@ -314,11 +314,11 @@
     # -- snapshots -------------------------------------------------------------------------------------------
 
     def dump(self) -> bytes:
-        """The state, for `load`."""
+        """Return the encoded state, for `load`."""
         return msgspec.json.encode((self.versions, self.forgotten_epochs, self.voters_changed_at_ms))
 
     def load(self, raw: bytes) -> None:
-        """Replace the state by one that was dumped. Raises msgspec.MsgspecError."""
+        """Replace the state by one from `dump`. Raises msgspec.MsgspecError."""
         shape = tuple[list[Version], dict[str, int], float]
         state: tuple[list[Version], dict[str, int], float] = msgspec.json.decode(raw, type=shape)
         self.versions, self.forgotten_epochs, self.voters_changed_at_ms = state
--- a/message_relay/consensus/version_watch.py
+++ b/message_relay/consensus/version_watch.py
@@ -1,4 +1,4 @@
-"""Watches the newest version in force, and takes it back or promotes it as its guard says."""
+"""Watches the newest version in force, and reverts or promotes it according to its guard."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-AUTHOR = "guard"  # of the commands that the guard proposes
+AUTHOR = "guard"  # author of the commands that the guard proposes
 
 
 class VersionWatch:
-    """Runs on each voter; only the log's leader proposes anything."""
+    """Runs on each voter; only the log's leader proposes commands."""
 
     def __init__(self, context: ConsensusContext, voter: Voter, proposer: Proposer) -> None:
         self.context = context
@@ -44,7 +44,7 @@
                 log.exception("canary guard check failed")
 
     async def _check(self, replicated_log: ReplicatedLog, grantor: LeaseGrantor) -> None:
-        """Judge the newest version. A command names its version, so that one that is late changes nothing."""
+        """Evaluate the newest version. Commands name their version, so that a late one changes nothing."""
         now = self.context.clock.now()
         newest = self.voter.history.newest
         watch = self._watch_of(newest, grantor, now)
@@ -53,38 +53,38 @@
         self.recent_outcomes.add(now, grantor.leases.values())
         if not replicated_log.is_leader or newest.guard is None or newest.stage is Stage.WITHDRAWN:
             return
-        verdict, why = watch.evaluate(now, grantor.leases.items())
+        verdict, cause = watch.evaluate(now, grantor.leases.items())
         is_canary = newest.stage is Stage.CANARY
         if verdict is Verdict.HARMFUL and is_canary:
-            await self.proposer.propose(Withdraw(newest.number, AUTHOR, why))
+            await self.proposer.propose(Withdraw(newest.number, AUTHOR, cause))
         elif verdict is Verdict.HARMFUL:
-            await self.proposer.propose(self._rollback(newest, why))
+            await self.proposer.propose(self._rollback(newest, cause))
         elif verdict is Verdict.HEALTHY and is_canary and newest.guard.promote:
             await self.proposer.propose(Promote(newest.number, AUTHOR))
 
     def _watch_of(self, newest: Version, grantor: LeaseGrantor, now: float) -> CanaryWatch | None:
-        """The watch over the newest version, started if need be; None: that version is not in force yet."""
+        """Return the watch over the newest version, started if needed; None: it is not in force yet."""
         if self.watch is not None and self.watch.version.number == newest.number:
             return self.watch
-        goes_to_all = newest.stage is Stage.CURRENT and newest.share >= 1
-        if goes_to_all and grantor.cleared_version < newest.number:
+        applies_to_all = newest.stage is Stage.CURRENT and newest.share >= 1
+        if applies_to_all and grantor.cleared_version < newest.number:
             return None
-        least = newest.guard.least_count if newest.guard is not None else 1
-        self.watch = CanaryWatch(newest, now, self.recent_outcomes.delivered_share(least))
+        least_count = newest.guard.least_count if newest.guard is not None else 1
+        self.watch = CanaryWatch(newest, now, self.recent_outcomes.delivered_share(least_count))
         self.recent_outcomes = RecentOutcomes(self.recent_outcomes.span_s)
         return self.watch
 
     def _rollback(self, version: Version, cause: str) -> Propose:
-        """The rules of the version before this one, as a new version. Raises RulesError if there is none."""
+        """Return a proposal of the rules before this version. Raises RulesError if there are none."""
         older = [
-            each
-            for each in self.voter.history.versions
-            if each.number < version.number
-            and each.stage is not Stage.WITHDRAWN
-            and each.digest != version.digest
+            other
+            for other in self.voter.history.versions
+            if other.number < version.number
+            and other.stage is not Stage.WITHDRAWN
+            and other.digest != version.digest
         ]
         if not older:
-            raise RulesError("there is no version before this one to go back to")
+            raise RulesError("there is no earlier version to restore")
         return Propose(
             self.voter.history.newest.number,
             older[-1].rules,
--- a/message_relay/consensus/voter.py
+++ b/message_relay/consensus/voter.py
@@ -1,4 +1,4 @@
-"""The voter's part of an instance: its replicated log, the leases that it grants, and what it clears.
+"""The voter of an instance: its replicated log, the leases that it grants, and the versions that it clears.
 
 Every instance has a `Voter`; it is idle until the newest version names the instance among the voters. A
 voter whose state folder is older than one that its peers have seen, or whose log can't be trusted, does not
@@ -29,18 +29,18 @@
 log = logging.getLogger(__name__)
 
 GRANT, HINT = "grant", "hint"  # datagrams that a voter sends
-EPOCH_QUERY = "boot"  # question on a connection
-REOPEN_DELAY_S = 2.0  # before a log whose disk has failed is opened again
-EPOCH_QUERY_MAX_S = 10.0  # a voter asks its peers at most so long whether its folder is the latest
+EPOCH_QUERY = "boot"  # request on a connection
+REOPEN_DELAY_S = 2.0  # before a log whose disk has failed is reopened
+EPOCH_QUERY_MAX_S = 10.0  # for at most this long a voter asks its peers whether its folder is the latest
 EPOCH_QUERY_PAUSE_S = 0.05
 DISK_FAILURE = "its disk has failed"
 
 
 class Voter:
-    """Votes while the newest version names this instance, and grants leases to relays meanwhile."""
+    """Votes, and grants leases to relays, while the newest version names this instance."""
 
     def __init__(self, context: ConsensusContext, identity: Identity) -> None:
-        """Raises OSError where the state folder can't be read."""
+        """Raises OSError if the state folder can't be read."""
         self.context = context
         self.identity = identity
         self.history = VersionHistory(context.config.first, context.configured_voters)
@@ -51,17 +51,17 @@
         self.non_voting_reason = ""
         self.voting_task: asyncio.Task[None] | None = None
         self.epoch_checked = False  # whether the peers were asked for a later process of this folder
-        # When the voters last changed: their proposer's stamp, and when this process saw it by its own clock.
-        # Only the second is reckoned with: a wall clock may step, and a relay's majority hangs on the wait.
+        # Last change of the voters: the proposer's timestamp, and when this process saw it by its own clock.
+        # Waits use only the latter: a wall clock may step, and a relay's majority depends on the wait.
         self.voters_change_stamp_ms = 0.0
         self.voters_change_seen_at = -math.inf
 
-    # -- what is known ---------------------------------------------------------------------------------------
+    # -- known versions and voters ---------------------------------------------------------------------------
 
     def current_voters(self) -> tuple[str, ...]:
-        """Names of the voters by the newest version known.
+        """Return the names of the voters according to the newest known version.
 
-        It may differ from the operator's file, also by versions that an earlier process has learnt of.
+        They may differ from the operator's file, also by versions that an earlier process received.
         """
         latest = self.context.lease_holder.latest_version
         if latest is not None and latest.number > FIRST_NUMBER:
@@ -69,37 +69,37 @@
         return self.state.voters or self.context.configured_voters
 
     def all_known_voters(self) -> list[str]:
-        """Names of all instances that may vote: the current, the last saved and the configured ones."""
+        """Return the names of all possible voters: the current, the last saved and the configured ones."""
         return sorted({*self.context.configured_voters, *self.state.voters, *self.current_voters()})
 
     def known_versions(self) -> list[Version]:
-        """All versions known, oldest first. The log may be a moment behind what another voter has sent."""
-        found = dict(self.context.lease_holder.versions)
+        """Return all known versions, oldest first. The log may lag behind versions from other voters."""
+        versions = dict(self.context.lease_holder.versions)
         if self.replicated_log is not None:
-            found |= {version.number: version for version in self.history.versions}
-        return [found[number] for number in sorted(found)]
+            versions |= {version.number: version for version in self.history.versions}
+        return [versions[number] for number in sorted(versions)]
 
     def newest_rules(self) -> Rules:
-        """The rules of the newest version known."""
+        """Return the rules of the newest known version."""
         latest = self.known_versions()[-1:]
         return latest[0].decoded_rules if latest else self.context.config.first
 
     def newest_number(self) -> int:
-        """The number of the newest version known."""
+        """Return the number of the newest known version."""
         return max((version.number for version in self.known_versions()), default=FIRST_NUMBER)
 
     def seconds_since_voters_changed(self) -> float:
-        """By this process's clock; infinite if it has seen no change."""
+        """Return the time by this process's clock; infinite if it has seen no change."""
         return self.context.clock.now() - self.voters_change_seen_at
 
     # -- starting and stopping to vote -----------------------------------------------------------------------
 
     def save_state(self) -> None:
-        """Write down what has to outlast this process. Raises OSError."""
+        """Write the state that has to outlast this process. Raises OSError."""
         save_voter_state(self.context.folder, self.state)
 
     def update_role(self) -> None:
-        """Start or stop voting, as the newest version says."""
+        """Start or stop voting, as the newest version requires."""
         voters = self.current_voters()
         if voters != (self.state.voters or self.context.configured_voters):
             self.state.voters = voters
@@ -118,7 +118,7 @@
             self.context.tasks.start(self._retire())
 
     async def _retire(self) -> None:
-        """Remove the log: if this instance is added again, it starts with an empty one."""
+        """Remove the log: if this instance is added again, it starts with an empty log."""
         await self._close_log()
         try:
             remove_log(self.context.folder)
@@ -128,15 +128,15 @@
             log.error(LogEvent("replicated log removal failed", why=error))
 
     async def _vote(self) -> None:
-        """Run the replicated log; after a failure of the disk, reopen it from what lies on the disk."""
+        """Run the replicated log; after a disk failure, reopen it from the files on disk."""
         await self._check_folder()
         while not self.non_voting_reason:
             try:
                 await self._open_log().run()
             except OSError as error:
                 log.error(LogEvent("replicated log disk failed, reopening", why=error))
-                self.non_voting_reason = f"{DISK_FAILURE}, and is tried again: {error}"
-            except Exception as error:  # a torn journal or dump: whatever the library makes of it
+                self.non_voting_reason = f"{DISK_FAILURE}, its log will be reopened: {error}"
+            except Exception as error:  # a torn journal or dump: the library may raise any exception
                 log.exception("replicated log failed")
                 self._disable(f"its log can't be read: {error}")
                 return
@@ -146,7 +146,7 @@
                 self.non_voting_reason = ""
 
     async def _check_folder(self) -> None:
-        """Refuse to vote if the peers have seen a later process of this folder, or if its log is gone."""
+        """Refuse to vote if peers have seen a later process of this folder, or if its log is missing."""
         highest = 0 if self.epoch_checked else await self.highest_epoch_seen_by_peers()
         self.epoch_checked = True  # the peers know this process's epoch from now on
         if highest >= self.identity.process_epoch:
@@ -155,16 +155,16 @@
             self._disable("its log is gone")
 
     def _open_log(self) -> ReplicatedLog:
-        """Raises TornWriteError, OSError, and whatever pysyncobj makes of a file that is torn."""
+        """Raises TornWriteError, OSError, and any exception of pysyncobj for a torn file."""
         context = self.context
         self.state.log_started = True
         self.save_state()
         others = [name for name in self.current_voters() if name != context.name]
         self.history = VersionHistory(context.config.first, context.configured_voters)
-        opened = ReplicatedLog(
+        replicated_log = ReplicatedLog(
             context.folder, context.gossip, context.name, others, self.history, self._on_applied
         )
-        self.replicated_log = opened
+        self.replicated_log = replicated_log
         self.lease_grantor = LeaseGrantor(
             context.name,
             self.history,
@@ -173,7 +173,7 @@
             self.state.cleared,
             context.clock.now(),
         )
-        return opened
+        return replicated_log
 
     async def _close_log(self) -> None:
         closing = self.replicated_log
@@ -187,23 +187,23 @@
         if self.replicated_log is not None:
             await self.replicated_log.close()
 
-    def on_rebooted(self, identity: Identity) -> None:
-        """Handle a new epoch: the folder is older than one that peers have seen, and what it knows may be."""
+    def on_folder_outdated(self, identity: Identity) -> None:
+        """Handle a raised epoch: the folder, and so its state, is older than one that peers have seen."""
         self.identity = identity
         self.context.lease_holder.restart(identity.process_epoch)
         self._disable(f"its folder is older than one seen with boot {identity.process_epoch - 1}")
 
-    def on_refused(self, why: str) -> None:
-        """Handle that another process is this instance: nothing is sent from now on."""
+    def on_outranked(self, reason: str) -> None:
+        """Handle another process that has this instance's identity: nothing is sent from now on."""
         self.context.lease_holder.release()
-        self._disable(why)
+        self._disable(reason)
 
-    def _disable(self, why: str) -> None:
-        """Vote no more, until this instance is removed from the voters and added again."""
+    def _disable(self, reason: str) -> None:
+        """Stop voting until this instance is removed from the voters and added again."""
         if self.voting_task is None:
             return
-        self.non_voting_reason = why
-        log.error(LogEvent("voter disabled, remove and add it again", why=why))
+        self.non_voting_reason = reason
+        log.error(LogEvent("voter disabled, remove and add it again", why=reason))
         if self.replicated_log is not None:
             self.voting_task.cancel()
             self.context.tasks.start(self._close_log())
@@ -211,7 +211,7 @@
     # -- process epochs --------------------------------------------------------------------------------------
 
     async def highest_epoch_seen_by_peers(self) -> int:
-        """The highest process epoch that peers have seen of this folder; asks until a majority answered."""
+        """Return the highest epoch that peers have seen of this folder; ask until a majority has answered."""
         answers: dict[str, int] = {}
         voters = self.current_voters()
         others = [name for name in voters if name != self.context.name]
@@ -234,11 +234,11 @@
             return None
 
     def on_epoch_query(self, hello: Hello, raw: bytes) -> bytes:
-        """Answer with the highest epoch that was seen of an identity before the process that asks.
+        """Answer with the highest epoch of an identity that was seen before the asking process.
 
-        Raises OSError, so that there is no answer, where the asker's epoch can't be saved. The answer counts
-        towards a majority that knows this process: with one that is forgotten, a second process of an older
-        copy of the folder could vote again in a term in which this one has voted.
+        Raises OSError, so that there is no answer, if the asker's epoch can't be saved. The answer counts
+        towards a majority that knows the asking process: if its epoch were lost, a second process of an older
+        copy of the folder could vote again in a term in which this process has voted.
         """
         query: tuple[str, int] = msgspec.msgpack.decode(raw, type=tuple[str, int])
         identity, epoch = query
@@ -256,7 +256,7 @@
     # -- granting leases -------------------------------------------------------------------------------------
 
     def _on_applied(self) -> None:
-        """Handle progress of the log."""
+        """Handle a change of the history by the log."""
         for version in self.history.versions:
             self.context.lease_holder.add_version(version)
         if self.history.voters_changed_at_ms != self.voters_change_stamp_ms:
@@ -267,7 +267,7 @@
         self.context.renew_now.set()
 
     def clear_current_version(self) -> None:
-        """Clear the current version once nothing is held beyond it, and write that down first."""
+        """Clear the current version once no relay holds rules beyond it; the state is saved first."""
         grantor = self.lease_grantor
         if grantor is None or not grantor.clear_current_version(self.context.clock.now()):
             return
@@ -276,7 +276,7 @@
         try:
             self.save_state()
         except OSError as error:
-            # Guards against a voter that has cleared what its next process does not know of.
+            # Guards against clearing a version that the next process of this voter does not know as cleared.
             grantor.cleared_version = previous
             self.state.cleared = previous
             log.error(LogEvent("version clearance not saved", why=error))
@@ -285,7 +285,7 @@
         self.context.renew_now.set()
 
     def _send_hints(self) -> None:
-        """Have the relays renew now and not at their next interval: something has changed."""
+        """Make the relays renew now instead of at their next interval: something has changed."""
         if self.lease_grantor is not None:
             for name in self.lease_grantor.leases:
                 self.context.gossip.send_datagram(name, HINT, b"")
@@ -299,8 +299,8 @@
         self.context.gossip.send_datagram(sender, GRANT, msgspec.msgpack.encode(grant))
 
     def grant_lease(self, grantor: LeaseGrantor, relay: str, renewal: LeaseRenewal) -> LeaseGrant:
-        """The grant for a renewal, of a relay elsewhere or of this instance's own."""
-        self.clear_current_version()  # written down before any answer can say so
+        """Return the grant for a renewal of a remote relay or of this instance's own."""
+        self.clear_current_version()  # saved before any answer can report it
         grant = grantor.on_renewal(self.context.clock.now(), relay, renewal)
         self.clear_current_version()
         return grant
--- a/message_relay/consensus/voter_state.py
+++ b/message_relay/consensus/voter_state.py
@@ -1,4 +1,4 @@
-"""What has to outlast a voter's process: a small file beside its replicated log."""
+"""The state that has to outlast a voter's process: a small file next to its replicated log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     cleared: int = 0  # number of the newest version that this voter has cleared
     highest_epochs: dict[str, int] = msgspec.field(default_factory=dict, name="boots")  # by identity
-    log_started: bool = msgspec.field(default=False, name="voted")  # the log was begun in this folder
+    log_started: bool = msgspec.field(default=False, name="voted")  # a log was started in this folder
     voters: tuple[str, ...] = ()  # of the newest version known; () before the first
 
 
