--- a/message_relay/consensus/__init__.py
+++ b/message_relay/consensus/__init__.py
@@ -1,2 +1,4 @@
-"""Versions of rules on which the instances agree (docs/accord.md). Off unless the operator's file has
-`[accord]`: nothing of it is imported then."""
+"""Versioned rules on which the instances agree (docs/accord.md).
+
+Off unless the operator's file has `[accord]`: without it nothing of the package is imported.
+"""
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -38,9 +38,7 @@
 COMPACT_S, COMPACT_ENTRIES = 30, 200
 CHECKSUM_BYTES = 32  # SHA-256 in front of a snapshot
 
-_TAKEN_OVER = (
-    "another leader has taken over: check whether the command was applied, and propose it again if not"
-)
+_TAKEN_OVER = "another leader has taken over: check whether the command was applied, else repeat it"
 FAILURE_MESSAGES = {
     FAIL_REASON.QUEUE_FULL: "too many commands are waiting",
     FAIL_REASON.MISSING_LEADER: "there is no leader at present",
--- a/message_relay/gossip/anti_entropy.py
+++ b/message_relay/gossip/anti_entropy.py
@@ -1,9 +1,10 @@
 """Anti-entropy: when and with whom a member exchanges all claims. No I/O; the clock is passed in, in seconds.
 
-A joining member asks one seed at a time. What it learns from a reply is not disseminated: all others know it.
-One that learns much asks another member soon, so that a fleet that starts together knows all members within
-some rounds, and not by piggybacked claims, of which a packet holds a dozen. Dead members are contacted now
-and then for some time, and the seeds for good, so that the two sides of a partition find each other again.
+A joining member asks one seed at a time. Claims from a reply are not disseminated: all others know them. A
+member that receives many new claims asks another member soon, so that a fleet that starts together knows all
+members within a few rounds, and not by piggybacked claims, of which a packet holds a dozen. Dead members are
+contacted occasionally for some time, and the seeds indefinitely, so that the two sides of a partition find
+each other again.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from .wire import Address, Claim, MemberState
 
 SYNC_PERIODS = 15.0  # between two full exchanges
-SYNC_SOON_PERIODS = 1.0  # until the next exchange after a reply with as many new claims as a packet has,
-SYNC_LATER_PERIODS = 4.0  # and after one with fewer
+SYNC_SOON_PERIODS = 1.0  # until the next exchange, after a reply with a full packet of new claims
+SYNC_LATER_PERIODS = 4.0  # the same after a reply with fewer new claims
 FULL_PACKET_CLAIMS = 8  # least number of claims in a full packet
 JOIN_RETRY_S = 0.5  # until a joining member asks the next seed
 
@@ -33,7 +34,7 @@
         self.next_at = 0.0
 
     def restart(self) -> None:
-        """Ask the seeds again: the member joins anew."""
+        """Ask the seeds again: the member rejoins."""
         self.is_synced = not self.seeds
         self.next_at = 0.0
 
@@ -50,7 +51,7 @@
         self.claims_learned = 0
 
     def on_reply(self, now: float) -> None:
-        """Schedule the next exchange sooner if the replies held news."""
+        """Schedule the next exchange sooner if the replies held new claims."""
         if not self.claims_learned:
             return
         periods = SYNC_SOON_PERIODS if self.claims_learned >= FULL_PACKET_CLAIMS else SYNC_LATER_PERIODS
--- a/message_relay/gossip/claim_packing.py
+++ b/message_relay/gossip/claim_packing.py
@@ -10,7 +10,7 @@
 
 CLAIMS_BYTES_MAX = 1000  # of claims in one packet
 CLAIMS_EXAMINED_MAX = 40  # for one packet, which has room for 25 at most
-DISSEMINATION_FACTOR = 3.0  # each claim is sent this often times log2(members): nearly all get it (SWIM, 4.1)
+DISSEMINATION_FACTOR = 3.0  # each claim is sent this times log2(members) times: nearly all get it (SWIM, 4.1)
 
 
 def select_claims(
@@ -47,7 +47,7 @@
 
 
 def pack_claims(own_claim: Callable[[], Claim], claims: Iterable[Claim]) -> Iterator[Sync]:
-    """Yield as many packets as the claims need, each with the sender's own claim of that moment first."""
+    """Yield as many packets as the claims need, each starting with the sender's own claim at that moment."""
     packed = [own_claim()]
     free_bytes = CLAIMS_BYTES_MAX - encoded_size(packed[0])
     for claim in claims:
--- a/message_relay/gossip/claim_rules.py
+++ b/message_relay/gossip/claim_rules.py
@@ -1,11 +1,11 @@
-"""Claim rules: what a claim means in view of the one that is known. Pure functions.
+"""Claim rules: what a claim means compared with the known claim. Pure functions.
 
 - Claims about a member are ordered by (process epoch, incarnation, state), and the highest wins. So they may
   arrive late, twice and in any order, and all members converge. Only a member itself raises its incarnation,
   to refute a suspicion. A restart raises the epoch, which outranks all claims about earlier processes.
-- A name belongs to one identity while that lives. A second process of the same folder (copied, or started
-  twice) has another nonce: both learn of the other by gossip, and the one with the lower (process epoch,
-  nonce) knows that it is the one to stop. A folder restored from a backup has an epoch that was seen already.
+- A name belongs to one identity while that is alive. A second process of the same folder (copied, or started
+  twice) has another nonce: both learn of each other by gossip, and the one with the lower (process epoch,
+  nonce) has to stop. A folder restored from a backup has an epoch that others have already seen.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class SelfClaimVerdict(Enum):
-    """What a claim about this member itself means for it."""
+    """Consequence of a claim about this member itself."""
 
     IGNORED = auto()
     NEWER_EPOCH = auto()  # a later process of this folder has ended: the folder was restored from a backup
     IDENTITY_CONFLICT = auto()  # another live process has this member's name and outranks it
-    TO_REFUTE = auto()  # this process is called suspect or gone, and is not
+    TO_REFUTE = auto()  # the claim that this process is suspect or gone is false
 
 
 def judge_claim_about_self(own: Claim, claim: Claim) -> SelfClaimVerdict:
@@ -38,14 +38,14 @@
         if not claim.is_gone and (is_other_process or is_other_identity):
             return SelfClaimVerdict.IDENTITY_CONFLICT
         return SelfClaimVerdict.IGNORED
-    is_blamed = not is_other_process and claim.state >= MemberState.SUSPECT and not own.is_gone
-    if is_blamed and claim.incarnation >= own.incarnation:
+    is_accused = not is_other_process and claim.state >= MemberState.SUSPECT and not own.is_gone
+    if is_accused and claim.incarnation >= own.incarnation:
         return SelfClaimVerdict.TO_REFUTE
     return SelfClaimVerdict.IGNORED
 
 
 def is_join(known: Claim | None, claim: Claim) -> bool:
-    """Return whether the claim only says that a member joins or has joined."""
+    """Return whether the claim only states that a member joins or has joined."""
     return claim.state <= MemberState.ALIVE and (known is None or known.state is MemberState.JOINING)
 
 
--- a/message_relay/gossip/dissemination_queue.py
+++ b/message_relay/gossip/dissemination_queue.py
@@ -1,7 +1,7 @@
-"""Dissemination queue: members about whom there is news, the least sent first. No I/O.
+"""Dissemination queue: members with new claims, the least sent first. No I/O.
 
-A fleet that starts has as many news as members, and each packet holds a dozen: names are bucketed by how
-often they were sent, so that a packet costs what it holds and not what there is.
+A fleet that starts has a new claim for each member, and each packet holds a dozen: names are bucketed by how
+often they were sent, so that the cost of a packet depends on its size and not on the size of the queue.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
         return len(self.send_counts)
 
     def add(self, name: str) -> None:
-        """Add a member with news, whatever was sent about it before."""
+        """Add a member with a new claim, however often earlier claims about it were sent."""
         self.drop(name)
         self._put(name, 0)
 
--- a/message_relay/gossip/framing.py
+++ b/message_relay/gossip/framing.py
@@ -13,7 +13,7 @@
 from .wire import SEAL_BYTES
 
 FRAME_HEADER = struct.Struct("<I")
-FRAME_BYTES_MAX = 8 << 20  # of one message: a set of rules, or a snapshot of all
+FRAME_BYTES_MAX = 8 << 20  # of one message: a set of rules, or a snapshot of all state
 WRITE_TIMEOUT_S = 5.0  # a connection whose peer reads nothing for this long is aborted
 
 
@@ -26,7 +26,7 @@
 
 
 def set_write_timeout(writer: asyncio.StreamWriter) -> None:
-    """Let the kernel end a connection whose data is not acknowledged: a host that is gone sends nothing."""
+    """Let the kernel end a connection whose data is not acknowledged: a lost host sends no reset."""
     connection = writer.get_extra_info("socket")
     if connection is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * WRITE_TIMEOUT_S))
@@ -46,11 +46,11 @@
     """
     length = FRAME_HEADER.unpack(await reader.readexactly(FRAME_HEADER.size))[0]
     if length > FRAME_BYTES_MAX:
-        raise ValueError(f"a message of {length} bytes: {FRAME_BYTES_MAX} at most")
+        raise ValueError(f"message too long: {length} bytes, {FRAME_BYTES_MAX} at most")
     raw = await reader.readexactly(length)
     if not secret:
         return raw
     seal, message = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
     if not hmac.compare_digest(seal, hmac.digest(secret, message, hashlib.sha256)[:SEAL_BYTES]):
-        raise ValueError("a message whose seal is not of this fleet's secret")
+        raise ValueError("the message's seal does not match this fleet's secret")
     return message
--- a/message_relay/gossip/identity.py
+++ b/message_relay/gossip/identity.py
@@ -23,31 +23,31 @@
 
 
 class IdentityError(Exception):
-    """The folder can't be this instance's; the text says why, and what to do."""
+    """The folder can't belong to this instance; the text gives the reason and the remedy."""
 
 
 class Identity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Content of the identity file. `process_epoch` is written under its former name."""
+    """Contents of the identity file. `process_epoch` is encoded under its former name."""
 
     id: str
     name: str
-    process_epoch: int = msgspec.field(name="boot")  # processes started from the folder, this one included
+    process_epoch: int = msgspec.field(name="boot")  # processes started from the folder, including this one
     device: int
     inode: int
-    generation: int = 0  # of the inode, where the file system has it
+    generation: int = 0  # of the inode, if the file system has one
 
 
 def folder_location(folder: Path) -> tuple[int, int, int]:
     """Return device, inode and the inode's generation. Raises OSError.
 
-    ext4 gives the inode number of a removed folder to the next one that is made, so that without the
-    generation a copy over a removed folder would pass.
+    ext4 reuses the inode number of a removed folder for the next folder, so that without the generation a
+    copy in place of a removed folder would be accepted.
     """
     status = folder.stat()
     generation = bytearray(8)
     descriptor = os.open(folder, os.O_RDONLY)
     try:
-        with contextlib.suppress(OSError):  # tmpfs and others have none, and do not reuse numbers at once
+        with contextlib.suppress(OSError):  # tmpfs and others have none, and do not reuse numbers soon
             fcntl.ioctl(descriptor, GET_GENERATION, generation)
     finally:
         os.close(descriptor)
@@ -55,9 +55,9 @@
 
 
 def claim_identity(folder: Path, name: str) -> Identity:
-    """Return the identity of the process that starts now; it is written before it is used.
+    """Return the identity of the process that starts now; it is saved before it is used.
 
-    Raises IdentityError, and OSError where the folder can't be written.
+    Raises IdentityError, and OSError if the folder can't be written.
     """
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     path = folder / IDENTITY_FILE
@@ -91,21 +91,19 @@
 
 
 def raise_process_epoch(folder: Path, identity: Identity, seen: int) -> Identity:
-    """Move above a process epoch that others have seen: the folder was restored from a backup.
+    """Raise the epoch above the one that others have seen: the folder was restored from a backup.
 
-    Raises IdentityError if the epoch is out of range, OSError where the folder can't be written.
+    Raises IdentityError if the epoch is out of range, OSError if the folder can't be written.
     """
     if not 0 < seen < PROCESS_EPOCH_MAX:
-        raise IdentityError(
-            f"boot: {seen} was told by another instance: 1 to {PROCESS_EPOCH_MAX} makes sense"
-        )
+        raise IdentityError(f"boot: another instance reported {seen}: valid are 1 to {PROCESS_EPOCH_MAX}")
     raised = msgspec.structs.replace(identity, process_epoch=seen + 1)
     write_atomically(folder / IDENTITY_FILE, raised)
     return raised
 
 
 def write_atomically(path: Path, content: msgspec.Struct) -> None:
-    """Write a struct as JSON, completely or not at all, also over a power failure. Raises OSError."""
+    """Write a struct as JSON, completely or not at all, even on a power failure. Raises OSError."""
     part = path.with_suffix(".part")
     with open(part, "wb") as file:
         file.write(msgspec.json.encode(content))
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -1,11 +1,12 @@
 """Member table: all members that an instance knows, and checksums that show two instances where they differ.
 
-No I/O. The checksum over all is what builds before slice checksums compare, and any difference makes them
-send all they know: a quarter of a megabyte for 3,500 members. Slice checksums cover 64 parts of the names, so
-that one differing claim costs a reply of a sixty-fourth. Gone members are not in the slice checksums: each
-instance evicts them at a moment of its own, and would be sent all of them by the others until then.
+No I/O. Builds without slice checksums compare the checksum over all members, and send all their claims on
+any difference: a quarter of a megabyte for 3,500 members. Slice checksums cover 64 parts of the names, so
+that one differing claim costs a reply of one sixty-fourth. Gone members are not in the slice checksums: each
+instance evicts them at its own time, and the others would send it all of them again until they evict them
+too.
 
-Claims enter the checksums by `repr` of name and precedence: these are part of the wire format.
+Claims enter the checksums as `repr` of name and precedence: these are part of the wire format.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from .wire import Claim, MemberState
 
 SLICES = 64  # of 4 bytes: a fifth of a packet, and 55 of 3,500 members in each
-SAMPLE_FACTOR = 3  # names drawn for each that is wanted, before all are searched
+SAMPLE_FACTOR = 3  # names drawn for each requested one, before all are searched
 _CHECKSUMS = struct.Struct(f"<{SLICES}I")
 
 
@@ -29,7 +30,7 @@
 
 
 def _claim_hash(claim: Claim) -> int:
-    """No CRC: those are linear, so that two members with equal changes would leave a checksum unchanged."""
+    """Not a CRC: it is linear, so that equal changes of two members would leave a checksum unchanged."""
     if claim.is_gone:
         return 0
     digest = hashlib.blake2b(repr((claim.name, *claim.precedence)).encode(), digest_size=4)
@@ -37,15 +38,18 @@
 
 
 class MemberTable:
-    """Members by name. Each change costs the same, however many there are; the checksum over all is computed
-    when it is requested after a change."""
+    """Members by name.
+
+    A change costs the same for any number of members. The checksum over all members is computed when it is
+    requested after a change.
+    """
 
     def __init__(self) -> None:
-        self.members: dict[str, Claim] = {}  # all but this one
+        self.members: dict[str, Claim] = {}  # all except this one
         self.gone_at: dict[str, float] = {}  # when each gone member was reported gone, the earliest first
-        self.names: list[str] = []  # of `members`, to sample without a walk over them
+        self.names: list[str] = []  # of `members`, to sample without iterating over them
         self._slice_hashes = [0] * SLICES
-        self._cached_checksum: tuple[Claim, int] | None = None  # with this instance's own claim
+        self._cached_checksum: tuple[Claim, int] | None = None  # and the own claim that it was computed with
 
     @property
     def present_count(self) -> int:
@@ -85,20 +89,20 @@
         return evicted
 
     def sample(self, rng: random.Random, limit: int, state: MemberState, excluded: str = "") -> list[str]:
-        """Return at most `limit` random members in a state. All are searched only where few are in it."""
+        """Return at most `limit` random members in a state. All are searched only if few are in it."""
         drawn = rng.sample(self.names, min(len(self.names), SAMPLE_FACTOR * limit))
-        found = [name for name in drawn if self.members[name].state is state and name != excluded]
-        if len(found) < limit and len(drawn) < len(self.names):
-            found = [
+        matching = [name for name in drawn if self.members[name].state is state and name != excluded]
+        if len(matching) < limit and len(drawn) < len(self.names):
+            matching = [
                 name for name, claim in self.members.items() if claim.state is state and name != excluded
             ]
-            found = rng.sample(found, min(limit, len(found)))
-        return found[:limit]
+            matching = rng.sample(matching, min(limit, len(matching)))
+        return matching[:limit]
 
     # -- differences between two instances -------------------------------------------------------------------
 
     def checksum(self, own_claim: Claim) -> int:
-        """Return the checksum over all, equal where the same is known and never 0."""
+        """Return the checksum over all members: equal if the same claims are known, and never 0."""
         if self._cached_checksum is None or self._cached_checksum[0] is not own_claim:
             rows = sorted((claim.name, *claim.precedence) for claim in (own_claim, *self.members.values()))
             self._cached_checksum = own_claim, zlib.crc32(repr(rows).encode()) or 1
@@ -113,9 +117,9 @@
     def differing_slices(self, own_claim: Claim, checksum: int, slices: bytes) -> frozenset[int] | None:
         """Return the slices in which another instance differs, by its checksums; None if all may differ.
 
-        A build without slice checksums sends none, and 0 for a checksum that it does not know.
+        A build without slice checksums sends none, and 0 for an unknown checksum.
         """
-        if len(slices) != _CHECKSUMS.size:  # none, or of another number
+        if len(slices) != _CHECKSUMS.size:  # none, or another number of slices
             is_equal = checksum != 0 and checksum == self.checksum(own_claim)
             return frozenset() if is_equal else None
         own_checksums = _CHECKSUMS.unpack(self.slice_checksums(own_claim))
@@ -123,7 +127,7 @@
         return frozenset(n for n in range(SLICES) if own_checksums[n] != other_checksums[n])
 
     def claims_in(self, slices: frozenset[int] | None) -> Iterator[Claim]:
-        """Yield the claims of some slices (None: all), each as it is when its turn comes."""
+        """Yield the claims of some slices (None: all), each in its state at that moment."""
         for name in list(self.members):
             claim = self.members.get(name)
             if claim is not None and (slices is None or slice_index(name) in slices):
--- a/message_relay/gossip/node.py
+++ b/message_relay/gossip/node.py
@@ -35,16 +35,16 @@
 CONNECT_TIMEOUT_S = 1.0
 INBOUND_CONNECTIONS_MAX = 64  # at once; more are closed
 BACKLOG_BYTES_MAX = (
-    FRAME_BYTES_MAX  # buffered for one connection: later messages are dropped, as on a network
+    FRAME_BYTES_MAX  # buffered for one connection: beyond it messages are dropped, as on a network
 )
-TIMER_SLACK_S = 0.005  # between two turns of `swim` at least; a later timer is not moved for less
+TIMER_SLACK_S = 0.005  # least time between two turns of `swim`; a timer is not moved by less
 
 DatagramHandler = Callable[[str, bytes], None]  # (sender's name, message)
 FrameHandler = Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]  # returns the answer, if any
 
 
 class Stream:
-    """A connection to one peer for one kind of message, reconnected for as long as `run` runs.
+    """A connection to one peer for one kind of message, reconnected while `run` runs.
 
     Messages that can't be written are dropped.
     """
@@ -61,8 +61,8 @@
     def send(self, message: bytes) -> bool:
         """Write a message; return False if it was dropped.
 
-        Written without a task, which would cost more than the message. A peer that does not read gets nothing
-        more until it has caught up, and the latest then.
+        Written without a task, which would cost more than the message. A peer that does not read receives no
+        further messages until it has caught up, and then the latest ones.
         """
         writer = self.writer
         if not self.is_connected or writer is None:
@@ -79,7 +79,7 @@
         return True
 
     async def run(self, on_changed: Callable[[str, bool], None]) -> None:
-        """Connect, and reconnect, until cancelled; `on_changed` gets the peer's name and whether it is up."""
+        """Connect and reconnect until cancelled; `on_changed` gets the peer's name and whether it is up."""
         while True:
             try:
                 reader, writer = await self._connect()
@@ -107,7 +107,7 @@
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             address = self.node.address_of(self.name)
             if address is None:
-                raise OSError("nobody of that name is there")
+                raise OSError("no member has this name")
             return await asyncio.open_connection(*address, local_addr=self.node.source)
 
 
@@ -127,7 +127,7 @@
         zone: str,
         capabilities: int,
     ) -> None:
-        """`folder` is that of the identity. Raises ValueError or OSError if the secret can't be read."""
+        """`folder` holds the identity. Raises ValueError or OSError if the secret can't be read."""
         self.identity = identity
         self.folder = folder
         self.on_epoch_raised: list[Callable[[Identity], None]] = []  # the folder was restored from a backup
@@ -139,7 +139,7 @@
         self.secret = settings.secret()
         own_claim = self._first_claim(zone, capabilities)
         own_host = settings.listen_address(number)[0]
-        # Others know this instance by the address that it connects from.
+        # Others identify this instance by the address that it connects from.
         self.source = None if own_host in ("0.0.0.0", "::") else (own_host, 0)
         seeds = [parse_address(seed, "seeds") for seed in settings.seeds]
         other_seeds = tuple(seed for seed in seeds if seed != own_claim.address)
@@ -148,7 +148,7 @@
         self.frame_handlers: dict[str, FrameHandler] = {}
         self.on_member_changed: list[Callable[[Claim], None]] = []
         self.counts: Counter[str] = Counter()
-        # The latest message, by kind, body and nonce, with its sealed packet.
+        # The latest message as (kind, body, nonce), and its sealed packet.
         self.last_sealed: tuple[tuple[str, bytes, int], bytes] = ("", b"", 0), b""
         self.tasks = BackgroundTasks()
         self.timer: asyncio.TimerHandle | None = None
@@ -208,7 +208,7 @@
             self.swim.tick(now)
             self._flush()
         except Exception:
-            log.exception("membership turn failed")  # the next one is scheduled all the same
+            log.exception("membership turn failed")  # the next turn is scheduled anyway
         self.timer = None
         self._schedule()
 
@@ -222,7 +222,7 @@
             self.timer = loop.call_at(due_at, self._tick)
 
     def _flush(self) -> None:
-        """Send what `swim` has for others, and report what it has found."""
+        """Send the packets that `swim` has queued, and report its changes and conflicts."""
         outbox, self.swim.outbox = self.swim.outbox, []
         for to, body in outbox:
             self._send_body(to, body)
@@ -230,7 +230,7 @@
             self.raise_process_epoch(self.swim.newer_epoch_seen)
         if self.swim.identity_conflict is not None and self.identity_conflict is None:
             self._report_identity_conflict(self.swim.identity_conflict)
-        if self.swim.rejected_claims > 2 * self.counts["surplus"]:  # the 1st, 3rd, 7th ...: they repeat
+        if self.swim.rejected_claims > 2 * self.counts["surplus"]:  # logs the 1st, 3rd, 7th ...: they repeat
             self._report_rejected_member()
         changes, self.swim.changes = self.swim.changes, []
         for claim in changes:
@@ -240,10 +240,10 @@
 
     def _report_identity_conflict(self, other: Claim) -> None:
         self.identity_conflict = other
-        why = f"another process at {other.host}:{other.port} is {other.name}"
-        log.error(LogEvent("identity conflict detected", why=why))
+        reason = f"another process at {other.host}:{other.port} is {other.name}"
+        log.error(LogEvent("identity conflict detected", why=reason))
         for on_conflict in self.on_identity_conflict:
-            on_conflict(why)
+            on_conflict(reason)
 
     def _report_rejected_member(self) -> None:
         self.counts["surplus"] = self.swim.rejected_claims
@@ -257,7 +257,7 @@
         )
 
     def raise_process_epoch(self, seen: int) -> None:
-        """Join anew above the process epoch that others have seen: the folder was restored from a backup."""
+        """Rejoin above the process epoch that others have seen: the folder was restored from a backup."""
         try:
             self.identity = raise_process_epoch(self.folder, self.identity, seen)
         except (IdentityError, OSError) as error:
@@ -286,14 +286,14 @@
             packet = open_packet(data, self.secret)
         except UnreadablePacketError as error:
             self.counts["unreadable"] += 1
-            if self.counts["unreadable"].bit_count() == 1:  # the 1st, 2nd, 4th ...: it may go on
+            if self.counts["unreadable"].bit_count() == 1:  # logs the 1st, 2nd, 4th ...: there may be many
                 log.warning(LogEvent("datagram ignored", why=error, so_far=self.counts["unreadable"]))
             return
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         body = packet.body
         try:
-            if isinstance(body, AppMessage):  # does not change membership: no walk over it for each message
+            if isinstance(body, AppMessage):  # does not change membership, which need not be processed then
                 if body.kind in self.datagram_handlers:
                     self.datagram_handlers[body.kind](packet.sender, body.body)
                 return
@@ -305,18 +305,18 @@
 
     def error_received(self, exc: Exception) -> None:
         """Count an error of the socket."""
-        self.counts["errors"] += 1  # usually nobody listens there at the moment
+        self.counts["errors"] += 1  # usually no process listens at the target at the moment
 
     # -- messages --------------------------------------------------------------------------------------------
 
     def send_datagram(self, name: str, kind: str, body: bytes) -> None:
-        """Send one datagram to a member; it may be lost, duplicated or late."""
+        """Send one datagram to a member; it may be lost, duplicated or delayed."""
         address = self.address_of(name)
         if address is not None:
             self._send(address, self._sealed_message(kind, body))
 
     def _sealed_message(self, kind: str, body: bytes) -> bytes:
-        """Return the packet, sealed once for all recipients of the same message: all voters, all relays."""
+        """Return the packet, sealed once for all recipients of a message (all voters, or all relays)."""
         key = kind, body, self.swim.own_claim.nonce
         if key != self.last_sealed[0]:
             packet = Packet(self.swim.own_claim.name, self.swim.own_claim.nonce, AppMessage(kind, body))
@@ -328,10 +328,10 @@
         return msgspec.msgpack.encode(Hello(self.swim.own_claim.name, kind, self.swim.own_claim.nonce))
 
     async def request(self, name: str, kind: str, raw: bytes, seconds: float = 2.0) -> bytes:
-        """Send a message on a connection of its own, return the answer. Raises OSError or TimeoutError."""
+        """Send a message on its own connection and return the answer. Raises OSError or TimeoutError."""
         address = self.address_of(name)
         if address is None:
-            raise OSError(f"{name}: nobody of that name is there")
+            raise OSError(f"{name}: no member has this name")
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(*address, local_addr=self.source)
             try:
@@ -343,7 +343,7 @@
                 self.counts["asked_bytes"] += len(answer)
                 return answer
             except asyncio.IncompleteReadError as error:
-                raise OSError(f"{name}: ended without an answer") from error
+                raise OSError(f"{name}: the connection was closed without an answer") from error
             finally:
                 writer.close()
 
--- a/message_relay/gossip/paced_replies.py
+++ b/message_relay/gossip/paced_replies.py
@@ -1,9 +1,9 @@
 """Paced replies: replies of many packets, sent in bursts. No I/O; the clock is passed in, in seconds.
 
-A receiver's socket buffer holds some ninety packets of this size until its process has a turn (212,992 bytes,
+A receiver's socket buffer holds some ninety packets of this size until its process reads them (212,992 bytes,
 of which the system counts 2,304 for each), and all claims about 3,500 members need 260. A fleet that starts
-requests them from its seeds all at once: so few requests are replied to in full at a time, the others with
-what fits into one packet.
+requests them from its seeds all at once: so only a few requests receive a full reply at a time, the others
+receive a single packet.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class PacedReplies:
-    """Replies in progress, by recipient, which take turns."""
+    """Replies in progress, by recipient, sent in turn."""
 
     def __init__(self) -> None:
         self.in_progress: dict[Address, Iterator[Sync]] = {}
         self.next_burst_at = 0.0  # valid while a reply is in progress
 
     def start(self, recipient: Address, packets: Iterator[Sync]) -> bool:
-        """Start a reply; return False if too many are in progress. A repeated request keeps its first one."""
+        """Start a reply; return False if too many are in progress. A repeated request starts no other."""
         if recipient in self.in_progress:
             return True
         if len(self.in_progress) >= CONCURRENT_REPLIES_MAX:
@@ -35,7 +35,7 @@
         return True
 
     def next_burst(self, now: float) -> list[tuple[Address, Sync]]:
-        """Return the packets that are due now, all for the recipient whose turn it is."""
+        """Return the packets that are due now, all for the next recipient in turn."""
         if not self.in_progress or now < self.next_burst_at:
             return []
         recipient = next(iter(self.in_progress))
--- a/message_relay/gossip/settings.py
+++ b/message_relay/gossip/settings.py
@@ -1,6 +1,6 @@
 """Settings of gossip: the section `[peers]` of the operator's file.
 
-Without `listen` gossip is off: nothing of it is imported, and no socket is opened.
+Without `listen` gossip is off: its other modules are not imported, and no socket is opened.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import Meta
 
-SECRET_BYTES = 16  # minimum: shorter ones can be guessed
-# Instances of one fleet. Bounds the state about others at each instance and voter. It is above the 3,500
-# relays of the largest planned fleet, and tested at its own size (tests/scale).
+SECRET_BYTES = 16  # minimum: shorter secrets can be guessed
+# Instances of one fleet. Bounds the state about other instances at each instance and voter. The value is
+# above the 3,500 relays of the largest planned fleet, and the scale tests run at this size (tests/scale).
 INSTANCES_MAX = 4096
 
 
@@ -21,10 +21,10 @@
     """Gossip by UDP and TCP, at one address for each instance."""
 
     listen: str = ""  # HOST:PORT; `{n}` is replaced by the instance's number, else N listens on port + N
-    address: str = ""  # where others reach it, if not at `listen`; same form
+    address: str = ""  # where others reach it, if not at `listen`; same format
     seeds: tuple[str, ...] = ()  # HOST:PORT of some instances that are usually up
     secret_file: str = ""  # seals each packet; empty: no seal, for a private network
-    period_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # one member is probed in each
+    period_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # one member is probed in each period
 
     def __post_init__(self) -> None:
         for name in ("listen", "address"):
@@ -33,7 +33,7 @@
         for seed in self.seeds:
             parse_address(seed, "seeds")
         if self.seeds and not self.listen:
-            raise ValueError("listen: seeds need a place to listen: HOST:PORT")
+            raise ValueError("listen: seeds need a listen address: HOST:PORT")
 
     @property
     def is_enabled(self) -> bool:
@@ -41,15 +41,15 @@
         return bool(self.listen)
 
     def listen_address(self, number: int) -> tuple[str, int]:
-        """Return where instance `number` listens."""
+        """Return the address at which instance `number` listens."""
         return instance_address(self.listen, "listen", number)
 
     def advertised_address(self, number: int) -> tuple[str, int]:
-        """Return where others reach instance `number`."""
+        """Return the address at which others reach instance `number`."""
         return instance_address(self.address or self.listen, "address", number)
 
     def secret(self) -> bytes:
-        """Read the secret, empty if none is set. Raises ValueError if it is too short, or OSError."""
+        """Return the secret, empty if none is set. Raises ValueError if it is too short, or OSError."""
         if not self.secret_file:
             return b""
         raw = Path(self.secret_file).read_bytes().strip()
--- a/message_relay/gossip/suspicion.py
+++ b/message_relay/gossip/suspicion.py
@@ -1,8 +1,8 @@
 """Timers of the failure detector: probes, indirect probes and suspicions. No I/O; the clock is passed in.
 
-A member that neither answers a probe nor the indirect probes of others is a suspect, and dead once its
-suspicion has expired. The time of a suspicion shrinks as others confirm it from probes of their own
-(Lifeguard, 3.3): the bad link of one member takes long to exclude another, three that agree do not.
+A member that answers neither a probe nor the indirect probes of others is a suspect, and dead once its
+suspicion has expired. The time of a suspicion shrinks as others confirm it from their own probes (Lifeguard,
+3.3): a bad link of one member takes long to exclude another, three members that agree do so soon.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from .wire import Claim
 
-SUSPICION_PERIODS = 4.0  # shortest time of a suspicion, in periods times log10 of the members
-SUSPICION_MAX_FACTOR = 6.0  # longest time, in shortest times
-INDIRECT_TIMEOUT_SHARE = 0.55  # of a period: the base of the time after which a nack is due
+SUSPICION_PERIODS = 4.0  # shortest time of a suspicion, in periods times log10 of the number of members
+SUSPICION_MAX_FACTOR = 6.0  # longest time, as a multiple of the shortest
+INDIRECT_TIMEOUT_SHARE = 0.55  # share of a period, the base of the time after which a nack is due
 INDIRECT_TIMEOUT_FACTOR = 0.6
 CONFIRMATIONS_MAX = 3  # independent confirmations that reduce a suspicion to its shortest time
 
@@ -49,10 +49,10 @@
     target: str
     sequence: int
     started_at: float
-    is_indirect: bool = False  # others were requested to ping the target
+    is_indirect: bool = False  # others were asked to ping the target
     is_answered: bool = False
     nacks: int = 0
-    helpers: int = 0  # members that were requested
+    helpers: int = 0  # number of members that were asked
 
 
 @dataclass
@@ -65,7 +65,7 @@
 
 
 class IndirectProbes:
-    """Indirect probes without an answer, by the sequence number of their ping, the earliest first."""
+    """Indirect probes without an answer yet, by the sequence number of their ping, the earliest first."""
 
     def __init__(self, period_s: float) -> None:
         self.period_s = period_s
@@ -75,7 +75,7 @@
         return len(self.pending)
 
     def add(self, now: float, sequence: int, requester: str, requested_sequence: int) -> None:
-        """Add a probe. All have the same timeout, so that insertion order is order of expiry."""
+        """Add a probe. All have the same timeout, so that insertion order is the order of expiry."""
         nack_at = now + INDIRECT_TIMEOUT_SHARE * self.period_s * INDIRECT_TIMEOUT_FACTOR
         self.pending[sequence] = IndirectProbe(requester, requested_sequence, nack_at)
 
@@ -88,11 +88,11 @@
         self.pending.clear()
 
     def next_expiry_at(self) -> float:
-        """Return when the first one expires; there must be one."""
+        """Return when the earliest probe expires; there must be one."""
         return next(iter(self.pending.values())).nack_at
 
     def pop_expired(self, now: float) -> IndirectProbe | None:
-        """Remove and return one that is due for a nack, None if there is none."""
+        """Remove and return a probe that is due for a nack, None if there is none."""
         if not self.pending:
             return None
         sequence, probe = next(iter(self.pending.items()))
@@ -104,7 +104,7 @@
 
 @dataclass
 class Suspicion:
-    """Suspicion of one member, with those who suspect it."""
+    """Suspicion of one member, and the members that suspect it."""
 
     since: float
     suspected_by: set[str]
@@ -124,7 +124,7 @@
 
     def __init__(self) -> None:
         self.by_member: dict[str, Suspicion] = {}
-        self.next_expiry_at = math.inf  # none expires before
+        self.next_expiry_at = math.inf  # no suspicion expires earlier
 
     def __len__(self) -> int:
         return len(self.by_member)
@@ -134,7 +134,7 @@
     ) -> None:
         """Start a suspicion. `stretch` is the factor of the local health multiplier."""
         shortest_s = SUSPICION_PERIODS * max(1.0, math.log10(max(1, member_count))) * period_s * stretch
-        # Few members have nobody to confirm a suspicion: the shortest time has to suffice.
+        # In a small fleet no other member may confirm a suspicion: the shortest time has to suffice.
         factor = SUSPICION_MAX_FACTOR if member_count > CONFIRMATIONS_MAX + 2 else 1.0
         suspicion = Suspicion(now, {suspected_by}, shortest_s, shortest_s * factor)
         self.by_member[member] = suspicion
@@ -156,7 +156,7 @@
         self.by_member.pop(member, None)
 
     def postpone(self, seconds: float) -> None:
-        """Postpone all: this process stalled and may have missed refutations."""
+        """Postpone all suspicions: this process stalled and may have missed refutations."""
         for suspicion in self.by_member.values():
             suspicion.since += seconds
         self.next_expiry_at += seconds
--- a/message_relay/gossip/swim.py
+++ b/message_relay/gossip/swim.py
@@ -1,17 +1,18 @@
 """SWIM membership (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar et al. 2017).
 
-No I/O; the clock is passed in, in seconds; `outbox` collects what is to be sent, `changes` what is new.
+No I/O; the clock is passed in, in seconds; `outbox` collects packets to send, `changes` the changed claims.
 
 Each period one member is pinged, in an order that is shuffled each round, so that every member is probed
-within two rounds. One that does not answer is probed by others; one that answers nobody is a suspect, and
-dead once its suspicion has expired (suspicion.py). Claims about members are piggybacked on these packets, so
-that a member's traffic does not grow with their number, except for the length of a round.
-
-Why the odd cases are as they are:
-- A suspect learns of it with the next ping that it receives (Lifeguard's buddy system): it may still refute.
-- A process that was frozen or is short of CPU finds its own timers late; then its claims about others are
-  worth little. The local health score stretches its periods and suspicions, and a tick that comes much too
-  late restarts its probe in place of counting it as failed.
+within two rounds. A member that does not answer is probed by others; one that answers none of them is a
+suspect, and dead once its suspicion has expired (suspicion.py). Claims about members are piggybacked on these
+packets, so that a member's traffic does not grow with their number, except for the length of a round.
+
+Special cases:
+- A suspect learns of the suspicion with the next ping that it receives (Lifeguard's buddy system), so that it
+  may still refute it.
+- A process that was frozen or is short of CPU finds its own timers late; its claims about others are then
+  unreliable. The local health score stretches its periods and suspicions, and a tick that is much too late
+  restarts its probe instead of counting it as failed.
 - Identities, the order of claims and conflicts between processes are in claim_rules.py, full exchanges in
   anti_entropy.py.
 """
@@ -46,12 +47,12 @@
     Sync,
 )
 
-INDIRECT_PROBE_HELPERS = 3  # members requested to ping for us
+INDIRECT_PROBE_HELPERS = 3  # members asked to ping the target for this one
 PROBE_TIMEOUT_SHARE = 0.3  # of a period, after which indirect probes start
 LOCAL_HEALTH_MAX = 8  # of the local health multiplier, as in Lifeguard
 STALLED_AFTER_PERIODS = 0.5  # a tick that is late by this much means that this process stalled
-GONE_RETENTION_S = 600.0  # gone members are remembered: an old claim about them is not news
-# Known at once, as many as a fleet has. Guards against a flood of names, by mistake or worse.
+GONE_RETENTION_S = 600.0  # gone members are remembered, so that an old claim about them is not taken as new
+# Members known at a time: the size of a fleet. Guards against a flood of names, by mistake or by attack.
 MEMBERS_MAX = INSTANCES_MAX
 
 
@@ -67,7 +68,7 @@
     outbox: list[tuple[Address, Body]] = field(default_factory=list)
     changes: list[Claim] = field(default_factory=list)
     identity_conflict: Claim | None = None  # of another process that has this one's identity
-    newer_epoch_seen: int = 0  # seen by others for this folder, at least as high as ours
+    newer_epoch_seen: int = 0  # epoch that others have seen for this folder, not below this process's
     highest_epochs: dict[str, int] = field(default_factory=dict)  # highest process epoch by identity
 
     def __post_init__(self) -> None:
@@ -88,11 +89,11 @@
 
     @property
     def members(self) -> dict[str, Claim]:
-        """All known members but this one, by name."""
+        """All known members except this one, by name."""
         return self.member_table.members
 
     def tick(self, now: float) -> None:
-        """Do what is due; to be called at `next_at` at the latest."""
+        """Run all due actions; to be called at `next_at` at the latest."""
         if self.next_tick_due and now > self.next_tick_due + STALLED_AFTER_PERIODS * self.period_s:
             self._on_stall(now)
         if now >= self.sync.next_at:
@@ -122,7 +123,7 @@
             self._send_to_member(expired.requester, Nack(expired.sequence))
 
     def _on_stall(self, now: float) -> None:
-        """Blame nobody for what this process missed: answers may be waiting unread."""
+        """Suspect no member for what this process missed: answers may be waiting unread."""
         self.local_health_score = LOCAL_HEALTH_MAX
         self.probe = None
         self.next_period_at = now
@@ -169,7 +170,7 @@
         if probe.is_answered:
             self.local_health_score = max(0, self.local_health_score - 1)
             return
-        # A nack shows that our own link works; each one missing suggests that the fault may be ours.
+        # A nack shows that this member's link works; each missing one suggests that the fault may be its own.
         missing = probe.helpers - probe.nacks if probe.helpers else 1
         self.local_health_score = min(LOCAL_HEALTH_MAX, self.local_health_score + missing)
         claim = self.members.get(probe.target)
@@ -226,11 +227,11 @@
         if claim.id != known.id:
             if known.is_gone:
                 return True
-            if not claim.is_gone:  # the name belongs to another instance, and that one lives
+            if not claim.is_gone:  # the name belongs to another instance, which is alive
                 self._send(claim.address, IdentityConflict(known))
             return False
         if claim.process_epoch == known.process_epoch and claim.nonce != known.nonce:
-            # Two processes of one folder. The higher nonce wins; it will learn of the other.
+            # Two processes of one folder. The higher nonce wins; the other process is informed.
             winner, loser = (known, claim) if claim.nonce < known.nonce else (claim, known)
             self._send(loser.address, IdentityConflict(winner))
             return winner is claim
@@ -251,7 +252,7 @@
     def _confirm_suspicion(self, known: Claim, claim: Claim) -> None:
         is_suspected = claim.name in self.suspicions.by_member and claim.precedence == known.precedence
         if is_suspected and self.suspicions.confirm(claim.name, claim.suspected_by):
-            self.member_table.replace_equal(claim)  # disseminated under the name of who confirmed it
+            self.member_table.replace_equal(claim)  # disseminated under the name of its confirmer
             self.dissemination_queue.add(claim.name)
 
     def _on_claim_about_self(self, claim: Claim) -> None:
@@ -270,7 +271,7 @@
         self.dissemination_queue.add(self.own_claim.name)
 
     def restart_as(self, process_epoch: int) -> None:
-        """Join anew as a process above all those of this folder that others have seen."""
+        """Rejoin with a process epoch above all those of this folder that others have seen."""
         self.own_claim = msgspec.structs.replace(
             self.own_claim, process_epoch=process_epoch, incarnation=0, state=MemberState.JOINING
         )
@@ -280,7 +281,7 @@
         self.dissemination_queue.add(self.own_claim.name)
 
     def leave(self) -> None:
-        """Announce a deliberate stop to some members, who disseminate it."""
+        """Announce a deliberate stop to some members, which disseminate it."""
         self.own_claim = msgspec.structs.replace(self.own_claim, state=MemberState.LEFT)
         self.dissemination_queue.add(self.own_claim.name)
         present = [name for name, claim in self.members.items() if not claim.is_gone]
@@ -374,7 +375,7 @@
         if self.paced_replies.start(to, self._sync_packets(table.claims_in(slices))):
             self.outbox += self.paced_replies.next_burst(now)
             return
-        names = table.sample(self.rng, CLAIMS_EXAMINED_MAX, MemberState.ALIVE)  # enough to ask others
+        names = table.sample(self.rng, CLAIMS_EXAMINED_MAX, MemberState.ALIVE)  # enough to ask other members
         self._send(to, next(self._sync_packets(self.members[name] for name in names)))
 
     def _sync_packets(self, claims: Iterable[Claim]) -> Iterator[Sync]:
--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -1,7 +1,7 @@
 """Datagrams between instances: msgpack arrays, sealed (HMAC) where a secret is set.
 
-The order, types and tags of all fields are the wire format; their names are not. A datagram that can't be
-decoded, is too long or has no valid seal is dropped and counted, and changes nothing.
+The order, types and tags of all fields are the wire format; their names are not part of it. A datagram that
+can't be decoded, is too long or has no valid seal is dropped and counted, and changes nothing.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import msgspec
 
-PACKET_BYTES = 1400  # a datagram of this size crosses a usual path unfragmented
-SEAL_BYTES = 16  # of HMAC-SHA256: forging one takes 2^128 tries
+PACKET_BYTES = 1400  # a datagram of this size passes a usual path unfragmented
+SEAL_BYTES = 16  # of HMAC-SHA256: forging a seal takes 2^128 attempts
 NAME_BYTES = 64
 
 Address = tuple[str, int]
@@ -22,9 +22,9 @@
 class MemberState(IntEnum):
     """State of a member. Of two claims of the same incarnation the one with the higher state wins."""
 
-    JOINING = 0  # it does not know the other members yet
+    JOINING = 0  # does not know the other members yet
     ALIVE = 1
-    SUSPECT = 2  # it answered no probe
+    SUSPECT = 2  # answered no probe
     DEAD = 3
     LEFT = 4  # by its own announcement
 
@@ -45,8 +45,8 @@
     host: str
     port: int
     zone: str = ""
-    capabilities: int = 0  # of its build: one bit for each
-    suspected_by: str = ""  # of SUSPECT: whose probe failed
+    capabilities: int = 0  # of its build, one bit each
+    suspected_by: str = ""  # for SUSPECT: the member whose probe failed
 
     @property
     def precedence(self) -> tuple[int, int, int]:
@@ -94,12 +94,12 @@
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A part of all claims that the sender knows, or a request for those of the recipient that differ."""
+    """A part of all claims that the sender knows, or a request for the recipient's claims that differ."""
 
     wants_reply: bool  # a request
     claims: tuple[Claim, ...]
-    checksum: int = 0  # over all that the sender knows
-    slice_checksums: bytes = b""  # by parts (member_table.py): the reply holds those that differ
+    checksum: int = 0  # over all claims that the sender knows
+    slice_checksums: bytes = b""  # by slice (member_table.py): the reply holds those that differ
 
 
 class IdentityConflict(msgspec.Struct, frozen=True, array_like=True, tag="r"):
@@ -127,7 +127,7 @@
 
 
 class UnreadablePacketError(ValueError):
-    """A datagram is not a valid packet of a member; the text says why."""
+    """A datagram is not a valid packet of a member; the text gives the reason."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -140,7 +140,7 @@
     if secret:
         raw = hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES] + raw
     if len(raw) > PACKET_BYTES:
-        raise ValueError(f"a packet of {len(raw)} bytes: {PACKET_BYTES} at most")
+        raise ValueError(f"packet too long: {len(raw)} bytes, {PACKET_BYTES} at most")
     return raw
 
 
@@ -151,13 +151,15 @@
     if secret:
         seal, raw = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
         if not hmac.compare_digest(seal, hmac.digest(secret, raw, hashlib.sha256)[:SEAL_BYTES]):
-            raise UnreadablePacketError("its seal is not of this fleet's secret")
+            raise UnreadablePacketError("its seal does not match this fleet's secret")
     try:
         packet = _DECODER.decode(raw)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise UnreadablePacketError(str(error)) from error
     if not 0 < len(packet.sender) <= NAME_BYTES:
-        raise UnreadablePacketError(f"the sender's name has {len(packet.sender)} letters: 1 to {NAME_BYTES}")
+        raise UnreadablePacketError(
+            f"the sender's name has {len(packet.sender)} characters: 1 to {NAME_BYTES} are valid"
+        )
     return packet
 
 
