--- a/emulator/consensus/__init__.py
+++ b/emulator/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreed rules without processes: a model of their leases explored whole, and schedules by seed."""
+"""Checks of the agreed rules without processes: an exhaustive model of leases, and seeded schedules."""
--- a/emulator/consensus/model.py
+++ b/emulator/consensus/model.py
@@ -1,16 +1,17 @@
-"""The leases of agreed rules as a small state machine, all of whose states are explored.
+"""Model of the leases of agreed rules: a small state machine whose states are explored exhaustively.
 
     python -m emulator.consensus.model [--without GUARD] [--json]
 
-Three voters, one relay that acts on version 1, and version 2, which forbids what 1 allows. Time advances in
-ticks; any message may be late, lost or overtaken, a voter may stop and start again at any moment, also with a
-log that lags behind, and the relay's clock may be slow. Version 2 is *in force* once a majority of voters has
-cleared it: from then on another relay may act on it. The bound is broken if the relay then sends a call that
-2 forbids.
+The model has three voters, one relay that acts on version 1, and version 2, which forbids what 1 allows.
+Time advances in ticks. Any message may be delayed, lost or overtaken, a voter may restart at any moment, also
+with a log that lags behind, and the relay's clock may be slow. Version 2 is *in force* once a majority of
+voters has cleared it: from then on another relay may act on it. The bound is broken if the relay then sends a
+call that version 2 forbids.
 
 Each guard of message_relay/consensus can be removed; then the shortest path to a broken bound is printed.
-Simplifications: ages are counted up to what matters; what the relay does after it has dropped version 1 is
-left out, since what it does on version 2 breaks nothing; the number of messages in flight is bounded.
+Simplifications: ages are counted only up to the highest relevant one; the relay's actions after it has
+dropped version 1 are left out, since its actions on version 2 break no bound; the number of messages in
+flight is bounded.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
     "standby": "a version that forbids the standby rules waits for the horizon",
     "wait": "a voter waits for what it has recorded",
 }
-# Ticks, as a holder counts; in the plain case the lease is as long as the horizon here.
+# In ticks by the holder's clock. In the basic case the model treats a lease as long as the horizon.
 LEASE = 0
 HORIZON = 1
-MAX_SKEW = 1  # ticks by which the relay's clock may stay behind in all
-OLDEST_AGE = HORIZON + MAX_SKEW + 1  # ages are distinguished up to here
+MAX_SKEW = 1  # ticks by which the relay's clock may fall behind in total
+OLDEST_AGE = HORIZON + MAX_SKEW + 1  # higher ages are not distinguished
 NOT_RECORDED = OLDEST_AGE
-# Of the relay, and of voters, on one path: the exploration is bounded.
+# Limits on one path, which bound the exploration: renewals of the relay, and restarts of voters.
 MAX_RENEWALS = 3
 MAX_RESTARTS = 1
-MAX_IN_FLIGHT = 1  # messages; two where a late answer is looked for
+MAX_IN_FLIGHT = 1  # messages; two if a late answer is explored
 MAX_STATES = 3_000_000
 REQUEST = "request"
 RESPONSE = "response"
@@ -55,18 +56,18 @@
     """A renewal or its answer, in flight between the relay and a voter."""
 
     kind: str
-    age: int  # of the renewal
-    is_old_version: bool  # it names version 1, not the meet of both
+    age: int  # age of the renewal
+    is_old_version: bool  # names version 1, not the meet of both
 
 
 class Voter(NamedTuple):
-    """One voter. States are sorted by these fields in this order."""
+    """One voter. Voters are sorted by these fields in this order."""
 
     has_cleared: bool = False  # version 2
     is_cleared_on_disk: bool = False
     uptime: int = OLDEST_AGE
     recorded_age: int = 0  # of the latest renewal that it recorded for version 1
-    confirmed_age: int = 0  # at the relay: age of the renewal that this voter recorded last
+    confirmed_age: int = 0  # at the relay: age of the latest renewal that this voter recorded
     messages: tuple[Message, ...] = ()
 
 
@@ -79,15 +80,15 @@
     skew_left: int = MAX_SKEW
     renewals_left: int = MAX_RENEWALS
     restarts_left: int = MAX_RESTARTS
-    is_in_force: bool = False  # a majority had cleared 2 at some time: another relay may act on it since
+    is_in_force: bool = False  # a majority has cleared 2 at some time: another relay may act on it since then
     is_broken: bool = False
 
 
-Step = tuple[str, World]  # what happens, and the state after it
+Step = tuple[str, World]  # description of the step, and the state after it
 
 
-def with_force(world: World) -> World:
-    """Note whether version 2 is in force."""
+def mark_in_force(world: World) -> World:
+    """Record whether version 2 is in force."""
     has_majority = sum(voter.has_cleared for voter in world.voters) >= 2
     return world._replace(is_in_force=world.is_in_force or has_majority)
 
@@ -99,14 +100,14 @@
 
 
 def may_send(world: World, without: str) -> bool:
-    """Whether the relay may now send what version 2 forbids."""
+    """Whether the relay may now send a call that version 2 forbids."""
     ages = sorted(voter.confirmed_age for voter in world.voters)
     age = ages[0] if without == "majority" else ages[1]
     return world.holds_old_version and age <= HORIZON
 
 
 def steps(world: World, without: str, is_standby_forbidden: bool) -> Iterator[Step]:
-    """Yield all that may happen next."""
+    """Yield all possible next steps."""
     yield from _time_steps(world)
     yield from _relay_steps(world, without)
     for number, voter in enumerate(world.voters):
@@ -126,7 +127,7 @@
     return world._replace(voters=tuple(voters))
 
 
-def _older(age: int) -> int:
+def _next_age(age: int) -> int:
     return min(OLDEST_AGE, age + 1)
 
 
@@ -142,16 +143,16 @@
 
 
 def _aged(voter: Voter, is_missed: bool) -> Voter:
-    """Return the voter a tick later; ages that the relay counts stay if its clock misses the tick."""
+    """Return the voter one tick later; ages by the relay's clock are unchanged if that misses the tick."""
     messages = tuple(
-        message if is_missed else message._replace(age=_older(message.age))
+        message if is_missed else message._replace(age=_next_age(message.age))
         for message in voter.messages
-        if is_missed or _older(message.age) < OLDEST_AGE or message.kind == REQUEST
+        if is_missed or _next_age(message.age) < OLDEST_AGE or message.kind == REQUEST
     )
     return voter._replace(
-        uptime=_older(voter.uptime),
-        recorded_age=_older(voter.recorded_age),
-        confirmed_age=voter.confirmed_age if is_missed else _older(voter.confirmed_age),
+        uptime=_next_age(voter.uptime),
+        recorded_age=_next_age(voter.recorded_age),
+        confirmed_age=voter.confirmed_age if is_missed else _next_age(voter.confirmed_age),
         messages=messages,
     )
 
@@ -172,7 +173,7 @@
 def _voter_steps(
     world: World, voter: Voter, without: str, is_standby_forbidden: bool
 ) -> Iterator[tuple[str, Voter]]:
-    if not voter.has_cleared:  # it may learn at any moment that 2 is agreed on
+    if not voter.has_cleared:  # at any moment it may learn that 2 is agreed on
         wait = grantor_wait(without, is_standby_forbidden)
         is_past_start = voter.uptime > wait or without == "start"
         is_past_lease = voter.recorded_age > wait or without == "wait"
@@ -201,13 +202,13 @@
 
 def _message_steps(world: World, number: int, voter: Voter, without: str) -> Iterator[Step]:
     for index, message in enumerate(voter.messages):
-        rest = voter.messages[:index] + voter.messages[index + 1 :]
-        lost = voter._replace(messages=rest)
-        yield f"a message of voter {number} is lost", _with_voter(world, number, lost)
+        remaining = voter.messages[:index] + voter.messages[index + 1 :]
+        without_message = voter._replace(messages=remaining)
+        yield f"a message of voter {number} is lost", _with_voter(world, number, without_message)
         if message.kind == REQUEST:
-            yield _renewal_received(world, number, lost, message, without)
+            yield _renewal_received(world, number, without_message, message, without)
         elif message.is_old_version:
-            yield from _answer_received(world, number, lost, message, without)
+            yield from _answer_received(world, number, without_message, message, without)
 
 
 def _renewal_received(world: World, number: int, voter: Voter, message: Message, without: str) -> Step:
@@ -243,10 +244,10 @@
 
 
 class Exploration(NamedTuple):
-    """What was explored."""
+    """Result of an exploration."""
 
     states: int
-    path: list[str] | None  # the shortest one to a broken bound, if there is one
+    path: list[str] | None  # the shortest path to a broken bound, if there is one
 
 
 def explore(
@@ -257,7 +258,7 @@
     Args:
         without: the guard that is removed; empty for none.
         is_standby_forbidden: version 2 forbids even the standby rules of 1.
-        max_states: a limit.
+        max_states: limit on the number of states.
 
     Raises:
         RuntimeError: there are more states than the limit.
@@ -268,9 +269,9 @@
     while queue:
         world = queue.popleft()
         if not world.holds_old_version and not world.is_about_to_send and without != "refused":
-            continue  # it has dropped 1, and never uses it again
-        for text, raw in steps(world, without, is_standby_forbidden):
-            after = canonical(with_force(raw))
+            continue  # the relay has dropped 1, and never uses it again
+        for text, successor in steps(world, without, is_standby_forbidden):
+            after = canonical(mark_in_force(successor))
             if after in origins:
                 continue
             origins[after] = world, text
--- a/emulator/consensus/network.py
+++ b/emulator/consensus/network.py
@@ -1,4 +1,4 @@
-"""Virtual time, processes that freeze and stop, and messages between them that are late, lost or doubled."""
+"""Simulated network: virtual time, processes that freeze or stop, and delayed, lost or doubled messages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Relay:
-    """One instance: its clock, what outlasts its process, and the state of its process."""
+    """One instance: its clock, its persistent state, and the state of its process."""
 
     name: str
     clock_rate: float
@@ -29,21 +29,21 @@
     lease_holder: LeaseHolder | None = None
     lease_grantor: LeaseGrantor | None = None
     history: VersionHistory | None = None
-    applied: int = 0  # commands of the log
+    applied: int = 0  # number of commands of the log that were applied
     cleared_on_disk: int = 0
-    checked_rules: ActiveRules | None = None  # used if the check right before the first byte is removed
+    checked_rules: ActiveRules | None = None  # of the previous call; used if the guard "byte" is removed
 
     def clock(self, now: float) -> float:
         """Return the time of this relay's clock."""
         return self.clock_offset + now * self.clock_rate
 
     def is_running(self, now: float) -> bool:
-        """Whether it is neither down nor frozen."""
+        """Whether the process is neither down nor frozen."""
         return not self.is_down and now >= self.frozen_until
 
 
 class Network:
-    """A queue of timed callbacks, and links with faults. All draws come from one generator."""
+    """A queue of timed callbacks, and links with faults. All random numbers come from one generator."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -56,7 +56,7 @@
         self.max_extra_delay = rng.choice((0.02, 0.1, 0.4))
 
     def schedule(self, when: float, callback: Callback) -> None:
-        """Call back at a time; callbacks of one time run in the order in which they were scheduled."""
+        """Schedule a callback; callbacks of the same time run in the order in which they were scheduled."""
         self.scheduled_count += 1
         heapq.heappush(self.queue, (when, self.scheduled_count, callback))
 
@@ -67,7 +67,7 @@
             callback()
 
     def run_on(self, relay: Relay, epoch: int, callback: Callback) -> None:
-        """Run now, or when the relay is no longer frozen; never if that process has ended."""
+        """Run a callback now, or once the relay is no longer frozen; never if that process has ended."""
         if relay.epoch != epoch or relay.is_down:
             return
         if self.now < relay.frozen_until:
@@ -77,7 +77,7 @@
             callback()
 
     def send(self, source: str, target: Relay, callback: Callback) -> None:
-        """Deliver a message: run the callback on the target, once, twice or never."""
+        """Send a message: run the callback on the target once, twice or never."""
         if (source, target.name) in self.cut_links or self.rng.random() < self.loss:
             return
         epoch = target.epoch
@@ -88,10 +88,10 @@
             self.schedule(self.now + delay, lambda: self.run_on(target, epoch, callback))
 
     def cut(self, links: set[Link], seconds: float) -> None:
-        """Cut links for a time."""
+        """Cut links for a number of seconds."""
         self.cut_links |= links
         self.schedule(self.now + seconds, lambda: self.cut_links.difference_update(links))
 
     def is_cut(self, a: Relay, b: Relay) -> bool:
-        """Whether the link between two relays is cut at least one way."""
+        """Whether the link between two relays is cut in at least one direction."""
         return (a.name, b.name) in self.cut_links or (b.name, a.name) in self.cut_links
--- a/emulator/consensus/oracle.py
+++ b/emulator/consensus/oracle.py
@@ -1,4 +1,4 @@
-"""What is true of a schedule, and whether each call of a relay agrees with it."""
+"""The global state of a schedule, against which each call of a relay is checked."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
     voters: tuple[str, ...]
     bound_s: float
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     calls: int = 0
-    worst_overlap_s: float = 0.0  # for which an older version was acted on after a newer one
-    activation_s: list[float] = field(default_factory=list)  # from agreed on to first acted on
+    worst_overlap_s: float = 0.0  # longest time for which a relay acted on an older version after a newer one
+    activation_s: list[float] = field(default_factory=list)  # from agreement to first use by a relay
 
     def __post_init__(self) -> None:
         self.history = VersionHistory(Rules(), self.voters)
@@ -40,9 +40,9 @@
         return True
 
     def on_cleared(self, now: float, voter: str, number: int) -> None:
-        """Note that a voter has cleared a version.
+        """Record that a voter has cleared a version.
 
-        A majority has to clear that very version, since only for it are there grants of all of them.
+        A majority has to clear this very version, since only then a majority grants it.
         """
         voters = self.cleared_by.setdefault(number, set())
         voters.add(voter)
@@ -53,24 +53,24 @@
             self.in_force_since = now
 
     def on_active(self, now: float, number: int) -> None:
-        """Note that a relay acts on a version alone."""
+        """Record that a relay acts on a single version."""
         agreed_at = self.agreed_at.pop(number, None)
         if agreed_at is not None:
             self.activation_s.append(now - agreed_at)
 
     def check_call(self, now: float, relay: str, active: ActiveRules) -> None:
-        """Check a call that a relay makes by these rules."""
+        """Check a call that a relay makes under these rules."""
         self.calls += 1
         is_single_version = active.tier is LeaseTier.LEASE and len(active.versions) == 1
         if is_single_version and active.versions[0] < self.in_force.number:
             overlap_s = now - self.in_force_since
             self.worst_overlap_s = max(self.worst_overlap_s, overlap_s)
             if overlap_s > self.bound_s:
-                self.broken.append(
-                    f"{now:.2f}: {relay} acts by {active.label} "
-                    f"{overlap_s:.2f} s after {self.in_force.number}"
+                self.violations.append(
+                    f"{now:.2f}: {relay} acts on {active.label} "
+                    f"{overlap_s:.2f} s after {self.in_force.number} came into force"
                 )
         if not is_subset(active.rules, self.in_force.decoded_rules):
-            self.broken.append(
-                f"{now:.2f}: {relay} sends by {active.label} what {self.in_force.number} forbids"
+            self.violations.append(
+                f"{now:.2f}: {relay} sends under {active.label} a call that {self.in_force.number} forbids"
             )
--- a/emulator/consensus/removed_guards.py
+++ b/emulator/consensus/removed_guards.py
@@ -1,4 +1,4 @@
-"""Leases with one guard removed, to show that the checks find what it prevents."""
+"""Removes a guard from the leases, to show that the checks find the faults that it prevents."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from message_relay.consensus.lease_holder import NEVER, LeaseHolder
 from message_relay.consensus.lease_protocol import LeaseGrant, LeaseTerms
 
-# "kept", "start", "byte" and "drift" are removed by the world itself.
+# "kept", "start", "byte" and "drift" are removed in world.py.
 REMOVABLE_GUARDS = ("majority", "kept", "start", "wait", "standby", "byte", "drift", "asked")
 
 
 def remove_holder_guard(holder: LeaseHolder, guard: str) -> None:
-    """Remove a guard of a relay's lease, if it is one of these."""
+    """Remove a guard from a relay's lease, if it belongs there."""
     if guard == "asked":
         _start_lease_at_answer(holder)
     if guard == "majority":
@@ -21,7 +21,7 @@
 
 
 def remove_grantor_guard(grantor: LeaseGrantor, guard: str, terms: LeaseTerms) -> None:
-    """Remove a guard of a voter, if it is one of these."""
+    """Remove a guard from a voter, if it belongs there."""
     if guard == "wait":
         grantor._is_possible_set_bounded = lambda *_: True  # type: ignore[method-assign]
     if guard == "standby":
--- a/emulator/consensus/world.py
+++ b/emulator/consensus/world.py
@@ -1,17 +1,18 @@
-"""Agreed rules under faults in virtual time: the real leases and version histories, with a simplified log.
+"""Agreed rules under faults in virtual time: the real leases and version histories on a simplified log.
 
     python -m emulator.consensus.world [--schedules 1000] [--first 1] [--processes 8] [--without GUARD]
             [--json]
 
 A schedule is drawn from its seed: relays of which the first are voters, clocks that drift apart, messages
-that are late, lost or doubled, links cut one way or both, processes that freeze or restart, and operators who
-propose rules that forbid each other. Each call that a relay makes is compared with the version in force: the
-latest that a majority of voters has cleared, so that relays may act on it. The bound is broken by a call that
-this version forbids (the bound is 0 s there), by one on an older version alone more than T later, and by
-relays that do not converge once all faults are over.
-
-The log is reduced to what Raft guarantees: an entry that a voter proposes is agreed on while it reaches a
-majority both ways, and a voter receives entries from any other that it reaches; after a start it has none.
+that are delayed, lost or duplicated, links cut in one or both directions, processes that freeze or restart,
+and operators who propose contradicting rules. Each call that a relay makes is checked against the version in
+force: the latest that a majority of voters has cleared, so that relays may act on it. The bound is broken by
+a call that this version forbids (the bound is 0 s there), by a call on an older version alone more than T
+later, and by relays that do not converge after all faults have ended.
+
+The log is reduced to the guarantees of Raft: an entry that a voter proposes is agreed on while the voter
+reaches a majority in both directions, and a voter receives entries from any other voter that it reaches;
+after a start it has no entries.
 """
 
 from __future__ import annotations
@@ -39,9 +40,9 @@
 RELAYS = 5
 VOTERS = 3
 FAULTS_S = 10.0
-QUIET_S = 9.0  # without faults, to converge
+QUIET_S = 9.0  # time without faults in which the relays have to converge
 TERMS = LeaseTerms(bound_s=1.0, horizon_s=3.0, drift=0.06, standby_share=0.9)
-CLOCK_SPREAD = 0.028  # of a clock's rate, at most: two of them stay below the drift
+CLOCK_SPREAD = 0.028  # largest deviation of a clock's rate: two clocks differ by less than the drift
 CLOCK_SPREAD_BEYOND_DRIFT = 0.12
 FIRST_DIGEST = "first"
 RULE_SETS = (
@@ -56,7 +57,7 @@
 
 @dataclass
 class World:
-    """One schedule; `without` names a guard that is removed."""
+    """One schedule; `without` names the guard that is removed, if any."""
 
     seed: int
     without: str = ""
@@ -82,9 +83,9 @@
         return self.network.now
 
     @property
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Violations of the bound."""
-        return self.oracle.broken
+        return self.oracle.violations
 
     @property
     def calls(self) -> int:
@@ -110,7 +111,7 @@
             assert relay.lease_holder is not None
             active = relay.lease_holder.active_rules(relay.clock(self.now))
             if active.label != str(newest):
-                self.broken.append(f"{relay.name} acts by {active.label} in the end, not by {newest}")
+                self.violations.append(f"{relay.name} acts on {active.label} in the end, not on {newest}")
 
     # -- processes -------------------------------------------------------------------------------------------
 
@@ -140,7 +141,7 @@
         remove_grantor_guard(relay.lease_grantor, self.without, self.terms)
 
     def stop(self, relay: Relay, seconds: float) -> None:
-        """End a relay's process, and start another one after a time."""
+        """End a relay's process, and start a new one after a number of seconds."""
         if relay.is_down:
             return
         relay.is_down = True
@@ -151,7 +152,7 @@
     # -- log -------------------------------------------------------------------------------------------------
 
     def pull_log(self, relay: Relay, epoch: int) -> None:
-        """Receive the log from another voter, again and again."""
+        """Receive the log from another voter, periodically."""
         if relay.epoch != epoch:
             return
         self.network.schedule(
@@ -163,19 +164,19 @@
         is_reachable = other.is_running(self.now) and not self.network.is_cut(relay, other)
         if is_reachable and other.applied > relay.applied:
             self._apply_log(relay, other.applied)
-        elif self._majority_with(relay):  # a leader reports how far the log is agreed on
+        elif self._majority_with(relay):  # a leader reports the commit index
             self._apply_log(relay, len(self.oracle.log))
 
     def _majority_with(self, relay: Relay) -> list[Relay]:
-        """Return the voters that a voter reaches, if they are a majority."""
-        found = [relay]
+        """Return the voters that a voter reaches, itself included; empty if they are no majority."""
+        reachable = [relay]
         for name in self.voters:
             other = self.by_name[name]
             if other is relay or not other.is_running(self.now):
                 continue
             if not self.network.is_cut(relay, other):
-                found.append(other)
-        return found if 2 * len(found) > len(self.voters) else []
+                reachable.append(other)
+        return reachable if 2 * len(reachable) > len(self.voters) else []
 
     def _apply_log(self, relay: Relay, end: int) -> None:
         assert relay.history is not None and relay.lease_holder is not None
@@ -189,13 +190,13 @@
     def _clear_current_version(self, relay: Relay) -> None:
         assert relay.lease_grantor is not None
         if relay.lease_grantor.clear_current_version(relay.clock(self.now)):
-            relay.cleared_on_disk = relay.lease_grantor.cleared_version  # before any answer reports it
+            relay.cleared_on_disk = relay.lease_grantor.cleared_version  # saved before any answer reports it
             self.oracle.on_cleared(self.now, relay.name, relay.cleared_on_disk)
 
     # -- leases ----------------------------------------------------------------------------------------------
 
     def renew_periodically(self, relay: Relay, epoch: int) -> None:
-        """Renew the lease of a relay, again and again."""
+        """Renew the lease of a relay, periodically."""
         if relay.epoch != epoch:
             return
         self.network.schedule(
@@ -229,7 +230,7 @@
             self.network.send(voter.name, relay, lambda: self.on_grant(relay, voter, grant))
 
     def on_grant(self, relay: Relay, voter: Relay, grant: LeaseGrant) -> None:
-        """Take in a voter's answer."""
+        """Process a voter's answer."""
         holder = relay.lease_holder
         assert holder is not None and voter.history is not None
         has_changed = holder.on_grant(relay.clock(self.now), voter.name, grant)
@@ -248,14 +249,14 @@
     # -- calls -----------------------------------------------------------------------------------------------
 
     def call_periodically(self, relay: Relay, epoch: int) -> None:
-        """Make a call, again and again, and check it."""
+        """Make and check a call, periodically."""
         if relay.epoch != epoch:
             return
         assert relay.lease_holder is not None
         active = relay.lease_holder.active_rules(relay.clock(self.now))
         used = active
         if self.without == "byte" and relay.checked_rules is not None:
-            used = relay.checked_rules  # as of the call before
+            used = relay.checked_rules  # as of the previous call
         relay.checked_rules = active
         self.oracle.check_call(self.now, relay.name, used)
         self.network.schedule(
@@ -266,7 +267,7 @@
     # -- operators and faults --------------------------------------------------------------------------------
 
     def propose(self) -> None:
-        """Propose other rules at a voter, again and again while there are faults."""
+        """Propose random rules at a voter, periodically while there are faults."""
         if self.now >= FAULTS_S:
             return
         self.network.schedule(self.now + self.rng.uniform(0.3, 2.0), self.propose)
@@ -291,7 +292,7 @@
             self._apply_log(relay, len(self.oracle.log))
 
     def inject_fault(self) -> None:
-        """Draw a fault, again and again until all are healed."""
+        """Inject a random fault, periodically until all faults end."""
         if self.now >= FAULTS_S:
             return
         self.network.schedule(self.now + self.rng.uniform(0.1, 1.2), self.inject_fault)
@@ -311,12 +312,12 @@
                 pass
 
     def _partition(self) -> None:
-        """Cut some relays off from the others, one way or both."""
+        """Cut some relays off from the others, in one or both directions."""
         names = [relay.name for relay in self.relays]
         group = set(self.rng.sample(names, self.rng.randrange(1, RELAYS)))
         links = {(a, b) for a in names for b in names if (a in group) != (b in group)}
         if self.rng.random() < 0.3:
-            links = {(source, target) for source, target in links if source in group}  # one way only
+            links = {(source, target) for source, target in links if source in group}  # in one direction only
         self.network.cut(links, self.rng.choice((0.3, 1.0, 2.0, 5.0)))
 
     def _stop_most(self) -> None:
@@ -330,7 +331,7 @@
         self.network.loss = 0.0
         for relay in self.relays:
             relay.frozen_until = min(relay.frozen_until, self.now)
-        # A canary that nobody ends would stay for ever: the operators end it.
+        # A canary ends only by a command: the operators withdraw it.
         if self.oracle.history.canary is not None:
             self.network.schedule(self.now + 1.0, self.withdraw_canary)
 
@@ -342,19 +343,21 @@
 
 
 class ScheduleResult(NamedTuple):
-    """What came of one schedule."""
+    """Result of one schedule."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     calls: int
     worst_overlap_s: float
     activation_s: list[float]
 
 
 def run_schedule(task: tuple[int, str]) -> ScheduleResult:
-    """Run the schedule of a seed without a guard."""
+    """Run the schedule of a seed, with a guard removed if one is named."""
     oracle = World(*task).run().oracle
-    return ScheduleResult(task[0], oracle.broken, oracle.calls, oracle.worst_overlap_s, oracle.activation_s)
+    return ScheduleResult(
+        task[0], oracle.violations, oracle.calls, oracle.worst_overlap_s, oracle.activation_s
+    )
 
 
 def run_schedules(schedules: int, first: int, without: str, processes: int) -> dict[str, Any]:
@@ -364,12 +367,12 @@
     with multiprocessing.Pool(processes) as pool:
         results = pool.map(run_schedule, tasks, chunksize=20)
     activation = sorted(seconds for result in results for seconds in result.activation_s)
-    broken = [(result.seed, result.broken[0]) for result in results if result.broken]
+    failed = [(result.seed, result.violations[0]) for result in results if result.violations]
     return {
         "schedules": schedules,
         "without": without,
-        "broken": len(broken),
-        "first broken": broken[:5],
+        "broken": len(failed),
+        "first broken": failed[:5],
         "calls": sum(result.calls for result in results),
         "bound s": TERMS.bound_s,
         "older acted on s, worst": max(result.worst_overlap_s for result in results),
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases on versions: single cases, seeded fault schedules, and all states of a model."""
+"""Leases on versions: single cases, seeded fault schedules, and an exhaustive model."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     cluster.renew()
     version = cluster.agree(STRICT)
     assert cluster.clear() == [False] * 3  # the relay holds 1, which allows more
-    cluster.renew()  # and learns of 2
+    cluster.renew()  # learns of 2
     cluster.relay.add_version(version)
     cluster.renew()
     assert cluster.label == "1+2" and cluster.relay.active_rules(cluster.now).rules == STRICT
@@ -90,7 +90,7 @@
 
 
 def test_a_relay_that_joins_during_a_change_blocks_nobody() -> None:
-    """Guards against a delay of all relays up to the horizon, at each start of a fleet.
+    """Guards against a delay of all relays of up to the horizon, at each start of a fleet.
 
     The relay was granted 1 before it knew the rules of 1, then 2 was agreed on, and the voters waited for
     that grant.
@@ -103,7 +103,7 @@
     version = cluster.agree(STRICT)
     assert cluster.clear() == [False] * 3
     cluster.renew()  # learns of 2 and drops what it was granted
-    cluster.renew()  # and reports that
+    cluster.renew()  # reports that
     assert cluster.clear() == [True] * 3
     cluster.relay.add_version(version)
     cluster.renew()
@@ -111,11 +111,11 @@
 
 
 def test_a_lost_grant_to_a_joining_relay_blocks_for_at_most_a_lease() -> None:
-    """Also a grant of a voter that was behind: the relay never receives it, and can't refuse it by name."""
+    """Also for a grant of a lagging voter: the relay never receives it, and can't refuse it explicitly."""
     cluster = LeaseCluster()
     renewal = cluster.relay.renew(cluster.now)
     for name in VOTERS:
-        cluster.voters[name].on_renewal(cluster.now, "n9", renewal)  # and the answers are lost
+        cluster.voters[name].on_renewal(cluster.now, "n9", renewal)  # the answers are lost
     version = cluster.agree(STRICT)
     cluster.relay.add_version(version)
     for _ in range(5):
@@ -139,7 +139,8 @@
 def test_a_voter_keeps_grants_if_the_renewal_is_not_recorded() -> None:
     """The relay acts on 1, reports that and refuses earlier grants; a voter that knows 2 must not record it.
 
-    That voter then counted the relay as acting on nothing (found by seed 226 of the schedules).
+    Guards against a voter that then counted the relay as acting on nothing (found by seed 226 of the
+    schedules).
     """
     cluster = LeaseCluster()
     cluster.renew()
@@ -150,7 +151,7 @@
 
 
 def test_a_grant_that_cannot_be_used_is_not_given() -> None:
-    """A voter whose log lagged granted 1 to a relay that knew 2, and waited for it until the horizon."""
+    """Guards against a lagging voter that granted 1 to a relay that knew 2, and waited until the horizon."""
     cluster = LeaseCluster()
     cluster.renew()
     cluster.relay.add_version(cluster.agree(STRICT, "n0"))
@@ -166,10 +167,10 @@
 
 
 def test_an_older_version_does_not_continue_beside_a_looser_one() -> None:
-    """It lies within the new version, so that no voter had to wait for it.
+    """The older version lies within the newer one, so that no voter had to wait for it.
 
-    A voter that lagged kept it active beside one that knew better, for longer than the bound (found by seed
-    717).
+    Guards against a lagging voter that kept the older one active beside a voter that knew the newer one, for
+    longer than the bound (found by seed 717).
     """
     cluster = LeaseCluster()
     cluster.agree(STRICT)
@@ -189,8 +190,8 @@
 def test_a_newer_process_of_a_name_starts_over_and_an_older_one_is_refused() -> None:
     cluster = LeaseCluster()
     cluster.renew()
-    again = LeaseHolder(2, 8, "f", TERMS)
-    assert cluster.voters["n0"].on_renewal(cluster.now, "n9", again.renew(cluster.now)).is_recorded
+    newer = LeaseHolder(2, 8, "f", TERMS)
+    assert cluster.voters["n0"].on_renewal(cluster.now, "n9", newer.renew(cluster.now)).is_recorded
     assert (
         "another process"
         in cluster.voters["n0"].on_renewal(cluster.now, "n9", cluster.relay.renew(cluster.now)).reason
@@ -216,7 +217,7 @@
 def test_fault_schedules_break_no_bound() -> None:
     for seed in range(1, 26):
         world = World(seed).run()
-        assert not world.broken, (seed, world.broken[0])
+        assert not world.violations, (seed, world.violations[0])
         assert world.calls > 300
 
 
@@ -231,7 +232,7 @@
     ],
 )
 def test_removing_a_guard_breaks_the_bound(without: str, seeds: object) -> None:
-    assert any(World(seed, without).run().broken for seed in seeds)  # type: ignore[attr-defined]
+    assert any(World(seed, without).run().violations for seed in seeds)  # type: ignore[attr-defined]
 
 
 def test_no_state_of_the_model_breaks_the_bound_unless_a_guard_is_removed() -> None:
