--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -1,4 +1,4 @@
-"""Real processes that agree on rules, with faults between them; the partner's ledger says what was done."""
+"""Real processes that agree on rules under faults; the partner's ledger records the calls that were made."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 CLOSED: dict[str, Any] = {"destinations": {"1": {"closed": True}}}
 
 
-def run_with_timeout(work: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(work, 100.0))
+def run_with_timeout(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 100.0))
 
 
 @contextlib.asynccontextmanager
 async def traffic(fleet: ClusterHarness, rate: float = 40.0) -> Any:
-    """Traffic to all that goes on meanwhile; afterwards nothing is lost or doubled."""
+    """Sends messages to all instances meanwhile; the caller checks that none was lost or doubled."""
     clients = Clients(fleet.port, fleet.instances, deadline_share=0.3)
-    work = asyncio.ensure_future(clients.run(rate, 600.0))
+    sending = asyncio.ensure_future(clients.run(rate, 600.0))
     try:
         yield clients
     finally:
-        await clients.stop(work)
+        await clients.stop(sending)
         clients.close()
 
 
@@ -45,48 +45,51 @@
 
 
 async def wait_for_accepted(clients: Clients, more_than: int) -> None:
-    """Waits until so many messages have been accepted."""
+    """Waits until more than `more_than` messages have been accepted."""
     while len(clients.taken) <= more_than:
         await asyncio.sleep(0.05)
 
 
 def calls_after(fleet: ClusterHarness, after: float) -> list[tuple[float, str, str]]:
-    """Calls that were made after this moment (Unix ms)."""
+    """Returns the calls that were made after a time (Unix ms)."""
     return [line for line in fleet.labelled_calls() if line[0] > after]
 
 
 def test_frozen_leader_makes_no_call_by_old_rules_when_it_resumes() -> None:
-    """The leader is frozen while its version is agreed on by others; what it may do when it wakes is asked
-    right before the first byte, so that not one call goes out by the old rules."""
+    """The leader is frozen while the others agree on a version that closes the destination.
 
-    async def work() -> None:
+    When it resumes, its lease is checked right before the first byte, so that it makes no call under the old
+    rules.
+    """
+
+    async def scenario() -> None:
         async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
             await fleet.wait_for_version("1")
             async with traffic(fleet) as clients:
-                first = await leader_number(fleet)
-                others = [n for n in range(4) if n != first]
-                # Before the version that closes the destination: how soon that comes hangs on an election.
+                leader = await leader_number(fleet)
+                others = [n for n in range(4) if n != leader]
+                # Before the version that closes the destination: its time depends on an election.
                 await wait_for_accepted(clients, 50)
-                fleet.freeze(first)
+                fleet.freeze(leader)
                 await fleet.wait_for(
-                    lambda status: status["leader"] not in ("", f"n{first}"), next(iter(others))
+                    lambda status: status["leader"] not in ("", f"n{leader}"), next(iter(others))
                 )
                 answer = await fleet.propose(others[-1], CLOSED)
                 assert not answer["refused"]
                 await fleet.wait_for_version("2", others)
-                closed = max(at for at, _, _ in fleet.labelled_calls()) + 200.0
-                fleet.resume(first)
-                await fleet.wait_for_version("2", [first])
+                closed_at = max(at for at, _, _ in fleet.labelled_calls()) + 200.0
+                fleet.resume(leader)
+                await fleet.wait_for_version("2", [leader])
                 await asyncio.sleep(0.5)
             await fleet.drained(12.0)
-            assert not calls_after(fleet, closed), calls_after(fleet, closed)
+            assert not calls_after(fleet, closed_at), calls_after(fleet, closed_at)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_partitions_with_and_without_a_majority_and_in_one_direction() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with cluster(5, bound=1.0, horizon=4.0, deadline_share=0.3) as fleet:
             await fleet.wait_for_version("1")
             async with traffic(fleet) as clients:
@@ -95,12 +98,12 @@
                 assert status["acts by"] == "1/standby"
                 assert not (await fleet.propose(1, OPEN))["refused"]
                 await fleet.wait_for_version("2", [1, 2, 4])
-                small = await fleet.propose(0, OPEN)
-                assert small["refused"]  # it reaches no majority
+                minority = await fleet.propose(0, OPEN)
+                assert minority["refused"]  # it reaches no majority
                 assert (await fleet.status(3))["acts by"] in ("1/standby", "floor")
                 await fleet.net("heal")
                 await fleet.wait_for_version("2")
-                # n4 is heard by nobody, and hears all: it may not go on with what it can't renew.
+                # n4 receives from all, but reaches nobody: its lease must expire, since it can't renew it.
                 await fleet.net("set", "n4", "*", cut=True)
                 await fleet.wait_for(lambda status: status["tier"] != "lease", 4, 5.0)
                 assert not (await fleet.propose(0, {"destinations": {"1": {"rate": 400}}}))["refused"]
@@ -109,62 +112,60 @@
             await fleet.drained(12.0)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_restart_of_all_with_one_outdated_state_folder() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with cluster(5, voters=5, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
             await fleet.wait_for_version("1")
             fleet.save_state_folder(2)
             await fleet.kill(2)
-            await fleet.start_instance(2)  # a boot that the others have seen
+            await fleet.start_instance(2)  # the others have seen this process epoch
             await fleet.wait_for(lambda status: status["votes"], 2)
             assert not (await fleet.propose(0, OPEN))["refused"]
             await fleet.wait_for_version("2")
             await asyncio.gather(*(fleet.kill(n) for n in range(5)))
             fleet.restore_state_folder(2)
             await asyncio.gather(*(fleet.start_instance(n) for n in range(5)))
-            await fleet.wait_for_version("2")  # none acts on an older version than before
+            await fleet.wait_for_version("2")  # no instance acts on an older version than before
             status = await fleet.wait_for(lambda status: bool(status["mute"]), 2)
             assert "older than one seen" in status["mute"] and not status["votes"]
-            # A copy of a folder is refused at the start.
+            # A copied folder is refused at the start.
             await fleet.kill(4)
-            place = fleet.folder / "state" / "4"
-            place.rename(fleet.folder / "moved")
-            shutil.copytree(fleet.folder / "moved", place)
+            state_folder = fleet.folder / "state" / "4"
+            state_folder.rename(fleet.folder / "moved")
+            shutil.copytree(fleet.folder / "moved", state_folder)
             await fleet.start_instance(4, wait=False)
             assert await fleet.processes["i4"].wait() == 2
             assert "was copied or moved" in (fleet.folder / "i4.log").read_text()
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_full_disk_at_a_vote_torn_log_and_replaced_voter() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with cluster(4, bound=1.0, horizon=2.5, deadline_share=0.3) as fleet:
             await fleet.wait_for_version("1")
             async with traffic(fleet) as clients:
-                first = await leader_number(fleet)
-                full, other = [n for n in range(3) if n != first]
+                leader = await leader_number(fleet)
+                full, other = [n for n in range(3) if n != leader]
                 fleet.full_disk(full)
-                fleet.freeze(first)  # the other two elect one, for which both have to write a vote down
+                fleet.freeze(leader)  # the other two elect a leader, for which both have to save a vote
                 status = await fleet.wait_for(lambda status: "disk has failed" in status["mute"], full)
                 assert not status["votes"]
-                assert (await fleet.propose(other, OPEN))[
-                    "refused"
-                ]  # no vote was given without being written
+                assert (await fleet.propose(other, OPEN))["refused"]  # no vote counts before it is saved
                 fleet.full_disk(full, False)
                 await fleet.wait_for(
-                    lambda status: status["votes"] and status["leader"] not in ("", f"n{first}"), other
+                    lambda status: status["votes"] and status["leader"] not in ("", f"n{leader}"), other
                 )
                 status = await fleet.propose(
                     other, OPEN
-                )  # unless the one that had no answer was taken after all
+                )  # unless the proposal without an answer was applied after all
                 assert not status["refused"] or "the newest version is 2" in status["refused"]
-                fleet.resume(first)
+                fleet.resume(leader)
                 await fleet.wait_for_version("2")
-                # Its journal is torn: it votes no more, and an instance that did not takes its place.
+                # With a torn journal it no longer votes, and another instance replaces it as a voter.
                 await fleet.kill(full)
                 journal = fleet.folder / "state" / str(full) / "peers" / "raft.journal"
                 raw = journal.read_bytes()
@@ -172,7 +173,7 @@
                 await fleet.start_instance(full)
                 status = await fleet.wait_for(lambda status: bool(status["mute"]), full)
                 assert "its log can't be read: its journal" in status["mute"] and not status["votes"]
-                # It may have led: the others notice its silence first, and choose who takes it out.
+                # It may have been the leader: the others have to elect another one, which removes it.
                 await fleet.wait_for(lambda status: status["leader"] not in ("", f"n{full}"), other)
                 assert not (await fleet.rules(other, "voters", remove=full, author="test"))["refused"]
                 await fleet.wait_for_version("3")
@@ -183,13 +184,15 @@
                 assert not (await fleet.rules(other, "voters", add=3, author="test"))["refused"]
                 await fleet.wait_for_version("4")
                 await fleet.wait_for(lambda status: status["votes"], 3)
-                # Who is in its place counts: without one of the two old ones the majority is with it.
+                # The new voter counts: with one of the two old voters down, it completes the majority.
                 await fleet.kill(other)
-                status = await fleet.wait_for(lambda status: status["leader"] not in ("", f"n{other}"), first)
-                assert not (await fleet.propose(first, CLOSED))["refused"]
+                status = await fleet.wait_for(
+                    lambda status: status["leader"] not in ("", f"n{other}"), leader
+                )
+                assert not (await fleet.propose(leader, CLOSED))["refused"]
                 await fleet.start_instance(other)
                 await fleet.wait_for_version("5")
-                # All start anew: that n3 votes and the torn one does not stands in no file of the operator's.
+                # All restart: the operator's files don't say that n3 votes and the torn one does not.
                 await asyncio.gather(*(fleet.kill(n) for n in range(4)))
                 await asyncio.gather(*(fleet.start_instance(n) for n in range(4)))
                 await fleet.wait_for_version("5")
@@ -198,25 +201,25 @@
             await fleet.drained(12.0)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_concurrent_operators_and_rollback_of_a_harmful_version(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with cluster(4, bound=1.0, horizon=3.0, deadline_share=0.3) as fleet:
             await fleet.wait_for_version("1")
             first, second = await asyncio.gather(
                 fleet.propose(0, OPEN, base=1), fleet.propose(3, CLOSED, base=1)
             )
-            refused = [each for each in (first, second) if each["refused"]]
+            refused = [reply for reply in (first, second) if reply["refused"]]
             assert len(refused) == 1 and "the newest version is 2 (by test: a test)" in refused[0]["refused"]
             newest = (await fleet.propose(0, OPEN) if first["refused"] else first)["number"]
             file = tmp_path / "rules.json"
             file.write_text(json.dumps({"destinations": {"x": {}}}))
-            words = ["rules", "--config", str(fleet.folder / "relay.toml")]
+            command_line = ["rules", "--config", str(fleet.folder / "relay.toml")]
 
-            async def command(*more: str) -> Any:
-                return await asyncio.to_thread(CliRunner().invoke, group, [*words, *more])
+            async def command(*arguments: str) -> Any:
+                return await asyncio.to_thread(CliRunner().invoke, group, [*command_line, *arguments])
 
             answer = await command("propose", str(file), "--cause", "a mistake")
             assert answer.exit_code == 1 and "destinations.x: a number or '*' is needed" in answer.output
@@ -246,21 +249,21 @@
                 assert shown.exit_code == 0 and "n0" in shown.output
                 diff = await command("diff", str(newest), str(newest + 1))
                 assert "destinations.1.endpoints: - -> nobody" in diff.output
-                ident = next(
-                    ident for _, ident, label in reversed(fleet.labelled_calls()) if label == str(newest)
+                message_id = next(
+                    call_id for _, call_id, label in reversed(fleet.labelled_calls()) if label == str(newest)
                 )
-                explained = await command("explain", ident)
+                explained = await command("explain", message_id)
                 assert explained.exit_code == 0 and "allowed" in explained.output
             await fleet.drained(12.0)
             assert fleet.broken(clients.taken) == []
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_no_version_waits_for_instances_that_left() -> None:
-    """A renewal after the word that it leaves would be granted, and each contrary version wait a horizon."""
+    """Guards against a renewal after the leave notice: its grant blocked stricter versions for a horizon."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with cluster(12, bound=1.0, horizon=10.0) as fleet:
             await fleet.wait_for_version("1")
             assert not (await fleet.propose(0, OPEN))["refused"]
@@ -270,13 +273,13 @@
             assert not (await fleet.propose(0, CLOSED))["refused"]
             assert await fleet.wait_for_version("3") < 5.0
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 def test_rules_file_is_proposed_when_it_changes_unless_it_is_malformed(
     tmp_path: Path,
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         file = tmp_path / "rules.json"
         async with cluster(3, bound=1.0, horizon=3.0, first=f'folder = "{tmp_path}"\n') as fleet:
             await fleet.wait_for_version("1")
@@ -287,11 +290,11 @@
             assert {(await fleet.status(n))["newest"] for n in range(3)} == {2}
             assert "rules file unusable" in (fleet.folder / "i0.log").read_text()
 
-    run_with_timeout(work())
+    run_with_timeout(scenario())
 
 
 @pytest.mark.parametrize(
-    ("told", "said"),
+    ("config", "message"),
     [
         ({"accord": {"voters": [0]}}, "needs peers.listen"),
         ({"accord": {"voters": [0]}, "peers": {"listen": "10.0.0.1:7000"}}, "peers.secret_file: is needed"),
@@ -304,9 +307,9 @@
         ({"accord": {"first": {"destinations": {"x": {}}}}}, "destinations.x: a number or"),
     ],
 )
-def test_invalid_settings_are_reported_by_their_field(told: dict[str, Any], said: str) -> None:
-    with pytest.raises(OperatorError, match=said):
-        decoded(told, "f")
+def test_invalid_settings_are_reported_by_their_field(config: dict[str, Any], message: str) -> None:
+    with pytest.raises(OperatorError, match=message):
+        decoded(config, "f")
 
 
 def test_optional_subsystems_are_not_imported_by_default() -> None:
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -1,4 +1,4 @@
-"""Whether the others have seen a later process of a voter's folder, though questions come twice."""
+"""Queries of a voter whether its peers have seen a later process of its state folder, also repeated ones."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 def test_second_process_with_the_same_epoch_learns_of_the_first() -> None:
     epochs = ProcessEpochs({})
     assert epochs.observe("a", 5, 77) == 0
-    assert epochs.observe("a", 5, 78) == 5  # a folder put back runs from the same number
-    assert epochs.observe("a", 5, 0) == 5  # a build that tells no nonce may be any process
+    assert epochs.observe("a", 5, 78) == 5  # a restored folder starts from the same number
+    assert epochs.observe("a", 5, 0) == 5  # a build that sends no nonce may be any process
     assert epochs.observe("a", 3, 77) == 5 and epochs.highest == {"a": 5}
     assert epochs.observe("a", 6, 79) == 5 and epochs.observe("a", 5, 77) == 6
 
@@ -57,18 +57,20 @@
 
 @contextlib.asynccontextmanager
 async def two_of_three_voters(folder: Path) -> AsyncIterator[list[ConsensusInstance]]:
-    """Two of three voters on loopback, which know each other; neither has begun to vote."""
-    port = free_ports(2)
-    made: list[ConsensusInstance] = []
+    """Yields two of three voters on loopback that know each other; neither has started to vote."""
+    first_port = free_ports(2)
+    instances: list[ConsensusInstance] = []
     for n in range(2):
-        part = GossipSettings(listen=f"127.0.0.1:{port + n}", seeds=(f"127.0.0.1:{port}",), period_s=0.1)
+        gossip_settings = GossipSettings(
+            listen=f"127.0.0.1:{first_port + n}", seeds=(f"127.0.0.1:{first_port}",), period_s=0.1
+        )
         state = folder / str(n)
         identity = claim_identity(state, f"n{n}")
-        peers = GossipNode(part, identity, state, n, "z", 0)
-        made.append(
+        gossip = GossipNode(gossip_settings, identity, state, n, "z", 0)
+        instances.append(
             ConsensusInstance(
                 ConsensusSettings(voters=(0, 1, 2)),
-                peers,
+                gossip,
                 state,
                 identity,
                 make_settings(),
@@ -79,38 +81,43 @@
             )
         )
     try:
-        for one in made:
-            await one.gossip.start()
+        for instance in instances:
+            await instance.gossip.start()
         async with asyncio.timeout(20.0):
-            while any(one.gossip.address_of(f"n{1 - n}") is None for n, one in enumerate(made)):
+            while any(
+                instance.gossip.address_of(f"n{1 - n}") is None for n, instance in enumerate(instances)
+            ):
                 await asyncio.sleep(0.02)
-        yield made
+        yield instances
     finally:
-        for one in made:
-            await one.close()
-            await one.gossip.close()
+        for instance in instances:
+            await instance.close()
+            await instance.gossip.close()
 
 
 def test_late_answer_does_not_disable_a_voter(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The others may be starting too, all on one disk: an answer that waits for it comes after the question
-    was given up. Asked again they have seen this boot: of this very process."""
+    """Guards against a voter that is disabled because a peer's answer waited for the disk.
+
+    The peers may be starting too, all on one disk, so that an answer arrives after its query timed out. When
+    asked again, they have seen the asker's epoch, but from the asking process itself.
+    """
     monkeypatch.setattr(voter, "REQUEST_TIMEOUT_S", 0.2)
-    questions: list[int] = []
+    queries: list[int] = []
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with two_of_three_voters(tmp_path) as (asking, asked):
 
-            async def late(hello: Hello, raw: bytes) -> bytes:
+            async def answer_late(hello: Hello, raw: bytes) -> bytes:
                 answer = asked.voter.on_epoch_query(hello, raw)
-                questions.append(msgspec.msgpack.decode(answer))
-                if len(questions) == 1:
+                queries.append(msgspec.msgpack.decode(answer))
+                if len(queries) == 1:
                     await asyncio.sleep(0.5)
                 return answer
 
-            asked.gossip.frame_handlers[EPOCH_QUERY] = late
+            asked.gossip.frame_handlers[EPOCH_QUERY] = answer_late
             seen = await asyncio.wait_for(asking.voter.highest_epoch_seen_by_peers(), 20.0)
-            assert len(questions) == 2 and seen < asking.voter.identity.process_epoch
-            # A second process of this folder, from the same boot: the folder was put back to an older state.
+            assert len(queries) == 2 and seen < asking.voter.identity.process_epoch
+            # A second process of this folder with the same epoch: the folder was restored to an older state.
             other = Hello("n0", EPOCH_QUERY, 12345)
             raw = msgspec.msgpack.encode((asking.voter.identity.id, asking.voter.identity.process_epoch))
             assert (
@@ -118,18 +125,19 @@
                 == asking.voter.identity.process_epoch
             )
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_epoch_that_cannot_be_saved_is_not_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What happened: a voter whose disk was full forgot the epoch and answered all the same. The asker took
-    the answer as part of a majority that knows it. A second process, of an older copy of its folder, then
-    asked with the same epoch, was told of no other, and could vote again in the same term: two leaders. In
-    the order that is forced here the first question was answered with 0, beside the log line
-    `peer process epoch not saved`.
+    """Guards against two leaders in one term.
+
+    A voter whose disk was full lost the epoch and answered all the same. The asker counted the answer towards
+    a majority that knows it. A second process, of an older copy of its folder, then asked with the same
+    epoch, received no other epoch, and could vote again in the same term. In the order of events of this test
+    the first query was answered with 0, beside the log line `peer process epoch not saved`.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with two_of_three_voters(tmp_path) as (asking, asked):
             identity = asking.voter.identity
             raw = msgspec.msgpack.encode((identity.id, identity.process_epoch))
@@ -147,7 +155,7 @@
             seen = await asking.voter._query_epoch("n1")
             assert seen is not None and seen < identity.process_epoch
             second = Hello("n0", EPOCH_QUERY, 12345)
-            told = msgspec.msgpack.decode(asked.voter.on_epoch_query(second, raw))
-            assert told == identity.process_epoch
+            answer = msgspec.msgpack.decode(asked.voter.on_epoch_query(second, raw))
+            assert answer == identity.process_epoch
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -1,4 +1,4 @@
-"""How an instance that does not vote hands a command to one that does."""
+"""An instance that does not vote forwards commands to one that does."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class ScriptedPeers:
-    """Voters, and what each of them says."""
+    """Voters with a scripted answer each."""
 
     def __init__(self, voters: dict[str, str | CommandResult]) -> None:
         self.voters, self.asked = voters, list[str]()
 
     async def request(self, name: str, kind: int, raw: bytes, seconds: float) -> bytes:
         self.asked.append(name)
-        said = self.voters[name]
-        if said == SILENT:
+        answer = self.voters[name]
+        if answer == SILENT:
             raise TimeoutError
-        if said == STARTING:  # as a voter itself says it: its log is not open yet, or not any more
+        if answer == STARTING:  # the real answer of a voter whose log is not open yet, or no longer
             return await proposer(self).on_command(Hello("n9", COMMAND), raw)
-        return msgspec.json.encode(said)
+        return msgspec.json.encode(answer)
 
 
 def proposer(peers: ScriptedPeers) -> Proposer:
-    """Of an instance without a log."""
+    """Returns the proposer of an instance without a log."""
     context = cast(ConsensusContext, SimpleNamespace(gossip=peers))
     voter = SimpleNamespace(replicated_log=None, all_known_voters=lambda: sorted(peers.voters))
     return Proposer(context, cast(Voter, voter), [], ())
@@ -64,7 +64,10 @@
 def test_starting_voter_does_not_answer_for_the_others(
     voters: dict[str, str | CommandResult], number: int, refused: str, asked: list[str]
 ) -> None:
-    """Seen to fail where the first voter's word was the last: on a busy machine the first of three was the
-    latest to open its log, and a command was refused that the two others would have taken."""
+    """Guards against the first voter's refusal being final.
+
+    On a busy machine the first of three voters was the last to open its log, and a command was refused that
+    the two others would have accepted.
+    """
     peers = ScriptedPeers(voters)
     assert propose(peers) == CommandResult(number, refused) and peers.asked == asked
--- a/tests/consensus/test_raft_storage.py
+++ b/tests/consensus/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""What lies on a voter's disk: damage is told and not voted by; a word goes out after what it speaks of."""
+"""Files of a voter's log: damage is detected, and state is synced before a message refers to it."""
 
 from __future__ import annotations
 
@@ -40,42 +40,42 @@
 
 
 def test_journal_of_the_library_is_valid_and_its_commands_have_checksums(tmp_path: Path) -> None:
-    verify_log(tmp_path)  # nothing lies there yet
+    verify_log(tmp_path)  # there are no files yet
     write_journal(tmp_path)
     verify_log(tmp_path)
-    told = parse_journal((tmp_path / JOURNAL).read_bytes())
-    assert [(number, term) for number, term, _ in told] == [(1, 0), (2, 1), (3, 1), (4, 3)]
-    assert verified_payload(told[2][2][1:]) == b"command 3"
+    records = parse_journal((tmp_path / JOURNAL).read_bytes())
+    assert [(number, term) for number, term, _ in records] == [(1, 0), (2, 1), (3, 1), (4, 3)]
+    assert verified_payload(records[2][2][1:]) == b"command 3"
     remove_log(tmp_path)
     assert not list(tmp_path.iterdir())
 
 
 def test_truncated_and_corrupted_journals_are_detected(tmp_path: Path) -> None:
     write_journal(tmp_path)
-    whole = (tmp_path / JOURNAL).read_bytes()
-    last = int.from_bytes(whole[36:40], "little")
-    for length in range(last):
+    valid = (tmp_path / JOURNAL).read_bytes()
+    end = int.from_bytes(valid[36:40], "little")
+    for length in range(end):
         with pytest.raises(TornWriteError):
-            parse_journal(whole[:length])
-    good = parse_journal(whole)
-    silent = 0
-    for at in (*range(9), *range(32, last)):  # but for the library's version and the name's padding
+            parse_journal(valid[:length])
+    valid_records = parse_journal(valid)
+    undetected = 0
+    for at in (*range(9), *range(32, end)):  # except the library's version and the padding of the name
         for flip in (0x01, 0x80, 0xFF):
-            raw = bytearray(whole)
+            raw = bytearray(valid)
             raw[at] ^= flip
             (tmp_path / JOURNAL).write_bytes(raw)
             try:
                 verify_log(tmp_path)
             except TornWriteError:
                 continue
-            told = parse_journal(bytes(raw))
-            for one, other in zip(good, told, strict=True):
-                if one[2][1:] != other[2][1:]:
+            records = parse_journal(bytes(raw))
+            for expected, record in zip(valid_records, records, strict=True):
+                if expected[2][1:] != record[2][1:]:
                     with pytest.raises(TornWriteError):
-                        verified_payload(other[2][1:])
-                elif one != other:
-                    silent += 1  # a term by less than a step, the kind of an entry, the first one's number
-    assert silent < 0.04 * 3 * last
+                        verified_payload(record[2][1:])
+                elif expected != record:
+                    undetected += 1  # a term by less than a step, the kind of an entry, the first number
+    assert undetected < 0.04 * 3 * end
 
 
 @pytest.mark.parametrize("raw", [b"", b"\x80", pickle.dumps([1]), pickle.dumps({"currentTerm": "x"})])
@@ -90,7 +90,7 @@
 
 
 class UnreachableGossip:
-    """A peers' node that nobody can be reached by."""
+    """A gossip node that can reach no peer."""
 
     def __init__(self) -> None:
         self.frame_handlers: dict[str, Any] = {}
@@ -102,9 +102,9 @@
         uniform = staticmethod(lambda a, b: a)
 
 
-def open_log(folder: Path, did: list[str]) -> ReplicatedLog:
-    def say(what: str, raw: bytes) -> bool:
-        did.append(what)
+def open_log(folder: Path, recorded: list[str]) -> ReplicatedLog:
+    def record_send(event: str, raw: bytes) -> bool:
+        recorded.append(event)
         return True
 
     gossip = cast(GossipNode, UnreachableGossip())
@@ -113,50 +113,50 @@
     for name, stream in log.transport.streams.items():
         stream.is_connected = True
         log.transport._on_connection_changed(name, True)
-        stream.send = functools.partial(say, f"says to {name}")  # type: ignore[method-assign]
+        stream.send = functools.partial(record_send, f"says to {name}")  # type: ignore[method-assign]
     sync = log.storage.sync
 
-    def synced() -> None:
-        did.append("syncs")
+    def record_sync() -> None:
+        recorded.append("syncs")
         sync()
 
-    log.storage.sync = synced  # type: ignore[method-assign]
+    log.storage.sync = record_sync  # type: ignore[method-assign]
     return log
 
 
 def test_vote_is_synced_before_it_is_sent_and_a_disk_failure_sends_nothing(tmp_path: Path) -> None:
-    async def work() -> None:
-        did: list[str] = []
-        log = open_log(tmp_path, did)
+    async def scenario() -> None:
+        recorded: list[str] = []
+        log = open_log(tmp_path, recorded)
         running = asyncio.ensure_future(log.run())
         async with asyncio.timeout(10.0):
-            while "says to n2" not in did:
+            while "says to n2" not in recorded:
                 await asyncio.sleep(0.01)
-        assert did[0] == "syncs" and pickle.loads((tmp_path / META).read_bytes())["currentTerm"] >= 1
+        assert recorded[0] == "syncs" and pickle.loads((tmp_path / META).read_bytes())["currentTerm"] >= 1
         assert not log.storage.has_unsynced_writes()
-        before = len(did)
-        (tmp_path / (META + ".tmp")).mkdir()  # from now on a vote can't be written
+        before = len(recorded)
+        (tmp_path / (META + ".tmp")).mkdir()  # from now on no vote can be written
         async with asyncio.timeout(10.0):
             with pytest.raises(OSError):
                 await running
-        assert "says" not in "".join(did[before:])
+        assert "says" not in "".join(recorded[before:])
         await log.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_written_entry_is_noticed_also_when_it_replaces_another(
     tmp_path: Path,
 ) -> None:
     journal = FileJournal(str(tmp_path / JOURNAL))
-    disk = RaftStorage(tmp_path)
-    assert disk.has_unsynced_writes()
-    disk.sync()
+    storage = RaftStorage(tmp_path)
+    assert storage.has_unsynced_writes()
+    storage.sync()
     for number, term in ((1, 0), (2, 1)):
         journal.add(b"\0" * 9, number, term)
-        assert disk.has_unsynced_writes()
-        disk.sync()
-        assert not disk.has_unsynced_writes()
+        assert storage.has_unsynced_writes()
+        storage.sync()
+        assert not storage.has_unsynced_writes()
     journal.deleteEntriesFrom(1)
-    journal.add(b"\0" * 9, 2, 2)  # of another term, at the same place and as long
-    assert disk.has_unsynced_writes()
+    journal.add(b"\0" * 9, 2, 2)  # another term at the same offset, with the same length
+    assert storage.has_unsynced_writes()
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -1,4 +1,4 @@
-"""The book of versions: what a command changes, and what it says where it no longer fits."""
+"""Version history: the effect of each command, and the refusal of commands that no longer apply."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         history.apply(make_proposal(3, STRICT, 0.2)).number == 4
         and history.apply(Promote(4, "ana")).number == 4
     )
-    assert history.current.number == 4 and [each.stage for each in history.versions] == [
+    assert history.current.number == 4 and [version.stage for version in history.versions] == [
         Stage.PAST,
         Stage.PAST,
         Stage.WITHDRAWN,
@@ -71,12 +71,12 @@
     history = make_history()
     assert history.apply(ChangeVoters(1, "n3", "", "ana", 5.0)).number == 2
     assert history.newest.voters == ("n0", "n1", "n2", "n3") and history.voters_changed_at_ms == 5.0
-    for told, why in (
+    for command, reason in (
         (ChangeVoters(2, "n4", "n0", "ana", 6.0), "a step at a time"),
         (ChangeVoters(2, "n3", "", "ana", 6.0), "already"),
         (ChangeVoters(2, "", "n9", "ana", 6.0), "not among"),
     ):
-        assert why in history.apply(told).refused
+        assert reason in history.apply(command).refused
     assert (
         history.apply(ChangeVoters(2, "", "n0", "ana", 7.0)).number == 3
         and history.newest.decoded_rules == Rules()
@@ -84,15 +84,15 @@
 
 
 def test_snapshot_restores_the_state_and_retained_versions_are_bounded() -> None:
-    history, again = make_history(), make_history()
+    history, restored = make_history(), make_history()
     for n in range(VERSIONS_RETAINED + 10):
         history.apply(make_proposal(n + 1, STRICT if n % 2 else LOOSE))
     history.apply(Forget("n2", 4, "ana", 0.0))
-    again.load(history.dump())
+    restored.load(history.dump())
     assert (
-        again.dump() == history.dump()
+        restored.dump() == history.dump()
         and len(history.versions) == VERSIONS_RETAINED
-        and again.forgotten_epochs == {"n2": 4}
+        and restored.forgotten_epochs == {"n2": 4}
     )
     assert history.get(1) is None and history.get(history.newest.number) is history.newest
 
--- a/tests/gossip/test_swim.py
+++ b/tests/gossip/test_swim.py
@@ -154,7 +154,7 @@
     st.randoms(),
 )
 def test_claims_converge_in_any_order_and_with_duplicates(claims: list[Claim], rng: random.Random) -> None:
-    """Claims about unknown gone members are ignored, so all members are known before."""
+    """Claims about unknown gone members are ignored, so all members are known at the start."""
 
     def after(received: list[Claim]) -> dict[str, tuple[int, int, int]]:
         member = Swim(claim(0), (), random.Random(1))
@@ -284,9 +284,9 @@
     secret = b"s" * 16
     raw = seal_packet(Packet("n1", 5, AppMessage("k", b"x")), secret)
     assert open_packet(raw, secret).body == AppMessage("k", b"x")
-    for bad in (raw[:-1], b"", raw[1:], b"\x93\x00", raw + b"x", b"x" * (PACKET_BYTES + 1)):
+    for invalid in (raw[:-1], b"", raw[1:], b"\x93\x00", raw + b"x", b"x" * (PACKET_BYTES + 1)):
         with pytest.raises(UnreadablePacketError):
-            open_packet(bad, secret)
+            open_packet(invalid, secret)
     with pytest.raises(UnreadablePacketError):
         open_packet(raw, b"t" * 16)
     for n in range(300):
