--- a/message_relay/gossip/claim_packing.py
+++ b/message_relay/gossip/claim_packing.py
@@ -10,7 +10,7 @@
 
 CLAIMS_BYTES_MAX = 1000  # of claims in one packet
 CLAIMS_EXAMINED_MAX = 40  # for one packet, which has room for 25 at most
-DISSEMINATION_FACTOR = 3.0  # each claim is sent this times log2(members) times: nearly all get it (SWIM, 4.1)
+DISSEMINATION_FACTOR = 3.0  # times log2(members): sends of each claim, so that nearly all get it (SWIM, 4.1)
 
 
 def select_claims(
