--- a/message_relay/decisions/__init__.py
+++ b/message_relay/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a relay: `scheduler.DeliveryScheduler` gets events and returns actions. No I/O, no clock."""
+"""Decisions of a relay: `scheduler.DeliveryScheduler` maps events to actions without I/O or clock."""
--- a/message_relay/decisions/actions.py
+++ b/message_relay/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: the output of the delivery scheduler, which its driver carries out."""
+"""Actions: the output of the delivery scheduler, carried out by its driver."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Call an endpoint with a message; time out at `give_up_at_ms`."""
+    """Send a message to an endpoint; the attempt times out at `give_up_at_ms`."""
 
     id: int
     endpoint: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set the timer, in place of an earlier one."""
+    """Set the timer, replacing the one set before."""
 
     delay_ms: float
     token: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for the endpoint list and its changes from now on."""
+    """Request the endpoint list from discovery, and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_relay/decisions/dispatch.py
+++ b/message_relay/decisions/dispatch.py
@@ -1,8 +1,9 @@
-"""Dispatch: which message is sent next, to which endpoint, and how long the attempt may take.
+"""Dispatch: selects the next message to send, its endpoint and the timeout of the attempt.
 
-A queue is scanned when something has changed there: the scan indexes what could be sent now, and sets when to
-scan again. While there are slots, the index's best message is sent. No event costs more for what else is
-pending (docs/design/large-size.md): a turn that would scan too many queues continues in the next.
+A queue is scanned after it has changed: the scan indexes the messages that could be sent now, and schedules
+the next scan. While there are free slots, the best message of the index is sent. The cost of an event does
+not grow with the number of other pending messages (docs/design/large-size.md): a turn that would scan too
+many queues continues in the next turn.
 """
 
 from __future__ import annotations
@@ -20,27 +21,25 @@
 from .rate_control import RETRY_MS
 from .send_guard import SendGuard
 
-LAST_ATTEMPT_PATIENCE = (
-    3.0  # the last attempt waits so many times longer: a late answer still saves the message
-)
-TRUSTED_FAILURE_SCORE = 0.25  # failure score below which a message without idempotency may be sent again
-SUSPECTED_SLOT_DIVISOR, SLOT_DIVISOR = 4, 2  # one destination gets at most this part of the slots
-IDLE_PART = 0.9  # a connection idle for so much of the allowed time counts as closed
-NEW_CONNECTION_LOAD = 0.9  # load that stands for connecting first
-FEE_LOAD = 1.5  # load that stands for a route that costs
+LAST_ATTEMPT_PATIENCE = 3.0  # timeout factor of the last attempt: a late response still saves the message
+TRUSTED_FAILURE_SCORE = 0.25  # up to this failure score, messages whose repetition is unsafe may be sent
+SUSPECTED_SLOT_DIVISOR, SLOT_DIVISOR = 4, 2  # one destination uses at most all slots divided by this
+IDLE_PART = 0.9  # a connection idle for longer than this part of the idle limit counts as closed
+NEW_CONNECTION_LOAD = 0.9  # added to the load of an endpoint that needs a new connection
+FEE_LOAD = 1.5  # added to the load of an endpoint whose route has a fee
 
 
 class SendWindow(NamedTuple):
-    """From when on a destination accepts calls."""
+    """Earliest times at which a destination accepts calls."""
 
     opens_at: float
-    urgent_at: float  # for urgent ones: the rate is a guess, overdrawn for a client that won't wait
-    unsafe_at: float  # not earlier, if an unknown outcome would be final
+    urgent_at: float  # for urgent messages: the rate is an estimate, overdrawn for clients that will not wait
+    unsafe_at: float  # for messages that must not be retried after an unknown outcome
     slot_time_ms: float
 
 
 class Dispatcher:
-    """Sends messages while there are slots, by gain per slot time."""
+    """Sends messages in order of their gain per slot time while there are free slots."""
 
     def __init__(self, guard: SendGuard, index: PriorityIndex) -> None:
         self.guard = guard
@@ -51,11 +50,11 @@
         self.in_flight = 0
 
     def has_free_slot(self) -> bool:
-        """Whether another attempt may be started."""
+        """Returns whether another attempt may be started."""
         return self.in_flight < self.rate_controller.settings.max_concurrent_attempts
 
     def dispatch(self, now: float, actions: list[Action]) -> None:
-        """Sends what gains most per slot time; scans only the queues that are due."""
+        """Sends the messages of highest gain per slot time; scans only queues that are due."""
         slots = self.rate_controller.settings.max_concurrent_attempts
         if self.in_flight >= slots:
             return
@@ -77,22 +76,24 @@
                 self._send(now, entry, state, actions)
 
     def is_still_sendable(self, now: float, entry: PendingMessage, destination: DestinationState) -> bool:
-        """Whether it may go now: since its queue was scanned, calls there may have become overdue."""
+        """Returns whether a message may be sent now: calls may have become overdue since the last scan."""
         window = self._send_window(now, destination)
         return window is not None and self._send_time(window, destination, entry) <= now
 
     def choose_endpoint(
         self, now: float, entry: PendingMessage, destination: DestinationState
     ) -> EndpointState | None:
-        """The endpoint to use: without recent failures, little busy, with an idle connection, cheap."""
+        """Returns the endpoint to use: few recent failures, low load, an idle connection, low fee."""
         settings = self.rate_controller.settings
 
         def rank(state: EndpointState) -> tuple[float, float, int]:
             zone = state.endpoint.zone
             fee = settings.route_fees[zone] if zone < len(settings.route_fees) else 0.0
             fee += settings.cross_zone_price * (zone != settings.zone)
-            longest_idle_ms = settings.idle_ms * IDLE_PART
-            state.idle_connections = [at for at in state.idle_connections if now - at < longest_idle_ms]
+            max_idle_ms = settings.idle_ms * IDLE_PART
+            state.idle_connections = [
+                used_at for used_at in state.idle_connections if now - used_at < max_idle_ms
+            ]
             load = (
                 state.in_flight
                 + endpoint_penalty(state, now, entry.message.class_index)
@@ -108,29 +109,31 @@
     @staticmethod
     def _send_time(window: SendWindow, destination: DestinationState, entry: PendingMessage) -> float:
         is_urgent = entry.bucket is not None and entry.bucket.is_urgent
-        at = max(destination.retry_after_until, window.urgent_at if is_urgent else window.opens_at)
-        return max(at, window.unsafe_at) if entry.message_class.effect is Effect.UNSAFE else at
+        send_at = max(destination.retry_after_until, window.urgent_at if is_urgent else window.opens_at)
+        return max(send_at, window.unsafe_at) if entry.message_class.effect is Effect.UNSAFE else send_at
 
     def _send_window(self, now: float, destination: DestinationState) -> SendWindow | None:
-        """When this destination accepts calls; None: not before another event."""
-        is_out = is_suspected(destination, now)
+        """Returns when a destination accepts calls, or None if it accepts none before another event."""
+        is_unhealthy = is_suspected(destination, now)
         slots = self.rate_controller.settings.max_concurrent_attempts
-        most = max(1, slots // (SUSPECTED_SLOT_DIVISOR if is_out else SLOT_DIVISOR))
-        has_company = len(self.pending.queues) > 1
-        if not destination.endpoints or (len(destination.in_flight) >= most and (is_out or has_company)):
+        slot_limit = max(1, slots // (SUSPECTED_SLOT_DIVISOR if is_unhealthy else SLOT_DIVISOR))
+        has_other_queues = len(self.pending.queues) > 1
+        if not destination.endpoints or (
+            len(destination.in_flight) >= slot_limit and (is_unhealthy or has_other_queues)
+        ):
             return None
         if now + overdue_ms(destination) > self.guard.shutdown_at:
             return None
         slot_time = slot_time_ms(destination)
-        is_risky = is_out or destination.failure_score > TRUSTED_FAILURE_SCORE
+        is_risky = is_unhealthy or destination.failure_score > TRUSTED_FAILURE_SCORE
         unsafe_at = NEVER
         if is_risky and not destination.last_failure_had_no_effect:
             unsafe_at = destination.last_failure_at + EVIDENCE_TTL_MS  # an unknown outcome would be final
-        opens_at, urgent_at = self.rate_controller.next_send_times(now, destination, is_out)
+        opens_at, urgent_at = self.rate_controller.next_send_times(now, destination, is_unhealthy)
         return SendWindow(opens_at, urgent_at, unsafe_at, slot_time)
 
     def _scan(self, now: float, destination_id: int, is_complete: bool) -> None:
-        """Indexes what a queue could send now, or only its arrivals, and sets when to scan it again."""
+        """Indexes the messages that a queue could send now, or only arrivals, and schedules its next scan."""
         queue = self.pending.queues.get(destination_id)
         if queue is None:
             return
@@ -148,9 +151,10 @@
             if window is None:
                 continue
             for bucket in buckets.values():
-                newcomers = None if is_complete else arrivals
-                scan_at = min(scan_at, self._index_bucket(now, bucket, destination, window, newcomers))
-        # Not rounded up to a tick: an event's turn may come before that, and has to find what may go by then.
+                new_entries = None if is_complete else arrivals
+                scan_at = min(scan_at, self._index_bucket(now, bucket, destination, window, new_entries))
+        # The time is not rounded up to a tick: an event may start a turn before that, and this turn must find
+        # the messages that may be sent by then.
         if is_complete or scan_at < queue.next_scan_at or queue.next_scan_at <= now:
             self.pending.schedule_scan(queue, scan_at)
 
@@ -160,23 +164,23 @@
         bucket: PriorityBucket,
         destination: DestinationState,
         window: SendWindow,
-        newcomers: list[PendingMessage] | None,
+        new_entries: list[PendingMessage] | None,
     ) -> float:
-        """Indexes what of a bucket may go now, or only the newcomers; returns when to scan it again."""
+        """Indexes a bucket's messages that may be sent now, or only new ones; returns the next scan time."""
         if not bucket.ready or not any(
             allows_endpoint(bucket.retry_affinity, state.endpoint) for state in destination.endpoints.values()
         ):
             return FOREVER
-        at = self._send_time(window, destination, bucket.ready[0][2])
-        if at <= now:
-            if newcomers is None:
+        scan_at = self._send_time(window, destination, bucket.ready[0][2])
+        if scan_at <= now:
+            if new_entries is None:
                 return self.index.insert(now, bucket, destination, window.slot_time_ms)
-            for entry in newcomers:
+            for entry in new_entries:
                 if entry.bucket is bucket:
-                    at = self.index.insert(now, bucket, destination, window.slot_time_ms, entry)
-        elif at > destination.retry_after_until:  # limited by a rate, which may change with time
-            at = min(at, self.rate_controller.rate_stable_until(now, destination))
-        return at
+                    scan_at = self.index.insert(now, bucket, destination, window.slot_time_ms, entry)
+        elif scan_at > destination.retry_after_until:  # limited by a rate, which may change with time
+            scan_at = min(scan_at, self.rate_controller.rate_stable_until(now, destination))
+        return scan_at
 
     def _send(self, now: float, entry: PendingMessage, state: EndpointState, actions: list[Action]) -> None:
         destination = state.destination
@@ -199,18 +203,18 @@
         actions.append(StartAttempt(entry.message.id, state.endpoint.id, give_up_at))
 
     def _give_up_at(self, now: float, entry: PendingMessage, destination: DestinationState) -> float:
-        """When the attempt times out: late, if no other can follow it."""
+        """Returns when the attempt times out: later if no other attempt can follow."""
         message_class = entry.message_class
-        patience_ms = attempt_timeout_ms(destination)
+        timeout_ms = attempt_timeout_ms(destination)
         max_attempts = self.rate_controller.settings.max_attempts
         is_last = entry.attempts + 1 >= max_attempts or message_class.effect is Effect.UNSAFE
         if message_class.effect is Effect.KEYED:
             uncertain_at = entry.first_uncertain_at if entry.first_uncertain_at is not None else now
-            retry_at = now + patience_ms + RETRY_MS * 2**entry.attempts
+            retry_at = now + timeout_ms + RETRY_MS * 2**entry.attempts
             is_last = is_last or retry_at > uncertain_at + message_class.key_window_ms
         give_up_at = entry.deadline_at
         if is_last:
-            give_up_at = min(give_up_at, now + patience_ms * LAST_ATTEMPT_PATIENCE)
-        elif now + 2 * patience_ms < entry.deadline_at:
-            give_up_at = min(give_up_at, now + patience_ms)
+            give_up_at = min(give_up_at, now + timeout_ms * LAST_ATTEMPT_PATIENCE)
+        elif now + 2 * timeout_ms < entry.deadline_at:
+            give_up_at = min(give_up_at, now + timeout_ms)
         return min(give_up_at, self.guard.shutdown_at)
--- a/message_relay/decisions/endpoint_registry.py
+++ b/message_relay/decisions/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Endpoints as discovery lists them, and the state that is kept of each destination."""
+"""Registry of the endpoints that discovery lists, and of the state of each destination."""
 
 from __future__ import annotations
 
@@ -14,41 +14,36 @@
 from .rate_control import BURST, RETRY_MS, RateController
 from .rate_slots import TimeSlotShare
 
-EVICT_AFTER_MS = (
-    60000.0  # a destination without endpoints is remembered for so long: longer than outages last
-)
-INITIAL_RATE = (
-    0.5  # calls a second of each relay at a destination without a listed rate, until one is refused
-)
-POLL_RETRY_FACTOR = 4  # a failed poll is repeated after so many times the backoff of a message
+EVICT_AFTER_MS = 60000.0  # state of a destination without endpoints is kept this long: longer than an outage
+INITIAL_RATE = 0.5  # calls per second of each relay if the destination has no listed rate, until a refusal
+POLL_RETRY_FACTOR = 4  # backoff after a failed poll, as a multiple of the backoff of a message
 MAX_POLL_DOUBLINGS = 5
-SHARED_ROUTE = -1  # key of a destination whose routes share one limit
+SHARED_ROUTE = -1  # route key of a destination whose routes share one limit
 
 
 class EndpointRegistry:
-    """The endpoints in use by id, and the destinations' states by destination and route."""
+    """Holds the endpoints in use by id, and the states of destinations by destination and route."""
 
     def __init__(self, rate_controller: RateController, pending: PendingMessages) -> None:
         self.rate_controller = rate_controller
         self.rng = rate_controller.rng
         self.pending = pending
-        self.eviction_heap: list[
-            tuple[float, int]
-        ] = []  # when destinations without endpoints may be forgotten
+        # (time from which the state of a destination without endpoints may be evicted, destination id)
+        self.eviction_heap: list[tuple[float, int]] = []
         self.destinations: dict[int, dict[int, DestinationState]] = {}  # by destination, then by route
         self.endpoints: dict[int, EndpointState] = {}
         self.next_poll_at = 0.0 if rate_controller.settings.polls_discovery else FOREVER
         self.poll_failures = 0
 
     def should_poll(self, now: float) -> bool:
-        """Whether to ask discovery now; sets when to ask again should no answer come."""
+        """Returns whether to poll discovery now; if so, schedules the next poll in case of no response."""
         if now < self.next_poll_at:
             return False
         self.next_poll_at = now + self.rate_controller.settings.safety.poll_within_ms / 2
         return True
 
     def apply_list(self, now: float, event: EndpointList) -> None:
-        """Adds, changes and removes endpoints as listed."""
+        """Adds, updates and removes endpoints according to a list."""
         if event.kind is ListKind.FAILED:
             self._back_off_polling(now)
             return
@@ -61,24 +56,27 @@
             affected = {endpoint.id for endpoint in event.entries}
         else:
             affected = set(self.endpoints)
-        for number in sorted(number for number in affected if number in self.endpoints):
-            known = self.endpoints[number].endpoint
-            if number not in ready or self._route_key(ready[number]) != self._route_key(known):
-                self._remove_endpoint(now, self.endpoints.pop(number), number in unneeded)
+        for endpoint_id in sorted(endpoint_id for endpoint_id in affected if endpoint_id in self.endpoints):
+            known = self.endpoints[endpoint_id].endpoint
+            if endpoint_id not in ready or self._route_key(ready[endpoint_id]) != self._route_key(known):
+                self._remove_endpoint(now, self.endpoints.pop(endpoint_id), endpoint_id in unneeded)
         for endpoint in ready.values():
             self._add_endpoint(now, endpoint)
         while self.eviction_heap and self.eviction_heap[0][0] <= now:
             self._evict_destination(now, heapq.heappop(self.eviction_heap)[1])
 
     def _back_off_polling(self, now: float) -> None:
-        """Guards against failing or overloaded discovery: polls again after growing, jittered pauses."""
-        longest_ms = self.rate_controller.settings.safety.poll_within_ms / 4
-        pause_ms = min(RETRY_MS * POLL_RETRY_FACTOR * 2**self.poll_failures, longest_ms)
+        """Guards against failing or overloaded discovery: the next poll has a growing, jittered backoff."""
+        max_backoff_ms = self.rate_controller.settings.safety.poll_within_ms / 4
+        backoff_ms = min(RETRY_MS * POLL_RETRY_FACTOR * 2**self.poll_failures, max_backoff_ms)
         self.poll_failures = min(self.poll_failures + 1, MAX_POLL_DOUBLINGS)
-        self.next_poll_at = now + pause_ms * self.rng.uniform(0.5, 1.0)
+        self.next_poll_at = now + backoff_ms * self.rng.uniform(0.5, 1.0)
 
     def _remove_endpoint(self, now: float, state: EndpointState, is_unneeded: bool) -> None:
-        """Nothing new is sent there; an unneeded destination may be forgotten at once: that is no outage."""
+        """Removes an endpoint, to which nothing more is sent.
+
+        The state of an unneeded destination may be evicted at once, since its removal is no outage.
+        """
         destination_id = state.endpoint.destination
         destination = state.destination
         del destination.endpoints[state.endpoint.id]
@@ -90,12 +88,13 @@
             heapq.heappush(self.eviction_heap, (now + EVICT_AFTER_MS * (not is_unneeded), destination_id))
 
     def _evict_destination(self, now: float, destination_id: int) -> None:
-        """Forgets the state of a destination without endpoints, unless something still depends on it.
+        """Evicts the state of a destination without endpoints, unless something still depends on it.
 
-        Not too soon: what comes back after an outage is warmed up only by a relay that remembers it.
+        It must not be evicted too soon: after an outage, a relay warms up a destination only if it still has
+        its state.
         """
         routes = self.destinations.get(destination_id, {})
-        for key, destination in [(key, each) for key, each in routes.items() if not each.endpoints]:
+        for key, destination in [(key, route) for key, route in routes.items() if not route.endpoints]:
             until = max(destination.retry_after_until, destination.without_endpoints_since + EVICT_AFTER_MS)
             if destination.in_flight or destination_id in self.pending.queues:
                 until = max(until, now + EVIDENCE_TTL_MS)
@@ -117,7 +116,7 @@
         destination = routes[key]
         state = self.endpoints.get(endpoint.id)
         if listed_rate and listed_rate != destination.fleet_rate:
-            # Keeps what was learned, in proportion.
+            # Scales the learned rate in proportion.
             destination.send_rate = destination.send_rate * listed_rate / destination.fleet_rate
             destination.fleet_rate = listed_rate
             destination.has_listed_rate = True
@@ -127,7 +126,7 @@
             state.endpoint = endpoint
             return
         if not destination.endpoints and destination.failing_since is not None:
-            # Replaced late: the new endpoint is cold.
+            # The replacement came late, so the new endpoint is cold.
             slow_start.start_warm_up(settings, now, destination)
         state = EndpointState(endpoint, destination)
         self.endpoints[endpoint.id] = state
@@ -150,17 +149,17 @@
         return destination
 
     def _route_key(self, endpoint: Endpoint) -> tuple[int, int]:
-        """The destination, and the endpoint if each one of it has a limit of its own."""
+        """Returns the destination id, and the endpoint id if each of its endpoints has a separate limit."""
         kinds = self.rate_controller.settings.kinds
         is_route = endpoint.kind < len(kinds) and kinds[endpoint.kind].has_separate_routes
         return endpoint.destination, endpoint.id if is_route else SHARED_ROUTE
 
     def snapshot(self, now: float) -> list[RestoredDestination]:
-        """Outages, warm-ups and Retry-After that the next process should know.
+        """Returns the outages, warm-ups and Retry-After times that the next process needs.
 
-        Not of routes with limits of their own: their endpoints get other numbers.
+        Routes with separate limits are left out: their endpoints get other ids in the next process.
         """
-        found = list[RestoredDestination]()
+        records = list[RestoredDestination]()
         candidates = self.pending.snapshot_candidates
         self.pending.snapshot_candidates = {}
         warm_up_ms = self.rate_controller.settings.safety.warm_up_ms
@@ -173,7 +172,7 @@
                 continue
             self.pending.snapshot_candidates[destination_id] = None
             failing_since = destination.failing_since
-            found.append(
+            records.append(
                 RestoredDestination(
                     destination_id,
                     max(0.0, destination.retry_after_until - now),
@@ -182,10 +181,10 @@
                     now - destination.warming_since if is_warming_up else None,
                 )
             )
-        return found
+        return records
 
     def resize(self, fleet: Fleet) -> None:
-        """Sets another number of instances or another reading of the shared clock: time slots move."""
+        """Sets a new number of instances or a new offset of the shared clock, which moves the time slots."""
         settings = self.rate_controller.settings
         self.rate_controller.settings = replace(settings, relays=fleet.size, fleet=settings.fleet and fleet)
         for routes in self.destinations.values():
@@ -195,13 +194,14 @@
         self.pending.request_all_scans()
 
     def restore(self, now: float, event: RestoredDestination) -> None:
-        """Applies what an earlier process knew.
+        """Applies destination state that an earlier process saved.
 
-        Guards a returning destination, and Retry-After, against a process that has seen nothing of them.
+        Guards against overloading a returning destination, and against ignoring a Retry-After, in a new
+        process that has observed neither.
         """
         destination = self.destinations.get(event.destination, {}).get(SHARED_ROUTE)
         if destination is None or destination.in_flight or destination.response_count:
-            return  # gone, or this process knows better by now
+            return  # the destination is gone, or this process has newer observations
         retry_after_until = now + event.retry_after_ms if event.retry_after_ms > 0 else NEVER
         destination.retry_after_until = max(destination.retry_after_until, retry_after_until)
         destination.failing_since = None if event.failing_for_ms is None else now - event.failing_for_ms
@@ -215,6 +215,6 @@
         elif event.warming_up_for_ms is not None:
             destination.warming_since = now - event.warming_up_for_ms
             destination.tokens = 0.0
-            # How many relays noticed the outage is not known any more: all may have.
+            # The number of relays that noticed the outage is no longer known: all may have.
             destination.estimated_senders = float(self.rate_controller.settings.relays)
         self.pending.request_scan(event.destination)
--- a/message_relay/decisions/events.py
+++ b/message_relay/decisions/events.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """What discovery lists: all endpoints, those that have changed, or that it failed."""
+    """The endpoints that discovery lists: all or only the changed ones, or none if listing failed."""
 
     kind: ListKind
     entries: tuple[Endpoint, ...] = ()
@@ -29,11 +29,11 @@
     work_ms: float | None = None
     is_repeat: bool = False
     from_dead_relay: bool = False
-    # Of one resumed after a restart of this relay, from the journal:
+    # Set from the journal for a message resumed after a restart of this relay:
     age_ms: float | None = None  # since it was first submitted
     attempts: int = 0
     uncertain_for_ms: float | None = None  # since the first attempt that may have run
-    uncertain_endpoint: Endpoint | None = None  # where that attempt went
+    uncertain_endpoint: Endpoint | None = None  # endpoint of that attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     retry_after_ms: float = 0.0  # with Outcome.FULL
     had_no_slot: bool = False  # with Outcome.NOT_SENT
     report: tuple[float, ...] = ()
-    was_withheld: bool = False  # with Outcome.NOT_SENT: nothing was written, which counts as no attempt
+    was_withheld: bool = False  # with Outcome.NOT_SENT: nothing was written, so it counts as no attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCancelled:
-    """A client no longer wants the message delivered."""
+    """The client has cancelled the message."""
 
     id: int
 
@@ -78,26 +78,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownScheduled:
-    """The process ends soon: a call in flight then would have no known outcome."""
+    """The process ends at this time: a call still in flight would have no known outcome."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredDestination:
-    """What an earlier process knew of a destination.
+    """The state of a destination, saved by an earlier process.
 
-    Times are ages, since the scheduler's clock starts anew with the process.
+    Times are durations, since the scheduler's clock restarts with the process.
     """
 
     destination: int
-    retry_after_ms: float = 0.0  # what is left of it
+    retry_after_ms: float = 0.0  # remaining time
     is_ejected: bool = False
     failing_for_ms: float | None = None  # since the first call that failed after the last success
     warming_up_for_ms: float | None = None  # since the end of its outage
 
     def __post_init__(self) -> None:
-        # Errors name the fields as the file `learned` does.
+        # Errors use the field names of the file `learned`.
         ages = {
             "wait_ms": self.retry_after_ms,
             "bad_ms": self.failing_for_ms,
--- a/message_relay/decisions/idempotency.py
+++ b/message_relay/decisions/idempotency.py
@@ -1,4 +1,4 @@
-"""What the effect of a message's class allows: until when and where it may be retried, and how it may end."""
+"""Idempotency rules by the effect of a message's class: when and where to retry, and whether to reject."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def retry_affinity(entry: PendingMessage) -> RetryAffinity | None:
-    """Where a retry may go, if not to any endpoint: where the idempotency key of the first is known."""
+    """Returns the zone or endpoint to which retries are limited; None allows any endpoint.
+
+    The idempotency key of the first attempt that may have run is known only there.
+    """
     scope = entry.message_class.key_scope
     if (
         entry.uncertain_endpoint is None
@@ -21,14 +24,14 @@
 
 
 def allows_endpoint(affinity: RetryAffinity | None, endpoint: Endpoint) -> bool:
-    """Whether a message with this affinity may go to the endpoint."""
+    """Returns whether a message with this retry affinity may be sent to the endpoint."""
     return affinity is None or affinity[1] == (endpoint.zone if affinity[0] else endpoint.id)
 
 
 def can_reject_safely(entry: PendingMessage) -> bool:
-    """Whether it may be rejected, which promises that submitting it again is harmless.
+    """Returns whether a message may be rejected, which promises that submitting it again is harmless.
 
-    After an attempt with an unknown outcome, that depends on its effect.
+    After an attempt with an unknown outcome, this depends on the effect of its class.
     """
     if entry.first_uncertain_at is None or entry.message_class.effect is Effect.SAFE:
         return True
@@ -36,7 +39,7 @@
 
 
 def idempotency_window_end(settings: Settings, entry: PendingMessage) -> float:
-    """Until when it may run without taking effect twice."""
+    """Returns until when a message may be executed without taking effect twice."""
     if entry.first_uncertain_at is None or entry.message_class.effect is Effect.SAFE:
         return entry.deadline_at
     if entry.message_class.effect is Effect.UNSAFE:
@@ -45,7 +48,7 @@
 
 
 def retry_deadline(settings: Settings, entry: PendingMessage) -> float:
-    """Until when another attempt is allowed."""
+    """Returns until when another attempt is allowed."""
     if entry.attempts >= settings.max_attempts:
         return NEVER
     return idempotency_window_end(settings, entry)
--- a/message_relay/decisions/model.py
+++ b/message_relay/decisions/model.py
@@ -9,11 +9,11 @@
 
 
 class Effect(Enum):
-    """What delivering a message more than once does at its destination."""
+    """Effect of delivering a message to its destination more than once."""
 
-    SAFE = "safe"  # repeating changes nothing
-    KEYED = "keyed"  # the destination drops repeats of its key for a while
-    UNSAFE = "unsafe"  # every run has an effect
+    SAFE = "safe"  # repeated delivery changes nothing
+    KEYED = "keyed"  # the destination ignores repeats of its idempotency key for a limited time
+    UNSAFE = "unsafe"  # each delivery has an effect
 
 
 class Scope(Enum):
@@ -38,7 +38,7 @@
 
     @property
     def proves_no_effect(self) -> bool:
-        """Whether the call certainly did not run at its endpoint."""
+        """Whether the endpoint certainly did not execute the call."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -48,11 +48,11 @@
     READY = "ready"
     DRAINING = "draining"
     REMOVED = "gone"
-    UNNEEDED = "unneeded"  # it may well exist, but this relay does not need it any more
+    UNNEEDED = "unneeded"  # it may still exist, but this relay no longer needs it
 
 
 class ListKind(Enum):
-    """What an endpoint list covers, or that there is none."""
+    """Coverage of an endpoint list, or that discovery failed."""
 
     CHANGES = "changes"
     COMPLETE = "whole"
@@ -76,21 +76,21 @@
 
 
 def require(ok: bool, field: str, text: str) -> None:
-    """Raises ValueError that names the field, unless the condition holds."""
+    """Raises a ValueError that names the field unless the condition holds."""
     if not ok:
         raise ValueError(f"{field}: {text}")
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What the messages of one class have in common."""
+    """Properties shared by all messages of one class."""
 
     name: str
     effect: Effect
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_share: float = 0.0  # of its value, left at the deadline
+    late_share: float = 0.0  # share of the value that is left at the deadline
     key_window_ms: float = 0.0  # how long a destination remembers an idempotency key
     key_scope: Scope = Scope.ALL
     in_order: bool = False
@@ -102,7 +102,11 @@
         require(0 <= self.late_share <= 1, "classes.late_share", "must lie in 0 to 1")
         require(self.key_window_ms >= 0, "classes.window_ms", "must not be negative")
         if self.effect is Effect.KEYED:
-            require(self.key_window_ms > 0, "classes.window_ms", f"of {self.name}, keyed: must be above 0")
+            require(
+                self.key_window_ms > 0,
+                "classes.window_ms",
+                f"must be above 0 for the keyed class {self.name}",
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,18 +114,18 @@
     """A tenant and its quota of messages."""
 
     name: str
-    quota_per_s: float  # over all relays
+    quota_per_s: float  # messages per second over all relays
 
     def __post_init__(self) -> None:
-        require(self.quota_per_s >= 0, "orgs.quota_per_s", f"of {self.name}: must not be negative")
+        require(self.quota_per_s >= 0, "orgs.quota_per_s", f"must not be negative for tenant {self.name}")
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """What the destinations of one kind have in common."""
+    """Properties shared by all destinations of one kind."""
 
     name: str
-    batch: int = 1  # messages in one call, at most
+    batch: int = 1  # maximum number of messages in one call
     has_separate_routes: bool = False  # each endpoint has its own limit, rate and outages
 
     def __post_init__(self) -> None:
@@ -134,7 +138,7 @@
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    warm_up_initial_share: float = 1.0  # capacity left right after an outage
+    warm_up_initial_share: float = 1.0  # share of the capacity that is available right after an outage
     warm_up_ms: float = 0.0
     overload_multiple: float = 1.0
     overload_window_ms: float = 1000.0
@@ -142,7 +146,7 @@
     key_pause_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        # The names that an error gives are those that operators know.
+        # Errors use the names that operators know.
         amounts = {
             "answer_slack_ms": self.answer_slack_ms,
             "drain_grace_ms": self.drain_grace_ms,
@@ -159,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """Weights of the parts of the result that a deployment is measured by."""
+    """Weights of the components of the objective by which a deployment is measured."""
 
     total: float = 1.0
     worst_window: float = 0.0
@@ -169,14 +173,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Which of how many instances this is, where all together keep each destination's agreed rate.
+    """This instance's number in a fleet whose instances keep each destination's agreed rate together.
 
-    As an event it says what holds from now on.
+    As an event, it sets the values that apply from now on.
     """
 
     number: int  # from 0
     size: int
-    clock_ms: float = 0.0  # added to the relay's clock gives the clock that all machines share
+    clock_ms: float = 0.0  # offset to add to the relay's clock to get the clock that all machines share
 
     def __post_init__(self) -> None:
         require(self.size >= 1, "fleet.size", "must be 1 or more")
@@ -189,9 +193,9 @@
 
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...]
-    max_concurrent_attempts: int  # calls in flight
-    max_pending_messages: int  # messages accepted and not ended
-    max_attempts: int  # attempts of one message
+    max_concurrent_attempts: int  # maximum number of attempts in flight
+    max_pending_messages: int  # maximum number of messages accepted and without a final outcome
+    max_attempts: int  # maximum number of attempts of one message
     relays: int = 1
     zone: int = 0
     tenants: tuple[Tenant, ...] = ()
@@ -205,21 +209,19 @@
     idle_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     tick_ms: float = 1.0
-    marks_repeats: bool = False  # clients mark what they submit again
-    max_retry_after_ms: float = 0.0  # longest Retry-After that a client respects; 0 = none is given
+    marks_repeats: bool = False  # clients mark resubmissions
+    max_retry_after_ms: float = 0.0  # longest Retry-After that a client respects; 0 = none is sent
     cross_zone_price: float = 0.0
     route_fees: tuple[float, ...] = ()  # by zone
-    report_fields: tuple[str, ...] = ()  # fields of the load report of an answer, in this order
-    limit_report: tuple[int, int] | None = (
-        None  # positions of the share left and the limit a second in a report
-    )
+    report_fields: tuple[str, ...] = ()  # fields of the load report in a response, in this order
+    limit_report: tuple[int, int] | None = None  # positions in a report: share left, limit per second
     safety: Safety = Safety()
     goal: Goal = Goal()
-    fleet: Fleet | None = None  # None: each instance limits its rate by what it learns
+    fleet: Fleet | None = None  # None: each instance learns its rate limits by itself
 
     def __post_init__(self) -> None:
         require(bool(self.classes), "classes", "there must be at least one")
-        # The names that an error gives are those of the settings, which operators know.
+        # Errors use the names of the settings, which operators know.
         counts = {
             "slots": self.max_concurrent_attempts,
             "hold": self.max_pending_messages,
@@ -249,4 +251,4 @@
     listing: Listing
     kind: int = 0
     zone: int = 0
-    rate: float = 0.0  # listed calls a second for its destination (or route); see Rates
+    rate: float = 0.0  # listed calls per second of its destination (or route); see Rates
--- a/message_relay/decisions/outlier_detection.py
+++ b/message_relay/decisions/outlier_detection.py
@@ -1,9 +1,9 @@
-"""Outlier detection: when a destination is ejected, and which endpoints come after others.
+"""Outlier detection: ejects failing destinations, and ranks failing endpoints behind others.
 
 Each failure raises a destination's failure score towards 1 and each success lowers it. Above
-`EJECTION_THRESHOLD` the destination is ejected: it gets half-open trials alone, until a success brings the
+`EJECTION_THRESHOLD` the destination is ejected: it gets only half-open trials, until a success brings the
 score below the threshold again. A destination is suspected, and treated like an ejected one, as soon as each
-of its endpoints has a call that is overdue.
+of its endpoints has an overdue call.
 """
 
 from __future__ import annotations
@@ -12,28 +12,31 @@
 from .latency import overdue_ms
 from .model import Outcome
 
-EVIDENCE_TTL_MS = 10000.0  # an answer or a failure of so long ago counts no more
-FAILURE_WEIGHT = 0.3  # weight of one failure in the score: two in a row eject
-VOUCHED_FAILURE_WEIGHT = 0.1  # its weight right after an answer: among many calls chance fails two in a row
-VOUCH_WINDOW_MS = 300.0  # how long that holds after an answer
+EVIDENCE_TTL_MS = 10000.0  # successes and failures older than this no longer count
+FAILURE_WEIGHT = 0.3  # weight of one failure in the score: two in a row cause an ejection
+VOUCHED_FAILURE_WEIGHT = 0.1  # right after a success: among many calls, two in a row fail by chance
+VOUCH_WINDOW_MS = 300.0  # how long after a success the lower weight applies
 EJECTION_THRESHOLD = 0.5  # failure score above which a destination is ejected
-EJECTED_SCORE_MAX = 0.7  # no higher: the first success after an outage brings it below the threshold
-CLOSED_AFTER_MS = (
-    2500.0  # Retry-After and refusals without a break for longer than any limit's window: closed
-)
+EJECTED_SCORE_MAX = 0.7  # upper limit: the first success after an outage brings the score below the threshold
+CLOSED_AFTER_MS = 2500.0  # Retry-After or refusals for longer than the window of any limit: closed
 
 
 def endpoint_penalty(state: EndpointState, now: float, class_index: int) -> float:
-    """Added to an endpoint's load when endpoints are compared.
+    """Returns the penalty added to an endpoint's load when endpoints are compared.
 
     Guards against an endpoint that fails, or fails one class: others are preferred until its failures expire.
     """
-    recent = [index for index, at in state.failures_by_class.items() if now - at < EVIDENCE_TTL_MS]
-    return 8.0 * (class_index in recent) + 2.0 * len(recent)
+    failing_classes = [
+        index for index, failed_at in state.failures_by_class.items() if now - failed_at < EVIDENCE_TTL_MS
+    ]
+    return 8.0 * (class_index in failing_classes) + 2.0 * len(failing_classes)
 
 
 def is_suspected(destination: DestinationState, now: float) -> bool:
-    """Whether it is ejected, or each endpoint has an overdue call and none has answered since it was sent."""
+    """Returns whether a destination is ejected or suspected.
+
+    It is suspected if each endpoint has an overdue call that was sent after the last success.
+    """
     if destination.is_ejected or not destination.in_flight:
         return destination.is_ejected
     last_success_at = destination.last_success_at
@@ -41,7 +44,7 @@
         return False
     overdue_before = now - overdue_ms(destination)
     overdue_endpoints: set[int] = set()
-    for entry in destination.in_flight.values():  # oldest first: mostly the first one decides
+    for entry in destination.in_flight.values():  # oldest first: the first one usually decides
         if entry.sent_at >= overdue_before:
             break
         if entry.in_flight_on is not None and entry.sent_at >= last_success_at:
@@ -50,9 +53,9 @@
 
 
 def is_closed_for_long(destination: DestinationState, now: float, throttled_ms: float) -> bool:
-    """Whether it has failed or refused for long without an answer: it is closed, full or down.
+    """Returns whether a destination has failed or refused for long without a success: closed, full or down.
 
-    Such a one may be back at any moment. Throttled for longer than `throttled_ms` means repeated refusals.
+    It may recover at any moment. A throttling of more than `throttled_ms` means repeated refusals.
     """
     if destination.failing_since is None or now - destination.failing_since <= CLOSED_AFTER_MS:
         return False
@@ -65,15 +68,15 @@
 ) -> None:
     """Raises the failure score for one failed call, and ejects the destination above the threshold.
 
-    A recent answer, or an endpoint without failures, vouches for a destination: without either, one failure
-    is an outage. Guards relays that call it too seldom to see two failures in a row.
+    A recent success, or an endpoint without failures, vouches for a destination: without either, one failure
+    counts as an outage. Guards relays that call it too rarely to see two failures in a row.
     """
-    recent = now - VOUCH_WINDOW_MS
-    vouched_since = min(sent_at, recent) if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
+    recent_since = now - VOUCH_WINDOW_MS
+    vouched_since = min(sent_at, recent_since) if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
     is_unvouched = destination.last_success_at <= vouched_since and all(
-        other.failures_by_class for other in destination.endpoints.values()
+        endpoint.failures_by_class for endpoint in destination.endpoints.values()
     )
-    weight = FAILURE_WEIGHT if destination.last_success_at < recent else VOUCHED_FAILURE_WEIGHT
+    weight = FAILURE_WEIGHT if destination.last_success_at < recent_since else VOUCHED_FAILURE_WEIGHT
     if is_unvouched or is_closed:
         weight = EJECTION_THRESHOLD + 0.05
     destination.failure_score += (1.0 - destination.failure_score) * weight
--- a/message_relay/decisions/pending.py
+++ b/message_relay/decisions/pending.py
@@ -1,8 +1,8 @@
-"""The messages that a relay holds, and the queues in which they wait.
+"""The pending messages of a relay, and the queues in which they wait.
 
-What waits for one destination is in a `DestinationQueue`, and there in a `PriorityBucket` of messages whose
-value is the same function of their age, so that age alone orders them. A message that may not go yet (its
-backoff, or an earlier message of its ordering key) is parked in its bucket.
+The messages that wait for one destination are in a `DestinationQueue`, and within it in a `PriorityBucket` of
+messages whose value is the same function of their age, so that age alone orders them. A message that may not
+be sent yet (because of its backoff, or of an earlier message of its ordering key) is parked in its bucket.
 """
 
 from __future__ import annotations
@@ -16,20 +16,18 @@
 from .events import Message
 from .model import FOREVER, NEVER, Decay, Endpoint, MessageClass
 
-MAX_BUCKETS = 32  # different buckets at a destination, above which times to live are rounded down to steps
-TIME_TO_LIVE_STEPS = 16  # and so many steps: a scan of a queue looks at each of its buckets
-FULL_SCAN_SIZE = 4  # a bucket of so many is indexed whole: it needs no scan as it ages
-MAX_SCANS = 128  # queues scanned or compared in one turn: the others in the next, so that no turn is long
-HEAP_SLACK = 64  # a heap may hold so many superseded entries before it is rebuilt,
-HEAP_FACTOR = 4  # and so many times as many as are current
+MAX_BUCKETS = 32  # buckets of a destination, above which times to live are rounded down to steps
+TIME_TO_LIVE_STEPS = 16  # steps in a class's deadline: a scan of a queue examines each of its buckets
+FULL_SCAN_SIZE = 4  # a bucket of up to this size is indexed completely: it needs no scan as it ages
+MAX_SCANS = 128  # queues scanned or compared in one turn; others follow in the next, so that no turn is long
+HEAP_SLACK = 64  # a heap may hold this many superseded entries before it is rebuilt,
+HEAP_FACTOR = 4  # plus this multiple of its current entries
 
-RetryAffinity = tuple[
-    bool, int
-]  # the only endpoints for a retry: (True, a zone) or (False, an endpoint's id)
+RetryAffinity = tuple[bool, int]  # the only endpoints for a retry: (True, zone) or (False, endpoint id)
 
 
 def remaining_value(message_class: MessageClass, decay: Decay, age: float) -> float:
-    """Share of its value that a message of this age still has before its deadline."""
+    """Returns the share of its value that a message of this age has left before its deadline."""
     late_ms = age - message_class.latency_objective_ms
     if late_ms <= 0:
         return 1.0
@@ -42,24 +40,24 @@
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """One message, from its arrival until it has ended and no call for it is in flight."""
+    """One message, from its acceptance until it has ended and no attempt for it is in flight."""
 
     message: Message
     message_class: MessageClass
-    submitted_at: float  # for the first time
+    submitted_at: float  # time of the first submission
     deadline_at: float
     priority_weight: float
-    backoff_until: float  # no attempt before
+    backoff_until: float  # no attempt starts before this time
     attempts: int = 0
     in_flight_on: EndpointState | None = None
     sent_at: float = 0.0
-    first_uncertain_at: float | None = None  # send of the first attempt that may have run
-    uncertain_endpoint: Endpoint | None = None  # where that attempt went
+    first_uncertain_at: float | None = None  # send time of the first attempt that may have run
+    uncertain_endpoint: Endpoint | None = None  # endpoint of that attempt
     is_cancelled: bool = False
-    was_deferred: bool = False  # once, because its connection had come late; it goes on the next one
-    can_be_shed: bool = True  # a rejection would be true, and an earlier process has not left it untried
+    was_deferred: bool = False  # once, since its connection was established late; not deferred again
+    can_be_shed: bool = True  # rejecting it is safe, and it is not resumed without any attempt
     retry_affinity: RetryAffinity | None = None
-    bucket: PriorityBucket | None = None  # where it waits
+    bucket: PriorityBucket | None = None  # bucket in which it waits
     parked_until: float = NEVER
 
     @property
@@ -68,13 +66,13 @@
         return self.message.key if self.message_class.in_order else 0
 
     def value_at(self, at: float, decay: Decay) -> float:
-        """What its delivery at this time is worth."""
+        """Returns the value of delivering the message at this time."""
         if at >= self.deadline_at:
             return 0.0
         return self.priority_weight * remaining_value(self.message_class, decay, at - self.submitted_at)
 
 
-QueueEntry = tuple[float, int, PendingMessage]  # submitted at, id: in this order
+QueueEntry = tuple[float, int, PendingMessage]  # ordered by submission time, then by id
 BucketKey = tuple[int, float, float, bool, bool, RetryAffinity | None]
 
 
@@ -109,24 +107,24 @@
             self.retry_affinity,
         ) = key
         self.ready: list[QueueEntry] = []
-        self.parked: list[QueueEntry] = []  # until a backoff is over, or another of the same key has ended
+        self.parked: list[QueueEntry] = []  # wait for a backoff, or for another message of the same key
 
     def oldest(self) -> list[PendingMessage]:
-        """The oldest ready and the oldest parked one: no other here has less value, now or later."""
+        """Returns the oldest ready and the oldest parked message: no other has less value, now or later."""
         return [entries[0][2] for entries in (self.ready, self.parked) if entries]
 
 
 @dataclass(slots=True, eq=False)
 class DestinationQueue:
-    """What waits for one destination."""
+    """The messages that wait for one destination."""
 
     destination_id: int
     buckets: dict[BucketKey, PriorityBucket] = field(default_factory=dict)
-    arrivals: list[PendingMessage] = field(default_factory=list)  # since the latest scan, ready to go
+    arrivals: list[PendingMessage] = field(default_factory=list)  # ready messages added since the latest scan
     length: int = 0
     next_scan_at: float = NEVER
     scanned_at: float = NEVER
-    scan_generation: int = 0  # index entries of an earlier generation are void
+    scan_generation: int = 0  # index entries of an earlier generation are invalid
     lowest_value: tuple[float, float] | None = None  # see LoadShedder.lowest_value
 
     def __len__(self) -> int:
@@ -134,28 +132,28 @@
 
 
 class PendingMessages:
-    """The pending messages: by id, waiting ones by destination, and ordered ones by key."""
+    """Holds all pending messages by id, waiting ones by destination, and ordered ones by ordering key."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, PendingMessage] = {}
         self.queues: OrderedDict[int, DestinationQueue] = OrderedDict()
-        self.key_order: dict[int, OrderedDict[int, None]] = {}  # ids by ordering key
+        self.key_order: dict[int, OrderedDict[int, None]] = {}  # message ids by ordering key
         self.key_paused_until: dict[int, float] = {}
-        self.key_pause_heap: list[tuple[float, int]] = []  # over the former
-        self.parked_heap: list[tuple[float, int]] = []  # when a parked message becomes ready
-        self.scan_heap: list[tuple[float, int]] = []  # when a queue is scanned again
+        self.key_pause_heap: list[tuple[float, int]] = []  # (end of a pause, ordering key)
+        self.parked_heap: list[tuple[float, int]] = []  # (time when a parked message becomes ready, id)
+        self.scan_heap: list[tuple[float, int]] = []  # (time of the next scan of a queue, destination id)
         self.scans_due: OrderedDict[int, bool] = OrderedDict()  # queues to scan now, and whether completely
-        self.lowest_value_stale: OrderedDict[int, None] = OrderedDict()  # queues that have changed
-        self.snapshot_candidates: dict[int, None] = {}  # destinations that the next process may need to know
+        self.lowest_value_stale: OrderedDict[int, None] = OrderedDict()  # changed since their `lowest_value`
+        self.snapshot_candidates: dict[int, None] = {}  # destinations whose state the next process may need
 
     def add(self, entry: PendingMessage) -> None:
-        """Adds a message, which does not wait in a queue yet."""
+        """Adds a message, without putting it into a queue."""
         self.by_id[entry.message.id] = entry
         if entry.ordering_key:
             order = self.key_order.setdefault(entry.ordering_key, OrderedDict())
             order[entry.message.id] = None
             if len(order) == 2:
-                self._requeue_first(order)  # another waits for it from now on
+                self._requeue_first(order)  # another message waits for the first from now on
 
     def remove(self, entry: PendingMessage) -> None:
         """Removes a message that has ended."""
@@ -175,18 +173,18 @@
             self._requeue_first(order)
 
     def has_successors(self, entry: PendingMessage) -> bool:
-        """Whether others wait for the message of this key that is first in order."""
+        """Returns whether a message is ordered and others of its key wait for the first one."""
         return bool(entry.ordering_key) and len(self.key_order[entry.ordering_key]) > 1
 
     def sendable_at(self, entry: PendingMessage) -> float:
-        """When its backoff is over and its key's order allows it: as the key's first, after its pause."""
+        """Returns when a message is past its backoff, and first of its ordering key with no pause left."""
         key = entry.ordering_key
         if key and next(iter(self.key_order[key])) != entry.message.id:
             return FOREVER
         return max(entry.backoff_until, self.key_paused_until.get(key, NEVER))
 
     def pause_key(self, key: int, now: float, until: float) -> None:
-        """Sends nothing of this key before `until`; forgets pauses that are over."""
+        """Sends no message of this ordering key before `until`; removes pauses that are over."""
         self.key_paused_until[key] = until
         heapq.heappush(self.key_pause_heap, (until, key))
         while self.key_pause_heap and self.key_pause_heap[0][0] <= now:
@@ -201,26 +199,30 @@
         if queue is None:
             queue = self.queues[destination_id] = DestinationQueue(destination_id)
             if len(self.queues) == 2:
-                self.request_scan(next(iter(self.queues)))  # it shares the slots from now on
+                self.request_scan(next(iter(self.queues)))  # the first queue shares the slots from now on
         queue.length += 1
         bucket = self._bucket_for(queue, entry)
         entry.bucket = bucket
         entry.parked_until = NEVER
-        at = self.sendable_at(entry)
+        ready_at = self.sendable_at(entry)
         self.lowest_value_stale[destination_id] = None
-        if at > now:
+        if ready_at > now:
             insort(bucket.parked, (entry.submitted_at, entry.message.id, entry))
-            self._park_until(entry, at)
+            self._park_until(entry, ready_at)
             return
         insort(bucket.ready, (entry.submitted_at, entry.message.id, entry))
         queue.arrivals.append(entry)
-        # What the latest scan found stays valid and the newcomer is added, unless only some of the bucket are
-        # indexed.
+        # The index entries of the latest scan stay valid and only the new message is added, unless the bucket
+        # is indexed partially.
         is_complete = self.scans_due.get(destination_id, False) or len(bucket.ready) > FULL_SCAN_SIZE
         self.scans_due[destination_id] = is_complete
 
     def _bucket_for(self, queue: DestinationQueue, entry: PendingMessage) -> PriorityBucket:
-        """Guards scans against many different times to live: beyond some they are rounded down to steps."""
+        """Returns the bucket for a message, which is created if needed.
+
+        Guards scans against many different times to live: above `MAX_BUCKETS` buckets, they are rounded down
+        to steps.
+        """
         message_class = entry.message_class
         is_urgent = (
             entry.deadline_at < entry.submitted_at + message_class.latency_objective_ms
@@ -243,7 +245,7 @@
         return queue.buckets[key]
 
     def dequeue(self, entry: PendingMessage) -> None:
-        """Takes a message out of its queue, if it waits in one."""
+        """Removes a message from its queue, if it waits in one."""
         bucket = entry.bucket
         if bucket is None:
             return
@@ -256,7 +258,7 @@
         queue.length -= 1
         self.lowest_value_stale[queue.destination_id] = None
         if len(entries) >= FULL_SCAN_SIZE:
-            self.request_scan(queue.destination_id)  # others may not be indexed because it was
+            self.request_scan(queue.destination_id)  # other messages may not be indexed because this one was
         if not queue.length:
             self._remove_queue(queue.destination_id)
 
@@ -265,10 +267,10 @@
         self.scans_due.pop(destination_id, None)
         self.lowest_value_stale.pop(destination_id, None)
         if len(self.queues) == 1:
-            self.request_scan(next(iter(self.queues)))  # it has all slots to itself
+            self.request_scan(next(iter(self.queues)))  # the last queue may use all slots
 
     def _requeue_first(self, order: OrderedDict[int, None]) -> None:
-        """Moves the first of a key to another bucket: it is urgent while others wait for it."""
+        """Moves the first message of a key to another bucket: it is urgent while others wait for it."""
         first = self.by_id[next(iter(order))]
         if first.bucket is not None:
             is_parked = first.parked_until != NEVER
@@ -281,7 +283,7 @@
             heapq.heappush(self.parked_heap, (at, entry.message.id))
 
     def advance(self, now: float) -> None:
-        """Makes parked messages ready, and requests scans, whose time has come."""
+        """Makes parked messages ready and requests scans that are due."""
         while self.parked_heap and self.parked_heap[0][0] <= now:
             at, message_id = heapq.heappop(self.parked_heap)
             entry = self.by_id.get(message_id)
@@ -298,27 +300,27 @@
                 self.scans_due[destination_id] = True
 
     def request_scan(self, destination_id: int) -> None:
-        """Has a queue scanned in this turn or as soon as there are slots: something has changed there."""
+        """Requests a scan of a changed queue, in this turn or as soon as there are free slots."""
         self.snapshot_candidates[destination_id] = None
         if destination_id in self.queues:
             self.scans_due[destination_id] = True
             self.lowest_value_stale[destination_id] = None
 
     def request_all_scans(self) -> None:
-        """Has all queues scanned: something has changed that concerns each of them."""
+        """Requests a scan of all queues after a change that concerns each of them."""
         self.scans_due.update(dict.fromkeys(self.queues, True))
 
     def schedule_scan(self, queue: DestinationQueue, at: float) -> None:
-        """Sets when a queue is scanned again, if nothing changes there before."""
+        """Schedules the next scan of a queue, in case it does not change before."""
         queue.next_scan_at = at
         if at >= FOREVER:
             return
         heapq.heappush(self.scan_heap, (at, queue.destination_id))
         if len(self.scan_heap) > HEAP_SLACK + HEAP_FACTOR * len(self.queues):  # most are superseded
             self.scan_heap = [
-                (each.next_scan_at, each.destination_id)
-                for each in self.queues.values()
-                if each.next_scan_at < FOREVER
+                (current.next_scan_at, current.destination_id)
+                for current in self.queues.values()
+                if current.next_scan_at < FOREVER
             ]
             heapq.heapify(self.scan_heap)
 
@@ -327,7 +329,7 @@
         return queue is None or queue.next_scan_at != at
 
     def next_wakeup_at(self) -> float:
-        """When `advance` next has something to do."""
+        """Returns when `advance` has work to do next."""
         while self.scan_heap and self._is_superseded(*self.scan_heap[0]):
             heapq.heappop(self.scan_heap)
         parked_at = self.parked_heap[0][0] if self.parked_heap else FOREVER
--- a/message_relay/decisions/priority_index.py
+++ b/message_relay/decisions/priority_index.py
@@ -1,9 +1,9 @@
-"""Finds the message whose delivery gains most per slot time, without looking at each message.
+"""Priority index: finds the message of highest gain per slot time without examining each message.
 
-Only messages at the edges of the pieces of a bucket's value curve can be its best. These candidates lie in
-index buckets by class, weight, time to live and band of age; within one, only the slot time that a delivery
-costs ranks them. An upper bound of the gain for each index bucket tells which of them have to be compared.
-See docs/design/large-size.md.
+Only messages at the ends of the segments of a bucket's value curve can be its best. These candidates are in
+index buckets by class, weight, time to live and age band; within an index bucket, only the slot time of a
+delivery ranks them. An upper bound of the gain of each index bucket determines which candidates have to be
+compared. See docs/design/large-size.md.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
     remaining_value,
 )
 
-LOOKAHEAD_MS = 1000.0  # what waiting costs is estimated over so long
-AGE_BANDS = 16  # bands of age in the time of a latency objective
-MAX_AGE_BANDS = 256  # and in a whole time to live
-EXACT_COMPARISONS = 8  # entries whose bounds overlap are compared exactly, up to so many
-MAX_COMPARISONS = 64  # the same while none of them gains anything: their time is nearly over
-BUCKETS_PER_MS = 10.0  # bounds are renewed so rarely that no more buckets are examined in a millisecond
+LOOKAHEAD_MS = 1000.0  # the cost of waiting is estimated over this time
+AGE_BANDS = 16  # age bands within a latency objective,
+MAX_AGE_BANDS = 256  # and, at most, within a deadline
+EXACT_COMPARISONS = 8  # entries with overlapping bounds are compared exactly, up to this number
+MAX_COMPARISONS = 64  # the same while none of them has any gain: their time is nearly over
+BUCKETS_PER_MS = 10.0  # bounds are renewed so rarely that at most this many buckets are examined per ms
 
 
-IndexKey = tuple[int, float, float, int]  # class, weight, time to live or minus a step of it, band of age
-# Slot time, sequence number, message, destination, its queue, generation of the scan that found it.
+IndexKey = tuple[int, float, float, int]  # class, weight, time to live or negated step of it, age band
+# Slot time, sequence number, message, destination, its queue, generation of the scan that added the entry.
 IndexEntry = tuple[float, int, PendingMessage, DestinationState, DestinationQueue, int]
 
 
 @dataclass(slots=True, eq=False)
 class IndexBucket:
-    """Candidates whose gain has one upper bound, the least slot time first."""
+    """Candidates that share one upper bound of their gain, least slot time first."""
 
     key: IndexKey
     entries: list[IndexEntry] = field(default_factory=list)  # heap
@@ -55,70 +55,73 @@
     shortest_life: float,
     longest_life: float,
 ) -> float:
-    """The most that sending now can gain at a weight of 1.
+    """Returns the maximum gain of sending now at a weight of 1.
 
-    For any age at the answer from `youngest` to `oldest`, and any time to live from `shortest_life` to
-    `longest_life`.
+    The bound holds for any age at the response from `youngest` to `oldest`, and any time to live from
+    `shortest_life` to `longest_life`.
     """
     best = 0.0
     if (
         youngest + LOOKAHEAD_MS < longest_life
     ):  # the gain rises until the latency objective, and falls after it
-        at = min(max(youngest, message_class.latency_objective_ms), oldest)
-        now_value = remaining_value(message_class, decay, at)
-        best = 2 * now_value - remaining_value(message_class, decay, at + LOOKAHEAD_MS)
+        age = min(max(youngest, message_class.latency_objective_ms), oldest)
+        now_value = remaining_value(message_class, decay, age)
+        best = 2 * now_value - remaining_value(message_class, decay, age + LOOKAHEAD_MS)
     if oldest + LOOKAHEAD_MS >= shortest_life and youngest < longest_life:
-        # Nothing would be left after the lookahead: all of it is to gain.
-        at = max(youngest, shortest_life - LOOKAHEAD_MS)
-        best = max(best, 2 * remaining_value(message_class, decay, at))
+        # No value would be left after the lookahead, so all of the value counts as gain.
+        age = max(youngest, shortest_life - LOOKAHEAD_MS)
+        best = max(best, 2 * remaining_value(message_class, decay, age))
     return best
 
 
 def candidates(
     bucket: PriorityBucket, destination: DestinationState, now: float
 ) -> tuple[list[PendingMessage], float]:
-    """The only messages of a bucket that can be its best, and when others may be; all of them, if few."""
+    """Returns the messages of a bucket that can be its best (all if few), and when this set may change."""
     ready = bucket.ready
     if len(ready) <= FULL_SCAN_SIZE:
         return [entry[2] for entry in ready], FOREVER
-    answer_at = now + destination.latency_mean_ms
+    response_at = now + destination.latency_mean_ms
     time_to_live_ms = bucket.time_to_live_ms
     last_chance_age = time_to_live_ms - LOOKAHEAD_MS
     objective_age = min(bucket.message_class.latency_objective_ms, last_chance_age)
-    # The oldest are first. Before `expired` the answer comes after the deadline, from there on to
-    # `last_chance` within the lookahead of it, and before `in_time` after the latency objective.
-    in_time = bisect_right(ready, (answer_at - objective_age, FOREVER))
-    last_chance = bisect_right(ready, (answer_at - last_chance_age, FOREVER), 0, in_time)
-    expired = bisect_right(ready, (answer_at - time_to_live_ms, FOREVER), 0, last_chance)
-    found, change_at = [], FOREVER
-    if in_time < len(ready):  # the oldest is nearest to its objective
-        found.append(ready[in_time][2])
+    # The list is sorted from oldest to youngest. Messages before index `expired` get their response after the
+    # deadline, those up to `last_chance` within the lookahead before it, and those up to `in_time` after the
+    # latency objective.
+    in_time = bisect_right(ready, (response_at - objective_age, FOREVER))
+    last_chance = bisect_right(ready, (response_at - last_chance_age, FOREVER), 0, in_time)
+    expired = bisect_right(ready, (response_at - time_to_live_ms, FOREVER), 0, last_chance)
+    selected, change_at = [], FOREVER
+    if in_time < len(ready):  # the oldest of these is nearest to its objective
+        selected.append(ready[in_time][2])
         change_at = ready[in_time][0] + objective_age
-    if last_chance < in_time:  # the youngest has lost least
-        found.append(ready[in_time - 1][2])
+    if last_chance < in_time:  # the youngest of these has lost least value
+        selected.append(ready[in_time - 1][2])
     if last_chance < len(ready):
         change_at = min(change_at, ready[last_chance][0] + last_chance_age)
     if expired < last_chance:
-        found.append(ready[last_chance - 1][2])
+        selected.append(ready[last_chance - 1][2])
         change_at = min(change_at, ready[last_chance - 1][0] + time_to_live_ms)
     if expired and now + destination.latency_mean_ms / 4 < ready[expired - 1][2].deadline_at:
-        found.append(ready[expired - 1][2])  # its answer is likely to come too late
-    return found, change_at - destination.latency_mean_ms
+        selected.append(ready[expired - 1][2])  # its response is likely to arrive too late
+    return selected, change_at - destination.latency_mean_ms
 
 
 class PriorityIndex:
-    """An index over what the scanned queues could send now."""
+    """Index of the messages that the scanned queues could send now."""
 
     def __init__(self, settings: Settings) -> None:
         self.classes = settings.classes
         self.decay = settings.decay
         self.band_width_ms = [
-            max(each.latency_objective_ms / AGE_BANDS, each.deadline_ms / MAX_AGE_BANDS)
-            for each in settings.classes
+            max(message_class.latency_objective_ms / AGE_BANDS, message_class.deadline_ms / MAX_AGE_BANDS)
+            for message_class in settings.classes
+        ]
+        self.time_to_live_step_ms = [
+            message_class.deadline_ms / TIME_TO_LIVE_STEPS for message_class in settings.classes
         ]
-        self.time_to_live_step_ms = [each.deadline_ms / TIME_TO_LIVE_STEPS for each in settings.classes]
         self.buckets: dict[IndexKey, IndexBucket] = {}
-        self.top_heap: list[tuple[float, int, IndexBucket]] = []  # by minus the rank
+        self.top_heap: list[tuple[float, int, IndexBucket]] = []  # (negated rank, sequence number, bucket)
         self.sequence = count()
         self.bounds_valid_until = 0.0
         self.examined_count = 0  # messages and index buckets examined so far
@@ -129,15 +132,15 @@
         bucket: PriorityBucket,
         destination: DestinationState,
         slot_time_ms: float,
-        newcomer: PendingMessage | None = None,
+        new_entry: PendingMessage | None = None,
     ) -> float:
-        """Indexes what of a bucket may be sent, or only the newcomer; returns when to do so again."""
+        """Indexes the candidates of a bucket, or only `new_entry`; returns when to index the bucket again."""
         if now >= self.bounds_valid_until:
             self._renew_bounds(now)
-        if newcomer is None:
-            found, change_at = candidates(bucket, destination, now)
+        if new_entry is None:
+            selected, change_at = candidates(bucket, destination, now)
         else:
-            found, change_at = [newcomer], FOREVER
+            selected, change_at = [new_entry], FOREVER
         class_index = bucket.class_index
         queue = bucket.queue
         generation = queue.scan_generation
@@ -147,8 +150,8 @@
         if time_to_live != bucket.message_class.deadline_ms:
             time_to_live = -(time_to_live // self.time_to_live_step_ms[class_index])
         mean_ms = destination.latency_mean_ms
-        self.examined_count += len(found)
-        for entry in found:
+        self.examined_count += len(selected)
+        for entry in selected:
             band = int((entry.submitted_at - mean_ms) // width)
             key = class_index, bucket.priority_weight, time_to_live, band
             index_bucket = index_buckets.get(key)
@@ -166,7 +169,7 @@
         heapq.heappush(self.top_heap, (-bucket.top_rank, next(self.sequence), bucket))
 
     def _upper_bound(self, key: IndexKey, now: float) -> float:
-        """The most that any message of an index bucket can gain until the bounds are renewed."""
+        """Returns the maximum gain of any message of an index bucket until the bounds are renewed."""
         class_index, weight, time_to_live, band = key
         width, step_ms = self.band_width_ms[class_index], self.time_to_live_step_ms[class_index]
         if time_to_live > 0:
@@ -179,7 +182,7 @@
         return weight * max_gain(message_class, self.decay, youngest, oldest, shortest - 1.0, longest + 1.0)
 
     def _renew_bounds(self, now: float) -> None:
-        """Ranks the index buckets again, since value falls with time, and forgets empty ones."""
+        """Ranks the index buckets again, since values fall with time, and removes empty ones."""
         valid_ms = max(min(self.band_width_ms) / 2, len(self.buckets) / BUCKETS_PER_MS)
         self.bounds_valid_until = now + valid_ms
         self.top_heap.clear()
@@ -193,22 +196,25 @@
 
     @staticmethod
     def _drop_stale(bucket: IndexBucket) -> bool:
-        """Drops first entries that an earlier scan found; whether a valid one is left."""
+        """Drops leading entries that are no longer valid; returns whether a valid one is left."""
         entries = bucket.entries
         while entries and (entries[0][5] != entries[0][4].scan_generation or entries[0][2].bucket is None):
             heapq.heappop(entries)
         return bool(entries)
 
     def gain(self, now: float, entry: PendingMessage, destination: DestinationState) -> float:
-        """What sending a message now wins, and saves from falling, at a slot time of 1."""
+        """Returns the gain of sending a message now, at a slot time of 1.
+
+        The gain is its value at the response, plus what of this value is lost by waiting for `LOOKAHEAD_MS`.
+        """
         at = now + destination.latency_mean_ms
         return 2 * entry.value_at(at, self.decay) - entry.value_at(at + LOOKAHEAD_MS, self.decay)
 
     def pop_best(self, now: float) -> IndexEntry | None:
-        """Takes out the entry with the highest gain per slot time.
+        """Removes and returns the entry with the highest gain per slot time.
 
         It is the exact best unless the bounds of more than `EXACT_COMPARISONS` entries lie above it. The
-        caller scans its queue again, which voids the queue's other entries.
+        caller scans its queue again, which invalidates the queue's other entries.
         """
         if now >= self.bounds_valid_until:
             self._renew_bounds(now)
@@ -237,11 +243,11 @@
 
     @staticmethod
     def _compares_more(compared: int, best_value: float) -> bool:
-        """Whether another entry is compared: entries without any gain don't use the comparisons up."""
+        """Returns whether to compare another entry: while none has any gain, more entries are compared."""
         return compared < (EXACT_COMPARISONS if best_value > 0 else MAX_COMPARISONS)
 
     def _pop_top(self, best_value: float) -> IndexBucket | None:
-        """The index bucket with the highest bound, if that lies above the best so far."""
+        """Removes and returns the index bucket with the highest bound, if that exceeds the best value."""
         while self.top_heap and -self.top_heap[0][0] > best_value:
             negative_rank, _, bucket = heapq.heappop(self.top_heap)
             if -negative_rank != bucket.top_rank:
@@ -251,7 +257,7 @@
             if not self._drop_stale(bucket):
                 self.buckets.pop(bucket.key, None)
             elif bucket.upper_bound / bucket.entries[0][0] < -negative_rank:
-                self._push_top(bucket)  # its entry with the least slot time is gone
+                self._push_top(bucket)  # its entry with the least slot time has been removed
             else:
                 return bucket
         return None
--- a/message_relay/decisions/scheduler.py
+++ b/message_relay/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""The delivery scheduler: facts and time in, actions out, without I/O.
+"""The delivery scheduler: turns events and the current time into actions, without I/O.
 
 `DeliveryScheduler.handle` is the event loop of all decisions. Each turn applies the events, ends messages
 that can no longer be delivered (`expiry`), starts attempts (`dispatch`), sheds load (`load_shedding`) and
@@ -36,11 +36,11 @@
 
 PAUSES_KEY = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the call may still run at its endpoint
 KEEPS_CONNECTION = (Outcome.OK, Outcome.ERROR, Outcome.FULL)
-WITHOUT_EVIDENCE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # of the destination's health
+WITHOUT_EVIDENCE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # of the destination's health, neither good nor bad
 
 
 class DeliveryScheduler:
-    """Decides for one relay: call `handle` with events and carry out the actions that it returns."""
+    """Schedules the deliveries of one relay: `handle` takes events and returns the actions to carry out."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -58,12 +58,12 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings now: the number of instances may change."""
+        """The current settings: the number of instances may change."""
         return self.rate_controller.settings
 
     @property
     def destinations(self) -> dict[int, dict[int, DestinationState]]:
-        """The destinations' states, by destination and route."""
+        """The states of the destinations, by destination and route."""
         return self.registry.destinations
 
     @property
@@ -73,11 +73,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Attempts that have been started and not completed."""
+        """The number of attempts in flight."""
         return self.dispatcher.in_flight
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Applies events that have happened up to `now_ms`; returns what is to be done, in this order."""
+        """Applies events that have happened up to `now_ms`; returns the actions to carry out, in order."""
         actions: list[Action] = []
         for event in events:
             self._apply(now_ms, event)
@@ -93,15 +93,15 @@
         return actions
 
     def may_write(self, now: float, message_id: int) -> bool:
-        """Whether a call's first byte may be written now: asked right before it."""
+        """Returns whether a call's first byte may be written now; called right before writing it."""
         return self.guard.may_write(now, message_id)
 
     def rejection_delay_ms(self, now: float, message: Message, pending_count: int) -> float | None:
-        """The Retry-After in milliseconds if a submission is to be rejected, else None."""
+        """Returns the Retry-After in milliseconds if a submission must be rejected, else None."""
         return self.admission.rejection_delay_ms(now, message, pending_count)
 
     def destination_snapshot(self, now: float) -> list[RestoredDestination]:
-        """What the next process should know of destinations."""
+        """Returns the states of destinations that the next process needs."""
         return self.registry.snapshot(now)
 
     def _apply(self, now: float, event: Event) -> None:
@@ -125,8 +125,8 @@
                 self.registry.resize(event)
 
     def _next_wakeup_at(self, now: float) -> float:
-        """When there is something to do without an event."""
-        has_free_slot = self.dispatcher.has_free_slot()  # else the outcome that frees a slot comes first
+        """Returns when there is work to do without an event."""
+        has_free_slot = self.dispatcher.has_free_slot()  # if there is none, the next outcome frees one
         if self.load_shedder.is_overloaded or (has_free_slot and self.pending.scans_due):
             return now
         wakeup_at = self.registry.next_poll_at
@@ -140,16 +140,16 @@
     def _accept(self, now: float, message: Message) -> None:
         entry = self.admission.accept(now, message)
         if self.rate_controller.is_large_fleet and message.age_ms is not None:
-            # Resumed: most of a fleet may start in one moment.
+            # The message is resumed: most of a fleet may restart at the same moment.
             for destination in self.destinations.get(message.destination, {}).values():
                 destination.tokens = min(destination.tokens, self.rng.random())
         self.pending.add(entry)
         self._enqueue(now, entry)
 
     def _enqueue(self, now: float, entry: PendingMessage) -> None:
-        """Puts a message into its queue, until it is sent or expires."""
+        """Adds a message to its queue, until it is sent or expires."""
         self.expiry.schedule(entry)
-        is_untried = entry.message.age_ms is not None and not entry.attempts  # left by an earlier process
+        is_untried = entry.message.age_ms is not None and not entry.attempts  # resumed without any attempt
         entry.can_be_shed = can_reject_safely(entry) and not is_untried
         entry.retry_affinity = retry_affinity(entry)
         self.pending.enqueue(entry, now)
@@ -158,7 +158,7 @@
         entry = self.pending.by_id.get(message_id)
         if entry is None:
             return
-        entry.is_cancelled = True  # one that is in flight waits for its outcome
+        entry.is_cancelled = True  # a message in flight is removed after its outcome
         if entry.in_flight_on is None:
             self.pending.remove(entry)
 
@@ -176,7 +176,7 @@
         if event.outcome in PAUSES_KEY and entry.ordering_key:
             until = now + settings.safety.key_pause_ms + settings.tick_ms
             self.pending.pause_key(entry.ordering_key, now, until)
-        # A growing and jittered backoff, which also follows any Retry-After.
+        # A growing and jittered backoff, which is also added to any Retry-After.
         backoff_ms = min(RETRY_MAX_MS, RETRY_MS * 2 ** (entry.attempts - 1)) * self.rng.uniform(0.7, 1.3)
         entry.backoff_until = now + backoff_ms
         self._observe(now, state, entry, event)
@@ -195,7 +195,7 @@
     def _observe(
         self, now: float, state: EndpointState, entry: PendingMessage, event: AttemptCompleted
     ) -> None:
-        """Updates what is known of the endpoint and its destination."""
+        """Updates the states of the endpoint and its destination."""
         if event.outcome in KEEPS_CONNECTION:
             state.idle_connections = [*state.idle_connections, now]
         else:
--- a/message_relay/decisions/send_guard.py
+++ b/message_relay/decisions/send_guard.py
@@ -1,4 +1,4 @@
-"""The checks that each send has to pass: when it is decided, and again right before its first byte."""
+"""Checks that each send has to pass: when it is scheduled, and again right before its first byte."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .model import FOREVER
 from .pending import PendingMessage
 
-SLOW_CONNECT_MS = 500.0  # a connection that takes longer is one for which the system had to retry
+SLOW_CONNECT_MS = 500.0  # if connecting takes longer, the operating system had to retry
 
 
 class SendGuard:
-    """Guards the limits of a send: attempts, draining, Retry-After, time, order, effect and key window."""
+    """Enforces the limits of a send: attempts, draining, Retry-After, time, order and idempotency."""
 
     def __init__(self, registry: EndpointRegistry) -> None:
         self.registry = registry
         self.rate_controller = registry.rate_controller
         self.pending = registry.pending
-        self.shutdown_at = FOREVER  # of this process: no call may still be in flight then
+        self.shutdown_at = FOREVER  # end of this process: no call may be in flight then
 
     def may_send(self, now: float, entry: PendingMessage, state: EndpointState) -> bool:
-        """Whether a message may be sent to an endpoint now. Every send passes here."""
+        """Returns whether a message may be sent to an endpoint now. Every send has to pass this check."""
         if entry.in_flight_on is not None or state.endpoint.id not in self.registry.endpoints:
             return False
         if now >= retry_deadline(self.rate_controller.settings, entry):
@@ -36,12 +36,12 @@
         return allows_endpoint(entry.retry_affinity, state.endpoint)
 
     def may_write(self, now: float, message_id: int) -> bool:
-        """Whether a call's first byte may be written now.
+        """Returns whether a call's first byte may be written now.
 
-        Connecting took time, in which the endpoint may have drained, its destination may have sent
-        Retry-After, or the message's time or key window may have run out. Connections that were requested in
-        an outage are established together at its end: a call on one of them is deferred once, so that it
-        is rate limited again.
+        While connecting, the endpoint may have started to drain, its destination may have sent a Retry-After,
+        or the message's deadline or idempotency window may have passed. Connections that were requested in an
+        outage are established all at once at its end: a call on one of them is deferred once, so that it is
+        rate limited again.
         """
         entry = self.pending.by_id.get(message_id)
         if entry is None or entry.in_flight_on is None or entry.is_cancelled:
--- a/message_relay/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings text, which the simulator and the configuration share, to `Settings`.
+"""Decodes the settings text, which the simulator and the configuration share, into `Settings`.
 
-The msgspec structs below are the shape of the text: an error about a missing value or a wrong type names its
-path. Unknown keys are skipped, since the platform's settings contain more than a relay needs.
+The msgspec structs below are the schema of the text: an error about a missing value or a wrong type names its
+path. Unknown keys are ignored, since the platform's settings contain more than a relay needs.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _Raw(msgspec.Struct, frozen=True, rename=lambda name: name.replace("_", "-")):
-    """A part of the text: names with hyphens."""
+    """Base class of the parts of the text, whose keys are spelled with hyphens."""
 
 
 class _Class(_Raw, frozen=True):
@@ -124,23 +124,26 @@
 
 
 def settings_from(text: bytes | str) -> Settings:
-    """Decodes the settings text. Raises SettingsError, which names the field."""
+    """Decodes the settings text. Raises a SettingsError that names the field."""
     try:
         raw: _Settings = msgspec.json.decode(text, type=_Settings, strict=False)
-        return _translated(raw)
+        return _settings_from_raw(raw)
     except (ValueError, IndexError) as error:  # msgspec's own errors are ValueErrors
         raise SettingsError(f"settings: {error}") from error
 
 
-def _translated(raw: _Settings) -> Settings:
+def _settings_from_raw(raw: _Settings) -> Settings:
     extra, limits, fields = raw.extra, raw.limits, raw.feedback.fields
-    named = {"classes": [each.name for each in raw.classes], "orgs": [org.name for org in raw.orgs]}
-    for field, names in named.items():
+    names_by_field = {
+        "classes": [message_class.name for message_class in raw.classes],
+        "orgs": [org.name for org in raw.orgs],
+    }
+    for field, names in names_by_field.items():
         if len(set(names)) < len(names):
-            raise ValueError(f"{field}: each name must be there once")
+            raise ValueError(f"{field}: each name must be unique")
     return Settings(
-        classes=tuple(_class(item) for item in raw.classes),
-        kinds=tuple(_kind(name, n, extra) for n, name in enumerate(raw.kinds)),
+        classes=tuple(_class(raw_class) for raw_class in raw.classes),
+        kinds=tuple(_kind(name, index, extra) for index, name in enumerate(raw.kinds)),
         max_concurrent_attempts=extra.call_slots,
         max_pending_messages=limits.open_cap,
         max_attempts=limits.try_limit,
@@ -158,7 +161,7 @@
         connect_timeout_ms=limits.connect_timeout_ms,
         tick_ms=raw.tick_ms,
         marks_repeats=raw.client_habits.marks_retry,
-        max_retry_after_ms=limits.max_retry_after_ms,  # given also where few clients respect it
+        max_retry_after_ms=limits.max_retry_after_ms,  # sent even if few clients respect it
         cross_zone_price=raw.prices.cross_zone,
         route_fees=tuple(extra.carriage),
         report_fields=tuple(fields),
@@ -182,10 +185,12 @@
     )
 
 
-def _kind(name: str, number: int, extra: _Extra) -> DestinationKind:
-    batches, apart = extra.per_call, extra.separate_routes
+def _kind(name: str, index: int, extra: _Extra) -> DestinationKind:
+    batches, separate = extra.per_call, extra.separate_routes
     return DestinationKind(
-        name, batches[number] if number < len(batches) else 1, apart[number] if number < len(apart) else False
+        name,
+        batches[index] if index < len(batches) else 1,
+        separate[index] if index < len(separate) else False,
     )
 
 
