--- a/message_relay/decisions/pending.py
+++ b/message_relay/decisions/pending.py
@@ -285,9 +285,9 @@
     def advance(self, now: float) -> None:
         """Makes parked messages ready and requests scans that are due."""
         while self.parked_heap and self.parked_heap[0][0] <= now:
-            at, message_id = heapq.heappop(self.parked_heap)
+            due_at, message_id = heapq.heappop(self.parked_heap)
             entry = self.by_id.get(message_id)
-            if entry is None or entry.bucket is None or entry.parked_until != at or at == NEVER:
+            if entry is None or entry.bucket is None or entry.parked_until != due_at or due_at == NEVER:
                 continue
             parked = entry.bucket.parked
             del parked[bisect_left(parked, (entry.submitted_at, message_id))]
@@ -295,8 +295,8 @@
             entry.parked_until = NEVER
             self.request_scan(entry.message.destination)
         while self.scan_heap and self.scan_heap[0][0] <= now:
-            at, destination_id = heapq.heappop(self.scan_heap)
-            if not self._is_superseded(at, destination_id):
+            due_at, destination_id = heapq.heappop(self.scan_heap)
+            if not self._is_superseded(due_at, destination_id):
                 self.scans_due[destination_id] = True
 
     def request_scan(self, destination_id: int) -> None:
--- a/message_relay/decisions/priority_index.py
+++ b/message_relay/decisions/priority_index.py
@@ -205,10 +205,12 @@
     def gain(self, now: float, entry: PendingMessage, destination: DestinationState) -> float:
         """Returns the gain of sending a message now, at a slot time of 1.
 
-        The gain is its value at the response, plus what of this value is lost by waiting for `LOOKAHEAD_MS`.
+        The gain is its value at the response, plus the value that is lost by waiting for `LOOKAHEAD_MS`.
         """
-        at = now + destination.latency_mean_ms
-        return 2 * entry.value_at(at, self.decay) - entry.value_at(at + LOOKAHEAD_MS, self.decay)
+        response_at = now + destination.latency_mean_ms
+        return 2 * entry.value_at(response_at, self.decay) - entry.value_at(
+            response_at + LOOKAHEAD_MS, self.decay
+        )
 
     def pop_best(self, now: float) -> IndexEntry | None:
         """Removes and returns the entry with the highest gain per slot time.
--- a/message_relay/decisions/rate_control.py
+++ b/message_relay/decisions/rate_control.py
@@ -30,7 +30,7 @@
 FULL_TOKEN = 1 - 1e-9  # tokens that suffice for a call: a rounding error must not delay it by a tick
 UNTHROTTLED_RATE = 0.35  # calls per second that one relay may always make, unless refused recently
 UNTHROTTLED_FLEET_RATE = 14.0  # the same for all relays together
-FAST_INCREASE = 0.5  # part of the rate added by a success that the rate delayed, if not refused recently
+FAST_INCREASE = 0.5  # part of the rate gained by a success while it is the limit, if not refused recently
 SLOW_INCREASE = 0.1  # the same while throttled
 RECOVERY_INCREASE = 0.25  # the same for a relay of a large fleet below LOW_PART: a limit may be restored
 LOW_PART = 0.75  # of a relay's equal share of the fleet's rate
@@ -80,7 +80,7 @@
         if now > destination.throttled_until:
             # Rare calls stay within a limit without throttling.
             rate = max(rate, min(UNTHROTTLED_RATE, UNTHROTTLED_FLEET_RATE / settings.relays), equal_share)
-        elif is_large_fleet:  # the rate recovers with time: the calls of one relay are too few to wait for
+        elif is_large_fleet:  # the rate recovers with time: successes of one relay are too few to wait for
             remaining = (destination.throttled_until - now) / (THROTTLE_JITTER_MAX * destination.throttle_ms)
             rate = max(rate, equal_share * (1 - remaining))
         if now < destination.warming_since + settings.safety.warm_up_ms:
@@ -97,14 +97,14 @@
         destination.tokens = min(burst, refilled)
         destination.tokens_updated_at = now
         if destination.time_slots is not None:  # its slots are its rate, also during an outage or warm-up
-            at = destination.time_slots.next_slot_at(now)
-            return at, at
+            send_at = destination.time_slots.next_slot_at(now)
+            return send_at, send_at
         if is_ejected:
             if now > destination.next_trial_at + 2 * RESCAN_MS:  # trials do not add up while slots are busy
                 destination.next_trial_at = now + 1000 / rate * self.rng.random()
             return destination.next_trial_at, destination.next_trial_at
-        at = now + max(0.0, FULL_TOKEN - destination.tokens) / rate * 1000
-        return at, at if burst == 1.0 else at - BURST / rate * 1000
+        send_at = now + max(0.0, FULL_TOKEN - destination.tokens) / rate * 1000
+        return send_at, send_at if burst == 1.0 else send_at - BURST / rate * 1000
 
     def schedule_trial(self, now: float, destination: DestinationState) -> None:
         """Schedules the next half-open trial, with jitter: trials get rarer the longer the outage lasts."""
