--- a/message_relay/decisions/model.py
+++ b/message_relay/decisions/model.py
@@ -105,7 +105,7 @@
             require(
                 self.key_window_ms > 0,
                 "classes.window_ms",
-                f"must be above 0 for the keyed class {self.name}",
+                f"of {self.name}, keyed: must be above 0",
             )
 
 
@@ -117,7 +117,7 @@
     quota_per_s: float  # messages per second over all relays
 
     def __post_init__(self) -> None:
-        require(self.quota_per_s >= 0, "orgs.quota_per_s", f"must not be negative for tenant {self.name}")
+        require(self.quota_per_s >= 0, "orgs.quota_per_s", f"of {self.name}: must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_relay/decisions/settings.py
+++ b/message_relay/decisions/settings.py
@@ -140,7 +140,7 @@
     }
     for field, names in names_by_field.items():
         if len(set(names)) < len(names):
-            raise ValueError(f"{field}: each name must be unique")
+            raise ValueError(f"{field}: each name must be there once")
     return Settings(
         classes=tuple(_class(raw_class) for raw_class in raw.classes),
         kinds=tuple(_kind(name, index, extra) for index, name in enumerate(raw.kinds)),
--- a/message_relay/gossip/settings.py
+++ b/message_relay/gossip/settings.py
@@ -33,7 +33,7 @@
         for seed in self.seeds:
             parse_address(seed, "seeds")
         if self.seeds and not self.listen:
-            raise ValueError("listen: seeds need a listen address: HOST:PORT")
+            raise ValueError("listen: seeds need a place to listen: HOST:PORT")
 
     @property
     def is_enabled(self) -> bool:
--- a/tests/gossip/test_swim.py
+++ b/tests/gossip/test_swim.py
@@ -299,7 +299,7 @@
     ("section", "message"),
     [
         ({"listen": "here"}, "listen: 'here' is not HOST:PORT"),
-        ({"seeds": ("127.0.0.1:1",)}, "listen: seeds need a listen address"),
+        ({"seeds": ("127.0.0.1:1",)}, "seeds need a place"),
         ({"listen": "127.0.0.1:0"}, "is not HOST:PORT"),
     ],
 )
