--- a/message_relay/failover/__init__.py
+++ b/message_relay/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions, decided in common: evidence, verdicts, plans and steps."""
+"""Failover between zones and regions: observations, zone health, plans, and the rules that carry them out."""
--- a/message_relay/failover/call_counter.py
+++ b/message_relay/failover/call_counter.py
@@ -1,6 +1,6 @@
-"""One relay's own calls, counted by destination and zone and reported window by window.
+"""Counts one relay's calls by destination and zone, and reports the counts of each window.
 
-No I/O: the caller closes each window and says how long it was.
+No I/O: the caller closes each window and passes its length.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class CallCounter:
-    """Counts one relay's submissions and calls until the window is closed."""
+    """Counts the submissions and calls of one relay in the current window."""
 
     def __init__(self, relay: str, nonce: int, zone: str) -> None:
         self.relay = relay
@@ -55,8 +55,9 @@
         self.counts: dict[Target, CallCounts] = {}
         self.sketches: dict[Target, Counter[int]] = {}
         self.submitted: Counter[tuple[int, str]] = Counter()  # by destination and group
-        # Failed calls in a row, and windows since the latest one. Guards against targets that the relay
-        # avoids by itself: they have no calls, and would look as if nothing were known of them.
+        # Maps each target to (consecutive failed calls, windows since the latest of them). Guards against
+        # losing sight of targets that the relay avoids by its own decision: without calls they would look
+        # as if nothing were known about them.
         self.failure_runs: dict[Target, tuple[int, int]] = {}
 
     def record_submission(self, destination: int, group: str = "") -> None:
@@ -64,7 +65,7 @@
         self.submitted[destination, group] += 1
 
     def record_outcome(self, destination: int, zone: str, outcome: Outcome, latency_ms: float) -> None:
-        """Counts a finished call by its outcome, unless that tells nothing of the destination."""
+        """Counts a finished call by its outcome; ignores outcomes that say nothing about the destination."""
         if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
         succeeded = outcome is Outcome.OK
@@ -80,7 +81,7 @@
         overloaded: bool,
         latency_ms: float,
     ) -> None:
-        """Counts a finished call. `overloaded`: rejected with a Retry-After, which proves no effect."""
+        """Counts a finished call. `overloaded` means rejected with a Retry-After, which proves no effect."""
         target = destination, zone
         counts = self.counts.setdefault(target, CallCounts())
         counts.calls += 1
@@ -98,10 +99,10 @@
         self.failure_runs[target] = failures + 1, 0
 
     def close_window(self, seconds: float, load: float) -> list[ObservationReport]:
-        """Reports of the window that ends now and lasted so long; the next one begins.
+        """Returns the reports of the window that ends now after `seconds`, and starts the next window.
 
-        There is always a report, since no demand is information too. `load`: pending messages as a share of
-        the most.
+        There is always at least one report, since the absence of demand is information too. `load` is the
+        number of pending messages as a share of the maximum.
         """
         self.window += 1
         ranked = sorted(self.counts, key=lambda target: (-self.counts[target].calls, target))
@@ -131,21 +132,21 @@
         )
 
     def _avoided_samples(self) -> list[WindowSample]:
-        """Targets not called in this window despite demand, since calls had failed there."""
+        """Samples of targets that had demand but no calls in this window, because earlier calls failed."""
         demanded = {destination for destination, _ in self.submitted}
         demanded |= {destination for destination, _ in self.counts}
-        found = []
+        samples = []
         for target, (failures, windows) in list(self.failure_runs.items()):
             if windows >= RETAINED_WINDOWS:
-                del self.failure_runs[target]  # by now the relay tries it again
+                del self.failure_runs[target]  # the relay has resumed trial calls by then
                 continue
             self.failure_runs[target] = failures, windows + 1
             if target not in self.counts and target[0] in demanded:
-                found.append(WindowSample(*target, avoided_after=failures))
-        return found[:MAX_SAMPLES]
+                samples.append(WindowSample(*target, avoided_after=failures))
+        return samples[:MAX_SAMPLES]
 
     def _remaining_samples(self, targets: Iterable[Target]) -> list[WindowSample]:
-        """The least called targets, summed up by zone."""
+        """Samples of the targets with the fewest calls, summed up by zone."""
         sums: dict[str, CallCounts] = {}
         for destination, zone in targets:
             sums.setdefault(zone, CallCounts()).add(self.counts[destination, zone])
@@ -159,7 +160,7 @@
 
 
 def _fitting_parts(items: list[Demand | WindowSample]) -> list[list[Demand | WindowSample]]:
-    """Splits a report so that each part fits into a datagram; one empty part where there are no items."""
+    """Splits a report into parts that fit into a datagram; without items there is one empty part."""
     parts: list[list[Demand | WindowSample]] = [[]]
     size = 0
     for item in items:
--- a/message_relay/failover/controller.py
+++ b/message_relay/failover/controller.py
@@ -1,16 +1,16 @@
-"""Failover controller: from observations to the next plan, and whether it is worth a version of the rules.
+"""Failover controller: computes the next plan from observations and decides whether it needs a new version.
 
-No I/O; the clock is passed in, in seconds. The leader of the replicated log controls; all voters receive the
-observations. A controller that takes over starts from the plan in force: what was avoided stays avoided, and
-a recovery ramp continues from its step (`ZoneHealthJudge.resume`).
+No I/O; the clock is passed in, in seconds. The controller runs on the leader of the replicated log; all
+voters receive the observations. A new leader starts from the plan in force: avoided pairs stay avoided, and a
+recovery ramp continues from its step (`ZoneHealthJudge.resume`).
 
 A plan is expressed as rules (consensus/rules.py): a bound for the flow from zone to zone, and the share of
 each zone's relays that should use each zone now. Invariants, whatever was observed:
 
-- the flow into a zone from all others together fits into its capacity beside its own relays' traffic;
-- a zone that recovers from an outage gets what it can take while warming up;
-- `spare` of each zone's capacity is given to no plan: relays that are cut off go on with that. Each version
-  allows it, so that no version has to wait for them.
+- the total flow into a zone from all other zones fits into its capacity beside its own relays' traffic;
+- a zone that recovers from an outage gets no more than it can serve while warming up;
+- the share `spare` of each zone's capacity is not available to plans: it is reserved for relays that are cut
+  off. Each version allows its use, so that no version has to wait for those relays.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 from .settings import FailoverSettings
 from .zone_health import RECOVERY_RAMP, HealthState, ZoneHealth, ZoneHealthJudge
 
-MIN_PLAN_INTERVAL_S = 1.0  # between two versions: a plan is acted on before the next judgement
-SHARED_LOSS_SHARE = 0.5  # of the judged destinations: beyond it a zone counts as lost to all of them
-MIN_JUDGED_DESTINATIONS = 3  # judged destinations at the least, before they speak for a zone
-MAX_DESTINATIONS = 5000  # judged at once: as many as a set of rules names
-FORGET_DESTINATION_S = 120.0  # a destination without observations for so long is judged no more
+MIN_PLAN_INTERVAL_S = 1.0  # between two versions: a plan takes effect before health is judged again
+SHARED_LOSS_SHARE = 0.5  # of the judged destinations; above it a pair counts as lost for all destinations
+MIN_JUDGED_DESTINATIONS = 3  # minimum of judged destinations before SHARED_LOSS_SHARE applies
+MAX_DESTINATIONS = 5000  # judged at the same time: the number that one set of rules can name
+FORGET_DESTINATION_S = 120.0  # the judgement of a destination without observations is dropped after this time
 
 
 @dataclass
 class PlanExplanation:
-    """Why a destination has the plan that it has: for `zone plan --explain`."""
+    """Explains the plan of a destination, for `zone plan --explain`."""
 
     method: str
     flows: dict[Route, float]
@@ -64,12 +64,12 @@
 
 @dataclass
 class FailoverController:
-    """Judges zones and plans traffic between them, while its instance leads the log."""
+    """Judges the health of zones and plans the traffic between them while its instance is the leader."""
 
     settings: FailoverSettings
     observations: Observations
     solver: Solver | None
-    clock: Callable[[], float]  # of the planner's budget
+    clock: Callable[[], float]  # measures the planner's time budget
     judges: dict[int, ZoneHealthJudge] = field(default_factory=dict)
     last_observed: dict[int, float] = field(default_factory=dict)
     explanations: dict[int, PlanExplanation] = field(default_factory=dict)
@@ -78,17 +78,17 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """All zones of the settings, in order."""
+        """Names of all configured zones, sorted."""
         return tuple(sorted(self.settings.zones))
 
     def reset(self) -> None:
-        """Forgets all judgements: another instance controls, and these would be too old once it stops."""
+        """Drops all judgements: another instance leads, and they would be outdated when it fails."""
         self.judges.clear()
         self.last_observed.clear()
         self.resumed = False
 
     def update(self, now: float, rules: Rules, capacities: Capacities) -> dict[int, PlanningProblem]:
-        """Judges by the observations until now; the problems to solve with `compute_plans`."""
+        """Updates zone health from the observations; returns the problems to pass to `compute_plans`."""
         self.observations.drop_expired(now)
         if not self.resumed:
             self._resume(now, rules)
@@ -96,7 +96,7 @@
         return self.problems(now, capacities, rules.policies.evacuated)
 
     def compute_plans(self, problems: dict[int, PlanningProblem]) -> dict[int, Plan]:
-        """Plans within the time budget. Touches no state that changes, so it may run in a thread."""
+        """Computes plans within the time budget. Uses no mutable state, so that it may run in a thread."""
         return plan_all(problems, self.solver, self.settings.budget_ms / 1000, self.clock)
 
     def next_rules(
@@ -106,12 +106,15 @@
         capacities: Capacities,
         relays: dict[str, list[str]],
         problems: dict[int, PlanningProblem],
-        found: dict[int, Plan],
+        plans: dict[int, Plan],
     ) -> Rules | None:
-        """The rules with the next plan; None where the plan in force suffices. `relays`: names by zone."""
+        """Returns the rules with the next plan, or None if the plan in force suffices.
+
+        `relays` maps each zone to the names of its relays.
+        """
         flows: dict[str, FlowRule] = {}
-        for destination in sorted({*capacities, *found}):
-            flow = self._flow(destination, found.get(destination), problems, capacities, relays)
+        for destination in sorted({*capacities, *plans}):
+            flow = self._flow(destination, plans.get(destination), problems, capacities, relays)
             if flow is not None:
                 flows[str(destination)] = flow
         counts = {
@@ -131,7 +134,7 @@
         capacities: Capacities,
         relays: dict[str, list[str]],
     ) -> FlowRule | None:
-        """What the rules say of a destination, and why; None: nothing."""
+        """Returns the flow rule of a destination, or None, and records its explanation."""
         spare = spare_flows(self.settings, capacities.get(destination, {}))
         if plan is None:
             self.explanations.pop(destination, None)
@@ -146,7 +149,7 @@
     # -- judgements ------------------------------------------------------------------------------------------
 
     def _resume(self, now: float, rules: Rules) -> None:
-        """Continues from the plan in force."""
+        """Restores zone health from the plan in force."""
         self.resumed = True
         for name, flow in rules.flows.items():
             if name.isdecimal() and flow.share:
@@ -164,8 +167,8 @@
     def _judge(self, now: float) -> None:
         series = self.observations.series(now)
         for destination in sorted(series):
-            has_place = destination in self.judges or len(self.judges) < MAX_DESTINATIONS
-            if destination != OTHER_DESTINATIONS and has_place:
+            has_capacity = destination in self.judges or len(self.judges) < MAX_DESTINATIONS
+            if destination != OTHER_DESTINATIONS and has_capacity:
                 self._judge_of(destination, now)
         shared_recovery = self._shared_recovery(now, series)
         for destination, judge in list(self.judges.items()):
@@ -175,22 +178,22 @@
                 del self.last_observed[destination]
 
     def _shared_recovery(self, now: float, series: dict[int, ZoneSeries]) -> ZoneMatrix:
-        """Recent observations of pairs that most destinations lost, over those where the pair recovers."""
-        found: dict[ZonePair, list[Aggregate]] = {
+        """Sums recent observations of pairs that most destinations lost, where they now recover."""
+        aggregates: dict[ZonePair, list[Aggregate]] = {
             pair: [] for pair in self._pairs_of_most(lambda health: health.recently_lost)
         }
         for destination, judge in self.judges.items():
             for pair, health in judge.pairs.items():
-                if pair in found and health.recently_lost and health.state is not HealthState.LOST:
-                    found[pair].append(judge.recent(now, pair, series.get(destination, {})))
-        return {pair: summed(row) for pair, row in found.items()}
+                if pair in aggregates and health.recently_lost and health.state is not HealthState.LOST:
+                    aggregates[pair].append(judge.recent(now, pair, series.get(destination, {})))
+        return {pair: summed(row) for pair, row in aggregates.items()}
 
     def pairs_lost_by_most(self) -> set[ZonePair]:
-        """Pairs that most of the destinations which use them have lost: the others need not find out."""
+        """Pairs lost by most destinations that use them; the others need not detect the loss again."""
         return self._pairs_of_most(lambda health: health.state is HealthState.LOST)
 
     def _pairs_of_most(self, predicate: Callable[[ZoneHealth], bool]) -> set[ZonePair]:
-        """Pairs of which the predicate holds for most of the judged destinations, if enough are judged."""
+        """Pairs for which the predicate holds at most judged destinations, if enough of them are judged."""
         judged: Counter[ZonePair] = Counter()
         matching: Counter[ZonePair] = Counter()
         for judge in self.judges.values():
@@ -206,29 +209,30 @@
     def shares(
         self, destination: int, evacuated: Iterable[str], lost_by_most: set[ZonePair]
     ) -> dict[ZonePair, float]:
-        """By pair: the share of the source's relays that may use the target.
+        """Maps each pair to the share of the source zone's relays that may use the target zone.
 
-        `lost_by_most`: see `pairs_lost_by_most`; it counts for destinations without a judgement of their own.
+        `lost_by_most` comes from `pairs_lost_by_most` and applies to destinations without a judgement of
+        their own.
         """
         judge = self.judges.get(destination)
-        found: dict[ZonePair, float] = {}
+        share_by_pair: dict[ZonePair, float] = {}
         for source in self.zones:
             for target in self.zones:
                 pair = source, target
                 if target in evacuated:
-                    found[pair] = 0.0
+                    share_by_pair[pair] = 0.0
                 elif judge is None:
-                    found[pair] = 0.0 if pair in lost_by_most else 1.0
+                    share_by_pair[pair] = 0.0 if pair in lost_by_most else 1.0
                 else:
-                    found[pair] = judge.health(pair).share
-        return found
+                    share_by_pair[pair] = judge.health(pair).share
+        return share_by_pair
 
     # -- problems for the planner ----------------------------------------------------------------------------
 
     def problems(
         self, now: float, capacities: Capacities, evacuated: Iterable[str] = ()
     ) -> dict[int, PlanningProblem]:
-        """Of each destination whose traffic can't all stay in its own zone."""
+        """Planning problems of the destinations whose traffic can't all stay within its zone."""
         demand = self.observations.demand(now)
         lost_by_most = self.pairs_lost_by_most()
         prices = {
@@ -236,15 +240,17 @@
             for source in self.zones
             for target in self.zones
         }
-        found: dict[int, PlanningProblem] = {}
+        problem_by_destination: dict[int, PlanningProblem] = {}
         for destination, sources in demand.items():
             shares = self.shares(destination, evacuated, lost_by_most)
             capacity = capacities.get(destination, {})
             all_usable = all(share >= 1.0 for share in shares.values())
             if all_usable and not _exceeds_local_capacity(sources, capacity):
                 continue
-            found[destination] = self._problem(destination, sources, shares, capacity, prices)
-        return found
+            problem_by_destination[destination] = self._problem(
+                destination, sources, shares, capacity, prices
+            )
+        return problem_by_destination
 
     def _problem(
         self,
@@ -269,7 +275,7 @@
         )
 
     def _usable_capacity(self, judge: ZoneHealthJudge | None, zone: str, capacity: float) -> float:
-        """Capacity without the spare part; of a zone that was down, what it can take while warming up."""
+        """Capacity less the spare share; reduced for a zone that was down and is warming up."""
         capacity *= 1.0 - self.settings.spare
         if judge is None or not judge.is_down(zone):
             return capacity
@@ -277,7 +283,7 @@
         return capacity * RECOVERY_RAMP[max(steps, default=0)]
 
     def _group(self, name: str) -> TrafficGroup:
-        """The planner's group for a name made by `FailoverSettings.group`."""
+        """Returns the planner's group for a name made by `FailoverSettings.group_name`."""
         stay, _, weight = name.partition(" ")
         if stay == "anywhere":
             return TrafficGroup(name, float(weight or 1.0), None)
@@ -292,7 +298,7 @@
 
 
 def _exceeds_local_capacity(sources: dict[tuple[str, str], float], capacity: dict[str, float]) -> bool:
-    """Whether the relays of some zone have more demand than its endpoints can take."""
+    """Whether the demand in some zone is above the capacity of its own endpoints."""
     demand: dict[str, float] = {}
     for (zone, _), rate in sources.items():
         demand[zone] = demand.get(zone, 0.0) + rate
--- a/message_relay/failover/greedy_planner.py
+++ b/message_relay/failover/greedy_planner.py
@@ -1,7 +1,8 @@
-"""A plan near the best in a time that does not depend on the numbers. No I/O.
+"""Greedy planner: finds a near-optimal plan in a time that does not depend on the rates. No I/O.
 
-Routes get their rates in order of score: sources and targets of one score share alike. Demand that is left
-without capacity then replaces a flow that can use another target, or one of less value (one exchange deep).
+Routes get their rates in order of score; routes of equal score share demand and capacity in proportion.
+Demand without capacity then replaces a flow that can use another target, or a flow of less value (one
+exchange deep).
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
     TrafficGroup,
 )
 
-MAX_SHARING_ROUNDS = 60  # each exhausts a source or a target, up to rounding
-SCORE_DIGITS = 9  # scores are equal if they agree to so many decimals
-SHED = ""  # in place of a target: a flow that is given up
+MAX_SHARING_ROUNDS = 60  # each round exhausts a source or a target, up to rounding
+SCORE_DIGITS = 9  # scores that agree to this many decimals are equal
+SHED = ""  # stands for the target of a flow that is shed
 
 
 def plan_greedily(problem: PlanningProblem) -> Plan:
@@ -29,7 +30,7 @@
 
 
 class _GreedyPlanner:
-    """Remaining demand and capacity, and the flows that are planned so far."""
+    """Holds the remaining demand and capacity, and the flows planned so far."""
 
     def __init__(self, problem: PlanningProblem) -> None:
         self.problem = problem
@@ -40,7 +41,7 @@
 
     def plan(self) -> Plan:
         for routes in _routes_by_score(self.problem):
-            # Most demand is met locally before the costlier routes: only what is left is considered.
+            # Local routes meet most of the demand before the costlier ones: only remaining demand counts.
             limits = {
                 route: min(limit, self._remaining_limit(route))
                 for route, limit in routes.items()
@@ -69,29 +70,31 @@
         Repeated until a source, a target or the limit is exhausted on each route, so that the names of zones
         have no influence.
         """
-        left = {route: limit for route, limit in limits.items() if route[:2] in self.demand}
+        remaining = {route: limit for route, limit in limits.items() if route[:2] in self.demand}
         for _ in range(MAX_SHARING_ROUNDS):
             open_routes = [
-                route for route, limit in left.items() if limit > NEGLIGIBLE_RATE and self._is_open(route)
+                route
+                for route, limit in remaining.items()
+                if limit > NEGLIGIBLE_RATE and self._is_open(route)
             ]
             if not open_routes:
                 return
-            self._assign(self._requested_rates(open_routes, left), left)
+            self._assign(self._requested_rates(open_routes, remaining), remaining)
 
-    def _assign(self, requested: dict[Route, float], left: dict[Route, float]) -> None:
+    def _assign(self, requested: dict[Route, float], remaining: dict[Route, float]) -> None:
         """Give each route its request, reduced where all requests exceed the target's capacity."""
-        into: dict[str, float] = {}
+        requested_into: dict[str, float] = {}
         for route, rate in requested.items():
-            into[route[2]] = into.get(route[2], 0.0) + rate
+            requested_into[route[2]] = requested_into.get(route[2], 0.0) + rate
         for route, rate in requested.items():
-            given = rate * min(1.0, self.capacity[route[2]] / into[route[2]])
-            self.flows[route] = self.flows.get(route, 0.0) + given
-            self.demand[route[:2]] -= given
-            left[route] -= given
-        for target, rate in into.items():
+            assigned = rate * min(1.0, self.capacity[route[2]] / requested_into[route[2]])
+            self.flows[route] = self.flows.get(route, 0.0) + assigned
+            self.demand[route[:2]] -= assigned
+            remaining[route] -= assigned
+        for target, rate in requested_into.items():
             self.capacity[target] -= min(rate, self.capacity[target])
 
-    def _requested_rates(self, routes: list[Route], left: dict[Route, float]) -> dict[Route, float]:
+    def _requested_rates(self, routes: list[Route], remaining: dict[Route, float]) -> dict[Route, float]:
         """Split the demand of each source over its routes, in proportion to the targets' capacity."""
         by_source: dict[DemandKey, list[Route]] = {}
         for route in routes:
@@ -104,13 +107,13 @@
             }
             total = sum(weights.values())
             for route, weight in weights.items():
-                requested[route] = min(left[route], self.demand[source] * weight / total)
+                requested[route] = min(remaining[route], self.demand[source] * weight / total)
         return requested
 
     # -- exchange --------------------------------------------------------------------------------------------
 
     def _exchange(self) -> None:
-        """Let demand without capacity replace flows that have it elsewhere, or that are of less value."""
+        """Let demand without capacity replace flows that can use another target or are of less value."""
         if all(rate <= NEGLIGIBLE_RATE for rate in self.demand.values()):
             return
         by_value = sorted(
@@ -131,7 +134,7 @@
                 self._replace_flow(route, rival, other)
 
     def _replace_flow(self, route: Route, rival: Route, other: str) -> None:
-        """Give a route the rate of a rival, which moves to another target or is shed, if that is a gain."""
+        """Give a route the rate of a rival, which moves elsewhere or is shed, if that raises the score."""
         detour = (*rival[:2], other)
         detour_score = self._score(detour) if other else 0.0
         gain = self._score(route) - self._score(rival) + detour_score
@@ -152,11 +155,11 @@
 
 
 def _routes_by_score(problem: PlanningProblem) -> list[dict[Route, float]]:
-    """Return the routes of equal score together, best first, each with its limit at that score.
+    """Return groups of routes with equal score, best first, each route with its limit at that score.
 
-    What the previous plan sent on a route has a slightly higher score.
+    The rate that the previous plan sent on a route has a slightly higher score.
     """
-    found: dict[float, dict[Route, float]] = {}
+    routes_by_score: dict[float, dict[Route, float]] = {}
     usable = _usable_targets(problem)
     for group in problem.groups:
         for source in problem.zones:
@@ -170,13 +173,13 @@
                 previous = problem.previous_flows.get(route, 0.0)
                 if previous > NEGLIGIBLE_RATE:
                     bonus_score = round(score * (1 + STABILITY_BONUS), SCORE_DIGITS)
-                    found.setdefault(bonus_score, {})[route] = previous
-                found.setdefault(round(score, SCORE_DIGITS), {})[route] = math.inf
-    return [routes for _, routes in sorted(found.items(), key=lambda item: -item[0])]
+                    routes_by_score.setdefault(bonus_score, {})[route] = previous
+                routes_by_score.setdefault(round(score, SCORE_DIGITS), {})[route] = math.inf
+    return [routes for _, routes in sorted(routes_by_score.items(), key=lambda item: -item[0])]
 
 
 def _usable_targets(problem: PlanningProblem) -> dict[str, list[tuple[str, float]]]:
-    """Return each source's targets and scores, which are the same for all groups but for their weight."""
+    """Return each source's targets and scores; those of a group are these times the group's weight."""
     plain = TrafficGroup("")
     targets: dict[str, list[tuple[str, float]]] = {}
     for source in problem.zones:
--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -1,4 +1,4 @@
-"""One instance's part in failover: it reports its observations, and controls while it leads the log."""
+"""Failover on one instance: reports its observations, and runs the controller while it is the leader."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 log = logging.getLogger(__name__)
 
-OBSERVATIONS_KIND = "evidence"  # of datagrams
-FORWARDED_REPORTS = 16  # forwarded to each other voter in a window: some reports reach only one of them
-WINDOW_JITTER = 0.95, 1.05  # of a window's length: the leader would get all reports in one moment
+OBSERVATIONS_KIND = "evidence"  # kind of the datagrams
+FORWARDED_REPORTS = 16  # per window, to each other voter: some reports reach only one voter
+WINDOW_JITTER = 0.95, 1.05  # factor of a window's length; without it the leader would get all reports at once
 
 
 def load_solver() -> Solver | None:
-    """The linear solver; None without the extra `failover`: all plans are greedy then."""
+    """Returns the linear solver; None without the extra `failover`, when all plans are greedy."""
     try:
         from .solver import solve
     except ImportError as error:
@@ -45,7 +45,7 @@
 
 
 class Failover:
-    """Counts this relay's calls, sends them to the voters, and proposes plans while it leads.
+    """Counts this relay's calls, reports them to the voters, and proposes plans while it is the leader.
 
     Does nothing before `start`.
     """
@@ -63,7 +63,7 @@
         self.controller = FailoverController(settings, self.observations, load_solver(), time.perf_counter)
         self.window_began = 0.0
         self.refusal = ""  # why the latest proposal was refused
-        self.logged_rejections = 0  # rejected reports at the latest log line
+        self.logged_rejections = 0  # number of rejected reports at the latest log line
         self.tasks = BackgroundTasks()
         gossip.datagram_handlers[OBSERVATIONS_KIND] = self._on_report
         consensus.call_observer = self
@@ -72,7 +72,7 @@
         )
 
     def start(self) -> None:
-        """Begins the first window."""
+        """Starts the first window."""
         self.window_began = self._now()
         self.tasks.start(self._run_windows())
 
@@ -82,7 +82,7 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this instance leads the log, and so controls."""
+        """Whether this instance is the leader of the replicated log, and so runs the controller."""
         log_ = self.consensus.replicated_log
         return log_ is not None and log_.is_leader
 
@@ -108,7 +108,7 @@
                 else:
                     self.controller.reset()
             except Exception:
-                log.exception("observation window failed")  # and the next one comes
+                log.exception("observation window failed")  # the next window is not affected
 
     def _send_reports(self) -> None:
         now = self._now()
@@ -140,7 +140,7 @@
         if report.zone in self.settings.zones and math.isfinite(report.age_s):
             self.observations.add(self._now(), report)
         rejected = self.observations.rejected_reports
-        if rejected > 2 * self.logged_rejections:  # the first, third, seventh ...: more may come
+        if rejected > 2 * self.logged_rejections:  # logs the 1st, 3rd, 7th ... to bound the log lines
             self.logged_rejections = rejected
             log.warning(
                 LogEvent(
@@ -154,20 +154,21 @@
     # -- controlling -----------------------------------------------------------------------------------------
 
     def capacities(self) -> Capacities:
-        """What each zone's endpoints may take for a destination, by the endpoint list and the agreed rules.
+        """Capacity of each destination by zone, from the endpoint list and the agreed rules.
 
-        The list has one rate for all endpoints of a destination; a zone gets its part by their number.
+        The list has one rate for all endpoints of a destination; each zone gets a share in proportion to its
+        number of ready endpoints.
         """
         counts, rates = self._listed_endpoints()
-        found: Capacities = {}
+        by_destination: Capacities = {}
         for destination, by_zone in counts.items():
             rate = self._agreed_rate(destination, rates.get(destination, math.inf))
             total = sum(by_zone.values())
-            found[destination] = {zone: rate * count / total for zone, count in by_zone.items()}
-        return found
+            by_destination[destination] = {zone: rate * count / total for zone, count in by_zone.items()}
+        return by_destination
 
     def _listed_endpoints(self) -> tuple[dict[int, dict[str, int]], dict[int, float]]:
-        """By destination: ready endpoints by zone, and the listed rate where there is one."""
+        """Maps each destination to its ready endpoints by zone, and to its listed rate if it has one."""
         counts: dict[int, dict[str, int]] = {}
         rates: dict[int, float] = {}
         zones = self.relay.directory.zones
@@ -186,23 +187,23 @@
         return listed if agreed is None else min(agreed, listed)
 
     def relays(self) -> dict[str, list[str]]:
-        """Names of the relays that are present, by zone."""
-        found: dict[str, list[str]] = {}
+        """Names of the present relays, by zone."""
+        names_by_zone: dict[str, list[str]] = {}
         for claim in self.gossip.swim.present_members():
-            found.setdefault(claim.zone, []).append(claim.name)
-        return found
+            names_by_zone.setdefault(claim.zone, []).append(claim.name)
+        return names_by_zone
 
     async def _propose_plan(self) -> None:
         now = self._now()
         capacities = self.capacities()
         newest = self.consensus.history.newest
         problems = self.controller.update(now, newest.decoded_rules, capacities)
-        found = {}
+        plans = {}
         if problems:
             loop = asyncio.get_running_loop()
-            found = await loop.run_in_executor(None, self.controller.compute_plans, problems)
+            plans = await loop.run_in_executor(None, self.controller.compute_plans, problems)
         rules = self.controller.next_rules(
-            now, newest.decoded_rules, capacities, self.relays(), problems, found
+            now, newest.decoded_rules, capacities, self.relays(), problems, plans
         )
         if rules is None:
             return
@@ -210,14 +211,14 @@
         self.refusal = await self.consensus.propose_plan(rules, newest.number, cause)
         log.info(
             LogEvent(
-                "failover plan proposed", base=newest.number, destinations=len(found), refused=self.refusal
+                "failover plan proposed", base=newest.number, destinations=len(plans), refused=self.refusal
             )
         )
 
     # -- for operators ---------------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """Answer of `zone status`."""
+        """Answers `zone status`."""
         now = self._now()
         rules = self.consensus.newest_rules()
         reporting = self.observations.relays(now).values()
@@ -232,18 +233,18 @@
             "plans": views.plan_explanations(self.controller),
         }
 
-    def plan(self, question: AdminRequest) -> dict[str, Any]:
-        """Answer of `zone plan`: the plan if a zone were evacuated, by this instance's observations.
+    def plan(self, request: AdminRequest) -> dict[str, Any]:
+        """Answers `zone plan`: the plan if a zone were evacuated, by this instance's observations.
 
         Raises RulesError for an unknown zone, or where this instance has no observations.
         """
-        if question.name and question.name not in self.settings.zones:
-            raise RulesError(f"zone: {question.name!r} is none of {', '.join(self.controller.zones)}")
+        if request.name and request.name not in self.settings.zones:
+            raise RulesError(f"zone: {request.name!r} is none of {', '.join(self.controller.zones)}")
         if self.consensus.replicated_log is None:
-            raise RulesError("plan: ask an instance that votes: the others hear no evidence")
+            raise RulesError("plan: ask a voter: other instances receive no observations")
         evacuated = set(self.consensus.newest_rules().policies.evacuated)
-        if question.name:
-            evacuated.add(question.name)
+        if request.name:
+            evacuated.add(request.name)
         problems = self.controller.problems(self._now(), self.capacities(), evacuated)
-        found = self.controller.compute_plans(problems)
-        return {"without": sorted(evacuated), "plans": views.plan_rows(problems, found)}
+        plans = self.controller.compute_plans(problems)
+        return {"without": sorted(evacuated), "plans": views.plan_rows(problems, plans)}
--- a/message_relay/failover/observations.py
+++ b/message_relay/failover/observations.py
@@ -1,12 +1,13 @@
-"""Observations: what relays saw of zones, merged from their reports.
+"""Observations: the call counts of all relays by zone, merged from their reports.
 
 No I/O; the clock is passed in, in seconds. Each relay counts its own calls by destination and zone in windows
 and sends each window as a report. Reports are identified by relay, process and window, and merging is
-commutative, associative and idempotent (a join semilattice): the union of both, of two reports with one name
-the greater, of two ages the younger. All sums are sums of calls, so that a relay weighs no more than what it
-did. A report carries its age: one older than `RETAINED_WINDOWS` windows does not count.
+commutative, associative and idempotent (a join semilattice): the union of both sets, with the greater of two
+reports under one name and the lower of two ages. All sums are sums of calls, so that a relay has no more
+weight than its calls. A report carries its age; reports older than `RETAINED_WINDOWS` windows do not count.
 
-"Is the zone down, or am I cut off" is answered by a matrix: what relays in each zone saw of each zone.
+A matrix of what the relays in each zone observe of each zone distinguishes a zone that is down from relays
+that are cut off.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 
 from ..gossip.settings import INSTANCES_MAX
 
-WINDOW_S = 1.0  # of a relay's counts, unless the settings say otherwise
+WINDOW_S = 1.0  # default length of a window
 RETAINED_WINDOWS = 10  # windows that count
-MAX_SAMPLES = 200  # of one report: 1,000 destinations change together, so the most called ones suffice
-MAX_REPORTING_RELAYS = INSTANCES_MAX  # as many as gossip knows
+MAX_SAMPLES = 200  # of one report: 1,000 destinations change together, so those with the most calls suffice
+MAX_REPORTING_RELAYS = INSTANCES_MAX  # the maximum of members in gossip
 MAX_REPORTS = (
     MAX_REPORTING_RELAYS * RETAINED_WINDOWS
-)  # parts retained at once: one a window of each relay; a few have more
+)  # parts retained at the same time: one per window and relay; a few relays have more
 LATENCY_BUCKETS = 32  # of a sketch: steps of the square root of 2 from 1 ms to 46 s, a fifth off at most
 MAX_REPORT_BYTES = 900  # of one part, so that it fits into one datagram
 MAX_PARTS = 64  # of one window
-OTHER_DESTINATIONS = -1  # the destination under which calls without a sample of their own are summed up
+OTHER_DESTINATIONS = -1  # the destination number of the sum of all calls without a sample of their own
 
 ZonePair = tuple[str, str]  # from zone, to zone
 ReportName = tuple[str, int, int, int]  # relay, process, window, part
@@ -40,12 +41,12 @@
 
 
 def latency_bucket(latency_ms: float) -> int:
-    """Bucket of the latency sketch that a call belongs to."""
+    """Returns the bucket of the latency sketch for a call."""
     return min(LATENCY_BUCKETS - 1, max(0, round(2 * math.log2(max(1.0, latency_ms)))))
 
 
 class WindowSample(msgspec.Struct, frozen=True, array_like=True):
-    """One relay's calls to one destination in one zone that ended in one window.
+    """Counts of one relay's calls to one destination in one zone that ended in one window.
 
     Raises ValueError where the counts do not add up.
     """
@@ -54,10 +55,10 @@
     zone: str  # of the endpoints
     calls: int = 0
     succeeded: int = 0
-    proven_no_effect: int = 0  # failed, with proof that nothing was done
-    overloaded: int = 0  # of those: rejected by a destination that is overloaded
+    proven_no_effect: int = 0  # failed, with proof that the call had no effect
+    overloaded: int = 0  # of those, rejected because the destination is overloaded
     latency_sketch: tuple[tuple[int, int], ...] = ()  # bucket and count, of successful calls
-    avoided_after: int = 0  # not called despite demand, after so many failures in a row
+    avoided_after: int = 0  # number of consecutive failures after which it is not called despite demand
 
     def __post_init__(self) -> None:
         if not 0 <= self.overloaded <= self.proven_no_effect <= self.calls - self.succeeded <= self.calls:
@@ -65,19 +66,21 @@
         if any(not 0 <= at < LATENCY_BUCKETS or n < 0 for at, n in self.latency_sketch):
             raise ValueError(f"sample of {self.destination}: sketch: buckets 0 to {LATENCY_BUCKETS - 1}")
         if self.avoided_after < 0 or (self.avoided_after and self.calls):
-            raise ValueError(f"sample of {self.destination}: shunned: what was called was not shunned")
+            raise ValueError(
+                f"sample of {self.destination}: avoided_after: a target with calls is not avoided"
+            )
 
 
 class Demand(msgspec.Struct, frozen=True, array_like=True):
     """Messages submitted at one relay for one destination."""
 
     destination: int
-    group: str  # of classes that a plan treats alike
-    rate: float  # a second
+    group: str  # traffic group: message classes that a plan treats alike
+    rate: float  # per second
 
 
 class ObservationReport(msgspec.Struct, frozen=True, array_like=True):
-    """One relay's window, or a part of it that fits into a datagram."""
+    """Report of one relay's window, or a part of it that fits into a datagram."""
 
     relay: str
     nonce: int  # of the process
@@ -85,13 +88,13 @@
     part: int
     zone: str
     age_s: float  # since the window's end, at the time of sending
-    load: float  # pending messages, as a share of the most
+    load: float  # pending messages as a share of the maximum
     demand: tuple[Demand, ...] = ()
     samples: tuple[WindowSample, ...] = ()
 
     @property
     def name(self) -> ReportName:
-        """What identifies it among all reports."""
+        """Key that identifies the report among all reports."""
         return self.relay, self.nonce, self.window, self.part
 
 
@@ -104,9 +107,7 @@
     proven_no_effect: int = 0
     overloaded: int = 0
     relays: set[str] = field(default_factory=set)
-    avoiding_relays: dict[str, int] = field(
-        default_factory=dict
-    )  # relays, and how many calls had failed them
+    avoiding_relays: dict[str, int] = field(default_factory=dict)  # relay -> its number of failed calls
     latency_sketch: Counter[int] = field(default_factory=Counter)
 
     def add(self, relay: str, sample: WindowSample) -> None:
@@ -124,11 +125,11 @@
 
     @property
     def attempted(self) -> int:
-        """Calls that tell the zone's health: a destination that rejects for overload is reachable."""
+        """Number of calls that show the zone's health: rejection for overload shows that it is reachable."""
         return self.calls - self.overloaded
 
     def quantile_ms(self, share: float) -> float:
-        """Latency of successful calls at this share, to a fifth; 0 without any."""
+        """Latency quantile of successful calls, accurate to a fifth; 0 without any."""
         total = sum(self.latency_sketch.values())
         count = 0
         for bucket in sorted(self.latency_sketch):
@@ -139,39 +140,39 @@
 
 
 def summed(row: Iterable[Aggregate]) -> Aggregate:
-    """Sum of several aggregates, each relay counted once."""
-    found = Aggregate()
-    for each in row:
-        if not each.calls and not each.avoiding_relays:
+    """Sum of several aggregates; each relay is counted once."""
+    total = Aggregate()
+    for aggregate in row:
+        if not aggregate.calls and not aggregate.avoiding_relays:
             continue  # most windows are empty
-        found.calls += each.calls
-        found.succeeded += each.succeeded
-        found.proven_no_effect += each.proven_no_effect
-        found.overloaded += each.overloaded
-        found.relays |= each.relays
-        for relay, failed in each.avoiding_relays.items():
-            found.avoiding_relays[relay] = max(failed, found.avoiding_relays.get(relay, 0))
-        for bucket, count in each.latency_sketch.items():
-            found.latency_sketch[bucket] += count
-    return found
+        total.calls += aggregate.calls
+        total.succeeded += aggregate.succeeded
+        total.proven_no_effect += aggregate.proven_no_effect
+        total.overloaded += aggregate.overloaded
+        total.relays |= aggregate.relays
+        for relay, failed in aggregate.avoiding_relays.items():
+            total.avoiding_relays[relay] = max(failed, total.avoiding_relays.get(relay, 0))
+        for bucket, count in aggregate.latency_sketch.items():
+            total.latency_sketch[bucket] += count
+    return total
 
 
 class Observations:
-    """All retained reports. `merge` is commutative, associative and idempotent."""
+    """The set of retained reports. `merge` is commutative, associative and idempotent."""
 
     def __init__(self, window_s: float = WINDOW_S) -> None:
         self.window_s = window_s
-        self.reports: dict[ReportName, tuple[ObservationReport, float]] = {}  # and when its window ended
+        self.reports: dict[ReportName, tuple[ObservationReport, float]] = {}  # with the end of its window
         self.rejected_reports = 0  # beyond MAX_REPORTS
-        self.rejected_relay = ""  # whose the latest of them was
+        self.rejected_relay = ""  # relay of the latest rejected report
 
     @property
     def retention_s(self) -> float:
-        """How long a window counts after its end."""
+        """Time that a window counts after its end."""
         return RETAINED_WINDOWS * self.window_s
 
     def add(self, now: float, report: ObservationReport) -> bool:
-        """Retains a report unless it is too old or there are too many; whether it is new."""
+        """Adds a report unless it is too old or there are too many; returns whether it is new."""
         ended_at = now - max(0.0, report.age_s)
         if ended_at <= now - self.retention_s:
             return False
@@ -188,8 +189,8 @@
                 return False
             self.reports[report.name] = msgspec.structs.replace(report, age_s=0.0), ended_at
             return True
-        # Two that differ under one name: a fault of their relay. All retain the same one, in whatever order
-        # they arrive.
+        # Two different reports under one name are a fault of their relay. The choice does not depend on the
+        # order of arrival, so that all instances retain the same one.
         retained, retained_ended_at = known
         greater = max(retained, msgspec.structs.replace(report, age_s=0.0), key=msgspec.msgpack.encode)
         self.reports[report.name] = greater, max(retained_ended_at, ended_at)
@@ -206,8 +207,8 @@
             if ended_at <= now - self.retention_s:
                 del self.reports[name]
 
-    def latest_reports(self, now: float, most: int) -> list[ObservationReport]:
-        """The youngest reports, of as many different relays as possible, with their ages now."""
+    def latest_reports(self, now: float, limit: int) -> list[ObservationReport]:
+        """Returns the youngest report of each relay, `limit` at most, with current ages."""
         latest: dict[str, tuple[float, ReportName]] = {}
         for name, (_, ended_at) in self.reports.items():
             key = (-ended_at, name)
@@ -216,41 +217,41 @@
                 latest[name[0]] = key
         return [
             msgspec.structs.replace(self.reports[name][0], age_s=max(0.0, now + minus_ended_at))
-            for minus_ended_at, name in heapq.nsmallest(most, latest.values())
+            for minus_ended_at, name in heapq.nsmallest(limit, latest.values())
         ]
 
     # -- views over all reports ------------------------------------------------------------------------------
 
     def series(self, now: float) -> dict[int, ZoneSeries]:
-        """By destination and pair of zones: the sum of each window, the latest one first."""
-        found: dict[int, ZoneSeries] = {}
+        """Maps destination and pair of zones to the sums of each window, the latest first."""
+        by_destination: dict[int, ZoneSeries] = {}
         for report, ended_at in self.reports.values():
             index = int((now - ended_at) / self.window_s)
             if not 0 <= index < RETAINED_WINDOWS:
                 continue
             for sample in report.samples:
-                rows = found.setdefault(sample.destination, {})
+                rows = by_destination.setdefault(sample.destination, {})
                 row = rows.setdefault((report.zone, sample.zone), [])
                 while len(row) <= index:
                     row.append(Aggregate())
                 row[index].add(report.relay, sample)
-        return found
+        return by_destination
 
     def matrices(self, now: float, windows: int = RETAINED_WINDOWS) -> dict[int, ZoneMatrix]:
-        """By destination and pair of zones: the sum of the latest windows."""
+        """Maps destination and pair of zones to the sum of the latest windows."""
         return {
             destination: {pair: summed(row[:windows]) for pair, row in rows.items()}
             for destination, rows in self.series(now).items()
         }
 
     def matrix(self, now: float, destination: int, windows: int = RETAINED_WINDOWS) -> ZoneMatrix:
-        """The matrix of one destination; empty where nothing was observed."""
+        """Returns the matrix of one destination; empty without observations."""
         return self.matrices(now, windows).get(destination, {})
 
     def demand(self, now: float) -> dict[int, dict[tuple[str, str], float]]:
-        """Messages a second by destination, and by the zone and group they were submitted in.
+        """Messages per second by destination, zone of submission and traffic group.
 
-        Of each relay the mean of its retained windows.
+        The rate of each relay is the mean over its retained windows.
         """
         sums: dict[tuple[int, str, str, str], float] = {}
         windows: dict[str, set[tuple[int, int]]] = {}
@@ -261,16 +262,16 @@
             for demand in report.demand:
                 key = demand.destination, report.zone, demand.group, report.relay
                 sums[key] = sums.get(key, 0.0) + demand.rate
-        found: dict[int, dict[tuple[str, str], float]] = {}
+        rates: dict[int, dict[tuple[str, str], float]] = {}
         for (destination, zone, group, relay), rate in sums.items():
-            sources = found.setdefault(destination, {})
+            sources = rates.setdefault(destination, {})
             sources[zone, group] = sources.get((zone, group), 0.0) + rate / len(windows[relay])
-        return found
+        return rates
 
     def relays(self, now: float) -> dict[str, set[str]]:
         """The relays that reported in the retained windows, by zone."""
-        found: dict[str, set[str]] = {}
+        names_by_zone: dict[str, set[str]] = {}
         for report, ended_at in self.reports.values():
             if ended_at > now - self.retention_s:
-                found.setdefault(report.zone, set()).add(report.relay)
-        return found
+                names_by_zone.setdefault(report.zone, set()).add(report.relay)
+        return names_by_zone
--- a/message_relay/failover/plan_model.py
+++ b/message_relay/failover/plan_model.py
@@ -1,4 +1,4 @@
-"""The planning problem of one destination, and a plan that answers it. No I/O."""
+"""Data model: the planning problem of one destination, and its plan. No I/O."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 from .observations import ZonePair
 
-STABILITY_BONUS = 0.01  # of a call's score: what it must gain before it is moved away from the previous plan
+STABILITY_BONUS = (
+    0.01  # share of a call's score: the least gain for which it leaves its route of the previous plan
+)
 NEGLIGIBLE_RATE = 1e-9
 NEGLIGIBLE_SHED_RATE = 1e-6
-MAX_COST = 0.9  # a cost never outweighs delivery: it only decides between pairs that can deliver
+MAX_COST = 0.9  # below 1, so that a cost never outweighs delivery and only ranks usable pairs
 
 Route = tuple[str, str, str]  # zone of relays, group of classes, zone of endpoints
 DemandKey = tuple[str, str]  # zone of relays, group of classes: the first two of a route
@@ -20,7 +22,7 @@
 
 @dataclass(frozen=True)
 class TrafficGroup:
-    """Message classes that are alike to a plan."""
+    """Message classes that a plan treats alike."""
 
     name: str
     priority_weight: float = 1.0  # of one call that is delivered
@@ -29,33 +31,37 @@
 
 @dataclass(frozen=True)
 class PlanningProblem:
-    """What a plan of one destination has to respect. Rates are calls a second."""
+    """Demand, limits and costs for the plan of one destination. Rates are calls per second."""
 
     zones: tuple[str, ...]
     groups: tuple[TrafficGroup, ...]
     demand: dict[DemandKey, float]
-    capacity: dict[str, float]  # of a zone's endpoints: what is agreed, and what they can do warming up
-    success_ratio: dict[ZonePair, float] = field(default_factory=dict)  # 1 where not named
-    cost: dict[ZonePair, float] = field(default_factory=dict)  # share of a call's weight; 0 where not named
+    capacity: dict[str, float]  # of a zone's endpoints: the agreed rate, less while warming up
+    success_ratio: dict[ZonePair, float] = field(default_factory=dict)  # default: 1
+    cost: dict[ZonePair, float] = field(default_factory=dict)  # share of a call's weight; default: 0
     previous_flows: dict[Route, float] = field(default_factory=dict)
-    # Share of a source's demand that may use the pair; 1 where not named.
+    # Share of a source's demand that may use the pair; default: 1.
     allowed_share: dict[ZonePair, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        named_rates = (("demand", self.demand), ("room", self.capacity), ("last", self.previous_flows))
+        named_rates = (
+            ("demand", self.demand),
+            ("capacity", self.capacity),
+            ("previous_flows", self.previous_flows),
+        )
         for name, rates in named_rates:
             if any(not rate >= 0 for rate in rates.values()):
-                raise ValueError(f"{name}: rates are 0 or more, and numbers")
+                raise ValueError(f"{name}: rates must be numbers, 0 or more")
         if any(not group.priority_weight > 0 for group in self.groups):
-            raise ValueError("groups: worth is above 0")
+            raise ValueError("groups: priority_weight must be above 0")
 
     def route_limit(self, route: Route) -> float:
-        """Return the most that may use this route, whatever capacity there is."""
+        """Return the maximum rate on this route, regardless of capacity."""
         share = min(1.0, self.allowed_share.get((route[0], route[2]), 1.0))
         return self.demand.get(route[:2], 0.0) * share
 
     def score(self, group: TrafficGroup, pair: ZonePair) -> float:
-        """Return the value of one call; at 0 or less it may not use the pair."""
+        """Return the value of one call; a call with 0 or less may not use the pair."""
         if group.allowed_pairs is not None and pair not in group.allowed_pairs:
             return 0.0
         success_ratio = self.success_ratio.get(pair, 1.0)
@@ -64,21 +70,21 @@
 
 @dataclass
 class Plan:
-    """Calls a second on each route, and how they were found."""
+    """Calls per second on each route, and the method that found them."""
 
     flows: dict[Route, float]
     method: PlanMethod
 
     def rate_into(self, zone: str) -> float:
-        """Return the calls a second to a zone's endpoints."""
+        """Return the calls per second to a zone's endpoints."""
         return sum(rate for (_, _, target), rate in self.flows.items() if target == zone)
 
     def shed_rates(self, problem: PlanningProblem) -> dict[DemandKey, float]:
         """Return the demand without capacity."""
-        left = dict(problem.demand)
+        remaining = dict(problem.demand)
         for (source, group, _), rate in self.flows.items():
-            left[source, group] = left.get((source, group), 0.0) - rate
-        return {key: rate for key, rate in left.items() if rate > NEGLIGIBLE_SHED_RATE}
+            remaining[source, group] = remaining.get((source, group), 0.0) - rate
+        return {key: rate for key, rate in remaining.items() if rate > NEGLIGIBLE_SHED_RATE}
 
     def total_value(self, problem: PlanningProblem) -> float:
         """Return the sum of the scores of all calls."""
@@ -89,8 +95,9 @@
         )
 
     def moved_rate(self, problem: PlanningProblem) -> float:
-        """Return the calls a second that use another route than in the previous plan."""
+        """Return the calls per second that use another route than in the previous plan."""
         previous = problem.previous_flows
         routes = {*self.flows, *previous}
-        # A set's order differs between processes, and a plain sum's last bits with it: all must say the same.
+        # fsum is exact. The order of a set differs between processes, and with it the last bits of a plain
+        # sum, but all instances must compute the same value.
         return fsum(abs(self.flows.get(route, 0.0) - previous.get(route, 0.0)) for route in routes) / 2
--- a/message_relay/failover/plan_rules.py
+++ b/message_relay/failover/plan_rules.py
@@ -1,4 +1,4 @@
-"""Plans as rules: flow bounds, relay shares and counts, and whether they differ enough for a new version.
+"""Converts plans to rules: flow bounds, relay shares and relay counts; detects the need for a new version.
 
 Pure functions; the rules themselves are in consensus/rules.py.
 """
@@ -12,18 +12,18 @@
 from .plan_model import Plan, PlanningProblem
 from .settings import FailoverSettings
 
-MIN_RELATIVE_CHANGE = 0.2  # of a bound: a smaller change is no reason for a version
+MIN_RELATIVE_CHANGE = 0.2  # of a bound; smaller changes cause no new version
 HEADROOM_SHARE = (
-    0.5  # of the capacity that a plan leaves goes to its flows; the rest to the zone's own relays
+    0.5  # share of the unplanned capacity for the plan's flows; the rest is for the zone's own relays
 )
-LARGE_ZONE = 10  # relays: from here on a few more are declared than there are
-RELAY_COUNT_MARGIN = 0.1  # so much more
+LARGE_ZONE = 10  # relays; zones from this size on declare a margin above their relay count
+RELAY_COUNT_MARGIN = 0.1  # share of the relay count
 
-Capacities = dict[int, dict[str, float]]  # calls a second, by destination and zone of its endpoints
+Capacities = dict[int, dict[str, float]]  # calls per second by destination and zone of endpoints
 
 
 def spare_flows(settings: FailoverSettings, capacity: dict[str, float]) -> dict[str, float]:
-    """By target zone: what each other zone may always send there, also while it is cut off."""
+    """Maps each target zone to the rate that each other zone may always send there, even while cut off."""
     sources = max(1, len(settings.zones) - 1)
     return {
         zone: round(settings.spare * rate / sources, 3)
@@ -35,9 +35,9 @@
 def relay_shares(
     destination: int, problem: PlanningProblem, relays: dict[str, list[str]]
 ) -> dict[str, dict[str, float]]:
-    """By source and target zone: the share of the source's relays that use the target.
+    """Maps source and target zone to the share of the source's relays that use the target.
 
-    A share above 0 includes one relay at the least, or nothing would be observed of the target any more.
+    A share above 0 includes at least one relay; otherwise there would be no more observations of the target.
     """
     shares: dict[str, dict[str, float]] = {}
     for (source, target), share in sorted(problem.allowed_share.items()):
@@ -52,7 +52,7 @@
 def flow_bounds(
     zones: tuple[str, ...], plan: Plan, problem: PlanningProblem, spare: dict[str, float]
 ) -> dict[str, dict[str, float]]:
-    """By source and target zone: calls a second that may go there, with some headroom over the plan."""
+    """Maps source and target zone to the permitted calls per second, with some headroom over the plan."""
     bounds: dict[str, dict[str, float]] = {}
     for target in zones:
         capacity = problem.capacity.get(target, math.inf)
@@ -78,10 +78,10 @@
 
 
 def declared_relay_count(before: int, now: int) -> int:
-    """Relays that share what a zone may send elsewhere: never fewer than there are.
+    """Number of relays by which a zone's outgoing bounds are divided: never below the actual number.
 
-    Guards against a version for each relay that joins or leaves: while thousands join, each version would
-    contradict the one before, and nobody would get a lease.
+    Guards against a new version for each relay that joins or leaves: while thousands join, each version would
+    contradict the previous one, and no instance would get a lease.
     """
     now = max(1, now)
     if not before or now < LARGE_ZONE:
--- a/message_relay/failover/planner.py
+++ b/message_relay/failover/planner.py
@@ -1,14 +1,14 @@
-"""Plans: for each destination, which rate goes from which zone of relays to which zone of endpoints. No I/O.
+"""Plans the rate from each zone of relays to each zone of endpoints, for each destination. No I/O.
 
-Limits that no plan exceeds: no zone of endpoints gets more than its capacity; no call goes where its class
-may not; nothing is planned over a pair of zones that can't be used. Objectives, in this order: deliver the
-calls of the greatest weight, near before far, and change as little as possible of the previous plan.
+Hard limits: no zone of endpoints gets more than its capacity; no call goes to a zone that its class excludes;
+no rate is planned on an unusable pair of zones. Objectives, in this order: deliver the calls of the greatest
+weight, prefer near zones, and change as little as possible of the previous plan.
 
-    near     all fits into each zone's own endpoints: nothing to compute
+    near     all demand fits into each zone's own endpoints: no optimisation needed
     solved   the optimum, by HiGHS (failover/solver.py)
-    greedy   near the optimum (failover/greedy_planner.py): where the solver fails or there is no time for it
+    greedy   near-optimal (failover/greedy_planner.py), if the solver fails or the time budget is used up
 
-Demand without capacity is shed, the least weight first, and its clients are told when to retry.
+Demand without capacity is shed, the least weight first; its clients get a Retry-After.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from .greedy_planner import plan_greedily
 from .plan_model import Plan, PlanningProblem, Route, TrafficGroup
 
-# Gets a problem and a time limit in seconds; None: it found no plan.
+# Takes a problem and a time limit in seconds; returns None if it finds no plan.
 Solver = Callable[[PlanningProblem, float], "Plan | None"]
 
 
@@ -58,23 +58,23 @@
 
     The solver gets the destinations with the most value at stake, until the time budget is used up.
     """
-    found: dict[int, Plan] = {}
+    plans: dict[int, Plan] = {}
     not_local: list[int] = []
     for destination, problem in problems.items():
         plan = plan_locally(problem)
         if plan is None:
             not_local.append(destination)
         else:
-            found[destination] = plan
+            plans[destination] = plan
     deadline = clock() + budget_s
     for destination in _by_value_at_stake(not_local, problems):
         problem = problems[destination]
         plan = None
-        left_s = deadline - clock()
-        if solver is not None and left_s > 0:
-            plan = solver(problem, left_s)
-        found[destination] = plan_greedily(problem) if plan is None else plan
-    return found
+        remaining_s = deadline - clock()
+        if solver is not None and remaining_s > 0:
+            plan = solver(problem, remaining_s)
+        plans[destination] = plan_greedily(problem) if plan is None else plan
+    return plans
 
 
 def _by_value_at_stake(destinations: Iterable[int], problems: dict[int, PlanningProblem]) -> list[int]:
--- a/message_relay/failover/solver.py
+++ b/message_relay/failover/solver.py
@@ -1,6 +1,6 @@
-"""The optimal plan of one destination, by HiGHS (scipy.optimize.linprog).
+"""Finds the optimal plan of one destination with HiGHS (scipy.optimize.linprog).
 
-Imported only where failover is on and scipy is installed (extra `failover`).
+Imported only if failover is on and scipy is installed (extra `failover`).
 
 Compared with ortools (GLOP): both find the same optimum; scipy is already among this project's lab
 dependencies, needs no model of its own and takes sparse matrices; ortools is ten times as large.
@@ -26,8 +26,8 @@
 )
 
 MIN_TIME_LIMIT_S = 0.001
-SOLVER_TOLERANCE = 1e-7  # rates below are zero up to the solver's error
-OPTIMAL = 0  # linprog's status
+SOLVER_TOLERANCE = 1e-7  # lower rates count as zero: they are within the solver's error
+OPTIMAL = 0  # status of linprog
 
 Key = TypeVar("Key")
 
@@ -35,8 +35,8 @@
 def solve(problem: PlanningProblem, seconds: float) -> Plan | None:
     """Return the best plan; None if the solver fails or takes longer.
 
-    Zones are sorted by their properties and not by their names, so that of equally good plans the same one
-    is chosen whatever they are called.
+    Zones are sorted by their properties and not by their names, so that the choice between equally good plans
+    does not depend on the names.
     """
     zones = _name_independent_order(problem)
     routes, scores = _usable_routes(problem, zones)
@@ -44,7 +44,7 @@
         return Plan({}, "solved")
     matrix, limits = _limit_matrix(problem, routes)
     count = len(routes)
-    # Variables: the flow of each route, and how far it is above and below the previous one.
+    # Variables of each route: its flow, and the amounts above and below the previous flow.
     change_cost = STABILITY_BONUS * np.array(scores) / 2
     identity = coo_matrix((np.ones(count), (range(count), range(count))), shape=(count, count))
     unlimited = coo_matrix((matrix.shape[0], 2 * count))
@@ -118,7 +118,7 @@
 
 
 def _trim_to_limits(problem: PlanningProblem, flows: dict[Route, float]) -> dict[Route, float]:
-    """Reduce flows to the limits, which the solver respects only up to a small error."""
+    """Reduce flows to the limits, which the solver may exceed by a small error."""
     trimmed = {route: float(rate) for route, rate in flows.items() if rate > SOLVER_TOLERANCE}
     _trim(trimmed, problem.demand, lambda route: route[:2])
     _trim(trimmed, problem.capacity, lambda route: route[2])
--- a/message_relay/failover/views.py
+++ b/message_relay/failover/views.py
@@ -1,6 +1,6 @@
-"""What operators see of failover: rows and texts of `zone status`, `zone plan` and the versions' causes.
+"""Operator views of failover: rows and texts of `zone status`, `zone plan` and the causes of versions.
 
-Keys and values are read by the command `zone` and by scripts: they stay as they are.
+The keys and values are an interface: the command `zone` and scripts read them.
 """
 
 from __future__ import annotations
@@ -12,23 +12,26 @@
 from .controller import FailoverController
 from .plan_model import Plan, PlanningProblem
 
-MOST_NAMES = 5  # destinations named in a cause
+MAX_NAMED_DESTINATIONS = 5  # destinations named in a cause
 
 
 def cause_of_plan(controller: FailoverController) -> str:
-    """The pairs that are not fully used, and for which destinations: the cause kept with a version."""
+    """Describes the pairs that are not fully used, with their destinations: the cause of a version."""
     destinations: dict[str, list[str]] = {}
     for destination, judge in sorted(controller.judges.items()):
         for (source, target), health in sorted(judge.pairs.items()):
             if health.share < 1.0:
                 state = f"{source}>{target} {health.state.value}"
                 destinations.setdefault(state, []).append(str(destination))
-    causes = [f"{state} ({', '.join(names[:MOST_NAMES])})" for state, names in sorted(destinations.items())]
+    causes = [
+        f"{state} ({', '.join(names[:MAX_NAMED_DESTINATIONS])})"
+        for state, names in sorted(destinations.items())
+    ]
     return "; ".join(causes) or "all well"
 
 
 def pair_rows(controller: FailoverController, now: float) -> list[dict[str, Any]]:
-    """The judgement of each pair of zones, by destination."""
+    """Rows with the health of each pair of zones, by destination."""
     return [
         {
             "destination": destination,
@@ -46,7 +49,7 @@
 
 
 def plan_explanations(controller: FailoverController) -> dict[str, dict[str, Any]]:
-    """Why each destination has the plan that it has."""
+    """Explains the plan of each destination."""
     return {
         str(destination): {
             "how": explanation.method,
@@ -63,7 +66,7 @@
 
 
 def plan_rows(problems: Mapping[int, PlanningProblem], plans: Mapping[int, Plan]) -> list[dict[str, Any]]:
-    """A row for each destination that was planned."""
+    """Rows with the plan of each destination."""
     rows = []
     for destination, plan in sorted(plans.items()):
         problem = problems[destination]
@@ -80,5 +83,5 @@
 
 
 def _rounded(flows: Mapping[Any, float]) -> dict[str, float]:
-    """Rates by the words of their key, which is a tuple of names."""
+    """Rates under their keys, whose names are joined by spaces."""
     return {" ".join(key): round(rate, 2) for key, rate in sorted(flows.items())}
--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -1,11 +1,11 @@
-"""Zone health: which zones of endpoints are usable from which zones of relays.
+"""Zone health: judges which zones of endpoints are usable from which zones of relays.
 
 No I/O; the clock is passed in, in seconds. A pair is a zone of relays and a zone of endpoints. Failures
-count at once: a pair is lost as soon as the confidence interval of its success share, over the latest
-windows or over all retained ones, lies below a bound: no success in seven calls is enough, one failure in
-three is not. Recovery is gradual: a lost pair gets a small share of the traffic once its hold-off is over
-and climbs a ramp, each step of which needs evidence from its own time. The hold-off doubles with each
-relapse, so that a flapping pair is tried ever more rarely.
+take effect at once: a pair is lost as soon as the confidence interval of its success share, over the latest
+windows or over all retained ones, lies below a bound. Seven calls without a success suffice, one failure in
+three calls does not. Recovery is gradual: after its hold-off a lost pair gets a small share of the traffic
+and climbs a ramp. Each step needs evidence that is newer than the step before. The hold-off doubles with each
+relapse, so that a flapping pair is tried less and less often.
 
     HEALTHY --failures--> LOST --hold-off--> RECOVERING (ramp) --last step--> HEALTHY
                            ^--------failures, flaps + 1------'
@@ -20,33 +20,33 @@
 
 from .observations import RETAINED_WINDOWS, Aggregate, Observations, ZoneMatrix, ZonePair, ZoneSeries, summed
 
-CONFIDENCE_Z = 2.6  # of the interval: one judgement in a hundred is wrong at the bound itself
-LOST_BELOW = 0.5  # a success share surely below this: lost
-DEGRADED_BELOW = 0.9  # a success share surely below this: degraded
-DEGRADED_FAILURES = 3  # failed calls at the least: one or two happen by chance
+CONFIDENCE_Z = 2.6  # of the interval: at the bound itself, one judgement in a hundred is wrong
+LOST_BELOW = 0.5  # a pair whose success share is surely below it is lost
+DEGRADED_BELOW = 0.9  # a pair whose success share is surely below it is degraded
+DEGRADED_FAILURES = 3  # minimum of failed calls: one or two happen by chance
 SLOW_FACTOR = 4.0  # times the median latency of all other zones
-MIN_CALLS_FOR_LATENCY = 20  # on both sides, before medians are compared
+MIN_CALLS_FOR_LATENCY = 20  # minimum on both sides for a comparison of medians
 RECOVERY_RAMP = 0.02, 0.1, 0.3, 0.6, 1.0  # share of the relays that use a recovering pair, by step
-UNOBSERVED_STEPS = 2  # steps taken without any call at the most: by then some relay should have called
-STEP_WINDOWS = 2  # windows of evidence that a step needs at the least
-STEP_CONFIDENCE = 0.2  # a step needs the lower end of its interval above this
-STEP_CONFIDENCE_INCREMENT = 0.1  # and above so much more with each step
-SHARED_RECOVERY_STEPS = 2  # steps at once: each relay keeps to the slow start of a destination in any case
-SHARED_RECOVERY_WINDOWS = 3  # windows of all destinations that lost a pair together
-SHARED_RECOVERY_CALLS = 3  # calls of all these destinations that allow a step
-SHARED_RECOVERY_SUCCESS = 0.8  # share of them that has to succeed: a few fail for other reasons
-RECENT_WINDOWS = 1, 3  # spans in which a fall is sought: over all windows old successes would hide it
-CONSECUTIVE_FAILURES = 4  # of all relays of a zone: one chance in 10,000 where a tenth fails
-AVOIDED_WINDOWS = 2  # without a call though there was demand: two, since the relays' windows are not aligned
-AVOIDED_FAILURES = 2  # failed calls before that, of all relays of a zone: a single one is chance
-HOLD_OFF_WINDOWS = 2  # the first hold-off: the evidence of a step, and a window in which it may arrive late
-DEGRADED_SHARE = 0.1  # of the relays still use a degraded pair, so that its recovery is observed
+UNOBSERVED_STEPS = 2  # maximum of steps without any call: after them some relay should have made a call
+STEP_WINDOWS = 2  # minimum of windows of evidence for a step
+STEP_CONFIDENCE = 0.2  # the lower end of the interval must be above it for a step
+STEP_CONFIDENCE_INCREMENT = 0.1  # added to STEP_CONFIDENCE for each step of the ramp
+SHARED_RECOVERY_STEPS = 2  # steps at once; each relay also applies the slow start of a destination
+SHARED_RECOVERY_WINDOWS = 3  # windows counted over all destinations that lost a pair together
+SHARED_RECOVERY_CALLS = 3  # minimum of calls, over all these destinations, for a step
+SHARED_RECOVERY_SUCCESS = 0.8  # share of these calls that must succeed: a few fail for other reasons
+RECENT_WINDOWS = 1, 3  # spans checked for a drop, which older successes would hide over all windows
+CONSECUTIVE_FAILURES = 4  # of all relays of a zone: a chance of 1 in 10,000 if a tenth of the calls fail
+AVOIDED_WINDOWS = 2  # without a call despite demand: two, since the windows of relays are not aligned
+AVOIDED_FAILURES = 2  # minimum of failed calls of all relays of a zone: a single one may be chance
+HOLD_OFF_WINDOWS = 2  # of the first hold-off: one of evidence for a step, one for late reports
+DEGRADED_SHARE = 0.1  # share of the relays that use a degraded pair, so that its recovery is observed
 MAX_FLAPS = 6  # bounds a hold-off to 64 times the first
-FLAP_RESET_HOLD_OFFS = 8.0  # hold-offs without a relapse after which flaps are forgotten
+FLAP_RESET_HOLD_OFFS = 8.0  # flaps are reset after this many hold-offs without a relapse
 
 
 class HealthState(Enum):
-    """State of one pair. Values are shown by `zone status`."""
+    """Health state of one pair. `zone status` shows the values."""
 
     HEALTHY = "well"
     DEGRADED = "grey"
@@ -54,11 +54,11 @@
     RECOVERING = "trial"
 
 
-UNUSABLE = (HealthState.LOST, HealthState.RECOVERING)  # states of a pair whose target may be down
+UNUSABLE = (HealthState.LOST, HealthState.RECOVERING)  # states in which the target zone may be down
 
 
 def success_interval(succeeded: int, attempted: int, z: float = CONFIDENCE_Z) -> tuple[float, float]:
-    """Wilson's confidence interval of a success share; (0, 1) without attempts."""
+    """Wilson score interval of a success share; (0, 1) without attempts."""
     if attempted <= 0:
         return 0.0, 1.0
     share = succeeded / attempted
@@ -73,19 +73,23 @@
 
 
 def consecutive_failures(row: list[Aggregate]) -> int:
-    """Attempts since the last window with a success; relays that noticed the outage hardly call any more."""
-    found = 0
+    """Attempts since the last window with a success.
+
+    Covers outages with few calls: relays that have noticed the outage make hardly any calls.
+    """
+    attempts = 0
     for window in row:
         if window.succeeded:
             break
-        found += window.attempted
-    return found
+        attempts += window.attempted
+    return attempts
 
 
 def avoided_by_all(row: list[Aggregate]) -> bool:
-    """Whether each relay that has called there now avoids it after failures.
+    """Whether all relays that made calls to the target now avoid it after failures.
 
-    A few relays notice an outage with fewer calls than `CONSECUTIVE_FAILURES` and then make none at all.
+    Covers outages with few relays, which notice it in fewer calls than `CONSECUTIVE_FAILURES` and then make
+    no more calls.
     """
     callers = summed(row).relays
     latest = summed(row[:AVOIDED_WINDOWS])
@@ -101,10 +105,10 @@
 
 
 def _best_success_share(row: list[Aggregate], by_target: list[Aggregate]) -> float:
-    """The highest success share that a pair may still have.
+    """Upper bound of the success share of a pair.
 
-    A pair without any success is as its target is for all relays: its own few calls would take long to
-    show it.
+    For a pair without any success the calls of all relays to its target count too: its own calls may be too
+    few to show the loss soon.
     """
     own = summed(row)
     high = success_interval(own.succeeded, own.attempted)[1]
@@ -115,31 +119,31 @@
 
 
 def _series_by_target(series: ZoneSeries) -> dict[str, list[Aggregate]]:
-    """By zone of endpoints: what the relays of all zones observed, by window."""
-    found: dict[str, list[Aggregate]] = {}
+    """Maps each zone of endpoints to the observations of relays in all zones, by window."""
+    by_target: dict[str, list[Aggregate]] = {}
     for (_, target), row in series.items():
-        sums = found.setdefault(target, [])
+        sums = by_target.setdefault(target, [])
         for index, window in enumerate(row):
             if index == len(sums):
                 sums.append(Aggregate())
             sums[index] = summed((sums[index], window))
-    return found
+    return by_target
 
 
 @dataclass
 class ZoneHealth:
-    """Health of one pair, and how far a lost one has recovered."""
+    """Health of one pair, with its position on the recovery ramp."""
 
     state: HealthState = HealthState.HEALTHY
-    since: float = 0.0  # when this state, or this step of the ramp, began (s)
+    since: float = 0.0  # start of this state, or of this step of the ramp (s)
     ramp_step: int = 0
     flaps: int = 0
-    recently_lost: bool = False  # and not healthy for long since
-    success_share: float = 1.0  # of its calls, while it is used
+    recently_lost: bool = False  # lost, and since then not healthy for long enough
+    success_share: float = 1.0  # of its calls while it is in use
 
     @property
     def share(self) -> float:
-        """Share of the relays of the source zone that may use the pair now."""
+        """Share of the source zone's relays that may use the pair."""
         match self.state:
             case HealthState.HEALTHY:
                 return 1.0
@@ -153,7 +157,7 @@
 
 @dataclass(frozen=True)
 class _Evidence:
-    """What was observed of a pair in the windows that count for its present state."""
+    """Observations of a pair in the windows since its present state began."""
 
     pair: ZonePair
     windows: int
@@ -166,14 +170,14 @@
 
     @property
     def all_windows_well(self) -> bool:
-        """Enough of all retained windows' calls succeeded."""
+        """Whether enough calls succeeded over all retained windows."""
         if self.windows < RETAINED_WINDOWS:
             return False
         return self.observed.succeeded >= DEGRADED_BELOW * self.observed.attempted
 
 
 class ZoneHealthJudge:
-    """Judges all pairs of one destination by what relays observed."""
+    """Judges the health of all pairs of one destination from observations."""
 
     def __init__(self, observations: Observations, destination: int) -> None:
         self.observations = observations
@@ -182,15 +186,15 @@
         self.shared_recovery: ZoneMatrix = {}
 
     def health(self, pair: ZonePair) -> ZoneHealth:
-        """Health of a pair; healthy where nothing is known of it."""
+        """Health of a pair; healthy if nothing is known about it."""
         return self.pairs.get(pair, ZoneHealth())
 
     def hold_off_s(self, health: ZoneHealth) -> float:
-        """How long a lost pair is not tried; twice as long after each flap."""
+        """Time in which a lost pair is not tried; it doubles with each flap."""
         return HOLD_OFF_WINDOWS * self.observations.window_s * float(1 << min(health.flaps, MAX_FLAPS))
 
     def recent(self, now: float, pair: ZonePair, series: ZoneSeries) -> Aggregate:
-        """What was observed of a pair since its step began: successes before its loss prove nothing."""
+        """Recent observations of a pair since its step began: successes before its loss prove nothing."""
         windows = min(SHARED_RECOVERY_WINDOWS, self._windows_since(now, self.health(pair)))
         return summed(series.get(pair, [])[:windows])
 
@@ -199,7 +203,7 @@
         return min(RETAINED_WINDOWS, int((now - health.since) / self.observations.window_s))
 
     def resume(self, now: float, shares: dict[ZonePair, float]) -> None:
-        """Continues where another controller stopped, from the shares of the plan in force."""
+        """Restores the state of an earlier controller from the shares of the plan in force."""
         for pair, share in shares.items():
             if share >= 1.0 or pair in self.pairs:
                 continue
@@ -212,10 +216,11 @@
     def update(
         self, now: float, series: ZoneSeries, shared_recovery: ZoneMatrix | None = None
     ) -> list[ZonePair]:
-        """Judges by all observations until now; returns the pairs whose share has changed.
+        """Updates the health of all pairs from the observations; returns the pairs whose share has changed.
 
-        `shared_recovery`: recent observations, over all destinations, of pairs that most of them lost. Pairs
-        lost together recover together, since one destination alone has too few trial calls to prove it.
+        `shared_recovery` has the recent observations, over all destinations, of pairs that most of them lost.
+        Pairs that were lost together recover together, since a single destination has too few trial calls to
+        prove the recovery.
         """
         self.shared_recovery = shared_recovery or {}
         matrix = {pair: summed(row) for pair, row in series.items()}
@@ -242,7 +247,7 @@
     ) -> None:
         windows = self._windows_since(now, health)
         if health.state is HealthState.HEALTHY and not health.recently_lost:
-            windows = RETAINED_WINDOWS  # it was used all the time
+            windows = RETAINED_WINDOWS  # it was in use all the time
         evidence = _Evidence(pair, windows, summed(row[:windows]))
         if health.state is not HealthState.LOST:
             if _is_lost(health, evidence, row, by_target):
@@ -256,7 +261,7 @@
         self._transition(now, health, evidence, degraded)
 
     def _transition(self, now: float, health: ZoneHealth, evidence: _Evidence, degraded: bool) -> None:
-        """The state that follows for a pair which is not newly lost."""
+        """Applies the state transition of a pair that is not newly lost."""
         match health.state:
             case HealthState.HEALTHY if degraded:
                 _enter(now, health, HealthState.DEGRADED)
@@ -276,7 +281,7 @@
                 self._judge_recovery(now, health, evidence, degraded)
 
     def _judge_recovery(self, now: float, health: ZoneHealth, evidence: _Evidence, degraded: bool) -> None:
-        """Whether a recovering pair climbs to the next step of the ramp."""
+        """Moves a recovering pair along the ramp, or to DEGRADED."""
         observed = evidence.observed
         if degraded and observed.attempted >= MIN_CALLS_FOR_LATENCY:
             _enter(now, health, HealthState.DEGRADED)
@@ -286,7 +291,7 @@
             _advance(now, health, steps)
 
     def _steps_allowed(self, health: ZoneHealth, evidence: _Evidence) -> int:
-        """How many steps of the ramp the evidence allows."""
+        """Number of ramp steps that the evidence allows."""
         observed = evidence.observed
         none_failed = observed.succeeded == observed.attempted
         if evidence.windows < STEP_WINDOWS:
@@ -310,7 +315,7 @@
         )
 
     def _recovers_elsewhere(self, pair: ZonePair) -> bool:
-        """Whether calls of all destinations that lost this pair succeed again."""
+        """Whether the calls of all destinations that lost this pair succeed again, summed up."""
         observed = self.shared_recovery.get(pair)
         if observed is None or observed.attempted < SHARED_RECOVERY_CALLS:
             return False
@@ -318,23 +323,25 @@
 
     @staticmethod
     def _mark_lost(now: float, health: ZoneHealth) -> None:
-        # A first step that fails is still the same outage: only a pair that had begun to recover has flapped.
-        had_begun = health.state is not HealthState.RECOVERING or health.ramp_step > 0
-        if health.recently_lost and had_begun:
+        # A failure on the first step belongs to the same outage: only a pair that had left it has flapped.
+        had_begun_recovery = health.state is not HealthState.RECOVERING or health.ramp_step > 0
+        if health.recently_lost and had_begun_recovery:
             health.flaps = min(MAX_FLAPS, health.flaps + 1)
         health.recently_lost = True
         _enter(now, health, HealthState.LOST)
 
-    # -- which side has failed -------------------------------------------------------------------------------
+    # -- target down or source cut off -----------------------------------------------------------------------
 
     def is_down(self, zone: str) -> bool:
-        """Whether no zone that observed this one lately can use it: its endpoints are down, and will need a
-        slow start."""
+        """Whether no zone with recent observations of this one can use it.
+
+        Its endpoints are down then, and will need a slow start.
+        """
         pairs = [health for (_, target), health in self.pairs.items() if target == zone]
         return bool(pairs) and all(health.state in UNUSABLE for health in pairs)
 
     def is_cut_off(self, zone: str) -> bool:
-        """Whether the relays of this zone reach no zone while others reach some: the relays are cut off."""
+        """Whether the relays of this zone are cut off: they reach no zone, while other relays reach some."""
         own = [health for (source, _), health in self.pairs.items() if source == zone]
         others = [health for (source, _), health in self.pairs.items() if source != zone]
         reaches_none = bool(own) and all(health.state in UNUSABLE for health in own)
@@ -355,9 +362,9 @@
 
 
 def _is_slow(pair: ZonePair, observed: Aggregate, matrix: ZoneMatrix) -> bool:
-    """Whether a zone is much slower than others, though its calls succeed.
+    """Whether a zone is much slower than others although its calls succeed.
 
-    Compares only relays and endpoints of the same zone: a long link is no fault of the zone.
+    Compares only calls within a zone: the latency of a long link is no fault of the zone.
     """
     if pair[0] != pair[1] or sum(observed.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
         return False
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize(
     ("told", "said"),
     [
-        ({"zones": {"a": ZoneSettings()}}, "zones: one alone has nowhere to go"),
+        ({"zones": {"a": ZoneSettings()}}, "zones: failover needs at least two zones"),
         ({"zone_price": 0.5}, "region_price: 0.2 must be zone_price"),
     ],
 )
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -172,11 +172,11 @@
 
 
 def test_invalid_problems_are_rejected_with_the_field() -> None:
-    with pytest.raises(ValueError, match="demand: rates are 0 or more"):
+    with pytest.raises(ValueError, match="demand: rates must be numbers, 0 or more"):
         PlanningProblem(("a",), (TrafficGroup("x"),), {("a", "x"): -1.0}, {})
-    with pytest.raises(ValueError, match="room: rates are 0 or more"):
+    with pytest.raises(ValueError, match="capacity: rates must be numbers, 0 or more"):
         PlanningProblem(("a",), (TrafficGroup("x"),), {}, {"a": math.nan})
-    with pytest.raises(ValueError, match="worth is above 0"):
+    with pytest.raises(ValueError, match="groups: priority_weight must be above 0"):
         PlanningProblem(("a",), (TrafficGroup("x", 0.0),), {}, {})
 
 
--- a/tests/failover/test_zone_health.py
+++ b/tests/failover/test_zone_health.py
@@ -268,5 +268,5 @@
         judge.update(window + 0.01, evidence.series(window + 0.01).get(1, {}))
     assert judge.health(("a", "a")).state is HealthState.HEALTHY
     assert evidence.matrix(5.01, 1)["a", "a"].avoiding_relays == {"n0": 1}
-    with pytest.raises(ValueError, match="was not shunned"):
+    with pytest.raises(ValueError, match="avoided_after: a target with calls is not avoided"):
         WindowSample(1, "b", 1, 1, avoided_after=1)
