--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -39,7 +39,7 @@
 CONSECUTIVE_FAILURES = 4  # of all relays of a zone: a chance of 1 in 10,000 if a tenth of the calls fail
 AVOIDED_WINDOWS = 2  # without a call despite demand: two, since the windows of relays are not aligned
 AVOIDED_FAILURES = 2  # minimum of failed calls of all relays of a zone: a single one may be chance
-HOLD_OFF_WINDOWS = 2  # of the first hold-off: one of evidence for a step, one for late reports
+HOLD_OFF_WINDOWS = 2  # the first hold-off covers the evidence of a step, and a window for late reports
 DEGRADED_SHARE = 0.1  # share of the relays that use a degraded pair, so that its recovery is observed
 MAX_FLAPS = 6  # bounds a hold-off to 64 times the first
 FLAP_RESET_HOLD_OFFS = 8.0  # flaps are reset after this many hold-offs without a relapse
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True)
 class _Evidence:
-    """Observations of a pair in the windows since its present state began."""
+    """Observations of a pair in the windows that count for its present state."""
 
     pair: ZonePair
     windows: int
--- a/message_relay/sharded_directory/bitset.py
+++ b/message_relay/sharded_directory/bitset.py
@@ -1,10 +1,10 @@
-"""Sets of small numbers as one integer: the shards a client has, the clients that have a shard."""
+"""Bitsets: sets of small numbers as one integer, for the shards of a client and the clients of a shard."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-SPARSE_BIT_COUNT = 64  # with fewer numbers, a step for each is cheaper than a look at every byte
+SPARSE_BIT_COUNT = 64  # with fewer numbers, one step per number is cheaper than a scan of all bytes
 
 
 def set_bits(bitset: int) -> Iterator[int]:
@@ -15,8 +15,8 @@
             yield lowest.bit_length() - 1
             bitset ^= lowest
         return
-    for place, byte in enumerate(bitset.to_bytes((bitset.bit_length() + 7) // 8, "little")):
+    for index, byte in enumerate(bitset.to_bytes((bitset.bit_length() + 7) // 8, "little")):
         while byte:
             lowest = byte & -byte
-            yield 8 * place + lowest.bit_length() - 1
+            yield 8 * index + lowest.bit_length() - 1
             byte ^= lowest
--- a/message_relay/sharded_directory/bulk_load.py
+++ b/message_relay/sharded_directory/bulk_load.py
@@ -1,7 +1,7 @@
-"""A whole list, or many changes at once, staged in steps and committed at once. No I/O.
+"""Stages a whole list, or many changes, in steps and commits them atomically. No I/O.
 
-Until the commit the old rows are served under the old version: a client never gets rows of two versions under
-one. An update that is dropped halfway has changed nothing.
+Until the commit the old rows are served under the old version, so that a client never gets rows of two
+versions under one. An update that is abandoned before its commit changes nothing.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from .shard_table import EMPTY_SHARD, ShardEdit, ShardTable, name_hash
 from .wire import CHECKSUM_MASK, GONE, Row, Version, row_checksum
 
-STEP_ROWS = 2_000  # decoded and compared in one step: some 4 ms
-STEP_SHARDS = 2_048  # looked at in one step, nearly all unchanged: below a millisecond
+STEP_ROWS = 2_000  # rows decoded and compared in one step: some 4 ms
+STEP_SHARDS = 2_048  # shards checked in one step, nearly all unchanged: below 1 ms
 ARRAY_HEADER = b"\xdd"  # of a msgpack array with four bytes of length
 EMPTY_ARRAY = ARRAY_HEADER + bytes(4)
 
@@ -26,10 +26,10 @@
 
 
 class StagedUpdate:
-    """What a list and changes have in common.
+    """Base class of a staged list and staged changes.
 
-    Entries are added, the update is sealed, and then `step` is called until it returns True. The callback
-    commits it and says whether it is in force.
+    Callers add entries, seal the update, and then call `step` until it returns True. The callback commits the
+    update and returns whether it is in force.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.table = table
         self.started_at = now
         self.version = version
-        self.is_allowed = is_allowed  # not older than what is in force
+        self.is_allowed = is_allowed  # the version is not older than the one in force
         self.edits: dict[int, ShardEdit] = {}
         self.is_sealed = False
         self.is_committed = False
@@ -46,16 +46,16 @@
         self._on_complete = on_complete
 
     def seal(self, now: float) -> bool:
-        """All entries are added. Return False if the update is refused: then no step is needed."""
+        """Mark the update as complete. Return False if it is refused: then no step is needed."""
         self.is_sealed = True
         return self.is_allowed
 
     def step(self) -> bool:
-        """Do some of the work; return True once it is done, `is_committed` having the result."""
+        """Do a part of the work; return True when it is done, with the result in `is_committed`."""
         assert self.is_sealed
         if not self.is_allowed:
             return True
-        if self.commit_count != self.table.commit_count:  # what it was compared with is no longer in force
+        if self.commit_count != self.table.commit_count:  # another update was committed since the comparison
             self.commit_count = self.table.commit_count
             self.edits.clear()
             self._restart()
@@ -65,31 +65,31 @@
         return True
 
     def _restart(self) -> None:
-        """Begin the comparison again."""
+        """Restart the comparison."""
         raise NotImplementedError
 
     def _work(self) -> bool:
-        """Do one step; whether it was the last one."""
+        """Do one step; return whether it was the last one."""
         raise NotImplementedError
 
 
 class _ReportedChange(NamedTuple):
-    row: Row | None  # None: only the listing is known
+    row: Row | None  # None: only the listing is reported
     name: str
     listing: int
 
 
 class StagedChanges(StagedUpdate):
-    """Changes up to one generation."""
+    """Staged changes up to one generation."""
 
     def __init__(
         self, table: ShardTable, now: float, version: Version, is_allowed: bool, on_complete: CommitCallback
     ) -> None:
         super().__init__(table, now, version, is_allowed, on_complete)
         self.reported: list[_ReportedChange] = []  # retained for a restart; bounded by the source
-        self.sorted_count = 0  # of `reported`
+        self.sorted_count = 0  # number of items of `reported` that are sorted by shard
         self.changes_by_shard: dict[int, dict[str, Row | int]] = {}
-        self.shard_by_name_hash: dict[int, int | None] = {}  # None: the name is gone
+        self.shard_by_name_hash: dict[int, int | None] = {}  # None: the name was removed
         self.remaining_shards: list[int] = []
 
     def add(self, rows: Iterable[Row], listings: Iterable[tuple[str, int]] = ()) -> None:
@@ -152,7 +152,7 @@
 
 
 class StagedList(StagedUpdate):
-    """A whole list. Of a name that comes twice the last entry counts."""
+    """A staged whole list. If a name occurs twice, the last entry counts."""
 
     def __init__(
         self, table: ShardTable, now: float, version: Version, is_allowed: bool, on_complete: CommitCallback
@@ -165,7 +165,7 @@
         self.destination_counts = [0] * shard_count
         self.shard_by_name_hash: dict[int, int] = {}
         self.seen_destinations: set[int] = set()
-        self.shards_to_reread: set[int] = set()  # a name came twice in them, or is gone
+        self.shards_to_reread: set[int] = set()  # shards with a repeated or removed name
         self.next_shard = 0
 
     def add(self, rows: Iterable[Row]) -> None:
@@ -204,7 +204,7 @@
         return self.next_shard == self.table.shard_count
 
     def _stage_shard(self, shard: int) -> int:
-        """Compare a shard with what is in force; return how many rows were decoded, about."""
+        """Compare a shard with the one in force; return about how many rows were decoded."""
         decoded = 0
         if shard in self.shards_to_reread:
             decoded += self.row_counts[shard]
@@ -230,13 +230,13 @@
         return bytes(part)
 
     def _reread(self, shard: int) -> None:
-        """Drop the rows of names that came again, and of those that are gone."""
+        """Drop the rows of repeated names but the last, and the rows of removed names."""
         self.shards_to_reread.discard(shard)
         rows = {row.name: row for row in _ROWS.decode(self._encoded_rows(shard))}
         for name, row in list(rows.items()):
             hashed = name_hash(name)
             if self.shard_by_name_hash.get(hashed) != shard:
-                del rows[name]  # it came again, in another shard
+                del rows[name]  # a later entry is in another shard
             elif row.listing == GONE:
                 del rows[name]
                 del self.shard_by_name_hash[hashed]
@@ -246,7 +246,7 @@
         self.checksums[shard] = sum(map(row_checksum, rows.values()))
 
     def _changed_rows(self, shard: int, encoded_rows: bytes) -> list[Row]:
-        """The rows that differ from those in force; those that left have the listing GONE."""
+        """Return the rows that differ from those in force; removed rows have the listing GONE."""
         before = {row.name: row for row in self.table.decode_rows(shard)}
         after = {row.name: row for row in _ROWS.decode(encoded_rows)}
         changed = [row for name, row in after.items() if row != before.get(name)]
--- a/message_relay/sharded_directory/errors.py
+++ b/message_relay/sharded_directory/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the sharded directory, under one base class."""
+"""Errors of the sharded directory, with a common base class."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class UnreadableFrameError(ShardedDirectoryError, ValueError):
-    """A frame or datagram is no message of this protocol; the text says why."""
+    """A frame or datagram is not a message of this protocol; the text has the reason."""
 
 
 class SourceError(ShardedDirectoryError):
-    """The list from a source can't be used; the text says why."""
+    """The list from a source can't be used; the text has the reason."""
 
 
 class OutdatedListError(SourceError):
-    """The list from a source is older than what is known."""
+    """The list from a source is older than the version in force."""
 
 
 class TooManyChangesError(ShardedDirectoryError):
-    """A source has more changes than are read at once: the whole list is to be read instead."""
+    """A response has more changes than are read at once: the whole list has to be read instead."""
--- a/message_relay/sharded_directory/list_transfer.py
+++ b/message_relay/sharded_directory/list_transfer.py
@@ -1,6 +1,6 @@
-"""One list, or the changes of one poll, on the way from a source into a shard server.
+"""Transfers one list, or the changes of one poll, from a source into a shard server.
 
-Entries are read and staged in small batches, with a turn for all other tasks in between.
+Entries are read and staged in small batches, and all other tasks get a turn in between.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 log = logging.getLogger(__name__)
 
 ENTRIES_PER_TURN = 256  # read in one turn of the event loop: some milliseconds
-MAX_CHANGES = 50_000  # in one response, some 15 MB until they are in force; for more the whole list is read
+MAX_CHANGES = 50_000  # of one response: some 15 MB until they are committed; above it the whole list is read
 LISTING_NUMBERS = {listing: number for number, listing in enumerate(wire.LISTINGS)}
 
 
 class ListHeader(NamedTuple):
-    """What a list says beside its entries."""
+    """Fields of a list other than its entries."""
 
     generation: int
-    is_full_list: bool  # the whole list; else the changes since the generation that was asked from
+    is_full_list: bool  # False: the changes since the requested generation
 
 
 def row_of(record: EndpointRecord) -> Row:
@@ -51,7 +51,7 @@
 
 
 class EntryReader:
-    """Reads entries; those that are malformed are skipped, counted, and logged at the 1st, 2nd, 4th ..."""
+    """Parses entries; malformed ones are skipped and counted, and logged at the 1st, 2nd, 4th ..."""
 
     def __init__(self) -> None:
         self.skipped = 0
@@ -93,8 +93,8 @@
             server: Where the list goes.
             epoch: The source's epoch.
             entry_reader: Reads and counts entries.
-            requested_at: When the source was asked, on the loop's clock.
-            from_generation: The generation since which changes were asked for; None: the whole list.
+            requested_at: Time of the request to the source, on the loop's clock.
+            from_generation: The generation since which changes were requested; None for the whole list.
         """
         self.server = server
         self.epoch = epoch
@@ -102,24 +102,24 @@
         self.requested_at = requested_at
         self.from_generation = from_generation
         self.splitter = ListSplitter()
-        self.deferred_entries: list[Any] = []  # of a list whose header comes behind its entries
+        self.deferred_entries: list[Any] = []  # of a list whose header follows its entries
         self.entry_count = 0
-        self.largest_batch = 0  # entries read in one turn, at most
+        self.largest_batch = 0  # maximum of entries read in one turn
         self._staged: StagedList | StagedChanges | None = None
 
     async def run(self, chunks: AsyncIterator[bytes]) -> int:
         """Read the response and commit it; return its generation.
 
         Raises:
-            SourceError: It is malformed, incomplete or outdated.
-            TooManyChangesError: It has more than MAX_CHANGES changes.
+            SourceError: The response is malformed, incomplete or outdated.
+            TooManyChangesError: The response has more than MAX_CHANGES changes.
         """
         async for chunk in chunks:
             self.splitter.feed(chunk)
             has_more = True
             while has_more:
                 has_more = self._process_entries(self.splitter.read_entries(ENTRIES_PER_TURN))
-                await asyncio.sleep(0)  # also where the next chunk is ready: all other tasks have a turn
+                await asyncio.sleep(0)  # also if the next chunk is ready, so that other tasks get a turn
         self.splitter.check_complete()
         header = self._header()
         await self._stage_deferred()
@@ -142,8 +142,8 @@
             await asyncio.sleep(0)
         if not is_accepted or not staged.is_committed:
             raise OutdatedListError(
-                f"generation {generation} of epoch {self.epoch} is older than what is known: where "
-                "the source counts anew, shards.epoch has to be raised"
+                f"generation {generation} of epoch {self.epoch} is older than the one in force: "
+                "if the source restarted its generations, shards.epoch has to be raised"
             )
 
     def _header(self) -> ListHeader:
@@ -154,7 +154,7 @@
             raise SourceError(f"malformed list: {error!r}") from error
 
     def _process_entries(self, entries: list[Any]) -> bool:
-        """Stage a batch, or defer it until the header is known; whether more may have come."""
+        """Stage a batch, or defer it until the header is known; return whether more may be buffered."""
         self.largest_batch = max(self.largest_batch, len(entries))
         self.entry_count += len(entries)
         if "generation" not in self.splitter.fields or "reset" not in self.splitter.fields:
@@ -164,14 +164,14 @@
         return len(entries) == ENTRIES_PER_TURN
 
     def _staged_update(self) -> StagedList | StagedChanges:
-        """The update that entries are added to; made as soon as the header is known."""
+        """Return the staged update, which is created once the header is known."""
         header = self._header()
         if self._staged is not None:
             return self._staged
         if header.is_full_list:
             self._staged = self.server.start_list(self.requested_at, (self.epoch, header.generation))
         elif self.from_generation is None:
-            raise SourceError("changes came where the whole list was asked for")
+            raise SourceError("the response has changes, but the whole list was requested")
         else:
             self._staged = self.server.start_changes(self.requested_at, header.generation)
         return self._staged
@@ -187,7 +187,7 @@
             staged.add(rows, listings)
 
     def _known_rows(self, listings: list[tuple[str, int]]) -> list[Row]:
-        """The rows of malformed entries as they were known, but for their listing."""
+        """Return the known rows of malformed entries, with the new listing."""
         rows: list[Row] = []
         for name, listing in listings:
             row = self.server.find_row(name)
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -1,7 +1,7 @@
-"""The sharded directory on the event loop, for one instance.
+"""Runs the sharded directory of one instance on the event loop.
 
-Carries out what ShardClient and ShardServer decide, over the gossip node's connections: sends requests and
-digests, gives updates to the relay, and runs the server's source.
+Carries out the decisions of ShardClient and ShardServer over the gossip node's connections: sends requests
+and digests, passes updates to the relay, and runs the server's source.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 
 log = logging.getLogger(__name__)
 
-MESSAGE_KIND = "shards"  # of frames and datagrams on the gossip node
-REQUEST_TIMEOUT_S = 1.0  # then another server is asked
-MIN_TICK_INTERVAL_S = 0.005  # what is requested meanwhile goes into one request
+MESSAGE_KIND = "shards"  # kind of frames and datagrams on the gossip node
+REQUEST_TIMEOUT_S = 1.0  # after it another server gets the request
+MIN_TICK_INTERVAL_S = 0.005  # destinations requested meanwhile share one request
 MAX_TICK_INTERVAL_S = 1.0
 TICK_RETRY_S = 1.0  # after a tick that failed
 
@@ -65,7 +65,7 @@
 
 
 class ShardedDirectory:
-    """The relay's destination interest, and its one source of endpoints."""
+    """The relay's destination interest, and its only source of endpoints."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
     # -- for the core ----------------------------------------------------------------------------------------
 
     def is_resident(self, destination: int) -> bool:
-        """Whether the directory has all that is known of the destination."""
+        """Whether the directory has all known endpoints of the destination."""
         return self.client.is_resident(destination)
 
     def contains(self, destination: int) -> bool:
@@ -140,17 +140,17 @@
             self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
 
     def is_current(self, destination: int) -> bool:
-        """Whether a first byte may be written by what is known of the destination."""
+        """Whether the data on the destination are current enough to write a first byte."""
         return self.client.is_current(self.now(), destination)
 
     async def wait_for_renewal(self) -> None:
         """Wait until `is_current` may have changed."""
-        # Requests are due now: a process that was frozen is late.
+        # Send requests at once: a process that was frozen is late with them.
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
         await self.renewed.wait()
 
     async def run(self, on_update: EndpointUpdateCallback) -> None:
-        """Give endpoint updates to the callback until cancelled."""
+        """Pass endpoint updates to the callback until cancelled."""
         self.listener = on_update
         await asyncio.get_running_loop().create_future()
 
@@ -160,7 +160,7 @@
             self.source.reload(config.discovery)
 
     def close(self) -> None:
-        """Stop at once; tasks end on their own."""
+        """Stop without waiting for the tasks to end."""
         self.running = False
         if self.timer is not None:
             self.timer.cancel()
@@ -192,7 +192,7 @@
             if self.server is not None:
                 next_at = min(next_at, self.server.next_digest_at())
         except Exception:
-            log.exception("sharded directory tick failed")  # it is tried again
+            log.exception("sharded directory tick failed")  # retried after TICK_RETRY_S
             next_at = now + TICK_RETRY_S
         self._schedule_tick(min(max(next_at, now + MIN_TICK_INTERVAL_S), now + MAX_TICK_INTERVAL_S))
 
@@ -204,7 +204,7 @@
                 self.gossip.send_datagram(name, MESSAGE_KIND, encode_message(digest))
 
     def _execute_decisions(self) -> None:
-        """Carry out what the client has decided."""
+        """Carry out the client's decisions: requests, updates and missing destinations."""
         requests = list(self.client.outgoing)
         self.client.outgoing.clear()
         for server_name, request in requests:
@@ -219,7 +219,7 @@
             self.relay.messages.fail_unknown_destination(destination)
 
     def _notify_renewed(self) -> None:
-        """`is_current` may have changed."""
+        """Wake the tasks that wait for renewal: `is_current` may have changed."""
         self._execute_decisions()
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
         renewed = self.renewed
@@ -229,7 +229,7 @@
     # -- messages --------------------------------------------------------------------------------------------
 
     async def _send_request(self, server_name: str, request: ShardRequest) -> None:
-        """Send a request and give the client its result."""
+        """Send a request and pass its result to the client."""
         response = await self._response_to(server_name, request)
         try:
             if response is None:
@@ -243,16 +243,16 @@
     async def _response_to(
         self, server_name: str, request: ShardRequest
     ) -> ShardResponse | Overloaded | LayoutMismatch | None:
-        """The response, or None where there is none in time; failures are counted and logged."""
+        """Return the response, or None without one in time; failures are counted and logged."""
         try:
             if server_name == self.name and self.server is not None:
-                await asyncio.sleep(0)  # in a turn of its own
+                await asyncio.sleep(0)  # in a separate turn of the event loop
                 return self.server.handle_request(self.now(), self.name, request)
             frame = encode_message(request)
             raw = await self.gossip.request(server_name, MESSAGE_KIND, frame, REQUEST_TIMEOUT_S)
             message = decode_message(raw)
             if not isinstance(message, ShardResponse | Overloaded | LayoutMismatch):
-                raise UnreadableFrameError(f"{type(message).__name__} is no answer")
+                raise UnreadableFrameError(f"{type(message).__name__} is not a response")
             return message
         except ValueError as error:
             self._record_unreadable(server_name, error)
@@ -267,7 +267,7 @@
         try:
             request = decode_message(raw)
             if not isinstance(request, ShardRequest):
-                raise UnreadableFrameError(f"{type(request).__name__} is no ask")
+                raise UnreadableFrameError(f"{type(request).__name__} is not a ShardRequest")
         except ValueError as error:
             self._record_unreadable(hello.sender, error)
             raise
@@ -282,7 +282,7 @@
         try:
             digest = decode_message(raw)
             if not isinstance(digest, Digest):
-                raise UnreadableFrameError(f"{type(digest).__name__} is no digest")
+                raise UnreadableFrameError(f"{type(digest).__name__} is not a Digest")
         except ValueError as error:
             self._record_unreadable(sender, error)
             return
@@ -293,7 +293,7 @@
     def _record_unreadable(self, sender: str, error: Exception) -> None:
         self.counts["unreadable"] += 1
         so_far = self.counts["unreadable"]
-        if so_far.bit_count() == 1:  # the first, second, fourth ...: it may go on
+        if so_far.bit_count() == 1:  # log the 1st, 2nd, 4th ... only
             log.warning(
                 LogEvent("unreadable directory message skipped", sender=sender, why=error, so_far=so_far)
             )
--- a/message_relay/sharded_directory/pending_shards.py
+++ b/message_relay/sharded_directory/pending_shards.py
@@ -1,4 +1,4 @@
-"""Shards for which messages wait, in the order of the earliest deadline. No I/O."""
+"""Shards that pending messages wait for, ordered by the earliest deadline. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class PendingShard:
-    """A shard that some messages need before they can be sent."""
+    """A shard that pending messages need before they can be sent."""
 
     __slots__ = ("deadline", "destinations", "requested_from")
 
     def __init__(self, deadline: float) -> None:
-        self.deadline = deadline  # when the earliest of its messages expires
+        self.deadline = deadline  # of the message that expires first
         self.destinations: set[int] = set()  # bounded by the number of pending messages
         self.requested_from: str | None = None  # the server whose response is outstanding
 
 
 class PendingShards:
-    """The pending shards, and which of them to request next.
+    """The pending shards, with a queue of those to request next.
 
-    `resident` holds the shards that are in the cache: they need no request of their own.
+    `resident` has the shards in the cache, which need no request of their own.
     """
 
     def __init__(self, resident: Container[int]) -> None:
@@ -45,7 +45,7 @@
         return pending
 
     def requeue(self, shard: int, deadline: float) -> None:
-        """Queue a shard again: under an earlier deadline, or because its request has finished."""
+        """Queue a shard again, with an earlier deadline or after its request has finished."""
         heapq.heappush(self.queue, (deadline, shard))
 
     def pop(self, shard: int) -> PendingShard:
@@ -53,7 +53,7 @@
         return self.by_shard.pop(shard)
 
     def release_from(self, server: str, shards: list[int]) -> None:
-        """Queue the shards again whose request to this server has finished."""
+        """Queue shards again after their request to this server has finished."""
         for shard in shards:
             pending = self.by_shard.get(shard)
             if pending is not None and pending.requested_from == server:
@@ -61,7 +61,7 @@
                 self.requeue(shard, pending.deadline)
 
     def has_requestable(self) -> bool:
-        """Whether there are shards to request; outdated queue items are dropped."""
+        """Whether there are shards to request. Drops outdated queue items."""
         while self.queue:
             shard = self.queue[0][1]
             pending = self.by_shard.get(shard)
@@ -72,11 +72,11 @@
 
     def pop_requestable(self, limit: int) -> list[int]:
         """Pop up to `limit` shards off the queue, the earliest deadline first."""
-        found: dict[int, None] = {}
-        while len(found) < limit and self.has_requestable():
-            found[heapq.heappop(self.queue)[1]] = None
-        return list(found)
+        popped: dict[int, None] = {}
+        while len(popped) < limit and self.has_requestable():
+            popped[heapq.heappop(self.queue)[1]] = None
+        return list(popped)
 
     def time_left_ms(self, now: float, shard: int, limit_ms: float) -> float:
-        """Time until the shard's deadline: not negative, `limit_ms` at most."""
+        """Return the time until the shard's deadline, from 0 to `limit_ms`."""
         return min(limit_ms, max(0.0, self.by_shard[shard].deadline - now) * 1e3)
--- a/message_relay/sharded_directory/rendezvous_hash.py
+++ b/message_relay/sharded_directory/rendezvous_hash.py
@@ -1,8 +1,8 @@
-"""Which shard a destination is in, and in which order a client asks the servers. No I/O.
+"""Maps destinations to shards, and ranks the servers for each client. No I/O.
 
-Both by a hash that is the same in every process and version (XXH3, 64 bits). Servers are ranked by rendezvous
-hashing (Thaler, Ravishankar 1998): each client ranks all servers by the hash of both names, so that when one
-fails only its own clients move, spread over all others.
+Both use a hash that is the same in every process and version (XXH3, 64 bits). Servers are ranked by
+rendezvous hashing (Thaler, Ravishankar 1998): each client ranks all servers by the hash of both names, so
+that after a failure only the failed server's clients move, spread over all others.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import xxhash
 
-MAX_SHARDS = 1 << 16  # of 44 destinations each: 2.9 million; a bitmap of 8 KB
-MAX_SERVERS = 16  # can be tried, two at a time with a second each, within the staleness bound
+MAX_SHARDS = 1 << 16  # 2.9 million destinations at 44 in a shard; a bitmap of 8 KB
+MAX_SERVERS = 16  # all can be tried within the staleness bound, two at a time with a second each
 _MASK = (1 << 64) - 1
 _DESTINATION = struct.Struct("<Q")
 
@@ -24,7 +24,7 @@
 
 
 def rank_servers(client: str, servers: Iterable[str]) -> list[str]:
-    """Return all servers, the one to ask first first; the same at each start."""
+    """Return all servers in order of preference, which is the same after a restart."""
 
     def rank(server: str) -> tuple[int, str]:
         return xxhash.xxh3_64_intdigest(f"{client}\n{server}".encode()), server
--- a/message_relay/sharded_directory/request_scheduler.py
+++ b/message_relay/sharded_directory/request_scheduler.py
@@ -1,8 +1,8 @@
-"""Which shard server is asked when: outstanding requests, retries, and the limit of received bytes. No I/O.
+"""Schedules requests to shard servers, with retries and a limit of received bytes. No I/O.
 
-Servers are ranked by rendezvous hashing. Requests go to the first that works; a server that fails is retried
+Servers are ranked by rendezvous hashing. Requests go to the first one that works; a failing server is retried
 after a backoff with jitter, so that clients which lost a server together do not return together. A server
-whose source lags is asked last. At most two requests are outstanding, each at a server of its own.
+whose source lags is the last choice. At most two requests are outstanding, at different servers.
 
 The clock is passed in, in seconds.
 """
@@ -20,23 +20,24 @@
 from .staleness import NEVER, StalenessTracker
 from .wire import NO_VERSION, Layout, RequestedShard, ShardRequest, pack_shard_set
 
-MAX_OUTSTANDING_REQUESTS = 2  # at different servers: one that hangs does not stop the other
-SUBSCRIPTION_REFRESH_S = 30.0  # the first two servers are asked at least so often: they drop a client that is
-# silent for 60 s, and with digests of both, one whose source lags unnoticed (a late file copy) is found out
-LAGGING_PAUSE_S = 5.0  # a server with a lagging source is asked last for so long
+MAX_OUTSTANDING_REQUESTS = 2  # at different servers: if one hangs, the other still responds
+# Each of the first two servers gets a request at least this often: they drop a client that is silent for
+# 60 s, and digests of both reveal a server whose source lags unnoticed (a late file copy).
+SUBSCRIPTION_REFRESH_S = 30.0
+LAGGING_PAUSE_S = 5.0  # time for which a server with a lagging source is the last choice
 MIN_BACKOFF_S = 0.5
-MAX_BACKOFF_S = 4.0  # within the staleness bound each server is tried again
-RECOVERY_SPREAD_S = 2.0  # clients return to a recovered server spread over so long
-SLOW_RESPONSE_S = 0.3  # a request that is outstanding for longer is no longer relied on
-CONTINUATION_PAUSE_S = 0.05  # between two requests to one server that has more to send
-MAX_SHARDS_PER_REQUEST = 64  # more than the shards of one response
+MAX_BACKOFF_S = 4.0  # low enough that each server is retried within the staleness bound
+RECOVERY_SPREAD_S = 2.0  # clients return to a recovered server spread over this time
+SLOW_RESPONSE_S = 0.3  # after it an outstanding request no longer holds up another
+CONTINUATION_PAUSE_S = 0.05  # between two requests to a server that has more to send
+MAX_SHARDS_PER_REQUEST = 64  # more than fit into one response
 MAX_CHECKSUMS_PER_REQUEST = 512  # 6 KB
-COMPARE_ALL_INTERVAL_S = 60.0  # least time between two comparisons of all shards
-RECEIVE_BYTES_PER_S = 512e3  # of responses: a thousand shards of 2.6 KB in 2 s; far above it is a fault
+COMPARE_ALL_INTERVAL_S = 60.0  # minimum time between two comparisons of all shards
+RECEIVE_BYTES_PER_S = 512e3  # in responses: a thousand shards of 2.6 KB in 2 s; far more is a fault
 RECEIVE_BURST_BYTES = 2e6
 NO_DEADLINE_MS = 1e9
-TICK_INTERVAL_S = 1.0  # a tick comes at the latest after it
-PREFERRED_SERVERS = 2  # the first ones in order: they send digests, and get requests for shards
+TICK_INTERVAL_S = 1.0  # maximum time between two ticks
+PREFERRED_SERVERS = 2  # the first in order, which send digests and get requests for shards
 
 
 class OutgoingRequest(NamedTuple):
@@ -47,7 +48,7 @@
 
 
 class OutstandingRequest:
-    """A request whose response has not come."""
+    """A request without a response so far."""
 
     __slots__ = ("checksums", "number", "requested_shards", "resident_shards", "sent_at")
 
@@ -67,7 +68,7 @@
 
 
 class ServerState:
-    """What a client knows of one shard server."""
+    """State of one shard server, as a client knows it."""
 
     __slots__ = (
         "backoff",
@@ -86,11 +87,11 @@
         self.rank = rank
         self.outstanding: OutstandingRequest | None = None
         self.paused_until = NEVER
-        self.lagging_until = NEVER  # its source lags: it is asked last
+        self.lagging_until = NEVER  # its source lags: last choice until then
         self.requested_at = NEVER
         self.backoff = ExponentialBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S, rng)
         self.is_failing = False
-        self.has_more = False  # it has changes that were not requested yet
+        self.has_more = False  # it has changes that the client has not requested yet
 
 
 class RequestScheduler:
@@ -109,7 +110,7 @@
         pending: PendingShards,
         staleness: StalenessTracker,
     ) -> None:
-        """`server_names`: in the order of preference; `refresh_s`: age after which data are confirmed."""
+        """`server_names` are in order of preference; data older than `refresh_s` are confirmed."""
         self.layout = layout
         self.rng = rng
         self.refresh_s = refresh_s
@@ -118,7 +119,7 @@
         self.staleness = staleness
         self.servers = {name: ServerState(name, rank, rng) for rank, name in enumerate(server_names)}
         self.reachable_servers = set(server_names)
-        self.shards_to_compare: dict[int, None] = {}  # by their checksums, in order
+        self.shards_to_compare: dict[int, None] = {}  # by checksums, in insertion order
         self.compared_all_at = NEVER
         self.awaiting_update: set[int] = set()  # resident shards that are pending until they are current
         self.outgoing: list[OutgoingRequest] = []
@@ -130,23 +131,23 @@
         self.received_bytes = 0
 
     def wake(self, at: float) -> None:
-        """Have the next tick at `at`, if it isn't due earlier."""
+        """Schedule the next tick at `at` unless it is due earlier."""
         self.next_tick = min(self.next_tick, at)
 
     # -- results of requests ---------------------------------------------------------------------------------
 
     def set_reachable(self, now: float, server_names: Iterable[str]) -> None:
-        """Set which servers the membership lists as alive; one that is back is asked again soon."""
-        found = {name for name in server_names if name in self.servers}
-        for name in found - self.reachable_servers:
+        """Set which servers the membership lists as alive; a server that has returned is retried soon."""
+        reachable = {name for name in server_names if name in self.servers}
+        for name in reachable - self.reachable_servers:
             server = self.servers[name]
             if server.is_failing:
                 server.paused_until = min(server.paused_until, now + RECOVERY_SPREAD_S * self.rng.random())
-        self.reachable_servers = found
+        self.reachable_servers = reachable
         self.wake(now)
 
     def finish(self, server: ServerState) -> OutstandingRequest:
-        """Take the server's outstanding request: it has ended in one way or another."""
+        """Remove and return the server's outstanding request, which has succeeded or failed."""
         outstanding = server.outstanding
         assert outstanding is not None
         server.outstanding = None
@@ -154,13 +155,13 @@
         return outstanding
 
     def record_success(self, server: ServerState) -> None:
-        """A response has come."""
+        """Record a response."""
         server.is_failing = False
         server.has_more = False
         server.backoff.reset()
 
     def record_failure(self, now: float, server: ServerState, outstanding: OutstandingRequest) -> None:
-        """A request got no usable response: the server is paused for its backoff."""
+        """Record a request without a usable response, and pause the server for its backoff."""
         self.failures += 1
         server.is_failing = True
         server.has_more = False
@@ -168,33 +169,33 @@
         self.staleness.record_failure(server.name, outstanding.sent_at)
 
     def record_overload(self, now: float, server: ServerState, retry_after_ms: float) -> None:
-        """The server has rejected the request; values that make no sense are replaced by a usual pause."""
-        server.has_more = True  # what was requested is still to be requested
+        """Record a rejection for overload; an invalid `retry_after_ms` is replaced by the minimum backoff."""
+        server.has_more = True  # the rejected request has to be repeated
         pause_s = MIN_BACKOFF_S
         if isfinite(retry_after_ms):
             pause_s = min(max(retry_after_ms / 1e3, CONTINUATION_PAUSE_S), MAX_BACKOFF_S)
         server.paused_until = now + pause_s
 
     def record_incomplete(self, now: float, server: ServerState, has_progress: bool) -> None:
-        """The server has more to send than one response: it is asked again, at once if it had news."""
+        """Record an incomplete response: the next request follows soon if there was progress."""
         server.has_more = True
         server.paused_until = now + (CONTINUATION_PAUSE_S if has_progress else MIN_BACKOFF_S)
 
     def record_lag(self, now: float, server: ServerState) -> None:
-        """The server's source lags: others are preferred for a while."""
+        """Record that the server's source lags: others are preferred for a while."""
         server.lagging_until = now + LAGGING_PAUSE_S
 
     def back_off(self, now: float, server: ServerState) -> None:
-        """Pause the server for a longer time than before."""
+        """Pause the server for the next delay of its backoff."""
         server.paused_until = now + server.backoff.next_delay()
 
     def count_received(self, size: int) -> None:
-        """Charge received bytes to the limit."""
+        """Count received bytes against the limit."""
         self.received_bytes += size
         self.receive_tokens -= size
 
     def has_better_server(self, now: float, server: ServerState) -> bool:
-        """Whether another server, which does not lag, may know more than this one."""
+        """Whether another usable server does not lag, and so may know more than this one."""
         return any(
             not other.is_failing and other.lagging_until <= now and other.name in self.reachable_servers
             for other in self.servers.values()
@@ -204,25 +205,25 @@
     # -- comparison by checksums -----------------------------------------------------------------------------
 
     def compare(self, shards: Iterable[int]) -> None:
-        """Have these shards compared with a server's."""
+        """Queue these shards for a comparison with a server's."""
         self.shards_to_compare.update(dict.fromkeys(shards))
 
     def compare_all(self, now: float) -> None:
-        """Have all shards compared: checksums differ under one version.
+        """Queue all shards for comparison, because checksums differ under one version.
 
-        An entry was lost, or a source rewrote its list. Done once per COMPARE_ALL_INTERVAL_S at most.
+        Either an entry was lost, or a source rewrote its list. Limited to once per COMPARE_ALL_INTERVAL_S.
         """
         if now - self.compared_all_at >= COMPARE_ALL_INTERVAL_S:
             self.compared_all_at = now
             self.shards_to_compare = dict.fromkeys(self.cache.resident)
 
     def drop_compared(self, shards: Iterable[int]) -> None:
-        """Compare these shards no more."""
+        """Remove these shards from the comparison."""
         for shard in shards:
             self.shards_to_compare.pop(shard, None)
 
     def drop_evicted(self) -> None:
-        """Compare only shards that are still resident."""
+        """Remove shards that are no longer resident from the comparison."""
         self.shards_to_compare = {
             shard: None for shard in self.shards_to_compare if shard in self.cache.resident
         }
@@ -234,14 +235,14 @@
         self._refill_receive_tokens(now)
         self.next_tick = now + TICK_INTERVAL_S
         order = self._order_of_preference(now)
-        for place, server in enumerate(order):
+        for position, server in enumerate(order):
             if sum(each.outstanding is not None for each in order) >= MAX_OUTSTANDING_REQUESTS:
                 return
             if server.outstanding is not None:
                 continue
-            is_preferred = place < PREFERRED_SERVERS or order[1].is_failing
+            is_preferred = position < PREFERRED_SERVERS or order[1].is_failing
             requests_shards = is_preferred and self._can_request_shards()
-            if not (requests_shards or self._is_request_due(now, server, place)):
+            if not (requests_shards or self._is_request_due(now, server, position)):
                 continue
             if server.paused_until > now:
                 self.wake(server.paused_until)
@@ -255,10 +256,10 @@
         self.tokens_updated_at = now
 
     def _order_of_preference(self, now: float) -> list[ServerState]:
-        """All servers, the one to ask first first.
+        """Return all servers in order of preference.
 
-        Of those that fail, the one that was left alone the longest: else the first few, whose time runs out
-        again and again, keep the last from being tried, and that may be the one that is back.
+        Among failing servers the least recently tried comes first. Otherwise the first few, which time out
+        again and again, would keep the last from being tried, although it may have recovered.
         """
         return sorted(
             self.servers.values(),
@@ -274,18 +275,18 @@
     def _can_request_shards(self) -> bool:
         return self.pending.has_requestable() and self.receive_tokens > 0.0
 
-    def _is_request_due(self, now: float, server: ServerState, place: int) -> bool:
-        """Whether this server, at this place in the order, is to be asked for other reasons than shards."""
+    def _is_request_due(self, now: float, server: ServerState, position: int) -> bool:
+        """Whether the server at this position in the order gets a request even without shards to request."""
         if server.has_more:
             return True
         if not self.cache.resident:
             return False
         if server.rank < PREFERRED_SERVERS and server.is_failing:
-            return True  # when its pause is over: to learn whether it is back
-        if place == 0 and self.shards_to_compare:
+            return True  # after its pause, to learn whether it has recovered
+        if position == 0 and self.shards_to_compare:
             return True
         is_idle = all(each.outstanding is None for each in self.servers.values())
-        is_preferred = place < PREFERRED_SERVERS
+        is_preferred = position < PREFERRED_SERVERS
         if is_preferred and now - server.requested_at >= SUBSCRIPTION_REFRESH_S and is_idle:
             return True
         confirmed_at = self.staleness.confirmed_at(self.cache.common_version)
@@ -296,7 +297,7 @@
         return bool(self.awaiting_update) and is_preferred and since_contact_s >= MIN_BACKOFF_S
 
     def _only_slow_outstanding(self, now: float) -> bool:
-        """Whether no outstanding request is likely to be answered soon, which would do."""
+        """Whether no outstanding request is likely to get a response soon."""
         return all(
             server.is_failing or now - server.outstanding.sent_at >= SLOW_RESPONSE_S
             for server in self.servers.values()
--- a/message_relay/sharded_directory/response_builder.py
+++ b/message_relay/sharded_directory/response_builder.py
@@ -1,7 +1,7 @@
-"""Which shards and changes go into a response, within its size. No I/O.
+"""Selects the shards and changes of a response, within the size limit. No I/O.
 
-In this order: shards that the client requests, the earliest deadline first; shards whose checksums it sent;
-what changed since its version. A response has at least one part, however large, and is about
+The order is: shards that the client requests, the earliest deadline first; shards whose checksums it sent;
+changes since its version. The first part is sent whatever its size; otherwise a response has about
 MAX_RESPONSE_BYTES at most.
 """
 
@@ -21,22 +21,22 @@
 )
 
 MAX_RESPONSE_BYTES = 48 << 10  # some 18 shards of 44 rows, below 10 ms of work
-MAX_REQUESTED_BYTES = 36 << 10  # of that for requested shards, so that changes get through beside them
-UNCHANGED_BYTES = 8  # of a shard whose checksum is the client's
+MAX_REQUESTED_BYTES = 36 << 10  # of these, for requested shards: leaves space for changes
+UNCHANGED_BYTES = 8  # size of the part for a shard with an equal checksum
 
 
 class ResponseParts:
-    """The parts of one response, while they are chosen."""
+    """The parts of one response that is being built."""
 
     def __init__(self) -> None:
         self.parts: list[ResponsePart] = []
         self.included = 0  # bitset of their shards
-        self.is_complete = False  # nothing else that the client has is newer
-        self.reached_version: Version = NO_VERSION  # all that it has is as of this or later then
+        self.is_complete = False  # the client's other shards have no newer changes
+        self.reached_version: Version = NO_VERSION  # all its shards are as of this or later then
         self.size = 0  # bytes, about
 
     def fits(self, size: int, limit: int) -> bool:
-        """Whether a part of this size may be added; the first always may."""
+        """Whether a part of this size may be added; the first part always fits."""
         return not self.parts or self.size + size <= limit
 
     def add(self, part: ResponsePart, size: int) -> None:
@@ -46,25 +46,25 @@
         self.size += size
 
     def includes(self, shard: int) -> bool:
-        """Whether there is a part on the shard."""
+        """Whether the response has a part for the shard."""
         return bool(self.included >> shard & 1)
 
 
 def build_response_parts(
     table: ShardTable, version: Version, request: ShardRequest, resident: int, ahead: int
 ) -> ResponseParts:
-    """Choose what a client gets.
+    """Select the parts that a client gets.
 
     Args:
         table: The rows in force.
         version: Their version.
         request: The client's request.
         resident: Bitset of the shards that the client has.
-        ahead: Bitset of those that are as of `request.ahead_version`.
+        ahead: Bitset of its shards that are as of `request.ahead_version`.
     """
     response = ResponseParts()
     if version < request.version:
-        response.is_complete = True  # the client would refuse all
+        response.is_complete = True  # the client would reject older data
         return response
     _add_requested(response, table, request, resident)
     _add_compared(response, table, request, resident)
@@ -80,7 +80,7 @@
 
 
 def _add_requested(response: ResponseParts, table: ShardTable, request: ShardRequest, resident: int) -> None:
-    for requested in sorted(request.requested_shards, key=lambda each: each.time_left_ms):
+    for requested in sorted(request.requested_shards, key=lambda item: item.time_left_ms):
         shard = requested.shard
         if response.includes(shard) or resident >> shard & 1:
             continue
@@ -109,10 +109,10 @@
     resident: int,
     ahead: int,
 ) -> None:
-    """Add what changed since the client's version, first in the shards that lack the most.
+    """Add the changes since the client's version, starting with the shards that are furthest behind.
 
-    Else, where changes come faster than pieces, the same new ones would be sent in each piece and the rest
-    never.
+    Otherwise, if changes arrive faster than incomplete responses, each response would have the same new
+    changes and never the remaining ones.
     """
     skipped = ahead & resident if request.ahead_version[0] == version[0] else 0
     if not _add_changes_since(response, table, resident & ~skipped, request.version[1]):
@@ -123,7 +123,7 @@
 
 
 def _add_changes_since(response: ResponseParts, table: ShardTable, shards: int, generation: int) -> bool:
-    """Add the changes of these shards; whether all fitted."""
+    """Add the changes of these shards; return whether all fitted."""
     changed: Iterator[int] = table.changed_since(generation) if shards else iter(())
     for shard in changed:
         if response.includes(shard) or not shards >> shard & 1:
@@ -136,7 +136,7 @@
 
 
 def _changed_part(table: ShardTable, shard: int, generation: int) -> tuple[ResponsePart, int]:
-    """The shard's changes, or the whole shard if its history is too short; and the size, about."""
+    """Return the shard's changes, or the full shard if its log is too short, with the approximate size."""
     rows = table.rows_changed_since(shard, generation)
     full_size = len(table.encoded_rows[shard])
     if rows is None:
--- a/message_relay/sharded_directory/shard_cache.py
+++ b/message_relay/sharded_directory/shard_cache.py
@@ -1,13 +1,13 @@
-"""The shards that are resident at a client, and what of them the directory has. No I/O.
+"""Caches the resident shards of a client, and publishes their endpoints to the directory. No I/O.
 
-The directory gets the endpoints of destinations in use, not of all that share their shards: an endpoint costs
-it some 2 KB, and 1,000 destinations in use lie in shards of 41,000.
+The directory gets the endpoints of destinations in use, not of all destinations in their shards: an endpoint
+costs it some 2 KB, and 1,000 destinations in use lie in shards with 41,000.
 
-Which data stand: each shard is as of a version, and older never replaces newer. A name may move between two
+Versions: each shard is as of a version, and older data never replace newer. A name may move between two
 shards, of which one is resident as of a later version than the other. So a name that is new in a shard is
-published only if the shard is as of `latest_version`, the latest that any shard was ever as of; else what was
-published stays, and the rest waits until the shard has caught up. For the same reason a shard that isn't
-resident is only added as of `latest_version`: it may have been resident before, and evicted.
+published only if the shard is as of `latest_version`, the latest version that any shard ever had; otherwise
+the published data stay, and new names wait until the shard has caught up. For the same reason a shard that
+isn't resident is only added as of `latest_version`: it may have been resident before, and evicted.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from .rendezvous_hash import shard_of
 from .wire import CHECKSUM_MASK, GONE, LISTINGS, NO_VERSION, Row, Version, row_checksum, shard_number_hash
 
-IDLE_CHECKS_PER_TICK = 64  # shards checked for idleness, of some destinations in use each: below 1 ms
-CHECKS_PER_IDLE_PERIOD = 4  # the idle time is kept to within a quarter
-MAX_HOST_LENGTH = 253  # of a name in DNS
+IDLE_CHECKS_PER_TICK = 64  # shards checked for idleness, with a few destinations in use each: below 1 ms
+CHECKS_PER_IDLE_PERIOD = 4  # an idle shard is evicted up to a quarter of the idle time late
+MAX_HOST_LENGTH = 253  # maximum length of a DNS name
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
 
 
 def is_readable(row: Row) -> bool:
-    """Whether a call could be made by the row."""
+    """Whether the row is valid, so that a call could be made with it."""
     return (
         0 < row.port < 1 << 16
         and 0 < len(row.host) <= MAX_HOST_LENGTH
@@ -68,16 +68,16 @@
         self.encoded_rows = b""
         self.checksum = 0
         self.version = NO_VERSION
-        self.last_used: dict[int, float] = {}  # destinations in use, and when they were used last
-        self.existing_destinations: set[int] = set()  # of these, such as exist
-        self.published: dict[str, int] = {}  # names the directory has from here, with their rows' checksums
+        self.last_used: dict[int, float] = {}  # destinations in use -> time of the last use
+        self.existing_destinations: set[int] = set()  # those of `last_used` that exist
+        self.published: dict[str, int] = {}  # names published from this shard -> checksums of their rows
         self.last_used_at = now
-        self.unreadable_rows: set[int] = set()  # checksums
-        self.is_waiting = False  # something is not published until it is as of `latest_version`
+        self.unreadable_rows: set[int] = set()  # their checksums
+        self.is_waiting = False  # some names wait until the shard is as of `latest_version`
 
 
 class _Publication:
-    """What one publication of a shard has found so far."""
+    """Intermediate result of one publication of a shard."""
 
     __slots__ = ("listings", "published", "records", "unreadable_before")
 
@@ -98,23 +98,23 @@
         self.resident_bits = 0  # bitset of the resident shards
         self.rows_checksum = 0  # over all resident rows
         self.shard_set_checksum = 0
-        self.common_version = NO_VERSION  # all are as of this or a later version
+        self.common_version = NO_VERSION  # all resident shards are as of this or a later version
         self.latest_version = NO_VERSION
-        self.catch_up_version = NO_VERSION  # of a response in pieces: see shards_ahead
-        self.shard_by_name: dict[str, int] = {}  # names that the directory has
+        self.catch_up_version = NO_VERSION  # target of a series of incomplete responses: see shards_ahead
+        self.shard_by_name: dict[str, int] = {}  # published names
         self.updates: list[EndpointUpdate] = []
-        self.idle_checks: deque[tuple[float, int]] = deque()  # (when, shard), in order
-        self.waiting_shards: set[int] = set()  # CachedShard.is_waiting
+        self.idle_checks: deque[tuple[float, int]] = deque()  # (time, shard), ascending
+        self.waiting_shards: set[int] = set()  # shards with `CachedShard.is_waiting`
         self.unreadable_entries = 0
         self.endpoint_count = 0
-        self.decoded_rows = 0  # what responses cost
+        self.decoded_rows = 0  # measures the cost of responses
 
     def version_of(self, cached: CachedShard) -> Version:
-        """The version that a shard is as of."""
+        """Return the version that a shard is as of."""
         return max(cached.version, self.common_version)
 
     def is_settled(self, shard: int) -> bool:
-        """Whether the shard is resident, and names that are new in it may be published."""
+        """Whether the shard is resident, and new names in it may be published."""
         cached = self.resident.get(shard)
         return cached is not None and self.version_of(cached) >= self.latest_version
 
@@ -123,7 +123,7 @@
     def add(self, now: float, shard: int, rows: Iterable[Row], version: Version) -> int:
         """Add a shard that was not resident; return its bytes.
 
-        The caller has compared `version` with `latest_version`.
+        The caller has checked that `version` is not below `latest_version`.
         """
         if not self.resident:
             self.common_version = version
@@ -138,10 +138,10 @@
         return self._store(shard, self.resident[shard], list(rows), version)
 
     def apply_changes(self, shard: int, rows: Iterable[Row], version: Version) -> int:
-        """Apply the rows that are new since a version that the shard is as of, or later.
+        """Apply the changes since the shard's version, or since an earlier one; return their bytes.
 
-        Returns the bytes of the changes: not the shard's, which in a storm would use up the limit of received
-        bytes.
+        The bytes are not those of the whole shard: in a storm of changes these would use up the limit of
+        received bytes.
         """
         cached = self.resident[shard]
         changed_rows = list(rows)
@@ -165,16 +165,16 @@
         return len(cached.encoded_rows)
 
     def confirm(self, shard: int, version: Version) -> None:
-        """The shard is unchanged as of this version."""
+        """Record that the shard is unchanged as of this version."""
         cached = self.resident[shard]
         cached.version = max(cached.version, version)
         self.latest_version = max(self.latest_version, version)
         self._publish_waiting(shard, cached)
 
     def confirm_all(self, version: Version, covered: int) -> None:
-        """The shards of the bitset `covered` are as of this version; those added since have their own."""
+        """Record that the shards of the bitset `covered` are as of this version; later ones keep theirs."""
         if not self.resident:
-            return  # nothing could be older: an empty client need not wait for the server with the latest
+            return  # nothing resident is older: an empty cache need not wait for the latest version
         others = [self.resident[shard] for shard in bitset.set_bits(self.resident_bits & ~covered)]
         self.latest_version = max(self.latest_version, version)
         if all(self.version_of(cached) >= version for cached in others):
@@ -187,23 +187,23 @@
             self._publish_waiting(shard, self.resident[shard])
 
     def raise_common_version(self) -> None:
-        """After shards were compared one by one. Walks over all that are resident."""
+        """Raise `common_version` to the oldest shard's, after a comparison. Iterates over all shards."""
         if self.resident:
             oldest = min(self.version_of(cached) for cached in self.resident.values())
             self.common_version = max(self.common_version, oldest)
 
     def shards_older_than(self, version: Version) -> list[int]:
-        """The shards that are as of an earlier version. Walks over all that are resident."""
+        """Return the shards as of an earlier version. Iterates over all resident shards."""
         if self.common_version >= version:
             return []
         return [shard for shard, cached in self.resident.items() if self.version_of(cached) < version]
 
     def shards_ahead(self) -> int:
-        """Bitset of the shards that are as of `catch_up_version`, where not all are.
+        """Return the bitset of the shards as of `catch_up_version` or later; 0 if all are as of the latest.
 
-        They aren't asked for from `common_version` on. The catch-up version stays until all have reached it:
-        by one that rose with each piece, all would begin again where versions come faster. Walks over all
-        that are resident.
+        Requests for changes since `common_version` exclude these shards. The catch-up version stays until all
+        shards have reached it: if it rose with each incomplete response, all would start over when versions
+        come faster than responses. Iterates over all resident shards.
         """
         if self.common_version >= self.latest_version:
             return 0
@@ -224,7 +224,7 @@
             self.publish(shard)
 
     def publish(self, shard: int, rows: list[Row] | None = None) -> None:
-        """Queue an update of what is new of the shard's destinations in use."""
+        """Queue an update with the changes of the shard's destinations in use."""
         cached = self.resident[shard]
         rows = self._decode_rows(cached) if rows is None else rows
         publication = _Publication(cached.unreadable_rows)
@@ -251,7 +251,7 @@
         self._queue_update(publication.records, publication.listings)
 
     def _publish_row(self, shard: int, cached: CachedShard, row: Row, publication: _Publication) -> None:
-        """Publish a row of a destination in use, as far as it is new."""
+        """Publish a row of a destination in use if it has changed."""
         checksum = row_checksum(row)
         checksum_before = cached.published.get(row.name)
         if checksum_before is None and self.version_of(cached) < self.latest_version:
@@ -260,7 +260,7 @@
             return
         is_known = row.name in self.shard_by_name
         if checksum_before is None and is_known and not self._claim_moved_name(shard, cached, row.name):
-            return  # two shards of one version have it: a server's fault
+            return  # in two shards as of one version: a fault of a server
         if checksum_before != checksum and not self._publish_change(
             cached, row, checksum, is_known, publication
         ):
@@ -272,19 +272,19 @@
     def _publish_change(
         self, cached: CachedShard, row: Row, checksum: int, is_known: bool, publication: _Publication
     ) -> bool:
-        """Publish a row that has changed; False: nothing of it can be used."""
+        """Publish a changed row; return False if nothing of it can be used."""
         has_listing = 0 <= row.listing < GONE
         if has_listing and is_readable(row):
             publication.records.append(endpoint_record(row))
             return True
         self.unreadable_entries += checksum not in publication.unreadable_before
         cached.unreadable_rows.add(checksum)
-        if is_known and has_listing:  # of an unreadable row the listing still counts
+        if is_known and has_listing:  # the listing of an unreadable row still counts
             publication.listings.append((row.name, LISTINGS[row.listing]))
         return is_known
 
     def _claim_moved_name(self, shard: int, cached: CachedShard, name: str) -> bool:
-        """Whether the name was published from another shard as of an earlier version: it has moved."""
+        """Withdraw the name from another shard as of an earlier version; return whether it had moved."""
         other_shard = self.shard_by_name.get(name)
         if other_shard is None or other_shard == shard:
             return False
@@ -303,7 +303,7 @@
     # -- use -------------------------------------------------------------------------------------------------
 
     def start_use(self, now: float, destinations: Iterable[int], shard: int) -> list[int]:
-        """Publish the destinations from now on; return those that don't exist."""
+        """Start to publish the destinations; return those that don't exist."""
         cached = self.resident[shard]
         new = [destination for destination in destinations if destination not in cached.last_used]
         cached.last_used.update(dict.fromkeys(destinations, now))
@@ -315,7 +315,7 @@
         return missing
 
     def touch(self, now: float, destination: int) -> bool:
-        """Note a use of the destination; False: it is not in use."""
+        """Record a use of the destination; return False if it is not in use."""
         cached = self.resident.get(shard_of(destination, self.shard_count))
         if cached is None or destination not in cached.last_used:
             return False
@@ -326,7 +326,7 @@
     def evict_idle(
         self, now: float, is_in_use: Callable[[int], bool], is_requested: Callable[[int], bool]
     ) -> bool:
-        """Evict idle destinations, and shards without any; whether a shard was evicted."""
+        """Evict idle destinations, and shards without any; return whether a shard was evicted."""
         has_evicted = False
         for _ in range(IDLE_CHECKS_PER_TICK):
             if not self.idle_checks or self.idle_checks[0][0] > now:
--- a/message_relay/sharded_directory/shard_client.py
+++ b/message_relay/sharded_directory/shard_client.py
@@ -1,13 +1,13 @@
-"""What a relay knows of the destinations that it needs: requested, resident and current shards. No I/O.
+"""Shard client: keeps the shards that a relay needs resident and current. No I/O.
 
-    a message for a shard that isn't resident   request -> ShardRequest -> ShardResponse -> updates
-    a digest that differs from what is resident  a ShardRequest for the changes since -> updates
+    a message for a shard that isn't resident    request -> ShardRequest -> ShardResponse -> updates
+    a digest that differs from the cache         a ShardRequest for the changes since -> updates
     no digest for some time                      a ShardRequest; to the next server if it fails
-    a shard that was unused for long             evicted, and its endpoints leave the directory
+    a shard that was not used for a long time    is evicted, and its endpoints leave the directory
 
-The staleness bound of 12 s is kept by `is_current`, which is asked before a first byte is written: see
-staleness.py. shard_cache.py decides which data stand where servers differ, request_scheduler.py which server
-is asked when. Responses that are unsolicited, repeated or late change nothing: each request has a number.
+`is_current` enforces the staleness bound of 12 s and is checked before each first byte: see staleness.py.
+shard_cache.py decides between the data of servers that differ, request_scheduler.py which server gets which
+request. Responses that are unsolicited, repeated or late change nothing: each request has a number.
 
 The clock is passed in, in seconds.
 """
@@ -44,17 +44,17 @@
 )
 
 SAFETY_MARGIN_S = 1.0  # of the bound: the first byte follows the check, and clocks drift by 30 ms a minute
-REFRESH_DIGESTS = 2.0  # digest intervals without news until a server is asked: one digest may be lost
-MIN_REFRESH_DIGESTS = 1.2  # likewise, where so many servers have to be tried that it has to begin sooner
-ATTEMPT_S = 1.2  # for two servers that hang, asked at once: the time-out of a second and its detection
-LAGGING_SOURCE_AGE_S = 10.0  # a server whose source is silent for so long is asked last
+REFRESH_DIGESTS = 2.0  # digest intervals without a report until a request is sent: one digest may be lost
+MIN_REFRESH_DIGESTS = 1.2  # likewise, if there are so many servers that trying all has to start sooner
+ATTEMPT_S = 1.2  # for two hanging servers in parallel: the time-out of a second and its detection
+LAGGING_SOURCE_AGE_S = 10.0  # a server whose source is silent for longer is the last choice
 
 
 class ShardClient:
     """Keeps the shards that a relay needs resident and current.
 
-    After each call the caller takes out `updates`, `outgoing` and `missing_destinations`, before any message
-    is sent: `is_current` presumes that the updates were applied.
+    After each call the caller processes and removes `updates`, `outgoing` and `missing_destinations`, before
+    any message is sent: `is_current` assumes that the updates were applied.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
             name: The instance's name, by which the servers are ranked.
             layout: The fleet's shards and servers.
             rng: Source of jitter.
-            bound_s: Staleness bound: nothing is sent by data that may be older.
+            bound_s: Staleness bound: no call uses data that may be older.
             idle_s: Unused shards are evicted after this time.
             digest_s: The servers' interval between digests.
         """
@@ -80,7 +80,7 @@
         self.layout = layout
         self.bound_s = bound_s
         self.layout_checksum = layout_checksum(layout)
-        # Where all servers hang at once, all have to be tried within the bound, or calls wait for that.
+        # If all servers hang at once, all have to be tried within the bound; otherwise calls are held up.
         attempts_s = SAFETY_MARGIN_S + ATTEMPT_S * (len(layout.servers) / 2 + 1)
         self.refresh_s = min(
             REFRESH_DIGESTS * digest_s, max(MIN_REFRESH_DIGESTS * digest_s, bound_s - attempts_s)
@@ -131,14 +131,14 @@
         self.scheduler.wake(now)
 
     def touch(self, now: float, destination: int) -> None:
-        """Note a use of the destination: a message was accepted, or a call made."""
+        """Record a use of the destination: an accepted message or a call."""
         if not self.cache.touch(now, destination):
             shard = shard_of(destination, self.layout.shard_count)
             if shard in self.cache.resident:
                 self.request(now, destination, now + NO_DEADLINE_MS / 1e3)
 
     def is_resident(self, destination: int) -> bool:
-        """Whether the directory has all that is known of the destination."""
+        """Whether the directory has all known endpoints of the destination."""
         shard = self._cached_shard(destination)
         return shard is not None and destination in shard.last_used
 
@@ -150,7 +150,7 @@
         return destination in shard.existing_destinations
 
     def is_current(self, now: float, destination: int) -> bool:
-        """Whether what is known of it is within the staleness bound; if not, a request follows."""
+        """Whether the data on the destination are within the staleness bound; if not, a request follows."""
         shard = self._cached_shard(destination)
         if shard is None:
             return False
@@ -163,13 +163,13 @@
         return self.cache.resident.get(shard_of(destination, self.layout.shard_count))
 
     def _can_publish(self, now: float, shard: int) -> bool:
-        """Whether the directory may get from the shard what it did not have before."""
+        """Whether new destinations of the shard may be published to the directory."""
         if not self.cache.is_settled(shard):
             return False
         return self.staleness.is_current(now, self.cache.version_of(self.cache.resident[shard]))
 
     def _release_pending(self, now: float) -> None:
-        """Publish the pending shards that are resident and current by now."""
+        """Publish the pending shards that have become resident and current."""
         awaiting_update = self.scheduler.awaiting_update
         for shard in [shard for shard in awaiting_update if self._can_publish(now, shard)]:
             awaiting_update.discard(shard)
@@ -185,7 +185,7 @@
     def on_response(
         self, now: float, server_name: str, message: ShardResponse | Overloaded | LayoutMismatch
     ) -> None:
-        """Process a response; one that belongs to no outstanding request is only counted."""
+        """Process a response; a response without an outstanding request is only counted."""
         server = self.scheduler.servers.get(server_name)
         if server is None or server.outstanding is None or server.outstanding.number != message.number:
             self.unsolicited += 1
@@ -202,7 +202,7 @@
             self._apply_response(now, server, outstanding, message)
 
     def on_request_failed(self, now: float, server_name: str) -> None:
-        """A request timed out or could not be sent."""
+        """Process a request that timed out or could not be sent."""
         server = self.scheduler.servers.get(server_name)
         if server is not None and server.outstanding is not None:
             outstanding = self.scheduler.finish(server)
@@ -229,7 +229,7 @@
         if outstanding.checksums:
             self._finish_comparison(outstanding, has_progress)
         if outstanding.requested_shards and not self._any_settled(outstanding.requested_shards):
-            self.scheduler.back_off(now, server)  # it sent none: not again at once
+            self.scheduler.back_off(now, server)  # it sent none of them: do not retry at once
         self._release_pending(now)
 
     def _record_source_age(
@@ -244,7 +244,7 @@
             self.scheduler.record_lag(now, server)
 
     def _apply_incomplete(self, outstanding: OutstandingRequest, response: ShardResponse) -> None:
-        """Confirm what an incomplete response covers; have the rest compared or requested again."""
+        """Confirm the shards that an incomplete response covers, and compare those older than its history."""
         older = self.cache.shards_older_than(response.history_start)
         self.scheduler.compare(older)
         if not older:
@@ -253,13 +253,13 @@
             self.cache.confirm_all(response.reached_version, outstanding.resident_shards)
 
     def _finish_comparison(self, outstanding: OutstandingRequest, has_progress: bool) -> None:
-        if not has_progress:  # not again at once: a server that is behind can't compare
+        if not has_progress:  # do not retry at once: a server that is behind can't compare
             self.scheduler.drop_compared(outstanding.checksums)
         if not self.scheduler.shards_to_compare:
             self.cache.raise_common_version()
 
     def _any_settled(self, shards: list[int]) -> bool:
-        """Whether one of the requested shards is resident, or not pending any more."""
+        """Whether any of the requested shards is resident or no longer pending."""
         return any(shard in self.cache.resident or shard not in self.pending for shard in shards)
 
     def _apply_part(
@@ -270,7 +270,7 @@
         version: Version,
         part: ResponsePart,
     ) -> bool:
-        """Whether the part was accepted: older data never replace newer."""
+        """Apply a part; return whether it was accepted. Older data never replace newer."""
         shard = part.shard
         cached = self.cache.resident.get(shard)
         if cached is None:
@@ -322,7 +322,7 @@
     # -- digests ---------------------------------------------------------------------------------------------
 
     def on_digest(self, now: float, server_name: str, digest: Digest) -> None:
-        """Compare a server's digest with what is resident."""
+        """Compare a server's digest with the resident shards."""
         server = self.scheduler.servers.get(server_name)
         if server is None:
             return
@@ -331,7 +331,7 @@
             return
         sent_at = self.staleness.earliest_sent_at(now, server_name, digest.process_epoch, digest.clock_ms)
         if sent_at is None:
-            return  # of a process that was not asked yet: the response to the next request dates it
+            return  # an unknown process: its clock is only known after its first response
         age_s = source_age_s(digest.source_age_ms)
         is_credible = digest.version >= self.cache.common_version
         self.staleness.record_version(server_name, sent_at, digest.version, age_s, is_credible)
@@ -356,14 +356,14 @@
             self.scheduler.compare_all(now)
             server.has_more = bool(self.scheduler.shards_to_compare)
         elif now - server.requested_at >= self.refresh_s and server.rank == 0:
-            server.has_more = True  # it does not know what is resident
+            server.has_more = True  # the server does not know the resident shards
 
     # -- time ------------------------------------------------------------------------------------------------
 
     def tick(self, now: float, is_in_use: Callable[[int], bool]) -> None:
-        """Evict what is idle and decide which requests are due.
+        """Evict idle shards and decide which requests are due.
 
-        `is_in_use` says whether a destination has pending messages, calls in flight or state that counts.
+        `is_in_use` returns whether a destination has pending messages, calls in flight or state that matters.
         """
         if self.cache.evict_idle(now, is_in_use, self.pending.__contains__):
             self.scheduler.drop_evicted()
@@ -371,7 +371,7 @@
         self.scheduler.tick(now)
 
     def next_tick_at(self) -> float:
-        """When `tick` has something to do."""
+        """Return when the next `tick` is due."""
         return self.scheduler.next_tick
 
     def status(self, now: float) -> ShardClientStatus:
--- a/message_relay/sharded_directory/shard_server.py
+++ b/message_relay/sharded_directory/shard_server.py
@@ -1,11 +1,11 @@
-"""What a shard server knows and what it responds. No I/O.
+"""Shard server: loads the list of a source and responds to clients. No I/O.
 
-    the source -> a whole list or changes, staged in steps -> ShardTable, committed at once
-    a client's ShardRequest -> ShardResponse (response_builder.py), or Overloaded, or LayoutMismatch
-    every few seconds, to each client that sent a request of late -> Digest
+    source: a whole list or changes, staged in steps -> committed atomically to the ShardTable
+    ShardRequest of a client -> ShardResponse (response_builder.py), Overloaded or LayoutMismatch
+    every few seconds, to each client with a recent request -> Digest
 
-A version that goes back is refused: a source that has restarted on an old list would bring drained endpoints
-back. The operator raises the epoch where that is meant.
+A version that goes back is refused: a source that restarted with an old list would bring drained endpoints
+back. If that is intended, the operator raises the epoch.
 
 The clock is passed in, in seconds.
 """
@@ -36,19 +36,19 @@
     unpack_shard_set,
 )
 
-RESPONSES_PER_S = 400.0  # 440 clients (3,500 of 8 servers) are served in a second or two
-BYTES_S = 4e6  # bytes a second: 440 clients' thousand shards are back within 5 minutes, most needed first
+RESPONSES_PER_S = 400.0  # serves 440 clients (3,500 clients of 8 servers) in one to two seconds
+BYTES_S = 4e6  # bytes per second: 440 clients reload a thousand shards within 5 minutes, urgent first
 BURST_S = 1.0  # of both limits
-URGENT_TIME_LEFT_MS = 2_000.0  # requests for messages that expire within it may use up all
-RESERVED_SHARE = 0.25  # of a burst, for those; twice that from requests for which no message waits
-IDLE_TIME_LEFT_MS = 60_000.0  # with more time left no message waits
+URGENT_TIME_LEFT_MS = 2_000.0  # requests for messages that expire within it may use all tokens
+RESERVED_SHARE = 0.25  # of a burst, for urgent requests; twice that against requests without messages
+IDLE_TIME_LEFT_MS = 60_000.0  # a longer time left means that no message waits
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 3.0  # a quarter of the staleness bound of 12 s
 MAX_SOURCE_AGE_MS = 1e12
 
 
 class _ShardSets(NamedTuple):
-    """The bitsets of a request."""
+    """The decoded shard sets of a request."""
 
     resident: int
     ahead: int
@@ -66,11 +66,11 @@
         self.table = ShardTable(layout.shard_count)
         self.subscribers = Subscribers(layout.shard_count, rng)
         self.source_confirmed_at = float("-inf")
-        self.is_source_stale = False  # the source went back: it doesn't confirm what is served
+        self.is_source_stale = False  # the source went back and doesn't confirm the served version
         self.tokens_at: float | None = None
         self.response_tokens = RESPONSES_PER_S * BURST_S
         self.byte_tokens = BYTES_S * BURST_S
-        self.expected_retries = 0.0  # overloaded requests that are still to come again, estimated
+        self.expected_retries = 0.0  # estimated number of rejected requests that are still to be retried
         self.responses = 0
         self.overloaded = 0
         self.rejected_updates = 0
@@ -91,7 +91,7 @@
     # -- the source ------------------------------------------------------------------------------------------
 
     def start_list(self, now: float, version: Version) -> StagedList:
-        """Start staging a whole list, as the source had it at `now`."""
+        """Start staging a whole list, which is as of `now` at the source."""
         return StagedList(self.table, now, version, self._accepts(version), self._commit)
 
     def start_changes(self, now: float, generation: int) -> StagedChanges:
@@ -103,7 +103,7 @@
     def apply_changes(
         self, now: float, generation: int, rows: Iterable[Row], listings: Iterable[tuple[str, int]] = ()
     ) -> bool:
-        """Apply all changes up to this generation at once; False: refused, the whole list is needed."""
+        """Apply all changes up to this generation at once; return False if the whole list is needed."""
         changes = self.start_changes(now, generation)
         changes.add(rows, listings)
         if not changes.seal(now):
@@ -113,7 +113,7 @@
         return changes.is_committed
 
     def confirm_source(self, now: float) -> None:
-        """As of `now` the source has what is in force. Not for a list that is still being staged."""
+        """Record that the version in force is current at the source as of `now`; not for staged lists."""
         if self.is_loaded and not self.is_source_stale:
             self.source_confirmed_at = max(self.source_confirmed_at, now)
 
@@ -124,7 +124,7 @@
         return next((row for row in rows if row.name == name), None)
 
     def _accepts(self, version: Version) -> bool:
-        """Whether the version does not go back; a refusal is counted."""
+        """Whether the version does not go back; refusals are counted."""
         if version >= (self.version if self.is_loaded else (self.epoch, 0)):
             return True
         self.rejected_updates += 1
@@ -132,7 +132,7 @@
         return False
 
     def _commit(self, staged: StagedUpdate) -> bool:
-        """Put a staged update in force; False: it is older than what is in force by now."""
+        """Put a staged update in force; return False if a newer version is in force by now."""
         if not self._accepts(staged.version):
             return False
         epoch, generation = staged.version
@@ -182,7 +182,8 @@
         )
         resident = shard_sets.resident
         for part in response.parts:
-            resident |= 1 << part.shard  # it will: if this response is lost, the sets differ, and it asks
+            # Presumes delivery: if the response is lost, the next digest differs, and the client retries.
+            resident |= 1 << part.shard
         self.subscribers.record_request(now, client, resident, self.table.checksums)
         self.responses += 1
         self.sent_bytes += response.size
@@ -201,25 +202,25 @@
         )
 
     def _read_shard_sets(self, request: ShardRequest) -> _ShardSets:
-        """Decode and check all shard numbers of a request."""
+        """Decode the shard sets of a request and validate all shard numbers."""
         shard_count = self.layout.shard_count
         resident = unpack_shard_set(request.resident_shards, shard_count)
         ahead = unpack_shard_set(request.ahead_shards, shard_count) if request.ahead_shards else 0
-        requested = (each.shard for each in request.requested_shards)
+        requested = (item.shard for item in request.requested_shards)
         for shard in (*requested, *(shard for shard, _ in request.checksums)):
             if not 0 <= shard < shard_count:
-                raise UnreadableFrameError(f"shard {shard}: there are {shard_count}")
+                raise UnreadableFrameError(f"shard {shard}: the layout has {shard_count}")
         return _ShardSets(resident, ahead)
 
     def _retry_after_s(self, now: float, request: ShardRequest) -> float | None:
-        """When to come again; None: the request is served now.
+        """Return the time until a retry, or None if the request is served now.
 
-        Retries are spread by how many are expected already, so that they don't all come at once; requests for
-        messages that expire soon come earlier, and find what the others leave.
+        Retries are spread by the number of expected retries, so that they don't arrive together. Requests for
+        messages that expire soon get a shorter time and may use the reserved tokens.
         """
         self._refill_tokens(now)
         time_left_ms = min(
-            (each.time_left_ms for each in request.requested_shards), default=URGENT_TIME_LEFT_MS + 1.0
+            (item.time_left_ms for item in request.requested_shards), default=URGENT_TIME_LEFT_MS + 1.0
         )
         if time_left_ms <= URGENT_TIME_LEFT_MS:
             reserved_share = 0.0
@@ -246,9 +247,9 @@
         self.tokens_at = now
 
     def due_digests(self, now: float) -> list[tuple[str, Digest]]:
-        """Return digests that are due with their clients, a bounded number at a time."""
-        found: list[tuple[str, Digest]] = []
-        while self.is_loaded and len(found) < MAX_DIGESTS_PER_CALL:
+        """Return due digests with their clients, MAX_DIGESTS_PER_CALL at most."""
+        due: list[tuple[str, Digest]] = []
+        while self.is_loaded and len(due) < MAX_DIGESTS_PER_CALL:
             subscriber = self.subscribers.next_recipient(now, self.table.checksums)
             if subscriber is None:
                 break
@@ -261,11 +262,11 @@
                 self.process_epoch,
                 now * 1e3,
             )
-            found.append((subscriber.name, digest))
-        return found
+            due.append((subscriber.name, digest))
+        return due
 
     def next_digest_at(self) -> float:
-        """When the next digest is due."""
+        """Return when the next digest is due."""
         queue = self.subscribers.digest_queue
         return queue[0][0] if queue else float("inf")
 
--- a/message_relay/sharded_directory/shard_table.py
+++ b/message_relay/sharded_directory/shard_table.py
@@ -1,13 +1,13 @@
-"""A server's rows by shard, in a compact form, with the changes of late. No I/O.
+"""Table of a server's rows by shard in a compact form, with the latest changes. No I/O.
 
-A shard's rows are one msgpack text, decoded only when something in it changes or a client requests it: an
-object for each of 360,000 rows would cost ten times as much. Where a name is, is known by the name's hash
-(XXH3, 64 bits): of 360,000 names two are alike with a chance of 4 in 10^9, and then a row that moves may stay
-at its old destination until the next whole list.
+The rows of a shard are encoded in msgpack and decoded only when the shard changes or a client requests it: an
+object for each of 360,000 rows would cost ten times as much. The shard of a name is looked up by the name's
+hash (XXH3, 64 bits). The chance that two of 360,000 names collide is 4 in 10^9; then a row that moves may
+stay at its old destination until the next whole list.
 
-What changed since a version is found in two records. `changed_at` has each shard once, the latest last, so
-that it never overflows; `change_logs` has the rows of the latest changes, bounded for each shard and for all:
-a shard whose log does not reach back far enough is sent as a whole.
+Two records hold the changes since a version. `changed_at` has each shard once, the latest last, so that it
+never overflows; `change_logs` has the rows of the latest changes, bounded for each shard and in total: a
+shard whose log does not reach back far enough is sent as a whole.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 from .wire import CHECKSUM_MASK, GONE, Row, row_checksum
 
-MAX_LOG_ROWS_PER_SHARD = 64  # above a shard's rows (44 by the plan) the whole shard is shorter
-MAX_LOG_ROWS = 50_000  # of all shards: a week of the plan's 7,000 changes a day, some 15 MB
+MAX_LOG_ROWS_PER_SHARD = 64  # above the number of rows of a shard (44 as planned) the whole shard is shorter
+MAX_LOG_ROWS = 50_000  # of all shards: a week at the planned 7,000 changes a day, some 15 MB
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ROWS: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
@@ -31,21 +31,21 @@
 
 
 def name_hash(name: str) -> int:
-    """Return the hash by which a name is found."""
+    """Return the hash for the lookup of a name."""
     return xxhash.xxh3_64_intdigest(name.encode("utf-8", "surrogatepass"))
 
 
 class ChangeLog:
-    """The latest changes of one shard: complete for all that came after `complete_after`."""
+    """The latest changes of one shard; complete for changes after `complete_after`."""
 
     __slots__ = ("complete_after", "rows")
 
     def __init__(self, complete_after: int) -> None:
         self.complete_after = complete_after  # a generation
-        self.rows: list[tuple[int, Row]] = []  # with their generations, ascending
+        self.rows: list[tuple[int, Row]] = []  # (generation, row), ascending
 
     def add(self, generation: int, rows: list[Row]) -> None:
-        """Add a generation's changes; the oldest leave a full log."""
+        """Add the changes of a generation; a full log drops the oldest."""
         self.rows += [(generation, row) for row in rows]
         excess = len(self.rows) - MAX_LOG_ROWS_PER_SHARD
         if excess > 0:
@@ -53,24 +53,24 @@
             del self.rows[:excess]
 
     def rows_since(self, generation: int) -> tuple[Row, ...] | None:
-        """Return each name's latest change; None: the log does not reach back so far."""
+        """Return the latest change of each name; None if the log does not reach back that far."""
         if generation < self.complete_after:
             return None
         return tuple({row.name: row for at, row in self.rows if at > generation}.values())
 
 
 class ShardEdit(msgspec.Struct, gc=False):
-    """What a shard becomes."""
+    """New content of a shard."""
 
     encoded_rows: bytes
     row_count: int
     destination_count: int
     checksum: int
-    changed_rows: list[Row]  # those that left have the listing GONE
+    changed_rows: list[Row]  # removed rows have the listing GONE
 
 
 class ChecksumIncrease(NamedTuple):
-    """By how much a shard's checksum has grown, modulo 2 to the 64."""
+    """Increase of a shard's checksum, modulo 2 to the 64."""
 
     shard: int
     increase: int
@@ -90,31 +90,31 @@
         self.change_logs: OrderedDict[int, ChangeLog] = OrderedDict()  # likewise
         self.log_row_count = 0
         self.generation = -1
-        self.history_start = -1  # what changed before this generation isn't known; -1: nothing is loaded
+        self.history_start = -1  # earlier changes are not known; -1: nothing is loaded
         self.commit_count = 0
-        self.decoded_rows = 0  # what changes and requests cost
+        self.decoded_rows = 0  # measures the cost of changes and requests
 
     def decode_rows(self, shard: int) -> list[Row]:
         """Return a shard's rows."""
-        found = _ROWS.decode(self.encoded_rows[shard])
-        self.decoded_rows += len(found)
-        return found
+        decoded = _ROWS.decode(self.encoded_rows[shard])
+        self.decoded_rows += len(decoded)
+        return decoded
 
     def changed_since(self, generation: int) -> Iterator[int]:
-        """Yield the shards that changed after it, the latest first; costs by what changed."""
+        """Yield the shards that changed after `generation`, the latest first; O(changed shards)."""
         for shard, at in reversed(self.changed_at.items()):
             if at <= generation:
                 return
             yield shard
 
     def rows_changed_since(self, shard: int, generation: int) -> tuple[Row, ...] | None:
-        """Return the shard's rows that changed after it; None: the whole shard is needed, or shorter."""
+        """Return the rows changed after `generation`; None if the whole shard is needed or shorter."""
         change_log = self.change_logs.get(shard)
         rows = None if change_log is None else change_log.rows_since(generation)
         return None if rows is None or len(rows) > self.row_counts[shard] else rows
 
     def edit_shard(self, shard: int, changes: dict[str, Row | int]) -> ShardEdit | None:
-        """Apply changes by name, each a new row or only a listing. None: nothing is new."""
+        """Return the shard with changes by name, each a row or only a listing; None if nothing changes."""
         rows = {row.name: row for row in self.decode_rows(shard)}
         checksum = self.checksums[shard]
         changed_rows: list[Row] = []
@@ -145,9 +145,9 @@
     def commit(
         self, generation: int, edits: dict[int, ShardEdit], restarts_history: bool = False
     ) -> list[ChecksumIncrease]:
-        """Put all edits in force at once; return the shards whose checksums have grown.
+        """Put all edits in force at once; return the increases of the shards' checksums.
 
-        `restarts_history`: what changed before is not known, or generations were counted otherwise.
+        `restarts_history`: earlier changes are not known, or their generations are of another epoch.
         """
         increases: list[ChecksumIncrease] = []
         for shard, edit in edits.items():
--- a/message_relay/sharded_directory/source.py
+++ b/message_relay/sharded_directory/source.py
@@ -1,7 +1,7 @@
-"""Where a shard server has its list from: the platform's register, by a watch, or a file.
+"""Sources of a shard server's list: the platform's register, by watches, or a file.
 
-A list is read in pieces as it comes (list_transfer.py). One that is cut, too long or malformed changes
-nothing; the failure is logged and the source asked again.
+A list is read in pieces as it arrives (list_transfer.py). A list that is incomplete, too long or malformed
+changes nothing; the failure is logged and the source is read again.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 
 log = logging.getLogger(__name__)
 
-READ_BYTES = 16 << 10  # read at once: some hundred entries
+READ_BYTES = 16 << 10  # of one read: some hundred entries
 READ_TIMEOUT_S = 3.0  # between two pieces of a response
 LIST_TIMEOUT_S = 120.0  # for a whole response
-# A watch, at most. What it reports counts as of when it was asked for, as the response may have lain unread
-# while this process stood still: a confirmation is so old at once, and twice that when the next one comes.
+# Maximum duration of a watch. Its response counts as of the time of the request, since it may have been
+# buffered while this process was frozen: a confirmation has this age on arrival, and twice that when the next
+# arrives.
 WATCH_MS = 2000.0
 FILE_CHECK_INTERVAL_S = 1.0
 MAX_HTTP_HEAD_BYTES = 16 << 10
@@ -37,7 +38,7 @@
 
 
 class FileStamp(NamedTuple):
-    """What tells one content of a file from another."""
+    """Metadata by which a change of a file is detected."""
 
     modified_ns: int
     size: int
@@ -51,13 +52,13 @@
 
 
 async def http_response_body(address: Address, target: str, timeout_s: float) -> AsyncIterator[bytes]:
-    """Yield a response's body as it comes.
+    """Yield a response's body as it arrives.
 
-    `timeout_s` holds for the connection and for the response's head; READ_TIMEOUT_S from then on.
+    `timeout_s` applies to the connection and the response's head; READ_TIMEOUT_S from then on.
 
     Raises:
         OSError: The connection failed or timed out.
-        SourceError: The response is no success or no HTTP.
+        SourceError: The response is not a success or not HTTP.
     """
     async with asyncio.timeout(timeout_s):
         reader, writer = await asyncio.open_connection(*address)
@@ -78,23 +79,23 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             elif not isinstance(event, h11.InformationalResponse):
-                raise SourceError("the connection ended before the answer")
+                raise SourceError("the connection ended before the end of the response")
     except h11.RemoteProtocolError as error:
-        raise SourceError(f"not an HTTP answer: {error}") from error
+        raise SourceError(f"not an HTTP response: {error}") from error
     finally:
         writer.close()
 
 
 class ListSource:
-    """What both kinds of source have in common: a failure is logged and changes nothing."""
+    """Base class of the sources: a failure is logged and changes nothing."""
 
     def __init__(self, server: ShardServer, epoch: int) -> None:
         self.server = server
         self.epoch = epoch
         self.entry_reader = EntryReader()
-        self.generation: int | None = None  # since which changes are asked for; None: the whole list
+        self.generation: int | None = None  # start of the requested changes; None: request the whole list
         self.failures = 0
-        self.largest_batch = 0  # entries read in one turn, at most, of all lists
+        self.largest_batch = 0  # maximum of entries read in one turn, over all lists
 
     @staticmethod
     def now() -> float:
@@ -115,7 +116,7 @@
 
 
 class RegisterSource(ListSource):
-    """The platform's register: its whole list, then what changes."""
+    """Reads the platform's register: the whole list, then changes."""
 
     def __init__(
         self,
@@ -132,7 +133,7 @@
         self.poll_schedule = PollSchedule(server_count, random.Random(seed), is_shared)
 
     def reload(self, address: Address) -> None:
-        """Use this register from now on; if it is another one, its whole list is read."""
+        """Use this register from now on; the whole list is read if it is another one."""
         if address != self.address:
             self.address = address
             self.generation = None
@@ -145,11 +146,11 @@
                 await self._poll()
                 self.poll_schedule.on_answered()
             except TooManyChangesError:
-                self.generation = None  # the whole list then, which is staged in pieces
+                self.generation = None  # request the whole list, which is staged in pieces
             except (OSError, SourceError) as error:
                 self._record_failure(repr(error))
                 if isinstance(error, OutdatedListError):
-                    self.generation = None  # it may count anew: the whole list, to be read once accepted
+                    self.generation = None  # its generations may have restarted: request the whole list
                 is_refused = isinstance(error, SourceError)
                 await asyncio.sleep(self.poll_schedule.pause_after_failure_ms(is_refused=is_refused) / 1000)
             except Exception:
@@ -165,18 +166,18 @@
         address = self.address
         timeout_s = self.poll_schedule.call_timeout_ms(hold_ms) / 1000
         await self._transfer(http_response_body(address, target, timeout_s), self.now())
-        if address != self.address:  # another register by now, which counts by itself
+        if address != self.address:  # another register by now, with its own generations
             self.generation = None
 
 
 class FileSource(ListSource):
-    """A file with the whole list, replaced or rewritten with a higher generation when it changes."""
+    """Reads a file with the whole list, which is replaced with a higher generation when it changes."""
 
     def __init__(self, server: ShardServer, epoch: int, path: Path) -> None:
         super().__init__(server, epoch)
         self.path = path
         self.last_read: FileStamp | None = None
-        self.is_usable = False  # the content that was read last
+        self.is_usable = False  # whether the content that was read last is valid
 
     async def run(self) -> None:
         """Check the file until cancelled."""
@@ -190,7 +191,7 @@
             await asyncio.sleep(FILE_CHECK_INTERVAL_S)
 
     async def check_file(self) -> None:
-        """Read the file if it has changed; while its content can't be used, what is known ages."""
+        """Read the file if it has changed; without valid content the data in force are not confirmed."""
         now = self.now()
         stat = await asyncio.to_thread(os.stat, self.path)
         stamp = FileStamp(stat.st_mtime_ns, stat.st_size, stat.st_ino)
@@ -209,7 +210,7 @@
             self.generation = generation_before
             raise
         except BaseException:
-            self.last_read = None  # it is tried again
+            self.last_read = None  # read the file again
             self.generation = generation_before
             raise
 
--- a/message_relay/sharded_directory/status_report.py
+++ b/message_relay/sharded_directory/status_report.py
@@ -1,4 +1,4 @@
-"""The parts of the status report; their field names are JSON keys, and keep the former terms."""
+"""Status reports of shard client and shard server. The field names are JSON keys and must not change."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     endpoints: int
     waiting: int  # pending shards
     version: Version
-    age_s: float  # since all resident data were known to be right; 1e9: never
-    behind: bool  # older than the bound
-    keepers: int  # servers that are reachable
-    asks: int  # requests
+    age_s: float  # since all resident data were known to be correct; 1e9: never
+    behind: bool  # older than the staleness bound
+    keepers: int  # reachable servers
+    asks: int  # sent requests
     failures: int
     busy: int  # overloaded responses
-    stale_refused: int  # responses and shards that were older than what is known
-    other_layout: int
-    unreadable: int  # entries
-    unasked: int  # responses that belong to no request
+    stale_refused: int  # responses and shards older than the known version
+    other_layout: int  # layout mismatches
+    unreadable: int  # unreadable entries
+    unasked: int  # responses without an outstanding request
     bytes_in: int
 
 
@@ -39,7 +39,7 @@
     bytes_out: int
     answers: int  # responses
     busy: int  # overloaded responses
-    refused: int  # lists and changes of a source that went back
-    rewritten: int  # times that the source changed rows under the same generation
+    refused: int  # lists and changes with a version that goes back
+    rewritten: int  # commits of changed rows under the same generation
     loading: bool
     behind: int  # requests of clients that know a later version
--- a/message_relay/sharded_directory/subscribers.py
+++ b/message_relay/sharded_directory/subscribers.py
@@ -1,8 +1,8 @@
-"""The clients that sent a request of late: which shards each has, and the checksum over these. No I/O.
+"""Tracks the clients with a recent request: their shards, and the checksum over these. No I/O.
 
-A change adds to the checksums of the clients that have its shard, which are found by one integer a shard:
-3,500 clients of 2 servers each of 8 make 875 here, and a change in a shard that a tenth of them have costs 90
-additions.
+A change adds to the checksums of the clients that have its shard; a bitset for each shard has these clients.
+With 3,500 clients, each at 2 of 8 servers, a server has 875, and a change in a shard that a tenth of them
+have costs 90 additions.
 """
 
 from __future__ import annotations
@@ -15,16 +15,18 @@
 from .shard_table import ChecksumIncrease
 from .wire import CHECKSUM_MASK, shard_number_hash
 
-SUBSCRIPTION_S = 60.0  # digests end so long after a client's last request: each sends far more often
-MAX_SUBSCRIBERS = 4_096  # above a fleet of 3,500, if one server had all: more get responses, but no digests
-DIGEST_INTERVAL_S = 3.0  # between two digests to one client: three may be lost within the bound of 12 s
-DIGEST_JITTER = 0.1  # of that, either way: clients that came together don't stay together
-MAX_DIGESTS_PER_CALL = 64  # some 0.2 ms
-MAX_TRACKED_SHARDS = 256  # in one change; past it the clients' checksums are computed anew when needed
+SUBSCRIPTION_S = 60.0  # after its last request a client gets digests for this time; it sends far more often
+MAX_SUBSCRIBERS = (
+    4_096  # above 3,500, a whole fleet at one server; more clients get responses, but no digests
+)
+DIGEST_INTERVAL_S = 3.0  # between digests to one client: three may be lost within the bound of 12 s
+DIGEST_JITTER = 0.1  # of the interval, either way: spreads clients that started together
+MAX_DIGESTS_PER_CALL = 64  # takes some 0.2 ms
+MAX_TRACKED_SHARDS = 256  # in one change; above it the clients' checksums are recomputed when needed
 
 
 class Subscriber:
-    """One client."""
+    """A client that gets digests."""
 
     __slots__ = (
         "is_checksum_known",
@@ -43,7 +45,7 @@
         self.rows_checksum = 0
         self.shard_set_checksum = 0
         self.requested_at = 0.0
-        self.is_checksum_known = True  # `rows_checksum` is right
+        self.is_checksum_known = True  # `rows_checksum` is up to date
 
 
 class Subscribers:
@@ -56,11 +58,11 @@
         self.by_name: dict[str, Subscriber] = {}
         self.slots: list[Subscriber | None] = []
         self.free_slots: list[int] = []
-        self.digest_queue: list[tuple[float, int]] = []  # heap of (when, slot) of the next digests
-        self.update_count = 0  # checksums and bitsets that were set: what requests and changes cost
+        self.digest_queue: list[tuple[float, int]] = []  # heap of (time, slot) of the next digests
+        self.update_count = 0  # updated checksums and bitsets: measures the cost of requests and changes
 
     def record_request(self, now: float, name: str, resident_shards: int, checksums: array[int]) -> None:
-        """Note that a client has sent a request, and which shards it has."""
+        """Record a client's request, and which shards it has."""
         subscriber = self.by_name.get(name) or self._add(now, name)
         if subscriber is not None:
             subscriber.requested_at = now
@@ -94,20 +96,20 @@
         subscriber.resident_shards = resident_shards
 
     def add_to_checksums(self, increases: list[ChecksumIncrease]) -> None:
-        """Follow a change of shards' checksums."""
+        """Add the increases of shards' checksums to the clients' checksums."""
         if len(increases) > MAX_TRACKED_SHARDS:
             for subscriber in self.by_name.values():
                 subscriber.is_checksum_known = False
             return
         for shard, increase in increases:
             for slot in bitset.set_bits(self.slots_by_shard[shard]):
-                holder = self.slots[slot]
-                assert holder is not None
+                affected = self.slots[slot]
+                assert affected is not None
                 self.update_count += 1
-                holder.rows_checksum = holder.rows_checksum + increase & CHECKSUM_MASK
+                affected.rows_checksum = affected.rows_checksum + increase & CHECKSUM_MASK
 
     def next_recipient(self, now: float, checksums: array[int]) -> Subscriber | None:
-        """Return a client whose digest is due, its checksum being right; None: there is none yet."""
+        """Return a client whose digest is due, with an up-to-date checksum; None if there is none."""
         while self.digest_queue and self.digest_queue[0][0] <= now:
             due_at, slot = heapq.heappop(self.digest_queue)
             subscriber = self.slots[slot]
@@ -116,7 +118,7 @@
             if now - subscriber.requested_at > SUBSCRIPTION_S:
                 self._remove(subscriber)
                 continue
-            # From when it was due, unless this process was late: no two in a row for that.
+            # Counted from the due time, but at least half an interval from now if this process was late.
             interval = DIGEST_INTERVAL_S * self.rng.uniform(1.0 - DIGEST_JITTER, 1.0 + DIGEST_JITTER)
             heapq.heappush(self.digest_queue, (max(due_at + interval, now + interval / 2), slot))
             if not subscriber.is_checksum_known:
--- a/message_relay/sharded_directory/wire.py
+++ b/message_relay/sharded_directory/wire.py
@@ -1,17 +1,17 @@
-"""The messages between shard clients and shard servers.
+"""Defines the messages between shard clients and shard servers.
 
-They are msgpack arrays in frames of the gossip node's connections; a digest is one datagram. What can't be
-read is counted and skipped; it loses nothing that is resident.
+Messages are msgpack arrays in frames of the gossip node's connections; a digest is one datagram. Unreadable
+messages are counted and skipped; resident data are not affected.
 
-Versions: `(epoch, generation)`, the generation being the source's own, so that all servers count alike. What
-a server sends of a shard holds *as of* its version: of two such messages the one as of the higher version
-stands, from whichever server it comes. Where the source restarts its generations (another register), the
-operator raises the epoch.
+Versions are `(epoch, generation)`. The generation is the source's own, so that all servers use the same
+numbers. The data of a shard in a message are *as of* the message's version: the data with the higher version
+win, whichever server they come from. If the source restarts its generations (another register), the operator
+raises the epoch.
 
-Times: a datagram may lie in a buffer for as long as its receiver is frozen, and a response may come twice. So
-each request has a number, which its response repeats, and servers' messages carry their process's own clock:
-since a request was sent before its response was made, a client can tell how old a digest is at most, whenever
-it comes.
+Times: a datagram may be buffered for as long as its receiver is frozen, and a response may come twice. So
+each request has a number, which its response repeats, and servers' messages carry the clock of their process:
+since a request is sent before its response is made, a client can bound the age of a digest whenever it
+arrives.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One endpoint, as the source has it: core.ports.EndpointRecord in a compact form."""
+    """One endpoint of the source's list: a compact form of core.ports.EndpointRecord."""
 
     name: str
     destination: int
@@ -44,30 +44,30 @@
 
 
 class Layout(msgspec.Struct, frozen=True, array_like=True):
-    """What has to be the same at all instances; messages of another layout are refused."""
+    """Parameters that must be equal at all instances; requests with another layout are refused."""
 
     shard_count: int  # a power of two
     servers: tuple[int, ...]  # instance numbers, ascending
 
 
 class RequestedShard(msgspec.Struct, frozen=True, array_like=True):
-    """A shard that the client does not have."""
+    """A requested shard, which the client does not have."""
 
     shard: int
-    time_left_ms: float  # until the earliest message for it expires; large: none waits
+    time_left_ms: float  # until the first message for it expires; large: no message waits
 
 
 class ShardRequest(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """All that a client sends. The response is one ShardResponse, Overloaded or LayoutMismatch."""
+    """Request of a client. The response is one ShardResponse, Overloaded or LayoutMismatch."""
 
-    number: int  # grows with each request of a client's process
+    number: int  # increases with each request of a client's process
     layout: Layout
     version: Version  # all resident shards are as of this or a later one
     resident_shards: bytes  # bitmap of layout.shard_count bits, zlib
     requested_shards: tuple[RequestedShard, ...] = ()
-    checksums: tuple[tuple[int, int], ...] = ()  # (shard, checksum): to compare, a slice at a time
-    ahead_version: Version = NO_VERSION  # `ahead_shards` are as of this or later: of a response in pieces
-    ahead_shards: bytes = b""  # as `resident_shards`; empty: none
+    checksums: tuple[tuple[int, int], ...] = ()  # (shard, checksum): shards to compare in this request
+    ahead_version: Version = NO_VERSION  # of `ahead_shards`, which incomplete responses updated
+    ahead_shards: bytes = b""  # encoded like `resident_shards`; empty: none
 
 
 class FullShard(msgspec.Struct, frozen=True, array_like=True, tag="w"):
@@ -78,14 +78,14 @@
 
 
 class ShardChanges(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """What is new in a shard since the version that the request named."""
+    """The changes of a shard since the version in the request."""
 
     shard: int
     rows: tuple[Row, ...]
 
 
 class UnchangedShard(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """The shard's checksum is the one in the request."""
+    """A shard whose checksum equals the one in the request."""
 
     shard: int
 
@@ -94,11 +94,11 @@
 
 
 class ShardResponse(msgspec.Struct, frozen=True, array_like=True, tag="A"):
-    """The parts as of `version`.
+    """Response with shards and changes as of `version`.
 
-    `is_complete`: nothing else that the client has is newer, so that all of it is as of this version now;
-    else it asks on. What changed before `history_start` the server does not know (it has started later):
-    shards that are as of an older version are compared by their checksums.
+    `is_complete` means that there are no more changes for the client, so that all its shards are as of this
+    version; otherwise it sends another request. The server does not know the changes before `history_start`,
+    since it started later: shards as of an older version are compared by their checksums.
     """
 
     number: int
@@ -107,20 +107,20 @@
     is_complete: bool
     history_start: Version
     source_age_ms: float  # since the server's source last confirmed the version
-    process_epoch: int  # random, of the server's process: its clock is compared with itself only
+    process_epoch: int  # random number of the server's process: clocks are only compared within one process
     clock_ms: float
-    reached_version: Version = NO_VERSION  # if not complete: all the client has is as of this or later now
+    reached_version: Version = NO_VERSION  # if incomplete: all resident shards are as of this or later now
 
 
 class Overloaded(msgspec.Struct, frozen=True, array_like=True, tag="B"):
-    """The server has too many requests: the client is to retry later."""
+    """Rejection for overload: the client retries after `retry_after_ms`."""
 
     number: int
     retry_after_ms: float
 
 
 class LayoutMismatch(msgspec.Struct, frozen=True, array_like=True, tag="O"):
-    """The server's layout, which is not the client's; or it has no list yet (`is_loading`)."""
+    """Rejection with the server's layout: it differs, or the server has no list yet (`is_loading`)."""
 
     number: int
     layout: Layout
@@ -128,11 +128,11 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """Sent every few seconds to each client that sent a request of late."""
+    """Datagram that a server sends every few seconds to each client with a recent request."""
 
     layout_checksum: int
     version: Version
-    shard_set_checksum: int  # over the numbers of the shards that the client has, by its requests
+    shard_set_checksum: int  # over the numbers of the client's shards, known from its requests
     rows_checksum: int  # over these shards' checksums, as of `version`
     source_age_ms: float
     process_epoch: int
@@ -154,7 +154,7 @@
 
 
 def layout_checksum(layout: Layout) -> int:
-    """Return the checksum by which digests name their layout."""
+    """Return the checksum that identifies a layout in digests."""
     return xxhash.xxh3_64_intdigest(_ENCODER.encode(layout))
 
 
@@ -173,11 +173,11 @@
     size = (shard_count + 7) // 8
     decompressor = zlib.decompressobj()
     try:
-        bitmap = decompressor.decompress(raw, size + 1)  # a few bytes may claim to be gigabytes
+        bitmap = decompressor.decompress(raw, size + 1)  # limited: a few bytes may expand to gigabytes
     except zlib.error as error:
-        raise UnreadableFrameError(f"holds: {error}") from error
+        raise UnreadableFrameError(f"shard set: {error}") from error
     if len(bitmap) != size or not decompressor.eof:
-        raise UnreadableFrameError(f"holds: {len(bitmap)} bytes, must be {size}")
+        raise UnreadableFrameError(f"shard set: {len(bitmap)} bytes, must be {size}")
     return int.from_bytes(bitmap, "little")
 
 
