--- a/tests/sharded_directory/client_world.py
+++ b/tests/sharded_directory/client_world.py
@@ -1,4 +1,4 @@
-"""A shard client with its servers and directory, for tests: every request gets its response at once."""
+"""Simulation for tests: a shard client with its servers and directory; requests get responses at once."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 LAYOUT = Layout(4, (1, 2, 3))
 
 
-ONE = Layout(1, (1, 2, 3))
+ONE_SHARD = Layout(1, (1, 2, 3))
 
 
 FIRST, SECOND, THIRD = rank_servers("n100", ("n1", "n2", "n3"))
 
 
 class ClientWorld:
-    """A client, servers and the directory; every request gets its response at once unless a test decides."""
+    """A client, servers and the directory; requests get responses at once unless a test intervenes."""
 
     def __init__(self, rows: list[Row], layout: Layout = LAYOUT, now: float = 100.0, **more: Any) -> None:
         self.layout, self.now = layout, now
@@ -47,13 +47,13 @@
         self.in_use: set[int] = set()
         self.down: set[str] = set()
         self.served: list[tuple[str, ShardRequest]] = []
-        self.lagging: set[str] = set()  # whose source is silent
+        self.lagging: set[str] = set()  # servers whose source is silent
 
     def apply_changes(
-        self, generation: int, rows: list[Row], lives: list[tuple[str, int]] | None = None, *names: str
+        self, generation: int, rows: list[Row], listings: list[tuple[str, int]] | None = None, *names: str
     ) -> None:
         for name in names or self.servers:
-            assert self.servers[name].apply_changes(self.now, generation, rows, lives or [])
+            assert self.servers[name].apply_changes(self.now, generation, rows, listings or [])
 
     def apply(self) -> None:
         self.updates += self.client.updates
@@ -64,7 +64,7 @@
         self.client.missing_destinations.clear()
 
     def tick(self) -> list[tuple[str, ShardRequest]]:
-        """Run a tick; its requests are left to the caller."""
+        """Run a tick; return its requests for the caller to serve."""
         self.client.tick(self.now, self.in_use.__contains__)
         self.apply()
         requests: list[tuple[str, ShardRequest]] = list(self.client.outgoing)
@@ -116,7 +116,7 @@
 
 
 def in_shard(shard: int, count: int, shards: int = 4) -> list[int]:
-    return [each for each in range(1_000) if shard_of(each, shards) == shard][:count]
+    return [destination for destination in range(1_000) if shard_of(destination, shards) == shard][:count]
 
 
 def response_to(
@@ -126,7 +126,7 @@
     complete: bool = True,
     now: float = 0.0,
 ) -> ShardResponse:
-    """The response of a server that ignores what was requested."""
+    """Build the response of a server that ignores the requested shards."""
     return ShardResponse(request[1].number, version, tuple(parts), complete, (1, 0), 0.0, 1, now * 1e3)
 
 
--- a/tests/sharded_directory/common.py
+++ b/tests/sharded_directory/common.py
@@ -1,4 +1,4 @@
-"""What the tests of the directory by interest have in common."""
+"""Helpers for the tests of the sharded directory."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def row(name: str, destination: int, listing: int = 0, mark: float = 0.0, port: int = 80) -> Row:
-    """`mark`, its rate, tells by which change it is so."""
+    """Build a row; `mark` becomes its rate, and identifies the change that made it."""
     return Row(name, destination, listing, "host", port, None, "z", mark)
 
 
@@ -78,10 +78,10 @@
 
 
 def by_shard(rows: dict[str, Row], shards: int) -> list[dict[str, Row]]:
-    found: list[dict[str, Row]] = [{} for _ in range(shards)]
+    tables: list[dict[str, Row]] = [{} for _ in range(shards)]
     for each in rows.values():
-        found[shard_of(each.destination, shards)][each.name] = each
-    return found
+        tables[shard_of(each.destination, shards)][each.name] = each
+    return tables
 
 
 def checksum_of(rows: Iterable[Row]) -> int:
@@ -89,7 +89,7 @@
 
 
 def apply_response(shards: dict[int, dict[str, Row]], response: ShardResponse) -> None:
-    """The plainest client there is."""
+    """Apply a response to a plain dict of shards."""
     for part in response.parts:
         if isinstance(part, FullShard):
             shards[part.shard] = {each.name: each for each in part.rows}
--- a/tests/sharded_directory/loopback.py
+++ b/tests/sharded_directory/loopback.py
@@ -1,5 +1,6 @@
-"""Hosts with a directory by interest, in this process: real peers' nodes on loopback, a list in a file, and a
-carrier that notes each call in place of endpoints."""
+"""Relays with a sharded directory in one process: real gossip nodes on loopback, a list in a file, and a fake
+transport that records calls.
+"""
 
 from __future__ import annotations
 
@@ -50,17 +51,17 @@
 
 
 def in_shards(count: int) -> list[int]:
-    """Destinations, each in a shard of its own."""
-    found: dict[int, int] = {}
+    """Return destinations in different shards."""
+    by_shard: dict[int, int] = {}
     dest = 0
-    while len(found) < count:
+    while len(by_shard) < count:
         dest += 1
-        found.setdefault(shard_of(dest, SHARDS), dest)
-    return list(found.values())
+        by_shard.setdefault(shard_of(dest, SHARDS), dest)
+    return list(by_shard.values())
 
 
-class SlowCarrier(FakeTransport):
-    """Looks for a connection for as long as `connects` is not set; asks right before the first byte."""
+class SlowTransport(FakeTransport):
+    """Waits to connect until `can_connect` is set; checks `may_write` right before the first byte."""
 
     def __init__(self, *script: Outcome) -> None:
         super().__init__(*script)
@@ -80,98 +81,98 @@
         return AttemptResult(outcome, is_finished=outcome is Outcome.OK)
 
 
-def relay_in(folder: Path, front: FakeIntake, carrier: FakeTransport) -> Relay:
+def relay_in(folder: Path, intake: FakeIntake, transport: FakeTransport) -> Relay:
     (folder / "state").mkdir(exist_ok=True, parents=True)
     raw = copy.deepcopy(raw_config(folder / "state", Agent(address=("127.0.0.1", 1))))
     raw["settings"]["limits"]["open-cap"] = MAX_PENDING
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
-    host = Relay(config.load({"RELAY_CONFIG": str(path)}))
-    host.connect({"fake": front}, carrier, [])
-    return host
+    relay = Relay(config.load({"RELAY_CONFIG": str(path)}))
+    relay.connect({"fake": intake}, transport, [])
+    return relay
 
 
 class Instance:
-    """One relay; a server too, if its number is among the part's."""
+    """One relay; also a server if its number is among the servers of the settings."""
 
-    def __init__(self, number: int, part: ShardedDirectorySettings, folder: Path, port: int) -> None:
-        self.front, self.carrier = FakeIntake(), SlowCarrier()
+    def __init__(self, number: int, settings: ShardedDirectorySettings, folder: Path, port: int) -> None:
+        self.intake, self.transport = FakeIntake(), SlowTransport()
         self.folder = folder / str(number)
-        self.host = relay_in(self.folder, self.front, self.carrier)
+        self.relay = relay_in(self.folder, self.intake, self.transport)
         peers = GossipSettings(listen=f"127.0.0.1:{port}", seeds=(f"127.0.0.1:{port}",), period_s=0.2)
         home = self.folder / "peers"
         self.node = GossipNode(peers, claim_identity(home, f"n{number}"), home, number, "z", 0)
-        self.shards = ShardedDirectory(part, self.node, self.host, number, self.host.config)
-        self.host.use_destination_interest(self.shards, self.shards)
-        self.messages, self.entries = self.host.messages, self.host.journal.entries
+        self.shards = ShardedDirectory(settings, self.node, self.relay, number, self.relay.config)
+        self.relay.use_destination_interest(self.shards, self.shards)
+        self.messages, self.entries = self.relay.messages, self.relay.journal.entries
 
     async def start(self) -> None:
-        await self.host.start()
+        await self.relay.start()
         await self.node.start()
         self.shards.start()
 
     async def close(self) -> None:
-        await self.host.close()
+        await self.relay.close()
         self.node.leave()
         await self.node.close()
         await asyncio.sleep(0)
 
     async def kill(self) -> None:
-        """As if it were killed: nobody is told, and nothing more is written."""
+        """Simulate a kill: no other instance is notified, and nothing more is written."""
         self.shards.close()
         await self.node.close()
-        await self.host.tasks.cancel()
-        self.host.driver.stop()
-        self.host.journal.close()
-        self.host.lock.release()
+        await self.relay.tasks.cancel()
+        self.relay.driver.stop()
+        self.relay.journal.close()
+        self.relay.lock.release()
 
 
 class Fleet:
     def __init__(self, folder: Path, entries: list[dict[str, Any]], servers: int = 1, **more: Any) -> None:
         self.folder, self.file, self.generation = folder, folder / "list.json", 0
         self.port = free_ports(8, 3)
-        self.part = ShardedDirectorySettings(tuple(range(servers)), SHARDS, file=str(self.file), **more)
+        self.settings = ShardedDirectorySettings(tuple(range(servers)), SHARDS, file=str(self.file), **more)
         self.instances: dict[int, Instance] = {}
         self.write_list(entries)
 
     def write_list(self, entries: list[dict[str, Any]], generation: int | None = None) -> None:
-        """The list is replaced."""
+        """Replace the list."""
         self.generation = self.generation + 1 if generation is None else generation
-        part = self.file.with_suffix(".part")
-        part.write_text(json.dumps(listing(entries, self.generation)))
-        os.replace(part, self.file)
+        temporary = self.file.with_suffix(".part")
+        temporary.write_text(json.dumps(listing(entries, self.generation)))
+        os.replace(temporary, self.file)
 
     async def start_instance(self, number: int) -> Instance:
-        it = self.instances[number] = Instance(number, self.part, self.folder, self.port)
-        await it.start()
-        return it
+        instance = self.instances[number] = Instance(number, self.settings, self.folder, self.port)
+        await instance.start()
+        return instance
 
     async def stop_instance(self, number: int, killed: bool = True) -> None:
-        it = self.instances.pop(number)
-        await (it.kill() if killed else it.close())
+        instance = self.instances.pop(number)
+        await (instance.kill() if killed else instance.close())
 
     async def wait_until_loaded(self) -> None:
-        """Each server has the list as it is in the file."""
-        servers = [it.shards.server for it in self.instances.values() if it.shards.server is not None]
-        await until(lambda: all(it.version == (1, self.generation) for it in servers))
+        """Wait until each server has loaded the list of the file."""
+        servers = [each.shards.server for each in self.instances.values() if each.shards.server is not None]
+        await until(lambda: all(server.version == (1, self.generation) for server in servers))
 
 
 @contextlib.asynccontextmanager
 async def fleet(
     folder: Path, entries: list[dict[str, Any]], *numbers: int, **more: Any
 ) -> AsyncIterator[Fleet]:
-    it = Fleet(folder, entries, **more)
+    cluster = Fleet(folder, entries, **more)
     try:
         for number in numbers:
-            await it.start_instance(number)
-        await it.wait_until_loaded()
-        yield it
+            await cluster.start_instance(number)
+        await cluster.wait_until_loaded()
+        yield cluster
     finally:
-        for each in it.instances.values():
+        for each in cluster.instances.values():
             await each.close()
 
 
-async def until(true: Callable[[], object], seconds: float = 20.0) -> None:
+async def until(condition: Callable[[], object], seconds: float = 20.0) -> None:
     async with asyncio.timeout(seconds):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
--- a/tests/sharded_directory/model.py
+++ b/tests/sharded_directory/model.py
@@ -1,9 +1,9 @@
-"""Two servers, one client and one or two shards, explored in every order of events to a depth.
+"""Model checker: two servers, one client, one or two shards; explores all orders of events up to a depth.
 
-The product's own ShardServer and ShardClient, and the real directory. Versions 1 to 3; a server gets the next
-one by an event. Requests, responses and digests lie in a pool: each may be delivered now, later, twice or
-never. The client may wait 5 s (requests without a response have failed), or be frozen for 13 s with all that
-is outstanding. Randomness is taken out, so that equal states are recognised.
+The model uses the real ShardServer, ShardClient and endpoint directory. Versions are 1 to 3; an event gives a
+server the next one. Requests, responses and digests are kept in pools: each may be delivered now, later,
+twice or never. The client may wait 5 s (requests without a response have failed), or be frozen for 13 s with
+all outstanding requests. Randomness is replaced by constants, so that equal states are recognised.
 
     python -m tests.sharded_directory.model [--depth N]
 """
@@ -36,11 +36,11 @@
 
 BOUND_S = 12.0
 WAIT_S, FREEZE_S = 5.0, 13.0
-TWICE = 2  # deliveries of one response or digest
-POOLED = 2  # undelivered digests of one server
+MAX_DELIVERIES = 2  # of one response or digest
+MAX_POOLED_DIGESTS = 2  # of one server
 A, B = 0, next(each for each in range(9) if shard_of(each, 2) != shard_of(0, 2))
-ONE = {1: [row("x", A, 0, 1.0)], 2: [row("x", A, DRAINING, 2.0)], 3: [row("x", A, 0, 3.0, port=81)]}
-MOVE = {1: [row("x", A, 0, 1.0)], 2: [row("x", B, 0, 2.0)], 3: [row("x", B, DRAINING, 3.0)]}
+ONE_ENDPOINT = {1: [row("x", A, 0, 1.0)], 2: [row("x", A, DRAINING, 2.0)], 3: [row("x", A, 0, 3.0, port=81)]}
+MOVED = {1: [row("x", A, 0, 1.0)], 2: [row("x", B, 0, 2.0)], 3: [row("x", B, DRAINING, 3.0)]}
 LATEST = 3
 
 Action = tuple[Any, ...]
@@ -83,8 +83,8 @@
             tuple[int, str, ShardResponse | Overloaded | LayoutMismatch]
         ] = []  # (times delivered, server, ...)
         self.digests: list[tuple[int, str, Digest]] = []
-        self.mark = 0  # the latest that the directory had
-        self.wrong = ""
+        self.mark = 0  # the latest mark that the directory had
+        self.violation = ""
         self.request_destinations()
         self.tick()
 
@@ -100,25 +100,28 @@
         for name, server in self.servers.items():
             if server.version[1] < LATEST:
                 yield "update_server", name
-            if sum(each[1] == name for each in self.digests) < POOLED and server.subscribers.by_name:
+            if (
+                sum(each[1] == name for each in self.digests) < MAX_POOLED_DIGESTS
+                and server.subscribers.by_name
+            ):
                 yield "digest", name
             if self.client.scheduler.servers[name].outstanding is not None:
                 yield "fail", name
-        for place, _ in enumerate(self.requests):
-            yield "request", place
-        for place, (times, _, _) in enumerate(self.responses):
-            if times < TWICE:
-                yield "response", place
-        for place, (times, _, _) in enumerate(self.digests):
-            if times < TWICE:
-                yield "deliver_digest", place
+        for index, _ in enumerate(self.requests):
+            yield "request", index
+        for index, (times, _, _) in enumerate(self.responses):
+            if times < MAX_DELIVERIES:
+                yield "response", index
+        for index, (times, _, _) in enumerate(self.digests):
+            if times < MAX_DELIVERIES:
+                yield "deliver_digest", index
         yield ("wait",)
         yield ("freeze",)
 
     def do(self, action: Action) -> None:
         getattr(self, f"do_{action[0]}")(*action[1:])
         self.drain()
-        self.check()  # before a tick: a process that wakes calls first
+        self.check()  # before a tick: a process that resumes makes calls first
         self.tick()
         self.check()
 
@@ -130,7 +133,7 @@
         self.learned[name][generation] = self.now
 
     def confirm(self) -> None:
-        """Confirm the servers that are at the latest version of any."""
+        """Confirm the sources of the servers that are at the latest version."""
         latest = max(server.version for server in self.servers.values())
         for server in self.servers.values():
             if server.version == latest:
@@ -140,22 +143,22 @@
         self.confirm()
         server = self.servers[name]
         server.subscribers.digest_queue = [(self.now, slot) for _, slot in server.subscribers.digest_queue]
-        self.now += 0.001  # a server's digests differ by its clock
+        self.now += 0.001  # so that digests of a server differ by their clock
         self.digests += [(0, name, digest) for _, digest in server.due_digests(self.now)]
 
-    def do_deliver_digest(self, place: int) -> None:
-        times, name, digest = self.digests[place]
-        self.digests[place] = (times + 1, name, digest)
+    def do_deliver_digest(self, index: int) -> None:
+        times, name, digest = self.digests[index]
+        self.digests[index] = (times + 1, name, digest)
         self.client.on_digest(self.now, name, digest)
 
-    def do_request(self, place: int) -> None:
+    def do_request(self, index: int) -> None:
         self.confirm()
-        name, shard_request = self.requests.pop(place)
+        name, shard_request = self.requests.pop(index)
         self.responses.append((0, name, self.servers[name].handle_request(self.now, "n100", shard_request)))
 
-    def do_response(self, place: int) -> None:
-        times, name, message = self.responses[place]
-        self.responses[place] = (times + 1, name, message)
+    def do_response(self, index: int) -> None:
+        times, name, message = self.responses[index]
+        self.responses[index] = (times + 1, name, message)
         self.client.on_response(self.now, name, message)
 
     def do_fail(self, name: str) -> None:
@@ -180,19 +183,19 @@
         self.drain()
 
     def drain(self) -> None:
-        """Do as the node does after each event."""
+        """Process the client's decisions, like the node after each event."""
         self.requests += self.client.outgoing
         self.client.outgoing.clear()
         self.client.missing_destinations.clear()
         for update in self.client.updates:
-            for member in update.endpoints:
-                if int(member.rate) < self.mark:
-                    self.wrong = self.wrong or f"{member} after one of {self.mark}"
-                self.mark = max(self.mark, int(member.rate))
+            for endpoint in update.endpoints:
+                if int(endpoint.rate) < self.mark:
+                    self.violation = self.violation or f"{endpoint} after mark {self.mark}"
+                self.mark = max(self.mark, int(endpoint.rate))
             self.directory.apply(update)
         self.client.updates.clear()
 
-    # -- what must hold --------------------------------------------------------------------------------------
+    # -- invariants ------------------------------------------------------------------------------------------
 
     def check(self) -> None:
         for destination in self.destinations:
@@ -200,16 +203,18 @@
                 continue
             for known in self.directory.by_name.values():
                 if known.endpoint.destination == destination and known.is_ready:
-                    self.late(int(known.endpoint.rate) + 1)
+                    self.check_lateness(int(known.endpoint.rate) + 1)
 
-    def late(self, replaced: int) -> None:
+    def check_lateness(self, replaced: int) -> None:
         for name, learned in self.learned.items():
             since = learned.get(replaced)
             if since is not None and self.now - max(since, self.failed_at[name]) > BOUND_S:
-                self.wrong = self.wrong or f"a call {self.now - since:.1f} s after {name} had {replaced}"
+                self.violation = (
+                    self.violation or f"a call {self.now - since:.1f} s after {name} had {replaced}"
+                )
 
-    def fair(self) -> str:
-        """Deliver all in order: what was requested comes, and equals the source."""
+    def converge(self) -> str:
+        """Deliver everything in order; return how directory and source differ, or an empty string."""
         for _ in range(8):
             for name in self.servers:
                 while self.servers[name].version[1] < LATEST:
@@ -222,33 +227,33 @@
             self.tick()
             while self.requests:
                 self.do_request(0)
-                self.responses[-1] = (TWICE, *self.responses[-1][1:])
+                self.responses[-1] = (MAX_DELIVERIES, *self.responses[-1][1:])
                 self.client.on_response(self.now, self.responses[-1][1], self.responses[-1][2])
                 self.tick()
             self.check()
             self.now += 2.0
-        has = {
+        actual = {
             (known.name, known.endpoint.destination, known.endpoint.rate)
             for known in self.directory.by_name.values()
         }
-        is_ = {
+        expected = {
             (each.name, each.destination, each.rate)
             for each in self.rows[LATEST]
             if each.destination in self.destinations
         }
-        if has != is_:
-            return f"has {has}, is {is_}"
+        if actual != expected:
+            return f"directory has {actual}, source has {expected}"
         if not all(
             self.client.is_current(self.now, destination)
             for destination in self.destinations
             if self.client.is_resident(destination)
         ):
             return "not current"
-        return self.wrong
+        return self.violation
 
     def key(self) -> bytes:
-        """What the state is, without what only counts."""
-        client, store = self.client, self.client.cache
+        """Return a key that identifies the state, without counters."""
+        client, cache = self.client, self.client.cache
         return pickle.dumps(
             (
                 round(self.now, 3),
@@ -276,11 +281,11 @@
                         sorted(cached.published),
                         cached.last_used_at,
                     )
-                    for shard, cached in sorted(store.resident.items())
+                    for shard, cached in sorted(cache.resident.items())
                 ],
-                store.common_version,
-                store.latest_version,
-                sorted(store.shard_by_name.items()),
+                cache.common_version,
+                cache.latest_version,
+                sorted(cache.shard_by_name.items()),
                 sorted(client.pending.by_shard),
                 sorted(client.scheduler.shards_to_compare),
                 [
@@ -309,10 +314,10 @@
     before: Sequence[Action] = (),
     fair_every: int = 1,
 ) -> tuple[int, str]:
-    """Explore every order of up to `depth` events after those of `before`.
+    """Explore every order of up to `depth` events after the events `before`.
 
-    Returns how many states there are, and what is wrong in the first that is, with its path. From each
-    `fair_every`th state it is checked that the client converges.
+    Returns the number of states, and the first violation with its path, or an empty string. Convergence of
+    the client is checked from each `fair_every`th state.
     """
     first = Model(rows, shards, destinations)
     for action in before:
@@ -320,48 +325,48 @@
     level: list[tuple[bytes, tuple[Action, ...]]] = [(pickle.dumps(first, -1), ())]
     seen = {first.key()}
     for _ in range(depth):
-        following = []
+        next_level = []
         for raw, path_before in level:
             for action in list(pickle.loads(raw).actions()):
                 model: Model = pickle.loads(raw)
                 model.do(action)
                 path = (*path_before, action)
-                if model.wrong:
-                    return len(seen), f"{model.wrong}: {path}"
+                if model.violation:
+                    return len(seen), f"{model.violation}: {path}"
                 key = model.key()
                 if key in seen:
                     continue
                 seen.add(key)
                 after = pickle.dumps(model, -1)
-                wrong = model.fair() if len(seen) % fair_every == 0 else ""
-                if wrong:
-                    return len(seen), f"in the end {wrong}: {path}"
-                following.append((after, path))
-        level = following
+                violation = model.converge() if len(seen) % fair_every == 0 else ""
+                if violation:
+                    return len(seen), f"after convergence: {violation}: {path}"
+                next_level.append((after, path))
+        level = next_level
     return len(seen), ""
 
 
-RESIDENT: tuple[Action, ...] = (("request", 0), ("response", 0))  # the client has it as of version 1
+RESIDENT: tuple[Action, ...] = (("request", 0), ("response", 0))  # the client has the shard as of version 1
 STARTS: dict[str, tuple[dict[int, list[Row]], int, Sequence[int], tuple[Action, ...]]] = {
-    "one shard, requested": (ONE, 1, (A,), ()),
-    "one shard, resident": (ONE, 1, (A,), RESIDENT),
-    "a move, requested": (MOVE, 2, (A, B), ()),
-    "a move, resident": (MOVE, 2, (A, B), RESIDENT),
-    "a move, one shard resident": (MOVE, 2, (A,), RESIDENT),
+    "one shard, requested": (ONE_ENDPOINT, 1, (A,), ()),
+    "one shard, resident": (ONE_ENDPOINT, 1, (A,), RESIDENT),
+    "a move, requested": (MOVED, 2, (A, B), ()),
+    "a move, resident": (MOVED, 2, (A, B), RESIDENT),
+    "a move, one shard resident": (MOVED, 2, (A,), RESIDENT),
     "one shard, resident, one server ahead": (
-        ONE,
+        ONE_ENDPOINT,
         1,
         (A,),
         (*RESIDENT, ("update_server", "n1"), ("update_server", "n1")),
     ),
     "one shard, resident, the other ahead": (
-        ONE,
+        ONE_ENDPOINT,
         1,
         (A,),
         (*RESIDENT, ("update_server", "n2"), ("update_server", "n2")),
     ),
     "one shard, resident, one ahead and its digest delivered": (
-        ONE,
+        ONE_ENDPOINT,
         1,
         (A,),
         (
@@ -382,8 +387,8 @@
     parser.add_argument("--fair-every", type=int, default=10)
     arguments = parser.parse_args()
     for name, (rows, shards, destinations, before) in STARTS.items():
-        states, wrong = explore(rows, shards, destinations, arguments.depth, before, arguments.fair_every)
-        print(f"{name}, depth {arguments.depth}: {states} states, {wrong or 'nothing wrong'}", flush=True)
+        states, violation = explore(rows, shards, destinations, arguments.depth, before, arguments.fair_every)
+        print(f"{name}, depth {arguments.depth}: {states} states, {violation or 'no violation'}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/sharded_directory/test_client_any_order.py
+++ b/tests/sharded_directory/test_client_any_order.py
@@ -1,4 +1,4 @@
-"""Whatever comes in whatever order, what the real directory has is never older than what it had."""
+"""Random events in any order: the data in the real directory never become older."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RandomEvents:
-    """Servers updated at their own time, and messages delivered in any order, twice or never."""
+    """Servers that are updated independently, and messages delivered in any order, twice or never."""
 
     def __init__(self) -> None:
         self.layout = Layout(2, (1, 2))
@@ -53,8 +53,8 @@
         name = NAMES[pick % 4]
         known = self.rows[-1].get(name)
         listing = (0, DRAINING, GONE)[pick // 4] if known else 0
-        place = known.destination if known and listing else pick % 5
-        new = row(name, place, listing, mark=float(generation))
+        destination = known.destination if known and listing else pick % 5
+        new = row(name, destination, listing, mark=float(generation))
         after = {each: unchanged for each, unchanged in self.rows[-1].items() if each != name}
         if listing != GONE:
             after[name] = new
@@ -75,16 +75,16 @@
         self.client.outgoing.clear()
         self.client.missing_destinations.clear()
         for update in self.client.updates:
-            evidence = self.latest_mark
-            for member in update.endpoints:
-                mark = int(member.rate)
-                assert mark >= self.latest_marks.get(member.name, 0), "older than it was"
-                if member.name not in self.directory.by_name:
+            latest_before = self.latest_mark
+            for endpoint in update.endpoints:
+                mark = int(endpoint.rate)
+                assert mark >= self.latest_marks.get(endpoint.name, 0), "older than before"
+                if endpoint.name not in self.directory.by_name:
                     replaced = [
-                        g for g in range(mark + 1, len(self.rows)) if self.log[g - 2].name == member.name
+                        g for g in range(mark + 1, len(self.rows)) if self.log[g - 2].name == endpoint.name
                     ]
-                    assert not replaced or replaced[0] > evidence, "came back"
-                self.latest_marks[member.name] = mark
+                    assert not replaced or replaced[0] > latest_before, "a replaced endpoint came back"
+                self.latest_marks[endpoint.name] = mark
                 self.latest_mark = max(self.latest_mark, mark)
             self.directory.apply(update)
         self.client.updates.clear()
@@ -100,8 +100,8 @@
             server, sent = self.requests[pick % len(self.requests)]
             self.responses.append((server, self.servers[server].handle_request(self.now, "n100", sent)))
         elif op == "t" and self.responses:
-            server, word = self.responses[-1 - pick % len(self.responses)]
-            self.client.on_response(self.now, server, word)
+            server, response = self.responses[-1 - pick % len(self.responses)]
+            self.client.on_response(self.now, server, response)
         elif op == "d":
             for _, digest in self.servers[name].due_digests(self.now):
                 self.digests.append((name, digest))
@@ -120,7 +120,7 @@
         self.tick()
 
     def deliver_all(self) -> None:
-        """All is delivered from now on: it comes to what there is."""
+        """Deliver everything from now on, until the client has the latest data."""
         for _ in range(400):
             self.now += 0.1
             for name in self.servers:
@@ -149,20 +149,20 @@
 @given(ops=OPS)
 @settings(max_examples=250, deadline=None)
 def test_nothing_gets_older_in_any_order_of_events(ops: list[tuple[str, int]]) -> None:
-    drawn = RandomEvents()
+    simulation = RandomEvents()
     for op, pick in [("w", 0), ("w", 1), *ops]:
-        drawn.do(op, pick)
-    drawn.deliver_all()
-    has = {
+        simulation.do(op, pick)
+    simulation.deliver_all()
+    actual = {
         name: (known.endpoint.destination, known.endpoint.rate, known.endpoint.listing)
-        for name, known in drawn.directory.by_name.items()
+        for name, known in simulation.directory.by_name.items()
     }
-    is_ = {
+    expected = {
         name: (each.destination, each.rate, (Listing.READY, Listing.DRAINING)[each.listing])
-        for name, each in drawn.rows[-1].items()
+        for name, each in simulation.rows[-1].items()
     }
-    assert has == is_
-    shards = by_shard(drawn.rows[-1], 2)
-    for shard, cached in drawn.client.cache.resident.items():
-        assert len(drawn.client.cache._decode_rows(cached)) == len(shards[shard])
-    assert drawn.client.status(drawn.now).endpoints == len(has)
+    assert actual == expected
+    shards = by_shard(simulation.rows[-1], 2)
+    for shard, cached in simulation.client.cache.resident.items():
+        assert len(simulation.client.cache._decode_rows(cached)) == len(shards[shard])
+    assert simulation.client.status(simulation.now).endpoints == len(actual)
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -1,4 +1,4 @@
-"""What things cost, by counts: a change, a request and a response by what changed, not by what there is."""
+"""Costs of changes, requests and responses, by counters: they depend on the changes, not on the size."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def cost_of_a_change(size: tuple[int, int], clients: int) -> tuple[int, int, int]:
-    """Rows read, sums touched, bytes told to one client."""
+    """Return the decoded rows, the updated checksums, and the bytes sent to one client."""
     server = server_of(size, clients)
     before = server.table.decoded_rows, server.subscribers.update_count
     server.apply_changes(NOW, 2, [row("e7", 7, 1)])
@@ -44,15 +44,16 @@
     )
 
 
-def rows_beside(size: tuple[int, int], destination: int) -> int:
+def rows_in_shard_of(size: tuple[int, int], destination: int) -> int:
     destinations, shards = size
-    return sum(shard_of(each, shards) == shard_of(destination, shards) for each in range(destinations))
+    return sum(shard_of(other, shards) == shard_of(destination, shards) for other in range(destinations))
 
 
 @pytest.mark.parametrize("clients", [0, 20])
 def test_cost_of_a_change_does_not_depend_on_the_number_of_destinations(clients: int) -> None:
     small, large = cost_of_a_change(SMALL, clients), cost_of_a_change(LARGE, clients)
-    assert small[0] == rows_beside(SMALL, 7) and large[0] == rows_beside(LARGE, 7)  # its shard, read once
+    # The shard is decoded once.
+    assert small[0] == rows_in_shard_of(SMALL, 7) and large[0] == rows_in_shard_of(LARGE, 7)
     assert max(small[0], large[0]) < 100
     assert small[1] == large[1] == clients
     assert abs(large[2] - small[2]) <= 4 and large[2] < 200
@@ -60,14 +61,14 @@
 
 def test_cost_of_a_request_depends_on_changes_and_not_on_resident_shards() -> None:
     costs = []
-    for holds in (16, 512):
+    for resident_count in (16, 512):
         server = server_of(LARGE)
-        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(holds)))
+        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(resident_count)))
         server.apply_changes(NOW, 2, [row("e7", 7, 1), row("e8", 8, 1)])
         before = server.table.decoded_rows, server.subscribers.update_count
-        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(holds)))
+        server.handle_request(NOW, "n1", shard_request(server.layout, (1, 1), range(resident_count)))
         costs.append((server.table.decoded_rows - before[0], server.subscribers.update_count - before[1]))
-    assert costs[0] == costs[1] == (0, 0)  # from the logs, and no set has changed
+    assert costs[0] == costs[1] == (0, 0)  # served from the logs, with no change of shard sets
 
 
 def test_old_changes_are_not_visited() -> None:
@@ -78,7 +79,7 @@
     assert 100 < len(list(server.table.changed_since(1))) <= 300
 
 
-def reader_of(
+def client_with_destinations(
     size: tuple[int, int], used: int
 ) -> tuple[ShardServer, ShardClient, list[tuple[str, ShardRequest]]]:
     server = server_of(size)
@@ -104,7 +105,7 @@
 def test_cost_of_a_change_at_a_client_is_the_rows_of_one_shard() -> None:
     costs = []
     for used in (10, 2_000):
-        server, client, _ = reader_of(LARGE, used)
+        server, client, _ = client_with_destinations(LARGE, used)
         now = NOW + 70.0
         server.apply_changes(now, 2, [row("e7", 7, 1)])
         before = client.cache.decoded_rows
@@ -119,12 +120,12 @@
 
 
 def test_directory_gets_only_destinations_in_use() -> None:
-    _, client, _ = reader_of(LARGE, 50)
+    _, client, _ = client_with_destinations(LARGE, 50)
     assert client.status(NOW).shards > 40 and client.status(NOW).endpoints == 50
     assert sum(len(update.endpoints) for update in client.updates) == 50
 
 
 def test_requested_shards_come_in_few_requests() -> None:
-    _, client, requests = reader_of(LARGE, 2_000)
+    _, client, requests = client_with_destinations(LARGE, 2_000)
     assert client.status(NOW).shards > 450
     assert len(requests) < 2 * (client.status(NOW).bytes_in / (36 << 10) + 2)
--- a/tests/sharded_directory/test_request_scheduler.py
+++ b/tests/sharded_directory/test_request_scheduler.py
@@ -1,4 +1,4 @@
-"""Which server a client asks when: order, retries, backoff, limits."""
+"""Scheduling of a client's requests: order of servers, retries, backoff, limits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Overloaded,
 )
 
-from .client_world import FIRST, LAYOUT, ONE, SECOND, THIRD, ClientWorld, in_shard, response_to
+from .client_world import FIRST, LAYOUT, ONE_SHARD, SECOND, THIRD, ClientWorld, in_shard, response_to
 from .common import respond, row
 
 
@@ -30,16 +30,16 @@
     requests = world.tick()
     assert [name for name, _ in requests] == [FIRST, SECOND]
     shards = [
-        request_destinations.shard for _, each in requests for request_destinations in each.requested_shards
+        requested_shard.shard for _, request in requests for requested_shard in request.requested_shards
     ]
     assert len(shards) == len(set(shards)) == 2 * request_scheduler.MAX_SHARDS_PER_REQUEST
     due = [
-        request_destinations.time_left_ms
-        for _, each in requests
-        for request_destinations in each.requested_shards
+        requested_shard.time_left_ms
+        for _, request in requests
+        for requested_shard in request.requested_shards
     ]
     assert due == sorted(due) and due[0] <= 60_200.0
-    assert not world.tick()  # two at most, one a server
+    assert not world.tick()  # at most two outstanding, one per server
     world.serve(requests)
     world.settle(1.0)
     assert world.client.status(world.now).waiting == 0 and len(world.directory.by_name) == 400
@@ -54,7 +54,8 @@
     assert world.client.contains(1)
     world.settle(60.0)
     times = sum(name == FIRST for name, _ in world.served)
-    assert 10 <= times <= 40  # whether it is back; 4 s at most between two, by chance 0.7 to 1.3 of that
+    # Retries to learn whether it has recovered: at most 4 s apart, times 0.7 to 1.3 at random.
+    assert 10 <= times <= 40
     world.down.clear()
     world.served.clear()
     world.settle(30.0)
@@ -69,7 +70,7 @@
     world.settle(15.0)
     world.request_destinations(a)
     world.settle(0.2)
-    # Its first answer told its age, and what it gave was left for another to say.
+    # Its first response showed the age of its source, so that the shard was requested from another server.
     assert [(name, len(sent.requested_shards)) for name, sent in world.served][:2] == [
         (FIRST, 1),
         (SECOND, 1),
@@ -83,10 +84,10 @@
 
 
 def test_loading_or_overloaded_server_is_retried_later() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     (first,) = world.tick()
-    world.client.on_response(world.now, first[0], LayoutMismatch(first[1].number, ONE, is_loading=True))
+    world.client.on_response(world.now, first[0], LayoutMismatch(first[1].number, ONE_SHARD, is_loading=True))
     (second,) = world.tick()
     assert (first[0], second[0]) == (FIRST, SECOND)
     world.client.on_response(world.now, second[0], Overloaded(second[1].number, 2_000.0))
@@ -96,7 +97,7 @@
 
 @pytest.mark.parametrize("after_ms", [float("nan"), float("inf"), -5.0, 1e300])
 def test_overloaded_with_an_invalid_retry_after(after_ms: float) -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.down = {SECOND, THIRD}
     world.request_destinations(1)
     (first,) = world.tick()
@@ -119,7 +120,7 @@
 
 
 def test_next_tick_is_soon_while_something_is_pending() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.settle()
     assert world.now < world.client.next_tick_at() <= world.now + 1.0
     world.client.request(world.now, 1, world.now + 1.0)
@@ -129,7 +130,7 @@
 
 
 def test_older_response_is_counted_and_its_server_asked_last() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
     world.settle(1.0)
@@ -138,7 +139,7 @@
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 4), [FullShard(0, (row("a", 1),))]))
     world.apply()
     assert world.endpoint("a").listing is Listing.DRAINING
-    assert world.client.status(world.now).stale_refused == 2  # the shard, and the answer
+    assert world.client.status(world.now).stale_refused == 2  # the shard, and the response
     assert world.client.status(world.now).version == (1, 5)
     assert not world.client.is_current(world.now + 6.0, 1)
     assert world.tick()[0][0] == SECOND
@@ -151,7 +152,7 @@
     world.now += 7.0
     (sent,) = world.tick()
     world.now += 30.0
-    world.client.on_request_failed(world.now, sent[0])  # its time ran out while this process stood
+    world.client.on_request_failed(world.now, sent[0])  # it timed out while this process was frozen
     assert not world.client.is_current(world.now, 1)
     world.down = {"n1"}
     world.settle(2.0)
@@ -159,19 +160,19 @@
 
 
 def test_response_to_an_earlier_request_does_not_end_the_outstanding_one() -> None:
-    """It would date what it says by a request that went out after it was said."""
+    """Guards against dating a response by a request that was sent after it."""
     world = ClientWorld([row("a", 1)], Layout(1, (1,)))
     world.request_destinations(1)
     world.settle(1.0)
     world.now += 7.0
     (sent,) = world.tick()
-    late = respond(world.servers["n1"], sent[1], world.now)
+    late_response = respond(world.servers["n1"], sent[1], world.now)
     world.client.on_request_failed(world.now, "n1")
     world.now += 20.0
     world.apply_changes(2, [row("a", 1, DRAINING)])
     assert world.tick()
     world.now += 20.0
-    world.client.on_response(world.now, "n1", late)
+    world.client.on_response(world.now, "n1", late_response)
     assert world.client.unsolicited == 1 and not world.client.is_current(world.now, 1)
 
 
@@ -190,63 +191,67 @@
                 client.on_request_failed(now, name)
                 requested_at.append(now)
             client.outgoing.clear()
-    late = [at for at in requested_at if at > 115.0]
-    assert len(late) > 60 * 3
-    assert max(map(late.count, set(late))) < len(late) / 15  # of 150 steps
+    late_requests = [at for at in requested_at if at > 115.0]
+    assert len(late_requests) > 60 * 3
+    assert max(map(late_requests.count, set(late_requests))) < len(late_requests) / 15  # of 150 steps
     now = 140.0
     for client in clients:
         client.set_reachable(now, [])
         for server in client.scheduler.servers.values():
             server.paused_until = now + 60.0
         client.set_reachable(now, client.scheduler.servers)
-    back = sorted(
+    return_delays = sorted(
         min(server.paused_until for server in client.scheduler.servers.values()) - now for client in clients
     )
-    assert back[-1] <= request_scheduler.RECOVERY_SPREAD_S and back[15] > 0.1 and back[45] > 0.4
+    assert (
+        return_delays[-1] <= request_scheduler.RECOVERY_SPREAD_S
+        and return_delays[15] > 0.1
+        and return_delays[45] > 0.4
+    )
 
 
-@pytest.mark.parametrize("back", range(8))
-def test_any_server_that_recovers_is_found_soon(back: int) -> None:
-    """Of eight that all hang, a second each, whatever its rank."""
+@pytest.mark.parametrize("rank", range(8))
+def test_any_server_that_recovers_is_found_soon(rank: int) -> None:
+    """All eight servers hang, each request for a second; then the server of any rank recovers."""
     world = ClientWorld([row("a", 1)], Layout(1, tuple(range(1, 9))))
     world.request_destinations(1)
     world.settle(1.0)
-    alive = rank_servers("n100", world.servers)[back]
-    began = world.now
-    out: list[tuple[float, str]] = []
-    while world.now < began + 60.0:
+    recovered = rank_servers("n100", world.servers)[rank]
+    began_at = world.now
+    outstanding: list[tuple[float, str]] = []
+    while world.now < began_at + 60.0:
         world.now = round(world.now + 0.1, 1)
         for server in world.servers.values():
             server.confirm_source(world.now)
-        for at, name in [each for each in out if world.now - each[0] >= 1.0]:
-            out.remove((at, name))
+        for at, name in [each for each in outstanding if world.now - each[0] >= 1.0]:
+            outstanding.remove((at, name))
             world.client.on_request_failed(world.now, name)
         for name, sent in world.tick():
-            if name == alive and world.now > began + 40.0:
+            if name == recovered and world.now > began_at + 40.0:
                 world.serve([(name, sent)])
-                assert world.now < began + 48.0
+                assert world.now < began_at + 48.0
                 return
-            out.append((world.now, name))
-        assert world.client.is_current(world.now, 1)  # what is known serves, all being tried in turn
-    raise AssertionError("never asked")
+            outstanding.append((world.now, name))
+        assert world.client.is_current(world.now, 1)  # known data are used while all servers are tried
+    raise AssertionError("the recovered server got no request")
 
 
 def test_maximum_number_of_servers_is_tried_within_the_bound() -> None:
-    """All hang, for long: each has its turn, so that what is known serves."""
+    """All servers hang for long: each is tried within the bound, so that known data can be used."""
     world = ClientWorld([row("a", 1)], Layout(1, tuple(range(1, MAX_SERVERS + 1))))
     world.request_destinations(1)
     world.settle(1.0)
-    began = world.now
-    out: list[tuple[float, str]] = []
-    last = dict.fromkeys(world.servers, began + 20.0)
-    while world.now < began + 120.0:
+    began_at = world.now
+    outstanding: list[tuple[float, str]] = []
+    last_requested_at = dict.fromkeys(world.servers, began_at + 20.0)
+    while world.now < began_at + 120.0:
         world.now = round(world.now + 0.1, 1)
-        for at, name in [each for each in out if world.now - each[0] >= 1.0]:
-            out.remove((at, name))
+        for at, name in [each for each in outstanding if world.now - each[0] >= 1.0]:
+            outstanding.remove((at, name))
             world.client.on_request_failed(world.now, name)
         for name, _ in world.tick():
-            out.append((world.now, name))
-            assert world.now - last[name] < 11.0
-            last[name] = max(last[name], world.now)
-        if world.now > began + 20.0:
+            outstanding.append((world.now, name))
+            assert world.now - last_requested_at[name] < 11.0
+            last_requested_at[name] = max(last_requested_at[name], world.now)
+        if world.now > began_at + 20.0:
             assert world.client.is_current(world.now, 1)
--- a/tests/sharded_directory/test_settings.py
+++ b/tests/sharded_directory/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's part on the directory by interest: what makes no sense is told by its field."""
+"""Settings of the sharded directory: defaults, limits, and errors with the field."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 ACCORD = {"accord": {"voters": [0]}}
 
 
-def test_given_settings_apply_and_without_servers_it_is_off() -> None:
-    part = {"keepers": [0, 2], "count": 64, "epoch": 3, "file": "list.json", "idle_s": 9.0, "bound_s": 20.0}
-    assert decoded({**BASE, "shards": part}, "f").shards == ShardedDirectorySettings(
+def test_settings_are_read_and_without_servers_the_directory_is_off() -> None:
+    shards = {"keepers": [0, 2], "count": 64, "epoch": 3, "file": "list.json", "idle_s": 9.0, "bound_s": 20.0}
+    assert decoded({**BASE, "shards": shards}, "f").shards == ShardedDirectorySettings(
         (0, 2), 64, 3, "list.json", 9.0, 20.0
     )
     assert not OperatorConfig().shards.on and not decoded({"shards": {"count": 64}}, "f").shards.on
 
 
-def test_the_example_file_has_each_field_with_its_default() -> None:
+def test_example_file_has_all_fields_with_their_defaults() -> None:
     assert read(Path("deploy/relay.toml"), {}).shards == ShardedDirectorySettings()
     assert "[shards]" in Path("deploy/relay.toml").read_text()
 
--- a/tests/sharded_directory/test_shard_cache.py
+++ b/tests/sharded_directory/test_shard_cache.py
@@ -1,4 +1,4 @@
-"""Which data stand at a client: versions, names that move between shards, eviction, unreadable rows."""
+"""Shard cache: versions, names that move between shards, eviction, unreadable rows."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     ShardChanges,
 )
 
-from .client_world import FIRST, ONE, SECOND, ClientWorld, in_shard, respond_in_part, response_to
+from .client_world import FIRST, ONE_SHARD, SECOND, ClientWorld, in_shard, respond_in_part, response_to
 from .common import respond, row
 
 
 def test_older_part_after_a_newer_one_is_ignored() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     (first_request,) = world.tick()
     old = respond(world.servers[SECOND], first_request[1], world.now)
@@ -38,7 +38,7 @@
 
 
 def test_evicted_shard_is_not_accepted_at_an_older_version() -> None:
-    world = ClientWorld([row("a", 1)], ONE, idle_s=20.0)
+    world = ClientWorld([row("a", 1)], ONE_SHARD, idle_s=20.0)
     world.apply_changes(2, [], [("a", DRAINING)], FIRST)
     world.request_destinations(1)
     world.settle()
@@ -54,16 +54,16 @@
     assert world.endpoint("a").listing is Listing.DRAINING
 
 
-def test_name_that_moves_between_shards_stays_where_the_latest_version_has_it() -> None:
+def test_name_that_moves_between_shards_is_published_as_of_the_latest_version() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
-    for first_destination, then in ((a, b), (b, a)):
+    for first_destination, second_destination in ((a, b), (b, a)):
         world = ClientWorld([row("x", a, mark=1.0)])
         world.request_destinations(first_destination)
         world.settle()
         world.apply_changes(2, [row("x", b, mark=2.0)])
-        world.request_destinations(then)
+        world.request_destinations(second_destination)
         world.settle(4.0)
-        world.request_destinations(b)  # who had asked for it before it came was told that there is none
+        world.request_destinations(b)  # a request before the move had found that it does not exist
         assert (world.endpoint("x").destination, world.endpoint("x").rate) == (b, 2.0)
         world.settle(4.0)
         assert (
@@ -73,8 +73,9 @@
 
 
 def test_moved_name_is_not_published_from_an_old_shard_that_lags() -> None:
-    """The shard that it went to is here as of a later version, then given up; the one that it left, older,
-    says nothing for the first time until it has caught up."""
+    """The new shard of the name is resident as of a later version than its old shard. The old shard
+    publishes no new names until it has caught up.
+    """
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
     other = in_shard(0, 2)[1]
     world = ClientWorld([row("x", a, mark=1.0), row("y", other)])
@@ -137,23 +138,23 @@
 )
 def test_unreadable_entry_is_skipped(wrong: dict[str, Any]) -> None:
     bad = msgspec.structs.replace(row("bad", 1), **wrong)
-    world = ClientWorld([row("a", 1), bad], ONE)
+    world = ClientWorld([row("a", 1), bad], ONE_SHARD)
     world.request_destinations(1)
     world.settle(4.0)
     assert set(world.directory.by_name) == {"a"}
     assert world.client.status(world.now).unreadable == 1
-    assert world.client.status(world.now).version == (1, 1)  # the checksums are alike
+    assert world.client.status(world.now).version == (1, 1)  # the checksums agree
 
 
-@pytest.mark.parametrize(("listing", "stands"), [(0, Listing.READY), (1, Listing.DRAINING)])
-def test_listing_of_an_unreadable_entry_counts(listing: int, stands: Listing) -> None:
-    world = ClientWorld([row("a", 1, 1 - listing, port=8080)], ONE)
+@pytest.mark.parametrize(("listing", "expected"), [(0, Listing.READY), (1, Listing.DRAINING)])
+def test_listing_of_an_unreadable_entry_counts(listing: int, expected: Listing) -> None:
+    world = ClientWorld([row("a", 1, 1 - listing, port=8080)], ONE_SHARD)
     world.request_destinations(1)
     world.settle(1.0)
     world.apply_changes(2, [row("a", 1, listing, port=0)])
     world.settle(4.0)
     known = world.directory.by_name["a"]
-    assert known.endpoint.listing is stands and known.address == ("host", 8080)
+    assert known.endpoint.listing is expected and known.address == ("host", 8080)
     world.apply_changes(3, [], [("a", GONE)])
     world.settle(4.0)
     assert not world.directory.by_name
@@ -189,15 +190,16 @@
     world.apply()
     assert world.endpoint("b") is None and world.client.status(world.now).stale_refused == 2
     requests = world.tick()
-    assert [name for name, _ in requests] == [SECOND]  # another is asked, at once
+    assert [name for name, _ in requests] == [SECOND]  # the next server gets a request at once
     world.serve(requests)
     assert world.endpoint("b").listing is Listing.DRAINING
 
 
 def test_evicted_shard_sets_the_latest_version_of_an_empty_cache() -> None:
-    """A shard that came in pieces, as of a later version than all else, is given up: it does not come back
-    older, from a server that does not look at what it is asked."""
-    world = ClientWorld([row("a", 1)], ONE, idle_s=20.0)
+    """Guards against an evicted shard coming back older, from a server that ignores the version in the
+    request. The evicted shard was as of a later version than all others.
+    """
+    world = ClientWorld([row("a", 1)], ONE_SHARD, idle_s=20.0)
     world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
     world.settle(30.0)
@@ -210,8 +212,9 @@
 
 
 def test_new_shard_is_published_only_as_of_the_latest_version() -> None:
-    """B was here as of version 1 when A came as of 2: a name that left A's neighbour meanwhile must not be
-    told from B before B has caught up."""
+    """B is resident as of version 1 when A arrives as of version 2: a name that moved from B to A must not be
+    published from B before B has caught up.
+    """
     a, b, c = (in_shard(shard, 1)[0] for shard in (0, 1, 2))
     world = ClientWorld([row("x", b, mark=1.0), row("y", in_shard(1, 2)[1]), row("z", c)])
     world.request_destinations(in_shard(1, 2)[1])
@@ -241,23 +244,24 @@
     world.client.on_response(world.now, sent[0], response_to(sent, (1, 9), parts, False, world.now))
     world.now += 0.5
     (sent,) = world.tick()
-    parts_ = [ShardChanges(shard_of(b, 4), (row("p", b, mark=8.0), row("q", b, DRAINING, mark=8.0)))]
-    world.client.on_response(world.now, sent[0], response_to(sent, (1, 8), parts_, False, world.now))
+    changes = [ShardChanges(shard_of(b, 4), (row("p", b, mark=8.0), row("q", b, DRAINING, mark=8.0)))]
+    world.client.on_response(world.now, sent[0], response_to(sent, (1, 8), changes, False, world.now))
     world.apply()
-    assert world.endpoint("p").rate == 9.0  # not from b, which is as of 8
-    assert world.endpoint("q").listing is Listing.DRAINING  # but what was told of it goes on
+    assert world.endpoint("p").rate == 9.0  # not from b, whose shard is as of version 8
+    assert world.endpoint("q").listing is Listing.DRAINING  # but published names are updated
 
 
 def test_moved_name_does_not_return_from_the_shard_that_it_left() -> None:
-    """x went from b to a destination that is in no use, in the shard of a; b's shard hears of other things
-    first."""
+    """x moved from b to a destination that is not in use, in the shard of a; the shard of b first gets other
+    changes.
+    """
     (a, unused), b = in_shard(0, 2), in_shard(1, 1)[0]
     world = ClientWorld([row("x", b, mark=1.0), row("y", b)])
     world.request_destinations(b)
     world.settle(1.0)
     world.request_destinations(a)
     respond_in_part(world, (1, 9), FullShard(0, (row("x", unused, mark=9.0),)))
-    assert world.endpoint("x") is None  # it is elsewhere by now
+    assert world.endpoint("x") is None  # it has moved to the unused destination
     respond_in_part(world, (1, 8), ShardChanges(1, (row("y", b, DRAINING, mark=8.0),)))
     assert world.endpoint("y").rate == 8.0 and world.endpoint("x") is None
 
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -1,4 +1,4 @@
-"""What a shard client has resident, and whether a first byte may be sent by it."""
+"""Shard client: which shards are resident, and whether their data are current enough for a first byte."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     unpack_shard_set,
 )
 
-from .client_world import FIRST, ONE, SECOND, THIRD, ClientWorld, in_shard, response_to
+from .client_world import FIRST, ONE_SHARD, SECOND, THIRD, ClientWorld, in_shard, response_to
 from .common import load_list, respond, row
 
 
@@ -29,12 +29,12 @@
     world.request_destinations(a, c)
     assert not world.client.is_resident(a) and not world.client.is_current(world.now, a)
     world.settle()
-    # The second one is only told what is held, so that it tells digests as well.
+    # The second one only gets the resident shards, so that it sends digests as well.
     assert [(name, len(sent.requested_shards)) for name, sent in world.served] == [(FIRST, 1), (SECOND, 0)]
     assert set(world.directory.by_name) == {"a", "a2"} and world.missing == [c]
     assert world.client.is_resident(a) and world.client.contains(a) and world.client.is_current(world.now, a)
     assert not world.client.is_resident(b) and not world.client.contains(b)
-    world.request_destinations(b)  # its shard is here: at once
+    world.request_destinations(b)  # its shard is resident: published at once
     assert set(world.directory.by_name) == {"a", "a2", "b"} and len(world.served) == 2
     assert world.client.is_resident(b) and world.client.status(world.now).endpoints == 3
 
@@ -61,13 +61,14 @@
     assert world.client.status(world.now).version == (1, 2)
     assert world.servers[FIRST].sent_bytes + world.servers[SECOND].sent_bytes - bytes_before < 300
     world.served.clear()
-    world.apply_changes(3, [row("x", in_shard((shard_of(1, 4) + 1) % 4, 1)[0])])  # in no shard that is here
+    # A change in a shard that is not resident.
+    world.apply_changes(3, [row("x", in_shard((shard_of(1, 4) + 1) % 4, 1)[0])])
     world.settle(4.0)
     assert world.client.status(world.now).version == (1, 3) and not world.served
 
 
 def test_older_response_is_rejected_and_another_server_asked() -> None:
-    """A drained endpoint does not come back from a server that has not heard of it."""
+    """Guards against a drained endpoint coming back from a server that has not got the change."""
     a, b = in_shard(0, 2)
     c = in_shard(1, 1)[0]
     world = ClientWorld([row("a", a), row("c", c)])
@@ -86,12 +87,12 @@
 
 
 def test_repeated_and_late_responses_change_nothing() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     (first,) = world.tick()
     response = respond(world.servers[first[0]], first[1], world.now)
     world.client.on_request_failed(world.now, first[0])
-    world.client.on_response(world.now, first[0], response)  # came too late
+    world.client.on_response(world.now, first[0], response)  # arrives too late
     assert not world.client.is_resident(1) and world.client.unsolicited == 1
     world.settle(1.0)
     before = world.client.status(world.now)
@@ -103,15 +104,15 @@
 
 
 def test_frozen_client_sends_a_request_before_its_next_first_byte() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     world.settle(4.0)
     assert world.client.is_current(world.now, 1)
-    old = []
-    for step in range(40):  # what its socket holds meanwhile
+    buffered = []
+    for step in range(40):  # digests buffered in its socket meanwhile
         for server in world.servers.values():
             server.confirm_source(world.now + step)
-        old += [
+        buffered += [
             (name, digest)
             for name, server in world.servers.items()
             for _, digest in server.due_digests(world.now + step)
@@ -119,9 +120,9 @@
     world.now += 40.0
     world.apply_changes(2, [], [("a", DRAINING)])
     assert not world.client.is_current(world.now, 1)
-    early = [each for each in old if each[1].clock_ms < (world.now - 11.0) * 1e3]
+    early = [each for each in buffered if each[1].clock_ms < (world.now - 11.0) * 1e3]
     assert len(early) > 5
-    for name, digest in early + early:  # dated by their servers' clocks, when they came is nothing
+    for name, digest in early + early:  # dated by the clocks of their servers, not by their arrival
         world.client.on_digest(world.now, name, digest)
     assert not world.client.is_current(world.now, 1)
     world.settle()
@@ -129,7 +130,7 @@
 
 
 def test_digests_alone_keep_the_client_current_and_three_may_be_lost() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     world.settle(0.5)
     world.served.clear()
@@ -139,18 +140,18 @@
     assert world.client.is_current(world.now, 1) and 4 <= len(world.served) <= 10
 
 
-def test_without_reachable_servers_known_data_serve_once_all_were_tried() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+def test_without_reachable_servers_known_data_are_used_once_all_were_tried() -> None:
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     world.settle(1.0)
     world.down = set(world.servers)
     for _ in range(60):
         world.settle(1.0)
         assert world.client.is_current(world.now, 1)
-    sent = world.client.status(world.now)
-    assert sent.age_s > 55.0 and sent.shards == 1
+    status = world.client.status(world.now)
+    assert status.age_s > 55.0 and status.shards == 1
     assert len(world.served) < 120
-    world.now += 30.0  # frozen, and wakes
+    world.now += 30.0  # frozen for 30 s
     assert not world.client.is_current(world.now, 1)
     world.settle(0.1)
     tried = {name for name, _ in world.served[-3:]}
@@ -164,7 +165,7 @@
 
 
 def test_lagging_server_confirms_nothing_younger_than_its_source() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     world.settle(1.0)
     world.lagging = {FIRST}
@@ -179,9 +180,9 @@
 
 
 def test_unnoticed_source_lag_is_detected_by_the_other_server() -> None:
-    """As with a file that is copied late: it says that it is up to date."""
+    """As with a file that is copied late: the server reports that it is up to date."""
     for late in (FIRST, SECOND):
-        world = ClientWorld([row("a", 1)], ONE)
+        world = ClientWorld([row("a", 1)], ONE_SHARD)
         world.request_destinations(1)
         world.settle(1.0)
         changed_at = world.now
@@ -205,7 +206,7 @@
 
 
 def test_layout_mismatch_is_counted_and_rejected() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.request_destinations(1)
     (sent,) = world.tick()
     world.client.on_response(world.now, sent[0], LayoutMismatch(sent[1].number, Layout(2, (1,))))
@@ -221,7 +222,7 @@
 
 
 def test_different_data_under_one_version_are_found_by_checksums() -> None:
-    world = ClientWorld([row("a", 1), row("b", 2)], ONE)
+    world = ClientWorld([row("a", 1), row("b", 2)], ONE_SHARD)
     world.request_destinations(1, 2)
     world.settle(1.0)
     for server in world.servers.values():
@@ -253,7 +254,7 @@
 
 
 def test_raised_epoch_replaces_the_earlier_one() -> None:
-    world = ClientWorld([row("a", 1, mark=9.0)], ONE)
+    world = ClientWorld([row("a", 1, mark=9.0)], ONE_SHARD)
     world.apply_changes(50, [row("b", 2)])
     world.request_destinations(1)
     world.settle(1.0)
@@ -276,13 +277,13 @@
 
 
 def test_older_digest_confirms_nothing_and_causes_no_request() -> None:
-    world = ClientWorld([row("a", 1)], ONE)
+    world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
     world.settle(1.0)
     server = world.servers[FIRST]
     old = Digest(
-        layout_checksum(ONE),
+        layout_checksum(ONE_SHARD),
         (1, 4),
         world.client.cache.shard_set_checksum,
         7,
@@ -296,19 +297,22 @@
 
 
 def test_known_newer_version_blocks_calls_until_it_arrives_or_the_server_fails() -> None:
-    """Its source is silent, and it has no time for us: but it can be reached, and has said what it has."""
+    """The server's source is silent and the server overloaded, but it has reported its version."""
     world = ClientWorld([row("a", 1)], Layout(1, (1,)))
     world.request_destinations(1)
     world.settle(1.0)
     world.apply_changes(2, [row("a", 1, DRAINING)])
-    server, began = world.servers["n1"], world.now
-    while world.now < began + 20.0:
+    server, began_at = world.servers["n1"], world.now
+    while world.now < began_at + 20.0:
         for _, digest in server.due_digests(world.now):
             world.client.on_digest(world.now, "n1", digest)
         for name, sent in world.tick():
             world.client.on_response(world.now, name, Overloaded(sent.number, 500.0))
         world.now += 0.1
-        assert world.client.is_current(world.now, 1) == (world.now < began + 12.0) or world.now < began + 12.0
+        assert (
+            world.client.is_current(world.now, 1) == (world.now < began_at + 12.0)
+            or world.now < began_at + 12.0
+        )
     world.down = {"n1"}
     world.settle(3.0)
     assert world.client.is_current(world.now, 1)
@@ -321,7 +325,7 @@
     world.now += 7.0
     (sent,) = world.tick()
     response = respond(world.servers["n1"], sent[1], world.now)
-    world.now += 30.0  # frozen, with the answer in its socket's buffer
+    world.now += 30.0  # frozen, with the response in its socket's buffer
     world.apply_changes(2, [row("a", 1, DRAINING)])
     world.client.on_response(world.now, sent[0], response)
     assert world.client.unsolicited == 0 and not world.client.is_current(world.now, 1)
@@ -345,7 +349,7 @@
     parts = [FullShard(2, (row("z", c),))]
     world.client.on_response(world.now, second[0], response_to(second, (1, 9), parts, True, world.now))
     world.apply()
-    assert world.client.status(world.now).version == (1, 1)  # a is as of that still
+    assert world.client.status(world.now).version == (1, 1)  # the shard of a is still as of version 1
     world.settle(4.0)
     assert world.endpoint("x").listing is Listing.DRAINING and world.client.status(world.now).version == (
         1,
--- a/tests/sharded_directory/test_shard_server.py
+++ b/tests/sharded_directory/test_shard_server.py
@@ -1,4 +1,4 @@
-"""A server against the plainest one: a dict of all rows, copied at every version."""
+"""Shard server: compared with a reference implementation, a dict of all rows copied at every version."""
 
 from __future__ import annotations
 
@@ -56,31 +56,31 @@
 ROWS = st.builds(
     row, st.sampled_from(NAMES), st.integers(0, 9), st.integers(0, 2), st.sampled_from((0.0, 1.0))
 )
-LIVES = st.tuples(st.sampled_from(NAMES), st.integers(0, 2))
+LISTINGS = st.tuples(st.sampled_from(NAMES), st.integers(0, 2))
 STEP: st.SearchStrategy[Any] = st.one_of(
     st.tuples(st.just("load"), st.lists(ROWS, max_size=12), st.just([])),
-    st.tuples(st.just("change"), st.lists(ROWS, max_size=4), st.lists(LIVES, max_size=3)),
-    st.tuples(st.just("change"), st.lists(ROWS, max_size=4), st.lists(LIVES, max_size=3)),
+    st.tuples(st.just("change"), st.lists(ROWS, max_size=4), st.lists(LISTINGS, max_size=3)),
+    st.tuples(st.just("change"), st.lists(ROWS, max_size=4), st.lists(LISTINGS, max_size=3)),
 )
 
 
-class Oracle:
+class ReferenceServer:
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
         self.versions: dict[int, list[dict[str, Row]]] = {}
 
-    def apply(self, what: str, rows: list[Row], lives: list[tuple[str, int]], generation: int) -> None:
+    def apply(self, what: str, rows: list[Row], listings: list[tuple[str, int]], generation: int) -> None:
         if what == "load":
             self.rows = {}
         for each in rows:
             self.rows.pop(each.name, None)
             if each.listing != GONE:
                 self.rows[each.name] = each
-        for name, life in lives:
+        for name, listing in listings:
             if name in self.rows:
                 known = self.rows.pop(name)
-                if life != GONE:
-                    self.rows[name] = msgspec.structs.replace(known, listing=life)
+                if listing != GONE:
+                    self.rows[name] = msgspec.structs.replace(known, listing=listing)
         self.versions[generation] = by_shard(self.rows, LAYOUT.shard_count)
 
 
@@ -94,20 +94,20 @@
         patch.setattr(shard_table, "MAX_LOG_ROWS_PER_SHARD", log_shard)
         patch.setattr(shard_table, "MAX_LOG_ROWS", log_rows)
         patch.setattr(bulk_load, "STEP_ROWS", step_rows)
-        oracle, server = Oracle(), ShardServer(LAYOUT, 1, random.Random(1))
-        oracle.apply("load", [], [], 0)
+        reference, server = ReferenceServer(), ShardServer(LAYOUT, 1, random.Random(1))
+        reference.apply("load", [], [], 0)
         assert load_list(server, [], 0)
-        for generation, (what, rows, lives) in enumerate(steps, 1):
-            holds = data.draw(st.sets(st.integers(0, 3)))
-            server.handle_request(float(generation), "n200", shard_request(LAYOUT, server.version, holds))
-            oracle.apply(what, rows, lives, generation)
+        for generation, (what, rows, listings) in enumerate(steps, 1):
+            resident = data.draw(st.sets(st.integers(0, 3)))
+            server.handle_request(float(generation), "n200", shard_request(LAYOUT, server.version, resident))
+            reference.apply(what, rows, listings, generation)
             if what == "load":
                 assert load_list(server, rows, generation)
             else:
-                assert server.apply_changes(0.0, generation, rows, lives)
-            check_table(server, oracle.versions[generation])
-            check_since(server, oracle, data.draw(st.sets(st.integers(0, 3))))
-            check_digest(server, oracle.versions[generation], holds, float(generation))
+                assert server.apply_changes(0.0, generation, rows, listings)
+            check_table(server, reference.versions[generation])
+            check_since(server, reference, data.draw(st.sets(st.integers(0, 3))))
+            check_digest(server, reference.versions[generation], resident, float(generation))
         assert (
             server.table.log_row_count
             == sum(len(log.rows) for log in server.table.change_logs.values())
@@ -122,32 +122,33 @@
         assert server.table.checksums[shard] == checksum_of(rows.values())
         assert server.table.row_counts[shard] == len(rows)
         assert server.table.destination_counts[shard] == len({each.destination for each in rows.values()})
-    there = {shard_table.name_hash(name): shard for shard, rows in enumerate(now) for name in rows}
-    assert server.table.shard_by_name_hash == there
+    expected = {shard_table.name_hash(name): shard for shard, rows in enumerate(now) for name in rows}
+    assert server.table.shard_by_name_hash == expected
 
 
-def check_since(server: ShardServer, oracle: Oracle, holds: set[int]) -> None:
-    for generation, before in oracle.versions.items():
-        has = {shard: dict(before[shard]) for shard in holds}
-        response = respond(server, shard_request(LAYOUT, (1, generation), holds))
+def check_since(server: ShardServer, reference: ReferenceServer, resident: set[int]) -> None:
+    for generation, before in reference.versions.items():
+        client_shards = {shard: dict(before[shard]) for shard in resident}
+        response = respond(server, shard_request(LAYOUT, (1, generation), resident))
         assert response.is_complete and response.version == server.version
-        apply_response(has, response)
-        current = oracle.versions[server.version[1]]
-        assert has == {shard: current[shard] for shard in holds}
-        # What has not changed since is not told.
+        apply_response(client_shards, response)
+        current = reference.versions[server.version[1]]
+        assert client_shards == {shard: current[shard] for shard in resident}
+        # Shards without changes since are not sent.
         for part in response.parts:
             assert server.table.changed_at[part.shard] > generation
 
 
-def check_digest(server: ShardServer, now: list[dict[str, Row]], holds: set[int], at: float) -> None:
-    request = [
+def check_digest(server: ShardServer, now: list[dict[str, Row]], resident: set[int], at: float) -> None:
+    digests = [
         digest for name, digest in server.due_digests(at + subscribers.DIGEST_INTERVAL_S) if name == "n200"
     ]
-    for digest in request:
+    for digest in digests:
         assert (
-            digest.rows_checksum == sum(checksum_of(now[shard].values()) for shard in holds) & CHECKSUM_MASK
+            digest.rows_checksum
+            == sum(checksum_of(now[shard].values()) for shard in resident) & CHECKSUM_MASK
         )
-        assert digest.shard_set_checksum == sum(map(shard_number_hash, holds)) & CHECKSUM_MASK
+        assert digest.shard_set_checksum == sum(map(shard_number_hash, resident)) & CHECKSUM_MASK
         assert digest.version == server.version
         assert len(encode_message(digest)) < 200
 
@@ -205,9 +206,7 @@
     server.confirm_source(20.0)
     assert server.status(21.0).source_age_s == 11.0
     assert [each.rate for each in server.table.decode_rows(shard_of(1, 4))] == [1.0]
-    assert load_list(
-        server, [row("e1", 1)], 1, epoch=2, now=30.0
-    )  # unless the operator says that it counts anew
+    assert load_list(server, [row("e1", 1)], 1, epoch=2, now=30.0)  # accepted with a raised epoch
     server.confirm_source(31.0)
     assert server.version == (2, 1) and server.status(31.0).source_age_s == 0.0
     assert respond(server, shard_request(LAYOUT, (1, 5), range(4))).history_start == (2, 1)
@@ -228,34 +227,34 @@
     rows = [row(f"e{i}", i) for i in range(40)]
     server = loaded_server(LAYOUT, rows)
     before = list(server.table.encoded_rows), dict(server.table.shard_by_name_hash), server.version
-    started = server.start_list(1.0, (1, 2))
-    started.add([row(f"e{i}", i + 1, 1) for i in range(30)])
-    assert started.seal(2.0)
+    staged = server.start_list(1.0, (1, 2))
+    staged.add([row(f"e{i}", i + 1, 1) for i in range(30)])
+    assert staged.seal(2.0)
     steps = 1
-    while not started.step():
+    while not staged.step():
         steps += 1
         assert (list(server.table.encoded_rows), server.table.shard_by_name_hash, server.version) == before
-    assert steps > 3 and started.is_committed and server.version == (1, 2)
-    assert server.status(2.0).source_age_s == 1.0  # it is as the source had it when it was asked for
+    assert steps > 3 and staged.is_committed and server.version == (1, 2)
+    assert server.status(2.0).source_age_s == 1.0  # the list counts as of its request
     assert server.status(2.0).endpoints == 30
     server.start_list(3.0, (1, 3)).add([row("e1", 1)])
     assert server.version == (1, 2) and server.status(2.0).endpoints == 30
 
 
 def test_change_committed_while_a_list_is_staged() -> None:
-    """The list is older than the change: it is refused at its end, and nothing goes back."""
+    """Guards against an older list replacing a newer change: the list is refused at its commit."""
     server = loaded_server(LAYOUT, [row("e1", 1)])
-    started = server.start_list(1.0, (1, 2))
-    started.add([row("e1", 1)])
-    assert started.seal(1.0)
+    staged = server.start_list(1.0, (1, 2))
+    staged.add([row("e1", 1)])
+    assert staged.seal(1.0)
     assert server.apply_changes(1.0, 3, [row("e1", 1, 1)])
-    while not started.step():
+    while not staged.step():
         pass
-    assert not started.is_committed and server.version == (1, 3)
+    assert not staged.is_committed and server.version == (1, 3)
     later = server.start_list(1.0, (1, 9))
     later.add([row("e1", 1), row("e2", 2)])
     assert later.seal(1.0)
-    assert server.apply_changes(1.0, 4, [row("e3", 3)])  # compared with what is there at the end
+    assert server.apply_changes(1.0, 4, [row("e3", 3)])  # the list is compared again
     while not later.step():
         pass
     assert later.is_committed
@@ -264,12 +263,12 @@
 
 def test_layout_mismatch_and_server_without_a_list() -> None:
     server = ShardServer(LAYOUT, 1, random.Random(1))
-    request = server.handle_request(1.0, "n100", shard_request(LAYOUT))
-    assert isinstance(request, LayoutMismatch) and request.is_loading
+    response = server.handle_request(1.0, "n100", shard_request(LAYOUT))
+    assert isinstance(response, LayoutMismatch) and response.is_loading
     load_list(server, [], 1)
     for other in (Layout(8, (1, 2)), Layout(4, (1, 3))):
-        request = server.handle_request(1.0, "n100", shard_request(other))
-        assert request == LayoutMismatch(1, LAYOUT) and decode_message(encode_message(request)) == request
+        response = server.handle_request(1.0, "n100", shard_request(other))
+        assert response == LayoutMismatch(1, LAYOUT) and decode_message(encode_message(response)) == response
 
 
 @pytest.mark.parametrize(
@@ -304,21 +303,21 @@
     assert len(encode_message(response)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
     assert [part.shard for part in response.parts] == list(range(63, 63 - len(response.parts), -1))
     assert len(response.parts) > 8
-    # Changes are told beside shards that are wanted; and in pieces, if they are many.
+    # Many changes are sent in several responses.
     server.apply_changes(2.0, 2, [row(f"a-name-of-usual-length-{i}", i, 1) for i in range(64 * 44)])
-    has: set[int] = set()
+    received: set[int] = set()
     for _ in range(20):
-        bits = pack_shard_set(sum(1 << shard for shard in has), 64)
-        more = msgspec.structs.replace(
+        bits = pack_shard_set(sum(1 << shard for shard in received), 64)
+        followup = msgspec.structs.replace(
             shard_request(layout, (1, 1), range(64)), ahead_version=(1, 2), ahead_shards=bits
         )
-        response = respond(server, more)
+        response = respond(server, followup)
         assert len(encode_message(response)) <= response_builder.MAX_RESPONSE_BYTES + 4_000
-        assert not has & {part.shard for part in response.parts}
-        has |= {part.shard for part in response.parts}
+        assert not received & {part.shard for part in response.parts}
+        received |= {part.shard for part in response.parts}
         if response.is_complete:
             break
-    assert has == set(range(64))
+    assert received == set(range(64))
 
 
 def test_shard_larger_than_a_response_is_sent_alone() -> None:
@@ -330,26 +329,27 @@
 
 def test_excess_requests_get_a_retry_after_and_urgent_ones_are_served() -> None:
     server = loaded_server(LAYOUT, [row(f"e{i}", i) for i in range(40)])
-    now, answers, after = 50.0, 0, []
+    now, responses, retry_afters = 50.0, 0, []
     for number in range(2_000):
-        request = server.handle_request(
+        response = server.handle_request(
             now, f"n{number}", shard_request(LAYOUT, resident=[0], requested=[1], time_left_ms=30_000.0)
         )
-        if isinstance(request, Overloaded):
-            after.append(request.retry_after_ms)
+        if isinstance(response, Overloaded):
+            retry_afters.append(response.retry_after_ms)
         else:
-            answers += 1
-    assert answers <= shard_server.RESPONSES_PER_S * shard_server.BURST_S
-    assert answers == shard_server.RESPONSES_PER_S * (1 - shard_server.RESERVED_SHARE)
-    assert min(after) >= 50.0 and max(after) <= 1.3 * shard_server.MAX_RETRY_AFTER_S * 1e3
-    assert max(after) > 10 * min(after) and len(set(after)) > 1_000  # spread: who comes later waits longer
+            responses += 1
+    assert responses <= shard_server.RESPONSES_PER_S * shard_server.BURST_S
+    assert responses == shard_server.RESPONSES_PER_S * (1 - shard_server.RESERVED_SHARE)
+    assert min(retry_afters) >= 50.0 and max(retry_afters) <= 1.3 * shard_server.MAX_RETRY_AFTER_S * 1e3
+    # Retries are spread: later requests wait longer.
+    assert max(retry_afters) > 10 * min(retry_afters) and len(set(retry_afters)) > 1_000
     urgent = [
         server.handle_request(now, f"n{i}", shard_request(LAYOUT, requested=[1], time_left_ms=500.0))
         for i in range(200)
     ]
-    assert sum(not isinstance(request, Overloaded) for request in urgent) == 100
-    request = server.handle_request(now + 1.0, "n1", shard_request(LAYOUT, resident=[0], requested=[1]))
-    assert not isinstance(request, Overloaded)
+    assert sum(not isinstance(response, Overloaded) for response in urgent) == 100
+    response = server.handle_request(now + 1.0, "n1", shard_request(LAYOUT, resident=[0], requested=[1]))
+    assert not isinstance(response, Overloaded)
 
 
 def test_sent_bytes_are_rate_limited() -> None:
@@ -373,16 +373,16 @@
     times: dict[str, list[float]] = {}
     now = 0.0
     while now < 30.0:
-        found = server.due_digests(now)
-        assert len(found) <= subscribers.MAX_DIGESTS_PER_CALL
-        for name, _ in found:
+        digests = server.due_digests(now)
+        assert len(digests) <= subscribers.MAX_DIGESTS_PER_CALL
+        for name, _ in digests:
             times.setdefault(name, []).append(now)
         now = max(now + 0.01, min(server.next_digest_at(), now + 1.0))
     assert len(times) == 300
-    first = sorted(request[0] for request in times.values())
-    assert first[75] > 0.4 and first[225] < 2.6  # those that came at once are not told at once
-    for request in times.values():
-        gaps = [b - a for a, b in itertools.pairwise(request)]
+    first = sorted(client_times[0] for client_times in times.values())
+    assert first[75] > 0.4 and first[225] < 2.6  # digests are spread over clients that started together
+    for client_times in times.values():
+        gaps = [b - a for a, b in itertools.pairwise(client_times)]
         assert all(2.6 <= gap <= 3.4 for gap in gaps) and len(gaps) >= 6
     now = 10.0 + subscribers.SUBSCRIPTION_S
     for _ in range(20):
@@ -411,14 +411,14 @@
 def test_shards_and_server_ranks_are_the_same_in_every_process() -> None:
     assert [shard_of(each, 8192) for each in (0, 1, 2, 360_000)] == SHARDS
     assert rank_servers("n7", [f"n{i}" for i in range(1, 9)]) == RANKED
-    # Where one server goes, only its own clients move.
+    # Without one server only its own clients move.
     names = [f"n{i}" for i in range(1, 9)]
     moved = 0
     for number in range(1_000):
-        full = rank_servers(f"n{number}", names)
-        less = rank_servers(f"n{number}", names[1:])
-        assert [name for name in full if name != "n1"] == less
-        moved += full[0] != less[0]
+        all_ranked = rank_servers(f"n{number}", names)
+        remaining = rank_servers(f"n{number}", names[1:])
+        assert [name for name in all_ranked if name != "n1"] == remaining
+        moved += all_ranked[0] != remaining[0]
     assert 80 < moved < 170
 
 
