--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -210,7 +210,9 @@
             if share <= 0.0:
                 self.pairs[pair] = ZoneHealth(HealthState.LOST, now, recently_lost=True)
             else:
-                step = max((n for n, each in enumerate(RECOVERY_RAMP) if each <= share + 1e-9), default=0)
+                step = max(
+                    (n for n, ramp_share in enumerate(RECOVERY_RAMP) if ramp_share <= share + 1e-9), default=0
+                )
                 self.pairs[pair] = ZoneHealth(HealthState.RECOVERING, now, step, recently_lost=True)
 
     def update(
@@ -368,7 +370,7 @@
     """
     if pair[0] != pair[1] or sum(observed.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
         return False
-    others = summed(each for other, each in matrix.items() if other[0] == other[1] != pair[1])
+    others = summed(aggregate for other, aggregate in matrix.items() if other[0] == other[1] != pair[1])
     if sum(others.latency_sketch.values()) < MIN_CALLS_FOR_LATENCY:
         return False
     return observed.quantile_ms(0.5) > SLOW_FACTOR * others.quantile_ms(0.5)
--- a/message_relay/sharded_directory/request_scheduler.py
+++ b/message_relay/sharded_directory/request_scheduler.py
@@ -236,7 +236,7 @@
         self.next_tick = now + TICK_INTERVAL_S
         order = self._order_of_preference(now)
         for position, server in enumerate(order):
-            if sum(each.outstanding is not None for each in order) >= MAX_OUTSTANDING_REQUESTS:
+            if sum(other.outstanding is not None for other in order) >= MAX_OUTSTANDING_REQUESTS:
                 return
             if server.outstanding is not None:
                 continue
@@ -285,7 +285,7 @@
             return True  # after its pause, to learn whether it has recovered
         if position == 0 and self.shards_to_compare:
             return True
-        is_idle = all(each.outstanding is None for each in self.servers.values())
+        is_idle = all(other.outstanding is None for other in self.servers.values())
         is_preferred = position < PREFERRED_SERVERS
         if is_preferred and now - server.requested_at >= SUBSCRIPTION_REFRESH_S and is_idle:
             return True
--- a/tests/sharded_directory/test_relaying.py
+++ b/tests/sharded_directory/test_relaying.py
@@ -271,7 +271,7 @@
     run(work())
 
 
-def test_without_servers_known_data_serve_and_the_status_has_their_age(tmp_path: Path) -> None:
+def test_without_servers_known_data_are_used_and_the_status_has_their_age(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(tmp_path, listed(7), 0, 1, bound_s=6.0) as cluster:
             instance = cluster.instances[1]
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -112,7 +112,7 @@
         for index, server in enumerate(self.servers.values()):
             self.at(self.now + 0.1 * index, partial(self.update_server, server, generation, rows))
 
-    def play(self, cut_s: float = 0.0) -> list[int]:
+    def run_storm(self, cut_s: float = 0.0) -> list[int]:
         """Run a storm; return the changed destinations. Its middle `cut_s` seconds have no connection."""
         for n, destination in enumerate(self.used):
             self.at(n * 0.01, partial(self.request_destination, destination))
@@ -132,7 +132,7 @@
 
 def test_storm_costs_a_client_the_changes_of_its_shards_and_few_requests() -> None:
     storm = Storm()
-    changed = storm.play()
+    changed = storm.run_storm()
     resident = storm.client.cache.resident
     relevant = [n for n in changed if shard_of(n, SHARDS) in resident]
     assert len(resident) > 300 and len(relevant) > 2_000
@@ -163,7 +163,7 @@
     cost = {}
     for shards in (SHARDS, 4 * SHARDS):
         storm = Storm(shards)
-        storm.play()
+        storm.run_storm()
         assert storm.client.cache.common_version == (1, STORM_STEPS + 1) and storm.max_age_s < BOUND_S
         received = sum(len(encode_message(each)) for each in storm.responses)
         cost[shards] = received, received + sum(len(encode_message(each)) for each in storm.requests)
@@ -173,7 +173,7 @@
 
 def test_received_bytes_are_those_of_changes_and_not_of_whole_shards() -> None:
     storm = Storm()
-    storm.play()
+    storm.run_storm()
     before = storm.client.scheduler.received_bytes
     storm.change([storm.used[0]])
     storm.run(4.0)
@@ -219,7 +219,7 @@
     # Nine generations: a longer disconnection causes full shards.
     monkeypatch.setattr(shard_table, "MAX_LOG_ROWS", 600)
     storm = Storm()
-    storm.play(cut_s=10.0)
+    storm.run_storm(cut_s=10.0)
     full_shards = Counter(
         part.shard for response in storm.responses for part in response.parts if isinstance(part, FullShard)
     )
