--- a/message_relay/core/__init__.py
+++ b/message_relay/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a message: ports, acceptance, attempts, final outcomes, and the relay that joins them."""
+"""Message processing: ports, acceptance, attempts, final outcomes, and the relay that connects them."""
--- a/message_relay/core/acceptance.py
+++ b/message_relay/core/acceptance.py
@@ -1,6 +1,6 @@
-"""Acceptance: validates submissions and turns them into journal entries and messages for the decisions.
+"""Validation of submissions, and their conversion into journal entries and scheduler messages.
 
-Nothing here changes state; `MessageLifecycle.accept` performs the steps in order.
+This module changes no state; `MessageLifecycle.accept` performs the steps in order.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from ..store.records import JournalEntry
 from .ports import InvalidMessageError, Submission
 
-MAX_NAME_BYTES = 200  # of an id, a key or a tenant's name
+MAX_NAME_BYTES = 200  # limit for a message id, an idempotency key or a tenant name
 MAX_BODY_BYTES = 64 * 1024
-MAX_REMAINING_MS = 999_999_999  # the longest time to live that makes sense
-MAX_RESUBMISSION_CHARS = 16  # of the resubmission mark that is journalled
-RESUBMITTED = "1"  # the client submits a message again after a rejection
-RESUBMITTED_AFTER_CRASH = "again"  # the client submits a message again because its relay died
+MAX_REMAINING_MS = 999_999_999  # longest accepted remaining time to live: about 11.6 days
+MAX_RESUBMISSION_CHARS = 16  # the journal stores at most this much of the resubmission mark
+RESUBMITTED = "1"  # resubmission after a rejection
+RESUBMITTED_AFTER_CRASH = "again"  # resubmission because the relay that had the message died
 
 
 class SubmissionValidator:
-    """Checks the fields of a submission against the settings and the limits of this relay."""
+    """Checks the fields of a submission against the settings and limits of this relay."""
 
     def __init__(self, settings: Settings, is_unknown_destination: Callable[[int], bool]) -> None:
         self.settings = settings
@@ -30,7 +30,7 @@
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def validate(self, submission: Submission) -> None:
-        """Raises InvalidMessageError for the first field that can never be accepted."""
+        """Raises InvalidMessageError for the first field that is invalid."""
         class_index = self.class_indexes.get(submission.class_name)
         if class_index is None:
             known = ", ".join(self.class_indexes)
@@ -56,7 +56,7 @@
             raise InvalidMessageError("tenant", f"{tenant!r} is not known")
 
     def message(self, number: int, source: Submission | JournalEntry, remaining_ms: float) -> Message:
-        """The message as the decisions see it, under its number. Its class must be in the settings."""
+        """Returns the message in the form that the scheduler uses. Its class must be in the settings."""
         return Message(
             number,
             source.destination,
@@ -74,7 +74,7 @@
 
 
 def journal_entry(submission: Submission, now_ms: float) -> JournalEntry:
-    """The journal's entry for a submission that is accepted at this Unix time."""
+    """Returns the journal entry of a submission that is accepted at this Unix time."""
     return JournalEntry(
         submission.id,
         submission.class_name,
--- a/message_relay/core/attempt_runner.py
+++ b/message_relay/core/attempt_runner.py
@@ -1,6 +1,6 @@
-"""Attempts: each is journalled before its first byte, made by a transport, and its result recorded.
+"""Runs delivery attempts: journals each before its first byte, has a transport make it, records its result.
 
-The runner carries out what the scheduler decided, and reports every result back to it as an event.
+The runner starts the attempts that the scheduler decided on, and reports every result to it as an event.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 log = logging.getLogger(__name__)
 
-# How long a call waits until what is known of its destination is confirmed: longer than a reply takes, and
-# below most latency objectives.
+# How long an attempt waits until the data of its destination is confirmed as current: longer than a response
+# takes, and below most latency objectives.
 CONFIRMATION_TIMEOUT_S = 1.0
 
 
 class CallPermit:
-    """The permission of one call by the call policy: acquired once, verified again before the last byte."""
+    """The call policy's permission for one call: acquired once, verified again before the last byte."""
 
     def __init__(self, call_policy: CallPolicy, call: CallContext) -> None:
         self.call_policy = call_policy
@@ -39,14 +39,14 @@
         self.label: str | None = None
 
     def acquire(self) -> bool:
-        """Whether the call is allowed; the first positive answer reserves it."""
+        """Returns whether the call is allowed; the first positive result reserves it."""
         if self.label is not None:
             return self.call_policy.is_still_authorized(self.call)
         self.label = self.call_policy.authorize(self.call)
         return self.label is not None
 
     def policy_label(self) -> str:
-        """The label of the rules that allow the call; empty before that."""
+        """Returns the label of the rules that allow the call; empty until it is allowed."""
         return self.label or ""
 
     def complete(self, result: AttemptResult, latency_ms: float) -> None:
@@ -78,12 +78,12 @@
         self.destination_interest: DestinationInterest | None = None  # None: all destinations are known
 
     def start(self, number: int, endpoint: int, until_ms: float) -> None:
-        """Starts an attempt of a pending message, which is given up at `until_ms` of the loop's clock."""
+        """Starts an attempt for a pending message; it times out at `until_ms` on the loop's clock."""
         accepted = self.messages.accepted[number]
         accepted.attempts += 1
         task = self.tasks.start(self._run(number, accepted, endpoint, until_ms))
-        # Not before its first step: a task that is cancelled before that reports nothing, and the scheduler
-        # would wait for its result for good.
+        # Deferred to after the task's first step: a task that is cancelled before its first step reports no
+        # result, and the scheduler would wait for one forever.
         accepted.cancel = lambda: asyncio.get_running_loop().call_soon(task.cancel)
 
     async def _run(self, number: int, accepted: AcceptedMessage, endpoint: int, until_ms: float) -> None:
@@ -106,7 +106,7 @@
         except asyncio.CancelledError:
             result = AttemptResult(Outcome.CANCELLED)  # by the scheduler, or at the end of the process
         except Exception:
-            # A fault of ours must not leave the message without a result.
+            # An internal error must not leave the message without a result.
             log.exception(LogEvent("attempt raised an exception"))
             result = AttemptResult(Outcome.RESET if entry.attempt_in_flight else Outcome.CONNECT_FAILED)
         if permit is not None:
@@ -150,9 +150,9 @@
     async def _wait_until_current(
         self, interest: DestinationInterest, destination: int, until_ms: float
     ) -> None:
-        """Waits, before a connection is chosen, until what is known of the destination is current.
+        """Waits, before a connection is chosen, until the destination's data is current.
 
-        Without it an attempt that `may_write` withholds would be made again and again.
+        Without this wait an attempt that `may_write` withholds would be made again and again.
         """
         interest.touch(destination)
         deadline_s = min(until_ms / 1000, self.driver.now() / 1000 + CONFIRMATION_TIMEOUT_S)
@@ -162,7 +162,7 @@
                     await interest.wait_for_renewal()
 
     def _is_current(self, known: KnownEndpoint) -> bool:
-        """Whether the endpoint may be called at the address that the attempt uses."""
+        """Returns whether the endpoint is still listed with the address that the attempt uses."""
         if self.destination_interest is None:
             return True
         current = self.directory.by_number.get(known.endpoint.id)
@@ -173,7 +173,7 @@
         )
 
     async def _wait_until_durable(self, may_write: Callable[[], bool], until_ms: float) -> bool:
-        """Whether the attempt may go on.
+        """Returns whether the attempt may continue.
 
         With group commit the attempt's record is written and synced before a connection is chosen; otherwise
         it is written right before the first byte.
@@ -209,9 +209,9 @@
     def _write_gate(
         self, number: int, entry: JournalEntry, known: KnownEndpoint, permit: CallPermit | None
     ) -> Callable[[], bool]:
-        """The check before the first byte on each connection, and before the last.
+        """Returns the check to run before the first byte on each connection, and before a withheld last byte.
 
-        It journals the attempt when it is first passed.
+        The check journals the attempt when it first succeeds.
         """
         is_journalled = False
 
@@ -235,7 +235,7 @@
         accepted.cancel = None
         entry = accepted.entry
         messages = self.messages
-        if messages.journal.entries.get(entry.id) is entry:  # and not a later message with the same id
+        if messages.journal.entries.get(entry.id) is entry:  # else it is a later message with the same id
             if event.is_final:
                 messages.release(number)
                 messages.outcomes.record(entry, "delivered" if event.outcome is Outcome.OK else "over")
--- a/message_relay/core/directory.py
+++ b/message_relay/core/directory.py
@@ -19,26 +19,26 @@
     name: str
     endpoint: Endpoint
     address: Address
-    kind: str = ""  # as listed, also one that the settings do not name
+    kind: str = ""  # as listed, even if the settings do not define it
 
     @property
     def key(self) -> EndpointKey:
-        """What a transport knows it by."""
+        """The key under which transports keep connections to it."""
         return self.endpoint.id, self.address
 
     @property
     def is_ready(self) -> bool:
-        """Whether it may get new calls."""
+        """Whether it may get new attempts."""
         return self.endpoint.listing is Listing.READY
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanges:
-    """What an update has changed."""
+    """The changes that one update made to the directory."""
 
     event: EndpointList  # for the scheduler
-    endpoints: list[tuple[EndpointKey, bool]]  # those that changed, and whether each may get calls
-    destinations: set[int]  # those with endpoints that changed
+    endpoints: list[tuple[EndpointKey, bool]]  # changed endpoints, and whether each may get attempts
+    destinations: set[int]  # destinations with changed endpoints
 
 
 class EndpointDirectory:
@@ -49,11 +49,11 @@
         self.zones = zones
         self.by_name: dict[str, KnownEndpoint] = {}
         self.by_number: dict[int, KnownEndpoint] = {}
-        self.listed_counts: dict[int, int] = {}  # endpoints listed by destination; no destination has 0
+        self.listed_counts: dict[int, int] = {}  # listed endpoints by destination; zero counts are removed
         self.last_number = 0
 
     def number_of(self, name: str) -> int:
-        """The number of a listed endpoint; a new number for any other name."""
+        """Returns the number of a listed endpoint, or a new number for any other name."""
         known = self.by_name.get(name)
         if known is not None:
             return known.endpoint.id
@@ -88,7 +88,7 @@
     def _replace(
         self, known: KnownEndpoint, changed: dict[EndpointKey, bool], destinations: set[int]
     ) -> None:
-        """Puts an endpoint in the place of the one with its name, and adds both to the changes."""
+        """Replaces the endpoint of the same name, and adds both to the changes."""
         before = self.by_name.pop(known.name, None)
         self.by_number.pop(known.endpoint.id, None)
         if before is not None:
@@ -102,7 +102,7 @@
             self._add_to_count(known.endpoint.destination, 1)
 
     def _add_to_count(self, destination: int, difference: int) -> None:
-        """Guards each second and each change against a walk over all endpoints to find what is listed."""
+        """Updates the count of a destination, so that nothing has to iterate over all endpoints for it."""
         count = self.listed_counts.get(destination, 0) + difference
         if count:
             self.listed_counts[destination] = count
--- a/message_relay/core/endpoint_sources.py
+++ b/message_relay/core/endpoint_sources.py
@@ -1,4 +1,4 @@
-"""The sources of endpoints: their tasks, the merge of several, and which of them have reported."""
+"""Runs the endpoint sources, merges their updates, and tracks which of them have reported."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EndpointSources:
-    """Runs the sources of endpoints and hands each of their updates to one callback."""
+    """Runs the endpoint sources and passes each of their updates to one callback."""
 
     def __init__(self, tasks: BackgroundTasks, on_update: EndpointUpdateCallback) -> None:
         self.background_tasks = tasks
@@ -19,10 +19,10 @@
         self.sources: Sequence[EndpointSource] = ()
         self.update_merge: UpdateMerge | None = None
         self.running: list[asyncio.Task[None]] = []
-        self.reported: set[str] = set()  # the sources that have sent an update to this process
+        self.reported: set[str] = set()  # names of the sources that have sent an update to this process
 
     def use(self, sources: Sequence[EndpointSource], update_merge: UpdateMerge | None = None) -> None:
-        """Replaces the sources, before `start`. One source needs no merge."""
+        """Replaces the sources; called before `start`. A single source needs no merge."""
         self.sources = sources
         self.update_merge = update_merge
 
@@ -32,19 +32,19 @@
 
     def reload(self, config: Config) -> None:
         """Restarts the sources with a replaced configuration."""
-        for task in self.running:  # Guards against waiting on an agent that is about to go
+        for task in self.running:  # a poll must not keep waiting for the former agent
             task.cancel()
         for source in self.sources:
             source.reload(config)
 
     def merged(self, update: EndpointUpdate) -> EndpointUpdate | None:
-        """The update that one source's update amounts to beside the others'; None: nothing has changed."""
+        """Returns the change to the merged list that a source's update makes; None if there is none."""
         if self.update_merge is None:
             return update
         return self.update_merge.merge(update, asyncio.get_running_loop().time())
 
     def mark_reported(self, source: str) -> bool:
-        """Notes that a source has sent an update; True once all running sources have."""
+        """Records that a source has sent an update; returns True once all running sources have."""
         if not self.running:
             return False
         self.reported.add(source)
--- a/message_relay/core/journal_writes.py
+++ b/message_relay/core/journal_writes.py
@@ -1,4 +1,4 @@
-"""Journal writes whose failure the caller tolerates: it is logged and reported, not raised."""
+"""Journal writes whose failure is logged and returned instead of raised."""
 
 from __future__ import annotations
 
--- a/message_relay/core/message_lifecycle.py
+++ b/message_relay/core/message_lifecycle.py
@@ -1,8 +1,8 @@
 """The messages that the relay has accepted, from their journal entry to their final outcome.
 
-`MessageLifecycle` is the acceptor that every intake submits to, and the owner of all pending messages. Which
-endpoint is called, and whether again, is decided by the scheduler; outcomes are recorded and passed on by
-`OutcomeNotification`.
+`MessageLifecycle` is the acceptor that every intake submits to, and owns all pending messages. The scheduler
+decides which endpoint is called and whether an attempt is retried; `OutcomeNotification` records outcomes and
+passes them on.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 log = logging.getLogger(__name__)
 
-MIN_REJECTION_DELAY_S = 0.05  # the least Retry-After of a submission that the decisions reject
+MIN_REJECTION_DELAY_S = 0.05  # minimum Retry-After of a submission that the scheduler rejects
 UNAVAILABLE_RETRY_AFTER_S = 1.0  # Retry-After while the relay itself cannot accept messages
-UNLISTED_RETENTION_MS = 60_000.0  # a destination without endpoints stays known: past any message's time
-REJECTED_COUNT = "turned away"  # the key of rejected submissions among the counts shown in status
+UNLISTED_RETENTION_MS = 60_000.0  # a destination without endpoints stays known: past any deadline
+REJECTED_COUNT = "turned away"  # key of the rejected submissions in the counts shown in status
 
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """A message that the scheduler knows as pending, or that has an attempt in flight."""
+    """A message that is pending in the scheduler or has an attempt in flight."""
 
     entry: JournalEntry
-    attempts: int = 0  # attempts of this process, as the scheduler counts them
-    cancel: Callable[[], object] | None = None  # gives up the attempt in flight
-    claims: int = 1  # clients that were or will be told that the message is accepted
+    attempts: int = 0  # attempts made by this process, as the scheduler counts them
+    cancel: Callable[[], object] | None = None  # cancels the attempt in flight
+    claims: int = 1  # responses that did or will report the message as accepted
 
 
 def _never_rejects(message: Message, pending: int) -> float | None:
@@ -49,7 +49,7 @@
 
 
 class MessageLifecycle:
-    """Accepts messages, keeps the pending ones, and finishes them."""
+    """Accepts messages, owns the pending ones, and gives each its final state."""
 
     def __init__(
         self,
@@ -60,9 +60,13 @@
         on_outcome: OutcomeCallback,
         rejection_delay_ms: Callable[[Message, int], float | None] = _never_rejects,
     ) -> None:
-        """`now`: the loop's clock in ms. `on_event` hands an event to the scheduler, `on_outcome` a final
-        outcome to the intake of its message. `rejection_delay_ms`: whether the decisions reject a message
-        while so many are pending, and after how long it may be submitted again; None: they accept it."""
+        """Creates a lifecycle with the unfinished messages of the journal, to be resumed later.
+
+        `now`: the loop's clock in ms. `on_event` passes an event to the scheduler, `on_outcome` a final
+        outcome to the intake of its message. `rejection_delay_ms`: for a message and the number of pending
+        messages, the delay after which a rejected message may be submitted again; None if the scheduler
+        accepts it.
+        """
         self.settings = settings
         self.journal = journal
         self.now = now
@@ -70,18 +74,18 @@
         self.rejection_delay_ms = rejection_delay_ms
         self.validator = SubmissionValidator(settings, self._is_unknown)
         self.outcomes = OutcomeNotification(journal, on_outcome)
-        self.known_destinations: dict[int, float] = {}  # with the time until which each stays known
-        self.unlisted: deque[tuple[float, int]] = deque()  # their times to be forgotten, the earliest first
+        self.known_destinations: dict[int, float] = {}  # time until which each stays known
+        self.unlisted: deque[tuple[float, int]] = deque()  # (expiry time, destination), earliest first
         self.accepted: dict[int, AcceptedMessage] = {}
         self.numbers_by_id: dict[str, int] = {}
         self.last_number = 0
-        self.unresumed = resume.unfinished_entries(journal)  # of an earlier process, until `resume`
+        self.unresumed = resume.unfinished_entries(journal)  # messages of an earlier process, until `resume`
         self.is_ready = False
-        self.is_retiring = False  # accepts nothing new, for good
+        self.is_retiring = False  # permanently accepts no new messages
         self.on_submission: Callable[[Submission], None] | None = None  # called for each valid submission
         self.denial_reason: Callable[[int, str], str] | None = None  # by destination and class; empty: none
-        self.destination_interest: DestinationInterest | None = None  # None: all destinations are known
-        self.pending_by_destination: dict[int, set[int]] = {}  # kept only with `destination_interest`
+        self.destination_interest: DestinationInterest | None = None  # None: all destinations are loaded
+        self.pending_by_destination: dict[int, set[int]] = {}  # maintained only with `destination_interest`
 
     # -- acceptance --------------------------------------------------------------------------------------
 
@@ -91,7 +95,7 @@
         return len(self.accepted) + len(self.unresumed)
 
     def pending_entries(self) -> list[JournalEntry]:
-        """The journal entries of all pending messages, those of an earlier process included."""
+        """Returns the journal entries of all pending messages, those of an earlier process included."""
         return [accepted.entry for accepted in self.accepted.values()] + self.unresumed
 
     @property
@@ -103,14 +107,14 @@
         )
 
     def accept(self, submission: Submission) -> SubmissionResult:
-        """Journals a submission or rejects it, before the next event of the loop.
+        """Journals or rejects a submission synchronously.
 
-        Raises InvalidMessageError for one that can never be accepted.
+        Raises InvalidMessageError for a submission that can never be accepted.
         """
         self.validator.validate(submission)
         if self.on_submission is not None:
             self.on_submission(submission)
-        if submission.id in self.journal.entries:  # also one in flight: however often it is submitted
+        if submission.id in self.journal.entries:  # a repeated submission, whatever the state of the message
             return self._accept_again(submission.id)
         unavailable = self._unavailable_reason(submission)
         if unavailable:
@@ -139,7 +143,7 @@
         return SubmissionResult(True, durable=self.journal.barrier())
 
     def _unavailable_reason(self, submission: Submission) -> str:
-        """Why the relay accepts no message like this one now; empty: it may."""
+        """Returns why the relay does not accept this message now; empty if it may."""
         if self.is_retiring:
             return "this relay is being taken out of service"
         if self.denial_reason is not None:
@@ -151,7 +155,7 @@
         return ""
 
     def cancel(self, message_id: str) -> bool:
-        """Withdraws a message whose client never read the answer, and submits it under another id.
+        """Withdraws a message whose client never received the response and will resubmit it under another id.
 
         Returns True if no attempt of it was made.
         """
@@ -161,7 +165,7 @@
         accepted = self.accepted[number]
         is_untried = not accepted.attempts
         accepted.claims -= 1
-        if accepted.claims > 0:  # Guards a client that submitted it on another connection, and was answered
+        if accepted.claims > 0:  # another connection submitted it too, and got a response
             return False
         try_write(lambda: self.journal.append_cancelled(accepted.entry))
         self.release(number)
@@ -175,10 +179,10 @@
     # -- pending messages --------------------------------------------------------------------------------
 
     def resume(self, number_of: Callable[[str], int]) -> None:
-        """Makes the unfinished messages of an earlier process pending, as each is owed its outcome.
+        """Makes the unfinished messages of an earlier process pending: each is owed a final outcome.
 
-        Ages and remaining times are those of this moment, so that waiting for the endpoint list does not
-        make a message younger. `number_of`: the number of an endpoint by its name.
+        Ages and remaining times are computed now, so that the wait for the endpoint list does not extend a
+        message's time. `number_of` returns the number of an endpoint by its name.
         """
         unix_ms = unix_time_ms()
         entries = self.unresumed
@@ -191,7 +195,7 @@
                 continue
             message = self.validator.message(self.last_number + 1, entry, entry.deadline_ms - unix_ms)
             self._add_pending(entry, resume.with_history(message, entry, unix_ms, self.now(), number_of))
-            self.accepted[self.last_number].claims += 1  # the earlier process answered its client
+            self.accepted[self.last_number].claims += 1  # the earlier process reported it as accepted
 
     def _add_pending(self, entry: JournalEntry, message: Message) -> None:
         self.last_number = message.id
@@ -203,7 +207,7 @@
             self._register_interest(self.destination_interest, entry)
 
     def effect(self, entry: JournalEntry) -> Effect:
-        """The effect of repeating a message, by its class."""
+        """Returns the effect of repeating a message, as its class defines it."""
         return self.settings.classes[self.validator.class_indexes[entry.class_name]].effect
 
     def finish(self, number: int, state: str, after_ms: float = 0.0) -> None:
@@ -214,7 +218,7 @@
             self.outcomes.record(accepted.entry, state, after_ms)
 
     def release(self, number: int) -> None:
-        """Removes a message that is owed no outcome; an attempt in flight keeps its own reference."""
+        """Removes a message from the pending ones; an attempt in flight keeps its own reference."""
         accepted = self.accepted.pop(number, None)
         if accepted is None:
             return
@@ -230,18 +234,21 @@
     # -- destinations ------------------------------------------------------------------------------------
 
     def add_destinations(self, destinations: Iterable[int]) -> None:
-        """These are listed, and known from now on."""
+        """Marks destinations as listed, and so as known."""
         self.known_destinations.update(dict.fromkeys(destinations, FOREVER))
 
     def unlist_destinations(self, destinations: Iterable[int]) -> None:
-        """These are not listed. They stay known for a while: their endpoints may be about to be replaced."""
+        """Marks destinations as unlisted.
+
+        They stay known for UNLISTED_RETENTION_MS: their endpoints may be about to be replaced.
+        """
         until = self.now() + UNLISTED_RETENTION_MS
         for destination in destinations:
             self.known_destinations[destination] = until
             self.unlisted.append((until, destination))
 
     def expire_destinations(self) -> None:
-        """Forgets the destinations that have been unlisted for UNLISTED_RETENTION_MS."""
+        """Removes the destinations that have been unlisted for UNLISTED_RETENTION_MS."""
         now = self.now()
         while self.unlisted and self.unlisted[0][0] <= now:
             until, destination = self.unlisted.popleft()
@@ -249,7 +256,7 @@
                 del self.known_destinations[destination]
 
     def _is_unknown(self, destination: int) -> bool:
-        """Whether a destination is known not to exist; False as long as its list has not arrived."""
+        """Returns whether a destination is known not to exist; False while its data is not loaded."""
         if destination in self.known_destinations:
             return False
         interest = self.destination_interest
@@ -263,14 +270,14 @@
             interest.request(entry.destination, deadline_ms / 1000)
 
     def request_unresumed_destinations(self) -> None:
-        """Requests the destinations of an earlier process's messages, the earliest deadline first."""
+        """Requests the destinations of an earlier process's messages, earliest deadline first."""
         if self.destination_interest is not None:
             for entry in self.unresumed:
                 self._register_interest(self.destination_interest, entry)
 
     def fail_unknown_destination(self, destination: int) -> None:
-        """Fails the messages that were accepted for a destination which turns out not to exist."""
+        """Fails the messages of a destination that turns out not to exist."""
         for number in list(self.pending_by_destination.get(destination, ())):
-            if self.accepted[number].cancel is None:  # an attempt in flight has its outcome first
+            if self.accepted[number].cancel is None:  # an attempt in flight reports its outcome first
                 self.finish(number, "failed")
                 self.on_event(MessageCancelled(number))
--- a/message_relay/core/outcome_notification.py
+++ b/message_relay/core/outcome_notification.py
@@ -1,4 +1,4 @@
-"""Final outcomes: written to the journal first, then passed to the intake that owes the client an answer."""
+"""Writes final outcomes to the journal, then passes them to the intake that notifies the client."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 WRITE_RETRY_S = 0.05  # delay until outcomes that the journal could not store are written again
 
-OutcomeCallback = Callable[[str, FinalOutcome], None]  # the origin of the message, and its outcome
+OutcomeCallback = Callable[[str, FinalOutcome], None]  # arguments: the origin of the message, its outcome
 
 
 class OutcomeNotification:
-    """Records final outcomes and passes on those that a client still has to learn."""
+    """Records final outcomes and passes on those of which a client must be notified."""
 
     def __init__(self, journal: Journal, on_outcome: OutcomeCallback) -> None:
         self.journal = journal
         self.on_outcome = on_outcome
         self.counts: Counter[str] = Counter()  # messages of this process by outcome; shown in status
-        self.unwritten: list[JournalEntry] = []  # outcomes not yet in the journal: no more than are pending
+        self.unwritten: list[JournalEntry] = []  # outcomes not in the journal yet: no more than are pending
 
     def record(self, entry: JournalEntry, state: str, after_ms: float = 0.0) -> None:
         """Writes the final state of a message, and notifies its intake once that is written.
 
-        `after_ms`: when the client may submit a returned message again.
+        `after_ms`: delay until the client may submit a returned message again.
         """
         self.counts[state] += 1
         is_written = try_write(lambda: self.journal.append_final_outcome(entry, state, after_ms))
@@ -37,13 +37,14 @@
         if is_written:
             self._notify_when_durable(entry)
             return
-        # Guards against a process that is killed now, resumes the message and reports another outcome.
+        # Not notified yet: if this process were killed now, the next one would resume the message and could
+        # report another outcome.
         self.unwritten.append(entry)
         if len(self.unwritten) == 1:
             self._schedule_retry()
 
     def notify_recorded(self) -> None:
-        """Passes on the outcomes that an earlier process wrote and that nobody has confirmed."""
+        """Passes on the outcomes that an earlier process wrote and whose notification was not confirmed."""
         for entry in list(self.journal.entries.values()):
             if entry.needs_notification:
                 self.on_outcome(entry.origin, _final_outcome(entry))
@@ -62,7 +63,7 @@
         asyncio.get_running_loop().call_later(WRITE_RETRY_S, self.retry_unwritten)
 
     def _notify_when_durable(self, entry: JournalEntry) -> None:
-        """Passes on a written outcome once its record is as durable as the configuration demands."""
+        """Passes on a written outcome once its record is as durable as the configuration requires."""
         outcome = _final_outcome(entry)
         durable = self.journal.barrier()
         if durable is None:
--- a/message_relay/core/ports.py
+++ b/message_relay/core/ports.py
@@ -1,9 +1,9 @@
-"""The ports of the relay: what an intake, a transport and a source of endpoints have to provide.
+"""The ports of the relay: interfaces that intakes, transports and endpoint sources implement.
 
 An *intake* submits messages to the `MessageAcceptor` and passes their final outcomes to the clients. A
-*transport* makes one attempt at an endpoint and reports what its result proves. A *source of endpoints*
-reports endpoints and their status. None of them decides: which endpoint is called, whether again, and what is
-rejected is up to the scheduler, for all of them alike. HTTP/1.1 was the first implementation of each.
+*transport* makes one attempt at an endpoint and reports what its result proves. An *endpoint source* reports
+endpoints and their status. None of them makes decisions: the scheduler chooses endpoints, retries and
+rejections for all implementations alike. HTTP/1.1 was the first implementation of each port.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message as an intake has read it; texts are as the client wrote them."""
+    """A message as an intake has read it; texts are unchanged from the client's request."""
 
     id: str  # new for each submission
     class_name: str
     tenant: str
     destination: int
     idempotency_key: str | None
-    remaining_ms: int  # how long it may still be delivered
+    remaining_ms: int  # time left in which it may be delivered
     resubmission: str  # "1": submitted again after a rejection; "again": the relay that had it died
     body: bytes
-    origin: str  # the intake that passes on its outcome, and after a space what that intake needs for it
+    origin: str  # name of the intake that passes on its outcome; after a space, data for that intake
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionResult:
-    """The answer to a submission. An accepted one is journalled, and the relay owes its final outcome."""
+    """The result of a submission. An accepted message is journalled, and the relay owes its final outcome."""
 
     accepted: bool
-    is_new: bool = False  # False: it was accepted before
+    is_new: bool = False  # False: a repeated submission
     reason: str = ""
-    retry_after_s: float = 0.0  # when a rejected one may be submitted again
-    # The client's answer has to wait for it; if it is cancelled, the answer must not be given.
+    retry_after_s: float = 0.0  # delay until a rejected message may be submitted again
+    # The response to the client waits for this future; if it is cancelled, no response may be sent.
     durable: asyncio.Future[None] | None = None
 
 
 class InvalidMessageError(Exception):
-    """A submission that can never be accepted: the field at fault, and what would be right."""
+    """A submission that can never be accepted. Names the invalid field and describes a valid value."""
 
     def __init__(self, field: str, text: str) -> None:
         super().__init__(f"{field}: {text}")
@@ -57,16 +57,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalOutcome:
-    """The final answer for a message that was accepted and not delivered."""
+    """The final outcome of a message that was accepted and not delivered."""
 
     id: str
-    state: str  # "failed" promises nothing; "returned": submitting it again is harmless
-    retry_after_ms: float = 0.0  # when to submit a returned one again
+    state: str  # "failed": no statement about effects; "returned": it is safe to submit again
+    retry_after_ms: float = 0.0  # delay until a returned message may be submitted again
     origin: str = ""  # as in its submission
 
 
 class MessageAcceptor(Protocol):
-    """Accepts the submissions of all intakes. It answers at once, before the next event of the loop."""
+    """Accepts the submissions of all intakes, synchronously."""
 
     @property
     def is_ready(self) -> bool:
@@ -74,19 +74,19 @@
 
     @property
     def has_capacity(self) -> bool:
-        """False once one more message would displace a pending one: an intake that can wait then does."""
+        """False once one more message would displace a pending one; an intake that can wait does so."""
 
     def accept(self, submission: Submission, /) -> SubmissionResult:
         """Journals a submission, or rejects it. Raises InvalidMessageError."""
 
     def cancel(self, message_id: str, /) -> bool:
-        """Withdraws a message whose client cannot know that it was accepted, and submits it under another id.
+        """Withdraws a message whose client got no response, and will resubmit it under another id.
 
         Returns True if no attempt of it was made.
         """
 
     def mark_notified(self, message_ids: list[str], /) -> None:
-        """Records that the outcomes of these messages have been passed on for good."""
+        """Records that the clients of these messages have received the final outcomes."""
 
 
 class Intake(Protocol):
@@ -96,23 +96,23 @@
         """Starts to receive messages."""
 
     def notify_outcome(self, outcome: FinalOutcome, /) -> None:
-        """Passes on a final outcome, as often as it takes, and then marks it notified at the acceptor.
+        """Passes on a final outcome, with retries, and then marks it notified at the acceptor.
 
-        It does not outlast the process: what was not marked is passed on again after a restart.
+        Queued outcomes are not persistent: those not marked are passed on again after a restart.
         """
 
     def reload(self, config: Config, /) -> None:
-        """Follows a replaced configuration as far as it concerns the intake; loses nothing."""
+        """Applies a replaced configuration as far as it concerns the intake, without losing outcomes."""
 
     def announce_stop(self) -> None:
-        """Tells clients that use their connections that these end soon; goes on receiving messages."""
+        """Announces on connections in use that they end soon; still receives messages."""
 
     def stop(self) -> None:
-        """Accepts no more connections; answers what still arrives on those that clients may rely on."""
+        """Accepts no more connections; requests on those that clients may rely on are still answered."""
 
     @property
     def open_requests(self) -> int:
-        """Connections on which a request may still be answered: a stop waits until they have ended."""
+        """Connections on which a request may still be answered; a stop waits until they are closed."""
 
     @property
     def pending_outcomes(self) -> int:
@@ -127,61 +127,61 @@
 
 @dataclass(frozen=True, slots=True)
 class CallContext:
-    """What is known of a call before its first byte."""
+    """The data of a call that is available before its first byte."""
 
     message_id: str
     destination: int
     endpoint: str
     zone: str
     class_name: str
-    previous_attempts: int  # before this one
-    may_have_run: bool  # one of those may have had an effect
+    previous_attempts: int  # not counting this one
+    may_have_run: bool  # a previous attempt may have had an effect
     has_idempotency_key: bool
 
 
 class CallPolicy(Protocol):
-    """Rules from outside the decisions, agreed between instances: they only narrow what decisions allow."""
+    """Rules that the instances agree on. They can only restrict what the scheduler would allow."""
 
     def authorize(self, call: CallContext) -> str | None:
         """Called right before the first byte. Returns the label of the rules that allow the call, for the
-        endpoint's ledger; None: they do not."""
+        endpoint's ledger; None if they do not allow it."""
 
     def is_still_authorized(self, call: CallContext) -> bool:
-        """Called before the last byte, if that was held back."""
+        """Called before the last byte, if that was withheld."""
 
     def release(self, destination: int) -> None:
-        """A call that was authorized has ended."""
+        """Releases the reservation of an authorized call that has ended."""
 
     def record_outcome(self, call: CallContext, outcome: Outcome, latency_ms: float, wait_ms: float) -> None:
-        """How a call has ended, or that it was not made."""
+        """Records how a call ended, or that it was not made."""
 
     def denial_reason(self, destination: int, class_: str) -> str:
-        """Why no new message of this class is accepted for this destination; empty: it may be."""
+        """Returns why no new message of this class is accepted for this destination; empty if it may be."""
 
     def constrained_endpoint(self, name: str, zone: str, entry: Endpoint) -> Endpoint:
-        """An endpoint as the scheduler is to see it."""
+        """Returns the endpoint with the restrictions of the rules applied, for the scheduler."""
 
 
 # -- destinations ------------------------------------------------------------------------------------------
 
 
 class DestinationInterest(Protocol):
-    """The destinations that are loaded, where a relay does not load all. Times are the loop's, in seconds."""
+    """The loaded destinations of a relay that loads them on demand. Times: the loop's clock, in seconds."""
 
     def is_resident(self, destination: int) -> bool:
-        """Whether the destination's data is loaded: only then does `contains` have an answer."""
+        """Returns whether the destination's data is loaded; `contains` is valid only then."""
 
     def contains(self, destination: int) -> bool:
-        """Whether the destination exists, by what is loaded."""
+        """Returns whether the destination exists in the loaded data."""
 
     def request(self, destination: int, due: float) -> None:
-        """Loads a destination that a message waits for, until then at the most."""
+        """Loads a destination that a message waits for; gives up at time `due`."""
 
     def touch(self, destination: int) -> None:
-        """The destination is used: a message for it was accepted, or a call to it is made."""
+        """Marks the destination as in use: a message for it was accepted, or a call to it is made."""
 
     def is_current(self, destination: int) -> bool:
-        """Whether the loaded data is recent enough for a first byte to be sent."""
+        """Returns whether the loaded data is recent enough to send a first byte."""
 
     async def wait_for_renewal(self) -> None:
         """Returns as soon as `is_current` may have changed."""
@@ -189,7 +189,7 @@
 
 # -- transport ---------------------------------------------------------------------------------------------
 
-EndpointKey = tuple[int, Address]  # number and address of an endpoint: another may get the same address
+EndpointKey = tuple[int, Address]  # number and address of an endpoint; another endpoint may reuse the address
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,10 +202,10 @@
     idempotency_key: str | None
     body: bytes
     deadline_s: float  # on the loop's clock, in seconds
-    may_write: Callable[[], bool]  # called right before the first byte, and the last if it is held back
-    ambiguity_is_final: bool = False  # an unclear outcome would be final
-    policy_label: Callable[[], str] | None = None  # by which rules it is allowed, if there are any
-    kind: str = ""  # of the endpoint, as it is listed
+    may_write: Callable[[], bool]  # called right before the first byte, and before a withheld last byte
+    ambiguity_is_final: bool = False  # an ambiguous outcome would be final, as the message may not be retried
+    policy_label: Callable[[], str] | None = None  # label of the rules that allow it; None without rules
+    kind: str = ""  # kind of the endpoint, as listed
 
 
 @dataclass(frozen=True, slots=True)
@@ -215,28 +215,28 @@
     outcome: Outcome
     retry_after_ms: float = 0.0
     no_connection_slot: bool = False
-    is_finished: bool = False  # the endpoint says that nothing more is owed
-    is_withheld: bool = False  # nothing of it was sent: with Outcome.NOT_SENT
+    is_finished: bool = False  # the endpoint reported that the message needs no further attempt
+    is_withheld: bool = False  # the relay sent no byte of it; the outcome is NOT_SENT
     load_report: tuple[float, ...] = ()  # the load that the endpoint reports, in the order of the settings
 
 
 class Transport(Protocol):
-    """Makes attempts. The caller makes at most one at a time for each message."""
+    """Makes attempts. The caller runs at most one at a time for each message."""
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
-        """Makes one attempt, never past its deadline, and never raises for what the other side does.
+        """Makes one attempt, never past its deadline. Failures of the peer are returned, not raised.
 
-        Cancelling it gives the attempt up at once.
+        Cancelling the task aborts the attempt at once.
         """
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
         """Closes idle connections to all endpoints but these."""
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
-        """An endpoint is listed, or is draining, gone or moved: then no idle connection to it is kept."""
+        """Updates one endpoint: if it is draining, gone or moved, its idle connections are closed."""
 
     def sweep(self) -> None:
-        """Closes what has been idle for too long; called once a second."""
+        """Closes connections that were idle for too long; called once a second."""
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -247,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """An endpoint as a source reports it. Its name is the source's own, the same at each relay."""
+    """An endpoint as a source reports it. The source assigns its name, which is the same at each relay."""
 
     name: str
     destination: int
@@ -260,12 +260,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """What a source reports: all endpoints, or those that changed; of some only the status can be read."""
+    """A report of a source: all endpoints, or those that changed.
+
+    `status_changes` has the endpoints of which only the status was readable.
+    """
 
     is_full: bool
     endpoints: tuple[EndpointRecord, ...] = ()
     status_changes: tuple[tuple[str, Listing], ...] = ()
-    source: str = ""  # whose endpoints: a full update says nothing of another source's
+    source: str = ""  # name of the source; a full update does not affect the endpoints of other sources
 
 
 EndpointUpdateCallback = Callable[[EndpointUpdate], None]
@@ -275,17 +278,17 @@
     """Merges the updates of several sources into one list of endpoints."""
 
     def merge(self, update: EndpointUpdate, now: float, /) -> EndpointUpdate | None:
-        """What one source's update changes in the merged list; None: nothing. `now` in seconds."""
+        """Returns the change to the merged list; None if nothing changed. `now` is in seconds."""
 
 
 class EndpointSource(Protocol):
-    """A source of endpoints. What it has received counts as received by the relay."""
+    """A source of endpoints. An update that it has received counts as received by the relay."""
 
     async def run(self, on_update: EndpointUpdateCallback, /) -> None:
-        """Reports updates for as long as it runs; never returns by itself."""
+        """Reports updates until it is cancelled."""
 
     def reload(self, config: Config, /) -> None:
-        """Follows a replaced configuration; called while it does not run."""
+        """Applies a replaced configuration; called while `run` is not running."""
 
     def close(self) -> None:
         """Closes its connections."""
--- a/message_relay/core/relay.py
+++ b/message_relay/core/relay.py
@@ -1,4 +1,4 @@
-"""A running relay: its life from start to stop, and the parts that carry out the scheduler's actions."""
+"""A running relay: start, reload and stop, and the execution of the scheduler's actions."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
 log = logging.getLogger(__name__)
 
 MAINTENANCE_INTERVAL_S = 1.0
-STOP_POLL_S = 0.02  # how often a stop checks whether everything is done
-INITIAL_LIST_TIMEOUT_S = 0.5  # after the start: then the last known list is used without a current one
-# Since SIGTERM:
-ACCEPT_AFTER_STOP_S = 0.5  # new connections arrive for up to 0.4 s
-ATTEMPTS_DEADLINE_S = 3.0  # no attempt is in flight later
-ATTEMPTS_GRACE_S = 0.1  # for the outcomes of the attempts that the deadline ends
-STOP_DEADLINE_S = 3.4  # whatever is still undone is left to the journal
+STOP_POLL_S = 0.02  # interval at which a stop checks whether everything is done
+INITIAL_LIST_TIMEOUT_S = 0.5  # after the start; then the last known list is used instead of a current one
+# Times since SIGTERM.
+ACCEPT_AFTER_STOP_S = 0.5  # clients still open new connections for up to 0.4 s
+ATTEMPTS_DEADLINE_S = 3.0  # attempts in flight end by then
+ATTEMPTS_GRACE_S = 0.1  # additional time for the outcomes of attempts that the deadline ends
+STOP_DEADLINE_S = 3.4  # unfinished messages and outcomes stay in the journal
 
 
 class Relay:
-    """Owns the scheduler and all that serves it.
+    """Owns the scheduler and the components around it.
 
-    `connect` plugs in intakes, transport and sources before `start`.
+    `connect` sets intakes, transport and sources before `start`.
     """
 
     transport: Transport
@@ -75,15 +75,15 @@
         self.tasks = BackgroundTasks()
         self.intakes: dict[str, Intake] = {}
         self.sources = EndpointSources(self.tasks, self.on_endpoint_update)
-        # Guards endpoints that drained while this process was away: discovery counts what it has as delivered
-        # to this relay from its first moment on, so the scheduler gets no endpoint, and sends nothing, before
-        # the sources have reported.
+        # The scheduler gets no endpoint, and sends nothing, before the sources have reported. Otherwise
+        # messages would be sent to endpoints that drained while no process was running: discovery regards its
+        # current list as delivered to this relay as soon as the process starts.
         self.is_dispatching = False
         self.is_closed = False
         self.call_policy: CallPolicy | None = None
-        self.destination_interest: DestinationInterest | None = None  # None: all destinations are known
+        self.destination_interest: DestinationInterest | None = None  # None: all destinations are loaded
         self.restored_state = RestoredState()
-        self.learned_destinations: set[int] = set()  # those in the snapshot as last written
+        self.learned_destinations: set[int] = set()  # destinations in the last written snapshot
 
     def connect(
         self,
@@ -92,9 +92,10 @@
         sources: list[EndpointSource],
         update_merge: UpdateMerge | None = None,
     ) -> None:
-        """Plugs in intakes, by the name that the journal keeps with their messages, transport and sources.
+        """Sets the intakes, the transport and the endpoint sources.
 
-        `update_merge` is needed where there are several sources.
+        `intakes`: by the name that the journal stores with their messages. `update_merge` is needed if there
+        are several sources.
         """
         self.intakes = intakes
         self.transport = transport
@@ -104,23 +105,23 @@
         )
 
     def use_destination_interest(self, interest: DestinationInterest, source: EndpointSource) -> None:
-        """Loads destinations as they are needed, from this source alone. Called before `start`."""
+        """Loads destinations on demand, from this source alone. Called before `start`."""
         self.destination_interest = interest
         self.messages.destination_interest = interest
         self.attempt_runner.destination_interest = interest
         self.sources.use([source])
         self.scheduler.drain_estimate.unknown_rate = (
-            INITIAL_RATE  # not loaded yet: as if its rate weren't listed
+            INITIAL_RATE  # for destinations not loaded yet: as for an unlisted rate
         )
 
     def set_call_policy(self, call_policy: CallPolicy) -> None:
-        """Puts the rules on which the instances agree into force."""
+        """Enforces the rules on which the instances agree."""
         self.call_policy = call_policy
         self.attempt_runner.call_policy = call_policy
         self.messages.denial_reason = call_policy.denial_reason
 
     def is_in_use(self, destination: int) -> bool:
-        """Whether it has a pending message, an attempt in flight, or learned state that still counts."""
+        """Returns whether it has a pending message, an attempt in flight, or unexpired learned state."""
         now = self.driver.now()
         return (
             destination in self.messages.pending_by_destination
@@ -128,10 +129,10 @@
             or self.restored_state.contains(now, destination)
         )
 
-    # -- life --------------------------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------------------------
 
     async def start(self, initial_endpoints: EndpointUpdate | None = None) -> None:
-        """Starts all parts, with the endpoints last known, if any; when it returns messages are accepted."""
+        """Starts all components, with the last known endpoints if any; messages are accepted on return."""
         if not initial_endpoints or self.destination_interest is not None:
             initial_endpoints = EndpointUpdate(is_full=False)
         self._apply_update(initial_endpoints)
@@ -140,8 +141,8 @@
         self.messages.request_unresumed_destinations()
         self.messages.outcomes.notify_recorded()
         self.sources.start()
-        # A register that is polled counts its answers as delivered, and may be busy with the start of a whole
-        # fleet.
+        # A discovery service in polling mode counts a list as delivered only when it has answered, and may be
+        # overloaded while a whole fleet starts.
         awaits_list = self.sources.sources and not self.settings.polls_discovery
         timeout_s = INITIAL_LIST_TIMEOUT_S if awaits_list else 0.0
         asyncio.get_running_loop().call_later(timeout_s, self._start_dispatching)
@@ -153,10 +154,10 @@
             await intake.open()
 
     def reload(self, config: Config) -> None:
-        """Has sources and intakes follow what they can of a replaced configuration.
+        """Lets sources and intakes apply a replaced configuration as far as they can without a restart.
 
-        A change of anything else needs a restart. Attempts, clients and the journal are left alone, so it may
-        be called at any moment, also during a stop.
+        Any other change needs a restart. Attempts, clients and the journal are not affected, so this may be
+        called at any time, even during a stop.
         """
         if self.is_closed:
             return
@@ -166,7 +167,7 @@
         self.sources.start()
 
     async def stop(self) -> None:
-        """Stops gracefully: what cannot be finished in time stays in the journal for the next process."""
+        """Stops gracefully; what cannot be finished in time stays in the journal for the next process."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         self.driver.feed(ShutdownScheduled((started_s + ATTEMPTS_DEADLINE_S) * 1000))
@@ -181,11 +182,11 @@
         while self.pending_outcomes and loop.time() < started_s + STOP_DEADLINE_S:
             await asyncio.sleep(STOP_POLL_S)
         pending_count = self.messages.pending_count
-        log.info(LogEvent("shutdown leaves to journal", messages=pending_count, ends=self.pending_outcomes))
+        log.info(LogEvent("shutdown left to journal", messages=pending_count, ends=self.pending_outcomes))
         await self.close()
 
     def retire(self) -> None:
-        """Accepts no new message from now on, and goes on with the pending ones."""
+        """Rejects new messages from now on, and continues to process pending ones."""
         self.messages.is_retiring = True
 
     @property
@@ -205,12 +206,12 @@
         return sum(intake.pending_outcomes for intake in self.intakes.values())
 
     async def close(self) -> None:
-        """Ends all tasks and connections at once, and releases the state folder."""
+        """Cancels all tasks, closes all connections, and releases the state folder."""
         self.is_closed = True
         for intake in self.intakes.values():
             intake.stop()
-        # Before the attempts are cut off: otherwise their results would be decided on, and what must not run
-        # twice would fail, though nothing of it had been sent.
+        # Stops the scheduler before attempts are cancelled: otherwise it would handle their results, and
+        # unsafe messages would fail although none of their bytes had been sent.
         self.driver.stop()
         await self.tasks.cancel()
         self._save_snapshot()
@@ -231,20 +232,20 @@
             try:
                 self.run_maintenance()
             except Exception:
-                # It is tried again: without maintenance the state folder fills.
+                # Maintenance continues in the next interval: without it the state folder would fill.
                 log.exception(LogEvent("maintenance failed"))
 
     def run_maintenance(self) -> None:
-        """The work of each second; it walks over no more than what is in use."""
+        """Runs once a second; iterates only over destinations and connections in use."""
         self.transport.sweep()
         self.messages.expire_destinations()
         self.journal.compact(unix_time_ms())
         self._save_snapshot()
 
     def _save_snapshot(self) -> None:
-        """Writes what was learned of destinations.
+        """Writes the learned state of destinations.
 
-        The snapshot of an earlier process stays until this one has read it and dispatches.
+        The snapshot of an earlier process is kept until this process has read it and is dispatching.
         """
         if self.is_dispatching:
             now = self.driver.now()
@@ -281,19 +282,19 @@
         intake = self.intakes.get(intake_name)
         if intake is not None:
             intake.notify_outcome(outcome)
-        else:  # it stays in the journal, and is passed on by a process that has this intake again
+        else:  # stays in the journal until a process is configured with this intake again
             log.error(LogEvent("outcome waits for unconfigured intake", id=outcome.id, front=origin))
 
     # -- endpoints ---------------------------------------------------------------------------------------
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Applies the update of a source, or endpoints that were known before."""
+        """Applies the update of a source, and starts dispatching once all sources have reported."""
         self._apply_update(update)
         if self.sources.mark_reported(update.source):
             self._start_dispatching()
 
     def reapply_rules(self) -> None:
-        """Hands all endpoints to the scheduler again, as the call policy constrains them now."""
+        """Passes all endpoints to the scheduler again, with the current constraints of the call policy."""
         endpoints = tuple(known.endpoint for known in self.directory.by_number.values())
         if endpoints and self.is_dispatching:
             self.driver.feed(self._constrained(EndpointList(ListKind.CHANGES, endpoints)))
@@ -313,7 +314,7 @@
         return call_policy.constrained_endpoint(known.name, zone, endpoint)
 
     def _start_dispatching(self) -> None:
-        """From now on the scheduler has the endpoints, and messages are sent."""
+        """Gives the scheduler the endpoints, restored state and resumed messages; sending starts."""
         if self.is_dispatching or self.is_closed:
             return
         self.is_dispatching = True
@@ -323,7 +324,7 @@
         self.messages.resume(self.directory.number_of)
 
     def _restore(self, restored: RestoredDestination) -> None:
-        """Hands on what an earlier process learned of a destination, once that is loaded."""
+        """Passes a destination's state from an earlier process to the scheduler once it is loaded."""
         interest = self.destination_interest
         if interest is None or interest.is_resident(restored.destination):
             self.driver.feed(restored)
@@ -332,7 +333,7 @@
             interest.request(restored.destination, float("inf"))
 
     def _update_known_destinations(self, destinations: set[int]) -> None:
-        """Not by a set difference with all listed ones: that would walk over the whole list."""
+        """Marks destinations as listed or unlisted, without iterating over all listed destinations."""
         listed = {destination for destination in destinations if destination in self.directory.listed_counts}
         self.messages.add_destinations(listed)
         self.messages.unlist_destinations(destinations - listed)
--- a/message_relay/core/restored_state.py
+++ b/message_relay/core/restored_state.py
@@ -1,6 +1,6 @@
 """Learned state of destinations from an earlier process, retained until these destinations are loaded.
 
-No I/O; the clock is passed in, in ms.
+Does no I/O; callers pass the current time, in ms.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RestoredState:
-    """At most what the snapshot file holds; each destination for EVICT_AFTER_MS."""
+    """Retains the state of at most the destinations in the snapshot file, each for EVICT_AFTER_MS."""
 
     def __init__(self) -> None:
         self.destinations: dict[int, _Retained] = {}
@@ -36,7 +36,7 @@
         self.destinations[restored.destination] = _Retained(now, restored)
 
     def contains(self, now: float, destination: int) -> bool:
-        """Whether state of this destination is retained and still counts."""
+        """Returns whether unexpired state of this destination is retained."""
         retained = self.destinations.get(destination)
         return retained is not None and not retained.is_expired(now)
 
@@ -52,7 +52,7 @@
         ]
 
     def remaining(self, now: float) -> list[RestoredDestination]:
-        """What is still retained, as it is to be written for the next process."""
+        """Drops expired state, and returns the rest in the form to write for the next process."""
         self.destinations = {
             destination: retained
             for destination, retained in self.destinations.items()
@@ -62,7 +62,7 @@
 
 
 def aged(restored: RestoredDestination, elapsed_ms: float) -> RestoredDestination:
-    """The same state after this time has passed."""
+    """Returns the state as it is after `elapsed_ms`."""
     failing_for_ms = restored.failing_for_ms
     warming_up_for_ms = restored.warming_up_for_ms
     return replace(
--- a/message_relay/core/resume.py
+++ b/message_relay/core/resume.py
@@ -1,4 +1,4 @@
-"""Resume after a restart: the unfinished messages of an earlier process, as the decisions see them now."""
+"""Conversion of the unfinished messages of an earlier process into messages for the scheduler."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def unfinished_entries(journal: Journal) -> list[JournalEntry]:
-    """Entries without a final state, the earliest deadline first."""
+    """Returns the entries without a final state, earliest deadline first."""
     unfinished = (entry for entry in journal.entries.values() if not entry.final_state)
     return sorted(unfinished, key=lambda entry: entry.deadline_ms)
 
@@ -24,10 +24,10 @@
     uptime_ms: float,
     number_of: Callable[[str], int],
 ) -> Message:
-    """The message with its age, its attempts and the first attempt that may have had an effect.
+    """Adds the age, the number of attempts and the first attempt with a possible effect to a message.
 
-    `unix_ms` and `uptime_ms`: now, on the wall clock and on the monotonic clock. `number_of`: the number of
-    an endpoint by its name.
+    `unix_ms` and `uptime_ms`: the current time on the wall clock and on the monotonic clock. `number_of`
+    returns the number of an endpoint by its name.
     """
     resumed = replace(message, age_ms=max(0.0, unix_ms - entry.accepted_at_ms), attempts=entry.attempt_count)
     uncertain = entry.uncertain_attempt
@@ -40,10 +40,11 @@
 
 
 def attempt_age_ms(attempt: Attempt, unix_ms: float, uptime_ms: float) -> float:
-    """How long ago an earlier process made an attempt, the time between the processes included.
+    """Returns how long ago an earlier process made an attempt, including the time without a process.
 
-    Guards idempotency windows against a wall clock that was set back in between: the monotonic clock takes
-    precedence, unless the machine has restarted. In doubt the age is FOREVER, past any window.
+    The larger of the ages by the wall clock and by the monotonic clock counts, so that a wall clock that was
+    set back does not extend an idempotency window. After a restart of the machine the monotonic age is
+    unknown; if the wall clock was set back too, the age is FOREVER, longer than any window.
     """
     is_same_uptime = 0 <= attempt.uptime_ms <= uptime_ms
     monotonic_age_ms = uptime_ms - attempt.uptime_ms if is_same_uptime else -1.0
--- a/message_relay/core/scheduler_driver.py
+++ b/message_relay/core/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""Drives the scheduler: gathers events into turns, carries out the actions, and keeps its one timer."""
+"""Drives the scheduler: batches events into turns, executes the actions, and owns its timer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_AFTER_FAULT_MS = 1000.0  # the next turn, after one that raised an exception
+RETRY_AFTER_FAULT_MS = 1000.0  # delay of the next turn after one that raised an exception
 
 
 class SchedulerDriver:
-    """Feeds a `DeliveryScheduler`, with turns at least a tick apart; `execute` carries out its actions."""
+    """Feeds a `DeliveryScheduler`, with turns at least one tick apart; `execute` performs its actions."""
 
     def __init__(
         self, scheduler: DeliveryScheduler, tick_ms: float, execute: Callable[[Action], None]
@@ -38,8 +38,9 @@
     def feed(self, event: Event) -> None:
         """Adds an event to the next turn.
 
-        All events within a tick make one turn: a busy relay has few long turns instead of many short ones.
-        After `stop` nothing is decided any more: what the stop itself cut off is left to the next process.
+        All events within a tick are handled in one turn, so a busy relay has few long turns instead of many
+        short ones. Events after `stop` are ignored: attempts cancelled by the stop are left to the next
+        process.
         """
         if self.is_stopped:
             return
@@ -49,7 +50,7 @@
             self.turn_handle = asyncio.get_running_loop().call_later(delay_s, self.run_turn)
 
     def run_turn(self) -> None:
-        """Hands the gathered events to the scheduler and carries out its actions."""
+        """Passes the pending events to the scheduler and executes its actions."""
         if self.turn_handle is not None:
             self.turn_handle.cancel()
         self.turn_handle = None
@@ -59,7 +60,7 @@
         try:
             actions = self.scheduler.handle(self.last_turn_ms, events)
         except Exception:
-            # A fault in one turn must not stop all later ones.
+            # An exception in one turn must not prevent later turns.
             log.exception("scheduler turn failed: %r", events)
             actions = [SetTimer(RETRY_AFTER_FAULT_MS, 0)]
         for action in actions:
@@ -69,7 +70,7 @@
             try:
                 self.execute(action)
             except Exception:
-                # One action that cannot be carried out must not stop those after it, nor the timer.
+                # A failing action must not prevent later actions or the timer.
                 log.exception("scheduler action failed: %r", action)
 
     def _set_timer(self, delay_ms: float) -> None:
@@ -82,7 +83,7 @@
         self.feed(TimerFired(0))
 
     def stop(self) -> None:
-        """Ends the turns; events that come later are dropped."""
+        """Stops the turns; later events are dropped."""
         self.is_stopped = True
         for handle in (self.turn_handle, self.timer_handle):
             if handle is not None:
--- a/message_relay/core/tasks.py
+++ b/message_relay/core/tasks.py
@@ -13,7 +13,7 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each running task, and logs the exception of one that fails."""
+    """Holds a reference to each running task, and logs the exception of a task that fails."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
@@ -41,10 +41,10 @@
 
 
 async def wait_for_event(event: asyncio.Event, seconds: float) -> bool:
-    """Waits until the event is set, at most this long; returns whether it was set.
+    """Waits until the event is set, for at most `seconds`; returns whether it was set.
 
-    Not `asyncio.wait_for`: before Python 3.12 that loses a cancellation which comes in the turn of the event,
-    and a task that waits in a loop never ends (CPython issue 86296).
+    Does not use `asyncio.wait_for`: before Python 3.12 it loses a cancellation in the same loop iteration as
+    the event, and a task that waits in a loop never ends (CPython issue 86296).
     """
     try:
         async with asyncio.timeout(seconds):
--- a/message_relay/core/transport_router.py
+++ b/message_relay/core/transport_router.py
@@ -1,4 +1,4 @@
-"""Several transports as one: the scheme of an endpoint's address selects which makes the attempt."""
+"""Combines several transports; the scheme of an endpoint's address selects which makes the attempt."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class TransportRouter:
-    """A transport that passes each attempt to the one for its endpoint's address."""
+    """Routes each attempt to the transport for its endpoint's address."""
 
     def __init__(self, default: Transport, by_scheme: Mapping[str, Transport]) -> None:
-        """A scheme is the beginning of an address's host up to a colon, which no host name has."""
+        """A scheme is the part of an address's host before a colon, which no host name contains."""
         self.default = default
         self.by_scheme = dict(by_scheme)
 
     def transport_for(self, key: EndpointKey) -> Transport:
-        """The transport that calls this endpoint."""
+        """Returns the transport that calls this endpoint."""
         _, (host, _) = key
         scheme, colon, _ = host.partition(":")
         return self.by_scheme.get(scheme, self.default) if colon else self.default
