--- a/message_relay/http/__init__.py
+++ b/message_relay/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the intake for clients, the transport to endpoints, and the client of the platform's agent."""
+"""HTTP/1.1: client intake, transport to endpoints, and client of the platform's agent."""
--- a/message_relay/http/agent.py
+++ b/message_relay/http/agent.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's agent: one persistent connection, one request at a time, each with a timeout."""
+"""Client of the platform's agent: one persistent connection, one request at a time, each with a timeout."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from .connection import EndpointConnection
 from .errors import AgentError, ConnectionLostError
 
-# A list of some 26,000 endpoints, at most: it takes 2 KB of memory for each, of 192 MB, and holds up the loop
-# for half a second. A longer one is rejected, and the known list stays in use.
+# Enough for a list of about 26,000 endpoints, which take 2 KB of memory each, of 192 MB, and block the loop
+# for half a second. A longer response is rejected, and the known list stays in use.
 ANSWER_BYTES = 4 << 20
 
 
 class AgentResponse(NamedTuple):
-    """Status and body of an answer of the agent."""
+    """Status and body of a response of the agent."""
 
     status: int
     body: bytes
@@ -31,7 +31,7 @@
     async def request(self, method: str, target: str, body: bytes, timeout_s: float) -> AgentResponse:
         """Send one request and return its response. Raises AgentError.
 
-        It is safe to repeat: the agent accepts each of its requests any number of times.
+        Requests may be repeated: all requests to the agent are idempotent.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/message_relay/http/attempt_results.py
+++ b/message_relay/http/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the response of an endpoint means: the result of the attempt, and the endpoint's load report."""
+"""Interpretation of an endpoint's response: the result of the attempt and the load report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def attempt_result(head: ResponseHead) -> AttemptResult:
-    """The result of an attempt that got a response: each row of the protocol's table."""
+    """Maps a response to the result of its attempt, as the protocol's table of outcomes defines."""
     retry_after_ms = parse_wait_ms(head.headers.get("x-ratelimit-wait-ms", ""))
     match head.status:
         case 200:
@@ -19,18 +19,18 @@
             return AttemptResult(Outcome.FULL, retry_after_ms=retry_after_ms)
         case 503 if head.headers.get("x-over-slots") == "1":
             return AttemptResult(Outcome.NOT_SENT, no_connection_slot=True)
-        case 503:  # the protocol defines no wait for this status, but one that is sent is observed
+        case 503:  # the protocol defines no wait for this status; one that is sent is honoured
             return AttemptResult(Outcome.FULL, retry_after_ms=retry_after_ms)
         case 504:
             return AttemptResult(Outcome.NOT_SENT)
         case 410:
             return AttemptResult(Outcome.NOT_SENT, is_finished=True)
-        case _:  # 500, and whatever else the protocol does not define: it may have run
+        case _:  # 500, and any status that the protocol does not define: it may have run
             return AttemptResult(Outcome.ERROR)
 
 
 def parse_load_report(head: ResponseHead, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of these fields in the load report of a response; empty unless all are readable."""
+    """Returns these fields of the load report, in this order; empty unless all are valid."""
     kind, _, text = head.headers.get("endpoint-load-metrics", "").partition(" ")
     if not fields or kind != "TEXT":
         return ()
@@ -44,7 +44,7 @@
 
 
 def parse_wait_ms(text: str) -> float:
-    """A time to wait in milliseconds; 0 if there is none, or none that can be read."""
+    """Parses a wait time in milliseconds; 0 if it is missing or invalid."""
     try:
         wait_ms = float(text)
     except ValueError:
--- a/message_relay/http/client_connection.py
+++ b/message_relay/http/client_connection.py
@@ -1,10 +1,11 @@
 """One connection of a client: reads requests, has their messages accepted, and writes the responses.
 
-A request that was read is always answered. Every connection ends in one way (`_start_lingering`): a last
-response, if one is due, and the end of our sending; then whatever still arrives is read and thrown away until
-the client has ended its side too, or a limit is reached (a lingering close). A close over unread bytes would
-reset the connection, and with it a response that is on its way. What is first read after our end is not
-handled as a request: its client sees an end without a response, and submits the message elsewhere.
+A request that was read is always answered. Every connection ends with a lingering close (`_start_lingering`):
+the relay sends a last response, if one is due, and shuts down its sending side; then it reads and discards
+input until the client has closed its side too, or a limit is reached. Closing with unread bytes would reset
+the connection, and could lose a response in transit. Bytes that are first read after the shutdown are not
+handled as a request: the client sees the end of the connection without a response, and submits the message
+elsewhere.
 """
 
 from __future__ import annotations
@@ -35,26 +36,26 @@
 log = logging.getLogger(__name__)
 
 RequestHandler = Callable[[ClientRequest], ClientResponse]
-CancelMessage = Callable[[str], bool]  # by id; False if it may have been delivered
-# A client that was rejected submits its next message on the same connection, as one that was accepted.
+CancelMessage = Callable[[str], bool]  # argument: message id; returns False if it may have been delivered
+# After a rejection a client submits its next message on the same connection, as after an acceptance.
 SUBMISSION_STATUSES = frozenset((202, 503))
 INVALID_REQUEST_STATUSES = frozenset((400, 404, 405))
 
 
 class ConnectionGroup(Protocol):
-    """What a connection needs of the listener that it belongs to."""
+    """The part of the listener that its connections use."""
 
     @property
     def handle(self) -> RequestHandler:
-        """Has the message of a request accepted, or rejects it."""
+        """Handles a request and returns its response."""
 
     @property
     def cancel(self) -> CancelMessage:
-        """Cancels an accepted message whose client has no response."""
+        """Cancels an accepted message whose client got no response."""
 
     @property
     def is_stopped(self) -> bool:
-        """Whether new connections are to end at once."""
+        """Whether new connections are drained at once."""
 
     @property
     def is_crowded(self) -> bool:
@@ -62,46 +63,47 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether each response ends its connection, since the process ends soon."""
+        """Whether each response ends its connection, because the process is stopping."""
 
     def add(self, connection: ClientConnection) -> None:
         """Register a new connection, on which nothing has arrived yet."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended."""
+        """Unregister a closed connection."""
 
     def mark_active(self, connection: ClientConnection) -> None:
-        """Note that a request has started on it."""
+        """Note that a request has started on the connection."""
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Note that it waits for its next request."""
+        """Note that the connection waits for its next request."""
 
     def mark_lingering(self, connection: ClientConnection) -> None:
-        """Note that it has sent its last response."""
+        """Note that the connection has sent its last response."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """The server's side of one HTTP/1.1 connection, with one request at a time.
+    """The server side of one HTTP/1.1 connection, with one request at a time.
 
-    `deadline`, on the loop's clock, is when `on_deadline` is due; the listener checks it.
+    The listener calls `on_deadline` once `deadline`, on the loop's clock, has passed.
     """
 
     def __init__(self, group: ConnectionGroup) -> None:
         self.group = group
-        # Created for the first request that is not a plain one: many connections never send anything.
+        # Created at the first request that `parse_plain_request` does not parse; many connections never send
+        # any.
         self.parser: h11.Connection | None = None
         self.transport: asyncio.Transport | None = None
         self.request: ClientRequest | None = None
-        # Ids of messages that were accepted, and whose responses are not fully written.
+        # Ids of accepted messages whose responses are not fully written.
         self.unsent_ids: list[str] = []
         self.first_request_deadline = 0.0
         self.first_bytes_deadline = 0.0
         self.deadline = 0.0
-        self.idle_since = 0.0  # on the loop's clock; while it is between two requests
+        self.idle_since = 0.0  # on the loop's clock; valid between two requests
         self.is_new = True  # no request has started yet
-        self.has_submitted = False  # a message was accepted or rejected on it
+        self.has_submitted = False  # a message was accepted or rejected on this connection
         self.closes_after_response = False
-        self.is_lingering = False  # the last response was sent: what still arrives is thrown away
+        self.is_lingering = False  # the last response was sent; further input is discarded
         self.discarded_bytes = 0
 
     # -- called by the loop ------------------------------------------------------------------------------
@@ -110,7 +112,7 @@
         """Register with the listener and start the first deadline."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing means: all is written
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing is called when the buffer is empty
         now = asyncio.get_running_loop().time()
         self.deadline = now + client_limits.SILENT_TIMEOUT_S
         self.first_request_deadline = now + client_limits.FIRST_REQUEST_TIMEOUT_S
@@ -122,17 +124,17 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the messages whose clients never received a response."""
         self.group.remove(self)
-        # Guards against work for a client that got no response: it submits the message again.
+        # A client that got no response submits the message again; the first copy must not be processed.
         for message_id in self.unsent_ids:
             self.group.cancel(message_id)
 
     def pause_writing(self) -> None:
-        """Stop reading from a client that does not read its responses."""
+        """Pause reading while the client does not read its responses."""
         if self.transport is not None and not self.is_lingering:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """All responses are written."""
+        """Resume reading once all responses are written."""
         self.unsent_ids.clear()
         self._resume_reading()
 
@@ -146,7 +148,7 @@
         self._feed(data)
 
     def eof_received(self) -> bool | None:
-        """Answer a request that is cut off; the transport closes itself."""
+        """Answer a truncated request; the transport closes itself."""
         if not self.is_lingering:
             self._feed(b"")
         return None
@@ -160,13 +162,13 @@
 
     @property
     def is_idle_and_unread(self) -> bool:
-        """Whether it is idle and no bytes wait to be read: closing it then crosses no request."""
+        """Whether it is idle without unread bytes, so that closing it does not cross a request."""
         return self.is_idle and not is_socket_ready(self.transport, select.POLLIN)
 
     def drain(self) -> None:
-        """End it with its next response, or once it has been idle for as long as clients rely on.
+        """End the connection with its next response, or once it was idle for the time that clients rely on.
 
-        A new connection keeps the time for its first bytes.
+        A new connection still has the usual time for its first bytes.
         """
         self.closes_after_response = True
         if self.is_lingering or not self.is_idle:
@@ -177,7 +179,7 @@
             self.deadline = min(self.deadline, self.idle_since + client_limits.MIN_IDLE_S)
 
     def on_deadline(self) -> None:
-        """End what has taken too long."""
+        """End the connection, or answer its request, when its deadline has passed."""
         if self.is_lingering:
             self.abort()
         elif self.is_idle_and_unread:
@@ -188,14 +190,14 @@
             self._respond_and_end(ClientResponse(408, "the request did not come in time"))
 
     def _cancel_unsent(self) -> ClientResponse:
-        """Cancel what was accepted but must not be reported as such, before its client sees the end."""
+        """Cancel messages that cannot be reported as accepted, and return the response to send instead."""
         message_ids = self.unsent_ids
         self.unsent_ids = []
-        # All of them are cancelled, whatever the first call returns.
+        # A list, not a generator: all of them are cancelled, whatever the first call returns.
         cancelled = [self.group.cancel(message_id) for message_id in message_ids]
         if all(cancelled):
             return ClientResponse(503, "the message could not be kept")
-        return ClientResponse(500, "the message could not be kept")  # an attempt was out: it may take effect
+        return ClientResponse(500, "the message could not be kept")  # an attempt may take effect
 
     def _feed(self, data: bytes) -> None:
         if self.is_idle and data:
@@ -218,7 +220,7 @@
         except h11.RemoteProtocolError as error:
             self._respond_and_end(ClientResponse(error.error_status_hint, str(error)))
         except Exception:
-            # A fault of ours must not cost the client its response.
+            # An internal error must not leave the client without a response.
             log.exception("client request failed")
             self._respond_and_end(ClientResponse(500, "internal error"))
 
@@ -243,7 +245,7 @@
                 return False
 
     def _on_request_head(self, parser: h11.Connection, head: h11.Request) -> bool:
-        """Start a request, or reject it by its head; whether its body is to be read."""
+        """Start a request, or reject it because of its head; returns whether to read its body."""
         fault = find_head_fault(head)
         if fault is not None:
             self._respond_and_end(fault)
@@ -257,8 +259,9 @@
 
     def _on_request_complete(self, parser: h11.Connection | None, request: ClientRequest) -> None:
         if parser is not None and parser.trailing_data[0].strip(b"\r\n"):
-            # Guards the loop against requests by the hundred, and against a body longer than it says: a
-            # client sends one at a time. It is rejected before its first message is accepted.
+            # Clients send one request at a time. Pipelined requests, which could occupy the loop by the
+            # hundred, and a body longer than its Content-Length are rejected before the first message is
+            # accepted.
             self._respond_and_end(
                 ClientResponse(400, "one request at a time on a connection, and no more than its length")
             )
@@ -268,7 +271,7 @@
             self._respond(parser, response)
             return
         if response.accepted_id is not None:
-            # If the client goes away meanwhile, it has not received the response.
+            # If the connection is lost meanwhile, the client has not received the response.
             self.unsent_ids.append(response.accepted_id)
         if self.transport is not None:
             self.transport.pause_reading()
@@ -278,11 +281,11 @@
     def _on_durable(
         self, parser: h11.Connection | None, response: ClientResponse, durable: asyncio.Future[None]
     ) -> None:
-        """Send a response that had to wait for the journal's sync."""
+        """Send a response that waited for the journal's sync."""
         if self.transport is None or self.transport.is_closing() or self.is_lingering or durable.cancelled():
-            return  # the end of the connection has cancelled the message, or will
+            return  # the message is cancelled where the connection ends
         if is_socket_ready(self.transport, select.POLLRDHUP):
-            # The client has stopped waiting, unnoticed while nothing was read.
+            # The client has closed its side, which was not noticed because reading was paused.
             self._respond_and_end(self._cancel_unsent())
             return
         self.unsent_ids.clear()
@@ -291,8 +294,8 @@
 
     def _handle(self, request: ClientRequest) -> ClientResponse:
         if is_socket_ready(self.transport, select.POLLRDHUP):
-            # Guards against a second copy: it has stopped waiting and submits the message again. One that
-            # merely ended its sending still reads this, and submitting again is harmless.
+            # Prevents a second copy: a client that closed the connection submits the message again. One that
+            # only shut down its sending side reads this response, and may safely submit it again.
             return ClientResponse(503, "the client has hung up")
         return self.group.handle(request)
 
@@ -300,7 +303,8 @@
 
     def _respond(self, parser: h11.Connection | None, response: ClientResponse) -> None:
         """Write a response, then wait for the next request or end the connection."""
-        # Guards clients that may hold only so many connections against those that ask once and stay.
+        # The number of client connections is limited: clients that send one request and stay connected must
+        # not exclude others.
         ends = self.group.is_crowded or self.group.is_stopping
         self.closes_after_response = self.closes_after_response or ends
         self._write_response(response)
@@ -312,18 +316,18 @@
         if parser is not None:
             parser.start_next_cycle()
             if not parser.trailing_data[0]:
-                self.parser = None  # the next request may be a plain one
+                self.parser = None  # the next request may be parsed without h11
         self.has_submitted = self.has_submitted or response.status in SUBMISSION_STATUSES
         self.idle_since = asyncio.get_running_loop().time()
         self.deadline = self.idle_since + client_limits.IDLE_TIMEOUT_S
         self.group.mark_idle(self)
         if response.status in INVALID_REQUEST_STATUSES and self.transport is not None:
-            # Guards the others' share of the processor against one that sends the same again at once.
+            # Limits the processor time of a client that repeats an invalid request at once.
             self.transport.pause_reading()
             asyncio.get_running_loop().call_later(client_limits.PENALTY_S, self._resume_reading)
 
     def _respond_and_end(self, response: ClientResponse) -> None:
-        """Write the last response, as far as one can still be sent, and end the connection."""
+        """Write the last response, if one can still be sent, and end the connection."""
         self.closes_after_response = True
         if self.parser is None or self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._write_response(response)
@@ -331,7 +335,7 @@
         self._start_lingering(client_limits.OVERSIZED_LINGER_S if is_oversized else client_limits.LINGER_S)
 
     def _start_lingering(self, linger_s: float | None = None) -> None:
-        """End the connection, the only way to do so: no response follows, and input is discarded."""
+        """Start the lingering close, as for every connection: no response follows, input is discarded."""
         self.closes_after_response = True
         self.is_lingering = True
         self.request = None
@@ -339,7 +343,7 @@
         self.deadline = now + (client_limits.LINGER_S if linger_s is None else linger_s)
         self.group.mark_lingering(self)
         if self.transport is not None and not self.transport.is_closing():
-            with suppress(OSError):  # the client has gone
+            with suppress(OSError):  # the client has disconnected
                 self.transport.write_eof()
             self.transport.resume_reading()
 
@@ -352,7 +356,7 @@
             self._track_unsent(response.accepted_id)
 
     def _track_unsent(self, message_id: str) -> None:
-        """Note or cancel a message whose response has not left in full."""
+        """Track a message whose response is not fully written; cancel it if the connection is closed."""
         transport = self.transport
         if transport is None or transport.is_closing():
             self.group.cancel(message_id)
@@ -368,11 +372,11 @@
             self.transport.resume_reading()
 
     def evict(self) -> None:
-        """Free the descriptor now: nothing was unread, or our end of sending has followed the response."""
+        """Free the descriptor now: there was no unread input, or the sending side is shut down already."""
         self.abort()
 
     def abort(self) -> None:
-        """Close the connection at once; what is unsent is lost."""
+        """Close the connection at once; unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/message_relay/http/client_intake.py
+++ b/message_relay/http/client_intake.py
@@ -1,6 +1,6 @@
-"""Clients over HTTP/1.1 as an intake.
+"""The intake for clients over HTTP/1.1.
 
-Requests become submissions, and final outcomes become notifications to the platform.
+Converts requests to submissions, and final outcomes to notifications of the platform.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 NAME = "http"
 MAX_REMAINING_MS_DIGITS = 9
 MAX_DESTINATION_DIGITS = 9
-# The header of each field of a submission: what an error names is what the client wrote.
+# The header of each submission field, so that errors name the header that the client sent.
 HEADER_OF_FIELD = {
     "id": "X-Trace-Id",
     "key": "Idempotency-Key",
@@ -30,9 +30,9 @@
 
 
 class ClientIntake:
-    """Accepts messages on up to `max_connections` connections of clients.
+    """Accepts messages on up to `max_connections` client connections.
 
-    From `crowding_threshold` idle connections on no further one is kept open.
+    With `crowding_threshold` or more idle connections, no further one is kept open.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         self.listener.listen(*self.listen_address, self.inherited_socket)
 
     def notify_outcome(self, outcome: FinalOutcome) -> None:
-        """Queue a notification of the platform."""
+        """Queue a notification to the platform."""
         self.notifier.add(outcome.id, outcome.state, outcome.retry_after_ms)
 
     def reload(self, config: Config) -> None:
-        """Send notifications to the configured agent from now on; none is lost."""
+        """Send notifications to the newly configured agent; none is lost."""
         if self.notifier_task is not None:
             self.notifier_task.cancel()
         self.notifier.agent.close()
@@ -72,31 +72,31 @@
         self.notifier_task = self.tasks.start(self.notifier.run())
 
     def announce_stop(self) -> None:
-        """Let each response from now on say that its connection ends."""
+        """End each connection with its next response."""
         self.listener.announce_stop()
 
     def stop(self) -> None:
-        """Accept no more connections; those that are open end as soon as clients may expect it."""
+        """Accept no more connections; open ones are closed once the promised idle time has passed."""
         self.listener.stop()
 
     @property
     def open_requests(self) -> int:
-        """Number of open connections; also an idle one may bring a request to be answered until it ends."""
+        """Number of open connections; even an idle one may receive a request until it is closed."""
         return len(self.listener.connections)
 
     @property
     def pending_outcomes(self) -> int:
-        """Number of notifications that are still to be sent."""
+        """Number of notifications not yet acknowledged."""
         return len(self.notifier.pending)
 
     async def close(self) -> None:
-        """Stop, and give up the notifications that are queued."""
+        """Stop, and drop the queued notifications."""
         self.listener.stop()
         await self.tasks.cancel()
         self.notifier.agent.close()
 
     def handle_request(self, request: ClientRequest) -> ClientResponse:
-        """The response to one request of a client."""
+        """Return the response to a client's request."""
         path = request.target.partition("?")[0]
         if request.method == "GET" and path == "/healthz":
             return ClientResponse(200 if self.acceptor.is_ready else 503)
@@ -113,9 +113,9 @@
 
 
 def parse_submission(request: ClientRequest, path: str) -> Submission:
-    """Read a message from a request; whether its values are valid is checked by the acceptor.
+    """Parse a submission from a request; the acceptor validates its values.
 
-    Raises InvalidMessageError where a header cannot be parsed.
+    Raises InvalidMessageError if a header cannot be parsed.
     """
     get = request.headers.get
     class_name = path.strip("/").partition("/")[0]
--- a/message_relay/http/client_messages.py
+++ b/message_relay/http/client_messages.py
@@ -1,8 +1,8 @@
-"""Requests of clients and responses to them, as values and as bytes.
+"""Client requests and the responses to them: data classes, parsing and encoding.
 
-Requests that are written in the usual way are parsed here with one regular expression; all others go through
-h11, which is strict. `endpoint_messages` holds the opposite direction, where the relay is the client: it
-writes requests and parses responses, so the two share nothing but the form of the headers.
+Requests in the most common form are parsed here with one regular expression; all others by h11, which is
+strict. `endpoint_messages` is for the opposite direction, where the relay is the client: it encodes requests
+and parses responses, so the two modules have nothing in common but the form of headers.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from .client_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
-# A message whose head has one of these twice has two meanings: ours and that of whoever reads it next.
+# Rejected if repeated: the next HTTP implementation to read the message might use the other value.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         "host",
@@ -29,13 +29,13 @@
         "x-trace-id",
     )
 )
-# A complete request in the usual form. What this accepts, h11 parses to the same request
+# A complete request in the most common form. h11 parses everything that this accepts to the same request
 # (tests/http/test_plain_messages.py).
 PLAIN_REQUEST = re.compile(
     rb"(GET|POST) (/[!-~]{0,500}) HTTP/1\.1\r\n"
     rb"((?:[A-Za-z0-9-]{1,60}: ?[!-~](?:[ !-~]{0,400}[!-~])?\r\n){1,40})\r\n"
 )
-# Headers that a plain request may have; others can change what its bytes mean.
+# Headers that a plain request may have; other headers can change how its bytes are interpreted.
 PLAIN_HEADERS = frozenset(
     (
         "accept",
@@ -53,12 +53,12 @@
         "x-trace-id",
     )
 )
-MAX_LENGTH_DIGITS = 5  # of the Content-Length of a plain request
+MAX_LENGTH_DIGITS = 5  # maximum digits of a plain request's Content-Length
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request of a client. `headers` has the names in lower case."""
+    """A client's request. Names in `headers` are in lower case."""
 
     method: str
     target: str
@@ -70,8 +70,8 @@
 class ClientResponse:
     """A response to a client, and the condition under which it may be sent.
 
-    `accepted_id` is the id of the message that this response reports as accepted. `retry_after_s` of 0 means
-    that no Retry-After is sent. The response is sent once `durable` is done, and never if it is cancelled.
+    `accepted_id` is the id of the message that this response reports as accepted. With `retry_after_s` 0 no
+    Retry-After is sent. The response is sent once `durable` is done, and never if it is cancelled.
     """
 
     status: int
@@ -87,7 +87,7 @@
 
 
 def parse_plain_request(data: bytes) -> ClientRequest | None:
-    """Parse a complete request in the usual form with nothing behind it; None if h11 has to parse it."""
+    """Parse a complete request in the common form without trailing bytes; None if h11 has to parse it."""
     head = PLAIN_REQUEST.match(data)
     if head is None or head.end() > MAX_HEAD_BYTES // 2:
         return None
@@ -110,7 +110,7 @@
 
 
 def encode_response(response: ClientResponse, closes: bool) -> bytes:
-    """The bytes of a response, the same as h11 writes; `closes`: no other response follows it."""
+    """Encode a response, byte for byte as h11 does; `closes`: it is the last on its connection."""
     body = response.body
     retry_after = f"Retry-After: {response.retry_after_s:.3f}\r\n" if response.retry_after_s > 0 else ""
     close = "Connection: close\r\n" if closes else ""
@@ -122,7 +122,7 @@
 
 
 def response_events(response: ClientResponse, closes: bool) -> tuple[h11.Event, ...]:
-    """A response as events for the h11 connection that has parsed its request."""
+    """Convert a response to events for the h11 connection that parsed the request."""
     body = response.body
     headers = [("Content-Length", str(len(body))), ("Content-Type", "text/plain; charset=utf-8")]
     if response.retry_after_s > 0:
@@ -134,15 +134,15 @@
 
 
 def oversized_response() -> ClientResponse:
-    """The response to a body that is too long."""
+    """Return the response to a body that is too long."""
     return ClientResponse(413, f"a body holds {MAX_BODY_BYTES} bytes at most")
 
 
 def find_head_fault(head: h11.Request) -> ClientResponse | None:
-    """The rejection of a head that h11 accepts and this relay does not; None if it is acceptable."""
+    """Return the rejection of a head that h11 accepts but this relay does not; None if it is acceptable."""
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        # Guards against a second request hidden in the body: which length holds is a matter of opinion.
+        # Prevents request smuggling: implementations differ in which of the two they use.
         return ClientResponse(400, "Content-Length and Transfer-Encoding exclude each other")
     for name in set(names):
         if names.count(name) > 1 and name.decode("latin-1") in SINGLE_VALUE_HEADERS:
--- a/message_relay/http/connection.py
+++ b/message_relay/http/connection.py
@@ -1,12 +1,12 @@
-"""One HTTP/1.1 connection as its client: a request at a time, and exactly how far it got.
+"""The client side of one HTTP/1.1 connection: one request at a time, with its exact progress.
 
-It is built on a bare asyncio protocol: streams do not show when the last byte was written, and keep responses
-that nobody requested. A request passes through these steps, each of which may be the last:
+It uses an asyncio protocol instead of streams: those do not report when the last byte was written, and buffer
+unsolicited responses. A request passes through these steps, each of which may be the last:
 
-    written but for a withheld byte -> sent (it may run from here on) -> status -> head -> complete body
+    written except for a withheld byte -> sent (it may run from here on) -> status -> head -> complete body
 
-`status`, `head` and `complete_body` are futures of the latest request; all of them fail with
-ConnectionLostError when the connection ends before.
+`status`, `head` and `complete_body` are futures of the latest request; those not done when the connection
+ends fail with ConnectionLostError.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from .headers import headers_by_name
 from .socket_state import is_socket_ready
 
-MAX_HEAD_BYTES = 16 * 1024  # of a response's first line and headers
-# Heads and chunks of one response: reading an endless number of tiny ones would hold up the loop. One more
-# is allowed for each so many bytes: a long response arrives in as many reads as it takes.
+MAX_HEAD_BYTES = 16 * 1024  # limit for a response's status line and headers
+# Limit for the heads and chunks of one response, as an endless number of tiny ones would block the loop. One
+# more is allowed per BYTES_PER_EXTRA_PIECE bytes, since a long response arrives in many reads.
 MAX_PIECES = 256
 BYTES_PER_EXTRA_PIECE = 1024
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d (\d{3})(?: [^\r\n]*)?\r?\n")
 HEAD_END = re.compile(rb"\r?\n\r?\n")
-PLACEHOLDER_HEADERS = [("Host", "x")]  # h11 only has to know that a request was sent
+PLACEHOLDER_HEADERS = [("Host", "x")]  # h11 only needs to know that a request was sent
 
 
 class EndpointConnection(asyncio.Protocol):
@@ -38,24 +38,24 @@
 
     def __init__(self, max_body_bytes: int) -> None:
         loop = asyncio.get_running_loop()
-        self.parser: h11.Connection | None = None  # only for a response that is not a plain one
+        self.parser: h11.Connection | None = None  # only where `parse_plain_response` does not apply
         self.method = "GET"
         self.max_body_bytes = max_body_bytes
         self.transport: asyncio.Transport | None = None
         self.idle_since = loop.time()
         self.is_busy = False
-        self.withheld_byte = b""  # the last one of a request that is written otherwise
-        self.is_request_sent = False  # the last byte of the latest request has left: from then on it may run
-        self.is_sending_last_byte = False  # the write buffer ends with that byte
-        self.status: asyncio.Future[int] = loop.create_future()  # by the first line, whatever follows it
+        self.withheld_byte = b""  # last byte of a request whose other bytes are written
+        self.is_request_sent = False  # the last byte of the latest request was sent: it may run
+        self.is_sending_last_byte = False  # the last write ends with that byte
+        self.status: asyncio.Future[int] = loop.create_future()  # from the status line, whatever follows it
         self.head: asyncio.Future[ResponseHead] = loop.create_future()
         self.complete_body: asyncio.Future[bytes] = loop.create_future()
         self.flushed: asyncio.Future[None] | None = None
-        self.received_head = bytearray()  # of the response, until its status is known
+        self.received_head = bytearray()  # head of the response, until its status is known
         self.received_body = bytearray()
         self.piece_count = 0
-        self.request_count = 0  # this one included
-        self.endpoint_kind = ""  # of the endpoint that it leads to
+        self.request_count = 0  # including the current one
+        self.endpoint_kind = ""  # kind of the endpoint that it is connected to
 
     @classmethod
     async def open(cls, address: Address, max_body_bytes: int) -> EndpointConnection:
@@ -69,29 +69,30 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it is open and between requests, and nothing has arrived that was not requested."""
+        """Whether it is open and between requests; unsolicited input closes it."""
         return self.transport is not None and not self.transport.is_closing() and not self.is_busy
 
     @property
     def has_no_unread_input(self) -> bool:
-        """Whether nothing lies unread on it.
+        """Whether the socket has no unread input.
 
-        Guards the next request against a second response, or an end that is not yet noticed.
+        Checked before reuse: unread input is an unsolicited response, or an end not noticed yet.
         """
         return not is_socket_ready(self.transport, select.POLLIN | select.POLLRDHUP)
 
     def close(self) -> None:
-        """Close it at once; what is unsent is lost."""
+        """Close it at once; unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
 
     async def send(
         self, method: str, target: str, headers: Headers, body: bytes, withhold_s: float = 0
     ) -> None:
-        """Write a request, and return once its last byte has left.
+        """Write a request, and return once its last byte was sent.
 
-        With `withhold_s` only what precedes that byte is written, and this returns after so many seconds:
-        `send_withheld_byte` completes the request. Raises ConnectionLostError if the last byte has not left.
+        With `withhold_s` all but the last byte is written, and this returns after that many seconds;
+        `send_withheld_byte` then completes the request. Raises ConnectionLostError if the last byte was not
+        sent.
         """
         if not self.is_usable or self.transport is None:
             raise ConnectionLostError("the connection is closed")
@@ -102,7 +103,7 @@
             await self._write(self.transport, data[:-1], is_last=False)
             await asyncio.wait([self.status], timeout=withhold_s)
             if self.status.done():
-                raise ConnectionLostError("the connection broke before the request was whole")
+                raise ConnectionLostError("the connection broke before the request was complete")
         else:
             await self._write(self.transport, data, is_last=True)
 
@@ -121,9 +122,9 @@
         self.is_request_sent = False
 
     async def send_withheld_byte(self) -> None:
-        """Write what `send` withheld. Raises ConnectionLostError if that can't be done."""
+        """Write the byte that `send` withheld. Raises ConnectionLostError on failure."""
         if self.transport is None or self.status.done():
-            raise ConnectionLostError("the connection broke before the request was whole")
+            raise ConnectionLostError("the connection broke before the request was complete")
         last_byte = self.withheld_byte
         self.withheld_byte = b""
         if last_byte:
@@ -132,12 +133,12 @@
     async def _write(self, transport: asyncio.Transport, data: bytes, is_last: bool) -> None:
         """Write and flush.
 
-        `is_request_sent` is set where the byte leaves, not where this task resumes: the task may be cancelled
-        in between.
+        `is_request_sent` is set when the last byte is sent, not when this task resumes, as the task may be
+        cancelled in between.
         """
         self.is_sending_last_byte = is_last
         transport.write(data)
-        # A first write that fails closes the transport at once, and has not sent the complete request.
+        # If the first write fails, the transport is closed at once and the complete request was not sent.
         if transport.is_closing():
             raise ConnectionLostError("the connection broke while the request was written")
         if transport.get_write_buffer_size():
@@ -157,45 +158,45 @@
     # -- called by the loop ------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing means: all is written
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing is called when the buffer is empty
 
     def pause_writing(self) -> None:
         """Nothing to do: `_write` waits until the buffer is empty."""
 
     def resume_writing(self) -> None:
-        """All that was written has left."""
+        """Note that the write buffer is empty."""
         self.is_request_sent = self.is_request_sent or self.is_sending_last_byte
         if self.flushed is not None and not self.flushed.done():
             self.flushed.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        """Handle bytes of a response; the connection ends if none is due."""
+        """Handle bytes of a response; close the connection if none is expected."""
         if not self.is_busy:
-            # Guards the next request: what was not requested would be taken for its response.
+            # Unsolicited bytes would be taken for the response to the next request.
             self.close()
             return
         if self.withheld_byte:
-            self._fail("something came before the request was whole")
+            self._fail("data arrived before the request was complete")
             return
         self._feed(data)
 
     def eof_received(self) -> None:
-        """Complete a response that ends with the connection; fail one that is cut off."""
+        """Complete a response that ends with the connection; fail a truncated one."""
         if self.is_busy:
             self._feed(b"")
         self._fail("the connection ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what is still awaited."""
+        """Fail the futures that are still pending."""
         self._fail("the connection broke" if exc else "the connection was closed")
 
     # -- responses ---------------------------------------------------------------------------------------
 
     def _read_status(self, data: bytes) -> None:
-        """Read the status apart from h11, which rejects a malformed head with a valid first line."""
+        """Parse the status without h11, which rejects a malformed head with a valid status line."""
         self.received_head += data[:MAX_HEAD_BYTES]
         while line := STATUS_LINE.match(self.received_head):
             status = int(line[1])
@@ -221,17 +222,17 @@
             self.parser.receive_data(data)
             self._handle_events(self.parser)
         except h11.RemoteProtocolError as error:
-            self._fail(f"not an HTTP answer: {error}")
+            self._fail(f"not an HTTP response: {error}")
 
     def _response_parser(self) -> h11.Connection:
-        """An h11 connection that waits for the response to the latest request."""
+        """Create an h11 connection that expects the response to the latest request."""
         parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         parser.send(h11.Request(method=self.method, target="/", headers=PLACEHOLDER_HEADERS))
         parser.send(h11.EndOfMessage())
         return parser
 
     def _handle_events(self, parser: h11.Connection) -> None:
-        """Handle all events that are complete."""
+        """Handle all complete events."""
         while True:
             event = parser.next_event()
             self.piece_count += 1
@@ -283,9 +284,9 @@
             self.complete_body.set_result(bytes(self.received_body))
 
     def _fail(self, reason: str) -> None:
-        """Close the connection and fail whatever is still awaited."""
+        """Close the connection and fail the futures that are still pending."""
         self.close()
         for future in (self.flushed, self.status, self.head, self.complete_body):
             if future is not None and not future.done():
                 future.set_exception(ConnectionLostError(reason))
-                future.exception()  # marks it as retrieved: nobody may be waiting for it
+                future.exception()  # marks it as retrieved: there may be no waiter
--- a/message_relay/http/connection_pool.py
+++ b/message_relay/http/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for the next attempt."""
+"""Pool of idle connections to endpoints."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConnectionPool:
-    """Up to `max_idle` connections between two attempts, each idle for less than `idle_s` seconds.
+    """Holds up to `max_idle` idle connections, each for less than `idle_s` seconds.
 
     A connection that leaves the pool other than by `pop` is closed.
     """
@@ -20,13 +20,13 @@
         self.idle_s = idle_s
         self.max_idle = max_idle
         self.keep_alive = KeepAlivePolicy()
-        # Each list, and the order of all connections: longest idle first.
+        # Both are ordered by idle time, longest first.
         self.idle_by_endpoint: dict[EndpointKey, list[EndpointConnection]] = {}
         self.idle_by_age: OrderedDict[EndpointConnection, EndpointKey] = OrderedDict()
         self.listed_endpoints: set[EndpointKey] | None = None  # None: no list has been received yet
 
     def pop(self, key: EndpointKey) -> EndpointConnection | None:
-        """Take out the connection to an endpoint that was used last, if there is one in good order."""
+        """Take out the most recently used connection to an endpoint that is reusable, if there is one."""
         while connections := self.idle_by_endpoint.get(key):
             connection = connections[-1]
             self._remove(connection, key)
@@ -36,7 +36,7 @@
         return None
 
     def add(self, key: EndpointKey, connection: EndpointConnection) -> None:
-        """Keep a connection, or close it if it can't or must not be used again."""
+        """Add a connection to the pool, or close it if it cannot or must not be reused."""
         if not self._may_keep(key, connection):
             connection.close()
             return
@@ -48,7 +48,7 @@
         self.idle_by_endpoint.setdefault(key, []).append(connection)
 
     def record_rejection(self, kind: str) -> None:
-        """Free the places that this relay holds, idle, at endpoints of a kind that rejects connections."""
+        """Close the idle connections to endpoints of a kind that rejects connections, to free their slots."""
         if not self.keep_alive.record_rejection(kind, asyncio.get_running_loop().time()):
             return
         for connection, key in list(self.idle_by_age.items()):
@@ -57,13 +57,13 @@
                 connection.close()
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
-        """Close the connections to endpoints that drain, are gone or have moved."""
+        """Close the connections to all endpoints but these: others drain, are gone or have moved."""
         self.listed_endpoints = listed
         for key in set(self.idle_by_endpoint) - listed:
             self._close_all(key)
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
-        """The same for one endpoint, at no cost for the others."""
+        """Update one endpoint, without iterating over the others."""
         if self.listed_endpoints is None:
             self.listed_endpoints = set()
         if listed:
@@ -73,7 +73,7 @@
             self._close_all(key)
 
     def sweep(self) -> None:
-        """Close connections that have ended or were idle too long; endpoints accept only so many."""
+        """Close connections that have ended or were idle too long; endpoints limit their number."""
         for connection, key in list(self.idle_by_age.items()):
             if not self._is_reusable(connection):
                 self._remove(connection, key)
--- a/message_relay/http/discovery_calls.py
+++ b/message_relay/http/discovery_calls.py
@@ -1,7 +1,8 @@
 """Calls to the agent for the list of endpoints, several of which may be in flight.
 
-A call whose answer is late is not given up at once: the next one is made beside it, on a connection of its
-own. Otherwise an agent that takes longer for each answer than one call is waited for is never heard.
+A call whose response is late is not cancelled at once: the next call is made concurrently, on its own
+connection. Otherwise no response of an agent that always takes longer than the timeout of a call would ever
+be used.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 
 from .agent import AgentClient
 
-MAX_CALLS = 10  # in flight: as many as are made in the time after which one is given up; a descriptor each
+MAX_CALLS = 10  # in flight, each with a descriptor: as many as are made before the oldest times out
 
 
 @dataclass(eq=False)
 class DiscoveryCall:
-    """One request for the list, or for changes of it."""
+    """One request for the list, or for changes to it."""
 
-    number: int  # in the order in which they were made
+    number: int  # sequence number
     agent: AgentClient
-    known_version: int  # of the list when it was sent; negative: none
-    is_watch: bool  # it may wait for a newer list
+    known_version: int  # version of the known list when the call was sent; negative: none
+    is_watch: bool  # a long poll for a newer list
     response: asyncio.Task[dict[str, Any]]
 
     def cancel(self) -> None:
-        """Give it up, with its connection."""
+        """Cancel the call and close its connection."""
         if not self.response.cancel() and not self.response.cancelled():
             self.response.exception()  # marks it as retrieved
         self.agent.close()
@@ -37,26 +38,26 @@
 async def request_list(
     agent: AgentClient, known_version: int, watch_ms: int, timeout_s: float
 ) -> dict[str, Any]:
-    """The list, or what has changed since the known version. Raises AgentError or ValueError."""
+    """Request the list, or the changes since the known version. Raises AgentError or ValueError."""
     target = "/v1/servers"
     if known_version >= 0:
         target += f"?from={known_version}&hold_ms={watch_ms}"
     status, body = await agent.request("GET", target, b"", timeout_s)
     raw = json.loads(body) if status == 200 else None
     if not isinstance(raw, dict):
-        raise ValueError(f"status {status}, {len(body)} bytes that are no list")
+        raise ValueError(f"status {status}, {len(body)} bytes that are not a list")
     return raw
 
 
 class CallsInFlight:
-    """The calls that may still be answered, oldest first."""
+    """The calls that have no response yet, oldest first."""
 
     def __init__(self) -> None:
         self.calls: list[DiscoveryCall] = []
         self.started_count = 0
 
     def start(self, agent: AgentClient, known_version: int, watch_ms: int, timeout_s: float) -> DiscoveryCall:
-        """Make a call on this agent's connection; of too many calls the oldest is given up."""
+        """Make a call on this agent's connection; above MAX_CALLS the oldest is cancelled."""
         self.started_count += 1
         request = request_list(agent, known_version, watch_ms, timeout_s)
         response = asyncio.get_running_loop().create_task(request)
@@ -70,7 +71,7 @@
         return any(call.agent is agent for call in self.calls)
 
     async def wait(self, timeout_s: float) -> list[DiscoveryCall]:
-        """Take out the calls that have been answered or have failed, oldest first; none after the timeout."""
+        """Take out the calls that have completed or failed, oldest first; empty after the timeout."""
         if not self.calls:
             await asyncio.sleep(timeout_s)
             return []
@@ -81,11 +82,11 @@
         return completed
 
     def cancel_older(self, answered: DiscoveryCall) -> None:
-        """Give up the calls that were made before this one: its answer is newer than theirs can be."""
+        """Cancel the calls that were made before this one: its response is newer than theirs can be."""
         self._cancel([call for call in self.calls if call.number < answered.number])
 
     def close(self) -> None:
-        """Give up all calls."""
+        """Cancel all calls."""
         self._cancel(list(self.calls))
 
     def _cancel(self, calls: Iterable[DiscoveryCall]) -> None:
--- a/message_relay/http/discovery_client.py
+++ b/message_relay/http/discovery_client.py
@@ -1,7 +1,8 @@
-"""The platform's discovery service as a source of endpoints: its list, and changes of it, by long polls.
+"""The platform's discovery service as an endpoint source: the list and its changes, by long polling.
 
-One call is awaited at a time. If it is answered the next one follows at once; if it fails or its answer is
-late, after a pause. A late answer still counts (discovery_calls.py), whichever calls were made meanwhile.
+One call is awaited at a time. After a response the next call is made at once; after a failure or a late
+response it is made after a pause. A late response is still used (discovery_calls.py), even if other calls
+were made meanwhile.
 """
 
 from __future__ import annotations
@@ -23,26 +24,26 @@
 
 log = logging.getLogger(__name__)
 
-LISTINGS = {"ready": Listing.READY, "gone": Listing.REMOVED}  # any other lifecycle: no new attempts
-MAX_RATE = 1e9  # of an endpoint, exclusive
+LISTINGS = {"ready": Listing.READY, "gone": Listing.REMOVED}  # any other lifecycle: draining
+MAX_RATE = 1e9  # upper bound of an endpoint's rate, exclusive
 
 
 class ListedEndpoints(NamedTuple):
-    """A parsed list or change of the list, and the agent's version of it."""
+    """A parsed list, or change to the list, with the agent's version number."""
 
     version: int
     update: EndpointUpdate
 
 
 def parse_listing(raw: dict[str, Any]) -> ListedEndpoints:
-    """Parse an answer of the agent, skipping entries that are unreadable. ValueError if it is no list."""
+    """Parse a response of the agent, skipping malformed entries. Raises ValueError if it is not a list."""
     try:
         version = int(raw["generation"])
         is_full = bool(raw["reset"])
         entries = list(raw["instances"])
     except (KeyError, TypeError, OverflowError) as error:
         raise ValueError(f"malformed list: {error!r}") from error
-    # Of one that is listed twice the later entry counts.
+    # If an endpoint is listed twice, the later entry counts.
     endpoints: dict[str, EndpointRecord] = {}
     status_changes: dict[str, Listing] = {}
     for entry in entries:
@@ -61,10 +62,10 @@
 def _apply_status_only(
     entry: Any, endpoints: dict[str, EndpointRecord], status_changes: dict[str, Listing]
 ) -> None:
-    """Take over the lifecycle of an entry that is unreadable otherwise.
+    """Apply only the lifecycle of an entry that is otherwise malformed.
 
-    Guards the others against that entry: where its endpoint is known already, the known record stays valid,
-    except for its lifecycle.
+    A malformed entry does not affect other entries. If its endpoint is known already, the known record stays
+    valid except for its lifecycle.
     """
     if not isinstance(entry, dict) or "instanceId" not in entry:
         return
@@ -83,7 +84,7 @@
     zone = entry.get("zone")
     rate = float(entry.get("weight", 0.0))
     if not 0 <= rate < MAX_RATE:
-        raise ValueError(f"{name}: weight {rate} makes no sense")
+        raise ValueError(f"{name}: weight {rate} is out of range")
     return EndpointRecord(
         name,
         int(entry["cell"]),
@@ -96,30 +97,30 @@
 
 
 class DiscoveryClient:
-    """The agent's list as an endpoint source; a failed poll keeps the version, so no change is missed."""
+    """Polls the agent's list. A failed poll does not change the known version, so no change is missed."""
 
     def __init__(
         self, agent_address: Address, relay_count: int = 1, seed: int = 0, shared: bool = True
     ) -> None:
-        """Create a client that polls at its own pace.
+        """Create a client with its own poll schedule.
 
-        `relay_count` relays poll, with `shared` all of them the same agent; `seed` is for this relay's
-        random pauses.
+        `relay_count`: number of relays that poll; with `shared` all of them poll the same agent. `seed`: for
+        this relay's random pauses.
         """
         self.agent = AgentClient(agent_address)
-        self.version = -1  # of the list that is known; negative: none
+        self.version = -1  # version of the known list; negative: none
         self.poll_schedule = PollSchedule(relay_count, random.Random(seed), shared)
         self.calls = CallsInFlight()
-        self.awaited: DiscoveryCall | None = None  # the newest call, until it is answered, failed or late
-        self.next_call_at = 0.0  # on the loop's clock; with an awaited call: when that is late
+        self.awaited: DiscoveryCall | None = None  # the newest call, until it completes, fails or is late
+        self.next_call_at = 0.0  # on the loop's clock; for an awaited call: when it counts as late
 
     def load_configured(self, raw: dict[str, Any]) -> EndpointUpdate:
-        """The list in the configuration: it may be old, but its version says how old. Raises ValueError."""
+        """Parse the list in the configuration, which may be outdated, and its version. Raises ValueError."""
         self.version, update = parse_listing(raw)
         return update
 
     def reload(self, config: Config) -> None:
-        """Switch to the configured agent. It counts its own versions: its whole list is requested."""
+        """Switch to the configured agent. Versions are local to an agent, so its full list is requested."""
         self.close()
         self.agent = AgentClient(config.discovery)
         self.version = -1
@@ -127,14 +128,14 @@
         self.poll_schedule.reset()
 
     def close(self) -> None:
-        """Give up all calls, and close the connections to the agent."""
+        """Cancel all calls, and close the connections to the agent."""
         self.calls.close()
         self.agent.close()
 
     async def run(self, on_update: EndpointUpdateCallback) -> None:
-        """Poll until cancelled. With a known list it waits for its turn first, else it polls at once."""
+        """Poll until cancelled. The first poll is made at once, or after a delay if a list is known."""
         loop = asyncio.get_running_loop()
-        calls = self.calls  # a reload has others
+        calls = self.calls  # a reload replaces self.calls
         self.awaited = None
         self.next_call_at = loop.time()
         if self.version >= 0:
@@ -150,7 +151,7 @@
             calls.close()
 
     def start_call(self) -> DiscoveryCall:
-        """Request the changes since the known version, or the whole list."""
+        """Request the changes since the known version, or the full list."""
         if self.calls.uses(self.agent):
             self.agent = AgentClient(self.agent.address)
         watch_ms = round(self.poll_schedule.watch_duration_ms()) if self.version >= 0 else 0
@@ -161,12 +162,14 @@
         return self.awaited
 
     def _on_due(self) -> None:
-        """Make the next call, or, where one is awaited, stop waiting for that one alone."""
+        """Make the next call. If a call is awaited, stop awaiting it first, without cancelling it."""
         if self.awaited is None:
             self.start_call()
             return
         self.awaited = None
-        log.warning(LogEvent("discovery poll failed", why="the answer is late; it still counts if it comes"))
+        log.warning(
+            LogEvent("discovery poll failed", why="the response is late; it is still used if it arrives")
+        )
         self._pause()
 
     def _pause(self, is_refused: bool = False) -> None:
@@ -174,7 +177,7 @@
         self.next_call_at = asyncio.get_running_loop().time() + pause_ms / 1000
 
     def _complete(self, call: DiscoveryCall, on_update: EndpointUpdateCallback) -> None:
-        """Apply the answer of a call, or note that it has failed."""
+        """Apply the response of a call, or handle its failure."""
         is_awaited = call is self.awaited
         if is_awaited:
             self.awaited = None
@@ -185,7 +188,7 @@
                 self.version = version
         except (AgentError, ValueError) as error:
             call.agent.close()
-            if is_awaited:  # else another call has been made since, or will be
+            if is_awaited:  # else another call was made since, or is scheduled
                 log.warning(LogEvent("discovery poll failed", why=error))
                 self._pause(is_refused=isinstance(error, ValueError))
         except Exception:
@@ -195,14 +198,14 @@
             self._on_answered(call)
 
     def _is_outdated(self, call: DiscoveryCall, version: int) -> bool:
-        """Whether another call, which it crossed, has brought this list or a later one.
+        """Return whether a concurrent call has returned this list or a later one.
 
-        An older version is believed otherwise: the agent may count anew.
+        Otherwise a lower version is accepted: the agent may have restarted its numbering.
         """
         return version <= self.version and call.known_version != self.version
 
     def _on_answered(self, call: DiscoveryCall) -> None:
-        """Make the next call at once, unless a watch is open already."""
+        """Make the next call at once, unless a long poll is already open."""
         self.poll_schedule.on_answered()
         self.calls.cancel_older(call)
         if call.agent is not self.agent:
--- a/message_relay/http/endpoint_client.py
+++ b/message_relay/http/endpoint_client.py
@@ -1,7 +1,7 @@
-"""The transport over HTTP/1.1: makes attempts at endpoints, and says what the end of each one proves.
+"""The transport over HTTP/1.1: makes attempts at endpoints, and reports what the result of each proves.
 
-A connection carries one attempt at a time. An attempt starts at the endpoint with the last byte of its
-request: whatever happens before that byte has left proves that nothing ran.
+A connection carries one attempt at a time. The endpoint processes an attempt only once it has the last byte
+of the request: a failure before that byte was sent proves that the attempt had no effect.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from .keep_alive import is_connection_rejection
 
 IDLE_LIMIT_SHARE = (
-    0.8  # of the idle limit: an older connection may be closed while a request is written to it
+    0.8  # of the idle limit: the endpoint may close an older connection while a request is written
 )
-BODY_TIMEOUT_S = 1.0  # a body that takes longer costs its connection, and a rejection its proof
+BODY_TIMEOUT_S = 1.0  # after that the connection is closed, and a rejection no longer proves that nothing ran
 MAX_BODY_BYTES = 64 * 1024
-# The last byte of a message that must not run twice is withheld, in case an end is on its way.
+# How long the last byte of an unsafe message is withheld, in case the endpoint is closing the connection.
 UNSAFE_WITHHOLD_S = 0.025
-# And that of other attempts, while connections break: most ends arrive as quickly as this.
+# The same for other attempts, after a connection broke recently; most closes arrive within this time.
 WITHHOLD_S = 0.005
-BREAK_MEMORY_S = 10.0  # so long after an idle connection has broken
+BREAK_MEMORY_S = 10.0  # how long WITHHOLD_S applies after an idle connection broke
 
 
 @dataclass(slots=True)
 class AttemptConnection:
-    """The connection that one attempt is on, and the time to wait that its response has asked for."""
+    """The connection of one attempt, and the wait time that its response requested."""
 
     connection: EndpointConnection | None = None
     retry_after_ms: float = 0.0
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the last byte has left. Before that the endpoint never had the complete request."""
+        """Whether the last byte was sent. Before that the endpoint cannot have the complete request."""
         return self.connection is not None and self.connection.is_request_sent
 
     def assign(self, connection: EndpointConnection) -> EndpointConnection:
-        """Use this connection; what was sent on it before does not count."""
+        """Use this connection; earlier requests on it do not count as sent."""
         self.connection = connection
         connection.is_request_sent = False
         return connection
@@ -55,7 +55,7 @@
 
 
 class EndpointClient:
-    """Makes attempts on pooled connections. Times are in milliseconds; a connect timeout of 0 is none."""
+    """Makes attempts on pooled connections. Times are in ms; a connect timeout of 0 means none."""
 
     def __init__(
         self,
@@ -68,14 +68,14 @@
         self.report_fields = report_fields
         self.connect_timeout_s = connect_timeout_ms / 1000 or None
         self.pool = ConnectionPool(IDLE_LIMIT_SHARE * idle_ms / 1000, max_idle)
-        # Connections whose result is known, and whose response is not complete; oldest first.
+        # Connections with a known result and an incomplete response body; oldest first.
         self.receiving_bodies: dict[EndpointConnection, None] = {}
         self.max_receiving_bodies = max_receiving_bodies
-        # When an idle connection broke before its attempt was answered, on the loop's clock.
+        # When a reused connection last broke before a response, on the loop's clock.
         self.last_break_at = -BREAK_MEMORY_S
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
-        """Make one attempt; giving up closes its connection, which frees the slot at the endpoint."""
+        """Make one attempt; cancelling it closes the connection, which frees the slot at the endpoint."""
         current = AttemptConnection()
         key = (attempt.endpoint, attempt.address)
         try:
@@ -102,9 +102,9 @@
     async def _read_result(
         self, attempt: Attempt, connection: EndpointConnection, current: AttemptConnection
     ) -> AttemptResult:
-        """The result of a request that was written in full."""
+        """Return the result of a request that was sent in full."""
         if await connection.status == 200:
-            # True also if the rest of the response is malformed: the message is delivered.
+            # The message is delivered even if the rest of the response is malformed.
             report = self._available_report(connection)
             return AttemptResult(Outcome.OK, is_finished=True, load_report=report)
         head = await connection.head
@@ -114,15 +114,15 @@
         ):
             self.pool.record_rejection(attempt.kind)
         if result.outcome.proves_no_effect:
-            # Guards unsafe messages: what looks like a rejection but does not end as one is malformed,
-            # and the request of a malformed response has run.
+            # Protects unsafe messages: a rejection whose body is not complete counts as a malformed response,
+            # after which the request may have run.
             current.retry_after_ms = result.retry_after_ms
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 await connection.complete_body
         return result
 
     def _available_report(self, connection: EndpointConnection) -> tuple[float, ...]:
-        """The load report, as far as the head has arrived, of a response whose first line is enough."""
+        """Return the load report if the head has arrived already; the result needs only the status line."""
         if not connection.head.done() or connection.head.exception() is not None:
             return ()
         return parse_load_report(connection.head.result(), self.report_fields)
@@ -130,10 +130,10 @@
     async def _write_request(
         self, attempt: Attempt, key: EndpointKey, current: AttemptConnection
     ) -> EndpointConnection | None:
-        """Write the complete request; the connection, or None if it may not be sent after all.
+        """Write the complete request; returns the connection, or None if sending is no longer permitted.
 
-        An idle connection that breaks before the last byte says nothing of the endpoint: the request goes
-        out on another at once.
+        If an idle connection breaks before the last byte, that does not indicate a problem of the endpoint:
+        the request is retried on another connection at once.
         """
         for may_reuse in (True, True, False):
             idle = self.pool.pop(key) if may_reuse else None
@@ -146,7 +146,7 @@
                 withhold_s = self._withhold_s(attempt, is_reused=idle is not None)
                 await connection.send("POST", "/inbox", _headers(attempt), attempt.body, withhold_s)
                 if withhold_s:
-                    if not attempt.may_write():  # the time until the last byte counts too
+                    if not attempt.may_write():  # the permission may have ended in the meantime
                         return None
                     await connection.send_withheld_byte()
                 return connection
@@ -155,13 +155,13 @@
                     raise
                 self.last_break_at = asyncio.get_running_loop().time()
                 current.close()
-        raise ConnectionLostError("no connection stays up")
+        raise ConnectionLostError("no connection stayed open")
 
     def _withhold_s(self, attempt: Attempt, is_reused: bool) -> float:
-        """How long the last byte is withheld, in seconds.
+        """Return how long the last byte is withheld, in seconds.
 
-        Guards against resets that prove nothing: a connection that breaks before the last byte, as one does
-        that had ended unnoticed, proves that nothing ran.
+        A reset after the last byte is ambiguous. If the connection had been closed by the endpoint unnoticed,
+        it breaks while the last byte is withheld, which proves that nothing ran.
         """
         if attempt.ambiguity_is_final:
             return UNSAFE_WITHHOLD_S
@@ -192,13 +192,13 @@
         return connection
 
     def _release_after_body(self, key: EndpointKey, connection: EndpointConnection) -> None:
-        """Return a connection to the pool once its response is complete; the result is known before."""
+        """Return a connection to the pool once its response is complete, after the result was returned."""
         if connection.complete_body.done():
             self.pool.add(key, connection)
             return
         timeout = asyncio.get_running_loop().call_later(BODY_TIMEOUT_S, connection.close)
         if len(self.receiving_bodies) >= self.max_receiving_bodies:
-            # Guards the descriptors against bodies that never end.
+            # Limits the descriptors used by response bodies that never end.
             next(iter(self.receiving_bodies)).close()
         self.receiving_bodies[connection] = None
 
--- a/message_relay/http/endpoint_messages.py
+++ b/message_relay/http/endpoint_messages.py
@@ -1,7 +1,7 @@
-"""Requests that the relay sends, to endpoints and the agent, and the responses to them, as bytes.
+"""Encoding of requests to endpoints and the agent, and parsing of their responses.
 
-Responses that are written in the usual way are parsed here with one regular expression; all others go through
-h11. `client_messages` holds the opposite direction.
+Responses in the most common form are parsed here with one regular expression; all others by h11.
+`client_messages` is for the opposite direction.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 Headers = list[tuple[str, str]]
 
-MAX_PLAIN_RESPONSE_BYTES = 2048  # longer ones are rare
-# A complete response in the usual form. What this accepts, h11 parses to the same response
+MAX_PLAIN_RESPONSE_BYTES = 2048  # longer responses are rare and left to h11
+# A complete response in the most common form. h11 parses everything that this accepts to the same response
 # (tests/http/test_plain_messages.py).
 PLAIN_RESPONSE = re.compile(
     rb"HTTP/1\.1 ([2-5]\d\d)(?: [ -~]*)?\r\n((?:[A-Za-z0-9-]{1,60}: ?[!-~]*\r\n){1,24})\r\n"
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of a response; the names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
 def parse_plain_response(data: bytes) -> tuple[ResponseHead, bytes] | None:
-    """Parse a complete response in the usual form with nothing behind it; None if h11 has to parse it.
+    """Parse a complete response in the common form without trailing bytes; None if h11 has to parse it.
 
-    Returns its head and its body.
+    Returns the head and the body.
     """
     head = PLAIN_RESPONSE.match(data) if len(data) <= MAX_PLAIN_RESPONSE_BYTES else None
     if head is None:
@@ -54,12 +54,15 @@
 
 
 def encode_request(method: str, target: str, headers: Headers, body: bytes) -> bytes:
-    """The bytes of a request. ConnectionLostError if a header has a line break, which would start another."""
+    """Encode a request.
+
+    Raises ConnectionLostError for a line break in a header value, which would start another header.
+    """
     lines = [
         f"{method} {target} HTTP/1.1\r\n",
         *(f"{name}: {value}\r\n" for name, value in headers),
         f"Content-Length: {len(body)}\r\n\r\n",
     ]
     if any(LINE_BREAK.search(value) for _, value in headers):
-        raise ConnectionLostError("a header's value holds a line break")
+        raise ConnectionLostError("a header value contains a line break")
     return "".join(lines).encode("latin-1") + body
--- a/message_relay/http/errors.py
+++ b/message_relay/http/errors.py
@@ -1,15 +1,15 @@
-"""Exceptions of the HTTP package, under one base."""
+"""Exceptions of the HTTP package."""
 
 from __future__ import annotations
 
 
 class HttpError(Exception):
-    """Base of all errors that this package raises on its own account."""
+    """Base class of the exceptions that this package defines."""
 
 
 class ConnectionLostError(HttpError):
-    """The connection cannot be used, or broke, or the other side does not speak HTTP."""
+    """The connection cannot be used or broke, or the peer does not speak HTTP."""
 
 
 class AgentError(HttpError):
-    """The platform's agent sent no answer in time, or none that can be used."""
+    """The platform's agent sent no response in time, or an unusable one."""
--- a/message_relay/http/headers.py
+++ b/message_relay/http/headers.py
@@ -1,4 +1,4 @@
-"""Headers as they are read on both sides."""
+"""Header decoding for both requests and responses."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def headers_by_name(headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Headers by their names in lower case; HTTP headers are Latin-1."""
+    """Return the headers by lower-case name, decoded as Latin-1."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in headers}
--- a/message_relay/http/listener.py
+++ b/message_relay/http/listener.py
@@ -1,7 +1,7 @@
 """Accepts connections from the kernel only while there is capacity for them.
 
-A connection that waits in the kernel's queue costs no descriptor, and its client nothing but the wait.
-Accepted and closed again, the client would have to try elsewhere.
+A connection that waits in the kernel's queue uses no descriptor, and costs its client only the wait. If it
+were accepted and closed again, the client would have to retry elsewhere.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512  # length of the kernel's queue: a flood must not push out those behind it
-ACCEPT_BATCH = 16  # in one turn of the loop; composition.OWN_SOCKETS reserves their descriptors
+BACKLOG = 512  # length of the kernel's queue; in a short one a flood would displace later connections
+ACCEPT_BATCH = 16  # per loop iteration; composition.OWN_SOCKETS reserves descriptors for them
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
-    """Listening sockets that pause while there is no capacity.
+    """Listening sockets that stop accepting while there is no capacity.
 
-    `has_capacity` is called before each connection is accepted. After it has returned False nothing is
+    `has_capacity` is called before each connection is accepted. Once it returns False, no connection is
     accepted until `resume` is called.
     """
 
@@ -37,18 +37,20 @@
         self.protocol_factory = protocol_factory
         self.has_capacity = has_capacity
         self.sockets: list[socket.socket] = []
-        self.starting_count = 0  # accepted, and not yet announced to their protocol
+        self.starting_count = 0  # accepted connections whose protocol is not connected yet
         self.is_paused = False
         self.tasks = BackgroundTasks()
 
     def listen(self, host: str, port: int, inherited_socket: socket.socket | None = None) -> None:
-        """Listen at an address, or on a socket that was handed over. Raises OSError."""
+        """Listen at an address, or on an inherited socket. Raises OSError."""
         if inherited_socket is not None:
             inherited_socket.listen(BACKLOG)
             self.sockets = [inherited_socket]
         else:
-            found = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-            for family, address in dict.fromkeys((info[0], info[4]) for info in found):
+            address_infos = socket.getaddrinfo(
+                host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE
+            )
+            for family, address in dict.fromkeys((info[0], info[4]) for info in address_infos):
                 self.sockets.append(socket.create_server(address[:2], family=family, backlog=BACKLOG))
         for sock in self.sockets:
             sock.setblocking(False)
@@ -60,7 +62,7 @@
         return int(self.sockets[0].getsockname()[1])
 
     def resume(self) -> None:
-        """Accept again after a pause: there may be capacity by now."""
+        """Accept again after a pause, as there may be capacity now."""
         if self.is_paused:
             self.is_paused = False
             self._start_accepting()
@@ -70,14 +72,15 @@
             asyncio.get_running_loop().add_reader(sock.fileno(), self._accept_ready, sock, ACCEPT_BATCH)
 
     def _pause_accepting(self) -> None:
-        """Guards the loop against a listener that is readable all the time, and can't be read."""
+        """Stop polling the sockets: they stay readable, which would keep the loop busy."""
         self.is_paused = True
         for sock in self.sockets:
             asyncio.get_running_loop().remove_reader(sock.fileno())
 
     def _accept_ready(self, sock: socket.socket, limit: int) -> None:
         for _ in range(limit):
-            # Checked first: `has_capacity` may evict a connection, which must not happen for nobody's sake.
+            # Checked first: `has_capacity` may evict a connection, which is only justified if another one
+            # waits.
             if not poll_socket(sock, select.POLLIN):
                 return
             if not self.has_capacity():
@@ -100,13 +103,13 @@
     async def _start_connection(self, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self.protocol_factory, accepted)
-        except OSError:  # the client has gone
+        except OSError:  # the client has disconnected
             accepted.close()
         finally:
             self.starting_count -= 1
 
     def close(self) -> None:
-        """Accept what has arrived by now, and no more: a closed queue resets all that wait in it."""
+        """Accept the waiting connections, then close: closing a socket resets those in its queue."""
         for sock in self.sockets:
             if not self.is_paused:
                 self._accept_ready(sock, BACKLOG)
--- a/message_relay/http/outcome_notifier.py
+++ b/message_relay/http/outcome_notifier.py
@@ -1,4 +1,4 @@
-"""Outcome notifications: how the platform learns what became of an accepted message that is not delivered."""
+"""Notifies the platform of the final outcomes of accepted messages that are not delivered."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BATCH_LINES = 200  # in one request
-# The agent answers at once, and an outcome is due 0.3 s after its message's deadline: a connection that has
-# fallen silent is found out within this time, and the batch is sent once more on another.
+MAX_BATCH_LINES = 200  # notifications per request
+# A notification is due 0.3 s after its message's deadline, and the agent normally responds at once. With this
+# timeout an unresponsive connection is detected in time to resend the batch on another.
 MIN_TIMEOUT_S = 0.1
-MAX_TIMEOUT_S = 1.0  # of an agent that is slow
-TIMEOUT_MULTIPLE = 4.0  # of the time that its latest response took
-# Between failed requests.
+MAX_TIMEOUT_S = 1.0  # for a slow agent
+TIMEOUT_MULTIPLE = 4.0  # timeout as a multiple of the latest response time
+# Backoff between failed requests.
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
 
 
 class OutcomeNotifier:
-    """Sends each notification until it is answered with 204: at least once.
+    """Sends each notification until it is acknowledged with 204 (at-least-once delivery).
 
-    The journal retains it until `on_notified` is called with its id, so this holds over a restart too.
+    The journal retains a notification until `on_notified` is called with its id, so this also holds across
+    restarts.
     """
 
     def __init__(self, agent: AgentClient, on_notified: Callable[[list[str]], None]) -> None:
         self.agent = agent
         self.on_notified = on_notified
-        self.pending: dict[str, str] = {}  # message id -> line of the request
+        self.pending: dict[str, str] = {}  # line of the request body, by message id
         self.wake = asyncio.Event()
         self.batch_size = MAX_BATCH_LINES
         self.timeout_s = MIN_TIMEOUT_S
 
     def add(self, message_id: str, state: str, after_ms: float = 0.0) -> None:
-        """Queue a notification; `after_ms` is when the client may submit the message again."""
+        """Queue a notification; `after_ms`: delay until the client may submit the message again."""
         line: dict[str, object] = {"id": message_id, "state": state}
         if after_ms > 0:
             line["after_ms"] = round(after_ms)
@@ -49,13 +50,13 @@
         self.wake.set()
 
     def switch_agent(self, agent: AgentClient) -> None:
-        """Send what is queued or unanswered to this agent: a notification sent twice does no harm."""
+        """Send queued and unacknowledged notifications to this agent; sending one twice is harmless."""
         self.agent = agent
         if self.pending:
             self.wake.set()
 
     async def run(self) -> None:
-        """Send what is queued, batch by batch, until cancelled."""
+        """Send queued notifications in batches until cancelled."""
         backoff = ExponentialBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S, random.Random())
         while True:
             await self.wake.wait()
@@ -75,7 +76,7 @@
                     await asyncio.sleep(backoff.next_delay())
 
     def _move_to_end(self, message_ids: list[str]) -> None:
-        """Let the others go first: an agent that never answers in time still gets each notification."""
+        """Move a batch behind the others, so that an agent that never responds in time gets them all."""
         for message_id in message_ids:
             if message_id in self.pending:
                 self.pending[message_id] = self.pending.pop(message_id)
@@ -87,9 +88,9 @@
         status, _ = await self.agent.request("POST", "/v1/outcomes", body, self.timeout_s)
         self.timeout_s = min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_MULTIPLE * (clock() - started_at)))
         if status != 204:
-            # Guards the others against one line that is rejected: from here on, one by one and in turn.
+            # One rejected line must not block the others: send them one by one until batches succeed again.
             self.batch_size = 1
-            raise AgentError(f"{len(message_ids)} notices answered {status}")
+            raise AgentError(f"{len(message_ids)} notifications got status {status}")
         self.batch_size = min(MAX_BATCH_LINES, 2 * self.batch_size)
         for message_id in message_ids:
             del self.pending[message_id]
--- a/message_relay/http/socket_state.py
+++ b/message_relay/http/socket_state.py
@@ -1,4 +1,4 @@
-"""The state of a socket as the kernel has it now, which may be ahead of what the event loop has reported."""
+"""Current state of a socket in the kernel, which may be newer than what the event loop has reported."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def poll_socket(sock: socket.socket, events: int) -> bool:
-    """Whether any of these `select.POLL...` events (or an error) is pending; returns at once."""
+    """Return whether any of these `select.POLL...` events (or an error) is pending; does not block."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
 
 
 def is_socket_ready(transport: asyncio.BaseTransport | None, events: int) -> bool:
-    """Whether any of these events is pending on the transport's socket; True also if it is closed."""
+    """Return whether any of these events is pending on the transport's socket; True if it is closed."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.fileno() < 0:
         return True
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -312,7 +312,7 @@
                 "dying": host.journal.retained,
                 "silent": ingress.silent,
                 "resting": ingress.idle_submitters,
-                "visiting": ingress.idle_visitors,
+                "visiting": ingress.idle_without_submission,
                 "lingering": ingress.lingering,
                 "queues": relay_.pending.queues,
                 "due": relay_.pending.scans_due,
--- a/tests/http/test_client_connections.py
+++ b/tests/http/test_client_connections.py
@@ -140,7 +140,10 @@
             await until(lambda: not host.ingress.connections)
             ingress_ = host.ingress
             assert not (
-                ingress_.silent or ingress_.idle_visitors or ingress_.idle_submitters or ingress_.lingering
+                ingress_.silent
+                or ingress_.idle_without_submission
+                or ingress_.idle_submitters
+                or ingress_.lingering
             )
 
     run(work())
