--- a/message_relay/__init__.py
+++ b/message_relay/__init__.py
@@ -1,4 +1,4 @@
-"""A message relay: it journals messages and delivers them by calls to endpoints it does not control."""
+"""A message relay that journals messages and delivers them by calls to endpoints it does not control."""
 
 from .decisions.model import Settings
 from .decisions.scheduler import DeliveryScheduler
--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -1,6 +1,6 @@
 """`python -m message_relay` runs one instance, configured by the RELAY_ variables.
 
-With arguments it is the command line of `message_relay.cli`.
+With arguments it runs a command of `message_relay.cli`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 def main() -> int:
     """Runs an instance or a command, and returns the exit code."""
-    if len(sys.argv) == 1:  # as the platform runs it: without importing the command line
+    if len(sys.argv) == 1:  # the platform's way to start it; does not import the command line
         from .process import main as run
 
         return run()
--- a/message_relay/composition.py
+++ b/message_relay/composition.py
@@ -1,7 +1,7 @@
-"""Composition root: puts a relay together from its configuration.
+"""Composition root: builds a relay from its configuration.
 
-The platform's intake, transport and source of endpoints are always there; brokers only where the operator's
-file names them.
+The platform's intake, transport and endpoint source are always included; those of brokers only if the
+operator's file names any.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 
 log = logging.getLogger(__name__)
 
-# Sources of endpoints, by the name that their updates have.
-REGISTER = ""
-AMQP = "amqp"
-AMQP_SCHEME = "amqp"  # of the addresses of a broker's queues
-# Descriptors of the loop, the log, the listener, the journal, two agents and a file, and those of connections
-# that are being accepted.
+# Names of the endpoint sources in their updates.
+DISCOVERY_SOURCE = ""
+AMQP_SOURCE = "amqp"
+AMQP_SCHEME = "amqp"  # scheme of the addresses of a broker's queues
+# Descriptors reserved for the loop, the log, the listener, the journal, two agent connections and a file, and
+# for discovery calls and connections that are being accepted.
 OWN_SOCKETS = 24 + MAX_CALLS + ACCEPT_BATCH
-# Parts of all descriptors, as divisors.
+# Each use gets the total number of descriptors divided by one of these.
 IDLE_DIVISOR = 8  # idle connections to endpoints
 RECEIVING_DIVISOR = 16  # connections whose response is not complete
-CROWDING_DIVISOR = 12  # connections of clients from which on idle ones are closed early
+CROWDING_DIVISOR = 12  # idle client connections from which on idle ones are closed early
 
 
 @dataclass(frozen=True, slots=True)
 class ComposedRelay:
-    """A relay and the parts that are plugged into it."""
+    """A relay with its intake, transport and discovery client."""
 
     relay: Relay
     intake: client_intake.ClientIntake
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerParts:
-    """What brokers add to a relay."""
+    """The intakes, transport and endpoint source for message brokers."""
 
     intakes: dict[str, Intake]
     transport: Transport
@@ -68,9 +68,10 @@
 def compose(
     config: Config, sockets: Mapping[str, socket.socket] | None = None, amqp: AmqpSettings | None = None
 ) -> ComposedRelay:
-    """Puts a relay together. Raises ConfigError where the brokers cannot be used.
+    """Builds a relay. Raises ConfigError if the brokers cannot be used.
 
-    `sockets`: the listening sockets that a service manager has handed over. `amqp`: the operator's brokers.
+    `sockets`: listening sockets inherited from a service manager. `amqp`: the settings of the operator's
+    brokers.
     """
     relay = Relay(config)
     client, max_clients = _endpoint_client(config)
@@ -86,21 +87,22 @@
     intakes: dict[str, Intake] = {client_intake.NAME: intake}
     transport: Transport = client
     sources: list[EndpointSource] = [discovery]
-    update_merge: UpdateMerge | None = None  # one source needs none
+    update_merge: UpdateMerge | None = None  # not needed for a single source
     if amqp is not None and amqp.brokers:
         brokers = _broker_parts(amqp, config, relay)
         intakes |= brokers.intakes
         transport = TransportRouter(client, {AMQP_SCHEME: brokers.transport})
         sources.append(brokers.source)
-        update_merge = SourceMerge([REGISTER, AMQP])
+        update_merge = SourceMerge([DISCOVERY_SOURCE, AMQP_SOURCE])
     relay.connect(intakes, transport, sources, update_merge)
     return ComposedRelay(relay, intake, client, discovery, _initial_endpoints(config, discovery))
 
 
 def _endpoint_client(config: Config) -> tuple[EndpointClient, int]:
-    """The client for endpoints, and how many connections of clients the remaining descriptors allow.
+    """Creates the endpoint client, and returns with it the number of client connections to allow.
 
-    Clients get what calls cannot need, so that a flood of connections leaves every call its descriptor.
+    Client connections get only the descriptors that calls cannot need, so that a flood of connections leaves
+    a descriptor for every call.
     """
     settings = config.settings
     max_idle = max(1, config.sockets // IDLE_DIVISOR)
@@ -113,7 +115,7 @@
 
 
 def _initial_endpoints(config: Config, discovery: DiscoveryClient) -> EndpointUpdate | None:
-    """The endpoints that the configuration lists; None where there are none, or none that can be used."""
+    """Returns the endpoints that the configuration lists; None if it lists none or an invalid list."""
     if not config.known_endpoints:
         return None
     try:
@@ -124,7 +126,7 @@
 
 
 def _broker_parts(settings: AmqpSettings, config: Config, relay: Relay) -> BrokerParts:
-    """The parts for brokers, imported only where they are needed, to save the platform's memory."""
+    """Creates the components for brokers; imports them only if needed, to save memory on the platform."""
     try:
         from .amqp import intake
         from .amqp.source import ConfiguredEndpoints
@@ -132,9 +134,10 @@
 
         rng = Random(config.seed)
         publisher = BrokerPublisher(settings, rng)
-        deadlines_ms = {each.name: each.deadline_ms for each in config.settings.classes}
+        deadlines_ms = {cls.name: cls.deadline_ms for cls in config.settings.classes}
         queues = intake.QueueIntake(settings.queues, publisher.brokers, relay.messages, deadlines_ms, rng)
-        # Also where no queue is named any more: answers to messages that came by one may still be owed.
+        # Created even if no queue is configured any more: outcomes of messages from a former queue may still
+        # be owed.
         return BrokerParts({intake.NAME: queues}, publisher, ConfiguredEndpoints(settings))
     except ImportError as error:
         raise ConfigError(f"amqp: needs the extra 'amqp' ({error})") from error
--- a/message_relay/config.py
+++ b/message_relay/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a relay: the file that `RELAY_CONFIG` names and the environment, as typed values."""
+"""Loads the configuration of a relay from the file that `RELAY_CONFIG` names and the environment."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 Address = tuple[str, int]  # host and port
 
-BASE_MEMORY_MB = 24  # of an instance without messages: the interpreter, the program, its buffers
-MESSAGE_BYTES = 4000  # memory of a pending message of usual size, its body and journal entry included
-MIN_SOCKETS = 64  # descriptors: some forty are the process's own, calls and clients need the rest
+BASE_MEMORY_MB = 24  # memory of an instance without messages: interpreter, program, buffers
+MESSAGE_BYTES = 4000  # memory of a pending message of typical size, with its body and journal entry
+MIN_SOCKETS = 64  # descriptors: the process itself uses about 40, calls and clients need the rest
 MAX_SOCKETS = 1024
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says what is wrong with it."""
+    """The configuration cannot be used; the text describes the problem."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,11 +39,11 @@
     known_endpoints: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
-    sync_ms: float | None = None  # of the journal: see store/durability.py; None: as on the platform, no sync
+    sync_ms: float | None = None  # of the journal, see store/durability.py; None: no sync, as on the platform
 
 
 def address(text: object) -> Address:
-    """HOST:PORT as an address. Raises ValueError."""
+    """Parses HOST:PORT. Raises ValueError."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -51,7 +51,7 @@
 
 
 def check_memory_limit(max_pending: int, memory_mb: float | None) -> None:
-    """Raises ValueError if so many messages exceed the limit: better at the start than under load."""
+    """Raises ValueError at startup if so many messages could exceed the memory limit under load."""
     need_mb = BASE_MEMORY_MB + max_pending * MESSAGE_BYTES / 1e6
     if memory_mb is not None and need_mb > float(memory_mb):
         max_fitting = max(0, int((float(memory_mb) - BASE_MEMORY_MB) * 1e6 / MESSAGE_BYTES))
@@ -76,7 +76,7 @@
 
 
 class _File(msgspec.Struct):
-    """The parts of the file that a relay reads; the platform may add others."""
+    """The keys of the configuration file that a relay reads; the platform may add others."""
 
     settings: msgspec.Raw
     name: str | None = None
@@ -95,8 +95,8 @@
 def load(env: Mapping[str, str] = os.environ) -> Config:
     """Reads the file that RELAY_CONFIG names. Raises ConfigError.
 
-    The other RELAY_ variables take precedence over the file, except for discovery: the file is what gets
-    replaced in service, while a process keeps its old environment.
+    The other RELAY_ variables take precedence over the file, except for discovery: the file can be replaced
+    while the process runs, but its environment cannot.
     """
     path = env.get("RELAY_CONFIG", "")
     if not path:
--- a/message_relay/process.py
+++ b/message_relay/process.py
@@ -1,4 +1,4 @@
-"""The entry point of one instance: which kind of process it is, and its exit codes."""
+"""Entry point of one instance: selects the kind of process and returns its exit code."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from .store.errors import DirectoryLockedError, UnsupportedFormatError
 from .structured_logging import configure_plain_logging
 
-OPERATOR_FILE_VARIABLE = "RELAY_OPERATOR"  # names the operator's file, where there is one
+OPERATOR_FILE_VARIABLE = "RELAY_OPERATOR"  # path of the operator's file, if there is one
 EXIT_CONFIG_REJECTED = 2  # the configuration cannot be used
-EXIT_RESOURCE_UNAVAILABLE = 1  # a file, a folder or an address cannot be had
+EXIT_RESOURCE_UNAVAILABLE = 1  # a file, folder or address is unavailable
 
 
 async def serve() -> None:
@@ -34,7 +34,7 @@
 
 def main() -> int:
     """Runs one instance until it is stopped, and returns the exit code (docs/daemon.md)."""
-    # Guards against the default action, which ends the process, until the loop has a handler of its own.
+    # Until the loop installs its own handler: the default action would terminate the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_plain_logging()
     try:
--- a/message_relay/relay_process.py
+++ b/message_relay/relay_process.py
@@ -1,4 +1,4 @@
-"""One relay instance as a process: its signals, and its life from start to stop."""
+"""One relay instance as a process: signal handling, start, reload and stop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ProcessSignals:
-    """The signals that this process has received since this object was made, as events."""
+    """Events that are set when the process receives a signal to stop or to reload."""
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
@@ -30,7 +30,7 @@
 
 
 class RelayProcess:
-    """A relay as the platform runs it; `fleet.instance` adds what an operator's file sets."""
+    """A relay as the platform runs it; `fleet.instance` adds the features of an operator's file."""
 
     def __init__(
         self,
@@ -63,13 +63,13 @@
             self.notifier.close()
 
     async def on_serving(self) -> None:
-        """Called when the relay accepts messages, before the service manager learns of it."""
+        """Called when the relay accepts messages, before the service manager is notified."""
 
     def on_stopped(self) -> None:
-        """Called when the relay has stopped, also where that failed."""
+        """Called when the relay has stopped, even if stopping failed."""
 
     async def watch_reloads(self) -> None:
-        """Follows each replaced configuration, also while the relay is stopping."""
+        """Reloads the configuration at each signal, even while the relay is stopping."""
         while True:
             await self.signals.reload.wait()
             self.signals.reload.clear()
@@ -79,12 +79,12 @@
                 log.info(LogEvent("config reloaded"))
             except (ConfigError, ValueError) as error:
                 log.error(LogEvent("config reload rejected", why=error))
-                self.notifier.status(f"the new configuration is passed over: {error}")
+                self.notifier.status(f"the new configuration is rejected: {error}")
             self.notifier.ready()
 
     def reload(self) -> None:
         """Reads the configuration again.
 
-        Raises ConfigError or ValueError, without changing anything, where a file cannot be used.
+        Raises ConfigError or ValueError, without changing anything, if a file cannot be used.
         """
         self.relay.reload(load())
--- a/message_relay/simulator_adapter.py
+++ b/message_relay/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""The operators' simulator protocol on standard input and output; each instance is a `DeliveryScheduler`.
+"""Serves the operators' simulator protocol on standard input and output.
 
-A frame from the simulator has the time and a batch of records, each an event of one instance; the reply frame
-has the resulting actions. All numbers are little-endian.
+Each simulated instance is a `DeliveryScheduler`. A frame from the simulator contains the time and a batch of
+records, each an event of one instance; the reply frame contains the resulting actions. All numbers are
+little-endian.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 INSTANCE_STARTED = 80
 ATTEMPT_COMPLETED = 100
 MESSAGE = 110
-IGNORED = (10, 90)  # attempts that have begun (no class here streams), and what neighbours share (nothing)
+IGNORED = (10, 90)  # attempt started (no message class streams), data from other instances (not used)
 
 # Records to the simulator.
 START_ATTEMPT = 10
@@ -81,18 +82,18 @@
 
 
 class WireError(Exception):
-    """The input does not follow the protocol."""
+    """The input violates the protocol."""
 
 
 class SimulatorAdapter:
-    """One scheduler for each simulated instance, and the numbered lists of endpoints that all share."""
+    """Runs one scheduler for each simulated instance; all share the numbered lists of endpoints."""
 
     def __init__(self) -> None:
         self.schedulers: dict[int, DeliveryScheduler] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def handle_frame(self, now: float, count: int, body: bytes) -> bytes:
-        """Hands one frame of events to the schedulers; returns the reply frame."""
+        """Passes one frame of events to the schedulers; returns the reply frame."""
         events: dict[int, list[Event]] = {}
         for code, data in self._records(count, body):
             self._handle_record(code, data, events)
@@ -105,7 +106,7 @@
 
     @staticmethod
     def _records(count: int, body: bytes) -> Iterator[tuple[int, bytes]]:
-        """Code and data of each record in a frame."""
+        """Yields the code and data of each record in a frame."""
         position = 0
         for _ in range(count):
             if position + RECORD_HEADER.size > len(body):
@@ -117,7 +118,7 @@
             yield code, body[position : position + size]
             position += size
         if position != len(body):
-            raise WireError(f"frame holds {len(body) - position} bytes after its last record")
+            raise WireError(f"frame has {len(body) - position} bytes after its last record")
 
     def _handle_record(self, code: int, data: bytes, events: dict[int, list[Event]]) -> None:
         """Applies a record about lists and instances; adds any other as an event of its instance."""
@@ -139,13 +140,13 @@
     def _store_list(self, data: bytes) -> None:
         number, size = struct.unpack_from("<BI", data)
         if len(data) != 5 + size * ENTRY.size:
-            raise WireError("list of endpoints is cut short")
+            raise WireError("endpoint list has the wrong length")
         self.lists[number] = tuple(endpoint_of(row) for row in ENTRY.iter_unpack(data[5:]))
 
     def _start_instance(self, instance: int, data: bytes) -> None:
         seed, size = struct.unpack_from("<QI", data, 4)
         if len(data) != 16 + size:
-            raise WireError("settings are cut short")
+            raise WireError("settings have the wrong length")
         self.schedulers[instance] = DeliveryScheduler(settings_from(data[16:]), seed)
 
     def _check_class(self, instance: int, event: Event) -> None:
@@ -153,7 +154,7 @@
         if not isinstance(event, Message) or scheduler is None:
             return
         if event.class_index >= len(scheduler.settings.classes):
-            raise WireError(f"message {event.id} is of class {event.class_index}, which the settings lack")
+            raise WireError(f"message {event.id} has class {event.class_index}, which is not in the settings")
 
     def _event(self, code: int, data: bytes) -> Event:
         if code == LIST_ANNOUNCED:
@@ -176,7 +177,7 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """A message that a client has submitted."""
+    """Decodes a message that a client has submitted."""
     number, class_index, tenant, key, remaining_ms, work_ms, destination, options = struct.unpack_from(
         "<IBIQddfB", data, 4
     )
@@ -194,7 +195,10 @@
 
 
 def decode_attempt_completed(data: bytes) -> AttemptCompleted:
-    """The result of an attempt; a full endpoint's wait is a Retry-After, any other's means no free slot."""
+    """Decodes the result of an attempt.
+
+    The wait field is a Retry-After for FULL; for NOT_SENT a nonzero value means that no slot was free.
+    """
     message, attempt, endpoint, result, latency_ms, is_done, wait, report_size = struct.unpack_from(
         "<IHIBdBIB", data, 4
     )
@@ -214,19 +218,19 @@
 
 
 def decode_timer_fired(data: bytes) -> TimerFired:
-    """The timer of an instance has fired."""
+    """Decodes the event that the timer of an instance has fired."""
     return TimerFired(struct.unpack_from("<Q", data, 4)[0])
 
 
 def decode_probe_completed(data: bytes) -> ProbeCompleted:
-    """The result of a health check."""
+    """Decodes the result of a health check."""
     endpoint, result, latency_ms, report_size = struct.unpack_from("<IBdB", data, 4)
     report = struct.unpack_from(f"<{report_size}f", data, 18)
     return ProbeCompleted(endpoint, outcome_of(result), latency_ms, report)
 
 
 def decode_message_cancelled(data: bytes) -> MessageCancelled:
-    """A message that its client has withdrawn."""
+    """Decodes the withdrawal of a message by its client."""
     return MessageCancelled(struct.unpack_from("<I", data, 4)[0])
 
 
@@ -240,14 +244,14 @@
 
 
 def outcome_of(code: int) -> Outcome:
-    """The outcome with this code. Raises WireError."""
+    """Returns the outcome with this code. Raises WireError."""
     if code >= len(OUTCOMES):
         raise WireError(f"unknown outcome {code}")
     return OUTCOMES[code]
 
 
 def endpoint_of(row: tuple[Any, ...]) -> Endpoint:
-    """An endpoint from the fields of its entry in a list. Raises WireError."""
+    """Builds an endpoint from the fields of its list entry. Raises WireError."""
     status, weight, _, kind, zone, destination, number = row
     if status not in LISTINGS:
         raise WireError(f"unknown endpoint status {status}")
@@ -255,7 +259,7 @@
 
 
 def encode(instance: int, action: Action) -> bytes:
-    """One action of an instance as a record."""
+    """Encodes one action of an instance as a record."""
     match action:
         case StartAttempt(message, endpoint, until_ms):
             code, body = START_ATTEMPT, struct.pack("<IIId", instance, message, endpoint, until_ms)
@@ -278,7 +282,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """So many bytes. Raises WireError where the input ends before."""
+    """Reads exactly `size` bytes. Raises WireError if the input ends before that."""
     data = stream.read(size)
     if len(data) != size:
         raise WireError("input ends inside a frame")
@@ -297,14 +301,14 @@
 
 
 def main() -> int:
-    """Serves on standard input and output; the exit code is 1 where the input cannot be read."""
+    """Serves standard input and output; the exit code is 1 if input or output fails."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError, struct.error) as error:
         print(f"wirehost: malformed input: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        print("wirehost: the other side went away", file=sys.stderr)
+        print("wirehost: the other side closed the connection", file=sys.stderr)
         return 1
     return 0
 
--- a/message_relay/structured_logging.py
+++ b/message_relay/structured_logging.py
@@ -1,8 +1,8 @@
-"""Structured logging: an event's name and its fields, never a body, a key or a secret.
+"""Structured logging: a record is an event name with fields, never a message body, a key or a secret.
 
-Plain lines through the standard library are the default. Where the operator's file asks for it, structlog
-(extra `ops`) renders the same records as JSON or console lines, and a thread writes them: a reader that is
-slow or has stopped costs lines, which are counted, but never blocks the event loop.
+The default is plain lines through the standard library. If the operator's file enables it, structlog (extra
+`ops`) renders the same records as JSON or console lines, and a thread writes them. If the reader is slow or
+has stopped, lines are dropped and counted; the event loop is never blocked.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from typing import Any
 
 FORMATS = ("plain", "json", "console")
-FLUSH_TIMEOUT_S = 1.0  # at the end, for the lines that are still queued
-MAX_LINE_BYTES = 8192  # a longer line is cut: one record must not fill the buffer
+FLUSH_TIMEOUT_S = 1.0  # for writing the queued lines at shutdown
+MAX_LINE_BYTES = 8192  # longer lines are truncated, so that one record cannot fill the buffer
 
 
 class LogEvent:
-    """An event's name with its fields; rendered as text only where a line is written."""
+    """An event name with its fields; rendered as text only when a line is written."""
 
     __slots__ = ("event", "fields")
 
@@ -65,14 +65,14 @@
                 while line:
                     line = line[os.write(self.descriptor, line) :]
             except OSError:
-                pass  # nobody reads any more; the relay goes on without a log
+                pass  # the reader has closed the log; the relay continues without it
 
     def close(self) -> None:
         """Writes the queued lines, within FLUSH_TIMEOUT_S."""
         try:
             self.lines.put(None, timeout=FLUSH_TIMEOUT_S)
         except queue.Full:
-            return  # the thread hangs in its write, and ends with the process
+            return  # the daemon thread is blocked in a write; it ends with the process
         self.thread.join(FLUSH_TIMEOUT_S)
         super().close()
 
@@ -85,9 +85,9 @@
 def configure_structured_logging(
     format_: str, level: str, capacity: int, descriptor: int = 2
 ) -> BoundedLogWriter:
-    """Replaces whatever was configured. Raises ImportError where structlog is not installed.
+    """Replaces the logging configuration. Raises ImportError if structlog is not installed.
 
-    `format_` is one of FORMATS; `capacity`: lines queued at most.
+    `format_` is one of FORMATS; `capacity` is the maximum number of queued lines.
     """
     writer = BoundedLogWriter(descriptor, capacity)
     if format_ == "plain":
@@ -127,7 +127,7 @@
 def _add_event_fields(
     _logger: object, _method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    """Adds the fields of a record's `LogEvent` to the line, but not over those that every line has."""
+    """Adds the fields of a record's `LogEvent` to the line, without overwriting the standard ones."""
     message = event["_record"].msg
     if isinstance(message, LogEvent):
         event["event"] = message.event
