--- a/tests/core/test_pending_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -1,5 +1,7 @@
-"""Windows in which a message that was tried once could be left without an end in its time: each order is
-made to happen. docs/design/endings.md lists them."""
+"""Races after which an attempted message could get no final outcome in time.
+
+Each test forces one order of events. docs/design/endings.md lists them.
+"""
 
 from __future__ import annotations
 
@@ -33,211 +35,220 @@
 NOTIFIED_WITHIN_S = 0.3  # an outcome arrives no later than this after its message's deadline
 
 
-class Silent:
-    """An agent whose first connections take a batch and say nothing; how long that cost is counted."""
+class UnresponsiveAgent:
+    """An agent that does not answer its first `unanswered` requests; records the timeout of each of these."""
 
-    def __init__(self, silent: int) -> None:
-        self.silent, self.waited, self.asked = silent, list[float](), 0
+    def __init__(self, unanswered: int) -> None:
+        self.unanswered, self.timeouts_s, self.request_count = unanswered, list[float](), 0
 
-    async def request(self, method: str, target: str, body: bytes, seconds: float) -> tuple[int, bytes]:
-        self.asked += 1
-        if self.asked <= self.silent:
-            self.waited.append(seconds)
+    async def request(self, method: str, target: str, body: bytes, timeout_s: float) -> tuple[int, bytes]:
+        self.request_count += 1
+        if self.request_count <= self.unanswered:
+            self.timeouts_s.append(timeout_s)
             raise AgentError("no answer")
         return 204, b""
 
 
 def test_an_outcome_on_a_silent_connection_is_sent_again_in_time() -> None:
-    """Seen to fail where the agent's answer was waited for 1 s: each end in that batch came too late."""
+    """With a fixed response timeout of 1 s each outcome of the unanswered batch was late."""
 
     async def work() -> None:
-        agent, told = Silent(1), list[str]()
-        notices = OutcomeNotifier(agent, told.extend)  # type: ignore[arg-type]
-        notices.add("m", "failed")
-        task = asyncio.ensure_future(notices.run())
-        await until(lambda: told == ["m"])
+        agent, notified = UnresponsiveAgent(1), list[str]()
+        notifier = OutcomeNotifier(agent, notified.extend)  # type: ignore[arg-type]
+        notifier.add("m", "failed")
+        task = asyncio.ensure_future(notifier.run())
+        await until(lambda: notified == ["m"])
         task.cancel()
         assert (
-            sum(agent.waited) + MAX_JITTER * outcome_notifier.MIN_BACKOFF_S < NOTIFIED_WITHIN_S / 1.5
-        )  # a half is left for all else
+            sum(agent.timeouts_s) + MAX_JITTER * outcome_notifier.MIN_BACKOFF_S < NOTIFIED_WITHIN_S / 1.5
+        )  # leaves a third of the time
 
     run(work())
 
 
 def test_the_timeout_for_a_slow_agent_grows_up_to_a_bound() -> None:
     async def work() -> None:
-        agent, told = Silent(6), list[str]()
-        notices = OutcomeNotifier(agent, told.extend)  # type: ignore[arg-type]
-        notices.add("m", "failed")
-        task = asyncio.ensure_future(notices.run())
-        await until(lambda: told == ["m"])
+        agent, notified = UnresponsiveAgent(6), list[str]()
+        notifier = OutcomeNotifier(agent, notified.extend)  # type: ignore[arg-type]
+        notifier.add("m", "failed")
+        task = asyncio.ensure_future(notifier.run())
+        await until(lambda: notified == ["m"])
         task.cancel()
-        assert agent.waited == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-        assert notices.timeout_s == outcome_notifier.MIN_TIMEOUT_S  # it answers at once again
+        assert agent.timeouts_s == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
+        assert notifier.timeout_s == outcome_notifier.MIN_TIMEOUT_S  # reset by a fast response
 
     run(work())
 
 
-def lines_sent(agent: Agent) -> list[bytes]:
+def received_lines(agent: Agent) -> list[bytes]:
     return [line for seen in agent.seen for line in seen.body.splitlines()]
 
 
 def test_an_agent_that_never_answers_in_time_gets_each_notification() -> None:
-    """What happened: a request holds 200 notifications at most, always the oldest. An agent that took over
-    1 s for its answer got these again and again, and no other: their clients never had an end.
+    """A request contained at most 200 notifications, always the oldest. An agent that took over 1 s
+    to respond got the same ones again and again and never the others, whose clients got no outcome.
     """
 
     async def work() -> None:
         agent = await Agent().start()
         agent.script.extend([None] * 100)
-        notices = OutcomeNotifier(AgentLink(agent.address), lambda ids: None)
-        names = {f"m{n}" for n in range(outcome_notifier.MAX_BATCH_LINES + 50)}
-        for name in sorted(names):
-            notices.add(name, "failed")
-        task = asyncio.ensure_future(notices.run())
-        await until(lambda: names == {json.loads(line)["id"] for line in lines_sent(agent)})
+        notifier = OutcomeNotifier(AgentLink(agent.address), lambda ids: None)
+        message_ids = {f"m{n}" for n in range(outcome_notifier.MAX_BATCH_LINES + 50)}
+        for message_id in sorted(message_ids):
+            notifier.add(message_id, "failed")
+        task = asyncio.ensure_future(notifier.run())
+        await until(lambda: message_ids == {json.loads(line)["id"] for line in received_lines(agent)})
         task.cancel()
-        notices.agent.close()
+        notifier.agent.close()
 
     run(work())
 
 
 def test_a_silent_connection_to_the_agent_is_replaced() -> None:
-    """The same on real connections: the second batch goes out on a second one."""
+    """The same with real connections: the batch is sent again on a second one."""
 
     async def work() -> None:
         agent = Agent()
         await agent.start()
         agent.script += [None]
-        told = list[str]()
-        notices = OutcomeNotifier(AgentLink(agent.address), told.extend)
-        notices.add("m", "failed")
-        task = asyncio.ensure_future(notices.run())
-        await until(lambda: told == ["m"])
+        notified = list[str]()
+        notifier = OutcomeNotifier(AgentLink(agent.address), notified.extend)
+        notifier.add("m", "failed")
+        task = asyncio.ensure_future(notifier.run())
+        await until(lambda: notified == ["m"])
         task.cancel()
         assert [seen.connection for seen in agent.seen] == [1, 2]
-        notices.agent.close()
+        notifier.agent.close()
 
     run(work())
 
 
 def test_the_deadline_of_a_slowly_written_message_runs_from_its_last_byte(tmp_path: Path) -> None:
-    """As the protocol page says of a request's time. Its client's answer comes after it, in its own 0.4 s."""
+    """The protocol counts a request's time from its last byte; its client waits 0.4 s from then."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            text = message("m", left=5000)
-            client.writer.write(text[:40])
-            await until(lambda: any(not each.is_idle for each in host.ingress.connections))
+            request = message("m", left=5000)
+            client.writer.write(request[:40])
+            await until(lambda: any(not connection.is_idle for connection in host.ingress.connections))
             await asyncio.sleep(0.2)
-            whole = unix_time_ms()
-            client.writer.write(text[40:])
+            completed_at = unix_time_ms()
+            client.writer.write(request[40:])
             assert await client.status() == 202
             entry = host.journal.entries["m"]
-            assert entry.accepted_at_ms >= whole and abs(entry.deadline_ms - entry.accepted_at_ms - 5000) < 1
+            assert (
+                entry.accepted_at_ms >= completed_at
+                and abs(entry.deadline_ms - entry.accepted_at_ms - 5000) < 1
+            )
 
     run(work())
 
 
-class Scripted(DeliveryScheduler):
-    """Says what it is told to."""
+class ScriptedScheduler(DeliveryScheduler):
+    """Returns the given actions at its first turn."""
 
-    def __init__(self, *acts: Action) -> None:
+    def __init__(self, *actions: Action) -> None:
         super().__init__(make_settings(), 1)
-        self.acts = list(acts)
+        self.actions = list(actions)
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        acts, self.acts = self.acts, []
-        return acts
+        actions, self.actions = self.actions, []
+        return actions
 
 
 def test_a_failing_action_affects_neither_later_actions_nor_the_timer(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Seen to fail without the guard: all that stood behind it was dropped, and nothing woke the module."""
+    """Without the guard all later actions of the turn were dropped, among them the timer of the next turn."""
 
     async def work() -> None:
-        done = list[Action]()
+        executed = list[Action]()
 
-        def act(action: Action) -> None:
+        def execute(action: Action) -> None:
             if isinstance(action, StartAttempt):
                 raise KeyError(action.id)
-            done.append(action)
+            executed.append(action)
 
-        turns = SchedulerDriver(Scripted(StartAttempt(1, 2, 3.0), Fail(4), SetTimer(60_000.0, 0)), 5.0, act)
-        turns.feed(TimerFired(0))
-        await until(lambda: turns.timer_handle is not None)
-        assert done == [Fail(4)] and "KeyError" in caplog.text
-        turns.stop()
+        driver = SchedulerDriver(
+            ScriptedScheduler(StartAttempt(1, 2, 3.0), Fail(4), SetTimer(60_000.0, 0)), 5.0, execute
+        )
+        driver.feed(TimerFired(0))
+        await until(lambda: driver.timer_handle is not None)
+        assert executed == [Fail(4)] and "KeyError" in caplog.text
+        driver.stop()
 
     with caplog.at_level(logging.ERROR):
         run(work())
 
 
 def test_an_attempt_cancelled_as_it_starts_has_a_result(tmp_path: Path) -> None:
-    """Seen to fail where its task was cancelled before its first step: the module never heard of it."""
+    """When the task was cancelled before its first step, the scheduler never got a result."""
 
     async def work() -> None:
-        world = RelayWithEndpoint(tmp_path)
-        async with world as host, Client(host.ingress.port) as client:
-            world.server.usual = None
-            ended = list[Event]()
-            begin, feed = host.host.attempt_runner.start, host.turns.feed
-
-            def at_once(number: int, endpoint: int, until_ms: float) -> None:
-                begin(number, endpoint, until_ms)
+        environment = RelayWithEndpoint(tmp_path)
+        async with environment as host, Client(host.ingress.port) as client:
+            environment.server.usual = None
+            fed_events = list[Event]()
+            start_attempt, feed = host.host.attempt_runner.start, host.turns.feed
+
+            def start_and_cancel(number: int, endpoint: int, until_ms: float) -> None:
+                start_attempt(number, endpoint, until_ms)
                 cancel = host.held[number].cancel
                 assert cancel is not None
                 cancel()
 
-            def heard(event: Event) -> None:
-                ended.append(event)
+            def record_event(event: Event) -> None:
+                fed_events.append(event)
                 feed(event)
 
-            host.host.attempt_runner.start = at_once  # type: ignore[method-assign]
-            host.turns.feed = heard  # type: ignore[method-assign]
+            host.host.attempt_runner.start = start_and_cancel  # type: ignore[method-assign]
+            host.turns.feed = record_event  # type: ignore[method-assign]
             assert await client.ask(message("m")) == 202
-            await until(lambda: any(isinstance(each, AttemptCompleted) for each in ended))
-            outcome = next(each for each in ended if isinstance(each, AttemptCompleted))
+            await until(lambda: any(isinstance(fed, AttemptCompleted) for fed in fed_events))
+            outcome = next(fed for fed in fed_events if isinstance(fed, AttemptCompleted))
             assert outcome.outcome is Outcome.CANCELLED
 
     run(work())
 
 
-def test_a_message_submitted_twice_before_a_sync_stays_for_the_client_that_was_answered(
+def test_a_message_submitted_twice_before_a_sync_survives_the_loss_of_one_connection(
     tmp_path: Path,
 ) -> None:
-    """Seen to fail where a repeat was answered at once: it was told that it is taken on before that outlasted
-    a power cut, and when the first connection went, the message went with it."""
+    """When a repeated submission was answered at once, its client got a 202 before the message was durable,
+    and the message was cancelled when the first connection was lost."""
 
     async def work() -> None:
-        world = RelayWithEndpoint(tmp_path)
-        async with world as host:
+        environment = RelayWithEndpoint(tmp_path)
+        async with environment as host:
             sync = asyncio.get_running_loop().create_future()
             host.journal.barrier = lambda: sync  # type: ignore[method-assign]
-            world.server.hold = asyncio.Event()
+            environment.server.hold = asyncio.Event()
             async with Client(host.ingress.port) as first, Client(host.ingress.port) as again:
                 first.writer.write(message("m"))
                 await until(lambda: "m" in host.journal.entries)
-                begun = next(each for each in host.ingress.connections if each.unsent_ids)
+                first_connection = next(
+                    connection for connection in host.ingress.connections if connection.unsent_ids
+                )
                 again.writer.write(message("m"))
-                await until(lambda: sum(len(each.unsent_ids) for each in host.ingress.connections) == 2)
+                await until(
+                    lambda: sum(len(connection.unsent_ids) for connection in host.ingress.connections) == 2
+                )
                 first.writer.transport.abort()
-                await until(lambda: is_socket_ready(begun.transport, select.POLLRDHUP))
+                await until(lambda: is_socket_ready(first_connection.transport, select.POLLRDHUP))
                 sync.set_result(None)
                 assert await again.status() == 202
                 assert "m" in host.journal.entries
-                world.server.hold.set()
+                environment.server.hold.set()
                 await until(lambda: host.journal.entries["m"].final_state == "delivered")
 
     run(work())
 
 
-@pytest.mark.parametrize("what", ("a notice that is not taken", "a call that is out"))
-def test_what_is_pending_at_the_end_of_a_stop_is_done_by_the_next_process(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
+@pytest.mark.parametrize("unfinished", ("a notice that is not taken", "a call that is out"))
+def test_work_left_unfinished_by_a_stop_is_finished_by_the_next_process(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, unfinished: str
 ) -> None:
-    """The process goes when its drain is over, whatever is still undone: SIGKILL comes 0.3 s later."""
+    """The process exits at the stop deadline with work unfinished: SIGKILL follows 0.3 s later."""
     for name, seconds in (
         ("ACCEPT_AFTER_STOP_S", 0.02),
         ("ATTEMPTS_DEADLINE_S", 0.2),
@@ -250,15 +261,16 @@
         state.mkdir()
         agent.silent, loop = True, asyncio.get_running_loop()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            server.usual = None if what == "a call that is out" else answer(500)
+            server.usual = None if unfinished == "a call that is out" else answer(500)
             agent.script += [None] * 100
             assert await client.ask(message("m", "unsafe")) == 202
             await until(lambda: bool(server.seen))
             if server.usual is not None:
                 await until(lambda: host.host.pending_outcomes == 1)
-            begun = loop.time()
+            started_at = loop.time()
             await host.stop()
-            assert loop.time() - begun < core_host.STOP_DEADLINE_S + 3.0  # it does not wait for what hangs
+            # It does not wait for connections that are stuck.
+            assert loop.time() - started_at < core_host.STOP_DEADLINE_S + 3.0
             assert host.journal.entries["m"].is_unfinished
         agent.script.clear()
         async with relay(state, agent, server) as host:
@@ -269,26 +281,26 @@
     run(work())
 
 
-def test_an_attempt_cut_off_before_its_first_byte_leaves_its_message_untried(
+def test_an_attempt_cancelled_before_its_first_byte_leaves_its_message_unattempted(
     tmp_path: Path,
 ) -> None:
-    """Seen to fail where the module still decided on the outcome, and so failed what must not run twice: that
-    depended on how long ago its latest turn was."""
+    """When the scheduler still handled the results of cancelled attempts, it failed unsafe messages. That
+    depended on the time since its latest turn."""
 
     async def work() -> None:
         state, agent, server = tmp_path / "state", await Agent().start(), await Server().start()
         state.mkdir()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            began = asyncio.Event()
+            attempt_started = asyncio.Event()
 
             async def attempt(attempt: Attempt) -> AttemptResult:
-                began.set()
-                await asyncio.Event().wait()  # its connection never comes up
+                attempt_started.set()
+                await asyncio.Event().wait()  # its connection is never established
                 raise AssertionError
 
             host.host.transport.attempt = attempt  # type: ignore[method-assign]
             assert await client.ask(message("m", "unsafe")) == 202
-            await began.wait()
+            await attempt_started.wait()
             await until(lambda: host.now() > host.turns.last_turn_ms + 2 * host.settings.tick_ms)
         assert host.journal.entries["m"].final_state == ""
         async with relay(state, agent, server) as host:
--- a/tests/core/test_ports.py
+++ b/tests/core/test_ports.py
@@ -1,4 +1,4 @@
-"""The seams hold other kinds than HTTP: fakes without a socket, plugged in as a subsystem would be."""
+"""The ports work with implementations other than HTTP: fakes without sockets."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     async def open(self) -> None:
         self.open_ = True
 
-    def notify_outcome(self, end: FinalOutcome) -> None:
-        self.ends.append(end)
+    def notify_outcome(self, outcome: FinalOutcome) -> None:
+        self.ends.append(outcome)
 
     def reload(self, config: config.Config) -> None:
         self.reloads += 1
@@ -69,7 +69,7 @@
 
 
 class FakeTransport:
-    """Answers each attempt with the next outcome of its script."""
+    """Returns the next outcome of its script for each attempt."""
 
     def __init__(self, *script: Outcome) -> None:
         self.script, self.attempts = list(script), list[Attempt]()
@@ -98,16 +98,16 @@
         self.listed = set()
 
 
-class Source:
+class FakeSource:
     def __init__(self, *updates: EndpointUpdate) -> None:
         self.updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         for update in updates:
             self.updates.put_nowait(update)
         self.reloads = 0
 
-    async def run(self, told: EndpointUpdateCallback) -> None:
+    async def run(self, on_update: EndpointUpdateCallback) -> None:
         while True:
-            told(await self.updates.get())
+            on_update(await self.updates.get())
 
     def reload(self, config: config.Config) -> None:
         self.reloads += 1
@@ -116,85 +116,87 @@
         pass
 
 
-def made(
-    folder: Path, front: Intake, carrier: Transport, *sources: EndpointSource, name: str = "fake"
+def make_relay(
+    folder: Path, intake: Intake, transport: Transport, *sources: EndpointSource, name: str = "fake"
 ) -> Relay:
     (folder / "state").mkdir(exist_ok=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(folder / "state", Agent(address=("127.0.0.1", 1)))))
-    host = Relay(config.load({"RELAY_CONFIG": str(path)}))
-    host.connect({name: front}, carrier, list(sources))
-    return host
+    relay = Relay(config.load({"RELAY_CONFIG": str(path)}))
+    relay.connect({name: intake}, transport, list(sources))
+    return relay
 
 
-def submission(ident: str, class_: str = "safe", **more: object) -> Submission:
+def submission(message_id: str, class_: str = "safe", **fields: object) -> Submission:
     values = {
-        "id": ident,
+        "id": message_id,
         "class_name": class_,
         "tenant": "t",
         "destination": 7,
-        "idempotency_key": f"k-{ident}",
+        "idempotency_key": f"k-{message_id}",
         "remaining_ms": 8000,
         "resubmission": "",
         "body": b"b",
         "origin": "fake",
     }
-    return Submission(**{**values, **more})  # type: ignore[arg-type]
+    return Submission(**{**values, **fields})  # type: ignore[arg-type]
 
 
 def test_a_message_passes_through_other_implementations_of_each_port(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = (
+        intake, transport, source = (
             FakeIntake(),
             FakeTransport(Outcome.FULL, Outcome.OK),
-            Source(EndpointUpdate(True, (LISTED_ENDPOINT,))),
+            FakeSource(EndpointUpdate(True, (LISTED_ENDPOINT,))),
         )
-        host = made(tmp_path, front, carrier, source)
-        await host.start()
-        assert front.open_ and host.messages.is_ready
-        await until(lambda: 7 in host.messages.known_destinations)
-        assert carrier.listed == {(1, ("queue", 1))}
-        receipt = host.messages.accept(submission("m"))
-        assert receipt.accepted and receipt.is_new and not host.messages.accept(submission("m")).is_new
-        await until(lambda: host.journal.entries["m"].final_state == "delivered")
-        assert [(a.trace_id, a.idempotency_key, a.body) for a in carrier.attempts] == [("m", "k-m", b"b")] * 2
-        carrier.script = [Outcome.RESET]
-        host.messages.accept(submission("u", "unsafe"))
-        await until(lambda: front.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
-        assert not host.journal.entries["u"].is_notified
-        host.messages.mark_notified(["u"])
-        assert host.journal.entries["u"].is_notified
-        await host.close()
-        assert front.stopped and front.closed
+        relay = make_relay(tmp_path, intake, transport, source)
+        await relay.start()
+        assert intake.open_ and relay.messages.is_ready
+        await until(lambda: 7 in relay.messages.known_destinations)
+        assert transport.listed == {(1, ("queue", 1))}
+        result = relay.messages.accept(submission("m"))
+        assert result.accepted and result.is_new and not relay.messages.accept(submission("m")).is_new
+        await until(lambda: relay.journal.entries["m"].final_state == "delivered")
+        assert [(a.trace_id, a.idempotency_key, a.body) for a in transport.attempts] == [
+            ("m", "k-m", b"b")
+        ] * 2
+        transport.script = [Outcome.RESET]
+        relay.messages.accept(submission("u", "unsafe"))
+        await until(lambda: intake.ends == [FinalOutcome("u", "failed", 0.0, "fake")])
+        assert not relay.journal.entries["u"].is_notified
+        relay.messages.mark_notified(["u"])
+        assert relay.journal.entries["u"].is_notified
+        await relay.close()
+        assert intake.stopped and intake.closed
 
     run(work())
 
 
 def test_a_removed_endpoint_is_reported_to_the_transport_and_gets_no_new_attempt(tmp_path: Path) -> None:
     async def work() -> None:
-        front, carrier, source = (
+        intake, transport, source = (
             FakeIntake(),
             FakeTransport(),
-            Source(EndpointUpdate(True, (LISTED_ENDPOINT,))),
+            FakeSource(EndpointUpdate(True, (LISTED_ENDPOINT,))),
         )
-        host = made(tmp_path, front, carrier, source)
-        await host.start()
-        await until(lambda: 7 in host.messages.known_destinations)
+        relay = make_relay(tmp_path, intake, transport, source)
+        await relay.start()
+        await until(lambda: 7 in relay.messages.known_destinations)
         source.updates.put_nowait(
             EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.REMOVED)))
         )
-        await until(lambda: carrier.gone == [(1, ("queue", 1))])
-        host.messages.accept(submission("m", remaining_ms=200))
-        await until(lambda: bool(front.ends))
-        assert front.ends[0].state == "returned" and not carrier.attempts
+        await until(lambda: transport.gone == [(1, ("queue", 1))])
+        relay.messages.accept(submission("m", remaining_ms=200))
+        await until(lambda: bool(intake.ends))
+        assert intake.ends[0].state == "returned" and not transport.attempts
         moved = EndpointRecord("a", 7, Listing.READY, ("queue", 2), rate=50.0)
         source.updates.put_nowait(EndpointUpdate(False, (moved,)))
-        await until(lambda: carrier.listed == {(1, ("queue", 2))})
-        host.messages.accept(submission("n"))
-        await until(lambda: [a.address for a in carrier.attempts] == [("queue", 2)])
-        host.reload(host.config)
-        assert source.reloads == front.reloads == 1
-        await host.close()
+        await until(lambda: transport.listed == {(1, ("queue", 2))})
+        relay.messages.accept(submission("n"))
+        await until(lambda: [a.address for a in transport.attempts] == [("queue", 2)])
+        relay.reload(relay.config)
+        assert source.reloads == intake.reloads == 1
+        await relay.close()
 
     run(work())
 
@@ -202,30 +204,33 @@
 def test_an_outcome_waits_in_the_journal_for_the_intake_of_its_message(tmp_path: Path) -> None:
     async def work() -> None:
         first = FakeIntake()
-        host = made(
-            tmp_path, first, FakeTransport(Outcome.RESET), Source(EndpointUpdate(True, (LISTED_ENDPOINT,)))
+        relay = make_relay(
+            tmp_path,
+            first,
+            FakeTransport(Outcome.RESET),
+            FakeSource(EndpointUpdate(True, (LISTED_ENDPOINT,))),
         )
-        await host.start()
-        await until(lambda: 7 in host.messages.known_destinations)
-        host.messages.accept(submission("u", "unsafe"))
+        await relay.start()
+        await until(lambda: 7 in relay.messages.known_destinations)
+        relay.messages.accept(submission("u", "unsafe"))
         await until(lambda: bool(first.ends))
-        await host.close()  # before it was confirmed
+        await relay.close()  # before the notification was confirmed
         other = FakeIntake()
-        host = made(tmp_path, other, FakeTransport(), name="other")
-        await host.start()
+        relay = make_relay(tmp_path, other, FakeTransport(), name="other")
+        await relay.start()
         assert not other.ends
-        await host.close()
+        await relay.close()
         again = FakeIntake()
-        host = made(tmp_path, again, FakeTransport())
-        await host.start()
+        relay = make_relay(tmp_path, again, FakeTransport())
+        await relay.start()
         assert again.ends == [FinalOutcome("u", "failed", 0.0, "fake")]
-        await host.close()
+        await relay.close()
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    ("more", "field"),
+    ("fields", "field"),
     [
         ({"class_name": "x"}, "class"),
         ({"id": ""}, "id"),
@@ -241,47 +246,47 @@
     ],
 )
 def test_submissions_of_every_intake_are_validated_alike(
-    tmp_path: Path, more: dict[str, object], field: str
+    tmp_path: Path, fields: dict[str, object], field: str
 ) -> None:
     async def work() -> None:
-        host = made(tmp_path, FakeIntake(), FakeTransport(), Source(EndpointUpdate(True, (LISTED_ENDPOINT,))))
-        await host.start()
-        await until(lambda: 7 in host.messages.known_destinations)
+        relay = make_relay(
+            tmp_path, FakeIntake(), FakeTransport(), FakeSource(EndpointUpdate(True, (LISTED_ENDPOINT,)))
+        )
+        await relay.start()
+        await until(lambda: 7 in relay.messages.known_destinations)
         with pytest.raises(InvalidMessageError) as caught:
-            host.messages.accept(replace(submission("m"), **more))  # type: ignore[arg-type]
-        assert caught.value.field == field and not host.journal.entries and not host.messages.accepted
-        await host.close()
+            relay.messages.accept(replace(submission("m"), **fields))  # type: ignore[arg-type]
+        assert caught.value.field == field and not relay.journal.entries and not relay.messages.accepted
+        await relay.close()
 
     run(work())
 
 
 def test_an_outcome_is_notified_once_it_is_journaled_and_not_before(tmp_path: Path) -> None:
-    """Guards against a process that is killed then, takes up the message again, and says something else."""
+    """Otherwise a process killed in between could resume the message and report another outcome."""
 
     async def work() -> None:
-        front, disk, carrier = FakeIntake(), Disk(), FakeTransport()
-        host = made(tmp_path, front, carrier, Source(EndpointUpdate(True, (LISTED_ENDPOINT,))))
-        host.journal = host.messages.journal = host.messages.outcomes.journal = Journal(
+        intake, disk, transport = FakeIntake(), Disk(), FakeTransport()
+        relay = make_relay(tmp_path, intake, transport, FakeSource(EndpointUpdate(True, (LISTED_ENDPOINT,))))
+        relay.journal = relay.messages.journal = relay.messages.outcomes.journal = Journal(
             tmp_path / "other", 3_000_000, disk
         )
-        await host.start()
-        await until(lambda: 7 in host.messages.known_destinations)
-        disk.fail = lambda call, name, number: errno.ENOSPC if host.journal.written_bytes > 400 else None
-        host.messages.accept(submission("m", "unsafe", remaining_ms=900))
-        while not host.messages.outcomes.unwritten:
-            host.journal.log.written_bytes = 1000
+        await relay.start()
+        await until(lambda: 7 in relay.messages.known_destinations)
+        disk.fail = lambda call, name, number: errno.ENOSPC if relay.journal.written_bytes > 400 else None
+        relay.messages.accept(submission("m", "unsafe", remaining_ms=900))
+        while not relay.messages.outcomes.unwritten:
+            relay.journal.log.written_bytes = 1000
             await asyncio.sleep(0.005)
-        end = host.journal.entries[
-            "m"
-        ].final_state  # its attempt could not be written down, so that none was made
-        assert end == "returned" and not carrier.attempts and not front.ends
-        assert not host.messages.accept(
+        end = relay.journal.entries["m"].final_state  # its attempt could not be journalled, so none was made
+        assert end == "returned" and not transport.attempts and not intake.ends
+        assert not relay.messages.accept(
             submission("n")
-        ).accepted  # nothing new while what is owed can't be written
+        ).accepted  # no new messages while outcomes cannot be journalled
         disk.fail = lambda call, name, number: None
-        await until(lambda: [end.id for end in front.ends] == ["m"])
+        await until(lambda: [end.id for end in intake.ends] == ["m"])
         assert Journal(tmp_path / "other", 3_000_000, disk.after_crash()).entries["m"].final_state == end
-        assert host.messages.accept(submission("n")).accepted
-        await host.close()
+        assert relay.messages.accept(submission("n")).accepted
+        await relay.close()
 
     run(work())
--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started: signals, exit codes, and a kill at any moment."""
+"""The program as a process: signals, exit codes, and SIGKILL at different times."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Process:
-    """`python -m message_relay`, started again at will on one folder and one port."""
+    """`python -m message_relay`, which can be restarted with the same folder and port."""
 
     def __init__(self, folder: Path, agent: Agent, *servers: Server) -> None:
         self.port, self.config, self.state = free_port(), folder / "config.json", folder / "state"
@@ -40,11 +40,11 @@
         self.raw = raw_config(self.state, agent, *servers, listen=f"127.0.0.1:{self.port}")
         self.configure()
 
-    def configure(self, **more: Any) -> None:
-        self.config.write_text(json.dumps({**self.raw, **more}))
+    def configure(self, **overrides: Any) -> None:
+        self.config.write_text(json.dumps({**self.raw, **overrides}))
 
-    async def start(self, **more: str) -> None:
-        env = {**os.environ, "RELAY_CONFIG": str(self.config), **more}
+    async def start(self, **variables: str) -> None:
+        env = {**os.environ, "RELAY_CONFIG": str(self.config), **variables}
         self.process = await asyncio.create_subprocess_exec(sys.executable, "-m", "message_relay", env=env)
         await self.wait_until_ready()
 
@@ -58,17 +58,17 @@
                 assert self.process.returncode is None
                 await asyncio.sleep(0.02)
 
-    async def end(self, how: signal.Signals) -> int:
-        self.process.send_signal(how)
+    async def stop(self, signal_number: signal.Signals) -> int:
+        self.process.send_signal(signal_number)
         return await self.process.wait()
 
-    async def hand_in(self, *requests: bytes) -> None:
+    async def submit(self, *requests: bytes) -> None:
         async with Client(self.port) as client:
             for request in requests:
                 assert await client.ask(request) == 202
 
 
-async def world(folder: Path) -> tuple[Agent, Server, Process]:
+async def start_environment(folder: Path) -> tuple[Agent, Server, Process]:
     agent, server = Agent(), Server()
     await agent.start()
     await server.start()
@@ -77,17 +77,17 @@
 
 def test_a_kill_with_attempts_in_flight_retries_only_what_is_safe_to_retry(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         server.usual = None
         await process.start()
-        await process.hand_in(message("u", "unsafe"), message("s", "safe"))
-        out = {(await server.came.get()).headers["x-trace-id"] for _ in range(2)}
-        assert out == {"u", "s"} and await process.end(signal.SIGKILL) == -signal.SIGKILL
+        await process.submit(message("u", "unsafe"), message("s", "safe"))
+        in_flight = {(await server.came.get()).headers["x-trace-id"] for _ in range(2)}
+        assert in_flight == {"u", "s"} and await process.stop(signal.SIGKILL) == -signal.SIGKILL
         server.usual = answer(200)
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
         assert (await server.came.get()).headers["x-trace-id"] == "s"
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
         assert len(server.seen) == 3 and agent.notices.empty()
 
     run(work())
@@ -95,16 +95,16 @@
 
 def test_a_kill_right_after_the_response_loses_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        _, server, process = await world(tmp_path)
-        for turn in range(3):
+        _, server, process = await start_environment(tmp_path)
+        for number in range(3):
             await process.start()
-            await process.hand_in(message(f"m{turn}"))
-            await process.end(signal.SIGKILL)
+            await process.submit(message(f"m{number}"))
+            await process.stop(signal.SIGKILL)
         await process.start()
         await until(lambda: {seen.headers["x-trace-id"] for seen in server.seen} == {"m0", "m1", "m2"})
-        await process.end(signal.SIGTERM)
+        await process.stop(signal.SIGTERM)
         assert all(
-            each.final_state == "delivered" for each in Journal(process.state, 3_000_000).entries.values()
+            entry.final_state == "delivered" for entry in Journal(process.state, 3_000_000).entries.values()
         )
 
     run(work())
@@ -112,35 +112,36 @@
 
 def test_an_unsent_outcome_is_sent_after_a_kill(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         server.usual = answer(500)
         agent.script.extend([answer(503)] * 100)
         await process.start()
-        await process.hand_in(message("u", "unsafe"))
+        await process.submit(message("u", "unsafe"))
         await until(lambda: len(agent.script) < 100)
-        await process.end(signal.SIGKILL)
+        await process.stop(signal.SIGKILL)
         agent.script.clear()
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 def test_sigterm_waits_for_an_attempt_in_flight(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         server.hold = asyncio.Event()
         await process.start()
-        await process.hand_in(message("u", "unsafe"))
+        await process.submit(message("u", "unsafe"))
         await server.came.get()
         process.process.send_signal(signal.SIGTERM)
-        await process.hand_in(message("v", "unsafe"))  # clients still come for a while
+        await process.submit(message("v", "unsafe"))  # clients still connect for a while
         await server.came.get()
         server.hold.set()
         assert await process.process.wait() == 0
         assert {
-            ident: each.final_state for ident, each in Journal(process.state, 3_000_000).entries.items()
+            message_id: entry.final_state
+            for message_id, entry in Journal(process.state, 3_000_000).entries.items()
         } == {
             "u": "delivered",
             "v": "delivered",
@@ -152,51 +153,52 @@
 
 def test_sigterm_ends_an_idle_relay_with_0(tmp_path: Path) -> None:
     async def work() -> None:
-        _, _, process = await world(tmp_path)
+        _, _, process = await start_environment(tmp_path)
         await process.start()
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 def test_sighup_moves_watches_and_notifications_to_the_new_agent(tmp_path: Path) -> None:
-    """Guards against a process that ends on SIGHUP, and against one that waits on the agent that goes."""
+    """Guards against a process that ends on SIGHUP, or that keeps waiting for the former agent."""
 
     async def work() -> None:
-        old, server, process = await world(tmp_path)
-        server.usual, old.script = answer(500), deque([None] * 100)  # the old agent takes no notice
-        await process.start(RELAY_DISCOVERY="{}:{}".format(*old.address))  # older than the file, then
-        await process.hand_in(message("u", "unsafe"))
-        await until(lambda: len(old.script) < 100)  # its notice is out, and never answered
+        old, server, process = await start_environment(tmp_path)
+        server.usual, old.script = answer(500), deque([None] * 100)  # the old agent acknowledges nothing
+        await process.start(RELAY_DISCOVERY="{}:{}".format(*old.address))  # ignored after the reload
+        await process.submit(message("u", "unsafe"))
+        await until(lambda: len(old.script) < 100)  # its notification was sent, and is never acknowledged
         other = await Server().start()
-        for new in (Agent(script=deque([None] * 100)), Agent()):  # the first takes no notice either
+        for new in (Agent(script=deque([None] * 100)), Agent()):  # the first acknowledges none either
             await new.start()
             new.tell(listing(other, generation=1))
             process.configure(discovery="{}:{}".format(*new.address))
             process.process.send_signal(signal.SIGHUP)
             await until(lambda: len(new.seen) > 1)  # noqa: B023
-            assert "/v1/servers" in [seen.target for seen in new.seen]  # whole: its versions are its own
+            # The full list is requested: versions are local to an agent.
+            assert "/v1/servers" in [seen.target for seen in new.seen]
         assert await new.notices.get() == {"id": "u", "state": "failed"}
         await until(old.left)
-        await process.hand_in(message("v"))
+        await process.submit(message("v"))
         assert (await other.came.get()).headers["x-trace-id"] == "v"
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
-def test_sighup_with_a_bad_file_or_while_stopping_changes_nothing_else(tmp_path: Path) -> None:
+def test_sighup_with_an_invalid_file_or_while_stopping_has_no_other_effect(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         server.hold = asyncio.Event()
         await process.start()
-        good = process.config.read_text()
-        for bad in ("{", "[]", json.dumps({**json.loads(good), "discovery": "nowhere"})):
-            process.config.write_text(bad)
+        valid = process.config.read_text()
+        for invalid in ("{", "[]", json.dumps({**json.loads(valid), "discovery": "nowhere"})):
+            process.config.write_text(invalid)
             process.process.send_signal(signal.SIGHUP)
         agent.tell(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))  # still the old agent
-        await process.hand_in(message("m", "unsafe"))
+        await process.submit(message("m", "unsafe"))
         await server.came.get()
         process.process.send_signal(signal.SIGTERM)
         new = await Agent().start()
@@ -212,65 +214,65 @@
 
 
 def run_command() -> list[str]:
-    """How the platform starts the program."""
+    """Returns the command with which the platform starts the program."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     return ["/bin/sh", "-c", str(deploy["run"]).replace(".venv/bin/python", sys.executable)]
 
 
 def unit_command(template: str) -> list[str]:
-    """How the service manager starts it."""
+    """Returns the command with which the service manager starts the program."""
     text = (ROOT / "deploy" / "systemd" / f"{template}@.service").read_text()
     command = re.search(r"^ExecStart=(.*)$", text, re.MULTILINE)
     assert command is not None
     return shlex.split(command[1].replace("/opt/linnetstile/.venv/bin/python", sys.executable))
 
 
-async def started_and_signalled(process: Process, words: list[str], number: signal.Signals) -> None:
-    """Starts the program and signals it in its first moments, long before it can have a handler."""
+async def start_and_signal(process: Process, command: list[str], signal_number: signal.Signals) -> None:
+    """Starts the program and sends a signal at once, long before it can install a handler."""
     env = {**os.environ, "RELAY_CONFIG": str(process.config)}
-    process.process = await asyncio.create_subprocess_exec(*words, env=env, cwd=ROOT)
-    command = Path(f"/proc/{process.process.pid}/cmdline")
-    await until(lambda: command.read_bytes().endswith(b"-m\0message_relay\0"))
-    process.process.send_signal(number)
+    process.process = await asyncio.create_subprocess_exec(*command, env=env, cwd=ROOT)
+    cmdline = Path(f"/proc/{process.process.pid}/cmdline")
+    await until(lambda: cmdline.read_bytes().endswith(b"-m\0message_relay\0"))
+    process.process.send_signal(signal_number)
 
 
 @pytest.mark.parametrize(
-    "words",
+    "command",
     (run_command(), unit_command("message-relay"), unit_command("message-relay4")),
     ids=("run", "unit", "unit4"),
 )
-def test_sighup_in_the_first_moments_ends_no_process(tmp_path: Path, words: list[str]) -> None:
-    """Without a handler yet the signal ended the program with -1, without a word, where it was sent in the
-    first 200 ms. The file is read after the handler is set, so that no change is missed.
+def test_sighup_right_after_the_start_does_not_end_the_process(tmp_path: Path, command: list[str]) -> None:
+    """A SIGHUP in the first 200 ms, before the handler was installed, terminated the program with -1 and
+    without output. The configuration is read after the handler is installed, so that no change is missed.
     """
 
     async def work() -> None:
-        old, _, process = await world(tmp_path)
+        old, _, process = await start_environment(tmp_path)
         new = await Agent().start()
         process.configure(discovery="{}:{}".format(*new.address))
-        await started_and_signalled(process, words, signal.SIGHUP)
+        await start_and_signal(process, command, signal.SIGHUP)
         await until(lambda: bool(new.seen) or process.process.returncode is not None)
         assert process.process.returncode is None and not old.seen
         await process.wait_until_ready()
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
-def test_sigterm_in_the_first_moments_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_sigterm_right_after_the_start_leaves_no_files(tmp_path: Path) -> None:
     async def work() -> None:
-        _, _, process = await world(tmp_path)
-        await started_and_signalled(process, run_command(), signal.SIGTERM)
+        _, _, process = await start_environment(tmp_path)
+        await start_and_signal(process, run_command(), signal.SIGTERM)
         assert await process.process.wait() in (0, -signal.SIGTERM)
         assert not list(process.state.iterdir())
         await process.start()
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected"),
     [
         ({"listen": "nowhere"}, "HOST:PORT"),
         ({"settings": {}}, "settings"),
@@ -285,33 +287,33 @@
         (None, "config.json"),
     ],
 )
-def test_bad_configuration_ends_with_one_line_and_2(
-    tmp_path: Path, change: dict[str, Any] | None, says: str
+def test_invalid_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, change: dict[str, Any] | None, expected: str
 ) -> None:
     path = tmp_path / "config.json"
     if change is not None:
         raw = raw_config(tmp_path, Agent(address=("127.0.0.1", 1)))
         path.write_text(json.dumps({**raw, **change}))
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "message_relay"],
         capture_output=True,
         text=True,
         timeout=60,
         env={**env, "RELAY_CONFIG": str(path)},
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
-    assert says in done.stderr and "Traceback" not in done.stderr
+    assert process.returncode == 2 and process.stderr.count("\n") == 1
+    assert expected in process.stderr and "Traceback" not in process.stderr
 
 
-def test_a_locked_state_folder_is_left_alone(tmp_path: Path) -> None:
-    """Guards the journal: two writers would each undo what the other has promised."""
+def test_a_locked_state_folder_is_not_used(tmp_path: Path) -> None:
+    """Two processes that write to one journal would each undo what the other has recorded."""
 
     async def work() -> None:
-        _, server, process = await world(tmp_path)
+        _, server, process = await start_environment(tmp_path)
         server.usual = None
         await process.start()
-        await process.hand_in(message("m"))
+        await process.submit(message("m"))
         env = {**os.environ, "RELAY_CONFIG": str(process.config), "RELAY_LISTEN": f"127.0.0.1:{free_port()}"}
         second = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "message_relay", env=env, stderr=asyncio.subprocess.PIPE
@@ -319,20 +321,20 @@
         _, errors = await second.communicate()
         assert second.returncode == 1 and errors.count(b"\n") == 1
         assert b"another process works in it" in errors and str(process.state).encode() in errors
-        await process.end(signal.SIGKILL)  # a dead one leaves no lock behind
+        await process.stop(signal.SIGKILL)  # a killed process leaves no lock behind
         server.usual = answer(200)
         await process.start()
         await until(lambda: [seen.headers["x-trace-id"] for seen in server.seen][-1:] == ["m"])
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
-def test_a_state_folder_that_is_missing_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_a_missing_state_folder_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
     raw = raw_config(tmp_path / "nowhere", Agent(address=("127.0.0.1", 1)))
     (tmp_path / "config.json").write_text(json.dumps(raw))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "message_relay"], capture_output=True, text=True, timeout=60, env=env
     )
-    assert done.returncode == 1 and done.stderr.count("\n") == 1 and "nowhere" in done.stderr
+    assert process.returncode == 1 and process.stderr.count("\n") == 1 and "nowhere" in process.stderr
--- a/tests/core/test_rejected_settings.py
+++ b/tests/core/test_rejected_settings.py
@@ -1,5 +1,4 @@
-"""Configurations that make no sense: refused at the start with the field's name; at SIGHUP the old one
-stays."""
+"""Invalid configurations are rejected at startup with the field's name; at SIGHUP the old one is kept."""
 
 from __future__ import annotations
 
@@ -17,10 +16,10 @@
 from message_relay import config
 
 from ..loopback import SETTINGS, Agent, listing, raw_config, run, until
-from .test_process import world
+from .test_process import start_environment
 
 Change = Callable[[dict[str, Any]], object]
-BAD: list[tuple[Change, str]] = [
+INVALID_SETTINGS: list[tuple[Change, str]] = [
     (lambda raw: raw["limits"].update(sockets=-5), "sockets"),
     (lambda raw: raw["limits"].update(sockets=0), "sockets"),
     (lambda raw: raw["limits"].update(disk_mb=-1), "disk_mb"),
@@ -42,7 +41,7 @@
 ]
 
 
-def changed(tmp_path: Path, change: Change) -> dict[str, Any]:
+def changed_config(tmp_path: Path, change: Change) -> dict[str, Any]:
     (tmp_path / "state").mkdir(exist_ok=True)
     raw = raw_config(tmp_path / "state", Agent(address=("127.0.0.1", 1)))
     raw = copy.deepcopy({**raw, "settings": SETTINGS})
@@ -50,18 +49,18 @@
     return raw
 
 
-@pytest.mark.parametrize(("change", "field"), BAD)
+@pytest.mark.parametrize(("change", "field"), INVALID_SETTINGS)
 def test_settings_are_rejected_with_the_fields_name(tmp_path: Path, change: Change, field: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(changed(tmp_path, change)))
+    path.write_text(json.dumps(changed_config(tmp_path, change)))
     with pytest.raises(config.ConfigError, match=field):
         config.load({"RELAY_CONFIG": str(path)})
 
 
 def test_a_process_with_rejected_settings_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(changed(tmp_path, BAD[8][0])))
-    done = subprocess.run(
+    path.write_text(json.dumps(changed_config(tmp_path, INVALID_SETTINGS[8][0])))
+    process = subprocess.run(
         [sys.executable, "-m", "message_relay"],
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
@@ -69,32 +68,32 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2 and "window_ms" in done.stderr and done.stderr.count("\n") == 1
+    assert process.returncode == 2 and "window_ms" in process.stderr and process.stderr.count("\n") == 1
 
 
 def test_unknown_keys_are_ignored(tmp_path: Path) -> None:
-    def more(raw: dict[str, Any]) -> None:
+    def add_unknown_keys(raw: dict[str, Any]) -> None:
         settings = raw["settings"]
-        for place in (raw, raw["limits"], settings, settings["classes"][0], settings["extra"]):
-            place["what-is-new"] = {"a": [1, None]}
+        for table in (raw, raw["limits"], settings, settings["classes"][0], settings["extra"]):
+            table["what-is-new"] = {"a": [1, None]}
 
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(changed(tmp_path, more)))
+    path.write_text(json.dumps(changed_config(tmp_path, add_unknown_keys)))
     assert config.load({"RELAY_CONFIG": str(path)}).settings.classes[0].name == "keyed"
 
 
 def test_sighup_with_rejected_settings_keeps_the_old_ones(tmp_path: Path) -> None:
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         await process.start()
         other = await Agent().start()
-        bad = copy.deepcopy(SETTINGS)
-        bad["classes"][0]["window-ms"] = 0.0
-        process.configure(settings=bad, discovery="{}:{}".format(*other.address))
+        invalid = copy.deepcopy(SETTINGS)
+        invalid["classes"][0]["window-ms"] = 0.0
+        process.configure(settings=invalid, discovery="{}:{}".format(*other.address))
         process.process.send_signal(signal.SIGHUP)
         agent.tell(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))
         assert not other.seen
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay on loopback sockets: clients, endpoints, discovery and notices, and its restarts."""
+"""The relay on loopback sockets: clients, endpoints, discovery, notifications and restarts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return folder
 
 
-async def pair() -> tuple[Agent, Server]:
+async def start_agent_and_server() -> tuple[Agent, Server]:
     agent, server = Agent(), Server()
     await agent.start()
     await server.start()
@@ -39,7 +39,7 @@
 
 def test_a_message_is_accepted_delivered_unchanged_and_journaled(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             body = bytes(range(256)) * 256
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_", "status", "says"),
+    ("request_", "status", "expected"),
     [
         (message("m", "safe", X_Qos="unsafe"), 400, "class"),
         (message("m", "other"), 400, "class"),
@@ -78,12 +78,12 @@
     ],
 )
 def test_an_invalid_message_is_answered_with_its_reason(
-    state: Path, request_: bytes, status: int, says: str
+    state: Path, request_: bytes, status: int, expected: str
 ) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(request_) == status and says in client.text
+            assert await client.ask(request_) == status and expected in client.text
             assert not host.held and not host.journal.entries
         assert not server.seen
 
@@ -92,7 +92,7 @@
 
 def test_a_repeated_id_gets_the_same_answer_and_is_one_message(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == await client.ask(message("m")) == 202
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
@@ -106,19 +106,24 @@
 
 def test_too_many_pending_messages_and_a_full_disk_reject(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.usual = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            got = [await client.ask(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)]
-            assert got[:15] == [202] * 15  # from there on the module makes room by refusing some itself
+            statuses = [
+                await client.ask(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)
+            ]
+            assert statuses[:15] == [202] * 15  # beyond that the scheduler may reject messages itself
             host.held.update(
                 {-n: next(iter(host.held.values())) for n in range(1, host.settings.max_pending_messages)}
             )
             assert await client.ask(message("more")) == 503 and "retry-after: 1.000" in client.head
-        tight = {"sockets": 256, "disk_mb": 0.27}
+        small_limits = {"sockets": 256, "disk_mb": 0.27}
         for path in state.glob("seg-*"):
             path.unlink()
-        async with relay(state, agent, server, limits=tight) as host, Client(host.ingress.port) as client:
+        async with (
+            relay(state, agent, server, limits=small_limits) as host,
+            Client(host.ingress.port) as client,
+        ):
             assert await client.ask(message("a", body=b"x" * 60000)) == 202
             assert await client.ask(message("b", body=b"x" * 60000)) == 503
             assert "b" not in host.journal.entries and await client.ask(message("c")) == 202
@@ -130,7 +135,7 @@
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
 
             def no_space(*_: object) -> int:
@@ -147,12 +152,12 @@
 
 
 def test_a_client_that_disconnects_unanswered_leaves_no_message(state: Path) -> None:
-    """Guards against second copies: it hands the message in again, under another id."""
+    """The client submits the message again under another id: the first copy must not be delivered."""
 
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host:
-            # Nothing is awaited in between: the relay finds the request and the end of it together.
+            # Nothing is awaited in between, so the relay reads the request and the close together.
             with socket.create_connection(("127.0.0.1", host.ingress.port)) as gone:
                 gone.sendall(message("gone"))
             async with Client(host.ingress.port) as client:
@@ -167,7 +172,7 @@
 
 def test_a_client_that_half_closes_is_answered(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host:
             with socket.create_connection(("127.0.0.1", host.ingress.port)) as half:
                 half.sendall(message("half"))
@@ -181,13 +186,13 @@
 
 def test_a_response_that_is_never_read_cancels_its_message(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.usual = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
             await server.came.get()
             (connection,) = host.ingress.connections
-            connection.unsent_ids.append("m")  # as when the socket does not take the answer
+            connection.unsent_ids.append("m")  # as if the socket did not accept the response
             client.writer.transport.abort()
             await until(lambda: not host.ingress.connections)
             assert not host.held and "m" not in host.journal.entries
@@ -195,23 +200,23 @@
     run(work())
 
 
-def test_retry_after_holds_for_every_message(state: Path) -> None:
+def test_retry_after_applies_to_every_message(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.script.append(answer(429, "X-RateLimit-Wait-Ms: 400"))
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
-            told = (await server.came.get()).at
+            rejected_at = (await server.came.get()).at
             await until(lambda: host.journal.entries["a"].attempt_in_flight is None)
             assert await client.ask(message("b")) == 202
-            assert min((await server.came.get()).at, (await server.came.get()).at) >= told + 0.4
+            assert min((await server.came.get()).at, (await server.came.get()).at) >= rejected_at + 0.4
 
     run(work())
 
 
 def test_a_draining_endpoint_gets_no_new_attempt(state: Path) -> None:
     async def work() -> None:
-        agent, old = await pair()
+        agent, old = await start_agent_and_server()
         new = await Server().start()
         async with relay(state, agent, old) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
@@ -238,17 +243,18 @@
     monkeypatch.setattr(poll_schedule, "ANSWER_TIMEOUT_MS", 100.0)
 
     async def work() -> None:
-        agent, server = await pair()
-        bad = listing(server, generation=9)
+        agent, server = await start_agent_and_server()
+        malformed = listing(server, generation=9)
         async with relay(state, agent, server) as host:
             for reply in (answer(500), answer(200, body="{"), answer(200, body="[]")):
                 agent.changes.put_nowait(reply)
-            agent.tell({**bad, "instances": None})
-            await until(lambda: len(agent.seen) >= 6)  # and one that was never answered
-            holds = [seen.target.removeprefix("/v1/servers?from=1&hold_ms=") for seen in agent.seen]
-            assert all(hold == "0" or 75 <= int(hold) <= 100 for hold in holds)  # none after a failed call
-            assert holds[0] == "0" and "0" in holds[2:]
-            agent.tell(listing(server, generation=4))  # an earlier call, given up, takes it away
+            agent.tell({**malformed, "instances": None})
+            await until(lambda: len(agent.seen) >= 6)  # including one that got no response
+            hold_times = [seen.target.removeprefix("/v1/servers?from=1&hold_ms=") for seen in agent.seen]
+            # 0 after a failed call.
+            assert all(hold_ms == "0" or 75 <= int(hold_ms) <= 100 for hold_ms in hold_times)
+            assert hold_times[0] == "0" and "0" in hold_times[2:]
+            agent.tell(listing(server, generation=4))  # may be consumed by an earlier, cancelled call
             while host.register.version != 4:
                 agent.tell(listing(server, generation=4))
                 await asyncio.sleep(0.02)
@@ -259,7 +265,7 @@
 
 def test_a_malformed_endpoint_entry_does_not_affect_the_others(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host:
             (name,) = host.directory.by_name
             other = {**listing(server)["instances"][0], "instanceId": "s-other"}
@@ -274,35 +280,35 @@
             host.tell(raw)
             assert set(host.directory.by_name) == {name, "s-other"} and host.register.version == 2
             assert host.directory.by_name[name].address == server.address
-            last = {"instanceId": name, "lifecycle": "gone"}  # all that is needed to go
-            host.tell({"generation": 3, "reset": False, "instances": [last]})
+            removal = {"instanceId": name, "lifecycle": "gone"}  # enough to remove the endpoint
+            host.tell({"generation": 3, "reset": False, "instances": [removal]})
             assert set(host.directory.by_name) == {"s-other"}
 
     run(work())
 
 
-def test_memory_does_not_grow_with_endpoints_clients_and_messages_that_come_and_go(
+def test_memory_does_not_grow_as_endpoints_clients_and_messages_change(
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the long day: each map has a moment at which its entries leave."""
+    """Guards against leaks in a process that runs for days: every collection must drop its entries."""
     monkeypatch.setattr("message_relay.core.message_lifecycle.UNLISTED_RETENTION_MS", 0.0)
 
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host:
-            for turn in range(2, 40):  # at one address each time another endpoint, of another destination
-                raw = listing(server, generation=turn)
-                raw["instances"][0].update(instanceId=f"s-{turn}", cell=turn)
+            for number in range(2, 40):  # each time a different endpoint and destination at the same address
+                raw = listing(server, generation=number)
+                raw["instances"][0].update(instanceId=f"s-{number}", cell=number)
                 host.tell(raw)
                 async with Client(host.ingress.port) as client:
-                    dest = f"dest={turn}"
-                    assert await client.ask(message(f"m{turn}", "keyed", X_Addressing=dest)) == 202
+                    dest = f"dest={number}"
+                    assert await client.ask(message(f"m{number}", "keyed", X_Addressing=dest)) == 202
                     await until(lambda: not host.held)
             await until(lambda: not host.ingress.connections and not host.relay.pending.by_id)
             host.journal.compact(unix_time_ms() + 1e6)
             host.messages.expire_destinations()
             host.messages.add_destinations({39})
-            directory, ingress, relay_ = host.directory, host.ingress, host.relay
+            directory, listener, scheduler = host.directory, host.ingress, host.relay
             sizes: dict[str, Sized] = {
                 "held": host.held,
                 "numbers": host.numbers,
@@ -310,38 +316,39 @@
                 "sizes": host.journal.messages.sizes,
                 "home": host.journal.log.segment_of,
                 "dying": host.journal.retained,
-                "silent": ingress.silent,
-                "resting": ingress.idle_submitters,
-                "visiting": ingress.idle_without_submission,
-                "lingering": ingress.lingering,
-                "queues": relay_.pending.queues,
-                "due": relay_.pending.scans_due,
-                "unsure": relay_.pending.lowest_value_stale,
-                "lines": relay_.pending.key_order,
-                "rest": relay_.pending.key_paused_until,
+                "silent": listener.silent,
+                "resting": listener.idle_submitters,
+                "visiting": listener.idle_without_submission,
+                "lingering": listener.lingering,
+                "queues": scheduler.pending.queues,
+                "due": scheduler.pending.scans_due,
+                "unsure": scheduler.pending.lowest_value_stale,
+                "lines": scheduler.pending.key_order,
+                "rest": scheduler.pending.key_paused_until,
                 "ending": host.egress.receiving_bodies,
                 "notices": host.notices.pending,
                 "events": host.events,
             }
-            assert {name: len(what) for name, what in sizes.items() if len(what)} == {}
+            assert {name: len(collection) for name, collection in sizes.items() if len(collection)} == {}
             assert (
                 len(directory.by_name)
                 == len(directory.by_number)
                 == len(host.egress.pool.idle_by_endpoint)
                 == 1
             )
-            assert list(host.dests) == [39] and len(relay_.endpoints) == 1
-            assert len(relay_.destinations) == 38  # what they have learned fades in a minute, and then goes
-            relay_.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
-            assert len(relay_.destinations) == 1
-            assert len(host.tasks.running) == len(host.front.tasks.running) == 2  # each watches and sweeps
+            assert list(host.dests) == [39] and len(scheduler.endpoints) == 1
+            assert len(scheduler.destinations) == 38  # their learned state expires after a minute
+            scheduler.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
+            assert len(scheduler.destinations) == 1
+            # One task each that polls or sends notifications, and one that runs periodic checks.
+            assert len(host.tasks.running) == len(host.front.tasks.running) == 2
 
     run(work())
 
 
 def test_an_outcome_is_sent_again_until_it_is_acknowledged(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.usual = answer(500)
         agent.script += [answer(503), "reset", answer(400)]
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
@@ -357,15 +364,15 @@
     async def work() -> None:
         agent = Agent()
         await agent.start()
-        told: list[str] = []
-        notices = OutcomeNotifier(AgentLink(agent.address), told.extend)
+        notified: list[str] = []
+        notifier = OutcomeNotifier(AgentLink(agent.address), notified.extend)
         for n in range(3):
-            notices.add(f"m{n}", "returned", 250.0)
+            notifier.add(f"m{n}", "returned", 250.0)
         agent.script += [answer(400), answer(204), answer(204), answer(204)]
-        task = asyncio.get_running_loop().create_task(notices.run())
-        await until(lambda: len(told) == 3)
+        task = asyncio.get_running_loop().create_task(notifier.run())
+        await until(lambda: len(notified) == 3)
         task.cancel()
-        assert sorted(told) == ["m0", "m1", "m2"]
+        assert sorted(notified) == ["m0", "m1", "m2"]
         assert agent.seen[0].body.splitlines()[0] == b'{"id": "m0", "state": "returned", "after_ms": 250}'
 
     run(work())
@@ -375,7 +382,7 @@
     state: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             with monkeypatch.context() as patch:
                 patch.setattr(host.ingress, "handle", lambda request: 1 // 0)
@@ -388,7 +395,7 @@
     run(work())
 
 
-# -- restarts: what each step leaves in the journal, and what the next process makes of it -----------------
+# -- restarts: what each step leaves in the journal, and how the next process continues ---------------------
 
 
 def entry(class_: str, age_ms: float = 1000.0, left_ms: float = 8000.0) -> JournalEntry:
@@ -403,47 +410,47 @@
     ("unsafe", "taken", {}, "delivered"),
     ("safe", "tried", {}, "delivered"),
     ("keyed", "tried", {"tried_ago": 500.0}, "delivered"),
-    ("keyed", "tried", {"tried_ago": 4500.0}, "returned"),  # its key may be forgotten by now
-    ("unsafe", "tried", {}, "failed"),  # a call that was out may have run
+    ("keyed", "tried", {"tried_ago": 4500.0}, "returned"),  # the endpoint may have forgotten its key
+    ("unsafe", "tried", {}, "failed"),  # an attempt in flight may have run
     ("unsafe", "refused", {}, "delivered"),  # proof of no effect
     ("unsafe", "errored", {}, "failed"),
-    ("safe", "tried out", {}, "returned"),  # all its attempts are used up
-    ("safe", "taken", {"left_ms": -5.0}, "returned"),  # expired meanwhile
+    ("safe", "tried out", {}, "returned"),  # it has no attempts left
+    ("safe", "taken", {"left_ms": -5.0}, "returned"),  # its deadline has passed
     ("unsafe", "tried", {"left_ms": -5.0}, "failed"),
     ("safe", "ended", {}, ""),
-    ("unsafe", "failed", {}, "failed"),  # its notice was not confirmed
+    ("unsafe", "failed", {}, "failed"),  # its notification was not acknowledged
     ("unsafe", "told", {}, ""),
 ]
 
 
-@pytest.mark.parametrize(("class_", "step", "more", "end"), STEPS)
+@pytest.mark.parametrize(("class_", "step", "options", "outcome"), STEPS)
 def test_a_restart_at_each_step(
-    state: Path, class_: str, step: str, more: dict[str, float], end: str
+    state: Path, class_: str, step: str, options: dict[str, float], outcome: str
 ) -> None:
     async def work() -> None:
-        agent, server = await pair()
-        name, before = f"s-{server.address[1]}", Journal(state, 3_000_000)
-        it = entry(class_, left_ms=more.get("left_ms", 8000.0))
-        before.append_accepted(it)
+        agent, server = await start_agent_and_server()
+        name, journal = f"s-{server.address[1]}", Journal(state, 3_000_000)
+        pending = entry(class_, left_ms=options.get("left_ms", 8000.0))
+        journal.append_accepted(pending)
         for _ in range({"taken": 0, "tried out": 8}.get(step, 1)):
-            before.append_attempt(it, unix_time_ms() - more.get("tried_ago", 100.0), name, 0)
+            journal.append_attempt(pending, unix_time_ms() - options.get("tried_ago", 100.0), name, 0)
             if step not in ("tried", "tried out"):
-                before.append_outcome(it, step != "refused")
+                journal.append_outcome(pending, step != "refused")
             elif step == "tried out":
-                before.append_outcome(it, False)
+                journal.append_outcome(pending, False)
         if step in ("ended", "failed", "told"):
-            before.append_final_outcome(it, "delivered" if step == "ended" else "failed")
+            journal.append_final_outcome(pending, "delivered" if step == "ended" else "failed")
         if step == "told":
-            before.append_notified(["m"])
-        before.close()
+            journal.append_notified(["m"])
+        journal.close()
         async with relay(state, agent, server) as host:
-            if end == "delivered":
+            if outcome == "delivered":
                 assert (await server.came.get()).body == b"kept"
                 await until(lambda: host.journal.entries["m"].final_state == "delivered")
-            elif end:
-                assert await agent.notices.get() == {"id": "m", "state": end}
+            elif outcome:
+                assert await agent.notices.get() == {"id": "m", "state": outcome}
                 await until(lambda: host.journal.entries["m"].is_notified)
-            assert not host.held and bool(server.seen) == (end == "delivered")
+            assert not host.held and bool(server.seen) == (outcome == "delivered")
             assert agent.notices.empty()
 
     run(work())
@@ -453,34 +460,34 @@
     state: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("message_relay.core.relay.ACCEPT_AFTER_STOP_S", 0.05)
-    monkeypatch.setattr("message_relay.http.client_limits.MIN_IDLE_S", 0.1)  # of the idle client
+    monkeypatch.setattr("message_relay.http.client_limits.MIN_IDLE_S", 0.1)  # for the idle client
 
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.hold = asyncio.Event()
         host = host_of(state, agent, server)
         await host.start()
-        async with Client(host.ingress.port) as client, Client(host.ingress.port) as half:
+        async with Client(host.ingress.port) as client, Client(host.ingress.port) as slow_client:
             assert await client.ask(message("m")) == 202
             await server.came.get()
-            late = message("late", "unsafe")
-            half.writer.write(late[:50])
-            await until(lambda: any(not each.is_idle for each in host.ingress.connections))
+            late_request = message("late", "unsafe")
+            slow_client.writer.write(late_request[:50])
+            await until(lambda: any(not connection.is_idle for connection in host.ingress.connections))
             stopping = asyncio.get_running_loop().create_task(host.stop())
-            assert await client.reader.read() == b""  # the idle one is closed
-            half.writer.write(late[50:])
-            assert await half.status() == 202 and "connection: close" in half.head
+            assert await client.reader.read() == b""  # the idle connection is closed
+            slow_client.writer.write(late_request[50:])
+            assert await slow_client.status() == 202 and "connection: close" in slow_client.head
             server.hold.set()
             await stopping
-        after = Journal(state, 3_000_000).entries
-        assert after["m"].final_state == after["late"].final_state == "delivered"
+        entries = Journal(state, 3_000_000).entries
+        assert entries["m"].final_state == entries["late"].final_state == "delivered"
 
     run(work())
 
 
 def test_what_cannot_finish_before_the_stop_stays_in_the_journal(state: Path) -> None:
     async def work() -> None:
-        agent, server = await pair()
+        agent, server = await start_agent_and_server()
         server.usual = None
         host = host_of(state, agent, server)
         await host.start()
@@ -488,12 +495,12 @@
             assert await client.ask(message("out")) == 202
             await server.came.get()
             await host.stop()
-        (left,) = Journal(state, 3_000_000).entries.values()
+        (remaining_entry,) = Journal(state, 3_000_000).entries.values()
         assert (
-            left.final_state == ""
-            and left.attempt_count == 1
-            and left.uncertain_attempt is not None
-            and left.body == b"hello"
+            remaining_entry.final_state == ""
+            and remaining_entry.attempt_count == 1
+            and remaining_entry.uncertain_attempt is not None
+            and remaining_entry.body == b"hello"
         )
 
     run(work())
--- a/tests/core/test_restarts.py
+++ b/tests/core/test_restarts.py
@@ -1,5 +1,7 @@
-"""Restarts in their worst moments: much left untried, a repeat window of a second, a kill at each step, and
-few descriptors. Real processes where a signal matters; the partners' ledgers tell what took effect."""
+"""Restarts with many unattempted messages, a short idempotency window, SIGKILL at each step, few descriptors.
+
+Tests that depend on signals use real processes; the fake endpoint records what had an effect.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,7 @@
 from ..loopback import SETTINGS, Agent, Client, Server, answer, host_of, listing, message, run, until
 from .test_process import Process
 
-LEFT = 500
+MESSAGE_COUNT = 500
 
 
 def settings_of(**limits: Any) -> dict[str, Any]:
@@ -35,7 +37,7 @@
     return settings
 
 
-async def world(folder: Path, **config: Any) -> tuple[Agent, Server, Process]:
+async def start_environment(folder: Path, **config: Any) -> tuple[Agent, Server, Process]:
     agent, server = await Agent().start(), await Server().start()
     process = Process(folder, agent, server)
     process.raw |= config
@@ -44,14 +46,16 @@
 
 
 def test_untried_messages_are_attempted_after_a_restart_with_lower_limits(tmp_path: Path) -> None:
-    """500 untried, half of their time left, and a hold that is lowered to where they fill it: each gets its
-    call. Seen to fail where room was made in a full hold by what is worth least: 75 of 500 were given up
-    uncalled."""
+    """500 unattempted messages with half of their time left, and a limit for pending messages lowered to
+    their number: each is attempted. When the messages of least value were shed at the limit, 75 of 500 were
+    given up without an attempt."""
 
     async def work() -> None:
-        agent, server, process = await world(tmp_path, settings=settings_of(**{"open-cap": LEFT}))
+        agent, server, process = await start_environment(
+            tmp_path, settings=settings_of(**{"open-cap": MESSAGE_COUNT})
+        )
         journal, now = Journal(process.state, 3_000_000), unix_time_ms()
-        for n in range(LEFT):
+        for n in range(MESSAGE_COUNT):
             journal.append_accepted(
                 JournalEntry(f"m{n}", "unsafe", "t", 7, None, now - 8000, now + 8000 + n, "", b"hello")
             )
@@ -60,9 +64,9 @@
         raw["instances"][0]["weight"] = 200.0
         process.configure(known=raw)
         await process.start()
-        await until(lambda: len(server.seen) == LEFT)
+        await until(lambda: len(server.seen) == MESSAGE_COUNT)
         assert Counter(seen.headers["x-trace-id"] for seen in server.seen).most_common(1)[0][1] == 1
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
         assert agent.notices.empty()
 
     run(work())
@@ -72,7 +76,7 @@
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["extra"]["call-slots"] = 1
-        agent, server, process = await world(tmp_path, settings=settings)
+        agent, server, process = await start_environment(tmp_path, settings=settings)
         journal, now = Journal(process.state, 3_000_000), unix_time_ms()
         for n in (3, 1, 4, 0, 2):
             journal.append_accepted(
@@ -82,19 +86,20 @@
         await process.start()
         await until(lambda: len(server.seen) == 5)
         assert [seen.headers["x-trace-id"] for seen in server.seen] == [f"m{n}" for n in range(5)]
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    ("dead_ms", "goes"),
+    ("downtime_ms", "is_sent"),
     [(0.0, True), (900.0, True), (990.0, True), (996.0, False), (1000.0, False), (60_000.0, False)],
 )
 def test_a_keyed_message_that_may_have_run_is_retried_within_its_window_only(
-    dead_ms: float, goes: bool
+    downtime_ms: float, is_sent: bool
 ) -> None:
-    """The time spent dead counts, from the first byte of the attempt that was out at the kill."""
+    """The window includes the time without a process, from the first byte of the attempt in flight at the
+    kill."""
     classes = (MessageClass("k", Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 1000.0),)
     driver = Driver(make_settings(classes=classes))
     driver.listed((1, 1))
@@ -104,43 +109,42 @@
             1,
             0,
             5000.0,
-            age_ms=dead_ms + 100,
+            age_ms=downtime_ms + 100,
             attempts=1,
-            uncertain_for_ms=dead_ms,
+            uncertain_for_ms=downtime_ms,
             uncertain_endpoint=Endpoint(1, 1, Listing.READY),
         )
     )
     driver.pass_time(3000)
-    assert [at for at, _ in driver.sent if at - 1000.0 + dead_ms >= 1000.0] == []
-    assert bool(driver.sent) == goes
+    assert [sent_at for sent_at, _ in driver.sent if sent_at - 1000.0 + downtime_ms >= 1000.0] == []
+    assert bool(driver.sent) == is_sent
 
 
 @pytest.mark.parametrize("step_ms", (-3_600_000, -20_000, 2_000, 3_600_000))
 def test_a_wall_clock_step_between_processes_sends_no_keyed_message_past_its_window(
     tmp_path: Path, step_ms: int
 ) -> None:
-    """The journal's newest record is later than the clock says now, or much earlier: in doubt it is not
-    sent."""
+    """The newest journal record is in the future or far in the past: if in doubt, the message is not sent."""
 
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 1000.0
-        agent, server, process = await world(tmp_path, settings=settings)
+        agent, server, process = await start_environment(tmp_path, settings=settings)
         journal, now = Journal(process.state, 3_000_000), unix_time_ms() - step_ms
         entry = JournalEntry("k", "keyed", "t", 7, "key", now - 2000, now + 3_700_000, "", b"hello")
         journal.append_accepted(entry)
-        journal.append_attempt(entry, now - 1500, "s-old", 0)  # 1.5 s ago in truth: past its window
+        journal.append_attempt(entry, now - 1500, "s-old", 0)  # actually 1.5 s ago: past its window
         journal.close()
         await process.start()
         assert (await agent.notices.get())["id"] == "k"
         assert not server.seen
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    ("wall_ago", "up_ago", "goes"),
+    ("wall_age_ms", "uptime_age_ms", "is_sent"),
     [
         (500.0, 500.0, True),
         (500.0, 6000.0, False),
@@ -151,28 +155,28 @@
         (500.0, -1e9, True),
     ],
 )
-def test_the_larger_of_two_clocks_ages_counts_and_doubt_sends_nothing(
-    tmp_path: Path, wall_ago: float, up_ago: float | None, goes: bool
+def test_the_larger_of_two_clocks_ages_counts_and_an_unknown_age_prevents_sending(
+    tmp_path: Path, wall_age_ms: float, uptime_age_ms: float | None, is_sent: bool
 ) -> None:
-    """A wall clock set back by a second makes 1.5 s ago look like 0.5 s; a machine that has started anew
-    has an uptime that is less than the record's. Seen to fail by the wall clock alone."""
+    """With a wall clock set back by a second, 1.5 s ago looks like 0.5 s; after a reboot the uptime is less
+    than the recorded one. The wall clock alone gave wrong results."""
 
     async def work() -> None:
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0]["window-ms"] = 5000.0  # long enough for the start of a process
-        agent, server, process = await world(tmp_path, settings=settings)
+        agent, server, process = await start_environment(tmp_path, settings=settings)
         journal, now = Journal(process.state, 3_000_000), unix_time_ms()
         entry = JournalEntry("k", "keyed", "t", 7, "key", now - 9000, now + 7000, "", b"hello")
         journal.append_accepted(entry)
-        up = -1.0 if up_ago is None else time.monotonic() * 1000 - up_ago
-        journal.append_attempt(entry, now - wall_ago, "s-old", 0, up)
+        uptime_ms = -1.0 if uptime_age_ms is None else time.monotonic() * 1000 - uptime_age_ms
+        journal.append_attempt(entry, now - wall_age_ms, "s-old", 0, uptime_ms)
         journal.close()
         await process.start()
-        if goes:
+        if is_sent:
             await until(lambda: len(server.seen) == 1)
         else:
             assert (await agent.notices.get())["id"] == "k" and not server.seen
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
@@ -185,14 +189,15 @@
 def test_a_kill_at_each_step_of_a_messages_life_keeps_every_promise(
     tmp_path: Path, step: str, class_: str
 ) -> None:
-    """Killed with SIGKILL right after: the record of its taking, that of its attempt, its bytes, its
-    answer, its end, its notice. Started again, it gets one end; an unsafe one runs once at most."""
+    """SIGKILL right after one step: acceptance journalled, attempt journalled, request sent, response
+    received, final outcome, notification. After the restart the message gets one outcome; an unsafe one runs
+    at most once."""
 
     async def work() -> None:
-        agent, server, process = await world(tmp_path)
+        agent, server, process = await start_environment(tmp_path)
         server.usual = None if step in ("byte",) else answer(500)
         agent.script.extend([answer(503)] * 1000 if step == "ended" else [])
-        if step in ("taken", "tried"):  # what such a kill leaves in the folder
+        if step in ("taken", "tried"):  # what a kill at this step leaves in the folder
             journal, now = Journal(process.state, 3_000_000), unix_time_ms()
             entry = JournalEntry("m", class_, "t", 7, None, now, now + 8000, "", b"hello")
             journal.append_accepted(entry)
@@ -201,24 +206,24 @@
             journal.close()
         else:
             await process.start()
-            await process.hand_in(message("m", class_))
+            await process.submit(message("m", class_))
             await until(lambda: bool(server.seen))
             if step == "ended" and class_ == "unsafe":
                 await until(lambda: len(agent.script) < 1000)
             if step == "noticed" and class_ == "unsafe":
                 await agent.notices.get()
-            await process.end(signal.SIGKILL)
-        ran = len(server.seen)
+            await process.stop(signal.SIGKILL)
+        earlier_attempts = len(server.seen)
         agent.script.clear()
         server.usual = answer(200)
         await process.start()
         if class_ == "safe":
-            await until(lambda: len(server.seen) == ran + 1)
+            await until(lambda: len(server.seen) == earlier_attempts + 1)
         elif step in ("tried", "byte", "answered", "ended"):
             assert (await agent.notices.get()) == {"id": "m", "state": "failed"}
         elif step == "taken":
             await until(lambda: len(server.seen) == 1)
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
         if class_ == "unsafe":
             assert len(server.seen) <= 1
         entries = Journal(process.state, 3_000_000).entries
@@ -232,12 +237,12 @@
 SOCKETS = 96
 
 
-class Narrow(Process):
-    """A process that the system lets hold few descriptors."""
+class ProcessWithDescriptorLimit(Process):
+    """A process with a low limit of open descriptors."""
 
-    async def start(self, **more: str) -> None:
+    async def start(self, **variables: str) -> None:
         command = f"ulimit -n {SOCKETS}; exec {sys.executable} -m message_relay"
-        env = {**os.environ, "RELAY_CONFIG": str(self.config), **more}
+        env = {**os.environ, "RELAY_CONFIG": str(self.config), **variables}
         self.process = await asyncio.create_subprocess_exec("sh", "-c", command, env=env)
         while not await self._ready():
             assert self.process.returncode is None
@@ -251,44 +256,45 @@
             return False
 
 
-def test_idle_clients_at_the_limit_starve_nothing_while_discovery_is_down(tmp_path: Path) -> None:
-    """150 clients connect and say nothing to a process with 96 descriptors, while discovery is silent: a
-    message is still taken on, journalled and delivered, and the new configuration is read and its discovery
-    asked."""
+def test_idle_clients_at_the_limit_block_neither_messages_nor_reloads_while_discovery_is_down(
+    tmp_path: Path,
+) -> None:
+    """150 clients connect to a process with 96 descriptors and send nothing, while discovery does not
+    respond. Messages are still accepted, journalled and delivered, and a new configuration is loaded and its
+    agent polled."""
 
     async def work() -> None:
         agent, server = await Agent(silent=True).start(), await Server().start()
-        process = Narrow(tmp_path, agent, server)
+        process = ProcessWithDescriptorLimit(tmp_path, agent, server)
         process.raw["limits"] = {"sockets": SOCKETS, "disk_mb": 3}
         process.configure()
         await process.start()
-        crowd = []
+        idle_clients = []
         for _ in range(150):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(("127.0.0.1", process.port))
-            crowd.append(sock)
-        held = len(os.listdir(f"/proc/{process.process.pid}/fd"))
-        assert held <= SOCKETS
+            idle_clients.append(sock)
+        descriptor_count = len(os.listdir(f"/proc/{process.process.pid}/fd"))
+        assert descriptor_count <= SOCKETS
         for n in range(10):
-            await process.hand_in(message(f"m{n}"))
+            await process.submit(message(f"m{n}"))
         await until(lambda: len(server.seen) == 10)
         other = await Agent().start()
         other.tell(listing(server, generation=9))
         process.configure(discovery="{}:{}".format(*other.address))
         process.process.send_signal(signal.SIGHUP)
         await until(lambda: any("from=9" in seen.target for seen in other.seen))
-        for sock in crowd:
+        for sock in idle_clients:
             sock.close()
-        assert await process.end(signal.SIGTERM) == 0
+        assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
 
 
 def test_unresumed_messages_count_as_pending(tmp_path: Path) -> None:
-    """Whoever waits until a process holds nothing, and a stop within the first moments, must not pass it
-    over. Seen to fail where only what had been taken up was counted: a fleet was reported drained right
-    after a restart."""
+    """They matter to an operator who waits for a drained process, and to a stop right after the start. When
+    only resumed messages were counted, a fleet was reported drained right after a restart."""
 
     async def work() -> None:
         agent, server = await Agent(silent=True).start(), await Server().start()
@@ -302,7 +308,7 @@
         assert not host.held and host.messages.pending_count == 1 and not host.host.is_idle
         assert [entry.id for entry in host.messages.pending_entries()] == ["m"]
         stopping = asyncio.ensure_future(host.stop())
-        await until(lambda: len(server.seen) == 1)  # it has its try, in the drain of the stop
+        await until(lambda: len(server.seen) == 1)  # it is attempted during the stop
         await stopping
 
     run(work())
--- a/tests/core/test_simulator_adapter.py
+++ b/tests/core/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire document's bytes, a conversation with a child process, and bad input."""
+"""The simulator adapter: documented byte sequences, a session with a child process, malformed input."""
 
 import json
 import os
@@ -73,24 +73,24 @@
     return struct.pack("<IdI", len(body), now, len(records)) + body
 
 
-def enlist(settings: dict[str, Any] = SETTINGS, instance: int = 3) -> bytes:
+def instance_started(settings: dict[str, Any] = SETTINGS, instance: int = 3) -> bytes:
     text = json.dumps(settings).encode()
     return record(80, struct.pack("<IQI", instance, 7, len(text)) + text)
 
 
-def listing() -> bytes:
+def list_record() -> bytes:
     entries = simulator_adapter.ENTRY.pack(1, 8.0, 0.0, 0, 0, 57, 11) + simulator_adapter.ENTRY.pack(
         1, 8.0, 0.0, 0, 0, 57, 12
     )
     return record(20, struct.pack("<BI", 0, 2) + entries) + b""
 
 
-def announce() -> bytes:
+def list_announced() -> bytes:
     return record(30, struct.pack("<IBQB", 3, 2, 41, 0))
 
 
-def request(ident: int) -> bytes:
-    return record(110, struct.pack("<IIBIQddfB", 3, ident, 0, 0, 0, 4000.0, 0.0, 57.0, 0))
+def message_record(message_id: int) -> bytes:
+    return record(110, struct.pack("<IIBIQddfB", 3, message_id, 0, 0, 0, 4000.0, 0.0, 57.0, 0))
 
 
 def run(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
@@ -113,14 +113,14 @@
     )
     assert host._event(40, bytes.fromhex("030000004d00000000000000")) == TimerFired(77)
     assert host._event(70, bytes.fromhex("05000000192b6f0e")) == MessageCancelled(0x0E6F2B19)
-    done = bytes.fromhex("03000000c4913a5d0000074a12030100000000008032400100000000" + "00")
-    assert host._event(100, done) == AttemptCompleted(
+    attempt_completed = bytes.fromhex("03000000c4913a5d0000074a12030100000000008032400100000000" + "00")
+    assert host._event(100, attempt_completed) == AttemptCompleted(
         0x5D3A91C4, 0, 0x03124A07, Outcome.OK, 18.5, True, 0.0, False, ()
     )
     events: dict[int, list[Event]] = {}
-    rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
-    rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
-    host._handle_record(20, b"\0" + bytes.fromhex(rows), events)
+    list_rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
+    list_rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
+    host._handle_record(20, b"\0" + bytes.fromhex(list_rows), events)
     host._handle_record(30, bytes.fromhex("0300000002290000000000000000"), events)
     assert events[3] == [
         EndpointList(
@@ -146,11 +146,11 @@
     ],
 )
 def test_documented_actions_are_encoded(action: Action, wire: str | None) -> None:
-    coded = simulator_adapter.encode(3, action)
+    encoded = simulator_adapter.encode(3, action)
     if wire is None:
-        assert coded.hex() == "0a1400000003000000c4913a5d074a1203" + struct.pack("<d", 8512.25).hex()
+        assert encoded.hex() == "0a1400000003000000c4913a5d074a1203" + struct.pack("<d", 8512.25).hex()
     else:
-        assert coded == bytes.fromhex(wire)
+        assert encoded == bytes.fromhex(wire)
 
 
 def test_debug_line_is_encoded() -> None:
@@ -158,34 +158,34 @@
     assert simulator_adapter.encode(5, Log("two servers known")).hex() == wire
 
 
-def conversation() -> bytes:
-    done = struct.pack("<IIHIBdBIB", 3, 1, 0, 11, 1, 120.0, 1, 0, 0)
+def session() -> bytes:
+    attempt_completed = struct.pack("<IIHIBdBIB", 3, 1, 0, 11, 1, 120.0, 1, 0, 0)
     return b"".join(
         [
             frame(0.0),
-            frame(100.0, enlist(), listing(), announce()),
-            frame(110.0, request(1)),
-            frame(1240.0, record(100, done), *(request(n) for n in range(2, 9))),
+            frame(100.0, instance_started(), list_record(), list_announced()),
+            frame(110.0, message_record(1)),
+            frame(1240.0, record(100, attempt_completed), *(message_record(n) for n in range(2, 9))),
             frame(1260.0, record(40, struct.pack("<IQ", 3, 0))),
         ]
     )
 
 
 def replies(data: bytes) -> list[list[tuple[int, bytes]]]:
-    out, at = [], 0
-    while at < len(data):
-        size, count = struct.unpack_from("<II", data, at)
-        at += 8
-        records = list(simulator_adapter.SimulatorAdapter._records(count, data[at : at + size]))
-        out.append(records)
-        at += size
-    return out
+    frames, position = [], 0
+    while position < len(data):
+        size, count = struct.unpack_from("<II", data, position)
+        position += 8
+        records = list(simulator_adapter.SimulatorAdapter._records(count, data[position : position + size]))
+        frames.append(records)
+        position += size
+    return frames
 
 
 def test_conversation_with_a_child_process() -> None:
-    done = run(conversation())
-    assert done.returncode == 0 and done.stderr == b""
-    batches = replies(done.stdout)
+    process = run(session())
+    assert process.returncode == 0 and process.stderr == b""
+    batches = replies(process.stdout)
     assert len(batches) == 5 and batches[0] == []
     sends = [struct.unpack("<IIId", body) for code, body in batches[2] if code == 10]
     assert [send[:2] for send in sends] == [(3, 1)] and sends[0][2] in (11, 12)
@@ -193,26 +193,29 @@
 
 
 def test_same_actions_whatever_the_hash_seed() -> None:
-    first, second = run(conversation(), PYTHONHASHSEED="1"), run(conversation(), PYTHONHASHSEED="2")
+    first, second = run(session(), PYTHONHASHSEED="1"), run(session(), PYTHONHASHSEED="2")
     assert first.stdout == second.stdout and len(first.stdout) > 100
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "expected"),
     [
         (b"\x01\x02\x03", "frame header"),
         (struct.pack("<IdI", 40, 0.0, 1) + b"xx", "inside a frame"),
         (frame(0.0, record(251, b"\3\0\0\0")), "unknown event code 251"),
         (frame(0.0, record(80, struct.pack("<IQI", 3, 7, 4) + b"{no}")), "settings"),
-        (frame(0.0, enlist({**SETTINGS, "classes": []})), "classes"),
-        (frame(0.0, enlist({k: v for k, v in SETTINGS.items() if k != "limits"})), "limits"),
-        (frame(0.0, enlist(), record(110, b"\3\0\0\0\1")), "malformed"),
-        (frame(0.0, announce()), "list 0 was never sent"),
-        (frame(0.0, enlist(), request(1)[:13] + b"\x09" + request(1)[14:]), "class 9"),
+        (frame(0.0, instance_started({**SETTINGS, "classes": []})), "classes"),
+        (frame(0.0, instance_started({k: v for k, v in SETTINGS.items() if k != "limits"})), "limits"),
+        (frame(0.0, instance_started(), record(110, b"\3\0\0\0\1")), "malformed"),
+        (frame(0.0, list_announced()), "list 0 was never sent"),
+        (
+            frame(0.0, instance_started(), message_record(1)[:13] + b"\x09" + message_record(1)[14:]),
+            "class 9",
+        ),
         (frame(0.0, record(70, b"\3\0\0\0\1\0\0\0") + b"left"), "after its last record"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, says: str) -> None:
-    done = run(data)
-    text = done.stderr.decode()
-    assert done.returncode == 1 and text.count("\n") == 1 and "Traceback" not in text and says in text
+def test_malformed_input_ends_with_one_plain_line(data: bytes, expected: str) -> None:
+    process = run(data)
+    text = process.stderr.decode()
+    assert process.returncode == 1 and text.count("\n") == 1 and "Traceback" not in text and expected in text
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that wait in a loop end when they are told to."""
+"""Background tasks that wait in a loop end when they are cancelled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from message_relay.core.tasks import BackgroundTasks, wait_for_event
 
 
-def test_a_task_whose_event_is_set_and_that_is_cancelled_in_one_turn_ends() -> None:
+def test_a_task_cancelled_in_the_same_iteration_as_its_event_ends() -> None:
     async def work() -> None:
         event, tasks = asyncio.Event(), BackgroundTasks()
 
