--- a/tests/http/harness.py
+++ b/tests/http/harness.py
@@ -1,4 +1,4 @@
-"""What tests of this folder share: a relay with one endpoint on loopback, clients and attempts."""
+"""Shared by the tests of this folder: a relay with one endpoint on loopback, clients and attempts."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class RelayWithEndpoint:
-    """A relay with one endpoint."""
+    """Async context manager that runs a relay with one endpoint and an agent."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.agent, self.server = folder, Agent(), Server()
-        self.held = AsyncExitStack()
+        self.exit_stack = AsyncExitStack()
 
     async def __aenter__(self) -> Running:
         state = self.folder / "state"
         state.mkdir()
         await self.agent.start()
         await self.server.start()
-        return await self.held.enter_async_context(relay(state, self.agent, self.server))
+        return await self.exit_stack.enter_async_context(relay(state, self.agent, self.server))
 
     async def __aexit__(self, *_: object) -> None:
-        await self.held.aclose()
+        await self.exit_stack.aclose()
 
 
 async def read_to_end(client: Client) -> bool:
-    """Reads on to the end of the connection."""
+    """Reads until the connection ends; returns True."""
     try:
         while await client.reader.read(65536):
             pass
@@ -50,11 +50,11 @@
     careful: bool = False,
     kind: str = "k",
 ) -> Attempt:
-    """An attempt that times out after so many seconds; `careful`: an ambiguous outcome would be final."""
+    """An attempt that times out after `seconds`; `careful`: an ambiguous outcome would be final."""
     deadline_s = asyncio.get_running_loop().time() + seconds
     return Attempt(endpoint, address, "id", "key", body, deadline_s, may, careful, kind=kind)
 
 
 def make_client(idle_ms: float = 60000.0, connect_ms: float = 20000.0, max_idle: int = 10) -> EndpointClient:
-    """A client with a pool of its own."""
+    """An endpoint client with its own connection pool."""
     return EndpointClient(idle_ms, connect_ms, max_idle)
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -1,4 +1,4 @@
-"""Attempts that end at the worst moment, and endpoints that accept few connections."""
+"""Attempts that end at critical moments, and endpoints that accept few connections."""
 
 from __future__ import annotations
 
@@ -24,47 +24,47 @@
 CONNECTION_REJECTED = answer(503, "Connection: close")
 
 
-# -- may it have run --------------------------------------------------------------------------------------
+# -- whether the attempt may have run ----------------------------------------------------------------------
 
 
 def test_attempt_that_times_out_as_last_byte_leaves_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The buffer is flushed and the timeout expires in one turn of the loop: the task resumes with the
-    timeout. Seen to fail where the end of `_write_request` stood for the last byte: the outcome was
-    CONNECT_FAILED, which proves that nothing ran, and the endpoint had the complete request."""
+    """The buffer is flushed and the timeout expires in the same loop iteration, so the task resumes with the
+    timeout. When the end of `_write_request` counted as the sending of the last byte, the outcome was
+    CONNECT_FAILED, which proves that nothing ran, although the endpoint had the complete request."""
     size = 8 << 20
-    limits: list[asyncio.Timeout] = []
+    recorded_timeouts: list[asyncio.Timeout] = []
     timeout_at, resume = asyncio.timeout_at, EndpointConnection.resume_writing
 
-    def noted(when: float | None) -> asyncio.Timeout:
-        limits.append(timeout_at(when))
-        return limits[-1]
+    def recorded_timeout_at(when: float | None) -> asyncio.Timeout:
+        recorded_timeouts.append(timeout_at(when))
+        return recorded_timeouts[-1]
 
-    def up_now(self: EndpointConnection) -> None:
-        limits[0].reschedule(asyncio.get_running_loop().time() - 1)
+    def expire_and_resume(self: EndpointConnection) -> None:
+        recorded_timeouts[0].reschedule(asyncio.get_running_loop().time() - 1)
         resume(self)
 
-    monkeypatch.setattr(asyncio, "timeout_at", noted)
-    monkeypatch.setattr(EndpointConnection, "resume_writing", up_now)
+    monkeypatch.setattr(asyncio, "timeout_at", recorded_timeout_at)
+    monkeypatch.setattr(EndpointConnection, "resume_writing", expire_and_resume)
 
     async def work() -> None:
-        got, gate = asyncio.Queue[int](), asyncio.Event()
+        received, may_read = asyncio.Queue[int](), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await gate.wait()
-            got.put_nowait(len(await reader.read()))
+            await may_read.wait()
+            received.put_nowait(len(await reader.read()))
             writer.close()
 
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=sock, limit=1 << 16)
-        made = asyncio.ensure_future(
+        attempt = asyncio.ensure_future(
             EndpointClient(60000.0, 20000.0, 10).attempt(make_attempt(sock.getsockname(), body=b"x" * size))
         )
-        await until(lambda: bool(limits))
-        gate.set()
-        assert (await made).outcome is Outcome.TIMEOUT
-        assert await got.get() > size  # the endpoint has all of it, its head too
+        await until(lambda: bool(recorded_timeouts))
+        may_read.set()
+        assert (await attempt).outcome is Outcome.TIMEOUT
+        assert await received.get() > size  # the endpoint got the complete request, including the head
         server.close()
 
     run(work())
@@ -93,25 +93,25 @@
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
         sock.listen(0)
-        crowd = [socket.socket() for _ in range(2)]
-        for each in crowd:
-            each.setblocking(False)
-            each.connect_ex(sock.getsockname())
+        queued = [socket.socket() for _ in range(2)]
+        for queued_sock in queued:
+            queued_sock.setblocking(False)
+            queued_sock.connect_ex(sock.getsockname())
         result = await EndpointClient(60000.0, 20000.0, 10).attempt(
             make_attempt(sock.getsockname(), seconds=0.3)
         )
         assert result == AttemptResult(Outcome.CONNECT_FAILED)
         sock.setblocking(False)
-        loop, came = asyncio.get_running_loop(), list[bytes]()
-        for _ in crowd:
-            taken, _ = await loop.sock_accept(sock)
-            taken.setblocking(False)
+        loop, received = asyncio.get_running_loop(), list[bytes]()
+        for _ in queued:
+            accepted, _ = await loop.sock_accept(sock)
+            accepted.setblocking(False)
             with pytest.raises(BlockingIOError):
-                came.append(taken.recv(100))
-            taken.close()
-        assert not came
-        for each in (*crowd, sock):
-            each.close()
+                received.append(accepted.recv(100))
+            accepted.close()
+        assert not received
+        for queued_sock in (*queued, sock):
+            queued_sock.close()
 
     run(work())
 
@@ -142,46 +142,51 @@
     run(work())
 
 
-# -- withheld ----------------------------------------------------------------------------------------------
+# -- withheld attempts --------------------------------------------------------------------------------------
 
 
 def test_attempt_withheld_by_drain_does_not_count() -> None:
-    """Ten endpoints drain while connections to them are established: the message has all its attempts left,
-    and goes to the next. Seen to fail where each of them counted: after five of five it failed."""
+    """Ten endpoints drain while connections to them are established: the message keeps all its attempts, and
+    is sent to the next endpoint. When each of them counted, it failed after five of five attempts."""
     driver = Driver(make_settings(max_attempts=5))
     driver.listed(*((n, 1) for n in range(1, 12)))
-    ident = driver.message()
+    message_id = driver.message()
     for _ in range(10):
-        send = driver.out[ident]
-        ended = AttemptCompleted(ident, 0, send.endpoint, Outcome.NOT_SENT, was_withheld=True)
+        send = driver.out[message_id]
+        withheld = AttemptCompleted(message_id, 0, send.endpoint, Outcome.NOT_SENT, was_withheld=True)
         driver.feed(
             EndpointList(ListKind.CHANGES, (Endpoint(send.endpoint, 1, Listing.DRAINING),)),
-            ended,
+            withheld,
         )
-        del driver.out[ident]
+        del driver.out[message_id]
         driver.pass_time(500)
-    assert ident in driver.out and ident not in driver.ended
+    assert message_id in driver.out and message_id not in driver.ended
 
 
 def test_attempt_rejected_unsent_by_endpoint_counts() -> None:
     driver = Driver(make_settings(max_attempts=3))
     driver.listed((1, 1))
-    ident = driver.message()
+    message_id = driver.message()
     for _ in range(3):
-        driver.feed(AttemptCompleted(ident, 0, driver.out.pop(ident).endpoint, Outcome.NOT_SENT))
+        driver.feed(AttemptCompleted(message_id, 0, driver.out.pop(message_id).endpoint, Outcome.NOT_SENT))
         driver.pass_time(3000)
-    assert ident in driver.ended
+    assert message_id in driver.ended
 
 
-# -- few connections ---------------------------------------------------------------------------------------
+# -- endpoints that accept few connections -----------------------------------------------------------------
 
 
 class ServerWithConnectionLimit(Server):
-    """An endpoint that accepts `max_connections` connections, idle ones counted."""
+    """An endpoint that accepts `max_connections` connections, including idle ones."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_connections: int) -> None:
         super().__init__()
-        self.max_connections, self.open_count, self.rejected_count, self.gate = most, 0, 0, asyncio.Event()
+        self.max_connections, self.open_count, self.rejected_count, self.gate = (
+            max_connections,
+            0,
+            0,
+            asyncio.Event(),
+        )
         self.gate.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -203,58 +208,60 @@
 
 
 async def attempt_at_all(relays: list[EndpointClient], *servers: Server) -> int:
-    """Each relay makes attempts at each endpoint, starting with another one, until all have succeeded;
-    the number of rejections."""
+    """Each relay makes attempts at each endpoint, each starting at a different one, until all have succeeded.
+
+    Returns the number of rejections.
+    """
 
-    async def one(first: int, calls: EndpointClient) -> int:
-        refused = 0
+    async def attempt_at_each(first: int, client: EndpointClient) -> int:
+        rejections = 0
         for n in [(first + step) % len(servers) for step in range(len(servers))]:
             server = servers[n]
-            while (await calls.attempt(make_attempt(server.address, endpoint=n))).outcome is Outcome.FULL:
-                refused += 1
-                assert refused < 200, "the idle connections of others keep its place"
+            while (await client.attempt(make_attempt(server.address, endpoint=n))).outcome is Outcome.FULL:
+                rejections += 1
+                assert rejections < 200, "idle connections of others occupy its slot"
                 await asyncio.sleep(0)
-        return refused
+        return rejections
 
-    return sum(await asyncio.gather(*(one(n, calls) for n, calls in enumerate(relays))))
+    return sum(await asyncio.gather(*(attempt_at_each(n, client) for n, client in enumerate(relays))))
 
 
 def test_idle_connections_are_given_up_where_endpoints_accept_few() -> None:
-    """Six relays, two endpoints with three slots each. Seen to fail where idle connections were kept: three
-    of six relays were rejected every time."""
+    """Six relays, two endpoints with three slots each. When idle connections were kept, three of six relays
+    were rejected every time."""
 
     async def work() -> None:
-        narrow = [ServerWithConnectionLimit(3), ServerWithConnectionLimit(3)]
-        for server in narrow:
+        limited_servers = [ServerWithConnectionLimit(3), ServerWithConnectionLimit(3)]
+        for server in limited_servers:
             await server.start()
         relays = [EndpointClient(60000.0, 20000.0, 10) for _ in range(6)]
         for _ in range(3):
-            await attempt_at_all(relays, *narrow)
-        assert not any(calls.pool.idle_by_age for calls in relays)
-        for calls in relays:
-            calls.close()
+            await attempt_at_all(relays, *limited_servers)
+        assert not any(client.pool.idle_by_age for client in relays)
+        for client in relays:
+            client.close()
 
     run(work())
 
 
 def test_idle_connections_to_endpoints_of_rejecting_kind_are_closed() -> None:
-    """A relay that has a slot at an endpoint is not rejected there itself."""
+    """The relay itself is not rejected by an endpoint where it has a slot."""
 
     async def work() -> None:
         accepting, full, other = Server(), Server(usual=CONNECTION_REJECTED), Server()
         for server in (accepting, full, other):
             await server.start()
-        calls = EndpointClient(60000.0, 20000.0, 10)
-        await calls.attempt(make_attempt(accepting.address, endpoint=1, kind="small"))
-        await calls.attempt(make_attempt(other.address, endpoint=2, kind="large"))
-        await until(lambda: len(calls.pool.idle_by_age) == 2)
-        result = await calls.attempt(make_attempt(full.address, endpoint=3, kind="small"))
+        client = EndpointClient(60000.0, 20000.0, 10)
+        await client.attempt(make_attempt(accepting.address, endpoint=1, kind="small"))
+        await client.attempt(make_attempt(other.address, endpoint=2, kind="large"))
+        await until(lambda: len(client.pool.idle_by_age) == 2)
+        result = await client.attempt(make_attempt(full.address, endpoint=3, kind="small"))
         assert result.outcome is Outcome.FULL
-        assert [key[0] for key in calls.pool.idle_by_age.values()] == [
+        assert [key[0] for key in client.pool.idle_by_age.values()] == [
             2
-        ]  # the other kind has rejected nothing
+        ]  # the other kind rejected no connection
         await until(accepting.left)
-        calls.close()
+        client.close()
 
     run(work())
 
@@ -262,10 +269,10 @@
 def test_other_rejections_do_not_close_idle_connections() -> None:
     assert is_connection_rejection(503, {"connection": "Close"}, 1, 0.0)
     assert not is_connection_rejection(503, {}, 1, 0.0)  # above a limit, closed, or its queue is full
-    assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # it had a slot
+    assert not is_connection_rejection(503, {"connection": "close"}, 2, 0.0)  # the connection had a slot
     assert not is_connection_rejection(
         503, {"connection": "close"}, 1, 300.0
-    )  # with a time to wait: not for lack of slots
+    )  # with a wait time: not for lack of slots
     assert not is_connection_rejection(429, {"connection": "close"}, 1, 0.0)
 
 
@@ -282,7 +289,7 @@
     assert policy.allows_idle("other", 20.0)
 
 
-# -- reports -----------------------------------------------------------------------------------------------
+# -- load reports ------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -309,8 +316,8 @@
 def test_any_response_may_carry_load_report(status: int) -> None:
     async def work() -> None:
         server = await Server(usual=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")).start()
-        calls = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
-        assert (await calls.attempt(make_attempt(server.address))).load_report == (0.4, 25.0)
-        calls.close()
+        client = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
+        assert (await client.attempt(make_attempt(server.address))).load_report == (0.4, 25.0)
+        client.close()
 
     run(work())
--- a/tests/http/test_client_connections.py
+++ b/tests/http/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients that send invalid, oversized, partial or no requests: each gets an error or an end, no more."""
+"""Clients that send invalid, oversized, partial or no requests get an error response or a close."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..loopback import Client, message, run, until
 from .harness import RelayWithEndpoint, read_to_end
 
-GOOD = message("m")
+VALID_REQUEST = message("m")
 HEAD = b"POST /safe HTTP/1.1\r\nHost: x\r\n"
 
 
@@ -21,27 +21,33 @@
     ("request_", "status"),
     [
         (
-            GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nTransfer-Encoding: chunked").replace(
-                b"hello", b"0\r\n\r\n" + message("hidden")
-            ),
+            VALID_REQUEST.replace(
+                b"Content-Length: 5", b"Content-Length: 5\r\nTransfer-Encoding: chunked"
+            ).replace(b"hello", b"0\r\n\r\n" + message("hidden")),
+            400,
+        ),
+        (
+            VALID_REQUEST.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked\r\nContent-Length: 5"),
             400,
         ),
-        (GOOD.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked\r\nContent-Length: 5"), 400),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 5\r\nContent-Length: 6"), 400),
-        (GOOD.replace(b"X-Trace-Id: m", b"X-Trace-Id: m\r\nX-Trace-Id: n"), 400),
-        (GOOD.replace(b"X-Addressing: dest=7", b"X-Addressing: dest=7\r\nX-Addressing: dest=8"), 400),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: -5"), 400),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 3"), 400),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 19), 413),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 9000), 400),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: 5\r\nContent-Length: 6"), 400),
+        (VALID_REQUEST.replace(b"X-Trace-Id: m", b"X-Trace-Id: m\r\nX-Trace-Id: n"), 400),
         (
-            GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n").replace(
+            VALID_REQUEST.replace(b"X-Addressing: dest=7", b"X-Addressing: dest=7\r\nX-Addressing: dest=8"),
+            400,
+        ),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: -5"), 400),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: 3"), 400),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 19), 413),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: " + b"9" * 9000), 400),
+        (
+            VALID_REQUEST.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n").replace(
                 b"hello", b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n"
             ),
             413,
         ),
-        (GOOD.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n") + b"\r\n", 400),
-        (GOOD * 300, 400),
+        (VALID_REQUEST.replace(b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n") + b"\r\n", 400),
+        (VALID_REQUEST * 300, 400),
         (HEAD + b"X-A: " + b"a" * (1 << 20), 431),
         (b"\x16\x03\x01\x02\x00" * 9, 400),
     ],
@@ -50,23 +56,25 @@
     tmp_path: Path, request_: bytes, status: int
 ) -> None:
     async def work() -> None:
-        world = RelayWithEndpoint(tmp_path)
-        async with world as host, Client(host.ingress.port) as client:
+        environment = RelayWithEndpoint(tmp_path)
+        async with environment as host, Client(host.ingress.port) as client:
             assert await client.ask(request_) == status and "connection: close" in client.head
             assert await read_to_end(client)
             assert not host.held and not host.journal.entries
-        assert not world.server.seen
+        assert not environment.server.seen
 
     run(work())
 
 
 def test_oversized_body_is_rejected_by_its_head_and_discarded(tmp_path: Path) -> None:
-    """Guards memory, and the response: a close with bytes unread would reset the connection and lose it."""
+    """Guards memory, and the response: closing with unread bytes would reset the connection and lose it."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             size = 60 << 20
-            client.writer.write(GOOD.replace(b"Content-Length: 5", b"Content-Length: %d" % size)[:-5])
+            client.writer.write(
+                VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: %d" % size)[:-5]
+            )
             for _ in range(size >> 20):
                 client.writer.write(b"x" * (1 << 20))
                 await client.writer.drain()
@@ -85,9 +93,9 @@
     [
         (b"", 0),
         (b"GET /hea", 408),
-        (GOOD[:-1], 408),
-        (GOOD[:60], 408),
-        (GOOD.replace(b"Content-Length: 5", b"Content-Length: 50"), 408),
+        (VALID_REQUEST[:-1], 408),
+        (VALID_REQUEST[:60], 408),
+        (VALID_REQUEST.replace(b"Content-Length: 5", b"Content-Length: 50"), 408),
     ],
 )
 def test_incomplete_request_times_out(
@@ -119,7 +127,7 @@
 def test_half_closed_partial_request_is_answered(tmp_path: Path) -> None:
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            client.writer.write(GOOD[:-2])
+            client.writer.write(VALID_REQUEST[:-2])
             client.writer.write_eof()
             assert await client.status() == 400 and not host.held
 
@@ -135,15 +143,15 @@
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            assert await client.ask(GOOD) == 202
+            assert await client.ask(VALID_REQUEST) == 202
             assert await client.reader.read() == b""
             await until(lambda: not host.ingress.connections)
-            ingress_ = host.ingress
+            listener = host.ingress
             assert not (
-                ingress_.silent
-                or ingress_.idle_without_submission
-                or ingress_.idle_submitters
-                or ingress_.lingering
+                listener.silent
+                or listener.idle_without_submission
+                or listener.idle_submitters
+                or listener.lingering
             )
 
     run(work())
@@ -152,12 +160,12 @@
 def test_crowded_listener_keeps_no_further_connection_and_shortens_idle_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards clients while connections are limited: idle ones would exclude the others."""
+    """Connections are limited: idle ones must not exclude other clients."""
 
     async def work() -> None:
-        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as clients:
             port, host.ingress.crowding_threshold = host.ingress.port, 3
-            idle = [await open_.enter_async_context(Client(port)) for _ in range(3)]
+            idle = [await clients.enter_async_context(Client(port)) for _ in range(3)]
             for count, client in enumerate(idle):
                 assert await client.ask(message(f"a{count}")) == 202
                 assert "connection: close" not in client.head
@@ -179,20 +187,20 @@
 def test_silent_connections_are_evicted_for_a_client_with_a_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the descriptors that attempts need, and access for ordinary clients."""
+    """Silent connections must not use up the descriptors that attempts need, or exclude other clients."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.0)
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
             port, host.ingress.max_connections = host.ingress.port, 3
-            async with Client(port) as usual, Client(port) as first, Client(port) as second:
-                assert await usual.ask(message("a")) == 202
+            async with Client(port) as submitter, Client(port) as first, Client(port) as second:
+                assert await submitter.ask(message("a")) == 202
                 for count in range(10):
                     async with Client(port) as other:
                         assert await other.ask(message(f"b{count}")) == 202
                         assert len(host.ingress.connections) <= 3
                 assert await read_to_end(first) and await read_to_end(second)
-                assert await usual.ask(message("c")) == 202  # idle for less than 2 s: not evicted
+                assert await submitter.ask(message("c")) == 202  # idle for less than 2 s: not evicted
 
     run(work())
 
@@ -200,16 +208,16 @@
 def test_new_connections_are_not_evicted_while_idle_ones_exist(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards new connections against one another: their first bytes arrive after them, not with them."""
+    """New connections must not evict one another: their first bytes arrive after the connection itself."""
     monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
 
     async def work() -> None:
-        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as clients:
             port, host.ingress.max_connections = host.ingress.port, 4
-            idle = [await open_.enter_async_context(Client(port)) for _ in range(4)]
+            idle = [await clients.enter_async_context(Client(port)) for _ in range(4)]
             for count, client in enumerate(idle):
                 assert await client.ask(message(f"a{count}")) == 202
-            new = [await open_.enter_async_context(Client(port)) for _ in range(4)]
+            new = [await clients.enter_async_context(Client(port)) for _ in range(4)]
             await until(lambda: len(host.ingress.silent) == 4)
             for count, client in enumerate(new):
                 assert await client.ask(message(f"b{count}")) == 202
@@ -220,27 +228,28 @@
 
 
 def test_health_check_connections_are_evicted_before_submitters(tmp_path: Path) -> None:
-    """Guards messages against many clients that request the health and stay connected."""
+    """Many clients that send a health check and stay connected must not exclude submitters."""
 
     async def work() -> None:
-        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as open_:
+        async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as clients:
             port, host.ingress.max_connections = host.ingress.port, 4
-            usual = await open_.enter_async_context(Client(port))
-            assert await usual.ask(message("a")) == 202
+            submitter = await clients.enter_async_context(Client(port))
+            assert await submitter.ask(message("a")) == 202
             for _ in range(20):
-                visitor = await open_.enter_async_context(Client(port))
-                assert await visitor.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
-            other = await open_.enter_async_context(Client(port))
-            assert await other.ask(message("b")) == await usual.ask(message("c")) == 202
+                health_checker = await clients.enter_async_context(Client(port))
+                assert await health_checker.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+            other = await clients.enter_async_context(Client(port))
+            assert await other.ask(message("b")) == await submitter.ask(message("c")) == 202
             assert len(host.ingress.connections) == 4
 
     run(work())
 
 
 def test_rejected_client_keeps_its_connection_as_an_accepted_one(tmp_path: Path) -> None:
-    """What happened: a client whose message was rejected counted as one that had submitted nothing. Where
-    others waited for a place its connection was closed at once, and so under its next request. Seeds 17 and
-    26 of the soak of restarts may have met it, in a crowd: an end without an answer right after an answer.
+    """A client whose message was rejected counted as one that had submitted nothing. If others waited to be
+    accepted, its connection was closed at once, while its next request was on its way. Seeds 17 and 26 of the
+    restart soak may have shown this under many connections: a close without a response right after a
+    response.
     """
 
     async def work() -> None:
@@ -265,34 +274,34 @@
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
             port, host.ingress.max_connections = host.ingress.port, 2
-            async with Client(port) as half, Client(port) as kept:
-                half.writer.write(GOOD[:60])
-                assert await kept.ask(message("a")) == 202
+            async with Client(port) as partial, Client(port) as idle:
+                partial.writer.write(VALID_REQUEST[:60])
+                assert await idle.ask(message("a")) == 202
                 await until(lambda: not host.ingress.silent)
-                async with Client(port) as other:  # it waits in the kernel's queue, and costs nothing
+                async with Client(port) as other:  # it waits in the kernel's queue, without a descriptor
                     other.writer.write(message("b"))
                     await until(lambda: host.ingress.listener.is_paused)
                     assert len(host.ingress.connections) == 2 and "b" not in host.journal.entries
                     monkeypatch.setattr(client_limits, "MIN_IDLE_S", 0.0)
                     assert await other.status() == 202
-                assert await read_to_end(kept)
-                half.writer.write(GOOD[60:])
-                assert await half.status() == 202
+                assert await read_to_end(idle)
+                partial.writer.write(VALID_REQUEST[60:])
+                assert await partial.status() == 202
 
     run(work())
 
 
 def test_repeated_invalid_requests_are_throttled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the others' share of the processor; each response is still sent at once."""
+    """Limits the processor time of such a client; each response is still sent at once."""
     monkeypatch.setattr(client_limits, "PENALTY_S", 0.01)
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            bad = message("m", "other")
-            assert await client.ask(bad) == 400
+            invalid = message("m", "other")
+            assert await client.ask(invalid) == 400
             (connection,) = host.ingress.connections
             assert connection.transport is not None and not connection.transport.is_reading()
-            assert await client.ask(bad) == 400 and await client.ask(GOOD) == 202
+            assert await client.ask(invalid) == 400 and await client.ask(VALID_REQUEST) == 202
             assert connection.transport.is_reading()
 
     run(work())
@@ -300,18 +309,18 @@
 
 def test_client_cannot_cancel_message_of_another_by_its_id(tmp_path: Path) -> None:
     async def work() -> None:
-        world = RelayWithEndpoint(tmp_path)
-        world.server.hold = asyncio.Event()
-        async with world as host, Client(host.ingress.port) as usual:
-            assert await usual.ask(GOOD) == 202
-            async with Client(host.ingress.port) as bad:
-                assert await bad.ask(message("m", "unsafe", b"other")) == 202
-                bad.writer.write(message("m", "unsafe", b"other"))
-                bad.writer.transport.abort()
+        environment = RelayWithEndpoint(tmp_path)
+        environment.server.hold = asyncio.Event()
+        async with environment as host, Client(host.ingress.port) as submitter:
+            assert await submitter.ask(VALID_REQUEST) == 202
+            async with Client(host.ingress.port) as other_client:
+                assert await other_client.ask(message("m", "unsafe", b"other")) == 202
+                other_client.writer.write(message("m", "unsafe", b"other"))
+                other_client.writer.transport.abort()
             await until(lambda: len(host.ingress.connections) == 1)
             assert len(host.held) == 1
-            world.server.hold.set()
+            environment.server.hold.set()
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
-        assert [seen.body for seen in world.server.seen] == [b"hello"]
+        assert [seen.body for seen in environment.server.seen] == [b"hello"]
 
     run(work())
--- a/tests/http/test_connection_endings.py
+++ b/tests/http/test_connection_endings.py
@@ -1,7 +1,7 @@
-"""Ends of clients' connections in the worst order of events.
+"""Ends of client connections in critical orders of events.
 
-The order is forced: what a client sends "at that moment" is in the socket before the relay's next step, since
-both run in this process.
+The tests force the order: bytes of the client are in the socket before the relay's next step, since both run
+in this process.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 @contextmanager
 def connect_raw(port: int) -> Iterator[socket.socket]:
-    """A socket that is connected at once, by the kernel's queue: the relay's loop has had no turn."""
+    """A socket that is connected by the kernel at once, before the relay's loop runs."""
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.settimeout(10)
         yield sock
 
 
 async def read_to_eof(sock: socket.socket) -> bytes:
-    """All bytes up to the relay's end of sending; a reset raises ConnectionResetError."""
+    """Returns all bytes until the relay shuts down its sending side; a reset raises ConnectionResetError."""
     sock.setblocking(False)
     loop, text = asyncio.get_running_loop(), b""
-    while more := await loop.sock_recv(sock, 65536):
-        text += more
+    while chunk := await loop.sock_recv(sock, 65536):
+        text += chunk
     return text
 
 
@@ -49,30 +49,30 @@
 def test_bytes_received_right_before_end_do_not_reset_last_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen to fail where the last response was followed by a close: the connection was reset."""
+    """When the connection was closed right after the last response, it was reset."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
             host.ingress.crowding_threshold = 0  # no connection is kept open
             with connect_raw(host.ingress.port) as sock:
-                answer = ClientConnection._write_response
+                write_response = ClientConnection._write_response
 
-                def and_more(self: ClientConnection, reply: ClientResponse) -> None:
-                    answer(self, reply)
-                    sock.send(message("b"))  # unread when the relay ends the connection
+                def write_then_send(self: ClientConnection, response: ClientResponse) -> None:
+                    write_response(self, response)
+                    sock.send(message("b"))  # unread when the relay closes the connection
 
-                monkeypatch.setattr(ClientConnection, "_write_response", and_more)
+                monkeypatch.setattr(ClientConnection, "_write_response", write_then_send)
                 sock.send(message("a"))
                 text = await read_to_eof(sock)
                 assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
-            assert list(host.journal.entries) == ["a"]  # what is read after the end is not accepted
+            assert list(host.journal.entries) == ["a"]  # a request read after the shutdown is not accepted
             await until(lambda: not host.ingress.connections)
 
     run(work())
 
 
 def test_request_on_idle_connection_at_moment_of_stop_is_answered(tmp_path: Path) -> None:
-    """Seen to fail where a stop closed all idle connections: the request got no response."""
+    """When a stop closed all idle connections, the request got no response."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
@@ -91,7 +91,7 @@
 def test_idle_client_is_ended_at_stop_without_reset_and_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It sends on after the relay's end: nothing more is accepted, and the connection ends."""
+    """It sends more after the relay's shutdown: nothing is accepted, and the connection ends."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
@@ -109,7 +109,7 @@
 
 
 async def submit_first(sock: socket.socket) -> None:
-    """From now on the client has had a response and keeps its connection."""
+    """Submits a message and reads the response; the client keeps its connection."""
     sock.send(message("a"))
     assert (await read_response(sock)).startswith(b"HTTP/1.1 202")
 
@@ -117,10 +117,10 @@
 def test_connection_in_use_gets_an_answer_after_the_stop_began(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What happened: half a second after SIGTERM all idle connections were closed. A client that writes its
-    next request in that moment sees it written whole, and an end without an answer: one or two requests in 11
-    of 59 soaks of clients that use their connections without long pauses. From SIGTERM on each response says
-    that its connection ends, and an idle connection stays open for the 2 s that clients rely on.
+    """All idle connections were closed half a second after SIGTERM. A client that wrote its next request at
+    that moment sent it in full and got no response: one or two requests in 11 of 59 soak runs with clients
+    that use their connections without long pauses. Now each response after SIGTERM ends its connection, and
+    an idle connection stays open for the 2 s that clients rely on.
     """
     monkeypatch.setattr("message_relay.core.relay.ACCEPT_AFTER_STOP_S", 0.05)
 
@@ -148,9 +148,9 @@
                 stopping = asyncio.ensure_future(host.stop())
                 await until(lambda: host.ingress.is_stopping)
                 assert not host.ingress.is_stopped
-                for each, name in ((sock, "b"), (new, "c")):
-                    each.send(message(name))
-                    text = await read_to_eof(each)
+                for client, name in ((sock, "b"), (new, "c")):
+                    client.send(message(name))
+                    text = await read_to_eof(client)
                     assert text.startswith(b"HTTP/1.1 202") and b"connection: close" in text.lower()
             await stopping
 
@@ -160,7 +160,7 @@
 def test_idle_connection_outlives_the_stop_by_what_clients_rely_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nor does the process end before: its end would close the connection in the same way."""
+    """The process does not exit earlier either, which would close the connection in the same way."""
     monkeypatch.setattr("message_relay.core.relay.ACCEPT_AFTER_STOP_S", 0.05)
 
     async def work() -> None:
@@ -177,14 +177,14 @@
 
 
 def test_connections_in_kernel_queue_at_stop_are_answered(tmp_path: Path) -> None:
-    """Seen to fail where the listener was closed with its queue: all were reset."""
+    """When the listener was closed with connections in its queue, all of them were reset."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
             socks = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(5)]
             for n, sock in enumerate(socks):
                 sock.send(message(f"m{n}"))
-            host.ingress.stop()  # the loop has had no turn since they connected
+            host.ingress.stop()  # the loop has not run since they connected
             for sock in socks:
                 assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202")
                 sock.close()
@@ -202,8 +202,8 @@
                 await asyncio.sleep(0)
                 sock.send(message("a"))
                 assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202")
-                begun = time.monotonic()
-                assert await read_to_eof(silent) == b"" and time.monotonic() - begun < 2.0
+                started_at = time.monotonic()
+                assert await read_to_eof(silent) == b"" and time.monotonic() - started_at < 2.0
 
     run(work())
 
@@ -217,7 +217,7 @@
         async with RelayWithEndpoint(tmp_path) as host:
             with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a")[:50])
-                await until(lambda: any(not each.is_idle for each in host.ingress.connections))
+                await until(lambda: any(not connection.is_idle for connection in host.ingress.connections))
                 host.ingress.stop()
                 assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 408")
             assert not host.journal.entries
@@ -228,7 +228,7 @@
 def test_flooding_client_at_stop_is_ended_within_bound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It never stops sending: it is answered, and its connection ends."""
+    """It never stops sending; it gets a response, and its connection ends."""
     monkeypatch.setattr(client_limits, "LINGER_S", 0.3)
 
     async def work() -> None:
@@ -247,7 +247,7 @@
 
 
 def test_evicted_lingering_connection_keeps_its_response_despite_unread_bytes(tmp_path: Path) -> None:
-    """The oldest lingering connection is evicted: our end of sending has followed its response."""
+    """The oldest lingering connection is evicted; its sending side is shut down after the response."""
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
@@ -263,7 +263,7 @@
     run(work())
 
 
-# -- answers that wait for a disk --------------------------------------------------------------------------
+# -- responses that wait for a journal sync ----------------------------------------------------------------
 
 
 class ListenerWithPendingSync:
@@ -277,8 +277,8 @@
     def accept(self, request: ClientRequest) -> ClientResponse:
         return ClientResponse(202, accepted_id="m", durable=asyncio.get_running_loop().create_future())
 
-    def cancel(self, ident: str) -> bool:
-        self.cancelled.append(ident)
+    def cancel(self, message_id: str) -> bool:
+        self.cancelled.append(message_id)
         return self.nothing_ran
 
 
@@ -286,8 +286,8 @@
 def test_accepted_message_without_sync_is_cancelled_before_client_is_answered(
     monkeypatch: pytest.MonkeyPatch, nothing_ran: bool, status: bytes
 ) -> None:
-    """Seen to fail where the connection's timeout was answered with 408 and the message stayed pending until
-    the connection had closed: it could still be delivered after its client got the error."""
+    """When the connection's timeout was answered with 408, the message stayed pending until the connection
+    had closed, and could still be delivered after its client got the error."""
     monkeypatch.setattr(client_limits, "DURABILITY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
@@ -308,7 +308,7 @@
 
 @pytest.mark.parametrize("how", ("half", "whole"))
 def test_client_that_closes_while_response_waits_for_sync(how: str) -> None:
-    """With a half close it still reads: its response says that submitting again is harmless."""
+    """After a half close the client still reads: its response has the status for a safe resubmission."""
 
     async def work() -> None:
         pending, sync = ListenerWithPendingSync(True), asyncio.get_running_loop().create_future()
@@ -316,7 +316,7 @@
         pending.clients.listen("127.0.0.1", 0)
         with connect_raw(pending.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent_ids for each in pending.clients.connections))
+            await until(lambda: any(connection.unsent_ids for connection in pending.clients.connections))
             if how == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
@@ -338,7 +338,7 @@
         pending.clients.listen("127.0.0.1", 0)
         with connect_raw(pending.clients.port) as sock:
             sock.send(message("m"))
-            await until(lambda: any(each.unsent_ids for each in pending.clients.connections))
+            await until(lambda: any(connection.unsent_ids for connection in pending.clients.connections))
             pending.clients.stop()
             sync.set_result(None)
             assert (await read_to_eof(sock)).startswith(b"HTTP/1.1 202") and not pending.cancelled
@@ -349,20 +349,20 @@
 def test_clients_beyond_capacity_wait_and_are_not_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen to fail where connections beyond the limit were accepted and closed: messages were lost."""
+    """When connections beyond the limit were accepted and closed, messages were lost."""
     monkeypatch.setattr(client_limits, "FIRST_BYTES_S", 0.3)
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host:
             host.ingress.max_connections = 4
-            crowd = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(4)]
+            silent_socks = [socket.create_connection(("127.0.0.1", host.ingress.port)) for _ in range(4)]
             await until(lambda: len(host.ingress.connections) == 4)
             with connect_raw(host.ingress.port) as sock:
                 sock.send(message("a"))
                 assert (await read_response(sock)).startswith(b"HTTP/1.1 202")
                 assert len(host.ingress.connections) <= 4
-            for each in crowd:
-                each.close()
+            for silent_sock in silent_socks:
+                silent_sock.close()
 
     run(work())
 
--- a/tests/http/test_discovery_client.py
+++ b/tests/http/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery in the worst order of events: an old list at a restart, silence, a reload after an answer."""
+"""Discovery in critical orders of events: outdated list at restart, silence, reload after a response."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def journal_with_pending_messages(folder: Path, count: int) -> Path:
-    """The state folder of an earlier process with messages that it accepted and did not attempt."""
+    """Creates the state folder of an earlier process with accepted messages that were not attempted."""
     state = folder / "state"
     state.mkdir()
     journal, now = Journal(state, 3_000_000), unix_time_ms()
@@ -35,8 +35,8 @@
 
 async def start_agent_and_two_servers() -> tuple[Agent, Server, Server]:
     agent, old, new = Agent(), Server(), Server()
-    for each in (agent, old, new):
-        await each.start()
+    for server in (agent, old, new):
+        await server.start()
     return agent, old, new
 
 
@@ -47,8 +47,8 @@
 
 
 def test_restored_messages_are_not_sent_to_endpoint_that_first_poll_reports_draining(tmp_path: Path) -> None:
-    """Reported by operators for rolling restarts. Seen to fail without the wait for the first poll: two of
-    three went to the endpoint that had drained while the process was down."""
+    """Reported by operators for rolling restarts: without the wait for the first poll, two of three messages
+    were sent to the endpoint that had drained while the process was down."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 3)
@@ -57,7 +57,7 @@
         async with relay(state, agent, old):
             await until(lambda: len(new.seen) == 3)
             assert not old.seen
-            assert agent.seen[0].target.endswith("hold_ms=0")  # it is no long poll
+            assert agent.seen[0].target.endswith("hold_ms=0")  # not a long poll
 
     run(work())
 
@@ -67,47 +67,48 @@
         state = journal_with_pending_messages(tmp_path, 3)
         agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
-        begun = time.monotonic()
+        started_at = time.monotonic()
         async with relay(state, agent, old) as host:
-            async with Client(host.ingress.port) as client:  # it accepts messages meanwhile
+            async with Client(host.ingress.port) as client:  # it accepts messages during the wait
                 assert await client.ask(message("n")) == 202
             assert not old.seen
             await until(lambda: len(old.seen) == 4)
-            assert time.monotonic() - begun >= core_host.INITIAL_LIST_TIMEOUT_S
+            assert time.monotonic() - started_at >= core_host.INITIAL_LIST_TIMEOUT_S
 
     run(work())
 
 
 def test_received_answer_of_former_agent_is_ignored_after_reload(tmp_path: Path) -> None:
-    """The answer is in the poll's future at the reload: neither its list nor its version may be carried over
-    to the new agent, whose versions start anew."""
+    """The response is already in the poll's future at the reload: neither its list nor its version may be
+    used with the new agent, which has its own versions."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 0)
         agent, old, new = await start_agent_and_two_servers()
         other = await Agent().start()
         async with relay(state, agent, old) as host:
-            await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))  # a watch is open
-            link = host.register.agent.connection
-            assert link is not None
+            # A long poll is open.
+            await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
+            connection = host.register.agent.connection
+            assert connection is not None
             body = json.dumps(list_with_move(old, new, generation=90))
-            # At the reload the answer is read, and the task that waits for it has not resumed.
-            link.data_received(answer(200, body=body))
-            assert link.complete_body.done()
+            # At the reload the response has been read, but the task that waits for it has not resumed.
+            connection.data_received(answer(200, body=body))
+            assert connection.complete_body.done()
             config = host.host.config
-            host.reload(_at(config, other))
+            host.reload(_with_agent(config, other))
             await until(lambda: bool(other.seen))
             assert other.seen[0].target == "/v1/servers" and host.register.version == -1
-            assert {each.address for each in host.directory.by_name.values()} == {old.address}
+            assert {known.address for known in host.directory.by_name.values()} == {old.address}
             other.tell(listing(new, generation=3))
             await until(lambda: host.register.version == 3)
             await until(lambda: any("from=3&" in seen.target for seen in other.seen))
-            assert {each.address for each in host.directory.by_name.values()} == {new.address}
+            assert {known.address for known in host.directory.by_name.values()} == {new.address}
 
     run(work())
 
 
-def _at(config: Config, agent: Server) -> Config:
+def _with_agent(config: Config, agent: Server) -> Config:
     return replace(config, discovery=agent.address)
 
 
@@ -126,16 +127,16 @@
                 await until(lambda: host.register.poll_schedule.backoff.failures > 0)
             else:
                 await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
-            host.reload(_at(host.host.config, other))
+            host.reload(_with_agent(host.host.config, other))
             await until(lambda: bool(other.seen))
             other.tell(listing(new, generation=1))
-            await until(lambda: {each.address for each in host.directory.by_name.values()} == {new.address})
+            await until(lambda: {known.address for known in host.directory.by_name.values()} == {new.address})
 
     run(work())
 
 
-@pytest.mark.parametrize("text", ("compact", "indented"))
-def test_changed_endpoint_address_is_followed(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("layout", ("compact", "indented"))
+def test_changed_endpoint_address_is_followed(tmp_path: Path, layout: str) -> None:
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 0)
         agent, old, new = await start_agent_and_two_servers()
@@ -143,9 +144,9 @@
             raw = listing(new, generation=2, reset=False)
             (name,) = host.directory.by_name
             raw["instances"][0]["instanceId"] = name
-            gone = {"instanceId": name, "lifecycle": "gone"}  # unreadable except for its lifecycle
+            gone = {"instanceId": name, "lifecycle": "gone"}  # malformed except for its lifecycle
             raw["instances"] = [gone, *raw["instances"]]
-            body = json.dumps(raw, indent=2 if text == "indented" else None)
+            body = json.dumps(raw, indent=2 if layout == "indented" else None)
             agent.changes.put_nowait(answer(200, body=body))
             await until(lambda: host.register.version == 2)
             async with Client(host.ingress.port) as client:
@@ -162,10 +163,10 @@
         agent, old, new = await start_agent_and_two_servers()
         async with relay(state, agent, old) as host:
             await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
-            whole = answer(200, body=json.dumps(list_with_move(old, new)))
-            agent.changes.put_nowait(whole[:-40])
+            response = answer(200, body=json.dumps(list_with_move(old, new)))
+            agent.changes.put_nowait(response[:-40])
             await until(lambda: bool(agent.writers) and len(agent.seen) >= 2)
-            agent.writers[-1].close()  # the rest never arrives
+            agent.writers[-1].close()  # the remaining bytes never arrive
             await until(lambda: len(agent.seen) >= 4)
             assert host.register.version == 1 and len(host.directory.by_name) == 1
             agent.tell(list_with_move(old, new))
@@ -175,7 +176,7 @@
 
 
 def test_lists_are_followed_during_graceful_shutdown(tmp_path: Path) -> None:
-    """Discovery is silent, then answers during shutdown: pending messages go to the endpoints listed then."""
+    """Discovery responds only during the shutdown: messages are sent to the endpoints of that list."""
 
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 0)
@@ -197,24 +198,24 @@
 
 def test_reload_requests_full_list_from_new_agent(tmp_path: Path) -> None:
     async def work() -> None:
-        register = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
-        register.version = 7
-        register.poll_schedule.on_answered()
-        assert isinstance(register.agent, AgentLink)
+        discovery = DiscoveryClient(("127.0.0.1", 1), 3, 1, shared=False)
+        discovery.version = 7
+        discovery.poll_schedule.on_answered()
+        assert isinstance(discovery.agent, AgentLink)
         state = journal_with_pending_messages(tmp_path, 0)
         agent = await Agent().start()
         host: Running = host_of(state, agent)
-        register.reload(host.host.config)
-        assert register.version == -1 and register.poll_schedule.watch_duration_ms() == 0.0
-        assert register.agent.address == agent.address
+        discovery.reload(host.host.config)
+        assert discovery.version == -1 and discovery.poll_schedule.watch_duration_ms() == 0.0
+        assert discovery.agent.address == agent.address
         await host.close()
 
     run(work())
 
 
 def test_wait_for_first_list_does_not_extend_deadlines(tmp_path: Path) -> None:
-    """Seen to fail where events were queued during the wait: a message's deadline and its idempotency window,
-    given as remaining times, ended later by the wait, and a message was retried after its window."""
+    """When events were queued during the wait, the deadline and the idempotency window of a message, which
+    are remaining times, were extended by the wait, and a message was retried after its window."""
 
     async def work() -> None:
         state = tmp_path / "state"
@@ -222,7 +223,7 @@
         journal, now = Journal(state, 3_000_000), unix_time_ms()
         entry = JournalEntry("k", "keyed", "t", 7, "key", now - 5000, now + 9000, "", b"hello")
         journal.append_accepted(entry)
-        journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # window 4 s: it ends before the wait does
+        journal.append_attempt(entry, now - 3800.0, "s-old", 0)  # its window of 4 s ends during the wait
         journal.close()
         agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
@@ -238,8 +239,8 @@
         state = journal_with_pending_messages(tmp_path, 0)
         agent, old, _ = await start_agent_and_two_servers()
         agent.silent = True
-        lane = {"destination": 7, "wait_ms": 30000.0, "out": False, "bad_ms": None, "cold_ms": None}
-        text = json.dumps({"version": 1, "at": unix_time_ms(), "lanes": [lane]})
+        destination = {"destination": 7, "wait_ms": 30000.0, "out": False, "bad_ms": None, "cold_ms": None}
+        text = json.dumps({"version": 1, "at": unix_time_ms(), "lanes": [destination]})
         (state / "learned").write_text(text)
         host = host_of(state, agent, old)
         await host.start()
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""Each row of the protocol's table of outcomes, and when an attempt proves that nothing ran."""
+"""Each row of the protocol's table of outcomes, and which results prove that nothing ran."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(
     ("reply", "expected"),
     [
-        # The first line is valid, whatever follows it.
+        # The status line is valid, whatever follows it.
         (HEAD + b"Content-Length: x\r\n\r\n", AttemptResult(Outcome.OK, is_finished=True)),
         (HEAD + b"Content-Length: -1\r\n\r\n", AttemptResult(Outcome.OK, is_finished=True)),
         (
@@ -82,7 +82,7 @@
             AttemptResult(Outcome.OK, is_finished=True),
         ),
         (b"HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n" + OK, AttemptResult(Outcome.OK, is_finished=True)),
-        # Without that, the request may have run: malformed bytes never prove a rejection.
+        # Without a valid status line the request may have run: malformed bytes never prove a rejection.
         (b"\x00\x01\x02 HTTP/1.1 200 X\r\n\r\n", AttemptResult(Outcome.RESET)),
         (b"HTTP/1.1 2000 X\r\n\r\n", AttemptResult(Outcome.RESET)),
         (b"X-A: HTTP/1.1 200 X\r\n" * 3000, AttemptResult(Outcome.RESET)),
@@ -100,14 +100,14 @@
 def test_result_of_malformed_response(
     monkeypatch: pytest.MonkeyPatch, reply: bytes, expected: AttemptResult
 ) -> None:
-    """The endpoint leaves the connection open; nothing more is ever sent on it."""
+    """The endpoint leaves the connection open and sends nothing more on it."""
     monkeypatch.setattr(endpoint_client, "BODY_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        server, calls = await Server().start(), make_client()
+        server, client = await Server().start(), make_client()
         server.script.append(reply)
-        assert await calls.attempt(make_attempt(server.address)) == expected
-        assert await calls.attempt(make_attempt(server.address)) == AttemptResult(
+        assert await client.attempt(make_attempt(server.address)) == expected
+        assert await client.attempt(make_attempt(server.address)) == AttemptResult(
             Outcome.OK, is_finished=True
         )
         assert [seen.connection for seen in server.seen] == [1, 2]
@@ -117,23 +117,23 @@
 
 
 def test_unread_second_response_is_not_used_for_next_attempt() -> None:
-    """Guards against a false delivery: the copy arrived after the connection was back in the pool."""
+    """Guards against a false delivery: a copy of the response arrives once the connection is pooled."""
 
     async def work() -> None:
-        server, calls = await Server().start(), make_client()
-        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
-        (connection,) = calls.pool.idle_by_endpoint[1, server.address]
+        server, client = await Server().start(), make_client()
+        assert (await client.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        (connection,) = client.pool.idle_by_endpoint[1, server.address]
         server.script.append(answer(500))
-        server.writers[0].write(OK)  # the loop has no turn in between: it is in the socket, not yet read
+        server.writers[0].write(OK)  # the loop does not run in between, so it is in the socket and unread
         assert not connection.has_no_unread_input and connection.is_usable
-        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.ERROR
+        assert (await client.attempt(make_attempt(server.address))).outcome is Outcome.ERROR
         assert server.opened == 2
 
     run(work())
 
 
 class OneRequestServer:
-    """Answers one request on each connection, then ends as `end` says; counts complete requests only."""
+    """Answers one request per connection, then sends `end`, or resets if None; counts complete requests."""
 
     def __init__(self, end: bytes | None, first: bytes = OK) -> None:
         self.end, self.first, self.complete_requests, self.opened_count = end, first, 0, 0
@@ -158,21 +158,21 @@
 def test_unsafe_attempt_survives_reused_connection_that_breaks_before_last_byte(
     monkeypatch: pytest.MonkeyPatch, end: bytes | None
 ) -> None:
-    """Guards unsafe messages: a reset after the last byte would be final, and so would a stray 200."""
+    """For an unsafe message a reset after the last byte would be final, and so would a stray 200."""
     monkeypatch.setattr(endpoint_client, "UNSAFE_WITHHOLD_S", 1.0)
 
     async def work() -> None:
-        server, calls, asked = OneRequestServer(end), make_client(), list[int]()
+        server, client, permission_checks = OneRequestServer(end), make_client(), list[int]()
 
         def may() -> bool:
-            asked.append(1)
+            permission_checks.append(1)
             return True
 
         address = await server.start()
-        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
-        got = await calls.attempt(make_attempt(address, careful=True, may=may))
-        assert got == AttemptResult(Outcome.OK, is_finished=True)
-        assert server.complete_requests == server.opened_count == 2 and len(asked) == 3
+        assert (await client.attempt(make_attempt(address))).outcome is Outcome.OK
+        result = await client.attempt(make_attempt(address, careful=True, may=may))
+        assert result == AttemptResult(Outcome.OK, is_finished=True)
+        assert server.complete_requests == server.opened_count == 2 and len(permission_checks) == 3
 
     run(work())
 
@@ -186,22 +186,22 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
-        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), careful=True))
-        assert got.outcome is Outcome.CONNECT_FAILED
+        result = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), careful=True))
+        assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
 def test_attempt_is_withheld_if_permission_ends_before_last_byte() -> None:
-    """Guards Retry-After times and idempotency windows, which count from the last byte."""
+    """Retry-After times and idempotency windows count from the last byte."""
 
     async def work() -> None:
-        server, calls, may = await Server().start(), make_client(), iter([True, False])
-        assert await calls.attempt(
+        server, client, may = await Server().start(), make_client(), iter([True, False])
+        assert await client.attempt(
             make_attempt(server.address, careful=True, may=lambda: next(may))
         ) == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         await until(server.left)
-        assert server.opened == 1 and not server.seen and not calls.pool.idle_by_endpoint
+        assert server.opened == 1 and not server.seen and not client.pool.idle_by_endpoint
 
     run(work())
 
@@ -212,33 +212,32 @@
     monkeypatch.setattr(endpoint_client, "WITHHOLD_S", 1.0)
 
     async def work() -> None:
-        server, calls = OneRequestServer(None), make_client()
+        server, client = OneRequestServer(None), make_client()
         address = await server.start()
-        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
-        assert (
-            await calls.attempt(make_attempt(address))
-        ).outcome is Outcome.RESET  # the first break is noticed
-        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
-        assert (await calls.attempt(make_attempt(address))).outcome is Outcome.OK
+        assert (await client.attempt(make_attempt(address))).outcome is Outcome.OK
+        # The first break: no byte was withheld.
+        assert (await client.attempt(make_attempt(address))).outcome is Outcome.RESET
+        assert (await client.attempt(make_attempt(address))).outcome is Outcome.OK
+        assert (await client.attempt(make_attempt(address))).outcome is Outcome.OK
         assert server.complete_requests == server.opened_count == 3
 
     run(work())
 
 
 def test_endpoint_at_reused_address_gets_own_connections() -> None:
-    """Guards against reusing the predecessor's connections, also one whose response is incomplete."""
+    """Guards against reuse of the previous endpoint's connections, even one whose response is incomplete."""
 
     async def work() -> None:
-        server, calls = await Server().start(), make_client()
+        server, client = await Server().start(), make_client()
         server.script += [OK, b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\na"]
-        await asyncio.gather(*(calls.attempt(make_attempt(server.address)) for _ in range(2)))
-        assert (await calls.attempt(make_attempt(server.address, endpoint=2))).outcome is Outcome.OK
-        calls.retain_only({(2, server.address)})
+        await asyncio.gather(*(client.attempt(make_attempt(server.address)) for _ in range(2)))
+        assert (await client.attempt(make_attempt(server.address, endpoint=2))).outcome is Outcome.OK
+        client.retain_only({(2, server.address)})
         server.writers[1].write(b"a")
         await until(
             lambda: all(reader.at_eof() or reader.exception() is not None for reader in server.readers[:2])
         )
-        assert server.opened == 3 and set(calls.pool.idle_by_endpoint) == {(2, server.address)}
+        assert server.opened == 3 and set(client.pool.idle_by_endpoint) == {(2, server.address)}
 
     run(work())
 
@@ -246,9 +245,9 @@
 def test_silent_endpoint_times_out_and_connection_is_closed() -> None:
     async def work() -> None:
         server = await Server(usual=None).start()
-        calls = make_client()
-        assert (await calls.attempt(make_attempt(server.address, 0.2))).outcome is Outcome.TIMEOUT
-        assert not calls.pool.idle_by_endpoint
+        client = make_client()
+        assert (await client.attempt(make_attempt(server.address, 0.2))).outcome is Outcome.TIMEOUT
+        assert not client.pool.idle_by_endpoint
 
     run(work())
 
@@ -257,28 +256,28 @@
     async def work() -> None:
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            got = await make_client().attempt(make_attempt(closed.getsockname()))
-        assert got.outcome is Outcome.CONNECT_FAILED
+            result = await make_client().attempt(make_attempt(closed.getsockname()))
+        assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
-@pytest.mark.parametrize(("give_up_s", "connect_ms"), [(20.0, 100.0), (0.1, 20000.0)])
-def test_connect_timeout_proves_no_effect(give_up_s: float, connect_ms: float) -> None:
+@pytest.mark.parametrize(("timeout_s", "connect_ms"), [(20.0, 100.0), (0.1, 20000.0)])
+def test_connect_timeout_proves_no_effect(timeout_s: float, connect_ms: float) -> None:
     async def work() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
-            fill = [socket.socket() for _ in range(4)]  # the queue is full: further connections get no reply
-            for sock in fill:
+            queued = [socket.socket() for _ in range(4)]  # fills the queue: other connections get no reply
+            for sock in queued:
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
-            got = await make_client(connect_ms=connect_ms).attempt(
-                make_attempt(full.getsockname(), give_up_s)
+            result = await make_client(connect_ms=connect_ms).attempt(
+                make_attempt(full.getsockname(), timeout_s)
             )
-            for sock in fill:
+            for sock in queued:
                 sock.close()
-        assert got.outcome is Outcome.CONNECT_FAILED
+        assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
@@ -290,34 +289,34 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
-        big = b"x" * (64 << 20)  # more than the sockets between can hold
-        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), body=big))
-        assert got.outcome is Outcome.CONNECT_FAILED
+        big = b"x" * (64 << 20)  # more than the socket buffers can hold
+        result = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), body=big))
+        assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
 def test_timeout_while_writing_proves_no_effect() -> None:
     async def work() -> None:
-        async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def never_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(60)
 
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_read, "127.0.0.1", 0)
         big = b"x" * (64 << 20)
-        got = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), 0.3, body=big))
-        assert got.outcome is Outcome.CONNECT_FAILED
+        result = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), 0.3, body=big))
+        assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
 
 
 def test_attempt_is_withheld_if_permission_ends_while_connecting() -> None:
-    """Guards drains, Retry-After times and deadlines: a connect takes time. The connection is pooled."""
+    """A drain, a Retry-After or the deadline may take effect while connecting. The connection is pooled."""
 
     async def work() -> None:
-        server, calls = await Server().start(), make_client()
-        got = await calls.attempt(make_attempt(server.address, may=lambda: False))
-        assert got == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
-        assert (await calls.attempt(make_attempt(server.address))).outcome is Outcome.OK
+        server, client = await Server().start(), make_client()
+        result = await client.attempt(make_attempt(server.address, may=lambda: False))
+        assert result == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
+        assert (await client.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
 
     run(work())
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections requested while a destination was down, and established together on its recovery."""
+"""Connections requested while a destination is down, and established together when it recovers."""
 
 from __future__ import annotations
 
@@ -20,88 +20,90 @@
 
 
 def ejected_destination_with_attempt(relays: int = RELAYS, seed: int = 1) -> tuple[Driver, int]:
-    """One of many relays, which has ejected the destination and has just started an attempt: it connects."""
-    d = Driver(make_settings(relays=relays), seed=seed)
-    d.listed((11, 1), rate=60.0)
-    first = d.message()
-    d.pass_time(20)
-    d.answer(first, Outcome.CONNECT_FAILED)
-    assert d.relay.destinations[1][-1].is_ejected
-    calls = len(d.sent)
-    while len(d.sent) == calls:
-        d.pass_time(5)
-    return d, d.sent[-1][1].id
+    """One of many relays, which has ejected the destination and is connecting for an attempt."""
+    driver = Driver(make_settings(relays=relays), seed=seed)
+    driver.listed((11, 1), rate=60.0)
+    first = driver.message()
+    driver.pass_time(20)
+    driver.answer(first, Outcome.CONNECT_FAILED)
+    assert driver.relay.destinations[1][-1].is_ejected
+    attempt_count = len(driver.sent)
+    while len(driver.sent) == attempt_count:
+        driver.pass_time(5)
+    return driver, driver.sent[-1][1].id
 
 
 def test_late_connection_to_ejected_destination_carries_no_earlier_attempt() -> None:
-    d, ident = ejected_destination_with_attempt()
-    send = d.out[ident]
-    assert d.relay.may_write(d.now + SLOW_CONNECT_MS, ident)  # in time it is sent
-    d.now += SLOW_CONNECT_MS + 1
-    assert not d.relay.may_write(d.now, ident)
-    tries, made = d.relay.pending.by_id[ident].attempts, len(d.sent)
-    d.feed(AttemptCompleted(ident, 0, send.endpoint, **WITHHELD))  # type: ignore[arg-type]
-    assert d.relay.pending.by_id[ident].attempts == tries - 1  # it does not count as an attempt
-    trickle = d.relay.destinations[1][-1].next_trial_at
-    while len(d.sent) == made:
-        d.pass_time(5)
-    at, again = d.sent[-1]
-    assert again.id == ident and at >= trickle  # as a new attempt, at the rate of an ejected destination
-    assert d.relay.may_write(
-        at + 10 * SLOW_CONNECT_MS, ident
-    )  # and it is sent where connecting always takes long
+    driver, message_id = ejected_destination_with_attempt()
+    send = driver.out[message_id]
+    assert driver.relay.may_write(driver.now + SLOW_CONNECT_MS, message_id)  # in time: it is sent
+    driver.now += SLOW_CONNECT_MS + 1
+    assert not driver.relay.may_write(driver.now, message_id)
+    attempts, sent_count = driver.relay.pending.by_id[message_id].attempts, len(driver.sent)
+    driver.feed(AttemptCompleted(message_id, 0, send.endpoint, **WITHHELD))  # type: ignore[arg-type]
+    assert driver.relay.pending.by_id[message_id].attempts == attempts - 1  # it does not count
+    next_trial_at = driver.relay.destinations[1][-1].next_trial_at
+    while len(driver.sent) == sent_count:
+        driver.pass_time(5)
+    at, resent = driver.sent[-1]
+    # It is sent as a new attempt, at an ejected destination's rate, even if connecting always takes long.
+    assert resent.id == message_id and at >= next_trial_at
+    assert driver.relay.may_write(at + 10 * SLOW_CONNECT_MS, message_id)
 
 
 def test_late_attempt_is_rescheduled_after_another_found_destination_recovered() -> None:
-    d, ident = ejected_destination_with_attempt()
-    lane = d.relay.destinations[1][-1]
-    slow_start.start_warm_up(d.relay.settings, d.now + 100.0, lane)  # answered meanwhile
-    assert not lane.is_ejected and not d.relay.may_write(d.now + SLOW_CONNECT_MS + 1, ident)
+    driver, message_id = ejected_destination_with_attempt()
+    destination = driver.relay.destinations[1][-1]
+    # Another attempt has got a response.
+    slow_start.start_warm_up(driver.relay.settings, driver.now + 100.0, destination)
+    assert not destination.is_ejected and not driver.relay.may_write(
+        driver.now + SLOW_CONNECT_MS + 1, message_id
+    )
 
 
 def test_late_connection_to_healthy_destination_carries_its_attempt() -> None:
-    d = Driver(make_settings(relays=RELAYS))
-    d.listed((11, 1), rate=60.0)
-    d.warm_up()
-    d.pass_time(1000)  # its rate has tokens
-    ident = d.message(SAFE)
-    d.pass_time(20)
-    assert d.out[ident] and d.relay.may_write(d.now + 4 * SLOW_CONNECT_MS, ident)
+    driver = Driver(make_settings(relays=RELAYS))
+    driver.listed((11, 1), rate=60.0)
+    driver.warm_up()
+    driver.pass_time(1000)  # so that tokens are available
+    message_id = driver.message(SAFE)
+    driver.pass_time(20)
+    assert driver.out[message_id] and driver.relay.may_write(driver.now + 4 * SLOW_CONNECT_MS, message_id)
 
 
 def test_simultaneous_late_connections_carry_no_burst_and_are_pooled() -> None:
-    """Twenty real connections wait for a host that drops packets, and are established on its recovery.
-    Without the last check of the rate all of them carry their attempts at the same moment."""
+    """Twenty real connections wait for a host that drops packets, and are established when it recovers.
+    Without the final check of the rate all of them would send their attempts at the same moment."""
 
     async def work() -> None:
-        held = unheard(("127.0.0.1", 0))
-        address = held[0].getsockname()
-        made = [ejected_destination_with_attempt(seed=seed) for seed in range(RELAYS)]
+        unresponsive = unheard(("127.0.0.1", 0))
+        address = unresponsive[0].getsockname()
+        relays = [ejected_destination_with_attempt(seed=seed) for seed in range(RELAYS)]
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        calls = [EndpointClient(10_000.0, 8000.0, 8) for _ in made]
+        started_at = loop.time()
+        clients = [EndpointClient(10_000.0, 8000.0, 8) for _ in relays]
 
-        async def call(n: int) -> AttemptResult:
-            d, ident = made[n]
+        async def attempt(n: int) -> AttemptResult:
+            driver, message_id = relays[n]
 
-            def may() -> bool:
-                return d.relay.may_write(d.now + (loop.time() - begun) * 1000, ident)
+            def may_write() -> bool:
+                return driver.relay.may_write(driver.now + (loop.time() - started_at) * 1000, message_id)
 
-            return await calls[n].attempt(Attempt(11, address, f"m{n}", None, b"b", loop.time() + 8.0, may))
+            return await clients[n].attempt(
+                Attempt(11, address, f"m{n}", None, b"b", loop.time() + 8.0, may_write)
+            )
 
-        work = [asyncio.ensure_future(call(n)) for n in range(RELAYS)]
-        await asyncio.sleep(0.3)  # the first SYN packets are lost by now, and sent again after a second
-        for sock in held:
+        attempt_tasks = [asyncio.ensure_future(attempt(n)) for n in range(RELAYS)]
+        await asyncio.sleep(0.3)  # by now the first SYN packets are lost; they are sent again after a second
+        for sock in unresponsive:
             sock.close()
         server = await Server(OK).start(address[1])
-        results = await asyncio.gather(*work)
-        assert loop.time() - begun > SLOW_CONNECT_MS / 1000
+        results = await asyncio.gather(*attempt_tasks)
+        assert loop.time() - started_at > SLOW_CONNECT_MS / 1000
         assert [result for result in results if not result.is_withheld] == [] and server.seen == []
-        assert all(
-            len(each.pool.idle_by_age) == 1 for each in calls
-        )  # the next attempt there needs no new connection
-        for each in calls:
-            each.close()
+        assert all(len(client.pool.idle_by_age) == 1 for client in clients)  # ready for the next attempt
+        for client in clients:
+            client.close()
         server.server.close()
 
     run(work())
--- a/tests/http/test_plain_messages.py
+++ b/tests/http/test_plain_messages.py
@@ -1,4 +1,4 @@
-"""The parsers that bypass h11 accept only what h11 accepts too, and parse it to the same values."""
+"""The parsers that bypass h11 accept only input that h11 also accepts, and return the same values."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "Upgrade",
     "X-Other",
 ]
-ODD = st.sampled_from(
+ODD_TEXTS = st.sampled_from(
     [
         "",
         " ",
@@ -47,9 +47,9 @@
         "100-continue",
     ]
 )
-WORDS = st.one_of(st.text("abcXYZ019 -_=;,/.", max_size=12), ODD)
+VALUES = st.one_of(st.text("abcXYZ019 -_=;,/.", max_size=12), ODD_TEXTS)
 HEADERS = st.lists(
-    st.tuples(st.one_of(st.sampled_from(NAMES), ODD), st.sampled_from([":", ": ", " : ", ""]), WORDS),
+    st.tuples(st.one_of(st.sampled_from(NAMES), ODD_TEXTS), st.sampled_from([":", ": ", " : ", ""]), VALUES),
     max_size=5,
 )
 
@@ -90,14 +90,14 @@
         return
     http = h11.Connection(h11.SERVER)
     http.receive_data(data)
-    head, got = http.next_event(), b""
+    head, received_body = http.next_event(), b""
     assert isinstance(head, h11.Request) and find_head_fault(head) is None
     while isinstance(event := http.next_event(), h11.Data):
-        got += event.data
+        received_body += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0]
     assert not http.they_are_waiting_for_100_continue
     assert (plain.method, plain.target) == (head.method.decode(), head.target.decode())
-    assert plain.headers == headers_by_name(head.headers) and plain.body == got
+    assert plain.headers == headers_by_name(head.headers) and plain.body == received_body
     http.send(h11.Response(status_code=202, headers=[("Content-Length", "0")]))
     http.send(h11.EndOfMessage())
     assert http.our_state is h11.DONE  # it may be reused, as after a plain request
@@ -139,18 +139,18 @@
     if plain is None:
         return
     http = h11.Connection(h11.CLIENT)
-    for asked in (
+    for event_sent in (
         h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS),
         h11.EndOfMessage(),
     ):
-        http.send(asked)
+        http.send(event_sent)
     http.receive_data(data)
-    head, got = http.next_event(), b""
+    head, received_body = http.next_event(), b""
     assert isinstance(head, h11.Response)
     while isinstance(event := http.next_event(), h11.Data):
-        got += event.data
+        received_body += event.data
     assert isinstance(event, h11.EndOfMessage) and not http.trailing_data[0] and http.their_state is h11.DONE
-    assert plain == (ResponseHead(head.status_code, headers_by_name(head.headers)), got)
+    assert plain == (ResponseHead(head.status_code, headers_by_name(head.headers)), received_body)
 
 
 @pytest.mark.parametrize(
@@ -164,18 +164,18 @@
 @pytest.mark.parametrize("last", [False, True])
 def test_encoded_responses_are_readable_by_h11(reply: ClientResponse, last: bool) -> None:
     http = h11.Connection(h11.CLIENT)
-    for asked in (
+    for event_sent in (
         h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS),
         h11.EndOfMessage(),
     ):
-        http.send(asked)
+        http.send(event_sent)
     http.receive_data(encode_response(reply, last))
-    head, got = http.next_event(), b""
+    head, received_body = http.next_event(), b""
     assert isinstance(head, h11.Response) and head.status_code == reply.status
     while isinstance(event := http.next_event(), h11.Data):
-        got += event.data
+        received_body += event.data
     headers = headers_by_name(head.headers)
-    assert got.decode().strip() == reply.text and isinstance(event, h11.EndOfMessage)
+    assert received_body.decode().strip() == reply.text and isinstance(event, h11.EndOfMessage)
     assert (headers.get("connection") == "close") == last
     assert headers.get("retry-after") == ("1.000" if reply.retry_after_s else None)
 
