--- a/message_relay/relay_process.py
+++ b/message_relay/relay_process.py
@@ -79,7 +79,7 @@
                 log.info(LogEvent("config reloaded"))
             except (ConfigError, ValueError) as error:
                 log.error(LogEvent("config reload rejected", why=error))
-                self.notifier.status(f"the new configuration is rejected: {error}")
+                self.notifier.status(f"the new configuration is passed over: {error}")
             self.notifier.ready()
 
     def reload(self) -> None:
