--- a/message_relay/core/backoff.py
+++ b/message_relay/core/backoff.py
@@ -4,7 +4,7 @@
 
 import random
 
-MAX_DOUBLINGS = 16  # prevents overflow; more than any ratio of maximum to initial delay in use
+MAX_DOUBLINGS = 16  # 2**16 exceeds any ratio of a maximum delay to an initial one
 # Range of the random factor of a delay, so that callers that failed together do not retry together.
 MIN_JITTER = 0.7
 MAX_JITTER = 1.3
--- a/message_relay/core/relay.py
+++ b/message_relay/core/relay.py
@@ -141,8 +141,8 @@
         self.messages.request_unresumed_destinations()
         self.messages.outcomes.notify_recorded()
         self.sources.start()
-        # A discovery service in polling mode counts a list as delivered only when it has answered, and may be
-        # overloaded while a whole fleet starts.
+        # No wait with a polled discovery service: it counts a list as delivered only once it has responded,
+        # and it may be busy while a whole fleet starts.
         awaits_list = self.sources.sources and not self.settings.polls_discovery
         timeout_s = INITIAL_LIST_TIMEOUT_S if awaits_list else 0.0
         asyncio.get_running_loop().call_later(timeout_s, self._start_dispatching)
--- a/message_relay/http/attempt_results.py
+++ b/message_relay/http/attempt_results.py
@@ -10,7 +10,7 @@
 
 
 def attempt_result(head: ResponseHead) -> AttemptResult:
-    """Maps a response to the result of its attempt, as the protocol's table of outcomes defines."""
+    """Map a response to the result of its attempt, as the protocol's table of outcomes defines."""
     retry_after_ms = parse_wait_ms(head.headers.get("x-ratelimit-wait-ms", ""))
     match head.status:
         case 200:
@@ -30,7 +30,7 @@
 
 
 def parse_load_report(head: ResponseHead, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Returns these fields of the load report, in this order; empty unless all are valid."""
+    """Return these fields of the load report, in this order; empty unless all are valid."""
     kind, _, text = head.headers.get("endpoint-load-metrics", "").partition(" ")
     if not fields or kind != "TEXT":
         return ()
@@ -44,7 +44,7 @@
 
 
 def parse_wait_ms(text: str) -> float:
-    """Parses a wait time in milliseconds; 0 if it is missing or invalid."""
+    """Parse a wait time in milliseconds; 0 if it is missing or invalid."""
     try:
         wait_ms = float(text)
     except ValueError:
--- a/tests/http/harness.py
+++ b/tests/http/harness.py
@@ -44,15 +44,15 @@
 def make_attempt(
     address: tuple[str, int],
     seconds: float = 20.0,
-    may: Callable[[], bool] = lambda: True,
+    may_write: Callable[[], bool] = lambda: True,
     body: bytes = b"b",
     endpoint: int = 1,
-    careful: bool = False,
+    ambiguity_is_final: bool = False,
     kind: str = "k",
 ) -> Attempt:
-    """An attempt that times out after `seconds`; `careful`: an ambiguous outcome would be final."""
+    """An attempt that times out after `seconds`; `ambiguity_is_final`: as in `Attempt`."""
     deadline_s = asyncio.get_running_loop().time() + seconds
-    return Attempt(endpoint, address, "id", "key", body, deadline_s, may, careful, kind=kind)
+    return Attempt(endpoint, address, "id", "key", body, deadline_s, may_write, ambiguity_is_final, kind=kind)
 
 
 def make_client(idle_ms: float = 60000.0, connect_ms: float = 20000.0, max_idle: int = 10) -> EndpointClient:
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -164,13 +164,13 @@
     async def work() -> None:
         server, client, permission_checks = OneRequestServer(end), make_client(), list[int]()
 
-        def may() -> bool:
+        def may_write() -> bool:
             permission_checks.append(1)
             return True
 
         address = await server.start()
         assert (await client.attempt(make_attempt(address))).outcome is Outcome.OK
-        result = await client.attempt(make_attempt(address, careful=True, may=may))
+        result = await client.attempt(make_attempt(address, ambiguity_is_final=True, may_write=may_write))
         assert result == AttemptResult(Outcome.OK, is_finished=True)
         assert server.complete_requests == server.opened_count == 2 and len(permission_checks) == 3
 
@@ -186,7 +186,9 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(drop, "127.0.0.1", 0)
-        result = await make_client().attempt(make_attempt(server.sockets[0].getsockname(), careful=True))
+        result = await make_client().attempt(
+            make_attempt(server.sockets[0].getsockname(), ambiguity_is_final=True)
+        )
         assert result.outcome is Outcome.CONNECT_FAILED
 
     run(work())
@@ -196,9 +198,9 @@
     """Retry-After times and idempotency windows count from the last byte."""
 
     async def work() -> None:
-        server, client, may = await Server().start(), make_client(), iter([True, False])
+        server, client, permissions = await Server().start(), make_client(), iter([True, False])
         assert await client.attempt(
-            make_attempt(server.address, careful=True, may=lambda: next(may))
+            make_attempt(server.address, ambiguity_is_final=True, may_write=lambda: next(permissions))
         ) == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         await until(server.left)
         assert server.opened == 1 and not server.seen and not client.pool.idle_by_endpoint
@@ -314,7 +316,7 @@
 
     async def work() -> None:
         server, client = await Server().start(), make_client()
-        result = await client.attempt(make_attempt(server.address, may=lambda: False))
+        result = await client.attempt(make_attempt(server.address, may_write=lambda: False))
         assert result == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
         assert (await client.attempt(make_attempt(server.address))).outcome is Outcome.OK
         assert len(server.seen) == 1 and server.opened == 1
