--- a/message_relay/failover/node.py
+++ b/message_relay/failover/node.py
@@ -241,7 +241,7 @@
         if request.name and request.name not in self.settings.zones:
             raise RulesError(f"zone: {request.name!r} is none of {', '.join(self.controller.zones)}")
         if self.consensus.replicated_log is None:
-            raise RulesError("plan: ask a voter: other instances receive no observations")
+            raise RulesError("plan: ask an instance that votes: the others hear no evidence")
         evacuated = set(self.consensus.newest_rules().policies.evacuated)
         if request.name:
             evacuated.add(request.name)
--- a/message_relay/failover/settings.py
+++ b/message_relay/failover/settings.py
@@ -50,7 +50,7 @@
 
     def __post_init__(self) -> None:
         if self.is_enabled and len(self.zones) < 2:
-            raise ValueError("zones: failover needs at least two zones: name all of them, or none")
+            raise ValueError("zones: one alone has nowhere to go: name all of them, or none")
         if self.region_price < self.zone_price:
             raise ValueError(
                 f"region_price: {self.region_price:g} must be zone_price ({self.zone_price:g}) or more"
--- a/message_relay/sharded_directory/settings.py
+++ b/message_relay/sharded_directory/settings.py
@@ -36,7 +36,7 @@
         if not 1 <= self.count <= MAX_SHARDS or self.count & (self.count - 1):
             raise ValueError(f"count: {self.count} must be a power of two, from 1 to {MAX_SHARDS}")
         if self.file and not self.keepers:
-            raise ValueError("file: needs keepers, which read it")
+            raise ValueError("file: needs keepers, who read it")
 
     @property
     def on(self) -> bool:
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(
     ("settings", "expected"),
     [
-        ({"zones": {"a": ZoneSettings()}}, "zones: failover needs at least two zones"),
+        ({"zones": {"a": ZoneSettings()}}, "zones: one alone has nowhere to go"),
         ({"zone_price": 0.5}, "region_price: 0.2 must be zone_price"),
     ],
 )
