--- a/message_relay/store/compaction.py
+++ b/message_relay/store/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction: frees the oldest segments by copying what is still needed of them to the head.
+"""Compaction: frees the oldest segments by copying the messages that are still needed to the head.
 
-Usually a little is copied with each write, in proportion to what was written (DiskCapacity.copy_quota);
-where that was not enough, as many segments as it takes are freed at once."""
+Normally each write copies a little, in proportion to the bytes written (DiskCapacity.copy_quota). If that is
+not enough, a write that needs space frees as many segments as necessary at once."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class Compactor:
-    """Copies snapshots from the oldest segments to the head, and retires segments that hold none."""
+    """Copies snapshots from the oldest segments to the head, and retires segments without live snapshots."""
 
     def __init__(self, segment_log: SegmentLog, messages: MessageTable, capacity: DiskCapacity) -> None:
         self.log = segment_log
         self.messages = messages
         self.capacity = capacity
-        self.credit_bytes = 0  # that may be copied by now
+        self.credit_bytes = 0  # bytes that may be copied now
         self._last_written_bytes = 0  # `written_bytes` of the log at the latest call of `compact_some`
         segment_log.on_space_needed = self.free_space
 
@@ -33,9 +33,9 @@
         self.log.assign_to_head(entry.id)
 
     def compact_some(self, written_bytes: int | None = None) -> None:
-        """Copies a part in proportion to the bytes written, by default those since the latest call.
+        """Copies an amount in proportion to the bytes written, by default those since the latest call.
 
-        A failure is logged and costs nothing but disk space."""
+        A failure is logged and only delays the freeing of disk space."""
         written_since = self.log.written_bytes - self._last_written_bytes
         self._last_written_bytes = self.log.written_bytes
         quota = self.capacity.copy_quota(
@@ -59,17 +59,17 @@
             log.error(LogEvent("journal segment compaction failed", why=error))
 
     def _copy_next(self, slice_bytes: int) -> int:
-        """Copies one message of the oldest segment, or retires that segment if it holds none.
+        """Copies one message of the oldest segment, or retires that segment if it has no live snapshot.
 
-        Returns the bytes taken from the credit; 0 if nothing more is to be done in this call."""
+        Returns the bytes taken from the credit; 0 if nothing more may be done in this call."""
         oldest = self.log.segments[0]
         message_id = next(iter(oldest.live_ids), None)
         if message_id is None:
             self.log.retire_oldest()
-            return 0  # one file a call: each unlink takes a while
+            return 0  # at most one file per call: each unlink takes a while
         size = self.messages.sizes[message_id]
         if size > self.credit_bytes and self.credit_bytes < self.capacity.segment_bytes // 2:
-            return 0  # it is copied once there is credit for it
+            return 0  # copied once there is enough credit
         if size > slice_bytes and slice_bytes < COPY_SLICE_BYTES:
             return 0
         self.credit_bytes -= size
@@ -77,31 +77,32 @@
         return size
 
     def free_space(self, needed_bytes: int) -> None:
-        """Retires as many of the oldest segments as it takes to write so many bytes.
+        """Retires as many of the oldest segments as are needed to write `needed_bytes`.
 
-        Quarantined files are dropped first. Raises JournalFullError if it is not enough."""
+        Quarantined files are removed first. Raises JournalFullError if that is not enough."""
         for name in list(self.log.quarantined):
             self.log.drop_quarantined(name)
-        newest_number = self.log.segments[-1].number
-        with_new_segment = needed_bytes + self.log.new_segment_bytes
-        if self.log.retiring_bytes and not self._is_short(with_new_segment):
-            raise JournalFullError("journal: room comes with the next sync")
-        while self._is_short(with_new_segment) and self.log.segments[0].number <= newest_number:
+        head_number = self.log.segments[-1].number
+        needed_with_new_segment = needed_bytes + self.log.new_segment_bytes
+        if self.log.retiring_bytes and not self._lacks_space(needed_with_new_segment):
+            raise JournalFullError("journal: no disk space before the next sync")
+        while self._lacks_space(needed_with_new_segment) and self.log.segments[0].number <= head_number:
             if len(self.log.segments) == 1:
                 self.log.start_segment()
             for message_id in list(self.log.segments[0].live_ids):
                 self.copy(self.messages.entries[message_id])
             self.log.retire_oldest()
         if self.capacity.must_compact(self.log.used_bytes, needed_bytes):
-            raise JournalFullError("journal: the folder's limit is reached")
+            raise JournalFullError("journal: the disk budget of the folder is exhausted")
 
-    def _is_short(self, needed_bytes: int) -> bool:
-        """Whether space is still missing once the retired segments are removed."""
+    def _lacks_space(self, needed_bytes: int) -> bool:
+        """Return whether space is still missing once the retired segments are removed."""
         return self.capacity.must_compact(self.log.used_bytes - self.log.retiring_bytes, needed_bytes)
 
     def rewrite_all(self) -> None:
-        """Copies all messages to the head, so that the next start finds no damage; damaged segments are
-        quarantined, all others retired. Raises JournalError."""
+        """Copies all messages to the head, so that the next start finds no damage.
+
+        Damaged segments are quarantined, all others retired. Raises JournalError."""
         for entry in list(self.messages.entries.values()):
             self.copy(entry)
         segments = self.log.segments
--- a/message_relay/store/destination_snapshot.py
+++ b/message_relay/store/destination_snapshot.py
@@ -1,7 +1,8 @@
-"""Snapshot of what a process knows of destinations, kept beside the journal for the next process.
+"""Snapshot of the destination states of a process, stored beside the journal for the next process.
 
-One small file that is replaced as a whole; an old one or none costs service, not a promise. Its content is
-`{"version":1,"at":UNIX_MS,"lanes":[...]}`, one item a destination. What can't be read is ignored."""
+One small file that is replaced atomically. An outdated or missing file costs delivery quality, but breaks no
+promise to a client. Its content is `{"version":1,"at":UNIX_MS,"lanes":[...]}`, one item per destination. A
+file that can't be read is ignored."""
 
 from __future__ import annotations
 
@@ -19,9 +20,9 @@
 
 VERSION = 1
 FILE_NAME = "learned"
-MAX_FILE_BYTES = 16 * 1024  # so that it and its successor fit beside the journal
-RESERVED_BYTES = 64  # of the file, for all that is not in its items
-MAX_AGE_MS = 60_000.0  # older knowledge is no use: outages are shorter
+MAX_FILE_BYTES = 16 * 1024  # the file and its replacement must both fit beside the journal
+RESERVED_BYTES = 64  # part of the file for everything but its items
+MAX_AGE_MS = 60_000.0  # older states are useless: outages are shorter
 
 
 class _DestinationRecord(msgspec.Struct, forbid_unknown_fields=True):
@@ -49,16 +50,16 @@
         """`folder`: the state directory."""
         self.path = folder / FILE_NAME
         self.temporary_path = folder / f"{FILE_NAME}.new"
-        self.destinations: list[RestoredDestination] = []  # as last written
+        self.destinations: list[RestoredDestination] = []  # as most recently written
 
     def load(self, now: float) -> list[RestoredDestination]:
-        """What the file holds, with the time since it was written added. Never raises.
+        """Return the states in the file, adjusted by the time since it was written. Never raises.
 
-        `now`: Unix ms. Of a file that is too old only the waits count."""
+        `now`: Unix ms. From a file that is too old, only unexpired Retry-After times are used."""
         try:
             snapshot: _Snapshot = msgspec.json.decode(self.path.read_bytes(), type=_Snapshot)
             if snapshot.version != VERSION:
-                raise ValueError(f"version {snapshot.version} is not known, {VERSION} is")
+                raise ValueError(f"version {snapshot.version} is not supported; expected {VERSION}")
             age_ms = max(0.0, now - snapshot.written_at_ms)
             destinations = [_restore(record, age_ms) for record in snapshot.destinations]
         except FileNotFoundError:
@@ -75,9 +76,9 @@
         ]
 
     def save(self, now: float, destinations: list[RestoredDestination]) -> None:
-        """Writes the file; what does not fit is left out. Never raises.
+        """Writes the file; items that do not fit are left out. Never raises.
 
-        Nothing is written if there is nothing to state and there was nothing before. `now`: Unix ms."""
+        Nothing is written if there are no destinations now and there were none before. `now`: Unix ms."""
         if not destinations and not self.destinations:
             return
         self.destinations = destinations
@@ -112,7 +113,7 @@
 
 
 def _restore(record: _DestinationRecord, age_ms: float) -> RestoredDestination:
-    """Raises ValueError if a time is not one."""
+    """Raises ValueError if a time is not valid."""
     return RestoredDestination(
         record.destination,
         max(0.0, record.retry_after_ms - age_ms),
--- a/message_relay/store/durability.py
+++ b/message_relay/store/durability.py
@@ -1,14 +1,14 @@
-"""Syncs: which records outlast a power cut, and when. One thread syncs, many records with each call.
+"""Durability: determines which records survive a power cut. One thread syncs many records with each call.
 
 | setting | what is on the disk after a power cut |
 | --- | --- |
-| none | what the system had written by itself; a killed process loses nothing all the same |
-| interval | all but the last `sync_ms` and a sync: a message of that time may be lost, or sent again |
-| group | all that was promised: a 202, a first byte and a final answer wait for their sync |
+| none | what the operating system had written on its own; a killed process still loses nothing |
+| interval | all but the last `sync_ms` plus one sync: messages of that time may be lost or sent again |
+| group | all that was promised: a 202, a first byte and a final outcome wait for their sync |
 
-A segment is unlinked only once what was copied out of it is durable. A sync that fails may have lost what it
-was to write, and the next one would not report it (the system drops such pages): so all messages are written
-again, to another file."""
+A segment is unlinked only once the copies of its messages are durable. A failed sync may have lost data, and
+the next sync would not report it (the operating system drops such pages). Therefore all messages are then
+rewritten to another file."""
 
 from __future__ import annotations
 
@@ -25,41 +25,41 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_DELAY_S = 0.2  # after a sync that failed
+RETRY_DELAY_S = 0.2  # delay after a failed sync
 
 
 class SyncRound(NamedTuple):
     """One sync."""
 
-    file_names: list[str]  # that it has to cover
+    file_names: list[str]  # files that it has to cover
     sequence: int  # all records up to this one are durable after it
 
 
 class Durability:
-    """Knows up to which record the log is durable, and completes what waits for it."""
+    """Tracks up to which record the log is durable, and completes the futures that wait for it."""
 
     def __init__(self, files: FileStore, sync_ms: float) -> None:
-        """`sync_ms`: between one sync and the next; 0: group commit, a sync whenever something waits."""
+        """`sync_ms`: interval between syncs; 0: group commit, a sync whenever something waits for one."""
         self.files = files
         self.is_group_commit = sync_ms <= 0
         self.interval_s = sync_ms / 1000
-        self.appended_sequence = 0  # of the latest record that is appended
-        self.durable_sequence = 0  # of the latest record that is durable
+        self.appended_sequence = 0  # of the latest appended record
+        self.durable_sequence = 0  # of the latest durable record
         self.unsynced_files: dict[str, None] = {}
-        self.waiters: deque[tuple[int, asyncio.Future[None]]] = deque()  # (sequence, future) in order
-        self.callbacks: deque[tuple[int, Callable[[], None]]] = deque()  # (sequence, callback) in order
+        self.waiters: deque[tuple[int, asyncio.Future[None]]] = deque()  # (sequence, future), ascending
+        self.callbacks: deque[tuple[int, Callable[[], None]]] = deque()  # (sequence, callback), ascending
         self.has_unsynced = asyncio.Event()
-        self.on_sync_failed: Callable[[], None] = lambda: None  # writes all messages again
+        self.on_sync_failed: Callable[[], None] = lambda: None  # rewrites all messages
         self.executor = ThreadPoolExecutor(1, "sync")
 
     def record_appended(self, name: str, sequence: int) -> None:
-        """Notes that a record was appended to a file."""
+        """Registers that a record was appended to a file."""
         self.unsynced_files[name] = None
         self.appended_sequence = sequence
         self.has_unsynced.set()
 
     def barrier(self) -> asyncio.Future[None] | None:
-        """A future that is done once all that is written by now is durable; None: nothing has to wait."""
+        """Return a future that completes once all appended records are durable; None: nothing has to wait."""
         if not self.is_group_commit or self.durable_sequence >= self.appended_sequence:
             return None
         if self.waiters and self.waiters[-1][0] == self.appended_sequence:
@@ -69,7 +69,7 @@
         return future
 
     def call_when_durable(self, callback: Callable[[], None]) -> None:
-        """Calls back once all that is written by now is durable."""
+        """Calls `callback` once all records appended so far are durable."""
         self.callbacks.append((self.appended_sequence, callback))
 
     async def run(self) -> None:
@@ -90,7 +90,7 @@
                 continue
             self.mark_durable(sync_round.sequence)
 
-    # -- one round, in three steps: a test makes them one by one -----------------------------------------
+    # -- one sync round, in three steps that tests can run one by one ------------------------------------
 
     def start_sync(self) -> SyncRound:
         """Determines what the next sync has to cover."""
@@ -102,11 +102,11 @@
     def sync_files(self, file_names: list[str]) -> None:
         """Syncs these files; runs on the thread. Raises OSError."""
         for name in file_names:
-            with contextlib.suppress(FileNotFoundError):  # retired: a later file has what was needed of it
+            with contextlib.suppress(FileNotFoundError):  # retired: a later file has copies of its messages
                 self.files.sync(name)
 
     def mark_durable(self, sequence: int) -> None:
-        """All records up to this one are durable: completes what waits for them."""
+        """Registers that all records up to `sequence` are durable, and completes what waits for them."""
         self.durable_sequence = sequence
         while self.waiters and self.waiters[0][0] <= sequence:
             _, future = self.waiters.popleft()
@@ -117,7 +117,7 @@
             callback()
 
     async def sync_remaining(self, timeout_s: float = 1.0) -> None:
-        """The last sync of a process that shuts down; a failure or time-out is logged."""
+        """Runs the last sync of a process that shuts down; a failure or time-out is logged."""
         loop = asyncio.get_running_loop()
         last_sync = loop.run_in_executor(self.executor, self.sync_files, list(self.unsynced_files))
         try:
@@ -126,7 +126,7 @@
             log.error(LogEvent("journal final sync failed", why=error))
 
     def close(self) -> None:
-        """Cancels what still waits: its promise was not made."""
+        """Cancels the remaining futures: their promises were not made."""
         for _, future in self.waiters:
             future.cancel()
         self.executor.shutdown(wait=False)
--- a/message_relay/store/errors.py
+++ b/message_relay/store/errors.py
@@ -8,11 +8,11 @@
 
 
 class JournalError(StoreError):
-    """A record could not be written: what it states must not be promised to anybody."""
+    """A record could not be written, so its content must not be promised to a client or the platform."""
 
 
 class JournalFullError(JournalError):
-    """The disk budget leaves no space for another message."""
+    """The disk budget has no space for another message."""
 
 
 class UnsupportedFormatError(StoreError):
--- a/message_relay/store/file_store.py
+++ b/message_relay/store/file_store.py
@@ -1,6 +1,6 @@
-"""Access of the store to the disk: a flat directory of files, each of which is only ever appended to.
+"""Disk access of the store: a flat directory of append-only files.
 
-Tests replace the directory by a model that fails, shortens, loses or reorders any call
+Tests replace the directory with a model in which any call may fail, be cut short, be lost or be reordered
 (tests/store/disk.py)."""
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-READ_BYTES = 1 << 16  # a part that cannot be read costs no more than this of a file
+READ_BYTES = 1 << 16  # an unreadable part of a file loses at most this many bytes
 NO_DESCRIPTOR = -1
 
 
 class FileContent(NamedTuple):
-    """What could be read of a file."""
+    """The content of a file, as far as it could be read."""
 
     data: bytes
-    is_complete: bool  # False: parts could not be read, and are zeros
+    is_complete: bool  # False: unreadable parts are replaced by zeros
 
 
 class FileStore(Protocol):
-    """A directory. Each call may raise OSError; then nothing has changed, unless its docstring says so."""
+    """A directory. A call that raises OSError changes nothing, unless its docstring says otherwise."""
 
     def sizes(self) -> dict[str, int]:
         """The size of each file, in bytes."""
@@ -42,11 +42,11 @@
         """Makes the data and the name of a file durable. May be called on a thread."""
 
     def close(self) -> None:
-        """Ends the use of the store: no call comes after it."""
+        """Closes the store; no call may follow."""
 
 
 class DirectoryFileStore:
-    """A directory of the file system. Keeps the file open that was appended to last."""
+    """A directory of the file system. Keeps the most recently appended file open."""
 
     def __init__(self, folder: Path) -> None:
         """`folder`: an existing directory."""
@@ -63,7 +63,7 @@
             return {item.name: item.stat().st_size for item in items if item.is_file(follow_symlinks=False)}
 
     def read(self, name: str) -> FileContent:
-        """Reads a file in parts: a bad sector costs one part only."""
+        """Reads a file in parts, so that a bad sector loses one part only."""
         parts = list[bytes]()
         is_complete = True
         with open(self.folder / name, "rb", buffering=0) as file:
@@ -71,7 +71,7 @@
             for offset in range(0, size, READ_BYTES):
                 try:
                     part = os.pread(file.fileno(), READ_BYTES, offset)
-                except OSError:  # a bad sector: what is behind it may be readable
+                except OSError:  # a bad sector: the following parts may be readable
                     part = b""
                     is_complete = False
                 parts.append(part.ljust(min(READ_BYTES, size - offset), b"\0"))
@@ -79,7 +79,7 @@
 
     def append(self, name: str, data: bytes) -> None:
         """Appends all of the data or nothing; makes the file with its first bytes."""
-        if self.is_closed:  # Guards the next user of the descriptor against a late record
+        if self.is_closed:  # Prevents a late record from being written to a reused descriptor
             raise OSError("the store is closed")
         if name != self.open_name:
             self._open(name)
@@ -101,7 +101,7 @@
         self.open_size = os.fstat(self.descriptor).st_size
 
     def _truncate(self) -> None:
-        """Removes a partly written record: no other may follow it."""
+        """Removes a partly written record, since no record may follow it."""
         try:
             os.ftruncate(self.descriptor, self.open_size)
         except OSError:
--- a/message_relay/store/format_v1.py
+++ b/message_relay/store/format_v1.py
@@ -1,7 +1,7 @@
-"""Format 1, the one file `journal` of earlier versions: a line a record, with a checksum and a JSON object.
+"""Format 1 of earlier versions: the single file `journal`, one line per record (checksum and JSON object).
 
-It is read once, at the first start of this version (upgrade.py). A record that can't be read is assumed to
-have stated the worst, as in recovery.py."""
+It is read once, at the first start of this version (upgrade.py). As in recovery.py, a record that can't be
+read is assumed to have had the worst possible content."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Line(msgspec.Struct):
-    """A record of any kind; the encoded names are those of the format."""
+    """A record of any kind; the encoded names are part of the format."""
 
     kind: str = msgspec.field(name="k")
     id: str
@@ -66,14 +66,14 @@
 
 
 class FileState(NamedTuple):
-    """What a file of format 1 holds."""
+    """The content of a file of format 1."""
 
     entries: dict[str, JournalEntry]
-    findings: list[str]  # a line for each damage, for people
+    findings: list[str]  # one human-readable line per damage
 
 
 def read(data: bytes) -> FileState:
-    """Applies all records of a file; those that can't be read are findings."""
+    """Applies all records of a file; records that can't be read are reported as findings."""
     entries: dict[str, JournalEntry] = {}
     findings: list[str] = []
     corrupt_ids: dict[str, None] = {}
@@ -96,7 +96,7 @@
 
 
 def _decode_line(text: bytes) -> Line:
-    """Raises ValueError if it is not a complete record as it was written."""
+    """Raises ValueError if the line is not a complete, intact record."""
     checksum, _, document = text.partition(b" ")
     if len(checksum) != CHECKSUM_DIGITS or int(checksum, 16) != zlib.crc32(document):
         raise ValueError("the checksum does not match")
@@ -104,7 +104,7 @@
 
 
 def _apply(entries: dict[str, JournalEntry], line: Line) -> None:
-    """Applies a record. Raises KeyError if its message is not known, ValueError if it can't be used."""
+    """Applies a record. Raises KeyError if its message is unknown, ValueError if the record is not valid."""
     if line.kind == "take":
         entries[line.id] = _entry(line)
     elif line.kind == "drop":
--- a/message_relay/store/inspection.py
+++ b/message_relay/store/inspection.py
@@ -1,4 +1,4 @@
-"""Single records of a journal, for people who look into it. Reads only."""
+"""Lists the single records of a journal, for diagnostics. Read-only."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class RecordLine:
     """A record as the `journal` commands print it."""
 
-    segment: str  # name of its file
+    segment: str  # file name of the segment
     offset: int
     sequence: int
     kind: str
@@ -26,7 +26,7 @@
 
 
 def record_lines(files: FileStore) -> Iterator[RecordLine]:
-    """Yields all records in order, corrupt ones with what is known of them.
+    """Yields all records in order, corrupt ones with their known fields.
 
     Raises UnsupportedFormatError; OSError if the directory can't be read."""
     for name in sorted(name for name in files.sizes() if SEGMENT_FILE_NAME.fullmatch(name)):
--- a/message_relay/store/journal.py
+++ b/message_relay/store/journal.py
@@ -1,17 +1,17 @@
 """The journal: a write-ahead log of accepted messages, their attempts and outcomes.
 
-A record is appended before what it states is promised. The oldest segment is freed by copying what is still
-needed of it to the head and then unlinking its file. So the directory holds one contiguous piece of the log
-at each moment, and reading it in order gives the latest state of each message: a kill at any point leaves a
-message in both places or in one (docs/design/store.md).
+A record is appended before anything that it states is promised. The oldest segment is freed by copying its
+live messages to the head and then unlinking its file. So the directory always contains one contiguous part of
+the log, and reading it in order yields the latest state of each message: a kill at any point leaves a message
+in both segments or in one of them (docs/design/store.md).
 
-| module | job |
+| module | responsibility |
 | --- | --- |
-| journal.py | the write path: what each record changes in memory and on the disk |
+| journal.py | the write path: the effect of each record in memory and on the disk |
 | segment_log.py | appends to segments, starts and removes them |
-| compaction.py | copies what is still needed of old segments |
-| capacity.py | whether there is space, and how much to copy when |
-| recovery.py | reads the log back at a start |"""
+| compaction.py | copies live messages out of old segments |
+| capacity.py | the disk budget, and how much to copy when |
+| recovery.py | reads the log at the start of a process |"""
 
 from __future__ import annotations
 
@@ -44,26 +44,26 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ENDPOINT_NAME_CHARS = 200  # of an endpoint's name in a record: longer ones are cut
-# Errors of the file system that free space does not cure: the start fails with them.
+MAX_ENDPOINT_NAME_CHARS = 200  # endpoint names in records are truncated to this
+# File system errors that freeing space does not fix: the start fails with them.
 FATAL_ERRNOS = (errno.EACCES, errno.EPERM, errno.EROFS, errno.ENOENT, errno.ENOTDIR)
-MAX_LOGGED_FINDINGS = 20  # `journal verify` prints all
-PERIODIC_COPY_PART = 8  # `compact` counts as so much of a segment written
+MAX_LOGGED_FINDINGS = 20  # `journal verify` prints all of them
+PERIODIC_COPY_DIVISOR = 8  # `compact` counts as a write of a segment divided by this
 
 
 class Journal:
     """All accepted messages, in memory and on the disk.
 
-    `entries` holds each message by its id. Methods named `append_...` write a record and apply it to the
-    entry; they raise JournalError if it can't be written."""
+    `entries` maps each id to its message. Methods named `append_...` write a record and apply it to the
+    entry; they raise JournalError if the record can't be written."""
 
     def __init__(
         self, folder: Path, disk_bytes: int, files: FileStore | None = None, sync_ms: float | None = None
     ) -> None:
-        """Recovers what an earlier process left.
+        """Recovers the journal of an earlier process.
 
-        `disk_bytes`: budget of the directory, for the journal; `sync_ms`: see durability.py, None: no
-        syncs. Raises UnsupportedFormatError; OSError if the directory can't be used."""
+        `disk_bytes`: the journal's budget in the directory; `sync_ms`: see durability.py, None: no syncs.
+        Raises UnsupportedFormatError; OSError if the directory can't be used."""
         self.files: FileStore = files or DirectoryFileStore(folder)
         self.durability: Durability | None = None
         if sync_ms is not None:
@@ -74,14 +74,14 @@
         self.entries = self.messages.entries
         self.log = SegmentLog(self.files, self.capacity, self.messages, self.durability)
         self.compactor = Compactor(self.log, self.messages, self.capacity)
-        self.retained: list[tuple[float, str]] = []  # heap of finished messages: kept until when, and id
-        self.overdue: dict[str, None] = {}  # messages of which memory knows more than the disk
-        self.findings: list[str] = []  # damage that was found when this process started
+        self.retained: list[tuple[float, str]] = []  # heap of finished messages: (expiry, id)
+        self.overdue: dict[str, None] = {}  # messages whose latest state is not on the disk
+        self.findings: list[str] = []  # damage found at the start of this process
         self._restore()
 
     @property
     def budget_bytes(self) -> int:
-        """The most that the journal may occupy on the disk."""
+        """The maximum that the journal may occupy on the disk."""
         return self.capacity.budget_bytes
 
     @property
@@ -91,12 +91,12 @@
 
     @property
     def live_bytes(self) -> int:
-        """Upper bound of what all known messages would occupy if each was written again."""
+        """Upper bound for the size of all known messages if each was rewritten."""
         return self.messages.total_bytes
 
     @property
     def written_bytes(self) -> int:
-        """Bytes of records since the start, without copies."""
+        """Bytes of records written since the start, without copies."""
         return self.log.written_bytes
 
     @property
@@ -107,14 +107,14 @@
     # -- records -----------------------------------------------------------------------------------------
 
     def append_accepted(self, entry: JournalEntry) -> None:
-        """Adds a message; must come before the client's answer. Raises JournalFullError if none fits."""
+        """Adds a message; call it before answering the client. Raises JournalFullError if it does not fit."""
         size = max_disk_bytes(entry)
         if not self.capacity.can_accept(self.live_bytes, size):
             self._remove_finished()
             if not self.capacity.can_accept(self.live_bytes, size):
-                raise JournalFullError("no room for another message")
+                raise JournalFullError("no disk space for another message")
         if self.overdue:
-            self.write_overdue()  # raises if the disk does not accept it: then it accepts nothing new either
+            self.write_overdue()  # raises if it fails: then no new message is accepted either
         self.log.append(RecordType.ACCEPTED, entry.id, encode_snapshot(entry))
         self._update_table(entry)
         self.log.assign_to_head(entry.id)
@@ -128,9 +128,10 @@
         zone: int,
         uptime_ms: float = -1.0,
     ) -> None:
-        """Records an attempt; must come before its first byte is sent.
+        """Records an attempt; call it before the first byte is sent.
 
-        Times are stored in whole ms, rounded down: a window that is measured from them ends no later."""
+        Times are stored in whole ms, rounded down, so that a window measured from them never ends later than
+        the real one."""
         record = AttemptRecord(int(started_at_ms), endpoint[:MAX_ENDPOINT_NAME_CHARS], zone, int(uptime_ms))
         self._record(entry, RecordType.ATTEMPT, encode_payload(record))
 
@@ -141,30 +142,30 @@
     def append_final_outcome(
         self, entry: JournalEntry, final_state: str, retry_after_ms: float = 0.0
     ) -> None:
-        """Records the final outcome; must come before anybody is notified of it.
+        """Records the final outcome; call it before the platform or a client is notified.
 
-        If it can't be written, the message is in `overdue` until `write_overdue`."""
+        If it can't be written, the message is in `overdue` until `write_overdue` succeeds."""
         record = FinalOutcomeRecord(final_state, retry_after_ms)
         self._record(entry, RecordType.FINAL_OUTCOME, encode_payload(record))
 
     def append_notified(self, message_ids: list[str]) -> None:
-        """Records that the outcome of these messages was reported; ids that are not known are ignored."""
+        """Records that the platform was notified of these outcomes; unknown ids are ignored."""
         failure: JournalError | None = None
         for message_id in message_ids:
             try:
                 if message_id in self.entries:
                     self._record(self.entries[message_id], RecordType.NOTIFIED, b"")
-            except JournalError as error:  # it holds in memory, and for the others too
+            except JournalError as error:  # the change is applied in memory; continue with the other ids
                 failure = error
         if failure is not None:
             raise failure
 
     def append_cancelled(self, entry: JournalEntry) -> None:
-        """Records that a message is dropped, and removes it."""
+        """Records that a message is cancelled, and removes it."""
         self._record(entry, RecordType.CANCELLED, b"")
 
     def write_overdue(self) -> None:
-        """Writes what could not be written when it happened. Raises JournalError if it still can't be."""
+        """Writes the changes that could not be written earlier. Raises JournalError if that fails again."""
         for message_id in list(self.overdue):
             entry = self.entries.get(message_id)
             if entry is None:
@@ -174,9 +175,10 @@
             del self.overdue[message_id]
 
     def compact(self, now: float) -> None:
-        """Periodic work: removes finished messages past their deadline, and compacts a part of the log.
+        """Periodic work: removes finished messages after their deadline, and compacts a part of the log.
 
-        Until then a resubmitted id gets its answer again. `now`: Unix ms. Failures are logged."""
+        Until its deadline, a resubmission of a finished message gets the same answer again. `now`: Unix ms.
+        Failures are logged."""
         while self.retained and self.retained[0][0] < now:
             _, message_id = heapq.heappop(self.retained)
             entry = self.entries.get(message_id)
@@ -184,30 +186,30 @@
                 self._remove(message_id)
         try:
             self.write_overdue()
-            self.compactor.compact_some(self.capacity.segment_bytes // PERIODIC_COPY_PART)
+            self.compactor.compact_some(self.capacity.segment_bytes // PERIODIC_COPY_DIVISOR)
         except JournalError as error:
             log.error(LogEvent("journal compaction failed", why=error))
 
     def barrier(self) -> asyncio.Future[None] | None:
-        """A future that is done once all that is written may be promised; None: it may be now."""
+        """Return a future that completes once all written records may be promised; None: they already may."""
         return None if self.durability is None else self.durability.barrier()
 
     def close(self) -> None:
-        """Closes the files; nothing can be written afterwards."""
+        """Closes the files; later writes fail."""
         if self.durability is not None:
             self.durability.close()
         self.files.close()
 
-    # -- memory ------------------------------------------------------------------------------------------
+    # -- state in memory ---------------------------------------------------------------------------------
 
     def _record(self, entry: JournalEntry, kind: RecordType, payload: bytes) -> None:
         """Writes a record and applies it to the entry.
 
-        The change holds in memory also if it can't be written: it is then written later, and what a kill
-        leaves is safe, since an attempt without an outcome may have run. An attempt does not: it must not be
-        made."""
+        If the write fails, the change still applies in memory and is written later. A kill in between is
+        safe, since an attempt without a recorded outcome counts as one that may have run. The exception is
+        the record of an attempt: it is not applied, and the attempt must not be made."""
         if self.entries.get(entry.id) is not entry:
-            # Guards the message that has this id now: a late result of a call must not be read as its own.
+            # Protects a later message with the same id: the late result of an earlier call is not its own.
             if kind is RecordType.ATTEMPT:
                 raise JournalError(f"journal: message {entry.id} is over")
             return
@@ -239,7 +241,7 @@
         self.log.remove(message_id)
 
     def _remove_finished(self) -> None:
-        """Removes all finished messages before their time, to make space for a new one."""
+        """Removes all finished messages before their deadline, to make space for a new message."""
         for _, message_id in self.retained:
             if message_id in self.entries and not self.entries[message_id].is_unfinished:
                 self._remove(message_id)
@@ -252,7 +254,7 @@
         self.log.load(state)
         for entry in state.entries.values():
             self._update_table(entry)
-            self.log.segment_of.setdefault(entry.id, Segment(0))  # one of which only the id is left
+            self.log.segment_of.setdefault(entry.id, Segment(0))  # only the id is left of such a message
         self.findings = state.findings
         if state.torn_bytes:
             log.warning(LogEvent("journal torn write dropped", bytes=state.torn_bytes))
@@ -273,7 +275,7 @@
         return state
 
     def _start_first_segment(self) -> None:
-        """Starts this process's first segment; one that can't be started has new messages rejected."""
+        """Starts this process's first segment; if that fails, new messages are rejected."""
         try:
             self.log.start_segment()
             if self.findings:
--- a/message_relay/store/lock.py
+++ b/message_relay/store/lock.py
@@ -1,4 +1,4 @@
-"""Lock of a state directory: two processes that write one journal would each undo what the other promised."""
+"""Lock of a state directory: two processes writing one journal would break each other's promises."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 class DirectoryLock:
     """An advisory lock (flock) on the directory itself.
 
-    It takes no space in the directory and ends with its process however that ends, so that a dead process
-    leaves no lock behind."""
+    It takes no space in the directory, and the system releases it however the process ends, so that a dead
+    process leaves no lock behind."""
 
     def __init__(self, folder: Path) -> None:
         """Takes the lock without waiting.
 
-        Raises DirectoryLockedError if another process has it; OSError if the directory can't be opened."""
+        Raises DirectoryLockedError if another process holds it; OSError if the directory can't be opened."""
         self.descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -38,7 +38,7 @@
             log.warning(LogEvent("state directory lock unavailable", folder=folder, why=error))
 
     def release(self) -> None:
-        """Gives the lock up; may be called more than once."""
+        """Releases the lock; may be called more than once."""
         if self.descriptor != NO_DESCRIPTOR:
             os.close(self.descriptor)
             self.descriptor = NO_DESCRIPTOR
--- a/message_relay/store/record_format.py
+++ b/message_relay/store/record_format.py
@@ -1,22 +1,23 @@
-"""The byte format of segments and records (format 2). No I/O: bytes in, records and damage out.
+"""The byte format of segments and records (format 2). Encodes records, finds records and damage. No I/O.
 
 A segment begins with its header, twice:
 
     "LNST"  u16 version  u16 0  u64 number  u64 first record's sequence
-    u32 length and u32 checksum of the segment before it (0 and 0: it is the first)  u32 salt  u32 checksum
+    u32 length and u32 checksum of the previous segment (0 and 0 in the first one)  u32 salt  u32 checksum
 
-A record is a frame. All checksums of frames are CRC-32 that begin with the segment's salt: bytes that a
-client put into a body cannot pass for a frame when damage makes the reader search for the next one.
+A record is a frame. All checksums of frames are CRC-32 with the segment's salt as initial value: bytes that
+a client put into a body cannot be mistaken for a frame when the reader, after damage, searches for the next
+one.
 
     u16 magic  u8 kind  u8 length of id  u32 length of payload  u64 sequence
-    id  u32 checksum of all before
+    id  u32 checksum of all of the above
     payload  u32 checksum of the payload
     id  u8 length of id  u8 kind  u32 checksum of these three
 
-The id is on both sides of the payload with checksums of its own, since a record that can't be read still
-concerns a message: where only one of the ends is intact, it is known which. Records are numbered without gaps
-over all segments, so that it is known how many are missing. An incomplete record at the very end of the last
-segment is a torn write, which nobody was notified of; the same in any other place is damage."""
+The id is on both sides of the payload, with a checksum on each, so that the message of an unreadable record
+is known as long as one of its ends is intact. Records are numbered without gaps over all segments, so that
+the number of missing records is known. An incomplete record at the very end of the last segment is a torn
+write, which was never promised to a client or the platform; in any other place it is damage."""
 
 from __future__ import annotations
 
@@ -28,7 +29,7 @@
 
 from .errors import UnsupportedFormatError
 
-VERSION = 2  # 1: the one file `journal` (format_v1.py)
+VERSION = 2  # 1: a single file `journal` (format_v1.py)
 MAGIC = b"LNST"
 HEADER = struct.Struct("<4sHHQQIII")
 CHECKSUM = struct.Struct("<I")
@@ -38,8 +39,8 @@
 FRAME_MARK_BYTES = FRAME_MARK.to_bytes(2, "little")
 FRAME_HEAD = struct.Struct("<HBBIQ")
 FRAME_TAIL = struct.Struct("<BBI")
-FRAME_FIXED_BYTES = FRAME_HEAD.size + 2 * CHECKSUM.size + FRAME_TAIL.size  # without the ids and the payload
-MAX_PAYLOAD_BYTES = 1 << 20  # no payload is longer: a length above it is damage
+FRAME_FIXED_BYTES = FRAME_HEAD.size + 2 * CHECKSUM.size + FRAME_TAIL.size  # without ids and payload
+MAX_PAYLOAD_BYTES = 1 << 20  # no payload is longer: a larger length is damage
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,13 +48,13 @@
     """The header of a segment."""
 
     segment_number: int
-    first_sequence: int  # of its first record
-    previous_size: int  # bytes of the segment before it that count
-    previous_checksum: int  # of these
+    first_sequence: int  # sequence of its first record
+    previous_size: int  # valid bytes of the previous segment
+    previous_checksum: int  # of these bytes
     salt: int
 
     def encode(self) -> bytes:
-        """Both copies, with their checksums."""
+        """Return both copies of the header, with their checksums."""
         copy = HEADER.pack(
             MAGIC,
             VERSION,
@@ -83,9 +84,9 @@
 
 
 def salvage_header(data: bytes, number: int, sequence: int) -> Header | None:
-    """Reconstructs a header of which both copies are corrupt: a salt is right if frames are intact under it.
+    """Reconstructs a header whose copies are both corrupt: its salt is valid if it verifies some frame.
 
-    `sequence`: of the first record that is expected."""
+    `sequence`: sequence of the first expected record."""
     for offset in (0, HEADER_COPY_BYTES):
         copy = data[offset : offset + HEADER.size]
         if len(copy) == HEADER.size:
@@ -96,7 +97,7 @@
 
 
 def encode_frame(salt: int, sequence: int, kind: int, message_id: bytes, payload: bytes) -> bytes:
-    """The bytes of a record."""
+    """Return the encoded record."""
     head = FRAME_HEAD.pack(FRAME_MARK, kind, len(message_id), len(payload), sequence) + message_id
     tail = message_id + bytes((len(message_id), kind))
     return b"".join(
@@ -112,7 +113,7 @@
 
 
 def frame_size(id_size: int, payload_size: int) -> int:
-    """Bytes of a record's frame."""
+    """Return the size of a record's frame in bytes."""
     return FRAME_FIXED_BYTES + 2 * id_size + payload_size
 
 
@@ -123,13 +124,13 @@
     kind: int
     message_id: bytes
     payload: bytes
-    offset: int  # where its frame begins
+    offset: int  # start of its frame
     end: int
 
 
 @dataclass(frozen=True, slots=True)
 class CorruptRecord:
-    """A record whose payload can't be read; its message and kind are known."""
+    """A record with an unreadable payload; its message and kind are known."""
 
     sequence: int
     kind: int
@@ -140,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRange:
-    """Bytes of which nothing can be read, and how many records were in them at least."""
+    """A range of unreadable bytes, and the minimum number of records that it contained."""
 
     offset: int
     end: int
@@ -149,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TornWrite:
-    """The last write, which was not completed."""
+    """The last write, if it is incomplete."""
 
     offset: int
     end: int
@@ -159,7 +160,7 @@
 
 
 class _FrameHead(NamedTuple):
-    """An intact head of a frame; offsets into the segment. The frame may end behind the segment."""
+    """An intact head of a frame; offsets are into the segment. The frame may extend beyond its end."""
 
     offset: int
     sequence: int
@@ -181,7 +182,8 @@
 ) -> Iterator[ScanResult]:
     """Yields everything that follows the header, in order.
 
-    `sequence`: of the first record; `is_last`: it is the last segment, which may end in a torn write."""
+    `sequence`: sequence of the first record; `is_last`: this is the last segment, which may end in a torn
+    write."""
     size = len(data)
     while offset < size:
         head = _frame_head_at(data, salt, offset)
@@ -205,7 +207,7 @@
 
 
 def _frame_head_at(data: bytes, salt: int, offset: int) -> _FrameHead | None:
-    """The head of the frame that begins at this offset, if one does and its checksum matches."""
+    """Return the head of the frame at this offset; None if there is none with a matching checksum."""
     if offset + FRAME_HEAD.size > len(data):
         return None
     mark, kind, id_size, payload_size, sequence = FRAME_HEAD.unpack_from(data, offset)
@@ -221,7 +223,7 @@
 
 
 def _decode_record(data: bytes, salt: int, head: _FrameHead) -> Record | CorruptRecord:
-    """The record of a frame that is in the segment up to its end."""
+    """Return the record of a frame that lies completely in the segment."""
     message_id = data[head.offset + FRAME_HEAD.size : head.payload_start - CHECKSUM.size]
     payload = data[head.payload_start : head.payload_end]
     if CHECKSUM.unpack_from(data, head.payload_end)[0] != crc32(payload, salt):
@@ -232,7 +234,7 @@
 def _unreadable_between(
     data: bytes, salt: int, sequence: int, offset: int, following: _FrameHead
 ) -> Iterator[ScanResult]:
-    """What is known of the bytes before the next intact frame; `sequence`: of the record expected there."""
+    """Yields what is known of the bytes before the next intact frame; `sequence`: of the expected record."""
     end = following.offset
     lost_records = following.sequence - sequence
     tail = _frame_tail_before(data, salt, end, offset)
@@ -246,10 +248,10 @@
 
 
 def _unreadable_end(data: bytes, salt: int, sequence: int, is_last: bool, offset: int) -> ScanResult:
-    """What is known of the bytes after which no intact frame follows."""
+    """Return what is known of the bytes after the last intact frame."""
     end = len(data)
     tail = _frame_tail_before(data, salt, end, offset)
-    if tail is not None:  # a complete record was there: this is no torn write
+    if tail is not None:  # a complete record was written, so this is not a torn write
         return CorruptRecord(sequence, tail.kind, tail.message_id, offset, end)
     if is_last:
         return TornWrite(offset, end)
@@ -257,7 +259,7 @@
 
 
 def _find_frame(data: bytes, salt: int, sequence: int, offset: int) -> _FrameHead | None:
-    """The next frame from this offset on whose head is intact and whose sequence is not below `sequence`."""
+    """Return the next frame from `offset` on with an intact head and at least the given sequence."""
     while (offset := data.find(FRAME_MARK_BYTES, offset)) >= 0:
         head = _frame_head_at(data, salt, offset)
         if head is not None and head.sequence >= sequence:
@@ -267,7 +269,7 @@
 
 
 def _frame_tail_before(data: bytes, salt: int, end: int, lowest_offset: int) -> _FrameTail | None:
-    """The tail of the frame that ends there, if one does and its checksum matches."""
+    """Return the tail of the frame that ends at `end`; None if there is none with a matching checksum."""
     if end - FRAME_TAIL.size < lowest_offset:
         return None
     id_size, kind, checksum = FRAME_TAIL.unpack_from(data, end - FRAME_TAIL.size)
--- a/message_relay/store/records.py
+++ b/message_relay/store/records.py
@@ -1,4 +1,4 @@
-"""Content of the records, and what each changes in the state of its message. No I/O."""
+"""Content of the records, and the effect of each on the state of its message. No I/O."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 import msgspec
 
-UNKNOWN_ENDPOINT = "?"  # an endpoint that no record names: no endpoint has this name
+UNKNOWN_ENDPOINT = "?"  # placeholder for an endpoint that no record names; not a valid name
 UNKNOWN_ZONE = -1
 DEFAULT_ORIGIN = "http"
 
 
 class RecordType(IntEnum):
-    """Kind of a record; the number is stored."""
+    """Kind of a record; the numbers are part of the format."""
 
-    ACCEPTED = 1  # a snapshot of a message: when it is accepted, and again when it is copied
+    ACCEPTED = 1  # a snapshot of a message, written when it is accepted and when it is copied
     ATTEMPT = 2
-    OUTCOME = 3  # of an attempt
+    OUTCOME = 3  # outcome of an attempt
     FINAL_OUTCOME = 4
     NOTIFIED = 5
     CANCELLED = 6
     UNFINISHED_IDS = 7  # the ids of all unfinished messages, at the start of a segment
 
 
-# Words for record types in the output of the `journal` commands: scripts of operators compare them.
+# Labels of record types in the output of the `journal` commands; operators' scripts match them.
 RECORD_TYPE_LABELS: dict[int, str] = {
     RecordType.ACCEPTED: "take",
     RecordType.ATTEMPT: "try",
@@ -35,7 +35,7 @@
     RecordType.UNFINISHED_IDS: "census",
 }
 
-# Plain integers, since they are compared for each record.
+# Plain integers, since each record is compared with them.
 ATTEMPT = int(RecordType.ATTEMPT)
 OUTCOME = int(RecordType.OUTCOME)
 FINAL_OUTCOME = int(RecordType.FINAL_OUTCOME)
@@ -46,15 +46,15 @@
 class Attempt:
     """An attempt to deliver a message."""
 
-    started_at_ms: float  # Unix ms, right before its first byte
+    started_at_ms: float  # Unix ms, immediately before the first byte is sent
     endpoint: str
     zone: int
-    uptime_ms: float = -1.0  # the same moment on the system's monotonic clock; -1: not known
+    uptime_ms: float = -1.0  # the same time on the system's monotonic clock; -1: unknown
 
 
 @dataclass(slots=True)
 class JournalEntry:
-    """An accepted message: what the client submitted, and its state."""
+    """An accepted message: the submission and its state."""
 
     id: str
     class_name: str
@@ -68,45 +68,45 @@
     attempt_count: int = 0
     attempt_in_flight: Attempt | None = None
     uncertain_attempt: Attempt | None = None  # the first attempt that may have run
-    final_state: str = ""  # delivered, failed, returned or over; empty: not finished
+    final_state: str = ""  # delivered, failed, returned or over; empty: not finished yet
     retry_after_ms: float = 0.0
     is_notified: bool = False  # the platform has confirmed the notification
-    origin: str = DEFAULT_ORIGIN  # the intake by which it was submitted
+    origin: str = DEFAULT_ORIGIN  # the intake that received the submission
 
     @property
     def needs_notification(self) -> bool:
-        """Whether the platform must still be notified of its outcome."""
+        """Whether the platform must still be notified of the final outcome."""
         return self.final_state in ("failed", "returned") and not self.is_notified
 
     @property
     def is_unfinished(self) -> bool:
-        """Whether anything is still to be done for it."""
+        """Whether the message still needs a final outcome or a notification."""
         return not self.final_state or self.needs_notification
 
     def assume_in_flight_has_run(self) -> None:
-        """The attempt in flight, if any, has no known outcome: it may have run."""
+        """Treats the attempt in flight, if any, as one that may have run, since its outcome is unknown."""
         if self.attempt_in_flight is not None:
             self.uncertain_attempt = self.uncertain_attempt or self.attempt_in_flight
             self.attempt_in_flight = None
 
     def set_final_outcome(self, final_state: str, retry_after_ms: float) -> None:
-        """Finishes the message, which needs its body no more."""
+        """Finishes the message and drops its body, which is no longer needed."""
         self.final_state = final_state
         self.retry_after_ms = retry_after_ms
         self.body = b""
 
 
 class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Payload of an attempt; stored as an array, so that order and types are the format."""
+    """Payload of an attempt; stored as an array, so the order and types of fields are the format."""
 
     started_at_ms: int
     endpoint: str
     zone: int
-    uptime_ms: int = -1  # journals of earlier versions have none; those versions ignore it
+    uptime_ms: int = -1  # absent in journals of earlier versions, which ignore it
 
 
 class AcceptedRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Payload of a snapshot; stored as an array, so that order and types are the format."""
+    """Payload of a snapshot; stored as an array, so the order and types of fields are the format."""
 
     class_name: str
     tenant: str
@@ -126,7 +126,7 @@
 
 
 class FinalOutcomeRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Payload of a final outcome; stored as an array, so that order and types are the format."""
+    """Payload of a final outcome; stored as an array, so the order and types of fields are the format."""
 
     final_state: str
     retry_after_ms: float
@@ -154,7 +154,7 @@
 
 
 def encode_snapshot(entry: JournalEntry) -> bytes:
-    """All that is known of a message; the body only while it is not finished."""
+    """Return the snapshot of a message; it contains the body only until the message is finished."""
     return encode_payload(
         AcceptedRecord(
             entry.class_name,
@@ -177,7 +177,7 @@
 
 
 def decode_snapshot(message_id: str, payload: bytes) -> JournalEntry:
-    """The message of a snapshot. Raises ValueError if the payload is none."""
+    """Return the message of a snapshot. Raises ValueError if the payload is not valid."""
     record = ACCEPTED_DECODER.decode(payload)
     return JournalEntry(
         message_id,
@@ -200,14 +200,14 @@
 
 
 def apply_record(entry: JournalEntry, kind: int, payload: bytes) -> None:
-    """Applies a record to the state of its message, both when it is written and when it is read back.
+    """Applies a record to the state of its message, both when it is written and during recovery.
 
     Raises ValueError if the payload can't be read."""
     if kind == ATTEMPT:
         record = ATTEMPT_DECODER.decode(payload)
         if entry.uncertain_attempt is None:
-            # Guards against a second restart: one that was in flight when a process ended has no outcome in
-            # the log, though the next process, which knew that it may have run, made another after it.
+            # Guards against a second restart: an attempt in flight at the end of a process has no outcome in
+            # the log, and the next process, which knew that it may have run, has made another attempt since.
             entry.uncertain_attempt = entry.attempt_in_flight
         entry.attempt_in_flight = Attempt(
             float(record.started_at_ms), record.endpoint, record.zone, float(record.uptime_ms)
@@ -224,43 +224,43 @@
     elif kind == NOTIFIED:
         entry.is_notified = True
     else:
-        raise ValueError(f"record of kind {kind} is not known")
+        raise ValueError(f"unknown record kind {kind}")
 
 
 def assume_attempted(entry: JournalEntry) -> None:
-    """A record of the message may be lost: an attempt may have run, as early as it could have been made."""
+    """Assumes, since a record may be lost, that an attempt may have run at the earliest possible time."""
     if not entry.final_state and entry.uncertain_attempt is None:
         entry.uncertain_attempt = Attempt(entry.accepted_at_ms, UNKNOWN_ENDPOINT, UNKNOWN_ZONE)
 
 
 def assume_lost_record(entry: JournalEntry, kind: int) -> None:
-    """A record of this kind can't be read: assumes the worst that it may have stated."""
+    """Assumes the worst possible content of an unreadable record of this kind."""
     if kind in (ATTEMPT, OUTCOME):
         entry.attempt_count += kind == ATTEMPT
         assume_attempted(entry)
         entry.attempt_in_flight = None
     elif kind == FINAL_OUTCOME:
-        # Whatever the outcome was, the message must not be sent again, and `failed` promises nothing.
+        # Whatever the outcome was, the message must not be sent again, and `failed` makes no promise.
         entry.set_final_outcome("failed", 0.0)
-    # NOTIFIED: it is notified again, which does no harm.
+    # NOTIFIED: the platform is notified again, which is harmless.
 
 
 def failed_entry(message_id: str, origin: str = DEFAULT_ORIGIN) -> JournalEntry:
-    """A message of which nothing but the id is left: its outcome is `failed`."""
+    """Return an entry for a message of which only the id is left: its final outcome is `failed`."""
     return JournalEntry(message_id, "", "", 0, None, 0.0, 0.0, "", b"", final_state="failed", origin=origin)
 
 
 @dataclass(slots=True)
 class MessageTable:
-    """All known messages, and the space that they take on the disk."""
+    """All known messages and their sizes on the disk."""
 
     entries: dict[str, JournalEntry] = field(default_factory=dict)
-    sizes: dict[str, int] = field(default_factory=dict)  # upper bound for each, with records to come
+    sizes: dict[str, int] = field(default_factory=dict)  # upper bound for each, including later records
     unfinished: dict[str, str] = field(default_factory=dict)  # id -> intake
     total_bytes: int = 0
 
     def put(self, entry: JournalEntry, size: int) -> None:
-        """Adds a message or updates what is known of it."""
+        """Adds or updates a message."""
         self.total_bytes += size - self.sizes.get(entry.id, 0)
         self.entries[entry.id] = entry
         self.sizes[entry.id] = size
@@ -270,7 +270,7 @@
             self.unfinished.pop(entry.id, None)
 
     def remove(self, message_id: str) -> None:
-        """Removes a message. Raises KeyError if it is not known."""
+        """Removes a message. Raises KeyError if it is unknown."""
         del self.entries[message_id]
         self.unfinished.pop(message_id, None)
         self.total_bytes -= self.sizes.pop(message_id)
--- a/message_relay/store/recovery.py
+++ b/message_relay/store/recovery.py
@@ -1,10 +1,10 @@
-"""Recovery: reads what an earlier process left in the directory. Reads only; the journal repairs.
+"""Recovery: reads the segments that an earlier process left in the directory. Read-only; the journal repairs.
 
-A torn write at the end is normal and dropped. Damage in any other place costs as little as possible: all that
-is readable counts, and a lost record is assumed to have stated the worst. One whose id is known concerns one
-message; where records are missing of which no id is known, each message that is unfinished at that point may
-have been attempted. A message of which only the id is left, in another record or in a list of unfinished ids,
-gets the outcome `failed`."""
+A torn write at the end is normal and dropped. Damage in any other place affects as little as possible: all
+readable records are applied, and a lost record is assumed to have had the worst possible content. If the id
+of a lost record is known, only that message is affected; if not, every message that is unfinished at that
+point may have been attempted. A message of which only the id is left, in another record or in a list of
+unfinished ids, gets the final outcome `failed`."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 )
 from .segments import SEGMENT_FILE_NAME, Segment
 
-# Plain integers, since they are compared for each record.
+# Plain integers, since each record is compared with them.
 ACCEPTED = int(RecordType.ACCEPTED)
 CANCELLED = int(RecordType.CANCELLED)
 UNFINISHED_IDS = int(RecordType.UNFINISHED_IDS)
@@ -44,24 +44,24 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """All that the segments add up to."""
+    """The state after all records of all segments are applied."""
 
     entries: dict[str, JournalEntry] = field(default_factory=dict)
     segments: list[Segment] = field(default_factory=list)
-    next_sequence: int = 1  # of the next record
-    findings: list[str] = field(default_factory=list)  # a line for each damage, for people
-    torn_bytes: int = 0  # of a write that was not completed
-    empty_files: list[str] = field(default_factory=list)  # segments whose first write was not completed
+    next_sequence: int = 1  # sequence of the next record
+    findings: list[str] = field(default_factory=list)  # one human-readable line per damage
+    torn_bytes: int = 0  # size of an incomplete last write
+    empty_files: list[str] = field(default_factory=list)  # segments whose first write is incomplete
 
 
 @dataclass(slots=True)
 class LoadedSegment:
-    """A segment's file as it was read."""
+    """A segment and the content of its file."""
 
     segment: Segment
     data: bytes
-    header: Header | None  # None: it can't be read
-    is_complete: bool  # False: parts of the file can't be read, and are zeros in `data`
+    header: Header | None  # None: unreadable
+    is_complete: bool  # False: unreadable parts of the file are zeros in `data`
 
 
 def load_segment(files: FileStore, name: str) -> LoadedSegment:
@@ -83,15 +83,15 @@
     def __init__(self) -> None:
         self.state = RecoveredState()
         self.entries = self.state.entries
-        self.partial: dict[str, JournalEntry] = {}  # what records state of messages without a snapshot
+        self.partial: dict[str, JournalEntry] = {}  # messages without a snapshot: state from other records
 
     def read(self, files: FileStore) -> RecoveredState:
         """Reads all segments. Raises UnsupportedFormatError; OSError."""
         sizes = files.sizes()
         names = [name for name in sorted(sizes) if SEGMENT_FILE_NAME.fullmatch(name)]
-        if names and sizes[names[-1]] < HEADER_BYTES:  # its first write was not completed
+        if names and sizes[names[-1]] < HEADER_BYTES:  # its first write is incomplete
             self.state.empty_files.append(names.pop())
-        # Two segments are in memory at a time: the header of the next tells how much of this one counts.
+        # Two segments are in memory at a time: the next one's header has the valid size of this one.
         following = load_segment(files, names[0]) if names else None
         previous_number: int | None = None
         for next_name in [*names[1:], None]:
@@ -128,7 +128,7 @@
         successor = self._successor_header(segment, following)
         data = loaded.data
         if successor is not None:
-            data = data[: successor.previous_size]  # an earlier process did not complete what is behind it
+            data = data[: successor.previous_size]  # an earlier process did not complete the write beyond it
         self._apply_records(segment, header, data, is_last=following is None)
         segment.checksum = crc32(data[: segment.size])
         if successor is not None:
@@ -136,7 +136,7 @@
 
     @staticmethod
     def _successor_header(segment: Segment, following: LoadedSegment | None) -> Header | None:
-        """The header of the segment that continues this one, if it is there and can be read."""
+        """Return the header of the segment that continues this one; None if missing or unreadable."""
         if following is None or following.segment.number != segment.number + 1:
             return None
         return following.header
@@ -150,11 +150,11 @@
         self._assume_all_attempted()
 
     def _check_end(self, segment: Segment, successor: Header) -> None:
-        is_as_written = (segment.size, segment.checksum) == (
+        matches_successor = (segment.size, segment.checksum) == (
             successor.previous_size,
             successor.previous_checksum,
         )
-        if segment.is_damaged or is_as_written:
+        if segment.is_damaged or matches_successor:
             return
         self._add_damage(
             segment, f"its end is missing: {segment.size} of {successor.previous_size} bytes are there"
@@ -167,7 +167,7 @@
         self.state.next_sequence = header.first_sequence
         segment.size = HEADER_BYTES
         for result in scan_records(data, segment.salt, header.first_sequence, is_last):
-            if isinstance(result, Record):  # nearly all are
+            if isinstance(result, Record):  # the usual case
                 self._apply_record(segment, result)
                 self.state.next_sequence = result.sequence + 1
                 segment.size = result.end
@@ -185,8 +185,10 @@
             elif kind == UNFINISHED_IDS:
                 self._add_unfinished_ids(record.payload)
             else:
-                apply_record(self.entries.get(message_id) or self._part_of(message_id), kind, record.payload)
-        except ValueError as error:  # its checksum is right: a fault of this program, or another version
+                apply_record(
+                    self.entries.get(message_id) or self._partial_entry(message_id), kind, record.payload
+                )
+        except ValueError as error:  # the checksum matches: a bug, or another version
             self._add_damage(segment, f"bytes {record.offset} to {record.end}: {error}")
             self._apply_lost_record(record.message_id.decode(errors="replace"), record.kind)
 
@@ -199,18 +201,18 @@
         for origin, message_ids in UNFINISHED_IDS_DECODER.decode(payload).items():
             for message_id in message_ids:
                 if message_id not in self.entries:
-                    self._part_of(message_id).origin = origin
+                    self._partial_entry(message_id).origin = origin
 
     def _remove(self, message_id: str) -> None:
         self.entries.pop(message_id, None)
         self.partial.pop(message_id, None)
 
-    def _part_of(self, message_id: str) -> JournalEntry:
-        """What records state of a message whose snapshot was not read."""
+    def _partial_entry(self, message_id: str) -> JournalEntry:
+        """Return the partial state of a message whose snapshot was not found."""
         if message_id not in self.partial:
-            part = failed_entry(message_id)
-            part.final_state = ""
-            self.partial[message_id] = part
+            partial_entry = failed_entry(message_id)
+            partial_entry.final_state = ""
+            self.partial[message_id] = partial_entry
         return self.partial[message_id]
 
     # -- damage ------------------------------------------------------------------------------------------
@@ -238,7 +240,7 @@
         segment.size = result.end
 
     def _apply_lost_record(self, message_id: str, kind: int) -> None:
-        """A record of which only the kind and the message are known: assumes the worst."""
+        """Assumes the worst about a record of which only the kind and the message are known."""
         if kind == UNFINISHED_IDS:
             return
         if kind == CANCELLED:
@@ -246,11 +248,11 @@
             return
         entry = self.entries.get(message_id)
         if kind == RecordType.NOTIFIED and entry is None:
-            self._part_of(message_id).is_notified = True
+            self._partial_entry(message_id).is_notified = True
         elif kind == ACCEPTED and entry is not None:
-            assume_attempted(entry)  # an older snapshot is there
+            assume_attempted(entry)  # an older snapshot exists
         else:
-            assume_lost_record(entry or self._part_of(message_id), kind)
+            assume_lost_record(entry or self._partial_entry(message_id), kind)
 
     def _assume_all_attempted(self) -> None:
         for entry in self.entries.values():
@@ -260,23 +262,23 @@
         segment.is_damaged = True
         self.state.findings.append(f"{segment.name}: {text}")
 
-    # -- the end -----------------------------------------------------------------------------------------
+    # -- final steps -------------------------------------------------------------------------------------
 
     def _finish(self) -> None:
         self._fail_messages_without_snapshot()
         for entry in self.entries.values():
-            entry.assume_in_flight_has_run()  # its outcome was lost with the process
+            entry.assume_in_flight_has_run()  # the process ended before the outcome
         self._keep_latest_locations()
 
     def _fail_messages_without_snapshot(self) -> None:
-        for message_id, part in self.partial.items():
-            # Of one that was notified the final outcome was recorded, in a segment that is removed.
-            if part.is_unfinished and not part.is_notified:
+        for message_id, partial_entry in self.partial.items():
+            # The final outcome of a notified message was recorded in a segment that has been removed.
+            if partial_entry.is_unfinished and not partial_entry.is_notified:
                 self.state.findings.append(f"message {message_id}: only its id is left, so that it fails")
-                self.entries[message_id] = failed_entry(message_id, part.origin)
+                self.entries[message_id] = failed_entry(message_id, partial_entry.origin)
 
     def _keep_latest_locations(self) -> None:
-        """Leaves each message in the `live_ids` of the segment with its latest snapshot only."""
+        """Keeps each message only in the `live_ids` of the segment with its latest snapshot."""
         segment_of: dict[str, Segment] = {}
         for segment in self.state.segments:
             segment_of.update(dict.fromkeys(segment.live_ids, segment))
--- a/message_relay/store/segment_log.py
+++ b/message_relay/store/segment_log.py
@@ -1,8 +1,8 @@
 """The append-only log in segments: appends records, starts, retires and quarantines segments.
 
 Records are appended to the newest segment, the head. A segment starts with the ids of all unfinished
-messages, so that these are known even if earlier records are lost. Which messages are copied before a
-segment is retired is decided by compaction.py."""
+messages, so that these are known even if earlier records are lost. compaction.py decides which messages are
+copied before a segment is retired."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .capacity import (
     BLOCK_BYTES,
     MAX_UNFINISHED_IDS,
-    UNFINISHED_IDS_PER_SEGMENT,
+    UNFINISHED_IDS_SEGMENT_DIVISOR,
     DiskCapacity,
     rounded_to_blocks,
 )
@@ -30,12 +30,12 @@
 
 log = logging.getLogger(__name__)
 
-QUARANTINE_PREFIX = "aside-"  # of a damaged segment's file, kept for inspection while there is space
-QUARANTINE_PART = 8  # quarantined files may occupy at most this part of the budget
+QUARANTINE_PREFIX = "aside-"  # file of a damaged segment, retained for inspection while there is space
+QUARANTINE_DIVISOR = 8  # quarantined files may occupy at most the budget divided by this
 
 
 class SegmentLog:
-    """The segments on the disk, and in which of them the latest snapshot of each message lies."""
+    """The segments on the disk, and the location of each message's latest snapshot."""
 
     def __init__(
         self,
@@ -50,25 +50,25 @@
         self.messages = messages
         self.durability = durability
         self.segments: deque[Segment] = deque()  # oldest first; the last one is the head
-        self.segment_of: dict[str, Segment] = {}  # where the latest snapshot of each message lies
+        self.segment_of: dict[str, Segment] = {}  # id -> segment with the latest snapshot
         self.quarantined: dict[str, int] = {}  # file name -> bytes on the disk
-        self.retiring_bytes = 0  # on the disk, in segments that are removed after the next sync
-        self.used_bytes = 0  # on the disk, in whole blocks
+        self.retiring_bytes = 0  # disk usage of segments that are removed after the next sync
+        self.used_bytes = 0  # total disk usage, in whole blocks
         self.next_sequence = 1
-        self.copied_bytes = 0  # by compaction, since the start
-        self.written_bytes = 0  # by all other appends, since the start
-        # Bytes that starting a segment takes at most.
+        self.copied_bytes = 0  # appended by compaction, since the start
+        self.written_bytes = 0  # appended by everything else, since the start
+        # Upper bound for the size of the start of a segment.
         self.new_segment_bytes = (
-            2 * BLOCK_BYTES + HEADER_BYTES + capacity.segment_bytes // UNFINISHED_IDS_PER_SEGMENT
+            2 * BLOCK_BYTES + HEADER_BYTES + capacity.segment_bytes // UNFINISHED_IDS_SEGMENT_DIVISOR
         )
-        # Frees so many bytes, or raises JournalError; set by the compactor.
+        # Frees this many bytes, or raises JournalError; set by the compactor.
         self.on_space_needed: Callable[[int], None] = lambda needed_bytes: None
         self._head_initial_size = 0
-        # Of the file that a failed start of a segment has left: the next start removes it.
+        # Disk usage of the file left by a failed start of a segment; the next start removes the file.
         self._failed_start_bytes = 0
 
     def load(self, state: RecoveredState) -> None:
-        """Continues the log that was recovered from the disk. Raises OSError."""
+        """Continues the recovered log. Raises OSError."""
         for name, size in self.files.sizes().items():
             if name.startswith(QUARANTINE_PREFIX):
                 self.quarantined[name] = rounded_to_blocks(size)
@@ -82,9 +82,9 @@
     # -- appending ---------------------------------------------------------------------------------------
 
     def append(self, kind: RecordType, message_id: str, payload: bytes, is_copy: bool = False) -> None:
-        """Appends a record. Raises JournalError; then nothing has changed.
+        """Appends a record. Raises JournalError and then changes nothing.
 
-        `is_copy`: the record is written by compaction, which may use the reserve of the capacity."""
+        `is_copy`: the record is written by compaction, which may use the reserve of the disk budget."""
         encoded_id = message_id.encode()
         needed_bytes = frame_size(len(encoded_id), len(payload))
         if not is_copy and self.capacity.must_compact(self.used_bytes, needed_bytes + self.new_segment_bytes):
@@ -104,7 +104,7 @@
     def _write(self, head: Segment, data: bytes) -> None:
         added_bytes = rounded_to_blocks(head.size + len(data)) - rounded_to_blocks(head.size)
         if self.used_bytes + added_bytes > self.capacity.budget_bytes:
-            raise JournalError("journal: the folder's limit is reached")
+            raise JournalError("journal: the disk budget of the folder is exhausted")
         try:
             self.files.append(head.name, data)
         except OSError as error:
@@ -117,9 +117,9 @@
             self.durability.record_appended(head.name, self.next_sequence)
 
     def _account_failed_append(self, head: Segment) -> None:
-        """Ends the segment, since a limit of its file may be reached.
+        """Ends the segment, since its file may have reached a size limit.
 
-        Part of the record may be in the file: only as much as the next segment's header counts is read."""
+        The file may contain part of the record; recovery reads only the size in the next segment's header."""
         head.is_damaged = True
         try:
             file_size = self.files.sizes().get(head.name, 0)
@@ -130,7 +130,7 @@
             head.file_size = file_size
 
     def start_segment(self) -> None:
-        """Makes a new head, which begins with the ids of all unfinished messages. Raises JournalError."""
+        """Starts a new head with the list of unfinished ids as its first record. Raises JournalError."""
         previous = self.segments[-1] if self.segments else Segment(0)
         head = Segment(previous.number + 1, salt=int.from_bytes(os.urandom(4), "little"))
         header = Header(head.number, self.next_sequence, previous.size, previous.checksum, head.salt)
@@ -152,7 +152,7 @@
         self._head_initial_size = head.size
 
     def _remove_failed_start(self, name: str) -> None:
-        """Removes what an earlier attempt to start this segment has left. Raises JournalError."""
+        """Removes the file that an earlier failed start of this segment left. Raises JournalError."""
         try:
             self.files.unlink(name)
         except FileNotFoundError:
@@ -163,7 +163,7 @@
         self._failed_start_bytes = 0
 
     def _unfinished_ids_payload(self) -> bytes | None:
-        """The ids of all unfinished messages by their intake; None if there are too many to list."""
+        """Return the ids of all unfinished messages by intake; None if there are too many to list."""
         unfinished = self.messages.unfinished
         if len(unfinished) > MAX_UNFINISHED_IDS:
             return None
@@ -171,14 +171,14 @@
         for message_id, origin in unfinished.items():
             ids_by_origin.setdefault(origin, []).append(message_id)
         payload = encode_payload(ids_by_origin)
-        if len(payload) > self.capacity.segment_bytes // UNFINISHED_IDS_PER_SEGMENT:
+        if len(payload) > self.capacity.segment_bytes // UNFINISHED_IDS_SEGMENT_DIVISOR:
             return None
         return payload
 
-    # -- where snapshots lie -----------------------------------------------------------------------------
+    # -- locations of snapshots --------------------------------------------------------------------------
 
     def assign_to_head(self, message_id: str) -> None:
-        """Notes that the latest snapshot of a message lies in the head."""
+        """Registers that the latest snapshot of a message is in the head."""
         previous = self.segment_of.get(message_id)
         if previous is not None:
             previous.live_ids.pop(message_id, None)
@@ -186,15 +186,15 @@
         self.segments[-1].live_ids[message_id] = None
 
     def remove(self, message_id: str) -> None:
-        """Drops a message: its snapshot need not be copied any more."""
+        """Removes a message, whose snapshot is no longer copied."""
         self.segment_of.pop(message_id).live_ids.pop(message_id, None)
 
     # -- removing segments -------------------------------------------------------------------------------
 
     def retire_oldest(self) -> None:
-        """Removes the oldest segment, of which all that is needed was copied. Raises JournalError.
+        """Removes the oldest segment, all of whose live messages have been copied. Raises JournalError.
 
-        With syncs it is unlinked only once the copies are durable."""
+        If the log is synced, the file is unlinked only once the copies are durable."""
         oldest = self.segments[0]
         if self.durability is None:
             self._unlink(oldest)
@@ -208,24 +208,25 @@
         self.retiring_bytes -= segment.disk_bytes
         try:
             self._unlink(segment)
-        except JournalError as error:  # its space is missing until the next start, which finds the file
+        except JournalError as error:  # its space is lost until the next start finds the file
             log.error(LogEvent("journal segment removal failed", why=error))
 
     def _unlink(self, segment: Segment) -> None:
         try:
             self.files.unlink(segment.name)
         except FileNotFoundError:
-            pass  # removed by somebody else
+            pass  # removed by another program
         except OSError as error:
             raise JournalError(f"journal: {error}") from error
         self.used_bytes -= segment.disk_bytes
 
     def retire_or_quarantine_oldest(self) -> None:
-        """Removes the oldest segment, or keeps its file under another name if it is damaged and there is
-        space. Raises JournalError."""
+        """Removes the oldest segment, or renames its file if it is damaged and there is space for it.
+
+        Raises JournalError."""
         oldest = self.segments[0]
         size = oldest.disk_bytes
-        has_space = sum(self.quarantined.values()) + size <= self.capacity.budget_bytes // QUARANTINE_PART
+        has_space = sum(self.quarantined.values()) + size <= self.capacity.budget_bytes // QUARANTINE_DIVISOR
         if not (oldest.is_damaged and has_space):
             self.retire_oldest()
             return
@@ -238,7 +239,7 @@
         self.quarantined[quarantine_name] = size
 
     def drop_quarantined(self, name: str) -> None:
-        """Removes the file of a damaged segment, since its space is needed. Raises JournalError."""
+        """Removes the file of a damaged segment because its space is needed. Raises JournalError."""
         log.error(LogEvent("journal quarantined segment dropped", name=name))
         try:
             self.files.unlink(name)
--- a/message_relay/store/segments.py
+++ b/message_relay/store/segments.py
@@ -1,4 +1,4 @@
-"""Segments of the journal: their file names and what is known of each. No I/O."""
+"""Segments of the journal: file names and properties. No I/O."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     """One file of the journal."""
 
     number: int
-    size: int = 0  # bytes up to the end of its last complete record
-    file_size: int = 0  # bytes of the file, as far as it was looked up
+    size: int = 0  # bytes up to the end of the last complete record
+    file_size: int = 0  # bytes of the file when it was last checked; 0: not checked
     checksum: int = 0  # CRC-32 of the first `size` bytes
     salt: int = 0
-    live_ids: dict[str, None] = field(default_factory=dict)  # messages whose latest snapshot is in it
+    live_ids: dict[str, None] = field(default_factory=dict)  # messages with their latest snapshot here
     is_damaged: bool = False
 
     @property
     def name(self) -> str:
-        """The name of its file."""
+        """The file name."""
         return segment_name(self.number)
 
     @property
     def disk_bytes(self) -> int:
-        """Bytes that its file occupies on the disk, in whole blocks."""
+        """Bytes that the file occupies on the disk, in whole blocks."""
         return rounded_to_blocks(max(self.file_size, self.size))
--- a/message_relay/store/upgrade.py
+++ b/message_relay/store/upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrade of a state directory that an earlier version wrote in format 1: its file becomes a segment."""
+"""Upgrade of a state directory in format 1 of an earlier version: converts its file into a segment."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 log = logging.getLogger(__name__)
 
-TEMPORARY_NAME = "seg.new"  # of the new segment, until it replaces the old file in one step
+TEMPORARY_NAME = "seg.new"  # the new segment until it is renamed to its final name
 
 
 def upgrade(files: FileStore, state: RecoveredState) -> None:
-    """Adds what a file of format 1 holds to `state`; the file is removed once a segment holds all of it.
+    """Adds the content of a file of format 1 to `state`; removes the file once a segment contains all of it.
 
     Raises OSError."""
     sizes = files.sizes()
