--- a/tests/store/disk.py
+++ b/tests/store/disk.py
@@ -1,4 +1,4 @@
-"""An in-memory model of message_relay.store.file_store that a test can crash, fill or corrupt at any call."""
+"""In-memory model of message_relay.store.file_store that can crash, run full or be corrupted at any call."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Crash(BaseException):
-    """The process ends here."""
+    """Raised where the simulated process ends."""
 
 
 @dataclass
 class Disk:
-    """What was written, and of it what survives a power cut."""
+    """The written files, and the parts of them that survive a power cut."""
 
     files: dict[str, bytes] = field(default_factory=dict)
     synced: dict[str, bytes] = field(default_factory=dict)
     calls: int = 0
-    crash_at: int = -1  # the number of a call: before it, or during it
-    torn: int | None = None  # bytes of the crashing append that are written
-    fail: Callable[[str, str, int], int | None] = lambda call, name, number: None  # an errno
-    short: Callable[[int], int | None] = lambda number: None  # bytes that an append writes before it fails
+    crash_at: int = -1  # number of the call before or during which the process ends
+    torn: int | None = None  # bytes that the crashing append writes; None: it crashes before the call
+    fail: Callable[[str, str, int], int | None] = lambda call, name, number: None  # errno or None
+    short: Callable[[int], int | None] = lambda number: None  # bytes that a failing append writes
     peak: int = 0
 
     def _call(self, call: str, name: str) -> None:
@@ -48,9 +48,9 @@
                 self.files[name] = self.files.get(name, b"") + data[: self.torn]
             raise Crash
         short = self.short(self.calls)
-        if short is not None:  # and it could not be truncated
+        if short is not None:  # the partial write could not be truncated
             self.files[name] = self.files.get(name, b"") + data[:short]
-            raise OSError(errno.EIO, "short, and not taken back")
+            raise OSError(errno.EIO, "short write, not truncated")
         self.files[name] = self.files.get(name, b"") + data
         self.peak = max(self.peak, sum(-(-len(each) // 512) * 512 for each in self.files.values()))
 
@@ -72,11 +72,11 @@
         pass
 
     def after_crash(self) -> Disk:
-        """The directory as the next process finds it."""
+        """Return the directory as the next process finds it."""
         return Disk(dict(self.files))
 
-    def spoiled(self, rng: Random, flips: int, names: list[str]) -> Disk:
-        """A copy with bits flipped at random places."""
+    def corrupted(self, rng: Random, flips: int, names: list[str]) -> Disk:
+        """Return a copy with `flips` random bits flipped."""
         files = {name: bytearray(data) for name, data in self.files.items()}
         for _ in range(flips):
             at = rng.randrange(sum(len(files[name]) for name in names))
--- a/tests/store/test_crash.py
+++ b/tests/store/test_crash.py
@@ -1,5 +1,5 @@
-"""Crashes before and in every call to the disk, failing disks and flipped bits: no message is lost, and no
-attempt that may have run is forgotten."""
+"""Crashes before and during every disk call, failing disks and flipped bits: no message is lost, and every
+attempt that may have run is known after recovery."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @dataclass
 class JournalDriver:
-    """Drives a journal by a random script, and records what was promised: that alone must hold."""
+    """Drives a journal with a random script, and records the promises that must hold after recovery."""
 
     disk: Disk
     seed: int = 1
-    accepted: dict[str, str] = field(default_factory=dict)  # id -> class; the client was answered
-    attempted: set[str] = field(default_factory=set)  # an attempt's first byte may have been sent
-    # it is known, or being written, that no attempt had an effect
+    accepted: dict[str, str] = field(default_factory=dict)  # id -> class of messages with an answered client
+    attempted: set[str] = field(default_factory=set)  # the first byte of an attempt may have been sent
+    # ids for which the record that no attempt had an effect is written, or is being written
     proven_harmless: set[str] = field(default_factory=set)
-    # the platform may have been notified, or the endpoint answered 200
+    # id -> final state; the platform may have been notified, or the endpoint answered 200
     final_states: dict[str, str] = field(default_factory=dict)
-    removed: set[str] = field(default_factory=set)  # cancelled, or finished and removed
+    removed: set[str] = field(default_factory=set)  # cancelled, or finished and then removed
     rejected_count: int = 0
 
     def run(self, steps: int, largest: int = 20_000) -> Journal:
@@ -54,10 +54,10 @@
         return self.journal
 
     def advance_attempt(self, entry: JournalEntry, choice: float, rng: Random, now: float) -> bool:
-        """Starts an attempt, or ends the one in flight; False: neither is due."""
+        """Starts an attempt, or ends the one in flight; returns False if it did neither."""
         if entry.attempt_in_flight is None:
             self.journal.append_attempt(entry, now, "s-1", 0)
-            self.attempted.add(entry.id)  # its first byte is sent now
+            self.attempted.add(entry.id)  # the first byte may be sent now
             self.proven_harmless.discard(entry.id)
             return True
         if choice >= 0.5:
@@ -74,7 +74,7 @@
         elif choice < 0.92:
             self.removed.add(entry.id)
             self.journal.append_cancelled(entry)
-        elif choice < 0.97:  # long after it finished
+        elif choice < 0.97:  # possibly long after the final outcome
             unnotified = [each.id for each in self.journal.entries.values() if each.needs_notification]
             self.journal.append_notified(unnotified[:2])
         else:
@@ -95,17 +95,17 @@
         if state == "returned" and (entry.uncertain_attempt or entry.attempt_in_flight):
             state = "failed"
         self.journal.append_final_outcome(entry, state)
-        self.final_states[entry.id] = state  # after this the platform may be notified
+        self.final_states[entry.id] = state  # from now on the platform may be notified
         if state != "delivered" and len(self.final_states) % 3 == 0:
             self.journal.append_notified([entry.id])
 
     def check(self, disk: Disk, may_have_losses: bool = False) -> Journal:
-        """Recovers in the next process. `may_have_losses`: records may have been lost to damage."""
+        """Recovers in a new process. `may_have_losses`: damage may have destroyed records."""
         after = Journal(NOWHERE, BUDGET_BYTES, disk)
         for ident, class_ in self.accepted.items():
             entry = after.entries.get(ident)
             if entry is None:
-                # It may be removed once it was finished and notified, or needs no notification.
+                # It may have been removed if it is finished and needs no notification any more.
                 assert ident in self.removed or ident in self.final_states, f"{ident} is lost"
                 continue
             if ident in self.final_states and not may_have_losses:
@@ -121,28 +121,28 @@
 
 
 def call_count(steps: int, seed: int) -> int:
-    world = JournalDriver(Disk(), seed)
-    journal = world.run(steps)
-    assert world.disk.peak <= BUDGET_BYTES and journal.log.segments[0].number > 5  # several were retired
-    return world.disk.calls
+    driver = JournalDriver(Disk(), seed)
+    journal = driver.run(steps)
+    assert driver.disk.peak <= BUDGET_BYTES and journal.log.segments[0].number > 5  # several were retired
+    return driver.disk.calls
 
 
 @pytest.mark.parametrize("torn", [None, 0.0, 0.3, 0.95])
 def test_a_crash_at_every_call(torn: float | None) -> None:
-    """Before the call (None), or during an append, with a part of it on the disk."""
+    """The process ends before the call (None), or during an append with part of its data on the disk."""
     steps, seed = 260, 3
     for at in range(1, call_count(steps, seed) + 1):
         disk = Disk(crash_at=at)
         if torn is not None:
             disk.torn = round(torn * 400)
-        world = JournalDriver(disk, seed)
+        driver = JournalDriver(disk, seed)
         with pytest.raises(Crash):
-            world.run(steps)
-        after = world.check(disk.after_crash())
+            driver.run(steps)
+        after = driver.check(disk.after_crash())
         assert not after.findings, (at, after.findings)
         files = after.files
         assert isinstance(files, Disk)
-        world.check(files.after_crash())  # and once more: a start changes nothing
+        driver.check(files.after_crash())  # a second recovery gives the same result
 
 
 def test_a_crash_at_every_call_of_the_upgrade_from_format_1() -> None:
@@ -163,58 +163,58 @@
                 fail=lambda call, name, n, at=at, error=error:  # type: ignore[misc]
                 error if at <= n < at + 60 and call == "append" else None
             )
-            world = JournalDriver(disk, 5)
-            journal = world.run(200)
+            driver = JournalDriver(disk, 5)
+            journal = driver.run(200)
             disk.fail = lambda call, name, number: None
             journal.compact(0.0)
             assert not journal.overdue
-            world.check(disk.after_crash())
+            driver.check(disk.after_crash())
 
 
 def test_a_partial_write_that_cannot_be_truncated() -> None:
     total = call_count(200, 7)
     for at in range(1, total, 3):
         disk = Disk(short=lambda n, at=at: 30 if n == at else None)  # type: ignore[misc]
-        world = JournalDriver(disk, 7)
-        world.run(200)
-        after = world.check(disk.after_crash())
+        driver = JournalDriver(disk, 7)
+        driver.run(200)
+        after = driver.check(disk.after_crash())
         assert not after.findings, (at, after.findings)
 
 
 def test_flipped_bits_lose_no_message_and_repeat_no_payment() -> None:
     rng = Random(11)
     for round_ in range(250):
-        world = JournalDriver(Disk(), 100 + round_ % 10)
-        world.run(120, largest=3000)
-        names = [name for name in world.disk.files if name.startswith("seg-")]
-        world.check(world.disk.spoiled(rng, 6, names), may_have_losses=True)
+        driver = JournalDriver(Disk(), 100 + round_ % 10)
+        driver.run(120, largest=3000)
+        names = [name for name in driver.disk.files if name.startswith("seg-")]
+        driver.check(driver.disk.corrupted(rng, 6, names), may_have_losses=True)
 
 
 def test_a_missing_segment_in_the_middle() -> None:
-    world = JournalDriver(Disk(), 13)
-    world.run(200)
-    names = sorted(name for name in world.disk.files if name.startswith("seg-"))
+    driver = JournalDriver(Disk(), 13)
+    driver.run(200)
+    names = sorted(name for name in driver.disk.files if name.startswith("seg-"))
     for name in names[1:-1]:
-        files = {other: data for other, data in world.disk.files.items() if other != name}
-        after = world.check(Disk(files), may_have_losses=True)
+        files = {other: data for other, data in driver.disk.files.items() if other != name}
+        after = driver.check(Disk(files), may_have_losses=True)
         assert any("missing" in text for text in after.findings)
-        for ident in world.accepted:
+        for ident in driver.accepted:
             entry = after.entries.get(ident)
             if (
                 entry is not None
                 and not entry.final_state
                 and entry.uncertain_attempt is not None
-                and ident not in world.attempted
+                and ident not in driver.attempted
             ):
                 assert entry.uncertain_attempt.endpoint == UNKNOWN_ENDPOINT
-        again = world.check(Disk(dict(after.files.files)), may_have_losses=True)  # type: ignore[attr-defined]
-        assert not again.findings  # it was repaired
+        again = driver.check(Disk(dict(after.files.files)), may_have_losses=True)  # type: ignore[attr-defined]
+        assert not again.findings  # the journal was repaired
 
 
 def test_a_truncated_segment_in_the_middle_is_reported() -> None:
-    world = JournalDriver(Disk(), 13)
-    world.run(200)
-    names = sorted(name for name in world.disk.files if name.startswith("seg-"))
-    files = dict(world.disk.files)
+    driver = JournalDriver(Disk(), 13)
+    driver.run(200)
+    names = sorted(name for name in driver.disk.files if name.startswith("seg-"))
+    files = dict(driver.disk.files)
     files[names[1]] = files[names[1]][: len(files[names[1]]) // 2]
-    assert world.check(Disk(files), may_have_losses=True).findings
+    assert driver.check(Disk(files), may_have_losses=True).findings
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -1,4 +1,4 @@
-"""Power cuts: only what was synced is left, and it must hold what was promised under the setting."""
+"""Power cuts: only synced data is left, and must contain everything promised under the durability setting."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SlowDisk(Disk):
-    """Its syncs wait for the test, and may fail."""
+    """A disk whose syncs wait for the test, and may fail."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +41,7 @@
         self.synced[name] = data
 
     def cut(self, unlinked: bool) -> Disk:
-        """After a power cut; `unlinked`: files that were removed are removed."""
+        """Return the disk after a power cut; `unlinked`: removals of files have reached the disk."""
         return Disk({name: data for name, data in self.synced.items() if not unlinked or name in self.files})
 
 
@@ -50,14 +50,14 @@
 
 
 async def durable(journal: Journal) -> None:
-    """Waits until all that is written may be promised."""
+    """Waits until all written records may be promised."""
     barrier = journal.barrier()
     if barrier is not None:
         await barrier
 
 
 class PromiseTracker:
-    """Drives a journal with group commit, and records what was promised after a sync."""
+    """Drives a journal with group commit, and records the promises made after syncs."""
 
     def __init__(self, journal: Journal, disk: SlowDisk, rng: Random) -> None:
         self.journal = journal
@@ -65,7 +65,7 @@
         self.rng = rng
         self.accepted = set[str]()
         self.attempted = set[str]()
-        self.finishing = set[str]()  # a final outcome was written, perhaps not synced
+        self.finishing = set[str]()  # a final outcome was written, but maybe not synced
         self.finished = set[str]()
 
     async def accept(self, message_id: str) -> None:
@@ -81,7 +81,7 @@
             self.accepted.add(new.id)
 
     async def advance(self) -> None:
-        """An attempt or the final outcome of some message. Raises JournalError."""
+        """Records an attempt or the final outcome of a random message. Raises JournalError."""
         unfinished = [each for each in self.journal.entries.values() if not each.final_state]
         if not unfinished or self.rng.random() >= 0.9:
             return
@@ -98,7 +98,7 @@
             self.journal.append_notified([chosen.id])
 
     def check_power_cuts(self, round_number: int) -> None:
-        """Cuts the power while a sync hangs and segments are retired."""
+        """Checks power cuts while a sync hangs and segments are retired."""
         self.disk.go.clear()
         for k in range(6):
             with contextlib.suppress(JournalError):
@@ -113,7 +113,7 @@
     def _check(self, after: dict[str, JournalEntry]) -> None:
         for message_id in self.accepted:
             known = after.get(message_id)
-            if known is None:  # removed only where it was finished and space was needed
+            if known is None:  # removed only if it was finished and space was needed
                 assert message_id in self.finished, f"{message_id} is lost"
                 continue
             assert known.final_state or message_id not in self.finished
@@ -147,7 +147,7 @@
     run(work())
 
 
-def test_a_failed_sync_rewrites_all_before_anything_is_promised() -> None:
+def test_a_failed_sync_rewrites_all_messages_before_anything_is_promised() -> None:
     async def work() -> None:
         disk = SlowDisk()
         journal = Journal(NOWHERE, BUDGET_BYTES, disk, sync_ms=0)
@@ -155,13 +155,13 @@
         syncing = asyncio.ensure_future(journal.durability.run())
         disk.failing = 1
         journal.append_accepted(entry("m", 100))
-        safe = journal.barrier()
-        assert safe is not None
+        barrier = journal.barrier()
+        assert barrier is not None
         before = journal.log.segments[-1].name
-        await safe
+        await barrier
         assert (
             disk.failing == 0 and journal.log.segments[-1].name != before
-        )  # the file of the failed sync is not used again
+        )  # the file with the failed sync is no longer appended to
         assert before not in disk.synced or "m" in Journal(NOWHERE, BUDGET_BYTES, disk.cut(True)).entries
         syncing.cancel()
         await asyncio.gather(syncing, return_exceptions=True)
@@ -170,7 +170,7 @@
     run(work())
 
 
-def test_with_an_interval_nothing_waits_and_a_sync_follows() -> None:
+def test_with_an_interval_nothing_waits_for_the_sync_that_follows() -> None:
     async def work() -> None:
         disk = SlowDisk()
         journal = Journal(NOWHERE, BUDGET_BYTES, disk, sync_ms=5)
@@ -187,7 +187,7 @@
 
 
 def test_a_client_is_answered_after_the_sync_and_the_loop_is_not_blocked(tmp_path: Path) -> None:
-    """While a sync hangs there is no answer and no first byte. A client that disconnects cancels."""
+    """While a sync hangs, no answer and no first byte is sent. Disconnecting cancels a message."""
 
     async def work() -> None:
         agent, server = Agent(), Server()
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on a real directory: torn writes, damage, a full disk, its budget, and format 1."""
+"""The journal on a real directory: torn writes, damage, a full disk, the disk budget, and format 1."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         again.close()
 
 
-def test_damage_is_reported_once_repaired_and_quarantined(
+def test_damage_is_reported_once_then_repaired_and_quarantined(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     filled_journal(tmp_path).close()
@@ -78,7 +78,7 @@
         bytearray(only.read_bytes()),
         [line for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "try"],
     )
-    data[lost[0].offset + 24] ^= 4  # in its payload
+    data[lost[0].offset + 24] ^= 4  # flips a bit of the payload
     only.write_bytes(data)
     journal = Journal(tmp_path, BUDGET_BYTES)
     assert "a record of kind 2 of message m1 cannot be read" in caplog.text
@@ -108,7 +108,7 @@
 
 
 def test_a_body_with_the_bytes_of_a_record_is_not_read_as_one(tmp_path: Path) -> None:
-    """A client that knows the format must not be able to have its bytes read as records after damage."""
+    """A client that knows the format must not be able to inject records that are read after damage."""
     fake = encode_frame(
         0, 3, RecordType.FINAL_OUTCOME, b"m0", encode_payload(FinalOutcomeRecord("delivered", 0.0))
     )
@@ -118,8 +118,8 @@
     journal.close()
     (only,) = segments(tmp_path)
     data = bytearray(only.read_bytes())
-    places = [line.offset for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
-    data[places[1]] ^= 1  # the reader searches for the next frame, through that body
+    offsets = [line.offset for line in record_lines(DirectoryFileStore(tmp_path)) if line.kind == "take"]
+    data[offsets[1]] ^= 1  # the reader searches for the next frame within this body
     only.write_bytes(data)
     again = Journal(tmp_path, BUDGET_BYTES)
     assert (
@@ -145,7 +145,7 @@
 
 
 def test_a_closed_journal_writes_nothing(tmp_path: Path) -> None:
-    """Guards the end of the process: the descriptor may belong to a socket by then."""
+    """Guards against a late write after close, when the descriptor may belong to a socket."""
     journal = filled_journal(tmp_path)
     journal.close()
     with open(tmp_path / "other", "wb"), pytest.raises(JournalError):
@@ -181,7 +181,7 @@
 
 
 class FullDisk(DirectoryFileStore):
-    """While it is full, a write leaves the first part of its bytes."""
+    """A disk that, while full, writes the first half of the data and fails."""
 
     is_full = False
 
@@ -193,10 +193,12 @@
 
 
 def test_a_disk_that_was_full_costs_no_space_afterwards(tmp_path: Path) -> None:
-    """What happened: while the disk was full each message that came tried to start a segment, and the file
-    that a failed start leaves counted as used although the next start removes it: 512 bytes each time. After
-    some hundred rejected messages the journal took itself for full, also when the disk had space again, until
-    the process was restarted: `journal: the folder's limit is reached`, with 1 KB in the directory.
+    """Guards against counting the file of a failed segment start twice.
+
+    While the disk was full, each new message tried to start a segment. The file left by a failed start was
+    counted as used, 512 bytes each time, although the next start removes it. After some hundred rejected
+    messages the journal considered its budget exhausted with 1 KB in the directory, even when the disk had
+    space again, until the process was restarted.
     """
     disk = FullDisk(tmp_path)
     journal = Journal(tmp_path, BUDGET_BYTES, disk)
@@ -212,7 +214,7 @@
 
 
 def test_a_full_directory_still_finishes_all_accepted_messages(tmp_path: Path) -> None:
-    """With bodies of all sizes, each message with as many attempts as it can have."""
+    """For several body sizes, each message has the maximum number of attempts."""
     for size in (0, 300, 5000, 60000):
         folder = tmp_path / str(size)
         folder.mkdir()
@@ -231,7 +233,7 @@
         for one in pending:
             journal.append_notified([one.id])
         assert folder_disk_bytes(folder) == journal.disk_bytes <= BUDGET_BYTES and not journal.overdue
-        journal.append_accepted(entry("more", b"x" * size))  # there is space again
+        journal.append_accepted(entry("more", b"x" * size))  # space is available again
         journal.close()
 
 
@@ -258,22 +260,22 @@
     (tmp_path / "journal").write_bytes((Path(__file__).parent / "journal-1").read_bytes())
     (tmp_path / "journal.new").write_bytes(b"of a compaction that was cut off")
     journal = Journal(tmp_path, BUDGET_BYTES)
-    got = journal.entries
-    assert [got[f"m{n}"].final_state for n in range(6)] == ["", "", "", "failed", "returned", "delivered"]
+    entries = journal.entries
+    assert [entries[f"m{n}"].final_state for n in range(6)] == ["", "", "", "failed", "returned", "delivered"]
     assert (
-        got["m1"].uncertain_attempt == Attempt(1500.0, "s-1", 0)
-        and got["m2"].attempt_count == 1
-        and got["m2"].uncertain_attempt is not None
+        entries["m1"].uncertain_attempt == Attempt(1500.0, "s-1", 0)
+        and entries["m2"].attempt_count == 1
+        and entries["m2"].uncertain_attempt is not None
     )
-    assert got["m4"].is_notified and got["m0"].body == bytes(10) and got["m2"].key == "k2"
+    assert entries["m4"].is_notified and entries["m0"].body == bytes(10) and entries["m2"].key == "k2"
     journal.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["seg-0000000001", "seg-0000000002"]
     again = Journal(tmp_path, BUDGET_BYTES)
-    assert again.entries == got
+    assert again.entries == entries
     again.close()
 
 
-def test_a_corrupt_record_of_format_1_is_assumed_to_state_the_worst(tmp_path: Path) -> None:
+def test_a_corrupt_record_of_format_1_is_assumed_to_have_the_worst_content(tmp_path: Path) -> None:
     lines = (Path(__file__).parent / "journal-1").read_bytes().splitlines()
     lines[0] = lines[0].replace(b'"tenant":"t"', b'"tenant":"u"')
     (tmp_path / "journal").write_bytes(b"\n".join([*lines, b""]))
@@ -327,7 +329,7 @@
                 journal.append_notified([pending.id])
             elif step == "drop":
                 journal.append_cancelled(pending)
-    for pending in journal.entries.values():  # an attempt in flight may have run
+    for pending in journal.entries.values():  # an attempt in flight counts as one that may have run
         pending.uncertain_attempt, pending.attempt_in_flight = (
             pending.uncertain_attempt or pending.attempt_in_flight,
             None,
@@ -340,11 +342,12 @@
 
 
 def test_a_message_that_ends_during_an_attempt_is_accounted_in_full(tmp_path: Path) -> None:
-    """The size that counts for it must not grow by a restart, or the stated upper bound does not hold.
+    """The accounted size of a message must not grow with a restart, or the journal's upper bound is wrong.
 
-    A message may end while its attempt is out: withdrawn, or out of time. Its snapshot then still holds that
-    attempt, and its size left it out: 271 bytes before the restart and 298 after, where the attempt had
-    become the uncertain one. So a full journal had promised space that it did not have.
+    A message may finish during an attempt, because it is cancelled or its deadline passes. Its snapshot then
+    still contains that attempt, which the accounted size once left out: 271 bytes before the restart and 298
+    after, when the attempt had become the uncertain one. A full journal had thus promised space that it did
+    not have.
     """
     journal = Journal(tmp_path, BUDGET_BYTES)
     journal.append_accepted(entry("m1"))
@@ -368,7 +371,7 @@
 
 
 @given(st.sampled_from(["", "failed", "returned", "delivered"]), ATTEMPTS, ATTEMPTS, st.booleans())
-def test_no_snapshot_is_larger_than_the_size_that_counts_for_it(
+def test_no_snapshot_is_larger_than_its_accounted_size(
     state: str, in_flight: Attempt | None, uncertain: Attempt | None, is_notified: bool
 ) -> None:
     message = entry("m1")
@@ -381,9 +384,9 @@
 def test_the_first_uncertain_attempt_survives_any_number_of_restarts(
     tmp_path_factory: pytest.TempPathFactory, ends: list[str]
 ) -> None:
-    """Each attempt ends with an outcome, or its process is killed. Seen to fail for "killed, not, killed":
-    the second restart took the message for one that had surely not run, and a keyed one went to another
-    zone."""
+    """Each attempt ends with an outcome, or its process is killed. Failed for "killed, not, killed": after
+    the second restart the message was considered one that had certainly not run, and a keyed one was sent to
+    another zone."""
     folder = tmp_path_factory.mktemp("state")
     journal = Journal(folder, BUDGET_BYTES)
     journal.append_accepted(entry("m"))
@@ -399,5 +402,5 @@
         else:
             journal.append_outcome(journal.entries["m"], how == "ran")
     journal.close()
-    risk = Journal(folder, BUDGET_BYTES).entries["m"].uncertain_attempt
-    assert (None if risk is None else risk.started_at_ms) == first
+    uncertain = Journal(folder, BUDGET_BYTES).entries["m"].uncertain_attempt
+    assert (None if uncertain is None else uncertain.started_at_ms) == first
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -1,5 +1,5 @@
-"""Power cuts before and in every call to the disk, syncs too: what was not synced is lost, or written, or
-written in part and out of order. Reused ids, with a kill at every call."""
+"""Power cuts before and during every disk call, including syncs: unsynced data is lost, written, or partly
+written out of order. Also reused ids, with a kill at every call."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SyncedDisk(Disk):
-    """Its syncs are run by the script, and may be interrupted too."""
+    """A disk whose syncs are run by the script, and may be interrupted too."""
 
     def sync(self, name: str) -> None:
         if name in self.files:
@@ -33,7 +33,7 @@
 
 
 def only_synced(disk: Disk, rng: Random) -> dict[str, bytes]:
-    """Only what was synced; removals had not reached the disk."""
+    """Only synced data is left; removals had not reached the disk."""
     return dict(disk.synced)
 
 
@@ -46,18 +46,18 @@
 
 
 def synced_and_random_parts(disk: Disk, rng: Random) -> dict[str, bytes]:
-    """Of each file a random part beyond what was synced; a later one possibly without an earlier one."""
-    out = synced_and_not_removed(disk, rng) if rng.random() < 0.5 else only_synced(disk, rng)
+    """A random part of each file beyond its synced data is left, maybe of a later but not an earlier file."""
+    remaining = synced_and_not_removed(disk, rng) if rng.random() < 0.5 else only_synced(disk, rng)
     for name, data in disk.files.items():
-        safe = len(disk.synced.get(name, b""))
-        if name in out or rng.random() < 0.6:
-            out[name] = data[: rng.randint(safe, len(data))]
-    return out
+        synced_size = len(disk.synced.get(name, b""))
+        if name in remaining or rng.random() < 0.6:
+            remaining[name] = data[: rng.randint(synced_size, len(data))]
+    return remaining
 
 
 @dataclass
 class PromiseTracker:
-    """Drives a journal with group commit; only what a sync has covered counts as promised."""
+    """Drives a journal with group commit; only records covered by a sync count as promised."""
 
     disk: SyncedDisk
     seed: int
@@ -65,12 +65,12 @@
     attempted: set[str] = field(default_factory=set)
     proven_harmless: set[str] = field(
         default_factory=set
-    )  # written that no attempt had an effect, perhaps not synced
-    finishing: set[str] = field(default_factory=set)  # a final outcome was written, perhaps not synced
+    )  # the record that no attempt had an effect is written, but maybe not synced
+    finishing: set[str] = field(default_factory=set)  # a final outcome was written, but maybe not synced
     finished: set[str] = field(default_factory=set)
     unsent: set[str] = field(
         default_factory=set
-    )  # its attempt is written, and its first byte waits for the sync
+    )  # the attempt is recorded, and its first byte waits for the sync
     pending_promises: list[tuple[int, Callable[[], object]]] = field(default_factory=list)
 
     def run(self, steps: int) -> Journal:
@@ -83,11 +83,11 @@
                 self.step(journal, f"m{step}", rng)
                 if rng.random() < 0.15:
                     names, upto = durability.start_sync()
-                    self.step(journal, f"w{step}", rng)  # the event loop runs on during the sync
+                    self.step(journal, f"w{step}", rng)  # the event loop continues during the sync
                     durability.sync_files(names)
                     durability.mark_durable(upto)
-                    for need, promise in [each for each in self.pending_promises if each[0] <= upto]:
-                        self.pending_promises.remove((need, promise))
+                    for sequence, promise in [each for each in self.pending_promises if each[0] <= upto]:
+                        self.pending_promises.remove((sequence, promise))
                         promise()
         finally:
             journal.close()
@@ -105,7 +105,7 @@
                 return
             one = max(
                 rng.choices(unfinished, k=4), key=lambda each: len(each.body)
-            )  # small ones stay unfinished for longer
+            )  # messages with small bodies stay unfinished for longer
             name = one.id
             if one.attempt_in_flight is not None and name not in self.unsent and choice < 0.55:
                 self.proven_harmless.update([name] if one.uncertain_attempt is None else [])
@@ -137,7 +137,7 @@
         self.pending_promises.append((journal.durability.appended_sequence, done))
 
     def check(self, files: dict[str, bytes]) -> None:
-        """Recovers in the next process, and in the one after that."""
+        """Recovers in the next process, and again in the one after it."""
         disk = Disk(files)
         for _ in range(2):
             after = Journal(NOWHERE, BUDGET_BYTES * 2, disk).entries
@@ -163,10 +163,10 @@
     assert journal.log.segments[0].number > 3 and journal.copied_bytes > MIN_COPIED_BYTES
     assert len(undisturbed.finished) > 15 and undisturbed.attempted
     for at in range(1, undisturbed.disk.calls + 1):
-        world = PromiseTracker(SyncedDisk(crash_at=at, torn=at % 3 * 40), seed)
+        driver = PromiseTracker(SyncedDisk(crash_at=at, torn=at % 3 * 40), seed)
         with pytest.raises(Crash):
-            world.run(steps)
-        world.check(model(world.disk, Random(at)))
+            driver.run(steps)
+        driver.check(model(driver.disk, Random(at)))
 
 
 # -- reused ids ---------------------------------------------------------------------------------
@@ -174,18 +174,18 @@
 
 @dataclass
 class ReusedIds:
-    """A few ids, submitted again as soon as the journal has removed them: only the latest message counts."""
+    """Reuses a few ids as soon as the journal has removed them: only the latest message of an id counts."""
 
     disk: Disk
     accepted: set[str] = field(default_factory=set)
     attempted: set[str] = field(default_factory=set)
     final_states: dict[str, str] = field(default_factory=dict)
-    incarnations: int = 0
+    accepted_count: int = 0
 
     def run(self, steps: int) -> None:
         rng, now = Random(4), 1000.0
         journal = Journal(NOWHERE, BUDGET_BYTES, self.disk)
-        superseded = list[JournalEntry]()  # earlier messages, of which a call is in flight
+        superseded = list[JournalEntry]()  # earlier messages with a call in flight
         for _ in range(steps):
             now += 100.0
             ident, choice = f"m{rng.randrange(9)}", rng.random()
@@ -218,10 +218,10 @@
             JournalEntry(ident, "plata", "t", 7, None, now, now + 500.0, "", bytes(body_size))
         )
         self.accepted.add(ident)
-        self.incarnations += 1
+        self.accepted_count += 1
 
     def complete_call(self, journal: Journal, old: JournalEntry, now: float) -> None:
-        """A call completes when the id of its message may be another message's."""
+        """Completes a call at a time when its id may belong to another message."""
         journal.append_outcome(old, False)
         if journal.entries.get(old.id) is not old:
             with pytest.raises(JournalError, match="is over"):
@@ -243,9 +243,9 @@
     undisturbed = ReusedIds(Disk())
     undisturbed.run(300)
     undisturbed.check(undisturbed.disk.files)
-    assert undisturbed.incarnations > 60
+    assert undisturbed.accepted_count > 60
     for at in range(2, undisturbed.disk.calls + 1):
-        world = ReusedIds(Disk(crash_at=at, torn=at % 2 * 60))
+        driver = ReusedIds(Disk(crash_at=at, torn=at % 2 * 60))
         with pytest.raises(Crash):
-            world.run(300)
-        world.check(world.disk.files)
+            driver.run(300)
+        driver.check(driver.disk.files)
--- a/tests/store/test_tool.py
+++ b/tests/store/test_tool.py
@@ -1,4 +1,4 @@
-"""`journal verify`, `show` and `stats`: on an intact and a damaged directory, and beside a relay."""
+"""`journal verify`, `show` and `stats`: on an intact and a damaged directory, and beside a running relay."""
 
 from __future__ import annotations
 
@@ -57,11 +57,11 @@
     )
     journal.append_accepted(
         JournalEntry("more", "plata", "t", 7, None, 1000.0, 9000.0, "", b"")
-    )  # it was only read
+    )  # the tool has changed nothing
     journal.close()
 
 
-def test_each_damage_is_a_line_and_nothing_is_repaired(tmp_path: Path) -> None:
+def test_verify_prints_a_line_per_damage_and_repairs_nothing(tmp_path: Path) -> None:
     filled_journal(tmp_path).close()
     path = sorted(tmp_path.glob("seg-*"))[0]
     data = bytearray(path.read_bytes())
@@ -82,23 +82,23 @@
     journal.close()
     pread = os.pread
 
-    def bad(file: int, size: int, at: int) -> bytes:
-        if at == READ_BYTES:
+    def failing_pread(file: int, size: int, offset: int) -> bytes:
+        if offset == READ_BYTES:
             raise OSError(5, "EIO")
-        return pread(file, size, at)
+        return pread(file, size, offset)
 
-    monkeypatch.setattr(os, "pread", bad)
-    found = recover(DirectoryFileStore(tmp_path))
-    lost = [ident for ident, entry in found.entries.items() if entry.final_state == "failed"]
-    well = [entry for entry in found.entries.values() if not entry.final_state]
-    assert found.findings and 150 < len(well) < 260 and len(well) + len(lost) <= 300
+    monkeypatch.setattr(os, "pread", failing_pread)
+    state = recover(DirectoryFileStore(tmp_path))
+    lost = [ident for ident, entry in state.entries.items() if entry.final_state == "failed"]
+    intact = [entry for entry in state.entries.values() if not entry.final_state]
+    assert state.findings and 150 < len(intact) < 260 and len(intact) + len(lost) <= 300
     assert all(
-        entry.uncertain_attempt is not None for entry in well if int(entry.id[1:]) < 70
-    )  # unfinished then: may have been attempted
+        entry.uncertain_attempt is not None for entry in intact if int(entry.id[1:]) < 70
+    )  # unfinished at the lost part, so they may have been attempted
 
 
 def test_a_real_file_size_limit_costs_a_segment_only(tmp_path: Path) -> None:
-    """RLIMIT_FSIZE, in a process of its own: the partial record is truncated, and a new segment starts."""
+    """With RLIMIT_FSIZE in a separate process, the partial record is truncated and a new segment starts."""
     pid = os.fork()
     if pid == 0:
         code = 1
