--- a/message_relay/endpoint_discovery/__init__.py
+++ b/message_relay/endpoint_discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: merging the reports of several sources, and scheduling polls of the register."""
+"""Endpoint discovery: merges the reports of several sources, and schedules polls of the register."""
--- a/message_relay/endpoint_discovery/merge_policy.py
+++ b/message_relay/endpoint_discovery/merge_policy.py
@@ -1,4 +1,4 @@
-"""Merge policy: how conflicting reports from several discovery sources about one endpoint are resolved.
+"""Merge policy: resolves conflicting reports from several discovery sources about one endpoint.
 
 Pure decisions without I/O. docs/endpoint-discovery.md has the table for operators.
 
@@ -6,11 +6,11 @@
 | --- | --- |
 | unknown | never reported the endpoint |
 | ready | reports that it accepts work |
-| draining | reports that it only completes what it has |
+| draining | reports that it only completes the work it already has |
 | gone | reported its removal, or omitted it from a full list that used to contain it |
 
-The most severe status wins: an endpoint that any source calls draining or gone receives no new work, and an
-endpoint that only one source knows has the status that this source reports.
+The most severe status wins: an endpoint that any source reports as draining or gone receives no new work, and
+an endpoint that only one source knows has the status that this source reports.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 SUDDEN_SHRINK_RATIO = 0.5  # a list that retains less than this share of its endpoints has shrunk suddenly
-SHRINK_CHECK_MIN_ENDPOINTS = 2  # lists that were smaller than this are not checked
+SHRINK_CHECK_MIN_ENDPOINTS = 2  # not checked if the previous list was smaller than this
 SHRINK_ACCEPTED_AFTER_S = 5.0  # a shrink that is still reported after this time is accepted,
 SHRINK_ACCEPTED_AFTER_REPORTS = 3  # and so is one that was reported this many times in a row
 
--- a/message_relay/endpoint_discovery/source_merge.py
+++ b/message_relay/endpoint_discovery/source_merge.py
@@ -1,9 +1,9 @@
 """Source merge: combines the updates of several discovery sources into one stream for the directory.
 
-No I/O; the clock is passed in. Two sources mean the same endpoint if destination and address are equal. Its
-name is the one under which it was first published, and stays for as long as any source lists it, so that the
-decisions see one endpoint and not two. Rate, kind and zone are those of the first source, in the configured
-order, that lists it as ready or draining.
+No I/O; the clock is passed in. Reports of two sources concern the same endpoint if destination and address
+are equal. An endpoint retains the name under which it was first published for as long as any source lists it,
+so that the decisions see one endpoint instead of two. Rate, kind and zone come from the first source, in the
+configured order, that lists it as ready or draining.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from .merge_policy import LISTING_BY_STATUS, STATUS_BY_LISTING, EndpointStatus, ShrinkGuard, most_severe
 
 EndpointKey = tuple[int, Address]  # destination and address
-# Removed endpoints that a source remembers, oldest evicted first. Guards against unbounded growth; above any
-# number of endpoints that come back.
+# Maximum number of removed endpoints remembered per source, oldest evicted first. Guards against unbounded
+# growth; larger than any number of endpoints that return.
 REMEMBERED_GONE_MAX = 10_000
 
 
 def endpoint_key(endpoint: EndpointRecord) -> EndpointKey:
-    """Return what identifies an endpoint across sources."""
+    """Return the key that identifies an endpoint across sources."""
     return endpoint.destination, endpoint.address
 
 
@@ -33,10 +33,10 @@
     """The latest report of one source on each of its endpoints."""
 
     name: str
-    is_shrink_guarded: bool = False  # a full list that has shrunk suddenly needs confirmation
-    endpoints: dict[EndpointKey, EndpointRecord] = field(default_factory=dict)  # removed ones included
+    is_shrink_guarded: bool = False  # a suddenly shrunk full list must be confirmed
+    endpoints: dict[EndpointKey, EndpointRecord] = field(default_factory=dict)  # including removed ones
     keys_by_name: dict[str, EndpointKey] = field(default_factory=dict)
-    gone_keys: dict[EndpointKey, None] = field(default_factory=dict)  # those removed, the latest last
+    gone_keys: dict[EndpointKey, None] = field(default_factory=dict)  # removed endpoints, latest last
     shrink_guard: ShrinkGuard = field(default_factory=ShrinkGuard)
 
     def status(self, key: EndpointKey) -> EndpointStatus:
@@ -60,7 +60,7 @@
         return touched
 
     def _remove_missing(self, update: EndpointUpdate, now: float) -> set[EndpointKey]:
-        """Remove what a full list omits, unless it has shrunk suspiciously."""
+        """Remove the endpoints that a full list omits, unless the list has shrunk suspiciously."""
         listed = {endpoint_key(endpoint) for endpoint in update.endpoints}
         previous = {
             key for key, endpoint in self.endpoints.items() if endpoint.listing is not Listing.REMOVED
@@ -103,18 +103,18 @@
     """Merged view of all sources, published to the directory as updates."""
 
     def __init__(self, sources: Iterable[str], shrink_guarded: Iterable[str] = ()) -> None:
-        """`sources` are names in order of precedence for rate, kind and zone; the full lists of those in
+        """`sources` are names in order of precedence for rate, kind and zone; full lists of the sources in
         `shrink_guarded` are checked for sudden shrinks."""
         guarded = set(shrink_guarded)
         self.sources = {name: SourceState(name, name in guarded) for name in sources}
-        self.published_names: dict[EndpointKey, str] = {}  # the directory's name of each present endpoint
-        self.name_counts: Counter[str] = Counter()  # endpoints by published name; no entry is 0
+        self.published_names: dict[EndpointKey, str] = {}  # directory name of each present endpoint
+        self.name_counts: Counter[str] = Counter()  # number of endpoints by published name, at least 1
         self.published: dict[EndpointKey, EndpointRecord] = {}  # each endpoint as last published
         self.has_published = False
 
     def merge(self, update: EndpointUpdate, now: float) -> EndpointUpdate | None:
         """Apply one source's update at `now` (seconds); return the update for the directory, None if nothing
-        has changed. Raises KeyError for a source that was not configured."""
+        has changed. Raises KeyError for a source that is not configured."""
         touched = self.sources[update.source].apply(update, now)
         changed = []
         for key in sorted(touched):
