--- a/tests/endpoint_discovery/test_source_merge.py
+++ b/tests/endpoint_discovery/test_source_merge.py
@@ -1,4 +1,4 @@
-"""Merge policy cell by cell, and source merge against an oracle over generated updates."""
+"""Merge policy for each pair of statuses, and source merge against an oracle over generated updates."""
 
 from __future__ import annotations
 
@@ -122,36 +122,36 @@
     merge = SourceMerge(["register", "srv"])
     merge.merge(full_update("register", record("x")), 0.0)
     merge.merge(full_update("srv", record("x")), 0.0)
-    one = merge.merge(incremental_update("register", status_changes=(("x", DRAINING),)), 1.00)
-    two = merge.merge(full_update("srv"), 1.05)
-    three = merge.merge(incremental_update("register", status_changes=(("x", READY),)), 1.10)
-    assert one is not None and one.endpoints[0].listing is DRAINING
-    assert two is not None and two.endpoints[0].listing is GONE and three is None
+    first = merge.merge(incremental_update("register", status_changes=(("x", DRAINING),)), 1.00)
+    second = merge.merge(full_update("srv"), 1.05)
+    third = merge.merge(incremental_update("register", status_changes=(("x", READY),)), 1.10)
+    assert first is not None and first.endpoints[0].listing is DRAINING
+    assert second is not None and second.endpoints[0].listing is GONE and third is None
 
 
 def test_sudden_shrink_is_accepted_when_repeated() -> None:
     merge = SourceMerge(["srv"], shrink_guarded=["srv"])
-    every = [record(f"x{n}", n) for n in range(10)]
-    merge.merge(full_update("srv", *every), 0.0)
-    assert merge.merge(full_update("srv"), 1.0) is None  # an empty answer does not remove all
-    assert merge.merge(full_update("srv", *every), 2.0) is None
+    endpoints = [record(f"x{n}", n) for n in range(10)]
+    merge.merge(full_update("srv", *endpoints), 0.0)
+    assert merge.merge(full_update("srv"), 1.0) is None  # an empty answer does not remove all endpoints
+    assert merge.merge(full_update("srv", *endpoints), 2.0) is None
     assert (
-        merge.merge(full_update("srv", *every[:4]), 3.0) is None
-        and merge.merge(full_update("srv", *every[:4]), 4.0) is None
+        merge.merge(full_update("srv", *endpoints[:4]), 3.0) is None
+        and merge.merge(full_update("srv", *endpoints[:4]), 4.0) is None
     )
-    update = merge.merge(full_update("srv", *every[:4]), 5.0)
+    update = merge.merge(full_update("srv", *endpoints[:4]), 5.0)
     assert update is not None and len(update.endpoints) == 6 and SHRINK_ACCEPTED_AFTER_REPORTS == 3
     assert {each.listing for each in update.endpoints} == {GONE}
-    few = merge.merge(full_update("srv", *every[:3]), 6.0)  # one fewer of four is no sudden shrink
-    assert few is not None and len(few.endpoints) == 1
-    outright = merge.merge(incremental_update("srv", record("x0", 0, GONE)), 6.5)
-    assert outright is not None and outright.endpoints[0].listing is GONE
+    small_shrink = merge.merge(full_update("srv", *endpoints[:3]), 6.0)  # 3 of 4 is no sudden shrink
+    assert small_shrink is not None and len(small_shrink.endpoints) == 1
+    explicit = merge.merge(incremental_update("srv", record("x0", 0, GONE)), 6.5)
+    assert explicit is not None and explicit.endpoints[0].listing is GONE
 
 
 def test_sudden_shrink_is_accepted_after_a_time() -> None:
-    shrink = ShrinkGuard()
-    assert not shrink.accepts(10.0, 10, 2) and shrink.accepts(10.0 + SHRINK_ACCEPTED_AFTER_S, 10, 2)
-    assert shrink.accepts(20.0, 1, 0) and shrink.accepts(21.0, 0, 0)
+    guard = ShrinkGuard()
+    assert not guard.accepts(10.0, 10, 2) and guard.accepts(10.0 + SHRINK_ACCEPTED_AFTER_S, 10, 2)
+    assert guard.accepts(20.0, 1, 0) and guard.accepts(21.0, 0, 0)
 
 
 STEPS = st.lists(
@@ -171,7 +171,7 @@
 @settings(max_examples=300)
 @given(STEPS)
 def test_directory_matches_the_merge_policy(steps: list[tuple[str, bool, Any]]) -> None:
-    """Against an oracle that stores each source's latest status and nothing else."""
+    """Compares with an oracle that stores only the latest status of each source."""
     merge, directory = SourceMerge(["a", "b"]), EndpointDirectory(make_settings(), ())
     statuses: dict[str, dict[int, EndpointStatus]] = {"a": {}, "b": {}}
     for n, (source, is_full, reported) in enumerate(steps):
@@ -188,10 +188,10 @@
         update = merge.merge(EndpointUpdate(is_full, members, source=source), float(n))
         if update is not None:
             directory.apply(update)
-        seen = {known.address[1]: known.endpoint.listing for known in directory.by_name.values()}
+        actual = {known.address[1]: known.endpoint.listing for known in directory.by_name.values()}
         expected = {}
         for port in range(4):
             status = most_severe(statuses[each].get(port, UNKNOWN_STATUS) for each in "ab")
             if status in (READY_STATUS, DRAINING_STATUS):
                 expected[port] = READY if status is READY_STATUS else DRAINING
-        assert seen == expected
+        assert actual == expected
