--- a/message_relay/fleet/__init__.py
+++ b/message_relay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Life as a daemon: the service manager's side of starting, reloading, watching and stopping."""
+"""Running relay processes as a service: operator's file, service manager, supervisor and status reports."""
--- a/message_relay/fleet/common.py
+++ b/message_relay/fleet/common.py
@@ -1,4 +1,4 @@
-"""The subsystems that instances share: gossip, consensus, failover, sharded directory. Only where enabled."""
+"""Optional subsystems shared by instances: gossip, consensus, failover and the sharded directory."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Builds, starts and stops the subsystems that the operator's file enables."""
 
     def __init__(self, operator_config: OperatorConfig, number: int, config: Config, relay: Relay) -> None:
-        """Raises ConfigError. Nothing listens yet; from here on no call is made that no rules allow."""
+        """Raises ConfigError. Opens no socket yet; from now on, calls need permission by the agreed rules."""
         folder = config.state / FOLDER
         try:
             self.identity = claim_identity(folder, f"n{number}")
@@ -90,14 +90,14 @@
         self, operator_config: OperatorConfig, number: int, config: Config, relay: Relay
     ) -> None:
         try:
-            from ..sharded_directory.node import ShardedDirectory  # only where it is on
+            from ..sharded_directory.node import ShardedDirectory  # imported only if enabled
         except ImportError as error:
             raise ConfigError(f"shards: needs the extra 'fleet' ({error})") from error
         self.sharded_directory = ShardedDirectory(operator_config.shards, self.gossip, relay, number, config)
         relay.use_destination_interest(self.sharded_directory, self.sharded_directory)
 
     def _start_failover(self, operator_config: OperatorConfig, config: Config, relay: Relay) -> None:
-        from ..failover.node import Failover  # only where it is on
+        from ..failover.node import Failover  # imported only if enabled
 
         unknown = sorted({*operator_config.failover.zones} ^ {*config.zones})
         if unknown:
@@ -109,7 +109,7 @@
         self.failover = Failover(operator_config.failover, self.gossip, self.consensus, relay)
 
     async def start(self) -> None:
-        """Opens the sockets. Raises ConfigError where an address is not available."""
+        """Opens the sockets. Raises ConfigError if an address is not available."""
         try:
             await self.gossip.start()
         except OSError as error:
@@ -123,11 +123,11 @@
         if self.admin_socket is not None:
             try:
                 await self.admin_socket.open()
-            except StatusError as error:  # an instance without an admin socket still serves
+            except StatusError as error:  # the instance works without an admin socket
                 log.error(LogEvent("admin socket not available", why=error))
 
     def close(self) -> None:
-        """Announces to the other instances that this one leaves, and closes."""
+        """Announces the departure to the other instances, and closes."""
         if self.admin_socket is not None:
             self.admin_socket.close()
         self.gossip.leave()
--- a/message_relay/fleet/instance.py
+++ b/message_relay/fleet/instance.py
@@ -1,4 +1,4 @@
-"""A relay process with an operator's file: part of a fleet, with status reports and structured logs."""
+"""A relay process with an operator's file: a member of a fleet, with status reports and structured logs."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def clock_offset_ms() -> float:
-    """What to add to the loop's clock for the wall clock that all machines share."""
+    """Return the offset from the event loop's clock to the wall clock that all machines share."""
     return unix_time_ms() - asyncio.get_running_loop().time() * 1000
 
 
 def operated_process(signals: ProcessSignals, notifier: SystemdNotifier) -> OperatedRelayProcess:
-    """The process that the environment describes. Raises ConfigError, also for a faulty operator's file."""
+    """Return the process configured by the environment. Raises ConfigError, also for the operator's file."""
     try:
         operator_config = operator.config_from_environment()
         assert operator_config is not None
@@ -52,14 +52,14 @@
 
 
 def require_owned_state(config: Config) -> None:
-    """Raises ConfigError for a state folder of another user.
+    """Raises ConfigError if the state folder belongs to another user.
 
-    Guards a folder against a process that would leave files there which its owner cannot use.
+    Prevents a process from creating files in the folder that its owner cannot use.
     """
     try:
         uid = config.state.stat().st_uid
     except OSError:
-        return  # opening it gives a better error
+        return  # opening the folder later raises a better error
     if uid != os.geteuid():
         raise ConfigError(
             f"state: {config.state} belongs to user {uid}, and this process runs as "
@@ -86,7 +86,7 @@
         super().__init__(config, signals, notifier, operator_config.amqp)
         self.shared = None
         if operator_config.peers.is_enabled:
-            from .common import SharedSubsystems  # not imported where instances share nothing
+            from .common import SharedSubsystems  # imported only if enabled
 
             self.shared = SharedSubsystems(operator_config, number, config, self.relay)
         self.recorder: Recorder | None = None
@@ -95,7 +95,7 @@
         self.status = None if folder is None else StatusSocket(folder / f"{number}.sock", self.report)
 
     def report(self) -> report.Report:
-        """The current status report."""
+        """Return the current status report."""
         shards = (
             None
             if self.shared is None or self.shared.sharded_directory is None
@@ -112,14 +112,14 @@
         )
 
     async def on_serving(self) -> None:
-        """Starts status, recording and shared subsystems, once messages are accepted."""
+        """Starts status, recording and shared subsystems once messages are accepted."""
         self.state = "serving"
         self.start_recording()
         if self.status is not None:
             self.loop_lag.start()
             try:
                 await self.status.open()
-            except StatusError as error:  # an instance without a report still serves
+            except StatusError as error:  # the instance works without status reports
                 log.error(LogEvent("status socket not available", why=error))
         if self.shared is not None:
             await self.shared.start()
@@ -128,14 +128,14 @@
             self.retire()
 
     def start_recording(self) -> None:
-        """Records the traffic if the file asks for it."""
-        part = self.operator_config.record
-        if not part.file:
+        """Starts a recording of the traffic if the operator's file enables it."""
+        section = self.operator_config.record
+        if not section.file:
             return
-        path = Path(part.file.replace("{n}", str(self.number)))
+        path = Path(section.file.replace("{n}", str(self.number)))
         try:
-            self.recorder = Recorder(path, part.mb)
-        except OSError as error:  # an instance without a recording still serves
+            self.recorder = Recorder(path, section.mb)
+        except OSError as error:  # the instance works without a recording
             log.error(LogEvent("recording not available", file=path, why=error))
             return
         self.relay.messages.on_submission = self.recorder.record
@@ -152,7 +152,7 @@
             self.shared.close()
 
     async def follow_fleet(self) -> None:
-        """Follows the shared clock and the fleet's size."""
+        """Applies changes of the shared clock and of the fleet's size."""
         while True:
             now = self.relay.driver.now()
             fleet = self.fleet_size.poll(now, clock_offset_ms())
@@ -166,7 +166,7 @@
             await asyncio.sleep(POLL_S)
 
     def reload(self) -> None:
-        """Applies what can be changed at run time. Raises ConfigError; then nothing has changed."""
+        """Applies settings that can change at run time. Raises ConfigError and then changes nothing."""
         try:
             operator_config = operator.config_from_environment()
         except operator.OperatorError as error:
--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -1,8 +1,8 @@
-"""The operator's file (TOML): everything that the platform does not configure. Without one all of it is off.
+"""The operator's file (TOML): all settings that the platform does not configure. Optional; off by default.
 
-The file is validated as a whole: each fault is reported with its field's path and what would be right, an
-unknown name with the nearest known one. `deploy/relay.toml` shows every field with its default. Field names
-are the file's keys.
+The whole file is validated at once: each fault is reported with the path of its field and the expected value,
+an unknown name with the nearest known name. `deploy/relay.toml` lists every field with its default. Field
+names are the keys of the file.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 FILE_VARIABLE, NUMBER_VARIABLE = "RELAY_OPERATOR", "RELAY_INSTANCE"
 INSTANCES_VARIABLE = "RELAY_INSTANCES"  # overrides fleet.instances
-RETIRE_VARIABLE = "RELAY_RETIRE"  # "1": no longer part of the fleet; finishes what an earlier process left
+RETIRE_VARIABLE = "RELAY_RETIRE"  # "1": has left the fleet; only finishes the messages of an earlier process
 
 Seconds = Annotated[float, Meta(ge=0.05, le=3600)]
-MAX_NUMBER_DIGITS = 9  # of an instance's number, leading zeros included
+MAX_NUMBER_DIGITS = 9  # digits of an instance's number, including leading zeros
 InstanceCount = Annotated[int, Meta(ge=1, le=INSTANCES_MAX)]
 LineCount = Annotated[int, Meta(ge=10, le=1_000_000)]
 
 
 class OperatorError(ValueError):
-    """The operator's file is not usable; each line of the text is one fault."""
+    """The operator's file is not valid; each line of the text is one fault."""
 
 
 class FleetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[fleet]`: the number of instances, and what they share."""
+    """`[fleet]`: the number of instances, and whether they share rates."""
 
     instances: InstanceCount = 1  # on all machines together
-    share_rates: bool = False  # share each listed rate by slots of the common clock
+    share_rates: bool = False  # share each listed rate by time slots of the common clock
     settle_s: Seconds = 20.0  # delay before a larger share of a rate is used after instances have left
 
 
@@ -53,54 +53,54 @@
 
     format: Literal["plain", "json", "console"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: LineCount = 2000  # buffered for a slow reader; further ones are dropped and counted
+    lines: LineCount = 2000  # maximum buffered for a slow reader; further lines are dropped and counted
 
 
 class StatusSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[status]`: the sockets that the command `status` reads."""
 
-    folder: str = ""  # empty: $RUNTIME_DIRECTORY; without either there is no report
-    destinations: Annotated[int, Meta(ge=0, le=10_000)] = 200  # listed one by one at the most, busiest first
+    folder: str = ""  # empty: $RUNTIME_DIRECTORY; no status reports if neither is set
+    destinations: Annotated[int, Meta(ge=0, le=10_000)] = 200  # maximum number listed, busiest first
 
 
 class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[state]`: the state folder and its durability."""
 
     own: bool = True  # refuse a state folder that belongs to another user
-    durability: Literal["none", "interval", "group"] = "none"  # what a power cut may cost: docs/store.md
-    sync_ms: Annotated[float, Meta(ge=1, le=60_000)] = 50.0  # with interval: between two syncs
+    durability: Literal["none", "interval", "group"] = "none"  # what a power cut may lose: docs/store.md
+    sync_ms: Annotated[float, Meta(ge=1, le=60_000)] = 50.0  # time between two syncs, with `interval`
 
     @property
     def sync_every_ms(self) -> float | None:
-        """Interval of syncs for the journal: None without syncs, 0 for a sync before each promise."""
+        """Interval of the journal's syncs: None for no syncs, 0 for a sync before each promise."""
         return {"none": None, "interval": self.sync_ms, "group": 0.0}[self.durability]
 
 
 class RecordSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[record]`: a recording of the traffic for `python -m emulator`, without bodies, keys or names."""
 
-    file: str = ""  # empty: none; `{n}` becomes the instance's number
+    file: str = ""  # empty: no recording; `{n}` is replaced by the instance's number
     mb: Annotated[float, Meta(gt=0, le=10_000)] = 50.0  # maximum size
 
 
 class SupervisorSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[supervisor]`: what the command `fleet` gives to instances, and how it starts and stops them."""
+    """`[supervisor]`: how the command `fleet` configures, starts and stops instances."""
 
     config: str = ""  # RELAY_CONFIG of each instance
     host: str = "127.0.0.1"
     port: Annotated[int, Meta(ge=1, le=65535)] = 7000  # instance N listens on port + N
-    state: str = "state"  # instance N works in state/N
-    together: InstanceCount = 8  # started at once at the most
-    stagger_s: Annotated[float, Meta(ge=0, le=60)] = 0.05  # between one start and the next
+    state: str = "state"  # instance N uses state/N
+    together: InstanceCount = 8  # maximum number of instances starting at the same time
+    stagger_s: Annotated[float, Meta(ge=0, le=60)] = 0.05  # time between two starts
     ready_s: Seconds = 30.0  # an instance that is not ready by then is restarted
-    stop_s: Seconds = 10.0  # an instance that runs on so long after SIGTERM is killed
+    stop_s: Seconds = 10.0  # an instance that still runs this long after SIGTERM is killed
     watchdog_s: Annotated[float, Meta(ge=0, le=3600)] = (
-        10.0  # an instance whose loop hangs so long is killed; 0: never
+        10.0  # an instance whose event loop hangs for this long is killed; 0: never
     )
-    first_wait_s: Seconds = 0.5  # before a crashed instance is restarted; doubles, with jitter
+    first_wait_s: Seconds = 0.5  # delay before the restart of a crashed instance; doubles, with jitter
     most_wait_s: Seconds = 30.0
     loop_crashes: Annotated[int, Meta(ge=2, le=100)] = 5  # this many crashes
-    loop_s: Seconds = 120.0  # within this time are a crash loop, which is reported
+    loop_s: Seconds = 120.0  # within this time count as a crash loop, which is reported
 
     def __post_init__(self) -> None:
         if self.most_wait_s < self.first_wait_s:
@@ -110,7 +110,7 @@
 
 
 class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; raises ValueError where sections contradict each other."""
+    """The whole file; raises ValueError if sections contradict each other."""
 
     fleet: FleetSection = FleetSection()
     log: LogSection = LogSection()
@@ -126,9 +126,9 @@
 
     def __post_init__(self) -> None:
         if self.peers.is_enabled:
-            for at in (self.peers.listen_address, self.peers.advertised_address):
+            for address_of in (self.peers.listen_address, self.peers.advertised_address):
                 try:
-                    at(self.fleet.instances - 1)
+                    address_of(self.fleet.instances - 1)
                 except ValueError as error:
                     raise ValueError(f"peers.{error}") from error
         if self.accord.is_enabled and not self.peers.is_enabled:
@@ -148,15 +148,15 @@
         self._check_shards()
         if self.record.file and self.fleet.instances > 1 and "{n}" not in self.record.file:
             raise ValueError(f"record.file: {self.record.file!r} needs {{n}}: each instance has its own")
-        last = self.supervisor.port + self.fleet.instances - 1
-        if last > 65535:
+        last_port = self.supervisor.port + self.fleet.instances - 1
+        if last_port > 65535:
             raise ValueError(
                 f"supervisor.port: with {self.fleet.instances} instances the last would listen on "
-                f"{last}: {65536 - self.fleet.instances} at most"
+                f"{last_port}: {65536 - self.fleet.instances} at most"
             )
 
     def _check_shards(self) -> None:
-        """What [shards] needs of the other sections."""
+        """Checks [shards] against the other sections. Raises ValueError."""
         if not self.shards.on:
             return
         if not self.peers.is_enabled:
@@ -184,12 +184,12 @@
 
 
 def read(path: Path, env: Mapping[str, str] = os.environ) -> OperatorConfig:
-    """Reads the file. Raises OperatorError with all its faults, a line each."""
+    """Reads the file. Raises OperatorError with all faults, one per line."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror}") from error
-    except ValueError as error:  # not TOML, or not text
+    except ValueError as error:  # not valid TOML or UTF-8
         raise OperatorError(f"{path}: {error}") from error
     text = env.get(INSTANCES_VARIABLE, "")
     if text:
@@ -200,15 +200,15 @@
 
 
 def decoded(raw: Mapping[str, Any], where: str) -> OperatorConfig:
-    """Validates a parsed file; `where` begins each line of OperatorError."""
-    found = list(faults(raw, OperatorConfig, ""))
-    if found:
-        raise OperatorError("\n".join(f"{where}: {fault}" for fault in found))
+    """Validates a parsed file; `where` starts each line of OperatorError."""
+    all_faults = list(faults(raw, OperatorConfig, ""))
+    if all_faults:
+        raise OperatorError("\n".join(f"{where}: {fault}" for fault in all_faults))
     return msgspec.convert(raw, OperatorConfig)
 
 
 def faults(raw: object, shape: type[msgspec.Struct], path: str) -> Iterator[str]:
-    """Every fault of a table, with the path of its field."""
+    """Yields every fault of a table, with the path of its field."""
     if not isinstance(raw, Mapping):
         yield f"{path}: must be a table"
         return
@@ -228,9 +228,9 @@
 
 def _field_faults(name: str, value: object, known: Mapping[str, Any], where: str) -> Iterator[str]:
     if name not in known:
-        near = difflib.get_close_matches(name, known, 1, 0.5)
+        nearest = difflib.get_close_matches(name, known, 1, 0.5)
         yield f"{where}: is not known; " + (
-            f"{near[0]!r} is the nearest name" if near else f"known are {', '.join(known)}"
+            f"{nearest[0]!r} is the nearest name" if nearest else f"known are {', '.join(known)}"
         )
         return
     shape = _expected_shape(known[name], value)
@@ -251,7 +251,7 @@
 
 
 def _expected_shape(expected: Any, value: object) -> Any:
-    """The type without its bounds; of `TABLE | None` the table where one is given."""
+    """Return the type without its bounds; for `TABLE | None`, the table type if the value is a table."""
     if get_origin(expected) is Annotated:
         expected = get_args(expected)[0]
     if get_origin(expected) in (Union, UnionType) and isinstance(value, Mapping):
@@ -264,8 +264,8 @@
         msgspec.convert(value, expected)
     except msgspec.ValidationError as error:
         choices = get_args(expected) if get_origin(expected) is Literal else ()
-        right = f"one of {', '.join(choices)} is needed" if choices else _message_of(error)
-        yield f"{where}: {value!r}: {right}"
+        expectation = f"one of {', '.join(choices)} is needed" if choices else _message_of(error)
+        yield f"{where}: {value!r}: {expectation}"
 
 
 def _message_of(error: Exception) -> str:
@@ -273,13 +273,13 @@
 
 
 def config_from_environment(env: Mapping[str, str] = os.environ) -> OperatorConfig | None:
-    """The file that the environment names; None without one. Raises OperatorError."""
+    """Return the file named by the environment; None if there is none. Raises OperatorError."""
     path = env.get(FILE_VARIABLE, "")
     return read(Path(path), env) if path else None
 
 
 def instance_number(operator: OperatorConfig, env: Mapping[str, str] = os.environ) -> int:
-    """This instance's number. Raises OperatorError unless it is part of the fleet or retires from it."""
+    """Return this instance's number. Raises OperatorError unless it is in the fleet or retiring."""
     size = operator.fleet.instances
     text = env.get(NUMBER_VARIABLE, "")
     if not text and size == 1:
@@ -294,8 +294,8 @@
 
 
 def apply_fleet(settings: Settings, operator: OperatorConfig, number: int, clock_ms: float) -> Settings:
-    """The platform's settings with the fleet of the operator's file."""
-    # A retiring instance uses a share as if it were still part of the fleet.
+    """Return the platform's settings with the fleet of the operator's file."""
+    # A retiring instance uses the share it would have as a member of the fleet.
     size = max(operator.fleet.instances, number + 1)
     fleet = Fleet(number, size, clock_ms) if operator.fleet.share_rates else None
     return replace(settings, relays=size, fleet=fleet)
--- a/message_relay/fleet/parent_watch.py
+++ b/message_relay/fleet/parent_watch.py
@@ -1,8 +1,8 @@
-"""Parent watch: no instance outlives its supervisor.
+"""Parent watch: stops an instance when its supervisor has ended.
 
-The supervisor alone keeps one end of a pipe open; however it ends, SIGKILL included, the system closes it.
-A thread of the instance waits for that, so that it works for a hanging loop too. It requests a graceful
-shutdown and kills the process if none follows.
+Only the supervisor holds the write end of a pipe, which the system closes however the supervisor ends,
+including by SIGKILL. A thread of the instance waits for that, so that it works even if the event loop hangs.
+It requests a graceful shutdown and kills the process if that does not complete.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 import time
 from collections.abc import MutableMapping
 
-LIFELINE_VARIABLE = "RELAY_LIFELINE"  # names the descriptor
-STOP_S = 6.0  # a graceful shutdown takes 3.5 s at the most
+LIFELINE_VARIABLE = "RELAY_LIFELINE"  # number of the descriptor
+STOP_S = 6.0  # a graceful shutdown takes at most 3.5 s
 
 
 def watch_parent(env: MutableMapping[str, str] = os.environ) -> None:
     """Starts the watch if the environment names a descriptor, and removes the variable from the environment.
 
-    Raises ValueError if the variable is no descriptor's number.
+    Raises ValueError if the variable is not a descriptor number.
     """
     text = env.pop(LIFELINE_VARIABLE, "")
     if not text:
@@ -36,7 +36,7 @@
         while os.read(descriptor, 64):
             pass
     except OSError:
-        pass  # as good as its end
+        pass  # treated as the end of the pipe
     os.kill(os.getpid(), signal.SIGTERM)
     time.sleep(STOP_S)
     os.kill(os.getpid(), signal.SIGKILL)
--- a/message_relay/fleet/plan.py
+++ b/message_relay/fleet/plan.py
@@ -1,14 +1,14 @@
-"""Supervisor plan: which instance to start, reload, stop or kill next. No I/O; the clock is passed in.
+"""Supervisor plan: decides which instance to start, reload, stop or kill. No I/O; the clock is passed in.
 
-Each instance is in one state, moved by notifications (`on_ready`, `on_heartbeat`, `on_exited`), requests and
-time (`next_steps`):
+Each instance is a state machine driven by notifications (`on_ready`, `on_heartbeat`, `on_exited`), requests
+and time (`next_steps`):
 
     DOWN --start--> STARTING --ready--> UP --term--> ENDING --exited--> DOWN (restarted at once) or GONE
      ^                 |  exited, or not ready in time      | not ended in time: kill
      +--- backoff with jitter --------- exited, or no heartbeat
-    FAILED: it exited with 2, its configuration is not usable; only a reload starts it again.
+    FAILED: it exited with code 2, its configuration is not valid; only a reload starts it again.
 
-A rolling restart has one instance ENDING or STARTING at a time, and stops at the first that does not return.
+A rolling restart has one instance ENDING or STARTING at a time, and aborts at the first that fails to return.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from .operator import SupervisorSection
 
-BAD_CONFIG_EXIT_CODE = 2  # the exit code that says so
+BAD_CONFIG_EXIT_CODE = 2  # exit code of a process whose configuration is not valid
 
 
 class InstanceState(Enum):
@@ -35,7 +35,7 @@
 
 
 class SupervisorAction(Enum):
-    """What the supervisor carries out for an instance."""
+    """Action of the supervisor on an instance."""
 
     START = "start"
     RELOAD = "reload"
@@ -48,24 +48,24 @@
 
 @dataclass
 class Instance:
-    """What the plan knows of one instance."""
+    """State of one instance in the plan."""
 
     state: InstanceState = InstanceState.DOWN
-    since: float = 0.0  # when this state began
+    since: float = 0.0  # start of this state
     not_before: float = 0.0  # DOWN: earliest start
-    last_heartbeat: float = 0.0  # latest heartbeat
-    is_killed: bool = False  # in this state
+    last_heartbeat: float = 0.0  # time of the latest heartbeat
+    is_killed: bool = False  # killed in this state
     is_reloading: bool = False
-    is_outdated: bool = False  # may have read the old file: reloads once it is ready
-    retire_by: float = 0.0
+    is_outdated: bool = False  # may have read the old file, so it reloads once it is ready
+    retire_by: float = 0.0  # a retiring instance is terminated at this time
     is_retiring: bool = False  # leaves the fleet once nothing is pending
     crashes: deque[float] = field(default_factory=lambda: deque(maxlen=100))
     restarts: int = 0
     start_s: float = 0.0  # duration of the latest start
-    reason: str = ""  # why it is not up
+    reason: str = ""  # why the instance is not up
 
     def enter(self, state: InstanceState, now: float, why: str = "") -> None:
-        """Changes the state; `why` is shown while the instance is not up."""
+        """Changes the state; `why` is reported while the instance is not up."""
         self.state = state
         self.since = now
         self.reason = why
@@ -75,24 +75,24 @@
 
 
 class Plan:
-    """Plans for all instances of one supervisor."""
+    """Plan for all instances of one supervisor."""
 
-    def __init__(self, part: SupervisorSection, count: int, now: float, seed: int) -> None:
-        self.section = part
+    def __init__(self, section: SupervisorSection, count: int, now: float, seed: int) -> None:
+        self.section = section
         self.rng = random.Random(seed)
         self.instances = {number: Instance(since=now, not_before=now) for number in range(count)}
         self.count = count
         self.stopping = False
-        self.rolling: deque[int] = deque()  # still to be restarted, the current one first
-        self.restart_began_at: float | None = None  # of the current one
+        self.rolling: deque[int] = deque()  # instances still to be restarted, the current one first
+        self.restart_started_at: float | None = None  # of the current instance
         self.last_start = -1e9
-        self.log_events: list[tuple[str, dict[str, object]]] = []  # for the log; the caller clears them
+        self.log_events: list[tuple[str, dict[str, object]]] = []  # the caller logs and clears them
         self.steps: list[Step] = []
 
     # -- notifications -----------------------------------------------------------------------------------
 
     def on_ready(self, number: int, now: float) -> None:
-        """The instance accepts messages, or has completed a reload."""
+        """Handles that the instance accepts messages, or has completed a reload."""
         instance = self.instances[number]
         instance.is_reloading = False
         instance.last_heartbeat = now
@@ -105,16 +105,16 @@
                 self._on_restarted(now)
 
     def on_heartbeat(self, number: int, now: float) -> None:
-        """The instance's event loop runs."""
+        """Handles a heartbeat of the instance's event loop."""
         self.instances[number].last_heartbeat = now
 
     def on_exited(self, number: int, now: float, code: int) -> None:
-        """The process has ended and is reaped."""
+        """Handles that the process has exited with `code` and is reaped."""
         instance = self.instances[number]
-        self.steps = [step for step in self.steps if step[1] != number]  # they were for that process
+        self.steps = [step for step in self.steps if step[1] != number]  # they were meant for that process
         has_left = number >= self.count and code in (0, BAD_CONFIG_EXIT_CODE)
         if self.stopping or has_left:
-            instance.enter(InstanceState.GONE, now, f"ended with {code}")
+            instance.enter(InstanceState.GONE, now, f"exited with code {code}")
             return
         if instance.is_retiring and number < self.count:
             instance.is_retiring = False  # it is part of the fleet again
@@ -124,17 +124,17 @@
             return
         was_requested = instance.state is InstanceState.ENDING
         instance.crashes.append(now)
-        why = f"ended with {code}" + (" after it was killed" if instance.is_killed else "")
+        why = f"exited with code {code}" + (" after it was killed" if instance.is_killed else "")
         if self.rolling and self.rolling[0] == number and not was_requested:
             self._halt_rolling_restart(number, why)
         if code == BAD_CONFIG_EXIT_CODE:
-            instance.enter(InstanceState.FAILED, now, "its configuration makes no sense")
+            instance.enter(InstanceState.FAILED, now, "its configuration is not valid")
             self._log("instance configuration rejected", instance=number, code=code)
             return
-        tries = 0 if was_requested else len(self._recent_crashes(instance, now)) - 1
-        wait = min(self.section.most_wait_s, self.section.first_wait_s * 2.0 ** min(tries, 16))
+        earlier_crashes = 0 if was_requested else len(self._recent_crashes(instance, now)) - 1
+        backoff_s = min(self.section.most_wait_s, self.section.first_wait_s * 2.0 ** min(earlier_crashes, 16))
         instance.enter(InstanceState.DOWN, now, why)
-        instance.not_before = now + wait * self.rng.uniform(0.7, 1.3)
+        instance.not_before = now + backoff_s * self.rng.uniform(0.7, 1.3)
         self._log(
             "instance crashed",
             instance=number,
@@ -144,7 +144,7 @@
         )
 
     def request_stop(self, now: float) -> None:
-        """Stops all instances, for good."""
+        """Stops all instances permanently."""
         self.stopping = True
         self.rolling.clear()
         for number, instance in self.instances.items():
@@ -153,15 +153,15 @@
             elif instance.state in (InstanceState.STARTING, InstanceState.UP):
                 self._terminate(number, now)
 
-    def request_reload(self, now: float, part: SupervisorSection, count: int, settle_s: float) -> None:
-        """A valid file has replaced the old one; instances read it themselves.
+    def request_reload(self, now: float, section: SupervisorSection, count: int, settle_s: float) -> None:
+        """Applies a valid new operator's file, which running instances reload themselves.
 
         Instances that are no longer part of the fleet retire: they reject new messages and stop once nothing
         is pending.
         """
         if self.stopping:
             return
-        self.section = part
+        self.section = section
         self.count = count
         for number, instance in self.instances.items():
             self._apply_count(number, instance, now, now + settle_s)
@@ -171,11 +171,11 @@
         for number in range(count):
             self.instances.setdefault(number, Instance(since=now, not_before=now))
         if self.rolling and self.rolling[0] >= count:
-            self.restart_began_at = None  # the current one leaves
+            self.restart_started_at = None  # the current instance leaves the fleet
         self.rolling = deque(number for number in self.rolling if number < count)
 
     def _apply_count(self, number: int, instance: Instance, now: float, retire_by: float) -> None:
-        """Whether an instance stays, leaves or returns by the new count."""
+        """Retires an instance that is beyond the new count, or returns one that is within it again."""
         leaves = number >= self.count
         is_stopped = instance.state in (InstanceState.DOWN, InstanceState.FAILED)
         if leaves and is_stopped and not instance.crashes:
@@ -194,19 +194,19 @@
         self.steps.append((SupervisorAction.RELOAD, number))
 
     def request_rolling_restart(self, now: float) -> None:
-        """Restarts all instances, one at a time; a request during a restart begins with all of them again."""
+        """Restarts all instances, one at a time; a request during a restart covers all instances again."""
         if self.stopping:
             return
         current = list(self.rolling)[:1]
         self.rolling = deque(current + [number for number in range(self.count) if number not in current])
         if not current:
-            self.restart_began_at = None
+            self.restart_started_at = None
         self._log("rolling restart started", instances=self.count)
 
     # -- planning ----------------------------------------------------------------------------------------
 
     def next_steps(self, now: float) -> list[Step]:
-        """Everything to do now; called on each change and at `next_wake`."""
+        """Return all steps that are due; called on each change and at `next_wake`."""
         self._kill_overdue(now)
         self._continue_rolling_restart(now)
         self._start_due(now)
@@ -215,7 +215,7 @@
         return steps
 
     def next_wake(self, now: float) -> float:
-        """When `next_steps` has something to do without a notification; at least once a second."""
+        """Return the time of the next call of `next_steps` without a notification, at most 1 s from now."""
         at = now + 1.0
         for instance in self.instances.values():
             if instance.state is InstanceState.DOWN:
@@ -224,11 +224,11 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether all instances have stopped for good."""
+        """Whether all instances have stopped permanently."""
         return all(instance.state is InstanceState.GONE for instance in self.instances.values())
 
     def is_crash_looping(self, number: int, now: float) -> bool:
-        """Whether an instance has crashed too often lately."""
+        """Return whether an instance has crashed `loop_crashes` times within `loop_s`."""
         return len(self._recent_crashes(self.instances[number], now)) >= self.section.loop_crashes
 
     def _recent_crashes(self, instance: Instance, now: float) -> list[float]:
@@ -253,25 +253,25 @@
                 self._log("instance killed", instance=number, why=overdue)
 
     def _overdue_reason(self, instance: Instance, now: float) -> str:
-        """Why an instance is to be killed; empty if it is not."""
+        """Return why an instance must be killed; empty if it need not be."""
         in_state_s = now - instance.since
         if instance.state is InstanceState.STARTING and in_state_s > self.section.ready_s:
             return "was not ready in time"
         if instance.state is InstanceState.ENDING and in_state_s > self.section.stop_s:
-            return "did not end in time"
+            return "did not stop in time"
         silent_s = now - instance.last_heartbeat
         if instance.state is InstanceState.UP and 0 < self.section.watchdog_s < silent_s:
-            return "did not turn its loop"
+            return "event loop sent no heartbeat"
         return ""
 
     def _continue_rolling_restart(self, now: float) -> None:
-        if not self.rolling or self.restart_began_at is not None:
+        if not self.rolling or self.restart_started_at is not None:
             return
         number = self.rolling[0]
         instance = self.instances[number]
         if instance.state is InstanceState.UP and not instance.is_killed:
             if all(other.state is not InstanceState.ENDING for other in self.instances.values()):
-                self.restart_began_at = now
+                self.restart_started_at = now
                 instance.restarts += 1
                 self._terminate(number, now)
         elif instance.state in (InstanceState.FAILED, InstanceState.GONE) or self.is_crash_looping(
@@ -281,18 +281,18 @@
 
     def _on_restarted(self, now: float) -> None:
         self.rolling.popleft()
-        self.restart_began_at = None
+        self.restart_started_at = None
         if not self.rolling:
             self._log("rolling restart completed")
 
     def _halt_rolling_restart(self, number: int, why: str) -> None:
         self._log("rolling restart aborted", instance=number, why=why, left=len(self.rolling))
         self.rolling.clear()
-        self.restart_began_at = None
+        self.restart_started_at = None
 
     def _start_due(self, now: float) -> None:
         starting = sum(instance.state is InstanceState.STARTING for instance in self.instances.values())
-        # New instances wait until the running ones count with them: see fleet/fleet_size.py.
+        # New instances wait until the running ones have applied the new size (fleet/fleet_size.py).
         all_reloaded = not any(instance.is_reloading for instance in self.instances.values())
         for number in sorted(self.instances):
             instance = self.instances[number]
--- a/message_relay/fleet/recording.py
+++ b/message_relay/fleet/recording.py
@@ -1,13 +1,13 @@
-"""Traffic recording: one line for each submitted message, to be replayed by `emulator`.
+"""Traffic recording: one line for each submitted message, for replay by `emulator`.
 
-    {"v":1,"begun":UNIX_MS,"salt":...}                   first; `salt` names the hashes, not their key
+    {"v":1,"begun":UNIX_MS,"salt":...}                   first; `salt` identifies the hashes, not their key
     [MS, "class", DESTINATION, "tenant", BYTES, LEFT_MS, "ID HASH"]
 
-Bodies and idempotency keys are never kept. Ids and tenants are hashed (BLAKE2b, keyed with a secret that the
-process makes and forgets), so that lines of one tenant can be told together and nobody can be named.
-Bounded: past `mb` nothing more is written, and the last line counts what was left out. Lines are kept in
-memory up to BUFFER and written by a thread, so that no disk holds the loop up; those that come meanwhile and
-do not fit are counted too."""
+Bodies and idempotency keys are never recorded. Ids and tenants are hashed (BLAKE2b, keyed with a secret that
+exists only in this process), so that lines of one tenant can be grouped but no tenant can be identified. The
+file is bounded: after `mb` nothing more is written, and the last line has the number of dropped lines. Lines
+are buffered in memory up to BUFFER_BYTES and written by a thread, so that a slow disk does not block the
+event loop; lines that do not fit into the buffer are dropped and counted too."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 FORMAT_VERSION = 1
-BUFFER_BYTES = 64 * 1024  # bytes that wait at the most; and so many are written at a time
+BUFFER_BYTES = 64 * 1024  # maximum size of the unwritten lines, and of one write
 FLUSH_BYTES = 16 * 1024
 
 
@@ -54,14 +54,14 @@
                 round(time.time() * 1000 - self.started_at_ms, 1),
                 submission.class_name,
                 submission.destination,
-                self._hashed(submission.tenant, 4),
+                self._hash(submission.tenant, 4),
                 len(submission.body),
                 submission.remaining_ms,
-                self._hashed(submission.id, 8),
+                self._hash(submission.id, 8),
             ]
         )
 
-    def _hashed(self, text: str, size: int) -> str:
+    def _hash(self, text: str, size: int) -> str:
         return hashlib.blake2b(text.encode(), digest_size=size, key=self.secret).hexdigest()
 
     def _add(self, line: object) -> None:
@@ -89,7 +89,7 @@
             self.is_closed = True
 
     def close(self) -> None:
-        """Writes the remaining lines and the number of dropped ones. Blocks: at shutdown only."""
+        """Writes the remaining lines and the number of dropped ones. Blocks, so only for shutdown."""
         if self.dropped:
             self.lines.append(self.encode({"dropped": self.dropped}) + b"\n")
         self._write()
--- a/message_relay/fleet/report.py
+++ b/message_relay/fleet/report.py
@@ -1,4 +1,4 @@
-"""Status reports of an instance and of a supervisor, as `status` shows them. Field names are JSON keys."""
+"""Status reports of an instance and of a supervisor, shown by `status`. Field names are JSON keys."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class Destination(msgspec.Struct, frozen=True):
-    """One destination, or one route of it where each route has its own limits."""
+    """One destination, or one route of a destination whose routes have separate limits."""
 
     destination: int
     route: int | None
-    endpoints: int  # ready for calls
-    held: int  # pending messages that wait
+    endpoints: int  # number of usable endpoints
+    held: int  # pending messages in the queue
     out: int  # calls in flight
-    pace: float  # send rate of this instance, calls a second
-    part: float | None  # share of its time slots, where a rate is shared
+    pace: float  # send rate of this instance, in calls per second
+    part: float | None  # time slot share, if the rate is shared
     blame: float  # failure score, 0 to 1
     down: bool  # ejected
-    wait_ms: float  # rest of a Retry-After
-    cold_ms: float | None  # since its return, while it warms up
+    wait_ms: float  # remaining time of a Retry-After
+    cold_ms: float | None  # time since its return, while it warms up
     latency_ms: float
 
 
 class Lag(msgspec.Struct, frozen=True):
-    """How late the event loop ran its timers over the last seconds (fleet/status.py)."""
+    """Lateness of the event loop's timers in the most recent samples (fleet/status.py)."""
 
     median_ms: float = 0.0
     p99_ms: float = 0.0
@@ -45,7 +45,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """One instance."""
+    """Status of one instance."""
 
     name: str
     instance: int
@@ -55,41 +55,41 @@
     at_ms: float  # Unix time of this report
     up_s: float
     held: int  # pending messages
-    hold: int  # the most there may be
+    hold: int  # maximum of pending messages
     by_class: dict[str, int]
     slots_out: int  # attempts in flight
     slots: int
     ends_waiting: int  # final outcomes not yet notified
-    reading: int  # connections of clients
+    reading: int  # open client requests
     journal_bytes: int
-    journal_live: int  # what a compaction would keep
+    journal_live: int  # bytes that a full compaction would retain
     journal_limit: int
     rss_mb: float
     cpu_s: float
     lag: Lag
     destinations: list[Destination]
     more: int  # destinations not listed
-    shards: dict[str, Any] | None = None  # of the sharded directory: client and server
+    shards: dict[str, Any] | None = None  # sharded directory: state of client and server
     kind: str = "instance"
     version: int = REPORT_VERSION
 
 
 class InstanceLine(msgspec.Struct, frozen=True):
-    """One instance as its supervisor sees it."""
+    """State of one instance in its supervisor."""
 
     instance: int
     state: str
     pid: int | None
-    for_s: float  # in this state
+    for_s: float  # time in this state
     crashes: int  # within supervisor.loop_s
     crash_loop: bool
     restarts: int
-    start_s: float  # from its latest start until it was ready; 0: it was not yet
+    start_s: float  # duration of its latest completed start; 0: none yet
     why: str
 
 
 class FleetReport(msgspec.Struct, frozen=True):
-    """All instances of one supervisor."""
+    """Status of all instances of one supervisor."""
 
     pid: int
     at_ms: float
@@ -103,7 +103,7 @@
 
 
 def resident_memory_mb() -> float:
-    """Resident memory of this process (proc(5), statm)."""
+    """Return the resident memory of this process (proc(5), statm)."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
@@ -113,12 +113,12 @@
     state: str,
     began_at: float,
     lag: Lag,
-    most: int,
+    max_destinations: int,
     shards: dict[str, Any] | None = None,
 ) -> Report:
     """Builds the report of an instance.
 
-    `began_at`: Unix time in s; at most `most` destinations are listed, busiest first.
+    `began_at`: start of the process, Unix time in s; at most `max_destinations` are listed, busiest first.
     """
     now, messages, settings = relay.driver.now(), relay.messages, relay.scheduler.settings
     counts = Counter(entry.class_name for entry in messages.pending_entries())
@@ -129,7 +129,9 @@
     ]
     waiting = _pending_counter(relay)
     listed = heapq.nlargest(
-        most, states, key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score)
+        max_destinations,
+        states,
+        key=lambda item: (waiting(item[0]), len(item[2].in_flight), item[2].failure_score),
     )
     return Report(
         name=relay.config.name,
@@ -167,14 +169,14 @@
 
 
 def _destination_line(
-    relay: Relay, destination: int, key: int, destination_state: DestinationState, held: int, now: float
+    relay: Relay, destination: int, key: int, destination_state: DestinationState, pending: int, now: float
 ) -> Destination:
-    cold = now - destination_state.warming_since
+    warming_ms = now - destination_state.warming_since
     return Destination(
         destination=destination,
         route=None if key == -1 else key,
         endpoints=len(destination_state.endpoints),
-        held=held,
+        held=pending,
         out=len(destination_state.in_flight),
         pace=round(destination_state.send_rate, 3),
         part=None
@@ -183,6 +185,6 @@
         blame=round(destination_state.failure_score, 3),
         down=destination_state.is_ejected,
         wait_ms=round(max(0.0, destination_state.retry_after_until - now)),
-        cold_ms=round(cold) if cold < relay.scheduler.settings.safety.warm_up_ms else None,
+        cold_ms=round(warming_ms) if warming_ms < relay.scheduler.settings.safety.warm_up_ms else None,
         latency_ms=round(destination_state.latency_mean_ms, 1),
     )
--- a/message_relay/fleet/status.py
+++ b/message_relay/fleet/status.py
@@ -1,7 +1,7 @@
-"""Status sockets: whoever connects to the Unix socket (mode 0600) gets one report as JSON.
+"""Status sockets: each connection to the Unix socket (mode 0600) receives one report as JSON.
 
-No request is read, so callers cannot influence the process. At most `MAX_CALLERS` at once, each for
-`ANSWER_TIMEOUT_S`.
+No request is read, so callers cannot influence the process. At most `MAX_CALLERS` are served at a time, each
+for at most `ANSWER_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 log = logging.getLogger(__name__)
 
 MAX_CALLERS = 8
-ANSWER_TIMEOUT_S = 2.0  # a caller that reads more slowly is cut off
-MAX_REPORT_BYTES = 16 << 20  # no report is longer
-MAX_PATH_BYTES = 107  # of a Unix socket's path (unix(7))
-LAG_SAMPLE_S, LAG_SAMPLES = 0.25, 40  # interval and number of retained samples of the loop's lag: 10 s
+ANSWER_TIMEOUT_S = 2.0  # a caller that reads more slowly is disconnected
+MAX_REPORT_BYTES = 16 << 20  # maximum size of a report
+MAX_PATH_BYTES = 107  # maximum length of a Unix socket's path (unix(7))
+LAG_SAMPLE_S, LAG_SAMPLES = 0.25, 40  # interval and number of retained lag samples: 10 s
 
 
 class _Kind(msgspec.Struct):
@@ -33,7 +33,7 @@
 
 
 class StatusError(Exception):
-    """A report cannot be served or fetched; the text says why."""
+    """A report cannot be served or fetched; the message has the reason."""
 
 
 class LoopLag:
@@ -54,22 +54,24 @@
         self.start()
 
     def stop(self) -> None:
-        """Takes no more samples."""
+        """Stops sampling."""
         if self.timer is not None:
             self.timer.cancel()
 
     def summary(self) -> Lag:
-        """Median, 99th percentile and maximum of the retained samples."""
-        late = sorted(self.samples_ms)
-        if not late:
+        """Return median, 99th percentile and maximum of the retained samples."""
+        lags_ms = sorted(self.samples_ms)
+        if not lags_ms:
             return Lag()
         return Lag(
-            round(late[len(late) // 2], 2), round(late[int(0.99 * (len(late) - 1))], 2), round(late[-1], 2)
+            round(lags_ms[len(lags_ms) // 2], 2),
+            round(lags_ms[int(0.99 * (len(lags_ms) - 1))], 2),
+            round(lags_ms[-1], 2),
         )
 
 
 class UnixSocket:
-    """A Unix socket that only its owner may use; subclasses answer connections."""
+    """A listening Unix socket with access for its owner only; subclasses serve the connections."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -77,23 +79,23 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listens. Replaces the socket of a dead process, but no other file. Raises StatusError."""
+        """Starts listening. Replaces a stale socket, but no other file. Raises StatusError."""
         if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             raise StatusError(
-                f"{self.path}: a socket's path has {MAX_PATH_BYTES} bytes at most; "
-                "name a shorter status.folder"
+                f"{self.path}: a socket path has at most {MAX_PATH_BYTES} bytes; "
+                "set a shorter status.folder"
             )
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             if self.path.exists():
                 if not stat.S_ISSOCK(self.path.lstat().st_mode):
-                    raise StatusError(f"{self.path}: is there already, and is no socket")
+                    raise StatusError(f"{self.path}: already exists and is no socket")
                 self.path.unlink()
-            before = os.umask(0o177)
+            previous_umask = os.umask(0o177)
             try:
                 sock.bind(str(self.path))
             finally:
-                os.umask(before)
+                os.umask(previous_umask)
             self.server = await asyncio.start_unix_server(self._serve, sock=sock, backlog=MAX_CALLERS)
         except OSError as error:
             sock.close()
@@ -128,7 +130,7 @@
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     await writer.drain()
         except (OSError, TimeoutError):
-            pass  # the caller left, or does not read
+            pass  # the caller disconnected, or does not read
         except Exception:
             log.exception("status report failed")
         finally:
@@ -136,29 +138,29 @@
             writer.close()
 
 
-def socket_folder(named: str, env: dict[str, str] | None = None) -> Path | None:
-    """The folder for sockets: as configured, else the first of the service manager's $RUNTIME_DIRECTORY."""
-    told = named or (os.environ if env is None else env).get("RUNTIME_DIRECTORY", "").partition(":")[0]
-    return Path(told) if told else None
+def socket_folder(configured: str, env: dict[str, str] | None = None) -> Path | None:
+    """Return the folder for sockets: the configured one, else the first in $RUNTIME_DIRECTORY, else None."""
+    folder = configured or (os.environ if env is None else env).get("RUNTIME_DIRECTORY", "").partition(":")[0]
+    return Path(folder) if folder else None
 
 
-async def fetch_report(path: Path, seconds: float = 2.0) -> Report | FleetReport:
-    """Fetches a report. Raises StatusError without an answer in time, or for one that is no report."""
+async def fetch_report(path: Path, timeout_s: float = 2.0) -> Report | FleetReport:
+    """Fetches a report. Raises StatusError if there is no answer in time, or if it is not a report."""
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_REPORT_BYTES)
             try:
                 raw = await reader.read(-1)
             finally:
                 writer.close()
     except TimeoutError as error:
-        raise StatusError(f"{path.name}: no answer within {seconds:g} s") from error
+        raise StatusError(f"{path.name}: no answer within {timeout_s:g} s") from error
     except OSError as error:
         raise StatusError(f"{path.name}: {error.strerror}") from error
     try:
         head: _Kind = msgspec.json.decode(raw, type=_Kind)
-        shape: type[Report] | type[FleetReport] = FleetReport if head.kind == "fleet" else Report
-        told: Report | FleetReport = msgspec.json.decode(raw, type=shape)
-        return told
+        report_type: type[Report] | type[FleetReport] = FleetReport if head.kind == "fleet" else Report
+        report: Report | FleetReport = msgspec.json.decode(raw, type=report_type)
+        return report
     except ValueError as error:
         raise StatusError(f"{path.name}: no report: {error}") from error
--- a/message_relay/fleet/supervisor.py
+++ b/message_relay/fleet/supervisor.py
@@ -1,9 +1,9 @@
-"""Supervisor: many instances under one command, where there is no service manager; carries out `plan`.
+"""Supervisor: runs many instances under one command if there is no service manager; carries out `plan`.
 
-Each instance is a process of its own. The supervisor holds their listening sockets, so that a restart refuses
-no connection, receives their notifications (fleet/systemd_notify.py) and holds the pipe whose end stops them
-(fleet/parent_watch.py). SIGHUP reads the operator's file again, SIGUSR2 starts a rolling restart, SIGTERM and
-SIGINT stop all instances and then the supervisor.
+Each instance is a separate process. The supervisor holds the listening sockets, so that no connection is
+refused during a restart. It receives the instances' notifications (fleet/systemd_notify.py) and holds the
+pipe that stops the instances when it closes (fleet/parent_watch.py). SIGHUP rereads the operator's file,
+SIGUSR2 starts a rolling restart, SIGTERM and SIGINT stop all instances and then the supervisor.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-FIRST_PRIVATE_DESCRIPTOR = 10  # and above; the inherited socket goes to FIRST_DESCRIPTOR
+FIRST_PRIVATE_DESCRIPTOR = 10  # lowest own descriptor; FIRST_DESCRIPTOR is for the inherited socket
 MAX_DATAGRAM_BYTES = 4096
 SIGNALS = {
     SupervisorAction.RELOAD: signal.SIGHUP,
     SupervisorAction.TERM: signal.SIGTERM,
     SupervisorAction.KILL: signal.SIGKILL,
 }
-# Moves the listening socket to where LISTEN_FDS expects it, and becomes the program.
+# Moves the listening socket to the descriptor that LISTEN_FDS expects, and executes the program.
 LAUNCH_SCRIPT = """
 import os, sys
 given = int(sys.argv[1])
@@ -56,9 +56,9 @@
 
 
 def _ignore_reloads() -> None:
-    """Runs in an instance's process before its program: the default action of SIGHUP would end it.
+    """Runs in an instance's process before its program, since the default action of SIGHUP would end it.
 
-    The program sets its handler before it reads a file, so that no change is missed.
+    The program installs its handler before it reads a file, so that no change is missed.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
@@ -69,7 +69,7 @@
 
     listener: socket.socket
     notify: socket.socket
-    notify_path: Path  # of the notify socket
+    notify_path: Path  # path of the notify socket
     process: subprocess.Popen[bytes] | None = None
     pidfd: int = -1
     status_lines: dict[str, str] = field(default_factory=dict)  # the latest status line
@@ -78,41 +78,41 @@
 class Supervisor:
     """Starts and stops the instances of one operator's file."""
 
-    def __init__(self, file: Path, operator: OperatorConfig, runtime: Path | None) -> None:
-        """Raises OSError where a port is not available. `runtime`: the folder of status sockets, if any."""
-        self.file, self.operator, self.runtime = file, operator, runtime
+    def __init__(self, file: Path, operator_config: OperatorConfig, runtime: Path | None) -> None:
+        """Raises OSError if a port is not available. `runtime`: the folder of status sockets, if any."""
+        self.file, self.operator_config, self.runtime = file, operator_config, runtime
         self.clock = time.monotonic
         self.plan = Plan(
-            operator.supervisor,
-            operator.fleet.instances,
+            operator_config.supervisor,
+            operator_config.fleet.instances,
             self.clock(),
             int.from_bytes(os.urandom(4), "big"),
         )
         self.children: dict[int, Child] = {}
         self.changed = asyncio.Event()
         self.folder = tempfile.TemporaryDirectory(prefix="message_relay-")
-        reading, self.lifeline = os.pipe()
-        self.lifeline_reader = fcntl.fcntl(reading, fcntl.F_DUPFD_CLOEXEC, FIRST_PRIVATE_DESCRIPTOR)
-        os.close(reading)
+        read_end, self.lifeline = os.pipe()
+        self.lifeline_reader = fcntl.fcntl(read_end, fcntl.F_DUPFD_CLOEXEC, FIRST_PRIVATE_DESCRIPTOR)
+        os.close(read_end)
         self.status = StatusSocket(runtime / "fleet.sock", self.report) if runtime else None
-        for number in range(operator.fleet.instances):
+        for number in range(operator_config.fleet.instances):
             self._prepare(number)
 
     def _prepare(self, number: int) -> None:
         if number in self.children:
             return
-        part = self.operator.supervisor
-        listener = socket.create_server((part.host, part.port + number), backlog=LISTEN_BACKLOG)
+        section = self.operator_config.supervisor
+        listener = socket.create_server((section.host, section.port + number), backlog=LISTEN_BACKLOG)
         path = Path(self.folder.name) / str(number)
         notify = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         notify.bind(str(path))
         notify.setblocking(False)
         self.children[number] = Child(listener, notify, path)
 
-    # -- life --------------------------------------------------------------------------------------------
+    # -- main loop ---------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until all instances have stopped, after SIGTERM."""
+        """Runs until all instances have stopped after SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         handlers: dict[signal.Signals, Callable[[], None]] = {
             signal.SIGTERM: self._stop,
@@ -149,7 +149,7 @@
             log.error(LogEvent("status socket not available", why=error))
 
     def close(self) -> None:
-        """Kills remaining instances and closes all sockets, also after an internal error."""
+        """Kills the remaining instances and closes all sockets, also after an internal error."""
         for child in self.children.values():
             if child.process is not None and child.process.poll() is None:
                 child.process.kill()
@@ -173,24 +173,27 @@
         self.changed.set()
 
     def _reload(self) -> None:
-        """Applies a replaced file; an invalid file or an unavailable port changes nothing."""
+        """Applies a new operator's file; an invalid file or an unavailable port changes nothing."""
         try:
-            operator = read(self.file)
-            before = self.operator
-            self.operator = operator
+            operator_config = read(self.file)
+            previous = self.operator_config
+            self.operator_config = operator_config
             try:
-                for number in range(operator.fleet.instances):
+                for number in range(operator_config.fleet.instances):
                     if number not in self.children:
                         self._prepare(number)
                         self._listen(number)
             except OSError:
-                self.operator = before
+                self.operator_config = previous
                 raise
         except (OperatorError, OSError) as error:
             log.error(LogEvent("operator's file rejected", why=error))
             return
         self.plan.request_reload(
-            self.clock(), operator.supervisor, operator.fleet.instances, operator.fleet.settle_s
+            self.clock(),
+            operator_config.supervisor,
+            operator_config.fleet.instances,
+            operator_config.fleet.settle_s,
         )
         self.changed.set()
 
@@ -206,7 +209,7 @@
 
     def _start(self, number: int) -> None:
         child = self.children[number]
-        section = self.operator.supervisor
+        section = self.operator_config.supervisor
         state = Path(section.state) / str(number)
         try:
             state.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -235,7 +238,7 @@
         return [sys.executable, "-I", "-S", "-c", LAUNCH_SCRIPT, listener, *program]
 
     def _environment(self, number: int, child: Child, state: Path) -> dict[str, str]:
-        section = self.operator.supervisor
+        section = self.operator_config.supervisor
         env = {
             **os.environ,
             FILE_VARIABLE: str(self.file),
@@ -261,10 +264,10 @@
         assert child.process is not None
         asyncio.get_running_loop().remove_reader(child.pidfd)
         os.close(child.pidfd)
-        code = child.process.wait()  # at once: its pidfd says that it has ended
+        code = child.process.wait()  # does not block: the pidfd shows that the process has exited
         child.process, child.pidfd = None, -1
         child.status_lines.clear()
-        self._on_notification(number)  # its last notifications, before its exit is handled
+        self._on_notification(number)  # reads its last notifications before the exit is handled
         self.plan.on_exited(number, self.clock(), code)
         self.changed.set()
 
@@ -277,7 +280,7 @@
 
     def _on_notification(self, number: int) -> None:
         child = self.children[number]
-        for _ in range(64):  # bounded: the loop has other instances to read from
+        for _ in range(64):  # bounded, so that the event loop also serves other instances
             try:
                 text = child.notify.recv(MAX_DATAGRAM_BYTES).decode(errors="replace")
             except BlockingIOError:
@@ -296,7 +299,7 @@
         self.plan.log_events.clear()
 
     def report(self) -> FleetReport:
-        """The current report on all instances."""
+        """Return the current report on all instances."""
         now = self.clock()
         lines = []
         for number, instance in sorted(self.plan.instances.items()):
--- a/message_relay/fleet/systemd_notify.py
+++ b/message_relay/fleet/systemd_notify.py
@@ -1,9 +1,10 @@
 """Notifications to the service manager, as in sd_notify(3): `NAME=value` lines to `$NOTIFY_SOCKET`.
 
-READY=1 once messages are accepted, RELOADING=1 with MONOTONIC_USEC during a reload and READY=1 after it,
-STOPPING=1, STATUS for people, and WATCHDOG=1 at half of `$WATCHDOG_USEC`. The watchdog is a timer of the
-event loop, so a hanging loop sends none. Without `$NOTIFY_SOCKET` nothing is sent. Lines that the manager
-does not read in time are sent later, the latest of each name: at most a handful, and nothing blocks on them.
+Sends READY=1 once messages are accepted, RELOADING=1 with MONOTONIC_USEC during a reload and READY=1 after
+it, STOPPING=1, STATUS for people, and WATCHDOG=1 at half of `$WATCHDOG_USEC`. The watchdog is a timer of the
+event loop, so that a hanging loop sends no heartbeat. Without `$NOTIFY_SOCKET` nothing is sent. Lines that
+the manager does not read in time are sent later, only the latest of each name, so that few lines are buffered
+and sending never blocks.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_STATUS_BYTES = 500  # of a status line, at most
-FLUSH_RETRY_S = 0.2  # so much later what could not be said is tried again
+MAX_STATUS_BYTES = 500  # longer status lines are truncated
+FLUSH_RETRY_S = 0.2  # delay before unsent lines are retried
 
 
 class NotifyError(ValueError):
-    """A notification variable of the environment is not usable."""
+    """A notification variable of the environment is not valid."""
 
 
 @dataclass
@@ -33,14 +34,14 @@
     """Sends state changes and heartbeats to the service manager, never blocking."""
 
     address: str = ""  # empty: no service manager
-    watchdog_s: float = 0.0  # 0: not watched
+    watchdog_s: float = 0.0  # 0: no watchdog
     unsent: dict[str, str] = field(default_factory=dict)  # lines not yet sent, by name
     timers: dict[str, asyncio.TimerHandle] = field(default_factory=dict)
     socket: socket.socket | None = None
 
     @classmethod
     def from_environment(cls, env: MutableMapping[str, str] = os.environ) -> SystemdNotifier:
-        """Reads the variables and removes them, so that no child notifies for this process.
+        """Reads and removes the variables, so that no child process sends notifications in place of this one.
 
         Raises NotifyError.
         """
@@ -55,7 +56,7 @@
         return cls(address, int(usec) / 1e6 if usec and is_watched else 0.0)
 
     def start(self) -> None:
-        """Opens the socket and starts the watchdog timer. Call it on the event loop."""
+        """Opens the socket and starts the watchdog timer. Must be called in the event loop."""
         if not self.address:
             return
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
@@ -64,22 +65,22 @@
             self._send_heartbeat()
 
     def ready(self) -> None:
-        """Messages are accepted, or a reload is complete."""
-        self.unsent.pop("RELOADING", None)  # an unsent reload is over
+        """Notifies that messages are accepted, or that a reload is complete."""
+        self.unsent.pop("RELOADING", None)  # the unsent reload is complete
         self.unsent.pop("MONOTONIC_USEC", None)
         self._send(READY="1")
 
     def reloading(self) -> None:
-        """A reload has begun."""
+        """Notifies that a reload has started."""
         self.unsent.pop("READY", None)
         self._send(RELOADING="1", MONOTONIC_USEC=str(time.monotonic_ns() // 1000))
 
     def stopping(self) -> None:
-        """A graceful shutdown has begun."""
+        """Notifies that a graceful shutdown has started."""
         self._send(STOPPING="1")
 
     def status(self, text: str) -> None:
-        """A line for people, shown by the service manager."""
+        """Sends a human-readable line that the service manager shows."""
         line = " ".join(text.split()).encode()[:MAX_STATUS_BYTES].decode(errors="ignore")
         self._send(STATUS=line)
 
@@ -105,7 +106,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        """Sends all unsent lines in one datagram, now or later: a busy manager must not delay a shutdown."""
+        """Sends all unsent lines in one datagram, now or later; a busy manager must not delay a shutdown."""
         if self.socket is None or not self.unsent:
             return
         text = "\n".join(f"{name}={value}" for name, value in self.unsent.items())
