--- a/message_relay/cli/__init__.py
+++ b/message_relay/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands: `python -m message_relay COMMAND`, one file each. Needs the extra `ops`."""
+"""Commands of `python -m message_relay COMMAND`, one module each. Requires the extra `ops`."""
--- a/message_relay/cli/check.py
+++ b/message_relay/cli/check.py
@@ -1,4 +1,4 @@
-"""`check`: validates an operator's file and what it refers to."""
+"""`check`: validates an operator's file and the files and folders that it refers to."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 
 
 def faults(file: Path) -> tuple[OperatorConfig | None, list[str]]:
-    """The file if it can be read, and each fault as a line."""
+    """Return the parsed file (None if it is not valid) and one line per fault."""
     try:
-        operator = read(file)
+        operator_config = read(file)
     except OperatorError as error:
         return None, str(error).splitlines()
     found: list[str] = []
-    section = operator.supervisor
-    platform = section.config or os.environ.get("RELAY_CONFIG", "")
-    if platform:
-        given = {
-            "RELAY_CONFIG": platform,
+    section = operator_config.supervisor
+    platform_file = section.config or os.environ.get("RELAY_CONFIG", "")
+    if platform_file:
+        env = {
+            "RELAY_CONFIG": platform_file,
             "RELAY_NAME": "0",
             "RELAY_LISTEN": f"{section.host}:{section.port}",
             "RELAY_STATE": section.state,
         }
         try:
-            load(given)
+            load(env)
         except ConfigError as error:
             found.append(f"{file}: supervisor.config: {error}" if section.config else str(error))
-    if operator.log.format != "plain":
+    if operator_config.log.format != "plain":
         try:
             import structlog  # noqa: F401
         except ImportError:
-            found.append(f"{file}: log.format: {operator.log.format!r} needs the extra 'ops'")
-    folder = operator.status.folder
+            found.append(f"{file}: log.format: {operator_config.log.format!r} needs the extra 'ops'")
+    folder = operator_config.status.folder
     if folder and not Path(folder).is_dir():
-        found.append(f"{file}: status.folder: {folder!r} is no folder: make it, with mode 0700")
-    return operator, found
+        found.append(f"{file}: status.folder: {folder!r} is not a folder: create it with mode 0700")
+    return operator_config, found
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check an operator's FILE as a whole; 0 if it makes sense, 2 if not, with each fault on a line."""
-    operator, found = faults(file)
+    """Validate an operator's FILE; exits with 0 if it is valid, else with 2 and one line per fault."""
+    operator_config, found = faults(file)
     for fault in found:
         click.echo(fault, err=True)
-    if found or operator is None:
+    if found or operator_config is None:
         sys.exit(2)
-    shared = "kept together" if operator.fleet.share_rates else "not kept together"
-    click.echo(f"{file}: good: {operator.fleet.instances} instances, listed rates {shared}")
+    shared = "kept together" if operator_config.fleet.share_rates else "not kept together"
+    click.echo(f"{file}: good: {operator_config.fleet.instances} instances, listed rates {shared}")
--- a/message_relay/cli/demo.py
+++ b/message_relay/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: a relay, two endpoints and a client on loopback, for a newcomer to watch. Ends by itself."""
+"""`demo`: runs a relay, two endpoints and a client on loopback to show the relay at work. Ends by itself."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 MESSAGES_PER_S = 20.0  # submitted by the client
 MIN_DURATION_S = 12.0
-QUIET_END_S = 5.0  # nothing is submitted so long before the end: pending messages have time to finish
-DOWN_FROM, DOWN_FOR = 0.25, 0.2  # parts of the whole time
-START_TIMEOUT_S = 20.0  # a process that is not ready by then is a fault
-CLASSES = (  # name, effect, deadline: as an office for translations might have them
+QUIET_END_S = 5.0  # no submissions this long before the end, so that pending messages can finish
+DOWN_FROM, DOWN_FOR = 0.25, 0.2  # start and length of partner 2's outage, as shares of the duration
+START_TIMEOUT_S = 20.0  # the demo fails if a process is not ready by then
+CLASSES = (  # (name, effect, deadline in ms), as a translation office might have them
     ("order", "by_key", 9000),
     ("payout", "once", 9000),
     ("status", "repeatable", 5000),
@@ -35,7 +35,7 @@
 
 
 def settings() -> dict[str, Any]:
-    """Settings of the demo in the platform's form."""
+    """Return the demo's settings in the platform's format."""
     return {
         "az": 0,
         "balancers": 1,
@@ -70,7 +70,7 @@
 
 @dataclass
 class Demo:
-    """The processes of the demo, and what its client saw."""
+    """The processes of the demo, and the results of its client."""
 
     folder: Path
     seconds: float
@@ -80,7 +80,7 @@
     rejected: int = 0
 
     async def start(self, *args: str, **env: str) -> str:
-        """Starts a module as a process of its own; the address that it prints, if it prints one."""
+        """Starts a module as a separate process; returns the address that it prints, empty for the relay."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -95,11 +95,11 @@
         assert process.stdout is not None
         line = (await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)).decode()
         if not line.startswith("ready "):
-            raise click.ClickException(f"{args[0]} does not start: is this run from the repository's folder?")
+            raise click.ClickException(f"{args[0]} does not start: is the current folder the repository?")
         return line.split()[1]
 
     async def set_up(self) -> None:
-        """Starts endpoints, discovery and the relay."""
+        """Starts the endpoints, the discovery agent and the relay."""
         self.folder.joinpath("state").mkdir()
         down = f"{self.seconds * DOWN_FROM:.1f}:{self.seconds * DOWN_FOR:.1f}"
         ledgers = [("--ledger", str(self.folder / f"partner-{n}")) for n in (1, 2)]
@@ -121,7 +121,7 @@
         entries = [
             {
                 "instanceId": f"partner-{n}",
-                "hostPort": at,
+                "hostPort": address,
                 "zone": "z",
                 "machineType": "office",
                 "cell": n,
@@ -129,7 +129,7 @@
                 "weight": 30.0,
                 "startedAtMs": 0,
             }
-            for n, at in enumerate(partners, 1)
+            for n, address in enumerate(partners, 1)
         ]
         known = {"generation": 1, "reset": True, "instances": entries}
         (self.folder / "list.json").write_text(json.dumps(known))
@@ -162,27 +162,27 @@
             str(self.folder / "relay.toml"),
             RELAY_CONFIG=str(self.folder / "config.json"),
         )
-        ends = time.monotonic() + START_TIMEOUT_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         while await self.report() is None:
-            if time.monotonic() > ends or self.processes[-1].returncode is not None:
-                raise click.ClickException("the relay does not start: DEMO_LOG=1 shows why")
+            if time.monotonic() > deadline or self.processes[-1].returncode is not None:
+                raise click.ClickException("the relay does not start: set DEMO_LOG=1 to see its log")
             await asyncio.sleep(0.05)
 
     async def report(self) -> Report | None:
-        """The relay's status report, if it answers."""
+        """Return the relay's status report; None if it does not answer."""
         try:
-            told = await fetch_report(self.folder / "0.sock")
+            report = await fetch_report(self.folder / "0.sock")
         except StatusError:
             return None
-        return told if isinstance(told, Report) else None
+        return report if isinstance(report, Report) else None
 
-    async def hand_in(self) -> None:
-        """The client: a message after the other, for each partner and of each class in turn."""
+    async def submit_messages(self) -> None:
+        """Runs the client: submits one message after another, alternating between partners and classes."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        begun = time.monotonic()
+        started = time.monotonic()
         with contextlib.closing(writer):
             for n in itertools.count():
-                await asyncio.sleep(max(0.0, begun + n / MESSAGES_PER_S - time.monotonic()))
+                await asyncio.sleep(max(0.0, started + n / MESSAGES_PER_S - time.monotonic()))
                 class_, _, deadline = CLASSES[n % len(CLASSES)]
                 ident, body = f"demo-{n}", b"a document to translate"
                 writer.write(
@@ -201,44 +201,44 @@
                     self.rejected += 1
 
     def effects(self) -> list[Counter[str]]:
-        """What took effect at each partner, by message."""
+        """Return the number of effects per message id, for each partner."""
         return [Counter(line.split()[1] for line in lines(self.folder / f"partner-{n}")) for n in (1, 2)]
 
-    def ends(self) -> Counter[str]:
-        """Final answers that came as notices, by message: one may be told twice, and counts once."""
-        told = {(item["id"], item["state"]) for item in map(json.loads, lines(self.folder / "notices"))}
-        return Counter(ident for ident, _ in told)
+    def notified_outcomes(self) -> Counter[str]:
+        """Return the number of distinct notified outcomes per message id; repetitions count once."""
+        outcomes = {(item["id"], item["state"]) for item in map(json.loads, lines(self.folder / "notices"))}
+        return Counter(ident for ident, _ in outcomes)
 
     async def progress(self, second: int) -> str:
-        """One line about the state of the demo."""
-        told = await self.report()
+        """Return one line with the state of the demo."""
+        report = await self.report()
         counts = [sum(partner.values()) for partner in self.effects()]
         state = "no report"
-        if told is not None:
-            down = [f"partner {one.destination} down" for one in told.destinations if one.down]
-            cold = [
-                f"partner {one.destination} back, spared"
-                for one in told.destinations
-                if one.cold_ms is not None and not one.down
+        if report is not None:
+            down = [f"partner {each.destination} down" for each in report.destinations if each.down]
+            warming_up = [
+                f"partner {each.destination} warming up"
+                for each in report.destinations
+                if each.cold_ms is not None and not each.down
             ]
-            state = f"held {told.held:3}  " + (", ".join(down + cold) or "all well")
+            state = f"pending {report.held:3}  " + (", ".join(down + warming_up) or "all partners up")
         return (
-            f"{second:3} s  taken {len(self.accepted):4}  delivered {counts[0]:4} + {counts[1]:4}  "
-            f"given back {sum(self.ends().values()):3}  {state}"
+            f"{second:3} s  accepted {len(self.accepted):4}  delivered {counts[0]:4} + {counts[1]:4}  "
+            f"failed or returned {sum(self.notified_outcomes().values()):3}  {state}"
         )
 
-    async def settle(self) -> None:
-        """Until nothing is held, or no message can have time left."""
-        ends = time.monotonic() + max(deadline for _, _, deadline in CLASSES) / 1000 + 1
-        while time.monotonic() < ends:
-            told = await self.report()
-            if told is not None and not (told.held or told.ends_waiting):
+    async def wait_until_idle(self) -> None:
+        """Waits until no message is pending, at most until the last deadline has passed."""
+        give_up = time.monotonic() + max(deadline for _, _, deadline in CLASSES) / 1000 + 1
+        while time.monotonic() < give_up:
+            report = await self.report()
+            if report is not None and not (report.held or report.ends_waiting):
                 return
             await asyncio.sleep(0.2)
 
     async def close(self) -> None:
         """Stops all processes."""
-        for process in reversed(self.processes):  # the relay first: others hear its last words
+        for process in reversed(self.processes):  # the relay first: it still notifies the others
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
             try:
@@ -248,12 +248,12 @@
 
 
 def lines(path: Path) -> list[str]:
-    """Lines of a ledger; none before it is written."""
+    """Return the lines of a ledger; none if the file does not exist yet."""
     return path.read_text().splitlines() if path.exists() else []
 
 
 def free_port() -> int:
-    """A port that is free at this moment."""
+    """Return a TCP port that is currently free."""
     import socket
 
     with socket.socket() as sock:
@@ -262,46 +262,47 @@
 
 
 @contextlib.asynccontextmanager
-async def prepared(seconds: float) -> AsyncIterator[Demo]:
-    """A running demo; everything is stopped at the end."""
+async def running_demo(seconds: float) -> AsyncIterator[Demo]:
+    """Yields a running demo, and stops all its processes at the end."""
     with tempfile.TemporaryDirectory(prefix="message_relay-demo-") as folder:
-        it = Demo(Path(folder), seconds)
+        demo_run = Demo(Path(folder), seconds)
         try:
-            await it.set_up()
-            yield it
+            await demo_run.set_up()
+            yield demo_run
         finally:
-            await it.close()
+            await demo_run.close()
 
 
 async def show(seconds: float) -> bool:
-    """Plays the demo; whether each accepted message finished exactly once."""
-    """True if each message that was taken had exactly one end, and none took effect twice."""
-    async with prepared(seconds) as it:
-        click.echo("A relay, two partners, one client. Partner 2 goes down for a while and comes back cold.")
-        client = asyncio.ensure_future(it.hand_in())
-        begun = time.monotonic()
+    """Runs the demo; returns whether each accepted message finished."""
+    """True if each accepted message has an effect or a notified outcome, and none has two effects."""
+    async with running_demo(seconds) as demo_run:
+        click.echo("A relay, two partners, one client. Partner 2 goes down for a while, then warms up.")
+        client = asyncio.ensure_future(demo_run.submit_messages())
+        started = time.monotonic()
         for second in range(1, int(seconds - QUIET_END_S) + 1):
-            await asyncio.sleep(max(0.0, begun + second - time.monotonic()))
-            click.echo(await it.progress(second))
+            await asyncio.sleep(max(0.0, started + second - time.monotonic()))
+            click.echo(await demo_run.progress(second))
             if client.done():
                 raise click.ClickException(f"the client failed: {client.exception()!r}")
         client.cancel()
         await asyncio.gather(client, return_exceptions=True)
-        await it.settle()
-        click.echo(await it.progress(int(time.monotonic() - begun)))
-        effects, ends = it.effects(), it.ends()
+        await demo_run.wait_until_idle()
+        click.echo(await demo_run.progress(int(time.monotonic() - started)))
+        effects, outcomes = demo_run.effects(), demo_run.notified_outcomes()
         delivered = effects[0] + effects[1]
-        without = [ident for ident in it.accepted if ident not in delivered and ident not in ends]
-        twice = [ident for ident, count in delivered.items() if count > 1]
+        lost = [ident for ident in demo_run.accepted if ident not in delivered and ident not in outcomes]
+        duplicated = [ident for ident, count in delivered.items() if count > 1]
         click.echo(
-            f"{len(it.accepted)} taken, {len(delivered)} took effect, {len(ends)} given back, "
-            f"{it.rejected} refused; without an end {len(without)}, twice {len(twice)}"
+            f"{len(demo_run.accepted)} accepted, {len(delivered)} delivered, "
+            f"{len(outcomes)} failed or returned, {demo_run.rejected} rejected; "
+            f"without a final outcome {len(lost)}, delivered twice {len(duplicated)}"
         )
-        return not without and not twice
+        return not lost and not duplicated
 
 
 @click.command()
 @click.option("--seconds", type=click.FloatRange(MIN_DURATION_S, 3600), default=30.0, show_default=True)
 def demo(seconds: float) -> None:
-    """Show a relay at work on loopback: deliveries, a partner that goes down, its return. Ends by itself."""
+    """Show a relay at work on loopback: deliveries, an outage of a partner and its return. Ends by itself."""
     sys.exit(0 if asyncio.run(show(seconds)) else 1)
--- a/message_relay/cli/fleet.py
+++ b/message_relay/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet`: many instances under one command, where there is no service manager."""
+"""`fleet`: runs many instances under one command if there is no service manager."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
 
 
 async def supervise(file: Path) -> None:
-    """Runs the supervisor. Raises OperatorError, or OSError where a port or folder is not available."""
-    operator = read(file)
-    if operator.log != LogSection():
-        configure_structured_logging(operator.log.format, operator.log.level, operator.log.lines)
-    folder = socket_folder(operator.status.folder)
+    """Runs the supervisor. Raises OperatorError; OSError if a port or folder is not available."""
+    operator_config = read(file)
+    if operator_config.log != LogSection():
+        configure_structured_logging(
+            operator_config.log.format, operator_config.log.level, operator_config.log.lines
+        )
+    folder = socket_folder(operator_config.status.folder)
     if folder is not None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    await Supervisor(file, operator, folder).run()
+    await Supervisor(file, operator_config, folder).run()
 
 
 @click.command()
@@ -33,12 +35,12 @@
     "--config", "file", type=click.Path(path_type=Path), required=True, help="The operator's file (TOML)."
 )
 @click.option(
-    "--instances", type=click.IntRange(1, INSTANCES_MAX), help="Goes before fleet.instances of the file."
+    "--instances", type=click.IntRange(1, INSTANCES_MAX), help="Overrides fleet.instances of the file."
 )
 def fleet(file: Path, instances: int | None) -> None:
-    """Start, watch, restart and end the instances of a fleet.
+    """Start, monitor, restart and stop the instances of a fleet.
 
-    SIGHUP reads the file again, SIGUSR2 restarts all one by one, SIGTERM ends all.
+    SIGHUP rereads the file, SIGUSR2 restarts all instances one by one, SIGTERM stops all of them.
     """
     configure_plain_logging()
     if instances is not None:
--- a/message_relay/cli/journal.py
+++ b/message_relay/cli/journal.py
@@ -1,4 +1,4 @@
-"""The `journal` command: what a state directory holds. Reads only, also while a relay uses the directory."""
+"""`journal`: shows the content of a state directory. Read-only, so it is safe beside a running relay."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..store.records import RECORD_TYPE_LABELS, UNFINISHED_IDS_DECODER, Attempt, JournalEntry, RecordType
 from ..store.recovery import RecoveredState, recover
 
-# Names of a snapshot's fields in the output, in the order in which they are stored; the body comes last.
+# Labels of a snapshot's fields in the output, in the order of the format; the body comes last.
 SNAPSHOT_LABELS = (
     "class",
     "tenant",
@@ -34,21 +34,21 @@
     "told",
     "from",
 )
-MAX_READS = 5  # a relay may remove a segment between the listing of the directory and the read of the file
+MAX_READS = 5  # retries, since a relay may remove a segment after the directory was listed
 
 
 class ReadOnlyFileStore(DirectoryFileStore):
-    """A directory in which nothing is ever written."""
+    """A directory of which no file is ever changed."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Raises OSError, as all calls that would write."""
-        raise OSError("this is a tool that only reads")
+        """Raises OSError, like all calls that would write."""
+        raise OSError("read-only: this tool changes no file")
 
     rename = unlink = append  # type: ignore[assignment]
 
 
 def recover_state(folder: Path) -> RecoveredState:
-    """What a start would recover. Raises ClickException if it can't be read."""
+    """Return the state that a start would recover. Raises ClickException if it can't be read."""
     for _ in range(MAX_READS):
         try:
             return recover(ReadOnlyFileStore(folder))
@@ -60,7 +60,7 @@
 
 
 def read_records(folder: Path) -> list[RecordLine]:
-    """All records in order. Raises ClickException if the segments change too quickly."""
+    """Return all records in order. Raises ClickException if the segments change too quickly."""
     for _ in range(MAX_READS):
         try:
             return list(record_lines(ReadOnlyFileStore(folder)))
@@ -70,12 +70,12 @@
 
 
 def describe(line: RecordLine) -> str:
-    """What a record states, without the body."""
+    """Return the content of a record as text, without the body."""
     if not line.is_readable:
         return "cannot be read"
     if line.kind == RECORD_TYPE_LABELS[RecordType.UNFINISHED_IDS]:
         ids_by_origin = UNFINISHED_IDS_DECODER.decode(line.payload)
-        return f"{sum(map(len, ids_by_origin.values()))} messages are owed something"
+        return f"{sum(map(len, ids_by_origin.values()))} unfinished messages"
     if not line.payload:
         return ""
     value = msgspec.msgpack.decode(line.payload)
@@ -92,7 +92,7 @@
 
 @click.group()
 def journal() -> None:
-    """Look into a state FOLDER: verify, show, stats."""
+    """Inspect a state FOLDER: verify, show, stats."""
 
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
@@ -102,7 +102,7 @@
 @journal.command()
 @FOLDER
 def verify(folder: Path) -> None:
-    """Read all of it; 0 if it is well, 1 if there is damage, a line for each."""
+    """Read all records; exits with 0 if they are intact, with 1 and one line per damage if not."""
     started_s = time.perf_counter()
     state = recover_state(folder)
     elapsed_ms = (time.perf_counter() - started_s) * 1000
@@ -121,7 +121,7 @@
 @click.argument("ident")
 @JSON
 def show(folder: Path, ident: str, json_: bool) -> None:
-    """Tell a message's whole history, and what a start would make of it; 1 if nothing names it."""
+    """Show all records of a message and its recovered state; exits with 1 if there are none."""
     lines = [line for line in read_records(folder) if line.message_id == ident]
     entry = recover_state(folder).entries.get(ident)
     document = None if entry is None else _entry_document(entry)
@@ -136,7 +136,7 @@
     sys.exit(0 if lines or entry is not None else 1)
 
 
-# Keys of `journal show` that differ from the fields' names; scripts of operators read them.
+# Keys of `journal show` that differ from the field names; operators' scripts read them.
 ENTRY_KEYS = {
     "class_name": "class_",
     "destination": "dest",
@@ -154,13 +154,13 @@
 
 
 def _attempt_document(attempt: Attempt) -> dict[str, object]:
-    """An attempt under the keys of the tool's output."""
+    """Return an attempt with the keys of the tool's output."""
     fields: dict[str, object] = msgspec.to_builtins(attempt)
     return {ATTEMPT_KEYS.get(name, name): value for name, value in fields.items()}
 
 
 def _entry_document(entry: JournalEntry) -> dict[str, object]:
-    """A message under the keys of the tool's output: its body is replaced by the body's length."""
+    """Return a message with the keys of the tool's output; the body is replaced by its length."""
     document: dict[str, object] = {}
     for field in dataclasses.fields(entry):
         value = getattr(entry, field.name)
@@ -176,7 +176,7 @@
 @FOLDER
 @JSON
 def stats(folder: Path, json_: bool) -> None:
-    """Count what is there."""
+    """Count segments, records and messages."""
     state = recover_state(folder)
     entries = state.entries.values()
     record_counts = Counter(line.kind for line in read_records(folder))
--- a/message_relay/cli/main.py
+++ b/message_relay/cli/main.py
@@ -1,4 +1,4 @@
-"""Names the commands; what each does lies in its own file."""
+"""Command line entry point: the group of all commands, each in its own module."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def group() -> None:
-    """A relay that keeps what it takes in a journal and delivers it to endpoints that it does not control.
+    """A message relay: stores accepted messages in a journal and delivers them to external endpoints.
 
     Without a command it runs one instance, configured by the RELAY_ variables.
     """
@@ -27,6 +27,6 @@
 
 
 def main() -> int:
-    """Runs the command line; ends the process."""
+    """Runs the command line and exits the process."""
     group(prog_name="message_relay")
     return 0
--- a/message_relay/cli/rules.py
+++ b/message_relay/cli/rules.py
@@ -1,4 +1,4 @@
-"""`rules`: the versions of rules on which the instances agree (docs/accord.md)."""
+"""`rules`: manages the versions of rules on which the instances agree (docs/accord.md)."""
 
 from __future__ import annotations
 
@@ -35,57 +35,57 @@
             raise click.UsageError(str(error)) from error
         folder = socket_folder(self.operator_config.status.folder)
         if folder is None:
-            raise click.UsageError(f"{config}: status.folder is needed: instances are asked there")
+            raise click.UsageError(f"{config}: status.folder is needed: it contains the admin sockets")
         self.paths = sorted(folder.glob("*.rules")) if number is None else [folder / f"{number}.rules"]
 
     def request(self, **request: Any) -> dict[str, Any]:
         """Sends a request to the first instance that answers. Exits with 1 if none does."""
-        why = "no instance has a socket there"
+        reason = "no instance has a socket there"
         for path in self.paths:
             try:
                 return asyncio.run(send_request(path, request))
             except StatusError as error:
-                why = str(error)
-        raise click.ClickException(why)
+                reason = str(error)
+        raise click.ClickException(reason)
 
     def request_all(self, **request: Any) -> list[dict[str, Any]]:
-        """Sends a request to each instance; a row with `silent` for one that does not answer."""
-        found = []
+        """Sends a request to each instance; an instance that does not answer gets a row with `silent`."""
+        answers = []
         for path in self.paths:
             try:
-                found.append(asyncio.run(send_request(path, request)))
+                answers.append(asyncio.run(send_request(path, request)))
             except StatusError as error:
-                found.append({"name": path.stem, "silent": str(error)})
-        return found
+                answers.append({"name": path.stem, "silent": str(error)})
+        return answers
 
-    def show(self, what: Any, table: Callable[[], Table | str]) -> None:
+    def show(self, answer: Any, table: Callable[[], Table | str]) -> None:
         """Prints an answer as JSON or as a table."""
         if self.as_json:
-            click.echo(msgspec.json.format(msgspec.json.encode(what)).decode())
+            click.echo(msgspec.json.format(msgspec.json.encode(answer)).decode())
         else:
             Console().print(table())
 
-    def finish(self, answer: dict[str, Any], done: str) -> None:
+    def finish(self, answer: dict[str, Any], success_text: str) -> None:
         """Prints the result of a command. Exits with 1 if it was refused."""
-        self.show(answer, lambda: answer.get("refused") or done.format(**answer))
+        self.show(answer, lambda: answer.get("refused") or success_text.format(**answer))
         if answer.get("refused"):
             sys.exit(1)
 
 
 pass_instances = click.make_pass_decorator(InstanceSockets)
-author = click.option("--author", default=getpass.getuser, help="Who says so; you, unless named.")
-cause = click.option("--cause", required=True, help="Why, in a sentence: it stays with the version.")
+author = click.option("--author", default=getpass.getuser, help="Author of the change; by default you.")
+cause = click.option("--cause", required=True, help="Reason for the change, stored with the version.")
 
 
 def instance_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Adds the options that name the instances to ask."""
+    """Adds the options that select the instances to ask."""
     for option in (
         click.pass_context,
-        click.option("--json", "as_json", is_flag=True, help="All that is answer, as JSON."),
+        click.option("--json", "as_json", is_flag=True, help="Print the complete answer as JSON."),
         click.option(
             "--instance",
             type=click.IntRange(0, INSTANCES_MAX - 1),
-            help="Ask this one; else the first that answers.",
+            help="Instance to ask; by default the first one that answers.",
         ),
         click.option(
             "--config", type=click.Path(path_type=Path), required=True, help="The operator's file (TOML)."
@@ -98,7 +98,7 @@
 @click.group()
 @instance_options
 def rules(context: click.Context, config: Path, instance: int | None, as_json: bool) -> None:
-    """Agree on versions of rules: propose, look, promote, take back."""
+    """Manage versions of rules: propose, inspect, promote and withdraw them."""
     context.obj = InstanceSockets(config, instance, as_json)
 
 
@@ -108,15 +108,15 @@
     "--share",
     type=click.FloatRange(0, 1, min_open=True),
     default=1.0,
-    help="Try it on this share of the relays first; it must be stricter in all that changes.",
+    help="Apply it to this share of the relays first (canary); every change must be stricter.",
 )
-@click.option("--guard", type=click.FloatRange(0, 2), help="Take it back if service falls under this ratio.")
-@click.option("--watch", type=float, default=30.0, help="The guard watches for so many seconds.")
-@click.option("--least", type=int, default=50, help="Messages on each side before the guard says anything.")
+@click.option("--guard", type=click.FloatRange(0, 2), help="Withdraw the canary below this service ratio.")
+@click.option("--watch", type=float, default=30.0, help="Duration of the guard in seconds.")
+@click.option("--least", type=int, default=50, help="Messages needed on each side before the guard decides.")
 @click.option(
-    "--promote", "promoted", is_flag=True, help="Promote a trial that the guard has seen to do no harm."
+    "--promote", "promoted", is_flag=True, help="Promote the canary if the guard finds it harmless."
 )
-@click.option("--base", type=int, help="The newest version that you have seen; else the newest there is.")
+@click.option("--base", type=int, help="Newest version known to you; by default the newest one.")
 @cause
 @author
 @pass_instances
@@ -155,7 +155,7 @@
 @author
 @pass_instances
 def promote(instances: InstanceSockets, number: int, author: str) -> None:
-    """Have a version that is on trial hold for all."""
+    """Apply a canary version to all instances."""
     instances.finish(
         instances.request(ask="promote", number=number, author=author), "version {number} is current"
     )
@@ -167,7 +167,7 @@
 @author
 @pass_instances
 def withdraw(instances: InstanceSockets, number: int, cause: str, author: str) -> None:
-    """Take back a version that is on trial."""
+    """Withdraw a canary version."""
     instances.finish(
         instances.request(ask="withdraw", number=number, cause=cause, author=author),
         "version {number} is withdrawn",
@@ -176,11 +176,11 @@
 
 @rules.command()
 @click.argument("number", type=int)
-@click.option("--cause", default="", help="Why.")
+@click.option("--cause", default="", help="Reason for the change.")
 @author
 @pass_instances
 def revert(instances: InstanceSockets, number: int, cause: str, author: str) -> None:
-    """Bring back the rules of version NUMBER as a new version."""
+    """Propose the rules of version NUMBER again as a new version."""
     instances.finish(
         instances.request(ask="revert", number=number, cause=cause, author=author),
         "version {number} is agreed on",
@@ -188,17 +188,17 @@
 
 
 @rules.command()
-@click.option("--add", type=click.IntRange(0, INSTANCES_MAX - 1), help="An instance that is to vote.")
-@click.option("--remove", type=click.IntRange(0, INSTANCES_MAX - 1), help="One that is not to vote any more.")
+@click.option("--add", type=click.IntRange(0, INSTANCES_MAX - 1), help="Instance that becomes a voter.")
+@click.option("--remove", type=click.IntRange(0, INSTANCES_MAX - 1), help="Voter that becomes non-voting.")
 @author
 @pass_instances
 def voters(instances: InstanceSockets, add: int | None, remove: int | None, author: str) -> None:
-    """Change who votes, one instance at a time; ask one that votes."""
+    """Change the voters, one instance at a time; the instance asked must be a voter."""
     if (add is None) == (remove is None):
-        raise click.UsageError("--add or --remove is needed, not both: a step at a time")
+        raise click.UsageError("either --add or --remove is needed, not both: one change at a time")
     instances.finish(
         instances.request(ask="voters", add=add, remove=remove, author=author),
-        "version {number}: the voters are others",
+        "version {number}: the voters have changed",
     )
 
 
@@ -207,16 +207,16 @@
 @author
 @pass_instances
 def forget(instances: InstanceSockets, name: str, author: str) -> None:
-    """Say that instance NAME's process has ended for good: nothing waits for it any more.
+    """Declare that the process of instance NAME has ended permanently, so that nothing waits for it.
 
-    A process that has not ended and is only cut off would break the rules that are agreed on meanwhile."""
+    If the process still runs and is only disconnected, it violates rules that are agreed on meanwhile."""
     instances.finish(instances.request(ask="forget", name=name, author=author), f"{name} is forgotten")
 
 
 @rules.command()
 @pass_instances
 def status(instances: InstanceSockets) -> None:
-    """By which version each instance acts, and what it waits for; 1 if one does not answer."""
+    """Show the version each instance acts by and what it waits for; exits with 1 if one does not answer."""
     answer = instances.request_all(ask="status")
 
     def table() -> Table:
@@ -255,7 +255,7 @@
 @rules.command()
 @pass_instances
 def history(instances: InstanceSockets) -> None:
-    """The versions, newest last."""
+    """List the versions, newest last."""
     answer = instances.request(ask="history")
 
     def table() -> Table:
@@ -279,23 +279,23 @@
 @click.argument("second", type=int)
 @pass_instances
 def diff(instances: InstanceSockets, first: int, second: int) -> None:
-    """What changes from version FIRST to SECOND."""
-    sets = []
+    """Show the changes from version FIRST to version SECOND."""
+    rule_sets = []
     for number in (first, second):
         answer = instances.request(ask="version", number=number)
         if answer.get("refused"):
             raise click.ClickException(answer["refused"])
-        sets.append(decode_rules(msgspec.json.encode(answer["rules"])))
-    found = diff_rules(*sets)
-    instances.show(found, lambda: "\n".join(found) or "they allow the same")
+        rule_sets.append(decode_rules(msgspec.json.encode(answer["rules"])))
+    changes = diff_rules(*rule_sets)
+    instances.show(changes, lambda: "\n".join(changes) or "no differences")
 
 
 @rules.command()
 @click.argument("message")
 @pass_instances
 def explain(instances: InstanceSockets, message: str) -> None:
-    """Under which version a message was sent or held back, and why: of the latest calls of each instance."""
-    found = [
+    """Show by which version a message was sent or withheld, and why, from each instance's latest calls."""
+    calls = [
         {"instance": path.stem, **call}
         for path, answer in zip(
             instances.paths, instances.request_all(ask="explain", message=message), strict=True
@@ -305,10 +305,10 @@
 
     def table() -> Table:
         rows = Table("instance", "at ms", "version", "verdict")
-        for each in found:
+        for each in calls:
             rows.add_row(each["instance"], f"{each['at_ms']:.0f}", each["version"], each["why"] or "allowed")
         return rows
 
-    instances.show(found, table)
-    if not found:
+    instances.show(calls, table)
+    if not calls:
         sys.exit(1)
--- a/message_relay/cli/status.py
+++ b/message_relay/cli/status.py
@@ -1,4 +1,4 @@
-"""`status`: reports of instances and their supervisor, as tables, JSON or Prometheus' text format."""
+"""`status`: shows reports of instances and their supervisor as tables, JSON or Prometheus text format."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from ..fleet.report import FleetReport, Report
 from ..fleet.status import StatusError, fetch_report, socket_folder
 
-MAX_TABLE_ROWS = 20  # destinations; --json has all that are reported
+MAX_TABLE_ROWS = 20  # destinations in the table; --json has all reported ones
 CONCURRENT_REQUESTS = 16  # sockets read at once
 
 
 async def fetch_reports(folder: Path) -> tuple[list[Report], FleetReport | None, list[str]]:
-    """Reports of all sockets in a folder, the supervisor's report, and errors of those that do not answer."""
-    gate = asyncio.Semaphore(CONCURRENT_REQUESTS)
+    """Return the instances' reports, the supervisor's report and the errors of sockets that do not answer."""
+    semaphore = asyncio.Semaphore(CONCURRENT_REQUESTS)
 
-    async def one(path: Path) -> Report | FleetReport | str:
-        async with gate:
+    async def fetch(path: Path) -> Report | FleetReport | str:
+        async with semaphore:
             try:
                 return await fetch_report(path)
             except StatusError as error:
                 return str(error)
 
-    found = await asyncio.gather(*(one(path) for path in sorted(folder.glob("*.sock"))))
+    answers = await asyncio.gather(*(fetch(path) for path in sorted(folder.glob("*.sock"))))
     instances = sorted(
-        (report for report in found if isinstance(report, Report)), key=lambda report: report.instance
+        (report for report in answers if isinstance(report, Report)), key=lambda report: report.instance
     )
-    fleet = next((report for report in found if isinstance(report, FleetReport)), None)
-    return instances, fleet, [report for report in found if isinstance(report, str)]
+    fleet = next((report for report in answers if isinstance(report, FleetReport)), None)
+    return instances, fleet, [answer for answer in answers if isinstance(answer, str)]
 
 
 def instances_table(reports: Sequence[Report]) -> Table:
-    """One row for each instance."""
+    """Return a table with one row per instance."""
     table = Table(
         "instance",
         "state",
@@ -71,7 +71,7 @@
 
 
 def destinations_table(reports: Sequence[Report]) -> Table:
-    """One row for each destination of each instance, most pending messages first."""
+    """Return a table with one row per destination and instance, most pending messages first."""
     table = Table(
         "destination",
         "instance",
@@ -85,32 +85,32 @@
         title="destinations, most held first",
     )
     rows = sorted(
-        ((one, report) for report in reports for one in report.destinations),
+        ((destination, report) for report in reports for destination in report.destinations),
         key=lambda row: (-row[0].held, -row[0].out, row[0].destination, row[1].instance),
     )
-    for one, report in rows[:MAX_TABLE_ROWS]:
-        state = ["down"] * one.down + [f"told to wait {one.wait_ms:.0f} ms"] * (one.wait_ms > 0)
-        state += ["cold"] * (one.cold_ms is not None)
-        name = str(one.destination) if one.route is None else f"{one.destination}, route {one.route}"
+    for entry, report in rows[:MAX_TABLE_ROWS]:
+        state = ["down"] * entry.down + [f"told to wait {entry.wait_ms:.0f} ms"] * (entry.wait_ms > 0)
+        state += ["cold"] * (entry.cold_ms is not None)
+        name = str(entry.destination) if entry.route is None else f"{entry.destination}, route {entry.route}"
         table.add_row(
             name,
             str(report.instance),
-            str(one.endpoints),
-            str(one.held),
-            str(one.out),
-            f"{one.pace:.2f}",
-            "-" if one.part is None else f"{one.part:.2f}",
-            f"{one.blame:.2f}",
+            str(entry.endpoints),
+            str(entry.held),
+            str(entry.out),
+            f"{entry.pace:.2f}",
+            "-" if entry.part is None else f"{entry.part:.2f}",
+            f"{entry.blame:.2f}",
             ", ".join(state) or "well",
         )
-    more = len(rows) - MAX_TABLE_ROWS + sum(report.more for report in reports)
-    if more > 0:
-        table.caption = f"and {more} more: --json tells them"
+    omitted = len(rows) - MAX_TABLE_ROWS + sum(report.more for report in reports)
+    if omitted > 0:
+        table.caption = f"and {omitted} more: --json tells them"
     return table
 
 
 def shards_table(reports: Sequence[Report]) -> Table:
-    """State of the sharded directory's client and server at each instance."""
+    """Return a table with the state of the sharded directory's client and server at each instance."""
     table = Table("instance", "role", "state", title="directory by interest")
     for report in reports:
         for role, state in (report.shards or {}).items():
@@ -120,14 +120,14 @@
 
 
 def formatted_value(value: object) -> str:
-    """A status value as text: one decimal, versions with dots."""
+    """Return a status value as text: numbers with one decimal, versions with dots."""
     if isinstance(value, float):
         return f"{value:.1f}"
     return ".".join(map(str, value)) if isinstance(value, list | tuple) else str(value)
 
 
 def fleet_table(fleet: FleetReport) -> Table:
-    """One row for each instance that is not simply up."""
+    """Return a table with one row per instance that is not up or that has crashed."""
     table = Table(
         "instance",
         "state",
@@ -151,7 +151,7 @@
 
 
 def prometheus(reports: Sequence[Report], fleet: FleetReport | None) -> str:
-    """The reports in Prometheus' text format. Metric names are kept: dashboards use them."""
+    """Return the reports in Prometheus text format. The metric names are stable: dashboards use them."""
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     registry = CollectorRegistry()
@@ -160,7 +160,7 @@
         return Gauge(f"linnetstile_{name}", text, labels, registry=registry)
 
     held = gauge("held_messages", "Messages held", "instance", "class")
-    simple = {
+    gauges = {
         name: gauge(name, text, "instance")
         for name, text in (
             ("slots_out", "Calls out"),
@@ -175,8 +175,8 @@
     for report in reports:
         for name, count in report.by_class.items():
             held.labels(report.instance, name).set(count)
-        for name, one in simple.items():
-            one.labels(report.instance).set(getattr(report, name))
+        for name, field_gauge in gauges.items():
+            field_gauge.labels(report.instance).set(getattr(report, name))
         lag.labels(report.instance).set(report.lag.most_ms)
         down.labels(report.instance).set(sum(destination.down for destination in report.destinations))
     if fleet is not None:
@@ -188,44 +188,42 @@
 
 
 def as_json(reports: Sequence[Report], fleet: FleetReport | None, silent: Sequence[str]) -> str:
-    """The reports as indented JSON."""
+    """Return the reports as indented JSON."""
     document = msgspec.json.encode({"fleet": fleet, "instances": reports, "silent": silent})
     return msgspec.json.format(document).decode()
 
 
 def rendered(reports: Sequence[Report], fleet: FleetReport | None, silent: Sequence[str]) -> Group:
-    """The reports as tables."""
-    parts: list[Table | str] = [] if fleet is None else [fleet_table(fleet)]
-    parts += [instances_table(reports), destinations_table(reports)] if reports else []
-    parts += [shards_table(reports)] if any(report.shards for report in reports) else []
-    return Group(*parts, *(f"silent: {text}" for text in silent))
+    """Return the reports as tables."""
+    tables: list[Table | str] = [] if fleet is None else [fleet_table(fleet)]
+    tables += [instances_table(reports), destinations_table(reports)] if reports else []
+    tables += [shards_table(reports)] if any(report.shards for report in reports) else []
+    return Group(*tables, *(f"silent: {text}" for text in silent))
 
 
 @click.command()
-@click.option(
-    "--config", type=click.Path(path_type=Path), help="The operator's file: its status.folder is asked."
-)
+@click.option("--config", type=click.Path(path_type=Path), help="The operator's file, for its status.folder.")
 @click.option("--folder", type=click.Path(path_type=Path), help="The folder with the sockets.")
-@click.option("--json", "json_", is_flag=True, help="All that is told, as JSON.")
-@click.option("--prometheus", "prometheus_", is_flag=True, help="Prometheus' text format.")
-@click.option("--watch", is_flag=True, help="Again each second, until Ctrl-C.")
+@click.option("--json", "json_", is_flag=True, help="Print the complete reports as JSON.")
+@click.option("--prometheus", "prometheus_", is_flag=True, help="Print Prometheus text format.")
+@click.option("--watch", is_flag=True, help="Refresh each second until Ctrl-C.")
 def status(config: Path | None, folder: Path | None, json_: bool, prometheus_: bool, watch: bool) -> None:
-    """Tell what each instance holds and does; 1 if one with a socket does not answer, or there is none."""
+    """Show the state of each instance; exits with 1 if an instance does not answer or there is no socket."""
     if json_ + prometheus_ + watch > 1:
         raise click.UsageError("--json, --prometheus and --watch exclude each other")
     try:
-        where = folder or socket_folder(read(config).status.folder if config else "")
+        sockets_folder = folder or socket_folder(read(config).status.folder if config else "")
     except OperatorError as error:
         raise click.UsageError(str(error)) from error
-    if where is None:
+    if sockets_folder is None:
         raise click.UsageError("name the sockets' folder: --folder, or --config with status.folder in it")
     console = Console()
     if watch:
         with Live(console=console, auto_refresh=False) as live:
             while True:
-                live.update(rendered(*asyncio.run(fetch_reports(where))), refresh=True)
+                live.update(rendered(*asyncio.run(fetch_reports(sockets_folder))), refresh=True)
                 time.sleep(1.0)
-    reports, fleet, silent = asyncio.run(fetch_reports(where))
+    reports, fleet, silent = asyncio.run(fetch_reports(sockets_folder))
     if json_:
         click.echo(as_json(reports, fleet, silent))
     elif prometheus_:
@@ -234,5 +232,5 @@
         console.print(rendered(reports, fleet, silent))
     if silent or not (reports or fleet):
         if not silent:
-            click.echo(f"{where}: nobody answers there", err=True)
+            click.echo(f"{sockets_folder}: nobody answers there", err=True)
         sys.exit(1)
