--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -1,4 +1,4 @@
-"""The relay under a service manager (fakes.service_manager): what it says, when, and what it is handed."""
+"""The relay under a service manager (fakes.service_manager): notifications and inherited sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from ..loopback import Agent, Client, Server, message, raw_config, run, until
 
 
-class World:
+class ManagedRelay:
     def __init__(self, folder: Path, watchdog_s: float = 0.0) -> None:
         self.folder, self.agent, self.server = folder, Agent(), Server()
         self.manager = ServiceManager(folder, ("127.0.0.1", 0), watchdog_s)
@@ -32,7 +32,7 @@
         await self.agent.start()
         await self.server.start()
         (self.folder / "state").mkdir()
-        # The address that it is told is another's: only what is handed over can be listened on.
+        # The manager listens on the configured address, so the relay can only use the inherited socket.
         raw = raw_config(
             self.folder / "state", self.agent, self.server, listen=f"127.0.0.1:{self.manager.port}"
         )
@@ -44,46 +44,46 @@
         )
 
     async def serve(self) -> None:
-        """Starts it under a manager that listens, and waits until it is ready."""
+        """Starts the relay under a manager that reads notifications, and waits until it is ready."""
         self.manager.read()
         await self.start()
         assert await self.manager.heard("READY") == {"READY": "1"}
 
 
 @asynccontextmanager
-async def world(folder: Path, watchdog_s: float = 0.0) -> AsyncIterator[World]:
-    it = World(folder, watchdog_s)
-    await it.prepare()
+async def managed_relay(folder: Path, watchdog_s: float = 0.0) -> AsyncIterator[ManagedRelay]:
+    relay = ManagedRelay(folder, watchdog_s)
+    await relay.prepare()
     try:
-        yield it
+        yield relay
     finally:
-        process = it.manager.process
+        process = relay.manager.process
         if process is not None and process.returncode is None:
             process.kill()
             await process.wait()
-        it.manager.close()
+        relay.manager.close()
 
 
-def test_ready_reload_and_stop_are_said_in_order(tmp_path: Path) -> None:
+def test_ready_reload_and_stop_are_notified_in_order(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path) as w:
-            await w.serve()
-            async with Client(w.manager.port) as client:
+        async with managed_relay(tmp_path) as relay:
+            await relay.serve()
+            async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
             before = time.monotonic_ns() // 1000
-            w.manager.tell(signal.SIGHUP)
-            said = await w.manager.heard("RELOADING")
-            assert before <= int(said["MONOTONIC_USEC"]) <= time.monotonic_ns() // 1000
-            await w.manager.heard("READY", 2)
-            good = w.config.read_text()
-            w.config.write_text("{")
-            w.manager.tell(signal.SIGHUP)
-            assert "passed over" in (await w.manager.heard("STATUS"))["STATUS"]
-            await w.manager.heard("READY", 3)  # it serves on with what it has
-            w.config.write_text(good)
-            assert await w.manager.end() == 0
-            await w.manager.heard("STOPPING")
-            names = [name for lines in w.manager.said for name in lines if name in ("READY", "STOPPING")]
+            relay.manager.tell(signal.SIGHUP)
+            notification = await relay.manager.heard("RELOADING")
+            assert before <= int(notification["MONOTONIC_USEC"]) <= time.monotonic_ns() // 1000
+            await relay.manager.heard("READY", 2)
+            valid_config = relay.config.read_text()
+            relay.config.write_text("{")
+            relay.manager.tell(signal.SIGHUP)
+            assert "passed over" in (await relay.manager.heard("STATUS"))["STATUS"]
+            await relay.manager.heard("READY", 3)  # the relay continues with its current configuration
+            relay.config.write_text(valid_config)
+            assert await relay.manager.end() == 0
+            await relay.manager.heard("STOPPING")
+            names = [name for lines in relay.manager.said for name in lines if name in ("READY", "STOPPING")]
             assert names == ["READY", "READY", "READY", "STOPPING"]
 
     run(work())
@@ -91,86 +91,86 @@
 
 def test_a_restart_refuses_no_connection(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path) as w:
-            await w.serve()
-            await w.manager.end(signal.SIGKILL)
-            async with Client(w.manager.port) as client:  # nobody is there to accept it
+        async with managed_relay(tmp_path) as relay:
+            await relay.serve()
+            await relay.manager.end(signal.SIGKILL)
+            async with Client(relay.manager.port) as client:  # no process accepts it yet
                 client.writer.write(message("m"))
-                await w.start()
+                await relay.start()
                 assert await client.status() == 202
-            await until(lambda: len(w.server.seen) == 1)
-            assert await w.manager.end() == 0
+            await until(lambda: len(relay.server.seen) == 1)
+            assert await relay.manager.end() == 0
 
     run(work())
 
 
-def test_the_watchdog_is_told_while_the_loop_turns_and_not_while_it_is_frozen(tmp_path: Path) -> None:
+def test_heartbeats_are_sent_while_the_event_loop_runs_and_not_while_it_is_frozen(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path, watchdog_s=0.4) as w:
-            await w.serve()
-            await until(lambda: len(w.manager.beats) >= 4)
-            w.manager.tell(signal.SIGSTOP)
-            await asyncio.sleep(0.1)  # what it said before
-            beats = len(w.manager.beats)
+        async with managed_relay(tmp_path, watchdog_s=0.4) as relay:
+            await relay.serve()
+            await until(lambda: len(relay.manager.beats) >= 4)
+            relay.manager.tell(signal.SIGSTOP)
+            await asyncio.sleep(0.1)  # heartbeats sent before the signal
+            beats = len(relay.manager.beats)
             await asyncio.sleep(1.0)
-            assert len(w.manager.beats) == beats
-            w.manager.tell(signal.SIGCONT)
-            await until(lambda: len(w.manager.beats) > beats)
-            assert await w.manager.end() == 0
+            assert len(relay.manager.beats) == beats
+            relay.manager.tell(signal.SIGCONT)
+            await until(lambda: len(relay.manager.beats) > beats)
+            assert await relay.manager.end() == 0
 
     run(work())
 
 
-def test_the_watchdog_is_told_also_while_the_journal_is_compacted(tmp_path: Path) -> None:
+def test_heartbeats_continue_while_the_journal_is_compacted(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path, watchdog_s=2.0) as w:
-            await w.serve()
+        async with managed_relay(tmp_path, watchdog_s=2.0) as relay:
+            await relay.serve()
             first, n = tmp_path / "state" / "seg-0000000001", 0
-            async with Client(w.manager.port) as client:
-                while first.exists():  # until it is given up
+            async with Client(relay.manager.port) as client:
+                while first.exists():  # until compaction removes it
                     n += 1
                     if await client.ask(message(f"m{n}", body=b"x" * 4000)) != 202:
                         await asyncio.sleep(0.01)
-            await until(lambda: len(w.manager.beats) >= 4)
-            gaps = [b - a for a, b in zip(w.manager.beats, w.manager.beats[1:], strict=False)]
+            await until(lambda: len(relay.manager.beats) >= 4)
+            gaps = [b - a for a, b in zip(relay.manager.beats, relay.manager.beats[1:], strict=False)]
             assert n > 50 and max(gaps) < 2.0
-            assert await w.manager.end() == 0
+            assert await relay.manager.end() == 0
 
     run(work())
 
 
-def test_a_manager_that_does_not_listen_holds_up_nothing(tmp_path: Path) -> None:
+def test_a_manager_that_does_not_read_delays_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path, watchdog_s=0.2) as w:
-            assert w.manager.fill() > 0
-            await w.start()
-            async with Client(w.manager.port) as client:
+        async with managed_relay(tmp_path, watchdog_s=0.2) as relay:
+            assert relay.manager.fill() > 0
+            await relay.start()
+            async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            w.manager.tell(signal.SIGHUP)
-            await until(lambda: len(w.server.seen) == 1)
-            assert await w.manager.end() == 0  # SIGTERM while the socket is full
+            relay.manager.tell(signal.SIGHUP)
+            await until(lambda: len(relay.server.seen) == 1)
+            assert await relay.manager.end() == 0  # SIGTERM while the socket is full
 
     run(work())
 
 
 def test_reload_and_stop_at_the_same_moment_lose_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(tmp_path) as w:
-            await w.serve()
-            w.server.hold = asyncio.Event()
-            async with Client(w.manager.port) as client:
+        async with managed_relay(tmp_path) as relay:
+            await relay.serve()
+            relay.server.hold = asyncio.Event()
+            async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            await w.server.came.get()
-            w.manager.tell(signal.SIGHUP)
-            w.manager.tell(signal.SIGTERM)
-            w.server.hold.set()
-            assert w.manager.process is not None and await w.manager.process.wait() == 0
-            assert len(w.server.seen) == 1 and w.agent.notices.empty()
+            await relay.server.came.get()
+            relay.manager.tell(signal.SIGHUP)
+            relay.manager.tell(signal.SIGTERM)
+            relay.server.hold.set()
+            assert relay.manager.process is not None and await relay.manager.process.wait() == 0
+            assert len(relay.server.seen) == 1 and relay.agent.notices.empty()
 
     run(work())
 
 
-def test_what_cannot_be_said_at_once_is_said_later_and_does_not_pile_up(tmp_path: Path) -> None:
+def test_unsent_notifications_are_retried_and_do_not_accumulate(tmp_path: Path) -> None:
     async def work() -> None:
         manager = ServiceManager(tmp_path, ("127.0.0.1", 0))
         notifier = SystemdNotifier(str(manager.path))
@@ -190,7 +190,7 @@
     run(work())
 
 
-def test_a_manager_that_has_gone_is_no_fault(tmp_path: Path) -> None:
+def test_a_missing_notify_socket_is_no_error(tmp_path: Path) -> None:
     async def work() -> None:
         notifier = SystemdNotifier(str(tmp_path / "nowhere"))
         notifier.start()
@@ -202,30 +202,32 @@
 
 
 @pytest.mark.parametrize(
-    ("env", "says"),
+    ("env", "expected"),
     [
         ({"NOTIFY_SOCKET": "run/x"}, "NOTIFY_SOCKET"),
         ({"WATCHDOG_USEC": "soon"}, "WATCHDOG_USEC"),
         ({"WATCHDOG_USEC": "0"}, "WATCHDOG_USEC"),
     ],
 )
-def test_an_environment_that_makes_no_sense_names_its_variable(env: dict[str, str], says: str) -> None:
-    with pytest.raises(NotifyError, match=says):
+def test_an_invalid_environment_is_rejected_with_the_variables_name(
+    env: dict[str, str], expected: str
+) -> None:
+    with pytest.raises(NotifyError, match=expected):
         SystemdNotifier.from_environment(env)
 
 
-def test_the_variables_are_taken_out_and_meant_for_one_process() -> None:
+def test_the_variables_are_removed_and_apply_to_one_process_only() -> None:
     env = {"NOTIFY_SOCKET": "@x", "WATCHDOG_USEC": "500000", "WATCHDOG_PID": "1", "OTHER": "y"}
     notifier = SystemdNotifier.from_environment(env)
     assert env == {"OTHER": "y"} and notifier.address == "@x" and notifier.watchdog_s == 0.0
-    mine = {"WATCHDOG_USEC": "500000", "WATCHDOG_PID": str(os.getpid())}
-    assert SystemdNotifier.from_environment(mine).watchdog_s == 0.5
+    own_env = {"WATCHDOG_USEC": "500000", "WATCHDOG_PID": str(os.getpid())}
+    assert SystemdNotifier.from_environment(own_env).watchdog_s == 0.5
     env = {"LISTEN_PID": "1", "LISTEN_FDS": "1", "LISTEN_FDNAMES": "clients"}
     assert inherited_sockets(env) == {} and env == {}
 
 
 @pytest.mark.parametrize(
-    ("number", "names", "says"),
+    ("number", "names", "expected"),
     [
         ("x", "", "LISTEN_FDS"),
         ("17", "", "LISTEN_FDS"),
@@ -234,12 +236,12 @@
         ("2", "a:a", "LISTEN_FDNAMES"),
     ],
 )
-def test_a_handover_that_makes_no_sense_is_told(number: str, names: str, says: str) -> None:
-    with pytest.raises(SocketActivationError, match=says):
+def test_invalid_socket_activation_variables_are_rejected(number: str, names: str, expected: str) -> None:
+    with pytest.raises(SocketActivationError, match=expected):
         inherited_sockets({"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": number, "LISTEN_FDNAMES": names})
 
 
-def test_only_listening_sockets_are_taken() -> None:
+def test_only_listening_sockets_are_accepted() -> None:
     def env() -> dict[str, str]:
         return {"LISTEN_PID": str(os.getpid()), "LISTEN_FDS": "1"}
 
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -1,4 +1,4 @@
-"""What an instance tells of itself and logs, and what it refuses to work on."""
+"""Status reports and logs of an instance, and the state folders that it rejects."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def root_log() -> Iterator[None]:
-    """What tests set up of the root logger is undone."""
+    """Restores the handlers and level of the root logger after a test."""
     root = logging.getLogger()
     handlers, level = root.handlers[:], root.level
     yield
@@ -49,48 +49,52 @@
 
 
 async def host_with(tmp_path: Path, server: Server, agent: Agent, fleet: Fleet | None = None) -> Report:
-    """A relay that holds three messages for a partner that told it to wait; its report."""
+    """Return the report of a relay with three pending messages for a partner that sent a Retry-After."""
     (tmp_path / "state").mkdir()
     (tmp_path / "c.json").write_text(json.dumps(raw_config(tmp_path / "state", agent, server)))
-    told = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
-    parts = compose(replace(told, settings=replace(told.settings, fleet=fleet)))
+    relay_config = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
+    parts = compose(replace(relay_config, settings=replace(relay_config.settings, fleet=fleet)))
     await parts.start()
     async with Client(parts.relay.intakes["http"].listener.port) as client:  # type: ignore[attr-defined]
         assert await client.ask(message("a")) == 202
         await until(lambda: bool(server.seen) and not parts.relay.scheduler.in_flight)
         assert [await client.ask(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
     await until(lambda: len(parts.relay.scheduler.pending.by_id) == 3)
-    found = report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
+    result = report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
     assert report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 0).more == 1
     await parts.relay.close()
-    return found
+    return result
 
 
-def test_a_report_has_what_is_held_and_what_is_known_of_each_destination(tmp_path: Path) -> None:
+def test_a_report_has_the_pending_messages_and_the_state_of_each_destination(tmp_path: Path) -> None:
     async def work() -> None:
         server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
-        told = await host_with(tmp_path, server, agent, Fleet(0, 2))
-        assert told.held == 3 and told.by_class == {"keyed": 2, "unsafe": 0, "safe": 1}
-        assert told.journal_bytes > 0 and told.journal_limit > told.journal_live > 0 and told.rss_mb > 5
-        (one,) = told.destinations
-        assert one.destination == 7 and one.held == 3 and one.endpoints == 1 and one.down
-        assert 2000 < one.wait_ms <= 3300 and one.part is not None and 0 < one.part < 1
+        current = await host_with(tmp_path, server, agent, Fleet(0, 2))
+        assert current.held == 3 and current.by_class == {"keyed": 2, "unsafe": 0, "safe": 1}
+        assert (
+            current.journal_bytes > 0
+            and current.journal_limit > current.journal_live > 0
+            and current.rss_mb > 5
+        )
+        (row,) = current.destinations
+        assert row.destination == 7 and row.held == 3 and row.endpoints == 1 and row.down
+        assert 2000 < row.wait_ms <= 3300 and row.part is not None and 0 < row.part < 1
 
     run(work())
 
 
-def test_the_socket_gives_a_report_to_each_caller_and_to_few_at_once(tmp_path: Path) -> None:
+def test_the_socket_serves_a_report_to_a_limited_number_of_callers(tmp_path: Path) -> None:
     async def work() -> None:
         server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
-        told = await host_with(tmp_path, server, agent)
+        current = await host_with(tmp_path, server, agent)
         path = tmp_path / "0.sock"
-        with socket.socket(socket.AF_UNIX) as left:
-            left.bind(str(path))  # by a process that has died
-        status = StatusSocket(path, lambda: told)
+        with socket.socket(socket.AF_UNIX) as stale:
+            stale.bind(str(path))  # left by a dead process
+        status = StatusSocket(path, lambda: current)
         await status.open()
-        assert await fetch_report(path) == told and path.stat().st_mode & 0o777 == 0o600
+        assert await fetch_report(path) == current and path.stat().st_mode & 0o777 == 0o600
         status.open_connections = MAX_CALLERS
         with pytest.raises(StatusError, match="no report"):
             await fetch_report(path)
@@ -98,8 +102,8 @@
         status.report = lambda: 1 // 0  # type: ignore[assignment,return-value]
         with pytest.raises(StatusError, match="no report"):
             await fetch_report(path)
-        status.report = lambda: told
-        assert await fetch_report(path) == told and status.open_connections == 0
+        status.report = lambda: current
+        assert await fetch_report(path) == current and status.open_connections == 0
         status.close()
         assert not path.exists()
         with pytest.raises(StatusError, match="0.sock: No such file"):
@@ -108,11 +112,15 @@
     run(work())
 
 
-def test_a_socket_that_cannot_be_is_told(tmp_path: Path) -> None:
+def test_a_socket_that_cannot_be_created_is_reported(tmp_path: Path) -> None:
     async def work() -> None:
         (tmp_path / "file").write_text("precious")
-        for name, says in (("file", "is no socket"), ("x" * 120, "107 bytes"), ("no/such", "No such file")):
-            with pytest.raises(StatusError, match=says):
+        for name, expected in (
+            ("file", "is no socket"),
+            ("x" * 120, "107 bytes"),
+            ("no/such", "No such file"),
+        ):
+            with pytest.raises(StatusError, match=expected):
                 await StatusSocket(tmp_path / name, lambda: pytest.fail()).open()
         assert (tmp_path / "file").read_text() == "precious"
 
@@ -121,7 +129,7 @@
     assert socket_folder("", {}) is None
 
 
-def test_the_loops_lag_is_that_of_its_timers() -> None:
+def test_the_loop_lag_is_measured_from_its_timers() -> None:
     async def work() -> None:
         lag = LoopLag()
         assert lag.summary() == report.Lag()
@@ -134,7 +142,7 @@
     run(work())
 
 
-def test_lines_have_the_events_name_and_fields(root_log: None) -> None:
+def test_log_lines_have_the_name_and_fields_of_the_event(root_log: None) -> None:
     reading, writing = os.pipe()
     handler = configure_structured_logging("json", "info", 100, writing)
     logging.getLogger("x").info(
@@ -152,16 +160,18 @@
     os.close(writing)
 
 
-def test_a_reader_that_has_stopped_costs_lines_and_they_are_counted() -> None:
+def test_log_lines_dropped_for_a_stalled_reader_are_counted() -> None:
     reading, writing = os.pipe()
     writer = BoundedLogWriter(writing, 10)
     writer.setFormatter(logging.Formatter("%(message)s"))
-    for n in range(3000):  # the pipe and the buffer are full long before
+    for n in range(3000):  # the pipe and the buffer are full long before the end
         writer.emit(logging.LogRecord("x", logging.INFO, "", 0, f"{n:06}" + "x" * 200, (), None))
     seen = lost = 0
     got = b""
-    while seen + lost < 3000:  # each is either there or counted
-        writer.emit(logging.LogRecord("x", logging.INFO, "", 0, "more", (), None))  # tells what was lost
+    while seen + lost < 3000:  # each line is either read or counted
+        writer.emit(
+            logging.LogRecord("x", logging.INFO, "", 0, "more", (), None)
+        )  # reports the number of dropped lines
         got += os.read(reading, 1 << 20)
         seen = got.count(b"xxx\n")
         lost = sum(int(line.split()[0]) for line in got.splitlines() if line.endswith(b"nobody read them"))
@@ -171,21 +181,21 @@
     os.close(writing)
 
 
-def test_a_state_folder_of_another_user_is_refused(tmp_path: Path) -> None:
+def test_a_state_folder_of_another_user_is_rejected(tmp_path: Path) -> None:
     server = Server(address=("127.0.0.1", 1))
     raw = raw_config(tmp_path, Agent(address=("127.0.0.1", 1)), server)
     (tmp_path / "c.json").write_text(json.dumps(raw))
-    told = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
-    require_owned_state(told)
-    require_owned_state(replace(told, state=tmp_path / "nowhere"))  # told better when it is opened
+    relay_config = config.load({"RELAY_CONFIG": str(tmp_path / "c.json")})
+    require_owned_state(relay_config)
+    require_owned_state(replace(relay_config, state=tmp_path / "nowhere"))  # opening it gives a better error
     if os.geteuid() == 0:
         os.chown(tmp_path, 12345, -1)
         with pytest.raises(ConfigError, match="belongs to user 12345, and this process runs as 0"):
-            require_owned_state(told)
+            require_owned_state(relay_config)
 
 
 @pytest.mark.skipif(os.geteuid() != 0, reason="to become another user")
-def test_a_folder_that_cannot_be_written_ends_the_start_with_one_error() -> None:
+def test_an_unwritable_state_folder_fails_the_start_with_one_error() -> None:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         folder.chmod(0o755)
@@ -193,13 +203,13 @@
         server = Server(address=("127.0.0.1", 1))
         raw = raw_config(folder / "state", Agent(address=("127.0.0.1", 1)), server)
         (folder / "c.json").write_text(json.dumps(raw))
-        told = config.load({"RELAY_CONFIG": str(folder / "c.json")})
+        relay_config = config.load({"RELAY_CONFIG": str(folder / "c.json")})
         pid = os.fork()
         if pid == 0:
             code = 1
             try:
                 os.setuid(65534)
-                compose(told)
+                compose(relay_config)
             except PermissionError:
                 code = 42
             finally:
@@ -207,7 +217,7 @@
         assert os.waitstatus_to_exitcode(os.waitpid(pid, 0)[1]) == 42
 
 
-def test_the_lifelines_end_stops_a_process_also_when_its_loop_hangs() -> None:
+def test_the_end_of_the_supervisor_stops_a_process_even_if_its_loop_hangs() -> None:
     async def work() -> None:
         reading, writing = os.pipe()
         code = (
