--- a/message_relay/fleet/operator.py
+++ b/message_relay/fleet/operator.py
@@ -207,21 +207,21 @@
     return msgspec.convert(raw, OperatorConfig)
 
 
-def faults(raw: object, shape: type[msgspec.Struct], path: str) -> Iterator[str]:
+def faults(raw: object, table_type: type[msgspec.Struct], path: str) -> Iterator[str]:
     """Yields every fault of a table, with the path of its field."""
     if not isinstance(raw, Mapping):
         yield f"{path}: must be a table"
         return
-    known = {field.encode_name: field.type for field in msgspec.structs.fields(shape)}
-    clean = True
+    known = {field.encode_name: field.type for field in msgspec.structs.fields(table_type)}
+    is_valid = True
     for name, value in raw.items():
         where = f"{path}.{name}" if path else str(name)
         for fault in _field_faults(name, value, known, where):
-            clean = False
+            is_valid = False
             yield fault
-    if clean:
+    if is_valid:
         try:
-            msgspec.convert(raw, shape)
+            msgspec.convert(raw, table_type)
         except msgspec.ValidationError as error:
             yield f"{path}.{_message_of(error)}" if path else _message_of(error)
 
@@ -233,24 +233,24 @@
             f"{nearest[0]!r} is the nearest name" if nearest else f"known are {', '.join(known)}"
         )
         return
-    shape = _expected_shape(known[name], value)
-    if isinstance(shape, type) and issubclass(shape, msgspec.Struct):
-        yield from faults(value, shape, where)
-    elif get_origin(shape) is list and isinstance(value, list) and _is_table(get_args(shape)[0]):
+    value_type = _expected_type(known[name], value)
+    if isinstance(value_type, type) and issubclass(value_type, msgspec.Struct):
+        yield from faults(value, value_type, where)
+    elif get_origin(value_type) is list and isinstance(value, list) and _is_table(get_args(value_type)[0]):
         count = len(value)
         for n, item in enumerate(value):
-            yield from faults(item, get_args(shape)[0], f"{where}[{n}]")
+            yield from faults(item, get_args(value_type)[0], f"{where}[{n}]")
         if not count:
             yield from _value_faults(value, known[name], where)
     else:
         yield from _value_faults(value, known[name], where)
 
 
-def _is_table(shape: object) -> bool:
-    return isinstance(shape, type) and issubclass(shape, msgspec.Struct)
+def _is_table(value_type: object) -> bool:
+    return isinstance(value_type, type) and issubclass(value_type, msgspec.Struct)
 
 
-def _expected_shape(expected: Any, value: object) -> Any:
+def _expected_type(expected: Any, value: object) -> Any:
     """Return the type without its bounds; for `TABLE | None`, the table type if the value is a table."""
     if get_origin(expected) is Annotated:
         expected = get_args(expected)[0]
--- a/message_relay/store/records.py
+++ b/message_relay/store/records.py
@@ -224,7 +224,7 @@
     elif kind == NOTIFIED:
         entry.is_notified = True
     else:
-        raise ValueError(f"unknown record kind {kind}")
+        raise ValueError(f"record of kind {kind} is not known")
 
 
 def assume_attempted(entry: JournalEntry) -> None:
