--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -40,12 +40,12 @@
 
 
 def test_all_faults_are_reported_with_path_and_expected_value(tmp_path: Path) -> None:
-    found = faults(
+    reported = faults(
         tmp_path,
         "[flet]\n[fleet]\ninstances = 0\nshare_rate = true\n[log]\nformat = 'xml'\n"
         "lines = 'many'\n[supervisor]\nport = 70000\n",
     )
-    assert found == [
+    assert reported == [
         "flet: is not known; 'fleet' is the nearest name",
         "fleet.instances: 0: Expected `int` >= 1",
         "fleet.share_rate: is not known; 'share_rates' is the nearest name",
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -166,16 +166,18 @@
     writer.setFormatter(logging.Formatter("%(message)s"))
     for n in range(3000):  # the pipe and the buffer are full long before the end
         writer.emit(logging.LogRecord("x", logging.INFO, "", 0, f"{n:06}" + "x" * 200, (), None))
-    seen = lost = 0
-    got = b""
-    while seen + lost < 3000:  # each line is either read or counted
+    read_count = dropped_count = 0
+    output = b""
+    while read_count + dropped_count < 3000:  # each line is either read or counted
         writer.emit(
             logging.LogRecord("x", logging.INFO, "", 0, "more", (), None)
         )  # reports the number of dropped lines
-        got += os.read(reading, 1 << 20)
-        seen = got.count(b"xxx\n")
-        lost = sum(int(line.split()[0]) for line in got.splitlines() if line.endswith(b"nobody read them"))
-    assert lost > 1000 and seen >= 10
+        output += os.read(reading, 1 << 20)
+        read_count = output.count(b"xxx\n")
+        dropped_count = sum(
+            int(line.split()[0]) for line in output.splitlines() if line.endswith(b"nobody read them")
+        )
+    assert dropped_count > 1000 and read_count >= 10
     os.close(reading)
     writer.close()
     os.close(writing)
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -193,7 +193,7 @@
 
 
 def test_a_disk_that_was_full_costs_no_space_afterwards(tmp_path: Path) -> None:
-    """Guards against counting the file of a failed segment start twice.
+    """Guards against counting files of failed segment starts after their removal.
 
     While the disk was full, each new message tried to start a segment. The file left by a failed start was
     counted as used, 512 bytes each time, although the next start removes it. After some hundred rejected
@@ -225,13 +225,13 @@
         pending = list(journal.entries.values())
         assert len(pending) >= 3 and (size < 60000 or len(pending) * size > BUDGET_BYTES // 4)
         for _ in range(8):
-            for one in pending:
-                journal.append_attempt(one, 1500.0, "a-name-of-an-endpoint", 0)
-                journal.append_outcome(one, True)
-        for one in pending:
-            journal.append_final_outcome(one, "failed")
-        for one in pending:
-            journal.append_notified([one.id])
+            for pending_entry in pending:
+                journal.append_attempt(pending_entry, 1500.0, "a-name-of-an-endpoint", 0)
+                journal.append_outcome(pending_entry, True)
+        for pending_entry in pending:
+            journal.append_final_outcome(pending_entry, "failed")
+        for pending_entry in pending:
+            journal.append_notified([pending_entry.id])
         assert folder_disk_bytes(folder) == journal.disk_bytes <= BUDGET_BYTES and not journal.overdue
         journal.append_accepted(entry("more", b"x" * size))  # space is available again
         journal.close()
@@ -243,9 +243,9 @@
         journal.append_accepted(entry(f"owed{n}"))
         journal.append_final_outcome(journal.entries[f"owed{n}"], "returned", 25.0)
     for n in range(3000):
-        one = entry(f"m{n}", b"x" * 400, due=9000.0 + n)
-        journal.append_accepted(one)
-        journal.append_final_outcome(one, "delivered")
+        accepted = entry(f"m{n}", b"x" * 400, due=9000.0 + n)
+        journal.append_accepted(accepted)
+        journal.append_final_outcome(accepted, "delivered")
         journal.compact(9000.0 + n)
     assert journal.log.segments[0].number > 10 and journal.copied_bytes < 0.5 * journal.written_bytes
     journal.close()
--- a/tests/store/test_power.py
+++ b/tests/store/test_power.py
@@ -103,20 +103,20 @@
                 )
                 self.promise(journal, lambda: self.accepted.add(ident))
                 return
-            one = max(
+            entry = max(
                 rng.choices(unfinished, k=4), key=lambda each: len(each.body)
             )  # messages with small bodies stay unfinished for longer
-            name = one.id
-            if one.attempt_in_flight is not None and name not in self.unsent and choice < 0.55:
-                self.proven_harmless.update([name] if one.uncertain_attempt is None else [])
-                journal.append_outcome(one, False)
-            elif one.attempt_in_flight is None and choice < 0.7:
-                journal.append_attempt(one, 1500.0, "s-1", 0)
+            name = entry.id
+            if entry.attempt_in_flight is not None and name not in self.unsent and choice < 0.55:
+                self.proven_harmless.update([name] if entry.uncertain_attempt is None else [])
+                journal.append_outcome(entry, False)
+            elif entry.attempt_in_flight is None and choice < 0.7:
+                journal.append_attempt(entry, 1500.0, "s-1", 0)
                 self.unsent.add(name)
                 self.promise(journal, lambda: self.first_byte(name))
             elif choice < 0.95:
                 self.finishing.add(name)
-                journal.append_final_outcome(one, rng.choice(("delivered", "failed")))
+                journal.append_final_outcome(entry, rng.choice(("delivered", "failed")))
                 self.promise(journal, lambda: self.finished.add(name))
             else:
                 journal.append_notified(
