--- a/tests/compatibility/agreement_binding.py
+++ b/tests/compatibility/agreement_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for leases, versions of rules, voters and evidence, as instances send them."""
+"""Plain values of the messages about leases, versions of rules, voters and observations between instances.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -86,53 +89,58 @@
     }
 
 
-def command_values(told: Command) -> Values:
-    match told:
+def command_values(command: Command) -> Values:
+    match command:
         case Propose():
             return {
-                "proposal on": told.base,
-                "rules text": told.rules.decode(),
-                "author": told.author,
-                "cause": told.cause,
-                "unix ms": told.at_ms,
-                "trial share": told.share,
-                "guard": _guard(told.guard),
-                "rules of version": told.restored_from,
+                "proposal on": command.base,
+                "rules text": command.rules.decode(),
+                "author": command.author,
+                "cause": command.cause,
+                "unix ms": command.at_ms,
+                "trial share": command.share,
+                "guard": _guard(command.guard),
+                "rules of version": command.restored_from,
             }
         case Promote():
-            return {"promotion of": told.number, "author": told.author}
+            return {"promotion of": command.number, "author": command.author}
         case ChangeVoters():
             return {
-                "voters changed on": told.base,
-                "added": told.add,
-                "removed": told.remove,
-                "author": told.author,
-                "unix ms": told.at_ms,
+                "voters changed on": command.base,
+                "added": command.add,
+                "removed": command.remove,
+                "author": command.author,
+                "unix ms": command.at_ms,
             }
         case Forget():
-            return {"forgotten": told.name, "boot": told.epoch, "author": told.author, "unix ms": told.at_ms}
+            return {
+                "forgotten": command.name,
+                "boot": command.epoch,
+                "author": command.author,
+                "unix ms": command.at_ms,
+            }
         case _:
-            return {"withdrawal of": told.number, "author": told.author, "cause": told.cause}
+            return {"withdrawal of": command.number, "author": command.author, "cause": command.cause}
 
 
 def command_answer_values(answer: CommandAnswer) -> Values:
     return {"version": answer.number, "refusal": answer.refused}
 
 
-def question_values(question: AdminRequest) -> Values:
+def admin_request_values(request: AdminRequest) -> Values:
     return {
-        "question": question.operation,
-        "rules text": bytes(question.rules).decode(),
-        "author": question.author,
-        "cause": question.cause,
-        "on version": question.base,
-        "version": question.number,
-        "trial share": question.share,
-        "guard": _guard(question.guard),
-        "voter added": question.add,
-        "voter removed": question.remove,
-        "member or zone": question.name,
-        "message": question.message,
+        "question": request.operation,
+        "rules text": bytes(request.rules).decode(),
+        "author": request.author,
+        "cause": request.cause,
+        "on version": request.base,
+        "version": request.number,
+        "trial share": request.share,
+        "guard": _guard(request.guard),
+        "voter added": request.add,
+        "voter removed": request.remove,
+        "member or zone": request.name,
+        "message": request.message,
     }
 
 
@@ -141,22 +149,22 @@
     return {
         "destinations": {
             name: {
-                "rate": each.rate,
-                "slots": each.slots,
-                "endpoints": None if each.endpoints is None else sorted(each.endpoints),
-                "closed": each.closed,
+                "rate": rule.rate,
+                "slots": rule.slots,
+                "endpoints": None if rule.endpoints is None else sorted(rule.endpoints),
+                "closed": rule.closed,
             }
-            for name, each in rules.destinations.items()
+            for name, rule in rules.destinations.items()
         },
         "classes": {
-            name: {"effect": each.effect, "attempts": each.attempts, "closed": each.closed}
-            for name, each in rules.classes.items()
+            name: {"effect": rule.effect, "attempts": rule.attempts, "closed": rule.closed}
+            for name, rule in rules.classes.items()
         },
         "zones that may be called": None if zones is None else sorted(zones),
         "evacuated zones": sorted(rules.policies.evacuated),
         "flows": {
-            name: {"bounds": each.bound, "spare": each.spare, "shares": each.share}
-            for name, each in rules.flows.items()
+            name: {"bounds": rule.bound, "spare": rule.spare, "shares": rule.share}
+            for name, rule in rules.flows.items()
         },
         "instances by zone": rules.zones,
     }
@@ -167,11 +175,11 @@
 
 
 def rules_difference(text: str, other: str) -> list[str]:
-    """A line for each field that changes, as `rules diff` prints it."""
+    """Returns a line for each changed field, as `rules diff` prints it."""
     return diff_rules(decode_rules(text.encode()), decode_rules(other.encode()))
 
 
-def rules_fault(text: str) -> str:
+def rules_error(text: str) -> str:
     try:
         decode_rules(text.encode())
     except RulesError as error:
@@ -188,19 +196,19 @@
     ]
 
 
-def trial_members(number: int, rules_text: str, share: float, names: list[str]) -> list[str]:
-    """Who tries a version, of these."""
-    book = VersionHistory(Rules(), ("n0",))
+def canary_members(number: int, rules_text: str, share: float, names: list[str]) -> list[str]:
+    """Returns which of these relays are in the canary of a version."""
+    history = VersionHistory(Rules(), ("n0",))
     rules = rules_text.encode()
-    book.apply(Propose(1, rules, "operator", "a trial", 5.0, share))
-    version = msgspec.structs.replace(book.newest, number=number)
+    history.apply(Propose(1, rules, "operator", "a trial", 5.0, share))
+    version = msgspec.structs.replace(history.newest, number=number)
     return [name for name in names if is_in_canary(name, version)]
 
 
-def book_after(rules_text: str) -> tuple[list[str], str]:
-    """A log of commands: each answer, and the whole state that is handed to another voter."""
-    book, rules = VersionHistory(Rules(), ("n1", "n0")), rules_text.encode()
-    told = (
+def version_history_after(rules_text: str) -> tuple[list[str], str]:
+    """Applies a log of commands; returns each result and the dump for another voter."""
+    history, rules = VersionHistory(Rules(), ("n1", "n0")), rules_text.encode()
+    commands = (
         Propose(1, rules, "operator", "stricter", 5.0, 0.25, Guard(0.8, 10, 5.0, True)),
         Promote(2, "operator"),
         Promote(2, "operator"),
@@ -208,17 +216,17 @@
         ChangeVoters(2, "n2", "", "operator", 7.0),
         Forget("n9", 4, "operator", 8.0),
     )
-    answers = [msgspec.json.encode(book.apply(each)).decode() for each in told]
-    return answers, book.dump().decode()
+    results = [msgspec.json.encode(history.apply(command)).decode() for command in commands]
+    return results, history.dump().decode()
 
 
 def lease_round(rules_text: str) -> list[str]:
-    """A relay renews, a voter grants, before and after a second version, and the relay leaves."""
-    book, terms = VersionHistory(Rules(), ("n0",)), LeaseTerms()
+    """Renewals and grants in hex: a relay renews before and after a second version, then leaves."""
+    history, terms = VersionHistory(Rules(), ("n0",)), LeaseTerms()
     first = digest(Rules()) + "/n0"
     relay = LeaseHolder(3, 77, first, terms, DENY_ALL)
-    relay.add_version(book.newest)
-    voter = LeaseGrantor("n0", book, terms, first, 0, 100.0)
+    relay.add_version(history.newest)
+    voter = LeaseGrantor("n0", history, terms, first, 0, 100.0)
     voter.clear_current_version(100.0)
     frames: list[str] = []
 
@@ -230,29 +238,29 @@
 
     exchange(100.0)
     exchange(100.3)
-    book.apply(Propose(1, rules_text.encode(), "operator", "stricter", 5.0))
+    history.apply(Propose(1, rules_text.encode(), "operator", "stricter", 5.0))
     exchange(100.6)
     exchange(100.9, leaving=True)
     return frames
 
 
-# -- evidence ----------------------------------------------------------------------------------------------
+# -- observations ------------------------------------------------------------------------------------------
 
 
-def _cell(cell: WindowSample) -> Values:
+def _sample_values(sample: WindowSample) -> Values:
     return {
-        "destination": cell.destination,
-        "zone": cell.zone,
-        "calls": cell.calls,
-        "good": cell.succeeded,
-        "proven harmless": cell.proven_no_effect,
-        "told to wait": cell.overloaded,
-        "latency sketch": [list(pair) for pair in cell.latency_sketch],
-        "avoided after failures": cell.avoided_after,
+        "destination": sample.destination,
+        "zone": sample.zone,
+        "calls": sample.calls,
+        "good": sample.succeeded,
+        "proven harmless": sample.proven_no_effect,
+        "told to wait": sample.overloaded,
+        "latency sketch": [list(pair) for pair in sample.latency_sketch],
+        "avoided after failures": sample.avoided_after,
     }
 
 
-def _demand(demand: Demand) -> Values:
+def _demand_values(demand: Demand) -> Values:
     return {"destination": demand.destination, "group": demand.group, "per second": demand.rate}
 
 
@@ -265,19 +273,19 @@
         "zone": report.zone,
         "age s": report.age_s,
         "load": report.load,
-        "demand": [_demand(each) for each in report.demand],
-        "cells": [_cell(each) for each in report.samples],
+        "demand": [_demand_values(record) for record in report.demand],
+        "cells": [_sample_values(record) for record in report.samples],
     }
 
 
-def evidence_of_calls() -> list[str]:
-    """Two windows of one relay, as sent: calls that went well, failed, and were left out."""
-    counting = CallCounter("n1", 9, "z-1")
-    counting.record_submission(7, "anywhere 1")
-    counting.record_call(7, "z-1", True, False, False, 12.5)
-    counting.record_call(7, "z-2", False, True, False, 0.0)
-    counting.record_call(7, "z-2", False, False, True, 0.0)
-    sent = counting.close_window(2.0, 0.25)
-    counting.record_submission(7, "anywhere 1")
-    sent += counting.close_window(2.0, 0.5)
-    return [_pack(each).hex() for each in sent]
+def observations_of_calls() -> list[str]:
+    """Encodes two windows of one relay: calls that succeeded, that had no effect, or were to wait."""
+    counter = CallCounter("n1", 9, "z-1")
+    counter.record_submission(7, "anywhere 1")
+    counter.record_call(7, "z-1", True, False, False, 12.5)
+    counter.record_call(7, "z-2", False, True, False, 0.0)
+    counter.record_call(7, "z-2", False, False, True, 0.0)
+    reports = counter.close_window(2.0, 0.25)
+    counter.record_submission(7, "anywhere 1")
+    reports += counter.close_window(2.0, 0.5)
+    return [_pack(report).hex() for report in reports]
--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for AMQP: the bytes that go to a broker, and what is read from a delivery."""
+"""Bytes that the product writes to an AMQP broker, and the submission that it reads from a delivery.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 class Connection:
-    """A connection without a socket: a broker's bytes in, ours out."""
+    """A connection without a socket: takes the bytes of a broker and returns those written to it."""
 
     def __init__(self, user: str, password: str, host: str, external: bool) -> None:
         self._machine = ConnectionProtocol(Login(user, password, host, external), 0.0)
@@ -32,7 +35,7 @@
         return data
 
     def receive(self, data: bytes) -> bytes:
-        """A broker's bytes, and our answer to them."""
+        """Processes bytes of a broker and returns what is written in response."""
         self._machine.received(data, 0.0)
         return self.sent()
 
@@ -40,8 +43,10 @@
         self._machine.open_channel(prefetch)
         return self.sent()
 
-    def publish(self, channel: int, exchange: str, routing_key: str, data: bytes, told: Properties) -> bytes:
-        self._machine.publish(channel, "id", exchange, routing_key, data, told)
+    def publish(
+        self, channel: int, exchange: str, routing_key: str, data: bytes, properties: Properties
+    ) -> bytes:
+        self._machine.publish(channel, "id", exchange, routing_key, data, properties)
         return self.sent()
 
     def consume(self, channel: int, queue: str, consumer: str) -> bytes:
@@ -74,14 +79,17 @@
 
 
 def message_properties(trace_id: str, key: str | None) -> Properties:
-    """Of a publish whose time is up, so that what is left of it is the least there is. Needs a loop."""
+    """Returns the properties of a message at its deadline, so that its expiration is the minimum.
+
+    Needs a running event loop.
+    """
     now = asyncio.get_running_loop().time()
     attempt = Attempt(1, ("amqp:x", 0), trace_id, key, b"", now, lambda: True)
     return BrokerPublisher._properties(attempt)
 
 
-class _Written(asyncio.Transport):
-    """Keeps what is written."""
+class _RecordingTransport(asyncio.Transport):
+    """A transport that collects the written data."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,14 +107,14 @@
     def close(self) -> None:
         """There is no socket."""
 
-    def taken(self) -> bytes:
+    def take_written(self) -> bytes:
         data = bytes(self.data)
         self.data.clear()
         return data
 
 
 class _Subscriber:
-    """Asks for a queue's deliveries as soon as its channel stands."""
+    """Subscribes to a queue as soon as its channel is open."""
 
     def __init__(self, link: BrokerConnection, queue: str) -> None:
         self.link, self.queue = link, queue
@@ -115,90 +123,94 @@
         self.link.subscribe(channel, self.queue)
 
     def delivered(self, delivery: Delivered) -> None:
-        """None come here."""
+        """The tests send no deliveries."""
 
     def over(self, why: str) -> None:
-        """Nothing follows."""
+        """There is nothing to clean up."""
 
 
-class OpenLink:
-    """A connection that has been opened by these bytes of a broker; channel 1 is for publishing."""
+class OpenConnection:
+    """A connection opened by the given bytes of a broker; channel 1 is for publishing."""
 
     def __init__(self, opening: bytes, channel_opening: bytes) -> None:
         self._link = BrokerConnection(Login(), lambda why: None, lambda publish: None)
-        self._transport = _Written()
+        self._transport = _RecordingTransport()
         self._link.connection_made(self._transport)
         self._link.data_received(opening)
         self._link.data_received(channel_opening)
-        self._transport.taken()
+        self._transport.take_written()
 
     def subscribe(self, prefetch: int, queue: str, channel_ready: bytes) -> bytes:
-        """All that is sent to consume a queue."""
+        """Returns all bytes that are sent to consume a queue."""
         self._link.consume(prefetch, _Subscriber(self._link, queue))
         self._link.data_received(channel_ready)
-        return self._transport.taken()
+        return self._transport.take_written()
 
-    async def pass_on_end(
-        self, ident: str, state: str, after_ms: float, reply: str, correlation: str, confirm: bytes
+    async def publish_final_outcome(
+        self, message_id: str, state: str, after_ms: float, reply: str, correlation: str, confirm: bytes
     ) -> bytes:
-        """All that is sent to tell the end of a message that came by a queue."""
+        """Returns all bytes that publish the final outcome of a message submitted through a queue."""
         broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
         broker.link = self._link
-        intake = QueueIntake([], {"b": broker}, _Desk(), {}, Random(0))
-        end = FinalOutcome(ident, state, after_ms)
-        telling = asyncio.create_task(intake._publish(broker, end, reply, correlation))
+        intake = QueueIntake([], {"b": broker}, _AcceptingRelay(), {}, Random(0))
+        outcome = FinalOutcome(message_id, state, after_ms)
+        publishing = asyncio.create_task(intake._publish(broker, outcome, reply, correlation))
         while not self._transport.data:
             await asyncio.sleep(0)
         self._link.data_received(confirm)
-        await telling
-        return self._transport.taken()
+        await publishing
+        return self._transport.take_written()
 
     def close(self) -> None:
         self._link.connection_lost(None)
 
 
-class _Desk:
-    """Takes all."""
+class _AcceptingRelay:
+    """Accepts every submission."""
 
     is_ready = has_capacity = True
 
-    def accept(self, offer: Submission) -> SubmissionResult:
+    def accept(self, submission: Submission) -> SubmissionResult:
         return SubmissionResult(True)
 
-    def cancel(self, ident: str) -> bool:
+    def cancel(self, message_id: str) -> bool:
         return True
 
-    def mark_notified(self, idents: list[str]) -> None:
-        """Nothing is owed here."""
+    def mark_notified(self, message_ids: list[str]) -> None:
+        """Notifications are not tracked."""
 
 
-def offer_of_delivery(properties: Properties, body: bytes) -> Values:
-    """A message as it is read from a queue's delivery."""
+def submission_of_delivery(properties: Properties, body: bytes) -> Values:
+    """Returns the submission that is read from a queue's delivery."""
     broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
-    intake = QueueIntake([QueueSettings("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
-    offer = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
+    intake = QueueIntake(
+        [QueueSettings("b", "orders")], {"b": broker}, _AcceptingRelay(), {"pay": 4000.0}, Random(0)
+    )
+    submission = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
     return {
-        "id": offer.id,
-        "class": offer.class_name,
-        "tenant": offer.tenant,
-        "destination": offer.destination,
-        "key": offer.idempotency_key,
-        "left ms": offer.remaining_ms,
-        "handed in again": offer.resubmission,
-        "body": offer.body.decode(),
-        "front": offer.origin,
+        "id": submission.id,
+        "class": submission.class_name,
+        "tenant": submission.tenant,
+        "destination": submission.destination,
+        "key": submission.idempotency_key,
+        "left ms": submission.remaining_ms,
+        "handed in again": submission.resubmission,
+        "body": submission.body.decode(),
+        "front": submission.origin,
     }
 
 
-def members_of_file() -> list[Any]:
-    """An endpoint of the operator's file as a member: its name and address stand in the journal and in
-    rules."""
-    part = AmqpSettings([BrokerSettings("b", ["h:5672"])], [EndpointSettings("t", 7, "b", "k", rate=2.0)])
-    (member,) = ConfiguredEndpoints(part).update.endpoints
+def configured_endpoint() -> list[Any]:
+    """Returns the endpoint that the operator's file configures.
+
+    The journal and the rules refer to it by its name and address.
+    """
+    settings = AmqpSettings([BrokerSettings("b", ["h:5672"])], [EndpointSettings("t", 7, "b", "k", rate=2.0)])
+    (endpoint,) = ConfiguredEndpoints(settings).update.endpoints
     return [
-        ConfiguredEndpoints(part).update.source,
-        member.name,
-        member.destination,
-        *member.address,
-        member.rate,
+        ConfiguredEndpoints(settings).update.source,
+        endpoint.name,
+        endpoint.destination,
+        *endpoint.address,
+        endpoint.rate,
     ]
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -1,7 +1,7 @@
-"""The only place at which the decision traces name the product's classes, functions and fields.
+"""Binding between the decision traces and the product, whose names no other module of the traces uses.
 
-Functions take plain positional arguments and return neutral values. When something of the product is renamed
-or moved, this file follows, and neither the scenarios nor the fixtures change.
+Functions take plain positional arguments and return neutral values. When something in the product is renamed
+or moved, only this module changes, and neither the scenarios nor the fixtures.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 from message_relay.decisions.slow_start import estimate_senders
 
-from .decision_scenarios import InstancePlace, Scenario
+from .decision_scenarios import InstancePosition, Scenario
 
 Scheduler = DeliveryScheduler
 Event = events.Event
@@ -69,20 +69,20 @@
 
 
 class Action(NamedTuple):
-    """What the scheduler wants done, in neutral terms."""
+    """An action of the scheduler in neutral terms."""
 
     kind: str
-    number: int = 0  # of the message, or the token of a timer
+    number: int = 0  # of the message; for a timer, its token
     endpoint: int = 0
     value: float = 0.0
 
 
-class Knowledge(NamedTuple):
-    """What a process passes on of one destination."""
+class KnownDestination(NamedTuple):
+    """State of a destination that a process hands over to the next one."""
 
     destination: int
     wait_ms: float
-    out: bool
+    is_out: bool
     failing_for_ms: float | None
     back_for_ms: float | None
 
@@ -90,8 +90,8 @@
 # -- settings ----------------------------------------------------------------------------------------------
 
 
-def _place(place: InstancePlace) -> model.Fleet:
-    return model.Fleet(place.number, place.size, place.clock_ms)
+def _fleet(position: InstancePosition) -> model.Fleet:
+    return model.Fleet(position.number, position.size, position.clock_ms)
 
 
 def _settings(scenario: Scenario) -> model.Settings:
@@ -99,27 +99,27 @@
     return model.Settings(
         classes=tuple(
             model.MessageClass(
-                each.name,
-                EFFECTS[each.effect],
-                each.target_ms,
-                each.deadline_ms,
-                each.value,
-                each.late_fraction,
-                each.key_window_ms,
-                SCOPES[each.key_scope],
-                each.ordered,
+                entry.name,
+                EFFECTS[entry.effect],
+                entry.target_ms,
+                entry.deadline_ms,
+                entry.value,
+                entry.late_fraction,
+                entry.key_window_ms,
+                SCOPES[entry.key_scope],
+                entry.ordered,
             )
-            for each in scenario.classes
+            for entry in scenario.classes
         ),
         kinds=tuple(
-            model.DestinationKind(each.name, each.batch, each.separate_routes) for each in scenario.kinds
+            model.DestinationKind(entry.name, entry.batch, entry.separate_routes) for entry in scenario.kinds
         ),
         max_concurrent_attempts=scenario.slots,
-        max_pending_messages=scenario.hold,
+        max_pending_messages=scenario.max_pending,
         max_attempts=scenario.attempts,
         relays=scenario.instances,
         zone=scenario.zone,
-        tenants=tuple(model.Tenant(each.name, each.per_second) for each in scenario.tenants),
+        tenants=tuple(model.Tenant(entry.name, entry.per_second) for entry in scenario.tenants),
         over_quota_weight=scenario.over_quota_value,
         decay=DECAYS[scenario.decay],
         rates=RATES[scenario.rates],
@@ -127,7 +127,7 @@
         idle_ms=scenario.idle_ms,
         tick_ms=scenario.tick_ms,
         marks_repeats=scenario.marks_repeats,
-        max_retry_after_ms=scenario.longest_advice_ms,
+        max_retry_after_ms=scenario.longest_retry_after_ms,
         cross_zone_price=scenario.cross_zone_price,
         route_fees=scenario.zone_fees,
         report_fields=("left", "limit") if scenario.reports_limit else (),
@@ -143,7 +143,7 @@
             limits.key_rest_ms,
         ),
         goal=model.Goal(*goal),
-        fleet=None if scenario.agreed is None else _place(scenario.agreed),
+        fleet=None if scenario.fleet_position is None else _fleet(scenario.fleet_position),
     )
 
 
@@ -186,11 +186,11 @@
     tenant: int,
     key: int,
     age_ms: float,
-    tries: int,
-    risk_age_ms: float | None,
-    risk: Endpoint | None,
+    attempts: int,
+    uncertain_for_ms: float | None,
+    uncertain_endpoint: Endpoint | None,
 ) -> Message:
-    """One that an earlier process took on."""
+    """Returns a message that an earlier process accepted."""
     return events.Message(
         number,
         destination,
@@ -199,27 +199,27 @@
         tenant,
         key,
         age_ms=age_ms,
-        attempts=tries,
-        uncertain_for_ms=risk_age_ms,
-        uncertain_endpoint=risk,
+        attempts=attempts,
+        uncertain_for_ms=uncertain_for_ms,
+        uncertain_endpoint=uncertain_endpoint,
     )
 
 
-def message_event(it: Message) -> Event:
-    return it
+def as_event(event: Message) -> Event:
+    return event
 
 
-def attempt_ended(
+def attempt_completed(
     number: int,
     attempt: int,
     endpoint_number: int,
     outcome: str,
     latency_ms: float,
-    finished: bool,
+    is_final: bool,
     wait_ms: float,
-    no_slot: bool,
+    had_no_slot: bool,
     report: tuple[float, ...],
-    held_back: bool,
+    was_withheld: bool,
 ) -> Event:
     return events.AttemptCompleted(
         number,
@@ -227,19 +227,19 @@
         endpoint_number,
         OUTCOMES[outcome],
         latency_ms,
-        finished,
+        is_final,
         wait_ms,
-        no_slot,
+        had_no_slot,
         report,
-        held_back,
+        was_withheld,
     )
 
 
-def probe_ended(endpoint_number: int, outcome: str, latency_ms: float) -> Event:
+def probe_completed(endpoint_number: int, outcome: str, latency_ms: float) -> Event:
     return events.ProbeCompleted(endpoint_number, OUTCOMES[outcome], latency_ms)
 
 
-def withdrawn(number: int) -> Event:
+def message_cancelled(number: int) -> Event:
     return events.MessageCancelled(number)
 
 
@@ -247,22 +247,24 @@
     return events.TimerFired(token)
 
 
-def closing(at_ms: float) -> Event:
+def shutdown_scheduled(at_ms: float) -> Event:
     return events.ShutdownScheduled(at_ms)
 
 
-def recalled(it: Knowledge) -> Event:
-    return events.RestoredDestination(it.destination, it.wait_ms, it.out, it.failing_for_ms, it.back_for_ms)
+def restored_destination(known: KnownDestination) -> Event:
+    return events.RestoredDestination(
+        known.destination, known.wait_ms, known.is_out, known.failing_for_ms, known.back_for_ms
+    )
 
 
-def resized(place: InstancePlace) -> Event:
-    return _place(place)
+def fleet_resized(position: InstancePosition) -> Event:
+    return _fleet(position)
 
 
 # -- calls -------------------------------------------------------------------------------------------------
 
 
-def _neutral(action: actions.Action) -> Action:
+def _neutral_action(action: actions.Action) -> Action:
     match action:
         case actions.StartAttempt():
             return Action("send", action.id, action.endpoint, action.give_up_at_ms)
@@ -283,10 +285,10 @@
 
 
 def handle(scheduler: Scheduler, now_ms: float, events: list[Event]) -> list[Action]:
-    return [_neutral(action) for action in scheduler.handle(now_ms, events)]
+    return [_neutral_action(action) for action in scheduler.handle(now_ms, events)]
 
 
-def turned_away(scheduler: Scheduler, now_ms: float, offered: Message, holding: int) -> float | None:
+def rejection_delay(scheduler: Scheduler, now_ms: float, offered: Message, holding: int) -> float | None:
     return scheduler.rejection_delay_ms(now_ms, offered, holding)
 
 
@@ -294,10 +296,16 @@
     return scheduler.may_write(now_ms, number)
 
 
-def knowledge(scheduler: Scheduler, now_ms: float) -> list[Knowledge]:
+def known_destinations(scheduler: Scheduler, now_ms: float) -> list[KnownDestination]:
     return [
-        Knowledge(it.destination, it.retry_after_ms, it.is_ejected, it.failing_for_ms, it.warming_up_for_ms)
-        for it in scheduler.destination_snapshot(now_ms)
+        KnownDestination(
+            state.destination,
+            state.retry_after_ms,
+            state.is_ejected,
+            state.failing_for_ms,
+            state.warming_up_for_ms,
+        )
+        for state in scheduler.destination_snapshot(now_ms)
     ]
 
 
@@ -306,8 +314,8 @@
 Row = tuple[str | int | float | bool | None, ...]
 
 
-def _lane_row(destination: int, route: int, lane: DestinationState) -> Row:
-    share = lane.time_slots
+def _destination_row(destination: int, route: int, state: DestinationState) -> Row:
+    share = state.time_slots
     slot: Row = (
         ()
         if share is None
@@ -324,134 +332,134 @@
             "lane",
             destination,
             route,
-            lane.latency_mean_ms,
-            lane.latency_deviation_ms,
-            lane.fleet_rate,
-            lane.send_rate,
-            lane.tokens,
+            state.latency_mean_ms,
+            state.latency_deviation_ms,
+            state.fleet_rate,
+            state.send_rate,
+            state.tokens,
         ),
         *(
-            lane.tokens_updated_at,
-            lane.response_count,
-            lane.last_success_at,
-            lane.timeout_multiplier,
-            lane.throttle_ms,
-            lane.throttled_until,
+            state.tokens_updated_at,
+            state.response_count,
+            state.last_success_at,
+            state.timeout_multiplier,
+            state.throttle_ms,
+            state.throttled_until,
         ),
         *(
-            lane.retry_after_until,
-            lane.failure_score,
-            lane.is_ejected,
-            lane.last_failure_at,
-            lane.last_failure_had_no_effect,
-            lane.failing_since,
+            state.retry_after_until,
+            state.failure_score,
+            state.is_ejected,
+            state.last_failure_at,
+            state.last_failure_had_no_effect,
+            state.failing_since,
         ),
         *(
-            lane.warming_since,
-            lane.estimated_senders,
-            lane.next_trial_at,
-            lane.has_listed_rate,
-            len(lane.in_flight),
-            len(lane.endpoints),
+            state.warming_since,
+            state.estimated_senders,
+            state.next_trial_at,
+            state.has_listed_rate,
+            len(state.in_flight),
+            len(state.endpoints),
         ),
         *slot,
     )
 
 
-def _pace_row(scheduler: Scheduler, now_ms: float, destination: int, lane: DestinationState) -> Row:
-    paces, out = scheduler.rate_controller, is_suspected(lane, now_ms)
-    doubts = (endpoint_penalty(door, now_ms, 0) for door in lane.endpoints.values())
+def _rate_row(scheduler: Scheduler, now_ms: float, destination: int, state: DestinationState) -> Row:
+    rates, suspected = scheduler.rate_controller, is_suspected(state, now_ms)
+    penalties = (endpoint_penalty(entry, now_ms, 0) for entry in state.endpoints.values())
     return (
-        *("pace", destination, out, overdue_ms(lane), *paces.rate_and_burst(now_ms, lane, out)),
+        *("pace", destination, suspected, overdue_ms(state), *rates.rate_and_burst(now_ms, state, suspected)),
         *(
-            *paces.rate_and_burst(now_ms, lane, True),
-            estimate_senders(scheduler.settings, now_ms, lane),
-            paces.rate_stable_until(now_ms, lane),
+            *rates.rate_and_burst(now_ms, state, True),
+            estimate_senders(scheduler.settings, now_ms, state),
+            rates.rate_stable_until(now_ms, state),
         ),
-        *(scheduler.drain_estimate.retry_after_ms(now_ms, destination), *doubts),
+        *(scheduler.drain_estimate.retry_after_ms(now_ms, destination), *penalties),
     )
 
 
-def _held_row(scheduler: Scheduler, now_ms: float, held: PendingMessage) -> Row:
+def _pending_row(scheduler: Scheduler, now_ms: float, pending: PendingMessage) -> Row:
     return (
         *(
             "held",
-            held.message.id,
-            held.submitted_at,
-            held.deadline_at,
-            held.priority_weight,
-            held.backoff_until,
-            held.attempts,
-            held.first_uncertain_at,
+            pending.message.id,
+            pending.submitted_at,
+            pending.deadline_at,
+            pending.priority_weight,
+            pending.backoff_until,
+            pending.attempts,
+            pending.first_uncertain_at,
         ),
         *(
-            held.is_cancelled,
-            held.was_deferred,
-            held.can_be_shed,
-            held.parked_until,
-            held.in_flight_on is not None,
+            pending.is_cancelled,
+            pending.was_deferred,
+            pending.can_be_shed,
+            pending.parked_until,
+            pending.in_flight_on is not None,
         ),
         *(
-            retry_deadline(scheduler.settings, held),
-            idempotency_window_end(scheduler.settings, held),
-            held.value_at(now_ms, scheduler.settings.decay),
+            retry_deadline(scheduler.settings, pending),
+            idempotency_window_end(scheduler.settings, pending),
+            pending.value_at(now_ms, scheduler.settings.decay),
         ),
     )
 
 
-def _course_row(now_ms: float, course: PriorityBucket, lane: DestinationState) -> Row:
-    found, change = candidates(course, lane, now_ms)
+def _bucket_row(now_ms: float, bucket: PriorityBucket, state: DestinationState) -> Row:
+    messages, valid_until = candidates(bucket, state, now_ms)
     return (
         "course",
-        *course.key[:5],
-        len(course.ready),
-        len(course.parked),
-        change,
-        *(h.message.id for h in found),
+        *bucket.key[:5],
+        len(bucket.ready),
+        len(bucket.parked),
+        valid_until,
+        *(pending.message.id for pending in messages),
     )
 
 
-def _course_rows(scheduler: Scheduler, now_ms: float) -> list[Row]:
+def _bucket_rows(scheduler: Scheduler, now_ms: float) -> list[Row]:
     return [
-        _course_row(now_ms, course, lane)
+        _bucket_row(now_ms, bucket, state)
         for queue in islice(scheduler.pending.queues.values(), SNAPSHOT_ROWS)
-        for course in islice(queue.buckets.values(), SNAPSHOT_ROWS)
-        for lane in islice(scheduler.destinations.get(queue.destination_id, {}).values(), 1)
+        for bucket in islice(queue.buckets.values(), SNAPSHOT_ROWS)
+        for state in islice(scheduler.destinations.get(queue.destination_id, {}).values(), 1)
     ]
 
 
 def snapshot(scheduler: Scheduler, now_ms: float) -> list[Row]:
-    """What is believed now, for the lines of a trace; looking changes nothing."""
-    board, index, paces = scheduler.pending, scheduler.index, scheduler.rate_controller
-    draws = hashlib.sha256(repr(scheduler.rng.getstate()).encode()).hexdigest()[:16]
+    """Returns the state of the scheduler as rows of a trace. Reading it changes nothing."""
+    pending, index, rates = scheduler.pending, scheduler.index, scheduler.rate_controller
+    random_state = hashlib.sha256(repr(scheduler.rng.getstate()).encode()).hexdigest()[:16]
     rows: list[Row] = [
-        ("random", draws),
+        ("random", random_state),
         (
             "counts",
-            len(board.by_id),
-            len(board.queues),
+            len(pending.by_id),
+            len(pending.queues),
             scheduler.in_flight,
             len(scheduler.registry.endpoints),
         ),
-        ("times", scheduler.timer_at, scheduler.registry.next_poll_at, *paces.default_latency),
+        ("times", scheduler.timer_at, scheduler.registry.next_poll_at, *rates.default_latency),
         ("index", index.bounds_valid_until, len(index.buckets)),
         ("quotas", *(value for quota in scheduler.admission.quota_tokens for value in quota)),
-        ("waiting", *islice(board.queues, SNAPSHOT_ROWS)),
+        ("waiting", *islice(pending.queues, SNAPSHOT_ROWS)),
     ]
     rows += [
-        ("cell", *cell.key, cell.upper_bound, cell.top_rank)
-        for cell in islice(index.buckets.values(), SNAPSHOT_ROWS)
+        ("cell", *bucket.key, bucket.upper_bound, bucket.top_rank)
+        for bucket in islice(index.buckets.values(), SNAPSHOT_ROWS)
     ]
-    lanes = [
-        (destination, route, lane)
+    states = [
+        (destination, route, state)
         for destination, routes in scheduler.destinations.items()
-        for route, lane in routes.items()
+        for route, state in routes.items()
     ][:SNAPSHOT_ROWS]
-    rows += [_lane_row(*each) for each in lanes]
-    rows += [_pace_row(scheduler, now_ms, destination, lane) for destination, _, lane in lanes]
-    rows += _course_rows(scheduler, now_ms)
-    held = islice(board.by_id.values(), SNAPSHOT_ROWS)
-    rows += [_held_row(scheduler, now_ms, each) for each in held]
+    rows += [_destination_row(*entry) for entry in states]
+    rows += [_rate_row(scheduler, now_ms, destination, state) for destination, _, state in states]
+    rows += _bucket_rows(scheduler, now_ms)
+    messages = islice(pending.by_id.values(), SNAPSHOT_ROWS)
+    rows += [_pending_row(scheduler, now_ms, entry) for entry in messages]
     rows += [("end", *scheduler.expiry.deadline_heap[0])] if scheduler.expiry.deadline_heap else []
     return rows
 
@@ -481,8 +489,8 @@
 }
 
 
-def emulated(seed: int) -> list[Row]:
-    """One short experiment in virtual time: its figures, in their order, without their names."""
+def experiment_rows(seed: int) -> list[Row]:
+    """Runs one short experiment in virtual time; returns its figures in order, without their names."""
     experiment = decoded(EXPERIMENT, "trace")
     result = one(experiment, experiment.all_variants()[0], seed)
     rows: list[Row] = [("totals", result.breaks, result.messages, result.turns, len(result.broken))]
--- a/tests/compatibility/decision_destinations.py
+++ b/tests/compatibility/decision_destinations.py
@@ -1,16 +1,16 @@
-"""Simulated destinations: how long a call takes, what it ends with, and what befalls them."""
+"""Simulated destinations: the latency and result of each call, and their faults."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-from .decision_scenarios import Scenario, Trouble
+from .decision_scenarios import Scenario, Fault
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a call that went out ends with, and when."""
+    """Result of a call and when it arrives."""
 
     at_ms: float
     outcome: str
@@ -19,22 +19,22 @@
 
 
 class Destinations:
-    """Draws from the random source of the world that it belongs to."""
+    """Destinations that draw from the random source of their simulation."""
 
     def __init__(self, scenario: Scenario, source: random.Random) -> None:
         self.scenario, self.random = scenario, source
-        self.saved: dict[int, tuple[float, float]] = {}  # calls that are left, and when that was reckoned
+        self.tokens: dict[int, tuple[float, float]] = {}  # by destination: tokens, time of the last refill
 
-    def trouble(self, now_ms: float, destination: int) -> Trouble | None:
-        for trouble in self.scenario.troubles:
-            if trouble.destination == destination and trouble.begin_ms <= now_ms < trouble.end_ms:
-                return trouble
+    def fault(self, now_ms: float, destination: int) -> Fault | None:
+        for fault in self.scenario.faults:
+            if fault.destination == destination and fault.begin_ms <= now_ms < fault.end_ms:
+                return fault
         return None
 
     def answer(self, now_ms: float, destination: int, give_up_ms: float) -> Answer:
         draw = self.random
-        trouble = self.trouble(now_ms, destination)
-        kind = "" if trouble is None else trouble.kind
+        fault = self.fault(now_ms, destination)
+        kind = "" if fault is None else fault.kind
         took = self.scenario.latency_ms * draw.lognormvariate(0.0, 0.5)
         if kind == "down":
             return Answer(now_ms + 1.0, "connect_failed")
@@ -43,8 +43,8 @@
         if kind == "shut":
             return Answer(now_ms + 4.0, "full", wait_ms=draw.uniform(2600.0, 5000.0))
         if not self._within_rate(now_ms, destination):
-            told = draw.random() < self.scenario.chances.told_wait
-            return Answer(now_ms + 3.0, "full", wait_ms=draw.uniform(80.0, 1200.0) if told else 0.0)
+            has_wait = draw.random() < self.scenario.chances.has_retry_after
+            return Answer(now_ms + 3.0, "full", wait_ms=draw.uniform(80.0, 1200.0) if has_wait else 0.0)
         if kind == "failing" and draw.random() < 0.7:
             return Answer(now_ms + took, "error")
         return self._served(now_ms + took, give_up_ms)
@@ -59,10 +59,10 @@
         return Answer(at_ms, outcome, finished=outcome == "error" and draw.random() < 0.3)
 
     def _within_rate(self, now_ms: float, destination: int) -> bool:
-        """Takes one of the calls that are saved up, if there is one."""
+        """Takes a token of the destination, if it has one."""
         rate = self.scenario.real_rate
-        most = max(2.0, rate / 4)
-        saved, at = self.saved.get(destination, (most, now_ms))
-        saved = min(most, saved + rate * (now_ms - at) / 1000)
-        self.saved[destination] = saved - (saved >= 1), now_ms
-        return saved >= 1
+        capacity = max(2.0, rate / 4)
+        tokens, refilled_at = self.tokens.get(destination, (capacity, now_ms))
+        tokens = min(capacity, tokens + rate * (now_ms - refilled_at) / 1000)
+        self.tokens[destination] = tokens - (tokens >= 1), now_ms
+        return tokens >= 1
--- a/tests/compatibility/decision_discovery.py
+++ b/tests/compatibility/decision_discovery.py
@@ -1,4 +1,4 @@
-"""Simulated service discovery: the endpoints of a scenario's destinations, and what becomes of them."""
+"""Simulated service discovery: the endpoints of a scenario's destinations, and the changes of their list."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 class Discovery:
-    """Draws from the random source of the world that it belongs to."""
+    """A simulated discovery service that draws from the random source of its simulation."""
 
     def __init__(self, scenario: Scenario, source: random.Random) -> None:
         self.scenario, self.random = scenario, source
         self.listed: dict[int, Listed] = {}
         self.next_endpoint = FIRST_ENDPOINT
-        self.asked = 0
+        self.polls_answered = 0
         for destination in range(1, scenario.destinations + 1):
             for _ in range(scenario.endpoints_each):
                 self.new_endpoint(destination)
@@ -45,59 +45,61 @@
         number, self.next_endpoint = self.next_endpoint, self.next_endpoint + 1
         kind = destination % len(self.scenario.kinds)
         rate = self.scenario.listed_rate * (1.0 + 0.25 * (destination % 3))
-        it = Listed(number, destination, "ready", kind, number % ZONES, rate)
-        self.listed[number] = it
-        return it
+        endpoint = Listed(number, destination, "ready", kind, number % ZONES, rate)
+        self.listed[number] = endpoint
+        return endpoint
 
     def any_entry(self) -> binding.Endpoint:
         return self.random.choice(list(self.listed.values())).entry()
 
     def first_list(self) -> binding.Event:
-        """Where discovery has to be asked, a process begins with what an earlier one kept."""
-        return self.whole("cached" if self.scenario.ask_for_list else "whole")
+        """Returns the list at a start: the one an earlier process cached, if discovery has to be polled."""
+        return self.full_list("cached" if self.scenario.ask_for_list else "whole")
 
-    def whole(self, kind: str) -> binding.Event:
-        there = [it.entry() for it in self.listed.values() if it.listing in ("ready", "draining")]
-        return binding.endpoint_list(kind, there)
+    def full_list(self, kind: str) -> binding.Event:
+        entries = [
+            endpoint.entry() for endpoint in self.listed.values() if endpoint.listing in ("ready", "draining")
+        ]
+        return binding.endpoint_list(kind, entries)
 
     def answer(self) -> binding.Event | None:
-        """To an ask for the list; None: it gets lost, and the scheduler has to ask again."""
-        kind = ANSWERS[self.asked % len(ANSWERS)]
-        self.asked += 1
+        """Returns the answer to a poll; None if it is lost, so that the scheduler has to poll again."""
+        kind = ANSWERS[self.polls_answered % len(ANSWERS)]
+        self.polls_answered += 1
         if kind == "failed":
             return binding.endpoint_list("failed", ())
-        return None if kind == "lost" else self.whole(kind)
+        return None if kind == "lost" else self.full_list(kind)
 
     def change(self) -> binding.Event:
-        """Changes an endpoint, or all of a destination; what is told of it."""
+        """Changes an endpoint, or all endpoints of a destination, and returns the update."""
         change = self.random.choice(CHANGES)
         if change == "whole":
-            return self.whole("whole")
+            return self.full_list("whole")
         return binding.endpoint_list("changes", [it.entry() for it in self._changed(change)])
 
     def _changed(self, change: str) -> list[Listed]:
-        ready = [it for it in self.listed.values() if it.listing == "ready"]
-        it = self.random.choice(ready or list(self.listed.values()))
+        ready = [endpoint for endpoint in self.listed.values() if endpoint.listing == "ready"]
+        endpoint = self.random.choice(ready or list(self.listed.values()))
         match change:
             case "drain":
-                it.listing = "draining"
+                endpoint.listing = "draining"
             case "remove":
-                it.listing = "gone"
+                endpoint.listing = "gone"
             case "replace":
-                it.listing = "gone"
-                return [self.new_endpoint(it.destination), it]
+                endpoint.listing = "gone"
+                return [self.new_endpoint(endpoint.destination), endpoint]
             case "back":
-                others = [each for each in self.listed.values() if each.listing != "ready"]
-                for each in others[:3]:
-                    each.listing = "ready"
+                others = [other for other in self.listed.values() if other.listing != "ready"]
+                for other in others[:3]:
+                    other.listing = "ready"
                 return others[:3]
             case "rate":
-                it.rate *= self.random.choice((0.5, 0.8, 1.25, 2.0))
+                endpoint.rate *= self.random.choice((0.5, 0.8, 1.25, 2.0))
             case "move":
-                it.destination = self.random.randint(1, self.scenario.destinations)
+                endpoint.destination = self.random.randint(1, self.scenario.destinations)
             case "all_gone" | "unneeded":
-                every = [each for each in ready if each.destination == it.destination]
-                for each in every:
-                    each.listing = "gone" if change == "all_gone" else "unneeded"
-                return every
-        return [it]
+                affected = [other for other in ready if other.destination == endpoint.destination]
+                for other in affected:
+                    other.listing = "gone" if change == "all_gone" else "unneeded"
+                return affected
+        return [endpoint]
--- a/tests/compatibility/decision_fixtures.py
+++ b/tests/compatibility/decision_fixtures.py
@@ -1,8 +1,8 @@
-"""Writes the digests of all traces: what is decided now becomes what must be decided later.
+"""Writes the digests of all traces, so that the current decisions become the expected ones.
 
     python -m tests.compatibility.decision_fixtures
 
-Only for a change of behaviour that is meant; a rename must leave the file as it is.
+Run it only for an intended change of behaviour; a rename must leave the file unchanged.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from . import decision_binding as binding
 from . import subsystem_binding as subsystems
 from .decision_scenarios import SCENARIOS, SEEDS
-from .decision_trace import traced
+from .decision_trace import run_trace
 from .trace_lines import BLOCK_LINES, Trace, digest, neutral
 
 DIGESTS = Path(__file__).parent / "fixtures" / "decisions" / "digests.json"
 EMULATOR_SEED = 3
-LINES_SHOWN = 3  # of a block that differs
+LINES_SHOWN = 3  # from the first block that differs
 
 
 class Expected(msgspec.Struct, frozen=True):
-    """What is kept of one trace."""
+    """The stored summary of one trace."""
 
     digest: str
     lines: int
-    counts: dict[str, int]  # of lines, by their kind
-    blocks: list[str]  # a short digest of every so many lines
+    counts: dict[str, int]  # number of lines of each kind
+    blocks: list[str]  # a short digest of each block of lines
 
 
 class Fixtures(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 
 
 def trace_name(name: str, seed: int) -> str:
-    """Of a scenario or a subsystem."""
+    """Returns the key of a trace of a scenario or a subsystem."""
     return f"{name}/{seed}"
 
 
@@ -54,30 +54,30 @@
 
 
 def emulator_digest() -> str:
-    rows = binding.emulated(EMULATOR_SEED)
+    rows = binding.experiment_rows(EMULATOR_SEED)
     return digest(" ".join(map(neutral, row)) for row in rows)
 
 
-def difference(trace: Trace, kept: Expected) -> str:
-    """Where a trace first differs from the one that was kept, and in what; empty: it is the same."""
-    if trace.digest() == kept.digest:
+def difference(trace: Trace, stored: Expected) -> str:
+    """Describes where a trace first differs from the stored one, and how; empty if they are equal."""
+    if trace.digest() == stored.digest:
         return ""
     blocks = trace.blocks()
-    pairs = zip(blocks, kept.blocks, strict=False)
-    first = next((n for n, (now, before) in enumerate(pairs) if now != before), None)
+    pairs = zip(blocks, stored.blocks, strict=False)
+    first = next((n for n, (current, previous) in enumerate(pairs) if current != previous), None)
     if first is None:
-        first = min(len(blocks), len(kept.blocks))
+        first = min(len(blocks), len(stored.blocks))
     start = first * BLOCK_LINES
-    kinds = sorted({*trace.counts, *kept.counts})
+    kinds = sorted({*trace.counts, *stored.counts})
     changed = [
-        f"{kind} {kept.counts.get(kind, 0)} -> {trace.counts[kind]}"
+        f"{kind} {stored.counts.get(kind, 0)} -> {trace.counts[kind]}"
         for kind in kinds
-        if kept.counts.get(kind, 0) != trace.counts[kind]
+        if stored.counts.get(kind, 0) != trace.counts[kind]
     ]
     return "\n".join(
         [
             f"block {first} differs first (lines {start} to {start + BLOCK_LINES - 1})",
-            f"lines: {kept.lines} -> {len(trace.lines)}",
+            f"lines: {stored.lines} -> {len(trace.lines)}",
             f"counts: {', '.join(changed) or 'the same'}",
             "the block begins now with:",
             *trace.lines[start : start + LINES_SHOWN],
@@ -91,18 +91,18 @@
 
 def main() -> int:
     traces = {
-        trace_name(scenario.name, seed): expected(traced(scenario, seed))
+        trace_name(scenario.name, seed): expected(run_trace(scenario, seed))
         for scenario in SCENARIOS
         for seed in SEEDS
     }
-    others = {
+    subsystem_traces = {
         trace_name(name, seed): expected(subsystem_trace(name, seed))
         for name in subsystems.RUNS
         for seed in SEEDS
     }
-    told = msgspec.to_builtins(Fixtures(traces, others, emulator_digest()))
+    fixtures = msgspec.to_builtins(Fixtures(traces, subsystem_traces, emulator_digest()))
     DIGESTS.parent.mkdir(parents=True, exist_ok=True)
-    DIGESTS.write_text(json.dumps(told, indent=1) + "\n")
+    DIGESTS.write_text(json.dumps(fixtures, indent=1) + "\n")
     return 0
 
 
--- a/tests/compatibility/decision_scenarios.py
+++ b/tests/compatibility/decision_scenarios.py
@@ -1,7 +1,7 @@
-"""Named scenarios for the decision traces: what is configured, and what the simulated destinations do.
+"""Named scenarios for the decision traces: their settings and the behaviour of the simulated destinations.
 
-Everything here is written in neutral terms: no name of the product is used, so that a rename never reaches
-this file. `decision_binding` translates a scenario into the product's own settings.
+The scenarios use neutral terms and no names of the product, so that a rename in the product never changes
+this module. `decision_binding` translates a scenario into the product's settings.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A class of messages: what repeating does, and how value falls with age."""
+    """A message class: the effect of a repeated attempt, and how the value decays with age."""
 
     name: str
     effect: str  # safe, keyed, unsafe
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Figures of the safety rules."""
+    """Limits of the safety rules."""
 
     answer_slack_ms: float = 20.0
     drain_grace_ms: float = 250.0
@@ -54,8 +54,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstancePlace:
-    """Which of how many instances this one is, and the offset of the shared clock."""
+class InstancePosition:
+    """Number of this instance, size of the fleet, and offset of the shared clock."""
 
     number: int
     size: int
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """What befalls a destination: down, silent, hung, shut, failing."""
+class Fault:
+    """A fault of a destination. Kinds: down, silent, hung, shut, failing."""
 
     destination: int
     kind: str
@@ -75,7 +75,7 @@
 @dataclass(frozen=True, slots=True)
 class Resize:
     at_ms: float
-    place: InstancePlace
+    position: InstancePosition
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chances:
-    """Of one call or message, drawn independently by the simulated world."""
+    """Probabilities of events of one call or message, drawn independently."""
 
     error: float = 0.02
     reset: float = 0.01
@@ -94,13 +94,13 @@
     cancelled: float = 0.005
     no_slot: float = 0.01
     slow_connect: float = 0.02
-    told_wait: float = 0.4  # of a refusal
-    withdrawn: float = 0.01  # of a message
-    hurried: float = 0.15  # of a message: little time left
-    comes_again: float = 0.4  # of a message that was turned away or refused
+    has_retry_after: float = 0.4  # a refusal has a retry-after time
+    client_cancels: float = 0.01  # the client cancels a message
+    short_deadline: float = 0.15  # a message has little time left
+    resubmits: float = 0.4  # the client resubmits a rejected message
 
     def outcome(self, drawn: float) -> str:
-        """Of a call that a healthy destination took, by a number from 0 to 1."""
+        """Returns the outcome of a call to a healthy destination for a random number from 0 to 1."""
         chances = (
             ("error", self.error),
             ("reset", self.reset),
@@ -123,7 +123,7 @@
     kinds: tuple[Kind, ...] = (Kind("plain"),)
     tenants: tuple[TenantQuota, ...] = ()
     slots: int = 8
-    hold: int = 200
+    max_pending: int = 200
     attempts: int = 6
     instances: int = 1
     zone: int = 0
@@ -134,28 +134,28 @@
     marks_repeats: bool = False
     idle_ms: float = 5000.0
     tick_ms: float = 1.0
-    longest_advice_ms: float = 8000.0
+    longest_retry_after_ms: float = 8000.0
     cross_zone_price: float = 0.0
     zone_fees: tuple[float, ...] = ()
     reports_limit: bool = False
-    goal_weights: tuple[float, float, float, float] = (1.0, 0.0, 0.0, 0.0)  # whole, window, class, tenant
+    goal_weights: tuple[float, float, float, float] = (1.0, 0.0, 0.0, 0.0)  # total, window, class, tenant
     limits: Limits = Limits()
-    agreed: InstancePlace | None = None
+    fleet_position: InstancePosition | None = None
     # The simulated world.
     messages: int = 900
     gap_ms: float = 12.0
-    clump: int = 3  # messages that may come in one moment, at most
+    burst: int = 3  # largest number of messages that arrive at the same time
     skew: float = 0.8  # the k-th destination gets 1 / k**skew of the messages
     listed_rate: float = 40.0  # calls a second
     real_rate: float = 40.0
     latency_ms: float = 60.0
-    time_left_spread: bool = False  # many different times to live
-    start_backlog: int = 0  # messages that are resumed at the beginning
-    untried_backlog: bool = False  # the earlier process had tried none of them
+    time_left_spread: bool = False  # draws many different times to live
+    start_backlog: int = 0  # messages that are resumed at the start
+    untried_backlog: bool = False  # the earlier process attempted none of them
     list_change_ms: float = 0.0  # 0: the list of endpoints does not change
-    tail_ms: float = 20_000.0  # how long the world goes on after the last message
+    tail_ms: float = 20_000.0  # how long the simulation continues after the last message
     chances: Chances = Chances()
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     resizes: tuple[Resize, ...] = ()
     restarts: tuple[Restart, ...] = ()
 
@@ -173,12 +173,12 @@
 ALL_CLASSES = (*COMMON, ZONE_KEYED, ENDPOINT_KEYED, ORDERED, ORDERED_KEYED, BRIEF)
 
 OUTAGES = (
-    Trouble(1, "down", 2500.0, 6000.0),
-    Trouble(2, "silent", 3500.0, 7500.0),
-    Trouble(3, "hung", 4000.0, 6500.0),
-    Trouble(1, "shut", 12000.0, 15000.0),
-    Trouble(2, "failing", 9000.0, 12000.0),
-    Trouble(3, "down", 13000.0, 17500.0),
+    Fault(1, "down", 2500.0, 6000.0),
+    Fault(2, "silent", 3500.0, 7500.0),
+    Fault(3, "hung", 4000.0, 6500.0),
+    Fault(1, "shut", 12000.0, 15000.0),
+    Fault(2, "failing", 9000.0, 12000.0),
+    Fault(3, "down", 13000.0, 17500.0),
 )
 
 SCENARIOS = (
@@ -188,7 +188,7 @@
         attempts=14,
         gap_ms=20.0,
         chances=Chances(error=0.25),
-        troubles=OUTAGES[:2],
+        faults=OUTAGES[:2],
     ),
     Scenario(
         "many_destinations",
@@ -196,12 +196,12 @@
         destinations=300,
         endpoints_each=1,
         slots=24,
-        hold=400,
+        max_pending=400,
         decay="line",
         rates="none",
         messages=1500,
         gap_ms=6.0,
-        clump=6,
+        burst=6,
         real_rate=3.0,
         latency_ms=90.0,
     ),
@@ -212,13 +212,13 @@
         slots=6,
         marks_repeats=True,
         chances=Chances(reset=0.05, hang=0.03, cancelled=0.03),
-        troubles=OUTAGES[:1],
+        faults=OUTAGES[:1],
     ),
     Scenario(
         "tenants_over_quota",
         (ORDER, STATUS, BRIEF),
         tenants=(TenantQuota("large", 40.0), TenantQuota("small", 2.0), TenantQuota("none", 0.0)),
-        hold=90,
+        max_pending=90,
         instances=2,
         real_rate=12.0,
         messages=1400,
@@ -229,14 +229,14 @@
         "full_hold",
         ALL_CLASSES,
         destinations=5,
-        hold=50,
+        max_pending=50,
         slots=3,
         real_rate=6.0,
         latency_ms=180.0,
         messages=1800,
         gap_ms=200.0,
-        clump=25,
-        chances=Chances(comes_again=0.5),
+        burst=25,
+        chances=Chances(resubmits=0.5),
     ),
     Scenario(
         "outages_and_cold_returns",
@@ -245,7 +245,7 @@
         listed_rate=60.0,
         messages=1500,
         gap_ms=28.0,
-        troubles=OUTAGES,
+        faults=OUTAGES,
     ),
     Scenario(
         "restarts",
@@ -254,7 +254,7 @@
         messages=1400,
         gap_ms=30.0,
         listed_rate=120.0,
-        troubles=OUTAGES,
+        faults=OUTAGES,
         restarts=(
             Restart(5000.0, False),
             Restart(9000.0, True),
@@ -266,17 +266,17 @@
         "agreed_rate",
         COMMON,
         instances=5,
-        agreed=InstancePlace(2, 5, 13.25),
+        fleet_position=InstancePosition(2, 5, 13.25),
         listed_rate=90.0,
         real_rate=25.0,
         messages=1200,
         gap_ms=40.0,
-        troubles=OUTAGES[:4],
+        faults=OUTAGES[:4],
         list_change_ms=1200.0,
         resizes=(
-            Resize(6000.0, InstancePlace(2, 7, 13.25)),
-            Resize(10000.0, InstancePlace(1, 3, -40.5)),
-            Resize(14000.0, InstancePlace(2, 8, 7.75)),
+            Resize(6000.0, InstancePosition(2, 7, 13.25)),
+            Resize(10000.0, InstancePosition(1, 3, -40.5)),
+            Resize(14000.0, InstancePosition(2, 8, 7.75)),
         ),
     ),
     Scenario(
@@ -293,7 +293,7 @@
         messages=1200,
         gap_ms=25.0,
         list_change_ms=900.0,
-        troubles=OUTAGES,
+        faults=OUTAGES,
     ),
     Scenario(
         "large_fleet",
@@ -305,8 +305,8 @@
         messages=1500,
         gap_ms=30.0,
         start_backlog=40,
-        troubles=OUTAGES,
-        resizes=(Resize(8000.0, InstancePlace(3, 25)), Resize(16000.0, InstancePlace(3, 60))),
+        faults=OUTAGES,
+        resizes=(Resize(8000.0, InstancePosition(3, 25)), Resize(16000.0, InstancePosition(3, 60))),
     ),
     Scenario(
         "endpoint_lists",
@@ -317,7 +317,7 @@
         rates="none",
         messages=1300,
         gap_ms=65.0,
-        clump=3,
+        burst=3,
         list_change_ms=400.0,
         tail_ms=70_000.0,
         restarts=(Restart(15000.0, False), Restart(24000.0, True), Restart(33000.0, False)),
@@ -331,14 +331,14 @@
         instances=3,
         real_rate=20.0,
         listed_rate=35.0,
-        chances=Chances(told_wait=0.0),
-        troubles=OUTAGES[2:4],
+        chances=Chances(has_retry_after=0.0),
+        faults=OUTAGES[2:4],
     ),
     Scenario(
         "deep_backlog",
         ALL_CLASSES,
         destinations=4,
-        hold=640,
+        max_pending=640,
         slots=40,
         marks_repeats=True,
         real_rate=80.0,
@@ -347,15 +347,15 @@
         start_backlog=500,
         messages=600,
         gap_ms=8.0,
-        clump=6,
-        troubles=OUTAGES[:3],
+        burst=6,
+        faults=OUTAGES[:3],
     ),
     Scenario(
         "wide_backlog",
         (*COMMON, BRIEF),
         destinations=350,
         endpoints_each=1,
-        hold=1000,
+        max_pending=1000,
         slots=20,
         skew=0.1,
         real_rate=6.0,
@@ -363,7 +363,7 @@
         start_backlog=900,
         messages=1200,
         gap_ms=4.0,
-        clump=8,
+        burst=8,
         time_left_spread=True,
         marks_repeats=True,
         tenants=(TenantQuota("a", 1e6), TenantQuota("b", 1.0)),
@@ -372,7 +372,7 @@
         "untried_backlog",
         (*COMMON, ENDPOINT_KEYED),
         destinations=2,
-        hold=300,
+        max_pending=300,
         slots=4,
         instances=8,
         listed_rate=150.0,
@@ -380,7 +380,7 @@
         untried_backlog=True,
         messages=500,
         gap_ms=70.0,
-        troubles=OUTAGES[:1],
+        faults=OUTAGES[:1],
     ),
     Scenario(
         "many_tries",
@@ -401,7 +401,7 @@
         messages=160,
         gap_ms=500.0,
         tail_ms=40_000.0,
-        resizes=(Resize(20_000.0, InstancePlace(1, 4)),),
+        resizes=(Resize(20_000.0, InstancePosition(1, 4)),),
     ),
     Scenario(
         "slow_destinations_of_many",
@@ -412,14 +412,14 @@
         messages=160,
         gap_ms=500.0,
         tail_ms=40_000.0,
-        troubles=(Trouble(1, "down", 15_000.0, 19_000.0), Trouble(2, "hung", 25_000.0, 31_000.0)),
+        faults=(Fault(1, "down", 15_000.0, 19_000.0), Fault(2, "hung", 25_000.0, 31_000.0)),
     ),
     Scenario(
         "crowded_resume",
         COMMON,
         destinations=240,
         endpoints_each=1,
-        hold=400,
+        max_pending=400,
         slots=400,
         skew=0.05,
         start_backlog=900,
--- a/tests/compatibility/decision_trace.py
+++ b/tests/compatibility/decision_trace.py
@@ -1,8 +1,9 @@
-"""Seeded streams of events for the scheduler, and the trace of what it decides.
+"""Feeds the scheduler with seeded streams of events and traces its decisions.
 
-A small simulated world in virtual time hands in messages, answers attempts, changes the list of endpoints and
-restarts the process. What the scheduler does feeds back into the events, so that one other decision changes
-all that follows. The world draws from its own random source; the trace depends on scenario and seed alone.
+A small simulation in virtual time submits messages, answers attempts, changes the list of endpoints and
+restarts the process. The actions of the scheduler feed back into the events, so that one different decision
+changes all that follow. The simulation draws from its own random source; the trace depends on scenario and
+seed alone.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from .trace_lines import Trace
 
 SNAPSHOT_TURNS = 250
-KEYS = 12  # different keys of a destination's messages
-MOST_OFFERS = 4  # times that a client hands in one message
-UNKNOWN = 10**6  # a number that no message, and no destination, has
+KEYS = 12  # number of different keys of a destination's messages
+MAX_SUBMISSIONS = 4  # how often a client submits one message, at most
+UNKNOWN_NUMBER = 10**6  # a number that no message, and no destination, has
 RESTART_MS = 700.0  # between the end of a process and the start of the next
 NO_EFFECT = {"full", "connect_failed", "not_sent"}
 
 
 @dataclass(slots=True)
-class Offered:
-    """A message as its client has it, and what the journal knows of it once it is taken on."""
+class ClientMessage:
+    """A message as its client knows it, and what the journal stores about it after its acceptance."""
 
     destination: int
     class_number: int
@@ -37,22 +38,22 @@
     key: int
     since_ms: float
     due_ms: float
-    offers: int = 1
+    submissions: int = 1
     number: int = 0
     tries: int = 0
-    sent_here: int = 0  # attempts of this process
-    risk_ms: float | None = None
-    risk: binding.Endpoint | None = None
+    process_attempts: int = 0  # attempts in the current process
+    uncertain_since_ms: float | None = None
+    uncertain_endpoint: binding.Endpoint | None = None
 
 
 @dataclass(slots=True)
 class Call:
-    offered: Offered
+    message: ClientMessage
     number: int
     attempt: int
     endpoint: int
     give_up_ms: float
-    begun_ms: float
+    started_ms: float
     entry: binding.Endpoint
 
 
@@ -60,7 +61,7 @@
 
 
 class World:
-    """Clients, destinations, discovery and process restarts around one scheduler."""
+    """Simulates clients, destinations, discovery and process restarts around one scheduler."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
@@ -69,22 +70,22 @@
         self.now = 1000.0
         self.jobs: list[tuple[float, int, int, Job]] = []
         self.order = count()
-        self.process = 0  # jobs of an earlier one are void
+        self.process = 0  # number of the process; jobs of an earlier one are discarded
         self.up = True
         self.pending: list[binding.Event] = []
         self.numbers = count(1)
-        self.taken: dict[int, Offered] = {}
+        self.accepted: dict[int, ClientMessage] = {}
         self.calls: dict[int, Call] = {}
         self.timer_ms: float | None = None
         self.turns = 0
         self.discovery = Discovery(scenario, self.random)
         self.destinations = Destinations(scenario, self.random)
-        self.weights = [1 / place**scenario.skew for place in range(1, scenario.destinations + 1)]
+        self.weights = [1 / position**scenario.skew for position in range(1, scenario.destinations + 1)]
         self.scheduler = binding.new_scheduler(scenario, seed)
 
     # -- running -------------------------------------------------------------------------------------------
 
-    def at(self, when_ms: float, job: Job, of_process: bool = True) -> None:
+    def schedule(self, when_ms: float, job: Job, of_process: bool = True) -> None:
         owner = self.process if of_process else -1
         heapq.heappush(self.jobs, (max(when_ms, self.now), next(self.order), owner, job))
 
@@ -108,21 +109,21 @@
         scenario = self.scenario
         self.pending.append(self.discovery.first_list())
         for _ in range(scenario.start_backlog):
-            self._left_by_earlier_process()
+            self._resume_from_earlier_process()
         last = self.now
         left = scenario.messages
         while left > 0:
             last += self.random.expovariate(1 / scenario.gap_ms)
-            for _ in range(min(left, self.random.randint(1, scenario.clump))):
-                self.at(last, self._arrives, of_process=False)
+            for _ in range(min(left, self.random.randint(1, scenario.burst))):
+                self.schedule(last, self._submit_new, of_process=False)
                 left -= 1
         self.end_ms = last + scenario.tail_ms
         for resize in scenario.resizes:
-            self.at(resize.at_ms, self._resizes(resize), of_process=False)
+            self.schedule(resize.at_ms, self._resize_job(resize), of_process=False)
         for restart in scenario.restarts:
-            self.at(restart.at_ms, self._restarts(restart), of_process=False)
+            self.schedule(restart.at_ms, self._restart_job(restart), of_process=False)
         if scenario.list_change_ms:
-            self.at(self.now + scenario.list_change_ms, self._list_changes, of_process=False)
+            self.schedule(self.now + scenario.list_change_ms, self._change_list, of_process=False)
         self._turn()
 
     def _turn(self) -> None:
@@ -140,153 +141,177 @@
     def _snapshot(self) -> None:
         for row in binding.snapshot(self.scheduler, self.now):
             self.trace.add("snapshot", self.now, *row)
-        for known in binding.knowledge(self.scheduler, self.now):
-            self.trace.add("knowledge", self.now, *known)
+        for destination in binding.known_destinations(self.scheduler, self.now):
+            self.trace.add("knowledge", self.now, *destination)
 
     def _carry_out(self, action: binding.Action) -> None:
         match action.kind:
             case "send":
                 self._send(action)
             case "refuse":
-                self._given_up(action.number, action.value)
+                self._reject(action.number, action.value)
             case "fail":
-                self.taken.pop(action.number, None)
+                self.accepted.pop(action.number, None)
             case "timer":
                 self._set_timer(self.now + action.value, action.number)
             case "ask_for_list":
-                self.at(self.now + self.random.uniform(1.0, 400.0), self._list_answered)
+                self.schedule(self.now + self.random.uniform(1.0, 400.0), self._answer_poll)
 
     def _set_timer(self, when_ms: float, token: int) -> None:
         self.timer_ms = when_ms
 
-        def fires() -> None:
+        def fire() -> None:
             if self.timer_ms == when_ms:
                 self.timer_ms = None
                 self.pending.append(binding.timer_fired(token))
 
-        self.at(when_ms, fires)
+        self.schedule(when_ms, fire)
 
     # -- clients -------------------------------------------------------------------------------------------
 
-    def _draw(self, since_ms: float) -> Offered:
+    def _draw(self, since_ms: float) -> ClientMessage:
         scenario, draw = self.scenario, self.random
         class_number = draw.randrange(len(scenario.classes))
         class_ = scenario.classes[class_number]
         destination = draw.choices(range(1, scenario.destinations + 1), self.weights)[0]
-        life = class_.deadline_ms
+        lifetime_ms = class_.deadline_ms
         if scenario.time_left_spread:
-            life *= draw.uniform(0.3, 1.0)
-        elif draw.random() < scenario.chances.hurried:
-            life = draw.choice((0.9, 0.5, 0.2, 0.1)) * class_.target_ms
+            lifetime_ms *= draw.uniform(0.3, 1.0)
+        elif draw.random() < scenario.chances.short_deadline:
+            lifetime_ms = draw.choice((0.9, 0.5, 0.2, 0.1)) * class_.target_ms
         keyed = class_.ordered or class_.effect == "keyed"
         key = destination * 1000 + draw.randint(1, KEYS) if keyed else 0
-        # One number past the quotas: a tenant without any.
+        # The number after the last quota is a tenant without one.
         tenant = draw.randint(0, len(scenario.tenants))
-        return Offered(destination, class_number, tenant, key, since_ms, since_ms + life)
+        return ClientMessage(destination, class_number, tenant, key, since_ms, since_ms + lifetime_ms)
 
-    def _arrives(self) -> None:
-        self._offer(self._draw(self.now))
-        if self.random.random() < self.scenario.chances.withdrawn:
-            self._withdraws()
+    def _submit_new(self) -> None:
+        self._submit(self._draw(self.now))
+        if self.random.random() < self.scenario.chances.client_cancels:
+            self._cancel_message()
 
-    def _offer(self, it: Offered) -> None:
-        left = it.due_ms - self.now
+    def _submit(self, message: ClientMessage) -> None:
+        left = message.due_ms - self.now
         if left <= 0:
             return
         if not self.up:
-            self._comes_again(it, 50.0)
+            self._resubmit_later(message, 50.0)
             return
-        number, again = next(self.numbers), it.offers > 1
-        from_dead = again and self.random.random() < 0.2
+        number, is_resubmission = next(self.numbers), message.submissions > 1
+        from_dead_instance = is_resubmission and self.random.random() < 0.2
         work = self.random.choice((None, 5.0, 40.0))
-        offered = binding.message(
-            number, it.destination, it.class_number, left, it.tenant, it.key, work, again, from_dead
+        submission = binding.message(
+            number,
+            message.destination,
+            message.class_number,
+            left,
+            message.tenant,
+            message.key,
+            work,
+            is_resubmission,
+            from_dead_instance,
         )
-        holding = len(self.taken)
-        if holding >= self.scenario.hold:
+        holding = len(self.accepted)
+        if holding >= self.scenario.max_pending:
             self.trace.add("hold_is_full", self.now, number)
-            self._comes_again(it, 300.0)
+            self._resubmit_later(message, 300.0)
             return
-        come_ms = binding.turned_away(self.scheduler, self.now, offered, holding)
-        self.trace.add("turned_away" if come_ms is not None else "taken", self.now, number, come_ms)
-        if come_ms is not None:
-            self._comes_again(it, max(50.0, come_ms))
+        delay_ms = binding.rejection_delay(self.scheduler, self.now, submission, holding)
+        self.trace.add("turned_away" if delay_ms is not None else "taken", self.now, number, delay_ms)
+        if delay_ms is not None:
+            self._resubmit_later(message, max(50.0, delay_ms))
             return
-        it.number, it.tries, it.sent_here, it.risk_ms, it.risk = number, 0, 0, None, None
-        self.taken[number] = it
-        self.pending.append(binding.message_event(offered))
-
-    def _comes_again(self, it: Offered, wait_ms: float) -> None:
-        if it.offers < MOST_OFFERS and self.random.random() < self.scenario.chances.comes_again:
-            it.offers += 1
+        (
+            message.number,
+            message.tries,
+            message.process_attempts,
+            message.uncertain_since_ms,
+            message.uncertain_endpoint,
+        ) = number, 0, 0, None, None
+        self.accepted[number] = message
+        self.pending.append(binding.as_event(submission))
+
+    def _resubmit_later(self, message: ClientMessage, wait_ms: float) -> None:
+        if message.submissions < MAX_SUBMISSIONS and self.random.random() < self.scenario.chances.resubmits:
+            message.submissions += 1
             jitter = self.random.uniform(1.0, 1.3)
-            self.at(self.now + wait_ms * jitter, lambda: self._offer(it), of_process=False)
-
-    def _given_up(self, number: int, stay_away_ms: float) -> None:
-        it = self.taken.pop(number, None)
-        if it is not None:
-            self._comes_again(it, stay_away_ms)
-
-    def _withdraws(self) -> None:
-        """Of what is taken on, often while a call is out for it, or of a number that nobody knows."""
-        out = [number for number in self.calls if number in self.taken]
-        held = out if out and self.random.random() < 0.6 else list(self.taken)
-        number = self.random.choice(held) if held else UNKNOWN
-        self.taken.pop(number, None)
-        self.pending.append(binding.withdrawn(number))
-
-    def _left_by_earlier_process(self) -> None:
+            self.schedule(self.now + wait_ms * jitter, lambda: self._submit(message), of_process=False)
+
+    def _reject(self, number: int, retry_after_ms: float) -> None:
+        message = self.accepted.pop(number, None)
+        if message is not None:
+            self._resubmit_later(message, retry_after_ms)
+
+    def _cancel_message(self) -> None:
+        """Cancels an accepted message, often one with an attempt in flight, or an unknown number."""
+        in_flight = [number for number in self.calls if number in self.accepted]
+        candidates = in_flight if in_flight and self.random.random() < 0.6 else list(self.accepted)
+        number = self.random.choice(candidates) if candidates else UNKNOWN_NUMBER
+        self.accepted.pop(number, None)
+        self.pending.append(binding.message_cancelled(number))
+
+    def _resume_from_earlier_process(self) -> None:
         since = self.now - self.random.uniform(0.0, 3000.0)
-        it = self._draw(since)
-        if it.due_ms <= self.now + 100.0:
+        message = self._draw(since)
+        if message.due_ms <= self.now + 100.0:
             return
-        it.tries = 0 if self.scenario.untried_backlog else self.random.choice((0, 0, 1, 2))
-        if it.tries and self.random.random() < 0.6:
-            it.risk_ms = self.random.uniform(since, self.now)
-            it.risk = self.discovery.any_entry()
-        self._resume(it)
-
-    def _resume(self, it: Offered) -> None:
-        it.number, it.sent_here = next(self.numbers), 0
-        self.taken[it.number] = it
-        risk_age = None if it.risk_ms is None else self.now - it.risk_ms
+        message.tries = 0 if self.scenario.untried_backlog else self.random.choice((0, 0, 1, 2))
+        if message.tries and self.random.random() < 0.6:
+            message.uncertain_since_ms = self.random.uniform(since, self.now)
+            message.uncertain_endpoint = self.discovery.any_entry()
+        self._resume(message)
+
+    def _resume(self, message: ClientMessage) -> None:
+        message.number, message.process_attempts = next(self.numbers), 0
+        self.accepted[message.number] = message
+        uncertain_for_ms = (
+            None if message.uncertain_since_ms is None else self.now - message.uncertain_since_ms
+        )
         resumed = binding.resumed_message(
-            it.number,
-            it.destination,
-            it.class_number,
-            it.due_ms - self.now,
-            it.tenant,
-            it.key,
-            self.now - it.since_ms,
-            it.tries,
-            risk_age,
-            it.risk,
+            message.number,
+            message.destination,
+            message.class_number,
+            message.due_ms - self.now,
+            message.tenant,
+            message.key,
+            self.now - message.since_ms,
+            message.tries,
+            uncertain_for_ms,
+            message.uncertain_endpoint,
         )
-        self.pending.append(binding.message_event(resumed))
+        self.pending.append(binding.as_event(resumed))
 
     # -- attempts ------------------------------------------------------------------------------------------
 
     def _send(self, action: binding.Action) -> None:
-        it, listed = self.taken[action.number], self.discovery.listed[action.endpoint]
-        call = Call(it, action.number, it.sent_here, action.endpoint, action.value, self.now, listed.entry())
-        it.sent_here += 1
-        it.tries += 1
+        message, listed = self.accepted[action.number], self.discovery.listed[action.endpoint]
+        call = Call(
+            message,
+            action.number,
+            message.process_attempts,
+            action.endpoint,
+            action.value,
+            self.now,
+            listed.entry(),
+        )
+        message.process_attempts += 1
+        message.tries += 1
         self.calls[action.number] = call
         if self.random.random() < self.scenario.chances.no_slot:
-            self._ends(call, self.now + 0.5, "not_sent", no_slot=True)
+            self._complete(call, self.now + 0.5, "not_sent", had_no_slot=True)
             return
-        trouble = self.destinations.trouble(self.now, it.destination)
-        if trouble is not None and trouble.kind == "silent":
-            # Connections that were asked for meanwhile come up together at its end.
-            connected = trouble.end_ms + self.random.uniform(0.0, 250.0)
+        fault = self.destinations.fault(self.now, message.destination)
+        if fault is not None and fault.kind == "silent":
+            # Connections requested during the fault are established together when it ends.
+            connected = fault.end_ms + self.random.uniform(0.0, 250.0)
         elif self.random.random() < self.scenario.chances.slow_connect:
             connected = self.now + self.random.uniform(300.0, 1500.0)
         else:
             connected = self.now + self.random.uniform(0.1, 6.0)
         if connected >= call.give_up_ms:
-            self._ends(call, call.give_up_ms, "connect_failed")
+            self._complete(call, call.give_up_ms, "connect_failed")
         else:
-            self.at(connected, lambda: self._connected(call))
+            self.schedule(connected, lambda: self._connected(call))
 
     def _connected(self, call: Call) -> None:
         allowed = binding.may_write(self.scheduler, self.now, call.number)
@@ -294,21 +319,21 @@
         if allowed:
             self._serve(call)
         else:
-            self._ends(call, self.now, "not_sent", held_back=True)
+            self._complete(call, self.now, "not_sent", was_withheld=True)
 
     def _serve(self, call: Call) -> None:
-        answer = self.destinations.answer(self.now, call.offered.destination, call.give_up_ms)
-        self._ends(call, answer.at_ms, answer.outcome, answer.finished, answer.wait_ms)
+        answer = self.destinations.answer(self.now, call.message.destination, call.give_up_ms)
+        self._complete(call, answer.at_ms, answer.outcome, answer.finished, answer.wait_ms)
 
-    def _ends(
+    def _complete(
         self,
         call: Call,
         when_ms: float,
         outcome: str,
-        finished: bool = False,
+        is_final: bool = False,
         wait_ms: float = 0.0,
-        no_slot: bool = False,
-        held_back: bool = False,
+        had_no_slot: bool = False,
+        was_withheld: bool = False,
     ) -> None:
         report: tuple[float, ...] = ()
         if self.scenario.reports_limit and outcome in ("ok", "error", "full"):
@@ -316,85 +341,87 @@
             report = (self.random.random(), limit)
 
         def job() -> None:
-            it = call.offered
+            message = call.message
             self.calls.pop(call.number, None)
-            it.tries -= held_back
-            if outcome not in NO_EFFECT and it.risk_ms is None:
-                it.risk_ms, it.risk = call.begun_ms, call.entry
-            if finished:
-                self.taken.pop(call.number, None)
-            ended = binding.attempt_ended(
+            message.tries -= was_withheld
+            if outcome not in NO_EFFECT and message.uncertain_since_ms is None:
+                message.uncertain_since_ms, message.uncertain_endpoint = call.started_ms, call.entry
+            if is_final:
+                self.accepted.pop(call.number, None)
+            completed = binding.attempt_completed(
                 call.number,
                 call.attempt,
                 call.endpoint,
                 outcome,
-                self.now - call.begun_ms,
-                finished,
+                self.now - call.started_ms,
+                is_final,
                 wait_ms,
-                no_slot,
+                had_no_slot,
                 report,
-                held_back,
+                was_withheld,
             )
-            self.pending.append(ended)
-            if self.random.random() < 0.01:  # told twice
-                self.pending.append(ended)
+            self.pending.append(completed)
+            if self.random.random() < 0.01:  # reports the completion twice
+                self.pending.append(completed)
             if self.random.random() < 0.01:
-                self.pending.append(binding.probe_ended(call.endpoint, outcome, 5.0))
+                self.pending.append(binding.probe_completed(call.endpoint, outcome, 5.0))
 
-        self.at(when_ms, job)
+        self.schedule(when_ms, job)
 
     # -- discovery -----------------------------------------------------------------------------------------
 
-    def _list_answered(self) -> None:
+    def _answer_poll(self) -> None:
         answer = self.discovery.answer()
         if answer is not None:
             self.pending.append(answer)
 
-    def _list_changes(self) -> None:
+    def _change_list(self) -> None:
         pause = self.scenario.list_change_ms * self.random.uniform(0.5, 1.5)
-        self.at(self.now + pause, self._list_changes, of_process=False)
+        self.schedule(self.now + pause, self._change_list, of_process=False)
         self.pending.append(self.discovery.change())
 
     # -- the process ---------------------------------------------------------------------------------------
 
-    def _resizes(self, resize: Resize) -> Job:
-        return lambda: self.pending.append(binding.resized(resize.place))
+    def _resize_job(self, resize: Resize) -> Job:
+        return lambda: self.pending.append(binding.fleet_resized(resize.position))
 
-    def _restarts(self, restart: Restart) -> Job:
-        def tells() -> None:
+    def _restart_job(self, restart: Restart) -> Job:
+        def announce() -> None:
             ends = self.now + 1200.0
-            self.pending.append(binding.closing(ends))
-            self.at(ends, self._stops, of_process=False)
+            self.pending.append(binding.shutdown_scheduled(ends))
+            self.schedule(ends, self._stop_process, of_process=False)
 
-        return tells if restart.planned else self._stops
+        return announce if restart.planned else self._stop_process
 
-    def _stops(self) -> None:
-        known = binding.knowledge(self.scheduler, self.now)
-        for call in self.calls.values():  # an unknown outcome: it may have run
-            it = call.offered
-            if it.risk_ms is None:
-                it.risk_ms, it.risk = call.begun_ms, call.entry
+    def _stop_process(self) -> None:
+        destinations = binding.known_destinations(self.scheduler, self.now)
+        for call in self.calls.values():  # the outcome is unknown: the attempt may have had an effect
+            message = call.message
+            if message.uncertain_since_ms is None:
+                message.uncertain_since_ms, message.uncertain_endpoint = call.started_ms, call.entry
         self.calls.clear()
         self.process += 1
         self.up, self.timer_ms = False, None
-        self.at(self.now + RESTART_MS, lambda: self._starts(known), of_process=False)
+        self.schedule(self.now + RESTART_MS, lambda: self._start_process(destinations), of_process=False)
 
-    def _starts(self, known: list[binding.Knowledge]) -> None:
+    def _start_process(self, destinations: list[binding.KnownDestination]) -> None:
         self.up = True
         self.scheduler = binding.new_scheduler(self.scenario, self.seed + 1000 * self.process)
         self.pending = [self.discovery.first_list()]
-        for each in known:
-            self.trace.add("recalled", self.now, *each)
-            self.pending.append(binding.recalled(each))
-        self.pending.append(binding.recalled(binding.Knowledge(UNKNOWN, 500.0, False, None, None)))
-        # Told once more when this process knows better.
-        late = [binding.recalled(each) for each in known]
-        self.at(self.now + 1500.0, lambda: self.pending.extend(late))
-        left = [it for it in self.taken.values() if it.due_ms > self.now]
-        self.taken.clear()
-        for it in left:
-            self._resume(it)
-
-
-def traced(scenario: Scenario, seed: int) -> Trace:
+        for destination in destinations:
+            self.trace.add("recalled", self.now, *destination)
+            self.pending.append(binding.restored_destination(destination))
+        self.pending.append(
+            binding.restored_destination(binding.KnownDestination(UNKNOWN_NUMBER, 500.0, False, None, None))
+        )
+        # Restores the same state again later, when this process has newer state of its own.
+        late = [binding.restored_destination(destination) for destination in destinations]
+        self.schedule(self.now + 1500.0, lambda: self.pending.extend(late))
+        unexpired = [message for message in self.accepted.values() if message.due_ms > self.now]
+        self.accepted.clear()
+        for message in unexpired:
+            self._resume(message)
+
+
+def run_trace(scenario: Scenario, seed: int) -> Trace:
     return World(scenario, seed).run()
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for gossip and the frames of connections between instances."""
+"""Plain values of gossip packets and of the frames on connections between instances.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +90,7 @@
 
 
 def gossip_conversation(steps: int, silent_from: int) -> dict[str, str]:
-    """Three members talk, and from one step on the third is silent: the first packet of each kind, in hex."""
+    """Returns the first packet of each kind, in hex, of three members; the third falls silent at a step."""
     members: dict[tuple[str, int], Swim] = {}
     for number in range(3):
         address = ("127.0.0.1", 4000 + number)
--- a/tests/compatibility/http_binding.py
+++ b/tests/compatibility/http_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for HTTP: requests to the platform's agent and to endpoints, and answers to clients."""
+"""HTTP traffic of the product: requests to the platform's agent and to endpoints, and responses to clients.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +23,10 @@
 
 Values = dict[str, Any]
 Address = tuple[str, int]
-CALL_S = 5.0  # of a call to an endpoint, on the loop's clock
+CALL_S = 5.0  # time limit of a call, on the event loop's clock
 
 
-async def ask_agent(address: Address, method: str, target: str, body: bytes) -> int:
+async def request_agent(address: Address, method: str, target: str, body: bytes) -> int:
     agent = AgentClient(address)
     try:
         status, _ = await agent.request(method, target, body, CALL_S)
@@ -32,62 +35,67 @@
         agent.close()
 
 
-async def ask_for_list(address: Address, known: Values | None, watch: bool) -> Values:
-    """One question for the list of endpoints, where this list is known already."""
-    register = DiscoveryClient(address, 1, 0)
+async def request_endpoint_list(address: Address, known: Values | None, watch: bool) -> Values:
+    """Requests the list of endpoints once, when `known` is the list so far."""
+    discovery = DiscoveryClient(address, 1, 0)
     if known is not None:
-        register.load_configured(known)
+        discovery.load_configured(known)
     if watch:
-        register.poll_schedule.on_answered()
+        discovery.poll_schedule.on_answered()
     try:
-        return await register.start_call().response
+        return await discovery.start_call().response
     finally:
-        register.close()
+        discovery.close()
 
 
-def list_values(answer: Values) -> Values:
-    """What an answer of the register says."""
-    version, update = parse_listing(answer)
+def list_values(response: Values) -> Values:
+    """Returns the parsed values of a discovery response."""
+    version, update = parse_listing(response)
     return {
         "version": version,
         "whole": update.is_full,
         "members": [
             {
-                "name": each.name,
-                "destination": each.destination,
-                "listing": each.listing.value,
-                "host": each.address[0],
-                "port": each.address[1],
-                "kind": each.kind,
-                "zone": each.zone,
-                "rate": each.rate,
+                "name": endpoint.name,
+                "destination": endpoint.destination,
+                "listing": endpoint.listing.value,
+                "host": endpoint.address[0],
+                "port": endpoint.address[1],
+                "kind": endpoint.kind,
+                "zone": endpoint.zone,
+                "rate": endpoint.rate,
             }
-            for each in update.endpoints
+            for endpoint in update.endpoints
         ],
         "lives": [[name, listing.value] for name, listing in update.status_changes],
     }
 
 
-async def send_notices(address: Address, ends: list[tuple[str, str, float]]) -> list[str]:
-    """Passes ends on until they are answered; the ids that count as told."""
+async def notify_outcomes(address: Address, outcomes: list[tuple[str, str, float]]) -> list[str]:
+    """Sends final outcomes until the agent acknowledges them; returns the ids that count as notified."""
     loop = asyncio.get_running_loop()
-    done: asyncio.Future[list[str]] = loop.create_future()
-    notices = OutcomeNotifier(AgentClient(address), done.set_result)
-    for ident, state, after_ms in ends:
-        notices.add(ident, state, after_ms)
-    running = asyncio.create_task(notices.run())
+    notified: asyncio.Future[list[str]] = loop.create_future()
+    notifier = OutcomeNotifier(AgentClient(address), notified.set_result)
+    for message_id, state, after_ms in outcomes:
+        notifier.add(message_id, state, after_ms)
+    task = asyncio.create_task(notifier.run())
     try:
-        return await done
+        return await notified
     finally:
-        running.cancel()
-        notices.agent.close()
+        task.cancel()
+        notifier.agent.close()
 
 
 async def call_endpoint(
-    address: Address, trace_id: str, key: str | None, body: bytes, rules_mark: str | None, careful: bool
+    address: Address,
+    trace_id: str,
+    key: str | None,
+    body: bytes,
+    policy_label: str | None,
+    ambiguity_is_final: bool,
 ) -> Values:
-    """One call to an endpoint, and what its answer means."""
-    calls = EndpointClient(1000.0, 1000.0, 4, 4, ("x0", "x1"))
+    """Calls an endpoint once and returns how the response is interpreted."""
+    client = EndpointClient(1000.0, 1000.0, 4, 4, ("x0", "x1"))
     attempt = Attempt(
         endpoint=3,
         address=address,
@@ -96,14 +104,14 @@
         body=body,
         deadline_s=asyncio.get_running_loop().time() + CALL_S,
         may_write=lambda: True,
-        ambiguity_is_final=careful,
-        policy_label=None if rules_mark is None else lambda: rules_mark,
+        ambiguity_is_final=ambiguity_is_final,
+        policy_label=None if policy_label is None else lambda: policy_label,
         kind="k",
     )
     try:
-        return _result(await calls.attempt(attempt))
+        return _result(await client.attempt(attempt))
     finally:
-        calls.close()
+        client.close()
 
 
 def _result(result: AttemptResult) -> Values:
@@ -121,61 +129,61 @@
     return list(parse_load_report(ResponseHead(200, {"endpoint-load-metrics": header}), tuple(fields)))
 
 
-class _Desk:
-    """Takes what it is told to take, and keeps what was handed in."""
+class _RecordingRelay:
+    """Accepts or rejects submissions by their id, and records them."""
 
     def __init__(self) -> None:
         self.is_ready = True
         self.has_capacity = True
-        self.offers: list[Submission] = []
+        self.submissions: list[Submission] = []
 
-    def accept(self, offer: Submission) -> SubmissionResult:
-        self.offers.append(offer)
-        if offer.id == "refused":
+    def accept(self, submission: Submission) -> SubmissionResult:
+        self.submissions.append(submission)
+        if submission.id == "refused":
             return SubmissionResult(False, reason="there is no room", retry_after_s=1.25)
-        if offer.id == "malformed":
+        if submission.id == "malformed":
             raise InvalidMessageError("key", "is needed")
         return SubmissionResult(True, True)
 
-    def cancel(self, ident: str) -> bool:
+    def cancel(self, message_id: str) -> bool:
         return True
 
-    def mark_notified(self, idents: list[str]) -> None:
-        """Ends are not looked at here."""
+    def mark_notified(self, message_ids: list[str]) -> None:
+        """Notifications are not tracked."""
 
 
 class ClientSide:
-    """The part that answers clients, on a loopback port, before a desk that takes nearly all."""
+    """The client intake on a loopback port, in front of a relay that accepts nearly all submissions."""
 
-    def __init__(self, config_file: Path, ready: bool) -> None:
+    def __init__(self, config_file: Path, is_ready: bool) -> None:
         config: Config = load({"RELAY_CONFIG": str(config_file)})
-        self._desk = _Desk()
-        self._desk.is_ready = ready
-        self._front = ClientIntake(self._desk, replace(config, listen=("127.0.0.1", 0)), 8, 8)
+        self._relay = _RecordingRelay()
+        self._relay.is_ready = is_ready
+        self._intake = ClientIntake(self._relay, replace(config, listen=("127.0.0.1", 0)), 8, 8)
 
     def listen(self) -> int:
-        clients: ClientListener = self._front.listener
-        clients.listen("127.0.0.1", 0)
-        return clients.port
+        listener: ClientListener = self._intake.listener
+        listener.listen("127.0.0.1", 0)
+        return listener.port
 
     async def close(self) -> None:
-        await self._front.close()
-        for connection in list(self._front.listener.connections):
+        await self._intake.close()
+        for connection in list(self._intake.listener.connections):
             connection.abort()
-        await asyncio.sleep(0)  # the loop's next turn closes them
+        await asyncio.sleep(0)  # the next iteration of the event loop closes them
 
-    def offers(self) -> list[Values]:
+    def submissions(self) -> list[Values]:
         return [
             {
-                "id": each.id,
-                "class": each.class_name,
-                "tenant": each.tenant,
-                "destination": each.destination,
-                "key": each.idempotency_key,
-                "left ms": each.remaining_ms,
-                "handed in again": each.resubmission,
-                "body": each.body.decode(),
-                "front": each.origin,
+                "id": submission.id,
+                "class": submission.class_name,
+                "tenant": submission.tenant,
+                "destination": submission.destination,
+                "key": submission.idempotency_key,
+                "left ms": submission.remaining_ms,
+                "handed in again": submission.resubmission,
+                "body": submission.body.decode(),
+                "front": submission.origin,
             }
-            for each in self._desk.offers
+            for submission in self._relay.submissions
         ]
--- a/tests/compatibility/shard_binding.py
+++ b/tests/compatibility/shard_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for what readers and keepers of shards say to each other."""
+"""Plain values of the messages between shard clients and shard servers.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -39,53 +42,55 @@
             return {"same shard": part.shard}
 
 
-def shard_message_values(word: shard_wire.DirectoryMessage) -> Values:
-    match word:
+def shard_message_values(message: shard_wire.DirectoryMessage) -> Values:
+    match message:
         case shard_wire.ShardRequest():
             return {
-                "request": word.number,
-                "layout": layout_values(word.layout),
-                "version": list(word.version),
-                "held shards": word.resident_shards.hex(),
-                "wanted": [[want.shard, want.time_left_ms] for want in word.requested_shards],
-                "sums": [list(pair) for pair in word.checksums],
-                "partly at": list(word.ahead_version),
-                "part held": word.ahead_shards.hex(),
+                "request": message.number,
+                "layout": layout_values(message.layout),
+                "version": list(message.version),
+                "held shards": message.resident_shards.hex(),
+                "wanted": [
+                    [requested.shard, requested.time_left_ms] for requested in message.requested_shards
+                ],
+                "sums": [list(pair) for pair in message.checksums],
+                "partly at": list(message.ahead_version),
+                "part held": message.ahead_shards.hex(),
             }
         case shard_wire.ShardResponse():
             return {
-                "answer": word.number,
-                "version": list(word.version),
-                "parts": [_shard_part(part) for part in word.parts],
-                "complete": word.is_complete,
-                "history from": list(word.history_start),
-                "source age ms": word.source_age_ms,
-                "boot": word.process_epoch,
-                "clock ms": word.clock_ms,
-                "reached": list(word.reached_version),
+                "answer": message.number,
+                "version": list(message.version),
+                "parts": [_shard_part(part) for part in message.parts],
+                "complete": message.is_complete,
+                "history from": list(message.history_start),
+                "source age ms": message.source_age_ms,
+                "boot": message.process_epoch,
+                "clock ms": message.clock_ms,
+                "reached": list(message.reached_version),
             }
         case shard_wire.Overloaded():
-            return {"busy": word.number, "after ms": word.retry_after_ms}
+            return {"busy": message.number, "after ms": message.retry_after_ms}
         case shard_wire.LayoutMismatch():
             return {
-                "other layout": word.number,
-                "layout": layout_values(word.layout),
-                "loading": word.is_loading,
+                "other layout": message.number,
+                "layout": layout_values(message.layout),
+                "loading": message.is_loading,
             }
         case _:
             return {
-                "layout sum": word.layout_checksum,
-                "version": list(word.version),
-                "sum of shard numbers": word.shard_set_checksum,
-                "sum of rows": word.rows_checksum,
-                "source age ms": word.source_age_ms,
-                "boot": word.process_epoch,
-                "clock ms": word.clock_ms,
+                "layout sum": message.layout_checksum,
+                "version": list(message.version),
+                "sum of shard numbers": message.shard_set_checksum,
+                "sum of rows": message.rows_checksum,
+                "source age ms": message.source_age_ms,
+                "boot": message.process_epoch,
+                "clock ms": message.clock_ms,
             }
 
 
-def shard_sums(row: Any, layout: Any, name: str) -> dict[str, Any]:
-    """Hashes and bitmaps on which two builds have to agree."""
+def shard_hashes(row: Any, layout: Any, name: str) -> dict[str, Any]:
+    """Returns hashes and bitmaps that must be the same in all builds."""
     bits = shard_wire.pack_shard_set(0b1000_0000_0101, 16)
     return {
         "row": shard_wire.row_checksum(msgspec.convert(row, shard_wire.Row)),
@@ -95,5 +100,5 @@
         "shard of destination": rendezvous_hash.shard_of(123456, 8192),
         "keepers in order": rendezvous_hash.rank_servers("n7", ["n0", "n1", "n2", "n3"]),
         "bitmap": shard_wire.unpack_shard_set(bits, 16),
-        "listing numbers": {each.value: number for number, each in enumerate(shard_wire.LISTINGS)},
+        "listing numbers": {listing.value: number for number, listing in enumerate(shard_wire.LISTINGS)},
     }
--- a/tests/compatibility/test_subsystem_traces.py
+++ b/tests/compatibility/test_subsystem_traces.py
@@ -1,4 +1,4 @@
-"""The deciders beside the scheduler answer as they did: seeded runs against their digests."""
+"""Compares seeded runs of the components that decide outside the scheduler with their stored digests."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("name", subsystems.RUNS)
-def test_every_answer_is_as_it_was(name: str, seed: int) -> None:
-    found = difference(subsystem_trace(name, seed), FIXTURES.subsystems[trace_name(name, seed)])
-    assert not found, found
+def test_every_result_is_the_same_as_stored(name: str, seed: int) -> None:
+    report = difference(subsystem_trace(name, seed), FIXTURES.subsystems[trace_name(name, seed)])
+    assert not report, report
 
 
-def test_every_run_is_kept() -> None:
+def test_there_is_a_fixture_for_exactly_each_run_and_seed() -> None:
     assert set(FIXTURES.subsystems) == {trace_name(name, seed) for name in subsystems.RUNS for seed in SEEDS}
--- a/tests/compatibility/test_wire_formats.py
+++ b/tests/compatibility/test_wire_formats.py
@@ -1,5 +1,7 @@
-"""What leaves the process towards other instances, the platform, endpoints, clients and brokers stays as it
-was, byte for byte: the fixtures were written by an earlier build."""
+"""Messages to other instances, the platform, endpoints, clients and brokers keep their bytes.
+
+The fixtures were written by an earlier build.
+"""
 
 from __future__ import annotations
 
@@ -26,23 +28,23 @@
 
 
 @pytest.mark.parametrize(("kind", "name"), SAMPLES)
-def test_a_message_is_written_as_before(kind: str, name: str) -> None:
+def test_a_message_is_encoded_to_the_same_bytes(kind: str, name: str) -> None:
     sample = stored("messages")[kind][name]
     assert sample["plain"] == MESSAGES[kind][name]
     assert wire.encode(kind, sample["plain"]).hex() == sample["hex"]
 
 
 @pytest.mark.parametrize(("kind", "name"), SAMPLES)
-def test_a_message_of_before_is_read_and_means_the_same(kind: str, name: str) -> None:
+def test_stored_bytes_are_decoded_to_the_same_values(kind: str, name: str) -> None:
     sample = stored("messages")[kind][name]
     raw = bytes.fromhex(sample["hex"])
     assert wire.decode(kind, raw) == sample["values"]
-    assert wire.encode_again(kind, raw) == raw
+    assert wire.reencode(kind, raw) == raw
 
 
 @pytest.mark.parametrize("name", CONVERSATIONS)
-def test_what_is_sent_is_as_before(name: str) -> None:
-    now, before = produced(name), stored(name)
-    assert sorted(now) == sorted(before)
-    for part, told in before.items():
-        assert now[part] == told, part
+def test_a_conversation_is_the_same_as_stored(name: str) -> None:
+    current, expected = produced(name), stored(name)
+    assert sorted(current) == sorted(expected)
+    for part, values in expected.items():
+        assert current[part] == values, part
--- a/tests/compatibility/trace_lines.py
+++ b/tests/compatibility/trace_lines.py
@@ -1,4 +1,4 @@
-"""Lines of a trace in a neutral form, exact to the last bit, and digests over them."""
+"""Lines of a trace in a neutral form that is exact to the last bit, and digests of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Lines of a trace, and how many there are of each kind."""
+    """The lines of a trace and the number of lines of each kind."""
 
     lines: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
@@ -25,13 +25,13 @@
         return digest(self.lines)
 
     def blocks(self) -> list[str]:
-        """A short digest of each block of lines."""
+        """Returns a short digest of each block of lines."""
         starts = range(0, len(self.lines), BLOCK_LINES)
         return [digest(self.lines[start : start + BLOCK_LINES])[:12] for start in starts]
 
 
 def neutral(value: str | int | float | bool | None) -> str:
-    """One value of a line: floats to the last bit."""
+    """Formats one value of a line; floats are exact to the last bit."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     return value.hex() if isinstance(value, float) else "-" if value is None else str(value)
--- a/tests/compatibility/wire_binding.py
+++ b/tests/compatibility/wire_binding.py
@@ -1,7 +1,7 @@
-"""Every message between instances, by a neutral kind: into bytes, and out of them as plain values.
+"""Encodes and decodes every message between instances, by a neutral name of its kind.
 
-A message is written down in its JSON form (arrays for compact messages, base64 for bytes); what each field
-means is read by attribute, so that a field that changes places or meaning is noticed.
+A message is given in its JSON form (arrays for compact messages, base64 for bytes). Decoded fields are read
+by attribute, so that a field that changes its position or meaning is detected.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     command_answer_values,
     command_values,
     grant_values,
-    question_values,
+    admin_request_values,
     renewal_values,
     report_values,
     rules_values,
@@ -60,7 +60,7 @@
     )
 
 
-def _itself(value: Any) -> Any:
+def _plain(value: Any) -> Any:
     return list(value) if isinstance(value, tuple) else value
 
 
@@ -77,13 +77,13 @@
     "hello": _msgpack(Hello, hello_values),
     "lease renewal": _msgpack(LeaseRenewal, renewal_values),
     "lease grant": _msgpack(LeaseGrant, grant_values),
-    "boot question": _msgpack(tuple[str, int], _itself),
-    "boot answer": _msgpack(int, _itself),
-    "version question": _msgpack(int, _itself),
+    "boot question": _msgpack(tuple[str, int], _plain),
+    "boot answer": _msgpack(int, _plain),
+    "version question": _msgpack(int, _plain),
     "version": _msgpack(Version, version_values),
     "command": _json(Command, command_values, decode_command),
     "command answer": _json(CommandAnswer, command_answer_values),
-    "operator's question": _json(AdminRequest, question_values),
+    "operator's question": _json(AdminRequest, admin_request_values),
     "rules": _Format(Rules, encode_rules, decode_rules, rules_values),
     "evidence": _msgpack(ObservationReport, report_values),
     "shards": _Format(
@@ -97,20 +97,20 @@
 
 
 def encode(kind: str, plain: Plain) -> bytes:
-    """A message's bytes, from its JSON form."""
-    found = _FORMATS[kind]
-    return found.write(msgspec.json.decode(msgspec.json.encode(plain), type=found.shape))
+    """Encodes a message from its JSON form."""
+    format_ = _FORMATS[kind]
+    return format_.write(msgspec.json.decode(msgspec.json.encode(plain), type=format_.shape))
 
 
 def decode(kind: str, raw: bytes) -> Any:
-    """What a message says, by neutral keys."""
-    found = _FORMATS[kind]
-    return found.values(found.read(raw))
+    """Decodes a message into values under neutral keys."""
+    format_ = _FORMATS[kind]
+    return format_.values(format_.read(raw))
 
 
-def encode_again(kind: str, raw: bytes) -> bytes:
-    found = _FORMATS[kind]
-    return found.write(found.read(raw))
+def reencode(kind: str, raw: bytes) -> bytes:
+    format_ = _FORMATS[kind]
+    return format_.write(format_.read(raw))
 
 
 def kinds() -> list[str]:
--- a/tests/compatibility/wire_fixtures.py
+++ b/tests/compatibility/wire_fixtures.py
@@ -1,7 +1,7 @@
-"""Writes the fixtures of what leaves the process: `python -m tests.compatibility.wire_fixtures FOLDER`.
+"""Writes the fixtures of the wire formats and outputs: `python -m tests.compatibility.wire_fixtures FOLDER`.
 
-Run it only where a change of a format is meant, and read what has changed. `operator.toml`, `shards.toml` and
-`platform.json` are written by hand: the other fixtures hold what is read from them.
+Run it only for an intended change of a format, and review what has changed. `operator.toml`, `shards.toml`
+and `platform.json` are written by hand: the other fixtures hold what is read from them.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from . import gossip_binding as gossip
 from . import operator_scenarios as operators
 from . import shard_binding as shards
-from . import status_scenarios as shown
+from . import status_scenarios as status
 from . import wire_binding as wire
 from . import wire_scenarios as scenarios
 from .wire_samples import LAYOUT, MESSAGES, ROW, RULES, RULES_TEXT
 
 FOLDER = Path(__file__).parent / "fixtures" / "wire"
 BAD_RULES = ('{"destination":{}}', '{"destinations":{"7":{"rate":-1}}}', '{"flows":{"x":{}}}')
-STEPS, SILENT_FROM = 120, 40  # of 0.1 s: a member that falls silent is dead well before the end
+STEPS, SILENT_FROM = 120, 40  # of 0.1 s each: a member that falls silent is declared dead well before the end
 
 
 def messages() -> dict[str, Any]:
-    """Each sample's bytes, and what they say."""
+    """Returns the bytes of each sample and their decoded values."""
     return {
         kind: {name: _message(kind, plain, wire.encode(kind, plain)) for name, plain in samples.items()}
         for kind, samples in MESSAGES.items()
@@ -40,24 +40,24 @@
 
 
 def exchanges() -> dict[str, Any]:
-    """What the parts that build messages send."""
+    """Returns what the components that build messages send."""
     return {
         "states of members": gossip.member_state_numbers(),
         "gossip": gossip.gossip_conversation(STEPS, SILENT_FROM),
         "frame of a connection": gossip.connection_frame(b"payload", b"").hex(),
         "sealed frame of a connection": gossip.connection_frame(b"payload", wire.SECRET).hex(),
         "leases": agreement.lease_round(RULES_TEXT),
-        "versions": agreement.book_after(RULES_TEXT),
-        "members that try a version": agreement.trial_members(
+        "versions": agreement.version_history_after(RULES_TEXT),
+        "members that try a version": agreement.canary_members(
             6, RULES_TEXT, 0.5, [f"n{number}" for number in range(12)]
         ),
         "digest of rules": agreement.rules_digest(json.dumps(RULES)),
         "differences of rules": agreement.rules_difference("{}", json.dumps(RULES)),
-        "faults of rules": [agreement.rules_fault(text) for text in BAD_RULES],
+        "faults of rules": [agreement.rules_error(text) for text in BAD_RULES],
         "capabilities": agreement.rules_capabilities(json.dumps(RULES), 1),
-        "evidence": agreement.evidence_of_calls(),
-        "shards": shards.shard_sums(ROW, LAYOUT, "s-1"),
-        "log of voters": shown.log_of_voters(),
+        "evidence": agreement.observations_of_calls(),
+        "shards": shards.shard_hashes(ROW, LAYOUT, "s-1"),
+        "log of voters": status.log_of_voters(),
     }
 
 
@@ -74,9 +74,9 @@
     "operator_faults": operators.operator_faults,
     "platform_files": operators.platform_files,
     "variables": operators.variables,
-    "status_shown": shown.status_shown,
-    "status_sockets": shown.status_sockets,
-    "instances": shown.instances,
+    "status_shown": status.status_shown,
+    "status_sockets": status.status_sockets,
+    "instances": status.instances,
     "command_questions": command_scenarios.command_questions,
     "command_line": command_scenarios.command_line,
     "journal_commands": command_scenarios.journal_commands,
@@ -86,7 +86,7 @@
 
 
 def produced(name: str) -> Any:
-    """As it looks when read from a file."""
+    """Returns the produced values as they look when read from a file."""
     return json.loads(json.dumps(PRODUCERS[name]()))
 
 
--- a/tests/compatibility/wire_samples.py
+++ b/tests/compatibility/wire_samples.py
@@ -1,4 +1,4 @@
-"""Samples of every message between instances, in JSON form: with all fields set, and with defaults."""
+"""Samples of every message between instances in JSON form, with all fields set and with defaults."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/wire_scenarios.py
+++ b/tests/compatibility/wire_scenarios.py
@@ -1,4 +1,4 @@
-"""What goes out over HTTP and AMQP: conversations with a server or client that keeps the bytes."""
+"""Traffic over HTTP and AMQP: conversations with a server or client that records the bytes."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from . import http_binding as http
 
 Values = dict[str, Any]
-PATIENCE_S = 20.0  # only a hang reaches it
+PATIENCE_S = 20.0  # only a hang reaches this limit
 PORT_MASK, LEFT_MASK = "PORT", "TIME-LEFT"
-TIME_LEFT = re.compile(r"(?<=X-Expires-In-Ms: )\d+")  # the loop's clock decides on it
+TIME_LEFT = re.compile(r"(?<=X-Expires-In-Ms: )\d+")  # depends on the event loop's clock
 PLATFORM_FILE = Path(__file__).parent / "fixtures" / "wire" / "platform.json"
 
 LIST = {
@@ -57,7 +57,7 @@
 
 
 async def request_of(work: Callable[[tuple[str, int]], Awaitable[Any]], reply: bytes) -> list[Any]:
-    """The request that this work writes to a server, without what changes, and the work's result."""
+    """Returns the request that `work` sends to a server, varying parts masked, and the result of `work`."""
     raw, writers = bytearray(), list[asyncio.StreamWriter]()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -82,14 +82,24 @@
 
 
 def agent_requests() -> Values:
-    told = answer(200, json.dumps(LIST))
-    ends = [("m-1", "failed", 0.0), ("m-2", "returned", 1499.6)]
+    list_reply = answer(200, json.dumps(LIST))
+    outcomes = [("m-1", "failed", 0.0), ("m-2", "returned", 1499.6)]
     return {
-        "plain": run(request_of(lambda at: http.ask_agent(at, "GET", "/v1/any?x=1", b"body"), answer(204))),
-        "whole list": run(request_of(lambda at: http.ask_for_list(at, None, False), told))[0],
-        "list from a version": run(request_of(lambda at: http.ask_for_list(at, LIST, False), told))[0],
-        "watch from a version": run(request_of(lambda at: http.ask_for_list(at, LIST, True), told))[0],
-        "notices": run(request_of(lambda at: http.send_notices(at, ends), answer(204))),
+        "plain": run(
+            request_of(
+                lambda address: http.request_agent(address, "GET", "/v1/any?x=1", b"body"), answer(204)
+            )
+        ),
+        "whole list": run(
+            request_of(lambda address: http.request_endpoint_list(address, None, False), list_reply)
+        )[0],
+        "list from a version": run(
+            request_of(lambda address: http.request_endpoint_list(address, LIST, False), list_reply)
+        )[0],
+        "watch from a version": run(
+            request_of(lambda address: http.request_endpoint_list(address, LIST, True), list_reply)
+        )[0],
+        "notices": run(request_of(lambda address: http.notify_outcomes(address, outcomes), answer(204))),
         "list as it is read": http.list_values(LIST),
     }
 
@@ -106,24 +116,31 @@
 
 
 def endpoint_calls() -> Values:
-    def calling(key: str | None, mark: str | None, careful: bool, reply: bytes) -> Any:
-        return run(request_of(lambda at: http.call_endpoint(at, "m-1", key, b"hello", mark, careful), reply))
-
-    found: Values = {name: calling(None, None, False, reply)[1] for name, reply in ENDPOINT_ANSWERS.items()}
-    found["plain call"] = calling(None, None, False, answer(200))
-    found["call with all"] = calling("k-1", "7+8", False, answer(200))
-    found["careful call"] = calling("k-1", "7/standby", True, answer(200))
-    found["load report"] = http.load_report("TEXT x0=0.5, x1=12", ["x0", "x1"])
-    return found
+    def call(key: str | None, policy_label: str | None, ambiguity_is_final: bool, reply: bytes) -> Any:
+        return run(
+            request_of(
+                lambda address: http.call_endpoint(
+                    address, "m-1", key, b"hello", policy_label, ambiguity_is_final
+                ),
+                reply,
+            )
+        )
+
+    results: Values = {name: call(None, None, False, reply)[1] for name, reply in ENDPOINT_ANSWERS.items()}
+    results["plain call"] = call(None, None, False, answer(200))
+    results["call with all"] = call("k-1", "7+8", False, answer(200))
+    results["careful call"] = call("k-1", "7/standby", True, answer(200))
+    results["load report"] = http.load_report("TEXT x0=0.5, x1=12", ["x0", "x1"])
+    return results
 
 
 # -- clients -----------------------------------------------------------------------------------------------
 
 
-def message(ident: str, *more: str, body: str = "hello", **changed: str) -> bytes:
+def message(message_id: str, *extra_lines: str, body: str = "hello", **changed: str) -> bytes:
     headers = {
         "Host": "relay",
-        "X-Trace-Id": ident,
+        "X-Trace-Id": message_id,
         "X-Qos": "safe",
         "X-Customer": "t",
         "X-Expires-In-Ms": "8000",
@@ -133,7 +150,13 @@
         "Content-Length": str(len(body)),
         **{name.replace("_", "-"): value for name, value in changed.items()},
     }
-    lines = ["POST /safe HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items()), *more, "", body]
+    lines = [
+        "POST /safe HTTP/1.1",
+        *(f"{name}: {value}" for name, value in headers.items()),
+        *extra_lines,
+        "",
+        body,
+    ]
     return "\r\n".join(lines).encode()
 
 
@@ -157,17 +180,17 @@
 }
 
 
-async def _client_answers(requests: dict[str, bytes], ready: bool) -> Values:
+async def _client_answers(requests: dict[str, bytes], is_ready: bool) -> Values:
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder, "config.json")
         config.write_text(json.dumps({**json.loads(PLATFORM_FILE.read_text()), "state": folder}))
-        side = http.ClientSide(config, ready)
-        port, found = side.listen(), dict[str, Any]()
+        clients = http.ClientSide(config, is_ready)
+        port, answers = clients.listen(), dict[str, Any]()
         for name, request in requests.items():
-            found[name] = await _answer(port, request)
-        found["as handed in"] = side.offers()
-        await side.close()
-        return found
+            answers[name] = await _answer(port, request)
+        answers["as handed in"] = clients.submissions()
+        await clients.close()
+        return answers
 
 
 async def _answer(port: int, request: bytes) -> str:
@@ -181,33 +204,37 @@
 
 
 def client_answers() -> Values:
-    found: Values = run(_client_answers(CLIENT_REQUESTS, True))
-    found["health while it starts"] = run(_client_answers({"health": CLIENT_REQUESTS["health"]}, False))[
+    answers: Values = run(_client_answers(CLIENT_REQUESTS, True))
+    answers["health while it starts"] = run(_client_answers({"health": CLIENT_REQUESTS["health"]}, False))[
         "health"
     ]
-    return found
+    return answers
 
 
 # -- AMQP --------------------------------------------------------------------------------------------------
 
 
-def _raw(value: base.Frame, channel: int = 0) -> bytes:
+def _encoded_frame(value: base.Frame, channel: int = 0) -> bytes:
     return bytes(frame.marshal(value, channel))
 
 
-START = _raw(commands.Connection.Start(0, 9, {}, "PLAIN EXTERNAL", "en_US"))
-TUNE = _raw(commands.Connection.Tune(2047, 131_072, 10))
-OPEN_OK = _raw(commands.Connection.OpenOk())
-CONFIRMING = _raw(commands.Channel.OpenOk(), 1) + _raw(commands.Confirm.SelectOk(), 1)
-CONSUMING = _raw(commands.Channel.OpenOk(), 2) + _raw(commands.Basic.QosOk(), 2)
+START = _encoded_frame(commands.Connection.Start(0, 9, {}, "PLAIN EXTERNAL", "en_US"))
+TUNE = _encoded_frame(commands.Connection.Tune(2047, 131_072, 10))
+OPEN_OK = _encoded_frame(commands.Connection.OpenOk())
+CONFIRM_CHANNEL_OPEN = _encoded_frame(commands.Channel.OpenOk(), 1) + _encoded_frame(
+    commands.Confirm.SelectOk(), 1
+)
+CONSUME_CHANNEL_OPEN = _encoded_frame(commands.Channel.OpenOk(), 2) + _encoded_frame(
+    commands.Basic.QosOk(), 2
+)
 
 
 def amqp_frames() -> Values:
-    """All that a connection writes, in hex, by step."""
+    """Maps each step to all bytes that a connection writes in it, in hex."""
     connection = amqp.Connection("user", "secret", "/relay", False)
     external = amqp.Connection("", "", "/", True)
     external.sent()
-    told = commands.Basic.Properties(message_id="m-1", delivery_mode=2)
+    properties = commands.Basic.Properties(message_id="m-1", delivery_mode=2)
     steps = {
         "protocol": connection.sent(),
         "start-ok": connection.receive(START),
@@ -215,12 +242,12 @@
         "tune-ok and open": connection.receive(TUNE),
         "nothing": connection.receive(OPEN_OK),
         "channel for publishing": connection.open_channel(0),
-        "confirm.select": connection.receive(_raw(commands.Channel.OpenOk(), 1)),
-        "ready": connection.receive(_raw(commands.Confirm.SelectOk(), 1)),
-        "publish": connection.publish(1, "exchange", "key", b"hello", told),
+        "confirm.select": connection.receive(_encoded_frame(commands.Channel.OpenOk(), 1)),
+        "ready": connection.receive(_encoded_frame(commands.Confirm.SelectOk(), 1)),
+        "publish": connection.publish(1, "exchange", "key", b"hello", properties),
         "channel for consuming": connection.open_channel(20),
-        "qos": connection.receive(_raw(commands.Channel.OpenOk(), 2)),
-        "consuming": connection.receive(_raw(commands.Basic.QosOk(), 2)),
+        "qos": connection.receive(_encoded_frame(commands.Channel.OpenOk(), 2)),
+        "consuming": connection.receive(_encoded_frame(commands.Basic.QosOk(), 2)),
         "consume": connection.consume(2, "orders", "tag"),
         "acknowledge": connection.acknowledge(2, 5),
         "reject": connection.reject(2, 6),
@@ -232,22 +259,22 @@
     return {name: data.hex() for name, data in steps.items()}
 
 
-async def _link_frames() -> Values:
+async def _connection_frames() -> Values:
     def properties(key: str | None) -> str:
         return bytes(header.ContentHeader(0, 0, amqp.message_properties("m-1", key)).marshal()).hex()
 
-    link = amqp.OpenLink(START + TUNE + OPEN_OK, CONFIRMING)
-    confirm = _raw(commands.Basic.Ack(delivery_tag=1), 1)
-    found = {
+    connection = amqp.OpenConnection(START + TUNE + OPEN_OK, CONFIRM_CHANNEL_OPEN)
+    confirm = _encoded_frame(commands.Basic.Ack(delivery_tag=1), 1)
+    frames = {
         "properties of a message": properties("k-1"),
         "properties without a key": properties(None),
-        "subscription": link.subscribe(20, "orders", CONSUMING).hex(),
+        "subscription": connection.subscribe(20, "orders", CONSUME_CHANNEL_OPEN).hex(),
         "an end that is passed on": (
-            await link.pass_on_end("m-1", "returned", 1499.6, "replies", "c-1", confirm)
+            await connection.publish_final_outcome("m-1", "returned", 1499.6, "replies", "c-1", confirm)
         ).hex(),
     }
-    link.close()
-    return found
+    connection.close()
+    return frames
 
 
 def _deliveries() -> Values:
@@ -261,12 +288,15 @@
         timestamp=datetime(2100, 1, 1, tzinfo=UTC),
     )
     short = commands.Basic.Properties(message_id="m-2", message_type="pay", headers={"destination": "8"})
-    return {"full": amqp.offer_of_delivery(full, b"hello"), "short": amqp.offer_of_delivery(short, b"")}
+    return {
+        "full": amqp.submission_of_delivery(full, b"hello"),
+        "short": amqp.submission_of_delivery(short, b""),
+    }
 
 
 def amqp_links() -> Values:
     return {
-        **run(_link_frames()),
+        **run(_connection_frames()),
         "deliveries": _deliveries(),
-        "endpoint of the operator's file": amqp.members_of_file(),
+        "endpoint of the operator's file": amqp.configured_endpoint(),
     }
