--- a/tests/compatibility/command_scenarios.py
+++ b/tests/compatibility/command_scenarios.py
@@ -1,4 +1,4 @@
-"""The command line: what commands ask and print, how they end, and what a process writes on its own."""
+"""The command line: requests, output and exit codes of commands, and output of a failing process."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     "return": (["return", "y", "--cause", "c", "--author", "a"], REFUSAL),
     "plan": (["plan", "--without", "y"], {"without": ["y"], "plans": []}),
 }
-# As an instance answers, told as tables.
+# Answers of an instance that the commands print as tables.
 RULE_TABLES: dict[str, tuple[list[str], Values]] = {
     "status": (
         ["status"],
@@ -109,35 +109,43 @@
 }
 
 
-def command_questions() -> Values:
-    """What commands ask instances, how they end, and what they print."""
-    found: Values = {}
+def command_requests() -> Values:
+    """Returns the requests that commands send to instances, their exit codes and their output."""
+    results: Values = {}
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         Path(folder, "relay.toml").write_text(f'[status]\nfolder = "{folder}"\n')
         Path(folder, "rules.json").write_text(RULES_TEXT)
-        for section, form, chosen in (
+        for section, output_flags, commands in (
             ("rules", ["--json"], RULE_COMMANDS),
             ("zone", ["--json"], ZONE_COMMANDS),
             ("rules", [], RULE_TABLES),
             ("zone", [], ZONE_TABLES),
         ):
-            for command, (arguments, answer) in chosen.items():
-                told = _command_question(folder, [section, *form], arguments, answer)
-                found[" ".join((section, *form, command))] = told
-    return found
+            for command, (arguments, answer) in commands.items():
+                result = _command_request(folder, [section, *output_flags], arguments, answer)
+                results[" ".join((section, *output_flags, command))] = result
+    return results
 
 
-def _command_question(folder: Path, group: list[str], arguments: list[str], answer: Values) -> Values:
+def _command_request(folder: Path, group: list[str], arguments: list[str], answer: Values) -> Values:
     rules = str(folder / "rules.json")
-    told = [rules if each == "RULES" else each for each in arguments]
-    line = [group[0], "--config", str(folder / "relay.toml"), "--instance", "0", *group[1:], *told]
-    asked, code, output = status.question_of_command(folder, line, answer)
-    return {"asked": asked, "exit code": code, "output": output.splitlines()}
+    resolved = [rules if argument == "RULES" else argument for argument in arguments]
+    full_arguments = [
+        group[0],
+        "--config",
+        str(folder / "relay.toml"),
+        "--instance",
+        "0",
+        *group[1:],
+        *resolved,
+    ]
+    request, code, output = status.request_of_command(folder, full_arguments, answer)
+    return {"asked": request, "exit code": code, "output": output.splitlines()}
 
 
 def journal_commands() -> Values:
-    """What is shown of a state folder."""
+    """Returns the output of the journal commands for a state folder."""
     with tempfile.TemporaryDirectory() as folder:
         status.journal_folder(Path(folder))
         lines = {
@@ -149,12 +157,12 @@
             "stats": ["journal", "stats", folder],
             "stats as JSON": ["journal", "stats", "--json", folder],
         }
-        ended = {name: status.run_command(line, {}) for name, line in lines.items()}
-    return {name: [code, DURATION.sub("TIME ms", output)] for name, (code, output) in ended.items()}
+        results = {name: status.run_command(line, {}) for name, line in lines.items()}
+    return {name: [code, DURATION.sub("TIME ms", output)] for name, (code, output) in results.items()}
 
 
 def recording() -> Values:
-    """The lines of a recording; who and which message it was is hidden by a random key."""
+    """Returns the form of a recording, whose tenants and message ids are hidden by a random key."""
     with tempfile.TemporaryDirectory() as folder:
         head, line = status.recorded_lines(Path(folder, "recording"))
     _, class_, destination, tenant, size, left_ms, ident = line
@@ -169,34 +177,36 @@
 
 def command_line() -> Values:
     with tempfile.TemporaryDirectory() as folder:
-        good, bad = Path(folder, "good.toml"), Path(folder, "bad.toml")
-        good.write_text(f'[fleet]\ninstances = 2\n[status]\nfolder = "{folder}"\n')
-        bad.write_text("[fleet]\ninstance = 2\n")
+        valid, invalid = Path(folder, "good.toml"), Path(folder, "bad.toml")
+        valid.write_text(f'[fleet]\ninstances = 2\n[status]\nfolder = "{folder}"\n')
+        invalid.write_text("[fleet]\ninstance = 2\n")
         lines = {
-            "check, good": ["check", str(good)],
-            "check, bad": ["check", str(bad)],
+            "check, good": ["check", str(valid)],
+            "check, bad": ["check", str(invalid)],
             "status, nobody": ["status", "--folder", folder],
             "status, two forms": ["status", "--folder", folder, "--json", "--prometheus"],
             "status, no folder": ["status"],
-            "rules, nobody": ["rules", "--config", str(good), "history"],
-            "rules status, nobody": ["rules", "--config", str(good), "--instance", "0", "--json", "status"],
-            "fleet, bad": ["fleet", "--config", str(bad)],
+            "rules, nobody": ["rules", "--config", str(valid), "history"],
+            "rules status, nobody": ["rules", "--config", str(valid), "--instance", "0", "--json", "status"],
+            "fleet, bad": ["fleet", "--config", str(invalid)],
             "no such command": ["nothing"],
         }
-        ended = {name: status.run_command(line, {"RUNTIME_DIRECTORY": ""}) for name, line in lines.items()}
+        results = {name: status.run_command(line, {"RUNTIME_DIRECTORY": ""}) for name, line in lines.items()}
     return {
         "commands": status.commands(),
         "exit codes of an instance": status.exit_codes(),
-        "ends": {name: [code, output.replace(folder, FOLDER_MASK)] for name, (code, output) in ended.items()},
+        "ends": {
+            name: [code, output.replace(folder, FOLDER_MASK)] for name, (code, output) in results.items()
+        },
         "process without a configuration": _process({}),
         "process with a bad operator's file": _process({"RELAY_OPERATOR": "missing.toml"}),
     }
 
 
 def _process(env: dict[str, str]) -> list[Any]:
-    """Exit code and last line on standard error of an instance with this environment."""
-    path = os.pathsep.join(each for each in sys.path if each)
-    ended = subprocess.run(
+    """Returns the exit code and the last line on standard error of an instance with this environment."""
+    path = os.pathsep.join(entry for entry in sys.path if entry)
+    result = subprocess.run(
         [sys.executable, *status.program_arguments()],
         env={"PATH": os.environ.get("PATH", ""), "PYTHONPATH": path, **env},
         capture_output=True,
@@ -204,7 +214,7 @@
         timeout=PATIENCE_S,
         check=False,
     )
-    return [ended.returncode, ended.stderr.splitlines()[-1:]]
+    return [result.returncode, result.stderr.splitlines()[-1:]]
 
 
 def log_lines() -> Values:
--- a/tests/compatibility/decision_discovery.py
+++ b/tests/compatibility/decision_discovery.py
@@ -75,7 +75,7 @@
         change = self.random.choice(CHANGES)
         if change == "whole":
             return self.full_list("whole")
-        return binding.endpoint_list("changes", [it.entry() for it in self._changed(change)])
+        return binding.endpoint_list("changes", [endpoint.entry() for endpoint in self._changed(change)])
 
     def _changed(self, change: str) -> list[Listed]:
         ready = [endpoint for endpoint in self.listed.values() if endpoint.listing == "ready"]
--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -99,7 +99,7 @@
         )
         seeds = () if number == 0 else (("127.0.0.1", 4000),)
         members[address] = Swim(claim, seeds, Random(number))
-    first: dict[str, str] = {}
+    first_packets: dict[str, str] = {}
     for step in range(steps):
         now = 0.1 * step
         if step == steps - 1:
@@ -111,10 +111,12 @@
             outgoing, member.outbox = member.outbox, []
             for target, body in outgoing:
                 packet = Packet(member.own_claim.name, member.own_claim.nonce, body)
-                first.setdefault(str(type(body).__struct_config__.tag), seal_packet(packet, b"").hex())
+                first_packets.setdefault(
+                    str(type(body).__struct_config__.tag), seal_packet(packet, b"").hex()
+                )
                 if target in members and not (target[1] == 4002 and step >= silent_from):
                     members[target].receive(now, packet.sender, packet.nonce, body)
-    return first
+    return first_packets
 
 
 def connection_frame(payload: bytes, secret: bytes) -> bytes:
--- a/tests/compatibility/operator_binding.py
+++ b/tests/compatibility/operator_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for what operators and the platform set: files, variables, and what is refused."""
+"""Settings of operators and the platform: values of files and environment variables, and their errors.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -34,155 +37,156 @@
 from .agreement_binding import rules_values
 
 Values = dict[str, Any]
-WHERE = "relay.toml"  # what errors name
+WHERE = "relay.toml"  # the file that error messages name
 
 
 # -- the operator's file -----------------------------------------------------------------------------------
 
 
 def operator_values(path: Path) -> Values:
-    """What the file sets, by neutral keys."""
-    told = read(path, {})
+    """Returns the settings of the file under neutral keys."""
+    config = read(path, {})
     return {
-        "fleet": _fleet(told),
-        "log": {"format": told.log.format, "level": told.log.level, "waiting lines": told.log.lines},
-        "status": {"folder": told.status.folder, "destinations": told.status.destinations},
+        "fleet": _fleet(config),
+        "log": {"format": config.log.format, "level": config.log.level, "waiting lines": config.log.lines},
+        "status": {"folder": config.status.folder, "destinations": config.status.destinations},
         "state": {
-            "own folder only": told.state.own,
-            "durability": told.state.durability,
-            "sync ms": told.state.sync_ms,
-            "sync every ms": told.state.sync_every_ms,
+            "own folder only": config.state.own,
+            "durability": config.state.durability,
+            "sync ms": config.state.sync_ms,
+            "sync every ms": config.state.sync_every_ms,
         },
-        "record": {"file": told.record.file, "megabytes": told.record.mb},
-        "supervisor": _supervisor(told),
-        "amqp": _amqp(told.amqp),
-        "peers": _peers(told.peers),
-        "agreement": _agreement(told.accord),
-        "failover": _failover(told.failover),
-        "shards": _shards(told.shards),
+        "record": {"file": config.record.file, "megabytes": config.record.mb},
+        "supervisor": _supervisor(config),
+        "amqp": _amqp(config.amqp),
+        "peers": _peers(config.peers),
+        "agreement": _agreement(config.accord),
+        "failover": _failover(config.failover),
+        "shards": _shards(config.shards),
     }
 
 
-def _fleet(told: OperatorConfig) -> Values:
+def _fleet(config: OperatorConfig) -> Values:
     return {
-        "instances": told.fleet.instances,
-        "rates kept together": told.fleet.share_rates,
-        "settling s": told.fleet.settle_s,
+        "instances": config.fleet.instances,
+        "rates kept together": config.fleet.share_rates,
+        "settling s": config.fleet.settle_s,
     }
 
 
-def _supervisor(told: OperatorConfig) -> Values:
-    part = told.supervisor
+def _supervisor(config: OperatorConfig) -> Values:
+    section = config.supervisor
     return {
-        "platform file": part.config,
-        "host": part.host,
-        "port": part.port,
-        "state folder": part.state,
-        "starts at once": part.together,
-        "between starts s": part.stagger_s,
-        "ready within s": part.ready_s,
-        "stopped within s": part.stop_s,
-        "watchdog s": part.watchdog_s,
-        "first wait s": part.first_wait_s,
-        "longest wait s": part.most_wait_s,
-        "crashes of a loop": part.loop_crashes,
-        "seconds of a loop": part.loop_s,
+        "platform file": section.config,
+        "host": section.host,
+        "port": section.port,
+        "state folder": section.state,
+        "starts at once": section.together,
+        "between starts s": section.stagger_s,
+        "ready within s": section.ready_s,
+        "stopped within s": section.stop_s,
+        "watchdog s": section.watchdog_s,
+        "first wait s": section.first_wait_s,
+        "longest wait s": section.most_wait_s,
+        "crashes of a loop": section.loop_crashes,
+        "seconds of a loop": section.loop_s,
     }
 
 
-def _amqp(part: AmqpSettings) -> Values:
+def _amqp(settings: AmqpSettings) -> Values:
     return {
-        "brokers": [_broker(each) for each in part.brokers],
+        "brokers": [_broker(entry) for entry in settings.brokers],
         "endpoints": [
             {
-                "name": each.name,
-                "destination": each.destination,
-                "broker": each.broker,
-                "routing key": each.routing_key,
-                "exchange": each.exchange,
-                "rate": each.rate,
-                "a nack proves": each.nack,
+                "name": entry.name,
+                "destination": entry.destination,
+                "broker": entry.broker,
+                "routing key": entry.routing_key,
+                "exchange": entry.exchange,
+                "rate": entry.rate,
+                "a nack proves": entry.nack,
             }
-            for each in part.endpoints
+            for entry in settings.endpoints
         ],
         "queues": [
-            {"broker": each.broker, "queue": each.queue, "prefetch": each.prefetch} for each in part.queues
+            {"broker": entry.broker, "queue": entry.queue, "prefetch": entry.prefetch}
+            for entry in settings.queues
         ],
     }
 
 
-def _broker(part: BrokerSettings) -> Values:
-    tls = part.tls
+def _broker(broker: BrokerSettings) -> Values:
+    tls = broker.tls
     return {
-        "name": part.name,
-        "hosts": part.hosts,
-        "virtual host": part.vhost,
-        "credentials file": part.credentials,
-        "heartbeat s": part.heartbeat_s,
-        "external": part.external,
+        "name": broker.name,
+        "hosts": broker.hosts,
+        "virtual host": broker.vhost,
+        "credentials file": broker.credentials,
+        "heartbeat s": broker.heartbeat_s,
+        "external": broker.external,
         "tls": None
         if tls is None
         else {"authority": tls.ca, "certificate": tls.cert, "key": tls.key, "server name": tls.server_name},
     }
 
 
-def _peers(part: GossipSettings) -> Values:
+def _peers(settings: GossipSettings) -> Values:
     return {
-        "listens at": part.listen,
-        "reached at": part.address,
-        "seeds": list(part.seeds),
-        "secret file": part.secret_file,
-        "period s": part.period_s,
-        "place of instance 2": list(part.listen_address(2)) if part.is_enabled else None,
-        "address of instance 2": list(part.advertised_address(2)) if part.is_enabled else None,
+        "listens at": settings.listen,
+        "reached at": settings.address,
+        "seeds": list(settings.seeds),
+        "secret file": settings.secret_file,
+        "period s": settings.period_s,
+        "place of instance 2": list(settings.listen_address(2)) if settings.is_enabled else None,
+        "address of instance 2": list(settings.advertised_address(2)) if settings.is_enabled else None,
     }
 
 
-def _agreement(part: ConsensusSettings) -> Values:
+def _agreement(settings: ConsensusSettings) -> Values:
     return {
-        "voters": list(part.voters),
-        "bound s": part.bound_s,
-        "horizon s": part.horizon_s,
-        "clock drift": part.drift,
-        "standby share": part.standby,
-        "first rules": rules_values(part.first),
-        "floor rules": rules_values(part.floor),
-        "rules folder": part.folder,
+        "voters": list(settings.voters),
+        "bound s": settings.bound_s,
+        "horizon s": settings.horizon_s,
+        "clock drift": settings.drift,
+        "standby share": settings.standby,
+        "first rules": rules_values(settings.first),
+        "floor rules": rules_values(settings.floor),
+        "rules folder": settings.folder,
     }
 
 
-def _failover(part: FailoverSettings) -> Values:
+def _failover(settings: FailoverSettings) -> Values:
     return {
-        "regions": {name: each.region for name, each in part.zones.items()},
-        "worths": {name: each.worth for name, each in part.classes.items()},
-        "stays": {name: each.stay for name, each in part.classes.items()},
-        "groups": {name: part.group_name(name) for name in part.classes},
-        "window s": part.window_s,
-        "spare": part.spare,
-        "zone price": part.zone_price,
-        "region price": part.region_price,
-        "solver ms": part.budget_ms,
+        "regions": {name: entry.region for name, entry in settings.zones.items()},
+        "worths": {name: entry.worth for name, entry in settings.classes.items()},
+        "stays": {name: entry.stay for name, entry in settings.classes.items()},
+        "groups": {name: settings.group_name(name) for name in settings.classes},
+        "window s": settings.window_s,
+        "spare": settings.spare,
+        "zone price": settings.zone_price,
+        "region price": settings.region_price,
+        "solver ms": settings.budget_ms,
     }
 
 
-def _shards(part: ShardedDirectorySettings) -> Values:
+def _shards(settings: ShardedDirectorySettings) -> Values:
     return {
-        "keepers": list(part.keepers),
-        "count": part.count,
-        "epoch": part.epoch,
-        "file": part.file,
-        "idle s": part.idle_s,
-        "bound s": part.bound_s,
+        "keepers": list(settings.keepers),
+        "count": settings.count,
+        "epoch": settings.epoch,
+        "file": settings.file,
+        "idle s": settings.idle_s,
+        "bound s": settings.bound_s,
     }
 
 
 def operator_keys() -> list[str]:
-    """Every key of the file, as a dotted path."""
+    """Returns every key of the operator's file as a dotted path."""
     return sorted(_keys(msgspec.inspect.type_info(OperatorConfig), ""))
 
 
 def platform_keys() -> list[str]:
-    """Every key that is read of the platform's file and the settings in it."""
+    """Returns every key that is read from the platform's file and the settings in it, as a dotted path."""
     file, text = msgspec.inspect.type_info(_File), msgspec.inspect.type_info(_Settings)
     return sorted(
         [*_keys(file, ""), *_keys(text, "settings."), *_keys(msgspec.inspect.type_info(_Zones), "settings.")]
@@ -196,8 +200,8 @@
                 yield path + field.encode_name
                 yield from _keys(field.type, f"{path}{field.encode_name}.")
         case msgspec.inspect.UnionType():
-            for each in shape.types:
-                yield from _keys(each, path)
+            for member in shape.types:
+                yield from _keys(member, path)
         case msgspec.inspect.DictType():
             yield from _keys(shape.value_type, path + "NAME.")
         case msgspec.inspect.ListType():
@@ -206,8 +210,8 @@
             yield from _keys(shape.type, path)
 
 
-def operator_fault(text: str) -> str:
-    """Why a file is refused; empty: it is not."""
+def operator_error(text: str) -> str:
+    """Returns the error of a rejected file; empty if it is valid."""
     try:
         decoded(tomllib.loads(text), WHERE)
     except OperatorError as error:
@@ -219,7 +223,7 @@
 
 
 def platform_values(env: dict[str, str]) -> Values:
-    """What the environment and the file that it names set, by neutral keys."""
+    """Returns the settings of the environment and of the file that it names, under neutral keys."""
     config = load(env)
     return {
         "name": config.name,
@@ -236,12 +240,12 @@
 
 
 def platform_names(env: dict[str, str]) -> list[Any]:
-    """What variables may set: name, address to listen at, agent, state folder."""
+    """Returns what environment variables may set: name, listen address, agent, state folder."""
     config: Config = load(env)
     return [config.name, list(config.listen), list(config.discovery), str(config.state)]
 
 
-def platform_fault(env: dict[str, str]) -> str:
+def platform_error(env: dict[str, str]) -> str:
     try:
         load(env)
     except ConfigError as error:
@@ -249,7 +253,7 @@
     return ""
 
 
-def settings_fault(text: str) -> str:
+def settings_error(text: str) -> str:
     try:
         settings_from(text)
     except SettingsError as error:
@@ -257,46 +261,46 @@
     return ""
 
 
-def _settings(told: Settings) -> Values:
-    safety, goal = told.safety, told.goal
+def _settings(settings: Settings) -> Values:
+    safety, goal = settings.safety, settings.goal
     return {
         "classes": [
             {
-                "name": each.name,
-                "effect": each.effect.value,
-                "aim ms": each.latency_objective_ms,
-                "deadline ms": each.deadline_ms,
-                "worth": each.priority_weight,
-                "late share": each.late_share,
-                "key window ms": each.key_window_ms,
-                "key scope": each.key_scope.value,
-                "in order": each.in_order,
+                "name": entry.name,
+                "effect": entry.effect.value,
+                "aim ms": entry.latency_objective_ms,
+                "deadline ms": entry.deadline_ms,
+                "worth": entry.priority_weight,
+                "late share": entry.late_share,
+                "key window ms": entry.key_window_ms,
+                "key scope": entry.key_scope.value,
+                "in order": entry.in_order,
             }
-            for each in told.classes
+            for entry in settings.classes
         ],
-        "kinds": [[each.name, each.batch, each.has_separate_routes] for each in told.kinds],
-        "tenants": [[each.name, each.quota_per_s] for each in told.tenants],
-        "calls at once": told.max_concurrent_attempts,
-        "messages held": told.max_pending_messages,
-        "attempts": told.max_attempts,
-        "relays": told.relays,
-        "zone": told.zone,
-        "worth over the share": told.over_quota_weight,
-        "decay": told.decay.value,
-        "rates": told.rates.value,
-        "asks for the list": told.polls_discovery,
-        "probing": told.probing,
-        "cancelling": told.cancelling,
-        "streams of a connection": told.streams_per_connection,
-        "idle ms": told.idle_ms,
-        "connect ms": told.connect_timeout_ms,
-        "tick ms": told.tick_ms,
-        "clients mark repeats": told.marks_repeats,
-        "longest advice ms": told.max_retry_after_ms,
-        "price across zones": told.cross_zone_price,
-        "fees of routes": list(told.route_fees),
-        "fields of reports": list(told.report_fields),
-        "fields of limits": None if told.limit_report is None else list(told.limit_report),
+        "kinds": [[entry.name, entry.batch, entry.has_separate_routes] for entry in settings.kinds],
+        "tenants": [[entry.name, entry.quota_per_s] for entry in settings.tenants],
+        "calls at once": settings.max_concurrent_attempts,
+        "messages held": settings.max_pending_messages,
+        "attempts": settings.max_attempts,
+        "relays": settings.relays,
+        "zone": settings.zone,
+        "worth over the share": settings.over_quota_weight,
+        "decay": settings.decay.value,
+        "rates": settings.rates.value,
+        "asks for the list": settings.polls_discovery,
+        "probing": settings.probing,
+        "cancelling": settings.cancelling,
+        "streams of a connection": settings.streams_per_connection,
+        "idle ms": settings.idle_ms,
+        "connect ms": settings.connect_timeout_ms,
+        "tick ms": settings.tick_ms,
+        "clients mark repeats": settings.marks_repeats,
+        "longest advice ms": settings.max_retry_after_ms,
+        "price across zones": settings.cross_zone_price,
+        "fees of routes": list(settings.route_fees),
+        "fields of reports": list(settings.report_fields),
+        "fields of limits": None if settings.limit_report is None else list(settings.limit_report),
         "safety": [
             safety.answer_slack_ms,
             safety.drain_grace_ms,
@@ -314,28 +318,28 @@
 # -- other variables ---------------------------------------------------------------------------------------
 
 
-def fleet_place(env: dict[str, str]) -> list[Any]:
-    """The number of this instance and of all, as the environment and the file that it names say; why not."""
+def fleet_position(env: dict[str, str]) -> list[Any]:
+    """Returns the number of this instance and the size of the fleet as configured, or the error."""
     try:
-        told = config_from_environment(env)
-        if told is None:
+        config = config_from_environment(env)
+        if config is None:
             return ["no operator's file"]
-        return [instance_number(told, env), told.fleet.instances]
+        return [instance_number(config, env), config.fleet.instances]
     except OperatorError as error:
         return [str(error)]
 
 
 def status_folder(configured: str, env: dict[str, str]) -> str:
-    found = socket_folder(configured, env)
-    return "" if found is None else str(found)
+    folder = socket_folder(configured, env)
+    return "" if folder is None else str(folder)
 
 
 def clock_rate() -> float:
-    """Of the clock of leases, by the process's environment."""
+    """Returns the rate of the lease clock, set by an environment variable of the process."""
     return Clock.from_environment().rate
 
 
-def lifeline_fault(env: dict[str, str]) -> str:
+def lifeline_error(env: dict[str, str]) -> str:
     try:
         watch_parent(env)
     except ValueError as error:
@@ -343,8 +347,8 @@
     return ""
 
 
-def service_manager_fault(env: dict[str, str]) -> str:
-    """Why what the service manager tells is refused."""
+def service_manager_error(env: dict[str, str]) -> str:
+    """Returns the error for rejected variables of the service manager; empty if they are valid."""
     try:
         inherited_sockets(env)
         SystemdNotifier.from_environment(env)
@@ -354,13 +358,13 @@
 
 
 def notifier_values(env: dict[str, str]) -> list[Any]:
-    """Where the service manager listens, and how often it wants to hear; what is left of the variables."""
+    """Returns the notification address, the watchdog interval and the remaining variables."""
     notifier = SystemdNotifier.from_environment(env)
     return [notifier.address, notifier.watchdog_s, sorted(env)]
 
 
-def notify_through_a_life(address: str) -> None:
-    """Tells the service manager of a start, a reload, a status and a stop."""
+def notify_through_lifecycle(address: str) -> None:
+    """Notifies the service manager of a start, a reload, a status and a stop."""
     notifier = SystemdNotifier.from_environment({"NOTIFY_SOCKET": address})
     notifier.start()
     notifier.ready()
@@ -370,6 +374,6 @@
     notifier.close()
 
 
-def clients_socket_name() -> str:
-    """Of the socket that the service manager hands over."""
+def client_socket_name() -> str:
+    """Returns the name of the client socket that the service manager passes."""
     return CLIENT_SOCKET
--- a/tests/compatibility/operator_scenarios.py
+++ b/tests/compatibility/operator_scenarios.py
@@ -1,4 +1,4 @@
-"""What operators and the platform set: files and environments, and what is read from them or refused."""
+"""Settings of operators and the platform: files and environments, and the values or errors they result in."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 Values = dict[str, Any]
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 FOLDER_MASK = "FOLDER"
-MOMENT = re.compile(r"(?<=MONOTONIC_USEC=)\d+")
-NOTIFICATIONS = 4  # of one life
+RELOAD_TIME = re.compile(r"(?<=MONOTONIC_USEC=)\d+")
+NOTIFICATIONS = 4  # sent in one lifecycle
 
 
 # -- files -------------------------------------------------------------------------------------------------
@@ -34,11 +34,11 @@
 
 
 def known_keys() -> Values:
-    """Every key that is read, as a dotted path."""
+    """Returns every key that is read, as a dotted path."""
     return {"operator's file": operator.operator_keys(), "platform's file": operator.platform_keys()}
 
 
-OPERATOR_FAULTS = (
+INVALID_OPERATOR_FILES = (
     "[flet]\ninstances = 1",
     "[fleet]\ninstance = 1",
     "[fleet]\nzzzz = 1",
@@ -98,33 +98,33 @@
 )
 
 
-def operator_faults() -> Values:
-    return {text: operator.operator_fault(text) for text in OPERATOR_FAULTS}
+def operator_errors() -> Values:
+    return {text: operator.operator_error(text) for text in INVALID_OPERATOR_FILES}
 
 
 def platform_environment(folder: str, **changed: Any) -> dict[str, str]:
     path = Path(folder, "config.json")
-    raw: Values = json.loads((FIXTURES / "platform.json").read_text())
+    config: Values = json.loads((FIXTURES / "platform.json").read_text())
     for name, value in changed.items():
         if value is None:
-            raw.pop(name, None)
+            config.pop(name, None)
         else:
-            raw[name] = value
-    path.write_text(json.dumps(raw))
+            config[name] = value
+    path.write_text(json.dumps(config))
     return {"RELAY_CONFIG": str(path)}
 
 
 def _settings(section: str, **changed: Any) -> str:
-    raw: Values = json.loads((FIXTURES / "platform.json").read_text())["settings"]
-    part = raw[section][0] if isinstance(raw[section], list) else raw[section]
+    settings: Values = json.loads((FIXTURES / "platform.json").read_text())["settings"]
+    section_values = settings[section][0] if isinstance(settings[section], list) else settings[section]
     for name, value in changed.items():
-        part[name.replace("_", "-")] = value
-    return json.dumps(raw)
+        section_values[name.replace("_", "-")] = value
+    return json.dumps(settings)
 
 
-def _whole_settings(**changed: Any) -> str:
-    raw: Values = json.loads((FIXTURES / "platform.json").read_text())["settings"]
-    return json.dumps(raw | {name.replace("_", "-"): value for name, value in changed.items()})
+def _top_level_settings(**changed: Any) -> str:
+    settings: Values = json.loads((FIXTURES / "platform.json").read_text())["settings"]
+    return json.dumps(settings | {name.replace("_", "-"): value for name, value in changed.items()})
 
 
 SAFETY_FIGURES = (
@@ -146,21 +146,26 @@
         "RELAY_DISCOVERY": "agent:1",
     }
     with tempfile.TemporaryDirectory() as folder:
-        bare = platform_environment(folder, name=None, listen=None, state=None, discovery=None)
-        found: Values = {
-            "by variables": operator.platform_names({**bare, **names}),
+        unnamed_environment = platform_environment(folder, name=None, listen=None, state=None, discovery=None)
+        results: Values = {
+            "by variables": operator.platform_names({**unnamed_environment, **names}),
             "by the service manager": operator.platform_names(
-                {**bare, **names, "RELAY_STATE": "", "STATE_DIRECTORY": "/var/lib/a:/var/lib/b"}
+                {
+                    **unnamed_environment,
+                    **names,
+                    "RELAY_STATE": "",
+                    "STATE_DIRECTORY": "/var/lib/a:/var/lib/b",
+                }
             ),
             "all keys": operator.platform_values(platform_environment(folder)),
             "variables beside the file": operator.platform_names({**platform_environment(folder), **names}),
         }
-        faults = {
+        invalid_environments = {
             "no variable": {},
             "no file": {"RELAY_CONFIG": folder + "/missing"},
             "no name": platform_environment(folder, name=None),
         }
-        found["faults"] = {name: operator.platform_fault(env) for name, env in faults.items()}
+        results["faults"] = {name: operator.platform_error(env) for name, env in invalid_environments.items()}
         for name, changed in (
             ("no place to listen", {"listen": "nowhere"}),
             ("no agent", {"discovery": None}),
@@ -172,76 +177,78 @@
             ("bad seed", {"seed": "xyz"}),
             ("no settings", {"settings": None}),
         ):
-            found["faults"][name] = operator.platform_fault(platform_environment(folder, **changed))
-        found["faults"] = {name: why.replace(folder, FOLDER_MASK) for name, why in found["faults"].items()}
-    found["faults of settings"] = {
-        "effect": operator.settings_fault(_settings("classes", effect="some")),
-        "aim": operator.settings_fault(_settings("classes", aim_ms=0)),
-        "deadline": operator.settings_fault(_settings("classes", deadline_ms=-1)),
-        "scope": operator.settings_fault(_settings("classes", dedup_scope="some")),
-        "a class twice": operator.settings_fault(_settings("classes", name="pay")),
-        "calls": operator.settings_fault(_settings("extra", call_slots=0)),
-        "held": operator.settings_fault(_settings("limits", open_cap="x")),
-        "attempts": operator.settings_fault(_settings("limits", try_limit=0)),
-        "quota": operator.settings_fault(_settings("orgs", quota_per_s=-1)),
-        "safety": operator.settings_fault(_settings("safety", cold_ms=-1)),
-        "streams": operator.settings_fault(_settings("limits", streams_per_conn=0)),
-        "idle": operator.settings_fault(_settings("limits", conn_idle_ms=-1)),
-        "connecting": operator.settings_fault(_settings("limits", connect_timeout_ms=-1)),
-        "advice": operator.settings_fault(_settings("limits", max_retry_after_ms=-1)),
-        "nothing held": operator.settings_fault(_settings("limits", open_cap=0)),
-        "batch": operator.settings_fault(_settings("extra", per_call=[0, 1])),
-        "worth": operator.settings_fault(_settings("classes", worth=-1)),
-        "late share": operator.settings_fault(_settings("classes", late_share=2)),
-        "relays": operator.settings_fault(_whole_settings(balancers=0)),
-        "worth over the share": operator.settings_fault(_whole_settings(over_share_worth=-1)),
-        "tick": operator.settings_fault(_whole_settings(tick_ms=0)),
-        "nothing": operator.settings_fault("{}"),
+            results["faults"][name] = operator.platform_error(platform_environment(folder, **changed))
+        results["faults"] = {
+            name: error.replace(folder, FOLDER_MASK) for name, error in results["faults"].items()
+        }
+    results["faults of settings"] = {
+        "effect": operator.settings_error(_settings("classes", effect="some")),
+        "aim": operator.settings_error(_settings("classes", aim_ms=0)),
+        "deadline": operator.settings_error(_settings("classes", deadline_ms=-1)),
+        "scope": operator.settings_error(_settings("classes", dedup_scope="some")),
+        "a class twice": operator.settings_error(_settings("classes", name="pay")),
+        "calls": operator.settings_error(_settings("extra", call_slots=0)),
+        "held": operator.settings_error(_settings("limits", open_cap="x")),
+        "attempts": operator.settings_error(_settings("limits", try_limit=0)),
+        "quota": operator.settings_error(_settings("orgs", quota_per_s=-1)),
+        "safety": operator.settings_error(_settings("safety", cold_ms=-1)),
+        "streams": operator.settings_error(_settings("limits", streams_per_conn=0)),
+        "idle": operator.settings_error(_settings("limits", conn_idle_ms=-1)),
+        "connecting": operator.settings_error(_settings("limits", connect_timeout_ms=-1)),
+        "advice": operator.settings_error(_settings("limits", max_retry_after_ms=-1)),
+        "nothing held": operator.settings_error(_settings("limits", open_cap=0)),
+        "batch": operator.settings_error(_settings("extra", per_call=[0, 1])),
+        "worth": operator.settings_error(_settings("classes", worth=-1)),
+        "late share": operator.settings_error(_settings("classes", late_share=2)),
+        "relays": operator.settings_error(_top_level_settings(balancers=0)),
+        "worth over the share": operator.settings_error(_top_level_settings(over_share_worth=-1)),
+        "tick": operator.settings_error(_top_level_settings(tick_ms=0)),
+        "nothing": operator.settings_error("{}"),
     }
-    found["faults of settings"] |= {
-        f"safety {name}": operator.settings_fault(_settings("safety", **{name: -1}))
+    results["faults of settings"] |= {
+        f"safety {name}": operator.settings_error(_settings("safety", **{name: -1}))
         for name in SAFETY_FIGURES
     }
-    return found
+    return results
 
 
 def variables() -> Values:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "relay.toml")
         path.write_text("[fleet]\ninstances = 3\n")
-        told = {"RELAY_OPERATOR": str(path)}
-        places = {
+        operator_environment = {"RELAY_OPERATOR": str(path)}
+        environments = {
             "no file": {},
-            "number": {**told, "RELAY_INSTANCE": "2"},
-            "no number": told,
-            "not among them": {**told, "RELAY_INSTANCE": "3"},
-            "retiring": {**told, "RELAY_INSTANCE": "3", "RELAY_RETIRE": "1"},
-            "of another size": {**told, "RELAY_INSTANCE": "3", "RELAY_INSTANCES": "4"},
-            "no size": {**told, "RELAY_INSTANCES": "x"},
+            "number": {**operator_environment, "RELAY_INSTANCE": "2"},
+            "no number": operator_environment,
+            "not among them": {**operator_environment, "RELAY_INSTANCE": "3"},
+            "retiring": {**operator_environment, "RELAY_INSTANCE": "3", "RELAY_RETIRE": "1"},
+            "of another size": {**operator_environment, "RELAY_INSTANCE": "3", "RELAY_INSTANCES": "4"},
+            "no size": {**operator_environment, "RELAY_INSTANCES": "x"},
         }
-        found: Values = {name: operator.fleet_place(env) for name, env in places.items()}
+        results: Values = {name: operator.fleet_position(env) for name, env in environments.items()}
     pid = str(os.getpid())
-    found["status folder"] = operator.status_folder("", {"RUNTIME_DIRECTORY": "/run/a:/run/b"})
-    found["status folder of the file"] = operator.status_folder("/run/c", {"RUNTIME_DIRECTORY": "/run/a"})
-    found["lifeline"] = operator.lifeline_fault({"RELAY_LIFELINE": "x"})
-    found["sockets"] = operator.service_manager_fault({"LISTEN_PID": pid, "LISTEN_FDS": "x"})
-    found["socket names"] = operator.service_manager_fault(
+    results["status folder"] = operator.status_folder("", {"RUNTIME_DIRECTORY": "/run/a:/run/b"})
+    results["status folder of the file"] = operator.status_folder("/run/c", {"RUNTIME_DIRECTORY": "/run/a"})
+    results["lifeline"] = operator.lifeline_error({"RELAY_LIFELINE": "x"})
+    results["sockets"] = operator.service_manager_error({"LISTEN_PID": pid, "LISTEN_FDS": "x"})
+    results["socket names"] = operator.service_manager_error(
         {"LISTEN_PID": pid, "LISTEN_FDS": "1", "LISTEN_FDNAMES": "a:b"}
     )
-    found["notifications"] = operator.service_manager_fault({"NOTIFY_SOCKET": "x"})
-    found["watchdog"] = operator.service_manager_fault({"WATCHDOG_USEC": "x"})
+    results["notifications"] = operator.service_manager_error({"NOTIFY_SOCKET": "x"})
+    results["watchdog"] = operator.service_manager_error({"WATCHDOG_USEC": "x"})
     manager = {"NOTIFY_SOCKET": "/run/notify", "WATCHDOG_USEC": "10000000", "WATCHDOG_PID": pid, "OTHER": ""}
-    found["notifier"] = operator.notifier_values(manager)
-    found["notifications of a life"] = notifications()
-    found["name of the clients' socket"] = operator.clients_socket_name()
-    return found
+    results["notifier"] = operator.notifier_values(manager)
+    results["notifications of a life"] = notifications()
+    results["name of the clients' socket"] = operator.client_socket_name()
+    return results
 
 
 def notifications() -> list[str]:
-    """What the service manager is told, but for the time of the reload."""
+    """Returns the notifications to the service manager, with the time of the reload masked."""
     with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager:
         address = str(Path(folder, "notify"))
         manager.bind(address)
-        operator.notify_through_a_life(address)
+        operator.notify_through_lifecycle(address)
         manager.setblocking(False)
-        return [MOMENT.sub("TIME", manager.recv(4096).decode()) for _ in range(NOTIFICATIONS)]
+        return [RELOAD_TIME.sub("TIME", manager.recv(4096).decode()) for _ in range(NOTIFICATIONS)]
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -1,8 +1,8 @@
-"""The state folder's formats in neutral words: the one file of these tests that names the product.
+"""Binding between the tests of the state folder's formats and the product.
 
-Every import of the product, and every use of a name of its classes, functions, fields and parameters, stands
-here. The functions take plain values and return plain dictionaries and lists whose keys belong to the tests,
-so that a rename in the product changes this file and neither the tests nor their fixtures.
+Only this module imports the product and uses the names of its classes, functions, fields and parameters. The
+functions take plain values and return plain dictionaries and lists whose keys belong to the tests, so that a
+rename in the product changes this module and neither the tests nor their fixtures.
 """
 
 from __future__ import annotations
@@ -76,10 +76,10 @@
 
 MONOTONIC_CLOCK_OF_RAFT = "pysyncobj.syncobj.monotonicTime"
 SECONDS_TO_ELECTION = 2.0
-SECONDS_TO_ANSWER = 3.0  # nobody waits so long unless a test fails
+SECONDS_TO_ANSWER = 3.0  # reached only if a test fails
 SECONDS_PER_ROUND = 0.2
 ROUNDS = 8
-ROUNDS_TO_COMPACTION = 160  # 32 s: the log is compacted every 30 s
+ROUNDS_TO_COMPACTION = 160  # 32 s, since the log is compacted every 30 s
 
 # -- the message journal -------------------------------------------------------------------------------------
 
@@ -119,7 +119,7 @@
 
 
 class _JournalSession:
-    """A journal that takes the steps of a script."""
+    """Runs the steps of a script on a journal."""
 
     def __init__(self, folder: Path, disk_bytes: int, synced: bool) -> None:
         self.folder, self.disk_bytes, self.synced = folder, disk_bytes, synced
@@ -128,7 +128,7 @@
     def _open(self) -> Journal:
         return Journal(self.folder, self.disk_bytes, sync_ms=0.0 if self.synced else None)
 
-    def take(self, step: Step) -> None:
+    def run_step(self, step: Step) -> None:
         journal = self.journal
         match step:
             case ["accept", message, class_, tenant, destination, key, arrived, due, repeat, body, front]:
@@ -158,7 +158,7 @@
                 raise AssertionError(f"unknown step: {step!r}")
 
     def _rewrite(self) -> None:
-        """Copies all that is known to a new segment and gives up those before it."""
+        """Copies the live records to a new segment and discards the earlier segments."""
         durability = self.journal.durability
         assert durability is not None
         durability.on_sync_failed()
@@ -168,7 +168,7 @@
 
     def close(self) -> Plain:
         journal = self.journal
-        told = {
+        state = {
             "messages": [_plain_message(entry) for entry in journal.entries.values()],
             "damage": list(journal.findings),
             "live_bytes": journal.live_bytes,
@@ -177,26 +177,26 @@
             "written_bytes": journal.written_bytes,
         }
         journal.close()
-        return told
+        return state
 
 
 def run_journal(folder: Path, disk_bytes: int, synced: bool, steps: Iterable[Step]) -> Plain:
-    """What the journal knows once the steps are taken; an empty script only opens and closes it."""
+    """Returns the state of the journal after the steps; without steps it is only opened and closed."""
     session = _JournalSession(folder, disk_bytes, synced)
     for step in steps:
-        session.take(step)
+        session.run_step(step)
     return session.close()
 
 
 def read_journal(folder: Path) -> Plain:
-    """What a start would find, without a change to the folder."""
-    found = recover(DirectoryFileStore(folder))
+    """Returns what a start would recover from the folder, without changing it."""
+    recovered = recover(DirectoryFileStore(folder))
     return {
-        "messages": [_plain_message(entry) for entry in found.entries.values()],
-        "next_sequence": found.next_sequence,
-        "damage": list(found.findings),
-        "torn_bytes": found.torn_bytes,
-        "files_never_begun": list(found.empty_files),
+        "messages": [_plain_message(entry) for entry in recovered.entries.values()],
+        "next_sequence": recovered.next_sequence,
+        "damage": list(recovered.findings),
+        "torn_bytes": recovered.torn_bytes,
+        "files_never_begun": list(recovered.empty_files),
         "segments": [
             {
                 "file": segment.name,
@@ -208,7 +208,7 @@
                 "latest_snapshots": list(segment.live_ids),
                 "damaged": segment.is_damaged,
             }
-            for segment in found.segments
+            for segment in recovered.segments
         ],
     }
 
@@ -229,7 +229,7 @@
 
 
 def journal_refusal(folder: Path, disk_bytes: int) -> str:
-    """Why the folder's format is refused; empty if it is not."""
+    """Returns the error for an unsupported format of the folder; empty if it is supported."""
     try:
         Journal(folder, disk_bytes).close()
     except UnsupportedFormatError as error:
@@ -237,56 +237,58 @@
     return ""
 
 
-def segment_bytes(number: int, first: int, salt: int, records: Iterable[tuple[int, str, bytes]]) -> bytes:
-    """A segment without one before it, of records of which each has a kind, a message and a payload."""
-    data = Header(number, first, 0, 0, salt).encode()
-    for sequence, (kind, message, payload) in enumerate(records, first):
+def segment_bytes(
+    number: int, first_sequence: int, salt: int, records: Iterable[tuple[int, str, bytes]]
+) -> bytes:
+    """Encodes a segment without a predecessor from records of (kind, message, payload)."""
+    data = Header(number, first_sequence, 0, 0, salt).encode()
+    for sequence, (kind, message, payload) in enumerate(records, first_sequence):
         data += encode_frame(salt, sequence, kind, message.encode(), payload)
     return data
 
 
-# -- what was learned of destinations ------------------------------------------------------------------------
+# -- snapshots of destinations -------------------------------------------------------------------------------
 
 
-def _lane(lane: Step) -> RestoredDestination:
-    """Of destination, wait, outage, age of the first failure and age of the return."""
-    destination, wait_ms, out, failing_ms, returned_ms = lane
-    return RestoredDestination(destination, wait_ms, out, failing_ms, returned_ms)
+def _restored_destination(values: Step) -> RestoredDestination:
+    """Converts (destination, wait, outage, age of the first failure, age of the return)."""
+    destination, wait_ms, is_out, failing_ms, returned_ms = values
+    return RestoredDestination(destination, wait_ms, is_out, failing_ms, returned_ms)
 
 
-def _plain_lane(lane: RestoredDestination) -> list[Any]:
+def _plain_destination(restored: RestoredDestination) -> list[Any]:
     return [
-        lane.destination,
-        lane.retry_after_ms,
-        lane.is_ejected,
-        lane.failing_for_ms,
-        lane.warming_up_for_ms,
+        restored.destination,
+        restored.retry_after_ms,
+        restored.is_ejected,
+        restored.failing_for_ms,
+        restored.warming_up_for_ms,
     ]
 
 
-def write_learned(folder: Path, saves: Iterable[tuple[float, Sequence[Step]]]) -> None:
-    """One process that writes its file more than once."""
+def write_destination_snapshot(folder: Path, saves: Iterable[tuple[float, Sequence[Step]]]) -> None:
+    """Writes the snapshot file of one process, once or more often."""
     file = DestinationSnapshotFile(folder)
-    for now_ms, lanes in saves:
-        file.save(now_ms, [_lane(lane) for lane in lanes])
+    for now_ms, states in saves:
+        file.save(now_ms, [_restored_destination(state) for state in states])
 
 
-def read_learned(folder: Path, now_ms: float) -> list[list[Any]]:
-    return [_plain_lane(lane) for lane in DestinationSnapshotFile(folder).load(now_ms)]
+def read_destination_snapshot(folder: Path, now_ms: float) -> list[list[Any]]:
+    return [_plain_destination(restored) for restored in DestinationSnapshotFile(folder).load(now_ms)]
 
 
-def recalled(
-    kept: Iterable[tuple[float, Step]], arrival_ms: float, destinations: Iterable[int], later_ms: float
+def restored_destinations(
+    saved: Iterable[tuple[float, Step]], arrival_ms: float, destinations: Iterable[int], later_ms: float
 ) -> Plain:
-    """Lanes of destinations that are not known yet: told when they come, and what is kept of the others."""
-    memory = RestoredState()
-    for now_ms, lane in kept:
-        memory.add(now_ms, _lane(lane))
-    come = [Endpoint(100 + destination, destination, Listing.READY) for destination in destinations]
-    told = memory.pop_listed(arrival_ms, come)
+    """Returns the states that are restored for listed destinations, and those that remain for the others."""
+    restored_state = RestoredState()
+    for now_ms, state in saved:
+        restored_state.add(now_ms, _restored_destination(state))
+    listed = [Endpoint(100 + destination, destination, Listing.READY) for destination in destinations]
+    restored = restored_state.pop_listed(arrival_ms, listed)
     return {
-        "told": [_plain_lane(lane) for lane in told],
-        "kept": [_plain_lane(lane) for lane in memory.remaining(later_ms)],
+        "told": [_plain_destination(state) for state in restored],
+        "kept": [_plain_destination(state) for state in restored_state.remaining(later_ms)],
     }
 
 
@@ -306,20 +308,20 @@
     )
 
 
-def learned_by_next_process(lanes: Sequence[Step], now_ms: float, later_ms: float) -> list[list[Any]]:
-    """What a process writes in its turn that was told these lanes and has seen nothing itself."""
+def snapshot_of_next_process(states: Sequence[Step], now_ms: float, later_ms: float) -> list[list[Any]]:
+    """Returns the snapshot of a process that got these states restored and made no observations itself."""
     relay = DeliveryScheduler(_settings(), 1)
-    entries_ = tuple(Endpoint(100 + lane[0], lane[0], Listing.READY, 0, 0, 20.0) for lane in lanes)
-    relay.handle(now_ms, [EndpointList(ListKind.CACHED, entries_)])
-    relay.handle(now_ms, [_lane(lane) for lane in lanes])
-    return [_plain_lane(lane) for lane in relay.destination_snapshot(later_ms)]
+    entries = tuple(Endpoint(100 + state[0], state[0], Listing.READY, 0, 0, 20.0) for state in states)
+    relay.handle(now_ms, [EndpointList(ListKind.CACHED, entries)])
+    relay.handle(now_ms, [_restored_destination(state) for state in states])
+    return [_plain_destination(state) for state in relay.destination_snapshot(later_ms)]
 
 
 # -- the identity --------------------------------------------------------------------------------------------
 
 
 def peers_folder_name() -> str:
-    """Of the part of a state folder that belongs to the fleet."""
+    """Returns the name of the subfolder of a state folder that belongs to the fleet."""
     return FOLDER
 
 
@@ -335,7 +337,7 @@
 
 
 def claim_identity(folder: Path, name: str) -> Plain:
-    """The identity, or why there is none."""
+    """Claims the identity of a folder; returns it or the error."""
     try:
         return _plain_identity(gossip_identity.claim_identity(folder, name))
     except IdentityError as error:
@@ -343,7 +345,7 @@
 
 
 def claim_and_raise_identity(folder: Path, name: str, seen_boot: int) -> Plain:
-    """As where others have seen a later process of the folder."""
+    """Claims the identity and raises its process epoch, as if others had seen a later one."""
     try:
         claimed = gossip_identity.claim_identity(folder, name)
         return _plain_identity(gossip_identity.raise_process_epoch(folder, claimed, seen_boot))
@@ -366,26 +368,26 @@
     return {
         "destinations": {
             name: {
-                "rate": told.rate,
-                "slots": told.slots,
-                "endpoints": _names(told.endpoints),
-                "closed": told.closed,
+                "rate": rule.rate,
+                "slots": rule.slots,
+                "endpoints": _names(rule.endpoints),
+                "closed": rule.closed,
             }
-            for name, told in rules.destinations.items()
+            for name, rule in rules.destinations.items()
         },
         "classes": {
-            name: {"effect": told.effect, "attempts": told.attempts, "closed": told.closed}
-            for name, told in rules.classes.items()
+            name: {"effect": rule.effect, "attempts": rule.attempts, "closed": rule.closed}
+            for name, rule in rules.classes.items()
         },
         "zones_allowed": _names(rules.policies.zones),
         "zones_evacuated": _names(rules.policies.evacuated),
         "flows": {
             name: {
-                "bound": _plain_rates(told.bound),
-                "spare": dict(told.spare),
-                "share": _plain_rates(told.share),
+                "bound": _plain_rates(rule.bound),
+                "spare": dict(rule.spare),
+                "share": _plain_rates(rule.share),
             }
-            for name, told in rules.flows.items()
+            for name, rule in rules.flows.items()
         },
         "zones": dict(rules.zones),
     }
@@ -413,23 +415,23 @@
     }
 
 
-def _plain_book(book: VersionHistory) -> Plain:
-    trial = book.canary
+def _plain_history(history: VersionHistory) -> Plain:
+    canary = history.canary
     return {
-        "versions": [_plain_version(version) for version in book.versions],
-        "forgotten_boots": dict(book.forgotten_epochs),
-        "voters_changed_at_ms": book.voters_changed_at_ms,
-        "current": book.current.number,
-        "newest": book.newest.number,
-        "on_trial": None if trial is None else trial.number,
+        "versions": [_plain_version(version) for version in history.versions],
+        "forgotten_boots": dict(history.forgotten_epochs),
+        "voters_changed_at_ms": history.voters_changed_at_ms,
+        "current": history.current.number,
+        "newest": history.newest.number,
+        "on_trial": None if canary is None else canary.number,
     }
 
 
 def _command(step: Step) -> Command:
     match step:
         case ["propose", base, rules, author, cause, at_ms, share, guard, brings_back]:
-            watched = None if guard is None else Guard(*guard)
-            return Propose(base, rules.encode(), author, cause, at_ms, share, watched, brings_back)
+            parsed_guard = None if guard is None else Guard(*guard)
+            return Propose(base, rules.encode(), author, cause, at_ms, share, parsed_guard, brings_back)
         case ["promote", number, author]:
             return Promote(number, author)
         case ["withdraw", number, author, cause]:
@@ -442,12 +444,12 @@
 
 
 def encoded_command(step: Step) -> str:
-    """As it goes into the log."""
+    """Encodes a command as in the log."""
     return msgspec.json.encode(_command(step)).decode()
 
 
 def encoded_rules(rules: str) -> Plain:
-    """The normal form of a set of rules, and its digest."""
+    """Returns the normal form of a set of rules and its digest."""
     read = decode_rules(rules.encode())
     return {"normal": encode_rules(read).decode(), "digest": digest(read), "as_read": _plain_rules(read)}
 
@@ -457,24 +459,24 @@
 
 
 def apply_commands(first_rules: str, voters: Iterable[str], raws: Iterable[str]) -> Plain:
-    """What becomes of encoded commands, the state machine after them, and its dump."""
-    book = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
-    answers = [_plain_answer(book.apply(decode_command(raw.encode()))) for raw in raws]
-    return {"answers": answers, "book": _plain_book(book), "dump": book.dump().decode()}
+    """Applies encoded commands; returns their results, the state machine after them, and its dump."""
+    history = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
+    results = [_plain_answer(history.apply(decode_command(raw.encode()))) for raw in raws]
+    return {"answers": results, "book": _plain_history(history), "dump": history.dump().decode()}
 
 
 def load_dump(first_rules: str, voters: Iterable[str], dump: str) -> Plain:
-    """The state machine as a dump has it, and the dump written anew."""
-    book = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
-    book.load(dump.encode())
-    return {"book": _plain_book(book), "dump": book.dump().decode()}
+    """Loads a dump; returns the state machine and its dump written again."""
+    history = VersionHistory(decode_rules(first_rules.encode()), tuple(voters))
+    history.load(dump.encode())
+    return {"book": _plain_history(history), "dump": history.dump().decode()}
 
 
 # -- agreed rules: the replicated log ------------------------------------------------------------------------
 
 
 class _Clock:
-    """In place of the clock of pysyncobj."""
+    """A simulated clock that replaces the clock of pysyncobj."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -484,7 +486,7 @@
 
 
 class _Peers:
-    """A peers' node that reaches nobody by itself."""
+    """A gossip node that sends nothing by itself."""
 
     def __init__(self) -> None:
         self.frame_handlers: dict[str, Callable[[Hello, bytes], Awaitable[bytes | None] | bytes | None]] = {}
@@ -495,26 +497,28 @@
 
 
 class _Voters:
-    """The logs of one or more voters, each in the folder of its name, whose messages are handed over in
-    memory and whose turns are taken in a fixed order."""
+    """The logs of one or more voters, each in the folder of its name.
+
+    Messages are passed in memory, and the voters run their turns in a fixed order.
+    """
 
     def __init__(
         self, folders: dict[str, Path], names: Sequence[str], first_rules: str, clock: _Clock
     ) -> None:
-        """`names`: all who vote, of whom some may not run here."""
+        """`names` are all voters, also those that do not run here."""
         self.clock = clock
-        self.books: dict[str, VersionHistory] = {}
+        self.histories: dict[str, VersionHistory] = {}
         self.logs: dict[str, ReplicatedLog] = {}
         self.peers = {name: _Peers() for name in folders}
         for name, folder in folders.items():
-            self.books[name] = VersionHistory(decode_rules(first_rules.encode()), tuple(names))
+            self.histories[name] = VersionHistory(decode_rules(first_rules.encode()), tuple(names))
             others = [other for other in names if other != name]
             self.logs[name] = ReplicatedLog(
                 folder,
                 self.peers[name],  # type: ignore[arg-type]
                 name,
                 others,
-                self.books[name],
+                self.histories[name],
                 lambda: None,
             )
         self.leader = next(iter(folders))
@@ -528,8 +532,8 @@
                     log.transport._on_connection_changed(receiver, True)
 
     def _hand_over(self, sender: str, receiver: str, raw: bytes) -> bool:
-        for kind, heard in self.peers[receiver].frame_handlers.items():
-            heard(Hello(sender, kind), raw)
+        for kind, handler in self.peers[receiver].frame_handlers.items():
+            handler(Hello(sender, kind), raw)
         return True
 
     def turn(self) -> None:
@@ -544,30 +548,30 @@
             self.turn()
 
     def elect(self) -> None:
-        """The first one: it is the first whose turn comes after the time-out."""
+        """Elects the first voter, which is the first to run a turn after the election timeout."""
         self.clock.now += SECONDS_TO_ELECTION
         self.rounds()
         assert self.logs[self.leader].is_leader
 
-    async def _answered(self, work: Awaitable[Any]) -> Any:
-        asked = asyncio.ensure_future(work)
+    async def _completed(self, work: Awaitable[Any]) -> Any:
+        task = asyncio.ensure_future(work)
         await asyncio.sleep(0)
         self.rounds()
-        return await asked
+        return await task
 
-    async def take(self, step: Step) -> list[Any] | str | None:
+    async def run_step(self, step: Step) -> list[Any] | str | None:
         log = self.logs[self.leader]
         match step:
             case ["compact"]:
                 self.rounds(ROUNDS_TO_COMPACTION)
                 return None
             case ["member", add, remove]:
-                refused: str = await self._answered(log.change_voters(add, remove, SECONDS_TO_ANSWER))
+                refused: str = await self._completed(log.change_voters(add, remove, SECONDS_TO_ANSWER))
                 return refused
             case _:
-                told = _command(step)
-                raw = msgspec.json.encode(told)
-                answer: CommandResult = await self._answered(log.propose(told, raw, SECONDS_TO_ANSWER))
+                command = _command(step)
+                raw = msgspec.json.encode(command)
+                answer: CommandResult = await self._completed(log.propose(command, raw, SECONDS_TO_ANSWER))
                 return _plain_answer(answer)
 
     async def close(self) -> None:
@@ -584,17 +588,17 @@
         voters.turn()
         voters.connect()
         voters.elect()
-        answers = [await voters.take(step) for step in steps]
+        results = [await voters.run_step(step) for step in steps]
         voters.rounds()
-        books = {name: _plain_book(book) for name, book in voters.books.items()}
+        histories = {name: _plain_history(history) for name, history in voters.histories.items()}
         await voters.close()
-    return {"answers": answers, "books": books}
+    return {"answers": results, "books": histories}
 
 
 def run_voters(
     folders: dict[str, Path], names: Sequence[str], first_rules: str, steps: Iterable[Step]
 ) -> Plain:
-    """Of the voters named, those with a folder run and agree on commands; the first of them leads."""
+    """Runs the named voters that have a folder on a list of commands; the first of them leads."""
     return asyncio.run(_run_voters(folders, names, first_rules, steps))
 
 
@@ -603,19 +607,19 @@
     with mock.patch(MONOTONIC_CLOCK_OF_RAFT, clock):
         voters = _Voters({name: folder}, names, first_rules, clock)
         voters.turn()
-        told = _plain_book(voters.books[name])
+        history = _plain_history(voters.histories[name])
         others = sorted(voters.logs[name].transport.streams)
         await voters.close()
-    return {"book": told, "other_voters": others}
+    return {"book": history, "other_voters": others}
 
 
 def read_voter(folder: Path, name: str, names: Sequence[str], first_rules: str) -> Plain:
-    """What a voter knows right after its start, before it has heard of anybody."""
+    """Returns the state of a voter right after its start, before it has received any message."""
     return asyncio.run(_read_voter(folder, name, names, first_rules))
 
 
-def believed(folder: Path) -> str:
-    """Why the log in the folder is not believed; empty if it is."""
+def log_error(folder: Path) -> str:
+    """Returns why the log in the folder is rejected; empty if it is valid."""
     try:
         verify_log(folder)
     except TornWriteError as error:
@@ -624,11 +628,11 @@
 
 
 def raft_journal_entries(raw: bytes) -> list[tuple[int, int, bytes]]:
-    """Number, term and content of each."""
-    return [(each.number, each.term, each.command) for each in parse_journal(raw)]
+    """Returns the number, term and content of each entry."""
+    return [(entry.number, entry.term, entry.command) for entry in parse_journal(raw)]
 
 
-def unsealed_command(raw: bytes) -> str:
+def verified_command(raw: bytes) -> str:
     return verified_payload(raw).decode()
 
 
@@ -636,11 +640,11 @@
     return parse_vote(raw)
 
 
-# -- agreed rules: what outlasts a voter's process -----------------------------------------------------------
+# -- agreed rules: persistent state of a voter ---------------------------------------------------------------
 
 
-def _accord(folder: Path) -> ConsensusInstance:
-    peers: Any = SimpleNamespace(
+def _consensus_instance(folder: Path) -> ConsensusInstance:
+    gossip_node: Any = SimpleNamespace(
         swim=SimpleNamespace(own_claim=SimpleNamespace(nonce=1)),
         rng=random.Random(1),
         on_epoch_raised=[],
@@ -651,7 +655,7 @@
     identity = Identity("0011223344556677", "n0", 3, 1, 2)
     return ConsensusInstance(
         ConsensusSettings(voters=(0, 1, 2)),
-        peers,
+        gossip_node,
         folder,
         identity,
         _settings(),
@@ -662,26 +666,26 @@
     )
 
 
-def _plain_standing(accord: ConsensusInstance) -> Plain:
-    standing = accord.voter.state
+def _plain_voter_state(instance: ConsensusInstance) -> Plain:
+    state = instance.voter.state
     return {
-        "cleared": standing.cleared,
-        "boots": dict(standing.highest_epochs),
-        "log_was_begun": standing.log_started,
-        "voters": list(standing.voters),
+        "cleared": state.cleared,
+        "boots": dict(state.highest_epochs),
+        "log_was_begun": state.log_started,
+        "voters": list(state.voters),
     }
 
 
-def read_standing(folder: Path) -> Plain:
-    return _plain_standing(_accord(folder))
+def read_voter_state(folder: Path) -> Plain:
+    return _plain_voter_state(_consensus_instance(folder))
 
 
-def write_standing(
-    folder: Path, cleared: int, boots: dict[str, int], log_was_begun: bool, voters: Iterable[str]
+def write_voter_state(
+    folder: Path, cleared: int, boots: dict[str, int], log_started: bool, voters: Iterable[str]
 ) -> Plain:
-    accord = _accord(folder)
-    standing = accord.voter.state
-    standing.cleared, standing.log_started, standing.voters = cleared, log_was_begun, tuple(voters)
-    standing.highest_epochs.update(boots)
-    accord.voter.save_state()
-    return _plain_standing(accord)
+    instance = _consensus_instance(folder)
+    state = instance.voter.state
+    state.cleared, state.log_started, state.voters = cleared, log_started, tuple(voters)
+    state.highest_epochs.update(boots)
+    instance.voter.save_state()
+    return _plain_voter_state(instance)
--- a/tests/compatibility/state_fixtures.py
+++ b/tests/compatibility/state_fixtures.py
@@ -1,8 +1,8 @@
 """Writes the fixtures of the state folder: `python -m tests.compatibility.state_fixtures FOLDER`.
 
-Each case is a folder with `files`, as a process leaves them on its disk, and `expected.json`, what is to be
-read there. The fixtures that are kept beside this file were written before the product's names changed and
-are not to be written anew: a test writes them to another place and compares.
+Each case is a folder with `files`, as a process leaves them on disk, and `expected.json`, the values to be
+read from them. The stored fixtures were written before the product's names changed and must not be rewritten:
+a test writes them to another folder and compares.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 FIXTURES = Path(__file__).parent / "fixtures" / "state"
 FILES, EXPECTED = "files", "expected.json"
 
-# -- one place for chance ------------------------------------------------------------------------------------
+# -- fixed randomness ----------------------------------------------------------------------------------------
 
 
 @contextmanager
 def fixed_randomness(seed: int) -> Iterator[None]:
-    """Salts and ids come out the same each time."""
+    """Makes salts and ids the same in each run."""
     source = random.Random(seed)
     with ExitStack() as patches:
         patches.enter_context(mock.patch("os.urandom", source.randbytes))
@@ -47,7 +47,7 @@
 
 
 def file_digests(folder: Path) -> Plain:
-    """Size and checksum of each file below the folder."""
+    """Returns the size and checksum of each file below the folder."""
     return {
         path.relative_to(folder).as_posix(): {
             "bytes": path.stat().st_size,
@@ -64,7 +64,7 @@
     return folder
 
 
-def keep(case: Path, expected: Plain) -> None:
+def write_expected(case: Path, expected: Plain) -> None:
     case.mkdir(parents=True, exist_ok=True)
     (case / EXPECTED).write_text(json.dumps(expected, indent=1, sort_keys=True) + "\n")
 
@@ -72,8 +72,8 @@
 # -- the message journal -------------------------------------------------------------------------------------
 
 DISK_BYTES = 400_000
-SMALL_DISK_BYTES = 200_000  # segments have to be given up on it
-TAKE, TRY, OUT, END, NOTIFIED, DROP, CENSUS = range(1, 8)  # record kinds, as they are numbered on the disk
+SMALL_DISK_BYTES = 200_000  # so small that segments have to be discarded
+TAKE, TRY, OUT, END, NOTIFIED, DROP, CENSUS = range(1, 8)  # numbers of the record kinds on disk
 
 
 def accept(message: str, body: bytes, key: str | None = None, front: str = "http", repeat: str = "") -> Any:
@@ -129,8 +129,8 @@
 ]
 
 
-def giving_up_steps() -> Steps:
-    """More than the folder has room for: old segments are given up while some notices stay owed."""
+def segment_discard_steps() -> Steps:
+    """Returns more steps than fit on the disk: old segments are discarded while notifications are pending."""
     steps: Steps = []
     for number in range(10):
         steps.append(accept(f"m{number}", b"owed"))
@@ -145,23 +145,23 @@
     return steps
 
 
-def expect_journal(case: Path, scratch: Path) -> None:
-    """What is to be read of the case's files, and what a process makes of them."""
-    keep(case, observe_journal(case / FILES, scratch))
+def write_expected_journal(case: Path, scratch: Path) -> None:
+    """Writes the values expected from the files of a case, before and after a process has opened them."""
+    write_expected(case, observe_journal(case / FILES, scratch))
 
 
 def observe_journal(files: Path, scratch: Path) -> Plain:
     folder = scratch / "opened"
     shutil.copytree(files, folder)
-    told: Plain = {"read": product.read_journal(folder), "records": product.journal_records(folder)}
+    observed: Plain = {"read": product.read_journal(folder), "records": product.journal_records(folder)}
     with fixed_randomness(77):
-        told["opened"] = product.run_journal(folder, DISK_BYTES, True, [])
-    told["files_after_opening"] = file_digests(folder)
-    again = product.read_journal(folder)
-    told["same_messages_after_opening"] = again.pop("messages") == told["opened"]["messages"]
-    told["read_after_opening"] = again
+        observed["opened"] = product.run_journal(folder, DISK_BYTES, True, [])
+    observed["files_after_opening"] = file_digests(folder)
+    reopened = product.read_journal(folder)
+    observed["same_messages_after_opening"] = reopened.pop("messages") == observed["opened"]["messages"]
+    observed["read_after_opening"] = reopened
     shutil.rmtree(folder)
-    return told
+    return observed
 
 
 def write_every_record(folder: Path, steps: Steps) -> None:
@@ -174,9 +174,9 @@
 
 
 def first_record(folder: Path, kind: str) -> tuple[Path, int]:
-    """The file and the offset of the first record of this kind."""
-    found = next(record for record in product.journal_records(folder) if record["kind"] == kind)
-    return folder / found["file"], found["offset"]
+    """Returns the file and the offset of the first record of this kind."""
+    first = next(record for record in product.journal_records(folder) if record["kind"] == kind)
+    return folder / first["file"], first["offset"]
 
 
 def change_bytes(file: Path, *offsets: int) -> None:
@@ -186,12 +186,12 @@
     file.write_bytes(data)
 
 
-HEADER_BYTES, HEADERS = 40, 2  # a segment's header stands there twice, its checksum at its end
+HEADER_BYTES, HEADERS = 40, 2  # a segment has two copies of its header, which ends with a checksum
 VERSION_AT, CHECKSUM_BYTES = 4, 4
 
 
-def of_format(segment: bytes, version: int) -> bytes:
-    """The same segment as if it had been written in another format."""
+def with_format_version(segment: bytes, version: int) -> bytes:
+    """Returns the segment with another format version in its headers."""
     data = bytearray(segment)
     for at in range(0, HEADERS * HEADER_BYTES, HEADER_BYTES):
         data[at + VERSION_AT] = version
@@ -220,7 +220,7 @@
 
 
 def damaged_record(folder: Path) -> None:
-    """Its head and its tail are hurt, so that nothing of it is known."""
+    """Damages the head and the tail of a record, so that nothing of it can be recovered."""
     file, offset = first_record(folder, "out")
     change_bytes(file, offset + 3, offset + 30)
 
@@ -247,7 +247,7 @@
 
 
 def earlier_segment() -> bytes:
-    """Of a version whose attempts had no time since the system's start."""
+    """Returns a segment of an earlier version, whose attempts had no system uptime."""
     pack = msgspec.msgpack.encode
     attempt = [1500, "endpoint-1", 0]
     open_message = ["safe", "t", 7, None, 1000, 9000, "", 2, attempt, None, "", 0.0, False, "http", b"body"]
@@ -272,7 +272,7 @@
 
 
 def segment_with_unknown_kind() -> bytes:
-    """As a later version of the same format could write it."""
+    """Returns a segment that a later version of the same format could write."""
     taken = ["safe", "t", 7, None, 1000, 9000, "", 0, None, None, "", 0.0, False, "http", b"body"]
     return product.segment_bytes(1, 1, 5, [(TAKE, "m0", msgspec.msgpack.encode(taken)), (9, "m0", b"more")])
 
@@ -283,10 +283,10 @@
 
 
 def journal_of_format_1() -> bytes:
-    """Every kind of line, one that is damaged, and a torn end."""
+    """Returns a journal in format 1 with every kind of line, a damaged line and a torn end."""
 
-    def take(message: str, **more: Any) -> Plain:
-        said = {
+    def take(message: str, **overrides: Any) -> Plain:
+        fields = {
             "k": "take",
             "id": message,
             "class": "keyed",
@@ -305,14 +305,14 @@
             "from": "amqp shop",
             "body": base64.b64encode(b"body of " + message.encode()).decode(),
         }
-        return said | more
+        return fields | overrides
 
-    without_front = take("m2")
-    del without_front["from"]
-    found = [
+    without_origin = take("m2")
+    del without_origin["from"]
+    entries = [
         take("m0", tries=2, out=[1500.0, "endpoint-1", 1]),
         take("m1", tries=1, risk=[1400.0, "endpoint-2", 0]),
-        without_front,
+        without_origin,
         take("m3", end="failed", after=2.5, told=True, body=""),
         take("m4"),
         take("m5"),
@@ -322,7 +322,7 @@
         {"k": "told", "id": "m4"},
         {"k": "drop", "id": "m5"},
     ]
-    lines = [line_of_format_1(each) for each in found]
+    lines = [line_of_format_1(entry) for entry in entries]
     damaged = line_of_format_1(take("m6")).replace(b'"tenant":"t"', b'"tenant":"u"')
     return b"".join([*lines, damaged, line_of_format_1(take("m7"))[:-9]])
 
@@ -340,72 +340,76 @@
     write_every_record(new_folder(target / "rewritten"), EVERY_RECORD + AFTER_REWRITE)
     (new_folder(target / "earlier-attempts") / "seg-0000000001").write_bytes(earlier_segment())
     (new_folder(target / "unknown-kind") / "seg-0000000001").write_bytes(segment_with_unknown_kind())
-    kept = new_folder(target / "format-1")
-    (kept / "journal").write_bytes(JOURNAL_1.read_bytes())
-    (kept / "journal.new").write_bytes(b"of a compaction that was cut off")
+    folder = new_folder(target / "format-1")
+    (folder / "journal").write_bytes(JOURNAL_1.read_bytes())
+    (folder / "journal.new").write_bytes(b"of a compaction that was cut off")
     (new_folder(target / "format-1-every-line") / "journal").write_bytes(journal_of_format_1())
     for case in sorted(target.iterdir()):
-        expect_journal(case, scratch)
-    keep(target / "given-up", observe_giving_up(scratch))
+        write_expected_journal(case, scratch)
+    write_expected(target / "given-up", observe_segment_discard(scratch))
 
 
-def observe_giving_up(scratch: Path) -> Plain:
-    """Only checksums are kept of these files, which are larger."""
+def observe_segment_discard(scratch: Path) -> Plain:
+    """Runs the steps that discard segments. Only checksums of the files are stored, since they are larger."""
     folder = scratch / "given-up"
     folder.mkdir()
     with fixed_randomness(3):
-        told = product.run_journal(folder, SMALL_DISK_BYTES, False, giving_up_steps())
-    told["messages"] = len(told["messages"])
-    told["files"] = file_digests(folder)
-    told["owed"] = [
-        each["message"] for each in product.read_journal(folder)["messages"] if each["anything_is_owed"]
+        observed = product.run_journal(folder, SMALL_DISK_BYTES, False, segment_discard_steps())
+    observed["messages"] = len(observed["messages"])
+    observed["files"] = file_digests(folder)
+    observed["owed"] = [
+        message["message"]
+        for message in product.read_journal(folder)["messages"]
+        if message["anything_is_owed"]
     ]
     shutil.rmtree(folder)
-    return told
+    return observed
 
 
-# -- what was learned ----------------------------------------------------------------------------------------
+# -- snapshots of destinations -------------------------------------------------------------------------------
 
-LEARNED_AT_MS = 1_000_000_000_000.4
-LANES: Steps = [
+SAVED_AT_MS = 1_000_000_000_000.4
+DESTINATIONS: Steps = [
     [1, 5000.25, False, None, None],
     [2, 0.0, True, 1500.5, None],
     [3, 0.0, False, None, 2500.125],
     [4, 70000.0, True, 10.0, 20.0],
 ]
 AGES_MS = (0.0, 600.5, 59_999.0, 60_001.0, 90_000.0)
-UNREADABLE = {
+UNREADABLE_SNAPSHOTS = {
     "another-version": '{"version":2,"at":1000000000000,"lanes":[]}',
     "another-field": '{"version":1,"at":1000000000000,"lanes":[],"more":1}',
     "torn": '{"version":1,"at":1000000000000,"lan',
 }
 
 
-def observe_learned(folder: Path) -> Plain:
-    return {f"after {age:g} ms": product.read_learned(folder, LEARNED_AT_MS + age) for age in AGES_MS}
+def observe_destination_snapshot(folder: Path) -> Plain:
+    return {
+        f"after {age:g} ms": product.read_destination_snapshot(folder, SAVED_AT_MS + age) for age in AGES_MS
+    }
 
 
-def observe_recall() -> Plain:
-    kept = [(1000.0, LANES[0]), (1500.0, LANES[1]), (2000.0, LANES[3])]
+def observe_restored_destinations() -> Plain:
+    saved = [(1000.0, DESTINATIONS[0]), (1500.0, DESTINATIONS[1]), (2000.0, DESTINATIONS[3])]
     return {
-        "destination 2 comes": product.recalled(kept, 2600.0, [2, 9], 3600.0),
-        "all are too old": product.recalled(kept, 62_001.0, [1, 2], 62_001.0),
-        "written by the next process": product.learned_by_next_process(LANES, 100_000.0, 100_700.0),
+        "destination 2 comes": product.restored_destinations(saved, 2600.0, [2, 9], 3600.0),
+        "all are too old": product.restored_destinations(saved, 62_001.0, [1, 2], 62_001.0),
+        "written by the next process": product.snapshot_of_next_process(DESTINATIONS, 100_000.0, 100_700.0),
     }
 
 
-def build_learned(target: Path) -> None:
+def build_destination_snapshots(target: Path) -> None:
     folder = new_folder(target / "lanes")
-    product.write_learned(folder, [(LEARNED_AT_MS, LANES)])
-    keep(target / "lanes", observe_learned(folder))
+    product.write_destination_snapshot(folder, [(SAVED_AT_MS, DESTINATIONS)])
+    write_expected(target / "lanes", observe_destination_snapshot(folder))
     folder = new_folder(target / "none-any-more")
-    product.write_learned(folder, [(LEARNED_AT_MS, LANES), (LEARNED_AT_MS + 1000, [])])
-    keep(target / "none-any-more", observe_learned(folder))
-    for name, text in UNREADABLE.items():
+    product.write_destination_snapshot(folder, [(SAVED_AT_MS, DESTINATIONS), (SAVED_AT_MS + 1000, [])])
+    write_expected(target / "none-any-more", observe_destination_snapshot(folder))
+    for name, text in UNREADABLE_SNAPSHOTS.items():
         folder = new_folder(target / name)
         (folder / "learned").write_text(text)
-        keep(target / name, observe_learned(folder))
-    keep(target / "recall", observe_recall())
+        write_expected(target / name, observe_destination_snapshot(folder))
+    write_expected(target / "recall", observe_restored_destinations())
 
 
 # -- agreed rules --------------------------------------------------------------------------------------------
@@ -444,33 +448,33 @@
 CLUSTER_STEPS: Steps = [*FIRST_STEPS[:3], ["member", "n3", ""], *COMPACTION, FIRST_STEPS[3]]
 
 
-def observe_book() -> Plain:
-    """The state machine without the log: commands as they are encoded, and what becomes of each."""
+def observe_version_history() -> Plain:
+    """Returns the encoded commands and the result of each on a state machine without the log."""
     encoded = [product.encoded_command(step) for step in FIRST_STEPS + LATER_STEPS]
-    told = product.apply_commands(FIRST_RULES, THREE, encoded)
+    applied = product.apply_commands(FIRST_RULES, THREE, encoded)
     rules = (FIRST_RULES, SECOND_RULES, STRICTER_RULES, STRICTEST_RULES, NOT_NORMAL_RULES)
     return {
         "commands": encoded,
-        "rules": [product.encoded_rules(each) for each in rules],
-        **told,
-        "loaded": product.load_dump(FIRST_RULES, ALONE, told["dump"]),
+        "rules": [product.encoded_rules(rules_text) for rules_text in rules],
+        **applied,
+        "loaded": product.load_dump(FIRST_RULES, ALONE, applied["dump"]),
     }
 
 
 def observe_voter(folder: Path, scratch: Path, name: str, names: list[str]) -> Plain:
-    copied = scratch / "voter"
-    shutil.copytree(folder, copied)
-    told = {
-        "why_not_believed": product.believed(copied),
+    copy = scratch / "voter"
+    shutil.copytree(folder, copy)
+    observed = {
+        "why_not_believed": product.log_error(copy),
         "entries": [
             {"number": number, "term": term, "kind": content[0], "bytes": len(content)}
-            for number, term, content in product.raft_journal_entries((copied / "raft.journal").read_bytes())
+            for number, term, content in product.raft_journal_entries((copy / "raft.journal").read_bytes())
         ],
-        "vote": product.vote((copied / "raft.journal.meta").read_bytes()),
-        "read": product.read_voter(copied, name, names, FIRST_RULES),
+        "vote": product.vote((copy / "raft.journal.meta").read_bytes()),
+        "read": product.read_voter(copy, name, names, FIRST_RULES),
     }
-    shutil.rmtree(copied)
-    return told
+    shutil.rmtree(copy)
+    return observed
 
 
 def run_alone(folder: Path, steps: Steps) -> Plain:
@@ -478,7 +482,7 @@
 
 
 def build_voters(target: Path, scratch: Path) -> None:
-    """One voter: its log, then with a dump alone, then with entries behind the dump; and three voters."""
+    """Builds one voter with a log, then a dump alone, then entries after the dump; and three voters."""
     before: Path | None = None
     for name, steps in (("log", FIRST_STEPS), ("dump", COMPACTION), ("dump-and-log", LATER_STEPS)):
         folder = target / name / FILES
@@ -486,48 +490,48 @@
             folder.mkdir(parents=True)
         else:
             shutil.copytree(before, folder)
-        ran = run_alone(folder, steps)
-        keep(target / name, {"ran": ran, **observe_voter(folder, scratch, "n0", ALONE)})
+        run = run_alone(folder, steps)
+        write_expected(target / name, {"ran": run, **observe_voter(folder, scratch, "n0", ALONE)})
         before = folder
     cluster = new_folder(target / "three-voters")
     folders = {name: cluster / name for name in THREE}
     for folder in folders.values():
         folder.mkdir()
-    ran = product.run_voters(folders, THREE, FIRST_RULES, CLUSTER_STEPS)
-    told = {name: observe_voter(folder, scratch, name, THREE) for name, folder in folders.items()}
-    keep(target / "three-voters", {"ran": ran, "voters": told})
+    run = product.run_voters(folders, THREE, FIRST_RULES, CLUSTER_STEPS)
+    voters = {name: observe_voter(folder, scratch, name, THREE) for name, folder in folders.items()}
+    write_expected(target / "three-voters", {"ran": run, "voters": voters})
 
 
-STANDINGS: dict[str, str] = {
+VOTER_STATE_TEXTS: dict[str, str] = {
     "older": '{"cleared":3}',
     "without-voters": '{"cleared":3,"boots":{"8899aabbccddeeff":4},"voted":true}',
     "unreadable": '{"cleared":3,"more":1}',
 }
 
 
-def build_standings(target: Path) -> None:
+def build_voter_states(target: Path) -> None:
     folder = new_folder(target / "every-field")
     boots = {"8899aabbccddeeff": 4, "0123456789abcdef": 1}
-    product.write_standing(folder, 6, boots, True, ["n0", "n1", "n5"])
-    keep(target / "every-field", product.read_standing(folder))
-    for name, text in STANDINGS.items():
+    product.write_voter_state(folder, 6, boots, True, ["n0", "n1", "n5"])
+    write_expected(target / "every-field", product.read_voter_state(folder))
+    for name, text in VOTER_STATE_TEXTS.items():
         folder = new_folder(target / name)
         (folder / "standing.json").write_text(text)
-        keep(target / name, product.read_standing(folder))
+        write_expected(target / name, product.read_voter_state(folder))
     folder = new_folder(target / "none")
-    keep(target / "none", product.read_standing(folder))
+    write_expected(target / "none", product.read_voter_state(folder))
     folder.rmdir()
 
 
-# -- all of it -----------------------------------------------------------------------------------------------
+# -- all fixtures --------------------------------------------------------------------------------------------
 
 
 def build(target: Path, scratch: Path) -> None:
     build_journals(target / "journal", scratch)
-    build_learned(target / "learned")
-    keep(target / "book", observe_book())
+    build_destination_snapshots(target / "learned")
+    write_expected(target / "book", observe_version_history())
     build_voters(target / "voters", scratch)
-    build_standings(target / "standing")
+    build_voter_states(target / "standing")
 
 
 def main() -> None:
--- a/tests/compatibility/status_binding.py
+++ b/tests/compatibility/status_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for what operators are shown: reports, answers, commands, metrics, log lines."""
+"""Output of the product for operators: reports, answers, commands, metrics and log lines.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 from message_relay.core.ports import CallContext, Submission
 from message_relay.failover.observations import Demand, WindowSample
 from message_relay.failover.observations import ObservationReport as Evidence
-from message_relay.failover.zone_health import HealthState as PairState
+from message_relay.failover.zone_health import HealthState as ZoneState
 from message_relay.fleet import report
 from message_relay.fleet.common import SharedSubsystems
 from message_relay.fleet.operator import OperatorConfig, decoded
@@ -47,14 +50,14 @@
 from message_relay.structured_logging import BoundedLogWriter, LogEvent, configure_structured_logging
 
 Values = dict[str, Any]
-MODULE = "message_relay"  # what `python -m` starts
+MODULE = "message_relay"  # the module that `python -m` runs
 
 
 # -- reports -----------------------------------------------------------------------------------------------
 
 
 def _reports(plain: Sequence[Values]) -> list[Report]:
-    return [msgspec.convert(each, Report) for each in plain]
+    return [msgspec.convert(values, Report) for values in plain]
 
 
 def _fleet(plain: Values | None) -> FleetReport | None:
@@ -70,57 +73,59 @@
 
 
 def status_tables(reports: Sequence[Values], fleet: Values | None, silent: list[str]) -> list[str]:
-    """As they are printed on a wide terminal."""
-    out = io.StringIO()
-    Console(file=out, width=220, color_system=None).print(rendered(_reports(reports), _fleet(fleet), silent))
-    return [line.rstrip() for line in out.getvalue().splitlines()]
+    """Returns the tables as printed on a wide terminal."""
+    output = io.StringIO()
+    Console(file=output, width=220, color_system=None).print(
+        rendered(_reports(reports), _fleet(fleet), silent)
+    )
+    return [line.rstrip() for line in output.getvalue().splitlines()]
 
 
 async def status_over_socket(path: Path, plain: Values, fleet: bool) -> tuple[bytes, Values]:
-    """What a caller of the socket reads, and what the command makes of it."""
-    told: Report | FleetReport
-    told = msgspec.convert(plain, FleetReport) if fleet else msgspec.convert(plain, Report)
-    server = StatusSocket(path, lambda: told)
+    """Returns the bytes that a client of the socket reads, and the report decoded from them."""
+    report_: Report | FleetReport
+    report_ = msgspec.convert(plain, FleetReport) if fleet else msgspec.convert(plain, Report)
+    server = StatusSocket(path, lambda: report_)
     await server.open()
     try:
         reader, writer = await asyncio.open_unix_connection(str(path))
         raw = await reader.read(-1)
         writer.close()
-        understood: Values = msgspec.to_builtins(await fetch_report(path))
-        return raw, understood
+        decoded_report: Values = msgspec.to_builtins(await fetch_report(path))
+        return raw, decoded_report
     finally:
         server.close()
 
 
 def instance_states() -> list[str]:
-    """As a supervisor tells them."""
+    """Returns the states of instances that a supervisor reports."""
     states = InstanceState
-    return [each.value for each in (states.DOWN, states.STARTING, states.UP, states.ENDING, states.FAILED)]
+    return [state.value for state in (states.DOWN, states.STARTING, states.UP, states.ENDING, states.FAILED)]
 
 
-def pair_states() -> list[str]:
-    """Of a pair of zones, as plans of failover tell them."""
+def zone_pair_states() -> list[str]:
+    """Returns the states of a pair of zones that failover plans report."""
     return [
-        each.value for each in (PairState.HEALTHY, PairState.DEGRADED, PairState.LOST, PairState.RECOVERING)
+        state.value for state in (ZoneState.HEALTHY, ZoneState.DEGRADED, ZoneState.LOST, ZoneState.RECOVERING)
     ]
 
 
 def rules_labels() -> list[str]:
-    """By which rules a call is made, as partners and operators are told."""
-    acted = (
+    """Returns labels of the active rules, as partners and operators get them."""
+    active = (
         ((7,), LeaseTier.LEASE),
         ((7, 8), LeaseTier.LEASE),
         ((7,), LeaseTier.STANDBY),
         ((), LeaseTier.FLOOR),
     )
-    return [ActiveRules(Rules(), versions, tier).label for versions, tier in acted]
+    return [ActiveRules(Rules(), versions, tier).label for versions, tier in active]
 
 
 # -- a whole instance --------------------------------------------------------------------------------------
 
 
 class Instance:
-    """The parts of instance 0 that talk to peers and operators, put together and not started."""
+    """The subsystems of instance 0 that serve peers and operators, composed and not started."""
 
     def __init__(self, config_file: Path, operator: Values) -> None:
         self.operator: OperatorConfig = decoded(operator, "relay.toml")
@@ -130,32 +135,32 @@
         self.common = SharedSubsystems(self.operator, 0, config, self.parts.relay)
 
     def message_kinds(self) -> list[list[str]]:
-        """Of datagrams, and of frames of connections."""
+        """Returns the kinds of datagrams, and those of frames on connections."""
         return [sorted(self.common.gossip.datagram_handlers), sorted(self.common.gossip.frame_handlers)]
 
     def report(self) -> Values:
-        told = report.report_of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
-        return dict(msgspec.to_builtins(told))
+        own_report = report.report_of(self.parts.relay, 0, "serving", 0.0, Lag(), 10)
+        return dict(msgspec.to_builtins(own_report))
 
     def shards_report(self) -> Values:
         assert self.common.sharded_directory is not None
         return dict(msgspec.to_builtins(self.common.sharded_directory.status()))
 
     async def frame_answer(self, kind: str, payload: bytes) -> bytes:
-        """To a message on a connection of another instance."""
+        """Returns the answer to a message on a connection from another instance."""
         answer = self.common.gossip.frame_handlers[kind](Hello("n1", kind, 5), payload)
         if answer is None or isinstance(answer, bytes):
             return answer or b""
         return await answer or b""
 
-    async def operators_answer(self, asked: Values) -> Values:
-        """To a question, as JSON on the socket."""
+    async def admin_answer(self, request: Values) -> Values:
+        """Returns the answer to a JSON request on the admin socket."""
         assert self.common.admin_socket is not None
         control: AdminSocket = self.common.admin_socket
         await control.open()
         try:
             reader, writer = await asyncio.open_unix_connection(str(control.path))
-            writer.write(msgspec.json.encode(asked))
+            writer.write(msgspec.json.encode(request))
             writer.write_eof()
             raw = await reader.read(-1)
             writer.close()
@@ -164,49 +169,49 @@
         finally:
             control.close()
 
-    def control_socket_name(self) -> str:
+    def admin_socket_name(self) -> str:
         assert self.common.admin_socket is not None
         return self.common.admin_socket.path.name
 
-    def allow_a_call(self, message: str) -> None:
-        """A call is asked for, so that there is something to explain."""
+    def authorize_call(self, message: str) -> None:
+        """Authorizes a call, so that there is a decision to explain."""
         assert self.common.consensus is not None
         call = CallContext(message, 7, "e", "z", "safe", 0, False, False)
         self.common.consensus.rule_enforcer.authorize(0.0, call)
 
-    def see_a_zone_fail(self) -> None:
-        """All calls into one zone fail, and a plan is made of that."""
-        failover, accord = self.common.failover, self.common.consensus
-        assert failover is not None and accord is not None
-        now, rooms = asyncio.get_running_loop().time(), {7: {"z": 50.0, "y": 50.0}}
+    def report_failing_zone(self) -> None:
+        """Reports that all calls into one zone fail, and computes a plan for it."""
+        failover, consensus = self.common.failover, self.common.consensus
+        assert failover is not None and consensus is not None
+        now, capacities = asyncio.get_running_loop().time(), {7: {"z": 50.0, "y": 50.0}}
         for window in range(10):
             for name in ("n0", "n1", "n2"):
-                cells = (WindowSample(7, "z", 40, 0, 40), WindowSample(7, "y", 40, 40, 0, 0, ((4, 40),)))
+                samples = (WindowSample(7, "z", 40, 0, 40), WindowSample(7, "y", 40, 40, 0, 0, ((4, 40),)))
                 demand = (Demand(7, "anywhere 1", 40.0),)
-                told = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, cells)
-                failover.observations.add(now, told)
-        rules = accord.newest_rules()
-        problems = failover.controller.update(now, rules, rooms)
+                observed = Evidence(name, 1, window, 0, "z", 9.5 - window, 0.1, demand, samples)
+                failover.observations.add(now, observed)
+        rules = consensus.newest_rules()
+        problems = failover.controller.update(now, rules, capacities)
         plans = failover.controller.compute_plans(problems)
-        failover.controller.next_rules(now, rules, rooms, {"z": ["n0", "n1", "n2"]}, problems, plans)
+        failover.controller.next_rules(now, rules, capacities, {"z": ["n0", "n1", "n2"]}, problems, plans)
 
     async def close(self) -> None:
         await self.parts.relay.close()
 
 
 def log_command(folder: Path, raw: bytes) -> tuple[str, bytes]:
-    """The kind of frames in which voters send each other the log, and a command as it stands in it."""
+    """Returns the kind of the frames in which voters exchange the log, and the log entry of a command."""
     entries: list[bytes] = []
     node: Any = _FramesOnly()
     log = ReplicatedLog(folder, node, "n0", [], VersionHistory(Rules(), ("n0",)), lambda: None)
-    log.raft._applyCommand = lambda entry, *more: entries.append(entry)
+    log.raft._applyCommand = lambda entry, *_: entries.append(entry)
     log.raft.apply_command(with_checksum(raw))
     log.raft.destroy()
     return FRAME_KIND, entries[0]
 
 
 class _FramesOnly:
-    """As much of a node of peers as a log without peers needs."""
+    """The part of the gossip node that a log without other voters needs."""
 
     def __init__(self) -> None:
         self.frame_handlers: dict[str, Any] = {}
@@ -216,17 +221,17 @@
 
 
 def commands() -> Values:
-    """Every command with its arguments and flags."""
-    found: Values = {}
+    """Returns every command with its arguments and flags."""
+    parameters: Values = {}
 
     def walk(path: str, command: click.Command) -> None:
-        found[path or "(none)"] = [_parameter(each) for each in command.params]
+        parameters[path or "(none)"] = [_parameter(member) for member in command.params]
         if isinstance(command, click.Group):
-            for name, each in sorted(command.commands.items()):
-                walk(f"{path} {name}".strip(), each)
+            for name, member in sorted(command.commands.items()):
+                walk(f"{path} {name}".strip(), member)
 
     walk("", group)
-    return found
+    return parameters
 
 
 def _parameter(parameter: click.Parameter) -> str:
@@ -239,29 +244,29 @@
 
 
 def run_command(arguments: list[str], env: dict[str, str]) -> tuple[int, str]:
-    """Exit code and output."""
-    told = CliRunner().invoke(group, arguments, env={"COLUMNS": "200", **env}, prog_name="relay")
-    return told.exit_code, told.output
+    """Runs a command; returns its exit code and output."""
+    result = CliRunner().invoke(group, arguments, env={"COLUMNS": "200", **env}, prog_name="relay")
+    return result.exit_code, result.output
 
 
-def question_of_command(folder: Path, arguments: list[str], answer: Values) -> tuple[Values, int, str]:
-    """What a command asks an instance, and what it makes of this answer: exit code and output."""
-    asked: list[bytes] = []
+def request_of_command(folder: Path, arguments: list[str], answer: Values) -> tuple[Values, int, str]:
+    """Returns the request that a command sends, and its exit code and output for the given answer."""
+    requests: list[bytes] = []
     server = socket.socket(socket.AF_UNIX)
     server.bind(str(folder / "0.rules"))
     server.listen()
 
     def serve() -> None:
         try:
-            taken, _ = server.accept()
-        except OSError:  # the command has asked nothing
+            connection, _ = server.accept()
+        except OSError:  # the command has sent no request
             return
         parts = []
-        while part := taken.recv(65536):
+        while part := connection.recv(65536):
             parts.append(part)
-        asked.append(b"".join(parts))
-        taken.sendall(msgspec.json.encode(answer))
-        taken.close()
+        requests.append(b"".join(parts))
+        connection.sendall(msgspec.json.encode(answer))
+        connection.close()
 
     thread = threading.Thread(target=serve)
     thread.start()
@@ -272,8 +277,8 @@
         thread.join()
         server.close()
         (folder / "0.rules").unlink()
-    told: Values = msgspec.json.decode(asked[0]) if asked else {}
-    return told, code, output
+    request: Values = msgspec.json.decode(requests[0]) if requests else {}
+    return request, code, output
 
 
 def exit_codes() -> Values:
@@ -281,26 +286,28 @@
 
 
 def program_arguments(*arguments: str) -> list[str]:
-    """Behind the interpreter, to start the program."""
+    """Returns the arguments of the interpreter that start the program."""
     return ["-m", MODULE, *arguments]
 
 
 def journal_folder(folder: Path) -> None:
-    """A state folder with a message that may have run, one that ended and one that is held."""
+    """Writes a state folder with a message of possible effect, one with a final outcome and a pending one."""
     journal = Journal(folder, 3_000_000)
     for number, (ident, key) in enumerate((("m-1", "k-1"), ("m-2", None), ("m-3", None))):
-        since = 1_700_000_000_000.0 + number
-        journal.append_accepted(JournalEntry(ident, "pay", "t", 7, key, since, since + 5000, "1", b"hello"))
-    risky, failed = journal.entries["m-1"], journal.entries["m-2"]
-    journal.append_attempt(risky, 1_700_000_000_100.0, "e-1", 2, 55.0)
-    journal.append_outcome(risky, True)
-    journal.append_attempt(risky, 1_700_000_000_200.0, "e-2", 1, 65.0)
+        accepted_at_ms = 1_700_000_000_000.0 + number
+        journal.append_accepted(
+            JournalEntry(ident, "pay", "t", 7, key, accepted_at_ms, accepted_at_ms + 5000, "1", b"hello")
+        )
+    uncertain, failed = journal.entries["m-1"], journal.entries["m-2"]
+    journal.append_attempt(uncertain, 1_700_000_000_100.0, "e-1", 2, 55.0)
+    journal.append_outcome(uncertain, True)
+    journal.append_attempt(uncertain, 1_700_000_000_200.0, "e-2", 1, 65.0)
     journal.append_final_outcome(failed, "returned", 250.0)
     journal.close()
 
 
 def recorded_lines(path: Path) -> list[Any]:
-    """A recording of one message that is handed in."""
+    """Returns the lines of a recording of one submission."""
     recorder = Recorder(path, 1.0)
     recorder.record(Submission("m-1", "pay", "t", 7, None, 4000, "", b"hello", "http"))
     recorder.close()
@@ -311,18 +318,18 @@
 
 
 def log_line(format_: str, logger: str, event: str, fields: Values) -> str:
-    """One line as it is written to standard error."""
+    """Returns one line as written to standard error."""
     root = logging.getLogger()
     handlers, level = root.handlers[:], root.level
-    reading, writing = os.pipe()
+    read_fd, write_fd = os.pipe()
     root.handlers[:] = []
-    writer: BoundedLogWriter = configure_structured_logging(format_, "info", 10, writing)
+    writer: BoundedLogWriter = configure_structured_logging(format_, "info", 10, write_fd)
     try:
         logging.getLogger(logger).warning(LogEvent(event, **fields))
         writer.close()
-        return os.read(reading, 65536).decode()
+        return os.read(read_fd, 65536).decode()
     finally:
         root.handlers[:] = handlers
         root.setLevel(level)
-        os.close(reading)
-        os.close(writing)
+        os.close(read_fd)
+        os.close(write_fd)
--- a/tests/compatibility/status_scenarios.py
+++ b/tests/compatibility/status_scenarios.py
@@ -1,4 +1,4 @@
-"""What operators are shown: reports, metrics, and answers to their questions."""
+"""Output for operators: reports, metrics, and answers to requests on the admin socket."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .operator_scenarios import platform_environment
 
 Values = dict[str, Any]
-PATIENCE_S = 20.0  # only a hang reaches it
+PATIENCE_S = 20.0  # only a hang reaches this limit
 
 
 def run(work: Coroutine[Any, Any, Any]) -> Any:
@@ -21,17 +21,17 @@
 
 
 def key_types(value: object, path: str = "") -> dict[str, str]:
-    """All keys as dotted paths, with the types of their values."""
+    """Returns all keys as dotted paths, with the types of their values."""
     if isinstance(value, dict):
-        found = {path: "object"} if path else {}
-        for key, each in value.items():
-            found |= key_types(each, f"{path}.{key}" if path else str(key))
-        return found
+        types = {path: "object"} if path else {}
+        for key, child in value.items():
+            types |= key_types(child, f"{path}.{key}" if path else str(key))
+        return types
     if isinstance(value, list | tuple):
-        found = {path: "list"}
-        for each in value:
-            found |= key_types(each, f"{path}[]")
-        return found
+        types = {path: "list"}
+        for child in value:
+            types |= key_types(child, f"{path}[]")
+        return types
     return {path: "null" if value is None else type(value).__name__}
 
 
@@ -121,42 +121,42 @@
         "metrics": status.status_metrics([REPORT], FLEET),
         "tables": status.status_tables([REPORT], FLEET, ["1.sock: no answer"]),
         "states of instances": status.instance_states(),
-        "states of pairs of zones": status.pair_states(),
+        "states of pairs of zones": status.zone_pair_states(),
         "labels of rules": status.rules_labels(),
     }
 
 
-async def _over_sockets() -> Values:
+async def _reports_over_sockets() -> Values:
     with tempfile.TemporaryDirectory() as folder:
-        raw, understood = await status.status_over_socket(Path(folder, "0.sock"), REPORT, False)
-        fleet_raw, fleet_understood = await status.status_over_socket(Path(folder, "f.sock"), FLEET, True)
+        raw, decoded = await status.status_over_socket(Path(folder, "0.sock"), REPORT, False)
+        fleet_raw, fleet_decoded = await status.status_over_socket(Path(folder, "f.sock"), FLEET, True)
     return {
         "report": raw.decode(),
-        "report as understood": understood,
+        "report as understood": decoded,
         "fleet": fleet_raw.decode(),
-        "fleet as understood": fleet_understood,
+        "fleet as understood": fleet_decoded,
     }
 
 
 def status_sockets() -> Values:
-    found: Values = run(_over_sockets())
-    return found
+    reports: Values = run(_reports_over_sockets())
+    return reports
 
 
 # -- a whole instance --------------------------------------------------------------------------------------
 
-AGREEING: Values = {
+VOTING_OPERATOR_FILE: Values = {
     "fleet": {"instances": 2},
     "peers": {"listen": "127.0.0.1:4100"},
     "accord": {"voters": [0]},
-    "failover": {"zones": {"z": {}, "y": {}}, "budget_ms": 10_000.0},  # however slow the machine is
+    "failover": {"zones": {"z": {}, "y": {}}, "budget_ms": 10_000.0},  # enough on a slow machine
 }
-KEEPING: Values = {
+SHARD_SERVER_OPERATOR_FILE: Values = {
     "fleet": {"instances": 2},
     "peers": {"listen": "127.0.0.1:4100"},
     "shards": {"keepers": [0]},
 }
-QUESTIONS: tuple[Values, ...] = (
+REQUESTS: tuple[Values, ...] = (
     {"ask": "status"},
     {"ask": "history"},
     {"ask": "version", "number": 1},
@@ -172,59 +172,59 @@
     {"asks": "status"},
     {"ask": "status", "number": "x"},
 )
-CHANGING = {"at_ms", "since s", "lease left s"}  # times of the answer
+VARYING_KEYS = {"at_ms", "since s", "lease left s"}  # times in an answer
 
 
 def masked(value: Any) -> Any:
-    """Without times."""
+    """Masks the times in an answer."""
     if isinstance(value, dict):
-        return {key: "TIME" if key in CHANGING else masked(each) for key, each in value.items()}
-    return [masked(each) for each in value] if isinstance(value, list) else value
+        return {key: "TIME" if key in VARYING_KEYS else masked(child) for key, child in value.items()}
+    return [masked(child) for child in value] if isinstance(value, list) else value
 
 
-async def _agreeing_instance() -> Values:
+async def _voting_instance() -> Values:
     with tempfile.TemporaryDirectory() as folder:
         env = platform_environment(folder, state=folder + "/state", known=None)
         Path(folder, "state").mkdir()
-        told = {**AGREEING, "status": {"folder": folder}}
-        instance = status.Instance(Path(env["RELAY_CONFIG"]), told)
-        instance.allow_a_call("m-1")
-        instance.see_a_zone_fail()
-        found: Values = {
+        operator_file = {**VOTING_OPERATOR_FILE, "status": {"folder": folder}}
+        instance = status.Instance(Path(env["RELAY_CONFIG"]), operator_file)
+        instance.authorize_call("m-1")
+        instance.report_failing_zone()
+        results: Values = {
             "kinds of messages": instance.message_kinds(),
-            "name of the socket": instance.control_socket_name(),
+            "name of the socket": instance.admin_socket_name(),
             "keys of the report": key_types(instance.report()),
             "version on a connection": (await instance.frame_answer("version", b"\x01")).hex(),
             "unknown version on a connection": (await instance.frame_answer("version", b"\x09")).hex(),
             "boot on a connection": (await instance.frame_answer("boot", b"\x92\xa4id-1\x07")).hex(),
             "command on a connection": (await instance.frame_answer("command", b"{}")).decode(),
             "answers": {
-                json.dumps(asked): masked(await instance.operators_answer(asked)) for asked in QUESTIONS
+                json.dumps(request): masked(await instance.admin_answer(request)) for request in REQUESTS
             },
         }
         await instance.close()
-        return found
+        return results
 
 
-async def _keeping_instance() -> Values:
+async def _shard_server_instance() -> Values:
     with tempfile.TemporaryDirectory() as folder:
         env = platform_environment(folder, state=folder + "/state", known=None)
         Path(folder, "state").mkdir()
-        instance = status.Instance(Path(env["RELAY_CONFIG"]), KEEPING)
-        found = {
+        instance = status.Instance(Path(env["RELAY_CONFIG"]), SHARD_SERVER_OPERATOR_FILE)
+        results = {
             "kinds of messages": instance.message_kinds(),
             "keys of the report": key_types(instance.shards_report()),
         }
         await instance.close()
-        return found
+        return results
 
 
 def instances() -> Values:
-    return {"agreeing": run(_agreeing_instance()), "keeping": run(_keeping_instance())}
+    return {"agreeing": run(_voting_instance()), "keeping": run(_shard_server_instance())}
 
 
 def log_of_voters() -> Values:
-    """What voters send each other is a library's; a command in it, and the name of their frames, are ours."""
+    """Returns the frame kind of voters and a command in a frame; a library defines the rest of the format."""
 
     async def work() -> tuple[str, bytes]:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -1,8 +1,8 @@
-"""Seeded runs of the deciders beside the scheduler: the only place that names what they are called.
+"""Seeded runs of the components that decide outside the scheduler, and the only module that uses their names.
 
-Each function drives one decider with its own random source and a clock set by hand, and returns rows of
-neutral values: what it decided, floats to the last bit. When something is renamed or moved, this file
-follows, and the fixtures stay as they are.
+Each function drives one component with its own random source and a simulated clock, and returns rows of
+neutral values: its decisions, with floats exact to the last bit. When something is renamed or moved, only
+this module changes, and the fixtures stay the same.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 from message_relay.failover.plan_model import TrafficGroup, PlanningProblem
 from message_relay.failover.greedy_planner import plan_greedily
 from message_relay.failover.planner import plan_locally
-from message_relay.failover.zone_health import HealthState as Standing
+from message_relay.failover.zone_health import HealthState as ZoneState
 from message_relay.failover.zone_health import ZoneHealthJudge, success_interval
 from message_relay.fleet.fleet_size import FleetSize
 from message_relay.fleet.operator import SupervisorSection
 from message_relay.fleet.plan import Plan, SupervisorAction
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import Claim, Packet, open_packet, seal_packet
-from message_relay.gossip.wire import MemberState as Presence
+from message_relay.gossip.wire import MemberState as SwimState
 from message_relay.http.keep_alive import KeepAlivePolicy
 from message_relay.sharded_directory.rendezvous_hash import rank_servers, shard_of
 from message_relay.sharded_directory.staleness import StalenessTracker
@@ -49,7 +49,7 @@
 Row = tuple[str | int | float | bool | None, ...]
 
 LISTINGS = {Listing.READY: "ready", Listing.DRAINING: "draining", Listing.REMOVED: "gone"}
-MOVED_DIGITS = 6
+MOVED_RATE_DIGITS = 6
 ZONES = ("a", "b", "c", "d")
 
 
@@ -82,25 +82,25 @@
 # -- membership --------------------------------------------------------------------------------------------
 
 
-def words_on_endpoints(seed: int) -> list[Row]:
-    words = {
+def endpoint_statuses(seed: int) -> list[Row]:
+    names = {
         EndpointStatus.UNKNOWN: "unknown",
         EndpointStatus.READY: "ready",
         EndpointStatus.DRAINING: "draining",
         EndpointStatus.GONE: "gone",
     }
     rows: list[Row] = [
-        (*map(words.__getitem__, each), words[most_severe(each)])
-        for each in product(EndpointStatus, EndpointStatus)
+        (*map(names.__getitem__, statuses), names[most_severe(statuses)])
+        for statuses in product(EndpointStatus, EndpointStatus)
     ]
-    rows.append((words[most_severe(())],))
-    draw, shrink, now, had = random.Random(seed), ShrinkGuard(), 0.0, 20
+    rows.append((names[most_severe(())],))
+    draw, shrink_guard, now, previous_count = random.Random(seed), ShrinkGuard(), 0.0, 20
     for _ in range(400):
         now += draw.expovariate(0.8)
-        has = draw.randint(0, had)
-        believed = shrink.accepts(now, had, has)
-        rows.append((now, had, has, believed))
-        had = draw.randint(0, 20) if believed else had
+        count = draw.randint(0, previous_count)
+        accepted = shrink_guard.accepts(now, previous_count, count)
+        rows.append((now, previous_count, count, accepted))
+        previous_count = draw.randint(0, 20) if accepted else previous_count
     return rows
 
 
@@ -122,80 +122,93 @@
     merge = SourceMerge(("file", "register", "peers"), ("register",))
     for _ in range(400):
         now += draw.expovariate(1.0)
-        members = {each.name: each for each in (_member(draw) for _ in range(draw.randint(0, 9)))}
-        lives = ((f"e{draw.randint(1, 12)}", draw.choice((Listing.READY, Listing.DRAINING))),)
+        endpoints = {
+            endpoint.name: endpoint for endpoint in (_member(draw) for _ in range(draw.randint(0, 9)))
+        }
+        status_changes = ((f"e{draw.randint(1, 12)}", draw.choice((Listing.READY, Listing.DRAINING))),)
         source = draw.choice(("file", "register", "peers"))
-        told = EndpointUpdate(
-            draw.random() < 0.4, tuple(members.values()), lives if draw.random() < 0.3 else (), source
+        update = EndpointUpdate(
+            draw.random() < 0.4,
+            tuple(endpoints.values()),
+            status_changes if draw.random() < 0.3 else (),
+            source,
         )
-        found = merge.merge(told, now)
-        rows.append((now, source, None if found is None else found.is_full))
-        for each in () if found is None else found.endpoints:
-            listing = LISTINGS[each.listing]
+        merged = merge.merge(update, now)
+        rows.append((now, source, None if merged is None else merged.is_full))
+        for endpoint in () if merged is None else merged.endpoints:
+            listing = LISTINGS[endpoint.listing]
             rows.append(
-                (each.name, each.destination, listing, *each.address, each.kind, each.zone, each.rate)
+                (
+                    endpoint.name,
+                    endpoint.destination,
+                    listing,
+                    *endpoint.address,
+                    endpoint.kind,
+                    endpoint.zone,
+                    endpoint.rate,
+                )
             )
     return rows
 
 
-def discovery_pauses(seed: int) -> list[Row]:
+def poll_pauses(seed: int) -> list[Row]:
     rows: list[Row] = []
-    for instances, shared in ((1, True), (1, False), (3, True), (40, True), (200, True), (200, False)):
+    for instances, is_shared in ((1, True), (1, False), (3, True), (40, True), (200, True), (200, False)):
         draw = random.Random(seed * 1000 + instances)
-        asking = PollSchedule(instances, random.Random(seed), shared)
-        rows.append((instances, shared, asking.first_delay_ms()))
+        schedule = PollSchedule(instances, random.Random(seed), is_shared)
+        rows.append((instances, is_shared, schedule.first_delay_ms()))
         for _ in range(60):
-            hold = asking.watch_duration_ms()
-            rows.append((hold, asking.call_timeout_ms(hold)))
+            watch_ms = schedule.watch_duration_ms()
+            rows.append((watch_ms, schedule.call_timeout_ms(watch_ms)))
             drawn = draw.random()
             if drawn < 0.4:
-                asking.on_answered()
+                schedule.on_answered()
             elif drawn < 0.95:
-                rows.append((asking.pause_after_failure_ms(draw.random() < 0.5),))
+                rows.append((schedule.pause_after_failure_ms(draw.random() < 0.5),))
             else:
-                asking.reset()
+                schedule.reset()
     return rows
 
 
-def kept_connections(seed: int) -> list[Row]:
-    draw, keeping, now, rows = random.Random(seed), KeepAlivePolicy(), 0.0, list[Row]()
+def keep_alive_decisions(seed: int) -> list[Row]:
+    draw, policy, now, rows = random.Random(seed), KeepAlivePolicy(), 0.0, list[Row]()
     for _ in range(400):
         now += draw.expovariate(1 / 9.0)
         kind = draw.choice(("x", "y", "z"))
         if draw.random() < 0.1:
-            rows.append((now, kind, "refused", keeping.record_rejection(kind, now)))
+            rows.append((now, kind, "refused", policy.record_rejection(kind, now)))
         else:
-            rows.append((now, kind, "asked", keeping.allows_idle(kind, now)))
+            rows.append((now, kind, "asked", policy.allows_idle(kind, now)))
     return rows
 
 
 # -- failover between zones --------------------------------------------------------------------------------
 
 
-def _window(draw: random.Random, health: float, there: bool) -> Aggregate:
-    calls = draw.randint(0, 12) if there else 0
-    good = sum(draw.random() < health for _ in range(calls))
-    waits = draw.randint(0, calls - good)
-    seen = Aggregate(calls, good, waits, waits, {"r1", "r2"} if calls else set())
+def _window(draw: random.Random, health: float, has_traffic: bool) -> Aggregate:
+    calls = draw.randint(0, 12) if has_traffic else 0
+    succeeded = sum(draw.random() < health for _ in range(calls))
+    overloaded = draw.randint(0, calls - succeeded)
+    window = Aggregate(calls, succeeded, overloaded, overloaded, {"r1", "r2"} if calls else set())
     if not calls and draw.random() < 0.3:
-        seen.avoiding_relays = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
-    for _ in range(good):
-        seen.latency_sketch[draw.randint(8, 18 if health > 0.8 else 24)] += 1
-    return seen
-
-
-def zone_verdicts(seed: int) -> list[Row]:
-    words = {
-        Standing.HEALTHY: "well",
-        Standing.DEGRADED: "degraded",
-        Standing.LOST: "lost",
-        Standing.RECOVERING: "trial",
+        window.avoiding_relays = {"r1": draw.randint(1, 4), "r2": draw.randint(1, 4)}
+    for _ in range(succeeded):
+        window.latency_sketch[draw.randint(8, 18 if health > 0.8 else 24)] += 1
+    return window
+
+
+def zone_health_changes(seed: int) -> list[Row]:
+    names = {
+        ZoneState.HEALTHY: "well",
+        ZoneState.DEGRADED: "degraded",
+        ZoneState.LOST: "lost",
+        ZoneState.RECOVERING: "trial",
     }
     draw, now = random.Random(seed), 100.0
     rows: list[Row] = [
-        (good, tried, *success_interval(good, tried))
-        for tried in range(0, 40, 3)
-        for good in range(0, tried + 1, 2)
+        (succeeded, attempted, *success_interval(succeeded, attempted))
+        for attempted in range(0, 40, 3)
+        for succeeded in range(0, attempted + 1, 2)
     ]
     judge = ZoneHealthJudge(Observations(), 1)
     judge.resume(now, {("a", "b"): 0.3, ("a", "c"): 0.0})
@@ -212,17 +225,17 @@
         shared = {pair: history[pair][0] for pair in pairs} if draw.random() < 0.2 else None
         changed = judge.update(now, {pair: list(row) for pair, row in history.items()}, shared)
         for pair in changed:
-            it = judge.health(pair)
+            pair_health = judge.health(pair)
             rows.append(
                 (
                     now,
                     *pair,
-                    words[it.state],
-                    it.ramp_step,
-                    it.flaps,
-                    it.share,
-                    it.success_share,
-                    it.recently_lost,
+                    names[pair_health.state],
+                    pair_health.ramp_step,
+                    pair_health.flaps,
+                    pair_health.share,
+                    pair_health.success_share,
+                    pair_health.recently_lost,
                 )
             )
         rows.append(
@@ -239,12 +252,14 @@
     demand = {
         (zone, group.name): draw.uniform(1, 100) for zone in zones for group in groups if draw.random() < 0.8
     }
-    room = {zone: draw.choice((draw.uniform(0, 250), draw.uniform(0, 60), math.inf)) for zone in zones}
-    ability = {pair: draw.choice((0.0, draw.uniform(0.3, 1.0), 1.0)) for pair in pairs if draw.random() < 0.5}
-    price = {(a, b): 0.0 if a == b else draw.choice((0.05, 0.2)) for a, b in pairs}
-    last = {(a, "low", b): draw.uniform(0, 40) for a, b in pairs if draw.random() < 0.3}
-    part = {pair: draw.choice((0.0, 0.1, 0.6)) for pair in pairs if draw.random() < 0.2}
-    return PlanningProblem(zones, groups, demand, room, ability, price, last, part)
+    capacity = {zone: draw.choice((draw.uniform(0, 250), draw.uniform(0, 60), math.inf)) for zone in zones}
+    success_shares = {
+        pair: draw.choice((0.0, draw.uniform(0.3, 1.0), 1.0)) for pair in pairs if draw.random() < 0.5
+    }
+    prices = {(a, b): 0.0 if a == b else draw.choice((0.05, 0.2)) for a, b in pairs}
+    previous_flows = {(a, "low", b): draw.uniform(0, 40) for a, b in pairs if draw.random() < 0.3}
+    shares = {pair: draw.choice((0.0, 0.1, 0.6)) for pair in pairs if draw.random() < 0.2}
+    return PlanningProblem(zones, groups, demand, capacity, success_shares, prices, previous_flows, shares)
 
 
 def zone_plans(seed: int) -> list[Row]:
@@ -255,10 +270,13 @@
             if plan is None:
                 rows.append(("none",))
                 continue
-            rows += [("flow", *way, rate) for way, rate in plan.flows.items()]
-            rows += [("shed", *who, rate) for who, rate in plan.shed_rates(problem).items()]
-            # What is moved is summed up in the order of a set of texts, which differs between processes.
-            rows.append(("plan", plan.total_value(problem), round(plan.moved_rate(problem), MOVED_DIGITS)))
+            rows += [("flow", *flow, rate) for flow, rate in plan.flows.items()]
+            rows += [("shed", *group, rate) for group, rate in plan.shed_rates(problem).items()]
+            # Rounded, since the moved rate is a sum in the order of a set of strings, which differs between
+            # processes.
+            rows.append(
+                ("plan", plan.total_value(problem), round(plan.moved_rate(problem), MOVED_RATE_DIGITS))
+            )
     return rows
 
 
@@ -266,7 +284,7 @@
 
 
 class Gossip:
-    """Some members with a clock set by hand, lost datagrams, a freeze and a restart."""
+    """Simulates members with a virtual clock, lost datagrams, a frozen member and a restart."""
 
     COUNT, FIRST_PORT = 7, 7000
 
@@ -280,57 +298,59 @@
             self.start(number, 1)
         self.at(12.0, lambda: self.frozen.update({3: 21.0}))
         self.at(25.0, lambda: self.start(5, 2))
-        self.at(32.0, self.leaves)
+        self.at(32.0, self.leave_member)
 
     def at(self, when: float, job: Callable[[], None]) -> None:
         heapq.heappush(self.jobs, (when, next(self.order), job))
 
-    def start(self, number: int, boot: int) -> None:
+    def start(self, number: int, epoch: int) -> None:
         port = self.FIRST_PORT + number
-        me = Claim(
+        claim = Claim(
             f"n{number}",
             f"id{number}",
-            boot,
-            1000 * boot + number,
+            epoch,
+            1000 * epoch + number,
             0,
-            Presence.JOINING,
+            SwimState.JOINING,
             "127.0.0.1",
             port,
             "z",
             7,
         )
         seeds = (("127.0.0.1", self.FIRST_PORT), ("127.0.0.1", self.FIRST_PORT + 1))
-        self.members[number] = Swim(me, seeds, random.Random(number * 77 + boot), 1.0)
-        self.at(self.now + 0.05 * number, lambda: self.tick(number, boot))
+        self.members[number] = Swim(claim, seeds, random.Random(number * 77 + epoch), 1.0)
+        self.at(self.now + 0.05 * number, lambda: self.tick(number, epoch))
 
-    def leaves(self) -> None:
+    def leave_member(self) -> None:
         self.members[2].leave()
         self.flush(2)
 
-    def tick(self, number: int, boot: int) -> None:
-        it = self.members[number]
-        if it.own_claim.process_epoch != boot:
+    def tick(self, number: int, epoch: int) -> None:
+        member = self.members[number]
+        if member.own_claim.process_epoch != epoch:
             return
         if self.now >= self.frozen.get(number, 0.0):
-            it.tick(self.now)
+            member.tick(self.now)
             self.flush(number)
-        self.at(max(self.now + 0.02, it.next_at()), lambda: self.tick(number, boot))
+        self.at(max(self.now + 0.02, member.next_at()), lambda: self.tick(number, epoch))
 
     def flush(self, number: int) -> None:
-        it = self.members[number]
-        datagrams, it.outbox = it.outbox, []
+        member = self.members[number]
+        datagrams, member.outbox = member.outbox, []
         for (_, port), body in datagrams:
-            raw = seal_packet(Packet(it.own_claim.name, it.own_claim.nonce, body), b"")
+            raw = seal_packet(Packet(member.own_claim.name, member.own_claim.nonce, body), b"")
             self.rows.append((self.now, number, port, hashlib.sha256(raw).hexdigest()[:16]))
             if self.draw.random() > 0.12:
-                self.at(self.now + self.draw.uniform(0.001, 0.05), self.takes(port - self.FIRST_PORT, raw))
-        changes, it.changes = it.changes, []
-        for each in changes:
+                self.at(
+                    self.now + self.draw.uniform(0.001, 0.05), self.receive_job(port - self.FIRST_PORT, raw)
+                )
+        changes, member.changes = member.changes, []
+        for change in changes:
             self.rows.append(
-                (self.now, number, each.name, each.process_epoch, each.incarnation, int(each.state))
+                (self.now, number, change.name, change.process_epoch, change.incarnation, int(change.state))
             )
 
-    def takes(self, number: int, raw: bytes) -> Callable[[], None]:
+    def receive_job(self, number: int, raw: bytes) -> Callable[[], None]:
         def job() -> None:
             if self.now >= self.frozen.get(number, 0.0):
                 packet = open_packet(raw, b"")
@@ -366,25 +386,25 @@
 def shard_freshness(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 50.0, list[Row]()
     keepers = ("k0", "k1", "k2")
-    it = StalenessTracker(keepers, 6.0)
+    tracker = StalenessTracker(keepers, 6.0)
     for _ in range(800):
         now += draw.expovariate(3.0)
         keeper, version = draw.choice(keepers), (1 + draw.randint(0, 1), draw.randint(0, int(now)))
         match draw.randint(0, 4):
             case 0:
-                it.record_response(
+                tracker.record_response(
                     keeper, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9)
                 )
             case 1:
                 clock_ms = 1e3 * (now - draw.random())
-                rows.append(("dated", it.earliest_sent_at(now, keeper, draw.randint(1, 2), clock_ms)))
+                rows.append(("dated", tracker.earliest_sent_at(now, keeper, draw.randint(1, 2), clock_ms)))
             case 2 | 3:
-                it.record_version(
+                tracker.record_version(
                     keeper, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8
                 )
             case _:
-                it.record_failure(keeper, now - draw.random())
-        rows.append((*version, it.confirmed_at(version), it.is_current(now, version)))
+                tracker.record_failure(keeper, now - draw.random())
+        rows.append((*version, tracker.confirmed_at(version), tracker.is_current(now, version)))
     return rows
 
 
@@ -393,26 +413,26 @@
 
 def fleet_size(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
-    place = FleetSize(2, 5, 0.0)
+    fleet = FleetSize(2, 5, 0.0)
     for _ in range(400):
         now += draw.expovariate(1 / 400.0)
         if draw.random() < 0.2:
-            rows.append(("told", place.request_size(now, draw.randint(1, 9), draw.choice((0.0, 900.0)))))
-        found = place.poll(now, place.clock_ms + draw.choice((0.0, 0.0, 4.9, 5.1, -30.0)))
-        rows.append((now,) if found is None else (now, found.number, found.size, found.clock_ms))
+            rows.append(("told", fleet.request_size(now, draw.randint(1, 9), draw.choice((0.0, 900.0)))))
+        changed = fleet.poll(now, fleet.clock_ms + draw.choice((0.0, 0.0, 4.9, 5.1, -30.0)))
+        rows.append((now,) if changed is None else (now, changed.number, changed.size, changed.clock_ms))
     return rows
 
 
 def supervisor_steps(seed: int) -> list[Row]:
-    words = {
+    names = {
         SupervisorAction.START: "start",
         SupervisorAction.RELOAD: "reload",
         SupervisorAction.TERM: "terminate",
         SupervisorAction.KILL: "kill",
     }
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
-    part = SupervisorSection(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
-    plan = Plan(part, 6, now, seed)
+    section = SupervisorSection(together=3, ready_s=5.0, stop_s=3.0, watchdog_s=4.0, loop_s=60.0)
+    plan = Plan(section, 6, now, seed)
     for _ in range(900):
         now += draw.expovariate(3.0)
         number = draw.randrange(plan.count)
@@ -420,40 +440,40 @@
         if drawn < 0.45:
             plan.on_ready(number, now)
         elif drawn < 0.8:
-            for each in range(plan.count):
-                plan.on_heartbeat(each, now)
+            for other in range(plan.count):
+                plan.on_heartbeat(other, now)
         elif drawn < 0.86:
             plan.on_exited(number, now, draw.choice((0, 0, 1, 2, -9)))
         elif drawn < 0.88:
-            plan.request_reload(now, part, draw.randint(3, 8), 10.0)
+            plan.request_reload(now, section, draw.randint(3, 8), 10.0)
         elif drawn < 0.9:
             plan.request_rolling_restart(now)
-        for do, instance in plan.next_steps(now):
-            rows.append((now, words[do], instance))
-            if words[do] in ("terminate", "kill") and draw.random() < 0.8:
+        for action, instance in plan.next_steps(now):
+            rows.append((now, names[action], instance))
+            if names[action] in ("terminate", "kill") and draw.random() < 0.8:
                 plan.on_exited(instance, now, 0)
         rows.append((plan.next_wake(now), plan.is_crash_looping(number, now), plan.is_done))
     plan.request_stop(now)
-    rows += [(now, words[do], instance) for do, instance in plan.next_steps(now)]
+    rows += [(now, names[action], instance) for action, instance in plan.next_steps(now)]
     return rows
 
 
 # -- agreed rules ------------------------------------------------------------------------------------------
 
 
-def seen_boots(seed: int) -> list[Row]:
-    draw, boots, rows = random.Random(seed), ProcessEpochs({"a": 3}), list[Row]()
+def observed_process_epochs(seed: int) -> list[Row]:
+    draw, epochs, rows = random.Random(seed), ProcessEpochs({"a": 3}), list[Row]()
     for _ in range(400):
-        name, boot = draw.choice("abc"), draw.randint(1, 12)
+        name, epoch = draw.choice("abc"), draw.randint(1, 12)
         if draw.random() < 0.05:
-            boots.undo_observe(name, draw.choice((None, boot)))
+            epochs.undo_observe(name, draw.choice((None, epoch)))
         else:
-            rows.append((name, boot, boots.observe(name, boot, draw.randint(0, 2))))
-        rows += [("seen", *each) for each in sorted(boots.highest.items())]
+            rows.append((name, epoch, epochs.observe(name, epoch, draw.randint(0, 2))))
+        rows += [("seen", *seen) for seen in sorted(epochs.highest.items())]
     return rows
 
 
-def _rule_sets() -> list[Rules]:
+def _sample_rules() -> list[Rules]:
     return [
         Rules(),
         Rules({ANY: DestinationRule(rate=5.0)}),
@@ -473,16 +493,16 @@
     ]
 
 
-def permitted_calls(seed: int) -> list[Row]:
-    draw, now, rows, acting = random.Random(seed), 0.0, list[Row](), list[ActiveRules]()
-    acting.append(ActiveRules(Rules(), (1,), LeaseTier.LEASE))
-    gate = RuleEnforcer(lambda: acting[-1], 4, lambda: 0.0, "n3", "a")
-    sets = _rule_sets()
+def authorized_calls(seed: int) -> list[Row]:
+    draw, now, rows, active = random.Random(seed), 0.0, list[Row](), list[ActiveRules]()
+    active.append(ActiveRules(Rules(), (1,), LeaseTier.LEASE))
+    enforcer = RuleEnforcer(lambda: active[-1], 4, lambda: 0.0, "n3", "a")
+    rule_sets = _sample_rules()
     for _ in range(1200):
         now += draw.expovariate(20.0)
         if draw.random() < 0.02:
-            number = draw.randrange(len(sets))
-            acting.append(ActiveRules(sets[number], (number + 1,), draw.choice(list(LeaseTier))))
+            number = draw.randrange(len(rule_sets))
+            active.append(ActiveRules(rule_sets[number], (number + 1,), draw.choice(list(LeaseTier))))
         destination, zone = draw.randint(1, 3), draw.choice("abc")
         class_ = draw.choice(("order", "pay", "status"))
         endpoint = f"e{draw.randint(1, 3)}"
@@ -496,80 +516,96 @@
             draw.random() < 0.2,
             draw.random() < 0.5,
         )
-        allowed = gate.authorize(now, call) is not None
+        allowed = enforcer.authorize(now, call) is not None
         rows.append(
-            (now, allowed, gate.is_still_authorized(call), bool(gate.denial_reason(destination, class_)))
+            (
+                now,
+                allowed,
+                enforcer.is_still_authorized(call),
+                bool(enforcer.denial_reason(destination, class_)),
+            )
+        )
+        constrained = enforcer.constrained_endpoint(
+            endpoint, zone, Endpoint(9, destination, Listing.READY, 0, 0, 30.0)
         )
-        seen = gate.constrained_endpoint(endpoint, zone, Endpoint(9, destination, Listing.READY, 0, 0, 30.0))
-        rows.append((LISTINGS[seen.listing], seen.rate))
+        rows.append((LISTINGS[constrained.listing], constrained.rate))
         if allowed and draw.random() < 0.9:
-            gate.release(destination)
-    rows.append(tuple(value for _, value in sorted(gate.refusal_counts.items())))
+            enforcer.release(destination)
+    rows.append(tuple(value for _, value in sorted(enforcer.refusal_counts.items())))
     return rows
 
 
-def harm_of_changes(seed: int) -> list[Row]:
-    words = {Verdict.WAIT: "wait", Verdict.HARMFUL: "harm", Verdict.HEALTHY: "well"}
+def canary_verdicts(seed: int) -> list[Row]:
+    names = {Verdict.WAIT: "wait", Verdict.HARMFUL: "harm", Verdict.HEALTHY: "well"}
     draw, now, rows = random.Random(seed), 0.0, list[Row]()
     for share in (0.3, 1.0):
-        book = VersionHistory(Rules(), ("n0", "n1", "n2"))
+        history = VersionHistory(Rules(), ("n0", "n1", "n2"))
         guard = Guard(least_ratio=0.9, least_count=30, watch_s=20.0)
-        book.apply(Propose(1, encode_rules(_rule_sets()[1]), "ana", "", 0.0, share, guard))
-        recent, watch = RecentOutcomes(), CanaryWatch(book.newest, now, 0.95)
+        history.apply(Propose(1, encode_rules(_sample_rules()[1]), "ana", "", 0.0, share, guard))
+        recent, canary_watch = RecentOutcomes(), CanaryWatch(history.newest, now, 0.95)
         counts = {f"n{number}": (0, 0) for number in range(12)}
         for _ in range(80):
             now += draw.expovariate(2.0)
-            for name, (delivered, ended) in counts.items():
-                more = draw.randint(0, 9)
-                counts[name] = delivered + sum(draw.random() < 0.93 for _ in range(more)), ended + more
+            for name, (delivered, completed) in counts.items():
+                added = draw.randint(0, 9)
+                counts[name] = delivered + sum(draw.random() < 0.93 for _ in range(added)), completed + added
             records = [
-                (name, RelayLease(1, 7, counts=DeliveryCounts(*each))) for name, each in counts.items()
+                (name, RelayLease(1, 7, counts=DeliveryCounts(*pair))) for name, pair in counts.items()
             ]
             recent.add(now, [record for _, record in records])
-            verdict, why = watch.evaluate(now, records)
-            rows.append((now, words[verdict], bool(why), recent.delivered_share(40)))
+            verdict, reason = canary_watch.evaluate(now, records)
+            rows.append((now, names[verdict], bool(reason), recent.delivered_share(40)))
     return rows
 
 
 class Leases:
-    """Three voters and some instances that act on what a majority has granted."""
+    """Simulates three voters and some instances whose active rules are granted by a majority."""
 
     VOTERS = ("n0", "n1", "n2")
 
     def __init__(self, seed: int) -> None:
         self.draw, self.now, self.rows = random.Random(seed), 100.0, list[Row]()
         self.terms = LeaseTerms(bound_s=2.0, horizon_s=6.0)
-        self.books = {name: VersionHistory(Rules(), self.VOTERS) for name in self.VOTERS}
-        self.granting = {
-            name: LeaseGrantor(name, book, self.terms, "first", 0, self.now)
-            for name, book in self.books.items()
+        self.histories = {name: VersionHistory(Rules(), self.VOTERS) for name in self.VOTERS}
+        self.grantors = {
+            name: LeaseGrantor(name, history, self.terms, "first", 0, self.now)
+            for name, history in self.histories.items()
         }
-        self.holding = {f"n{n}": LeaseHolder(1, 7 + n, "first", self.terms) for n in range(3, 7)}
-        self.boots = dict.fromkeys(self.holding, 1)
+        self.holders = {f"n{n}": LeaseHolder(1, 7 + n, "first", self.terms) for n in range(3, 7)}
+        self.epochs = dict.fromkeys(self.holders, 1)
 
-    def changes(self) -> None:
-        newest = self.books["n0"].newest
-        drawn, rules = self.draw.random(), encode_rules(self.draw.choice(_rule_sets()))
+    def change_rules(self) -> None:
+        newest = self.histories["n0"].newest
+        drawn, rules = self.draw.random(), encode_rules(self.draw.choice(_sample_rules()))
         share = self.draw.choice((0.5, 1.0, 1.0))
-        for book in self.books.values():
+        for history in self.histories.values():
             if drawn < 0.6:
-                answer = book.apply(Propose(newest.number, rules, "ana", "", 0.0, share))
+                answer = history.apply(Propose(newest.number, rules, "ana", "", 0.0, share))
             elif drawn < 0.8:
-                answer = book.apply(Promote(newest.number, "ana"))
+                answer = history.apply(Promote(newest.number, "ana"))
             else:
-                answer = book.apply(Withdraw(newest.number, "ana", ""))
+                answer = history.apply(Withdraw(newest.number, "ana", ""))
             self.rows.append(("command", answer.number, bool(answer.refused)))
 
-    def renews(self, name: str) -> None:
-        it = self.holding[name]
-        told = it.renew(self.now, DeliveryCounts(self.draw.randint(0, 9), 9), self.draw.random() < 0.01)
+    def renew_lease(self, name: str) -> None:
+        holder = self.holders[name]
+        renewal = holder.renew(
+            self.now, DeliveryCounts(self.draw.randint(0, 9), 9), self.draw.random() < 0.01
+        )
         self.rows.append(
-            (name, "renews", told.epoch, told.sequence, *told.active_versions, told.refused_before)
+            (
+                name,
+                "renews",
+                renewal.epoch,
+                renewal.sequence,
+                *renewal.active_versions,
+                renewal.refused_before,
+            )
         )
         for voter in self.VOTERS:
             if self.draw.random() < 0.2:
                 continue
-            grant = self.granting[voter].on_renewal(self.now, name, told)
+            grant = self.grantors[voter].on_renewal(self.now, name, renewal)
             self.rows.append(
                 (
                     voter,
@@ -581,33 +617,33 @@
                 )
             )
             if self.draw.random() < 0.85:
-                self.rows.append((it.on_grant(self.now, voter, grant), it.missing_version(grant)))
+                self.rows.append((holder.on_grant(self.now, voter, grant), holder.missing_version(grant)))
                 if self.draw.random() < 0.7:
-                    for version in self.books[voter].versions:
-                        it.add_version(version)
-        if told.is_leaving:
-            it.release()
+                    for version in self.histories[voter].versions:
+                        holder.add_version(version)
+        if renewal.is_leaving:
+            holder.release()
 
     def run(self) -> list[Row]:
         names = {LeaseTier.LEASE: "lease", LeaseTier.STANDBY: "standby", LeaseTier.FLOOR: "floor"}
         for _ in range(700):
             self.now += self.draw.expovariate(6.0) + 8.0 * (self.draw.random() < 0.01)
             if self.draw.random() < 0.03:
-                self.changes()
-            name = self.draw.choice(list(self.holding))
+                self.change_rules()
+            name = self.draw.choice(list(self.holders))
             if self.draw.random() < 0.01:
-                self.boots[name] += 1
-                self.holding[name].restart(self.boots[name])
-            self.renews(name)
-            for voter, granting in self.granting.items():
+                self.epochs[name] += 1
+                self.holders[name].restart(self.epochs[name])
+            self.renew_lease(name)
+            for voter, grantor in self.grantors.items():
                 self.rows.append(
-                    (voter, "clears", granting.clear_current_version(self.now), *granting.blocking_relays)
+                    (voter, "clears", grantor.clear_current_version(self.now), *grantor.blocking_relays)
                 )
-            for each, it in self.holding.items():
-                acting = it.active_rules(self.now)
+            for holder_name, holder in self.holders.items():
+                acting = holder.active_rules(self.now)
                 digest = hashlib.sha256(encode_rules(acting.rules)).hexdigest()[:12]
                 self.rows.append(
-                    (each, names[acting.tier], *acting.versions, it.tier_ends_at(self.now), digest)
+                    (holder_name, names[acting.tier], *acting.versions, holder.tier_ends_at(self.now), digest)
                 )
         return self.rows
 
@@ -618,19 +654,19 @@
 
 RUNS: dict[str, Callable[[int], list[Row]]] = {
     "agreed_rate_slots": agreed_rate_slots,
-    "words_on_endpoints": words_on_endpoints,
+    "words_on_endpoints": endpoint_statuses,
     "merged_lists": merged_lists,
-    "discovery_pauses": discovery_pauses,
-    "kept_connections": kept_connections,
-    "zone_verdicts": zone_verdicts,
+    "discovery_pauses": poll_pauses,
+    "kept_connections": keep_alive_decisions,
+    "zone_verdicts": zone_health_changes,
     "zone_plans": zone_plans,
     "gossip": gossip,
     "shard_placement": shard_placement,
     "shard_freshness": shard_freshness,
     "fleet_size": fleet_size,
     "supervisor_steps": supervisor_steps,
-    "seen_boots": seen_boots,
-    "permitted_calls": permitted_calls,
-    "harm_of_changes": harm_of_changes,
+    "seen_boots": observed_process_epochs,
+    "permitted_calls": authorized_calls,
+    "harm_of_changes": canary_verdicts,
     "rule_leases": rule_leases,
 }
--- a/tests/compatibility/test_decision_trace.py
+++ b/tests/compatibility/test_decision_trace.py
@@ -20,7 +20,9 @@
 
 
 def test_there_is_a_fixture_for_exactly_each_scenario_and_seed() -> None:
-    assert set(FIXTURES.traces) == {trace_name(each.name, seed) for each in SCENARIOS for seed in SEEDS}
+    assert set(FIXTURES.traces) == {
+        trace_name(scenario.name, seed) for scenario in SCENARIOS for seed in SEEDS
+    }
 
 
 def test_every_kind_of_decision_occurs_in_the_traces() -> None:
--- a/tests/compatibility/test_operator_formats.py
+++ b/tests/compatibility/test_operator_formats.py
@@ -1,4 +1,4 @@
-"""What operators and the platform set and are shown stays as it was: keys, values, texts and exit codes."""
+"""Settings and outputs for operators and the platform stay the same: keys, values, texts and exit codes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .wire_fixtures import FOLDER, produced, stored
 
 DEPLOY = Path(__file__).parents[2] / "deploy"
-SHOWN_AND_SET = (
+SETTINGS_AND_OUTPUTS = (
     "operator_files",
     "known_keys",
     "operator_faults",
@@ -31,19 +31,19 @@
 STATE_FOLDER, ETC_FOLDER, RUNTIME_FOLDER = "/var/lib/linnetstile", "/etc/linnetstile", "linnetstile"
 
 
-@pytest.mark.parametrize("name", SHOWN_AND_SET)
-def test_what_is_set_and_shown_is_as_before(name: str) -> None:
-    now, before = produced(name), stored(name)
-    assert sorted(now) == sorted(before)
-    for part, told in before.items():
-        assert now[part] == told, part
+@pytest.mark.parametrize("name", SETTINGS_AND_OUTPUTS)
+def test_settings_and_outputs_are_the_same_as_stored(name: str) -> None:
+    current, expected = produced(name), stored(name)
+    assert sorted(current) == sorted(expected)
+    for part, stored_values in expected.items():
+        assert current[part] == stored_values, part
 
 
 def sections(path: Path) -> set[str]:
-    """Sections and their keys, as dotted paths."""
-    raw = tomllib.loads(path.read_text())
+    """Returns the sections of a file and their keys, as dotted paths."""
+    file = tomllib.loads(path.read_text())
     return {
-        name for section, part in raw.items() for name in (section, *(f"{section}.{key}" for key in part))
+        name for section, part in file.items() for name in (section, *(f"{section}.{key}" for key in part))
     }
 
 
@@ -62,7 +62,9 @@
     )
 
 
-def test_the_clock_of_leases_can_be_set_apart(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_rate_of_the_lease_clock_can_be_set_by_an_environment_variable(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.delenv("LINNETSTILE_CLOCK_RATE", raising=False)
     assert operator.clock_rate() == 1.0
     monkeypatch.setenv("LINNETSTILE_CLOCK_RATE", "1.02")
@@ -73,20 +75,20 @@
 
 
 def unit_lines(pattern: str) -> Iterator[tuple[str, list[str]]]:
-    found = sorted((DEPLOY / "systemd").glob(pattern))
-    assert found, pattern
-    for path in found:
+    paths = sorted((DEPLOY / "systemd").glob(pattern))
+    assert paths, pattern
+    for path in paths:
         yield path.name, [line for line in path.read_text().splitlines() if line and line[0] not in "#["]
 
 
-def test_units_keep_their_user_folders_and_variables() -> None:
+def test_units_keep_their_user_folders_and_environment_variables() -> None:
     for name, lines in unit_lines("*.service"):
-        said = dict(line.split("=", 1) for line in lines if not line.startswith("Environment="))
-        assert said["User"] == "linnetstile", name
-        assert said["StateDirectory"] == f"{Path(STATE_FOLDER).name}/%i", name
-        assert (said["StateDirectoryMode"], said["RuntimeDirectoryMode"]) == ("0700", "0700"), name
-        assert said["RuntimeDirectory"] == RUNTIME_FOLDER, name
-        assert (said["Type"], said["RestartPreventExitStatus"]) == ("notify-reload", "2"), name
+        settings = dict(line.split("=", 1) for line in lines if not line.startswith("Environment="))
+        assert settings["User"] == "linnetstile", name
+        assert settings["StateDirectory"] == f"{Path(STATE_FOLDER).name}/%i", name
+        assert (settings["StateDirectoryMode"], settings["RuntimeDirectoryMode"]) == ("0700", "0700"), name
+        assert settings["RuntimeDirectory"] == RUNTIME_FOLDER, name
+        assert (settings["Type"], settings["RestartPreventExitStatus"]) == ("notify-reload", "2"), name
         variables = dict(
             pair.split("=", 1)
             for line in lines
@@ -103,10 +105,10 @@
         }, name
 
 
-def test_sockets_of_units_are_handed_over_under_the_same_name() -> None:
+def test_socket_units_pass_sockets_under_the_same_name() -> None:
     ports = []
     for name, lines in unit_lines("*.socket"):
-        said = dict(line.split("=", 1) for line in lines)
-        assert said["FileDescriptorName"] == operator.clients_socket_name() == "clients", name
-        ports.append(said["ListenStream"])
+        settings = dict(line.split("=", 1) for line in lines)
+        assert settings["FileDescriptorName"] == operator.client_socket_name() == "clients", name
+        ports.append(settings["ListenStream"])
     assert sorted(ports) == ["127.0.0.1:1%i", "127.0.0.1:7%i"]
--- a/tests/compatibility/test_state_consensus.py
+++ b/tests/compatibility/test_state_consensus.py
@@ -1,5 +1,7 @@
-"""What a voter keeps on its disk, written before the product's names changed, is read as before and written
-byte by byte the same: commands, the replicated log, its dump and vote, and `standing.json`."""
+"""Files of a voter that were written before the product's names changed are read and written unchanged.
+
+They are the commands, the replicated log, its dump and vote, and `standing.json`.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +20,9 @@
 from .test_state_folders import contents, expected, plain
 
 VOTERS = FIXTURES / "voters"
-STANDINGS = FIXTURES / "standing"
+VOTER_STATES = FIXTURES / "standing"
 JOURNAL, DUMP, VOTE = "raft.journal", "raft.dump", "raft.journal.meta"
-COMMAND, MEMBERSHIP = 0, 2  # first byte of an entry, by pysyncobj
+COMMAND, MEMBERSHIP = 0, 2  # first byte of an entry in pysyncobj
 CHECKSUM_BYTES = 32
 FOLDERS = [
     ("log", "."),
@@ -35,18 +37,18 @@
 
 
 def test_commands_rules_and_versions_are_written_and_read_as_before() -> None:
-    assert plain(fixtures.observe_book()) == expected(FIXTURES / "book")
+    assert plain(fixtures.observe_version_history()) == expected(FIXTURES / "book")
 
 
-def test_each_kind_of_command_is_this_text() -> None:
-    told = [
+def test_each_kind_of_command_has_this_encoding() -> None:
+    commands = [
         ["propose", 1, "{}", "a", "c", 1.5, 0.25, [0.8, 20, 12.5, True], 3],
         ["promote", 3, "a"],
         ["withdraw", 3, "a", "c"],
         ["voters", 3, "n5", "", "a", 1.5],
         ["forget", "n5", 7, "a", 1.5],
     ]
-    assert [product.encoded_command(each) for each in told] == [
+    assert [product.encoded_command(command) for command in commands] == [
         '{"type":"propose","base":1,"rules":"e30=","author":"a","cause":"c","at_ms":1.5,"share":0.25,'
         '"guard":{"least_ratio":0.8,"least_count":20,"watch_s":12.5,"promote":true},"of":3}',
         '{"type":"promote","number":3,"author":"a"}',
@@ -59,25 +61,25 @@
 # -- the replicated log --------------------------------------------------------------------------------------
 
 
-def kept(case: str, folder: str) -> Any:
-    told = expected(VOTERS / case)
-    return told if folder == "." else told["voters"][folder]
+def stored(case: str, folder: str) -> Any:
+    observed = expected(VOTERS / case)
+    return observed if folder == "." else observed["voters"][folder]
 
 
 @pytest.mark.parametrize(("case", "folder"), FOLDERS)
-def test_a_kept_log_dump_and_vote_are_read_as_before(tmp_path: Path, case: str, folder: str) -> None:
+def test_a_stored_log_dump_and_vote_are_read_as_before(tmp_path: Path, case: str, folder: str) -> None:
     names = fixtures.ALONE if folder == "." else THREE
     name = "n0" if folder == "." else folder
-    told = fixtures.observe_voter(VOTERS / case / FILES / folder, tmp_path, name, names)
-    want = kept(case, folder)
-    assert plain(told) == {key: want[key] for key in told}
-    assert told["why_not_believed"] == ""
+    observed = fixtures.observe_voter(VOTERS / case / FILES / folder, tmp_path, name, names)
+    expected_values = stored(case, folder)
+    assert plain(observed) == {key: expected_values[key] for key in observed}
+    assert observed["why_not_believed"] == ""
 
 
-def test_a_dump_stands_in_for_the_entries_before_it() -> None:
-    """Guards the fixtures themselves."""
-    log, dump = kept("log", "."), kept("dump", ".")
-    later, member = kept("dump-and-log", "."), kept("three-voters", "n1")
+def test_a_dump_replaces_the_entries_before_it() -> None:
+    """Checks that the fixtures contain a dump that replaces entries, and entries after one."""
+    log, dump = stored("log", "."), stored("dump", ".")
+    later, member = stored("dump-and-log", "."), stored("three-voters", "n1")
     assert dump["read"]["book"] == log["read"]["book"]
     assert len(log["entries"]) > 5 > len(dump["entries"])
     assert later["read"]["book"]["newest"] == log["read"]["book"]["newest"] + 2
@@ -93,7 +95,7 @@
         ("dump", "dump-and-log", fixtures.LATER_STEPS),
     ],
 )
-def test_a_voter_goes_on_from_a_kept_folder_with_the_same_bytes(
+def test_a_voter_continues_a_stored_folder_with_the_same_bytes(
     tmp_path: Path, before: str | None, after: str, steps: fixtures.Steps
 ) -> None:
     folder = tmp_path / "voter"
@@ -101,40 +103,40 @@
         folder.mkdir()
     else:
         shutil.copytree(VOTERS / before / FILES, folder)
-    ran = fixtures.run_alone(folder, steps)
-    assert plain(ran) == expected(VOTERS / after)["ran"]
+    run = fixtures.run_alone(folder, steps)
+    assert plain(run) == expected(VOTERS / after)["ran"]
     assert contents(folder) == contents(VOTERS / after / FILES)
 
 
 def test_three_voters_write_the_same_bytes(tmp_path: Path) -> None:
-    """But for the order of the members in a dump, which is a set: its content is compared."""
+    """The members in a dump are a set without a fixed order, so of dumps the content is compared."""
     folders = {name: tmp_path / name for name in THREE}
     for folder in folders.values():
         folder.mkdir()
-    ran = product.run_voters(folders, THREE, fixtures.FIRST_RULES, fixtures.CLUSTER_STEPS)
-    assert plain(ran) == expected(VOTERS / "three-voters")["ran"]
-    now, before = contents(tmp_path), contents(VOTERS / "three-voters" / FILES)
-    assert now.keys() == before.keys()
-    for name, raw in now.items():
+    run = product.run_voters(folders, THREE, fixtures.FIRST_RULES, fixtures.CLUSTER_STEPS)
+    assert plain(run) == expected(VOTERS / "three-voters")["ran"]
+    current, previous = contents(tmp_path), contents(VOTERS / "three-voters" / FILES)
+    assert current.keys() == previous.keys()
+    for name, raw in current.items():
         if name.endswith(DUMP):
-            assert unpickled_dump(raw) == unpickled_dump(before[name]), name
+            assert unpickled_dump(raw) == unpickled_dump(previous[name]), name
         else:
-            assert raw == before[name], name
+            assert raw == previous[name], name
 
 
-def test_a_log_that_is_torn_is_refused_in_the_same_words(tmp_path: Path) -> None:
+def test_a_torn_log_is_rejected_with_the_same_error(tmp_path: Path) -> None:
     shutil.copytree(VOTERS / "log" / FILES, tmp_path, dirs_exist_ok=True)
-    whole = (tmp_path / JOURNAL).read_bytes()
-    (tmp_path / JOURNAL).write_bytes(whole[:100])
-    assert product.believed(tmp_path) == "its journal ends at 3304 of 100 bytes"
-    (tmp_path / JOURNAL).write_bytes(whole[:40] + b"\xff" + whole[41:])
-    assert product.believed(tmp_path) == "its journal is torn at byte 40"
-    (tmp_path / JOURNAL).write_bytes(whole)
+    journal = (tmp_path / JOURNAL).read_bytes()
+    (tmp_path / JOURNAL).write_bytes(journal[:100])
+    assert product.log_error(tmp_path) == "its journal ends at 3304 of 100 bytes"
+    (tmp_path / JOURNAL).write_bytes(journal[:40] + b"\xff" + journal[41:])
+    assert product.log_error(tmp_path) == "its journal is torn at byte 40"
+    (tmp_path / JOURNAL).write_bytes(journal)
     (tmp_path / VOTE).unlink()
-    assert product.believed(tmp_path) == "its vote is of term 0 and its journal of term 1"
+    assert product.log_error(tmp_path) == "its vote is of term 0 and its journal of term 1"
 
 
-# -- what is pickled -----------------------------------------------------------------------------------------
+# -- pickles ------------------------------------------------------------------------------------------------
 
 
 def unpickled_dump(raw: bytes) -> Any:
@@ -143,65 +145,65 @@
 
 
 def class_paths(raw: bytes) -> set[str]:
-    """Each module and name that a pickle refers to."""
-    found: set[str] = set()
+    """Returns each module and name that a pickle refers to."""
+    paths: set[str] = set()
     texts: list[str] = []
     for opcode, argument, _ in pickletools.genops(raw):
         if opcode.name in ("GLOBAL", "INST"):
-            found.add(str(argument))
+            paths.add(str(argument))
         elif opcode.name == "STACK_GLOBAL":
-            found.add(" ".join(texts[-2:]))
+            paths.add(" ".join(texts[-2:]))
         if isinstance(argument, str):
             texts.append(argument)
-    return found
+    return paths
 
 
 def pickles(folder: Path) -> list[bytes]:
-    found = [(folder / VOTE).read_bytes()]
+    pickles_ = [(folder / VOTE).read_bytes()]
     if (folder / DUMP).exists():
-        found.append((folder / DUMP).read_bytes()[CHECKSUM_BYTES:])
+        pickles_.append((folder / DUMP).read_bytes()[CHECKSUM_BYTES:])
     for _, _, content in product.raft_journal_entries((folder / JOURNAL).read_bytes()):
         if content[0] in (COMMAND, MEMBERSHIP):
-            found.append(content[1:])
-    return found
+            pickles_.append(content[1:])
+    return pickles_
 
 
 @pytest.mark.parametrize(("case", "folder"), FOLDERS)
-def test_no_pickle_names_a_class_of_the_product(case: str, folder: str) -> None:
+def test_no_pickle_refers_to_a_class_of_the_product(case: str, folder: str) -> None:
     raws = pickles(VOTERS / case / FILES / folder)
     assert len(raws) > 1
     assert set().union(*map(class_paths, raws)) <= CLASSES_IN_PICKLES
 
 
-def test_a_command_is_method_0_with_one_sealed_argument() -> None:
+def test_a_command_is_method_0_with_one_checksummed_argument() -> None:
     raw = (VOTERS / "log" / FILES / JOURNAL).read_bytes()
-    contents_ = [content for _, _, content in product.raft_journal_entries(raw)]
-    told = [pickle.loads(content[1:]) for content in contents_ if content[0] == COMMAND]
-    assert [method for method, _ in told] == [0] * len(fixtures.FIRST_STEPS)
-    sealed = [argument for _, (argument,) in told]
-    assert [product.unsealed_command(each) for each in sealed] == [
+    entries = [content for _, _, content in product.raft_journal_entries(raw)]
+    calls = [pickle.loads(content[1:]) for content in entries if content[0] == COMMAND]
+    assert [method for method, _ in calls] == [0] * len(fixtures.FIRST_STEPS)
+    arguments = [argument for _, (argument,) in calls]
+    assert [product.verified_command(value) for value in arguments] == [
         product.encoded_command(step) for step in fixtures.FIRST_STEPS
     ]
 
 
-# -- what outlasts a voter's process -------------------------------------------------------------------------
+# -- persistent state of a voter -----------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", sorted(path.name for path in STANDINGS.iterdir()))
-def test_a_kept_standing_is_read_as_before(tmp_path: Path, name: str) -> None:
-    files = STANDINGS / name / FILES
+@pytest.mark.parametrize("name", sorted(path.name for path in VOTER_STATES.iterdir()))
+def test_a_stored_voter_state_is_read_as_before(tmp_path: Path, name: str) -> None:
+    files = VOTER_STATES / name / FILES
     if files.exists():
         shutil.copytree(files, tmp_path, dirs_exist_ok=True)
-    assert plain(product.read_standing(tmp_path)) == expected(STANDINGS / name)
+    assert plain(product.read_voter_state(tmp_path)) == expected(VOTER_STATES / name)
 
 
-def test_a_standing_is_written_with_the_same_bytes(tmp_path: Path) -> None:
-    fixtures.build_standings(tmp_path / "standing")
-    assert contents(tmp_path / "standing") == contents(STANDINGS)
+def test_voter_states_are_written_with_the_same_bytes(tmp_path: Path) -> None:
+    fixtures.build_voter_states(tmp_path / "standing")
+    assert contents(tmp_path / "standing") == contents(VOTER_STATES)
 
 
-def test_the_file_of_a_standing_is_this_text(tmp_path: Path) -> None:
-    product.write_standing(tmp_path, 6, {"8899aabbccddeeff": 4}, True, ["n0", "n5"])
+def test_the_file_of_a_voter_state_has_this_text(tmp_path: Path) -> None:
+    product.write_voter_state(tmp_path, 6, {"8899aabbccddeeff": 4}, True, ["n0", "n5"])
     assert contents(tmp_path) == {
         "standing.json": b'{"cleared":6,"boots":{"8899aabbccddeeff":4},"voted":true,"voters":["n0","n5"]}'
     }
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -160,7 +160,7 @@
     async def reply(self, seen: Seen) -> bytes | None | str:
         self.seen.append(seen)
         if seen.target.endswith("hold_ms=0") and not self.silent and self.changes.empty():
-            return self.nothing(seen.target)
+            return self.unchanged_reply(seen.target)
         if seen.target.startswith("/v1/servers"):
             return await self.changes.get()
         if self.script:
@@ -170,7 +170,7 @@
         return answer(204)
 
     @staticmethod
-    def nothing(target: str) -> bytes:
+    def unchanged_reply(target: str) -> bytes:
         """Builds the reply that the caller's version is the latest."""
         version = int(target.partition("from=")[2].partition("&")[0])
         return answer(200, body=json.dumps({"generation": version, "reset": False, "instances": []}))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -70,9 +70,11 @@
     """Keeps only imports of modules in the graph, and drops a package if one of its modules is imported."""
     edges: dict[str, set[str]] = {}
     for module, names in graph.items():
-        found = {name for name in names if name in graph and name != module}
+        imported = {name for name in names if name in graph and name != module}
         # `from .package import module` needs the package only where it takes a name from it.
-        edges[module] = {name for name in found if not any(other.startswith(f"{name}.") for other in found)}
+        edges[module] = {
+            name for name in imported if not any(other.startswith(f"{name}.") for other in imported)
+        }
     return edges
 
 
@@ -87,14 +89,14 @@
 
 
 def _reachable(graph: Graph, start: str) -> set[str]:
-    found: set[str] = set()
+    reached: set[str] = set()
     queue = list(graph[start])
     while queue:
         module = queue.pop()
-        if module not in found:
-            found.add(module)
+        if module not in reached:
+            reached.add(module)
             queue += graph[module]
-    return found
+    return reached
 
 
 def importers_of(graph: Graph, importing: str, forbidden: Iterable[str]) -> set[tuple[str, str]]:
@@ -156,8 +158,8 @@
 def test_a_layer_does_not_import_layers_above_it(
     graph: dict[str, set[str]], importing: str, forbidden: str
 ) -> None:
-    found = {(module, forbidden) for module, _ in importers_of(graph, importing, [forbidden])}
-    assert not found - KNOWN_UPWARD_IMPORTS.keys()
+    upward_imports = {(module, forbidden) for module, _ in importers_of(graph, importing, [forbidden])}
+    assert not upward_imports - KNOWN_UPWARD_IMPORTS.keys()
 
 
 def test_the_import_graph_has_modules_and_their_imports(graph: dict[str, set[str]]) -> None:
@@ -192,24 +194,24 @@
 
 
 def test_cycles_are_found_also_through_functions(small_program: Path) -> None:
-    found = cycles(between_modules(import_graph(small_program, ["message_relay"])))
-    assert found == {
+    groups = cycles(between_modules(import_graph(small_program, ["message_relay"])))
+    assert groups == {
         frozenset({"message_relay.a", "message_relay.b"}),
         frozenset({"message_relay.c", "message_relay.sub.d"}),
     }
 
 
 def test_forbidden_imports_are_found(small_program: Path) -> None:
-    found = import_graph(small_program, ["message_relay"])
-    assert {module for module, _ in importers_of(found, "message_relay.decisions", IO_MODULES)} == {
+    graph = import_graph(small_program, ["message_relay"])
+    assert {module for module, _ in importers_of(graph, "message_relay.decisions", IO_MODULES)} == {
         "message_relay.decisions",
         "message_relay.decisions.clock",
     }
-    assert {name for _, name in importers_of(found, "message_relay.core", subsystems(found))} == {
+    assert {name for _, name in importers_of(graph, "message_relay.core", subsystems(graph))} == {
         "message_relay.http",
         "message_relay.http.client",
     }
-    assert {module for module, _ in importers_of(found, "message_relay", ["fakes"])} == {
+    assert {module for module, _ in importers_of(graph, "message_relay", ["fakes"])} == {
         "message_relay.http.client"
     }
-    assert not importers_of(found, "message_relay", ["emulator", "benchmarks", "fake"])
+    assert not importers_of(graph, "message_relay", ["emulator", "benchmarks", "fake"])
