--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -81,12 +81,12 @@
         server.usual = None
         await process.start()
         await process.submit(message("u", "unsafe"), message("s", "safe"))
-        in_flight = {(await server.came.get()).headers["x-trace-id"] for _ in range(2)}
+        in_flight = {(await server.arrivals.get()).headers["x-trace-id"] for _ in range(2)}
         assert in_flight == {"u", "s"} and await process.stop(signal.SIGKILL) == -signal.SIGKILL
         server.usual = answer(200)
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
-        assert (await server.came.get()).headers["x-trace-id"] == "s"
+        assert (await server.arrivals.get()).headers["x-trace-id"] == "s"
         assert await process.stop(signal.SIGTERM) == 0
         assert len(server.seen) == 3 and agent.notices.empty()
 
@@ -133,10 +133,10 @@
         server.hold = asyncio.Event()
         await process.start()
         await process.submit(message("u", "unsafe"))
-        await server.came.get()
+        await server.arrivals.get()
         process.process.send_signal(signal.SIGTERM)
         await process.submit(message("v", "unsafe"))  # clients still connect for a while
-        await server.came.get()
+        await server.arrivals.get()
         server.hold.set()
         assert await process.process.wait() == 0
         assert {
@@ -181,7 +181,7 @@
         assert await new.notices.get() == {"id": "u", "state": "failed"}
         await until(old.left)
         await process.submit(message("v"))
-        assert (await other.came.get()).headers["x-trace-id"] == "v"
+        assert (await other.arrivals.get()).headers["x-trace-id"] == "v"
         assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
@@ -199,7 +199,7 @@
         agent.tell(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))  # still the old agent
         await process.submit(message("m", "unsafe"))
-        await server.came.get()
+        await server.arrivals.get()
         process.process.send_signal(signal.SIGTERM)
         new = await Agent().start()
         process.configure(discovery="{}:{}".format(*new.address))
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -44,7 +44,7 @@
             assert await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             body = bytes(range(256)) * 256
             assert await client.ask(message("m1", "keyed", body)) == 202
-            seen = await server.came.get()
+            seen = await server.arrivals.get()
             assert (seen.target, seen.body) == ("/inbox", body)
             assert (seen.headers["x-trace-id"], seen.headers["idempotency-key"]) == ("m1", "k-m1")
             await until(lambda: host.journal.entries["m1"].final_state == "delivered")
@@ -190,7 +190,7 @@
         server.usual = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
-            await server.came.get()
+            await server.arrivals.get()
             (connection,) = host.ingress.connections
             connection.unsent_ids.append("m")  # as if the socket did not accept the response
             client.writer.transport.abort()
@@ -206,10 +206,12 @@
         server.script.append(answer(429, "X-RateLimit-Wait-Ms: 400"))
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
-            rejected_at = (await server.came.get()).at
+            rejected_at = (await server.arrivals.get()).at
             await until(lambda: host.journal.entries["a"].attempt_in_flight is None)
             assert await client.ask(message("b")) == 202
-            assert min((await server.came.get()).at, (await server.came.get()).at) >= rejected_at + 0.4
+            assert (
+                min((await server.arrivals.get()).at, (await server.arrivals.get()).at) >= rejected_at + 0.4
+            )
 
     run(work())
 
@@ -220,7 +222,7 @@
         new = await Server().start()
         async with relay(state, agent, old) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("a")) == 202
-            await old.came.get()
+            await old.arrivals.get()
             raw = listing(old, generation=2, reset=False, state="draining")
             raw["instances"] += listing(new)["instances"]
             agent.tell(raw)
@@ -445,7 +447,7 @@
         journal.close()
         async with relay(state, agent, server) as host:
             if outcome == "delivered":
-                assert (await server.came.get()).body == b"kept"
+                assert (await server.arrivals.get()).body == b"kept"
                 await until(lambda: host.journal.entries["m"].final_state == "delivered")
             elif outcome:
                 assert await agent.notices.get() == {"id": "m", "state": outcome}
@@ -469,7 +471,7 @@
         await host.start()
         async with Client(host.ingress.port) as client, Client(host.ingress.port) as slow_client:
             assert await client.ask(message("m")) == 202
-            await server.came.get()
+            await server.arrivals.get()
             late_request = message("late", "unsafe")
             slow_client.writer.write(late_request[:50])
             await until(lambda: any(not connection.is_idle for connection in host.ingress.connections))
@@ -493,7 +495,7 @@
         await host.start()
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("out")) == 202
-            await server.came.get()
+            await server.arrivals.get()
             await host.stop()
         (remaining_entry,) = Journal(state, 3_000_000).entries.values()
         assert (
--- a/tests/decisions/test_destination_snapshot.py
+++ b/tests/decisions/test_destination_snapshot.py
@@ -149,13 +149,13 @@
         await host.start()
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
-            first = await server.came.get()
+            first = await server.arrivals.get()
             await until(lambda: bool(host.relay.destination_snapshot(host.now())))
         await host.close()
         server.usual = answer(200)
         host = host_of(state, agent, server)
         await host.start()
-        retried = await server.came.get()
+        retried = await server.arrivals.get()
         assert retried.headers["x-trace-id"] == "m" and retried.at >= first.at + 1.45
         await host.close()
 
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -160,7 +160,7 @@
             w.server.hold = asyncio.Event()
             async with Client(w.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            await w.server.came.get()
+            await w.server.arrivals.get()
             w.manager.tell(signal.SIGHUP)
             w.manager.tell(signal.SIGTERM)
             w.server.hold.set()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -82,7 +82,7 @@
         default_factory=deque
     )  # "reset", "close": no reply, ends the connection
     seen: list[Seen] = field(default_factory=list)
-    came: asyncio.Queue[Seen] = field(default_factory=asyncio.Queue)
+    arrivals: asyncio.Queue[Seen] = field(default_factory=asyncio.Queue)
     opened: int = 0
     readers: list[asyncio.StreamReader] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -120,7 +120,7 @@
 
     async def reply(self, seen: Seen) -> bytes | None | str:
         self.seen.append(seen)
-        self.came.put_nowait(seen)
+        self.arrivals.put_nowait(seen)
         if self.hold is not None:
             await self.hold.wait()
         return self.script.popleft() if self.script else self.usual
