--- a/tests/core/test_pending_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -187,7 +187,7 @@
     async def work() -> None:
         environment = RelayWithEndpoint(tmp_path)
         async with environment as host, Client(host.ingress.port) as client:
-            environment.server.usual = None
+            environment.server.default_reply = None
             fed_events = list[Event]()
             start_attempt, feed = host.host.attempt_runner.start, host.turns.feed
 
@@ -261,11 +261,11 @@
         state.mkdir()
         agent.silent, loop = True, asyncio.get_running_loop()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            server.usual = None if unfinished == "a call that is out" else answer(500)
+            server.default_reply = None if unfinished == "a call that is out" else answer(500)
             agent.script += [None] * 100
             assert await client.ask(message("m", "unsafe")) == 202
             await until(lambda: bool(server.seen))
-            if server.usual is not None:
+            if server.default_reply is not None:
                 await until(lambda: host.host.pending_outcomes == 1)
             started_at = loop.time()
             await host.stop()
--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -78,12 +78,12 @@
 def test_a_kill_with_attempts_in_flight_retries_only_what_is_safe_to_retry(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await start_environment(tmp_path)
-        server.usual = None
+        server.default_reply = None
         await process.start()
         await process.submit(message("u", "unsafe"), message("s", "safe"))
         in_flight = {(await server.arrivals.get()).headers["x-trace-id"] for _ in range(2)}
         assert in_flight == {"u", "s"} and await process.stop(signal.SIGKILL) == -signal.SIGKILL
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
         assert (await server.arrivals.get()).headers["x-trace-id"] == "s"
@@ -113,7 +113,7 @@
 def test_an_unsent_outcome_is_sent_after_a_kill(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await start_environment(tmp_path)
-        server.usual = answer(500)
+        server.default_reply = answer(500)
         agent.script.extend([answer(503)] * 100)
         await process.start()
         await process.submit(message("u", "unsafe"))
@@ -165,7 +165,10 @@
 
     async def work() -> None:
         old, server, process = await start_environment(tmp_path)
-        server.usual, old.script = answer(500), deque([None] * 100)  # the old agent acknowledges nothing
+        server.default_reply, old.script = (
+            answer(500),
+            deque([None] * 100),
+        )  # the old agent acknowledges nothing
         await process.start(RELAY_DISCOVERY="{}:{}".format(*old.address))  # ignored after the reload
         await process.submit(message("u", "unsafe"))
         await until(lambda: len(old.script) < 100)  # its notification was sent, and is never acknowledged
@@ -311,7 +314,7 @@
 
     async def work() -> None:
         _, server, process = await start_environment(tmp_path)
-        server.usual = None
+        server.default_reply = None
         await process.start()
         await process.submit(message("m"))
         env = {**os.environ, "RELAY_CONFIG": str(process.config), "RELAY_LISTEN": f"127.0.0.1:{free_port()}"}
@@ -322,7 +325,7 @@
         assert second.returncode == 1 and errors.count(b"\n") == 1
         assert b"another process works in it" in errors and str(process.state).encode() in errors
         await process.stop(signal.SIGKILL)  # a killed process leaves no lock behind
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         await process.start()
         await until(lambda: [seen.headers["x-trace-id"] for seen in server.seen][-1:] == ["m"])
         assert await process.stop(signal.SIGTERM) == 0
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -107,7 +107,7 @@
 def test_too_many_pending_messages_and_a_full_disk_reject(state: Path) -> None:
     async def work() -> None:
         agent, server = await start_agent_and_server()
-        server.usual = None
+        server.default_reply = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             statuses = [
                 await client.ask(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)
@@ -187,7 +187,7 @@
 def test_a_response_that_is_never_read_cancels_its_message(state: Path) -> None:
     async def work() -> None:
         agent, server = await start_agent_and_server()
-        server.usual = None
+        server.default_reply = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
             await server.arrivals.get()
@@ -351,7 +351,7 @@
 def test_an_outcome_is_sent_again_until_it_is_acknowledged(state: Path) -> None:
     async def work() -> None:
         agent, server = await start_agent_and_server()
-        server.usual = answer(500)
+        server.default_reply = answer(500)
         agent.script += [answer(503), "reset", answer(400)]
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             assert await client.ask(message("m", "unsafe")) == 202
@@ -490,7 +490,7 @@
 def test_what_cannot_finish_before_the_stop_stays_in_the_journal(state: Path) -> None:
     async def work() -> None:
         agent, server = await start_agent_and_server()
-        server.usual = None
+        server.default_reply = None
         host = host_of(state, agent, server)
         await host.start()
         async with Client(host.ingress.port) as client:
--- a/tests/core/test_restarts.py
+++ b/tests/core/test_restarts.py
@@ -195,7 +195,7 @@
 
     async def work() -> None:
         agent, server, process = await start_environment(tmp_path)
-        server.usual = None if step in ("byte",) else answer(500)
+        server.default_reply = None if step in ("byte",) else answer(500)
         agent.script.extend([answer(503)] * 1000 if step == "ended" else [])
         if step in ("taken", "tried"):  # what a kill at this step leaves in the folder
             journal, now = Journal(process.state, 3_000_000), unix_time_ms()
@@ -215,7 +215,7 @@
             await process.stop(signal.SIGKILL)
         earlier_attempts = len(server.seen)
         agent.script.clear()
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         await process.start()
         if class_ == "safe":
             await until(lambda: len(server.seen) == earlier_attempts + 1)
--- a/tests/decisions/test_destination_snapshot.py
+++ b/tests/decisions/test_destination_snapshot.py
@@ -144,7 +144,7 @@
         await server.start()
         state = tmp_path / "state"
         state.mkdir()
-        server.usual = answer(429, "X-RateLimit-Wait-Ms: 1500")
+        server.default_reply = answer(429, "X-RateLimit-Wait-Ms: 1500")
         host = host_of(state, agent, server)
         await host.start()
         async with Client(host.ingress.port) as client:
@@ -152,7 +152,7 @@
             first = await server.arrivals.get()
             await until(lambda: bool(host.relay.destination_snapshot(host.now())))
         await host.close()
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         host = host_of(state, agent, server)
         await host.start()
         retried = await server.arrivals.get()
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -68,7 +68,7 @@
 
 def test_a_report_has_what_is_held_and_what_is_known_of_each_destination(tmp_path: Path) -> None:
     async def work() -> None:
-        server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
+        server, agent = await Server(default_reply=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
         told = await host_with(tmp_path, server, agent, Fleet(0, 2))
         assert told.held == 3 and told.by_class == {"keyed": 2, "unsafe": 0, "safe": 1}
@@ -82,7 +82,7 @@
 
 def test_the_socket_gives_a_report_to_each_caller_and_to_few_at_once(tmp_path: Path) -> None:
     async def work() -> None:
-        server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
+        server, agent = await Server(default_reply=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
         told = await host_with(tmp_path, server, agent)
         path = tmp_path / "0.sock"
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -248,7 +248,7 @@
     """The relay itself is not rejected by an endpoint where it has a slot."""
 
     async def work() -> None:
-        accepting, full, other = Server(), Server(usual=CONNECTION_REJECTED), Server()
+        accepting, full, other = Server(), Server(default_reply=CONNECTION_REJECTED), Server()
         for server in (accepting, full, other):
             await server.start()
         client = EndpointClient(60000.0, 20000.0, 10)
@@ -315,7 +315,9 @@
 @pytest.mark.parametrize("status", (200, 429, 500))
 def test_any_response_may_carry_load_report(status: int) -> None:
     async def work() -> None:
-        server = await Server(usual=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")).start()
+        server = await Server(
+            default_reply=answer(status, "Endpoint-Load-Metrics: TEXT x0=0.4, x1=25")
+        ).start()
         client = EndpointClient(60000.0, 20000.0, 10, report_fields=("x0", "x1"))
         assert (await client.attempt(make_attempt(server.address))).load_report == (0.4, 25.0)
         client.close()
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -246,7 +246,7 @@
 
 def test_silent_endpoint_times_out_and_connection_is_closed() -> None:
     async def work() -> None:
-        server = await Server(usual=None).start()
+        server = await Server(default_reply=None).start()
         client = make_client()
         assert (await client.attempt(make_attempt(server.address, 0.2))).outcome is Outcome.TIMEOUT
         assert not client.pool.idle_by_endpoint
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -75,9 +75,9 @@
 
 @dataclass
 class Server:
-    """Answers each request with the next reply of `script`, or else with `usual`. None sends no reply."""
+    """Sends the next reply of `script` to each request, or else `default_reply`; None sends no reply."""
 
-    usual: bytes | None = OK
+    default_reply: bytes | None = OK
     script: deque[bytes | None | str] = field(
         default_factory=deque
     )  # "reset", "close": no reply, ends the connection
@@ -123,7 +123,7 @@
         self.arrivals.put_nowait(seen)
         if self.hold is not None:
             await self.hold.wait()
-        return self.script.popleft() if self.script else self.usual
+        return self.script.popleft() if self.script else self.default_reply
 
     @staticmethod
     async def _request(reader: asyncio.StreamReader, http: h11.Connection, number: int) -> Seen | None:
