--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -182,7 +182,7 @@
             # The full list is requested: versions are local to an agent.
             assert "/v1/servers" in [seen.target for seen in new.seen]
         assert await new.notices.get() == {"id": "u", "state": "failed"}
-        await until(old.left)
+        await until(old.is_disconnected)
         await process.submit(message("v"))
         assert (await other.arrivals.get()).headers["x-trace-id"] == "v"
         assert await process.stop(signal.SIGTERM) == 0
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -260,7 +260,7 @@
         assert [key[0] for key in client.pool.idle_by_age.values()] == [
             2
         ]  # the other kind rejected no connection
-        await until(accepting.left)
+        await until(accepting.is_disconnected)
         client.close()
 
     run(work())
--- a/tests/http/test_endpoint_client.py
+++ b/tests/http/test_endpoint_client.py
@@ -202,7 +202,7 @@
         assert await client.attempt(
             make_attempt(server.address, ambiguity_is_final=True, may_write=lambda: next(permissions))
         ) == AttemptResult(Outcome.NOT_SENT, is_withheld=True)
-        await until(server.left)
+        await until(server.is_disconnected)
         assert server.opened == 1 and not server.seen and not client.pool.idle_by_endpoint
 
     run(work())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -114,7 +114,7 @@
         finally:
             writer.close()
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the peer has closed all its connections."""
         return all(reader.at_eof() or reader.exception() is not None for reader in self.readers)
 
