--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -343,7 +343,7 @@
             scheduler.handle(host.now() + 61_000.0, [EndpointList(ListKind.CHANGES)])
             assert len(scheduler.destinations) == 1
             # One task each that polls or sends notifications, and one that runs periodic checks.
-            assert len(host.tasks.running) == len(host.front.tasks.running) == 2
+            assert len(host.tasks.running) == len(host.intake.tasks.running) == 2
 
     run(work())
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -227,8 +227,8 @@
 
     def __init__(self, settings: config.Config, amqp: AmqpSettings | None = None) -> None:
         self.parts = compose(settings, None, amqp)
-        self.host, self.front, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
-        self.ingress, self.notices = self.front.listener, self.front.notifier
+        self.host, self.intake, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
+        self.ingress, self.notices = self.intake.listener, self.intake.notifier
         self.egress = self.parts.transport
         self.messages, self.turns, self.directory = self.host.messages, self.host.driver, self.host.directory
         self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
