--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -327,7 +327,7 @@
                 "unsure": scheduler.pending.lowest_value_stale,
                 "lines": scheduler.pending.key_order,
                 "rest": scheduler.pending.key_paused_until,
-                "ending": host.egress.receiving_bodies,
+                "ending": host.transport.receiving_bodies,
                 "notices": host.notices.pending,
                 "events": host.events,
             }
@@ -335,7 +335,7 @@
             assert (
                 len(directory.by_name)
                 == len(directory.by_number)
-                == len(host.egress.pool.idle_by_endpoint)
+                == len(host.transport.pool.idle_by_endpoint)
                 == 1
             )
             assert list(host.dests) == [39] and len(scheduler.endpoints) == 1
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -229,7 +229,7 @@
         self.parts = compose(settings, None, amqp)
         self.host, self.intake, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
         self.ingress, self.notices = self.intake.listener, self.intake.notifier
-        self.egress = self.parts.transport
+        self.transport = self.parts.transport
         self.messages, self.turns, self.directory = self.host.messages, self.host.driver, self.host.directory
         self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
         self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.turns.now
