--- a/tests/core/test_pending_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -189,7 +189,7 @@
         async with environment as host, Client(host.ingress.port) as client:
             environment.server.default_reply = None
             fed_events = list[Event]()
-            start_attempt, feed = host.host.attempt_runner.start, host.turns.feed
+            start_attempt, feed = host.host.attempt_runner.start, host.driver.feed
 
             def start_and_cancel(number: int, endpoint: int, until_ms: float) -> None:
                 start_attempt(number, endpoint, until_ms)
@@ -202,7 +202,7 @@
                 feed(event)
 
             host.host.attempt_runner.start = start_and_cancel  # type: ignore[method-assign]
-            host.turns.feed = record_event  # type: ignore[method-assign]
+            host.driver.feed = record_event  # type: ignore[method-assign]
             assert await client.ask(message("m")) == 202
             await until(lambda: any(isinstance(fed, AttemptCompleted) for fed in fed_events))
             outcome = next(fed for fed in fed_events if isinstance(fed, AttemptCompleted))
@@ -301,7 +301,7 @@
             host.host.transport.attempt = attempt  # type: ignore[method-assign]
             assert await client.ask(message("m", "unsafe")) == 202
             await attempt_started.wait()
-            await until(lambda: host.now() > host.turns.last_turn_ms + 2 * host.settings.tick_ms)
+            await until(lambda: host.now() > host.driver.last_turn_ms + 2 * host.settings.tick_ms)
         assert host.journal.entries["m"].final_state == ""
         async with relay(state, agent, server) as host:
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -230,9 +230,9 @@
         self.host, self.intake, self.register = self.parts.relay, self.parts.intake, self.parts.discovery
         self.ingress, self.notices = self.intake.listener, self.intake.notifier
         self.transport = self.parts.transport
-        self.messages, self.turns, self.directory = self.host.messages, self.host.driver, self.host.directory
+        self.messages, self.driver, self.directory = self.host.messages, self.host.driver, self.host.directory
         self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
-        self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.turns.now
+        self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.driver.now
         self.start, self.stop, self.close = self.parts.start, self.host.stop, self.host.close
         self.reload = self.host.reload
 
@@ -246,7 +246,7 @@
 
     @property
     def events(self) -> list[Event]:
-        return self.turns.pending_events
+        return self.driver.pending_events
 
     def tell(self, raw: dict[str, Any]) -> None:
         """Applies an endpoint list as if it had come from discovery."""
