--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,7 +57,7 @@
     sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
     ended: dict[int, Action] = field(default_factory=dict)
     other: list[tuple[float, Action]] = field(default_factory=list)
-    tries: dict[int, int] = field(default_factory=dict)
+    attempts: dict[int, int] = field(default_factory=dict)
     ids: int = 0
     out: dict[int, StartAttempt] = field(default_factory=dict)  # attempts in flight, by message
 
@@ -69,7 +69,7 @@
         for action in actions:
             if isinstance(action, StartAttempt):
                 self.sent.append((self.now, action))
-                self.tries[action.id] = self.tries.get(action.id, 0) + 1
+                self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
                 self.out[action.id] = action
             elif isinstance(action, Reject | Fail):
                 assert action.id not in self.ended, "a message got two final outcomes"
@@ -114,7 +114,7 @@
         return self.feed(
             AttemptCompleted(
                 ident,
-                self.tries[ident] - 1,
+                self.attempts[ident] - 1,
                 started.endpoint,
                 outcome,
                 took,
@@ -128,7 +128,7 @@
         """Delivers some messages with fast responses, so that the destination is known and healthy."""
         for _ in range(calls):
             ident = self.message(SAFE, dest)
-            while not self.tries.get(ident):
+            while not self.attempts.get(ident):
                 self.pass_time(20)
             self.pass_time(100)
             self.answer(ident)
--- a/tests/decisions/test_delivery_rules.py
+++ b/tests/decisions/test_delivery_rules.py
@@ -32,9 +32,9 @@
     first = driver.last(message_id)[0]
     driver.pass_time(9900)
     if class_ == UNSAFE and outcome not in NO_EFFECT_OUTCOMES:
-        assert driver.tries[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
+        assert driver.attempts[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
     else:
-        assert driver.tries[message_id] == 2
+        assert driver.attempts[message_id] == 2
         if class_ == KEYED and outcome not in NO_EFFECT_OUTCOMES:
             assert driver.last(message_id)[0] - first < CLASSES[KEYED].key_window_ms
 
@@ -64,7 +64,7 @@
     for _ in range(4):
         while (
             message_id not in driver.ended
-            and driver.tries[message_id] == len([sent for sent in driver.sent if sent[1].id == message_id])
+            and driver.attempts[message_id] == len([sent for sent in driver.sent if sent[1].id == message_id])
             and driver.now < start + 9000
             and message_id not in driver.out
         ):
@@ -96,7 +96,7 @@
     driver.answer(message_id, Outcome.RESET)
     driver.feed(EndpointList(ListKind.CHANGES, (Endpoint(first, 1, Listing.DRAINING),)))
     driver.pass_time(9900)
-    assert driver.tries[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
+    assert driver.attempts[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
 
 
 def test_retry_after_applies_to_all_endpoints_of_a_destination() -> None:
@@ -154,10 +154,12 @@
         driver.message(0, 2, key=6),
     )
     driver.pass_time(300)
-    assert driver.tries.get(first) == 1 and second not in driver.tries and driver.tries.get(other) == 1
+    assert (
+        driver.attempts.get(first) == 1 and second not in driver.attempts and driver.attempts.get(other) == 1
+    )
     driver.feed(MessageCancelled(first))
     driver.pass_time(300)
-    assert second not in driver.tries  # the first message still has an attempt in flight
+    assert second not in driver.attempts  # the first message still has an attempt in flight
     driver.answer(first, Outcome.TIMEOUT)
     timed_out_at = driver.now
     driver.pass_time(1000)
@@ -171,7 +173,7 @@
     for _ in range(2):
         message_id = driver.message(SAFE)
         driver.pass_time(400)
-        if driver.tries.get(message_id):
+        if driver.attempts.get(message_id):
             driver.answer(message_id, Outcome.CONNECT_FAILED)
     for _ in range(30):
         driver.message(SAFE)
--- a/tests/decisions/test_failure_scenarios.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -34,7 +34,7 @@
     driver.pass_time(1200)  # past its latency objective; it is rate limited or has been sent
     urgent = driver.message(SAFE, left=800.0)
     driver.pass_time(400)
-    assert driver.tries.get(urgent) == 1
+    assert driver.attempts.get(urgent) == 1
     assert late not in driver.ended
 
 
@@ -139,7 +139,7 @@
     failing, healthy = driver.message(SAFE, 1), driver.message(SAFE, 2)
     driver.pass_time(50)
     driver.answer(busy[0])
-    assert driver.tries.get(healthy) == 1 and failing not in driver.tries
+    assert driver.attempts.get(healthy) == 1 and failing not in driver.attempts
 
 
 def test_failing_endpoint_among_healthy_ones_is_avoided() -> None:
@@ -150,7 +150,7 @@
     for _ in range(20):
         message_id = driver.message(SAFE)
         driver.pass_time(100)
-        if driver.tries.get(message_id):
+        if driver.attempts.get(message_id):
             is_failing = driver.last(message_id)[1].endpoint == 11
             driver.answer(message_id, Outcome.RESET if is_failing else Outcome.OK)
         driver.pass_time(200)
@@ -254,10 +254,10 @@
         driver.pass_time(500)
         driver.answer(failed_id, Outcome.TIMEOUT)
         driver.pass_time(200)
-        assert driver.tries[failed_id] == 2
+        assert driver.attempts[failed_id] == 2
         later_id = driver.message()
         driver.pass_time(200)
-        assert (later_id not in driver.tries) == expects_ejection
+        assert (later_id not in driver.attempts) == expects_ejection
 
 
 def test_class_that_fails_at_one_endpoint_goes_to_the_other() -> None:
@@ -472,7 +472,7 @@
     at, _ = driver.last(message_id)
     driver.answer(message_id, Outcome.ERROR)
     driver.pass_time(1000)
-    assert driver.tries[message_id] == 2
+    assert driver.attempts[message_id] == 2
     assert driver.relay.may_write(at + 2990, message_id) and not driver.relay.may_write(at + 3000, message_id)
 
 
@@ -539,7 +539,7 @@
     driver.pass_time(2950)
     late = driver.message(UNSAFE)
     driver.pass_time(200)
-    assert late not in driver.tries and late not in driver.ended
+    assert late not in driver.attempts and late not in driver.ended
 
 
 def test_resumed_messages_are_not_charged_to_their_tenants_quota() -> None:
