--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -55,7 +55,7 @@
     now: float = 1000.0
     seed: int = 1
     sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
-    ended: dict[int, Action] = field(default_factory=dict)
+    final_actions: dict[int, Action] = field(default_factory=dict)
     other: list[tuple[float, Action]] = field(default_factory=list)
     attempts: dict[int, int] = field(default_factory=dict)
     ids: int = 0
@@ -72,8 +72,8 @@
                 self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
                 self.out[action.id] = action
             elif isinstance(action, Reject | Fail):
-                assert action.id not in self.ended, "a message got two final outcomes"
-                self.ended[action.id] = action
+                assert action.id not in self.final_actions, "a message got two final outcomes"
+                self.final_actions[action.id] = action
             else:
                 self.other.append((self.now, action))
         return actions
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -44,7 +44,7 @@
     driver.feed(EndpointList(ListKind.CHANGES, (Endpoint(2, 2, Listing.READY, rate=1000.0),)))
     for _ in range(THRESHOLD):
         driver.message(dest=1)
-    assert len(driver.relay.pending.by_id) == THRESHOLD and not driver.ended
+    assert len(driver.relay.pending.by_id) == THRESHOLD and not driver.final_actions
     return driver
 
 
@@ -72,21 +72,21 @@
     )  # this tenant has used up its quota: its submissions are worth a tenth
     assert rejection_delay(driver, dest=2, class_=1, tenant=1) is not None
     message_id = driver.message(1, dest=2)
-    assert len(driver.ended) == 1 and message_id not in driver.ended
-    (end,) = driver.ended.values()
+    assert len(driver.final_actions) == 1 and message_id not in driver.final_actions
+    (end,) = driver.final_actions.values()
     assert isinstance(end, Reject)
 
 
 def test_message_that_has_waited_longest_is_shed_before_a_newcomer() -> None:
     driver = overloaded()
     driver.pass_time(7500.0, 50.0)  # no submissions: the accepted messages grow old
-    ended_before = set(driver.ended)
+    ended_before = set(driver.final_actions)
     while len(driver.relay.pending.by_id) < THRESHOLD:
         driver.message(dest=1)
     new_ids = set(range(THRESHOLD + 1, driver.ids + 1))
     assert rejection_delay(driver, dest=2) is None
     driver.message(dest=2)
-    ended = set(driver.ended) - ended_before
+    ended = set(driver.final_actions) - ended_before
     assert len(ended) == 1 and not ended & new_ids
 
 
--- a/tests/decisions/test_delivery_rules.py
+++ b/tests/decisions/test_delivery_rules.py
@@ -32,7 +32,7 @@
     first = driver.last(message_id)[0]
     driver.pass_time(9900)
     if class_ == UNSAFE and outcome not in NO_EFFECT_OUTCOMES:
-        assert driver.attempts[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
+        assert driver.attempts[message_id] == 1 and isinstance(driver.final_actions[message_id], Fail)
     else:
         assert driver.attempts[message_id] == 2
         if class_ == KEYED and outcome not in NO_EFFECT_OUTCOMES:
@@ -48,12 +48,12 @@
     sent = {call[1].id for call in driver.sent}
     driver.pass_time(2000)
     for message_id in [*ids, undeliverable]:
-        if message_id not in sent and message_id not in driver.ended:
+        if message_id not in sent and message_id not in driver.final_actions:
             assert driver.last(message_id)[1].give_up_at_ms <= 3000.0
-    assert isinstance(driver.ended[undeliverable], Reject)
-    for message_id in {call[1].id for call in driver.sent} - set(driver.ended):
+    assert isinstance(driver.final_actions[undeliverable], Reject)
+    for message_id in {call[1].id for call in driver.sent} - set(driver.final_actions):
         driver.answer(message_id, Outcome.TIMEOUT)
-    assert set(driver.ended) == {*ids, undeliverable}
+    assert set(driver.final_actions) == {*ids, undeliverable}
 
 
 def test_keyed_message_is_not_retried_after_its_key_window() -> None:
@@ -63,18 +63,18 @@
     start = driver.now
     for _ in range(4):
         while (
-            message_id not in driver.ended
+            message_id not in driver.final_actions
             and driver.attempts[message_id] == len([sent for sent in driver.sent if sent[1].id == message_id])
             and driver.now < start + 9000
             and message_id not in driver.out
         ):
             driver.pass_time(20)
-        if message_id in driver.ended:
+        if message_id in driver.final_actions:
             break
         driver.pass_time(900)
         driver.answer(message_id, Outcome.TIMEOUT)
     assert all(at - start < CLASSES[KEYED].key_window_ms for at, send in driver.sent)
-    assert len(driver.sent) >= 2 and message_id in driver.ended
+    assert len(driver.sent) >= 2 and message_id in driver.final_actions
 
 
 @pytest.mark.parametrize("scope", [Scope.ZONE, Scope.ENDPOINT])
@@ -96,7 +96,7 @@
     driver.answer(message_id, Outcome.RESET)
     driver.feed(EndpointList(ListKind.CHANGES, (Endpoint(first, 1, Listing.DRAINING),)))
     driver.pass_time(9900)
-    assert driver.attempts[message_id] == 1 and isinstance(driver.ended[message_id], Fail)
+    assert driver.attempts[message_id] == 1 and isinstance(driver.final_actions[message_id], Fail)
 
 
 def test_retry_after_applies_to_all_endpoints_of_a_destination() -> None:
--- a/tests/decisions/test_failure_scenarios.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -35,7 +35,7 @@
     urgent = driver.message(SAFE, left=800.0)
     driver.pass_time(400)
     assert driver.attempts.get(urgent) == 1
-    assert late not in driver.ended
+    assert late not in driver.final_actions
 
 
 def test_ejected_destination_bears_the_load_shedding_it_causes() -> None:
@@ -49,9 +49,10 @@
         driver.answer(message_id, Outcome.CONNECT_FAILED)
     at_ejected = [driver.message(KEYED, 1) for _ in range(14)]
     at_healthy = [driver.message(SAFE, 2) for _ in range(8)]
-    assert not set(at_healthy) & set(driver.ended) and set(driver.ended) & set(at_ejected)
+    assert not set(at_healthy) & set(driver.final_actions) and set(driver.final_actions) & set(at_ejected)
     assert all(
-        isinstance(driver.ended[message_id], Reject) for message_id in set(driver.ended) & set(at_ejected)
+        isinstance(driver.final_actions[message_id], Reject)
+        for message_id in set(driver.final_actions) & set(at_ejected)
     )
 
 
@@ -91,7 +92,7 @@
     driver.answer(first, Outcome.FULL, wait=1500.0)
     for _ in range(18):
         driver.message(KEYED, 1)
-    delays = [act.retry_after_ms for act in driver.ended.values() if isinstance(act, Reject)]
+    delays = [act.retry_after_ms for act in driver.final_actions.values() if isinstance(act, Reject)]
     assert delays and all(1400.0 < wait <= 3000.0 for wait in delays)
 
 
@@ -492,7 +493,7 @@
         driver.feed(event)
     driver.pass_time(100)
     assert set(driver.out) == {1, 3}
-    ended = {message_id: type(act) for message_id, act in driver.ended.items()}
+    ended = {message_id: type(act) for message_id, act in driver.final_actions.items()}
     assert ended == {2: Fail, 4: Reject, 5: Reject, 6: Reject}
 
 
@@ -539,7 +540,7 @@
     driver.pass_time(2950)
     late = driver.message(UNSAFE)
     driver.pass_time(200)
-    assert late not in driver.attempts and late not in driver.ended
+    assert late not in driver.attempts and late not in driver.final_actions
 
 
 def test_resumed_messages_are_not_charged_to_their_tenants_quota() -> None:
--- a/tests/http/test_attempt_edge_cases.py
+++ b/tests/http/test_attempt_edge_cases.py
@@ -160,7 +160,7 @@
         )
         del driver.out[message_id]
         driver.pass_time(500)
-    assert message_id in driver.out and message_id not in driver.ended
+    assert message_id in driver.out and message_id not in driver.final_actions
 
 
 def test_attempt_rejected_unsent_by_endpoint_counts() -> None:
@@ -170,7 +170,7 @@
     for _ in range(3):
         driver.feed(AttemptCompleted(message_id, 0, driver.out.pop(message_id).endpoint, Outcome.NOT_SENT))
         driver.pass_time(3000)
-    assert message_id in driver.ended
+    assert message_id in driver.final_actions
 
 
 # -- endpoints that accept few connections -----------------------------------------------------------------
