--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -56,7 +56,7 @@
     seed: int = 1
     sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
     final_actions: dict[int, Action] = field(default_factory=dict)
-    other: list[tuple[float, Action]] = field(default_factory=list)
+    other_actions: list[tuple[float, Action]] = field(default_factory=list)
     attempts: dict[int, int] = field(default_factory=dict)
     ids: int = 0
     out: dict[int, StartAttempt] = field(default_factory=dict)  # attempts in flight, by message
@@ -75,7 +75,7 @@
                 assert action.id not in self.final_actions, "a message got two final outcomes"
                 self.final_actions[action.id] = action
             else:
-                self.other.append((self.now, action))
+                self.other_actions.append((self.now, action))
         return actions
 
     def listed(self, *entries: tuple[int, int], rate: float = 20.0, kind: int = 0) -> None:
--- a/tests/decisions/test_delivery_rules.py
+++ b/tests/decisions/test_delivery_rules.py
@@ -195,11 +195,11 @@
 
 def test_discovery_is_polled_at_start_and_again_after_a_failure() -> None:
     driver = Driver(make_settings(polls_discovery=True))
-    assert driver.feed() and isinstance(driver.other[0][1], WatchEndpoints)
+    assert driver.feed() and isinstance(driver.other_actions[0][1], WatchEndpoints)
     for _ in range(4):
         before = driver.now
-        poll_count = len([1 for _, action in driver.other if isinstance(action, WatchEndpoints)])
+        poll_count = len([1 for _, action in driver.other_actions if isinstance(action, WatchEndpoints)])
         driver.feed(EndpointList(ListKind.FAILED))
         driver.pass_time(3000)
-        polled_at = [at for at, action in driver.other if isinstance(action, WatchEndpoints)]
+        polled_at = [at for at, action in driver.other_actions if isinstance(action, WatchEndpoints)]
         assert len(polled_at) > poll_count and polled_at[poll_count] > before
--- a/tests/decisions/test_failure_scenarios.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -337,9 +337,9 @@
     driver.pass_time(100)
     driver.answer(message_id)
     driver.pass_time(20000, 500)
-    before = len(driver.other)
+    before = len(driver.other_actions)
     driver.pass_time(20000, 500)
-    assert len(driver.other) == before
+    assert len(driver.other_actions) == before
 
 
 def test_replaced_endpoints_leave_no_state() -> None:
