--- a/tests/compatibility/decision_scenarios.py
+++ b/tests/compatibility/decision_scenarios.py
@@ -141,7 +141,7 @@
     goal_weights: tuple[float, float, float, float] = (1.0, 0.0, 0.0, 0.0)  # total, window, class, tenant
     limits: Limits = Limits()
     fleet_position: InstancePosition | None = None
-    # The simulated world.
+    # Settings of the simulation.
     messages: int = 900
     gap_ms: float = 12.0
     burst: int = 3  # largest number of messages that arrive at the same time
--- a/tests/compatibility/status_scenarios.py
+++ b/tests/compatibility/status_scenarios.py
@@ -149,7 +149,7 @@
     "fleet": {"instances": 2},
     "peers": {"listen": "127.0.0.1:4100"},
     "accord": {"voters": [0]},
-    "failover": {"zones": {"z": {}, "y": {}}, "budget_ms": 10_000.0},  # enough on a slow machine
+    "failover": {"zones": {"z": {}, "y": {}}, "budget_ms": 10_000.0},  # ample for a slow machine
 }
 SHARD_SERVER_OPERATOR_FILE: Values = {
     "fleet": {"instances": 2},
--- a/tests/compatibility/test_state_consensus.py
+++ b/tests/compatibility/test_state_consensus.py
@@ -109,7 +109,7 @@
 
 
 def test_three_voters_write_the_same_bytes(tmp_path: Path) -> None:
-    """The members in a dump are a set without a fixed order, so of dumps the content is compared."""
+    """The members in a dump are a set without a fixed order, so the content of dumps is compared."""
     folders = {name: tmp_path / name for name in THREE}
     for folder in folders.values():
         folder.mkdir()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Small fakes on loopback sockets: an endpoint, the platform's agent, a client. No whole system."""
+"""Small fakes on loopback sockets, no simulated system: an endpoint, the platform's agent, a client."""
 
 from __future__ import annotations
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -202,16 +202,16 @@
 
 
 def test_forbidden_imports_are_found(small_program: Path) -> None:
-    graph = import_graph(small_program, ["message_relay"])
-    assert {module for module, _ in importers_of(graph, "message_relay.decisions", IO_MODULES)} == {
+    imports = import_graph(small_program, ["message_relay"])
+    assert {module for module, _ in importers_of(imports, "message_relay.decisions", IO_MODULES)} == {
         "message_relay.decisions",
         "message_relay.decisions.clock",
     }
-    assert {name for _, name in importers_of(graph, "message_relay.core", subsystems(graph))} == {
+    assert {name for _, name in importers_of(imports, "message_relay.core", subsystems(imports))} == {
         "message_relay.http",
         "message_relay.http.client",
     }
-    assert {module for module, _ in importers_of(graph, "message_relay", ["fakes"])} == {
+    assert {module for module, _ in importers_of(imports, "message_relay", ["fakes"])} == {
         "message_relay.http.client"
     }
-    assert not importers_of(graph, "message_relay", ["emulator", "benchmarks", "fake"])
+    assert not importers_of(imports, "message_relay", ["emulator", "benchmarks", "fake"])
