--- a/tests/compatibility/gossip_binding.py
+++ b/tests/compatibility/gossip_binding.py
@@ -1,4 +1,7 @@
-"""The product's names for gossip and the frames of connections between instances."""
+"""Plain values of gossip packets and of the frames on connections between instances.
+
+A rename in the product changes this module and not the fixtures, whose keys are neutral.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +90,7 @@
 
 
 def gossip_conversation(steps: int, silent_from: int) -> dict[str, str]:
-    """Three members talk, and from one step on the third is silent: the first packet of each kind, in hex."""
+    """Returns the first packet of each kind, in hex, of three members; the third falls silent at a step."""
     members: dict[tuple[str, int], Swim] = {}
     for number in range(3):
         address = ("127.0.0.1", 4000 + number)
@@ -96,7 +99,7 @@
         )
         seeds = () if number == 0 else (("127.0.0.1", 4000),)
         members[address] = Swim(claim, seeds, Random(number))
-    first: dict[str, str] = {}
+    first_packets: dict[str, str] = {}
     for step in range(steps):
         now = 0.1 * step
         if step == steps - 1:
@@ -108,10 +111,12 @@
             outgoing, member.outbox = member.outbox, []
             for target, body in outgoing:
                 packet = Packet(member.own_claim.name, member.own_claim.nonce, body)
-                first.setdefault(str(type(body).__struct_config__.tag), seal_packet(packet, b"").hex())
+                first_packets.setdefault(
+                    str(type(body).__struct_config__.tag), seal_packet(packet, b"").hex()
+                )
                 if target in members and not (target[1] == 4002 and step >= silent_from):
                     members[target].receive(now, packet.sender, packet.nonce, body)
-    return first
+    return first_packets
 
 
 def connection_frame(payload: bytes, secret: bytes) -> bytes:
--- a/tests/core/test_pending_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -187,9 +187,9 @@
     async def work() -> None:
         environment = RelayWithEndpoint(tmp_path)
         async with environment as host, Client(host.ingress.port) as client:
-            environment.server.usual = None
+            environment.server.default_reply = None
             fed_events = list[Event]()
-            start_attempt, feed = host.host.attempt_runner.start, host.turns.feed
+            start_attempt, feed = host.host.attempt_runner.start, host.driver.feed
 
             def start_and_cancel(number: int, endpoint: int, until_ms: float) -> None:
                 start_attempt(number, endpoint, until_ms)
@@ -202,7 +202,7 @@
                 feed(event)
 
             host.host.attempt_runner.start = start_and_cancel  # type: ignore[method-assign]
-            host.turns.feed = record_event  # type: ignore[method-assign]
+            host.driver.feed = record_event  # type: ignore[method-assign]
             assert await client.ask(message("m")) == 202
             await until(lambda: any(isinstance(fed, AttemptCompleted) for fed in fed_events))
             outcome = next(fed for fed in fed_events if isinstance(fed, AttemptCompleted))
@@ -261,11 +261,11 @@
         state.mkdir()
         agent.silent, loop = True, asyncio.get_running_loop()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            server.usual = None if unfinished == "a call that is out" else answer(500)
+            server.default_reply = None if unfinished == "a call that is out" else answer(500)
             agent.script += [None] * 100
             assert await client.ask(message("m", "unsafe")) == 202
             await until(lambda: bool(server.seen))
-            if server.usual is not None:
+            if server.default_reply is not None:
                 await until(lambda: host.host.pending_outcomes == 1)
             started_at = loop.time()
             await host.stop()
@@ -301,7 +301,7 @@
             host.host.transport.attempt = attempt  # type: ignore[method-assign]
             assert await client.ask(message("m", "unsafe")) == 202
             await attempt_started.wait()
-            await until(lambda: host.now() > host.turns.last_turn_ms + 2 * host.settings.tick_ms)
+            await until(lambda: host.now() > host.driver.last_turn_ms + 2 * host.settings.tick_ms)
         assert host.journal.entries["m"].final_state == ""
         async with relay(state, agent, server) as host:
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -78,15 +78,15 @@
 def test_a_kill_with_attempts_in_flight_retries_only_what_is_safe_to_retry(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await start_environment(tmp_path)
-        server.usual = None
+        server.default_reply = None
         await process.start()
         await process.submit(message("u", "unsafe"), message("s", "safe"))
-        in_flight = {(await server.came.get()).headers["x-trace-id"] for _ in range(2)}
+        in_flight = {(await server.arrivals.get()).headers["x-trace-id"] for _ in range(2)}
         assert in_flight == {"u", "s"} and await process.stop(signal.SIGKILL) == -signal.SIGKILL
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         await process.start()
         assert await agent.notices.get() == {"id": "u", "state": "failed"}
-        assert (await server.came.get()).headers["x-trace-id"] == "s"
+        assert (await server.arrivals.get()).headers["x-trace-id"] == "s"
         assert await process.stop(signal.SIGTERM) == 0
         assert len(server.seen) == 3 and agent.notices.empty()
 
@@ -113,7 +113,7 @@
 def test_an_unsent_outcome_is_sent_after_a_kill(tmp_path: Path) -> None:
     async def work() -> None:
         agent, server, process = await start_environment(tmp_path)
-        server.usual = answer(500)
+        server.default_reply = answer(500)
         agent.script.extend([answer(503)] * 100)
         await process.start()
         await process.submit(message("u", "unsafe"))
@@ -133,10 +133,10 @@
         server.hold = asyncio.Event()
         await process.start()
         await process.submit(message("u", "unsafe"))
-        await server.came.get()
+        await server.arrivals.get()
         process.process.send_signal(signal.SIGTERM)
         await process.submit(message("v", "unsafe"))  # clients still connect for a while
-        await server.came.get()
+        await server.arrivals.get()
         server.hold.set()
         assert await process.process.wait() == 0
         assert {
@@ -165,7 +165,10 @@
 
     async def work() -> None:
         old, server, process = await start_environment(tmp_path)
-        server.usual, old.script = answer(500), deque([None] * 100)  # the old agent acknowledges nothing
+        server.default_reply, old.script = (
+            answer(500),
+            deque([None] * 100),
+        )  # the old agent acknowledges nothing
         await process.start(RELAY_DISCOVERY="{}:{}".format(*old.address))  # ignored after the reload
         await process.submit(message("u", "unsafe"))
         await until(lambda: len(old.script) < 100)  # its notification was sent, and is never acknowledged
@@ -179,9 +182,9 @@
             # The full list is requested: versions are local to an agent.
             assert "/v1/servers" in [seen.target for seen in new.seen]
         assert await new.notices.get() == {"id": "u", "state": "failed"}
-        await until(old.left)
+        await until(old.is_disconnected)
         await process.submit(message("v"))
-        assert (await other.came.get()).headers["x-trace-id"] == "v"
+        assert (await other.arrivals.get()).headers["x-trace-id"] == "v"
         assert await process.stop(signal.SIGTERM) == 0
 
     run(work())
@@ -199,7 +202,7 @@
         agent.tell(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))  # still the old agent
         await process.submit(message("m", "unsafe"))
-        await server.came.get()
+        await server.arrivals.get()
         process.process.send_signal(signal.SIGTERM)
         new = await Agent().start()
         process.configure(discovery="{}:{}".format(*new.address))
@@ -311,7 +314,7 @@
 
     async def work() -> None:
         _, server, process = await start_environment(tmp_path)
-        server.usual = None
+        server.default_reply = None
         await process.start()
         await process.submit(message("m"))
         env = {**os.environ, "RELAY_CONFIG": str(process.config), "RELAY_LISTEN": f"127.0.0.1:{free_port()}"}
@@ -322,7 +325,7 @@
         assert second.returncode == 1 and errors.count(b"\n") == 1
         assert b"another process works in it" in errors and str(process.state).encode() in errors
         await process.stop(signal.SIGKILL)  # a killed process leaves no lock behind
-        server.usual = answer(200)
+        server.default_reply = answer(200)
         await process.start()
         await until(lambda: [seen.headers["x-trace-id"] for seen in server.seen][-1:] == ["m"])
         assert await process.stop(signal.SIGTERM) == 0
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -160,7 +160,7 @@
             relay.server.hold = asyncio.Event()
             async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            await relay.server.came.get()
+            await relay.server.arrivals.get()
             relay.manager.tell(signal.SIGHUP)
             relay.manager.tell(signal.SIGTERM)
             relay.server.hold.set()
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -68,7 +68,7 @@
 
 def test_a_report_has_the_pending_messages_and_the_state_of_each_destination(tmp_path: Path) -> None:
     async def work() -> None:
-        server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
+        server, agent = await Server(default_reply=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
         current = await host_with(tmp_path, server, agent, Fleet(0, 2))
         assert current.held == 3 and current.by_class == {"keyed": 2, "unsafe": 0, "safe": 1}
@@ -86,7 +86,7 @@
 
 def test_the_socket_serves_a_report_to_a_limited_number_of_callers(tmp_path: Path) -> None:
     async def work() -> None:
-        server, agent = await Server(usual=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
+        server, agent = await Server(default_reply=answer(429, "X-RateLimit-Wait-Ms: 3000")).start(), Agent()
         await agent.start()
         current = await host_with(tmp_path, server, agent)
         path = tmp_path / "0.sock"
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The layers of the program: which modules may import which, and that no imports form a cycle."""
+"""Checks the layers of the program: which modules may import which, and that imports form no cycle."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def import_graph(root: Path, packages: Iterable[str]) -> dict[str, set[str]]:
-    """Each module with all names that it imports."""
+    """Maps each module to all names that it imports."""
     graph: dict[str, set[str]] = {}
     for package in packages:
         for path in sorted((root / package).rglob("*.py")):
@@ -67,17 +67,19 @@
 
 
 def between_modules(graph: Graph) -> dict[str, set[str]]:
-    """The graph without what lies outside it, and without a module that a package's own name stands for."""
+    """Keeps only imports of modules in the graph, and drops a package if one of its modules is imported."""
     edges: dict[str, set[str]] = {}
     for module, names in graph.items():
-        found = {name for name in names if name in graph and name != module}
+        imported = {name for name in names if name in graph and name != module}
         # `from .package import module` needs the package only where it takes a name from it.
-        edges[module] = {name for name in found if not any(other.startswith(f"{name}.") for other in found)}
+        edges[module] = {
+            name for name in imported if not any(other.startswith(f"{name}.") for other in imported)
+        }
     return edges
 
 
 def cycles(graph: Graph) -> set[frozenset[str]]:
-    """Groups of modules of which each imports each other one, directly or through others."""
+    """Finds groups of modules that import each other, directly or through others."""
     reachable = {module: _reachable(graph, module) for module in graph}
     return {
         frozenset(other for other in reachable[module] if module in reachable[other])
@@ -87,18 +89,18 @@
 
 
 def _reachable(graph: Graph, start: str) -> set[str]:
-    found: set[str] = set()
-    waiting = list(graph[start])
-    while waiting:
-        module = waiting.pop()
-        if module not in found:
-            found.add(module)
-            waiting += graph[module]
-    return found
+    reached: set[str] = set()
+    queue = list(graph[start])
+    while queue:
+        module = queue.pop()
+        if module not in reached:
+            reached.add(module)
+            queue += graph[module]
+    return reached
 
 
 def importers_of(graph: Graph, importing: str, forbidden: Iterable[str]) -> set[tuple[str, str]]:
-    """Modules in the package `importing`, each with the name it imports from a forbidden package."""
+    """Returns modules in the package `importing`, each with a name it imports from a forbidden package."""
     return {
         (module, name)
         for module, names in graph.items()
@@ -153,14 +155,14 @@
         ("emulator", "fakes"),
     ],
 )
-def test_a_layer_does_not_import_what_lies_above_it(
+def test_a_layer_does_not_import_layers_above_it(
     graph: dict[str, set[str]], importing: str, forbidden: str
 ) -> None:
-    found = {(module, forbidden) for module, _ in importers_of(graph, importing, [forbidden])}
-    assert not found - KNOWN_UPWARD_IMPORTS.keys()
+    upward_imports = {(module, forbidden) for module, _ in importers_of(graph, importing, [forbidden])}
+    assert not upward_imports - KNOWN_UPWARD_IMPORTS.keys()
 
 
-def test_the_graph_has_every_module_and_its_imports(graph: dict[str, set[str]]) -> None:
+def test_the_import_graph_has_modules_and_their_imports(graph: dict[str, set[str]]) -> None:
     assert graph.keys() >= {"message_relay", "message_relay.core.relay", "emulator", "fakes", "benchmarks"}
     assert "message_relay.core.attempt_runner" in graph["message_relay.core.relay"]
 
@@ -192,24 +194,24 @@
 
 
 def test_cycles_are_found_also_through_functions(small_program: Path) -> None:
-    found = cycles(between_modules(import_graph(small_program, ["message_relay"])))
-    assert found == {
+    groups = cycles(between_modules(import_graph(small_program, ["message_relay"])))
+    assert groups == {
         frozenset({"message_relay.a", "message_relay.b"}),
         frozenset({"message_relay.c", "message_relay.sub.d"}),
     }
 
 
 def test_forbidden_imports_are_found(small_program: Path) -> None:
-    found = import_graph(small_program, ["message_relay"])
-    assert {module for module, _ in importers_of(found, "message_relay.decisions", IO_MODULES)} == {
+    imports = import_graph(small_program, ["message_relay"])
+    assert {module for module, _ in importers_of(imports, "message_relay.decisions", IO_MODULES)} == {
         "message_relay.decisions",
         "message_relay.decisions.clock",
     }
-    assert {name for _, name in importers_of(found, "message_relay.core", subsystems(found))} == {
+    assert {name for _, name in importers_of(imports, "message_relay.core", subsystems(imports))} == {
         "message_relay.http",
         "message_relay.http.client",
     }
-    assert {module for module, _ in importers_of(found, "message_relay", ["fakes"])} == {
+    assert {module for module, _ in importers_of(imports, "message_relay", ["fakes"])} == {
         "message_relay.http.client"
     }
-    assert not importers_of(found, "message_relay", ["emulator", "benchmarks", "fake"])
+    assert not importers_of(imports, "message_relay", ["emulator", "benchmarks", "fake"])
