--- a/message_relay/amqp/connection.py
+++ b/message_relay/amqp/connection.py
@@ -1,6 +1,7 @@
-"""One connection to a broker on a socket: bytes between it and the machine, futures for those who wait.
+"""One connection to a broker: a socket, the state machine in protocol.py, and a future for each publish.
 
-Nothing is decided here: what a publish's end proves is the machine's, when to try again is life.py's."""
+protocol.py decides what the end of a publish proves, reconnect_policy.py when to connect again.
+"""
 
 from __future__ import annotations
 
@@ -10,42 +11,47 @@
 
 from pamqp import commands
 
-from . import protocol as m
-from .protocol import ConnectionProtocol, Fate, Login, Publish
+from . import protocol
+from .protocol import ConnectionProtocol, Login, Publish, PublishStatus
 
 Properties = commands.Basic.Properties
-STALE = 256  # publishes given up, past which the channel is made anew, once nothing else is out on it
+# A channel with this many given-up publishes is replaced, once nothing else on the connection is unconfirmed.
+MAX_GIVEN_UP = 256
 
 
 class Consumer(Protocol):
-    """Whoever takes the deliveries of one channel."""
+    """Receives the deliveries of one channel."""
 
-    def ready(self, channel: int) -> None: ...
+    def on_channel_ready(self, channel: int) -> None: ...
 
-    def delivered(self, delivery: m.Delivered) -> None: ...
+    def on_delivery(self, delivery: protocol.Delivered) -> None: ...
 
-    def over(self, why: str) -> None:
-        """Of the consumer, its channel or the connection; told once."""
+    def on_consumer_closed(self, reason: str) -> None:
+        """Called once, when the consumer, its channel or the connection has ended."""
 
 
 class NotConnectedError(Exception):
-    """There is no connection, so that nothing was written."""
+    """There is no connection, so nothing was written."""
 
 
 class BrokerConnection(asyncio.Protocol):
-    def __init__(self, login: Login, ended: Callable[[str], None], late: Callable[[Publish], None]) -> None:
+    def __init__(
+        self, login: Login, on_closed: Callable[[str], None], on_late_confirm: Callable[[Publish], None]
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.machine = ConnectionProtocol(login, self.loop.time())
-        self.on_end, self.on_late = ended, late
+        self.on_closed, self.on_late_confirm = on_closed, on_late_confirm
         self.transport: asyncio.Transport | None = None
-        self.ready: asyncio.Future[int] = self.loop.create_future()  # the channel to publish on
-        self.waiting: dict[Publish, asyncio.Future[Fate]] = {}
-        self.consumers: dict[int, Consumer] = {}  # by channel
+        self.publish_channel: asyncio.Future[int] = (
+            self.loop.create_future()
+        )  # number of the channel to publish on
+        self.confirmations: dict[Publish, asyncio.Future[PublishStatus]] = {}
+        self.consumers: dict[int, Consumer] = {}  # by channel number
         self.drained = asyncio.Event()
         self.drained.set()
         self.timer: asyncio.TimerHandle | None = None
-        self.closing = set[int]()  # channels of consumers that we closed
-        self.over = False
+        self.closing_channels = set[int]()  # channels of consumers that are being closed here
+        self.is_closed = False
 
     # -- the socket --------------------------------------------------------------------------------------
 
@@ -55,10 +61,10 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        self._handle(self.machine.received(data, self.loop.time()))
+        self._handle_events(self.machine.receive_data(data, self.loop.time()))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._handle(self.machine.lost("the connection is lost" if exc is None else str(exc)))
+        self._handle_events(self.machine.stream_closed("the connection is lost" if exc is None else str(exc)))
 
     def pause_writing(self) -> None:
         self.drained.clear()
@@ -67,88 +73,92 @@
         self.drained.set()
 
     def _flush(self) -> None:
-        """Hands over what the machine has to say. From then on it may arrive, whatever the buffers say."""
+        """Writes the pending bytes. They count as written now, since even buffered ones may arrive."""
         if self.transport is None or self.transport.is_closing():
             return
-        data = self.machine.take(self.loop.time())
+        data = self.machine.data_to_send(self.loop.time())
         if data:
-            self.machine.wrote(len(data))
+            self.machine.mark_written(len(data))
             self.transport.write(data)
-        self._wind()
+        self._schedule_tick()
 
-    def _wind(self) -> None:
-        due = self.machine.due()
+    def _schedule_tick(self) -> None:
+        tick_at = self.machine.next_tick_at()
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = None if due is None else self.loop.call_at(due, self._tick)
+        self.timer = None if tick_at is None else self.loop.call_at(tick_at, self._tick)
 
     def _tick(self) -> None:
-        self._handle(self.machine.tick(self.loop.time()))
+        self._handle_events(self.machine.tick(self.loop.time()))
 
-    # -- what the machine tells --------------------------------------------------------------------------
+    # -- events of the state machine ---------------------------------------------------------------------
 
-    def _handle(self, events: list[m.Event]) -> None:
+    def _handle_events(self, events: list[protocol.Event]) -> None:
         for event in events:
             match event:
-                case m.Opened():
+                case protocol.Opened():
                     self.machine.open_channel()
-                case m.ChannelReady(channel) if channel in self.consumers:
-                    self.consumers[channel].ready(channel)
-                case m.Delivered(channel) if channel in self.consumers:
-                    self.consumers[channel].delivered(event)
-                case m.Cancelled(channel) if channel in self.consumers:
-                    ended = self.consumers[channel]
-                    self.leave(channel)
-                    ended.over("the broker ended the consumer")
-                case m.ChannelClosed(channel, _, text) if channel in self.consumers:
-                    self.consumers.pop(channel).over(f"the broker closed the channel: {text}")
-                case m.ChannelClosed(channel) if channel in self.closing:
-                    self.closing.discard(channel)
-                case m.ChannelReady(channel):
-                    if self.ready.done():
-                        self.ready = self.loop.create_future()
-                    self.ready.set_result(channel)
-                case m.ChannelClosed():  # by the broker, for one bad publish: the others go on, on a new one
-                    self.ready = self.loop.create_future()
-                    if self.machine.state is m.State.OPEN:
+                case protocol.ChannelReady(channel) if channel in self.consumers:
+                    self.consumers[channel].on_channel_ready(channel)
+                case protocol.Delivered(channel) if channel in self.consumers:
+                    self.consumers[channel].on_delivery(event)
+                case protocol.ConsumerCancelled(channel) if channel in self.consumers:
+                    consumer = self.consumers[channel]
+                    self.close_consumer(channel)
+                    consumer.on_consumer_closed("the broker cancelled the consumer")
+                case protocol.ChannelClosed(channel, _, text) if channel in self.consumers:
+                    self.consumers.pop(channel).on_consumer_closed(f"the broker closed the channel: {text}")
+                case protocol.ChannelClosed(channel) if channel in self.closing_channels:
+                    self.closing_channels.discard(channel)
+                case protocol.ChannelReady(channel):
+                    if self.publish_channel.done():
+                        self.publish_channel = self.loop.create_future()
+                    self.publish_channel.set_result(channel)
+                case protocol.ChannelClosed():  # by the broker, for one invalid publish: open a new channel
+                    self.publish_channel = self.loop.create_future()
+                    if self.machine.state is protocol.State.OPEN:
                         self.machine.open_channel()
-                case m.Settled(publish, late):
-                    future = self.waiting.pop(publish, None)
+                case protocol.PublishSettled(publish, late):
+                    future = self.confirmations.pop(publish, None)
                     if future is not None and not future.done():
-                        future.set_result(publish.fate)
-                    elif late and publish.fate in (Fate.ACKED, Fate.NACKED, Fate.RETURNED):
-                        self.on_late(publish)
-                case m.Ended(why):
-                    self._ended(why)
+                        future.set_result(publish.status)
+                    elif late and publish.status in (
+                        PublishStatus.ACKED,
+                        PublishStatus.NACKED,
+                        PublishStatus.RETURNED,
+                    ):
+                        self.on_late_confirm(publish)
+                case protocol.ConnectionClosed(reason):
+                    self._on_connection_closed(reason)
                 case _:
                     pass
         self._flush()
 
-    def _ended(self, why: str) -> None:
-        if self.over:
+    def _on_connection_closed(self, reason: str) -> None:
+        if self.is_closed:
             return
-        self.over = True
-        if not self.ready.done():
-            self.ready.set_exception(NotConnectedError(why))
-            self.ready.exception()  # somebody may wait for it, or nobody
-        for future in self.waiting.values():
+        self.is_closed = True
+        if not self.publish_channel.done():
+            self.publish_channel.set_exception(NotConnectedError(reason))
+            self.publish_channel.exception()  # marks it as retrieved: there may be nobody who waits for it
+        for future in self.confirmations.values():
             if not future.done():
-                future.set_result(Fate.LOST)
-        self.waiting.clear()
+                future.set_result(PublishStatus.LOST)
+        self.confirmations.clear()
         consumers, self.consumers = list(self.consumers.values()), {}
         for consumer in consumers:
-            consumer.over(why)
+            consumer.on_consumer_closed(reason)
         self.drained.set()
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
-            data = self.machine.take(self.loop.time())  # a last word, or the answer to the broker's
+            data = self.machine.data_to_send(self.loop.time())  # a last connection.close or close-ok
             if data and not self.transport.is_closing():
                 self.transport.write(data)
             self.transport.close()
-        self.on_end(why)
+        self.on_closed(reason)
 
-    # -- what is asked of it -----------------------------------------------------------------------------
+    # -- calls of the user -------------------------------------------------------------------------------
 
     @property
     def blocked(self) -> bool:
@@ -156,24 +166,26 @@
 
     def may_publish(self) -> bool:
         return (
-            not self.over
+            not self.is_closed
             and self.drained.is_set()
-            and self.ready.done()
-            and self.ready.exception() is None
-            and self.machine.may_publish(self.ready.result())
+            and self.publish_channel.done()
+            and self.publish_channel.exception() is None
+            and self.machine.may_publish(self.publish_channel.result())
         )
 
     def publish(
-        self, ident: str, exchange: str, routing_key: str, data: bytes, properties: Properties
-    ) -> tuple[Publish, asyncio.Future[Fate]]:
-        """Only where `may_publish`."""
-        publish = self.machine.publish(self.ready.result(), ident, exchange, routing_key, data, properties)
-        future = self.waiting[publish] = self.loop.create_future()
+        self, message_id: str, exchange: str, routing_key: str, data: bytes, properties: Properties
+    ) -> tuple[Publish, asyncio.Future[PublishStatus]]:
+        """Publishes a message; only allowed while `may_publish`."""
+        publish = self.machine.publish(
+            self.publish_channel.result(), message_id, exchange, routing_key, data, properties
+        )
+        future = self.confirmations[publish] = self.loop.create_future()
         self._flush()
         return publish, future
 
     def consume(self, prefetch: int, consumer: Consumer) -> int:
-        """Opens a channel for it; `Consumer.ready` comes when deliveries may be asked for."""
+        """Opens a channel for the consumer; `on_channel_ready` is called once `subscribe` is allowed."""
         channel = self.machine.open_channel(prefetch)
         self.consumers[channel] = consumer
         self._flush()
@@ -183,33 +195,33 @@
         self.machine.consume(channel, queue, f"linnetstile-{channel}")
         self._flush()
 
-    def settle(self, channel: int, tag: int, taken: bool) -> None:
-        """Acknowledges a delivery, or rejects it for good. Its channel has gone: it comes again."""
-        if self.over or channel not in self.consumers:
+    def settle(self, channel: int, tag: int, accepted: bool) -> None:
+        """Acknowledges or finally rejects a delivery. If its channel has closed, it is delivered again."""
+        if self.is_closed or channel not in self.consumers:
             return
-        if taken:
+        if accepted:
             self.machine.ack(channel, tag)
         else:
             self.machine.reject(channel, tag, requeue=False)
         self._flush()
 
-    def leave(self, channel: int) -> None:
-        """Takes no more deliveries there; what was not acknowledged goes back to its queue."""
-        if self.consumers.pop(channel, None) is not None and not self.over:
-            self.closing.add(channel)
+    def close_consumer(self, channel: int) -> None:
+        """Closes the channel of a consumer; what was not acknowledged goes back to its queue."""
+        if self.consumers.pop(channel, None) is not None and not self.is_closed:
+            self.closing_channels.add(channel)
             self.machine.close_channel(channel)
             self._flush()
 
     def give_up(self, publish: Publish) -> None:
-        self.waiting.pop(publish, None)
+        self.confirmations.pop(publish, None)
         self.machine.give_up(publish)
-        # Guards against a broker that never confirms: in the end the channel would take no more.
-        if not self.machine.out and self.machine.given_up(publish.channel) >= STALE:
+        # Guards against a broker that never confirms: the channel would reach MAX_UNCONFIRMED.
+        if not self.machine.unconfirmed and self.machine.given_up(publish.channel) >= MAX_GIVEN_UP:
             self.machine.close_channel(publish.channel)
             self._flush()
 
     def close(self) -> None:
-        """In an orderly way; what is still out is lost."""
+        """Closes the connection in order; unconfirmed publishes are settled as lost or unwritten."""
         self.machine.close()
         self._flush()
         if self.transport is not None:
--- a/message_relay/amqp/frames.py
+++ b/message_relay/amqp/frames.py
@@ -1,7 +1,7 @@
-"""Frames of AMQP 0-9-1 (specification, 4.2.3) from bytes and to bytes, by pamqp; no I/O.
+"""Decodes and encodes frames of AMQP 0-9-1 (specification, 4.2.3) with pamqp; no I/O.
 
-pamqp decodes one frame from bytes that hold all of it. This module adds the rest of the stream and the
-limits: a frame longer than was negotiated is an error before its bytes have arrived.
+pamqp decodes one frame from bytes that contain all of it. This module splits a stream into frames and checks
+their limits: a frame longer than negotiated is an error before its bytes have arrived.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 Frame = base.Frame | body.ContentBody | header.ContentHeader | header.ProtocolHeader | heartbeat.Heartbeat
 
 FRAME_START = struct.Struct(">BHI")  # type, channel, length of the payload
-FRAME_OVERHEAD_BYTES = FRAME_START.size + 1  # and the end octet
-MIN_FRAME_BYTES = 4096  # 4.2.3: before the negotiation, and the least that either side may ask for
+FRAME_OVERHEAD_BYTES = FRAME_START.size + 1  # with the end octet
+MIN_FRAME_BYTES = 4096  # 4.2.3: the limit before the negotiation, and the lowest that may be negotiated
 FRAME_TYPES = (
     constants.FRAME_METHOD,
     constants.FRAME_HEADER,
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.max_frame_bytes = MIN_FRAME_BYTES  # the overhead included
+        self.max_frame_bytes = MIN_FRAME_BYTES  # including the overhead
 
     def feed(self, data: bytes) -> None:
         """Append bytes of the stream."""
@@ -86,7 +86,7 @@
         return channel, _decode(encoded)
 
     def _check_first_octet(self) -> None:
-        """Reject what starts no frame before the rest of it has arrived."""
+        """Reject data that cannot begin a frame, before the rest of it has arrived."""
         start = self.buffer[:4]
         if start and start[0] not in FRAME_TYPES and not PROTOCOL_NAME.startswith(bytes(start)):
             raise FrameError(FRAME_ERROR, f"octet {start[0]} begins no frame")
--- a/message_relay/amqp/intake.py
+++ b/message_relay/amqp/intake.py
@@ -1,20 +1,21 @@
-"""Messages from queues (core.seams.Intake): acknowledged once they are in the journal, never before.
+"""The intake for queues (core.ports.Intake): acknowledges messages once they are journalled, never before.
 
-A delivery is a message with these properties, and one that lacks something is rejected for good, so that a
-dead-letter exchange gets it, if the queue has one; the log says why:
+A delivery becomes a message by its properties. One that is invalid is rejected without requeueing, so that it
+goes to the dead-letter exchange if the queue has one; the log has the reason.
 
-| property | is |
+| property | meaning |
 | --- | --- |
-| message_id | its id |
-| type | its class |
+| message_id | id of the message |
+| type | message class |
 | headers: destination, tenant, idempotency-key | as the HTTP headers of the same meaning |
-| expiration | ms that it may still be delivered; none: the longest of its class |
-| timestamp | when it was sent, if told: what has passed since then is taken off |
-| reply_to, correlation_id | where a final answer goes: `{"id", "state", "after_ms"}` |
+| expiration | ms that it may still be delivered; absent: the longest time of its class |
+| timestamp | when it was sent, optional: the time since then is subtracted from `expiration` |
+| reply_to, correlation_id | where its final outcome is published: `{"id", "state", "after_ms"}` |
 
-A hold that is full stops the queue: what was delivered waits here, no more than `prefetch`, and nothing is
-refused. A final answer is published with a confirm and stays in the journal until that has come; one that
-nobody's queue takes (a return) is told as it is: nobody listens."""
+While the relay has no capacity, at most `prefetch` deliveries wait in the intake, and none is rejected. A
+final outcome is published with a confirm and stays in the journal until that has arrived. One that no queue
+receives (basic.return) counts as notified, and a warning is logged.
+"""
 
 from __future__ import annotations
 
@@ -35,263 +36,293 @@
 from ..core.tasks import BackgroundTasks
 from ..structured_logging import LogEvent
 from .connection import BrokerConnection, NotConnectedError
-from .protocol import Delivered, Fate, ProtocolUsageError
+from .protocol import Delivered, ProtocolUsageError, PublishStatus
 from .reconnect_policy import ReconnectPolicy
 from .settings import QueueSettings
 from .transport import Broker
 
 log = logging.getLogger(__name__)
 
-NAME = "amqp"  # of the front, in the journal
-LOOK_S = 0.05  # a full hold is looked at again so much later
-CONFIRM_S = 5.0  # for a final answer
-ANSWERS = 64  # final answers that are out at once
-NAMES = 400  # characters of reply_to and correlation_id that are kept; a longer one gets no answer
-LEFT_MS = 999_999_999
+NAME = "amqp"  # of this intake, in the journal
+CAPACITY_POLL_S = 0.05  # how often the capacity of a full relay is checked
+CONFIRM_TIMEOUT_S = 5.0  # for the publish of a final outcome
+MAX_UNCONFIRMED_OUTCOMES = 64  # final outcomes that are published concurrently
+MAX_REPLY_ADDRESS = 400  # characters of reply_to and correlation_id; if longer, no outcome is published
+MAX_REMAINING_MS = 999_999_999
 
 
 def origin_of(broker: str, properties: commands.Basic.Properties) -> str:
-    """What the journal keeps, so that the answer finds its way after a restart."""
-    reply, correlation = properties.reply_to or "", properties.correlation_id or properties.message_id or ""
-    if not reply or len(reply) + len(str(correlation)) > NAMES:
+    """The origin that the journal stores, so that the outcome can be published after a restart, too."""
+    reply_to, correlation_id = (
+        properties.reply_to or "",
+        properties.correlation_id or properties.message_id or "",
+    )
+    if not reply_to or len(reply_to) + len(str(correlation_id)) > MAX_REPLY_ADDRESS:
         return NAME
-    return " ".join((NAME, quote(broker), quote(reply), quote(str(correlation))))
+    return " ".join((NAME, quote(broker), quote(reply_to), quote(str(correlation_id))))
 
 
-class Queue:
-    """One queue: its consumer, and what waits for room."""
+class QueueConsumer:
+    """Consumes one queue, and holds its deliveries while the relay has no capacity."""
 
     def __init__(
         self,
-        part: QueueSettings,
+        settings: QueueSettings,
         broker: Broker,
-        desk: MessageAcceptor,
-        longest: Mapping[str, float],
+        acceptor: MessageAcceptor,
+        max_remaining_ms: Mapping[str, float],
         rng: Random,
     ) -> None:
-        self.part, self.broker, self.desk, self.longest = part, broker, desk, longest
-        self.life = ReconnectPolicy(1, rng)
-        self.link: BrokerConnection | None = None
+        self.settings, self.broker, self.acceptor, self.max_remaining_ms = (
+            settings,
+            broker,
+            acceptor,
+            max_remaining_ms,
+        )
+        self.reconnect_policy = ReconnectPolicy(1, rng)
+        self.connection: BrokerConnection | None = None
         self.channel = 0
-        self.epoch = 0  # of consumers: a channel's number, and its tags, come again with the next one
-        self.waiting: deque[Delivered] = deque()  # no more than prefetch
+        self.consumer_number = (
+            0  # of the current consumer: channel numbers and tags are reused by the next one
+        )
+        self.deliveries: deque[Delivered] = deque()  # no more than prefetch
         self.journalling = 0
-        self.look: asyncio.TimerHandle | None = None  # while the hold is full
-        self.ended = asyncio.Event()
+        self.retry_timer: asyncio.TimerHandle | None = None  # set while the relay has no capacity
+        self.closed = asyncio.Event()
         self.stopped = False
         self.rejected = 0
 
-    # -- a consumer's life (link.Consumer) ---------------------------------------------------------------
+    # -- the consumer (connection.Consumer) --------------------------------------------------------------
 
     async def run(self) -> None:
-        """Never ends by itself."""
+        """Consumes the queue, again after each failure, until it is cancelled."""
         loop = asyncio.get_running_loop()
         while not self.stopped:
-            self.ended.clear()
-            self.epoch += 1
+            self.closed.clear()
+            self.consumer_number += 1
             try:
-                self.link = await self.broker.linked()
-                self.channel = self.link.consume(self.part.prefetch, self)
-                self.life.on_opened(loop.time())
-                await self.ended.wait()
+                self.connection = await self.broker.get_connection()
+                self.channel = self.connection.consume(self.settings.prefetch, self)
+                self.reconnect_policy.on_opened(loop.time())
+                await self.closed.wait()
             except (
                 NotConnectedError,
                 ProtocolUsageError,
-            ) as error:  # one that ended just now, or has no channel left
-                log.warning(LogEvent("queue: cannot be consumed", queue=self.part.queue, why=error))
-            self.link = None
-            self.waiting.clear()  # not acknowledged: it comes again
-            await asyncio.sleep(self.life.on_closed(loop.time()))
+            ) as error:  # the connection has just ended, or has no free channel
+                log.warning(LogEvent("queue: cannot consume", queue=self.settings.queue, why=error))
+            self.connection = None
+            self.deliveries.clear()  # not acknowledged, so delivered again
+            await asyncio.sleep(self.reconnect_policy.on_closed(loop.time()))
 
-    def ready(self, channel: int) -> None:
-        if self.link is not None:
-            self.link.subscribe(channel, self.part.queue)
+    def on_channel_ready(self, channel: int) -> None:
+        if self.connection is not None:
+            self.connection.subscribe(channel, self.settings.queue)
 
-    def over(self, why: str) -> None:
+    def on_consumer_closed(self, reason: str) -> None:
         if not self.stopped:
-            log.warning(LogEvent("queue: not consumed any more", queue=self.part.queue, why=why))
-        self.ended.set()
+            log.warning(LogEvent("queue: consumer closed", queue=self.settings.queue, why=reason))
+        self.closed.set()
 
-    def delivered(self, delivery: Delivered) -> None:
-        self.waiting.append(delivery)
-        self.work()
+    def on_delivery(self, delivery: Delivered) -> None:
+        self.deliveries.append(delivery)
+        self.submit_deliveries()
 
     # -- deliveries --------------------------------------------------------------------------------------
 
-    def work(self) -> None:
-        """Takes what there is room for, in its order."""
-        while self.waiting and not self.stopped:
-            delivery = self.waiting[0]
-            if not self.desk.has_capacity:
-                self._later()
+    def submit_deliveries(self) -> None:
+        """Submits the waiting deliveries in order, as far as the relay has capacity."""
+        while self.deliveries and not self.stopped:
+            delivery = self.deliveries[0]
+            if not self.acceptor.has_capacity:
+                self._schedule_retry()
                 return
             try:
-                receipt = self.desk.accept(self.offer(delivery))
+                result = self.acceptor.accept(self.submission(delivery))
             except InvalidMessageError as error:
-                self.waiting.popleft()
+                self.deliveries.popleft()
                 self.rejected += 1
                 log.warning(
                     LogEvent(
-                        "queue: a message is rejected",
-                        queue=self.part.queue,
+                        "queue: message rejected",
+                        queue=self.settings.queue,
                         id=str(delivery.properties.message_id)[:200],
                         why=error,
                     )
                 )
                 self.settle(delivery, False)
                 continue
-            if not receipt.accepted:
-                self._later()
+            if not result.accepted:
+                self._schedule_retry()
                 return
-            self.waiting.popleft()
-            self.life.has_confirmed = True
-            if receipt.durable is None:
+            self.deliveries.popleft()
+            self.reconnect_policy.has_confirmed = True
+            if result.durable is None:
                 self.settle(delivery, True)
             else:
                 self.journalling += 1
-                receipt.durable.add_done_callback(partial(self._safe, delivery, self.epoch))
+                result.durable.add_done_callback(partial(self._on_journalled, delivery, self.consumer_number))
 
-    def _later(self) -> None:
-        if self.look is None:
-            self.look = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+    def _schedule_retry(self) -> None:
+        if self.retry_timer is None:
+            self.retry_timer = asyncio.get_running_loop().call_later(CAPACITY_POLL_S, self._retry)
 
-    def _look(self) -> None:
-        self.look = None
-        self.work()
+    def _retry(self) -> None:
+        self.retry_timer = None
+        self.submit_deliveries()
+
+    def _on_journalled(
+        self, delivery: Delivered, consumer_number: int, durable: asyncio.Future[None]
+    ) -> None:
+        """Acknowledges a journalled delivery, if its consumer is still the current one.
 
-    def _safe(self, delivery: Delivered, epoch: int, done: asyncio.Future[None]) -> None:
-        """Guards a delivery of the next consumer: an ack with an old tag would take it from its queue."""
+        Guards against an ack with an old tag, which would remove a delivery of the next consumer from the
+        queue.
+        """
         self.journalling -= 1
-        if not done.cancelled() and epoch == self.epoch:
+        if not durable.cancelled() and consumer_number == self.consumer_number:
             self.settle(delivery, True)
 
-    def settle(self, delivery: Delivered, taken: bool) -> None:
-        """On the channel it came by only: tags of another mean other deliveries."""
-        if self.link is not None and delivery.channel == self.channel and not self.ended.is_set():
-            self.link.settle(delivery.channel, delivery.tag, taken)
-
-    def offer(self, delivery: Delivered) -> Submission:
-        """Raises Malformed."""
-        told = delivery.properties
-        headers = told.headers or {}
-        if delivery.too_long:
-            raise InvalidMessageError("body", f"{delivery.too_long} bytes are too many")
-        class_ = told.message_type or ""
+    def settle(self, delivery: Delivered, accepted: bool) -> None:
+        """Settles a delivery, on its own channel only: on another, its tag means another delivery."""
+        if self.connection is not None and delivery.channel == self.channel and not self.closed.is_set():
+            self.connection.settle(delivery.channel, delivery.tag, accepted)
+
+    def submission(self, delivery: Delivered) -> Submission:
+        """Converts a delivery into a submission. Raises InvalidMessageError."""
+        properties = delivery.properties
+        headers = properties.headers or {}
+        if delivery.skipped_bytes:
+            raise InvalidMessageError("body", f"{delivery.skipped_bytes} bytes exceed the limit")
+        class_name = properties.message_type or ""
         try:
-            dest = int(str(headers.get("destination", "")))
+            destination = int(str(headers.get("destination", "")))
         except ValueError:
             raise InvalidMessageError("dest", "header destination must be a number") from None
         key = headers.get("idempotency-key")
         return Submission(
-            str(told.message_id or ""),
-            class_,
+            str(properties.message_id or ""),
+            class_name,
             str(headers.get("tenant", "")),
-            dest,
+            destination,
             None if key is None else str(key),
-            self._left(told, class_),
+            self._lifetime_ms(properties, class_name),
             "",
             delivery.body,
-            origin_of(self.part.broker, told),
+            origin_of(self.settings.broker, properties),
         )
 
-    def _left(self, told: commands.Basic.Properties, class_: str) -> int:
-        text = told.expiration
-        if text is None or text == "":
-            return int(self.longest.get(class_, 0.0))
-        if not text.isdecimal() or len(text) > 9:
-            raise InvalidMessageError("left", f"expiration {text[:20]!r} is no number of ms")
-        left = int(text)
-        if told.timestamp is not None:
-            age = time.time() - told.timestamp.timestamp()
-            left -= max(0, int(1000 * age) - 1000)  # it tells whole seconds
-        return min(LEFT_MS, max(0, left))
+    def _lifetime_ms(self, properties: commands.Basic.Properties, class_name: str) -> int:
+        expiration = properties.expiration
+        if expiration is None or expiration == "":
+            return int(self.max_remaining_ms.get(class_name, 0.0))
+        if not expiration.isdecimal() or len(expiration) > 9:
+            raise InvalidMessageError("left", f"expiration {expiration[:20]!r} is not a number of ms")
+        lifetime_ms = int(expiration)
+        if properties.timestamp is not None:
+            age = time.time() - properties.timestamp.timestamp()
+            lifetime_ms -= max(0, int(1000 * age) - 1000)  # the timestamp has whole seconds
+        return min(MAX_REMAINING_MS, max(0, lifetime_ms))
 
     def stop(self) -> None:
         self.stopped = True
-        if self.link is not None:
-            self.link.leave(self.channel)
-        self.waiting.clear()
-        self.ended.set()
+        if self.connection is not None:
+            self.connection.close_consumer(self.channel)
+        self.deliveries.clear()
+        self.closed.set()
 
 
 class QueueIntake:
-    """All queues of the operator's file, and the answers to what came by them."""
+    """Consumes all configured queues, and publishes the final outcomes of their messages."""
 
     def __init__(
         self,
-        parts: list[QueueSettings],
+        settings: list[QueueSettings],
         brokers: Mapping[str, Broker],
-        desk: MessageAcceptor,
-        longest: Mapping[str, float],
+        acceptor: MessageAcceptor,
+        max_remaining_ms: Mapping[str, float],
         rng: Random,
     ) -> None:
-        self.brokers, self.desk, self.rng, self.tasks = brokers, desk, rng, BackgroundTasks()
-        self.queues = [Queue(part, brokers[part.broker], desk, longest, rng) for part in parts]
-        self.ends: dict[str, FinalOutcome] = {}  # that are still to be passed on
-        self.out = asyncio.Semaphore(ANSWERS)
+        self.brokers, self.acceptor, self.rng, self.tasks = brokers, acceptor, rng, BackgroundTasks()
+        self.queues = [
+            QueueConsumer(queue, brokers[queue.broker], acceptor, max_remaining_ms, rng) for queue in settings
+        ]
+        self.outcomes: dict[str, FinalOutcome] = {}  # still to be published, by message id
+        self.publish_slots = asyncio.Semaphore(MAX_UNCONFIRMED_OUTCOMES)
 
     async def open(self) -> None:
         for queue in self.queues:
             self.tasks.start(queue.run())
 
-    def notify_outcome(self, end: FinalOutcome) -> None:
-        if end.id in self.ends:
+    def notify_outcome(self, outcome: FinalOutcome) -> None:
+        if outcome.id in self.outcomes:
             return
-        if " " not in end.origin:
-            self.desk.mark_notified([end.id])  # nobody asked for an answer
+        if " " not in outcome.origin:
+            self.acceptor.mark_notified([outcome.id])  # the client asked for no outcome
             return
-        self.ends[end.id] = end
-        self.tasks.start(self._answer(end))
-
-    async def _answer(self, end: FinalOutcome) -> None:
-        """Until it is confirmed, or nobody's queue takes it."""
-        _, broker_name, reply, correlation = (unquote(part) for part in end.origin.split(" "))
-        broker, life = self.brokers.get(broker_name), ReconnectPolicy(1, self.rng)
-        if broker is None:  # it stays in the journal until that broker is named again
-            log.error(LogEvent("an end waits for a broker that is not named", id=end.id, broker=broker_name))
+        self.outcomes[outcome.id] = outcome
+        self.tasks.start(self._send_outcome(outcome))
+
+    async def _send_outcome(self, outcome: FinalOutcome) -> None:
+        """Publishes a final outcome until it is confirmed or returned."""
+        _, broker_name, reply_to, correlation_id = (unquote(part) for part in outcome.origin.split(" "))
+        broker, reconnect_policy = self.brokers.get(broker_name), ReconnectPolicy(1, self.rng)
+        if broker is None:  # it stays in the journal until that broker is configured again
+            log.error(
+                LogEvent(
+                    "outcome of a message: its broker is not configured", id=outcome.id, broker=broker_name
+                )
+            )
             return
         while True:
-            async with self.out:
-                fate = await self._publish(broker, end, reply, correlation)
-            if fate in (Fate.ACKED, Fate.RETURNED):
-                if fate is Fate.RETURNED:
-                    log.warning(LogEvent("an answer finds no queue", id=end.id, queue=reply))
-                self.ends.pop(end.id, None)
-                self.desk.mark_notified([end.id])
+            async with self.publish_slots:
+                status = await self._publish(broker, outcome, reply_to, correlation_id)
+            if status in (PublishStatus.ACKED, PublishStatus.RETURNED):
+                if status is PublishStatus.RETURNED:
+                    log.warning(
+                        LogEvent(
+                            "outcome of a message: its reply queue does not exist",
+                            id=outcome.id,
+                            queue=reply_to,
+                        )
+                    )
+                self.outcomes.pop(outcome.id, None)
+                self.acceptor.mark_notified([outcome.id])
                 return
-            await asyncio.sleep(life.on_closed(asyncio.get_running_loop().time()))
-
-    async def _publish(self, broker: Broker, end: FinalOutcome, reply: str, correlation: str) -> Fate:
-        told: dict[str, object] = {"id": end.id, "state": end.state}
-        if end.retry_after_ms > 0:
-            told["after_ms"] = round(end.retry_after_ms)
+            await asyncio.sleep(reconnect_policy.on_closed(asyncio.get_running_loop().time()))
+
+    async def _publish(
+        self, broker: Broker, outcome: FinalOutcome, reply_to: str, correlation_id: str
+    ) -> PublishStatus:
+        body: dict[str, object] = {"id": outcome.id, "state": outcome.state}
+        if outcome.retry_after_ms > 0:
+            body["after_ms"] = round(outcome.retry_after_ms)
         properties = commands.Basic.Properties(
             content_type="application/json",
-            correlation_id=correlation,
+            correlation_id=correlation_id,
             delivery_mode=2,
-            message_id=f"end-{end.id}",
+            message_id=f"end-{outcome.id}",
         )
-        link, publish = None, None
+        connection, publish = None, None
         try:
-            async with asyncio.timeout(CONFIRM_S):
-                link = await broker.linked()
-                if not link.may_publish():
-                    return Fate.UNWRITTEN
-                publish, confirmed = link.publish(
-                    f"end-{end.id}", "", reply, msgspec.json.encode(told), properties
+            async with asyncio.timeout(CONFIRM_TIMEOUT_S):
+                connection = await broker.get_connection()
+                if not connection.may_publish():
+                    return PublishStatus.UNWRITTEN
+                publish, confirmation = connection.publish(
+                    f"end-{outcome.id}", "", reply_to, msgspec.json.encode(body), properties
                 )
-                return await confirmed
+                return await confirmation
         except (NotConnectedError, TimeoutError):
-            return Fate.LOST
+            return PublishStatus.LOST
         finally:
-            if link is not None and publish is not None and publish.fate is Fate.OUT:
-                link.give_up(publish)
+            if connection is not None and publish is not None and publish.status is PublishStatus.OUT:
+                connection.give_up(publish)
 
     def reload(self, config: Config) -> None:
-        """Queues change with a restart."""
+        """Nothing to do: queues change with a restart."""
 
     def announce_stop(self) -> None:
-        """Brokers need no notice: what is not acknowledged stays in the queue."""
+        """Nothing to do: what is not acknowledged stays in its queue."""
 
     def stop(self) -> None:
         for queue in self.queues:
@@ -303,7 +334,7 @@
 
     @property
     def pending_outcomes(self) -> int:
-        return len(self.ends)
+        return len(self.outcomes)
 
     async def close(self) -> None:
         self.stop()
--- a/message_relay/amqp/protocol.py
+++ b/message_relay/amqp/protocol.py
@@ -1,35 +1,39 @@
-"""One AMQP 0-9-1 connection as a machine: bytes and calls in, bytes and events out. No socket, no clock.
+"""State machine of one AMQP 0-9-1 client connection. It does no I/O and reads no clock.
 
-Why not `aiormq` or `aio-pika`: their state lies in tasks and futures, and when a connection breaks they can
-say that a publish failed, but not how much of it had been written. That is the one thing a relay has to
-know: a publish whose last byte was never handed over has not run, any other may have.
+Received bytes and method calls go in; bytes to send and events come out.
 
-| connection | until | then |
+`aiormq` and `aio-pika` are not used because they keep their state in tasks and futures: when a connection
+breaks, they can report that a publish failed, but not how much of it had been written. The relay depends on
+that: a publish whose last byte was never written has had no effect, any other may have had one.
+
+| connection state | on | next state |
 | --- | --- | --- |
-| START | connection.start | start-ok, or the mechanism that we can is not offered: broken |
-| SECURE | connection.tune | tune-ok and open |
+| START | connection.start | start-ok is sent: SECURE; our mechanism is not offered: BROKEN |
+| SECURE | connection.tune | tune-ok and open are sent: OPENING |
 | OPENING | connection.open-ok | OPEN |
-| OPEN | we close it: CLOSING; the broker does: CLOSED; nonsense: BROKEN | |
-| CLOSING | connection.close-ok, or the stream ends | CLOSED |
+| OPEN | `close`, connection.close from the broker, a protocol error | CLOSING, CLOSED, BROKEN |
+| CLOSING | connection.close-ok, or the end of the stream | CLOSED |
 
-| channel | until | then |
+| channel state | on | next state |
 | --- | --- | --- |
-| OPENING | channel.open-ok | confirm.select or qos is sent |
-| SETTING | confirm.select-ok, or qos-ok | READY |
-| READY | channel.close from the broker: all that is out on it is lost | CLOSED |
-
-Odd cases, and why they are as they are:
-
-- Bytes are counted as they are produced. `wrote` tells how many have been handed over; what is lost with the
-  connection is told as written or not by that, never by hope. A publish in three frames, of which two were
-  handed over, has not run: a broker routes a message once its whole content has come (1.2.3 of the
-  confirms' description, and 4.2.6 of the specification).
-- A return proves that a message went nowhere, and is told at once. The ack that follows is only booked.
-- A confirm for a tag that was given up is told as late. One for a tag that was settled before is counted and
-  passed over. One for a tag that was never used, or that names 0 alone, breaks the connection: from there on
-  no confirm could be believed.
-- A nack may cover several too. Confirms may come in any order.
-- After channel.close frames of the channel that were under way are passed over until its close-ok."""
+| OPENING | channel.open-ok | confirm.select or qos is sent: SETTING |
+| SETTING | confirm.select-ok or qos-ok | READY |
+| READY | channel.close from the broker: its unconfirmed publishes are settled | CLOSED |
+
+Special cases:
+
+- Bytes are counted as they are produced, and `mark_written` reports how many were written. When the
+  connection is lost, this count decides whether a publish is LOST or UNWRITTEN. A publish of three frames of
+  which two were written has had no effect: a broker routes a message once its whole content has arrived
+  (1.2.3 of the description of publisher confirms, and 4.2.6 of the specification).
+- A basic.return proves that a message was not routed and settles it at once. The ack that follows only
+  removes the tag.
+- A confirm for a publish that was given up is reported as late. A confirm for a tag that was settled before
+  is counted and ignored. A confirm for a tag that was never used, or for tag 0 without the multiple flag,
+  breaks the connection: no later confirm could be trusted.
+- A nack may cover several tags, too. Confirms may arrive in any order.
+- After channel.close is sent, frames of the channel are ignored until its close-ok.
+"""
 
 from __future__ import annotations
 
@@ -43,45 +47,45 @@
 
 from .frames import MIN_FRAME_BYTES, Frame, FrameError, FrameReader, encode_content, encode_frame
 
-PROTOCOL = b"AMQP\x00\x00\x09\x01"
-FRAME_MAX = 131_072  # bytes: what we ask for; a body of 64 KiB goes in one
-CHANNEL_MAX = 64  # we use a few
-OUT_MOST = 1024  # publishes of one channel that wait for a confirm, those given up included
-CONTENT_MOST = 64 * 1024  # bytes of a delivery that are kept: a longer one is skipped, and told as too long
-HEADERS_MOST = 16 * 1024  # bytes of a content header frame
-DEAD = 2.0  # heartbeat times without a byte: the other side is gone (4.2.7)
+PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
+FRAME_MAX = 131_072  # bytes, requested from the broker; a body of 64 KiB fits into one frame
+CHANNEL_MAX = 64  # requested from the broker; only a few are used
+MAX_UNCONFIRMED = 1024  # unconfirmed publishes of one channel, including those given up
+MAX_CONTENT_BYTES = 64 * 1024  # a longer delivery is skipped, and reported with its size only
+MAX_CONTENT_HEADER_BYTES = 16 * 1024  # of a content header frame
+DEAD_AFTER_HEARTBEATS = 2.0  # heartbeat intervals without a byte after which the broker is dead (4.2.7)
 
 
 class State(Enum):
     START, SECURE, OPENING, OPEN, CLOSING, CLOSED, BROKEN = range(7)
 
 
-class Lane(Enum):
-    """A channel's state."""
+class ChannelState(Enum):
+    """State of a channel; see the table above."""
 
     OPENING, SETTING, READY, CLOSING, CLOSED = range(5)
 
 
-class Fate(Enum):
-    """What is known of a publish."""
+class PublishStatus(Enum):
+    """What is known of a publish: whether the broker has routed it."""
 
     OUT = "out"
     ACKED = "acked"
     NACKED = "nacked"
-    RETURNED = "returned"  # it went nowhere
-    UNWRITTEN = "unwritten"  # its last byte was never handed over: it has not run
-    LOST = "lost"  # it may have run
+    RETURNED = "returned"  # not routed to any queue
+    UNWRITTEN = "unwritten"  # its last byte was never written: it has had no effect
+    LOST = "lost"  # it may have had an effect
 
 
 @dataclass(eq=False, slots=True)
 class Publish:
     channel: int
     tag: int
-    ident: str
-    end: int  # of all bytes that the connection ever produced: where its last one stands
-    fate: Fate = Fate.OUT
+    message_id: str
+    end_offset: int  # offset behind its last byte among all bytes that the connection has produced
+    status: PublishStatus = PublishStatus.OUT
     given_up: bool = False
-    why: str = ""
+    reason: str = ""
 
 
 # -- events ------------------------------------------------------------------------------------------------
@@ -99,8 +103,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
-    """A publish has its fate; `late`: after it was given up."""
+class PublishSettled:
+    """A publish has its final status; `late`: it was given up before."""
 
     publish: Publish
     late: bool
@@ -115,18 +119,18 @@
     routing_key: str
     properties: commands.Basic.Properties
     body: bytes
-    too_long: int = 0  # bytes that it says it has, where they were not kept
+    skipped_bytes: int = 0  # announced size of a body that was too long to keep; else 0
 
 
 @dataclass(frozen=True, slots=True)
-class Consuming:
+class ConsumerStarted:
     channel: int
     consumer: str
 
 
 @dataclass(frozen=True, slots=True)
-class Cancelled:
-    """The broker ended a consumer: its queue is gone, say."""
+class ConsumerCancelled:
+    """The broker has cancelled a consumer, for example because its queue was deleted."""
 
     channel: int
     consumer: str
@@ -135,7 +139,7 @@
 @dataclass(frozen=True, slots=True)
 class Blocked:
     blocked: bool
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,10 +156,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The connection is over; all publishes that were out have been told before."""
+class ConnectionClosed:
+    """The connection has ended; every unconfirmed publish has been reported as settled before."""
 
-    why: str
+    reason: str
     code: int = 0
     orderly: bool = False
 
@@ -163,14 +167,14 @@
 Event = (
     Opened
     | ChannelReady
-    | Settled
+    | PublishSettled
     | Delivered
-    | Consuming
-    | Cancelled
+    | ConsumerStarted
+    | ConsumerCancelled
     | Blocked
     | Flow
     | ChannelClosed
-    | Ended
+    | ConnectionClosed
 )
 
 
@@ -178,24 +182,24 @@
 
 
 @dataclass(slots=True)
-class Content:
-    """A method that carries content, and what has come of it."""
+class PartialContent:
+    """A method that carries content, and the part of that content received so far."""
 
     method: base.Frame
     properties: commands.Basic.Properties | None = None
     size: int = 0
-    come: int = 0
+    received_size: int = 0
     parts: list[bytes] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Channel:
     number: int
-    prefetch: int  # 0: it is for publishing, with confirms
-    state: Lane = Lane.OPENING
-    last: int = 0  # tag of the latest publish
-    out: OrderedDict[int, Publish] = field(default_factory=OrderedDict)
-    content: Content | None = None
+    prefetch: int  # 0: a channel for publishing, with confirms
+    state: ChannelState = ChannelState.OPENING
+    last_tag: int = 0  # delivery tag of the latest publish
+    unconfirmed: OrderedDict[int, Publish] = field(default_factory=OrderedDict)
+    content: PartialContent | None = None
     active: bool = True
 
 
@@ -203,378 +207,408 @@
 class Login:
     user: str = "guest"
     password: str = field(default="guest", repr=False)
-    host: str = "/"
-    external: bool = False  # SASL EXTERNAL: the certificate says who we are
-    heartbeat_s: int = 10  # that we ask for; 0: none
+    vhost: str = "/"
+    external: bool = False  # SASL EXTERNAL: the client certificate identifies the relay
+    heartbeat_s: int = 10  # requested from the broker; 0: no heartbeats
     name: str = "linnetstile"
 
 
 class ProtocolUsageError(RuntimeError):
-    """It was called for what its state does not allow: a fault of the caller."""
+    """A method was called that the current state does not allow: a fault of the caller."""
 
 
 class ConnectionProtocol:
     def __init__(self, login: Login, now: float) -> None:
-        """`now`, here and below: seconds of any clock that never falls."""
+        """`now`, here and below, is in seconds of any monotonic clock."""
         self.login, self.state = login, State.START
         self.reader = FrameReader()
         self.channels: dict[int, Channel] = {}
         self.events: list[Event] = []
         self.outgoing = bytearray()
-        self.produced = self.written = 0  # bytes, since the beginning
+        self.produced = self.written = 0  # bytes, since the connection began
         self.frame_max, self.channel_max, self.heartbeat_s = MIN_FRAME_BYTES, CHANNEL_MAX, 0.0
-        self.heard = self.spoke = now
+        self.last_received_at = self.last_sent_at = now
         self.blocked = False
-        self.odd = 0  # confirms that were passed over
-        self._put(PROTOCOL)
+        self.ignored_confirms = 0  # confirms and returns that matched no open publish
+        self._append(PROTOCOL_HEADER)
 
     # -- bytes -------------------------------------------------------------------------------------------
 
-    def take(self, now: float) -> bytes:
-        """What is to be written now; `wrote` is to be told of it."""
+    def data_to_send(self, now: float) -> bytes:
+        """Returns the bytes to write now; the caller reports to `mark_written` what it has written."""
         data = bytes(self.outgoing)
         self.outgoing.clear()
         if data:
-            self.spoke = now
+            self.last_sent_at = now
         return data
 
-    def wrote(self, count: int) -> None:
-        """So many more bytes were handed over: from now on they may arrive."""
+    def mark_written(self, count: int) -> None:
+        """Notes that `count` more bytes were written: from now on they may reach the broker."""
         self.written += count
 
-    def received(self, data: bytes, now: float) -> list[Event]:
-        """Never raises for what the other side sends."""
+    def receive_data(self, data: bytes, now: float) -> list[Event]:
+        """Processes received bytes. Invalid data never raises; it breaks the connection."""
         if self.state in (State.CLOSED, State.BROKEN):
             return []
-        self.heard = now
+        self.last_received_at = now
         self.reader.feed(data)
         try:
             while self.state not in (State.CLOSED, State.BROKEN):
-                found = self.reader.next_frame()
-                if found is None:
+                numbered_frame = self.reader.next_frame()
+                if numbered_frame is None:
                     break
-                self._frame(*found)
+                self._handle_frame(*numbered_frame)
         except FrameError as error:
-            self._break(error.reply_code, str(error))
-        return self._told()
+            self._fail(error.reply_code, str(error))
+        return self._take_events()
 
-    def lost(self, why: str) -> list[Event]:
-        """The stream has ended."""
+    def stream_closed(self, reason: str) -> list[Event]:
+        """Notes that the stream has ended."""
         if self.state not in (State.CLOSED, State.BROKEN):
             orderly = self.state is State.CLOSING
-            self._end(State.CLOSED, Ended(why, orderly=orderly))
-        return self._told()
+            self._finish(State.CLOSED, ConnectionClosed(reason, orderly=orderly))
+        return self._take_events()
 
     def tick(self, now: float) -> list[Event]:
-        """To be called at `due`: sends a heartbeat, or takes the other side for dead."""
+        """To be called at `next_tick_at`: sends a heartbeat, or ends a connection that is silent too long."""
         if self.heartbeat_s and self.state in (State.OPEN, State.CLOSING):
-            if now - self.heard >= DEAD * self.heartbeat_s:
-                self._end(State.BROKEN, Ended(f"nothing came for {now - self.heard:.1f} s"))
-            elif now - self.spoke >= self.heartbeat_s / 2:
-                self._put(heartbeat.Heartbeat().marshal())
-        return self._told()
-
-    def due(self) -> float | None:
-        """When `tick` has something to do; None: never."""
+            if now - self.last_received_at >= DEAD_AFTER_HEARTBEATS * self.heartbeat_s:
+                self._finish(
+                    State.BROKEN,
+                    ConnectionClosed(f"nothing was received for {now - self.last_received_at:.1f} s"),
+                )
+            elif now - self.last_sent_at >= self.heartbeat_s / 2:
+                self._append(heartbeat.Heartbeat().marshal())
+        return self._take_events()
+
+    def next_tick_at(self) -> float | None:
+        """Returns when `tick` has something to do; None: never."""
         if not self.heartbeat_s or self.state not in (State.OPEN, State.CLOSING):
             return None
-        return min(self.heard + DEAD * self.heartbeat_s, self.spoke + self.heartbeat_s / 2)
+        return min(
+            self.last_received_at + DEAD_AFTER_HEARTBEATS * self.heartbeat_s,
+            self.last_sent_at + self.heartbeat_s / 2,
+        )
 
-    def _put(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         self.outgoing += data
         self.produced += len(data)
 
-    def _send(self, value: Frame, channel: int = 0) -> None:
-        self._put(encode_frame(value, channel))
+    def _send_frame(self, value: Frame, channel: int = 0) -> None:
+        self._append(encode_frame(value, channel))
 
-    def _told(self) -> list[Event]:
+    def _take_events(self) -> list[Event]:
         events, self.events = self.events, []
         return events
 
-    # -- what is asked of it -----------------------------------------------------------------------------
+    # -- calls of the user -------------------------------------------------------------------------------
 
     def open_channel(self, prefetch: int = 0) -> int:
-        """For publishing with confirms, or, with `prefetch`, for consuming: so many deliveries unanswered."""
-        self._need(self.state is State.OPEN, "the connection is not open")
+        """Opens a channel and returns its number.
+
+        It is for publishing with confirms or, with `prefetch`, for consuming with at most that many
+        unacknowledged deliveries.
+        """
+        self._require(self.state is State.OPEN, "the connection is not open")
         number = next((n for n in range(1, self.channel_max + 1) if n not in self.channels), 0)
-        self._need(number > 0, f"all {self.channel_max} channels are in use")
+        self._require(number > 0, f"all {self.channel_max} channels are in use")
         self.channels[number] = Channel(number, prefetch)
-        self._send(commands.Channel.Open(), number)
+        self._send_frame(commands.Channel.Open(), number)
         return number
 
     def may_publish(self, number: int) -> bool:
-        """Whether `publish` is allowed now: flow, a block and too many without a confirm forbid it."""
+        """Whether `publish` is allowed: not under flow control, if blocked, or with too many unconfirmed."""
         channel = self.channels.get(number)
         return (
             self.state is State.OPEN
             and not self.blocked
             and channel is not None
-            and channel.state is Lane.READY
+            and channel.state is ChannelState.READY
             and channel.prefetch == 0
             and channel.active
-            and len(channel.out) < OUT_MOST
+            and len(channel.unconfirmed) < MAX_UNCONFIRMED
         )
 
     def publish(
         self,
         number: int,
-        ident: str,
+        message_id: str,
         exchange: str,
         routing_key: str,
         data: bytes,
         properties: commands.Basic.Properties,
     ) -> Publish:
-        """Mandatory, and confirmed."""
-        self._need(self.may_publish(number), f"channel {number} takes no publish now")
+        """Publishes a message with the mandatory flag; its confirm or return settles it."""
+        self._require(self.may_publish(number), f"channel {number} does not accept a publish now")
         channel = self.channels[number]
         method = commands.Basic.Publish(exchange=exchange, routing_key=routing_key, mandatory=True)
-        self._put(encode_content(method, properties, data, number, self.frame_max))
-        channel.last += 1
-        out = channel.out[channel.last] = Publish(number, channel.last, ident, self.produced)
-        return out
+        self._append(encode_content(method, properties, data, number, self.frame_max))
+        channel.last_tag += 1
+        sent = channel.unconfirmed[channel.last_tag] = Publish(
+            number, channel.last_tag, message_id, self.produced
+        )
+        return sent
 
     def give_up(self, publish: Publish) -> None:
-        """Nobody waits for its confirm any more; one that comes is told as late."""
+        """Stops waiting for the confirm; one that still arrives is reported as late."""
         publish.given_up = True
 
     def given_up(self, number: int) -> int:
-        """Publishes of a channel that were given up, and whose confirm may still come."""
+        """Returns how many publishes of a channel were given up and may still be confirmed."""
         channel = self.channels.get(number)
-        return 0 if channel is None else sum(each.given_up for each in channel.out.values())
+        return 0 if channel is None else sum(publish.given_up for publish in channel.unconfirmed.values())
 
     def consume(self, number: int, queue: str, consumer: str) -> None:
-        channel = self._ready(number)
-        self._need(channel.prefetch > 0, f"channel {number} is for publishing")
-        self._send(commands.Basic.Consume(queue=queue, consumer_tag=consumer), number)
+        channel = self._ready_channel(number)
+        self._require(channel.prefetch > 0, f"channel {number} is for publishing")
+        self._send_frame(commands.Basic.Consume(queue=queue, consumer_tag=consumer), number)
 
     def cancel(self, number: int, consumer: str) -> None:
-        self._ready(number)
-        self._send(commands.Basic.Cancel(consumer_tag=consumer), number)
+        self._ready_channel(number)
+        self._send_frame(commands.Basic.Cancel(consumer_tag=consumer), number)
 
     def ack(self, number: int, tag: int) -> None:
-        self._ready(number)
-        self._send(commands.Basic.Ack(delivery_tag=tag), number)
+        self._ready_channel(number)
+        self._send_frame(commands.Basic.Ack(delivery_tag=tag), number)
 
     def reject(self, number: int, tag: int, requeue: bool) -> None:
-        self._ready(number)
-        self._send(commands.Basic.Reject(delivery_tag=tag, requeue=requeue), number)
+        self._ready_channel(number)
+        self._send_frame(commands.Basic.Reject(delivery_tag=tag, requeue=requeue), number)
 
     def close_channel(self, number: int) -> None:
-        """What is out on it is lost."""
+        """Closes a channel; its unconfirmed publishes are settled as lost or unwritten."""
         channel = self.channels.get(number)
-        if channel is not None and channel.state is not Lane.CLOSING:
-            self._drop(channel, "the channel was closed")
-            channel.state = Lane.CLOSING
-            self._send(commands.Channel.Close(200, "done", 0, 0), number)
+        if channel is not None and channel.state is not ChannelState.CLOSING:
+            self._settle_unconfirmed(channel, "the channel was closed")
+            channel.state = ChannelState.CLOSING
+            self._send_frame(commands.Channel.Close(200, "done", 0, 0), number)
 
     def close(self) -> None:
-        """In an orderly way; what is still out is lost."""
+        """Closes the connection in order; unconfirmed publishes are settled as lost or unwritten."""
         if self.state in (State.CLOSING, State.CLOSED, State.BROKEN):
             return
         for channel in self.channels.values():
-            self._drop(channel, "the connection was closed")
-        self._send(commands.Connection.Close(200, "done", 0, 0))
+            self._settle_unconfirmed(channel, "the connection was closed")
+        self._send_frame(commands.Connection.Close(200, "done", 0, 0))
         self.state = State.CLOSING
 
     @property
-    def out(self) -> int:
-        """Publishes that wait for a confirm, and were not given up."""
-        return sum(not each.given_up for channel in self.channels.values() for each in channel.out.values())
+    def unconfirmed(self) -> int:
+        """How many publishes wait for a confirm and were not given up."""
+        return sum(
+            not publish.given_up
+            for channel in self.channels.values()
+            for publish in channel.unconfirmed.values()
+        )
 
-    def _ready(self, number: int) -> Channel:
+    def _ready_channel(self, number: int) -> Channel:
         channel = self.channels.get(number)
-        self._need(
-            self.state is State.OPEN and channel is not None and channel.state is Lane.READY,
+        self._require(
+            self.state is State.OPEN and channel is not None and channel.state is ChannelState.READY,
             f"channel {number} is not ready",
         )
         assert channel is not None
         return channel
 
     @staticmethod
-    def _need(ok: bool, text: str) -> None:
-        if not ok:
+    def _require(condition: bool, text: str) -> None:
+        if not condition:
             raise ProtocolUsageError(text)
 
     # -- frames ------------------------------------------------------------------------------------------
 
-    def _frame(self, number: int, found: Frame) -> None:
-        if isinstance(found, heartbeat.Heartbeat):
+    def _handle_frame(self, number: int, frame: Frame) -> None:
+        if isinstance(frame, heartbeat.Heartbeat):
             if number != 0:
                 raise FrameError(501, f"a heartbeat on channel {number}")
             return
         if number == 0:
-            self._connection_frame(found)
+            self._handle_connection_frame(frame)
             return
         channel = self.channels.get(number)
         if channel is None or self.state not in (State.OPEN, State.CLOSING):
             raise FrameError(504, f"channel {number} is not open")
         if self.state is State.CLOSING:
-            return  # passed over: only connection.close-ok counts now
-        if isinstance(found, header.ContentHeader):
-            self._content_header(channel, found)
-        elif isinstance(found, body.ContentBody):
-            self._content_body(channel, found)
-        elif isinstance(found, base.Frame):
-            self._channel_frame(channel, found)
-
-    def _connection_frame(self, found: Frame) -> None:
-        name = getattr(found, "name", type(found).__name__)
-        if isinstance(found, commands.Connection.Close):
-            self._send(commands.Connection.CloseOk())
-            self._end(State.CLOSED, Ended(f"closed by the broker: {found.reply_text}", found.reply_code or 0))
+            return  # ignored: only connection.close-ok matters now
+        if isinstance(frame, header.ContentHeader):
+            self._handle_content_header(channel, frame)
+        elif isinstance(frame, body.ContentBody):
+            self._handle_content_body(channel, frame)
+        elif isinstance(frame, base.Frame):
+            self._handle_channel_frame(channel, frame)
+
+    def _handle_connection_frame(self, frame: Frame) -> None:
+        name = getattr(frame, "name", type(frame).__name__)
+        if isinstance(frame, commands.Connection.Close):
+            self._send_frame(commands.Connection.CloseOk())
+            self._finish(
+                State.CLOSED,
+                ConnectionClosed(f"closed by the broker: {frame.reply_text}", frame.reply_code or 0),
+            )
             return
-        if isinstance(found, commands.Connection.CloseOk) and self.state is State.CLOSING:
-            self._end(State.CLOSED, Ended("closed", orderly=True))
+        if isinstance(frame, commands.Connection.CloseOk) and self.state is State.CLOSING:
+            self._finish(State.CLOSED, ConnectionClosed("closed", orderly=True))
             return
         if self.state is State.CLOSING:
             return
-        steps: dict[tuple[State, type[Any]], Callable[[Any], None]] = {
-            (State.START, commands.Connection.Start): self._start,
-            (State.SECURE, commands.Connection.Tune): self._tune,
-            (State.OPENING, commands.Connection.OpenOk): self._open_ok,
-            (State.OPEN, commands.Connection.Blocked): self._blocked,
-            (State.OPEN, commands.Connection.Unblocked): self._unblocked,
+        handlers: dict[tuple[State, type[Any]], Callable[[Any], None]] = {
+            (State.START, commands.Connection.Start): self._on_start,
+            (State.SECURE, commands.Connection.Tune): self._on_tune,
+            (State.OPENING, commands.Connection.OpenOk): self._on_open_ok,
+            (State.OPEN, commands.Connection.Blocked): self._on_blocked,
+            (State.OPEN, commands.Connection.Unblocked): self._on_unblocked,
         }
-        step = steps.get((self.state, type(found)))
-        if step is None:
+        handler = handlers.get((self.state, type(frame)))
+        if handler is None:
             raise FrameError(503, f"{name} in state {self.state.name}")
-        step(found)
+        handler(frame)
 
-    def _start(self, found: commands.Connection.Start) -> None:
+    def _on_start(self, frame: commands.Connection.Start) -> None:
         mechanism = "EXTERNAL" if self.login.external else "PLAIN"
-        offered = str(found.mechanisms).split()
-        if (found.version_major, found.version_minor) != (0, 9):
-            raise FrameError(501, f"the broker speaks {found.version_major}-{found.version_minor}")
+        offered = str(frame.mechanisms).split()
+        if (frame.version_major, frame.version_minor) != (0, 9):
+            raise FrameError(501, f"the broker speaks {frame.version_major}-{frame.version_minor}")
         if mechanism not in offered:
             raise FrameError(504, f"the broker offers {' '.join(offered)[:100]}, and not {mechanism}")
-        answer = "" if self.login.external else f"\0{self.login.user}\0{self.login.password}"
-        can: dict[str, Any] = {
+        response = "" if self.login.external else f"\0{self.login.user}\0{self.login.password}"
+        capabilities: dict[str, Any] = {
             "publisher_confirms": True,
             "basic.nack": True,
             "connection.blocked": True,
             "consumer_cancel_notify": True,
         }
-        self._send(
+        self._send_frame(
             commands.Connection.StartOk(
-                {"product": "linnetstile", "connection_name": self.login.name, "capabilities": can},
+                {"product": "linnetstile", "connection_name": self.login.name, "capabilities": capabilities},
                 mechanism,
-                answer,
+                response,
             )
         )
         self.state = State.SECURE
 
-    def _tune(self, found: commands.Connection.Tune) -> None:
-        """The lower of both, where 0 is no limit (1.4.2.6)."""
+    def _on_tune(self, frame: commands.Connection.Tune) -> None:
+        """Negotiates the limits: the lower of both values, where 0 means no limit (1.4.2.6)."""
 
-        def lower(ours: int, theirs: int) -> int:
-            return min(ours, theirs) if ours and theirs else ours or theirs
+        def lower_limit(client_limit: int, server_limit: int) -> int:
+            return (
+                min(client_limit, server_limit)
+                if client_limit and server_limit
+                else client_limit or server_limit
+            )
 
-        self.frame_max = lower(FRAME_MAX, found.frame_max or 0)
+        self.frame_max = lower_limit(FRAME_MAX, frame.frame_max or 0)
         if self.frame_max < MIN_FRAME_BYTES:
             raise FrameError(
                 501, f"the broker wants frames of {self.frame_max} bytes: {MIN_FRAME_BYTES} are the least"
             )
-        self.channel_max = lower(CHANNEL_MAX, found.channel_max or 0)
-        beats = (self.login.heartbeat_s, found.heartbeat or 0)
-        self.heartbeat_s = float(min(beats) if all(beats) else 0)
+        self.channel_max = lower_limit(CHANNEL_MAX, frame.channel_max or 0)
+        heartbeats = (self.login.heartbeat_s, frame.heartbeat or 0)
+        self.heartbeat_s = float(min(heartbeats) if all(heartbeats) else 0)
         self.reader.max_frame_bytes = self.frame_max
-        self._send(commands.Connection.TuneOk(self.channel_max, self.frame_max, int(self.heartbeat_s)))
-        self._send(commands.Connection.Open(self.login.host))
+        self._send_frame(commands.Connection.TuneOk(self.channel_max, self.frame_max, int(self.heartbeat_s)))
+        self._send_frame(commands.Connection.Open(self.login.vhost))
         self.state = State.OPENING
 
-    def _open_ok(self, found: commands.Connection.OpenOk) -> None:
+    def _on_open_ok(self, frame: commands.Connection.OpenOk) -> None:
         self.state = State.OPEN
         self.events.append(Opened(self.heartbeat_s, self.frame_max))
 
-    def _blocked(self, found: commands.Connection.Blocked) -> None:
+    def _on_blocked(self, frame: commands.Connection.Blocked) -> None:
         self.blocked = True
-        self.events.append(Blocked(True, str(found.reason)[:200]))
+        self.events.append(Blocked(True, str(frame.reason)[:200]))
 
-    def _unblocked(self, found: commands.Connection.Unblocked) -> None:
+    def _on_unblocked(self, frame: commands.Connection.Unblocked) -> None:
         self.blocked = False
         self.events.append(Blocked(False))
 
-    def _channel_frame(self, channel: Channel, found: base.Frame) -> None:
+    def _handle_channel_frame(self, channel: Channel, frame: base.Frame) -> None:
         number = channel.number
-        if channel.state is Lane.CLOSING:
-            if isinstance(found, commands.Channel.CloseOk):
+        if channel.state is ChannelState.CLOSING:
+            if isinstance(frame, commands.Channel.CloseOk):
                 del self.channels[number]
                 self.events.append(ChannelClosed(number, 200, "done"))
-            elif isinstance(found, commands.Channel.Close):
-                self._send(commands.Channel.CloseOk(), number)
+            elif isinstance(frame, commands.Channel.Close):
+                self._send_frame(commands.Channel.CloseOk(), number)
             return
         if channel.content is not None:
-            raise FrameError(505, f"{found.name} in the midst of a content")
-        if isinstance(found, commands.Channel.Close):
-            self._send(commands.Channel.CloseOk(), number)
-            self._drop(channel, f"the broker closed the channel: {found.reply_text}")
+            raise FrameError(505, f"{frame.name} in the midst of a content")
+        if isinstance(frame, commands.Channel.Close):
+            self._send_frame(commands.Channel.CloseOk(), number)
+            self._settle_unconfirmed(channel, f"the broker closed the channel: {frame.reply_text}")
             del self.channels[number]
-            self.events.append(ChannelClosed(number, found.reply_code or 0, str(found.reply_text)[:200]))
+            self.events.append(ChannelClosed(number, frame.reply_code or 0, str(frame.reply_text)[:200]))
             return
-        match found:
-            case commands.Channel.OpenOk() if channel.state is Lane.OPENING:
-                channel.state = Lane.SETTING
-                self._send(
+        match frame:
+            case commands.Channel.OpenOk() if channel.state is ChannelState.OPENING:
+                channel.state = ChannelState.SETTING
+                self._send_frame(
                     commands.Basic.Qos(prefetch_count=channel.prefetch)
                     if channel.prefetch
                     else commands.Confirm.Select(),
                     number,
                 )
-            case commands.Confirm.SelectOk() | commands.Basic.QosOk() if channel.state is Lane.SETTING:
-                channel.state = Lane.READY
+            case (
+                commands.Confirm.SelectOk()
+                | commands.Basic.QosOk()
+            ) if channel.state is ChannelState.SETTING:
+                channel.state = ChannelState.READY
                 self.events.append(ChannelReady(number))
-            case commands.Channel.Flow() if channel.state is Lane.READY:
-                channel.active = bool(found.active)
-                self._send(commands.Channel.FlowOk(channel.active), number)
+            case commands.Channel.Flow() if channel.state is ChannelState.READY:
+                channel.active = bool(frame.active)
+                self._send_frame(commands.Channel.FlowOk(channel.active), number)
                 self.events.append(Flow(number, channel.active))
             case commands.Basic.Ack() if channel.prefetch == 0:
-                self._confirm(channel, found.delivery_tag or 0, bool(found.multiple), Fate.ACKED)
+                self._handle_confirm(
+                    channel, frame.delivery_tag or 0, bool(frame.multiple), PublishStatus.ACKED
+                )
             case commands.Basic.Nack() if channel.prefetch == 0:
-                self._confirm(channel, found.delivery_tag or 0, bool(found.multiple), Fate.NACKED)
+                self._handle_confirm(
+                    channel, frame.delivery_tag or 0, bool(frame.multiple), PublishStatus.NACKED
+                )
             case commands.Basic.Return() | commands.Basic.Deliver():
-                channel.content = Content(found)
+                channel.content = PartialContent(frame)
             case commands.Basic.ConsumeOk():
-                self.events.append(Consuming(number, str(found.consumer_tag)))
+                self.events.append(ConsumerStarted(number, str(frame.consumer_tag)))
             case commands.Basic.Cancel():
-                self.events.append(Cancelled(number, str(found.consumer_tag)))
+                self.events.append(ConsumerCancelled(number, str(frame.consumer_tag)))
             case commands.Basic.CancelOk():
                 pass
             case _:
-                raise FrameError(503, f"{found.name} on channel {number}, which is {channel.state.name}")
+                raise FrameError(503, f"{frame.name} on channel {number}, which is {channel.state.name}")
 
     # -- content -----------------------------------------------------------------------------------------
 
-    def _content_header(self, channel: Channel, found: header.ContentHeader) -> None:
-        if channel.state is Lane.CLOSING:
+    def _handle_content_header(self, channel: Channel, frame: header.ContentHeader) -> None:
+        if channel.state is ChannelState.CLOSING:
             return
-        content_ = channel.content
-        if content_ is None or content_.properties is not None:
+        content = channel.content
+        if content is None or content.properties is not None:
             raise FrameError(505, "a content header that nothing announced")
-        content_.properties, content_.size = found.properties, found.body_size or 0
-        self._whole(channel, content_)
+        content.properties, content.size = frame.properties, frame.body_size or 0
+        self._finish_content(channel, content)
 
-    def _content_body(self, channel: Channel, found: body.ContentBody) -> None:
-        if channel.state is Lane.CLOSING:
+    def _handle_content_body(self, channel: Channel, frame: body.ContentBody) -> None:
+        if channel.state is ChannelState.CLOSING:
             return
-        content_ = channel.content
-        if content_ is None or content_.properties is None:
+        content = channel.content
+        if content is None or content.properties is None:
             raise FrameError(505, "a content body without its header")
-        data = found.value or b""
-        content_.come += len(data)
-        if content_.come > content_.size:
-            raise FrameError(501, f"a content of {content_.come} bytes that was to be {content_.size}")
-        if content_.size <= CONTENT_MOST and not isinstance(content_.method, commands.Basic.Return):
-            content_.parts.append(data)
-        self._whole(channel, content_)
-
-    def _whole(self, channel: Channel, content_: Content) -> None:
-        if content_.come < content_.size:
+        data = frame.value or b""
+        content.received_size += len(data)
+        if content.received_size > content.size:
+            raise FrameError(501, f"a content of {content.received_size} bytes that was to be {content.size}")
+        if content.size <= MAX_CONTENT_BYTES and not isinstance(content.method, commands.Basic.Return):
+            content.parts.append(data)
+        self._finish_content(channel, content)
+
+    def _finish_content(self, channel: Channel, content: PartialContent) -> None:
+        if content.received_size < content.size:
             return
         channel.content = None
-        properties, method = content_.properties, content_.method
+        properties, method = content.properties, content.method
         assert properties is not None
         if isinstance(method, commands.Basic.Return):
-            self._returned(channel, method, properties)
+            self._handle_return(channel, method, properties)
         elif isinstance(method, commands.Basic.Deliver):
             self.events.append(
                 Delivered(
@@ -584,62 +618,64 @@
                     bool(method.redelivered),
                     str(method.routing_key),
                     properties,
-                    b"".join(content_.parts),
-                    content_.size if content_.size > CONTENT_MOST else 0,
+                    b"".join(content.parts),
+                    content.size if content.size > MAX_CONTENT_BYTES else 0,
                 )
             )
 
-    def _returned(
+    def _handle_return(
         self, channel: Channel, method: commands.Basic.Return, properties: commands.Basic.Properties
     ) -> None:
-        for publish in channel.out.values():
-            if publish.ident == properties.message_id and publish.fate is Fate.OUT:
-                publish.why = f"{method.reply_code} {method.reply_text}"[:200]
-                self._settle(publish, Fate.RETURNED)
+        for publish in channel.unconfirmed.values():
+            if publish.message_id == properties.message_id and publish.status is PublishStatus.OUT:
+                publish.reason = f"{method.reply_code} {method.reply_text}"[:200]
+                self._settle(publish, PublishStatus.RETURNED)
                 return
-        self.odd += 1
+        self.ignored_confirms += 1
 
     # -- confirms ----------------------------------------------------------------------------------------
 
-    def _confirm(self, channel: Channel, tag: int, multiple: bool, fate: Fate) -> None:
-        if tag > channel.last or tag == 0 and not multiple:
-            raise FrameError(530, f"a confirm for tag {tag}, and {channel.last} is the latest")
+    def _handle_confirm(self, channel: Channel, tag: int, multiple: bool, status: PublishStatus) -> None:
+        if tag > channel.last_tag or tag == 0 and not multiple:
+            raise FrameError(530, f"a confirm for tag {tag}, and {channel.last_tag} is the latest")
         if not multiple:
-            publish = channel.out.pop(tag, None)
+            publish = channel.unconfirmed.pop(tag, None)
             if publish is None:
-                self.odd += 1
+                self.ignored_confirms += 1
             else:
-                self._settle(publish, fate)
+                self._settle(publish, status)
             return
-        upto = tag or channel.last
-        while channel.out and next(iter(channel.out)) <= upto:
-            self._settle(channel.out.popitem(last=False)[1], fate)
-
-    def _settle(self, publish: Publish, fate: Fate) -> None:
-        if publish.fate is not Fate.OUT:
-            return  # it was returned, and now its ack is booked
-        publish.fate = fate
-        self.events.append(Settled(publish, publish.given_up))
-
-    def _drop(self, channel: Channel, why: str) -> None:
-        """All that is out on it is told: lost, or never written."""
-        for publish in channel.out.values():
-            publish.why = publish.why or why
-            self._settle(publish, Fate.LOST if publish.end <= self.written else Fate.UNWRITTEN)
-        channel.out.clear()
+        highest_tag = tag or channel.last_tag
+        while channel.unconfirmed and next(iter(channel.unconfirmed)) <= highest_tag:
+            self._settle(channel.unconfirmed.popitem(last=False)[1], status)
+
+    def _settle(self, publish: Publish, status: PublishStatus) -> None:
+        if publish.status is not PublishStatus.OUT:
+            return  # it was returned before; this ack only removes its tag
+        publish.status = status
+        self.events.append(PublishSettled(publish, publish.given_up))
+
+    def _settle_unconfirmed(self, channel: Channel, reason: str) -> None:
+        """Settles all unconfirmed publishes of a channel as LOST or UNWRITTEN."""
+        for publish in channel.unconfirmed.values():
+            publish.reason = publish.reason or reason
+            self._settle(
+                publish, PublishStatus.LOST if publish.end_offset <= self.written else PublishStatus.UNWRITTEN
+            )
+        channel.unconfirmed.clear()
         channel.content = None
 
-    # -- the end -----------------------------------------------------------------------------------------
+    # -- closing -----------------------------------------------------------------------------------------
 
-    def _break(self, code: int, text: str) -> None:
-        """Nonsense came: the broker is told, if it listens, and nothing of it is believed any more."""
+    def _fail(self, code: int, text: str) -> None:
+        """Breaks the connection after a protocol error; sends connection.close if the state allows it."""
         if self.state not in (State.START, State.CLOSING):
-            self._send(commands.Connection.Close(code, text[:120], 0, 0))
-        self._end(State.BROKEN, Ended(text, code))
+            self._send_frame(commands.Connection.Close(code, text[:120], 0, 0))
+        self._finish(State.BROKEN, ConnectionClosed(text, code))
 
-    def _end(self, state: State, event: Ended) -> None:
+    def _finish(self, state: State, event: ConnectionClosed) -> None:
         for channel in self.channels.values():
-            self._drop(channel, event.why)
+            self._settle_unconfirmed(channel, event.reason)
         self.channels.clear()
         self.reader.buffer.clear()
         self.state = state
--- a/message_relay/amqp/reconnect_policy.py
+++ b/message_relay/amqp/reconnect_policy.py
@@ -1,4 +1,4 @@
-"""When a broker is connected to again, and at which of its addresses: decided without I/O.
+"""Decides when a broker is connected to again, and at which of its addresses; no I/O.
 
 Times are in seconds, on a clock that the caller passes in.
 """
@@ -12,8 +12,8 @@
 INITIAL_DELAY_S = 0.2
 MAX_DELAY_S = 30.0
 MAX_DOUBLINGS = 20
-JITTER = 0.3  # share of a delay, to either side: relays that lost a broker together do not return together
-# A connection that was open for this long, or confirmed any publish, was healthy: the delays start anew.
+JITTER = 0.3  # share of a delay, up or down: relays that lost a broker together do not reconnect together
+# A connection that was open for this long, or confirmed any publish, was healthy: the delays start over.
 STABLE_AFTER_S = 5.0
 
 
--- a/message_relay/amqp/settings.py
+++ b/message_relay/amqp/settings.py
@@ -1,6 +1,6 @@
 """Settings of brokers: [amqp] in the operator's file (deploy/relay.toml).
 
-Field names are keys of that file, and stand in the texts of errors. This module imports nothing of the extra
+Field names are keys of that file, and appear in error messages. This module imports nothing of the extra
 `amqp`, so that the file can be checked without it.
 """
 
@@ -20,10 +20,10 @@
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How a broker is authenticated, and the relay to it. Files are in PEM format."""
 
-    ca: str = ""  # authorities for the broker's certificate; empty: those that the system trusts
+    ca: str = ""  # CA certificates for the broker's certificate; empty: the system's
     cert: str = ""  # of the relay, where the broker requires one
     key: str = ""
-    server_name: str = ""  # that the broker's certificate must contain; empty: the host's
+    server_name: str = ""  # name that the broker's certificate must contain; empty: the name in hosts
 
     def __post_init__(self) -> None:
         if bool(self.cert) != bool(self.key):
@@ -59,7 +59,7 @@
     destination: Annotated[int, Meta(ge=0, le=2**32 - 1)]
     broker: str
     routing_key: str
-    exchange: str = ""  # the default one: the routing key is a queue's name
+    exchange: str = ""  # empty: the default exchange, where the routing key is the name of a queue
     rate: Annotated[float, Meta(ge=0)] = 0.0  # agreed attempts a second; 0: none is agreed
     nack: Literal["may_have_run", "never_ran"] = "may_have_run"  # what a basic.nack proves
 
@@ -69,11 +69,11 @@
 
     broker: str
     queue: str
-    prefetch: Annotated[int, Meta(ge=1, le=1000)] = 20  # most deliveries that are not acknowledged yet
+    prefetch: Annotated[int, Meta(ge=1, le=1000)] = 20  # maximum number of unacknowledged deliveries
 
 
 class AmqpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole section."""
+    """The [amqp] section."""
 
     brokers: list[BrokerSettings] = []
     endpoints: list[EndpointSettings] = []
@@ -97,7 +97,7 @@
 def make_tls_context(broker: BrokerSettings) -> ssl.SSLContext | None:
     """The TLS context for a broker, None for plain TCP; no less than TLS 1.2 (RFC 9325).
 
-    Raises ValueError where a file cannot be used.
+    Raises ValueError if a file cannot be used.
     """
     if broker.tls is None:
         return None
@@ -113,7 +113,7 @@
 
 
 def read_credentials(broker: BrokerSettings) -> tuple[str, str]:
-    """User and password. Raises ValueError, whose text never contains what the file holds."""
+    """User and password. Raises ValueError, whose text never contains the content of the file."""
     path = broker.credentials
     if not path:
         return "guest", "guest"
--- a/message_relay/amqp/transport.py
+++ b/message_relay/amqp/transport.py
@@ -1,14 +1,14 @@
-"""Attempts as publishes: what each one's end proves, in the relay's words.
+"""Attempts at brokers: each is one publish, and the end of the publish gives its outcome.
 
-| what comes | outcome | has it run? |
+| end of the publish | outcome | has it had an effect? |
 | --- | --- | --- |
 | basic.ack | delivered | yes |
-| basic.nack | error, or turned away where the operator says that it never ran | it may have, or never |
-| basic.return before it | turned away | never |
-| channel or connection lost after its last byte was handed over | reset | it may have |
+| basic.nack | error, or rejected where the operator has set nack = "never_ran" | it may have, or never |
+| basic.return before the ack | rejected | never |
+| channel or connection lost after its last byte was written | reset | it may have |
 | before that, or no connection at all | could not connect | never |
-| connection.blocked, flow, too many without a confirm | turned away, with a wait | never |
-| nothing | timed out; a confirm that comes later is logged | it may have |
+| not started: connection.blocked, flow control, too many unconfirmed | rejected, with a delay | never |
+| no confirm in time | timed out; a confirm that arrives later is logged | it may have |
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from ..decisions.model import Outcome
 from ..structured_logging import LogEvent
 from .connection import BrokerConnection, NotConnectedError
-from .protocol import Fate, Login, Publish
+from .protocol import Login, Publish, PublishStatus
 from .reconnect_policy import ReconnectPolicy
 from .settings import (
     ADDRESS_PREFIX,
@@ -38,180 +38,190 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_S = 5.0  # until a broker has answered all that opening takes
-BLOCKED_MS = 1000.0  # a blocked broker is not asked again sooner: such a block lasts seconds at the least
-BUSY_MS = 100.0  # flow, a full socket, or too many that wait for their confirms
+CONNECT_TIMEOUT_S = 5.0  # for the whole opening of a connection and its channel
+BLOCKED_RETRY_MS = 1000.0  # retry delay for a blocked broker: such a block lasts seconds at the least
+BUSY_RETRY_MS = 100.0  # retry delay under flow control, with a full socket, or too many unconfirmed publishes
 PERSISTENT = 2  # delivery mode
 
 
 class Broker:
-    """The connection to one broker: made when it is needed, kept, and made anew after a wait."""
-
-    def __init__(self, part: BrokerSettings, rng: Random) -> None:
-        """Raises ValueError where its credentials cannot be read."""
-        user, password = read_credentials(part)
-        self.part = part
-        self.login = Login(user, password, part.vhost, part.external, part.heartbeat_s)
-        self.tls = make_tls_context(part)
+    """The connection to one broker: opened on demand, kept open, and opened again after a backoff."""
+
+    def __init__(self, settings: BrokerSettings, rng: Random) -> None:
+        """Raises ValueError if the credentials or the TLS files cannot be used."""
+        user, password = read_credentials(settings)
+        self.settings = settings
+        self.login = Login(user, password, settings.vhost, settings.external, settings.heartbeat_s)
+        self.tls = make_tls_context(settings)
         self.addresses: list[Address] = []
-        for host in part.hosts:
+        for host in settings.hosts:
             name, _, port = host.rpartition(":")
             self.addresses.append((name.strip("[]"), int(port)))
-        self.life = ReconnectPolicy(len(self.addresses), rng)
-        self.link: BrokerConnection | None = None
-        self.opening: asyncio.Task[BrokerConnection] | None = None
+        self.reconnect_policy = ReconnectPolicy(len(self.addresses), rng)
+        self.connection: BrokerConnection | None = None
+        self.connect_task: asyncio.Task[BrokerConnection] | None = None
         self.closed = False
-        self.late = 0  # confirms that came after their publish was given up
-
-    async def linked(self) -> BrokerConnection:
-        """A connection with its channel open. Raises NoLink at once while it is not to be tried again."""
-        if self.link is not None and not self.link.over:
-            await asyncio.shield(self.link.ready)
-            return self.link
-        if self.opening is None:
+        self.late_confirms = 0  # number of confirms that arrived after their publish was given up
+
+    async def get_connection(self) -> BrokerConnection:
+        """Returns a connection whose channel is open. Raises NotConnectedError, at once during a backoff."""
+        if self.connection is not None and not self.connection.is_closed:
+            await asyncio.shield(self.connection.publish_channel)
+            return self.connection
+        if self.connect_task is None:
             now = asyncio.get_running_loop().time()
-            if self.closed or not self.life.may_connect(now):
+            if self.closed or not self.reconnect_policy.may_connect(now):
                 raise NotConnectedError(
-                    f"{self.part.name} is tried again in {self.life.not_before - now:.1f} s"
+                    f"{self.settings.name} is tried again in {self.reconnect_policy.not_before - now:.1f} s"
                 )
-            self.opening = asyncio.ensure_future(self._open())
-            self.opening.add_done_callback(self._opened)
-        return await asyncio.shield(self.opening)
+            self.connect_task = asyncio.ensure_future(self._connect())
+            self.connect_task.add_done_callback(self._on_connect_done)
+        return await asyncio.shield(self.connect_task)
 
-    async def _open(self) -> BrokerConnection:
+    async def _connect(self) -> BrokerConnection:
         loop = asyncio.get_running_loop()
-        host, port = self.addresses[self.life.address_index]
-        link: BrokerConnection | None = None
+        host, port = self.addresses[self.reconnect_policy.address_index]
+        connection: BrokerConnection | None = None
         try:
-            async with asyncio.timeout(CONNECT_S):
-                _, link = await loop.create_connection(
-                    lambda: BrokerConnection(self.login, self._ended, self._late),
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await loop.create_connection(
+                    lambda: BrokerConnection(self.login, self._on_closed, self._on_late_confirm),
                     host,
                     port,
                     ssl=self.tls,
-                    server_hostname=None if self.part.tls is None else self.part.tls.server_name or host,
+                    server_hostname=None
+                    if self.settings.tls is None
+                    else self.settings.tls.server_name or host,
                 )
-                await asyncio.shield(link.ready)
+                await asyncio.shield(connection.publish_channel)
         except (OSError, TimeoutError, NotConnectedError) as error:
-            why = str(error) or "it does not answer"
-            if link is not None and not link.over:
-                link.on_end = lambda why: None  # told here
-                link.close()
-            if link is None or not isinstance(error, NotConnectedError):
-                self._ended(why)
-            raise NotConnectedError(f"{self.part.name} at {host}:{port}: {why}") from None
-        self.life.on_opened(loop.time())
-        log.info(LogEvent("broker: connected", broker=self.part.name, host=f"{host}:{port}"))
-        self.link = link
-        return link
-
-    def _opened(self, task: asyncio.Task[BrokerConnection]) -> None:
-        self.opening = None
+            reason = str(error) or "no answer in time"
+            if connection is not None and not connection.is_closed:
+                connection.on_closed = lambda reason: None  # reported below
+                connection.close()
+            if connection is None or not isinstance(error, NotConnectedError):
+                self._on_closed(reason)
+            raise NotConnectedError(f"{self.settings.name} at {host}:{port}: {reason}") from None
+        self.reconnect_policy.on_opened(loop.time())
+        log.info(LogEvent("broker: connected", broker=self.settings.name, host=f"{host}:{port}"))
+        self.connection = connection
+        return connection
+
+    def _on_connect_done(self, task: asyncio.Task[BrokerConnection]) -> None:
+        self.connect_task = None
         if not task.cancelled():
-            task.exception()  # those that wait have it; there may be none
+            task.exception()  # marks it as retrieved: there may be nobody who waits for the task
 
-    def _ended(self, why: str) -> None:
-        self.link = None
+    def _on_closed(self, reason: str) -> None:
+        self.connection = None
         if not self.closed:
-            wait = self.life.on_closed(asyncio.get_running_loop().time())
+            delay_s = self.reconnect_policy.on_closed(asyncio.get_running_loop().time())
             log.warning(
-                LogEvent("broker: no connection", broker=self.part.name, why=why, wait_s=round(wait, 2))
+                LogEvent(
+                    "broker: disconnected", broker=self.settings.name, why=reason, wait_s=round(delay_s, 2)
+                )
             )
 
-    def _late(self, publish: Publish) -> None:
-        self.late += 1
+    def _on_late_confirm(self, publish: Publish) -> None:
+        self.late_confirms += 1
         log.warning(
             LogEvent(
-                "broker: a confirm came after its time",
-                broker=self.part.name,
-                id=publish.ident,
-                fate=publish.fate.value,
+                "broker: late confirm",
+                broker=self.settings.name,
+                id=publish.message_id,
+                fate=publish.status.value,
             )
         )
 
     def close(self) -> None:
         self.closed = True
-        if self.opening is not None:
-            self.opening.cancel()
-        if self.link is not None:
-            self.link.close()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+        if self.connection is not None:
+            self.connection.close()
 
 
 class BrokerPublisher:
-    """The transport of all endpoints that are brokers' (core.seams.Transport)."""
+    """The transport for all endpoints at brokers (core.ports.Transport)."""
 
-    def __init__(self, part: AmqpSettings, rng: Random) -> None:
-        """Raises ValueError."""
-        self.brokers = {each.name: Broker(each, rng) for each in part.brokers}  # fronts use them too
+    def __init__(self, settings: AmqpSettings, rng: Random) -> None:
+        """Raises ValueError if the credentials or the TLS files of a broker cannot be used."""
+        self.brokers = {
+            broker.name: Broker(broker, rng) for broker in settings.brokers
+        }  # shared with the intake
         self.targets: Mapping[str, EndpointSettings] = {
-            ADDRESS_PREFIX + each.name: each for each in part.endpoints
+            ADDRESS_PREFIX + endpoint.name: endpoint for endpoint in settings.endpoints
         }
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
         target = self.targets.get(attempt.address[0])
         if target is None:
             return AttemptResult(Outcome.CONNECT_FAILED)
-        broker, link, publish = self.brokers[target.broker], None, None
+        broker, connection, publish = self.brokers[target.broker], None, None
         try:
             async with asyncio.timeout_at(attempt.deadline_s):
-                link = await broker.linked()
-                if not link.may_publish():
-                    return AttemptResult(Outcome.FULL, retry_after_ms=BLOCKED_MS if link.blocked else BUSY_MS)
+                connection = await broker.get_connection()
+                if not connection.may_publish():
+                    return AttemptResult(
+                        Outcome.FULL, retry_after_ms=BLOCKED_RETRY_MS if connection.blocked else BUSY_RETRY_MS
+                    )
                 if not attempt.may_write():
                     return AttemptResult(Outcome.NOT_SENT)
-                publish, confirmed = link.publish(
+                publish, confirmation = connection.publish(
                     attempt.trace_id,
                     target.exchange,
                     target.routing_key,
                     attempt.body,
                     self._properties(attempt),
                 )
-                fate = await confirmed
-                broker.life.has_confirmed = broker.life.has_confirmed or fate is Fate.ACKED
-                return answered(fate, target)
+                status = await confirmation
+                broker.reconnect_policy.has_confirmed = (
+                    broker.reconnect_policy.has_confirmed or status is PublishStatus.ACKED
+                )
+                return attempt_result(status, target)
         except NotConnectedError:
             return AttemptResult(Outcome.CONNECT_FAILED)
         except TimeoutError:
             return AttemptResult(Outcome.CONNECT_FAILED if publish is None else Outcome.TIMEOUT)
         finally:
-            if link is not None and publish is not None and publish.fate is Fate.OUT:
-                link.give_up(publish)
+            if connection is not None and publish is not None and publish.status is PublishStatus.OUT:
+                connection.give_up(publish)
 
     @staticmethod
     def _properties(attempt: Attempt) -> commands.Basic.Properties:
-        left = attempt.deadline_s - asyncio.get_running_loop().time()
+        remaining_s = attempt.deadline_s - asyncio.get_running_loop().time()
         headers = {} if attempt.idempotency_key is None else {"idempotency-key": attempt.idempotency_key}
         return commands.Basic.Properties(
             delivery_mode=PERSISTENT,
             message_id=attempt.trace_id,
             headers=dict(headers),
-            expiration=str(max(1, round(left * 1000))),
+            expiration=str(max(1, round(remaining_s * 1000))),
         )
 
     def retain_only(self, listed: set[EndpointKey]) -> None:
-        """A broker's connection stands for all of its endpoints: nothing to drop."""
+        """Nothing to do: one connection to a broker serves all of its endpoints."""
 
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
-        """As above."""
+        """Nothing to do, for the same reason."""
 
     def sweep(self) -> None:
-        """Heartbeats keep what is idle."""
+        """Nothing to do: heartbeats keep idle connections open."""
 
     def close(self) -> None:
         for broker in self.brokers.values():
             broker.close()
 
 
-def answered(fate: Fate, target: EndpointSettings) -> AttemptResult:
-    """The table above, for what came back."""
-    match fate:
-        case Fate.ACKED:
+def attempt_result(status: PublishStatus, target: EndpointSettings) -> AttemptResult:
+    """Maps the status of a publish to the result of its attempt, as in the table above."""
+    match status:
+        case PublishStatus.ACKED:
             return AttemptResult(Outcome.OK, is_finished=True)
-        case Fate.NACKED:
+        case PublishStatus.NACKED:
             return AttemptResult(Outcome.FULL if target.nack == "never_ran" else Outcome.ERROR)
-        case Fate.RETURNED:
+        case PublishStatus.RETURNED:
             return AttemptResult(Outcome.FULL)
-        case Fate.UNWRITTEN:
+        case PublishStatus.UNWRITTEN:
             return AttemptResult(Outcome.CONNECT_FAILED)
         case _:
             return AttemptResult(Outcome.RESET)
--- a/tests/amqp/peer.py
+++ b/tests/amqp/peer.py
@@ -1,4 +1,4 @@
-"""A broker by hand: frames that a test writes out one by one, and a machine that has got so far."""
+"""A broker's frames, written out by a test, and connections that have reached a given state."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 Properties = commands.Basic.Properties
 
 
-def raw(value: base.Frame, channel: int = 0) -> bytes:
+def encode_method(value: base.Frame, channel: int = 0) -> bytes:
     return frame.marshal(value, channel)
 
 
-def content(method: base.Frame, data: bytes, channel: int = 1, ident: str = "") -> bytes:
-    properties = Properties(message_id=ident)
-    out = frame.marshal(method, channel) + frame.marshal(
+def encode_content(method: base.Frame, data: bytes, channel: int = 1, message_id: str = "") -> bytes:
+    properties = Properties(message_id=message_id)
+    encoded = frame.marshal(method, channel) + frame.marshal(
         header.ContentHeader(0, len(data), properties), channel
     )
-    return out + (frame.marshal(body.ContentBody(data), channel) if data else b"")
+    return encoded + (frame.marshal(body.ContentBody(data), channel) if data else b"")
 
 
-START = raw(commands.Connection.Start(0, 9, {}, "PLAIN AMQPLAIN", "en_US"))
+START = encode_method(commands.Connection.Start(0, 9, {}, "PLAIN AMQPLAIN", "en_US"))
 
 
 def tune(frame_max: int = 131_072, heartbeat: int = 10, channel_max: int = 2047) -> bytes:
-    return raw(commands.Connection.Tune(channel_max, frame_max, heartbeat))
+    return encode_method(commands.Connection.Tune(channel_max, frame_max, heartbeat))
 
 
 def feed(machine: ConnectionProtocol, data: bytes, now: float = 0.0) -> list[Event]:
-    """And all that it has to say is written."""
-    events = machine.received(data, now)
-    machine.wrote(len(machine.take(now)))
+    """Feeds received bytes, and marks all bytes to send as written."""
+    events = machine.receive_data(data, now)
+    machine.mark_written(len(machine.data_to_send(now)))
     return events
 
 
-def opened(**tuned: int) -> ConnectionProtocol:
+def opened_connection(**limits: int) -> ConnectionProtocol:
     machine = ConnectionProtocol(Login(), 0.0)
-    machine.wrote(len(machine.take(0.0)))
-    feed(machine, START + tune(**tuned) + raw(commands.Connection.OpenOk()))
+    machine.mark_written(len(machine.data_to_send(0.0)))
+    feed(machine, START + tune(**limits) + encode_method(commands.Connection.OpenOk()))
     return machine
 
 
-def ready(prefetch: int = 0, **tuned: int) -> ConnectionProtocol:
-    """With channel 1 for publishing, or for consuming."""
-    machine = opened(**tuned)
+def connection_with_channel(prefetch: int = 0, **limits: int) -> ConnectionProtocol:
+    """A connection whose channel 1 is ready for publishing or, with `prefetch`, for consuming."""
+    machine = opened_connection(**limits)
     machine.open_channel(prefetch)
-    done: base.Frame = commands.Basic.QosOk() if prefetch else commands.Confirm.SelectOk()
-    feed(machine, raw(commands.Channel.OpenOk(), 1) + raw(done, 1))
+    set_up_ok: base.Frame = commands.Basic.QosOk() if prefetch else commands.Confirm.SelectOk()
+    feed(machine, encode_method(commands.Channel.OpenOk(), 1) + encode_method(set_up_ok, 1))
     return machine
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery to brokers by the whole relay: what each broker does, and thousands of messages through one."""
+"""Delivery to brokers: the outcome of each end of a publish, and thousands of messages through one broker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from fakes.amqp_broker import Broker, Faults
 from message_relay.amqp.reconnect_policy import INITIAL_DELAY_S, JITTER, MAX_DELAY_S, ReconnectPolicy
 from message_relay.amqp.settings import AmqpSettings, BrokerSettings, EndpointSettings, read_credentials
-from message_relay.amqp.transport import BrokerPublisher, answered
+from message_relay.amqp.transport import BrokerPublisher, attempt_result
 from message_relay.core.ports import Attempt, Submission
 from message_relay.decisions.model import Outcome
 from message_relay.fleet.operator import decoded
@@ -25,27 +25,29 @@
 from .test_broker import serving
 
 
-def part(port: int, **more: Any) -> AmqpSettings:
+def amqp_settings(port: int, **options: Any) -> AmqpSettings:
     return AmqpSettings(
-        [BrokerSettings("b", [f"127.0.0.1:{port}"], **more)],
+        [BrokerSettings("b", [f"127.0.0.1:{port}"], **options)],
         [EndpointSettings("jobs", 7, "b", "q", rate=2000.0)],
     )
 
 
 @contextlib.asynccontextmanager
-async def publishing(broker: Broker, **more: Any) -> AsyncIterator[BrokerPublisher]:
+async def publishing(broker: Broker, **options: Any) -> AsyncIterator[BrokerPublisher]:
     broker.declare("q")
     async with serving(broker) as port:
-        out = BrokerPublisher(part(port, **more), random.Random(1))
+        publisher = BrokerPublisher(amqp_settings(port, **options), random.Random(1))
         try:
-            yield out
+            yield publisher
         finally:
-            out.close()
+            publisher.close()
 
 
-def attempt(ident: str = "m1", seconds: float = 5.0, body: bytes = b"hello", may: bool = True) -> Attempt:
-    until_ = asyncio.get_running_loop().time() + seconds
-    return Attempt(1, ("amqp:jobs", 0), ident, f"k{ident}", body, until_, lambda: may)
+def attempt(
+    message_id: str = "m1", seconds: float = 5.0, body: bytes = b"hello", may_write: bool = True
+) -> Attempt:
+    deadline_s = asyncio.get_running_loop().time() + seconds
+    return Attempt(1, ("amqp:jobs", 0), message_id, f"k{message_id}", body, deadline_s, lambda: may_write)
 
 
 @pytest.mark.parametrize(
@@ -63,16 +65,18 @@
         ({"drop": 1.0}, Outcome.TIMEOUT, 1),
     ],
 )
-def test_what_each_end_proves(chances: dict[str, float], outcome: Outcome, effects: int) -> None:
+def test_outcome_of_each_end_of_a_publish(chances: dict[str, float], outcome: Outcome, effects: int) -> None:
     async def work() -> None:
         broker = Broker(Faults(chances))
-        async with publishing(broker) as out:
-            got = await out.attempt(attempt(seconds=0.5 if "drop" in chances else 5.0, body=b"x" * 60_000))
-            assert got.outcome is outcome and len(broker.effects) == effects
+        async with publishing(broker) as publisher:
+            result = await publisher.attempt(
+                attempt(seconds=0.5 if "drop" in chances else 5.0, body=b"x" * 60_000)
+            )
+            assert result.outcome is outcome and len(broker.effects) == effects
             if effects:
-                assert not got.outcome.proves_no_effect
+                assert not result.outcome.proves_no_effect
             if outcome is Outcome.OK:
-                assert got.is_finished and broker.effects == [("m1", "km1")]
+                assert result.is_finished and broker.effects == [("m1", "km1")]
                 message = broker.queues["q"].waiting[0]
                 assert message.properties.delivery_mode == 2 and message.body == b"x" * 60_000
                 assert 0 < int(message.properties.expiration or "0") <= 5000
@@ -80,75 +84,75 @@
     run(work())
 
 
-def test_what_is_not_there_or_says_nothing_could_not_be_reached() -> None:
+def test_missing_silent_and_refusing_brokers_give_connect_failed() -> None:
     async def work() -> None:
-        out = BrokerPublisher(part(9), random.Random(1))
-        assert (await out.attempt(attempt())).outcome is Outcome.CONNECT_FAILED
-        begun = asyncio.get_running_loop().time()
-        assert (await out.attempt(attempt())).outcome is Outcome.CONNECT_FAILED  # it is not tried again yet
-        assert asyncio.get_running_loop().time() - begun < 0.1
+        publisher = BrokerPublisher(amqp_settings(9), random.Random(1))
+        assert (await publisher.attempt(attempt())).outcome is Outcome.CONNECT_FAILED
+        started_at = asyncio.get_running_loop().time()
+        assert (await publisher.attempt(attempt())).outcome is Outcome.CONNECT_FAILED  # during the backoff
+        assert asyncio.get_running_loop().time() - started_at < 0.1
         mute = Broker()
         mute.mute = True
-        async with publishing(mute) as out:
-            assert (await out.attempt(attempt(seconds=0.3))).outcome is Outcome.CONNECT_FAILED
+        async with publishing(mute) as publisher:
+            assert (await publisher.attempt(attempt(seconds=0.3))).outcome is Outcome.CONNECT_FAILED
         broker = Broker(user="other")
-        async with publishing(broker) as out:
-            assert (await out.attempt(attempt())).outcome is Outcome.CONNECT_FAILED
-        async with publishing(Broker()) as out:
-            assert (await out.attempt(attempt(may=False))).outcome is Outcome.NOT_SENT
+        async with publishing(broker) as publisher:
+            assert (await publisher.attempt(attempt())).outcome is Outcome.CONNECT_FAILED
+        async with publishing(Broker()) as publisher:
+            assert (await publisher.attempt(attempt(may_write=False))).outcome is Outcome.NOT_SENT
 
     run(work())
 
 
-def test_a_blocked_broker_is_waited_for_and_a_closed_channel_costs_the_others_nothing() -> None:
+def test_blocked_broker_gives_a_retry_delay_and_a_closed_channel_is_replaced() -> None:
     async def work() -> None:
         broker = Broker()
-        async with publishing(broker) as out:
-            assert (await out.attempt(attempt("a"))).outcome is Outcome.OK
+        async with publishing(broker) as publisher:
+            assert (await publisher.attempt(attempt("a"))).outcome is Outcome.OK
             broker.do("block", {})
-            link = out.brokers["b"].link
-            assert link is not None
-            await until(lambda: link.blocked)
-            got = await out.attempt(attempt("b"))
-            assert got.outcome is Outcome.FULL and got.retry_after_ms == 1000.0
+            connection = publisher.brokers["b"].connection
+            assert connection is not None
+            await until(lambda: connection.blocked)
+            result = await publisher.attempt(attempt("b"))
+            assert result.outcome is Outcome.FULL and result.retry_after_ms == 1000.0
             broker.do("unblock", {})
-            await until(lambda: not link.blocked)
+            await until(lambda: not connection.blocked)
             broker.faults.chances = {"close-before": 1.0}
-            assert (await out.attempt(attempt("c"))).outcome is Outcome.RESET
+            assert (await publisher.attempt(attempt("c"))).outcome is Outcome.RESET
             broker.faults.chances = {}
-            await until(link.may_publish)
-            assert (await out.attempt(attempt("d"))).outcome is Outcome.OK and out.brokers["b"].link is link
+            await until(connection.may_publish)
+            assert (await publisher.attempt(attempt("d"))).outcome is Outcome.OK and publisher.brokers[
+                "b"
+            ].connection is connection
 
     run(work())
 
 
-def test_a_confirm_that_comes_late_is_kept_count_of_and_a_broker_that_never_confirms_gets_a_new_channel() -> (
-    None
-):
+def test_late_confirms_are_counted_and_a_channel_without_confirms_is_replaced() -> None:
     async def work() -> None:
         broker = Broker(Faults({"stall": 1.0}, stall_ms=300.0))
-        async with publishing(broker) as out:
-            assert (await out.attempt(attempt(seconds=0.15))).outcome is Outcome.TIMEOUT
-            await until(lambda: out.brokers["b"].late == 1)
+        async with publishing(broker) as publisher:
+            assert (await publisher.attempt(attempt(seconds=0.15))).outcome is Outcome.TIMEOUT
+            await until(lambda: publisher.brokers["b"].late_confirms == 1)
             broker.faults.chances = {"drop": 1.0}
-            got = await asyncio.gather(*(out.attempt(attempt(f"d{n}", 0.3)) for n in range(300)))
-            assert {each.outcome for each in got} <= {Outcome.TIMEOUT, Outcome.CONNECT_FAILED}
+            results = await asyncio.gather(*(publisher.attempt(attempt(f"d{n}", 0.3)) for n in range(300)))
+            assert {result.outcome for result in results} <= {Outcome.TIMEOUT, Outcome.CONNECT_FAILED}
             broker.faults.chances = {}
-            link = out.brokers["b"].link
-            assert link is not None
-            await until(link.may_publish)
-            assert (await out.attempt(attempt("z"))).outcome is Outcome.OK
-            assert sum(link.machine.given_up(n) for n in link.machine.channels) == 0
+            connection = publisher.brokers["b"].connection
+            assert connection is not None
+            await until(connection.may_publish)
+            assert (await publisher.attempt(attempt("z"))).outcome is Outcome.OK
+            assert sum(connection.machine.given_up(n) for n in connection.machine.channels) == 0
 
     run(work())
 
 
-def test_silence_ends_a_connection_by_its_heartbeats() -> None:
+def test_missing_heartbeats_end_a_connection() -> None:
     async def work() -> None:
         broker = Broker(Faults({"drop": 1.0}), heartbeat_s=1)
         broker.beats = False
-        async with publishing(broker, heartbeat_s=1) as out:
-            assert (await out.attempt(attempt(seconds=10.0))).outcome is Outcome.RESET
+        async with publishing(broker, heartbeat_s=1) as publisher:
+            assert (await publisher.attempt(attempt(seconds=10.0))).outcome is Outcome.RESET
 
     run(work())
 
@@ -175,16 +179,16 @@
     assert policy.on_closed(400.1) <= INITIAL_DELAY_S * (1 + JITTER) < policy.on_closed(400.2) * 9
 
 
-def test_a_nack_means_what_the_operator_says() -> None:
-    from message_relay.amqp.protocol import Fate
+def test_outcome_of_a_nack_follows_the_setting() -> None:
+    from message_relay.amqp.protocol import PublishStatus
 
     never = EndpointSettings("a", 1, "b", "q", nack="never_ran")
-    assert answered(Fate.NACKED, never).outcome is Outcome.FULL
-    assert answered(Fate.UNWRITTEN, never).outcome is Outcome.CONNECT_FAILED
+    assert attempt_result(PublishStatus.NACKED, never).outcome is Outcome.FULL
+    assert attempt_result(PublishStatus.UNWRITTEN, never).outcome is Outcome.CONNECT_FAILED
 
 
 @pytest.mark.parametrize(
-    ("told", "text"),
+    ("section", "text"),
     [
         ({"brokers": [{"name": "b", "hosts": []}]}, "amqp.brokers[0].hosts"),
         ({"brokers": [{"name": "b", "hosts": ["nohost"]}]}, "'nohost' is not HOST:PORT"),
@@ -199,9 +203,9 @@
         ),
     ],
 )
-def test_operator_file_is_validated(told: dict[str, Any], text: str) -> None:
+def test_operator_file_is_validated(section: dict[str, Any], text: str) -> None:
     with pytest.raises(ValueError) as caught:
-        decoded({"amqp": told}, "f")
+        decoded({"amqp": section}, "f")
     assert text in str(caught.value)
 
 
@@ -210,42 +214,42 @@
     path.write_text("user\ngeheim\n")
     assert read_credentials(BrokerSettings("b", ["a:1"], credentials=str(path))) == ("user", "geheim")
     path.write_text("geheim")
-    for where in (path, tmp_path / "none"):
+    for credentials_path in (path, tmp_path / "none"):
         with pytest.raises(ValueError) as caught:
-            read_credentials(BrokerSettings("b", ["a:1"], credentials=str(where)))
-        assert "geheim" not in str(caught.value) and str(where) in str(caught.value)
+            read_credentials(BrokerSettings("b", ["a:1"], credentials=str(credentials_path)))
+        assert "geheim" not in str(caught.value) and str(credentials_path) in str(caught.value)
 
 
-# -- the whole relay through a bad broker ------------------------------------------------------------------
+# -- the whole relay through a faulty broker ---------------------------------------------------------------
 
 LEFT_MS = {"keyed": 12000, "unsafe": 12000, "safe": 8000}
 
 
 def settings() -> dict[str, Any]:
-    told: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(SETTINGS))
-    told["extra"]["call-slots"], told["limits"]["open-cap"] = 64, 400
-    told["safety"]["cold-from"], told["safety"]["cold-ms"] = (
+    relay_settings: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(SETTINGS))
+    relay_settings["extra"]["call-slots"], relay_settings["limits"]["open-cap"] = 64, 400
+    relay_settings["safety"]["cold-from"], relay_settings["safety"]["cold-ms"] = (
         1.0,
         0.0,
-    )  # a broker is as quick after a break as before
-    return told
+    )  # a broker is as fast after a lost connection as before
+    return relay_settings
 
 
-async def hand_in(relay: Running, count: int, taken: dict[str, str]) -> None:
+async def submit(relay: Running, count: int, accepted: dict[str, str]) -> None:
     rng = random.Random(5)
     for n in range(count):
         name = rng.choice(("keyed", "unsafe", "safe"))
-        offer = Submission(
+        submission = Submission(
             f"m{n}", name, "t", 7, f"k{n}", LEFT_MS[name], "", b"x" * rng.choice((10, 300, 9000)), "http"
         )
-        while not relay.messages.accept(offer).accepted:
+        while not relay.messages.accept(submission).accepted:
             await asyncio.sleep(0.02)
-        taken[offer.id] = name
+        accepted[submission.id] = name
         if n % 8 == 0:
             await asyncio.sleep(0.012)
 
 
-def test_5000_messages_through_a_broker_that_drops_stalls_refuses_and_closes(tmp_path: Path) -> None:
+def test_5000_messages_through_a_faulty_broker_keep_all_guarantees(tmp_path: Path) -> None:
     async def work() -> None:
         chances = {
             "drop": 0.01,
@@ -259,7 +263,7 @@
             "half": 0.0005,
             "wrong": 0.0005,
         }
-        broker, taken = Broker(Faults(chances, 150.0, random.Random(9))), dict[str, str]()
+        broker, accepted = Broker(Faults(chances, 150.0, random.Random(9))), dict[str, str]()
         broker.declare("q")
         agent = await Agent().start()
         (tmp_path / "state").mkdir()
@@ -267,30 +271,38 @@
             relay = host_of(
                 tmp_path / "state",
                 agent,
-                amqp=part(port),
+                amqp=amqp_settings(port),
                 settings=settings(),
                 limits={"sockets": 256, "disk_mb": 20},
             )
             await relay.start()
             await until(lambda: 7 in relay.dests)
-            await hand_in(relay, 5000, taken)
+            await submit(relay, 5000, accepted)
             await until(lambda: not relay.held and relay.host.is_idle)
             await relay.close()
-        ends: dict[str, set[str]] = {}
+        outcomes: dict[str, set[str]] = {}
         while not agent.notices.empty():
-            told = agent.notices.get_nowait()
-            ends.setdefault(told["id"], set()).add(told["state"])
-        effects = Counter(ident for ident, _ in broker.effects)
-        assert len(taken) == 5000
-        assert all(len(states) == 1 for states in ends.values())
-        assert not [ident for ident in taken if ident not in ends and ident not in effects], "without an end"
-        assert not [ident for ident, name in taken.items() if name == "unsafe" and effects[ident] > 1]
+            notice = agent.notices.get_nowait()
+            outcomes.setdefault(notice["id"], set()).add(notice["state"])
+        effects = Counter(message_id for message_id, _ in broker.effects)
+        assert len(accepted) == 5000
+        assert all(len(states) == 1 for states in outcomes.values())
+        assert not [
+            message_id for message_id in accepted if message_id not in outcomes and message_id not in effects
+        ], "without a final outcome"
+        assert not [
+            message_id
+            for message_id, name in accepted.items()
+            if name == "unsafe" and effects[message_id] > 1
+        ]
         assert not [
-            ident
-            for ident, states in ends.items()
-            if taken[ident] == "unsafe" and "returned" in states and effects[ident]
+            message_id
+            for message_id, states in outcomes.items()
+            if accepted[message_id] == "unsafe" and "returned" in states and effects[message_id]
         ]
-        delivered = len(taken) - len(ends)  # a slow machine delivers fewer: no rule, but not few
-        assert delivered > 2500 and max(effects.values()) > 1  # a safe one may come twice, and here some do
+        delivered = len(accepted) - len(outcomes)  # a slow machine delivers fewer, but not this few
+        assert (
+            delivered > 2500 and max(effects.values()) > 1
+        )  # a safe one may be delivered twice, and here some are
 
     run(work())
--- a/tests/amqp/test_kills.py
+++ b/tests/amqp/test_kills.py
@@ -1,4 +1,4 @@
-"""The real process, killed while work comes in by one broker and leaves by another that misbehaves."""
+"""Kills the real relay process while it consumes from one broker and publishes to another with faults."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from benchmarks.amqp import kills
 
 
-def test_killed_in_the_midst_nothing_is_lost_and_no_payment_made_twice() -> None:
-    found = asyncio.run(kills(400, 2, 3))
-    assert found["took effect"] + found["answered"] >= 400
+def test_kill_loses_no_message_and_repeats_no_unsafe_one() -> None:
+    report = asyncio.run(kills(400, 2, 3))
+    assert report["took effect"] + report["answered"] >= 400
     for name in ("without an end", "told two ends", "unsafe twice", "unsafe returned, and ran"):
-        assert found[name] == 0, found
+        assert report[name] == 0, report
--- a/tests/amqp/test_machine.py
+++ b/tests/amqp/test_machine.py
@@ -1,4 +1,4 @@
-"""The connection's machine, without a socket: what each odd frame proves of what is out, and no more."""
+"""The connection's state machine without a socket: which status each frame gives unconfirmed publishes."""
 
 from __future__ import annotations
 
@@ -10,43 +10,61 @@
 from hypothesis import strategies as st
 from pamqp import base, body, commands, frame, header
 
-from message_relay.amqp import protocol as m
+from message_relay.amqp import protocol
 from message_relay.amqp.frames import FrameError, FrameReader
-from message_relay.amqp.protocol import ConnectionProtocol, Fate, Login, State
-
-from .peer import START, Properties, content, feed, opened, raw, ready, tune
+from message_relay.amqp.protocol import ConnectionProtocol, Login, PublishStatus, State
+
+from .peer import (
+    START,
+    Properties,
+    connection_with_channel,
+    encode_content,
+    encode_method,
+    feed,
+    opened_connection,
+    tune,
+)
 
 Ack, Nack = commands.Basic.Ack, commands.Basic.Nack
-Made = Callable[[int], bytes]
+EncodedFrame = Callable[[int], bytes]
 
 
-def publish(machine: ConnectionProtocol, ident: str, size: int = 10, write: bool = True) -> m.Publish:
-    out = machine.publish(1, ident, "", "q", b"x" * size, Properties(message_id=ident))
+def publish(
+    machine: ConnectionProtocol, message_id: str, size: int = 10, write: bool = True
+) -> protocol.Publish:
+    publish_ = machine.publish(1, message_id, "", "q", b"x" * size, Properties(message_id=message_id))
     if write:
-        machine.wrote(len(machine.take(0.0)))
-    return out
+        machine.mark_written(len(machine.data_to_send(0.0)))
+    return publish_
 
 
-def fates(events: list[m.Event]) -> dict[str, Fate]:
-    return {each.publish.ident: each.publish.fate for each in events if isinstance(each, m.Settled)}
+def statuses(events: list[protocol.Event]) -> dict[str, PublishStatus]:
+    return {
+        event.publish.message_id: event.publish.status
+        for event in events
+        if isinstance(event, protocol.PublishSettled)
+    }
 
 
-def test_it_opens_with_the_lower_of_both_limits() -> None:
+def test_opening_negotiates_the_lower_of_both_limits() -> None:
     machine = ConnectionProtocol(Login(heartbeat_s=20), 0.0)
-    assert machine.take(0.0) == b"AMQP\x00\x00\x09\x01"
-    events = feed(machine, START + tune(8192, 7, 5) + raw(commands.Connection.OpenOk()))
-    assert events == [m.Opened(7.0, 8192)] and machine.state is State.OPEN and machine.channel_max == 5
+    assert machine.data_to_send(0.0) == b"AMQP\x00\x00\x09\x01"
+    events = feed(machine, START + tune(8192, 7, 5) + encode_method(commands.Connection.OpenOk()))
+    assert events == [protocol.Opened(7.0, 8192)] and machine.state is State.OPEN and machine.channel_max == 5
     for _ in range(5):
         machine.open_channel()
-    with pytest.raises(m.ProtocolUsageError, match="all 5 channels"):
+    with pytest.raises(protocol.ProtocolUsageError, match="all 5 channels"):
         machine.open_channel()
 
 
 @pytest.mark.parametrize(
     ("data", "text"),
     [
-        (raw(commands.Connection.Start(0, 8, {}, "PLAIN", "en_US")), "speaks 0-8"),
-        (raw(commands.Connection.Start(0, 9, {}, "GSSAPI", "en_US")), "offers GSSAPI, and not PLAIN"),
+        (encode_method(commands.Connection.Start(0, 8, {}, "PLAIN", "en_US")), "speaks 0-8"),
+        (
+            encode_method(commands.Connection.Start(0, 9, {}, "GSSAPI", "en_US")),
+            "offers GSSAPI, and not PLAIN",
+        ),
         (b"AMQP\x00\x01\x00\x00", "speaks AMQP 0-1-0-0"),
         (b"HTTP/1.1 400 Bad\r\n\r\n", "72 is no type of frame"),
         (START + tune(1024), "frames of 1024 bytes"),
@@ -55,167 +73,210 @@
         (START[:-1] + b"\x00", "ends with octet 0"),
         (b"\x01\x00\x00\x00\x00\x00\x04\x00\x63\x00\x63\xce", "cannot be read"),
         (
-            START + tune() + raw(commands.Connection.OpenOk()) + raw(commands.Channel.OpenOk(), 9),
+            START
+            + tune()
+            + encode_method(commands.Connection.OpenOk())
+            + encode_method(commands.Channel.OpenOk(), 9),
             "channel 9 is not open",
         ),
     ],
 )
-def test_nonsense_breaks_the_connection_and_says_why(data: bytes, text: str) -> None:
+def test_invalid_data_breaks_the_connection_with_a_reason(data: bytes, text: str) -> None:
     machine = ConnectionProtocol(Login(), 0.0)
     events = feed(machine, data)
-    assert isinstance(events[-1], m.Ended) and text in events[-1].why and machine.state is State.BROKEN
-    assert feed(machine, START) == [] and machine.due() is None
+    assert (
+        isinstance(events[-1], protocol.ConnectionClosed)
+        and text in events[-1].reason
+        and machine.state is State.BROKEN
+    )
+    assert feed(machine, START) == [] and machine.next_tick_at() is None
 
 
-def test_confirms_single_multiple_out_of_order_and_twice() -> None:
-    machine = ready()
+def test_confirms_are_handled_single_multiple_out_of_order_and_repeated() -> None:
+    machine = connection_with_channel()
     for n in range(1, 8):
         publish(machine, f"m{n}")
-    assert fates(feed(machine, raw(Ack(3, False), 1))) == {"m3": Fate.ACKED}
-    assert fates(feed(machine, raw(Nack(2, True, False), 1))) == {"m1": Fate.NACKED, "m2": Fate.NACKED}
-    assert fates(feed(machine, raw(Ack(3, False), 1))) == {} and machine.odd == 1
-    assert fates(feed(machine, raw(Ack(5, True), 1))) == {"m4": Fate.ACKED, "m5": Fate.ACKED}
-    assert fates(feed(machine, raw(Ack(0, True), 1))) == {"m6": Fate.ACKED, "m7": Fate.ACKED}
-    assert machine.out == 0 and machine.state is State.OPEN
+    assert statuses(feed(machine, encode_method(Ack(3, False), 1))) == {"m3": PublishStatus.ACKED}
+    assert statuses(feed(machine, encode_method(Nack(2, True, False), 1))) == {
+        "m1": PublishStatus.NACKED,
+        "m2": PublishStatus.NACKED,
+    }
+    assert statuses(feed(machine, encode_method(Ack(3, False), 1))) == {} and machine.ignored_confirms == 1
+    assert statuses(feed(machine, encode_method(Ack(5, True), 1))) == {
+        "m4": PublishStatus.ACKED,
+        "m5": PublishStatus.ACKED,
+    }
+    assert statuses(feed(machine, encode_method(Ack(0, True), 1))) == {
+        "m6": PublishStatus.ACKED,
+        "m7": PublishStatus.ACKED,
+    }
+    assert machine.unconfirmed == 0 and machine.state is State.OPEN
 
 
 @pytest.mark.parametrize("confirm", [Ack(2, False), Ack(9, True), Nack(2, False), Ack(0, False)])
-def test_a_confirm_for_a_tag_never_used_breaks_the_connection_and_confirms_nothing(
+def test_confirm_of_an_unused_tag_breaks_the_connection_and_confirms_nothing(
     confirm: base.Frame,
 ) -> None:
-    machine = ready()
+    machine = connection_with_channel()
     publish(machine, "m1")
-    events = feed(machine, raw(confirm, 1))
-    assert fates(events) == {"m1": Fate.LOST} and machine.state is State.BROKEN
+    events = feed(machine, encode_method(confirm, 1))
+    assert statuses(events) == {"m1": PublishStatus.LOST} and machine.state is State.BROKEN
 
 
-def test_a_multiple_ack_that_covers_one_given_up_tells_it_late() -> None:
-    machine = ready()
+def test_multiple_ack_reports_a_given_up_publish_as_late() -> None:
+    machine = connection_with_channel()
     first, second = publish(machine, "m1"), publish(machine, "m2")
     machine.give_up(first)
-    assert machine.out == 1
-    events = feed(machine, raw(Ack(2, True), 1))
-    assert events == [m.Settled(first, True), m.Settled(second, False)]
+    assert machine.unconfirmed == 1
+    events = feed(machine, encode_method(Ack(2, True), 1))
+    assert events == [protocol.PublishSettled(first, True), protocol.PublishSettled(second, False)]
 
 
-def test_a_return_proves_it_and_the_ack_after_it_is_only_booked() -> None:
-    machine = ready()
-    one = publish(machine, "m1", 200)
+def test_return_settles_a_publish_and_the_ack_after_it_only_removes_the_tag() -> None:
+    machine = connection_with_channel()
+    first = publish(machine, "m1", 200)
     publish(machine, "m2")
-    back = content(commands.Basic.Return(312, "NO_ROUTE", "", "q"), b"x" * 200, ident="m1")
-    events = feed(machine, back[:60]) + feed(machine, back[60:])
-    assert fates(events) == {"m1": Fate.RETURNED} and one.why == "312 NO_ROUTE"
-    assert fates(feed(machine, raw(Ack(2, True), 1))) == {"m2": Fate.ACKED}
-    assert fates(feed(machine, content(commands.Basic.Return(312, "X", "", "q"), b"", ident="m9"))) == {}
-    assert machine.odd == 1 and machine.out == 0
+    returned_frames = encode_content(
+        commands.Basic.Return(312, "NO_ROUTE", "", "q"), b"x" * 200, message_id="m1"
+    )
+    events = feed(machine, returned_frames[:60]) + feed(machine, returned_frames[60:])
+    assert statuses(events) == {"m1": PublishStatus.RETURNED} and first.reason == "312 NO_ROUTE"
+    assert statuses(feed(machine, encode_method(Ack(2, True), 1))) == {"m2": PublishStatus.ACKED}
+    assert (
+        statuses(
+            feed(machine, encode_content(commands.Basic.Return(312, "X", "", "q"), b"", message_id="m9"))
+        )
+        == {}
+    )
+    assert machine.ignored_confirms == 1 and machine.unconfirmed == 0
 
 
-def test_a_return_before_the_connection_breaks_still_proves_it() -> None:
-    machine = ready()
+def test_return_before_a_lost_connection_settles_the_publish() -> None:
+    machine = connection_with_channel()
     publish(machine, "m1")
-    events = feed(machine, content(commands.Basic.Return(313, "X", "", "q"), b"", ident="m1"))
-    assert fates(events + machine.lost("cut")) == {"m1": Fate.RETURNED}
+    events = feed(machine, encode_content(commands.Basic.Return(313, "X", "", "q"), b"", message_id="m1"))
+    assert statuses(events + machine.stream_closed("cut")) == {"m1": PublishStatus.RETURNED}
 
 
 @pytest.mark.parametrize("missing", [1, 50, 4096, 9000])
-def test_a_publish_whose_last_byte_was_not_handed_over_has_not_run(missing: int) -> None:
-    """Its body is in three frames; the break comes somewhere in it, or after all of it."""
-    machine = ready(frame_max=4096)
+def test_publish_is_unwritten_if_its_last_byte_was_not_written(missing: int) -> None:
+    """The body takes three frames; the connection is lost within the content, or after all of it."""
+    machine = connection_with_channel(frame_max=4096)
     publish(machine, "m1")
     publish(machine, "m2", 10_000, write=False)
-    data = machine.take(0.0)
+    data = machine.data_to_send(0.0)
     assert data.count(b"\xce") >= 5
-    machine.wrote(len(data) - missing)
-    assert fates(machine.lost("cut")) == {"m1": Fate.LOST, "m2": Fate.UNWRITTEN}
-    whole = ready(frame_max=4096)
-    publish(whole, "m3", 10_000)
-    assert fates(whole.lost("cut")) == {"m3": Fate.LOST}
+    machine.mark_written(len(data) - missing)
+    assert statuses(machine.stream_closed("cut")) == {"m1": PublishStatus.LOST, "m2": PublishStatus.UNWRITTEN}
+    fully_written = connection_with_channel(frame_max=4096)
+    publish(fully_written, "m3", 10_000)
+    assert statuses(fully_written.stream_closed("cut")) == {"m3": PublishStatus.LOST}
 
 
-def test_a_channel_closed_by_the_broker_loses_what_is_out_on_it_and_no_more() -> None:
-    machine = ready()
+def test_channel_close_by_the_broker_loses_only_the_publishes_of_that_channel() -> None:
+    machine = connection_with_channel()
     assert machine.open_channel() == 2
-    feed(machine, raw(commands.Channel.OpenOk(), 2) + raw(commands.Confirm.SelectOk(), 2))
+    feed(machine, encode_method(commands.Channel.OpenOk(), 2) + encode_method(commands.Confirm.SelectOk(), 2))
     publish(machine, "m1")
     other = machine.publish(2, "o1", "", "q", b"", Properties(message_id="o1"))
-    machine.wrote(len(machine.take(0.0)))
-    events = feed(machine, raw(commands.Channel.Close(404, "NOT_FOUND", 60, 40), 1))
-    assert fates(events) == {"m1": Fate.LOST} and events[-1] == m.ChannelClosed(1, 404, "NOT_FOUND")
-    assert fates(feed(machine, raw(Ack(1, False), 2))) == {"o1": Fate.ACKED} and other.fate is Fate.ACKED
+    machine.mark_written(len(machine.data_to_send(0.0)))
+    events = feed(machine, encode_method(commands.Channel.Close(404, "NOT_FOUND", 60, 40), 1))
+    assert statuses(events) == {"m1": PublishStatus.LOST} and events[-1] == protocol.ChannelClosed(
+        1, 404, "NOT_FOUND"
+    )
+    assert (
+        statuses(feed(machine, encode_method(Ack(1, False), 2))) == {"o1": PublishStatus.ACKED}
+        and other.status is PublishStatus.ACKED
+    )
     assert machine.open_channel() == 1 and machine.state is State.OPEN
 
 
-def test_we_close_a_channel_and_pass_over_what_was_under_way() -> None:
-    machine = ready()
+def test_frames_of_a_closing_channel_are_ignored() -> None:
+    machine = connection_with_channel()
     publish(machine, "m1")
     machine.close_channel(1)
-    assert fates(feed(machine, raw(Ack(1, False), 1) + raw(commands.Channel.CloseOk(), 1))) == {
-        "m1": Fate.LOST
-    }
+    assert statuses(
+        feed(machine, encode_method(Ack(1, False), 1) + encode_method(commands.Channel.CloseOk(), 1))
+    ) == {"m1": PublishStatus.LOST}
     assert machine.channels == {} and machine.state is State.OPEN
 
 
-def test_an_orderly_close() -> None:
-    machine = ready()
+def test_orderly_close() -> None:
+    machine = connection_with_channel()
     machine.close()
     machine.close()
-    events = feed(machine, raw(Ack(1, False), 1) + raw(commands.Connection.CloseOk()))
-    assert events == [m.Ended("closed", 0, True)] and machine.state is State.CLOSED
+    events = feed(machine, encode_method(Ack(1, False), 1) + encode_method(commands.Connection.CloseOk()))
+    assert events == [protocol.ConnectionClosed("closed", 0, True)] and machine.state is State.CLOSED
 
 
-def test_a_close_by_the_broker_is_answered_and_tells_what_is_lost() -> None:
-    machine = ready()
+def test_connection_close_by_the_broker_is_answered_and_settles_publishes_as_lost() -> None:
+    machine = connection_with_channel()
     publish(machine, "m1")
-    events = machine.received(raw(commands.Connection.Close(320, "CONNECTION_FORCED", 0, 0)), 1.0)
-    assert fates(events) == {"m1": Fate.LOST}
-    assert events[-1] == m.Ended("closed by the broker: CONNECTION_FORCED", 320)
-    assert machine.take(1.0) == raw(commands.Connection.CloseOk())
+    events = machine.receive_data(
+        encode_method(commands.Connection.Close(320, "CONNECTION_FORCED", 0, 0)), 1.0
+    )
+    assert statuses(events) == {"m1": PublishStatus.LOST}
+    assert events[-1] == protocol.ConnectionClosed("closed by the broker: CONNECTION_FORCED", 320)
+    assert machine.data_to_send(1.0) == encode_method(commands.Connection.CloseOk())
 
 
-def test_blocked_flow_and_too_many_out_forbid_a_publish() -> None:
-    machine = ready()
-    feed(machine, raw(commands.Connection.Blocked("disk")))
+def test_publish_is_forbidden_if_blocked_under_flow_control_or_with_too_many_unconfirmed() -> None:
+    machine = connection_with_channel()
+    feed(machine, encode_method(commands.Connection.Blocked("disk")))
     assert not machine.may_publish(1)
-    with pytest.raises(m.ProtocolUsageError, match="takes no publish now"):
+    with pytest.raises(protocol.ProtocolUsageError, match="does not accept a publish now"):
         publish(machine, "m1")
-    assert feed(machine, raw(commands.Connection.Unblocked())) == [m.Blocked(False)] and machine.may_publish(
-        1
-    )
-    assert feed(machine, raw(commands.Channel.Flow(False), 1)) == [m.Flow(1, False)]
+    assert feed(machine, encode_method(commands.Connection.Unblocked())) == [
+        protocol.Blocked(False)
+    ] and machine.may_publish(1)
+    assert feed(machine, encode_method(commands.Channel.Flow(False), 1)) == [protocol.Flow(1, False)]
     assert not machine.may_publish(1)
-    feed(machine, raw(commands.Channel.Flow(True), 1))
-    for n in range(m.OUT_MOST):
+    feed(machine, encode_method(commands.Channel.Flow(True), 1))
+    for n in range(protocol.MAX_UNCONFIRMED):
         publish(machine, f"m{n}")
     assert not machine.may_publish(1)
 
 
-def test_heartbeats_go_out_and_silence_ends_it_though_a_confirm_was_on_its_way() -> None:
-    machine = ready(heartbeat=4)
+def test_heartbeats_are_sent_and_silence_ends_a_connection_with_an_unconfirmed_publish() -> None:
+    machine = connection_with_channel(heartbeat=4)
     publish(machine, "m1")
-    assert machine.due() == 2.0 and machine.tick(1.9) == [] and not machine.outgoing
-    assert machine.tick(2.0) == [] and machine.take(2.0) == b"\x08\x00\x00\x00\x00\x00\x00\xce"
+    assert machine.next_tick_at() == 2.0 and machine.tick(1.9) == [] and not machine.outgoing
+    assert machine.tick(2.0) == [] and machine.data_to_send(2.0) == b"\x08\x00\x00\x00\x00\x00\x00\xce"
     feed(machine, b"\x08\x00\x00\x00\x00\x00\x00\xce", 3.0)
     events = machine.tick(11.0)
-    assert fates(events) == {"m1": Fate.LOST} and "nothing came for 8.0 s" in events[-1].why  # type: ignore
+    assert (
+        statuses(events) == {"m1": PublishStatus.LOST}
+        and "nothing was received for 8.0 s" in events[-1].reason  # type: ignore
+    )
 
 
-def test_deliveries_come_whole_and_a_long_one_is_skipped_and_told() -> None:
-    machine = ready(prefetch=5, frame_max=4096)
+def test_deliveries_are_assembled_and_too_long_ones_skipped_and_reported() -> None:
+    machine = connection_with_channel(prefetch=5, frame_max=4096)
     machine.consume(1, "in", "c")
-    head = commands.Basic.Deliver("c", 1, True, "", "in")
-    events = feed(machine, raw(commands.Basic.ConsumeOk("c"), 1) + content(head, b"hello", ident="a"))
-    assert events[0] == m.Consuming(1, "c")
-    got = events[1]
-    assert isinstance(got, m.Delivered) and got.body == b"hello" and got.redelivered and not got.too_long
-    assert got.properties.message_id == "a"
+    deliver = commands.Basic.Deliver("c", 1, True, "", "in")
+    events = feed(
+        machine,
+        encode_method(commands.Basic.ConsumeOk("c"), 1) + encode_content(deliver, b"hello", message_id="a"),
+    )
+    assert events[0] == protocol.ConsumerStarted(1, "c")
+    delivery = events[1]
+    assert (
+        isinstance(delivery, protocol.Delivered)
+        and delivery.body == b"hello"
+        and delivery.redelivered
+        and not delivery.skipped_bytes
+    )
+    assert delivery.properties.message_id == "a"
     size = 300_000
-    parts = raw(commands.Basic.Deliver("c", 2, False, "", "in"), 1)
+    parts = encode_method(commands.Basic.Deliver("c", 2, False, "", "in"), 1)
     parts += frame.marshal(header.ContentHeader(0, size, Properties()), 1)
     for _ in range(size // 4000):
         parts += frame.marshal(body.ContentBody(b"x" * 4000), 1)
-    (long,) = feed(machine, parts)
-    assert isinstance(long, m.Delivered) and long.too_long == size and long.body == b""
-    assert feed(machine, raw(commands.Basic.Cancel("c", True), 1)) == [m.Cancelled(1, "c")]
+    (skipped,) = feed(machine, parts)
+    assert isinstance(skipped, protocol.Delivered) and skipped.skipped_bytes == size and skipped.body == b""
+    assert feed(machine, encode_method(commands.Basic.Cancel("c", True), 1)) == [
+        protocol.ConsumerCancelled(1, "c")
+    ]
     machine.reject(1, 2, False)
     machine.ack(1, 1)
 
@@ -223,18 +284,18 @@
 @pytest.mark.parametrize(
     "data",
     [
-        content(commands.Basic.Deliver("c", 1, False, "", "q"), b"abc") * 1
-        + content(commands.Basic.Deliver("c", 2, False, "", "q"), b"abc")[-11:],
-        raw(commands.Basic.Deliver("c", 1, False, "", "q"), 1) * 2,
-        content(commands.Basic.Deliver("c", 1, False, "", "q"), b"")[
-            len(raw(commands.Basic.Deliver("c", 1, False, "", "q"), 1)) :
+        encode_content(commands.Basic.Deliver("c", 1, False, "", "q"), b"abc") * 1
+        + encode_content(commands.Basic.Deliver("c", 2, False, "", "q"), b"abc")[-11:],
+        encode_method(commands.Basic.Deliver("c", 1, False, "", "q"), 1) * 2,
+        encode_content(commands.Basic.Deliver("c", 1, False, "", "q"), b"")[
+            len(encode_method(commands.Basic.Deliver("c", 1, False, "", "q"), 1)) :
         ],
-        raw(commands.Queue.DeclareOk("q", 0, 0), 1),
-        raw(Ack(1, False), 1),
+        encode_method(commands.Queue.DeclareOk("q", 0, 0), 1),
+        encode_method(Ack(1, False), 1),
     ],
 )
-def test_content_out_of_its_order_and_methods_that_were_not_asked_for_break_it(data: bytes) -> None:
-    machine = ready(prefetch=2)
+def test_content_out_of_order_and_unexpected_methods_break_the_connection(data: bytes) -> None:
+    machine = connection_with_channel(prefetch=2)
     feed(machine, data)
     assert machine.state is State.BROKEN
 
@@ -248,134 +309,142 @@
         reader.next_frame()
 
 
-# -- chance ------------------------------------------------------------------------------------------------
-
-OK: dict[str, Made] = {
-    "ack": lambda n: raw(Ack(n, False), 1),
-    "acks": lambda n: raw(Ack(n, True), 1),
-    "nack": lambda n: raw(Nack(n, False, False), 1),
-    "nacks": lambda n: raw(Nack(n, True, False), 1),
-    "return": lambda n: content(commands.Basic.Return(312, "X", "", "q"), b"abc", ident=f"m{n}"),
-    "close": lambda n: raw(commands.Channel.Close(404, "X", 0, 0), 1),
-    "end": lambda n: raw(commands.Connection.Close(320, "X", 0, 0)),
-    "flow": lambda n: raw(commands.Channel.Flow(bool(n % 2)), 1),
-    "block": lambda n: raw(commands.Connection.Blocked("x") if n % 2 else commands.Connection.Unblocked()),
+# -- random ------------------------------------------------------------------------------------------------
+
+BROKER_FRAMES: dict[str, EncodedFrame] = {
+    "ack": lambda n: encode_method(Ack(n, False), 1),
+    "acks": lambda n: encode_method(Ack(n, True), 1),
+    "nack": lambda n: encode_method(Nack(n, False, False), 1),
+    "nacks": lambda n: encode_method(Nack(n, True, False), 1),
+    "return": lambda n: encode_content(commands.Basic.Return(312, "X", "", "q"), b"abc", message_id=f"m{n}"),
+    "close": lambda n: encode_method(commands.Channel.Close(404, "X", 0, 0), 1),
+    "end": lambda n: encode_method(commands.Connection.Close(320, "X", 0, 0)),
+    "flow": lambda n: encode_method(commands.Channel.Flow(bool(n % 2)), 1),
+    "block": lambda n: encode_method(
+        commands.Connection.Blocked("x") if n % 2 else commands.Connection.Unblocked()
+    ),
     "beat": lambda n: b"\x08\x00\x00\x00\x00\x00\x00\xce",
 }
 
 
 @settings(max_examples=300)
 @given(
-    st.lists(st.tuples(st.sampled_from(["publish", "give up", "cut", *OK]), st.integers(0, 12)), max_size=40)
+    st.lists(
+        st.tuples(st.sampled_from(["publish", "give up", "cut", *BROKER_FRAMES]), st.integers(0, 12)),
+        max_size=40,
+    )
 )
-def test_every_publish_has_one_fate_and_none_that_was_not_seen(steps: list[tuple[str, int]]) -> None:
-    """Against an oracle that is plain: sets of tags."""
-    machine, sent = ready(), list[m.Publish]()
-    told: dict[str, Fate] = {}
+def test_each_publish_is_settled_once_with_a_status_that_was_received(steps: list[tuple[str, int]]) -> None:
+    """Compares with a simple oracle: sets of tags."""
+    machine, publishes = connection_with_channel(), list[protocol.Publish]()
+    reported: dict[str, PublishStatus] = {}
     acked, nacked, returned = set[int](), set[int](), set[int]()
     for step, n in steps:
-        events: list[m.Event] = []
-        open_ = {each.tag for each in sent if each.fate is Fate.OUT}
+        events: list[protocol.Event] = []
+        open_tags = {sent.tag for sent in publishes if sent.status is PublishStatus.OUT}
         if step == "publish":
             if machine.may_publish(1):
-                sent.append(publish(machine, f"m{len(sent) + 1}"))
-        elif step == "give up" and sent:
-            machine.give_up(sent[n % len(sent)])
+                publishes.append(publish(machine, f"m{len(publishes) + 1}"))
+        elif step == "give up" and publishes:
+            machine.give_up(publishes[n % len(publishes)])
         elif step == "cut":
-            events = machine.lost("cut")
-        elif step in OK:
-            if machine.state is State.OPEN and 1 in machine.channels and 1 <= n <= len(sent):
-                covers = {each for each in open_ if each == n or (step.endswith("s") and each <= n)}
-                acked |= covers if step.startswith("ack") else set()
-                nacked |= covers if step.startswith("nack") else set()
-                returned |= {n} & open_ if step == "return" else set()
-            events = feed(machine, OK[step](n))
+            events = machine.stream_closed("cut")
+        elif step in BROKER_FRAMES:
+            if machine.state is State.OPEN and 1 in machine.channels and 1 <= n <= len(publishes):
+                covered = {tag for tag in open_tags if tag == n or (step.endswith("s") and tag <= n)}
+                acked |= covered if step.startswith("ack") else set()
+                nacked |= covered if step.startswith("nack") else set()
+                returned |= {n} & open_tags if step == "return" else set()
+            events = feed(machine, BROKER_FRAMES[step](n))
         for event in events:
-            if isinstance(event, m.Settled):
-                assert event.publish.ident not in told, "two fates"
-                told[event.publish.ident] = event.publish.fate
-    for each in sent:
-        if each.fate is Fate.ACKED:
-            assert each.tag in acked
-        elif each.fate is Fate.NACKED:
-            assert each.tag in nacked
-        elif each.fate is Fate.RETURNED:
-            assert each.tag in returned
-        assert each.fate is not Fate.UNWRITTEN, "all of it had been handed over"
-        assert (each.fate is Fate.OUT) == (each.ident not in told)
+            if isinstance(event, protocol.PublishSettled):
+                assert event.publish.message_id not in reported, "settled twice"
+                reported[event.publish.message_id] = event.publish.status
+    for sent in publishes:
+        if sent.status is PublishStatus.ACKED:
+            assert sent.tag in acked
+        elif sent.status is PublishStatus.NACKED:
+            assert sent.tag in nacked
+        elif sent.status is PublishStatus.RETURNED:
+            assert sent.tag in returned
+        assert sent.status is not PublishStatus.UNWRITTEN, "all of it had been written"
+        assert (sent.status is PublishStatus.OUT) == (sent.message_id not in reported)
     if machine.state in (State.CLOSED, State.BROKEN):
-        assert all(each.fate is not Fate.OUT for each in sent) and not machine.channels
+        assert all(sent.status is not PublishStatus.OUT for sent in publishes) and not machine.channels
 
 
-def session() -> bytes:
-    """All that a broker says in an ordinary session with three publishes."""
+def session_bytes() -> bytes:
+    """All that a broker sends in an ordinary session with three publishes."""
     return (
         START
         + tune()
-        + raw(commands.Connection.OpenOk())
-        + raw(commands.Channel.OpenOk(), 1)
-        + raw(commands.Confirm.SelectOk(), 1)
-        + raw(Ack(1, False), 1)
-        + content(commands.Basic.Return(312, "X", "", "q"), b"abc", ident="m2")
-        + raw(Ack(2, False), 1)
-        + raw(Nack(3, False, False), 1)
-        + raw(commands.Connection.Close(200, "bye", 0, 0))
+        + encode_method(commands.Connection.OpenOk())
+        + encode_method(commands.Channel.OpenOk(), 1)
+        + encode_method(commands.Confirm.SelectOk(), 1)
+        + encode_method(Ack(1, False), 1)
+        + encode_content(commands.Basic.Return(312, "X", "", "q"), b"abc", message_id="m2")
+        + encode_method(Ack(2, False), 1)
+        + encode_method(Nack(3, False, False), 1)
+        + encode_method(commands.Connection.Close(200, "bye", 0, 0))
     )
 
 
 @pytest.mark.parametrize("seed", range(400))
-def test_a_session_with_bytes_changed_ends_or_waits_and_never_grows(seed: int) -> None:
+def test_corrupted_session_never_raises_and_its_buffers_stay_bounded(seed: int) -> None:
     rng = random.Random(seed)
-    data = bytearray(session())
+    data = bytearray(session_bytes())
     for _ in range(rng.randint(1, 4)):
-        at = rng.randrange(len(data))
+        position = rng.randrange(len(data))
         match rng.randrange(4):
             case 0:
-                data[at] ^= 1 << rng.randrange(8)
+                data[position] ^= 1 << rng.randrange(8)
             case 1:
-                del data[at : at + rng.randint(1, 9)]
+                del data[position : position + rng.randint(1, 9)]
             case 2:
-                data[at:at] = rng.randbytes(rng.randint(1, 9))
+                data[position:position] = rng.randbytes(rng.randint(1, 9))
             case _:
-                data[at:at] = data[max(0, at - 30) : at]
-    machine, sent = ConnectionProtocol(Login(), 0.0), list[m.Publish]()
-    machine.wrote(len(machine.take(0.0)))
-    at = 0
-    while at < len(data):
+                data[position:position] = data[max(0, position - 30) : position]
+    machine, publishes = ConnectionProtocol(Login(), 0.0), list[protocol.Publish]()
+    machine.mark_written(len(machine.data_to_send(0.0)))
+    position = 0
+    while position < len(data):
         size = rng.randint(1, 40)
-        feed(machine, bytes(data[at : at + size]))
-        at += size
-        if machine.state is State.OPEN and not machine.channels and not sent:
+        feed(machine, bytes(data[position : position + size]))
+        position += size
+        if machine.state is State.OPEN and not machine.channels and not publishes:
             machine.open_channel()
-            machine.wrote(len(machine.take(0.0)))
-        while machine.may_publish(1) and len(sent) < 3:
-            sent.append(publish(machine, f"m{len(sent) + 1}"))
-    machine.lost("the end")
+            machine.mark_written(len(machine.data_to_send(0.0)))
+        while machine.may_publish(1) and len(publishes) < 3:
+            publishes.append(publish(machine, f"m{len(publishes) + 1}"))
+    machine.stream_closed("the end")
     assert machine.state in (State.CLOSED, State.BROKEN)
-    assert all(each.fate is not Fate.OUT for each in sent) and len(machine.reader.buffer) < 140_000
-    assert len(machine.outgoing) < 1000 or sent
+    assert (
+        all(sent.status is not PublishStatus.OUT for sent in publishes)
+        and len(machine.reader.buffer) < 140_000
+    )
+    assert len(machine.outgoing) < 1000 or publishes
 
 
-def test_credentials_are_never_shown() -> None:
-    assert "geheim" not in repr(Login(password="geheim")) and opened().login.password == "guest"
+def test_repr_contains_no_credentials() -> None:
+    assert "geheim" not in repr(Login(password="geheim")) and opened_connection().login.password == "guest"
 
 
-def test_a_connection_blocked_for_a_minute_lives_and_publishes_nothing_meanwhile() -> None:
-    machine = ready(heartbeat=10)
-    one = publish(machine, "m1")
-    feed(machine, raw(commands.Connection.Blocked("low on memory")), 0.0)
-    beats = 0
+def test_connection_blocked_for_a_minute_stays_open_and_publishes_nothing() -> None:
+    machine = connection_with_channel(heartbeat=10)
+    first = publish(machine, "m1")
+    feed(machine, encode_method(commands.Connection.Blocked("low on memory")), 0.0)
+    heartbeats = 0
     for second in range(1, 61):
         now = float(second)
         assert machine.tick(now) == [] and not machine.may_publish(1)
-        data = machine.take(now)
-        machine.wrote(len(data))
-        beats += data.count(b"\x08\x00\x00\x00\x00\x00\x00\xce")
+        data = machine.data_to_send(now)
+        machine.mark_written(len(data))
+        heartbeats += data.count(b"\x08\x00\x00\x00\x00\x00\x00\xce")
         assert len(data) in (0, 8)
         if second % 5 == 0:
             feed(machine, b"\x08\x00\x00\x00\x00\x00\x00\xce", now)
-    assert beats == 12 and one.fate is Fate.OUT and machine.state is State.OPEN
-    assert fates(feed(machine, raw(commands.Connection.Unblocked()) + raw(Ack(1, False), 1), 60.5)) == {
-        "m1": Fate.ACKED
-    }
+    assert heartbeats == 12 and first.status is PublishStatus.OUT and machine.state is State.OPEN
+    assert statuses(
+        feed(machine, encode_method(commands.Connection.Unblocked()) + encode_method(Ack(1, False), 1), 60.5)
+    ) == {"m1": PublishStatus.ACKED}
     assert publish(machine, "m2").tag == 2
--- a/tests/amqp/test_tls.py
+++ b/tests/amqp/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS to a broker: who it is, who we are; with keys made for the test."""
+"""TLS to a broker: authentication of both sides, with certificates issued for the test."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 @contextlib.contextmanager
-def keys(folder: Path) -> Iterator[tuple[trustme.CA, ssl.SSLContext]]:
-    """An authority, and a broker's side that asks for certificates of it."""
+def issued_certificates(folder: Path) -> Iterator[tuple[trustme.CA, ssl.SSLContext]]:
+    """Writes a CA and the relay's certificate to the folder; yields the CA and a context for the broker."""
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(folder / "ca.pem"))
-    ours = authority.issue_cert("relay.test")
-    ours.cert_chain_pems[0].write_to_path(str(folder / "cert.pem"))
-    ours.private_key_pem.write_to_path(str(folder / "key.pem"))
-    other = trustme.CA()
-    other.cert_pem.write_to_path(str(folder / "other.pem"))
+    relay_cert = authority.issue_cert("relay.test")
+    relay_cert.cert_chain_pems[0].write_to_path(str(folder / "cert.pem"))
+    relay_cert.private_key_pem.write_to_path(str(folder / "key.pem"))
+    other_authority = trustme.CA()
+    other_authority.cert_pem.write_to_path(str(folder / "other.pem"))
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert("127.0.0.1").configure_cert(server)
     authority.configure_trust(server)
@@ -44,17 +44,21 @@
     yield authority, server
 
 
-def tls(folder: Path, ca: str = "ca.pem", own: bool = False, name: str = "") -> TlsSettings:
-    mine = (str(folder / "cert.pem"), str(folder / "key.pem")) if own else ("", "")
-    return TlsSettings(str(folder / ca), *mine, name)
+def tls(
+    folder: Path, ca: str = "ca.pem", with_client_cert: bool = False, server_name: str = ""
+) -> TlsSettings:
+    client_cert = (str(folder / "cert.pem"), str(folder / "key.pem")) if with_client_cert else ("", "")
+    return TlsSettings(str(folder / ca), *client_cert, server_name)
 
 
-async def outcome(part: BrokerSettings) -> Outcome:
-    out = BrokerPublisher(AmqpSettings([part], [EndpointSettings("jobs", 7, "b", "q")]), random.Random(1))
+async def outcome(settings: BrokerSettings) -> Outcome:
+    publisher = BrokerPublisher(
+        AmqpSettings([settings], [EndpointSettings("jobs", 7, "b", "q")]), random.Random(1)
+    )
     try:
-        return (await out.attempt(attempt())).outcome
+        return (await publisher.attempt(attempt())).outcome
     finally:
-        out.close()
+        publisher.close()
         await asyncio.sleep(0.01)
 
 
@@ -62,19 +66,19 @@
     async def work() -> None:
         broker = Broker()
         broker.declare("q")
-        with keys(tmp_path) as (_, server):
-            listening = await asyncio.get_running_loop().create_server(
+        with issued_certificates(tmp_path) as (_, server):
+            listener = await asyncio.get_running_loop().create_server(
                 lambda: Session(broker), "127.0.0.1", 0, ssl=server
             )
-            at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
-            assert await outcome(BrokerSettings("b", at, tls=tls(tmp_path))) is Outcome.OK
+            hosts = [f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"]
+            assert await outcome(BrokerSettings("b", hosts, tls=tls(tmp_path))) is Outcome.OK
             unknown = tls(tmp_path, "other.pem")
-            assert await outcome(BrokerSettings("b", at, tls=unknown)) is Outcome.CONNECT_FAILED
-            wrong = tls(tmp_path, name="broker.test")
-            assert await outcome(BrokerSettings("b", at, tls=wrong)) is Outcome.CONNECT_FAILED
-            assert await outcome(BrokerSettings("b", at)) is Outcome.CONNECT_FAILED  # in plain
+            assert await outcome(BrokerSettings("b", hosts, tls=unknown)) is Outcome.CONNECT_FAILED
+            wrong = tls(tmp_path, server_name="broker.test")
+            assert await outcome(BrokerSettings("b", hosts, tls=wrong)) is Outcome.CONNECT_FAILED
+            assert await outcome(BrokerSettings("b", hosts)) is Outcome.CONNECT_FAILED  # plain TCP
             assert len(broker.effects) == 1
-            listening.close()
+            listener.close()
 
     run(work())
 
@@ -83,29 +87,29 @@
     async def work() -> None:
         broker = Broker(password="nobody knows it")
         broker.declare("q")
-        with keys(tmp_path) as (_, server):
-            listening = await asyncio.get_running_loop().create_server(
+        with issued_certificates(tmp_path) as (_, server):
+            listener = await asyncio.get_running_loop().create_server(
                 lambda: Session(broker), "127.0.0.1", 0, ssl=server
             )
-            at = [f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"]
-            mine = BrokerSettings("b", at, tls=tls(tmp_path, own=True), external=True)
-            assert await outcome(mine) is Outcome.OK
-            assert await outcome(BrokerSettings("b", at, tls=tls(tmp_path))) is Outcome.CONNECT_FAILED
-            listening.close()
+            hosts = [f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"]
+            external = BrokerSettings("b", hosts, tls=tls(tmp_path, with_client_cert=True), external=True)
+            assert await outcome(external) is Outcome.OK
+            assert await outcome(BrokerSettings("b", hosts, tls=tls(tmp_path))) is Outcome.CONNECT_FAILED
+            listener.close()
 
     run(work())
 
 
 def test_unusable_files_and_invalid_settings_are_rejected(tmp_path: Path) -> None:
-    with keys(tmp_path):
+    with issued_certificates(tmp_path):
         (tmp_path / "bad.pem").write_text("no key")
-        for part in (
+        for settings in (
             TlsSettings(str(tmp_path / "none.pem")),
             TlsSettings(str(tmp_path / "bad.pem")),
             TlsSettings("", str(tmp_path / "cert.pem"), str(tmp_path / "bad.pem")),
         ):
             with pytest.raises(ValueError, match="amqp.brokers.tls of b"):
-                make_tls_context(BrokerSettings("b", ["a:1"], tls=part))
+                make_tls_context(BrokerSettings("b", ["a:1"], tls=settings))
     with pytest.raises(ValueError, match="needs tls.cert"):
         BrokerSettings("b", ["a:1"], external=True)
     with pytest.raises(ValueError, match="both are needed"):
--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -1,4 +1,4 @@
-"""The product's names for AMQP: the bytes that go to a broker, and what is read from a delivery."""
+"""Binds the wire scenarios to the AMQP code: bytes sent to a broker, and submissions read from deliveries."""
 
 from __future__ import annotations
 
@@ -21,27 +21,29 @@
 
 
 class Connection:
-    """A connection without a socket: a broker's bytes in, ours out."""
+    """A connection without a socket: takes a broker's bytes and returns the relay's."""
 
     def __init__(self, user: str, password: str, host: str, external: bool) -> None:
         self._machine = ConnectionProtocol(Login(user, password, host, external), 0.0)
 
     def sent(self) -> bytes:
-        data = self._machine.take(0.0)
-        self._machine.wrote(len(data))
+        data = self._machine.data_to_send(0.0)
+        self._machine.mark_written(len(data))
         return data
 
     def receive(self, data: bytes) -> bytes:
-        """A broker's bytes, and our answer to them."""
-        self._machine.received(data, 0.0)
+        """Feeds a broker's bytes; returns the bytes sent in answer."""
+        self._machine.receive_data(data, 0.0)
         return self.sent()
 
     def open_channel(self, prefetch: int) -> bytes:
         self._machine.open_channel(prefetch)
         return self.sent()
 
-    def publish(self, channel: int, exchange: str, routing_key: str, data: bytes, told: Properties) -> bytes:
-        self._machine.publish(channel, "id", exchange, routing_key, data, told)
+    def publish(
+        self, channel: int, exchange: str, routing_key: str, data: bytes, properties: Properties
+    ) -> bytes:
+        self._machine.publish(channel, "id", exchange, routing_key, data, properties)
         return self.sent()
 
     def consume(self, channel: int, queue: str, consumer: str) -> bytes:
@@ -74,14 +76,14 @@
 
 
 def message_properties(trace_id: str, key: str | None) -> Properties:
-    """Of a publish whose time is up, so that what is left of it is the least there is. Needs a loop."""
+    """Properties of a publish at its deadline, so that its expiration is the lowest. Needs a running loop."""
     now = asyncio.get_running_loop().time()
     attempt = Attempt(1, ("amqp:x", 0), trace_id, key, b"", now, lambda: True)
     return BrokerPublisher._properties(attempt)
 
 
 class _Written(asyncio.Transport):
-    """Keeps what is written."""
+    """Keeps the written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,104 +101,106 @@
     def close(self) -> None:
         """There is no socket."""
 
-    def taken(self) -> bytes:
+    def take_written(self) -> bytes:
         data = bytes(self.data)
         self.data.clear()
         return data
 
 
 class _Subscriber:
-    """Asks for a queue's deliveries as soon as its channel stands."""
+    """Subscribes to a queue as soon as its channel is ready."""
 
-    def __init__(self, link: BrokerConnection, queue: str) -> None:
-        self.link, self.queue = link, queue
+    def __init__(self, connection: BrokerConnection, queue: str) -> None:
+        self.connection, self.queue = connection, queue
 
-    def ready(self, channel: int) -> None:
-        self.link.subscribe(channel, self.queue)
+    def on_channel_ready(self, channel: int) -> None:
+        self.connection.subscribe(channel, self.queue)
 
-    def delivered(self, delivery: Delivered) -> None:
-        """None come here."""
+    def on_delivery(self, delivery: Delivered) -> None:
+        """No delivery is expected."""
 
-    def over(self, why: str) -> None:
-        """Nothing follows."""
+    def on_consumer_closed(self, reason: str) -> None:
+        """Nothing to do."""
 
 
 class OpenLink:
-    """A connection that has been opened by these bytes of a broker; channel 1 is for publishing."""
+    """A connection that was opened with the given bytes of a broker; channel 1 is for publishing."""
 
     def __init__(self, opening: bytes, channel_opening: bytes) -> None:
-        self._link = BrokerConnection(Login(), lambda why: None, lambda publish: None)
+        self._connection = BrokerConnection(Login(), lambda reason: None, lambda publish: None)
         self._transport = _Written()
-        self._link.connection_made(self._transport)
-        self._link.data_received(opening)
-        self._link.data_received(channel_opening)
-        self._transport.taken()
+        self._connection.connection_made(self._transport)
+        self._connection.data_received(opening)
+        self._connection.data_received(channel_opening)
+        self._transport.take_written()
 
     def subscribe(self, prefetch: int, queue: str, channel_ready: bytes) -> bytes:
-        """All that is sent to consume a queue."""
-        self._link.consume(prefetch, _Subscriber(self._link, queue))
-        self._link.data_received(channel_ready)
-        return self._transport.taken()
+        """Returns the bytes sent to consume a queue."""
+        self._connection.consume(prefetch, _Subscriber(self._connection, queue))
+        self._connection.data_received(channel_ready)
+        return self._transport.take_written()
 
     async def pass_on_end(
-        self, ident: str, state: str, after_ms: float, reply: str, correlation: str, confirm: bytes
+        self, message_id: str, state: str, after_ms: float, reply_to: str, correlation_id: str, confirm: bytes
     ) -> bytes:
-        """All that is sent to tell the end of a message that came by a queue."""
+        """Returns the bytes sent to publish the final outcome of a message from a queue."""
         broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
-        broker.link = self._link
-        intake = QueueIntake([], {"b": broker}, _Desk(), {}, Random(0))
-        end = FinalOutcome(ident, state, after_ms)
-        telling = asyncio.create_task(intake._publish(broker, end, reply, correlation))
+        broker.connection = self._connection
+        intake = QueueIntake([], {"b": broker}, _Acceptor(), {}, Random(0))
+        outcome = FinalOutcome(message_id, state, after_ms)
+        publishing = asyncio.create_task(intake._publish(broker, outcome, reply_to, correlation_id))
         while not self._transport.data:
             await asyncio.sleep(0)
-        self._link.data_received(confirm)
-        await telling
-        return self._transport.taken()
+        self._connection.data_received(confirm)
+        await publishing
+        return self._transport.take_written()
 
     def close(self) -> None:
-        self._link.connection_lost(None)
+        self._connection.connection_lost(None)
 
 
-class _Desk:
-    """Takes all."""
+class _Acceptor:
+    """Accepts all submissions."""
 
     is_ready = has_capacity = True
 
-    def accept(self, offer: Submission) -> SubmissionResult:
+    def accept(self, submission: Submission) -> SubmissionResult:
         return SubmissionResult(True)
 
-    def cancel(self, ident: str) -> bool:
+    def cancel(self, message_id: str) -> bool:
         return True
 
     def mark_notified(self, idents: list[str]) -> None:
-        """Nothing is owed here."""
+        """Nothing to record."""
 
 
 def offer_of_delivery(properties: Properties, body: bytes) -> Values:
-    """A message as it is read from a queue's delivery."""
+    """Returns the submission that is read from a delivery."""
     broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
-    intake = QueueIntake([QueueSettings("b", "orders")], {"b": broker}, _Desk(), {"pay": 4000.0}, Random(0))
-    offer = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
+    intake = QueueIntake(
+        [QueueSettings("b", "orders")], {"b": broker}, _Acceptor(), {"pay": 4000.0}, Random(0)
+    )
+    submission = intake.queues[0].submission(Delivered(1, "consumer", 9, False, "orders", properties, body))
     return {
-        "id": offer.id,
-        "class": offer.class_name,
-        "tenant": offer.tenant,
-        "destination": offer.destination,
-        "key": offer.idempotency_key,
-        "left ms": offer.remaining_ms,
-        "handed in again": offer.resubmission,
-        "body": offer.body.decode(),
-        "front": offer.origin,
+        "id": submission.id,
+        "class": submission.class_name,
+        "tenant": submission.tenant,
+        "destination": submission.destination,
+        "key": submission.idempotency_key,
+        "left ms": submission.remaining_ms,
+        "handed in again": submission.resubmission,
+        "body": submission.body.decode(),
+        "front": submission.origin,
     }
 
 
 def members_of_file() -> list[Any]:
-    """An endpoint of the operator's file as a member: its name and address stand in the journal and in
+    """Returns the record of a configured endpoint: its name and address are stored in the journal and in
     rules."""
-    part = AmqpSettings([BrokerSettings("b", ["h:5672"])], [EndpointSettings("t", 7, "b", "k", rate=2.0)])
-    (member,) = ConfiguredEndpoints(part).update.endpoints
+    settings = AmqpSettings([BrokerSettings("b", ["h:5672"])], [EndpointSettings("t", 7, "b", "k", rate=2.0)])
+    (member,) = ConfiguredEndpoints(settings).update.endpoints
     return [
-        ConfiguredEndpoints(part).update.source,
+        ConfiguredEndpoints(settings).update.source,
         member.name,
         member.destination,
         *member.address,
