--- a/fakes/amqp_broker.py
+++ b/fakes/amqp_broker.py
@@ -1,4 +1,4 @@
-"""An AMQP 0-9-1 broker on loopback, strict about the protocol, with faults by chance or by a script.
+"""A fake AMQP 0-9-1 broker on loopback, strict about the protocol, with random and scripted faults.
 
     python -m fakes.amqp_broker --listen 127.0.0.1:0 [--ledger FILE] [--seed 1] [--user guest --password
             guest]
@@ -10,13 +10,16 @@
 
 It has the default exchange, `amq.direct` and `amq.fanout`, and what clients declare: queues, direct and
 fanout exchanges, bindings. A message has its effect when it is routed to a queue: then the ledger gets a line
-`UNIX_MS MESSAGE_ID KEY`, KEY from the header `idempotency-key`. The chances are of a publish: its confirm
-never comes; it is refused by a nack; or by a return although its queue is there; its confirm comes late; the
-channel is closed before or after it is routed; the connection is cut so; only half of its confirm is
-written; a confirm that makes no sense comes instead. `--mute` takes connections and never speaks. With a
-certificate it speaks TLS, and with `--ca` asks clients for theirs, which EXTERNAL needs. A script
-is TOML: `[[at]]` with `s` from the start and `do`: `block`, `unblock`, `flow-off`, `flow-on`, `cut`,
-`cancel` (all consumers), `delete` with `queue`, `publish` with `queue`, `body`, `id`.
+`UNIX_MS MESSAGE_ID KEY`, with KEY from the header `idempotency-key`.
+
+Each publish has at most one of these faults, with the given chance: its confirm is never sent (`drop`); it is
+rejected with a nack; it is returned although its queue exists (`refuse`); its confirm is late (`stall`); its
+channel is closed, or its connection cut, before or after it is routed; only half of its confirm is written;
+a confirm for an unknown tag is sent (`wrong`). `--mute` accepts connections and never sends anything. With a
+certificate it speaks TLS, and with `--ca` requests client certificates, which EXTERNAL needs.
+
+A script is TOML: `[[at]]` with `s`, in seconds from the start, and `do`: `block`, `unblock`, `flow-off`,
+`flow-on`, `cut`, `cancel` (all consumers), `delete` with `queue`, `publish` with `queue`, `body`, `id`.
 """
 
 from __future__ import annotations
@@ -39,8 +42,8 @@
 from .serving import address, arguments, serve
 
 FRAME_MAX, CHANNEL_MAX = 131_072, 2047
-MOST = 64 * 1024 * 1024  # bytes that one queue holds
-CHANCES = (
+MAX_QUEUE_BYTES = 64 * 1024 * 1024  # in one queue
+FAULT_NAMES = (
     "drop",
     "nack",
     "refuse",
@@ -54,8 +57,8 @@
 )
 
 
-class Close(Exception):
-    """A client broke the protocol: its channel, or its connection, is closed with a code."""
+class ProtocolError(Exception):
+    """A client has violated the protocol: closes its channel, or its connection, with a reply code."""
 
     def __init__(self, code: int, text: str, channel: bool = False) -> None:
         super().__init__(text)
@@ -95,12 +98,12 @@
     confirms: bool = False
     published: int = 0
     prefetch: int = 0
-    given: int = 0
+    last_delivery_tag: int = 0
     unacked: dict[int, tuple[Message, Queue]] = field(default_factory=dict)
     method: commands.Basic.Publish | None = None
     properties: commands.Basic.Properties | None = None
     size: int = 0
-    come: bytearray = field(default_factory=bytearray)
+    received: bytearray = field(default_factory=bytearray)
     closing: bool = False
 
 
@@ -111,11 +114,11 @@
     rng: random.Random = field(default_factory=lambda: random.Random(1))
 
     def draw(self) -> str:
-        """What happens to this publish; empty: nothing."""
-        place = self.rng.random()
+        """Draws the fault of a publish; empty: none."""
+        remaining = self.rng.random()
         for name, chance in self.chances.items():
-            place -= chance
-            if place < 0:
+            remaining -= chance
+            if remaining < 0:
                 return name
         return ""
 
@@ -132,11 +135,11 @@
         self.faults, self.ledger, self.heartbeat_s = faults or Faults(), ledger, heartbeat_s
         self.user, self.password = user, password
         self.queues: dict[str, Queue] = {}
-        self.kinds = {"": "direct", "amq.direct": "direct", "amq.fanout": "fanout"}
+        self.exchange_types = {"": "direct", "amq.direct": "direct", "amq.fanout": "fanout"}
         self.bindings: dict[str, list[tuple[str, str]]] = {}  # exchange -> (key, queue)
         self.sessions: set[Session] = set()
-        self.effects: list[tuple[str, str]] = []  # id and key of each message that was routed
-        self.beats, self.mute, self.names = True, False, itertools.count(1)
+        self.effects: list[tuple[str, str]] = []  # message id and key of each routed message
+        self.sends_heartbeats, self.mute, self.name_counter = True, False, itertools.count(1)
         self.blocked = False
 
     # -- routing -----------------------------------------------------------------------------------------
@@ -148,12 +151,14 @@
         return queue
 
     def routes(self, exchange: str, key: str) -> list[Queue]:
-        if exchange not in self.kinds:
-            raise Close(404, f"no exchange '{exchange}'", channel=True)
+        if exchange not in self.exchange_types:
+            raise ProtocolError(404, f"no exchange '{exchange}'", channel=True)
         if exchange == "":
             return [self.queues[key]] if key in self.queues else []
-        every = self.kinds[exchange] == "fanout"
-        names = {queue for bound, queue in self.bindings.get(exchange, []) if every or bound == key}
+        is_fanout = self.exchange_types[exchange] == "fanout"
+        names = {
+            queue for binding_key, queue in self.bindings.get(exchange, []) if is_fanout or binding_key == key
+        }
         return [self.queues[name] for name in sorted(names) if name in self.queues]
 
     def route(self, message: Message) -> bool:
@@ -161,20 +166,20 @@
         for queue in queues:
             queue.waiting.append(replace(message))
         if queues:
-            ident = str(message.properties.message_id or "")
+            message_id = str(message.properties.message_id or "")
             key = str((message.properties.headers or {}).get("idempotency-key", ""))
-            self.effects.append((ident, key))
+            self.effects.append((message_id, key))
             if self.ledger is not None:
-                self.ledger.write(f"{time.time() * 1000:.0f} {ident} {key}\n")
+                self.ledger.write(f"{time.time() * 1000:.0f} {message_id} {key}\n")
                 self.ledger.flush()
         for queue in queues:
-            self.pump(queue)
+            self.deliver_waiting(queue)
         return bool(queues)
 
-    def pump(self, queue: Queue) -> None:
-        """Hands on what waits, to each consumer in turn, as far as its prefetch goes."""
-        idle = 0
-        while queue.waiting and queue.consumers and idle < len(queue.consumers):
+    def deliver_waiting(self, queue: Queue) -> None:
+        """Delivers waiting messages to the consumers in turn, as far as their prefetch allows."""
+        idle_consumers = 0
+        while queue.waiting and queue.consumers and idle_consumers < len(queue.consumers):
             consumer = queue.consumers[0]
             queue.consumers.rotate(-1)
             channel = consumer.session.channels.get(consumer.channel)
@@ -183,69 +188,69 @@
                 or channel.closing
                 or (channel.prefetch and len(channel.unacked) >= channel.prefetch)
             ):
-                idle += 1
+                idle_consumers += 1
                 continue
-            idle = 0
+            idle_consumers = 0
             consumer.session.deliver(consumer, channel, queue.waiting.popleft())
 
-    def dead(self, message: Message, queue: Queue, why: str) -> None:
+    def dead_letter_message(self, message: Message, queue: Queue, reason: str) -> None:
         if queue.dead_letter is None:
             return
         headers = dict(message.properties.headers or {})
-        headers["x-first-death-reason"], headers["x-first-death-queue"] = why, queue.name
+        headers["x-first-death-reason"], headers["x-first-death-queue"] = reason, queue.name
         properties = commands.Basic.Properties(
             headers=headers,
             message_id=message.properties.message_id,
             correlation_id=message.properties.correlation_id,
             delivery_mode=message.properties.delivery_mode,
         )
-        with contextlib.suppress(Close):
+        with contextlib.suppress(ProtocolError):
             for target in self.routes(queue.dead_letter, message.routing_key):
                 target.waiting.append(
                     Message(queue.dead_letter, message.routing_key, properties, message.body)
                 )
-                self.pump(target)
+                self.deliver_waiting(target)
 
-    # -- what a script does ------------------------------------------------------------------------------
+    # -- commands of scripts and tests -------------------------------------------------------------------
 
-    def do(self, what: str, told: dict[str, Any]) -> None:
+    def run_command(self, command: str, options: dict[str, Any]) -> None:
         for session in list(self.sessions):
-            if what in ("block", "unblock"):
-                self.blocked = what == "block"
-                session.tell_blocked()
-            elif what in ("flow-off", "flow-on"):
+            if command in ("block", "unblock"):
+                self.blocked = command == "block"
+                session.send_blocked()
+            elif command in ("flow-off", "flow-on"):
                 for number in session.channels:
-                    session.send(commands.Channel.Flow(what == "flow-on"), number)
-            elif what == "cut":
+                    session.send(commands.Channel.Flow(command == "flow-on"), number)
+            elif command == "cut":
                 session.transport.abort()
-        if what in ("cancel", "delete"):
+        if command in ("cancel", "delete"):
             for queue in list(self.queues.values()):
-                if what == "cancel" or queue.name == told["queue"]:
+                if command == "cancel" or queue.name == options["queue"]:
                     for consumer in list(queue.consumers):
                         consumer.session.send(commands.Basic.Cancel(consumer.tag, True), consumer.channel)
                     queue.consumers.clear()
-            if what == "delete":
-                self.queues.pop(str(told["queue"]), None)
-        elif what == "publish":
-            properties = commands.Basic.Properties(message_id=str(told.get("id", "")))
-            self.route(Message("", str(told["queue"]), properties, str(told.get("body", "")).encode()))
-
-    async def play(self, script: list[dict[str, Any]]) -> None:
-        begun = time.monotonic()
+            if command == "delete":
+                self.queues.pop(str(options["queue"]), None)
+        elif command == "publish":
+            properties = commands.Basic.Properties(message_id=str(options.get("id", "")))
+            self.route(Message("", str(options["queue"]), properties, str(options.get("body", "")).encode()))
+
+    async def run_script(self, script: list[dict[str, Any]]) -> None:
+        started_at = time.monotonic()
         for step in sorted(script, key=lambda each: float(each["s"])):
-            await asyncio.sleep(max(0.0, begun + float(step["s"]) - time.monotonic()))
-            self.do(str(step["do"]), step)
+            await asyncio.sleep(max(0.0, started_at + float(step["s"]) - time.monotonic()))
+            self.run_command(str(step["do"]), step)
 
 
 class Session(asyncio.Protocol):
-    """One connection."""
+    """One connection of a client."""
 
     def __init__(self, broker: Broker) -> None:
         self.broker, self.data = broker, bytearray()
-        self.state, self.frame_max, self.beat_s = "header", 4096, 0
+        self.state, self.frame_max, self.negotiated_heartbeat_s = "header", 4096, 0
         self.channels: dict[int, Channel] = {}
-        self.heard = time.monotonic()
-        self.beating: asyncio.TimerHandle | None = None
+        self.last_received_at = time.monotonic()
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -255,26 +260,26 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.broker.sessions.discard(self)
         self.state = "closed"
-        if self.beating is not None:
-            self.beating.cancel()
+        if self.heartbeat_timer is not None:
+            self.heartbeat_timer.cancel()
         for channel in list(self.channels.values()):
-            self.leave(channel)
+            self.release(channel)
         self.channels.clear()
 
     def data_received(self, data: bytes) -> None:
-        self.heard = time.monotonic()
+        self.last_received_at = time.monotonic()
         if self.broker.mute:
             return
         self.data += data
         try:
-            for number, found in self.frames():
+            for number, frame_ in self.frames():
                 try:
-                    self.handle(number, found)
-                except Close as error:
+                    self.handle_frame(number, frame_)
+                except ProtocolError as error:
                     if not error.channel or number == 0:
                         raise
                     self.close_channel(number, error.code, str(error))
-        except Close as error:
+        except ProtocolError as error:
             self.send(commands.Connection.Close(error.code, str(error)[:120], 0, 0))
             self.state = "closing"
 
@@ -304,11 +309,11 @@
                 )
             )
         while self.state not in ("header", "closed") and len(self.data) >= 7:
-            kind, number, size = struct.unpack_from(">BHI", self.data)
-            if kind not in (1, 2, 3, 8):
-                raise Close(501, f"{kind} is no type of frame")
+            frame_type, number, size = struct.unpack_from(">BHI", self.data)
+            if frame_type not in (1, 2, 3, 8):
+                raise ProtocolError(501, f"{frame_type} is no type of frame")
             if size + 8 > self.frame_max:
-                raise Close(501, f"a frame of {size + 8} bytes, and {self.frame_max} were agreed")
+                raise ProtocolError(501, f"a frame of {size + 8} bytes, and {self.frame_max} were agreed")
             if len(self.data) < size + 8:
                 return
             raw = bytes(self.data[: size + 8])
@@ -321,68 +326,75 @@
                 ValueError,
                 struct.error,
             ) as error:
-                raise Close(502, f"a frame that cannot be read: {error}") from error
+                raise ProtocolError(502, f"a frame that cannot be read: {error}") from error
 
     def send(self, value: Any, number: int = 0) -> None:
         if self.state != "closed":
             self.transport.write(frame.marshal(value, number))
 
-    # -- the connection ----------------------------------------------------------------------------------
+    # -- connection --------------------------------------------------------------------------------------
 
-    def handle(self, number: int, found: Any) -> None:
-        if isinstance(found, heartbeat.Heartbeat):
+    def handle_frame(self, number: int, frame_: Any) -> None:
+        if isinstance(frame_, heartbeat.Heartbeat):
             return
         if self.state == "closing":
-            if isinstance(found, commands.Connection.CloseOk):
+            if isinstance(frame_, commands.Connection.CloseOk):
                 self.transport.close()
             return
         if number == 0:
-            self.connection(found)
+            self.handle_connection_method(frame_)
             return
         if self.state != "open":
-            raise Close(503, "the connection is not open")
+            raise ProtocolError(503, "the connection is not open")
         channel = self.channels.get(number)
         if channel is None:
-            if not isinstance(found, commands.Channel.Open):
-                raise Close(504, f"channel {number} is not open")
+            if not isinstance(frame_, commands.Channel.Open):
+                raise ProtocolError(504, f"channel {number} is not open")
             self.channels[number] = Channel(number)
             self.send(commands.Channel.OpenOk(), number)
         elif channel.closing:
-            if isinstance(found, commands.Channel.CloseOk):
+            if isinstance(frame_, commands.Channel.CloseOk):
                 del self.channels[number]
         else:
-            self.channel(channel, found)
+            self.handle_channel_frame(channel, frame_)
 
-    def connection(self, found: Any) -> None:
-        match found:
+    def handle_connection_method(self, frame_: Any) -> None:
+        match frame_:
             case commands.Connection.StartOk() if self.state == "start":
-                if found.mechanism == "EXTERNAL" and not self.transport.get_extra_info("peercert"):
-                    raise Close(403, "ACCESS_REFUSED")
-                if found.mechanism == "PLAIN":
-                    given = str(found.response).split("\0")
-                    if given[1:] != [self.broker.user, self.broker.password]:
-                        raise Close(403, "ACCESS_REFUSED")
+                if frame_.mechanism == "EXTERNAL" and not self.transport.get_extra_info("peercert"):
+                    raise ProtocolError(403, "ACCESS_REFUSED")
+                if frame_.mechanism == "PLAIN":
+                    credentials = str(frame_.response).split("\0")
+                    if credentials[1:] != [self.broker.user, self.broker.password]:
+                        raise ProtocolError(403, "ACCESS_REFUSED")
                 self.state = "tune"
                 self.send(commands.Connection.Tune(CHANNEL_MAX, FRAME_MAX, self.broker.heartbeat_s))
             case commands.Connection.TuneOk() if self.state == "tune":
-                if not 4096 <= (found.frame_max or FRAME_MAX) <= FRAME_MAX:
-                    raise Close(530, f"frame_max {found.frame_max}")
-                self.frame_max, self.beat_s = found.frame_max or FRAME_MAX, found.heartbeat or 0
+                if not 4096 <= (frame_.frame_max or FRAME_MAX) <= FRAME_MAX:
+                    raise ProtocolError(530, f"frame_max {frame_.frame_max}")
+                self.frame_max, self.negotiated_heartbeat_s = (
+                    frame_.frame_max or FRAME_MAX,
+                    frame_.heartbeat or 0,
+                )
                 self.state = "opening"
-                if self.beat_s:  # the first one not before the connection is open: aiormq would not have it
-                    self.beating = asyncio.get_running_loop().call_later(self.beat_s / 2, self.beat)
+                if (
+                    self.negotiated_heartbeat_s
+                ):  # not sent before the connection is open, since aiormq rejects that
+                    self.heartbeat_timer = asyncio.get_running_loop().call_later(
+                        self.negotiated_heartbeat_s / 2, self.on_heartbeat_timer
+                    )
             case commands.Connection.Open() if self.state == "opening":
                 self.state = "open"
                 self.send(commands.Connection.OpenOk())
                 if self.broker.blocked:
-                    self.tell_blocked()
+                    self.send_blocked()
             case commands.Connection.Close():
                 self.send(commands.Connection.CloseOk())
                 self.transport.close()
             case _:
-                raise Close(503, f"{getattr(found, 'name', found)} in state {self.state}")
+                raise ProtocolError(503, f"{getattr(frame_, 'name', frame_)} in state {self.state}")
 
-    def tell_blocked(self) -> None:
+    def send_blocked(self) -> None:
         if self.state == "open":
             self.send(
                 commands.Connection.Blocked("low on memory")
@@ -390,102 +402,110 @@
                 else commands.Connection.Unblocked()
             )
 
-    def beat(self) -> None:
+    def on_heartbeat_timer(self) -> None:
         if self.state in ("closed", "closing"):
             return
-        if time.monotonic() - self.heard > 2 * self.beat_s + 0.5:
+        if time.monotonic() - self.last_received_at > 2 * self.negotiated_heartbeat_s + 0.5:
             self.transport.abort()
             return
-        if self.broker.beats:
+        if self.broker.sends_heartbeats:
             self.send(heartbeat.Heartbeat())
-        self.beating = asyncio.get_running_loop().call_later(self.beat_s / 2, self.beat)
+        self.heartbeat_timer = asyncio.get_running_loop().call_later(
+            self.negotiated_heartbeat_s / 2, self.on_heartbeat_timer
+        )
 
     # -- channels ----------------------------------------------------------------------------------------
 
-    def channel(self, channel: Channel, found: Any) -> None:
+    def handle_channel_frame(self, channel: Channel, frame_: Any) -> None:
         number, broker = channel.number, self.broker
-        if isinstance(found, header.ContentHeader | body.ContentBody):
-            self.content(channel, found)
+        if isinstance(frame_, header.ContentHeader | body.ContentBody):
+            self.handle_content(channel, frame_)
             return
         if channel.method is not None:
-            raise Close(505, f"{found.name} in the midst of a content")
-        match found:
+            raise ProtocolError(505, f"{frame_.name} in the midst of a content")
+        match frame_:
             case commands.Channel.Close():
-                self.leave(channel)
+                self.release(channel)
                 del self.channels[number]
                 self.send(commands.Channel.CloseOk(), number)
             case commands.Channel.FlowOk() | commands.Channel.CloseOk():
                 pass
             case commands.Confirm.Select():
                 channel.confirms = True
-                self.answer(found, commands.Confirm.SelectOk(), number)
+                self.reply_unless_nowait(frame_, commands.Confirm.SelectOk(), number)
             case commands.Basic.Publish():
-                if found.exchange not in broker.kinds:
-                    raise Close(404, f"no exchange '{found.exchange}'", channel=True)
-                channel.method = found
+                if frame_.exchange not in broker.exchange_types:
+                    raise ProtocolError(404, f"no exchange '{frame_.exchange}'", channel=True)
+                channel.method = frame_
             case commands.Basic.Qos():
-                channel.prefetch = found.prefetch_count or 0
+                channel.prefetch = frame_.prefetch_count or 0
                 self.send(commands.Basic.QosOk(), number)
             case commands.Exchange.Declare():
-                if found.exchange_type not in ("direct", "fanout"):
-                    raise Close(503, f"exchanges are direct or fanout, not {found.exchange_type}")
-                broker.kinds.setdefault(str(found.exchange), str(found.exchange_type))
-                self.answer(found, commands.Exchange.DeclareOk(), number)
+                if frame_.exchange_type not in ("direct", "fanout"):
+                    raise ProtocolError(503, f"exchanges are direct or fanout, not {frame_.exchange_type}")
+                broker.exchange_types.setdefault(str(frame_.exchange), str(frame_.exchange_type))
+                self.reply_unless_nowait(frame_, commands.Exchange.DeclareOk(), number)
             case commands.Queue.Declare():
-                self.declare(channel, found)
+                self.declare(channel, frame_)
             case commands.Queue.Bind():
-                if found.exchange not in broker.kinds or found.queue not in broker.queues:
-                    raise Close(404, f"'{found.exchange}' or '{found.queue}' is not there", channel=True)
-                broker.bindings.setdefault(str(found.exchange), []).append(
-                    (str(found.routing_key), str(found.queue))
+                if frame_.exchange not in broker.exchange_types or frame_.queue not in broker.queues:
+                    raise ProtocolError(
+                        404, f"'{frame_.exchange}' or '{frame_.queue}' is not there", channel=True
+                    )
+                broker.bindings.setdefault(str(frame_.exchange), []).append(
+                    (str(frame_.routing_key), str(frame_.queue))
                 )
-                self.answer(found, commands.Queue.BindOk(), number)
+                self.reply_unless_nowait(frame_, commands.Queue.BindOk(), number)
             case commands.Basic.Consume():
-                self.consume(channel, found)
+                self.consume(channel, frame_)
             case commands.Basic.Cancel():
                 for queue in broker.queues.values():
                     for each in [
                         each
                         for each in queue.consumers
-                        if each.session is self and each.tag == found.consumer_tag
+                        if each.session is self and each.tag == frame_.consumer_tag
                     ]:
                         queue.consumers.remove(each)
-                self.answer(found, commands.Basic.CancelOk(str(found.consumer_tag)), number)
+                self.reply_unless_nowait(frame_, commands.Basic.CancelOk(str(frame_.consumer_tag)), number)
             case commands.Basic.Ack() | commands.Basic.Nack() | commands.Basic.Reject():
-                self.acked(channel, found)
+                self.settle_deliveries(channel, frame_)
             case _:
-                raise Close(540, f"{found.name} is not implemented")
+                raise ProtocolError(540, f"{frame_.name} is not implemented")
 
-    def answer(self, found: Any, value: Any, number: int) -> None:
-        if not getattr(found, "nowait", False):
+    def reply_unless_nowait(self, frame_: Any, value: Any, number: int) -> None:
+        if not getattr(frame_, "nowait", False):
             self.send(value, number)
 
-    def declare(self, channel: Channel, found: commands.Queue.Declare) -> None:
-        name = str(found.queue) or f"amq.gen-{next(self.broker.names)}"
-        if found.passive and name not in self.broker.queues:
-            raise Close(404, f"no queue '{name}'", channel=True)
-        told = (found.arguments or {}).get("x-dead-letter-exchange")
-        queue = self.broker.declare(name, None if told is None else str(told))
-        self.answer(
-            found, commands.Queue.DeclareOk(name, len(queue.waiting), len(queue.consumers)), channel.number
+    def declare(self, channel: Channel, frame_: commands.Queue.Declare) -> None:
+        name = str(frame_.queue) or f"amq.gen-{next(self.broker.name_counter)}"
+        if frame_.passive and name not in self.broker.queues:
+            raise ProtocolError(404, f"no queue '{name}'", channel=True)
+        dead_letter = (frame_.arguments or {}).get("x-dead-letter-exchange")
+        queue = self.broker.declare(name, None if dead_letter is None else str(dead_letter))
+        self.reply_unless_nowait(
+            frame_, commands.Queue.DeclareOk(name, len(queue.waiting), len(queue.consumers)), channel.number
         )
 
-    def consume(self, channel: Channel, found: commands.Basic.Consume) -> None:
-        queue = self.broker.queues.get(str(found.queue))
+    def consume(self, channel: Channel, frame_: commands.Basic.Consume) -> None:
+        queue = self.broker.queues.get(str(frame_.queue))
         if queue is None:
-            raise Close(404, f"no queue '{found.queue}'", channel=True)
-        tag = str(found.consumer_tag) or f"ctag-{next(self.broker.names)}"
-        queue.consumers.append(Consumer(self, channel.number, tag, queue, bool(found.no_ack)))
-        self.answer(found, commands.Basic.ConsumeOk(tag), channel.number)
-        self.broker.pump(queue)
+            raise ProtocolError(404, f"no queue '{frame_.queue}'", channel=True)
+        tag = str(frame_.consumer_tag) or f"ctag-{next(self.broker.name_counter)}"
+        queue.consumers.append(Consumer(self, channel.number, tag, queue, bool(frame_.no_ack)))
+        self.reply_unless_nowait(frame_, commands.Basic.ConsumeOk(tag), channel.number)
+        self.broker.deliver_waiting(queue)
 
     def deliver(self, consumer: Consumer, channel: Channel, message: Message) -> None:
-        channel.given += 1
+        channel.last_delivery_tag += 1
         if not consumer.no_ack:
-            channel.unacked[channel.given] = message, consumer.queue
+            channel.unacked[channel.last_delivery_tag] = message, consumer.queue
         self.send_content(
             commands.Basic.Deliver(
-                consumer.tag, channel.given, message.redelivered, message.exchange, message.routing_key
+                consumer.tag,
+                channel.last_delivery_tag,
+                message.redelivered,
+                message.exchange,
+                message.routing_key,
             ),
             message,
             channel.number,
@@ -494,72 +514,72 @@
     def send_content(self, method: base.Frame, message: Message, number: int) -> None:
         self.send(method, number)
         self.send(header.ContentHeader(0, len(message.body), message.properties), number)
-        most = self.frame_max - 8
-        for at in range(0, len(message.body), most):
-            self.send(body.ContentBody(message.body[at : at + most]), number)
+        max_payload_bytes = self.frame_max - 8
+        for start in range(0, len(message.body), max_payload_bytes):
+            self.send(body.ContentBody(message.body[start : start + max_payload_bytes]), number)
 
-    def acked(self, channel: Channel, found: Any) -> None:
-        tag, multiple = found.delivery_tag or 0, bool(getattr(found, "multiple", False))
+    def settle_deliveries(self, channel: Channel, frame_: Any) -> None:
+        tag, multiple = frame_.delivery_tag or 0, bool(getattr(frame_, "multiple", False))
         tags = [each for each in channel.unacked if each <= tag or tag == 0] if multiple else [tag]
         if not multiple and tag not in channel.unacked:
-            raise Close(406, f"unknown delivery tag {tag}", channel=True)
-        touched = set[str]()
+            raise ProtocolError(406, f"unknown delivery tag {tag}", channel=True)
+        changed_queues = set[str]()
         for each in tags:
             message, queue = channel.unacked.pop(each)
-            touched.add(queue.name)
-            if isinstance(found, commands.Basic.Ack):
+            changed_queues.add(queue.name)
+            if isinstance(frame_, commands.Basic.Ack):
                 continue
-            if found.requeue:
+            if frame_.requeue:
                 message.redelivered = True
                 queue.waiting.appendleft(message)
             else:
-                self.broker.dead(message, queue, "rejected")
-        for name in touched:
+                self.broker.dead_letter_message(message, queue, "rejected")
+        for name in changed_queues:
             if name in self.broker.queues:
-                self.broker.pump(self.broker.queues[name])
+                self.broker.deliver_waiting(self.broker.queues[name])
 
-    def leave(self, channel: Channel) -> None:
-        """What it had not acknowledged goes back, in its order."""
+    def release(self, channel: Channel) -> None:
+        """Removes the consumers of a channel, and requeues its unacknowledged deliveries in order."""
         for queue in self.broker.queues.values():
             for each in [
                 each for each in queue.consumers if each.session is self and each.channel == channel.number
             ]:
                 queue.consumers.remove(each)
-        back = list(channel.unacked.values())
+        unacknowledged = list(channel.unacked.values())
         channel.unacked.clear()
-        for message, queue in reversed(back):
+        for message, queue in reversed(unacknowledged):
             message.redelivered = True
             queue.waiting.appendleft(message)
-        for _, queue in back:
-            self.broker.pump(queue)
+        for _, queue in unacknowledged:
+            self.broker.deliver_waiting(queue)
 
     def close_channel(self, number: int, code: int, text: str) -> None:
         channel = self.channels.get(number)
         if channel is not None and not channel.closing:
             channel.closing, channel.method, channel.properties = True, None, None
-            self.leave(channel)
+            self.release(channel)
             self.send(commands.Channel.Close(code, text[:120], 0, 0), number)
 
-    # -- a publish ---------------------------------------------------------------------------------------
+    # -- publishes ---------------------------------------------------------------------------------------
 
-    def content(self, channel: Channel, found: header.ContentHeader | body.ContentBody) -> None:
+    def handle_content(self, channel: Channel, frame_: header.ContentHeader | body.ContentBody) -> None:
         if channel.method is None:
-            raise Close(505, "a content that nothing announced")
-        if isinstance(found, header.ContentHeader):
+            raise ProtocolError(505, "a content that nothing announced")
+        if isinstance(frame_, header.ContentHeader):
             if channel.properties is not None:
-                raise Close(505, "a second content header")
-            channel.properties, channel.size, channel.come = (
-                found.properties,
-                found.body_size or 0,
+                raise ProtocolError(505, "a second content header")
+            channel.properties, channel.size, channel.received = (
+                frame_.properties,
+                frame_.body_size or 0,
                 bytearray(),
             )
         else:
             if channel.properties is None:
-                raise Close(505, "a content body without its header")
-            channel.come += found.value or b""
-            if len(channel.come) > channel.size:
-                raise Close(501, "a content longer than it said")
-        if channel.properties is not None and len(channel.come) >= channel.size:
+                raise ProtocolError(505, "a content body without its header")
+            channel.received += frame_.value or b""
+            if len(channel.received) > channel.size:
+                raise ProtocolError(501, "a content longer than it said")
+        if channel.properties is not None and len(channel.received) >= channel.size:
             method, properties = channel.method, channel.properties
             channel.method = channel.properties = None
             self.published(
@@ -568,7 +588,7 @@
                     str(method.exchange),
                     str(method.routing_key),
                     properties,
-                    bytes(channel.come),
+                    bytes(channel.received),
                     mandatory=bool(method.mandatory),
                 ),
             )
@@ -583,14 +603,14 @@
             self.transport.abort()
             return
         if fault == "refuse":
-            self.returned(channel, message, 313, "NO_CONSUMERS")
-            self.confirm(channel, tag)
+            self.send_return(channel, message, 313, "NO_CONSUMERS")
+            self.send_ack(channel, tag)
             return
         if fault == "nack":
             self.send(commands.Basic.Nack(tag, False, False), channel.number)
             return
         if not self.broker.route(message) and message.mandatory:
-            self.returned(channel, message, 312, "NO_ROUTE")
+            self.send_return(channel, message, 312, "NO_ROUTE")
         if not channel.confirms:
             return
         match fault:
@@ -607,16 +627,16 @@
                 pass
             case "stall":
                 asyncio.get_running_loop().call_later(
-                    self.broker.faults.stall_ms / 1000, self.confirm, channel, tag
+                    self.broker.faults.stall_ms / 1000, self.send_ack, channel, tag
                 )
             case _:
-                self.confirm(channel, tag)
+                self.send_ack(channel, tag)
 
-    def confirm(self, channel: Channel, tag: int) -> None:
+    def send_ack(self, channel: Channel, tag: int) -> None:
         if self.channels.get(channel.number) is channel and not channel.closing:
             self.send(commands.Basic.Ack(tag, False), channel.number)
 
-    def returned(self, channel: Channel, message: Message, code: int, text: str) -> None:
+    def send_return(self, channel: Channel, message: Message, code: int, text: str) -> None:
         self.send_content(
             commands.Basic.Return(code, text, message.exchange, message.routing_key), message, channel.number
         )
@@ -624,7 +644,7 @@
 
 def main() -> None:
     parser = arguments("amqp")
-    for name in CHANCES:
+    for name in FAULT_NAMES:
         parser.add_argument(f"--{name}", type=float, default=0.0, help="chance from 0 to 1")
     parser.add_argument("--stall-ms", type=float, default=500.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -644,9 +664,9 @@
         tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=args.ca)
         tls.load_cert_chain(args.cert, args.key)
         tls.verify_mode = ssl.CERT_REQUIRED if args.ca else ssl.CERT_NONE
-    chances = {name: getattr(args, name.replace("-", "_")) for name in CHANCES}
+    chances = {name: getattr(args, name.replace("-", "_")) for name in FAULT_NAMES}
     if sum(chances.values()) > 1:
-        parser.error("the chances make more than 1 together")
+        parser.error("the chances add up to more than 1")
     broker = Broker(
         Faults(chances, args.stall_ms, random.Random(args.seed)),
         args.ledger,
@@ -654,15 +674,15 @@
         args.user,
         args.password,
     )
-    broker.beats, broker.mute = not args.no_heartbeats, args.mute
-    for told in args.queue:
-        name, _, dead = told.partition("=")
-        broker.declare(name, dead or None)
-    playing = set[asyncio.Task[None]]()
+    broker.sends_heartbeats, broker.mute = not args.no_heartbeats, args.mute
+    for queue in args.queue:
+        name, _, dead_letter = queue.partition("=")
+        broker.declare(name, dead_letter or None)
+    script_tasks = set[asyncio.Task[None]]()
 
     async def start() -> asyncio.Server:
         if args.script:
-            playing.add(asyncio.ensure_future(broker.play(args.script.get("at", []))))
+            script_tasks.add(asyncio.ensure_future(broker.run_script(args.script.get("at", []))))
         return await asyncio.get_running_loop().create_server(
             lambda: Session(broker), *address(args.listen), ssl=tls
         )
--- a/fakes/discovery_agent.py
+++ b/fakes/discovery_agent.py
@@ -1,10 +1,11 @@
-"""The platform's agent: a list of endpoints, changes of it, and notices.
+"""A fake of the platform's discovery agent: serves a list of endpoints and its changes, and records notices.
 
     python -m fakes.discovery_agent --listen 127.0.0.1:0 --list FILE [--ledger FILE]
 
-FILE holds the list in discovery's form. A watch is held until the list changes, or as long as it asks to be;
-notices get 204 at once, and a line each in the ledger, as they came. In the same process the list can be
-changed, answers delayed or spread over time, and the agent silenced."""
+FILE contains the list in the format of discovery. A watch is answered when the list changes, or after the
+time that it asks for. A notice gets 204 at once, and is written unchanged as a line of the ledger. Code in
+the same process can change the list, delay answers or spread them over time, and silence the agent.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 
 from .serving import address, arguments, serve
 
-PIECES = 4  # of an answer that is spread over time
+PIECES = 4  # number of pieces of an answer that is spread over time
 
 
 class Agent:
@@ -24,15 +25,15 @@
         self.ledger = ledger
         self.listing, self.generation = listing, int(json.loads(listing)["generation"])
         self.changed = asyncio.Event()
-        self.delay_s = 0.0  # from when an answer is known until it is written
-        self.spread_s = 0.0  # from the first piece of an answer to its last
-        self.is_silent = False  # requests for the list that come now are never answered
-        self.calls: list[float] = []  # when requests for the list came, on the loop's clock
-        self.open_count = 0  # connections
+        self.delay_s = 0.0  # delay between the end of a watch and its answer
+        self.spread_s = 0.0  # time between the first and the last piece of an answer
+        self.is_silent = False  # while set, requests for the list are never answered
+        self.calls: list[float] = []  # times of the requests for the list, on the loop's clock
+        self.open_count = 0  # number of open connections
         self.address = ("", 0)
 
     async def start(self) -> Agent:
-        """Listens on loopback."""
+        """Starts to listen on loopback."""
         server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = server.sockets[0].getsockname()[:2]
         return self
@@ -40,8 +41,8 @@
     def replace_list(self, instances: list[dict[str, Any]]) -> None:
         """Replaces the list and answers the open watches."""
         self.generation += 1
-        told = {"generation": self.generation, "reset": True, "instances": instances}
-        self.listing = json.dumps(told).encode()
+        replacement = {"generation": self.generation, "reset": True, "instances": instances}
+        self.listing = json.dumps(replacement).encode()
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -59,12 +60,12 @@
                     ),
                     0,
                 )
-                told = await reader.readexactly(length)
+                notice = await reader.readexactly(length)
                 if method == "GET" and self.is_silent:
                     self._count_call()
-                    await reader.read()  # until the relay gives the call up
+                    await reader.read()  # until the relay closes the connection
                     break
-                status, body = await self.answer(method, target, told)
+                status, body = await self.answer(method, target, notice)
                 await self._write(
                     writer, b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
                 )
@@ -81,22 +82,22 @@
                 await asyncio.sleep(self.spread_s / (PIECES - 1))
             writer.write(data[start : start + size])
 
-    async def answer(self, method: str, target: str, told: bytes) -> tuple[int, bytes]:
+    async def answer(self, method: str, target: str, notice: bytes) -> tuple[int, bytes]:
         url = urlsplit(target)
         if method == "POST":
             if self.ledger is not None:
-                self.ledger.write(told.decode().rstrip("\n") + "\n")
+                self.ledger.write(notice.decode().rstrip("\n") + "\n")
                 self.ledger.flush()
             return 204, b""
         self._count_call()
-        body = await self._known(parse_qs(url.query))
+        body = await self._wait_for_list(parse_qs(url.query))
         await asyncio.sleep(self.delay_s)
         return 200, body
 
     def _count_call(self) -> None:
         self.calls.append(asyncio.get_running_loop().time())
 
-    async def _known(self, query: dict[str, list[str]]) -> bytes:
+    async def _wait_for_list(self, query: dict[str, list[str]]) -> bytes:
         if query.get("from", [""])[0] != str(self.generation):
             return self.listing
         changed = self.changed
--- a/fakes/endpoint.py
+++ b/fakes/endpoint.py
@@ -1,18 +1,21 @@
-"""A partner's endpoint on sockets: emulator.partner decides what comes back, and when.
+"""A partner's endpoint on sockets: the model emulator.partner decides each answer and its time.
 
     python -m fakes.endpoint --listen 127.0.0.1:0 [--answer-ms 2] [--refuse 0.1] [--error 0.1] [--hang 0.1]
                                [--reset 0.1] [--slots 8 --queue 4] [--seed 1] [--ledger FILE] [--calls FILE]
                                [--rate 60] [--down 10:4,30:2] [--cold 0.18] [--warm-s 11] [--armed]
                                [--spec FILE] [--unheard]
 
-`--rate` is an agreed one: above it, or above what the partner can do so soon after it was down, calls get
-503. `--down` gives outages, FROM:LENGTH in seconds after it is ready: its connections end, and new ones are
-refused; with `--unheard` they get no answer, as from a machine that is gone, and a client's system asks for
-them anew 1 s and 3 s after its first word. `--calls` gets a line for each whole call: `UNIX_MS TRACE_ID REPLY
-MS RULES`, with how long the answer takes (`inf`: it never comes) and the relay's X-Rules (`-`: none).
-`--ledger` gets a line for each call that took effect, written before its answer: `UNIX_MS TRACE_ID KEY`; a
-key that came within the hour takes no effect again. Requests are HTTP/1.1 with Content-Length, as the relay
-sends them; one that is too long ends the connection."""
+`--rate` is the agreed rate: calls above it, or above the reduced capacity right after an outage, get 503.
+`--down` lists outages, FROM:LENGTH in seconds after it is ready: open connections are aborted, and new ones
+refused. With `--unheard` new ones get no answer, as from a machine that is gone, and the client's kernel
+sends its SYN again 1 s and 3 s after the first.
+
+`--calls` gets a line for each complete call: `UNIX_MS TRACE_ID REPLY MS RULES`, with the time until the
+answer (`inf`: it is never sent) and the relay's X-Rules (`-`: none). `--ledger` gets a line for each call
+that had an effect, written before its answer: `UNIX_MS TRACE_ID KEY`. A key that was used within the last
+hour has no effect again. Requests are HTTP/1.1 with Content-Length, as the relay sends them; one that is too
+long ends the connection.
+"""
 
 from __future__ import annotations
 
@@ -35,9 +38,9 @@
 
 HEAD = re.compile(rb"\r\n\r\n")
 HEADER = re.compile(rb"\r\n(content-length|x-trace-id|idempotency-key|x-rules): *([^\r]*)", re.IGNORECASE)
-MOST = 128 * 1024
-KEYS_MS = 3_600_000.0
-BEFORE_MS = -1e13  # added to Unix ms until it is armed: no trouble of it has begun then
+MAX_BUFFERED_BYTES = 128 * 1024
+KEY_WINDOW_MS = 3_600_000.0
+UNARMED_OFFSET_MS = -1e13  # added to Unix ms until it is armed, so that none of its troubles has begun
 STATUS = {
     Reply.OK: b"200 OK",
     Reply.ERROR: b"500 Internal Server Error",
@@ -46,17 +49,17 @@
 
 
 def unheard(listen: tuple[str, int]) -> list[socket.socket]:
-    """A listener whose queue is full, and what fills it: the system drops what else asks for a connection."""
-    full, filler = socket.socket(), socket.socket()
-    full.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    full.bind(listen)
-    full.listen(0)
-    filler.connect(full.getsockname())
-    return [full, filler]
+    """Returns a listener with a full accept queue, and the socket that fills it; further SYNs are dropped."""
+    listener, filler = socket.socket(), socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind(listen)
+    listener.listen(0)
+    filler.connect(listener.getsockname())
+    return [listener, filler]
 
 
 class Endpoint:
-    """The model behind one listener. `clock`: ms, the model's time."""
+    """A listener that answers as its model decides. `clock` returns the model's time in ms."""
 
     def __init__(
         self,
@@ -67,22 +70,26 @@
         log: TextIO | None = None,
     ) -> None:
         self.model, self.listen, self.ledger, self.log = model, listen, ledger, log
-        self.zero: float | None = None  # Unix ms when its time began; None: it is not armed yet
+        self.started_at_ms: float | None = (
+            None  # Unix ms at which the model's time began; None: it is not armed yet
+        )
         self.clock = clock or self._clock
-        self.after: Callable[[float], float] = lambda delay_ms: delay_ms  # how long an answer really takes
+        self.after: Callable[[float], float] = (
+            lambda delay_ms: delay_ms
+        )  # maps the model's delay of an answer to the real one
         self.open: set[asyncio.Transport] = set()
         self.falls = 0
-        self.unheard = False  # while it is away, connections get no answer; else they are refused
-        self.work: set[asyncio.Task[None]] = set()
+        self.unheard = False  # whether new connections get no answer during an outage; else they are refused
+        self.tasks: set[asyncio.Task[None]] = set()
 
     def _clock(self) -> float:
         now = time.time() * 1000
-        return now + BEFORE_MS if self.zero is None else now - self.zero
+        return now + UNARMED_OFFSET_MS if self.started_at_ms is None else now - self.started_at_ms
 
     def answer(self, trace: bytes, key: bytes, rules: bytes = b"") -> tuple[Reply, float, float]:
-        """What one whole call gets, after how many ms, and the wait that it is told."""
+        """Returns the reply to one complete call, its delay, and the retry delay that it states, in ms."""
         now, name = self.clock(), trace.decode("latin-1")
-        before = self.model.effects[name]
+        effects_before = self.model.effects[name]
         answer = self.model.call(now, Call(name, key.decode("latin-1") or None))
         if self.log is not None:
             reply = answer.reply.value.replace(" ", "-")
@@ -91,7 +98,7 @@
                 f"{rules.decode('latin-1') or '-'}\n"
             )
             self.log.flush()
-        if self.ledger is not None and self.model.effects[name] > before:
+        if self.ledger is not None and self.model.effects[name] > effects_before:
             self.ledger.write(f"{time.time() * 1000:.0f} {name} {key.decode('latin-1')}\n")
             self.ledger.flush()
         if self.model.falls > self.falls:
@@ -99,7 +106,7 @@
             self._away(self.model.spec.cold.fallen_ms)
         return answer.reply, self.after(answer.at - now), answer.wait_ms
 
-    # -- its listener ------------------------------------------------------------------------------------
+    # -- the listener ------------------------------------------------------------------------------------
 
     async def start(self) -> asyncio.Server:
         self.server = await self._server()
@@ -111,26 +118,26 @@
         return await loop.create_server(lambda: Connection(self), *self.listen, backlog=1024)
 
     def begin(self) -> None:
-        """Its time begins, and with it its troubles."""
-        self.zero = time.time() * 1000
-        for each in self.model.spec.troubles:
-            if each.fault is Fault.DOWN:
-                length = each.end_ms - each.begin_ms
-                asyncio.get_running_loop().call_later(each.begin_ms / 1000, self._away, length)
-
-    def _away(self, ms: float) -> None:
-        """Connections end, and new ones are refused for so long."""
+        """Starts the model's time, and so its outages."""
+        self.started_at_ms = time.time() * 1000
+        for trouble in self.model.spec.troubles:
+            if trouble.fault is Fault.DOWN:
+                length = trouble.end_ms - trouble.begin_ms
+                asyncio.get_running_loop().call_later(trouble.begin_ms / 1000, self._away, length)
+
+    def _away(self, length_ms: float) -> None:
+        """Aborts connections, and closes the listener for the given time."""
         self.server.close()
         for transport in list(self.open):
             transport.abort()
-        held = unheard(self.listen) if self.unheard else []
-        task = asyncio.get_running_loop().create_task(self._return(ms, held))
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
-
-    async def _return(self, ms: float, held: list[socket.socket]) -> None:
-        await asyncio.sleep(ms / 1000)
-        for each in held:
+        sockets = unheard(self.listen) if self.unheard else []
+        task = asyncio.get_running_loop().create_task(self._come_back(length_ms, sockets))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _come_back(self, length_ms: float, sockets: list[socket.socket]) -> None:
+        await asyncio.sleep(length_ms / 1000)
+        for each in sockets:
             each.close()
         self.server = await self._server()
 
@@ -153,13 +160,13 @@
         assert self.transport is not None
         self.data += data
         while (end := HEAD.search(self.data)) is not None:
-            found = {name.lower(): value for name, value in HEADER.findall(self.data[: end.start()])}
-            length = int(found.get(b"content-length", b"0"))
+            headers = {name.lower(): value for name, value in HEADER.findall(self.data[: end.start()])}
+            length = int(headers.get(b"content-length", b"0"))
             if len(self.data) < end.end() + length:
                 break
             del self.data[: end.end() + length]
-            self._call(*(found.get(name, b"") for name in (b"x-trace-id", b"idempotency-key", b"x-rules")))
-        if len(self.data) > MOST:
+            self._call(*(headers.get(name, b"") for name in (b"x-trace-id", b"idempotency-key", b"x-rules")))
+        if len(self.data) > MAX_BUFFERED_BYTES:
             self.transport.abort()
 
     def _call(self, trace: bytes, key: bytes, rules: bytes) -> None:
@@ -181,7 +188,7 @@
 
 
 def spans(text: str) -> list[tuple[float, float]]:
-    """`FROM:LENGTH,...` in seconds as pairs of begin and end in ms; ValueError if it is something else."""
+    """Parses `FROM:LENGTH,...` in seconds into pairs of begin and end in ms. Raises ValueError."""
     pairs = [[float(part) * 1000 for part in item.split(":")] for item in text.split(",") if item]
     if any(len(pair) != 2 for pair in pairs):
         raise ValueError(f"{text!r} is not FROM:LENGTH,...")
@@ -189,16 +196,16 @@
 
 
 def rated(per_s: float) -> Rate:
-    """It refuses only what is clearly above: two calls and a twentieth."""
+    """A rate limit that refuses only what is clearly above: its burst is two calls and 5% of the rate."""
     return Rate(per_s, burst=2 + 0.05 * per_s)
 
 
 def spec_of(path: Path) -> Spec:
-    """One of an experiment's [[partners]], as JSON. Raises ValueError."""
-    from emulator.experiment import Partner as Told
+    """Reads one of an experiment's [[partners]] from a JSON file. Raises ValueError."""
+    from emulator.experiment import Partner as PartnerSettings
 
-    told: Told = msgspec.json.decode(path.read_bytes(), type=Told)
-    return told.model()
+    settings: PartnerSettings = msgspec.json.decode(path.read_bytes(), type=PartnerSettings)
+    return settings.model()
 
 
 def main() -> None:
@@ -213,11 +220,19 @@
     parser.add_argument("--calls", type=lambda path: open(path, "a"))  # noqa: SIM115
     parser.add_argument("--rate", type=float, help="calls a second")
     parser.add_argument("--down", type=spans, default=[], metavar="FROM:LENGTH,...")
-    parser.add_argument("--armed", action="store_true", help="outages count from SIGUSR1, not from the start")
-    parser.add_argument("--unheard", action="store_true", help="while it is down, connections get no answer")
+    parser.add_argument(
+        "--armed", action="store_true", help="outages are counted from SIGUSR1, not from the start"
+    )
+    parser.add_argument(
+        "--unheard", action="store_true", help="new connections get no answer during an outage"
+    )
     parser.add_argument("--cold", type=float, default=0.18, help="share of the rate right after an outage")
-    parser.add_argument("--warm-s", type=float, default=11.0, help="from then until it can do all of it")
-    parser.add_argument("--spec", type=Path, help="JSON in place of all these: a partner of an experiment")
+    parser.add_argument(
+        "--warm-s", type=float, default=11.0, help="seconds from the end of an outage until the full rate"
+    )
+    parser.add_argument(
+        "--spec", type=Path, help="JSON file with a partner of an experiment; replaces all these options"
+    )
     args = parser.parse_args()
     try:
         spec = (
@@ -229,7 +244,7 @@
                 queue=args.queue,
                 service=Service(args.answer_ms, cv=0.0),
                 cold=Cold(args.cold, args.warm_s * 1000),
-                key_window_ms=KEYS_MS,
+                key_window_ms=KEY_WINDOW_MS,
                 refuse=args.refuse,
                 error=args.error,
                 reset=args.reset,
--- a/fakes/fault_proxy.py
+++ b/fakes/fault_proxy.py
@@ -1,32 +1,34 @@
-"""A network between processes, in which faults are put: named links, TCP and UDP, by script, seed or command.
+"""A proxy network between processes that injects faults into named links, for TCP and UDP.
 
     python -m fakes.fault_proxy --plan FILE [--listen 127.0.0.1:0] [--script FILE] [--seed 1] [--log FILE]
 
-PLAN (JSON) names the nodes and, where a node can't be told by its own address, doors:
+Faults are set by a script or by commands; random ones follow the seed. PLAN (JSON) names the nodes and, where
+a node cannot be identified by its own address, doors:
 
     {"nodes": [{"name": "n0", "zone": "a", "bind": "127.1.0.0:7400", "at": "127.2.0.0:7400"}, ...],
      "doors": [{"from": "n0", "to": "p0", "at": "127.0.0.1:7500", "target": "127.0.0.1:9000"}, ...]}
 
-Others reach a node at `at`; the net passes that on to `bind`, and knows by the source address (a node
-sends from its `bind`) which link it is. A door is a TCP address for one link alone. One link leads from
-each node to each other one; A to B and B to A are two, so that either can be cut alone.
+Other nodes reach a node at `at`. The proxy forwards to `bind`, and identifies the link by the source address,
+since a node sends from its `bind`. A door is a TCP address for one link only. There is one link from each
+node to each other one; A to B and B to A are two links, so that each can be cut alone.
 
-A command, a line of JSON on a connection to `--listen`, or one with `at_s` in the script, sets what holds
-on links:
+A command is a line of JSON on a connection to `--listen`, or an entry with `at_s` in the script:
 
-    {"do": "set", "from": "zone:a", "to": "*", "cut": true}    names, zone:NAME, * and lists of these
-    {"do": "heal"}       all is well everywhere (with from and to: there)
-    {"do": "reset", "from": ..., "to": ...}    ends the TCP connections there
-    {"do": "count"}      packets and bytes passed and dropped, in all
+    {"do": "set", "from": "zone:a", "to": "*", "cut": true}    sets the faults of these links; from, to:
+                                                               name, zone:NAME, * or a list of these
+    {"do": "heal"}       removes all faults (with from and to: those of these links)
+    {"do": "reset", "from": ..., "to": ...}    aborts the TCP connections of these links
+    {"do": "count"}      returns the totals of forwarded and lost packets and of forwarded bytes
 
     cut        nothing passes: packets are lost, bytes of connections wait, as on a path that went silent
-    loss, twice, late    shares of the packets that are lost, come twice, or are overtaken (UDP)
-    delay_ms, jitter_ms  each way, evenly spread; bytes of a connection stay in order
-    bytes_s    at most so many bytes a second on a connection
-    flap_ms    cut in every second span of so long
+    loss, twice, late    shares of the packets that are lost, duplicated, or overtaken (UDP)
+    delay_ms, jitter_ms  for each direction, jitter evenly distributed; bytes of a connection stay in order
+    bytes_s    maximum of bytes a second on a connection
+    flap_ms    cut in every second period of this length
 
-What a new connection to a cut link gets is a kernel's answer and then silence, since the net itself listens:
-a connection that is refused is not played here. Each command is written to the log with its Unix time."""
+A new connection to a cut link is accepted by the kernel and then gets no data, since the proxy itself
+listens: refused connections cannot be simulated. Each command is written to the log with its Unix time.
+"""
 
 from __future__ import annotations
 
@@ -44,10 +46,10 @@
 
 from .serving import address, arguments, serve
 
-CHUNK = 65536
-LOOK_S = 0.01  # how often a connection on a cut link looks whether it is healed
-LATE_S = 0.05  # by so much one packet is overtaken
-WAIT = 20_000  # packets on their way at once, at most: later ones are lost, as in a full queue
+CHUNK_BYTES = 65536
+CUT_POLL_S = 0.01  # how often a connection on a cut link checks whether it is healed
+LATE_DELAY_S = 0.05  # extra delay of a packet that is overtaken
+MAX_DELAYED_PACKETS = 20_000  # most packets delayed at once: further ones are lost, as in a full queue
 
 Address = tuple[str, int]
 
@@ -69,11 +71,11 @@
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     nodes: list[NodePlan]
     doors: list[DoorPlan] = []
-    zones: dict[str, str] = {}  # of those behind doors
+    zones: dict[str, str] = {}  # of the nodes behind doors
 
 
-class Held(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds on a link."""
+class LinkFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The faults of one link."""
 
     cut: bool = False
     loss: float = 0.0
@@ -84,11 +86,11 @@
     bytes_s: float = 0.0
     flap_ms: float = 0.0
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         return self.cut or (bool(self.flap_ms) and int(now * 1000 / self.flap_ms) % 2 == 1)
 
 
-WELL = Held()
+NO_FAULTS = LinkFaults()
 Names = str | list[str]
 
 
@@ -107,8 +109,8 @@
     flap_ms: float = 0.0
     note: str = ""
 
-    def held(self) -> Held:
-        return Held(
+    def faults(self) -> LinkFaults:
+        return LinkFaults(
             self.cut,
             self.loss,
             self.twice,
@@ -123,69 +125,73 @@
 class FaultProxy:
     def __init__(self, plan: Plan, seed: int, log: TextIO | None = None) -> None:
         self.plan, self.rng, self.log = plan, random.Random(seed), log
-        self.links: dict[tuple[str, str], Held] = {}  # those on which something holds
+        self.links: dict[tuple[str, str], LinkFaults] = {}  # links with faults
         self.zones = {node.name: node.zone for node in plan.nodes} | plan.zones
         self.names = sorted(self.zones | {name: "" for door in plan.doors for name in (door.source, door.to)})
         self.by_host = {address(node.bind)[0]: node.name for node in plan.nodes}
         self.open: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         self.counts: Counter[str] = Counter()
-        self.waiting = 0
-        self.work: set[asyncio.Task[None]] = set()
+        self.delayed_packets = 0
+        self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, control: Address) -> asyncio.Server:
         for node in self.plan.nodes:
             loop = asyncio.get_running_loop()
-            await loop.create_datagram_endpoint(functools.partial(Udp, self, node), address(node.at))
-            await asyncio.start_server(self._taker(node.name, address(node.bind)), *address(node.at))
+            await loop.create_datagram_endpoint(
+                functools.partial(PacketForwarder, self, node), address(node.at)
+            )
+            await asyncio.start_server(
+                self._connection_handler(node.name, address(node.bind)), *address(node.at)
+            )
         for door in self.plan.doors:
             await asyncio.start_server(
-                self._taker(door.to, address(door.target), door.source), *address(door.at)
+                self._connection_handler(door.to, address(door.target), door.source), *address(door.at)
             )
         return await asyncio.start_server(self._control, *control)
 
     # -- commands --------------------------------------------------------------------------------------------
 
-    def command(self, told: Command) -> Any:
-        """Raises ValueError."""
-        self._note(told)
-        pairs = list(self._pairs(told.source, told.to))
-        if told.do == "set":
+    def command(self, command: Command) -> Any:
+        """Executes a command and returns its answer. Raises ValueError."""
+        self._log_command(command)
+        pairs = list(self._pairs(command.source, command.to))
+        if command.do == "set":
             for pair in pairs:
-                self.links[pair] = told.held()
-        elif told.do == "heal":
+                self.links[pair] = command.faults()
+        elif command.do == "heal":
             for pair in pairs:
                 self.links.pop(pair, None)
-        elif told.do == "reset":
+        elif command.do == "reset":
             for pair in pairs:
                 for writer in list(self.open.get(pair, ())):
                     writer.transport.abort()
-        elif told.do == "count":
+        elif command.do == "count":
             return dict(self.counts)
         else:
-            raise ValueError(f"do: {told.do!r}: set, heal, reset or count is needed")
+            raise ValueError(f"do: {command.do!r}: set, heal, reset or count is needed")
         return "ok"
 
     def _pairs(self, source: Names, to: Names) -> Iterator[tuple[str, str]]:
-        targets = self._named(to)
-        return ((a, b) for a in self._named(source) for b in targets if a != b)
+        targets = self._resolve(to)
+        return ((a, b) for a in self._resolve(source) for b in targets if a != b)
 
-    def _named(self, names: Names) -> list[str]:
-        found: list[str] = []
+    def _resolve(self, names: Names) -> list[str]:
+        resolved: list[str] = []
         for name in [names] if isinstance(names, str) else names:
             if name == "*":
                 return self.names
             zone = name.partition("zone:")[2]
-            here = [each for each in self.names if self.zones.get(each) == zone] if zone else [name]
-            if not here or not set(here) <= set(self.names):
+            members = [node for node in self.names if self.zones.get(node) == zone] if zone else [name]
+            if not members or not set(members) <= set(self.names):
                 raise ValueError(f"{name!r} is no node, zone or *")
-            found += here
-        return found
+            resolved += members
+        return resolved
 
-    def _note(self, told: Command) -> None:
+    def _log_command(self, command: Command) -> None:
         if self.log is not None:
             line = {
                 key: value
-                for key, value in msgspec.to_builtins(told).items()
+                for key, value in msgspec.to_builtins(command).items()
                 if value not in (0.0, "", False)
             }
             self.log.write(json.dumps({"unix_ms": round(time.time() * 1000, 1), **line}) + "\n")
@@ -200,52 +206,54 @@
             writer.write(json.dumps(answer).encode() + b"\n")
         writer.close()
 
-    async def play(self, script: list[Command]) -> None:
-        begun = time.monotonic()
-        for told in sorted(script, key=lambda each: each.at_s):
-            await asyncio.sleep(max(0.0, begun + told.at_s - time.monotonic()))
-            self.command(told)
+    async def run_script(self, script: list[Command]) -> None:
+        started_at = time.monotonic()
+        for command in sorted(script, key=lambda each: each.at_s):
+            await asyncio.sleep(max(0.0, started_at + command.at_s - time.monotonic()))
+            self.command(command)
 
-    def start_task(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+    def start_task(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     # -- packets ---------------------------------------------------------------------------------------------
 
-    def packet(self, source: str, to: str, send: Any) -> None:
-        held = self.links.get((source, to), WELL)
+    def forward_packet(self, source: str, to: str, send: Any) -> None:
+        faults = self.links.get((source, to), NO_FAULTS)
         if (
-            held.silent(time.monotonic())
-            or (held.loss and self.rng.random() < held.loss)
-            or self.waiting > WAIT
+            faults.is_silent(time.monotonic())
+            or (faults.loss and self.rng.random() < faults.loss)
+            or self.delayed_packets > MAX_DELAYED_PACKETS
         ):
             self.counts["packets lost"] += 1
             return
-        for _ in range(1 + bool(held.twice and self.rng.random() < held.twice)):
-            wait = self._wait(held) + (LATE_S if held.late and self.rng.random() < held.late else 0.0)
+        for _ in range(1 + bool(faults.twice and self.rng.random() < faults.twice)):
+            delay_s = self._delay_s(faults) + (
+                LATE_DELAY_S if faults.late and self.rng.random() < faults.late else 0.0
+            )
             self.counts["packets"] += 1
-            if wait:
-                self.waiting += 1
-                asyncio.get_running_loop().call_later(wait, self._late, send)
+            if delay_s:
+                self.delayed_packets += 1
+                asyncio.get_running_loop().call_later(delay_s, self._send_delayed, send)
             else:
                 send()
 
-    def _late(self, send: Any) -> None:
-        self.waiting -= 1
+    def _send_delayed(self, send: Any) -> None:
+        self.delayed_packets -= 1
         send()
 
-    def _wait(self, held: Held) -> float:
-        return (held.delay_ms + self.rng.random() * held.jitter_ms) / 1000
+    def _delay_s(self, faults: LinkFaults) -> float:
+        return (faults.delay_ms + self.rng.random() * faults.jitter_ms) / 1000
 
     # -- connections -----------------------------------------------------------------------------------------
 
-    def _taker(self, to: str, target: Address, source: str = "") -> Any:
-        async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _connection_handler(self, to: str, target: Address, source: str = "") -> Any:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             name = source or self.by_host.get(writer.get_extra_info("peername")[0], "")
             await self._connection(name, to, target, reader, writer)
 
-        return take
+        return handle
 
     async def _connection(
         self,
@@ -255,45 +263,45 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        there: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         pair = source, to
         opened = self.open.setdefault(pair, set())
         opened.add(writer)
         try:
-            while self.links.get(pair, WELL).silent(time.monotonic()):
-                await asyncio.sleep(LOOK_S)
-            back, there = await asyncio.open_connection(*target)
-            ways = [
-                asyncio.ensure_future(self._pump(source, to, reader, there)),
-                asyncio.ensure_future(self._pump(to, source, back, writer)),
+            while self.links.get(pair, NO_FAULTS).is_silent(time.monotonic()):
+                await asyncio.sleep(CUT_POLL_S)
+            target_reader, target_writer = await asyncio.open_connection(*target)
+            directions = [
+                asyncio.ensure_future(self._copy(source, to, reader, target_writer)),
+                asyncio.ensure_future(self._copy(to, source, target_reader, writer)),
             ]
             try:
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                for way in ways:
-                    way.cancel()
-                await asyncio.gather(*ways, return_exceptions=True)
+                for direction in directions:
+                    direction.cancel()
+                await asyncio.gather(*directions, return_exceptions=True)
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             opened.discard(writer)
-            for each in (writer, there):
+            for each in (writer, target_writer):
                 if each is not None:
                     each.close()
 
-    async def _pump(
+    async def _copy(
         self, source: str, to: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Ends with either side, once what was read has been passed on."""
+        """Copies one direction, with the faults of its link, until the stream ends and all is passed on."""
         pair = source, to
         while True:
-            data = await reader.read(CHUNK)
-            held = self.links.get(pair, WELL)
-            wait = self._wait(held) + (len(data) / held.bytes_s if held.bytes_s else 0.0)
-            if wait:
-                await asyncio.sleep(wait)
-            while self.links.get(pair, WELL).silent(time.monotonic()):
-                await asyncio.sleep(LOOK_S)
+            data = await reader.read(CHUNK_BYTES)
+            faults = self.links.get(pair, NO_FAULTS)
+            delay_s = self._delay_s(faults) + (len(data) / faults.bytes_s if faults.bytes_s else 0.0)
+            if delay_s:
+                await asyncio.sleep(delay_s)
+            while self.links.get(pair, NO_FAULTS).is_silent(time.monotonic()):
+                await asyncio.sleep(CUT_POLL_S)
             if not data:
                 return
             self.counts["bytes"] += len(data)
@@ -301,7 +309,7 @@
             await writer.drain()
 
 
-class Udp(asyncio.DatagramProtocol):
+class PacketForwarder(asyncio.DatagramProtocol):
     def __init__(self, net: FaultProxy, node: NodePlan) -> None:
         self.net, self.name, self.bind = net, node.name, address(node.bind)
 
@@ -310,7 +318,7 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         source = self.net.by_host.get(addr[0], "")
-        self.net.packet(source, self.name, lambda: self.transport.sendto(data, self.bind))
+        self.net.forward_packet(source, self.name, lambda: self.transport.sendto(data, self.bind))
 
 
 def main() -> None:
@@ -322,15 +330,15 @@
     args = parser.parse_args()
     try:
         plan: Plan = msgspec.json.decode(args.plan.read_bytes(), type=Plan)
-        raw = b"[]" if args.script is None else args.script.read_bytes()
-        script: list[Command] = msgspec.json.decode(raw, type=list[Command])
+        raw_script = b"[]" if args.script is None else args.script.read_bytes()
+        script: list[Command] = msgspec.json.decode(raw_script, type=list[Command])
     except msgspec.MsgspecError as error:
         parser.error(str(error))
     net = FaultProxy(plan, args.seed, args.log)
 
     async def start() -> asyncio.Server:
         server = await net.start(address(args.listen))
-        net.start_task(net.play(script))
+        net.start_task(net.run_script(script))
         return server
 
     serve(start)
--- a/fakes/service_manager.py
+++ b/fakes/service_manager.py
@@ -1,9 +1,9 @@
-"""A service manager's side: starts a program, holds its listening socket, hears what it says, and ends it.
+"""A fake service manager: starts a program with a listening socket, reads its notifications and stops it.
 
     python -m fakes.service_manager --listen 127.0.0.1:PORT --folder DIR [--watchdog-s N] -- PROGRAM ARGS
 
-Speaks sd_notify(3) and sd_listen_fds(3) as their pages describe them. What the program says is printed, a
-line each; SIGHUP and SIGTERM are passed on, and a program that ends by itself is started again.
+Implements sd_notify(3) and sd_listen_fds(3) as their manual pages describe them. Each notification of the
+program is printed as one line. SIGHUP and SIGTERM are passed on, and a program that exits is restarted.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 from .serving import address, arguments
 
-HANDED = 3  # where the listening socket goes in the program
-LAUNCH = "import os,sys; os.environ['LISTEN_PID']=str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])"
+LISTEN_FD = 3  # file descriptor of the listening socket in the program
+LAUNCHER = "import os,sys; os.environ['LISTEN_PID']=str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])"
 
 
 class ServiceManager:
@@ -37,11 +37,11 @@
         self.reading = False
 
     def read(self) -> None:
-        """From now on it hears; until then what is said fills the socket."""
+        """Starts to read notifications; until then they fill the socket."""
         self.reading = True
-        asyncio.get_running_loop().add_reader(self.notify.fileno(), self._heard)
+        asyncio.get_running_loop().add_reader(self.notify.fileno(), self._on_datagram)
 
-    def _heard(self) -> None:
+    def _on_datagram(self) -> None:
         lines = dict(line.split("=", 1) for line in self.notify.recv(4096).decode().splitlines())
         if lines.pop("WATCHDOG", "") == "1":
             self.beats.append(asyncio.get_running_loop().time())
@@ -49,49 +49,49 @@
             self.said.append(lines)
 
     def fill(self) -> int:
-        """Stuffs the socket, as if the manager were stuck; how many datagrams went in."""
-        with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as other:
-            other.setblocking(False)
+        """Fills the socket, as if the manager were stuck. Returns the number of datagrams."""
+        with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sender:
+            sender.setblocking(False)
             count = 0
             while True:
                 try:
-                    other.sendto(b"STATUS=full", str(self.path))
+                    sender.sendto(b"STATUS=full", str(self.path))
                     count += 1
                 except BlockingIOError:
                     return count
 
     async def start(self, *program: str, env: dict[str, str] | None = None) -> None:
-        more = {"NOTIFY_SOCKET": str(self.path), "LISTEN_FDS": "1", "LISTEN_FDNAMES": "clients"}
+        notify_env = {"NOTIFY_SOCKET": str(self.path), "LISTEN_FDS": "1", "LISTEN_FDNAMES": "clients"}
         if self.watchdog_s:
-            more["WATCHDOG_USEC"] = str(int(self.watchdog_s * 1e6))
+            notify_env["WATCHDOG_USEC"] = str(int(self.watchdog_s * 1e6))
         fd = self.listener.fileno()
 
-        def hand_over() -> None:
-            os.dup2(fd, HANDED, inheritable=True)
+        def pass_listener() -> None:
+            os.dup2(fd, LISTEN_FD, inheritable=True)
 
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
-            LAUNCH,
+            LAUNCHER,
             *program,
-            env={**os.environ, **(env or {}), **more},
-            pass_fds=(HANDED,) if fd == HANDED else (),
+            env={**os.environ, **(env or {}), **notify_env},
+            pass_fds=(LISTEN_FD,) if fd == LISTEN_FD else (),
             close_fds=False,
-            preexec_fn=hand_over,
+            preexec_fn=pass_listener,
         )
 
     async def heard(self, name: str, times: int = 1) -> dict[str, str]:
-        """The datagram that says this for the so-many-th time."""
-        while len(found := [lines for lines in self.said if name in lines]) < times:
+        """Waits for the `times`-th notification that contains the name, and returns it."""
+        while len(matches := [lines for lines in self.said if name in lines]) < times:
             await asyncio.sleep(0.01)
-        return found[times - 1]
+        return matches[times - 1]
 
-    def tell(self, what: signal.Signals) -> None:
+    def tell(self, signal_number: signal.Signals) -> None:
         assert self.process is not None
-        self.process.send_signal(what)
+        self.process.send_signal(signal_number)
 
-    async def end(self, how: signal.Signals = signal.SIGTERM) -> int:
-        self.tell(how)
+    async def end(self, signal_number: signal.Signals = signal.SIGTERM) -> int:
+        self.tell(signal_number)
         assert self.process is not None
         return await self.process.wait()
 
@@ -106,17 +106,17 @@
     manager, stop = ServiceManager(folder, listen, watchdog_s), asyncio.Event()
     manager.read()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: manager.tell(signal.SIGHUP))
     print(f"ready 127.0.0.1:{manager.port}", flush=True)
     while not stop.is_set():
         await manager.start(*program)
         assert manager.process is not None
-        ended = asyncio.ensure_future(manager.process.wait())
+        exited = asyncio.ensure_future(manager.process.wait())
         stopped = asyncio.ensure_future(stop.wait())
-        while not ended.done() and not stopped.done():
-            await asyncio.wait({ended, stopped}, timeout=0.2, return_when=asyncio.FIRST_COMPLETED)
+        while not exited.done() and not stopped.done():
+            await asyncio.wait({exited, stopped}, timeout=0.2, return_when=asyncio.FIRST_COMPLETED)
             for lines in manager.said:
                 print(*(f"{name}={value}" for name, value in lines.items()), flush=True)
             manager.said.clear()
--- a/fakes/serving.py
+++ b/fakes/serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in does: listens, says so in one line, and ends on SIGTERM."""
+"""Common parts of the fakes: the --listen option, the line that reports readiness, and the end on SIGTERM."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def serve(start: Callable[[], Awaitable[asyncio.Server]]) -> None:
-    async def work() -> None:
+    async def serve_until_stopped() -> None:
         stop = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -29,4 +29,4 @@
         await stop.wait()
         server.close()
 
-    asyncio.run(work())
+    asyncio.run(serve_until_stopped())
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -109,13 +109,13 @@
         broker = Broker()
         async with publishing(broker) as publisher:
             assert (await publisher.attempt(attempt("a"))).outcome is Outcome.OK
-            broker.do("block", {})
+            broker.run_command("block", {})
             connection = publisher.brokers["b"].connection
             assert connection is not None
             await until(lambda: connection.blocked)
             result = await publisher.attempt(attempt("b"))
             assert result.outcome is Outcome.FULL and result.retry_after_ms == 1000.0
-            broker.do("unblock", {})
+            broker.run_command("unblock", {})
             await until(lambda: not connection.blocked)
             broker.faults.chances = {"close-before": 1.0}
             assert (await publisher.attempt(attempt("c"))).outcome is Outcome.RESET
@@ -150,7 +150,7 @@
 def test_missing_heartbeats_end_a_connection() -> None:
     async def work() -> None:
         broker = Broker(Faults({"drop": 1.0}), heartbeat_s=1)
-        broker.beats = False
+        broker.sends_heartbeats = False
         async with publishing(broker, heartbeat_s=1) as publisher:
             assert (await publisher.attempt(attempt(seconds=10.0))).outcome is Outcome.RESET
 
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -61,7 +61,7 @@
 def brokers(faults: Faults | None = None) -> tuple[Broker, Broker]:
     source, target = Broker(), Broker(faults)
     dead = source.declare("dead")
-    source.kinds["dlx"] = "fanout"
+    source.exchange_types["dlx"] = "fanout"
     source.bindings["dlx"] = [("", dead.name)]
     source.declare("in", "dlx")
     source.declare("answers")
@@ -151,7 +151,7 @@
             await asyncio.sleep(0.3)
             assert len(source.queues["in"].waiting) == 48 and not source.queues["dead"].waiting
             target.blocked = False
-            target.do("unblock", {})
+            target.run_command("unblock", {})
             await until(lambda: len(target.effects) == 60 and not unacknowledged(source.queues["in"]))
             await relay.close()
         assert len(set(target.effects)) == 60
@@ -174,7 +174,7 @@
             assert answers[0].properties.correlation_id == "c 1"
             # An outcome that cannot be published before the process ends.
             source.blocked = True
-            source.do("block", {})
+            source.run_command("block", {})
             publish(source, "two", expiration="700", reply_to="answers", correlation_id="c2")
             await until(
                 lambda: "two" in relay.journal.entries and bool(relay.journal.entries["two"].final_state)
@@ -182,7 +182,7 @@
             assert relay.host.pending_outcomes == 1
             await relay.close()
             source.blocked = False
-            source.do("unblock", {})
+            source.run_command("unblock", {})
             relay = await relay_of(tmp_path, amqp_settings(source_port, target_port))
             await until(lambda: len(answers) == 2 and relay.host.is_idle)
             assert json.loads(answers[1].body)["id"] == "two" and answers[1].properties.correlation_id == "c2"
@@ -200,7 +200,7 @@
                 await until(lambda: bool(source.queues["in"].consumers))
                 publish(source, f"m{n}")
                 await until(lambda n=n: len(target.effects) == n + 1)  # type: ignore[misc]
-                source.do(event, {})
+                source.run_command(event, {})
             await until(lambda: bool(source.queues["in"].consumers))
             publish(source, "last")
             await until(lambda: len(target.effects) == 4)
