--- a/fakes/service_manager.py
+++ b/fakes/service_manager.py
@@ -31,7 +31,7 @@
         self.notify.setblocking(False)
         self.listener = socket.create_server(listen, backlog=512)
         self.port = int(self.listener.getsockname()[1])
-        self.said: list[dict[str, str]] = []
+        self.notifications: list[dict[str, str]] = []
         self.beats: list[float] = []
         self.process: asyncio.subprocess.Process | None = None
         self.reading = False
@@ -46,7 +46,7 @@
         if lines.pop("WATCHDOG", "") == "1":
             self.beats.append(asyncio.get_running_loop().time())
         if lines:
-            self.said.append(lines)
+            self.notifications.append(lines)
 
     def fill(self) -> int:
         """Fills the socket, as if the manager were stuck. Returns the number of datagrams."""
@@ -82,7 +82,7 @@
 
     async def heard(self, name: str, times: int = 1) -> dict[str, str]:
         """Waits for the `times`-th notification that contains the name, and returns it."""
-        while len(matches := [lines for lines in self.said if name in lines]) < times:
+        while len(matches := [lines for lines in self.notifications if name in lines]) < times:
             await asyncio.sleep(0.01)
         return matches[times - 1]
 
@@ -117,9 +117,9 @@
         stopped = asyncio.ensure_future(stop.wait())
         while not exited.done() and not stopped.done():
             await asyncio.wait({exited, stopped}, timeout=0.2, return_when=asyncio.FIRST_COMPLETED)
-            for lines in manager.said:
+            for lines in manager.notifications:
                 print(*(f"{name}={value}" for name, value in lines.items()), flush=True)
-            manager.said.clear()
+            manager.notifications.clear()
         stopped.cancel()
     await manager.end()
     manager.close()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -83,7 +83,9 @@
             w.config.write_text(good)
             assert await w.manager.end() == 0
             await w.manager.heard("STOPPING")
-            names = [name for lines in w.manager.said for name in lines if name in ("READY", "STOPPING")]
+            names = [
+                name for lines in w.manager.notifications for name in lines if name in ("READY", "STOPPING")
+            ]
             assert names == ["READY", "READY", "READY", "STOPPING"]
 
     run(work())
@@ -181,8 +183,10 @@
             notifier.status(f"line {n}\nof two")
         assert notifier.unsent == {"READY": "1", "STATUS": "line 999 of two"} and len(notifier.timers) == 1
         manager.read()
-        await until(lambda: bool(manager.said) and "READY" in manager.said[-1])
-        assert manager.said[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.unsent
+        await until(lambda: bool(manager.notifications) and "READY" in manager.notifications[-1])
+        assert (
+            manager.notifications[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.unsent
+        )
         notifier.close()
         manager.close()
 
