--- a/fakes/service_manager.py
+++ b/fakes/service_manager.py
@@ -80,7 +80,7 @@
             preexec_fn=pass_listener,
         )
 
-    async def heard(self, name: str, times: int = 1) -> dict[str, str]:
+    async def wait_for(self, name: str, times: int = 1) -> dict[str, str]:
         """Waits for the `times`-th notification that contains the name, and returns it."""
         while len(matches := [lines for lines in self.notifications if name in lines]) < times:
             await asyncio.sleep(0.01)
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -47,7 +47,7 @@
         """Starts it under a manager that listens, and waits until it is ready."""
         self.manager.read()
         await self.start()
-        assert await self.manager.heard("READY") == {"READY": "1"}
+        assert await self.manager.wait_for("READY") == {"READY": "1"}
 
 
 @asynccontextmanager
@@ -72,17 +72,17 @@
                 assert await client.ask(message("m")) == 202
             before = time.monotonic_ns() // 1000
             w.manager.tell(signal.SIGHUP)
-            said = await w.manager.heard("RELOADING")
+            said = await w.manager.wait_for("RELOADING")
             assert before <= int(said["MONOTONIC_USEC"]) <= time.monotonic_ns() // 1000
-            await w.manager.heard("READY", 2)
+            await w.manager.wait_for("READY", 2)
             good = w.config.read_text()
             w.config.write_text("{")
             w.manager.tell(signal.SIGHUP)
-            assert "passed over" in (await w.manager.heard("STATUS"))["STATUS"]
-            await w.manager.heard("READY", 3)  # it serves on with what it has
+            assert "passed over" in (await w.manager.wait_for("STATUS"))["STATUS"]
+            await w.manager.wait_for("READY", 3)  # it serves on with what it has
             w.config.write_text(good)
             assert await w.manager.end() == 0
-            await w.manager.heard("STOPPING")
+            await w.manager.wait_for("STOPPING")
             names = [
                 name for lines in w.manager.notifications for name in lines if name in ("READY", "STOPPING")
             ]
