--- a/fakes/service_manager.py
+++ b/fakes/service_manager.py
@@ -86,12 +86,12 @@
             await asyncio.sleep(0.01)
         return matches[times - 1]
 
-    def tell(self, signal_number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         assert self.process is not None
         self.process.send_signal(signal_number)
 
     async def end(self, signal_number: signal.Signals = signal.SIGTERM) -> int:
-        self.tell(signal_number)
+        self.send_signal(signal_number)
         assert self.process is not None
         return await self.process.wait()
 
@@ -108,7 +108,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: manager.tell(signal.SIGHUP))
+    loop.add_signal_handler(signal.SIGHUP, lambda: manager.send_signal(signal.SIGHUP))
     print(f"ready 127.0.0.1:{manager.port}", flush=True)
     while not stop.is_set():
         await manager.start(*program)
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -71,13 +71,13 @@
             async with Client(w.manager.port) as client:
                 assert await client.ask(message("m")) == 202
             before = time.monotonic_ns() // 1000
-            w.manager.tell(signal.SIGHUP)
+            w.manager.send_signal(signal.SIGHUP)
             said = await w.manager.wait_for("RELOADING")
             assert before <= int(said["MONOTONIC_USEC"]) <= time.monotonic_ns() // 1000
             await w.manager.wait_for("READY", 2)
             good = w.config.read_text()
             w.config.write_text("{")
-            w.manager.tell(signal.SIGHUP)
+            w.manager.send_signal(signal.SIGHUP)
             assert "passed over" in (await w.manager.wait_for("STATUS"))["STATUS"]
             await w.manager.wait_for("READY", 3)  # it serves on with what it has
             w.config.write_text(good)
@@ -111,12 +111,12 @@
         async with world(tmp_path, watchdog_s=0.4) as w:
             await w.serve()
             await until(lambda: len(w.manager.beats) >= 4)
-            w.manager.tell(signal.SIGSTOP)
+            w.manager.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.1)  # what it said before
             beats = len(w.manager.beats)
             await asyncio.sleep(1.0)
             assert len(w.manager.beats) == beats
-            w.manager.tell(signal.SIGCONT)
+            w.manager.send_signal(signal.SIGCONT)
             await until(lambda: len(w.manager.beats) > beats)
             assert await w.manager.end() == 0
 
@@ -148,7 +148,7 @@
             await w.start()
             async with Client(w.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            w.manager.tell(signal.SIGHUP)
+            w.manager.send_signal(signal.SIGHUP)
             await until(lambda: len(w.server.seen) == 1)
             assert await w.manager.end() == 0  # SIGTERM while the socket is full
 
@@ -163,8 +163,8 @@
             async with Client(w.manager.port) as client:
                 assert await client.ask(message("m")) == 202
             await w.server.came.get()
-            w.manager.tell(signal.SIGHUP)
-            w.manager.tell(signal.SIGTERM)
+            w.manager.send_signal(signal.SIGHUP)
+            w.manager.send_signal(signal.SIGTERM)
             w.server.hold.set()
             assert w.manager.process is not None and await w.manager.process.wait() == 0
             assert len(w.server.seen) == 1 and w.agent.notices.empty()
