--- a/fakes/endpoint.py
+++ b/fakes/endpoint.py
@@ -48,7 +48,7 @@
 }
 
 
-def unheard(listen: tuple[str, int]) -> list[socket.socket]:
+def unanswering_listener(listen: tuple[str, int]) -> list[socket.socket]:
     """Returns a listener with a full accept queue, and the socket that fills it; further SYNs are dropped."""
     listener, filler = socket.socket(), socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -130,7 +130,7 @@
         self.server.close()
         for transport in list(self.open):
             transport.abort()
-        sockets = unheard(self.listen) if self.unheard else []
+        sockets = unanswering_listener(self.listen) if self.unheard else []
         task = asyncio.get_running_loop().create_task(self._come_back(length_ms, sockets))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from fakes.endpoint import unheard
+from fakes.endpoint import unanswering_listener
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions import slow_start
 from message_relay.decisions.events import AttemptCompleted
@@ -74,7 +74,7 @@
     Without the last check of the rate all of them carry their attempts at the same moment."""
 
     async def work() -> None:
-        held = unheard(("127.0.0.1", 0))
+        held = unanswering_listener(("127.0.0.1", 0))
         address = held[0].getsockname()
         made = [ejected_destination_with_attempt(seed=seed) for seed in range(RELAYS)]
         loop = asyncio.get_running_loop()
