--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -276,7 +276,7 @@
         self.lists.append((now, json.loads(self.agents[0].listing)))
 
     def _refuse_connections(self) -> None:
-        self.endpoints[self.rng.randrange(ENDPOINTS)]._away(CLOSED_MS)
+        self.endpoints[self.rng.randrange(ENDPOINTS)]._go_down(CLOSED_MS)
 
     def _silence(self, seconds: float) -> None:
         now = time.monotonic()
--- a/fakes/endpoint.py
+++ b/fakes/endpoint.py
@@ -103,7 +103,7 @@
             self.ledger.flush()
         if self.model.falls > self.falls:
             self.falls = self.model.falls
-            self._away(self.model.spec.cold.fallen_ms)
+            self._go_down(self.model.spec.cold.fallen_ms)
         return answer.reply, self.after(answer.at - now), answer.wait_ms
 
     # -- the listener ------------------------------------------------------------------------------------
@@ -123,9 +123,9 @@
         for trouble in self.model.spec.troubles:
             if trouble.fault is Fault.DOWN:
                 length = trouble.end_ms - trouble.begin_ms
-                asyncio.get_running_loop().call_later(trouble.begin_ms / 1000, self._away, length)
+                asyncio.get_running_loop().call_later(trouble.begin_ms / 1000, self._go_down, length)
 
-    def _away(self, length_ms: float) -> None:
+    def _go_down(self, length_ms: float) -> None:
         """Aborts connections, and closes the listener for the given time."""
         self.server.close()
         for transport in list(self.open):
