--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -30,13 +30,13 @@
         self._machine = ConnectionProtocol(Login(user, password, host, external), 0.0)
 
     def sent(self) -> bytes:
-        data = self._machine.take(0.0)
-        self._machine.wrote(len(data))
+        data = self._machine.data_to_send(0.0)
+        self._machine.mark_written(len(data))
         return data
 
     def receive(self, data: bytes) -> bytes:
         """Processes bytes of a broker and returns what is written in response."""
-        self._machine.received(data, 0.0)
+        self._machine.receive_data(data, 0.0)
         return self.sent()
 
     def open_channel(self, prefetch: int) -> bytes:
@@ -116,16 +116,16 @@
 class _Subscriber:
     """Subscribes to a queue as soon as its channel is open."""
 
-    def __init__(self, link: BrokerConnection, queue: str) -> None:
-        self.link, self.queue = link, queue
+    def __init__(self, connection: BrokerConnection, queue: str) -> None:
+        self.connection, self.queue = connection, queue
 
-    def ready(self, channel: int) -> None:
-        self.link.subscribe(channel, self.queue)
+    def on_channel_ready(self, channel: int) -> None:
+        self.connection.subscribe(channel, self.queue)
 
-    def delivered(self, delivery: Delivered) -> None:
+    def on_delivery(self, delivery: Delivered) -> None:
         """The tests send no deliveries."""
 
-    def over(self, why: str) -> None:
+    def on_consumer_closed(self, reason: str) -> None:
         """There is nothing to clean up."""
 
 
@@ -133,17 +133,17 @@
     """A connection opened by the given bytes of a broker; channel 1 is for publishing."""
 
     def __init__(self, opening: bytes, channel_opening: bytes) -> None:
-        self._link = BrokerConnection(Login(), lambda why: None, lambda publish: None)
+        self._connection = BrokerConnection(Login(), lambda why: None, lambda publish: None)
         self._transport = _RecordingTransport()
-        self._link.connection_made(self._transport)
-        self._link.data_received(opening)
-        self._link.data_received(channel_opening)
+        self._connection.connection_made(self._transport)
+        self._connection.data_received(opening)
+        self._connection.data_received(channel_opening)
         self._transport.take_written()
 
     def subscribe(self, prefetch: int, queue: str, channel_ready: bytes) -> bytes:
         """Returns all bytes that are sent to consume a queue."""
-        self._link.consume(prefetch, _Subscriber(self._link, queue))
-        self._link.data_received(channel_ready)
+        self._connection.consume(prefetch, _Subscriber(self._connection, queue))
+        self._connection.data_received(channel_ready)
         return self._transport.take_written()
 
     async def publish_final_outcome(
@@ -151,18 +151,18 @@
     ) -> bytes:
         """Returns all bytes that publish the final outcome of a message submitted through a queue."""
         broker = Broker(BrokerSettings("b", ["127.0.0.1:5672"]), Random(0))
-        broker.link = self._link
+        broker.connection = self._connection
         intake = QueueIntake([], {"b": broker}, _AcceptingRelay(), {}, Random(0))
         outcome = FinalOutcome(message_id, state, after_ms)
         publishing = asyncio.create_task(intake._publish(broker, outcome, reply, correlation))
         while not self._transport.data:
             await asyncio.sleep(0)
-        self._link.data_received(confirm)
+        self._connection.data_received(confirm)
         await publishing
         return self._transport.take_written()
 
     def close(self) -> None:
-        self._link.connection_lost(None)
+        self._connection.connection_lost(None)
 
 
 class _AcceptingRelay:
@@ -186,7 +186,7 @@
     intake = QueueIntake(
         [QueueSettings("b", "orders")], {"b": broker}, _AcceptingRelay(), {"pay": 4000.0}, Random(0)
     )
-    submission = intake.queues[0].offer(Delivered(1, "consumer", 9, False, "orders", properties, body))
+    submission = intake.queues[0].submission(Delivered(1, "consumer", 9, False, "orders", properties, body))
     return {
         "id": submission.id,
         "class": submission.class_name,
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -47,7 +47,7 @@
         """Starts the relay under a manager that reads notifications, and waits until it is ready."""
         self.manager.read()
         await self.start()
-        assert await self.manager.heard("READY") == {"READY": "1"}
+        assert await self.manager.wait_for("READY") == {"READY": "1"}
 
 
 @asynccontextmanager
@@ -71,19 +71,24 @@
             async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
             before = time.monotonic_ns() // 1000
-            relay.manager.tell(signal.SIGHUP)
-            notification = await relay.manager.heard("RELOADING")
+            relay.manager.send_signal(signal.SIGHUP)
+            notification = await relay.manager.wait_for("RELOADING")
             assert before <= int(notification["MONOTONIC_USEC"]) <= time.monotonic_ns() // 1000
-            await relay.manager.heard("READY", 2)
+            await relay.manager.wait_for("READY", 2)
             valid_config = relay.config.read_text()
             relay.config.write_text("{")
-            relay.manager.tell(signal.SIGHUP)
-            assert "passed over" in (await relay.manager.heard("STATUS"))["STATUS"]
-            await relay.manager.heard("READY", 3)  # the relay continues with its current configuration
+            relay.manager.send_signal(signal.SIGHUP)
+            assert "passed over" in (await relay.manager.wait_for("STATUS"))["STATUS"]
+            await relay.manager.wait_for("READY", 3)  # the relay continues with its current configuration
             relay.config.write_text(valid_config)
             assert await relay.manager.end() == 0
-            await relay.manager.heard("STOPPING")
-            names = [name for lines in relay.manager.said for name in lines if name in ("READY", "STOPPING")]
+            await relay.manager.wait_for("STOPPING")
+            names = [
+                name
+                for lines in relay.manager.notifications
+                for name in lines
+                if name in ("READY", "STOPPING")
+            ]
             assert names == ["READY", "READY", "READY", "STOPPING"]
 
     run(work())
@@ -109,12 +114,12 @@
         async with managed_relay(tmp_path, watchdog_s=0.4) as relay:
             await relay.serve()
             await until(lambda: len(relay.manager.beats) >= 4)
-            relay.manager.tell(signal.SIGSTOP)
+            relay.manager.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.1)  # heartbeats sent before the signal
             beats = len(relay.manager.beats)
             await asyncio.sleep(1.0)
             assert len(relay.manager.beats) == beats
-            relay.manager.tell(signal.SIGCONT)
+            relay.manager.send_signal(signal.SIGCONT)
             await until(lambda: len(relay.manager.beats) > beats)
             assert await relay.manager.end() == 0
 
@@ -146,7 +151,7 @@
             await relay.start()
             async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
-            relay.manager.tell(signal.SIGHUP)
+            relay.manager.send_signal(signal.SIGHUP)
             await until(lambda: len(relay.server.seen) == 1)
             assert await relay.manager.end() == 0  # SIGTERM while the socket is full
 
@@ -161,8 +166,8 @@
             async with Client(relay.manager.port) as client:
                 assert await client.ask(message("m")) == 202
             await relay.server.arrivals.get()
-            relay.manager.tell(signal.SIGHUP)
-            relay.manager.tell(signal.SIGTERM)
+            relay.manager.send_signal(signal.SIGHUP)
+            relay.manager.send_signal(signal.SIGTERM)
             relay.server.hold.set()
             assert relay.manager.process is not None and await relay.manager.process.wait() == 0
             assert len(relay.server.seen) == 1 and relay.agent.notices.empty()
@@ -181,8 +186,10 @@
             notifier.status(f"line {n}\nof two")
         assert notifier.unsent == {"READY": "1", "STATUS": "line 999 of two"} and len(notifier.timers) == 1
         manager.read()
-        await until(lambda: bool(manager.said) and "READY" in manager.said[-1])
-        assert manager.said[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.unsent
+        await until(lambda: bool(manager.notifications) and "READY" in manager.notifications[-1])
+        assert (
+            manager.notifications[-1] == {"READY": "1", "STATUS": "line 999 of two"} and not notifier.unsent
+        )
         notifier.close()
         manager.close()
 
--- a/tests/http/test_late_connections.py
+++ b/tests/http/test_late_connections.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from fakes.endpoint import unheard
+from fakes.endpoint import unanswering_listener
 from message_relay.core.ports import Attempt, AttemptResult
 from message_relay.decisions import slow_start
 from message_relay.decisions.events import AttemptCompleted
@@ -76,7 +76,7 @@
     Without the final check of the rate all of them would send their attempts at the same moment."""
 
     async def work() -> None:
-        unresponsive = unheard(("127.0.0.1", 0))
+        unresponsive = unanswering_listener(("127.0.0.1", 0))
         address = unresponsive[0].getsockname()
         relays = [ejected_destination_with_attempt(seed=seed) for seed in range(RELAYS)]
         loop = asyncio.get_running_loop()
