--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m emulator`: experiments, traces, load. Needs the extra `lab`."""
+"""Entry point of `python -m emulator`: experiments, traces and load. Needs the extra `lab`."""
 
 from __future__ import annotations
 
--- a/emulator/commands.py
+++ b/emulator/commands.py
@@ -1,4 +1,4 @@
-"""The commands of `python -m emulator`."""
+"""The command line interface of `python -m emulator`."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 from .runs import Result, Runs, RunsError, by_variant, manifest, row
 
 FILE = click.Path(path_type=Path)
-WRONG, INTERRUPTED = 2, 130
+EXIT_INVALID, EXIT_INTERRUPTED = 2, 130
 
 
 def fail(text: object) -> None:
     click.echo(text, err=True)
-    sys.exit(WRONG)
+    sys.exit(EXIT_INVALID)
 
 
 @contextmanager
-def told() -> Iterator[None]:
-    """What is wrong with a file or a folder is one plain text and exit code 2."""
+def report_errors() -> Iterator[None]:
+    """Prints an error about a file or a folder as plain text and exits with code 2."""
     try:
         yield
     except (ExperimentError, RunsError, traces.TraceError) as error:
@@ -44,8 +44,9 @@
 
 
 @contextmanager
-def bar() -> Iterator[Any]:
-    """Called with runs done, of so many: a bar on a terminal, a line for each tenth elsewhere."""
+def progress_bar() -> Iterator[Any]:
+    """Yields a callback (runs done, runs in total). It draws a progress bar on a terminal, and otherwise
+    prints a line after each tenth of the runs."""
     console = Console(stderr=True)
     if console.is_terminal:
         with Progress(
@@ -71,35 +72,35 @@
 
 @click.group()
 def main() -> None:
-    """Model partners and a fleet, and tell what a change would do."""
+    """Model partners and a fleet of relays, and predict the effect of a change."""
 
 
 main.add_command(capacity)
 
 
-def cores() -> int:
+def available_cores() -> int:
     return len(os.sched_getaffinity(0))
 
 
-def carry_out(it: Experiment, out: Path, processes: int, resume: bool) -> None:
-    with told():
-        runs = Runs(it, out, resume)
+def run_experiment(experiment: Experiment, out: Path, processes: int, resume: bool) -> None:
+    with report_errors():
+        runs = Runs(experiment, out, resume)
         try:
-            with bar() as progress:
+            with progress_bar() as progress:
                 seeds = runs.run(processes, progress)
         except KeyboardInterrupt:
             click.echo(f"stopped; what is done stays in {out}: go on with --resume", err=True)
-            sys.exit(INTERRUPTED)
+            sys.exit(EXIT_INTERRUPTED)
     click.echo(f"{seeds} seeds of {len(runs.variants)} variants in {out}", err=True)
 
 
-OUT = click.option("--out", type=FILE, help="The folder of the results; else the file's name beside it.")
+OUT = click.option("--out", type=FILE, help="Folder of the results. Default: beside FILE, with its name.")
 PROCESSES = click.option("--processes", type=click.IntRange(1, 256), default=None, help="Default: all cores.")
-RESUME = click.option("--resume", is_flag=True, help="Go on with what an interrupted run has left.")
+RESUME = click.option("--resume", is_flag=True, help="Continue an interrupted run.")
 JSON = click.option("--json", "as_json", is_flag=True)
 
 
-def folder_of(file: Path, out: Path | None) -> Path:
+def results_folder(file: Path, out: Path | None) -> Path:
     return out or file.with_suffix(".results")
 
 
@@ -110,12 +111,12 @@
 @RESUME
 @JSON
 def run(file: Path, out: Path | None, processes: int | None, resume: bool, as_json: bool) -> None:
-    """Run the experiment in FILE: all its variants over all its seeds; then show the figures."""
-    with told():
-        it = read(file)
-    folder = folder_of(file, out)
-    carry_out(it, folder, processes or cores(), resume)
-    show(folder, as_json)
+    """Run the experiment in FILE, all variants over all seeds, and show the figures."""
+    with report_errors():
+        experiment = read(file)
+    folder = results_folder(file, out)
+    run_experiment(experiment, folder, processes or available_cores(), resume)
+    print_figures(folder, as_json)
 
 
 @main.command()
@@ -125,29 +126,29 @@
 @JSON
 @click.option("--seeds", type=click.IntRange(1, 100), default=3, show_default=True)
 def live(file: Path, out: Path | None, resume: bool, as_json: bool, seeds: int) -> None:
-    """Run the experiment in FILE with real relays over loopback, in real time, so many seeds of it."""
+    """Run the experiment in FILE with real relays over loopback, in real time, over a number of seeds."""
     from .live import LiveError, one
 
-    with told():
-        it = msgspec.structs.replace(read(file), seeds=seeds, half_width=None)
+    with report_errors():
+        experiment = msgspec.structs.replace(read(file), seeds=seeds, half_width=None)
         folder = out or file.with_suffix(".live")
-        runs = Runs(it, folder, resume)
+        runs = Runs(experiment, folder, resume)
         every, done = seeds * len(runs.variants), 0
         try:
-            with bar() as progress:
+            with progress_bar() as progress:
                 for seed in runs.seeds():
                     for variant in runs.variants:
                         if not runs.path(variant, seed).exists():
-                            runs.keep(one(it, variant, seed))
+                            runs.store(one(experiment, variant, seed))
                         done += 1
                         progress(done, every)
         except LiveError as error:
             fail(error)
         except KeyboardInterrupt:
             click.echo(f"stopped; what is done stays in {folder}: go on with --resume", err=True)
-            sys.exit(INTERRUPTED)
+            sys.exit(EXIT_INTERRUPTED)
         runs.collect(runs.seeds())
-    show(folder, as_json)
+    print_figures(folder, as_json)
 
 
 @main.command()
@@ -169,26 +170,26 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Hand in messages at RELAYS (HOST:PORT), open loop; waits count from the intended moment."""
+    """Submit messages to RELAYS (HOST:PORT), open loop. Latency counts from the intended send time."""
     from message_relay.config import address
 
     from .load import Plan
-    from .load import run as carry
+    from .load import run as run_load
 
     try:
-        places = tuple(address(text) for text in relays)
+        addresses = tuple(address(text) for text in relays)
     except ValueError as error:
         fail(f"relays: {error}")
-    found = carry(
-        Plan(places, rate, seconds, processes=processes, destinations=destinations, bytes=size, seed=seed)
+    total = run_load(
+        Plan(addresses, rate, seconds, processes=processes, destinations=destinations, bytes=size, seed=seed)
     )
     out = {
-        "taken": found.taken,
-        "answers": dict(found.answers),
-        "taken a second": found.taken / seconds,
-        "ms": {f"p{each:g}": round(found.ms(each), 3) for each in (50, 90, 99, 99.9)},
-        "generator p99 ms": found.late.get_value_at_percentile(99) / 1000,
-        "limit": found.limit,
+        "taken": total.taken,
+        "answers": dict(total.answers),
+        "taken a second": total.taken / seconds,
+        "ms": {f"p{each:g}": round(total.ms(each), 3) for each in (50, 90, 99, 99.9)},
+        "generator p99 ms": total.late.get_value_at_percentile(99) / 1000,
+        "limit": total.limit,
     }
     if as_json:
         json.dump(out, sys.stdout, indent=1)
@@ -201,10 +202,10 @@
 @main.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Check an experiment's FILE; 0 if it makes sense, 2 if not, with each fault on a line."""
-    with told():
-        it = read(file)
-    click.echo(f"{file}: good: {len(it.all_variants())} variants, {it.seeds} seeds")
+    """Check the experiment in FILE. Exits with 0 if it is valid, else with 2 and one line for each error."""
+    with report_errors():
+        experiment = read(file)
+    click.echo(f"{file}: good: {len(experiment.all_variants())} variants, {experiment.seeds} seeds")
 
 
 @main.command()
@@ -217,9 +218,9 @@
 def sweep(
     file: Path, sets: tuple[str, ...], out: Path | None, processes: int | None, resume: bool, as_json: bool
 ) -> None:
-    """Run the first variant of FILE against each combination of the values that are set."""
-    with told():
-        it = read(file)
+    """Run the first variant of FILE and compare it with each combination of the values of --set."""
+    with report_errors():
+        experiment = read(file)
         grid: dict[str, list[float]] = {}
         for text in sets:
             path, equals, values = text.partition("=")
@@ -227,26 +228,36 @@
                 grid[path] = [float(value) for value in values.split(",")]
             except ValueError:
                 fail(f"--set: {text!r} is not CONSTANT=V1,V2,...")
-        raw = {**msgspec.to_builtins(it), "grid": grid, "variants": msgspec.to_builtins(it.variants[:1])}
-        it = decoded(raw, str(file))
+        raw = {
+            **msgspec.to_builtins(experiment),
+            "grid": grid,
+            "variants": msgspec.to_builtins(experiment.variants[:1]),
+        }
+        experiment = decoded(raw, str(file))
     folder = out or file.with_suffix(".sweep")
-    carry_out(it, folder, processes or cores(), resume)
-    show(folder, as_json)
+    run_experiment(experiment, folder, processes or available_cores(), resume)
+    print_figures(folder, as_json)
 
 
 @main.command()
 @click.argument("folder", type=FILE)
 @click.argument("other", type=FILE, required=False)
-@click.option("--variants", nargs=2, type=str, default=None, help="Which two; else the first and each other.")
+@click.option(
+    "--variants",
+    nargs=2,
+    type=str,
+    default=None,
+    help="The two to compare. Default: the first with each other one.",
+)
 @JSON
 def compare(folder: Path, other: Path | None, variants: tuple[str, str] | None, as_json: bool) -> None:
-    """Show the figures of the results in FOLDER, with paired differences; with OTHER, the first variants of
-    both, seed by seed."""
-    show(folder, as_json, variants, other)
+    """Show the figures of the results in FOLDER, with paired differences. With OTHER, compare the first
+    variants of both folders, seed by seed."""
+    print_figures(folder, as_json, variants, other)
 
 
-def beside(folder: Path, other: Path) -> dict[str, list[Result]]:
-    """The first variant of each, over the seeds that both have. Raises RunsError."""
+def first_variants(folder: Path, other: Path) -> dict[str, list[Result]]:
+    """The results of the first variant of each folder, for the seeds that both have. Raises RunsError."""
     firsts = [next(iter(by_variant(each).values())) for each in (folder, other)]
     seeds = set.intersection(*({result.seed for result in results} for results in firsts))
     if not seeds:
@@ -255,75 +266,77 @@
     return {str(folder): rows[0], str(other): rows[1]}
 
 
-def show(
+def print_figures(
     folder: Path, as_json: bool, names: tuple[str, str] | None = None, other: Path | None = None
 ) -> None:
-    with told():
-        it = manifest(folder).experiment
-        found = by_variant(folder) if other is None else beside(folder, other)
+    with report_errors():
+        experiment = manifest(folder).experiment
+        results_by_variant = by_variant(folder) if other is None else first_variants(folder, other)
         if names:
             for name in names:
-                if name not in found:
-                    fail(f"{folder}: {name!r} is none of {', '.join(found)}")
-            found = {name: found[name] for name in names}
-    rows = figures(found)
+                if name not in results_by_variant:
+                    fail(f"{folder}: {name!r} is none of {', '.join(results_by_variant)}")
+            results_by_variant = {name: results_by_variant[name] for name in names}
+    rows = figure_rows(results_by_variant)
     if as_json:
-        json.dump({"experiment": it.name, "rows": rows}, sys.stdout, indent=1)
+        json.dump({"experiment": experiment.name, "rows": rows}, sys.stdout, indent=1)
         click.echo()
         return
-    first, console = next(iter(found)), Console(width=None if sys.stdout.isatty() else 160)
-    table = Table(title=it.name)
+    first, console = next(iter(results_by_variant)), Console(width=None if sys.stdout.isatty() else 160)
+    table = Table(title=experiment.name)
     for head in ("variant", "figure", "mean", "95%", f"less {first}", "95%", ""):
         table.add_column(head, justify="left" if head in ("variant", "figure", "") else "right")
-    for each in rows:
-        diff = each.get("difference")
+    for line in rows:
+        diff = line.get("difference")
         table.add_row(
-            each["variant"],
-            each["figure"],
-            number(each["mean"]),
-            f"{number(each['low'])} to {number(each['high'])}",
+            line["variant"],
+            line["figure"],
+            format_number(line["mean"]),
+            f"{format_number(line['low'])} to {format_number(line['high'])}",
             *(
                 ("", "", "")
                 if diff is None
                 else (
-                    number(diff["mean"]),
-                    f"{number(diff['low'])} to {number(diff['high'])}",
+                    format_number(diff["mean"]),
+                    f"{format_number(diff['low'])} to {format_number(diff['high'])}",
                     diff["verdict"] + (f" ({diff['warning']})" if diff["warning"] else ""),
                 )
             ),
         )
     console.print(table)
-    bad = {name: sum(result.breaks for result in results) for name, results in found.items()}
-    console.print("rules broken: " + ", ".join(f"{name} {count}" for name, count in bad.items()))
+    violations = {
+        name: sum(result.breaks for result in results) for name, results in results_by_variant.items()
+    }
+    console.print("rules broken: " + ", ".join(f"{name} {count}" for name, count in violations.items()))
 
 
-def number(value: float | None) -> str:
+def format_number(value: float | None) -> str:
     return "-" if value is None else f"{value:.4g}"
 
 
-def figures(found: dict[str, list[Any]]) -> list[dict[str, Any]]:
-    names, out = list(found), []
+def figure_rows(results_by_variant: dict[str, list[Any]]) -> list[dict[str, Any]]:
+    names, out = list(results_by_variant), []
     for name in names:
-        for measure, (_, more) in MEASURES.items():
-            values = row(found[name], measure)
+        for measure, (_, more_is_better) in MEASURES.items():
+            values = row(results_by_variant[name], measure)
             if all(math.isnan(value) for value in values):
                 continue
-            here = interval(values)
+            mean = interval(values)
             line: dict[str, Any] = {
                 "variant": name,
                 "figure": measure,
-                "mean": here.mean,
-                "low": here.low,
-                "high": here.high,
-                "seeds": here.seeds,
+                "mean": mean.mean,
+                "low": mean.low,
+                "high": mean.high,
+                "seeds": mean.seeds,
             }
             if name != names[0]:
-                diff = difference(row(found[names[0]], measure), values)
+                diff = difference(row(results_by_variant[names[0]], measure), values)
                 line["difference"] = {
                     "mean": diff.mean,
                     "low": diff.low,
                     "high": diff.high,
-                    "verdict": verdict(diff, more),
+                    "verdict": verdict(diff, more_is_better),
                     "warning": diff.warning,
                 }
             out.append(line)
@@ -333,10 +346,10 @@
 @main.command()
 @click.argument("folder", type=FILE)
 def report(folder: Path) -> None:
-    """Write FOLDER/report.html: one file, with verdicts, tables and pictures."""
+    """Write FOLDER/report.html: one self-contained file with verdicts, tables and charts."""
     from .report import report as write
 
-    with told():
+    with report_errors():
         click.echo(write(folder))
 
 
@@ -345,35 +358,35 @@
 
 @main.group()
 def trace() -> None:
-    """Recorded traffic: what it holds, a model of it, parts and multiples of it."""
+    """Recorded traffic: show its contents, fit a model to it, cut and scale it."""
 
 
 @trace.command("stats")
 @click.argument("file", type=FILE)
 @JSON
 def trace_stats(file: Path, as_json: bool) -> None:
-    """What the trace in FILE holds."""
-    with told():
-        found = traces.stats(file)
-    told_ = {
-        "messages": found.messages,
-        "seconds": round(found.last_ms / 1000, 1),
-        "rate": round(found.rate, 2),
-        "busiest second over mean": round(found.busiest, 2),
-        "classes": dict(found.classes),
-        "destinations": len(found.destinations),
-        "tenants": len(found.tenants),
-        "bytes a message": round(found.bytes / max(1, found.messages)),
-        "ids again": found.again,
-        "unreadable": found.notes.unreadable,
-        "out of order": found.notes.out_of_order,
-        "times changed": found.notes.late,
+    """Show statistics of the trace in FILE."""
+    with report_errors():
+        stats = traces.stats(file)
+    summary = {
+        "messages": stats.messages,
+        "seconds": round(stats.last_ms / 1000, 1),
+        "rate": round(stats.rate, 2),
+        "busiest second over mean": round(stats.busiest, 2),
+        "classes": dict(stats.classes),
+        "destinations": len(stats.destinations),
+        "tenants": len(stats.tenants),
+        "bytes a message": round(stats.bytes / max(1, stats.messages)),
+        "ids again": stats.repeated_ids,
+        "unreadable": stats.notes.unreadable,
+        "out of order": stats.notes.out_of_order,
+        "times changed": stats.notes.late,
     }
     if as_json:
-        json.dump(told_, sys.stdout, indent=1)
+        json.dump(summary, sys.stdout, indent=1)
         click.echo()
         return
-    for name, value in told_.items():
+    for name, value in summary.items():
         click.echo(f"{name}: {value}")
 
 
@@ -381,11 +394,11 @@
 @click.argument("file", type=FILE)
 def trace_fit(file: Path) -> None:
     """Print a model of the trace in FILE, as an experiment's [traffic]."""
-    with told():
-        found = traces.stats(file)
-        if found.messages < 10:
-            fail(f"{file}: {found.messages} messages are too few for a model")
-        click.echo(traces.fit(found).toml(), nl=False)
+    with report_errors():
+        stats = traces.stats(file)
+        if stats.messages < 10:
+            fail(f"{file}: {stats.messages} messages are too few for a model")
+        click.echo(traces.fit(stats).toml(), nl=False)
 
 
 @trace.command("cut")
@@ -395,7 +408,7 @@
 @click.option("--end-s", type=click.FloatRange(0), required=True)
 def trace_cut(file: Path, out: Path, begin_s: float, end_s: float) -> None:
     """Write a part of the trace in FILE to OUT."""
-    with told():
+    with report_errors():
         notes = traces.Notes()
         lines = traces.cut(traces.read(file, notes), begin_s * 1000, end_s * 1000)
         count = traces.write(out, lines, traces.Head(traces.VERSION))
@@ -408,8 +421,8 @@
 @click.option("--times", type=click.FloatRange(0, 1000, min_open=True), required=True)
 @click.option("--seed", type=int, default=1)
 def trace_scale(file: Path, out: Path, times: float, seed: int) -> None:
-    """Write so many times the messages of the trace in FILE to OUT, at the same shape."""
-    with told():
+    """Write the trace in FILE to OUT with the number of its messages multiplied, at the same shape."""
+    with report_errors():
         count = traces.write(
             out, traces.scale(traces.read(file), times, stream(seed, "scale")), traces.Head(traces.VERSION)
         )
--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -1,9 +1,10 @@
-"""The real decision module behind one small interface: this version in the process, another one beside it.
+"""The real decision module behind one small interface: this version in this process, another version in a
+process of its own.
 
-Another version is a checkout or an installed copy: `emulator.peer` runs in a process whose `message_relay` is
-that one, and both sides pass the public events and actions of `message_relay.decisions.model` by name and
-field, as msgpack. An event or a field that the other version does not know is told as an error, not passed
-over."""
+Another version is a checkout or an installed copy. `emulator.peer` runs in a process that imports
+`message_relay` from there, and both sides exchange the public events and actions of
+`message_relay.decisions.model` by name and field, as msgpack. An event or a field that the other version
+does not know is an error; it is not ignored."""
 
 from __future__ import annotations
 
@@ -40,10 +41,12 @@
     "rate_slots",
     "priority_index",
 )
-# How experiment files spell these modules: kept, since the files belong to those who run experiments.
+# The names of these modules in experiment files. They stay the same when modules are renamed, since the files
+# belong to the people who run experiments.
 CONSTANT_PREFIXES = ("control", "paces", "members", "endings", "effects", "state", "share", "index")
-# How experiment files spell constants that have another name in the code: kept for the same reason. One whose
-# name stands for different constants in different modules is given with its module.
+# Maps the spelling of a constant in experiment files to its name in the code, for constants that were
+# renamed. The spellings stay the same for the same reason. A spelling that means different constants in
+# different modules is listed with its module.
 RENAMED_CONSTANTS = {
     "control.LATE_MS": "SLOW_CONNECT_MS",
     "share.LATE_MS": "SLOT_TOLERANCE_MS",
@@ -110,7 +113,7 @@
 
 
 def decisions(name: str) -> Any:
-    """A module of the decision package that stands on this process's path."""
+    """Imports a module of the decision package from this process's path."""
     return importlib.import_module(f"message_relay.decisions.{name}")
 
 
@@ -124,7 +127,7 @@
     DeliveryScheduler = decisions("scheduler").DeliveryScheduler
     settings_from = decisions("settings").settings_from
 
-# Every public event, action and record that may pass between two versions, by its name.
+# Every public event, action and record that two versions may exchange, by name.
 VOCABULARY = SimpleNamespace(
     **{
         name: value
@@ -135,39 +138,39 @@
 )
 
 SIZE = struct.Struct("<I")
-KEEP = {"fleet"}  # of Settings, what is not in the platform's text
+KEEP = {"fleet"}  # fields of Settings that the platform's text does not have
 
 
 class Engine(Protocol):
-    """Instances of one version of the decision module, by number."""
+    """Runs instances of one version of the decision module, each identified by a number."""
 
     def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
-        """A new process of this instance: it knows nothing. `settings`: the platform's text."""
+        """Starts this instance with empty state. `settings` is the platform's text."""
 
     def handle(self, number: int, now: float, events: list[Event]) -> list[Action]: ...
 
     def may_write(self, number: int, now: float, ident: int) -> bool:
-        """Asked right before a call's first byte."""
+        """Whether the attempt may start. Called right before the first byte of a call."""
 
     def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
-        """Asked before a message is taken on, while so many are held: in how many ms to come instead, if so.
-        A version without that question turns nothing away."""
+        """Called before a message is accepted, while `holding` messages are pending. Returns the retry delay
+        in ms if the message is to be rejected, else None. A version without this method rejects nothing."""
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
-        """What the next process should know."""
+        """The state of the destinations that the next process of this instance starts from."""
 
     def close(self) -> None: ...
 
 
-class Here:
-    """This version, in this process."""
+class LocalEngine:
+    """Runs this version of the decision module in this process."""
 
     def __init__(self) -> None:
         self.relays: dict[int, DeliveryScheduler] = {}
 
     def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
-        told = dataclasses.replace(settings_from(settings), fleet=fleet)
-        self.relays[number] = DeliveryScheduler(told, seed)
+        relay_settings = dataclasses.replace(settings_from(settings), fleet=fleet)
+        self.relays[number] = DeliveryScheduler(relay_settings, seed)
 
     def handle(self, number: int, now: float, events: list[Event]) -> list[Action]:
         return self.relays[number].handle(now, events)
@@ -186,15 +189,15 @@
 
 
 class PeerError(RuntimeError):
-    """The other version ended, or does not know what it was told; the text has its words."""
+    """The other version's process ended or rejected a request. The text holds its error."""
 
 
-class Beside:
-    """Another version, in a process of its own."""
+class PeerEngine:
+    """Runs another version of the decision module in a process of its own."""
 
     def __init__(self, folder: Path, constants: Mapping[str, float]) -> None:
         here = Path(__file__).parents[1]
-        # Not on the path: this repository's message_relay must not stand before the other one's.
+        # -P keeps this repository off the path, so that its message_relay does not hide the other version's.
         self.process = subprocess.Popen(
             [sys.executable, "-P", str(here / "emulator" / "peer.py")],
             stdin=subprocess.PIPE,
@@ -202,9 +205,9 @@
             env={**os.environ, "PYTHONPATH": str(folder)},
         )
         self.folder = folder
-        self._ask("constants", dict(constants))
+        self._request("constants", dict(constants))
 
-    def _ask(self, what: str, *args: Any) -> Any:
+    def _request(self, what: str, *args: Any) -> Any:
         assert self.process.stdin is not None and self.process.stdout is not None
         data = msgspec.msgpack.encode([what, *args])
         try:
@@ -216,28 +219,28 @@
                 if "error" in answer:
                     raise PeerError(f"{self.folder}: {answer['error']}")
                 return answer["value"]
-        except (BrokenPipeError, ValueError):  # its end of the pipe is gone, or ours is closed
+        except (BrokenPipeError, ValueError):  # the peer closed its end of the pipe, or this end is closed
             pass
         raise PeerError(f"{self.folder}: its process ended with {self.process.wait()}")
 
     def start(self, number: int, settings: bytes, seed: int, fleet: Fleet | None) -> None:
-        self._ask("start", number, settings, seed, packed(fleet))
+        self._request("start", number, settings, seed, packed(fleet))
 
     def handle(self, number: int, now: float, events: list[Event]) -> list[Action]:
         return [
             unpacked(each, VOCABULARY)
-            for each in self._ask("handle", number, now, [packed(e) for e in events])
+            for each in self._request("handle", number, now, [packed(e) for e in events])
         ]
 
     def may_write(self, number: int, now: float, ident: int) -> bool:
-        return bool(self._ask("may_write", number, now, ident))
+        return bool(self._request("may_write", number, now, ident))
 
     def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
-        told: float | None = self._ask("turned_away", number, now, packed(message), holding)
-        return told
+        delay_ms: float | None = self._request("turned_away", number, now, packed(message), holding)
+        return delay_ms
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
-        return [unpacked(each, VOCABULARY) for each in self._ask("learned", number, now)]
+        return [unpacked(each, VOCABULARY) for each in self._request("learned", number, now)]
 
     def close(self) -> None:
         assert self.process.stdin is not None
@@ -250,8 +253,8 @@
 
 
 def packed(value: Any) -> Any:
-    """A dataclass of the interface as [name, fields], fields that stand at their defaults left out: so that a
-    version that lacks one need not know it."""
+    """Encodes a dataclass of the interface as [name, fields]. Fields with their default value are left out,
+    so that a version without such a field can still decode it."""
     if not dataclasses.is_dataclass(value):
         return value
     fields = {}
@@ -270,50 +273,51 @@
     return getattr(part, "value", part)
 
 
-def unpacked(told: Any, module: Any) -> Any:
-    """The other way, with the classes of `module`. ValueError names what it does not know."""
-    name, fields = told
-    shape = getattr(module, name, None)
-    if shape is None:
+def unpacked(encoded: Any, module: Any) -> Any:
+    """Decodes what `packed` made, with the classes of `module`. Raises ValueError that names an unknown
+    class or field."""
+    name, fields = encoded
+    class_ = getattr(module, name, None)
+    if class_ is None:
         raise ValueError(f"{name} is not known to this version")
-    known = {field.name: field.type for field in dataclasses.fields(shape)}
+    known = {field.name: field.type for field in dataclasses.fields(class_)}
     for field in fields:
         if field not in known:
             raise ValueError(f"{name}.{field} is not known to this version")
-    return shape(**{field: _typed(part, str(known[field]), module) for field, part in fields.items()})
+    return class_(**{field: _typed(part, str(known[field]), module) for field, part in fields.items()})
 
 
-def _typed(part: Any, told: str, module: Any) -> Any:
-    shape = getattr(module, told.partition(" |")[0], None)
+def _typed(part: Any, annotation: str, module: Any) -> Any:
+    class_ = getattr(module, annotation.partition(" |")[0], None)
     if isinstance(part, list):
-        whole = [_typed(each, told, module) for each in part]
+        decoded = [_typed(each, annotation, module) for each in part]
         if len(part) == 2 and isinstance(part[0], str) and isinstance(part[1], dict):
             return unpacked(part, module)
-        return tuple(whole)
-    if isinstance(shape, type) and not dataclasses.is_dataclass(shape) and isinstance(part, str):
-        return shape(part)  # an enum
+        return tuple(decoded)
+    if isinstance(class_, type) and not dataclasses.is_dataclass(class_) and isinstance(part, str):
+        return class_(part)  # an enum member
     return part
 
 
 def set_constants(constants: Iterable[tuple[str, float]]) -> dict[str, Any]:
-    """Sets constants of the decision module, also where another of its modules has taken one over by name;
-    what they were before. ValueError if there is none of that name."""
+    """Sets constants of the decision module, also in other modules of it that import them by name. Returns
+    the previous values. Raises ValueError if there is no constant of that name."""
     before: dict[str, Any] = {}
-    homes = [module for module in map(_there, MODULES) if module is not None]
+    modules = [module for module in map(_module_or_none, MODULES) if module is not None]
     for path, value in constants:
         spelled = path.partition(".")[2]
         name = RENAMED_CONSTANTS.get(path, RENAMED_CONSTANTS.get(spelled, spelled))
-        having = [module for module in homes if isinstance(vars(module).get(name), int | float)]
-        if not having:
-            raise ValueError(f"{path}: is no number of the decision module")
-        old = before[path] = vars(having[0])[name]
-        for module in having:
+        matching = [module for module in modules if isinstance(vars(module).get(name), int | float)]
+        if not matching:
+            raise ValueError(f"{path}: is not a numeric constant of the decision module")
+        old = before[path] = vars(matching[0])[name]
+        for module in matching:
             setattr(module, name, type(old)(value))
     return before
 
 
-def _there(name: str) -> Any:
+def _module_or_none(name: str) -> Any:
     try:
         return decisions(name)
-    except ModuleNotFoundError:  # an earlier version has fewer
+    except ModuleNotFoundError:  # an earlier version has fewer modules
         return None
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -1,7 +1,7 @@
-"""An experiment as a file (TOML): traffic, partners, fleet, clients, and the variants to compare.
+"""Reads and checks experiment files (TOML): traffic, partners, fleet, clients, and the variants to compare.
 
-Checked as a whole, as the operator's file is: each fault is told with its field's path, and a name that is
-not known with the nearest one that is. docs/experiments.md lists the fields."""
+The whole file is checked, like the operator's file: every error names the path of its field, and for an
+unknown field also the nearest known name. docs/experiments.md lists the fields."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 Share = Annotated[float, Meta(ge=0, le=1)]
 Number = Annotated[int, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
-CONSTANTS = engines.CONSTANT_PREFIXES  # whose constants a variant may set
-USUAL_MULTIPLE = 2.0  # told to relays of a partner that does not collapse, as the platform tells it
-MOST_VARIANTS = 200  # of a grid: more are days of work by mistake
+CONSTANTS = engines.CONSTANT_PREFIXES  # modules whose constants a variant may set
+DEFAULT_FALL_MULTIPLE = 2.0  # the platform's value, for relays of a partner that does not collapse
+MAX_VARIANTS = 200  # of a grid; more would be days of work, started by mistake
 
 
 class ExperimentError(ValueError):
-    """The file can't be used; each of its lines tells one fault."""
+    """The file can't be used. Each line of the text names one error."""
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
+    """Base of all tables of the file: unknown fields are errors."""
 
 
 class Class(Strict, frozen=True):
@@ -43,10 +43,10 @@
     effect: Literal["repeatable", "by_key", "once"]
     aim_ms: Positive
     deadline_ms: Positive
-    share: Positive = 1.0  # of the traffic, against the shares of the others
+    share: Positive = 1.0  # of the traffic, relative to the shares of the other classes
     worth: NotNegative = 1.0
     late_share: Share = 0.5
-    window_ms: NotNegative = 4000.0  # partners know a key for so long
+    window_ms: NotNegative = 4000.0  # how long partners remember an idempotency key
 
 
 CLASSES = (
@@ -57,16 +57,17 @@
 
 
 class Burst(Strict, frozen=True):
-    """A rush: so many times the usual rate, for all or for one destination."""
+    """A burst: `times` the usual rate for a while, for all destinations or for one."""
 
     at_s: NotNegative
     seconds: Positive
     times: Annotated[float, Meta(gt=1, le=1000)]
-    destination: Annotated[int, Meta(ge=1)] | None = None  # None: all, as usual
+    destination: Annotated[int, Meta(ge=1)] | None = None  # None: all, in their usual proportions
 
 
 class Wave(Strict, frozen=True):
-    """A curve of the day: the rate swings evenly by `swing` of itself, highest at `peak_s`."""
+    """A daily curve: the rate follows a cosine with the relative amplitude `swing` and its maximum at
+    `peak_s`."""
 
     period_s: Positive
     swing: Share
@@ -74,20 +75,24 @@
 
 
 class Traffic(Strict, frozen=True):
-    rate: Positive = 50.0  # messages a second, over all
-    seconds: Positive = 60.0  # so long messages come
-    warm_s: NotNegative = 10.0  # what comes before counts in no figure
-    zipf: NotNegative = 0.0  # the k-th destination gets 1/k**zipf of it
-    clump: Annotated[float, Meta(ge=1, le=10_000)] = 1.0  # messages that come together, on average
-    clump_ms: Positive = 200.0  # within so long
-    bytes: Annotated[int, Meta(ge=0, le=65536)] = 300  # of a body, live
-    trace: str = ""  # a recording to play instead: rate, waves, bursts and clumps are those of it
+    rate: Positive = 50.0  # messages a second, over all destinations
+    seconds: Positive = 60.0  # how long messages arrive
+    warm_s: NotNegative = 10.0  # messages that arrive before count in no figure
+    zipf: NotNegative = 0.0  # the k-th destination gets a part proportional to 1/k**zipf
+    clump: Annotated[float, Meta(ge=1, le=10_000)] = 1.0  # mean number of messages that arrive together
+    clump_ms: Positive = 200.0  # the time span of such a group
+    bytes: Annotated[int, Meta(ge=0, le=65536)] = 300  # size of a body, with real relays
+    trace: str = ""  # a recording to play instead, with its own rate, waves, bursts and clumps
     wave: Wave | None = None
     bursts: list[Burst] = []
 
     def __post_init__(self) -> None:
         spec.need(self.warm_s < self.seconds, "warm_s", "must be less than seconds")
-        spec.need(not self.trace or not (self.bursts or self.wave), "trace", "comes without bursts and wave")
+        spec.need(
+            not self.trace or not (self.bursts or self.wave),
+            "trace",
+            "cannot be combined with bursts or wave",
+        )
 
 
 class Rate(Strict, frozen=True):
@@ -108,7 +113,7 @@
 
 
 class Change(Strict, frozen=True):
-    """What the register says of one of its endpoints from then on."""
+    """The listing of one endpoint of the partner from `at_s` on."""
 
     at_s: NotNegative
     endpoint: Annotated[int, Meta(ge=1)]  # the partner's first one is 1
@@ -126,16 +131,17 @@
 class Cold(Strict, frozen=True):
     share: Annotated[float, Meta(gt=0, le=1)] = 1.0
     warm_ms: NotNegative = 11_000.0
-    fall_multiple: Annotated[float, Meta(gt=1)] | None = None  # None: it does not collapse
+    fall_multiple: Annotated[float, Meta(gt=1)] | None = None  # None: the partner does not collapse
     fall_ms: Positive = 1500.0
     fallen_ms: Positive = 10_000.0
 
 
 class Partner(Strict, frozen=True):
-    """One destination: its endpoints share what is said of it. Fields as in emulator/spec.py."""
+    """One destination. Its endpoints share one rate, one set of slots and the same troubles. For the fields,
+    see emulator/spec.py."""
 
     endpoints: Annotated[int, Meta(ge=1, le=1000)] = 1
-    listed_rate: NotNegative | None = None  # what the register says; None: its rate, or 0 where it has none
+    listed_rate: NotNegative | None = None  # the rate in the listing; None: the rate, or 0 if there is none
     rate: Rate | None = None
     slots: Annotated[int, Meta(ge=1)] | None = None
     queue: Number = 0
@@ -150,7 +156,7 @@
     changes: list[Change] = []
 
     def model(self) -> spec.Spec:
-        """ValueError names the field."""
+        """The behaviour of this partner. Raises ValueError that names the field."""
         rate, service, cold = (
             self.rate,
             msgspec.structs.asdict(self.service),
@@ -190,14 +196,14 @@
 
 class Fleet(Strict, frozen=True):
     relays: Annotated[int, Meta(ge=1, le=1000)] = 4
-    slots: Count = 8  # calls of one at once
-    hold: Count = 60  # messages of one
+    slots: Count = 8  # concurrent calls of one relay
+    hold: Count = 60  # pending messages of one relay
     attempts: Annotated[int, Meta(ge=1, le=100)] = 8
     share_rates: bool = False
     tick_ms: Positive = 5.0
-    skew: NotNegative = 0.0  # the k-th relay gets 1/k**skew of the traffic
-    lag_ms: NotNegative = 50.0  # relays learn of a change of the register within so long, each at its moment
-    net_ms: NotNegative = 0.2  # one way, to a client or a partner
+    skew: NotNegative = 0.0  # the k-th relay gets a part of the traffic proportional to 1/k**skew
+    lag_ms: NotNegative = 50.0  # longest delay until a relay learns of a listing change; drawn for each
+    net_ms: NotNegative = 0.2  # one-way latency to a client or a partner
     connect_timeout_ms: Positive = 1500.0
     drain_grace_ms: NotNegative = 250.0
     restarts: list[Restart] = []
@@ -208,21 +214,21 @@
 
 
 class Clients(Strict, frozen=True):
-    """What they do when a message is refused or given back: they hand it in again, while it has time."""
+    """Clients resubmit a rejected or returned message until its deadline."""
 
-    tries: Annotated[int, Meta(ge=1, le=100)] = 4  # of one message, the first included
-    pause_ms: Positive = 300.0  # before the second, doubling; a longer told wait goes before it
-    heed: Share = 1.0  # so many of them wait as they are told
-    wait_ms: Positive = 400.0  # for an answer to what they hand in
+    tries: Annotated[int, Meta(ge=1, le=100)] = 4  # submissions of one message, including the first
+    pause_ms: Positive = 300.0  # before the second, then doubling; a longer Retry-After takes precedence
+    heed: Share = 1.0  # share of the clients that obey Retry-After
+    wait_ms: Positive = 400.0  # for the response to a submission
 
 
 class Variant(Strict, frozen=True):
     name: str
-    constants: dict[str, float] = {}  # of the decision module: "control.RETRY_MS" = 240.0
-    fleet: dict[str, Any] = {}  # fields of [fleet] that differ
+    constants: dict[str, float] = {}  # of the decision module, such as "control.RETRY_MS" = 240.0
+    fleet: dict[str, Any] = {}  # overrides of fields of [fleet]
     clients: dict[str, Any] = {}
-    version: str = ""  # a folder with another checkout or an installed copy; empty: this one
-    mixed: Share = 1.0  # so many of the relays are this variant's, the others the first one's
+    version: str = ""  # a folder with another checkout or an installed copy; empty: this version
+    mixed: Share = 1.0  # share of the relays that run this variant; the others run the first variant
 
     def __post_init__(self) -> None:
         for path in self.constants:
@@ -243,9 +249,9 @@
     name: str
     seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20
     first_seed: Number = 1
-    common: Literal["calls", "streams", "none"] = "calls"  # numbers of chance that variants share
-    half_width: Positive | None = None  # stop once the interval of `measure` is so narrow; None: all seeds
-    measure: str = "service"  # that the verdict is about
+    common: Literal["calls", "streams", "none"] = "calls"  # random numbers that variants share
+    half_width: Positive | None = None  # stop at this width of the interval of `measure`; None: never
+    measure: str = "service"  # the figure that the verdict is about
     traffic: Traffic = Traffic()
     classes: list[Class] = msgspec.field(default_factory=lambda: list(CLASSES))
     partners: Annotated[list[Partner], Meta(min_length=1, max_length=5000)] = msgspec.field(
@@ -254,7 +260,7 @@
     fleet: Fleet = Fleet()
     clients: Clients = Clients()
     variants: list[Variant] = msgspec.field(default_factory=lambda: [Variant("A")])
-    grid: dict[str, list[float]] = {}  # constants and the values of each: one variant for each combination
+    grid: dict[str, list[float]] = {}  # the values of each constant; each combination is a variant
 
     def __post_init__(self) -> None:
         spec.need(bool(self.classes), "classes", "at least one is needed")
@@ -273,58 +279,59 @@
             spec.need(bool(values), f"grid.{path}", "at least one value is needed")
             combinations *= len(values)
         spec.need(
-            combinations <= MOST_VARIANTS, "grid", f"makes {combinations} variants: {MOST_VARIANTS} at most"
+            combinations <= MAX_VARIANTS, "grid", f"makes {combinations} variants: {MAX_VARIANTS} at most"
         )
         for variant in self.variants:
-            self.of(variant)
+            self.with_variant(variant)
 
     def all_variants(self) -> list[Variant]:
-        """Those that are named, and those of the grid."""
+        """The named variants, then those of the grid."""
         if not self.grid:
             return self.variants
-        made = []
+        grid_variants = []
         for values in itertools.product(*self.grid.values()):
             constants = dict(zip(self.grid, values, strict=True))
             name = "_".join(f"{path.partition('.')[2]}={value:g}" for path, value in constants.items())
-            made.append(Variant(name, constants))
-        return [*self.variants, *made]
+            grid_variants.append(Variant(name, constants))
+        return [*self.variants, *grid_variants]
 
-    def of(self, variant: Variant) -> Experiment:
-        """The experiment as this variant has it; ValueError names the field."""
+    def with_variant(self, variant: Variant) -> Experiment:
+        """This experiment with the overrides of a variant. Raises ValueError that names the field."""
         out: dict[str, Any] = {}
         for part, fields in (("fleet", variant.fleet), ("clients", variant.clients)):
             if fields:
-                before = getattr(self, part)
-                told = {**msgspec.to_builtins(before), **fields}
-                found = list(faults(told, type(before), f"variants.{variant.name}.{part}"))
-                if found:
-                    raise ValueError(found[0])
-                out[part] = msgspec.convert(told, type(before))
+                part_settings = getattr(self, part)
+                overridden = {**msgspec.to_builtins(part_settings), **fields}
+                errors = list(faults(overridden, type(part_settings), f"variants.{variant.name}.{part}"))
+                if errors:
+                    raise ValueError(errors[0])
+                out[part] = msgspec.convert(overridden, type(part_settings))
         return self if not out else msgspec.structs.replace(self, variants=[Variant("A")], grid={}, **out)
 
 
 def decoded(raw: Mapping[str, Any], where: str) -> Experiment:
-    """Raises ExperimentError with all faults, a line each."""
-    found = list(faults(raw, Experiment, ""))
-    if found:
-        raise ExperimentError("\n".join(f"{where}: {fault}" for fault in found))
+    """Checks and converts a decoded file. Raises ExperimentError with one line for each error."""
+    errors = list(faults(raw, Experiment, ""))
+    if errors:
+        raise ExperimentError("\n".join(f"{where}: {fault}" for fault in errors))
     return msgspec.convert(raw, Experiment)
 
 
 def read(path: Path) -> Experiment:
-    """Raises ExperimentError. A trace and versions are named from the file's own folder."""
+    """Reads an experiment file. Paths of traces and versions are relative to its folder. Raises
+    ExperimentError."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
         raise ExperimentError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise ExperimentError(f"{path}: {error}") from error
-    told = decoded(raw, str(path))
+    experiment = decoded(raw, str(path))
     folder = path.resolve().parent
-    traffic, variants = told.traffic, list(told.variants)
+    traffic, variants = experiment.traffic, list(experiment.variants)
     if traffic.trace:
         if not (folder / traffic.trace).is_file():
-            raise ExperimentError(f"{path}: traffic.trace: {traffic.trace!r} is no file")
+            raise ExperimentError(f"{path}: traffic.trace: {traffic.trace!r} is not a file")
         traffic = msgspec.structs.replace(traffic, trace=str(folder / traffic.trace))
     for n, variant in enumerate(variants):
         if variant.version:
@@ -335,18 +342,18 @@
                     "message_relay/decisions/scheduler.py"
                 )
             variants[n] = msgspec.structs.replace(variant, version=str((folder / variant.version).resolve()))
-    return msgspec.structs.replace(told, traffic=traffic, variants=variants)
+    return msgspec.structs.replace(experiment, traffic=traffic, variants=variants)
 
 
-def settings_of(it: Experiment) -> dict[str, Any]:
-    """The platform's form of the settings that each relay gets."""
-    cold = it.partners[0].cold
+def settings_of(experiment: Experiment) -> dict[str, Any]:
+    """The settings of each relay, in the platform's format."""
+    cold = experiment.partners[0].cold
     return {
         "az": 0,
-        "balancers": it.fleet.relays,
+        "balancers": experiment.fleet.relays,
         "zones": ["z"],
         "kinds": ["k"],
-        "tick-ms": it.fleet.tick_ms,
+        "tick-ms": experiment.fleet.tick_ms,
         "weight-kind": "nominal",
         "classes": [
             {
@@ -358,24 +365,24 @@
                 "worth": each.worth,
                 "late-share": each.late_share,
             }
-            for each in it.classes
+            for each in experiment.classes
         ],
-        "extra": {"call-slots": it.fleet.slots, "loses-worth": "halves"},
+        "extra": {"call-slots": experiment.fleet.slots, "loses-worth": "halves"},
         "limits": {
-            "open-cap": it.fleet.hold,
-            "try-limit": it.fleet.attempts,
+            "open-cap": experiment.fleet.hold,
+            "try-limit": experiment.fleet.attempts,
             "conn-idle-ms": 10000.0,
-            "connect-timeout-ms": it.fleet.connect_timeout_ms,
+            "connect-timeout-ms": experiment.fleet.connect_timeout_ms,
             "max-retry-after-ms": 1000,
         },
         "orgs": [{"name": "t", "quota-per-s": 1e6}],
         "client-habits": {"marks-retry": True},
         "safety": {
             "answer-slack-ms": 20,
-            "drain-grace-ms": it.fleet.drain_grace_ms,
+            "drain-grace-ms": experiment.fleet.drain_grace_ms,
             "cold-from": cold.share,
             "cold-ms": cold.warm_ms,
             "fall-ms": cold.fall_ms,
-            "fall-multiple": cold.fall_multiple or USUAL_MULTIPLE,
+            "fall-multiple": cold.fall_multiple or DEFAULT_FALL_MULTIPLE,
         },
     }
--- a/emulator/intervals.py
+++ b/emulator/intervals.py
@@ -1,8 +1,9 @@
-"""Differences between two variants over the same seeds, with an interval that can be trusted. No I/O.
+"""Confidence intervals of means and of paired differences between two variants over the same seeds. No I/O.
 
-Student's t on the paired differences, not a bootstrap: at the 5 to 40 seeds that an experiment has, the
-percentile and BCa bootstrap cover less than they say (Hesterberg 2015), t holds up for means of mildly skewed
-differences, and a rare burst that a few seeds carry is told by a warning instead of hidden in a width."""
+Uses Student's t on the paired differences and not a bootstrap: at the 5 to 40 seeds that an experiment has,
+the percentile and BCa bootstraps cover less than their nominal level (Hesterberg 2015), while t is adequate
+for means of mildly skewed differences. A rare burst in a few seeds gives a warning instead of only a wider
+interval."""
 
 from __future__ import annotations
 
@@ -14,9 +15,10 @@
 from scipy import stats
 
 LEVEL = 0.95
-FEWEST = 8  # seeds, under which an interval comes with a warning
-CARRIED = 0.5  # of the squared deviations that one seed makes: then the mean is that seed's
-FIRST, GROWTH = 8, 1.5  # of sequential stopping: seeds of the first look, and how many more each has
+FEW_SEEDS = 8  # with fewer seeds, an interval has a warning
+DOMINANT_SHARE = 0.5  # above this share of the squared deviations, one seed dominates the mean
+# Sequential stopping: seeds at the first look, and the factor from each look to the next one.
+FIRST_LOOK, LOOK_GROWTH = 8, 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +38,7 @@
 
 
 def interval(values: Sequence[float], level: float = LEVEL) -> Interval:
-    """Of the mean. Seeds without a figure (NaN) are left out, and told."""
+    """The confidence interval of the mean. Seeds without a figure (NaN) are left out, with a warning."""
     given = np.array([value for value in values if not math.isnan(value)], dtype=float)
     n, warnings = len(given), list[str]()
     if n < len(values):
@@ -47,10 +49,10 @@
     if n == 1:
         return Interval(mean, -math.inf, math.inf, 1, "one seed: nothing is known of the spread")
     half = float(stats.t.ppf(0.5 + level / 2, n - 1)) * float(given.std(ddof=1)) / math.sqrt(n)
-    if n < FEWEST:
+    if n < FEW_SEEDS:
         warnings.append(f"{n} seeds are few")
     squares = (given - mean) ** 2
-    if n > 2 and squares.sum() > 0 and squares.max() / squares.sum() > CARRIED:
+    if n > 2 and squares.sum() > 0 and squares.max() / squares.sum() > DOMINANT_SHARE:
         warnings.append(
             f"one seed makes {squares.max() / squares.sum():.0%} of the spread: a rare event, take "
             "more seeds"
@@ -59,30 +61,33 @@
 
 
 def difference(before: Sequence[float], after: Sequence[float], level: float = LEVEL) -> Interval:
-    """Of after less before, seed by seed."""
+    """The interval of `after` minus `before`, paired by seed."""
     return interval([b - a for a, b in zip(before, after, strict=True)], level)
 
 
-def verdict(found: Interval, more_is_better: bool) -> str:
-    """better, worse, or no difference seen."""
-    if found.seeds == 0 or found.low <= 0 <= found.high:
+def verdict(diff: Interval, more_is_better: bool) -> str:
+    """Returns "better", "worse" or "no difference seen"."""
+    if diff.seeds == 0 or diff.low <= 0 <= diff.high:
         return "no difference seen"
-    return "better" if (found.mean > 0) == more_is_better else "worse"
+    return "better" if (diff.mean > 0) == more_is_better else "worse"
 
 
-def looks(most: int) -> list[int]:
-    """After how many seeds the width is looked at. Stopping when it is narrow enough picks moments at which
-    the spread looks small by chance, so that such an interval covers a little less than it says: the look
-    comes no sooner than FIRST seeds, and few times, which keeps that under some 2% (benchmarks.model)."""
-    out, n = [], FIRST
-    while n < most:
+def looks(max_seeds: int) -> list[int]:
+    """The numbers of seeds after which sequential stopping checks the width of the interval.
+
+    Stopping once the width is small enough selects moments at which the spread is small by chance, so the
+    interval covers a little less than its nominal level. The first check comes after FIRST_LOOK seeds and
+    there are few checks, which keeps the loss under some 2% (benchmarks.model)."""
+    out, n = [], FIRST_LOOK
+    while n < max_seeds:
         out.append(n)
-        n = math.ceil(n * GROWTH)
-    return [*out, most]
+        n = math.ceil(n * LOOK_GROWTH)
+    return [*out, max_seeds]
 
 
 def correlation(before: Sequence[float], after: Sequence[float]) -> float:
-    """Of the two variants over seeds: what common random numbers buy. NaN where one does not vary."""
+    """Correlation of the two variants over seeds, which shows the gain from common random numbers. NaN if
+    one does not vary."""
     a, b = np.array(before, dtype=float), np.array(after, dtype=float)
     if len(a) < 3 or a.std() == 0 or b.std() == 0:
         return math.nan
--- a/emulator/live.py
+++ b/emulator/live.py
@@ -1,9 +1,10 @@
-"""An experiment with real relay processes over loopback: the same traffic, partners, clients and restarts.
+"""Runs an experiment with real relay processes over loopback, with the same traffic, partners, clients and
+restarts.
 
-Each partner is `fakes.endpoint` with the same model, the register is `fakes.discovery_agent`, in this
-process, as
-are the clients. It runs in real time, a seed at a time. What it measures are the same figures as the virtual
-fleet's (`measures.Record`), from what the partners' ledgers say."""
+Each partner is a process of `fakes.endpoint` with the same model. The discovery agent
+(`fakes.discovery_agent`) and the clients run in this process. An experiment runs in real time, one seed at a
+time. It yields the same figures as the virtual fleet (`measures.Record`), computed from the ledgers of the
+partners."""
 
 from __future__ import annotations
 
@@ -26,32 +27,33 @@
 from fakes.discovery_agent import Agent
 from message_relay.core.tasks import wait_for_event
 
-from .clients import Address, Clients, Said, request
-from .draws import Draws
+from .clients import Address, Clients, Response, request
+from .draws import BufferedRandom
 from .experiment import Experiment, Restart, Variant, settings_of
-from .measures import Life, Record
+from .measures import MessageHistory, Record
 from .partner import Partner
 from .runs import Result, result_of
 from .traffic import Job, arrivals
 
 READY_S, STOP_S = 30.0, 10.0
-AFTER_S = 1.0  # the world goes on so long after the last message's time
-SETTLE_S = 1.0  # before the clock of the experiment begins
+GRACE_S = 1.0  # the run continues this long after the last deadline
+SETTLE_S = 1.0  # before the experiment starts
 
 
 class LiveError(RuntimeError):
-    """It cannot be played with real processes; the text says why."""
+    """The experiment cannot run with real processes. The text gives the reason."""
 
 
-class Register(Agent):
-    """Hears notices, and tells changes to whoever watches."""
+class ListingAgent(Agent):
+    """A discovery agent that receives notifications of final outcomes and serves listing changes to watching
+    relays."""
 
     def __init__(self, listing: dict[str, Any]) -> None:
         super().__init__(json.dumps(listing).encode())
         self.entries: list[dict[str, Any]] = listing["instances"]
         self.changed = asyncio.Event()
         self.changes: list[dict[str, Any]] = []
-        self.told: Any = None
+        self.on_notification: Any = None
 
     def change(self, entry: dict[str, Any]) -> None:
         self.generation += 1
@@ -59,46 +61,49 @@
         self.entries = [each for each in self.entries if each["instanceId"] != entry["instanceId"]]
         if entry["lifecycle"] != "gone":
             self.entries.append(entry)
-        whole = {"generation": self.generation, "reset": True, "instances": self.entries}
-        self.listing = json.dumps(whole).encode()
+        complete = {"generation": self.generation, "reset": True, "instances": self.entries}
+        self.listing = json.dumps(complete).encode()
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def answer(self, method: str, target: str, told: bytes) -> tuple[int, bytes]:
+    async def answer(self, method: str, target: str, body: bytes) -> tuple[int, bytes]:
         if method == "POST":
-            for line in told.splitlines():
-                self.told(json.loads(line))
+            for line in body.splitlines():
+                self.on_notification(json.loads(line))
             return 204, b""
         if "from=" not in target:
             return 200, self.listing
-        asked = int(target.partition("from=")[2].split("&")[0])
+        known = int(target.partition("from=")[2].split("&")[0])
         hold_ms = int(target.partition("hold_ms=")[2].split("&")[0] or 0)
-        if asked == self.generation:
+        if known == self.generation:
             await wait_for_event(self.changed, hold_ms / 1000)
-        missed = self.generation - asked
+        missed = self.generation - known
         entries = self.changes[-missed:] if 0 < missed <= len(self.changes) else []
         return 200, json.dumps({"generation": self.generation, "reset": False, "instances": entries}).encode()
 
 
 @dataclass
 class Live:
-    it: Experiment
+    """The processes of one run: relays and partners, with the clients and the discovery agent of this
+    process."""
+
+    experiment: Experiment
     variant: Variant
     seed: int
     folder: Path
     processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
-    ids: dict[str, Life] = field(default_factory=dict)  # by the id under which a message was handed in
-    work: set[asyncio.Task[None]] = field(default_factory=set)
+    histories: dict[str, MessageHistory] = field(default_factory=dict)  # by the trace id of a submission
+    background: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.record = Record(self.it)
-        self.clients = Clients(self.it.clients.wait_ms)
-        self.draws = Draws(self.seed, "clients")
-        fleet = self.it.fleet
+        self.record = Record(self.experiment)
+        self.clients = Clients(self.experiment.clients.wait_ms)
+        self.rng = BufferedRandom(self.seed, "clients")
+        fleet = self.experiment.fleet
         self.ports = free_ports(fleet.relays)
         self.up = [True] * fleet.relays
-        self.front = [1 / (n + 1) ** fleet.skew for n in range(fleet.relays)]
-        self.begun = 0.0  # Unix seconds of the experiment's beginning
+        self.traffic_shares = [1 / (n + 1) ** fleet.skew for n in range(fleet.relays)]
+        self.started_at = 0.0  # Unix time of the start of the experiment, in seconds
 
     # -- processes ---------------------------------------------------------------------------------------
 
@@ -123,7 +128,7 @@
 
     async def set_up(self) -> None:
         entries, ident = [], 0
-        for n, partner in enumerate(self.it.partners):
+        for n, partner in enumerate(self.experiment.partners):
             spec = self.folder / f"partner{n}.json"
             spec.write_bytes(msgspec.json.encode(partner))
             at = await self._start(
@@ -156,33 +161,33 @@
                         "startedAtMs": 0,
                     }
                 )
-        self.register = Register({"generation": 1, "reset": True, "instances": entries})
-        self.register.told = self._notice
-        self.server = await asyncio.start_server(self.register.serve, "127.0.0.1", 0)
-        agent = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
-        for n in range(self.it.fleet.relays):
+        self.agent = ListingAgent({"generation": 1, "reset": True, "instances": entries})
+        self.agent.on_notification = self._on_notification
+        self.server = await asyncio.start_server(self.agent.serve, "127.0.0.1", 0)
+        agent_address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
+        for n in range(self.experiment.fleet.relays):
             (self.folder / f"state{n}").mkdir()
             (self.folder / f"config{n}.json").write_text(
                 json.dumps(
                     {
                         "name": f"r{n}",
                         "listen": f"127.0.0.1:{self.ports[n]}",
-                        "discovery": agent,
+                        "discovery": agent_address,
                         "seed": f"{self.seed * 1000 + n:x}",
                         "state": str(self.folder / f"state{n}"),
-                        "settings": settings_of(self.it),
+                        "settings": settings_of(self.experiment),
                         "limits": {"sockets": 1024, "memory_mb": 512, "disk_mb": 50},
                         "known": {"generation": 1, "reset": True, "instances": entries},
                     }
                 )
             )
         (self.folder / "relay.toml").write_text(
-            f"[fleet]\ninstances = {self.it.fleet.relays}\n"
-            f"share_rates = {str(self.it.fleet.share_rates).lower()}\n"
+            f"[fleet]\ninstances = {self.experiment.fleet.relays}\n"
+            f"share_rates = {str(self.experiment.fleet.share_rates).lower()}\n"
         )
-        for n in range(self.it.fleet.relays):
+        for n in range(self.experiment.fleet.relays):
             await self._relay(n)
-        for n in range(self.it.fleet.relays):
+        for n in range(self.experiment.fleet.relays):
             await self._ready(n)
 
     async def _relay(self, n: int) -> None:
@@ -229,112 +234,114 @@
         for name, process in self.processes.items():
             if name.startswith("partner"):
                 process.send_signal(signal.SIGUSR1)
-        self.begun = time.time()
-        for restart in self.it.fleet.restarts:
-            self._later(self._restart(restart))
-        for n, partner in enumerate(self.it.partners):
-            first = sum(each.endpoints for each in self.it.partners[:n])
+        self.started_at = time.time()
+        for restart in self.experiment.fleet.restarts:
+            self._start_task(self._restart(restart))
+        for n, partner in enumerate(self.experiment.partners):
+            first = sum(each.endpoints for each in self.experiment.partners[:n])
             for change in partner.changes:
-                self._later(self._change(first + change.endpoint - 1, change.at_s, change.listing))
-        for job in arrivals(self.it, self.seed):
-            await self._until(job.at)
-            life = self.record.asked(job)
-            self._later(self._hand_in(life, job, 0.0))
-        longest = max(each.deadline_ms for each in self.it.classes) / 1000
-        await self._until((self.it.traffic.seconds + longest + AFTER_S) * 1000)
-        for task in self.work:
+                self._start_task(self._change(first + change.endpoint - 1, change.at_s, change.listing))
+        for job in arrivals(self.experiment, self.seed):
+            await self._sleep_until(job.at)
+            history = self.record.submitted(job)
+            self._start_task(self._submit(history, job, 0.0))
+        longest = max(each.deadline_ms for each in self.experiment.classes) / 1000
+        await self._sleep_until((self.experiment.traffic.seconds + longest + GRACE_S) * 1000)
+        for task in self.background:
             task.cancel()
-        await asyncio.gather(*self.work, return_exceptions=True)
-        self._read()
+        await asyncio.gather(*self.background, return_exceptions=True)
+        self._read_ledgers()
         return self.record
 
-    def _later(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+        self.background.add(task)
+        task.add_done_callback(self.background.discard)
 
-    async def _until(self, at_ms: float) -> None:
-        pause = self.begun + at_ms / 1000 - time.time()
+    async def _sleep_until(self, at_ms: float) -> None:
+        pause = self.started_at + at_ms / 1000 - time.time()
         if pause > 0:
             await asyncio.sleep(pause)
 
     def now(self) -> float:
-        return (time.time() - self.begun) * 1000
+        return (time.time() - self.started_at) * 1000
 
-    async def _hand_in(self, life: Life, job: Job, pause_ms: float) -> None:
+    async def _submit(self, history: MessageHistory, job: Job, pause_ms: float) -> None:
         if pause_ms:
             await asyncio.sleep(pause_ms / 1000)
-        life.tries += 1
-        place = job.relay if life.tries == 1 else self.draws.random()
-        at = self._place(place)
-        left = min(life.due, life.until) - self.now()
+        history.tries += 1
+        position = job.relay if history.tries == 1 else self.rng.random()
+        at = self._relay_address(position)
+        left = min(history.due, history.resubmit_until) - self.now()
         if at is None or left <= 0:
-            self._again(life, job, Said("none"))
+            self._schedule_resubmission(history, job, Response("none"))
             return
-        ident = f"{life.number}-{life.tries}-{self.seed}"
-        self.ids[ident] = life
-        name = self.it.classes[life.class_].name
-        said = await self.clients.hand_in(
+        ident = f"{history.number}-{history.tries}-{self.seed}"
+        self.histories[ident] = history
+        name = self.experiment.classes[history.class_].name
+        response = await self.clients.hand_in(
             at,
             request(
                 ident,
                 name,
-                life.destination,
+                history.destination,
                 left,
                 b"x" * job.bytes,
-                f"k{life.number}",
-                "1" if life.tries > 1 else "",
+                f"k{history.number}",
+                "1" if history.tries > 1 else "",
             ),
         )
-        if said.taken:
-            self.record.took(life, self.now())
+        if response.taken:
+            self.record.accepted(history, self.now())
             return
-        self.record.refused += said.refused
-        self._again(life, job, said)
+        self.record.refused += response.refused
+        self._schedule_resubmission(history, job, response)
 
-    def _place(self, place: float) -> Address | None:
+    def _relay_address(self, position: float) -> Address | None:
         up = [n for n, flag in enumerate(self.up) if flag]
-        place *= sum(self.front[n] for n in up)
+        position *= sum(self.traffic_shares[n] for n in up)
         for n in up:
-            place -= self.front[n]
-            if place < 0:
+            position -= self.traffic_shares[n]
+            if position < 0:
                 return "127.0.0.1", self.ports[n]
         return None
 
-    def _again(self, life: Life, job: Job, said: Said) -> None:
-        clients = self.it.clients
-        pause = clients.pause_ms * 2 ** (life.tries - 1) * (0.5 + self.draws.random())
-        if self.draws.random() < clients.heed:
-            pause = max(pause, said.retry_ms)
-        if life.tries < clients.tries and self.now() + pause < min(life.due, life.until):
-            self._later(self._hand_in(life, job, pause))
-
-    def _notice(self, told: dict[str, Any]) -> None:
-        life = self.ids.get(told["id"])
-        if life is None:
+    def _schedule_resubmission(self, history: MessageHistory, job: Job, response: Response) -> None:
+        clients = self.experiment.clients
+        pause = clients.pause_ms * 2 ** (history.tries - 1) * (0.5 + self.rng.random())
+        if self.rng.random() < clients.heed:
+            pause = max(pause, response.retry_ms)
+        if history.tries < clients.tries and self.now() + pause < min(history.due, history.resubmit_until):
+            self._start_task(self._submit(history, job, pause))
+
+    def _on_notification(self, notification: dict[str, Any]) -> None:
+        history = self.histories.get(notification["id"])
+        if history is None:
             return
-        if told["state"] == "failed":
-            life.failed = True
+        if notification["state"] == "failed":
+            history.failed = True
             return
         self.record.returned += 1
         job = Job(
-            life.number,
-            life.at,
-            life.class_,
-            life.destination,
-            life.due - life.at,
-            self.it.traffic.bytes,
+            history.number,
+            history.at,
+            history.class_,
+            history.destination,
+            history.due - history.at,
+            self.experiment.traffic.bytes,
             0.0,
         )
-        self._again(life, job, Said("returned", float(told.get("after_ms", 0.0))))
+        self._schedule_resubmission(
+            history, job, Response("returned", float(notification.get("after_ms", 0.0)))
+        )
 
     async def _change(self, n: int, at_s: float, listing: str) -> None:
-        await self._until(at_s * 1000)
-        entry = next(each for each in self.register.entries if each["instanceId"] == f"e{n + 1}")
-        self.register.change({**entry, "lifecycle": listing})
+        await self._sleep_until(at_s * 1000)
+        entry = next(each for each in self.agent.entries if each["instanceId"] == f"e{n + 1}")
+        self.agent.change({**entry, "lifecycle": listing})
 
     async def _restart(self, restart: Restart) -> None:
-        await self._until(restart.at_s * 1000)
+        await self._sleep_until(restart.at_s * 1000)
         process = self.processes[f"relay{restart.relay}"]
         if restart.how == "kill":
             process.kill()
@@ -348,28 +355,28 @@
         await self._ready(restart.relay)
         self.up[restart.relay] = True
 
-    def _read(self) -> None:
-        """What the partners say came, and took effect."""
+    def _read_ledgers(self) -> None:
+        """Reads the calls and effects from the ledgers of the partners, and finishes the record."""
         partners = []
-        for n, partner in enumerate(self.it.partners):
-            model = Partner(partner.model(), Draws(self.seed, "unused"))
+        for n, partner in enumerate(self.experiment.partners):
+            model = Partner(partner.model(), BufferedRandom(self.seed, "unused"))
             for line in lines(self.folder / f"calls{n}"):
                 at, trace, reply, after, *_ = line.split()
-                life = self.ids.get(trace)
-                begun = float(at) - self.begun * 1000
-                self.record.called(n + 1, begun)
+                history = self.histories.get(trace)
+                called_at = float(at) - self.started_at * 1000
+                self.record.called(n + 1, called_at)
                 if reply == "full":
                     self.record.full[n + 1] += 1
-                if life is None:
+                if history is None:
                     continue
-                life.calls += 1
+                history.calls += 1
                 if reply == "ok":
-                    done = begun + float(after)
-                    life.done = done if life.done is None else min(life.done, done)
+                    done = called_at + float(after)
+                    history.done = done if history.done is None else min(history.done, done)
             for line in lines(self.folder / f"effects{n}"):
-                life = self.ids.get(line.split()[1])
-                if life is not None:
-                    model.effects[str(life.number)] += 1
+                history = self.histories.get(line.split()[1])
+                if history is not None:
+                    model.effects[str(history.number)] += 1
             partners.append(model)
         for times in self.record.calls.values():
             times.sort()
@@ -382,18 +389,18 @@
 
 def free_ports(count: int) -> list[int]:
     with contextlib.ExitStack() as stack:
-        found = []
+        ports = []
         for _ in range(count):
             sock = stack.enter_context(socket.socket())
             sock.bind(("127.0.0.1", 0))
-            found.append(int(sock.getsockname()[1]))
-        return found
+            ports.append(int(sock.getsockname()[1]))
+        return ports
 
 
 @contextlib.asynccontextmanager
-async def fleet(it: Experiment, variant: Variant, seed: int) -> AsyncIterator[Live]:
+async def fleet(experiment: Experiment, variant: Variant, seed: int) -> AsyncIterator[Live]:
     with tempfile.TemporaryDirectory(prefix="message_relay-live-") as folder:
-        live = Live(it.of(variant), variant, seed, Path(folder))
+        live = Live(experiment.with_variant(variant), variant, seed, Path(folder))
         try:
             await live.set_up()
             yield live
@@ -401,20 +408,20 @@
             await live.close()
 
 
-async def _one(it: Experiment, variant: Variant, seed: int) -> Result:
-    async with fleet(it, variant, seed) as live:
+async def _one(experiment: Experiment, variant: Variant, seed: int) -> Result:
+    async with fleet(experiment, variant, seed) as live:
         record = await live.play()
-        found = result_of(record, variant, seed)
-        unheard = {**found.figures, "tries_while_out": None}  # nobody counts them there
-        return msgspec.structs.replace(found, figures=unheard)
+        result = result_of(record, variant, seed)
+        figures = {**result.figures, "tries_while_out": None}  # the ledgers do not show these attempts
+        return msgspec.structs.replace(result, figures=figures)
 
 
-def one(it: Experiment, variant: Variant, seed: int) -> Result:
-    """Raises LiveError."""
+def one(experiment: Experiment, variant: Variant, seed: int) -> Result:
+    """Runs one variant with one seed. Raises LiveError."""
     if variant.constants:
         raise LiveError(
-            f"variants.{variant.name}.constants: live relays run as they are; name a version instead"
+            f"variants.{variant.name}.constants: real relays run unmodified; name a version instead"
         )
     if variant.mixed < 1:
-        raise LiveError(f"variants.{variant.name}.mixed: is for the virtual fleet only")
-    return asyncio.run(_one(it, variant, seed))
+        raise LiveError(f"variants.{variant.name}.mixed: only the virtual fleet supports it")
+    return asyncio.run(_one(experiment, variant, seed))
--- a/emulator/measure_names.py
+++ b/emulator/measure_names.py
@@ -1,8 +1,9 @@
-"""The figures that experiments compare, by name: what each is, and whether more of it is better."""
+"""The names of the figures that experiments compare, each with its meaning and whether a higher value is
+better."""
 
 from __future__ import annotations
 
-MEASURES = {  # name -> (what it is, True if more is better)
+MEASURES = {  # name -> (meaning, True if a higher value is better)
     "service": ("worth answered over worth asked", True),
     "delivered": ("share of the messages that were delivered", True),
     "in_aim": ("share of the messages that were delivered within their aim", True),
--- a/emulator/peer.py
+++ b/emulator/peer.py
@@ -1,7 +1,8 @@
-"""The other side of `emulator.engines.Beside`: run with another version's `message_relay` on the path.
+"""The child process of `emulator.engines.PeerEngine`, run with another version's `message_relay` on the path.
 
-Frames on standard input and output: u32 length, msgpack [what, arguments] and {"value"} or {"error"}. Takes
-from this repository nothing but the file beside it, and from the other one its public interface."""
+Reads requests from standard input and writes responses to standard output. Each is a frame: a u32 length,
+then msgpack. A request is [operation, arguments...], a response {"value"} or {"error"}. Imports nothing from
+this repository but engines.py beside it, and from the other version only its public interface."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 def engines() -> Any:
-    """emulator/engines.py by its path: its folder is not on this process's path."""
+    """Loads emulator/engines.py by its file path, since its folder is not on this process's import path."""
     spec = importlib.util.spec_from_file_location("engines", Path(__file__).with_name("engines.py"))
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -23,40 +24,40 @@
     return module
 
 
-def answer(engine: Any, parts: Any, told: list[Any]) -> Any:
+def respond(engine: Any, parts: Any, request: list[Any]) -> Any:
     vocabulary = parts.VOCABULARY
-    what, *args = told
-    if what == "constants":
+    operation, *args = request
+    if operation == "constants":
         parts.set_constants(args[0].items())
         return True
-    if what == "start":
+    if operation == "start":
         number, settings, seed, fleet = args
         engine.start(number, settings, seed, None if fleet is None else parts.unpacked(fleet, vocabulary))
         return True
-    if what == "handle":
+    if operation == "handle":
         number, now, events = args
         return [
             parts.packed(each)
             for each in engine.handle(number, now, [parts.unpacked(each, vocabulary) for each in events])
         ]
-    if what == "turned_away":
+    if operation == "turned_away":
         number, now, message, holding = args
         return engine.turned_away(number, now, parts.unpacked(message, vocabulary), holding)
-    if what == "learned":
+    if operation == "learned":
         return [parts.packed(each) for each in engine.learned(*args)]
-    return getattr(engine, what)(*args)
+    return getattr(engine, operation)(*args)
 
 
 def main() -> None:
     parts = engines()
-    engine, source, sink = parts.Here(), sys.stdin.buffer, sys.stdout.buffer
+    engine, source, sink = parts.LocalEngine(), sys.stdin.buffer, sys.stdout.buffer
     while len(head := source.read(parts.SIZE.size)) == parts.SIZE.size:
-        told = msgspec.msgpack.decode(source.read(parts.SIZE.unpack(head)[0]))
+        request = msgspec.msgpack.decode(source.read(parts.SIZE.unpack(head)[0]))
         try:
-            out: dict[str, Any] = {"value": answer(engine, parts, told)}
+            response: dict[str, Any] = {"value": respond(engine, parts, request)}
         except Exception as error:
-            out = {"error": f"{type(error).__name__}: {error}"}
-        data = msgspec.msgpack.encode(out)
+            response = {"error": f"{type(error).__name__}: {error}"}
+        data = msgspec.msgpack.encode(response)
         sink.write(parts.SIZE.pack(len(data)) + data)
         sink.flush()
 
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -1,4 +1,5 @@
-"""What an experiment showed, as one HTML file that needs nothing else, and its pictures as SVG and PNG."""
+"""Writes the results of an experiment as one self-contained HTML file, and its charts as SVG and PNG
+files."""
 
 from __future__ import annotations
 
@@ -24,7 +25,7 @@
 
 PERCENTILES = [50, 75, 90, 95, 99, 99.9, 99.99]
 COLOURS = ["#3465a4", "#c17d11", "#4e9a06", "#a40000", "#75507b", "#555753"]
-MOST_DRAWN = 6  # variants in one picture
+MAX_DRAWN = 6  # variants in one chart
 SHADE = {
     "down": "#a40000",
     "hung": "#a40000",
@@ -47,7 +48,7 @@
 """
 
 
-def figure(value: float) -> str:
+def format_figure(value: float) -> str:
     if math.isnan(value):
         return "-"
     if math.isinf(value):
@@ -56,32 +57,32 @@
     return f"{value:.0f}" if size >= 1000 else f"{value:.1f}" if size >= 20 else f"{value:.4f}"
 
 
-def told(found: Interval) -> str:
-    return f"{figure(found.mean)} ({figure(found.low)} to {figure(found.high)})"
+def format_interval(value: Interval) -> str:
+    return f"{format_figure(value.mean)} ({format_figure(value.low)} to {format_figure(value.high)})"
 
 
-class Pictures:
-    """Each is kept as SVG in the page, and as files beside it."""
+class Charts:
+    """Embeds charts as SVG in the page, and also writes them as files beside it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
-    def add(self, name: str, drawn: Any) -> str:
+    def add(self, name: str, figure: Any) -> str:
         text = io.StringIO()
-        drawn.savefig(text, format="svg", metadata={"Date": None})
-        drawn.savefig(self.folder / f"{name}.png", dpi=110)
-        plt.close(drawn)
+        figure.savefig(text, format="svg", metadata={"Date": None})
+        figure.savefig(self.folder / f"{name}.png", dpi=110)
+        plt.close(figure)
         svg = text.getvalue()
         (self.folder / f"{name}.svg").write_text(svg)
         return svg[svg.index("<svg") :]
 
 
 def report(folder: Path) -> Path:
-    """Writes FOLDER/report.html; its path. Raises RunsError."""
-    it, found = manifest(folder).experiment, by_variant(folder)
+    """Writes FOLDER/report.html and returns its path. Raises RunsError."""
+    experiment, runs = manifest(folder).experiment, by_variant(folder)
     plt.rcParams.update(
         {
-            "svg.hashsalt": it.name,
+            "svg.hashsalt": experiment.name,
             "font.size": 9,
             "axes.spines.top": False,
             "axes.spines.right": False,
@@ -89,23 +90,30 @@
             "grid.alpha": 0.25,
         }
     )
-    pictures = Pictures(folder)
-    parts = [f"<h1>{html.escape(it.name)}</h1>", facts(it, found), *verdicts(it, found)]
-    if len(found) > 2:
-        parts += ["<h2>All variants</h2>", pictures.add("variants", variants(it, found))]
-    parts += ["<h2>Figures</h2>", table(it, found)]
+    charts = Charts(folder)
+    parts = [
+        f"<h1>{html.escape(experiment.name)}</h1>",
+        facts(experiment, runs),
+        *verdicts(experiment, runs),
+    ]
+    if len(runs) > 2:
+        parts += ["<h2>All variants</h2>", charts.add("variants", variants(experiment, runs))]
+    parts += ["<h2>Figures</h2>", table(experiment, runs)]
     parts += [
         "<h2>Load, second by second</h2>",
         '<p class="note">Means over seeds. Dashed: what the partners with an agreed rate could do; shaded: '
         "their troubles.</p>",
-        pictures.add("load", load(it, found)),
+        charts.add("load", load(experiment, runs)),
     ]
-    parts += ["<h2>Time to delivery</h2>", pictures.add("latency", latency(it, found))]
-    if len(it.partners) > 1:
-        parts += ["<h2>Delivered, by destination</h2>", pictures.add("destinations", destinations(found))]
-    parts += ["<h2>The worst seeds</h2>", worst(it, found)]
-    parts += broken(found)
-    title = html.escape(it.name)
+    parts += ["<h2>Time to delivery</h2>", charts.add("latency", latency(experiment, runs))]
+    if len(experiment.partners) > 1:
+        parts += [
+            "<h2>Delivered, by destination</h2>",
+            charts.add("destinations", destinations(runs)),
+        ]
+    parts += ["<h2>The worst seeds</h2>", worst(experiment, runs)]
+    parts += broken(runs)
+    title = html.escape(experiment.name)
     page = (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>'
         f"<style>{STYLE}</style>\n" + "\n".join(parts) + "</html>\n"
@@ -115,44 +123,46 @@
     return path
 
 
-def facts(it: Experiment, found: dict[str, list[Result]]) -> str:
-    seeds = len(next(iter(found.values())))
-    messages = np.mean([result.messages for results in found.values() for result in results])
+def facts(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
+    seeds = len(next(iter(runs.values())))
+    messages = np.mean([result.messages for results in runs.values() for result in results])
     early = (
         " Stopped once the interval was narrow enough, which makes it cover a little less than 95%."
-        if (it.half_width is not None and seeds < it.seeds)
+        if (experiment.half_width is not None and seeds < experiment.seeds)
         else ""
     )
     return (
-        f'<p class="note">{len(found)} variants, {seeds} seeds each, {messages:.0f} messages a run, '
-        f"{it.fleet.relays} relays, {len(it.partners)} destinations. Intervals are 95%, over paired seeds."
+        f'<p class="note">{len(runs)} variants, {seeds} seeds each, {messages:.0f} messages a run, '
+        f"{experiment.fleet.relays} relays, {len(experiment.partners)} destinations. "
+        "Intervals are 95%, over paired seeds."
         f"{early}</p>"
     )
 
 
-def verdicts(it: Experiment, found: dict[str, list[Result]]) -> list[str]:
-    names = list(found)
+def verdicts(experiment: Experiment, runs: dict[str, list[Result]]) -> list[str]:
+    names = list(runs)
     if len(names) < 2:
         return []
-    meaning, more = MEASURES[it.measure]
-    first, out = row(found[names[0]], it.measure), []
-    shown = (
+    meaning, more_is_better = MEASURES[experiment.measure]
+    first, out = row(runs[names[0]], experiment.measure), []
+    names_shown = (
         names[1:]
         if len(names) <= 4
-        else sorted(names[1:], key=lambda name: -abs(difference(first, row(found[name], it.measure)).mean))[
-            :3
-        ]
+        else sorted(
+            names[1:],
+            key=lambda name: -abs(difference(first, row(runs[name], experiment.measure)).mean),
+        )[:3]
     )
-    for name in shown:
-        diff = difference(first, row(found[name], it.measure))
-        word = verdict(diff, more)
+    for name in names_shown:
+        diff = difference(first, row(runs[name], experiment.measure))
+        word = verdict(diff, more_is_better)
         kind = word if word in ("better", "worse") else "same"
         note = f' <span class="note">Note: {html.escape(diff.warning)}.</span>' if diff.warning else ""
         out.append(
             f'<p class="verdict {kind}"><b>{html.escape(name)}</b> against <b>{html.escape(names[0])}</b>: '
-            f"<b>{word}</b>. {it.measure} ({meaning}) differs by {told(diff)}.{note}</p>"
+            f"<b>{word}</b>. {experiment.measure} ({meaning}) differs by {format_interval(diff)}.{note}</p>"
         )
-    if len(shown) < len(names) - 1:
+    if len(names_shown) < len(names) - 1:
         out.append(
             f'<p class="note">Of {len(names) - 1} variants the three that differ most; with so many, some '
             "5% of intervals miss zero by chance alone.</p>"
@@ -160,11 +170,11 @@
     return out
 
 
-def table(it: Experiment, found: dict[str, list[Result]]) -> str:
-    names = list(found)
+def table(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
+    names = list(runs)
     first = names[0]
-    if len(names) > MOST_DRAWN:
-        return table_of_many(it, found)
+    if len(names) > MAX_DRAWN:
+        return table_of_many(experiment, runs)
     head = (
         "<tr><th>figure</th>"
         + "".join(f"<th>{html.escape(name)}</th>" for name in names)
@@ -172,90 +182,107 @@
         + "</tr>"
     )
     lines = [head]
-    for measure, (meaning, more) in MEASURES.items():
-        rows = {name: row(found[name], measure) for name in names}
+    for measure, (meaning, more_is_better) in MEASURES.items():
+        rows = {name: row(runs[name], measure) for name in names}
         if all(math.isnan(value) for values in rows.values() for value in values):
             continue
         cells = [f'<td title="{meaning}">{measure}</td>']
-        cells += [f"<td>{told(interval(rows[name]))}</td>" for name in names]
+        cells += [f"<td>{format_interval(interval(rows[name]))}</td>" for name in names]
         for name in names[1:]:
             diff = difference(rows[first], rows[name])
-            word = verdict(diff, more)
-            cells += [f"<td>{told(diff)}</td>", f"<td>{'' if word == 'no difference seen' else word}</td>"]
+            word = verdict(diff, more_is_better)
+            cells += [
+                f"<td>{format_interval(diff)}</td>",
+                f"<td>{'' if word == 'no difference seen' else word}</td>",
+            ]
         lines.append("<tr>" + "".join(cells) + "</tr>")
-    return f'<div class="scroll"><table>{"".join(lines)}</table></div>' + pairs(it, found)
+    return f'<div class="scroll"><table>{"".join(lines)}</table></div>' + correlations_note(experiment, runs)
 
 
-def pairs(it: Experiment, found: dict[str, list[Result]]) -> str:
-    names = list(found)
-    told_ = [
-        f"{name}: {correlation(row(found[names[0]], it.measure), row(found[name], it.measure)):.2f}"
+def correlations_note(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
+    names = list(runs)
+    correlations = [
+        f"{name}: "
+        f"{correlation(row(runs[names[0]], experiment.measure), row(runs[name], experiment.measure)):.2f}"
         for name in names[1:]
     ]
     return (
         (
-            f'<p class="note">Correlation of {it.measure} with {html.escape(names[0])} over seeds: '
-            f"{html.escape(', '.join(told_))}.</p>"
+            f'<p class="note">Correlation of {experiment.measure} with {html.escape(names[0])} over seeds: '
+            f"{html.escape(', '.join(correlations))}.</p>"
         )
-        if told_
+        if correlations
         else ""
     )
 
 
-def table_of_many(it: Experiment, found: dict[str, list[Result]]) -> str:
-    names = list(found)
-    shown = ["service", "delivered", "worst_10s", "p99_ms", "over_1s", "tries_while_out"]
-    _, more = MEASURES[it.measure]
-    first = row(found[names[0]], it.measure)
+def table_of_many(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
+    names = list(runs)
+    names_shown = ["service", "delivered", "worst_10s", "p99_ms", "over_1s", "tries_while_out"]
+    _, more_is_better = MEASURES[experiment.measure]
+    first = row(runs[names[0]], experiment.measure)
     lines = [
         "<tr><th>variant</th>"
-        + "".join(f"<th>{name}</th>" for name in shown)
-        + f"<th>{it.measure} less {html.escape(names[0])}</th><th></th></tr>"
+        + "".join(f"<th>{name}</th>" for name in names_shown)
+        + f"<th>{experiment.measure} less {html.escape(names[0])}</th><th></th></tr>"
     ]
-    order = sorted(names, key=lambda name: -interval(row(found[name], it.measure)).mean * (1 if more else -1))
+    order = sorted(
+        names,
+        key=lambda name: -interval(row(runs[name], experiment.measure)).mean * (1 if more_is_better else -1),
+    )
     for name in order:
-        diff = difference(first, row(found[name], it.measure))
-        word = verdict(diff, more)
+        diff = difference(first, row(runs[name], experiment.measure))
+        word = verdict(diff, more_is_better)
         cells = [f"<td>{html.escape(name)}</td>"]
-        cells += [f"<td>{figure(interval(row(found[name], each)).mean)}</td>" for each in shown]
-        cells += [f"<td>{told(diff)}</td>", f"<td>{'' if word == 'no difference seen' else word}</td>"]
+        cells += [f"<td>{format_figure(interval(row(runs[name], each)).mean)}</td>" for each in names_shown]
+        cells += [
+            f"<td>{format_interval(diff)}</td>",
+            f"<td>{'' if word == 'no difference seen' else word}</td>",
+        ]
         lines.append("<tr>" + "".join(cells) + "</tr>")
     return f'<div class="scroll"><table>{"".join(lines)}</table></div>'
 
 
-def variants(it: Experiment, found: dict[str, list[Result]]) -> Any:
-    """The difference of each variant to the first, with its interval."""
-    names = list(found)
-    first = row(found[names[0]], it.measure)
+def variants(experiment: Experiment, runs: dict[str, list[Result]]) -> Any:
+    """Draws the difference of each variant to the first, with its interval."""
+    names = list(runs)
+    first = row(runs[names[0]], experiment.measure)
     diffs = sorted(
-        ((difference(first, row(found[name], it.measure)), name) for name in names[1:]),
+        ((difference(first, row(runs[name], experiment.measure)), name) for name in names[1:]),
         key=lambda pair: pair[0].mean,
     )
-    drawn, axes = plt.subplots(figsize=(8, 0.6 + 0.22 * len(diffs)), layout="constrained")
-    places = np.arange(len(diffs))
+    figure, axes = plt.subplots(figsize=(8, 0.6 + 0.22 * len(diffs)), layout="constrained")
+    positions = np.arange(len(diffs))
     means = [diff.mean for diff, _ in diffs]
-    axes.errorbar(means, places, xerr=[diff.half for diff, _ in diffs], fmt="o", ms=3, lw=1, color=COLOURS[0])
+    axes.errorbar(
+        means, positions, xerr=[diff.half for diff, _ in diffs], fmt="o", ms=3, lw=1, color=COLOURS[0]
+    )
     axes.axvline(0.0, color="#888", lw=1)
-    axes.set_yticks(places, [name for _, name in diffs], fontsize=7)
-    axes.set_xlabel(f"{it.measure} less {names[0]}, with 95% intervals")
-    return drawn
+    axes.set_yticks(positions, [name for _, name in diffs], fontsize=7)
+    axes.set_xlabel(f"{experiment.measure} less {names[0]}, with 95% intervals")
+    return figure
 
 
-def load(it: Experiment, found: dict[str, list[Result]]) -> Any:
-    names = list(found)[:MOST_DRAWN]
-    drawn, axes = plt.subplots(2, 1, figsize=(8, 5), sharex=True, layout="constrained")
-    asked = mean_series(found[names[0]], "asked")
+def load(experiment: Experiment, runs: dict[str, list[Result]]) -> Any:
+    names = list(runs)[:MAX_DRAWN]
+    figure, axes = plt.subplots(2, 1, figsize=(8, 5), sharex=True, layout="constrained")
+    asked = mean_series(runs[names[0]], "asked")
     axes[0].step(range(len(asked)), asked, where="mid", color="#bbb", lw=1, label="handed in")
-    can = mean_series(found[names[0]], "can")
+    can = mean_series(runs[names[0]], "can")
     if len(can) and can.max() > 0:
         axes[0].plot(can, "k--", lw=1, label="agreed")
     for colour, name in zip(COLOURS, names, strict=False):
-        axes[0].plot(mean_series(found[name], "calls"), color=colour, lw=1.2, label=f"calls, {name}")
-        axes[1].plot(mean_series(found[name], "delivered"), color=colour, lw=1.2, label=f"delivered, {name}")
+        axes[0].plot(mean_series(runs[name], "calls"), color=colour, lw=1.2, label=f"calls, {name}")
+        axes[1].plot(
+            mean_series(runs[name], "delivered"),
+            color=colour,
+            lw=1.2,
+            label=f"delivered, {name}",
+        )
     axes[1].step(range(len(asked)), asked, where="mid", color="#bbb", lw=1)
     for trouble in {
         (each.fault, each.begin_s, each.end_s)
-        for each in [trouble for partner in it.partners for trouble in partner.troubles]
+        for each in [trouble for partner in experiment.partners for trouble in partner.troubles]
     }:
         for axis in axes:
             axis.axvspan(trouble[1], trouble[2], color=SHADE[trouble[0]], alpha=0.08, lw=0)
@@ -264,7 +291,7 @@
         axis.set_ylim(bottom=0)
         axis.legend(fontsize=7, loc="upper right")
     axes[1].set_xlabel("seconds")
-    return drawn
+    return figure
 
 
 def mean_series(results: list[Result], name: str) -> np.ndarray:
@@ -278,18 +305,18 @@
     return out
 
 
-def latency(it: Experiment, found: dict[str, list[Result]]) -> Any:
-    names = list(found)[:MOST_DRAWN]
-    drawn, axes = plt.subplots(
-        1, len(it.classes), figsize=(8, 3), sharey=True, squeeze=False, layout="constrained"
+def latency(experiment: Experiment, runs: dict[str, list[Result]]) -> Any:
+    names = list(runs)[:MAX_DRAWN]
+    figure, axes = plt.subplots(
+        1, len(experiment.classes), figsize=(8, 3), sharey=True, squeeze=False, layout="constrained"
     )
-    places = [-math.log10(1 - each / 100) for each in PERCENTILES]
-    for axis, class_ in zip(axes[0], it.classes, strict=True):
+    positions = [-math.log10(1 - each / 100) for each in PERCENTILES]
+    for axis, class_ in zip(axes[0], experiment.classes, strict=True):
         for colour, name in zip(COLOURS, names, strict=False):
-            histogram = merged(found[name], class_.name)
+            histogram = merged(runs[name], class_.name)
             if histogram.get_total_count():
                 axis.plot(
-                    places,
+                    positions,
                     [histogram.get_value_at_percentile(each) for each in PERCENTILES],
                     "o-",
                     ms=3,
@@ -300,62 +327,70 @@
         axis.axhline(class_.aim_ms, color="#888", lw=1, ls=":")
         axis.set_title(f"{class_.name} (dotted: its aim)", fontsize=9)
         axis.set_yscale("log")
-        axis.set_xticks(places, [f"{each:g}" for each in PERCENTILES], fontsize=7, rotation=45)
+        axis.set_xticks(positions, [f"{each:g}" for each in PERCENTILES], fontsize=7, rotation=45)
         axis.set_xlabel("percentile")
     axes[0][0].set_ylabel("ms to delivery")
     axes[0][0].legend(fontsize=7)
-    return drawn
+    return figure
 
 
-def destinations(found: dict[str, list[Result]]) -> Any:
-    names = list(found)[:MOST_DRAWN]
-    drawn, axis = plt.subplots(figsize=(8, 2.8), layout="constrained")
+def destinations(runs: dict[str, list[Result]]) -> Any:
+    names = list(runs)[:MAX_DRAWN]
+    figure, axis = plt.subplots(figsize=(8, 2.8), layout="constrained")
     for n, (colour, name) in enumerate(zip(COLOURS, names, strict=False)):
         asked: dict[float, float] = {}
         done: dict[float, float] = {}
-        for result in found[name]:
+        for result in runs[name]:
             for dest, count, delivered, _ in result.destinations:
                 asked[dest] = asked.get(dest, 0.0) + count
                 done[dest] = done.get(dest, 0.0) + delivered
         order = sorted(asked, key=lambda dest: -asked[dest])[:40]
-        places = np.arange(len(order)) + (n - len(names) / 2) * 0.8 / len(names)
+        positions = np.arange(len(order)) + (n - len(names) / 2) * 0.8 / len(names)
         axis.bar(
-            places, [done[dest] / asked[dest] for dest in order], 0.8 / len(names), color=colour, label=name
+            positions,
+            [done[dest] / asked[dest] for dest in order],
+            0.8 / len(names),
+            color=colour,
+            label=name,
         )
         axis.set_xticks(range(len(order)), [f"{dest:.0f}" for dest in order], fontsize=7)
     axis.set_xlabel("destination, the busiest first")
     axis.set_ylabel("share delivered")
     axis.legend(fontsize=7)
-    return drawn
+    return figure
 
 
-def worst(it: Experiment, found: dict[str, list[Result]]) -> str:
+def worst(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
     lines = [
-        "<tr><th>variant</th><th>seed</th><th>" + it.measure + "</th><th>worst 10 s</th><th>delivered</th>"
+        "<tr><th>variant</th><th>seed</th><th>"
+        + experiment.measure
+        + "</th><th>worst 10 s</th><th>delivered</th>"
         "<th>p99 ms</th></tr>"
     ]
-    _, more = MEASURES[it.measure]
-    for name, results in list(found.items())[:MOST_DRAWN]:
-        order = sorted(results, key=lambda result: result.figure(it.measure) * (1 if more else -1))
+    _, more_is_better = MEASURES[experiment.measure]
+    for name, results in list(runs.items())[:MAX_DRAWN]:
+        order = sorted(
+            results, key=lambda result: result.figure(experiment.measure) * (1 if more_is_better else -1)
+        )
         for result in order[:3]:
             lines.append(
                 f"<tr><td>{html.escape(name)}</td><td>{result.seed}</td>"
                 + "".join(
-                    f"<td>{figure(result.figure(each))}</td>"
-                    for each in (it.measure, "worst_10s", "delivered", "p99_ms")
+                    f"<td>{format_figure(result.figure(each))}</td>"
+                    for each in (experiment.measure, "worst_10s", "delivered", "p99_ms")
                 )
                 + "</tr>"
             )
     return f"<table>{''.join(lines)}</table>"
 
 
-def broken(found: dict[str, list[Result]]) -> list[str]:
-    told_ = [
+def broken(runs: dict[str, list[Result]]) -> list[str]:
+    violations = [
         f"<li>{html.escape(name)}, seed {result.seed}: {html.escape(text)}</li>"
-        for name, results in found.items()
+        for name, results in runs.items()
         for result in results
         for text in result.broken[:3]
     ]
-    if not told_:
+    if not violations:
         return ["<p>No rule was broken in any run.</p>"]
-    return ["<h2>Rules broken</h2>", f"<ul>{''.join(told_[:50])}</ul>"]
+    return ["<h2>Rules broken</h2>", f"<ul>{''.join(violations[:50])}</ul>"]
--- a/emulator/runs.py
+++ b/emulator/runs.py
@@ -1,11 +1,11 @@
-"""Runs an experiment over its variants and seeds, on several processes, into a folder.
+"""Runs an experiment over its variants and seeds on several processes, and keeps the results in a folder.
 
-    FOLDER/experiment.json      the experiment, seeds, versions: what each figure can be made again from
-    FOLDER/runs/VARIANT/SEED    a run that is done, as one line of JSON; written whole or not at all
-    FOLDER/results.jsonl        all of them, by variant and seed: the same bytes on one process and on eight
+    FOLDER/experiment.json      the experiment, seeds and versions, from which every figure can be reproduced
+    FOLDER/runs/VARIANT/SEED    one finished run as a line of JSON; written atomically
+    FOLDER/results.jsonl        all runs by variant and seed: the same bytes on one process and on eight
 
-A run depends on nothing but experiment, variant, seed and version. What is interrupted goes on with what is
-there (`resume`); a folder of another experiment is refused."""
+A run depends only on experiment, variant, seed and version. An interrupted experiment continues with the
+runs that are missing (`resume`). A folder of another experiment is refused."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from .world import World
 
 FORMAT = 1
-AHEAD = 2  # runs for each process that are handed out ahead: a stop waits for no more
+QUEUED_RUNS = 2  # runs queued for each process; an interrupt waits for these only
 
 
 class RunsError(RuntimeError):
@@ -38,7 +38,7 @@
 class Result(msgspec.Struct, frozen=True):
     variant: str
     seed: int
-    figures: dict[str, float | None]  # None: there was nothing to measure
+    figures: dict[str, float | None]  # None: nothing to measure
     broken: list[str]
     breaks: int
     messages: int
@@ -63,17 +63,18 @@
 
 
 def fingerprint(folder: Path) -> str:
-    """Of the sources of a version's package: what it decides by."""
+    """A hash of the sources in the package folder of a version."""
     total = hashlib.blake2b(digest_size=8)
     for path in sorted((folder / "message_relay").glob("*.py")):
         total.update(path.name.encode() + b"\0" + path.read_bytes())
     return total.hexdigest()
 
 
-def versions(it: Experiment) -> dict[str, str]:
+def versions(experiment: Experiment) -> dict[str, str]:
     here = Path(__file__).parents[1]
     return {
-        each.name: fingerprint(Path(each.version) if each.version else here) for each in it.all_variants()
+        each.name: fingerprint(Path(each.version) if each.version else here)
+        for each in experiment.all_variants()
     }
 
 
@@ -85,7 +86,7 @@
         figures,
         record.broken,
         record.breaks,
-        len(record.lives),
+        len(record.histories),
         record.turns,
         record.series(),
         record.by_destination(),
@@ -93,13 +94,13 @@
     )
 
 
-def one(it: Experiment, variant: Variant, seed: int) -> Result:
-    """One run. The constants of a variant hold for its time only."""
+def one(experiment: Experiment, variant: Variant, seed: int) -> Result:
+    """Makes one run. The constants of the variant are set only for its duration."""
     before = {} if variant.version else set_constants(variant.constants.items())
     gc.collect()
-    gc.disable()  # a world makes few cycles, and a collection over all its messages costs a tenth of the time
+    gc.disable()  # a world creates few cycles, and collections over all its messages take a tenth of the time
     try:
-        record = World(it, variant, seed).run()
+        record = World(experiment, variant, seed).run()
         return result_of(record, variant, seed)
     finally:
         gc.enable()
@@ -107,49 +108,52 @@
 
 
 def _worker() -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent decides what a Ctrl-C means
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process handles Ctrl-C
 
 
-def _work(it: Experiment, variant: Variant, seed: int, path: str) -> None:
-    data = ENCODE(one(it, variant, seed)) + b"\n"
+def _work(experiment: Experiment, variant: Variant, seed: int, path: str) -> None:
+    data = ENCODE(one(experiment, variant, seed)) + b"\n"
     part = f"{path}.{os.getpid()}"
     Path(part).write_bytes(data)
     os.replace(part, path)
 
 
 class Runs:
-    def __init__(self, it: Experiment, folder: Path, resume: bool = False) -> None:
+    """The runs of one experiment in a folder."""
+
+    def __init__(self, experiment: Experiment, folder: Path, resume: bool = False) -> None:
         """Raises RunsError."""
-        self.it, self.folder = it, folder
-        self.variants = it.all_variants()
-        told = ENCODE(Manifest(FORMAT, it, versions(it))) + b"\n"
+        self.experiment, self.folder = experiment, folder
+        self.variants = experiment.all_variants()
+        encoded = ENCODE(Manifest(FORMAT, experiment, versions(experiment))) + b"\n"
         path = folder / "experiment.json"
         if path.exists():
-            if path.read_bytes() != told:
+            if path.read_bytes() != encoded:
                 raise RunsError(f"{folder}: holds another experiment, or other versions: name another folder")
             if not resume and any(path.name.isdecimal() for path in folder.glob("runs/*/*")):
                 raise RunsError(
                     f"{folder}: holds results already: go on with --resume, or name another folder"
                 )
         folder.mkdir(parents=True, exist_ok=True)
-        path.write_bytes(told)
+        path.write_bytes(encoded)
         for variant in self.variants:
             (folder / "runs" / variant.name).mkdir(parents=True, exist_ok=True)
-        for half in folder.glob("runs/*/*.*"):  # of a run that was stopped while it was written
-            half.unlink(missing_ok=True)
+        for partial_file in folder.glob("runs/*/*.*"):  # left by a run that was stopped during writing
+            partial_file.unlink(missing_ok=True)
 
     def path(self, variant: Variant, seed: int) -> Path:
         return self.folder / "runs" / variant.name / str(seed)
 
     def seeds(self) -> range:
-        return range(self.it.first_seed, self.it.first_seed + self.it.seeds)
+        return range(self.experiment.first_seed, self.experiment.first_seed + self.experiment.seeds)
 
     def run(self, processes: int, progress: Callable[[int, int], None]) -> int:
-        """Until all is done, the interval is narrow enough, or KeyboardInterrupt, which leaves what is done.
-        Returns how many seeds were taken. `progress`: runs done, of so many."""
+        """Runs until all seeds are done, the interval is narrow enough, or KeyboardInterrupt, which keeps
+        the finished runs. Returns the number of seeds used. `progress` is called with the runs done and the
+        runs in total."""
         context = get_context("forkserver" if processes > 1 else "fork")
         seeds = self.seeds()
-        steps = [len(seeds)] if self.it.half_width is None else looks(len(seeds))
+        steps = [len(seeds)] if self.experiment.half_width is None else looks(len(seeds))
         done = 0
         with ProcessPoolExecutor(processes, context, _worker) as pool:
             for upto in steps:
@@ -159,30 +163,32 @@
                     for variant in self.variants
                     if not self.path(variant, seed).exists()
                 ]
-                self._finish(pool, missing, processes, progress, upto * len(self.variants))
+                self._run_missing(pool, missing, processes, progress, upto * len(self.variants))
                 done = upto
-                if self._narrow(seeds[:upto]):
+                if self._is_narrow_enough(seeds[:upto]):
                     break
         self.collect(seeds[:done])
         return done
 
-    def _finish(
+    def _run_missing(
         self,
         pool: ProcessPoolExecutor,
         missing: list[tuple[Variant, int]],
         processes: int,
         progress: Callable[[int, int], None],
-        every: int,
+        total: int,
     ) -> None:
         waiting: set[Future[None]] = set()
         left = iter(missing)
-        count = every - len(missing)
-        progress(count, every)
+        count = total - len(missing)
+        progress(count, total)
         try:
             while True:
                 for variant, seed in left:
-                    waiting.add(pool.submit(_work, self.it, variant, seed, str(self.path(variant, seed))))
-                    if len(waiting) >= AHEAD * processes:
+                    waiting.add(
+                        pool.submit(_work, self.experiment, variant, seed, str(self.path(variant, seed)))
+                    )
+                    if len(waiting) >= QUEUED_RUNS * processes:
                         break
                 if not waiting:
                     return
@@ -190,27 +196,28 @@
                 for future in finished:
                     future.result()
                     count += 1
-                progress(count, every)
+                progress(count, total)
         except BaseException:
             for future in waiting:
                 future.cancel()
             raise
 
-    def _narrow(self, seeds: range) -> bool:
-        """The intervals of all variants against the first one are as narrow as asked for."""
-        if self.it.half_width is None or len(self.variants) < 2:
+    def _is_narrow_enough(self, seeds: range) -> bool:
+        """Whether the intervals of all variants against the first one are within `half_width`."""
+        if self.experiment.half_width is None or len(self.variants) < 2:
             return False
         rows = {
-            variant.name: [self.load(variant, seed).figure(self.it.measure) for seed in seeds]
+            variant.name: [self.load(variant, seed).figure(self.experiment.measure) for seed in seeds]
             for variant in self.variants
         }
         first = rows[self.variants[0].name]
         return all(
-            difference(first, rows[variant.name]).half <= self.it.half_width for variant in self.variants[1:]
+            difference(first, rows[variant.name]).half <= self.experiment.half_width
+            for variant in self.variants[1:]
         )
 
-    def keep(self, result: Result) -> None:
-        """A run that was made elsewhere."""
+    def store(self, result: Result) -> None:
+        """Stores a run that was made elsewhere."""
         path = self.folder / "runs" / result.variant / str(result.seed)
         part = path.with_name(f"{path.name}.{os.getpid()}")
         part.write_bytes(ENCODE(result) + b"\n")
@@ -220,6 +227,7 @@
         return RESULT.decode(self.path(variant, seed).read_bytes())
 
     def collect(self, seeds: range) -> None:
+        """Writes results.jsonl from the finished runs of these seeds."""
         part = self.folder / "results.part"
         with open(part, "wb") as out:
             for variant in self.variants:
@@ -229,18 +237,18 @@
 
 
 def manifest(folder: Path) -> Manifest:
-    """Raises RunsError."""
+    """Reads FOLDER/experiment.json. Raises RunsError."""
     try:
-        told: Manifest = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=Manifest)
+        loaded: Manifest = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=Manifest)
     except (OSError, ValueError) as error:
         raise RunsError(f"{folder}: holds no experiment: {error}") from error
-    if told.format > FORMAT:
-        raise RunsError(f"{folder}: is of format {told.format}, and this program knows {FORMAT} at most")
-    return told
+    if loaded.format > FORMAT:
+        raise RunsError(f"{folder}: has format {loaded.format}; this program supports formats up to {FORMAT}")
+    return loaded
 
 
 def results(folder: Path) -> Iterator[Result]:
-    """Raises RunsError."""
+    """Reads FOLDER/results.jsonl. Raises RunsError."""
     try:
         with open(folder / "results.jsonl", "rb") as file:
             for line in file:
@@ -256,7 +264,8 @@
     return out
 
 
-def row(found: list[Result], measure: str) -> list[float]:
+def row(runs: list[Result], measure: str) -> list[float]:
+    """The values of one figure over the seeds of a variant."""
     if measure not in MEASURES:
         raise RunsError(f"{measure!r} is none of {', '.join(MEASURES)}")
-    return [result.figure(measure) for result in found]
+    return [result.figure(measure) for result in runs]
--- a/emulator/spec.py
+++ b/emulator/spec.py
@@ -1,4 +1,4 @@
-"""How a partner behaves, as data: checked when it is made, each fault told with its field."""
+"""The behaviour of a partner as data. Values are checked on construction; an error names its field."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 
 def need(ok: bool, name: str, text: str) -> None:
+    """Raises ValueError "name: text" unless `ok`."""
     if not ok:
         raise ValueError(f"{name}: {text}")
 
 
 class Enforced(Enum):
-    """How an agreed rate is kept."""
+    """How the partner enforces its rate."""
 
-    BUCKET = "bucket"  # calls saved up to `burst`
-    WINDOW = "window"  # so many in any span of `window_ms`
+    BUCKET = "bucket"  # token bucket that holds up to `burst` calls
+    WINDOW = "window"  # sliding window of `window_ms`
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +24,10 @@
     per_s: float
     enforced: Enforced = Enforced.WINDOW
     window_ms: float = 1000.0
-    burst: float = 2.0  # calls above the rate that pass all the same: at once, or in a window
-    per_client: bool = False  # each client has it for itself
-    counts_refused: bool = False  # a refused call uses it up too
-    wait_ms: tuple[float, float] | None = None  # told with a refusal, drawn evenly; None: no wait is told
+    burst: float = 2.0  # size of the bucket, or calls allowed above the rate in a window
+    per_client: bool = False  # each client has its own rate limit
+    counts_refused: bool = False  # rejected calls count against the rate too
+    wait_ms: tuple[float, float] | None = None  # range of the retry delay of a rejection, drawn uniformly
 
     def __post_init__(self) -> None:
         need(self.per_s > 0, "rate.per_s", "must be above 0")
@@ -35,19 +36,20 @@
         need(
             self.wait_ms is None or 0 < self.wait_ms[0] <= self.wait_ms[1],
             "rate.wait_ms",
-            "must be two times above 0, the smaller first",
+            "must be two values above 0, the smaller first",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """How long a call takes once it has a slot: log-normal, some of them slow, all slower under load."""
+    """How long a call takes once it has a slot: log-normal, with a share of slow calls, and slower under
+    load."""
 
     mean_ms: float = 100.0
-    cv: float = 0.3  # standard deviation over the mean; 0: always the mean
+    cv: float = 0.3  # coefficient of variation; 0: always the mean
     slow_share: float = 0.0
     slow_factor: float = 5.0
-    thrash: float = 0.0  # longer by such a part when all slots are taken, in proportion below
+    thrash: float = 0.0  # relative slowdown when all slots are taken, proportionally less below
 
     def __post_init__(self) -> None:
         need(self.mean_ms > 0, "service.mean_ms", "must be above 0")
@@ -59,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Cold:
-    """What it can do right after an outage, and how it falls over if that is not heeded."""
+    """The reduced capacity right after an outage, and the collapse if calls exceed it."""
 
-    share: float = 1.0  # of its rate
-    warm_ms: float = 11_000.0  # until it can do all of it; grows evenly
-    fall_multiple: float = float("inf")  # of what it can do just then; calls above it for
-    fall_ms: float = 1500.0  # so long have it collapse
-    fallen_ms: float = 10_000.0  # it is down for so long, and cold again
+    share: float = 1.0  # part of its rate right after an outage
+    warm_ms: float = 11_000.0  # until its capacity is the whole rate again; it grows linearly
+    fall_multiple: float = float("inf")  # it collapses if calls exceed this multiple of its current capacity
+    fall_ms: float = 1500.0  # over this time
+    fallen_ms: float = 10_000.0  # how long it is down then; afterwards it is cold again
 
     def __post_init__(self) -> None:
         need(0 < self.share <= 1, "cold.share", "must lie above 0, and be 1 at most")
@@ -76,28 +78,34 @@
 
 class Fault(Enum):
     DOWN = "down"  # connections are refused, open ones end
-    HUNG = "hung"  # takes calls and answers nothing; they have their effect
-    SILENT = "silent"  # connections never come up, open ones say nothing; no call arrives
-    SHUT = "shut"  # refuses every call
-    FAILING = "failing"  # `size` of the calls end with an error
+    HUNG = "hung"  # accepts calls, which have their effect, and answers none
+    SILENT = "silent"  # connections are never established, open ones are silent; no call arrives
+    SHUT = "shut"  # rejects every call
+    FAILING = "failing"  # a share `size` of the calls ends with an error
     BROWN = "brown"  # calls take `size` times as long
-    LOWERED = "lowered"  # `size` of its rate is left
+    LOWERED = "lowered"  # its rate is reduced to a share `size`
 
     @property
     def outage(self) -> bool:
-        """It is cold after it."""
+        """Whether the partner is cold after this fault."""
         return self not in (Fault.BROWN, Fault.LOWERED)
 
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
+    """A fault from `begin_ms` to `end_ms`. The meaning of `size` depends on the fault."""
+
     fault: Fault
     begin_ms: float
     end_ms: float
     size: float = 1.0
 
     def __post_init__(self) -> None:
-        need(0 <= self.begin_ms < self.end_ms, "trouble.end_ms", "must come after begin_ms, and that after 0")
+        need(
+            0 <= self.begin_ms < self.end_ms,
+            "trouble.end_ms",
+            "must be above begin_ms, which must not be negative",
+        )
         if self.fault in (Fault.FAILING, Fault.LOWERED):
             need(0 < self.size <= 1, "trouble.size", f"must lie in 0 (excluded) to 1 for {self.fault.value}")
         if self.fault is Fault.BROWN:
@@ -106,16 +114,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
+    """The behaviour of one partner."""
+
     rate: Rate | None = None
     slots: int | None = None  # calls served at once; None: any number
-    queue: int = 0  # calls that wait for a slot, at most; above it they are refused
+    queue: int = 0  # largest number of calls that wait for a slot; more are rejected
     service: Service = Service()
     cold: Cold = Cold()
-    key_window_ms: float = 0.0  # a key that came again within it has no effect again; 0: keys are not kept
-    refuse: float = 0.0  # chance of a refusal for no reason
-    error: float = 0.0  # chance of an error, half of them with an effect
-    reset: float = 0.0  # chance that the answer is lost although the call took effect
-    hang: float = 0.0  # chance that it never comes, although the call took effect
+    key_window_ms: float = 0.0  # a key repeated within it has no further effect; 0: keys are not remembered
+    refuse: float = 0.0  # probability of a rejection for no reason
+    error: float = 0.0  # probability of an error; half of the errors have an effect
+    reset: float = 0.0  # probability that the connection is reset after the call took effect
+    hang: float = 0.0  # probability that no answer comes although the call took effect
     troubles: tuple[Trouble, ...] = field(default=())
 
     def __post_init__(self) -> None:
@@ -125,4 +135,4 @@
         for name in ("refuse", "error", "reset", "hang"):
             need(0 <= getattr(self, name) <= 1, name, "must lie in 0 to 1")
         together = self.refuse + self.error + self.reset + self.hang
-        need(together <= 1, "refuse, error, reset, hang", "must make 1 together at most")
+        need(together <= 1, "refuse, error, reset, hang", "must sum to 1 at most")
--- a/emulator/trace.py
+++ b/emulator/trace.py
@@ -1,8 +1,9 @@
-"""Recorded traffic: reading what `message_relay.fleet.recording` writes, plain or gzipped, a line at a time.
+"""Reads, cuts, scales and models traces: traffic recorded by `message_relay.fleet.recording`, plain or
+gzipped.
 
-What was cut off at the end is passed over, as is any line that cannot be read; both are counted. Clocks jump
-and lines of several threads come out of order: lines are put in order within WINDOW of them, and one that is
-older than what was handed out already gets that one's time. So memory stays bounded, whatever the length."""
+A truncated end and unreadable lines are skipped and counted. Clocks jump and several threads write lines out
+of order, so lines are sorted within a buffer of REORDER_WINDOW lines; a line older than one that was already
+yielded gets the time of that one. Reading is line by line, with bounded memory whatever the length."""
 
 from __future__ import annotations
 
@@ -19,16 +20,18 @@
 import numpy as np
 
 VERSION = 1
-WINDOW = 2000  # lines
-SECONDS = 200_000  # that statistics keep counts of, one by one: more than two days
-NAMES = 100_000  # destinations and tenants that are counted one by one
+REORDER_WINDOW = 2000  # lines that are buffered for sorting
+MAX_SECONDS = 200_000  # seconds that statistics count one by one: more than two days
+MAX_NAMES = 100_000  # destinations, and tenants, that statistics count one by one
 
 
 class TraceError(ValueError):
-    """The file is no trace, or of a later version."""
+    """The file is not a trace, or has a later version of the format."""
 
 
 class Line(msgspec.Struct, array_like=True, frozen=True):
+    """One recorded message."""
+
     at: float  # ms since the recording began
     class_: str
     destination: int
@@ -39,6 +42,8 @@
 
 
 class Head(msgspec.Struct, frozen=True):
+    """The first line of a trace."""
+
     v: int
     begun: float = 0.0
     salt: str = ""
@@ -50,30 +55,31 @@
 
 @dataclass
 class Notes:
-    """What was odd in a trace."""
+    """Counts of problems in a trace, and its first line."""
 
     unreadable: int = 0
     out_of_order: int = 0
-    late: int = 0  # so far out of order that their time was changed
+    late: int = 0  # lines so far out of order that their time was changed
     head: Head = field(default_factory=lambda: Head(VERSION))
 
 
-def opened(path: Path, mode: str = "rb") -> IO[bytes]:
+def open_trace(path: Path, mode: str = "rb") -> IO[bytes]:
     if path.suffix == ".gz":
-        return cast(IO[bytes], gzip.GzipFile(path, mode, mtime=0))  # the same lines are the same bytes
+        # mtime=0, so that the same lines give the same bytes
+        return cast(IO[bytes], gzip.GzipFile(path, mode, mtime=0))
     return open(path, mode)
 
 
-def raw(path: Path, notes: Notes) -> Iterator[Line]:
-    """As they stand."""
-    with opened(path) as file:
+def lines_in_file_order(path: Path, notes: Notes) -> Iterator[Line]:
+    """The lines in the order of the file. Raises TraceError."""
+    with open_trace(path) as file:
         try:
             notes.head = HEAD.decode(file.readline(1 << 16))
         except (ValueError, EOFError, OSError) as error:
-            raise TraceError(f"{path}: is no trace: {error}") from error
+            raise TraceError(f"{path}: is not a trace: {error}") from error
         if notes.head.v > VERSION:
             raise TraceError(
-                f"{path}: is of version {notes.head.v}, and this program knows {VERSION} at most"
+                f"{path}: has version {notes.head.v}; this program supports versions up to {VERSION}"
             )
         lines = iter(lambda: file.readline(1 << 16), b"")
         try:
@@ -87,28 +93,28 @@
                     yield line
                 else:
                     notes.unreadable += 1
-        except (EOFError, OSError):  # gzip that was cut off
+        except (EOFError, OSError):  # truncated gzip
             notes.unreadable += 1
 
 
 def read(path: Path, notes: Notes | None = None) -> Iterator[Line]:
-    """In the order of their times. Raises TraceError."""
+    """The lines in the order of their times. Raises TraceError."""
     notes = Notes() if notes is None else notes
     heap: list[tuple[float, int, Line]] = []
-    latest, given = -math.inf, -math.inf
-    for number, line in enumerate(raw(path, notes)):
+    latest, yielded_ms = -math.inf, -math.inf
+    for number, line in enumerate(lines_in_file_order(path, notes)):
         notes.out_of_order += line.at < latest
         latest = max(latest, line.at)
         heapq.heappush(heap, (line.at, number, line))
-        if len(heap) > WINDOW:
-            given = max(given, heap[0][0])
-            yield _at(heapq.heappop(heap)[2], given, notes)
+        if len(heap) > REORDER_WINDOW:
+            yielded_ms = max(yielded_ms, heap[0][0])
+            yield _not_before(heapq.heappop(heap)[2], yielded_ms, notes)
     while heap:
-        given = max(given, heap[0][0])
-        yield _at(heapq.heappop(heap)[2], given, notes)
+        yielded_ms = max(yielded_ms, heap[0][0])
+        yield _not_before(heapq.heappop(heap)[2], yielded_ms, notes)
 
 
-def _at(line: Line, least: float, notes: Notes) -> Line:
+def _not_before(line: Line, least: float, notes: Notes) -> Line:
     if line.at >= max(0.0, least):
         return line
     notes.late += 1
@@ -116,9 +122,9 @@
 
 
 def write(path: Path, lines: Iterable[Line], head: Head) -> int:
-    """How many there were."""
+    """Writes a trace and returns the number of its lines."""
     count, encode = 0, msgspec.json.Encoder().encode
-    with opened(path, "wb") as file:
+    with open_trace(path, "wb") as file:
         file.write(encode(head) + b"\n")
         for line in lines:
             file.write(encode(line) + b"\n")
@@ -128,15 +134,17 @@
 
 @dataclass
 class Stats:
+    """Statistics of a trace."""
+
     messages: int = 0
     last_ms: float = 0.0
     classes: Counter[str] = field(default_factory=Counter)
     destinations: Counter[int] = field(default_factory=Counter)
     tenants: Counter[str] = field(default_factory=Counter)
     bytes: int = 0
-    left_ms: dict[str, float] = field(default_factory=dict)  # the longest of each class
+    left_ms: dict[str, float] = field(default_factory=dict)  # longest time to live, by class
     seconds: Counter[int] = field(default_factory=Counter)
-    again: int = 0  # lines of an id that had just been there
+    repeated_ids: int = 0  # lines whose id came shortly before
     notes: Notes = field(default_factory=Notes)
 
     @property
@@ -145,12 +153,12 @@
 
     @property
     def busiest(self) -> float:
-        """Messages of the busiest second, against the mean."""
+        """Messages of the busiest second over the mean."""
         return max(self.seconds.values(), default=0) / max(1e-9, self.rate)
 
     def counts(self) -> np.ndarray:
         """Messages of each second."""
-        out = np.zeros(min(SECONDS, int(self.last_ms / 1000) + 1))
+        out = np.zeros(min(MAX_SECONDS, int(self.last_ms / 1000) + 1))
         for second, count in self.seconds.items():
             if second < len(out):
                 out[second] = count
@@ -158,7 +166,7 @@
 
 
 def stats(path: Path) -> Stats:
-    """One pass. Raises TraceError."""
+    """Computes the statistics in one pass. Raises TraceError."""
     out = Stats()
     recent: dict[str, None] = {}
     for line in read(path, out.notes):
@@ -167,21 +175,21 @@
         out.classes[line.class_] += 1
         out.bytes += line.bytes
         out.left_ms[line.class_] = max(out.left_ms.get(line.class_, 0.0), line.left_ms)
-        if line.destination in out.destinations or len(out.destinations) < NAMES:
+        if line.destination in out.destinations or len(out.destinations) < MAX_NAMES:
             out.destinations[line.destination] += 1
-        if line.tenant in out.tenants or len(out.tenants) < NAMES:
+        if line.tenant in out.tenants or len(out.tenants) < MAX_NAMES:
             out.tenants[line.tenant] += 1
-        if line.at < SECONDS * 1000:
+        if line.at < MAX_SECONDS * 1000:
             out.seconds[int(line.at / 1000)] += 1
-        out.again += line.id in recent
+        out.repeated_ids += line.id in recent
         recent[line.id] = None
-        if len(recent) > WINDOW:
+        if len(recent) > REORDER_WINDOW:
             del recent[next(iter(recent))]
     return out
 
 
 def cut(lines: Iterable[Line], begin_ms: float, end_ms: float) -> Iterator[Line]:
-    """Those of that time, which then begins at 0."""
+    """The lines of a time span, with times relative to its start."""
     for line in lines:
         if line.at >= end_ms:
             return
@@ -190,13 +198,13 @@
 
 
 def scale(lines: Iterable[Line], times: float, rng: np.random.Generator) -> Iterator[Line]:
-    """So many times the messages, at the same shape: each comes so often on average; repeats a little later,
-    so that they do not stand on one moment."""
+    """Multiplies the number of messages by `times` on average, at the same shape. Copies of a message come a
+    little later, so that they do not coincide."""
     heap: list[tuple[float, int, Line]] = []
     number = 0
     for line in lines:
-        whole = int(times) + (rng.random() < times % 1)
-        for n in range(whole):
+        copies = int(times) + (rng.random() < times % 1)
+        for n in range(copies):
             later = line.at if n == 0 else line.at + float(rng.exponential(200.0))
             ident = line.id if n == 0 else f"{line.id}.{n}"
             number += 1
@@ -209,7 +217,7 @@
 
 @dataclass
 class Fit:
-    """A model of a trace: what `fit` prints as an experiment's [traffic]."""
+    """A model fitted to a trace, printed as the [traffic] of an experiment."""
 
     rate: float
     seconds: float
@@ -218,8 +226,8 @@
     swing: float
     period_s: float
     peak_s: float
-    bursts: list[tuple[float, float, float]]  # begin, length, times
-    classes: dict[str, tuple[float, float]]  # share, longest time to live
+    bursts: list[tuple[float, float, float]]  # (begin in s, length in s, ratio to the usual rate)
+    classes: dict[str, tuple[float, float]]  # (share, longest time to live in ms)
 
     def toml(self) -> str:
         out = [
@@ -259,32 +267,32 @@
         return "\n".join(out) + "\n"
 
 
-RUSH = 3.0  # times the usual rate: a second above it belongs to a burst
+BURST_RATIO = 3.0  # a second above this multiple of the usual rate belongs to a burst
 
 
-def fit(found: Stats) -> Fit:
-    """Rate and the slowest swing of it (least squares on one cosine over the whole time), bursts (seconds
-    above RUSH times what is usual then), Zipf's exponent (least squares on the logarithms of rank and count),
-    and the clump size (variance over mean of the seconds, less bursts: a compound Poisson process of
-    geometric clumps of mean m has 2m - 1)."""
-    counts = found.counts()
+def fit(stats: Stats) -> Fit:
+    """Fits a model: the rate and its slowest swing (least squares of one cosine over the whole time), bursts
+    (seconds above BURST_RATIO times the usual rate), Zipf's exponent (least squares on the logarithms of
+    rank and count), and the clump size (variance over mean of the counts by second without bursts, which is
+    2m - 1 for a compound Poisson process of geometric clumps of mean m)."""
+    counts = stats.counts()
     seconds = len(counts)
-    usual = float(np.median(counts)) if seconds > 20 else found.rate
-    rush = counts > np.maximum(RUSH * usual, usual + 5 * np.sqrt(max(usual, 1.0)))
-    calm = ~rush
+    usual = float(np.median(counts)) if seconds > 20 else stats.rate
+    is_burst = counts > np.maximum(BURST_RATIO * usual, usual + 5 * np.sqrt(max(usual, 1.0)))
+    is_usual = ~is_burst
     time = np.arange(seconds)
-    base = np.column_stack(
+    basis = np.column_stack(
         [np.ones(seconds), np.cos(2 * math.pi * time / seconds), np.sin(2 * math.pi * time / seconds)]
     )
-    (mean, cosine, sine), *_ = np.linalg.lstsq(base[calm], counts[calm], rcond=None)
+    (mean, cosine, sine), *_ = np.linalg.lstsq(basis[is_usual], counts[is_usual], rcond=None)
     swing = math.hypot(cosine, sine) / max(1e-9, mean)
-    noise = 3 * math.sqrt(2 / max(1.0, mean * seconds))  # what chance alone would show
+    noise = 3 * math.sqrt(2 / max(1.0, mean * seconds))  # amplitude that chance alone would show
     bursts = []
-    for begin, end in _runs(rush):
+    for begin, end in _runs(is_burst):
         bursts.append((float(begin), float(end - begin), float(counts[begin:end].mean() / max(1e-9, mean))))
-    rest = counts[calm] - base[calm] @ np.array([mean, cosine, sine])
-    spread = float(rest.var() / max(1e-9, mean))
-    ranked = np.array([count for _, count in found.destinations.most_common(200) if count >= 5], dtype=float)
+    residuals = counts[is_usual] - basis[is_usual] @ np.array([mean, cosine, sine])
+    dispersion = float(residuals.var() / max(1e-9, mean))
+    ranked = np.array([count for _, count in stats.destinations.most_common(200) if count >= 5], dtype=float)
     zipf = 0.0
     if len(ranked) > 2:
         slope = np.polyfit(np.log(np.arange(1, len(ranked) + 1)), np.log(ranked), 1, w=np.sqrt(ranked))[0]
@@ -293,12 +301,12 @@
         float(mean),
         float(seconds),
         zipf,
-        max(1.0, (spread + 1) / 2),
+        max(1.0, (dispersion + 1) / 2),
         swing if swing > noise else 0.0,
         float(seconds),
         float(math.atan2(sine, cosine) % (2 * math.pi) / (2 * math.pi) * seconds),
         bursts,
-        {name: (count / found.messages, found.left_ms[name]) for name, count in found.classes.items()},
+        {name: (count / stats.messages, stats.left_ms[name]) for name, count in stats.classes.items()},
     )
 
 
--- a/emulator/traffic.py
+++ b/emulator/traffic.py
@@ -1,7 +1,8 @@
-"""What is handed in, and when: drawn from an experiment's traffic, or read from a trace.
+"""Generates the arrivals of messages: drawn from an experiment's traffic, or read from a trace.
 
-Arrivals are drawn ahead and wait for nobody (open loop). A rate that changes is drawn by thinning (Lewis and
-Shedler 1979): at the highest rate, each kept with the chance that the rate of its moment gives."""
+Arrivals are drawn in advance and do not depend on the relays (open loop). A varying rate is drawn by
+thinning (Lewis and Shedler 1979): arrivals are drawn at the highest rate, and each is kept with the
+probability of the rate at its time over the highest one."""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 class Job(NamedTuple):
-    """One message as its client has it; `at` in ms from the beginning."""
+    """One message that a client submits; `at` is in ms from the start."""
 
     number: int  # from 1
     at: float
@@ -26,75 +27,82 @@
     destination: int
     left_ms: float
     bytes: int
-    relay: float  # 0 to 1: which relay it comes to, by the share of each
+    relay: float  # 0 to 1: position in the relays' shares of the traffic, which selects the relay
 
 
-def rate_at(it: Experiment, seconds: np.ndarray) -> np.ndarray:
-    """Messages a second, over all, without bursts of one destination."""
-    traffic = it.traffic
+def rate_at(experiment: Experiment, seconds: np.ndarray) -> np.ndarray:
+    """Messages a second over all destinations, without bursts of one destination."""
+    traffic = experiment.traffic
     rate = np.full(len(seconds), traffic.rate)
     if traffic.wave is not None:
         turns = (seconds - traffic.wave.peak_s) / traffic.wave.period_s
         rate = rate * (1 + traffic.wave.swing * np.cos(2 * math.pi * turns))
     for burst in traffic.bursts:
         if burst.destination is None:
-            inside = (seconds >= burst.at_s) & (seconds < burst.at_s + burst.seconds)
-            rate = np.where(inside, rate * burst.times, rate)
+            is_inside = (seconds >= burst.at_s) & (seconds < burst.at_s + burst.seconds)
+            rate = np.where(is_inside, rate * burst.times, rate)
     return rate
 
 
-def arrivals(it: Experiment, seed: int) -> Iterator[Job]:
-    """In the order of their times; the same for the same seed, whatever the variant."""
-    if it.traffic.trace:
-        return from_trace(it, seed)
-    return iter(drawn(it, seed))
+def arrivals(experiment: Experiment, seed: int) -> Iterator[Job]:
+    """The messages in the order of their times: the same for the same seed, whatever the variant."""
+    if experiment.traffic.trace:
+        return from_trace(experiment, seed)
+    return iter(drawn(experiment, seed))
 
 
-def drawn(it: Experiment, seed: int) -> list[Job]:
-    traffic, rng = it.traffic, stream(seed, "arrivals")
-    weights = np.array([1 / (k + 1) ** traffic.zipf for k in range(len(it.partners))])
+def drawn(experiment: Experiment, seed: int) -> list[Job]:
+    """The messages drawn from the experiment's traffic."""
+    traffic, rng = experiment.traffic, stream(seed, "arrivals")
+    weights = np.array([1 / (k + 1) ** traffic.zipf for k in range(len(experiment.partners))])
     weights /= weights.sum()
     most = traffic.rate * (1 + (traffic.wave.swing if traffic.wave else 0.0))
     for burst in traffic.bursts:
         most *= burst.times if burst.destination is None else 1.0
     clumps = rng.poisson(most / traffic.clump * traffic.seconds)
-    begins = rng.uniform(0.0, traffic.seconds, clumps)
-    kept = rng.uniform(0.0, most, clumps) < rate_at(it, begins)
-    begins, where = begins[kept], rng.choice(len(weights), int(kept.sum()), p=weights)
+    arrival_times = rng.uniform(0.0, traffic.seconds, clumps)
+    is_kept = rng.uniform(0.0, most, clumps) < rate_at(experiment, arrival_times)
+    arrival_times, destinations = (
+        arrival_times[is_kept],
+        rng.choice(len(weights), int(is_kept.sum()), p=weights),
+    )
     if traffic.clump > 1:
-        sizes = rng.geometric(1 / traffic.clump, len(begins))
-        begins, where = np.repeat(begins, sizes), np.repeat(where, sizes)
-        begins = begins + rng.uniform(0.0, traffic.clump_ms / 1000, len(begins))
+        sizes = rng.geometric(1 / traffic.clump, len(arrival_times))
+        arrival_times, destinations = np.repeat(arrival_times, sizes), np.repeat(destinations, sizes)
+        arrival_times = arrival_times + rng.uniform(0.0, traffic.clump_ms / 1000, len(arrival_times))
     for n, burst in enumerate(traffic.bursts):
         if burst.destination is not None:
-            own = stream(seed, "burst", n)
+            rng_of_burst = stream(seed, "burst", n)
             usual = traffic.rate * weights[burst.destination - 1]
-            more = own.poisson(usual * (burst.times - 1) * burst.seconds)
-            begins = np.concatenate([begins, burst.at_s + own.uniform(0.0, burst.seconds, more)])
-            where = np.concatenate([where, np.full(more, burst.destination - 1)])
-    order = np.argsort(begins, kind="stable")
-    begins, where = begins[order] * 1000, where[order]
-    inside = begins < traffic.seconds * 1000
-    begins, where = begins[inside], where[inside]
-    shares = np.array([each.share for each in it.classes])
-    classes = rng.choice(len(shares), len(begins), p=shares / shares.sum())
-    relays = rng.random(len(begins))
-    deadlines = [each.deadline_ms for each in it.classes]
+            extra = rng_of_burst.poisson(usual * (burst.times - 1) * burst.seconds)
+            arrival_times = np.concatenate(
+                [arrival_times, burst.at_s + rng_of_burst.uniform(0.0, burst.seconds, extra)]
+            )
+            destinations = np.concatenate([destinations, np.full(extra, burst.destination - 1)])
+    order = np.argsort(arrival_times, kind="stable")
+    arrival_times, destinations = arrival_times[order] * 1000, destinations[order]
+    is_inside = arrival_times < traffic.seconds * 1000
+    arrival_times, destinations = arrival_times[is_inside], destinations[is_inside]
+    shares = np.array([each.share for each in experiment.classes])
+    classes = rng.choice(len(shares), len(arrival_times), p=shares / shares.sum())
+    relays = rng.random(len(arrival_times))
+    deadlines = [each.deadline_ms for each in experiment.classes]
     return [
         Job(n + 1, at, class_, dest + 1, deadlines[class_], traffic.bytes, relay)
         for n, (at, class_, dest, relay) in enumerate(
-            zip(begins.tolist(), classes.tolist(), where.tolist(), relays.tolist(), strict=True)
+            zip(arrival_times.tolist(), classes.tolist(), destinations.tolist(), relays.tolist(), strict=True)
         )
     ]
 
 
-def from_trace(it: Experiment, seed: int) -> Iterator[Job]:
-    """Classes by their names, destinations by their rank in the trace: the busiest is 1."""
-    rng, path = stream(seed, "trace"), Path(it.traffic.trace)
-    classes = {each.name: n for n, each in enumerate(it.classes)}
+def from_trace(experiment: Experiment, seed: int) -> Iterator[Job]:
+    """The messages of a trace. Classes match by name; destinations by their rank in the trace, the busiest
+    is 1."""
+    rng, path = stream(seed, "trace"), Path(experiment.traffic.trace)
+    classes = {each.name: n for n, each in enumerate(experiment.classes)}
     ranks = {dest: n + 1 for n, (dest, _) in enumerate(trace.stats(path).destinations.most_common())}
     for number, line in enumerate(trace.read(path), 1):
-        if line.at >= it.traffic.seconds * 1000:
+        if line.at >= experiment.traffic.seconds * 1000:
             break
         class_ = classes.get(line.class_)
         if class_ is None:
@@ -103,7 +111,7 @@
             number,
             line.at,
             class_,
-            min(ranks[line.destination], len(it.partners)),
+            min(ranks[line.destination], len(experiment.partners)),
             line.left_ms,
             line.bytes,
             float(rng.random()),
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -1,9 +1,11 @@
-"""A fleet in virtual time: the real decision module for each relay, clients, partners, register, restarts.
+"""Simulates a fleet in virtual time: the real decision module for each relay, with clients, partners,
+endpoint discovery and restarts.
 
-A loop of its own over a heap of events. Around each decision module stands what a real relay does (core/):
-turns a tick apart, one timer, a hold, a journal that outlasts it, the question right before a first byte, an
-orderly stop. What is not modelled: processor time, the disk, TCP beyond refused, silent and broken
-connections. docs/design/model.md says how near that comes to real processes."""
+A discrete-event loop over a heap. Around each decision module it models what a real relay does (core/):
+turns one tick apart, one timer, a limit on pending messages, a journal that survives restarts, the check
+right before the first byte of a call, and an orderly shutdown. Not modelled: processor time, the disk, and
+TCP beyond refused, silent and broken connections. docs/design/model.md compares the results with real
+processes."""
 
 from __future__ import annotations
 
@@ -29,20 +31,20 @@
 )
 from message_relay.decisions.model import Endpoint, Fleet, Listing, ListKind, Outcome
 
-from .draws import Common, Draws, Luck, stream
-from .engines import Beside, Engine, Here
+from .draws import BufferedRandom, CallRandom, Common, stream
+from .engines import Engine, LocalEngine, PeerEngine
 from .experiment import Experiment, Restart, Variant, settings_of
-from .measures import Life, Record
+from .measures import MessageHistory, Record
 from .partner import Call, Partner, Reply
 from .spec import Fault
 from .traffic import Job, arrivals
 
-RETRY_S = 1.0  # told to a client that finds the hold full, as core/message_lifecycle.py tells it
-SERVE_ON_MS, CALLS_END_MS, GONE_MS = 500.0, 3000.0, 3400.0  # of an orderly stop, as core/relay.py has it
-CAREFUL_MS = 25.0  # a call that must not run twice holds its last byte back (http/endpoint_client.py)
-AWAY_MS = 600.0  # from the end of a process to the start of the next
-STARTING_MS = 340.0  # until it takes messages (measured: docs/design/fleet.md)
-AFTER_MS = 2000.0  # the world goes on so long after the last message's time
+RETRY_S = 1.0  # Retry-After when too many messages are pending, as in core/message_lifecycle.py
+ACCEPT_END_MS, CALLS_END_MS, EXIT_MS = 500.0, 3000.0, 3400.0  # of an orderly shutdown, as in core/relay.py
+WITHHOLD_MS = 25.0  # a call that must not run twice withholds its last byte (http/endpoint_client.py)
+DOWNTIME_MS = 600.0  # from the end of a process to the start of the next one
+STARTING_MS = 340.0  # from its start until it accepts messages (measured: docs/design/fleet.md)
+GRACE_MS = 2000.0  # the simulation continues this long after the last deadline
 Act = Callable[[float], None]
 OUTCOMES = {
     Reply.OK: Outcome.OK,
@@ -53,90 +55,96 @@
 
 
 @dataclass(slots=True)
-class Kept:
-    """What a relay's journal has of a message it took."""
+class JournalEntry:
+    """A message in a relay's journal: accepted, without a final outcome."""
 
-    life: Life
+    history: MessageHistory
     since: float
     due: float
     tries: int = 0
-    risk: tuple[float, int] | None = None  # when, and which endpoint
-    out: tuple[float, int] | None = None
+    possible_effect: tuple[float, int] | None = None  # (time, endpoint) of the first attempt that has one
+    in_flight: tuple[float, int] | None = None  # (time, endpoint) of the attempt in flight
 
 
 @dataclass(slots=True)
-class Try:
-    """One attempt."""
+class Attempt:
+    """One attempt of a relay to deliver a message."""
 
     node: Node
-    of: int  # which process of it
+    epoch: int  # the process epoch of the relay
     ident: int
     attempt: int
     endpoint: int
-    until: float
-    begun: float | None = None  # its first byte; None: it never had one
+    give_up_at: float
+    first_byte_at: float | None = None  # time of the first byte; None: none was sent
 
 
 @dataclass(slots=True)
 class Node:
-    """One relay process, and what outlasts it."""
+    """One relay: its current process, and the state that survives a restart."""
 
     number: int
     engine: Engine
-    kept: dict[int, Kept] = field(default_factory=dict)  # the journal
-    held: dict[int, int] = field(default_factory=dict)  # the module's number of a message -> message
-    latest: int = 0  # of the module's numbers; none is used again
-    attempts: dict[int, int] = field(default_factory=dict)  # the module's number -> attempts of this process
+    journal: dict[int, JournalEntry] = field(default_factory=dict)  # by message number
+    pending: dict[int, int] = field(default_factory=dict)  # id in the decision module -> message number
+    latest: int = 0  # latest id given to the decision module; ids are not reused
+    attempts: dict[int, int] = field(default_factory=dict)  # id in the decision module -> attempts so far
     learned: list[RestoredDestination] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
-    life: int = 0  # grows with each process: what belongs to an earlier one is passed over
-    last: float = -math.inf
-    turn: bool = False
+    epoch: int = 0  # counts the processes; what belongs to an earlier one is ignored
+    last_turn: float = -math.inf
+    is_turn_scheduled: bool = False
     timer: int = 0
-    up: bool = False  # takes connections
+    up: bool = False  # accepts connections
     alive: bool = False
 
 
 class World:
-    def __init__(self, it: Experiment, variant: Variant, seed: int) -> None:
-        self.it, self.seed, self.variant = it.of(variant), seed, variant
-        self.common = Common(it.common)
+    """One simulated run of a variant with a seed."""
+
+    def __init__(self, experiment: Experiment, variant: Variant, seed: int) -> None:
+        self.experiment, self.seed, self.variant = experiment.with_variant(variant), seed, variant
+        self.common = Common(experiment.common)
         self.salt = (variant.name,) if self.common is Common.NONE else ()
         self.queue: list[tuple[float, int, Act]] = []
         self.numbers = count()
         self.now = 0.0
-        self.record = Record(self.it)
-        self.settings = msgspec.json.encode(settings_of(self.it))
-        self.partners = [self._partner(n) for n in range(len(self.it.partners))]
+        self.record = Record(self.experiment)
+        self.settings = msgspec.json.encode(settings_of(self.experiment))
+        self.partners = [self._partner(n) for n in range(len(self.experiment.partners))]
         self.listing: dict[int, Endpoint] = {}
         self.engines: list[Engine] = []
         self.nodes: list[Node] = []
         self.up: list[Node] = []
-        self.reach: list[float] = []
-        self.clients = Draws(seed, "clients", *self.salt)
-        self.front = [1 / (n + 1) ** self.it.fleet.skew for n in range(self.it.fleet.relays)]
-        self._staff(it.variants[0])
+        self.cumulative_shares: list[float] = []
+        self.clients = BufferedRandom(seed, "clients", *self.salt)
+        self.traffic_shares = [
+            1 / (n + 1) ** self.experiment.fleet.skew for n in range(self.experiment.fleet.relays)
+        ]
+        self._assign_engines(experiment.variants[0])
 
     def _partner(self, n: int) -> Partner:
-        draws: Draws | Luck = (
-            Luck(self.seed, f"partner {n}")
+        draws: BufferedRandom | CallRandom = (
+            CallRandom(self.seed, f"partner {n}")
             if self.common is Common.CALLS
-            else Draws(self.seed, "partner", n, *self.salt)
+            else BufferedRandom(self.seed, "partner", n, *self.salt)
         )
-        return Partner(self.it.partners[n].model(), draws)
+        return Partner(self.experiment.partners[n].model(), draws)
 
-    def _staff(self, first: Variant) -> None:
-        """A share of the relays is of this variant's version, the others of the first one's."""
-        mine, fleet = self._engine(self.variant), self.it.fleet
-        others = mine
+    def _assign_engines(self, first: Variant) -> None:
+        """Assigns this variant's engine to its share of the relays, and the first variant's to the others."""
+        own, fleet = self._engine(self.variant), self.experiment.fleet
+        others = own
         if self.variant.mixed < 1 and first is not self.variant:
             others = self._engine(first)
-        several = round(self.variant.mixed * fleet.relays)
+        own_count = round(self.variant.mixed * fleet.relays)
         for n in range(fleet.relays):
-            self.nodes.append(Node(n, mine if n < several else others))
+            self.nodes.append(Node(n, own if n < own_count else others))
 
     def _engine(self, variant: Variant) -> Engine:
-        engine: Engine = Beside(Path(variant.version), variant.constants) if variant.version else Here()
+        engine: Engine = (
+            PeerEngine(Path(variant.version), variant.constants) if variant.version else LocalEngine()
+        )
         self.engines.append(engine)
         return engine
 
@@ -148,8 +156,8 @@
     def run(self) -> Record:
         try:
             self._set_up()
-            longest = max(each.deadline_ms for each in self.it.classes)
-            end = self.it.traffic.seconds * 1000 + longest + AFTER_MS
+            longest = max(each.deadline_ms for each in self.experiment.classes)
+            end = self.experiment.traffic.seconds * 1000 + longest + GRACE_MS
             while self.queue and self.queue[0][0] <= end:
                 self.now, _, act = heapq.heappop(self.queue)
                 act(self.now)
@@ -159,45 +167,47 @@
             for engine in self.engines:
                 engine.close()
 
-    # What worlds with more in them change.
+    # Hooks for subclasses.
 
     def _settings(self, node: Node) -> bytes:
         return self.settings
 
-    def _place(self, endpoint: int) -> int:
-        """Number of the partner that stands behind it, from 1."""
+    def _partner_number(self, endpoint: int) -> int:
+        """The number of the partner behind an endpoint, from 1."""
         return self.listing[endpoint].destination
 
-    def _seen(self, node: Node, entry: Endpoint) -> Endpoint:
-        """As this relay's decisions are to see it."""
+    def _visible_endpoint(self, node: Node, entry: Endpoint) -> Endpoint:
+        """The listing of an endpoint that this relay's decision module gets."""
         return entry
 
-    def _permits(self, node: Node, kept: Kept, endpoint: int, now: float) -> bool:
-        """Asked right before the first byte, after the decisions."""
+    def _authorizes(self, node: Node, journal_entry: JournalEntry, endpoint: int, now: float) -> bool:
+        """Whether the call may start: checked right before the first byte, after the decision module."""
         return True
 
-    def _cut(self, node: Node, endpoint: int, now: float) -> bool:
-        """Whether this relay's way there is cut."""
+    def _is_path_cut(self, node: Node, endpoint: int, now: float) -> bool:
+        """Whether the network path from this relay to the endpoint is cut."""
         return False
 
-    def _took(self, node: Node, life: Life) -> None:
-        """It has taken a message on."""
+    def _on_accepted(self, node: Node, history: MessageHistory) -> None:
+        """Called after the relay accepted a message."""
 
-    def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
-        """Of a call whose first byte went out, or that never came up."""
+    def _on_outcome(
+        self, this: Attempt, outcome: Outcome, took_ms: float, wait_ms: float, now: float
+    ) -> None:
+        """Called with the outcome of an attempt, also of one that sent no byte."""
 
     def _set_up(self) -> None:
-        self._list()
+        self._create_listing()
         for node in self.nodes:
             self._start(node, 0.0)
-        for restart in self.it.fleet.restarts:
+        for restart in self.experiment.fleet.restarts:
             self.at(restart.at_s * 1000, self._restart(restart))
-        self.jobs = arrivals(self.it, self.seed)
+        self.jobs = arrivals(self.experiment, self.seed)
         self._next_job()
 
-    def _list(self) -> None:
+    def _create_listing(self) -> None:
         ident = 0
-        for n, partner in enumerate(self.it.partners):
+        for n, partner in enumerate(self.experiment.partners):
             rate = partner.listed_rate
             if rate is None:
                 rate = 0.0 if partner.rate is None else partner.rate.per_s
@@ -209,274 +219,304 @@
                         self.at(change.at_s * 1000, self._change(ident, Listing(change.listing)))
 
     def _next_job(self) -> None:
-        """One ahead at a time: a trace of a million messages is never held whole."""
+        """Schedules the next arrival only, so that a trace of a million messages is never in memory as a
+        whole."""
         job = next(self.jobs, None)
         if job is not None:
-            self.at(job.at, lambda now: self._arrives(job, now))
+            self.at(job.at, lambda now: self._on_arrival(job, now))
 
-    def _arrives(self, job: Job, now: float) -> None:
+    def _on_arrival(self, job: Job, now: float) -> None:
         self._next_job()
-        life = self.record.asked(job)
-        self._hand_in(life, now, job.relay)
+        history = self.record.submitted(job)
+        self._submit(history, now, job.relay)
 
     # -- clients -----------------------------------------------------------------------------------------
 
-    def _hand_in(self, life: Life, now: float, place: float) -> None:
-        life.tries += 1
+    def _submit(self, history: MessageHistory, now: float, position: float) -> None:
+        history.tries += 1
         if not self.up:
-            self._again(life, now, 0.0)
+            self._schedule_resubmission(history, now, 0.0)
             return
-        at = bisect_right(self.reach, place * self.reach[-1])
+        at = bisect_right(self.cumulative_shares, position * self.cumulative_shares[-1])
         node = self.up[min(at, len(self.up) - 1)]
-        net, of = self.it.fleet.net_ms, node.life
-        self.at(now + net, lambda now: self._offered(node, of, life, now))
+        net, epoch = self.experiment.fleet.net_ms, node.epoch
+        self.at(now + net, lambda now: self._receive(node, epoch, history, now))
 
-    def _opens(self, node: Node, up: bool) -> None:
-        """Whom the clients' front deals connections to, and how far the share of each reaches."""
+    def _set_accepting(self, node: Node, up: bool) -> None:
+        """Marks a relay as accepting connections or not, and recomputes the cumulative traffic shares of
+        those that do."""
         node.up = up
         self.up = [each for each in self.nodes if each.up]
-        self.reach = list(accumulate(self.front[each.number] for each in self.up))
+        self.cumulative_shares = list(accumulate(self.traffic_shares[each.number] for each in self.up))
 
-    def _offered(self, node: Node, of: int, life: Life, now: float) -> None:
-        if not (node.up and node.life == of):  # it died on the way
-            self._again(life, now, 0.0)
+    def _receive(self, node: Node, epoch: int, history: MessageHistory, now: float) -> None:
+        if not (node.up and node.epoch == epoch):  # the process ended in the meantime
+            self._schedule_resubmission(history, now, 0.0)
             return
-        if len(node.held) >= self.it.fleet.hold:
+        if len(node.pending) >= self.experiment.fleet.hold:
             self.record.refused += 1
-            self._again(life, now, RETRY_S * 1000)
+            self._schedule_resubmission(history, now, RETRY_S * 1000)
             return
-        due = min(life.due, life.until)
+        due = min(history.due, history.resubmit_until)
         left = due - now
         if left <= 0:
             return
-        message = Message(0, life.destination, life.class_, left, is_repeat=life.tries > 1)
-        come_ms = node.engine.turned_away(node.number, now, message, len(node.held))
-        if come_ms is not None:
+        message = Message(0, history.destination, history.class_, left, is_repeat=history.tries > 1)
+        retry_ms = node.engine.turned_away(node.number, now, message, len(node.pending))
+        if retry_ms is not None:
             self.record.refused += 1
-            self._again(life, now, come_ms)
+            self._schedule_resubmission(history, now, retry_ms)
             return
-        node.kept[life.number] = Kept(life, now, due)
-        self.record.took(life, now)
-        self._took(node, life)
-        if life.taken > 1 and life.holder is not None:
-            self.record.broke(f"message {life.number} is held twice")
-        life.holder, life.ends = node.number, 0
-        self._hold(node, life.number, left, again=life.tries > 1)
-        self._soon(node, now)
-
-    def _hold(self, node: Node, message: int, left: float, again: bool = False, **resumed: object) -> None:
+        node.journal[history.number] = JournalEntry(history, now, due)
+        self.record.accepted(history, now)
+        self._on_accepted(node, history)
+        if history.taken > 1 and history.holder is not None:
+            self.record.add_violation(f"message {history.number} is held twice")
+        history.holder, history.ends = node.number, 0
+        self._add_pending(node, history.number, left, is_resubmission=history.tries > 1)
+        self._schedule_turn(node, now)
+
+    def _add_pending(
+        self, node: Node, message: int, left: float, is_resubmission: bool = False, **resumed: object
+    ) -> None:
         node.latest += 1
-        number, life = node.latest, node.kept[message].life
-        node.held[number] = message
-        node.events.append(Message(number, life.destination, life.class_, left, is_repeat=again, **resumed))  # type: ignore[arg-type]
-
-    def _again(self, life: Life, now: float, told_ms: float) -> None:
-        """Refused, or given back: the client comes again if it has tries and time."""
-        clients = self.it.clients
-        pause = clients.pause_ms * 2 ** (life.tries - 1) * (0.5 + self.clients.random())
+        number, history = node.latest, node.journal[message].history
+        node.pending[number] = message
+        node.events.append(
+            Message(number, history.destination, history.class_, left, is_repeat=is_resubmission, **resumed)  # type: ignore[arg-type]
+        )
+
+    def _schedule_resubmission(self, history: MessageHistory, now: float, retry_after_ms: float) -> None:
+        """Schedules the resubmission of a rejected or returned message, if the client has tries and time
+        left."""
+        clients = self.experiment.clients
+        pause = clients.pause_ms * 2 ** (history.tries - 1) * (0.5 + self.clients.random())
         if self.clients.random() < clients.heed:
-            pause = max(pause, told_ms)
-        place = self.clients.random()
-        if life.tries < clients.tries and now + pause < min(life.due, life.until):
-            self.at(now + pause, lambda now: self._hand_in(life, now, place))
+            pause = max(pause, retry_after_ms)
+        position = self.clients.random()
+        if history.tries < clients.tries and now + pause < min(history.due, history.resubmit_until):
+            self.at(now + pause, lambda now: self._submit(history, now, position))
 
     # -- a relay -----------------------------------------------------------------------------------------
 
     def _start(self, node: Node, now: float) -> None:
-        fleet = self.it.fleet
-        node.life += 1
-        node.alive, node.turn, node.last, node.timer = True, False, -math.inf, node.timer + 1
-        node.held, node.attempts, node.events = {}, {}, []
+        fleet = self.experiment.fleet
+        node.epoch += 1
+        node.alive, node.is_turn_scheduled, node.last_turn, node.timer = (
+            True,
+            False,
+            -math.inf,
+            node.timer + 1,
+        )
+        node.pending, node.attempts, node.events = {}, {}, []
         share = Fleet(node.number, fleet.relays, 0.0) if fleet.share_rates else None
-        seed = int(stream(self.seed, "relay", node.number, node.life, *self.salt).integers(1 << 30))
+        seed = int(stream(self.seed, "relay", node.number, node.epoch, *self.salt).integers(1 << 30))
         node.engine.start(node.number, self._settings(node), seed, share)
         listing = self.listing.values()
-        entries = tuple(self._seen(node, each) for each in listing if each.listing is not Listing.REMOVED)
+        entries = tuple(
+            self._visible_endpoint(node, each) for each in listing if each.listing is not Listing.REMOVED
+        )
         node.events.append(EndpointList(ListKind.COMPLETE, entries))
         node.events += node.learned
-        for message, kept in node.kept.items():
-            risk_at = kept.risk
-            risk = None
-            if risk_at is not None:
-                risk = Endpoint(risk_at[1], kept.life.destination, Listing.READY)
-            self._hold(
+        for message, journal_entry in node.journal.items():
+            possible_effect = journal_entry.possible_effect
+            endpoint = None
+            if possible_effect is not None:
+                endpoint = Endpoint(possible_effect[1], journal_entry.history.destination, Listing.READY)
+            self._add_pending(
                 node,
                 message,
-                kept.due - now,
-                age_ms=now - kept.since,
-                attempts=kept.tries,
-                uncertain_for_ms=None if risk_at is None else now - risk_at[0],
-                uncertain_endpoint=risk,
+                journal_entry.due - now,
+                age_ms=now - journal_entry.since,
+                attempts=journal_entry.tries,
+                uncertain_for_ms=None if possible_effect is None else now - possible_effect[0],
+                uncertain_endpoint=endpoint,
             )
         self._turn(node, now)
-        self._opens(node, True)
+        self._set_accepting(node, True)
 
-    def _soon(self, node: Node, now: float) -> None:
-        if not node.turn:
-            node.turn, of = True, node.life
+    def _schedule_turn(self, node: Node, now: float) -> None:
+        if not node.is_turn_scheduled:
+            node.is_turn_scheduled, epoch = True, node.epoch
             self.at(
-                max(now, node.last + self.it.fleet.tick_ms),
-                lambda now: self._turn(node, now) if node.life == of else None,
+                max(now, node.last_turn + self.experiment.fleet.tick_ms),
+                lambda now: self._turn(node, now) if node.epoch == epoch else None,
             )
 
     def _turn(self, node: Node, now: float) -> None:
-        node.turn, node.last = False, now
+        node.is_turn_scheduled, node.last_turn = False, now
         events, node.events = node.events, []
         self.record.turns += 1
         for act in node.engine.handle(node.number, now, events):
             match act:
-                case StartAttempt(ident, endpoint, until):
-                    self._send(node, ident, endpoint, until, now)
-                case Reject(ident, stay):
-                    self._over(node, ident, "returned", stay, now)
+                case StartAttempt(ident, endpoint, give_up_at):
+                    self._send(node, ident, endpoint, give_up_at, now)
+                case Reject(ident, retry_after_ms):
+                    self._finish_message(node, ident, "returned", retry_after_ms, now)
                 case Fail(ident):
-                    self._over(node, ident, "failed", 0.0, now)
+                    self._finish_message(node, ident, "failed", 0.0, now)
                 case SetTimer(delay):
-                    self._set(node, now + delay)
+                    self._set_timer(node, now + delay)
                 case _:
-                    pass  # probes and cancels are off here, lists are told anyway
+                    pass  # probes and cancels are disabled here, and listings are sent anyway
 
-    def _set(self, node: Node, when: float) -> None:
+    def _set_timer(self, node: Node, when: float) -> None:
         node.timer += 1
-        of, mine = node.life, node.timer
+        epoch, timer = node.epoch, node.timer
 
         def fires(now: float) -> None:
-            if node.life == of and node.timer == mine and node.alive:
+            if node.epoch == epoch and node.timer == timer and node.alive:
                 node.events.append(TimerFired(0))
-                self._soon(node, now)
+                self._schedule_turn(node, now)
 
         self.at(when, fires)
 
-    def _over(self, node: Node, ident: int, state: str, after_ms: float, now: float) -> None:
-        message = node.held.pop(ident, None)
+    def _finish_message(self, node: Node, ident: int, state: str, after_ms: float, now: float) -> None:
+        message = node.pending.pop(ident, None)
         if message is None:
             return
-        kept = node.kept.pop(message)
-        life = kept.life
-        life.ends += 1
-        life.holder = None
+        journal_entry = node.journal.pop(message)
+        history = journal_entry.history
+        history.ends += 1
+        history.holder = None
         if state == "failed":
-            life.failed = True
+            history.failed = True
             return
-        if kept.risk is not None and self.it.classes[life.class_].effect == "once":
-            self.record.broke(f"message {message} was returned, and may have run")
+        if (
+            journal_entry.possible_effect is not None
+            and self.experiment.classes[history.class_].effect == "once"
+        ):
+            self.record.add_violation(f"message {message} was returned, and may have run")
         self.record.returned += 1
-        self._again(life, now, after_ms)
+        self._schedule_resubmission(history, now, after_ms)
 
     # -- a call ------------------------------------------------------------------------------------------
 
-    def _send(self, node: Node, ident: int, endpoint: int, until: float, now: float) -> None:
+    def _send(self, node: Node, ident: int, endpoint: int, give_up_at: float, now: float) -> None:
         attempt = node.attempts.get(ident, 0)
         node.attempts[ident] = attempt + 1
-        this = Try(node, node.life, ident, attempt, endpoint, until)
-        message = node.held.get(ident)
+        this = Attempt(node, node.epoch, ident, attempt, endpoint, give_up_at)
+        message = node.pending.get(ident)
         if (
             message is None
             or not node.engine.may_write(node.number, now, ident)
-            or not self._permits(node, node.kept[message], endpoint, now)
+            or not self._authorizes(node, node.journal[message], endpoint, now)
         ):
-            self.at(now, lambda now: self._ended(this, Outcome.NOT_SENT, 0.0, now))
+            self.at(now, lambda now: self._complete_attempt(this, Outcome.NOT_SENT, 0.0, now))
             return
-        kept, net = node.kept[message], self.it.fleet.net_ms
-        if kept.out is not None:
-            self.record.broke(f"message {message} has two attempts out")
-        partner = self.partners[self._place(endpoint) - 1]
-        silent = partner.trouble(now + net, Fault.SILENT) is not None or self._cut(node, endpoint, now)
+        journal_entry, net = node.journal[message], self.experiment.fleet.net_ms
+        if journal_entry.in_flight is not None:
+            self.record.add_violation(f"message {message} has two attempts out")
+        partner = self.partners[self._partner_number(endpoint) - 1]
+        silent = partner.trouble(now + net, Fault.SILENT) is not None or self._is_path_cut(
+            node, endpoint, now
+        )
         if silent or partner.trouble(now + net, Fault.DOWN):
             self.record.tries_while_out += 1
-            comes = min(until, now + self.it.fleet.connect_timeout_ms) if silent else now + 2 * net
-            self.at(comes, lambda now: self._ended(this, Outcome.CONNECT_FAILED, 0.0, now))
+            ends_at = (
+                min(give_up_at, now + self.experiment.fleet.connect_timeout_ms) if silent else now + 2 * net
+            )
+            self.at(ends_at, lambda now: self._complete_attempt(this, Outcome.CONNECT_FAILED, 0.0, now))
             return
-        kept.out, this.begun = (now, endpoint), now
-        kept.tries += 1
-        self._drained(node, endpoint, now)
-        if self.it.classes[kept.life.class_].effect == "once":
-            self.at(now + CAREFUL_MS, lambda now: self._last_byte(this, kept, now))
+        journal_entry.in_flight, this.first_byte_at = (now, endpoint), now
+        journal_entry.tries += 1
+        self._check_drain(node, endpoint, now)
+        if self.experiment.classes[journal_entry.history.class_].effect == "once":
+            self.at(now + WITHHOLD_MS, lambda now: self._send_last_byte(this, journal_entry, now))
         else:
-            self._arrives_there(this, kept, now)
+            self._deliver_call(this, journal_entry, now)
 
-    def _last_byte(self, this: Try, kept: Kept, now: float) -> None:
-        """Of a call that was held back, since a connection that breaks meanwhile proves that nothing ran."""
+    def _send_last_byte(self, this: Attempt, journal_entry: JournalEntry, now: float) -> None:
+        """Sends the withheld last byte of a call. Until then a broken connection proves that the call had no
+        effect."""
         node = this.node
-        if node.life != this.of or not node.alive:
+        if node.epoch != this.epoch or not node.alive:
             return
-        partner = self.partners[self._place(this.endpoint) - 1]
+        partner = self.partners[self._partner_number(this.endpoint) - 1]
         if partner.trouble(now, Fault.DOWN):
-            self._ended(this, Outcome.CONNECT_FAILED, 0.0, now)
+            self._complete_attempt(this, Outcome.CONNECT_FAILED, 0.0, now)
         elif not node.engine.may_write(node.number, now, this.ident):
-            self._ended(this, Outcome.NOT_SENT, 0.0, now)
+            self._complete_attempt(this, Outcome.NOT_SENT, 0.0, now)
         else:
-            self._arrives_there(this, kept, now)
-
-    def _arrives_there(self, this: Try, kept: Kept, now: float) -> None:
-        place, life, net = self._place(this.endpoint), kept.life, self.it.fleet.net_ms
-        partner, name = self.partners[place - 1], str(kept.life.number)
-        life.calls += 1
-        if isinstance(partner.rng, Luck):
-            partner.rng.of(life.number, life.calls)
-        self.record.called(place, now)
+            self._deliver_call(this, journal_entry, now)
+
+    def _deliver_call(self, this: Attempt, journal_entry: JournalEntry, now: float) -> None:
+        number, history, net = (
+            self._partner_number(this.endpoint),
+            journal_entry.history,
+            self.experiment.fleet.net_ms,
+        )
+        partner, name = self.partners[number - 1], str(journal_entry.history.number)
+        history.calls += 1
+        if isinstance(partner.rng, CallRandom):
+            partner.rng.start_call(history.number, history.calls)
+        self.record.called(number, now)
         answer = partner.call(now + net, Call(name, name, str(this.node.number)))
-        if answer.reply in (Reply.NOTHING, Reply.NO_CONNECTION) or answer.at + net > this.until:
-            comes, outcome, wait = this.until, Outcome.TIMEOUT, 0.0
-            if answer.reply is Reply.OK:  # its effect is there, and nobody hears of it
-                self.record.unheard += 1
+        if answer.reply in (Reply.NOTHING, Reply.NO_CONNECTION) or answer.at + net > this.give_up_at:
+            ends_at, outcome, wait = this.give_up_at, Outcome.TIMEOUT, 0.0
+            if answer.reply is Reply.OK:  # the call had its effect, but the answer comes too late
+                self.record.lost_responses += 1
         else:
-            comes, outcome, wait = answer.at + net, OUTCOMES[answer.reply], answer.wait_ms
-            self.record.answered(place, answer.reply, now)
-        self.at(max(now, comes), lambda now: self._ended(this, outcome, wait, now))
-
-    def _ended(self, this: Try, outcome: Outcome, wait: float, now: float) -> None:
-        node, begun = this.node, this.begun
-        if node.life != this.of or not node.alive:
-            return  # its outcome died with the process
-        message = node.held.get(this.ident)
+            ends_at, outcome, wait = answer.at + net, OUTCOMES[answer.reply], answer.wait_ms
+            self.record.answered(number, answer.reply, now)
+        self.at(max(now, ends_at), lambda now: self._complete_attempt(this, outcome, wait, now))
+
+    def _complete_attempt(self, this: Attempt, outcome: Outcome, wait: float, now: float) -> None:
+        node, first_byte_at = this.node, this.first_byte_at
+        if node.epoch != this.epoch or not node.alive:
+            return  # the outcome was lost with the process
+        message = node.pending.get(this.ident)
         finished = outcome is Outcome.OK
-        self._outcome(this, outcome, 0.0 if begun is None else now - begun, wait, now)
+        self._on_outcome(this, outcome, 0.0 if first_byte_at is None else now - first_byte_at, wait, now)
         if message is not None:
-            kept = node.kept[message]
-            if begun is not None and kept.out is not None:
-                if not outcome.proves_no_effect and kept.risk is None:
-                    kept.risk = kept.out
-                kept.out = None
+            journal_entry = node.journal[message]
+            if first_byte_at is not None and journal_entry.in_flight is not None:
+                if not outcome.proves_no_effect and journal_entry.possible_effect is None:
+                    journal_entry.possible_effect = journal_entry.in_flight
+                journal_entry.in_flight = None
             if finished:
-                del node.kept[message], node.held[this.ident]
-                kept.life.holder = None
-                kept.life.ends += 1
-                self.record.delivered(kept.life, now)
+                del node.journal[message], node.pending[this.ident]
+                journal_entry.history.holder = None
+                journal_entry.history.ends += 1
+                self.record.delivered(journal_entry.history, now)
         node.events.append(
             AttemptCompleted(
                 this.ident,
                 this.attempt,
                 this.endpoint,
                 outcome,
-                0.0 if begun is None else now - begun,
+                0.0 if first_byte_at is None else now - first_byte_at,
                 finished,
                 wait,
             )
         )
-        self._soon(node, now)
+        self._schedule_turn(node, now)
 
-    # -- the register, and restarts ----------------------------------------------------------------------
+    # -- listing changes, and restarts --------------------------------------------------------------------
 
     def _change(self, ident: int, listing: Listing) -> Act:
         def act(now: float) -> None:
             entry = self.listing[ident] = replace(self.listing[ident], listing=listing)
             for node in self.nodes:
-                lag = float(stream(self.seed, "lag", node.number, ident).uniform(0.0, self.it.fleet.lag_ms))
-                self.at(now + lag, lambda now, node=node: self._told(node, entry, now))  # type: ignore[misc]
+                lag = float(
+                    stream(self.seed, "lag", node.number, ident).uniform(0.0, self.experiment.fleet.lag_ms)
+                )
+                self.at(now + lag, lambda now, node=node: self._deliver_change(node, entry, now))  # type: ignore[misc]
 
         return act
 
-    def _told(self, node: Node, entry: Endpoint, now: float) -> None:
-        self.record.learnt[node.number, entry.id] = now if entry.listing is not Listing.READY else math.inf
+    def _deliver_change(self, node: Node, entry: Endpoint, now: float) -> None:
+        self.record.listing_changed_at[node.number, entry.id] = (
+            now if entry.listing is not Listing.READY else math.inf
+        )
         if node.alive:
-            node.events.append(EndpointList(ListKind.CHANGES, (self._seen(node, entry),)))
-            self._soon(node, now)
+            node.events.append(EndpointList(ListKind.CHANGES, (self._visible_endpoint(node, entry),)))
+            self._schedule_turn(node, now)
 
-    def _drained(self, node: Node, endpoint: int, now: float) -> None:
-        since = self.record.learnt.get((node.number, endpoint), math.inf)
-        if now > since + self.it.fleet.drain_grace_ms:
-            self.record.broke(
+    def _check_drain(self, node: Node, endpoint: int, now: float) -> None:
+        since = self.record.listing_changed_at.get((node.number, endpoint), math.inf)
+        if now > since + self.experiment.fleet.drain_grace_ms:
+            self.record.add_violation(
                 f"relay {node.number}: new work {now - since:.0f} ms after it learned of a drain"
             )
 
@@ -486,27 +526,33 @@
         def act(now: float) -> None:
             if not node.alive:
                 return
-            of = node.life
+            epoch = node.epoch
             if restart.how == "kill":
-                self._dies(node, now)
+                self._terminate(node, now)
                 return
             node.events.append(ShutdownScheduled(now + CALLS_END_MS))
-            self._soon(node, now)
-            self.at(now + SERVE_ON_MS, lambda now: self._opens(node, False) if node.life == of else None)
-            self.at(now + CALLS_END_MS, lambda now: self._stops(node, of, now))
+            self._schedule_turn(node, now)
+            self.at(
+                now + ACCEPT_END_MS,
+                lambda now: self._set_accepting(node, False) if node.epoch == epoch else None,
+            )
+            self.at(now + CALLS_END_MS, lambda now: self._take_snapshot(node, epoch, now))
 
         return act
 
-    def _stops(self, node: Node, of: int, now: float) -> None:
-        if node.life == of and node.alive:
+    def _take_snapshot(self, node: Node, epoch: int, now: float) -> None:
+        if node.epoch == epoch and node.alive:
             node.learned = node.engine.learned(node.number, now)
-            self.at(now + GONE_MS - CALLS_END_MS, lambda now: self._dies(node, now))
+            self.at(now + EXIT_MS - CALLS_END_MS, lambda now: self._terminate(node, now))
 
-    def _dies(self, node: Node, now: float) -> None:
+    def _terminate(self, node: Node, now: float) -> None:
         if not node.alive:
             return
         node.alive = False
-        self._opens(node, False)
-        for kept in node.kept.values():  # a call that was out may have run
-            kept.risk, kept.out = kept.risk or kept.out, None
-        self.at(now + AWAY_MS + STARTING_MS, lambda now: self._start(node, now))
+        self._set_accepting(node, False)
+        for journal_entry in node.journal.values():  # a call in flight may have had an effect
+            journal_entry.possible_effect, journal_entry.in_flight = (
+                journal_entry.possible_effect or journal_entry.in_flight,
+                None,
+            )
+        self.at(now + DOWNTIME_MS + STARTING_MS, lambda now: self._start(node, now))
