--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -1,13 +1,14 @@
-"""A fleet in zones and regions, in virtual time: partners with a place in each zone, ways between zones that
-are cut, relays that tell each other what they saw with delay and loss, and plans that reach each relay at a
-moment of its own. The real evidence, verdicts, planner and gate (message_relay/failover,
-consensus/rule_enforcement.py) stand
-around the real decision module; only the agreement itself is not played here but taken by its measured
-times (docs/design/agreed-rules.md, and emulator/consensus/world.py, which plays that alone).
+"""Simulates a fleet in zones and regions in virtual time: partners with endpoints in each zone, network
+partitions between zones, observation reports with delay and loss, and plans that reach each relay at a
+different time.
 
-Three ways to live through the same faults: `alone`, as without plans; `plans`; and `static`, a switch that
-moves all of a lost zone's traffic at once after a while, and back at once.
-"""
+The real observations, zone health, planner and rule enforcement (message_relay/failover,
+consensus/rule_enforcement.py) run around the real decision module. Only consensus is not simulated here; its
+measured durations are used instead (docs/design/agreed-rules.md; emulator/consensus/world.py simulates
+consensus alone).
+
+Three modes of handling the same faults: `alone`, without plans; `plans`; and `static`, a switch that moves
+all traffic of a lost zone at once after a delay, and back at once."""
 
 from __future__ import annotations
 
@@ -30,20 +31,21 @@
 from message_relay.failover.observations import ObservationReport, Observations
 from message_relay.failover.settings import FailoverSettings
 
-from .draws import Draws
+from .draws import BufferedRandom
 from .experiment import Experiment, settings_of
-from .measures import Life
+from .measures import MessageHistory
 from .partner import Partner
 from .spec import Fault, Trouble
-from .world import Act, Kept, Node, Try, World
+from .world import Act, Attempt, JournalEntry, Node, World
 
 Mode = Literal["alone", "plans", "static"]
-JITTER = 0.05  # of a window: relays tell theirs in moments of their own
+JITTER = 0.05  # part of the window by which the times of reports differ between relays
 
 
 @dataclass(frozen=True)
 class Outage:
-    """Of some of a zone's partners: each of them by chance, alike in all modes."""
+    """A fault of some partners in a zone. Each is affected with probability `share`, the same ones in all
+    modes."""
 
     zone: str
     begin_s: float
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """Nothing gets from that zone's relays to that zone's partners."""
+    """A network partition: relays in `source` cannot reach partners in `target`."""
 
     source: str
     target: str
@@ -65,68 +67,81 @@
 
 @dataclass(frozen=True)
 class Place:
+    """The zones of a simulation, with their faults, and how the fleet handles them."""
+
     part: FailoverSettings
     mode: Mode = "plans"
     outages: tuple[Outage, ...] = ()
     cuts: tuple[Cut, ...] = ()
-    loss: float = 0.02  # of reports
-    tell_ms: tuple[float, float] = (1.0, 50.0)  # a report's way to who decides
-    agree_ms: tuple[float, float] = (200.0, 1800.0)  # from a proposal until a relay acts on it, as measured
-    switch_s: float = 3.0  # the static switch: someone has noticed, and turned it
-    dies_s: tuple[float, ...] = ()  # who decides dies; the next one goes on from the version
-    evacuated: tuple[tuple[float, str], ...] = ()  # when an operator has a zone left; `-ZONE`: used again
+    loss: float = 0.02  # probability that a report is lost
+    tell_ms: tuple[float, float] = (1.0, 50.0)  # delay of a report to the failover controller
+    agree_ms: tuple[float, float] = (200.0, 1800.0)  # from a proposal until a relay applies it, as measured
+    switch_s: float = 3.0  # delay of the static switch, until someone has noticed the fault and turned it
+    dies_s: tuple[float, ...] = ()  # when the controller dies; the next one continues from the latest version
+    evacuated: tuple[tuple[float, str], ...] = ()  # when an operator evacuates a zone; `-ZONE` ends it
 
 
 @dataclass
-class Moves:
-    """What zones make of a play, beside the record's figures."""
+class ZoneResults:
+    """Results of a run that concern zones, besides the figures of the record."""
 
-    versions: list[tuple[float, Rules]] = field(default_factory=list)  # with when they were proposed
-    outside: list[str] = field(default_factory=list)  # calls that left the region they have to stay in
-    by: Counter[tuple[str, str]] = field(default_factory=Counter)  # calls from each zone to each
+    versions: list[tuple[float, Rules]] = field(default_factory=list)  # (time of the proposal, rules)
+    outside: list[str] = field(default_factory=list)  # calls that left the region their class must stay in
+    by: Counter[tuple[str, str]] = field(default_factory=Counter)  # calls by (source zone, target zone)
 
     @property
     def near_share(self) -> float:
-        """Of all calls, those that stayed in their zone."""
+        """The share of all calls that stayed in their zone."""
         return sum(n for (source, target), n in self.by.items() if source == target) / max(1, self.by.total())
 
 
 class Zoned(World):
-    """Each partner of the experiment is one destination, with a place in each zone that takes its rate."""
-
-    def __init__(self, it: Experiment, seed: int, place: Place) -> None:
-        super().__init__(it, it.all_variants()[0], seed)
-        self.place, self.zones, self.moves = place, sorted(place.part.zones), Moves()
-        self.luck = Draws(seed, "zones", *self.salt)
-        outages = Draws(seed, "outages", *self.salt)
+    """A fleet in zones. Each partner of the experiment is one destination, with one endpoint in each zone
+    that accepts the whole rate."""
+
+    def __init__(self, experiment: Experiment, seed: int, place: Place) -> None:
+        super().__init__(experiment, experiment.all_variants()[0], seed)
+        self.place, self.zones, self.moves = place, sorted(place.part.zones), ZoneResults()
+        self.rng = BufferedRandom(seed, "zones", *self.salt)
+        outages = BufferedRandom(seed, "outages", *self.salt)
         self.partners = [
-            self._in_zone(n, zone, outages) for n in range(len(self.it.partners)) for zone in self.zones
+            self._partner_in_zone(n, zone, outages)
+            for n in range(len(self.experiment.partners))
+            for zone in self.zones
         ]
-        self.counting = [CallCounter(self._name(n), 1, self._zone(n)) for n in range(self.it.fleet.relays)]
-        self.rules = [(0, Rules()) for _ in self.counting]
-        self.gates = [
-            RuleEnforcer(self._acting(n), len(self.counting), lambda: self.now, self._name(n), self._zone(n))
-            for n in range(len(self.counting))
+        self.call_counters = [
+            CallCounter(self._name(n), 1, self._zone(n)) for n in range(self.experiment.fleet.relays)
         ]
-        for gate in self.gates:
-            gate.may_use_zone = self._stays(gate.zone)
-        self.latest, self.left = Rules(), set[str]()
-        self.evidence = Observations(place.part.window_s)
+        self.rules = [(0, Rules()) for _ in self.call_counters]
+        self.enforcers = [
+            RuleEnforcer(
+                self._active_rules_of(n),
+                len(self.call_counters),
+                lambda: self.now,
+                self._name(n),
+                self._zone(n),
+            )
+            for n in range(len(self.call_counters))
+        ]
+        for enforcer in self.enforcers:
+            enforcer.may_use_zone = self._zone_filter(enforcer.zone)
+        self.latest_rules, self.drained_zones = Rules(), set[str]()
+        self.observations = Observations(place.part.window_s)
         self.decider = self._decider()
 
     @property
     def count(self) -> int:
         return len(self.zones)
 
-    def _in_zone(self, n: int, zone: str, chance: Draws) -> Partner:
-        model = self.it.partners[n].model()
+    def _partner_in_zone(self, n: int, zone: str, rng: BufferedRandom) -> Partner:
+        model = self.experiment.partners[n].model()
         troubles = tuple(
             Trouble(each.fault, each.begin_s * 1000, each.end_s * 1000, each.size)
             for each in self.place.outages
-            if each.zone == zone and chance.random() < each.share
+            if each.zone == zone and rng.random() < each.share
         )
         model = replace(model, troubles=model.troubles + troubles)
-        return Partner(model, Draws(self.seed, "partner", n, zone, *self.salt))
+        return Partner(model, BufferedRandom(self.seed, "partner", n, zone, *self.salt))
 
     def _name(self, n: int) -> str:
         return f"n{n}"
@@ -134,40 +149,40 @@
     def _zone(self, n: int) -> str:
         return self.zones[n % len(self.zones)]
 
-    def _acting(self, n: int) -> Callable[[], ActiveRules]:
-        def acting() -> ActiveRules:
+    def _active_rules_of(self, n: int) -> Callable[[], ActiveRules]:
+        def active_rules() -> ActiveRules:
             number, rules = self.rules[n]
             return ActiveRules(rules, (number,), LeaseTier.LEASE)
 
-        return acting
+        return active_rules
 
-    def _stays(self, zone: str) -> Callable[[str, str], bool]:
+    def _zone_filter(self, zone: str) -> Callable[[str, str], bool]:
         return lambda class_, target: self.place.part.is_allowed(class_, zone, target)
 
     def _decider(self) -> FailoverController:
-        return FailoverController(self.place.part, self.evidence, None, lambda: 0.0)
+        return FailoverController(self.place.part, self.observations, None, lambda: 0.0)
 
-    # -- what is another way here ----------------------------------------------------------------------------
+    # -- hooks of World --------------------------------------------------------------------------------------
 
     def _settings(self, node: Node) -> bytes:
-        told = settings_of(self.it)
-        told["classes"] = [each | {"dedup-scope": "zone"} for each in told["classes"]]
+        settings = settings_of(self.experiment)
+        settings["classes"] = [each | {"dedup-scope": "zone"} for each in settings["classes"]]
         zones = {"az": node.number % self.count, "zones": self.zones, "prices": {"cross-zone": 0.05}}
-        return msgspec.json.encode(told | zones)
+        return msgspec.json.encode(settings | zones)
 
-    def _list(self) -> None:
+    def _create_listing(self) -> None:
         ident = 0
-        for n, partner in enumerate(self.it.partners):
+        for n, partner in enumerate(self.experiment.partners):
             rate = 0.0 if partner.rate is None else partner.rate.per_s * self.count
             for zone in range(self.count):
-                ident += 1  # one endpoint each: the place's number
+                ident += 1  # one endpoint in each zone; its id is the number of its partner
                 self.listing[ident] = Endpoint(ident, n + 1, Listing.READY, zone=zone, rate=rate)
         if self.place.mode == "plans":
-            for n in range(len(self.counting)):
-                self.at(self._window() * self.luck.random(), self._tells(n))
-            self.at(self._window(), self._decides)
-            for when, word in self.place.evacuated:
-                self.at(when * 1000, self._evacuates(word))
+            for n in range(len(self.call_counters)):
+                self.at(self._window() * self.rng.random(), self._report(n))
+            self.at(self._window(), self._run_controller)
+            for when, order in self.place.evacuated:
+                self.at(when * 1000, self._evacuate(order))
             for when in self.place.dies_s:
                 self.at(when * 1000, lambda now: setattr(self, "decider", self._decider()))
         if self.place.mode == "static":
@@ -175,127 +190,133 @@
                 self.at((each.begin_s + self.place.switch_s) * 1000, self._switch(each.zone, True))
                 self.at((each.end_s + self.place.switch_s) * 1000, self._switch(each.zone, False))
 
-    def _place(self, endpoint: int) -> int:
+    def _partner_number(self, endpoint: int) -> int:
         return endpoint
 
-    def _seen(self, node: Node, entry: Endpoint) -> Endpoint:
+    def _visible_endpoint(self, node: Node, entry: Endpoint) -> Endpoint:
         zone = self.zones[entry.zone]
-        if zone in self.left:
+        if zone in self.drained_zones:
             return replace(entry, listing=Listing.DRAINING)
-        return self.gates[node.number].constrained_endpoint(str(entry.id), zone, entry)
+        return self.enforcers[node.number].constrained_endpoint(str(entry.id), zone, entry)
 
-    def _permits(self, node: Node, kept: Kept, endpoint: int, now: float) -> bool:
-        gate, entry = self.gates[node.number], self.listing[endpoint]
-        class_ = self.it.classes[kept.life.class_]
+    def _authorizes(self, node: Node, journal_entry: JournalEntry, endpoint: int, now: float) -> bool:
+        enforcer, entry = self.enforcers[node.number], self.listing[endpoint]
+        class_ = self.experiment.classes[journal_entry.history.class_]
         call = CallContext(
-            str(kept.life.number),
+            str(journal_entry.history.number),
             entry.destination,
             str(endpoint),
             self.zones[entry.zone],
             class_.name,
-            kept.tries,
-            kept.risk is not None,
+            journal_entry.tries,
+            journal_entry.possible_effect is not None,
             class_.effect == "by_key",
         )
-        if gate.authorize(now / 1000, call) is None:
+        if enforcer.authorize(now / 1000, call) is None:
             return False
-        self.moves.by[gate.zone, call.zone] += 1
-        if not self.place.part.is_allowed(class_.name, gate.zone, call.zone):
+        self.moves.by[enforcer.zone, call.zone] += 1
+        if not self.place.part.is_allowed(class_.name, enforcer.zone, call.zone):
             self.moves.outside.append(call.message_id)
         return True
 
-    def _cut(self, node: Node, endpoint: int, now: float) -> bool:
+    def _is_path_cut(self, node: Node, endpoint: int, now: float) -> bool:
         source, target = self._zone(node.number), self.zones[self.listing[endpoint].zone]
         return any(
             (each.source, each.target) == (source, target) and each.begin_s * 1000 <= now < each.end_s * 1000
             for each in self.place.cuts
         )
 
-    def _took(self, node: Node, life: Life) -> None:
-        name = self.it.classes[life.class_].name
-        self.counting[node.number].record_submission(life.destination, self.place.part.group_name(name))
+    def _on_accepted(self, node: Node, history: MessageHistory) -> None:
+        name = self.experiment.classes[history.class_].name
+        self.call_counters[node.number].record_submission(
+            history.destination, self.place.part.group_name(name)
+        )
 
-    def _outcome(self, this: Try, outcome: Outcome, took_ms: float, wait_ms: float, now: float) -> None:
+    def _on_outcome(
+        self, this: Attempt, outcome: Outcome, took_ms: float, wait_ms: float, now: float
+    ) -> None:
         entry, number = self.listing[this.endpoint], this.node.number
-        if outcome is not Outcome.NOT_SENT or this.begun is not None:  # the gate had let it out
-            self.gates[number].release(entry.destination)
-        self.counting[number].record_outcome(entry.destination, self.zones[entry.zone], outcome, took_ms)
+        if (
+            outcome is not Outcome.NOT_SENT or this.first_byte_at is not None
+        ):  # the enforcer had authorized it
+            self.enforcers[number].release(entry.destination)
+        self.call_counters[number].record_outcome(entry.destination, self.zones[entry.zone], outcome, took_ms)
 
-    # -- evidence, and who decides ---------------------------------------------------------------------------
+    # -- observations and plans ------------------------------------------------------------------------------
 
     def _window(self) -> float:
         return self.place.part.window_s * 1000
 
-    def _between(self, span: tuple[float, float]) -> float:
-        return span[0] + (span[1] - span[0]) * self.luck.random()
+    def _uniform(self, span: tuple[float, float]) -> float:
+        return span[0] + (span[1] - span[0]) * self.rng.random()
 
-    def _tells(self, n: int) -> Act:
+    def _report(self, n: int) -> Act:
         def act(now: float) -> None:
-            load = len(self.nodes[n].held) / self.it.fleet.hold
-            for report in self.counting[n].close_window(self.place.part.window_s, load):
-                if self.luck.random() >= self.place.loss:
-                    self.at(now + self._between(self.place.tell_ms), self._heard(report, now))
-            self.at(now + self._window() * (1 - JITTER + 2 * JITTER * self.luck.random()), act)
+            load = len(self.nodes[n].pending) / self.experiment.fleet.hold
+            for report in self.call_counters[n].close_window(self.place.part.window_s, load):
+                if self.rng.random() >= self.place.loss:
+                    self.at(now + self._uniform(self.place.tell_ms), self._receive_report(report, now))
+            self.at(now + self._window() * (1 - JITTER + 2 * JITTER * self.rng.random()), act)
 
         return act
 
-    def _heard(self, report: ObservationReport, sent: float) -> Act:
-        """The evidence reckons with the window's end."""
+    def _receive_report(self, report: ObservationReport, sent: float) -> Act:
+        """Adds the report with its age, since observations count from the end of the window."""
 
         def act(now: float) -> None:
-            self.evidence.add(now / 1000, msgspec.structs.replace(report, age_s=(now - sent) / 1000))
+            self.observations.add(now / 1000, msgspec.structs.replace(report, age_s=(now - sent) / 1000))
 
         return act
 
-    def _decides(self, now: float) -> None:
-        rooms: dict[int, dict[str, float]] = {}
+    def _run_controller(self, now: float) -> None:
+        capacities: dict[int, dict[str, float]] = {}
         for entry in self.listing.values():
-            rooms.setdefault(entry.destination, {})[self.zones[entry.zone]] = entry.rate / self.count
+            capacities.setdefault(entry.destination, {})[self.zones[entry.zone]] = entry.rate / self.count
         relays: dict[str, list[str]] = {}
         for node in self.nodes:
             if node.alive:
                 relays.setdefault(self._zone(node.number), []).append(self._name(node.number))
-        problems = self.decider.update(now / 1000, self.latest, rooms)
-        found = self.decider.compute_plans(problems)
-        rules = self.decider.next_rules(now / 1000, self.latest, rooms, relays, problems, found)
+        problems = self.decider.update(now / 1000, self.latest_rules, capacities)
+        plans = self.decider.compute_plans(problems)
+        rules = self.decider.next_rules(now / 1000, self.latest_rules, capacities, relays, problems, plans)
         if rules is not None:
-            self._agreed(normalize(rules), now)
-        self.at(now + self._window(), self._decides)
+            self._adopt_rules(normalize(rules), now)
+        self.at(now + self._window(), self._run_controller)
 
-    def _agreed(self, rules: Rules, now: float) -> None:
-        self.latest = rules
+    def _adopt_rules(self, rules: Rules, now: float) -> None:
+        self.latest_rules = rules
         self.moves.versions.append((now, rules))
         number = len(self.moves.versions)
         for node in self.nodes:
-            self.at(now + self._between(self.place.agree_ms), self._acts(node, number, rules))
+            self.at(now + self._uniform(self.place.agree_ms), self._apply_rules(node, number, rules))
 
-    def _acts(self, node: Node, number: int, rules: Rules) -> Act:
+    def _apply_rules(self, node: Node, number: int, rules: Rules) -> Act:
         def act(now: float) -> None:
-            if self.rules[node.number][0] < number:  # a later one may have come first
+            if self.rules[node.number][0] < number:  # a later version may have arrived first
                 self.rules[node.number] = number, rules
-                self._retell(node, now)
+                self._resend_listing(node, now)
 
         return act
 
-    def _retell(self, node: Node, now: float) -> None:
+    def _resend_listing(self, node: Node, now: float) -> None:
         if node.alive:
-            entries = tuple(self._seen(node, entry) for entry in self.listing.values())
+            entries = tuple(self._visible_endpoint(node, entry) for entry in self.listing.values())
             node.events.append(EndpointList(ListKind.CHANGES, entries))
-            self._soon(node, now)
+            self._schedule_turn(node, now)
 
-    def _evacuates(self, word: str) -> Act:
+    def _evacuate(self, order: str) -> Act:
         def act(now: float) -> None:
-            out, zone = self.latest.policies.evacuated, word.removeprefix("-")
-            out = out - {zone} if word.startswith("-") else out | {zone}
-            policies = msgspec.structs.replace(self.latest.policies, evacuated=out)
-            self._agreed(normalize(msgspec.structs.replace(self.latest, policies=policies)), now)
+            evacuated, zone = self.latest_rules.policies.evacuated, order.removeprefix("-")
+            evacuated = evacuated - {zone} if order.startswith("-") else evacuated | {zone}
+            policies = msgspec.structs.replace(self.latest_rules.policies, evacuated=evacuated)
+            self._adopt_rules(normalize(msgspec.structs.replace(self.latest_rules, policies=policies)), now)
 
         return act
 
     def _switch(self, zone: str, out: bool) -> Act:
         def act(now: float) -> None:
-            (self.left.add if out else self.left.discard)(zone)
+            (self.drained_zones.add if out else self.drained_zones.discard)(zone)
             for node in self.nodes:
-                self._retell(node, now)
+                self._resend_listing(node, now)
 
         return act
--- a/tests/emulator/test_experiment.py
+++ b/tests/emulator/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: each kind of mistake is told with its field; what is right becomes variants."""
+"""Experiment files: each kind of error names its field, and valid files give the expected variants."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from emulator.experiment import ExperimentError, decoded, read
 
-RIGHT: dict[str, Any] = {"name": "x", "partners": [{}]}
+VALID: dict[str, Any] = {"name": "x", "partners": [{}]}
 
 
 @pytest.mark.parametrize(
-    ("more", "text"),
+    ("change", "text"),
     [
         ({"nmae": "x"}, "nmae: is not known; 'name' is the nearest name"),
         ({"seeds": 0}, "seeds: 0: "),
@@ -31,7 +31,7 @@
         ({"partners": [{"rate": {"per_s": 5, "enforced": "no"}}]}, "one of window, bucket is needed"),
         (
             {"partners": [{"refuse": 0.6, "error": 0.6}]},
-            "partners[0].refuse, error, reset, hang: must make 1",
+            "partners[0].refuse, error, reset, hang: must sum to 1",
         ),
         ({"partners": [{"troubles": [{"fault": "down", "begin_s": 5, "end_s": 4}]}]}, "trouble.end_ms"),
         ({"partners": [{"changes": [{"at_s": 1, "endpoint": 2, "listing": "gone"}]}]}, "must be 1 to 1"),
@@ -51,42 +51,45 @@
         ({"measure": "servce"}, "measure: 'servce' is none of service"),
     ],
 )
-def test_each_mistake_is_told_with_its_field(more: dict[str, Any], text: str) -> None:
+def test_error_names_its_field(change: dict[str, Any], text: str) -> None:
     with pytest.raises(ExperimentError) as caught:
-        decoded({**RIGHT, **more}, "f.toml")
+        decoded({**VALID, **change}, "f.toml")
     assert text in str(caught.value) and str(caught.value).startswith("f.toml: ")
 
 
-def test_several_mistakes_are_told_together() -> None:
+def test_all_errors_are_reported_together() -> None:
     with pytest.raises(ExperimentError) as caught:
         decoded({"name": "x", "seeds": 0, "fleet": {"relays": 0, "holds": 3}}, "f")
     assert len(str(caught.value).splitlines()) == 3
 
 
-def test_a_grid_makes_a_variant_of_each_combination_and_a_variant_has_its_own_fleet() -> None:
-    it = decoded(
+def test_grid_adds_a_variant_for_each_combination_and_variant_overrides_the_fleet() -> None:
+    experiment = decoded(
         {
-            **RIGHT,
+            **VALID,
             "grid": {"control.CUT": [0.5, 0.9], "control.RISE": [0.1, 0.2, 0.3]},
             "variants": [{"name": "usual"}, {"name": "small", "fleet": {"hold": 5}}],
         },
         "f",
     )
-    names = [each.name for each in it.all_variants()]
+    names = [each.name for each in experiment.all_variants()]
     assert names[:3] == ["usual", "small", "CUT=0.5_RISE=0.1"] and len(names) == 8
-    assert it.of(it.variants[1]).fleet.hold == 5 and it.of(it.variants[0]).fleet.hold == 60
+    assert (
+        experiment.with_variant(experiment.variants[1]).fleet.hold == 5
+        and experiment.with_variant(experiment.variants[0]).fleet.hold == 60
+    )
 
 
-def test_files_that_it_names_must_be_there(tmp_path: Path) -> None:
-    for text, told in (
-        ("[traffic]\ntrace = 'no.gz'", "traffic.trace: 'no.gz' is no file"),
+def test_missing_files_are_errors(tmp_path: Path) -> None:
+    for text, expected in (
+        ("[traffic]\ntrace = 'no.gz'", "traffic.trace: 'no.gz' is not a file"),
         ("[[variants]]\nname = 'old'\nversion = 'gone'", "version: 'gone' holds no"),
         ("name = ", "f.toml: "),
         ("seeds = 3", "name"),
     ):
         path = tmp_path / "f.toml"
         path.write_text(text if text.startswith(("name", "seeds")) else f"name = 'x'\n{text}")
-        with pytest.raises(ExperimentError, match=told):
+        with pytest.raises(ExperimentError, match=expected):
             read(path)
     with pytest.raises(ExperimentError, match="No such file"):
         read(tmp_path / "none.toml")
@@ -95,5 +98,5 @@
 @pytest.mark.parametrize(
     "path", sorted((Path(__file__).parents[2] / "experiments").glob("*.toml")), ids=lambda path: path.stem
 )
-def test_the_experiments_of_the_repository_are_right(path: Path) -> None:
+def test_experiments_in_the_repository_are_valid(path: Path) -> None:
     assert read(path).all_variants()
--- a/tests/emulator/test_live.py
+++ b/tests/emulator/test_live.py
@@ -1,4 +1,4 @@
-"""The same experiment with real processes; and the open-loop load on a real relay."""
+"""Experiments with real relay processes, and the open-loop load generator against a real relay."""
 
 from __future__ import annotations
 
@@ -41,71 +41,73 @@
     return decoded(SHORT, "x")
 
 
-def test_an_experiment_runs_with_real_relays_and_breaks_no_rule() -> None:
-    it = short()
-    found = one(it, it.variants[0], 1)
-    assert found.breaks == 0, found.broken
-    assert found.messages > 100 and 0.5 < found.figure("delivered") <= 1.0
-    assert sum(found.series["calls"]) > 100 and {row[0] for row in found.destinations} == {1, 2}
+def test_experiment_with_real_relays_breaks_no_rule() -> None:
+    experiment = short()
+    result = one(experiment, experiment.variants[0], 1)
+    assert result.breaks == 0, result.broken
+    assert result.messages > 100 and 0.5 < result.figure("delivered") <= 1.0
+    assert sum(result.series["calls"]) > 100 and {row[0] for row in result.destinations} == {1, 2}
 
 
-def test_what_cannot_be_played_live_is_told() -> None:
-    it = decoded(
+def test_variants_that_need_the_virtual_fleet_are_rejected() -> None:
+    experiment = decoded(
         {
             **SHORT,
             "variants": [{"name": "a", "constants": {"control.CUT": 0.5}}, {"name": "b", "mixed": 0.5}],
         },
         "x",
     )
-    for variant, text in zip(it.variants, ("constants", "mixed"), strict=True):
+    for variant, text in zip(experiment.variants, ("constants", "mixed"), strict=True):
         with pytest.raises(LiveError, match=text):
-            one(it, variant, 1)
+            one(experiment, variant, 1)
 
 
-def test_open_loop_load_counts_from_the_intended_moment_and_knows_its_own_lateness(tmp_path: Path) -> None:
-    it = decoded(
+def test_load_measures_latency_from_the_intended_send_time(tmp_path: Path) -> None:
+    experiment = decoded(
         {"name": "x", "partners": [{"service": {"mean_ms": 5}}], "fleet": {"relays": 1, "hold": 400}}, "x"
     )
 
     async def play() -> load.Load:
-        async with fleet(it, it.variants[0], 1) as live:
+        async with fleet(experiment, experiment.variants[0], 1) as live:
             plan = load.Plan((("127.0.0.1", live.ports[0]),), rate=60.0, seconds=3.0, warm_s=0.5, processes=2)
             return await asyncio.to_thread(load.run, plan)
 
-    found = asyncio.run(play())
-    assert 120 < sum(found.answers.values()) < 260 and found.taken > 100
-    assert 0 < found.ms(50) < 1000 and found.skipped == 0
+    result = asyncio.run(play())
+    assert 120 < sum(result.answers.values()) < 260 and result.taken > 100
+    assert 0 < result.ms(50) < 1000 and result.skipped == 0
 
 
-def test_a_generator_that_is_the_limit_says_so() -> None:
-    found = load.Load(load.histogram(), load.histogram())
+def test_load_reports_when_the_generator_is_the_bottleneck() -> None:
+    result = load.Load(load.histogram(), load.histogram())
     for _ in range(100):
-        found.waits.record_value(20_000)
-        found.late.record_value(500)
-    assert found.limit == ""
+        result.waits.record_value(20_000)
+        result.late.record_value(500)
+    assert result.limit == ""
     for _ in range(10):
-        found.late.record_value(9_000)
-    assert "the generator itself was late: p99 9" in found.limit
-    found.skipped = 3
-    assert "3 messages were not sent" in found.limit
+        result.late.record_value(9_000)
+    assert "the generator itself was late: p99 9" in result.limit
+    result.skipped = 3
+    assert "3 messages were not sent" in result.limit
 
 
-def test_an_answer_is_read_with_its_wait() -> None:
+def test_response_is_parsed_with_its_retry_after() -> None:
     assert said(b"HTTP/1.1 503 X\r\nRetry-After: 1.5\r\n\r\n").retry_ms == 1500.0
     assert said(b"HTTP/1.1 202 X\r\n\r\n").taken
     assert b"X-Second-Try: 1\r\n" in request("a", "order", 1, 50.0, b"", "k", "1")
 
 
-def test_a_relay_records_its_traffic_where_the_operator_says_so(tmp_path: Path) -> None:
-    it = decoded({"name": "x", "partners": [{"service": {"mean_ms": 5}}], "fleet": {"relays": 1}}, "x")
+def test_relay_records_its_traffic_to_the_operators_file(tmp_path: Path) -> None:
+    experiment = decoded(
+        {"name": "x", "partners": [{"service": {"mean_ms": 5}}], "fleet": {"relays": 1}}, "x"
+    )
 
     async def play() -> None:
-        async with fleet(it, it.variants[0], 1) as live:
+        async with fleet(experiment, experiment.variants[0], 1) as live:
             relay = live.processes["relay0"]
             relay.terminate()
             await relay.wait()
-            told = live.folder / "relay.toml"
-            told.write_text(told.read_text() + f'[record]\nfile = "{tmp_path}/r{{n}}.jsonl"\n')
+            settings = live.folder / "relay.toml"
+            settings.write_text(settings.read_text() + f'[record]\nfile = "{tmp_path}/r{{n}}.jsonl"\n')
             await live._relay(0)
             await live._ready(0)
             for n in range(20):
@@ -115,6 +117,6 @@
             await live.processes["relay0"].wait()
 
     asyncio.run(play())
-    found = stats(tmp_path / "r0.jsonl")
-    assert found.messages == 20 and found.classes == {"order": 20} and found.bytes == 200
-    assert settings_of(it)["classes"][0]["name"] == "order" and json.dumps(settings_of(it))
+    result = stats(tmp_path / "r0.jsonl")
+    assert result.messages == 20 and result.classes == {"order": 20} and result.bytes == 200
+    assert settings_of(experiment)["classes"][0]["name"] == "order" and json.dumps(settings_of(experiment))
--- a/tests/emulator/test_partner.py
+++ b/tests/emulator/test_partner.py
@@ -1,5 +1,5 @@
-"""The model of a partner: rates, cold returns, collapse, slots, troubles, keys, and what really took
-effect."""
+"""The model of a partner: rates, recovery after outages, collapse, slots, troubles, idempotency keys, and
+actual effects."""
 
 from __future__ import annotations
 
@@ -33,30 +33,30 @@
 
 
 @pytest.mark.parametrize("enforced", list(Enforced))
-def test_it_takes_its_rate_and_refuses_what_is_above(enforced: Enforced) -> None:
+def test_calls_above_the_rate_are_rejected(enforced: Enforced) -> None:
     got = drive(partner(rate=Rate(50.0, enforced)), 100.0, 0.0, 20_000.0)
     assert taken(got, 5_000.0, 15_000.0) == pytest.approx(500, abs=25)
     assert {answer.reply for _, answer in got} == {Reply.OK, Reply.FULL}
     assert taken(drive(partner(rate=Rate(50.0, enforced)), 45.0, 0.0, 20_000.0), 0.0, 20_000.0) == 900
 
 
-def test_each_client_may_have_the_rate_for_itself() -> None:
+def test_per_client_rate_limits_each_client_separately() -> None:
     got = drive(partner(rate=Rate(20.0, per_client=True)), 120.0, 0.0, 10_000.0)
-    assert taken(got, 2_000.0, 8_000.0) == pytest.approx(3 * 6 * (20 + 2), abs=9)  # 2 a window: `burst`
+    assert taken(got, 2_000.0, 8_000.0) == pytest.approx(3 * 6 * (20 + 2), abs=9)  # `burst`: 2 a window
 
 
-def test_refused_calls_may_use_up_the_rate() -> None:
+def test_rejected_calls_count_against_the_rate_if_so_set() -> None:
     got = drive(partner(rate=Rate(20.0, counts_refused=True)), 60.0, 0.0, 10_000.0)
-    assert taken(got, 2_000.0, 10_000.0) == 0  # as long as more come, none passes
+    assert taken(got, 2_000.0, 10_000.0) == 0  # no call passes as long as the calls continue
 
 
-def test_a_told_wait_lies_where_it_should() -> None:
+def test_retry_delay_is_within_its_range() -> None:
     got = drive(partner(rate=Rate(10.0, wait_ms=(200.0, 700.0))), 50.0, 0.0, 5_000.0)
     waits = [answer.wait_ms for _, answer in got if answer.reply is Reply.FULL]
     assert waits and 200 <= min(waits) < 300 and 600 < max(waits) <= 700
 
 
-def test_after_an_outage_it_can_do_little_and_warms_up() -> None:
+def test_capacity_is_low_after_an_outage_and_recovers_linearly() -> None:
     it = partner(rate=Rate(50.0), cold=Cold(share=0.2, warm_ms=10_000.0), troubles=OUT)
     can = [it.can(at) for at in (5_000.0, 15_000.0, 20_000.0, 25_000.0, 30_000.0)]
     assert can == pytest.approx([50, 0, 10, 30, 50])
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("multiple", "falls"), [(1.8, False), (2.3, True)])
-def test_pushed_past_its_multiple_it_collapses_and_just_under_not(multiple: float, falls: bool) -> None:
+def test_cold_partner_collapses_above_fall_multiple_but_not_below(multiple: float, falls: bool) -> None:
     cold = Cold(share=0.2, warm_ms=1e9, fall_multiple=2.0, fall_ms=1500.0, fallen_ms=5_000.0)
     it = partner(rate=Rate(100.0), cold=cold, troubles=OUT)
     got = drive(it, multiple * 20.0, 20_000.0, 24_000.0)
@@ -75,10 +75,10 @@
     if falls:
         first = next(at for at, answer in got if answer.reply is Reply.RESET)
         assert 20_800 < first < 22_000 and it.can(first + 4_999.0) == 0.0
-        assert it.can(first + 5_001.0) == pytest.approx(20.0, rel=0.01)  # and cold again
+        assert it.can(first + 5_001.0) == pytest.approx(20.0, rel=0.01)  # cold again after the collapse
 
 
-def test_slots_queue_and_what_is_above_them() -> None:
+def test_calls_beyond_slots_and_queue_are_rejected() -> None:
     it = partner(slots=2, queue=1, service=Service(100.0, cv=0.0))
     at = [it.call(0.0, Call(f"t{n}")) for n in range(4)]
     assert [(one.reply, one.at) for one in at] == [
@@ -90,7 +90,7 @@
     assert it.call(150.0, Call("t5")).at == 250.0  # a slot is free again
 
 
-def test_service_times_have_the_mean_and_the_spread_that_they_should() -> None:
+def test_service_times_have_the_specified_mean_and_spread() -> None:
     took = [at.at - now for now, at in drive(partner(service=Service(80.0, cv=0.5)), 20.0, 0.0, 200_000.0)]
     mean = sum(took) / len(took)
     spread = math.sqrt(sum((one - mean) ** 2 for one in took) / len(took))
@@ -101,7 +101,7 @@
     assert brown.call(0.0, Call("a")).at == 240.0 and brown.call(1000.0, Call("b")).at == 1080.0
 
 
-def test_a_lowered_limit_is_a_part_of_the_rate_and_no_outage() -> None:
+def test_lowered_reduces_the_rate_without_a_cold_phase_after_it() -> None:
     it = partner(
         rate=Rate(100.0, Enforced.BUCKET, burst=5.0),
         service=Service(1.0, 0.0),
@@ -115,13 +115,13 @@
         Trouble(Fault.LOWERED, 0.0, 1.0, 1.5)
 
 
-def test_each_trouble_does_what_it_says_and_effects_are_true() -> None:
+def test_each_fault_gives_its_reply_and_effect() -> None:
     def one(fault: Fault, at: float, size: float = 1.0) -> tuple[Answer, int]:
         it = partner(service=Service(100.0, cv=0.0), troubles=(Trouble(fault, 1000.0, 2000.0, size),))
         return it.call(at, Call("t")), it.effects["t"]
 
     assert one(Fault.DOWN, 1500.0) == (Answer(Reply.NO_CONNECTION, 1500.0), 0)
-    assert one(Fault.DOWN, 950.0) == (Answer(Reply.RESET, 1000.0), 1)  # it was being served
+    assert one(Fault.DOWN, 950.0) == (Answer(Reply.RESET, 1000.0), 1)  # the call was being served
     assert one(Fault.HUNG, 1500.0) == (Answer(Reply.NOTHING, math.inf), 1)
     assert one(Fault.SILENT, 1500.0) == (Answer(Reply.NOTHING, math.inf), 0)
     assert one(Fault.SILENT, 950.0) == (Answer(Reply.NOTHING, math.inf), 1)
@@ -131,14 +131,14 @@
         assert one(fault, 2000.0) == (Answer(Reply.OK, 2100.0), 1)
 
 
-def test_a_key_has_one_effect_within_its_window() -> None:
+def test_repeated_key_has_one_effect_within_its_window() -> None:
     it = partner(key_window_ms=1000.0)
     for at in (0.0, 500.0, 999.0, 1001.0, 1500.0):
         it.call(at, Call("t", "k"))
-    assert it.effects["t"] == 2 and len(it.keys) == len(it.forget) == 1
+    assert it.effects["t"] == 2 and len(it.keys) == len(it.key_expiries) == 1
     for at in range(5_000, 50_000, 10):
         it.call(float(at), Call("u", f"k{at}"))
-    assert len(it.keys) <= 101  # old ones are forgotten
+    assert len(it.keys) <= 101  # expired keys are removed
 
 
 @settings(max_examples=60)
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "says"),
+    ("make", "field"),
     [
         (lambda: Rate(0.0), "rate.per_s"),
         (lambda: Rate(1.0, wait_ms=(5.0, 1.0)), "rate.wait_ms"),
@@ -184,6 +184,6 @@
         (lambda: Spec(refuse=0.6, error=0.6), "refuse, error, reset, hang"),
     ],
 )
-def test_what_makes_no_sense_names_its_field(make: object, says: str) -> None:
-    with pytest.raises(ValueError, match=says):
+def test_invalid_spec_names_its_field(make: object, field: str) -> None:
+    with pytest.raises(ValueError, match=field):
         make()  # type: ignore[operator]
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -1,4 +1,5 @@
-"""Many runs: the same bytes on one process and on eight, interrupted or not; and intervals that cover."""
+"""Runs of experiments: results are byte for byte the same on any number of processes, interrupted or not;
+confidence intervals have their coverage; and the report and the commands."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 from click.testing import CliRunner
 
 from emulator.commands import main
-from emulator.draws import Draws, Luck, stream
+from emulator.draws import BufferedRandom, CallRandom, stream
 from emulator.experiment import Experiment, decoded
 from emulator.intervals import difference, interval, looks, verdict
 from emulator.measure_names import MEASURES
@@ -39,41 +40,41 @@
 }
 
 
-def small(**more: Any) -> Experiment:
-    return decoded({**SMALL, **more}, "x")
+def small(**changes: Any) -> Experiment:
+    return decoded({**SMALL, **changes}, "x")
 
 
 def quiet(done: int, every: int) -> None:
     pass
 
 
-def test_the_same_bytes_on_one_process_and_on_eight_interrupted_or_not(tmp_path: Path) -> None:
-    it = small()
+def test_results_are_identical_on_any_number_of_processes_and_after_an_interrupt(tmp_path: Path) -> None:
+    experiment = small()
     for processes in (1, 8):
-        Runs(it, tmp_path / str(processes)).run(processes, quiet)
+        Runs(experiment, tmp_path / str(processes)).run(processes, quiet)
 
-    class Enough(BaseException):
+    class Interrupted(BaseException):
         pass
 
     def stop(done: int, every: int) -> None:
         if done >= 3:
-            raise Enough
+            raise Interrupted
 
-    with pytest.raises(Enough):
-        Runs(it, tmp_path / "cut").run(2, stop)
+    with pytest.raises(Interrupted):
+        Runs(experiment, tmp_path / "cut").run(2, stop)
     assert not (tmp_path / "cut" / "results.jsonl").exists()
     with pytest.raises(RunsError, match="go on with --resume"):
-        Runs(it, tmp_path / "cut")
+        Runs(experiment, tmp_path / "cut")
     left = len(list((tmp_path / "cut").glob("runs/*/*")))
     assert 3 <= left < 8
-    Runs(it, tmp_path / "cut", resume=True).run(3, quiet)
+    Runs(experiment, tmp_path / "cut", resume=True).run(3, quiet)
     one = (tmp_path / "1" / "results.jsonl").read_bytes()
     assert one == (tmp_path / "8" / "results.jsonl").read_bytes()
     assert one == (tmp_path / "cut" / "results.jsonl").read_bytes()
     assert len(one.splitlines()) == 8
 
 
-def test_a_folder_of_another_experiment_is_refused(tmp_path: Path) -> None:
+def test_folder_of_another_experiment_is_rejected(tmp_path: Path) -> None:
     Runs(small(seeds=1), tmp_path).run(1, quiet)
     with pytest.raises(RunsError, match="holds another experiment"):
         Runs(small(seeds=2), tmp_path, resume=True)
@@ -82,9 +83,13 @@
 
 
 @contextlib.contextmanager
-def begun(folder: Path, seeds: int, interrupts: signal.Handlers) -> Iterator[subprocess.Popen[str]]:
-    """A run of its own, which has made three runs at the least. Whether Ctrl-C is heard is handed down from
-    whoever starts a process: a shell's job in the background begins deaf to it, and so does all it starts."""
+def running_experiment(
+    folder: Path, seeds: int, interrupts: signal.Handlers
+) -> Iterator[subprocess.Popen[str]]:
+    """Starts `emulator run` in a process of its own and waits until it has finished at least three runs.
+
+    `interrupts` is the disposition of SIGINT that the process inherits: a shell starts background jobs with
+    SIGINT ignored, and their child processes inherit that."""
     file = folder / "x.toml"
     file.write_text(
         f'name = "x"\nseeds = {seeds}\n[traffic]\nrate = 20.0\nseconds = 5.0\nwarm_s = 1.0\n'
@@ -107,32 +112,32 @@
         process.communicate()
 
 
-def test_a_ctrl_c_leaves_what_is_done_and_resume_goes_on(tmp_path: Path) -> None:
-    with begun(tmp_path, 400, signal.SIG_DFL) as process:
+def test_ctrl_c_keeps_the_finished_runs(tmp_path: Path) -> None:
+    with running_experiment(tmp_path, 400, signal.SIG_DFL) as process:
         process.send_signal(signal.SIGINT)
-        _, told = process.communicate(timeout=30)
-    assert process.returncode == 130 and "go on with --resume" in told
+        _, errors = process.communicate(timeout=30)
+    assert process.returncode == 130 and "go on with --resume" in errors
     done = [path for path in tmp_path.glob("out/runs/A/*") if path.name.isdecimal()]
     assert 0 < len(done) < 400
     assert all(json.loads(path.read_bytes())["variant"] == "A" for path in done)
 
 
-def test_a_run_that_was_begun_deaf_to_ctrl_c_is_made_whole(tmp_path: Path) -> None:
-    with begun(tmp_path, 12, signal.SIG_IGN) as process:
+def test_run_started_with_sigint_ignored_finishes(tmp_path: Path) -> None:
+    with running_experiment(tmp_path, 12, signal.SIG_IGN) as process:
         process.send_signal(signal.SIGINT)
-        _, told = process.communicate(timeout=60)
-    assert process.returncode == 0 and "12 seeds of 1 variants" in told
+        _, errors = process.communicate(timeout=60)
+    assert process.returncode == 0 and "12 seeds of 1 variants" in errors
     assert len((tmp_path / "out" / "results.jsonl").read_text().splitlines()) == 12
 
 
-def test_sequential_stopping_takes_no_more_seeds_than_the_width_asks_for(tmp_path: Path) -> None:
+def test_sequential_stopping_ends_once_the_interval_is_narrow_enough(tmp_path: Path) -> None:
     wide = Runs(small(seeds=20, half_width=0.9), tmp_path / "wide").run(4, quiet)
     tight = Runs(small(seeds=12, half_width=1e-9), tmp_path / "tight").run(4, quiet)
     assert (wide, tight) == (8, 12) and looks(40) == [8, 12, 18, 27, 40]
 
 
-def test_a_planted_change_is_found_and_none_is_seen_where_there_is_none(tmp_path: Path) -> None:
-    it = small(
+def test_known_differences_are_detected_and_equal_variants_show_none(tmp_path: Path) -> None:
+    experiment = small(
         seeds=12,
         variants=[
             {"name": "A"},
@@ -141,34 +146,35 @@
             {"name": "less", "fleet": {"slots": 1}},
         ],
     )
-    Runs(it, tmp_path).run(8, quiet)
+    Runs(experiment, tmp_path).run(8, quiet)
     found = by_variant(tmp_path)
-    for name, told in (("same", "no difference seen"), ("slow", "worse"), ("less", "worse")):
+    for name, expected in (("same", "no difference seen"), ("slow", "worse"), ("less", "worse")):
         diff = difference(row(found["A"], "service"), row(found[name], "service"))
-        assert verdict(diff, True) == told, (name, diff)
+        assert verdict(diff, True) == expected, (name, diff)
     assert row(found["A"], "service") == row(found["same"], "service")
 
 
-def test_a_comparison_of_a_thing_with_itself_covers_zero_as_often_as_it_says(tmp_path: Path) -> None:
-    """200 experiments drawn from two independent pools of runs of the same relay; exact for what is drawn."""
-    it = small(
+def test_intervals_of_equal_variants_cover_zero_at_the_nominal_rate(tmp_path: Path) -> None:
+    """Draws 200 experiments without replacement from the pool of the independent runs of two variants that
+    are the same relay, so the true difference is zero."""
+    experiment = small(
         seeds=60,
         common="none",
         variants=[{"name": "A"}, {"name": "B"}],
         traffic={"rate": 15.0, "seconds": 4.0, "warm_s": 0.5},
     )
-    Runs(it, tmp_path).run(8, quiet)
+    Runs(experiment, tmp_path).run(8, quiet)
     found = by_variant(tmp_path)
     a, b = np.array(row(found["A"], "service")), np.array(row(found["B"], "service"))
     assert not np.array_equal(a, b)
-    both, rng, covered = np.concatenate([a, b]), stream(1, "a/a"), 0
-    for _ in range(200):  # one population: the difference is zero by construction
-        drawn = rng.choice(both, size=(2, 10), replace=False)
+    pooled, rng, covered = np.concatenate([a, b]), stream(1, "a/a"), 0
+    for _ in range(200):  # one population, so the true difference is zero
+        drawn = rng.choice(pooled, size=(2, 10), replace=False)
         covered += difference(list(drawn[0]), list(drawn[1])).holds(0.0)
     assert 180 <= covered <= 198, covered
 
 
-def test_intervals_warn_where_they_should() -> None:
+def test_intervals_have_warnings() -> None:
     assert interval([]).seeds == 0 and math.isnan(interval([math.nan]).mean)
     assert "one seed" in interval([1.0]).warning
     assert "3 seeds are few" in interval([1.0, 2.0, 3.0]).warning
@@ -179,25 +185,27 @@
     assert verdict(interval([1.0, 2.0] * 10), False) == "worse"
 
 
-def test_numbers_of_chance_are_even_normal_and_each_call_has_its_own() -> None:
-    luck = Luck(7, "p")
+def test_random_numbers_of_calls_are_uniform_normal_and_independent() -> None:
+    call_random = CallRandom(7, "p")
     values, normals = [], []
     for message in range(4000):
-        luck.of(message, 1)
-        values.append(luck.random())
-        normals.append(luck.gauss(0.0, 1.0))
+        call_random.start_call(message, 1)
+        values.append(call_random.random())
+        normals.append(call_random.gauss(0.0, 1.0))
     assert abs(np.mean(values) - 0.5) < 0.02 and abs(np.var(values) - 1 / 12) < 0.005
     assert abs(np.mean(normals)) < 0.06 and abs(np.std(normals) - 1) < 0.05
     assert abs(np.corrcoef(values[:-1], values[1:])[0, 1]) < 0.06
-    luck.of(17, 2)
-    second = luck.random()
-    luck.of(18, 1)
-    luck.of(17, 2)
-    assert luck.random() == second != values[17]
-    assert Draws(1, "a").random() == Draws(1, "a").random() != Draws(1, "b").random()
+    call_random.start_call(17, 2)
+    second = call_random.random()
+    call_random.start_call(18, 1)
+    call_random.start_call(17, 2)
+    assert call_random.random() == second != values[17]
+    assert (
+        BufferedRandom(1, "a").random() == BufferedRandom(1, "a").random() != BufferedRandom(1, "b").random()
+    )
 
 
-def test_the_report_and_the_commands(tmp_path: Path) -> None:
+def test_report_and_commands(tmp_path: Path) -> None:
     call, file, out = CliRunner().invoke, tmp_path / "x.toml", tmp_path / "out"
     file.write_text(
         'name = "<b>X</b>"\nseeds = 3\n[traffic]\nrate = 20.0\nseconds = 6.0\nwarm_s = 1.0\n'
@@ -223,15 +231,15 @@
     done = call(main, ["sweep", str(file), "--set", "control.CUT=0.5,0.9", "--out", str(swept), "--json"])
     assert {each["variant"] for each in json.loads(done.stdout)["rows"]} == {"A", "CUT=0.5", "CUT=0.9"}
     assert "is not CONSTANT=" in call(main, ["sweep", str(file), "--set", "control.CUT=x"]).output
-    both = json.loads(call(main, ["compare", str(out), str(swept), "--json"]).stdout)["rows"]
-    assert both[-1]["difference"]["mean"] == 0.0 and both[0]["seeds"] == 3
+    compared = json.loads(call(main, ["compare", str(out), str(swept), "--json"]).stdout)["rows"]
+    assert compared[-1]["difference"]["mean"] == 0.0 and compared[0]["seeds"] == 3
     wrong = call(main, ["run", str(tmp_path / "none.toml")])
     assert wrong.exit_code == 2 and "No such file" in wrong.output
     again = call(main, ["run", str(file), "--out", str(out)])
     assert again.exit_code == 2 and "--resume" in again.output
 
 
-def test_the_relay_imports_nothing_of_the_laboratory() -> None:
+def test_relay_does_not_import_the_emulator_or_its_dependencies() -> None:
     code = (
         "import sys, message_relay, message_relay.process, message_relay.fleet.instance\n"
         "print([name for name in ('numpy', 'scipy', 'matplotlib', 'hdrh', 'click', 'rich', 'emulator',"
@@ -241,7 +249,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_results_keep_what_figures_are_made_from(tmp_path: Path) -> None:
+def test_manifest_holds_the_experiment_and_the_versions(tmp_path: Path) -> None:
     Runs(small(seeds=1), tmp_path).run(1, quiet)
-    told = msgspec.json.decode((tmp_path / "experiment.json").read_bytes())
-    assert told["experiment"]["name"] == "small" and len(told["versions"]["A"]) == 16
+    stored = msgspec.json.decode((tmp_path / "experiment.json").read_bytes())
+    assert stored["experiment"]["name"] == "small" and len(stored["versions"]["A"]) == 16
--- a/tests/emulator/test_shell.py
+++ b/tests/emulator/test_shell.py
@@ -1,4 +1,4 @@
-"""The model behind sockets gives the same answers to the same calls as in virtual time."""
+"""The model of a partner gives the same replies to the same calls over sockets as in virtual time."""
 
 from __future__ import annotations
 
@@ -38,12 +38,13 @@
     return calls
 
 
-def seen(reply: Reply) -> str:
+def status_of(reply: Reply) -> str:
     return {Reply.OK: "200", Reply.ERROR: "500", Reply.FULL: "429"}.get(reply, "end")
 
 
 async def over_sockets(calls: list[tuple[float, Call]], endpoint: Endpoint, now: list[float]) -> list[str]:
-    """One after the other: the model's clock says what the script says, and its answers come at once."""
+    """Makes the calls one after another. The endpoint's clock shows the time of each call, and its replies
+    are sent without delay."""
     server = await endpoint.start()
     got, line = list[str](), None
     for at, call in calls:
@@ -65,7 +66,7 @@
     return got
 
 
-def test_sockets_and_virtual_time_give_the_same_answers(tmp_path: Path) -> None:
+def test_replies_over_sockets_equal_those_in_virtual_time(tmp_path: Path) -> None:
     calls = script()
     virtual = Partner(SPEC, Random(5))
     expected = [virtual.call(at, call) for at, call in calls]
@@ -78,7 +79,7 @@
             endpoint = Endpoint(model, ("127.0.0.1", 0), lambda: now[0], ledger)
             endpoint.after = lambda delay_ms: 0.0
             got = await over_sockets(calls, endpoint, now)
-        assert got == [seen(answer.reply) for answer in expected]
+        assert got == [status_of(answer.reply) for answer in expected]
         assert model.effects == virtual.effects
         lines = (tmp_path / "ledger").read_text().splitlines()
         assert [line.split()[1] for line in lines] == list(model.effects.elements())
@@ -86,7 +87,7 @@
     asyncio.run(asyncio.wait_for(work(), 60.0))
 
 
-def test_a_collapse_takes_the_listener_away_for_a_while() -> None:
+def test_collapse_closes_the_listener_until_it_recovers() -> None:
     async def work() -> None:
         cold = Cold(0.2, 1e9, 2.0, 1500.0, 300.0)
         spec = Spec(rate=Rate(20.0), cold=cold, troubles=(Trouble(Fault.DOWN, 0.0, 1.0),))
--- a/tests/emulator/test_trace.py
+++ b/tests/emulator/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces: what a relay records, and reading it whatever has become of it."""
+"""Traces: recording by a relay, and reading, also of damaged files."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return Submission(f"id-{n}", "order", "Firma Unu", 7, "secret-key", 16000, "", b"the body", "http")
 
 
-def test_a_recording_has_what_is_played_and_nothing_that_names_anybody(tmp_path: Path) -> None:
+def test_recording_holds_the_traffic_but_no_names_keys_or_bodies(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     recorder = Recorder(path, 1.0)
     for n in range(500):
@@ -51,7 +51,7 @@
     assert path.stat().st_mode & 0o077 == 0
 
 
-def test_a_recording_grows_no_further_than_told_and_counts_what_is_missing(tmp_path: Path) -> None:
+def test_recording_stops_at_its_size_limit_and_counts_dropped_lines(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     recorder = Recorder(path, 0.01)
     for n in range(500):
@@ -62,7 +62,7 @@
     assert json.loads(path.read_bytes().splitlines()[-1]) == {"dropped": 500 - kept} and 0 < kept < 500
 
 
-def test_a_disk_that_takes_nothing_ends_the_recording_and_not_the_relay(tmp_path: Path) -> None:
+def test_full_disk_ends_the_recording_without_an_exception(tmp_path: Path) -> None:
     recorder = Recorder(Path("/dev/full"), 1.0)
     for n in range(2000):
         recorder.record(offer(n))
@@ -70,13 +70,13 @@
     assert recorder.is_closed
 
 
-def test_lines_out_of_order_clock_jumps_and_a_cut_end(tmp_path: Path) -> None:
+def test_reading_tolerates_disorder_clock_jumps_and_a_truncated_end(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl.gz"
     times = [*range(0, 5000), 3000.5, -40.0, math.inf, *range(5000, 9000)]
     trace.write(path, [line(float(at), ident=str(n)) for n, at in enumerate(times) if at != math.inf], HEAD)
-    whole = gzip.decompress(path.read_bytes())
-    whole = whole.replace(b"[17.0,", b"[17,,", 1) + b'[1e999,"order",1,"t",1,1,"x"]\n[9000.0,"ord'
-    path.write_bytes(gzip.compress(whole)[:-200])
+    data = gzip.decompress(path.read_bytes())
+    data = data.replace(b"[17.0,", b"[17,,", 1) + b'[1e999,"order",1,"t",1,1,"x"]\n[9000.0,"ord'
+    path.write_bytes(gzip.compress(data)[:-200])
     notes = trace.Notes()
     found = [each.at for each in trace.read(path, notes)]
     assert found == sorted(found) and min(found) >= 0
@@ -84,19 +84,19 @@
     assert len(found) > 7000
 
 
-def test_what_is_no_trace_or_of_a_later_version_is_refused(tmp_path: Path) -> None:
+def test_other_files_and_later_versions_are_rejected(tmp_path: Path) -> None:
     for name, data, text in (
-        ("a", b"hello\n", "is no trace"),
-        ("b", b'{"v":2}\n', "is of version 2"),
-        ("c.gz", b"hello\n", "is no trace"),
-        ("d", b"", "is no trace"),
+        ("a", b"hello\n", "is not a trace"),
+        ("b", b'{"v":2}\n', "has version 2"),
+        ("c.gz", b"hello\n", "is not a trace"),
+        ("d", b"", "is not a trace"),
     ):
         (tmp_path / name).write_bytes(data)
         with pytest.raises(trace.TraceError, match=text):
             list(trace.read(tmp_path / name))
 
 
-def test_memory_stays_bounded_over_many_lines(tmp_path: Path) -> None:
+def test_statistics_use_bounded_memory(tmp_path: Path) -> None:
     path, count = tmp_path / "t.jsonl", 200_000
     rng = np.random.default_rng(1)
 
@@ -118,16 +118,16 @@
     lines = [line(float(at), at % 7, str(at)) for at in range(0, 100_000, 10)]
     part = list(trace.cut(lines, 20_000, 30_000))
     assert len(part) == 1000 and part[0].at == 0.0 and part[-1].at == 9990.0
-    more = list(trace.scale(lines, 2.5, stream(1, "x")))
-    assert abs(len(more) - 25_000) < 300
-    assert [each.at for each in more] == sorted(each.at for each in more)
-    assert len({each.id for each in more}) == len(more)
+    scaled = list(trace.scale(lines, 2.5, stream(1, "x")))
+    assert abs(len(scaled) - 25_000) < 300
+    assert [each.at for each in scaled] == sorted(each.at for each in scaled)
+    assert len({each.id for each in scaled}) == len(scaled)
     assert len(list(trace.scale(lines, 0.1, stream(1, "x")))) < 1200
 
 
-def test_a_model_drawn_from_a_trace_is_like_what_it_was_drawn_from(tmp_path: Path) -> None:
-    """Round trip: traffic that is known, its trace, the model fitted to it."""
-    it = decoded(
+def test_fitted_model_matches_the_traffic_of_the_trace(tmp_path: Path) -> None:
+    """Fits a model to the trace of known traffic and compares its parameters."""
+    experiment = decoded(
         {
             "name": "x",
             "partners": [{}] * 40,
@@ -148,14 +148,14 @@
         (
             trace.Line(
                 job.at,
-                it.classes[job.class_].name,
+                experiment.classes[job.class_].name,
                 job.destination,
                 "t",
                 job.bytes,
                 job.left_ms,
                 str(job.number),
             )
-            for job in drawn(it, 3)
+            for job in drawn(experiment, 3)
         ),
         HEAD,
     )
@@ -170,13 +170,13 @@
     assert shares["order"] == pytest.approx(0.51, abs=0.03)
 
 
-def test_a_trace_is_played_as_it_was(tmp_path: Path) -> None:
+def test_trace_gives_its_messages_at_their_times(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     trace.write(path, [line(10.0, 99, "a"), line(30.0, 4, "b"), line(40.0, 4, "c"), line(70_000.0, 4)], HEAD)
-    it = decoded({"name": "x", "partners": [{}, {}], "traffic": {"trace": str(path)}}, "x")
-    jobs = list(from_trace(it, 1))
+    experiment = decoded({"name": "x", "partners": [{}, {}], "traffic": {"trace": str(path)}}, "x")
+    jobs = list(from_trace(experiment, 1))
     assert [(job.at, job.destination) for job in jobs] == [(10.0, 2), (30.0, 1), (40.0, 1)]
-    bad = decoded(
+    invalid = decoded(
         {
             "name": "x",
             "classes": [{"name": "z", "effect": "once", "aim_ms": 1, "deadline_ms": 2}],
@@ -186,15 +186,15 @@
         "x",
     )
     with pytest.raises(ValueError, match="class 'order' is none of z"):
-        list(from_trace(bad, 1))
+        list(from_trace(invalid, 1))
 
 
-def test_the_commands_of_traces(tmp_path: Path) -> None:
+def test_trace_commands(tmp_path: Path) -> None:
     path, out = tmp_path / "t.jsonl", tmp_path / "o.jsonl.gz"
     trace.write(path, [line(float(at), at % 3, str(at)) for at in range(0, 60_000, 20)], HEAD)
     call = CliRunner().invoke
-    told = json.loads(call(main, ["trace", "stats", str(path), "--json"]).stdout)
-    assert told["messages"] == 3000 and told["rate"] == pytest.approx(50, abs=1)
+    stats = json.loads(call(main, ["trace", "stats", str(path), "--json"]).stdout)
+    assert stats["messages"] == 3000 and stats["rate"] == pytest.approx(50, abs=1)
     assert call(main, ["trace", "cut", str(path), str(out), "--end-s", "30"]).output.startswith(
         "1500 messages"
     )
@@ -204,4 +204,4 @@
     assert "rate = " in call(main, ["trace", "fit", str(path)]).stdout
     (tmp_path / "bad").write_text("x")
     wrong = call(main, ["trace", "stats", str(tmp_path / "bad")])
-    assert wrong.exit_code == 2 and "is no trace" in wrong.output
+    assert wrong.exit_code == 2 and "is not a trace" in wrong.output
--- a/tests/emulator/test_zones.py
+++ b/tests/emulator/test_zones.py
@@ -1,4 +1,4 @@
-"""Fleets in zones in virtual time: what plans make of lost zones, cut ways and orders of the operator."""
+"""Fleets in zones in virtual time: plans during zone outages, network partitions and evacuations."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 RELAYS = 24
 
 
-def play(mode: Mode = "plans", seed: int = 1, **more: Any) -> Zoned:
-    world = fleet(RELAYS, seed, Place(PART, mode, **more))
+def play(mode: Mode = "plans", seed: int = 1, **faults: Any) -> Zoned:
+    world = fleet(RELAYS, seed, Place(PART, mode, **faults))
     record = world.run()
     assert record.breaks == 0, record.broken
-    assert world.moves.outside == []  # no payment left its region
+    assert world.moves.outside == []  # no payment call left its region
     return world
 
 
 def calls(world: Zoned, zone: str, begin_s: float, end_s: float) -> int:
-    """Of all relays to that zone's partners."""
+    """The number of calls of all relays to the partners in a zone during a time span."""
     places = [n + 1 for n in range(len(world.partners)) if world.zones[n % 3] == zone]
     times = (at for place in places for at in world.record.calls.get(place, []))
     return sum(begin_s * 1000 <= at < end_s * 1000 for at in times)
 
 
 def shares(world: Zoned, source: str, target: str, begin_s: float, end_s: float) -> list[float]:
-    """Of the first destination, by the versions of that time."""
+    """The allowed shares of the first destination in the versions of a time span."""
     of_time = (rules for at, rules in world.moves.versions if begin_s <= at / 1000 < end_s)
     return [rules.flow_for("1").allowed_share(source, target) for rules in of_time]
 
 
-def test_without_a_fault_a_plan_changes_nothing() -> None:
+def test_plans_change_nothing_without_a_fault() -> None:
     alone, plans = play("alone"), play()
     assert plans.record.figures()["service"] == pytest.approx(alone.record.figures()["service"], abs=0.001)
     assert plans.moves.near_share > 0.99
 
 
-def test_a_zone_that_is_lost_for_long_costs_less_by_plans_than_alone_and_by_a_switch() -> None:
+def test_plans_beat_no_plans_and_a_static_switch_during_a_long_zone_outage() -> None:
     outage = (Outage("a", 8.0, 28.0),)
     worst = {mode: 0.0 for mode in ("alone", "static", "plans")}
     service = dict(worst)
@@ -52,8 +52,9 @@
     assert service["plans"] > max(service["alone"], service["static"])
 
 
-def test_what_was_lost_together_comes_back_together() -> None:
-    """Each destination alone has some four calls in ten seconds to be tried by: each step took ten."""
+def test_destinations_of_a_lost_zone_recover_together() -> None:
+    """Guards against slow recovery of a zone: each destination alone has some four calls in ten seconds as
+    evidence, so each step of the recovery took ten seconds."""
     for seed in (1, 2, 3):
         world = play(seed=seed, outages=(Outage("a", 10.0, 18.0),))
         assert calls(world, "a", 12.0, 18.0) == 0
@@ -62,7 +63,7 @@
         assert world.record.falls == 0
 
 
-def test_relays_that_are_cut_off_from_a_zone_leave_it_alone_and_others_stay() -> None:
+def test_only_relays_partitioned_from_a_zone_avoid_it() -> None:
     world = play(cuts=(Cut("a", "a", 10.0, 60.0),))
     assert max(shares(world, "a", "a", 15.0, 40.0)) < 0.2
     for source, target in (("b", "b"), ("c", "c"), ("b", "a"), ("c", "a")):
@@ -70,7 +71,7 @@
     assert world.moves.by["b", "b"] > 0 and world.moves.by["a", "b"] + world.moves.by["a", "c"] > 100
 
 
-def test_a_decider_that_dies_in_the_midst_of_a_shift_is_followed_by_one_that_goes_on() -> None:
+def test_next_controller_continues_when_one_dies_during_a_shift() -> None:
     steady = play(outages=(Outage("a", 8.0, 28.0),))
     dies = play(outages=(Outage("a", 8.0, 28.0),), dies_s=(11.5, 14.5, 30.5))
     assert calls(dies, "a", 14.0, 28.0) == 0
@@ -78,22 +79,25 @@
     assert other > 0.97 * one
 
 
-def test_a_zone_that_flaps_is_tried_ever_more_rarely() -> None:
+def test_flapping_zone_is_retried_with_growing_hold_offs() -> None:
     flaps = tuple(Outage("a", at, at + 2.0) for at in range(10, 38, 4))
     alone, plans = play("alone", outages=flaps), play(outages=flaps)
     assert plans.record.figures()["service"] > 0.9 * alone.record.figures()["service"]
-    row = shares(plans, "a", "a", 10.0, 40.0)
-    falls = sum(before > 0 and after == 0 for before, after in zip([1.0, *row], row, strict=False))
-    assert 1 <= falls <= 5  # in 28 s of seven flaps: hold-offs of 2, 4, 8 and 16 s lie between them
+    shares_over_time = shares(plans, "a", "a", 10.0, 40.0)
+    falls = sum(
+        before > 0 and after == 0
+        for before, after in zip([1.0, *shares_over_time], shares_over_time, strict=False)
+    )
+    assert 1 <= falls <= 5  # in 28 s with seven flaps, since hold-offs of 2, 4, 8 and 16 s separate them
 
 
-def test_half_of_two_zones_is_shifted_in_part_and_no_more_than_fits() -> None:
+def test_partial_outage_of_two_zones_shifts_only_what_other_zones_can_take() -> None:
     half = (Outage("a", 10.0, 40.0, share=0.5), Outage("b", 10.0, 40.0, share=0.5))
     alone, plans = play("alone", outages=half), play(outages=half)
     assert plans.record.figures()["worst_10s"] > 0.97 * alone.record.figures()["worst_10s"]
 
 
-def test_an_operator_has_a_zone_left_during_a_failover_and_used_again() -> None:
+def test_operator_evacuates_a_zone_during_a_failover_and_ends_it() -> None:
     world = play(outages=(Outage("a", 8.0, 40.0),), evacuated=((15.0, "c"), (25.0, "-c")))
     assert calls(world, "c", 17.5, 25.0) == 0
     assert calls(world, "c", 30.0, 40.0) > 100
