--- a/emulator/live.py
+++ b/emulator/live.py
@@ -186,11 +186,11 @@
             f"share_rates = {str(self.experiment.fleet.share_rates).lower()}\n"
         )
         for n in range(self.experiment.fleet.relays):
-            await self._relay(n)
+            await self._start_relay(n)
         for n in range(self.experiment.fleet.relays):
-            await self._ready(n)
+            await self._wait_until_ready(n)
 
-    async def _relay(self, n: int) -> None:
+    async def _start_relay(self, n: int) -> None:
         env = {
             "RELAY_CONFIG": str(self.folder / f"config{n}.json"),
             "RELAY_INSTANCE": str(n),
@@ -200,7 +200,7 @@
             env["PYTHONPATH"] = self.variant.version
         await self._start(f"relay{n}", "message_relay", env=env)
 
-    async def _ready(self, n: int) -> None:
+    async def _wait_until_ready(self, n: int) -> None:
         ends = time.monotonic() + READY_S
         while time.monotonic() < ends:
             if self.processes[f"relay{n}"].returncode is not None:
@@ -272,7 +272,7 @@
         history.tries += 1
         position = job.relay if history.tries == 1 else self.rng.random()
         at = self._relay_address(position)
-        left = min(history.due, history.resubmit_until) - self.now()
+        left = min(history.deadline, history.resubmit_until) - self.now()
         if at is None or left <= 0:
             self._schedule_resubmission(history, job, Response("none"))
             return
@@ -311,7 +311,9 @@
         pause = clients.pause_ms * 2 ** (history.tries - 1) * (0.5 + self.rng.random())
         if self.rng.random() < clients.heed:
             pause = max(pause, response.retry_ms)
-        if history.tries < clients.tries and self.now() + pause < min(history.due, history.resubmit_until):
+        if history.tries < clients.tries and self.now() + pause < min(
+            history.deadline, history.resubmit_until
+        ):
             self._start_task(self._submit(history, job, pause))
 
     def _on_notification(self, notification: dict[str, Any]) -> None:
@@ -327,7 +329,7 @@
             history.at,
             history.class_,
             history.destination,
-            history.due - history.at,
+            history.deadline - history.at,
             self.experiment.traffic.bytes,
             0.0,
         )
@@ -351,8 +353,8 @@
         self.up[restart.relay] = False
         await process.wait()
         await asyncio.sleep(0.6)
-        await self._relay(restart.relay)
-        await self._ready(restart.relay)
+        await self._start_relay(restart.relay)
+        await self._wait_until_ready(restart.relay)
         self.up[restart.relay] = True
 
     def _read_ledgers(self) -> None:
@@ -372,7 +374,9 @@
                 history.calls += 1
                 if reply == "ok":
                     done = called_at + float(after)
-                    history.done = done if history.done is None else min(history.done, done)
+                    history.delivered_at = (
+                        done if history.delivered_at is None else min(history.delivered_at, done)
+                    )
             for line in lines(self.folder / f"effects{n}"):
                 history = self.histories.get(line.split()[1])
                 if history is not None:
--- a/emulator/measures.py
+++ b/emulator/measures.py
@@ -35,15 +35,15 @@
     at: float
     class_: int
     destination: int
-    due: float
-    counted: bool
+    deadline: float
+    is_counted: bool  # in the figures: submitted after the warm-up
     tries: int = 0  # submissions
     resubmit_until: float = math.inf  # its client does not resubmit it after this time: see `accepted`
-    taken: int = 0
+    acceptances: int = 0
     calls: int = 0
-    ends: int = 0
-    holder: int | None = None
-    done: float | None = None
+    final_outcomes: int = 0
+    holder: int | None = None  # number of the relay that has it pending
+    delivered_at: float | None = None
     failed: bool = False
 
 
@@ -53,9 +53,9 @@
 
     experiment: Experiment
     histories: list[MessageHistory] = field(default_factory=list)
-    calls: dict[int, list[float]] = field(default_factory=dict)
-    full: Counter[int] = field(default_factory=Counter)
-    listing_changed_at: dict[tuple[int, int], float] = field(default_factory=dict)
+    calls: dict[int, list[float]] = field(default_factory=dict)  # times, by destination
+    full: Counter[int] = field(default_factory=Counter)  # rejected calls, by destination
+    listing_changed_at: dict[tuple[int, int], float] = field(default_factory=dict)  # by (relay, endpoint)
     broken: list[str] = field(default_factory=list)
     breaks: int = 0
     refused: int = 0
@@ -81,7 +81,7 @@
         """Records that a relay accepted the message. From now on a message with an idempotency key may have
         an effect, and partners forget the key after the idempotency window, so its client resubmits it only
         within the window."""
-        history.taken += 1
+        history.acceptances += 1
         class_ = self.experiment.classes[history.class_]
         if class_.effect == "by_key":
             history.resubmit_until = min(history.resubmit_until, now + class_.window_ms)
@@ -94,8 +94,8 @@
             self.full[destination] += 1
 
     def delivered(self, history: MessageHistory, now: float) -> None:
-        if history.done is None:
-            history.done = now
+        if history.delivered_at is None:
+            history.delivered_at = now
 
     def add_violation(self, text: str) -> None:
         self.breaks += 1
@@ -125,18 +125,20 @@
     # -- figures -----------------------------------------------------------------------------------------
 
     def worth(self, history: MessageHistory) -> float:
-        if history.done is None:
+        if history.delivered_at is None:
             return 0.0
         class_ = self.experiment.classes[history.class_]
-        late = (history.done - history.at) / class_.aim_ms - 1
+        late = (history.delivered_at - history.at) / class_.aim_ms - 1
         return class_.worth * (1.0 if late <= 0 else 0.5**late)
 
     def figures(self) -> dict[str, float]:
         """All figures of MEASURES by name; NaN where there is nothing to measure."""
-        counted = [history for history in self.histories if history.counted]
+        counted = [history for history in self.histories if history.is_counted]
         submitted_worth = sum(self.experiment.classes[history.class_].worth for history in counted)
         delivery_ms = np.array(
-            sorted(history.done - history.at for history in counted if history.done is not None)
+            sorted(
+                history.delivered_at - history.at for history in counted if history.delivered_at is not None
+            )
         )
         over, cold = self._worst_overload()
         unsafe = [history for history in counted if self.experiment.classes[history.class_].effect == "once"]
@@ -144,8 +146,8 @@
             "service": sum(map(self.worth, counted)) / submitted_worth if submitted_worth else math.nan,
             "delivered": len(delivery_ms) / len(counted) if counted else math.nan,
             "in_aim": _share(
-                history.done is not None
-                and history.done - history.at <= self.experiment.classes[history.class_].aim_ms
+                history.delivered_at is not None
+                and history.delivered_at - history.at <= self.experiment.classes[history.class_].aim_ms
                 for history in counted
             ),
             "worst_10s": self._worst_10s(counted),
@@ -156,7 +158,7 @@
             "tries_while_out": float(self.tries_while_out),
             "refused": float(self.refused),
             "calls": sum(history.calls for history in counted) / len(counted) if counted else math.nan,
-            "unsafe_failed": _share(history.done is None for history in unsafe),
+            "unsafe_failed": _share(history.delivered_at is None for history in unsafe),
             "falls": float(self.falls),
         }
 
@@ -212,7 +214,7 @@
             totals,
             (
                 [history.at for history in self.histories],
-                [history.done for history in self.histories if history.done is not None],
+                [history.delivered_at for history in self.histories if history.delivered_at is not None],
                 [at for calls in self.calls.values() for at in calls],
             ),
             strict=True,
@@ -234,10 +236,12 @@
     def by_destination(self, most: int = 50) -> list[list[float]]:
         """Lists [destination, submitted, delivered, rejected calls], the busiest first."""
         submitted: Counter[int] = Counter(
-            history.destination for history in self.histories if history.counted
+            history.destination for history in self.histories if history.is_counted
         )
         done = Counter(
-            history.destination for history in self.histories if history.counted and history.done is not None
+            history.destination
+            for history in self.histories
+            if history.is_counted and history.delivered_at is not None
         )
         return [[dest, count, done[dest], self.full[dest]] for dest, count in submitted.most_common(most)]
 
@@ -247,8 +251,8 @@
         for n, class_ in enumerate(self.experiment.classes):
             histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
             for history in self.histories:
-                if history.counted and history.class_ == n and history.done is not None:
-                    histogram.record_value(max(LOWEST_MS, round(history.done - history.at)))
+                if history.is_counted and history.class_ == n and history.delivered_at is not None:
+                    histogram.record_value(max(LOWEST_MS, round(history.delivered_at - history.at)))
             out[class_.name] = histogram.encode().decode()
         return out
 
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -59,9 +59,9 @@
     """A message in a relay's journal: accepted, without a final outcome."""
 
     history: MessageHistory
-    since: float
-    due: float
-    tries: int = 0
+    accepted_at: float
+    deadline: float
+    attempts: int = 0
     possible_effect: tuple[float, int] | None = None  # (time, endpoint) of the first attempt that has one
     in_flight: tuple[float, int] | None = None  # (time, endpoint) of the attempt in flight
 
@@ -257,8 +257,8 @@
             self.record.refused += 1
             self._schedule_resubmission(history, now, RETRY_S * 1000)
             return
-        due = min(history.due, history.resubmit_until)
-        left = due - now
+        deadline = min(history.deadline, history.resubmit_until)
+        left = deadline - now
         if left <= 0:
             return
         message = Message(0, history.destination, history.class_, left, is_repeat=history.tries > 1)
@@ -267,12 +267,12 @@
             self.record.refused += 1
             self._schedule_resubmission(history, now, retry_ms)
             return
-        node.journal[history.number] = JournalEntry(history, now, due)
+        node.journal[history.number] = JournalEntry(history, now, deadline)
         self.record.accepted(history, now)
         self._on_accepted(node, history)
-        if history.taken > 1 and history.holder is not None:
+        if history.acceptances > 1 and history.holder is not None:
             self.record.add_violation(f"message {history.number} is held twice")
-        history.holder, history.ends = node.number, 0
+        history.holder, history.final_outcomes = node.number, 0
         self._add_pending(node, history.number, left, is_resubmission=history.tries > 1)
         self._schedule_turn(node, now)
 
@@ -294,7 +294,7 @@
         if self.clients.random() < clients.heed:
             pause = max(pause, retry_after_ms)
         position = self.clients.random()
-        if history.tries < clients.tries and now + pause < min(history.due, history.resubmit_until):
+        if history.tries < clients.tries and now + pause < min(history.deadline, history.resubmit_until):
             self.at(now + pause, lambda now: self._submit(history, now, position))
 
     # -- a relay -----------------------------------------------------------------------------------------
@@ -326,9 +326,9 @@
             self._add_pending(
                 node,
                 message,
-                journal_entry.due - now,
-                age_ms=now - journal_entry.since,
-                attempts=journal_entry.tries,
+                journal_entry.deadline - now,
+                age_ms=now - journal_entry.accepted_at,
+                attempts=journal_entry.attempts,
                 uncertain_for_ms=None if possible_effect is None else now - possible_effect[0],
                 uncertain_endpoint=endpoint,
             )
@@ -377,7 +377,7 @@
             return
         journal_entry = node.journal.pop(message)
         history = journal_entry.history
-        history.ends += 1
+        history.final_outcomes += 1
         history.holder = None
         if state == "failed":
             history.failed = True
@@ -419,7 +419,7 @@
             self.at(ends_at, lambda now: self._complete_attempt(this, Outcome.CONNECT_FAILED, 0.0, now))
             return
         journal_entry.in_flight, this.first_byte_at = (now, endpoint), now
-        journal_entry.tries += 1
+        journal_entry.attempts += 1
         self._check_drain(node, endpoint, now)
         if self.experiment.classes[journal_entry.history.class_].effect == "once":
             self.at(now + WITHHOLD_MS, lambda now: self._send_last_byte(this, journal_entry, now))
@@ -477,7 +477,7 @@
             if finished:
                 del node.journal[message], node.pending[this.ident]
                 journal_entry.history.holder = None
-                journal_entry.history.ends += 1
+                journal_entry.history.final_outcomes += 1
                 self.record.delivered(journal_entry.history, now)
         node.events.append(
             AttemptCompleted(
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -208,7 +208,7 @@
             str(endpoint),
             self.zones[entry.zone],
             class_.name,
-            journal_entry.tries,
+            journal_entry.attempts,
             journal_entry.possible_effect is not None,
             class_.effect == "by_key",
         )
--- a/tests/emulator/test_live.py
+++ b/tests/emulator/test_live.py
@@ -108,8 +108,8 @@
             await relay.wait()
             settings = live.folder / "relay.toml"
             settings.write_text(settings.read_text() + f'[record]\nfile = "{tmp_path}/r{{n}}.jsonl"\n')
-            await live._relay(0)
-            await live._ready(0)
+            await live._start_relay(0)
+            await live._wait_until_ready(0)
             for n in range(20):
                 data = request(f"rec-{n}-{os.getpid()}", "order", 1, 3000.0, b"x" * 10, f"k{n}")
                 assert (await live.clients.hand_in(("127.0.0.1", live.ports[0]), data)).taken
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -155,7 +155,9 @@
             fleet={"relays": 1, "hold": 5},
         )
     )
-    assert record.refused > 100 and any(history.tries > 1 and history.done for history in record.histories)
+    assert record.refused > 100 and any(
+        history.tries > 1 and history.delivered_at for history in record.histories
+    )
     assert record.breaks == 0 and figures["delivered"] < 0.6
 
 
