--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs by the size of the fleet: slopes, for `docs/CAPACITY.md`."""
+"""Measures the cost of each role at several fleet sizes and fits slopes for `docs/CAPACITY.md`."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,8 +1,9 @@
-"""Measures what each role costs by size, and fits it: docs/CAPACITY.md is worked out from what this writes.
+"""Measures the cost of each role by size and fits slopes. docs/CAPACITY.md is computed from the output.
 
     python -m benchmarks.capacity [--json] [--only PREFIX ...] [--into docs/reports/capacity.json]
 
-One measure after another, each size in a process of its own. `--only` keeps the other slopes of `--into`.
+The measures run one after another, and each size runs in its own process. With `--only`, the other slopes in
+the `--into` file are kept.
 """
 
 from __future__ import annotations
@@ -22,82 +23,85 @@
 
 import msgspec
 
-import benchmarks.capacity as here
+import benchmarks.capacity as package
 from emulator.capacity.slopes import Report, Sample, Slope, fitted
 
 from .form import Measure
 
-PARTS_LEFT_OUT = {"__main__", "form"}
-PATIENCE_S = 300.0  # of one size of one measure
-LOOK_S = 0.2  # between two looks at memory and processes
+EXCLUDED_MODULES = {"__main__", "form"}
+TIMEOUT_S = 300.0  # for one size of one measure
+SAMPLE_INTERVAL_S = 0.2  # between two samples of memory and process count
 
 
 def measures() -> list[Measure]:
-    """Of every module beside this one that has `MEASURES`, by name."""
-    found: list[Measure] = []
-    for part in pkgutil.iter_modules(here.__path__):
-        if part.name not in PARTS_LEFT_OUT:
-            found += getattr(importlib.import_module(f"{here.__name__}.{part.name}"), "MEASURES", ())
-    return sorted(found, key=lambda each: each.name)
+    """Return the `MEASURES` of every module in this package, sorted by name."""
+    collected: list[Measure] = []
+    for part in pkgutil.iter_modules(package.__path__):
+        if part.name not in EXCLUDED_MODULES:
+            collected += getattr(importlib.import_module(f"{package.__name__}.{part.name}"), "MEASURES", ())
+    return sorted(collected, key=lambda measure: measure.name)
 
 
-class Watch(threading.Thread):
-    """Memory and number of the processes below this one, at their most. Shared pages count in each."""
+class ResourceMonitor(threading.Thread):
+    """Records the peak memory and the peak number of processes of this process tree.
+
+    Pages shared between processes are counted once for each process.
+    """
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
-        self.most_mb, self.most_processes, self.ended = 0.0, 0, threading.Event()
+        self.most_mb, self.most_processes, self.stop_requested = 0.0, 0, threading.Event()
 
     def run(self) -> None:
-        while not self.ended.wait(LOOK_S):
-            mb, count = below(os.getpid())
+        while not self.stop_requested.wait(SAMPLE_INTERVAL_S):
+            mb, count = process_tree_usage(os.getpid())
             self.most_mb, self.most_processes = max(self.most_mb, mb), max(self.most_processes, count)
 
 
-def below(root: int) -> tuple[float, int]:
-    """MB and number of a process's children and theirs, itself included."""
+def process_tree_usage(root: int) -> tuple[float, int]:
+    """Return the memory in MB and the number of processes of a process tree, including `root`."""
     parents: dict[int, list[int]] = {}
     for entry in Path("/proc").iterdir():
         if entry.name.isdecimal():
             try:
-                told = (entry / "stat").read_text().rpartition(")")[2].split()
+                fields = (entry / "stat").read_text().rpartition(")")[2].split()
             except OSError:
                 continue
-            parents.setdefault(int(told[1]), []).append(int(entry.name))
-    todo, mb, count = [root], 0.0, 0
-    while todo:
-        each = todo.pop()
-        todo += parents.get(each, [])
+            parents.setdefault(int(fields[1]), []).append(int(entry.name))
+    pending, mb, count = [root], 0.0, 0
+    while pending:
+        pid = pending.pop()
+        pending += parents.get(pid, [])
         try:
-            pages = int(Path(f"/proc/{each}/statm").read_text().split()[1])
+            pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         except OSError:
             continue
         mb, count = mb + pages * os.sysconf("SC_PAGE_SIZE") / 1e6, count + 1
     return mb, count
 
 
-def one(measure: Measure, size: int) -> dict[str, float]:
-    """In a process of its own. Raises ValueError with what it said if it failed."""
-    done = subprocess.run(
+def run_in_subprocess(measure: Measure, size: int) -> dict[str, float]:
+    """Run one size in its own process. Raises ValueError with its error output if it fails."""
+    process = subprocess.run(
         [sys.executable, "-m", "benchmarks.capacity", "--one", measure.name, "--size", str(size)],
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
-    if done.returncode:
-        raise ValueError(f"{measure.name} at {size}: {done.stderr.strip()[-400:]}")
-    told: dict[str, float] = json.loads(done.stdout.splitlines()[-1])
-    if set(told) != set(measure.units):
-        raise ValueError(f"{measure.name} at {size}: told {sorted(told)}, must be {sorted(measure.units)}")
-    return told
+    if process.returncode:
+        raise ValueError(f"{measure.name} at {size}: {process.stderr.strip()[-400:]}")
+    costs: dict[str, float] = json.loads(process.stdout.splitlines()[-1])
+    if set(costs) != set(measure.units):
+        raise ValueError(f"{measure.name} at {size}: told {sorted(costs)}, must be {sorted(measure.units)}")
+    return costs
 
 
-def measured(measure: Measure) -> list[Slope]:
-    """The largest size last: by then the fit stands."""
+def measure_slopes(measure: Measure) -> list[Slope]:
+    """Run all sizes of a measure, the largest one last, and fit a slope for each cost."""
     rows: dict[int, list[dict[str, float]]] = {}
     for size in (*measure.sizes, measure.largest):
-        rows[size] = [one(measure, size) for _ in range(measure.rounds)]
+        rows[size] = [run_in_subprocess(measure, size) for _ in range(measure.rounds)]
     slopes = []
     for cost in measure.units:
         samples = []
@@ -118,54 +122,55 @@
     return slopes
 
 
-def whole(only: list[str], before: Report | None) -> Report:
-    """Measures; of what is not measured now, what `before` has stays."""
-    began, watch = time.monotonic(), Watch()
-    watch.start()
+def run_measures(only: list[str], before: Report | None) -> Report:
+    """Run the selected measures. Slopes that are not selected are kept from `before`."""
+    started_at, monitor = time.monotonic(), ResourceMonitor()
+    monitor.start()
     slopes: list[Slope] = []
     missing: list[str] = []
-    chosen = [each for each in measures() if not only or any(each.name.startswith(part) for part in only)]
-    for measure in chosen:
-        print(f"{time.monotonic() - began:6.1f} s  {measure.name}", file=sys.stderr)
+    selected = [item for item in measures() if not only or any(item.name.startswith(part) for part in only)]
+    for measure in selected:
+        print(f"{time.monotonic() - started_at:6.1f} s  {measure.name}", file=sys.stderr)
         try:
-            slopes += measured(measure)
+            slopes += measure_slopes(measure)
         except (ValueError, subprocess.TimeoutExpired) as error:
             missing.append(str(error))
             print(f"  failed: {error}", file=sys.stderr)
-    watch.ended.set()
-    watch.join()
-    kept = (
+    monitor.stop_requested.set()
+    monitor.join()
+    retained = (
         []
         if before is None or not only
         else [
-            each
-            for each in before.slopes
-            if not any(each.name.startswith(f"{part.name}.") for part in chosen)
+            item
+            for item in before.slopes
+            if not any(item.name.startswith(f"{part.name}.") for part in selected)
         ]
     )
     facts = {} if before is None else before.facts
     machine = f"{os.cpu_count()} cores, {platform.python_implementation()} {platform.python_version()}"
     return Report(
         machine,
-        round(time.monotonic() - began, 1),
-        round(watch.most_mb),
-        watch.most_processes,
-        sorted(kept + slopes, key=lambda each: each.name),
+        round(time.monotonic() - started_at, 1),
+        round(monitor.most_mb),
+        monitor.most_processes,
+        sorted(retained + slopes, key=lambda item: item.name),
         facts,
         missing,
     )
 
 
-def table(report: Report) -> str:
+def format_table(report: Report) -> str:
     lines = [
         f"{'slope':42} {'unit':12} {'base':>10} {'each':>12} {'+-':>10} {'exponent':>16} "
         f"{'largest':>9} {'predicted':>11} {'measured':>11}"
     ]
-    for one in report.slopes:
+    for slope in report.slopes:
         lines.append(
-            f"{one.name:42} {one.unit:12} {one.base:10.4g} {one.each:12.4g} {one.each_high - one.each:10.2g} "
-            f"{one.exponent:6.2f} +- {one.exponent_high - one.exponent:4.2f} {one.largest:9} "
-            f"{one.predicted:11.4g} {one.measured:11.4g}{'  OFF' if one.finding else ''}"
+            f"{slope.name:42} {slope.unit:12} {slope.base:10.4g} {slope.each:12.4g} "
+            f"{slope.each_high - slope.each:10.2g} "
+            f"{slope.exponent:6.2f} +- {slope.exponent_high - slope.exponent:4.2f} {slope.largest:9} "
+            f"{slope.predicted:11.4g} {slope.measured:11.4g}{'  OFF' if slope.finding else ''}"
         )
     lines += [f"failed: {each}" for each in report.missing]
     lines.append(
@@ -178,23 +183,23 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--only", nargs="*", default=[], help="names, or how they begin")
-    parser.add_argument("--into", type=Path, help="the file to write; with --only the rest of it stays")
+    parser.add_argument("--only", nargs="*", default=[], help="names of measures, or their prefixes")
+    parser.add_argument("--into", type=Path, help="the file to write; with --only its other slopes are kept")
     parser.add_argument("--one", help=argparse.SUPPRESS)
     parser.add_argument("--size", type=int, default=0, help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.one:
-        measure = next(each for each in measures() if each.name == told.one)
-        print(json.dumps(dict(measure.run(told.size))))
+    args = parser.parse_args()
+    if args.one:
+        measure = next(each for each in measures() if each.name == args.one)
+        print(json.dumps(dict(measure.run(args.size))))
         return 0
     before: Report | None = None
-    if told.into is not None and told.into.exists():
-        before = msgspec.json.decode(told.into.read_bytes(), type=Report)
-    report = whole(told.only, before)
+    if args.into is not None and args.into.exists():
+        before = msgspec.json.decode(args.into.read_bytes(), type=Report)
+    report = run_measures(args.only, before)
     raw = msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
-    if told.into is not None:
-        told.into.write_bytes(raw)
-    print(raw.decode() if told.json else table(report))
+    if args.into is not None:
+        args.into.write_bytes(raw)
+    print(raw.decode() if args.json else format_table(report))
     return 1 if report.missing else 0
 
 
--- a/benchmarks/capacity/commands.py
+++ b/benchmarks/capacity/commands.py
@@ -1,9 +1,9 @@
-"""What `status` and a supervisor cost by the number of instances.
+"""Measures the cost of `status` and of a supervisor by the number of instances.
 
-`status` asks sockets that stand in for instances: each is the program's own `StatusSocket` with a whole
-report of made-up figures, all in this process, so that its processor time holds both sides. The supervisor's
-decisions run in virtual time, without processes: each instance beats once a second, and four crash within a
-minute.
+`status` queries stub instances: each is the program's own `StatusSocket` with a full report of synthetic
+figures. All of them run in this process, so its processor time includes both sides. The supervisor's
+decisions run in virtual time, without processes: each instance sends a heartbeat once a second, and four
+crash within a minute.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 from .form import Measure
 
-DESTINATIONS = 200  # told by each: what status.destinations is unless an operator says otherwise
-VIRTUAL_S = 60  # seconds of a supervisor's life
+DESTINATIONS = 200  # in each report: the default of status.destinations
+VIRTUAL_S = 60  # virtual time that the supervisor runs
 
 
 def report(number: int, count: int) -> Report:
-    told = [
+    destinations = [
         Destination(1000 + n, None, 1, 3, 1, 1.234, None, 0.012, False, 0.0, None, 12.3)
         for n in range(DESTINATIONS)
     ]
@@ -56,7 +56,7 @@
         61.2,
         1234.5,
         Lag(0.2, 1.1, 4.5),
-        told,
+        destinations,
         800,
     )
 
@@ -66,15 +66,15 @@
         with ExitStack() as stack:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
             for number in range(size):
-                one = StatusSocket(folder / f"{number}.sock", partial(report, number, size))
-                await one.open()
-                stack.callback(one.close)
+                socket = StatusSocket(folder / f"{number}.sock", partial(report, number, size))
+                await socket.open()
+                stack.callback(socket.close)
             gc.collect()
             cpu, before = time.process_time(), resident_memory_mb()
-            found, fleet, silent = await fetch_reports(folder)
-            text = as_json(found, fleet, silent)
+            reports, fleet, unreachable = await fetch_reports(folder)
+            text = as_json(reports, fleet, unreachable)
             cpu = time.process_time() - cpu
-            assert len(found) == size and not silent
+            assert len(reports) == size and not unreachable
             return {
                 "cpu_ms": 1e3 * cpu,
                 "bytes": float(len(text)),
@@ -84,32 +84,32 @@
     return asyncio.run(work())
 
 
-def started(size: int) -> Plan:
+def started_plan(size: int) -> Plan:
     plan = Plan(SupervisorSection(stagger_s=0.0, together=1000), size, 0.0, 1)
-    for do, number in plan.next_steps(0.0):
-        assert do is SupervisorAction.START
+    for action, number in plan.next_steps(0.0):
+        assert action is SupervisorAction.START
         plan.on_ready(number, 0.0)
     return plan
 
 
 def instances(size: int) -> Mapping[str, float]:
-    plan, cpu = started(size), time.process_time()
+    plan, cpu = started_plan(size), time.process_time()
     for second in range(1, VIRTUAL_S + 1):
         for number in range(size):
             plan.on_heartbeat(number, second)
         if second % (VIRTUAL_S // 4) == 0:
             plan.on_exited(second % size, second, -9)
-        for do, number in plan.next_steps(second):  # at each change, and once a second
-            if do is SupervisorAction.START:
+        for action, number in plan.next_steps(second):  # on each change, and once a second
+            if action is SupervisorAction.START:
                 plan.on_ready(number, second)
         plan.next_wake(second)
         plan.log_events.clear()
     cpu = time.process_time() - cpu
     tracemalloc.start()
-    kept = started(size)
-    told = {"cpu_ms_s": 1e3 * cpu / VIRTUAL_S, "memory_bytes": float(tracemalloc.get_traced_memory()[0])}
-    assert len(kept.instances) == size
-    return told
+    retained_plan = started_plan(size)
+    costs = {"cpu_ms_s": 1e3 * cpu / VIRTUAL_S, "memory_bytes": float(tracemalloc.get_traced_memory()[0])}
+    assert len(retained_plan.instances) == size
+    return costs
 
 
 MEASURES: tuple[Measure, ...] = (
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,6 +1,7 @@
-"""What a message costs the decisions, and what one held takes, by destinations and by messages held.
+"""Measures the cost of a message in the decisions by the number of destinations, and the memory of a pending
+message by the number of pending messages.
 
-The load is `benchmarks.decisions.Load`, `open`: every destination takes calls, the slots are what is short.
+The load is `benchmarks.decisions.Load`, `open`: every destination accepts calls, and the slots are the limit.
 """
 
 from __future__ import annotations
@@ -15,21 +16,21 @@
 
 from .form import Measure
 
-EACH = 4  # messages held for each destination
-MESSAGES = 2000  # more of them, after as many tenths to warm up
-DESTS = 1000  # while what is held is what differs
+PENDING_EACH = 4  # pending messages for each destination
+MESSAGES = 2000  # timed messages, after a warm-up with a tenth of that number
+DESTS = 1000  # destinations while the number of pending messages varies
 
 
-async def _tended() -> None:
-    """Garbage is tended as in service from now on: the task's settings stay."""
-    tending = asyncio.create_task(run_gc_policy(lambda: 0))
+async def _apply_gc_policy() -> None:
+    """Apply the garbage collection policy of the daemon: its settings remain after the task is cancelled."""
+    gc_task = asyncio.create_task(run_gc_policy(lambda: 0))
     await asyncio.sleep(0)
-    tending.cancel()
+    gc_task.cancel()
 
 
 def message(size: int) -> Mapping[str, float]:
-    asyncio.run(_tended())
-    load = Load("open", EACH * size, size)
+    asyncio.run(_apply_gc_policy())
+    load = Load("open", PENDING_EACH * size, size)
     load.run(MESSAGES // 10)
     load.took, load.longest, load.turns, ids = 0.0, 0.0, 0, load.ids
     cpu = time.process_time()
@@ -39,8 +40,8 @@
 
 
 def held(size: int) -> Mapping[str, float]:
-    """With the decisions' own objects alone: the body and the journal's entry are the store's."""
-    asyncio.run(_tended())
+    """Measure the objects of the decisions only: the body and the journal entry belong to the store."""
+    asyncio.run(_apply_gc_policy())
     before = resident_memory_mb()
     load = Load("open", size, DESTS)
     assert len(load.relay.pending.by_id) == size
@@ -56,7 +57,7 @@
         {"cpu_us": "us", "turn_ms": "ms"},
         message,
         "message_relay/decisions/scheduler.py",
-        f"{EACH} held for each destination; a message's coming, an outcome and what dies meanwhile; "
+        f"{PENDING_EACH} held for each destination; a message's coming, an outcome and what dies meanwhile; "
         f"turn_ms: the longest of {MESSAGES}",
         1,
     ),
--- a/benchmarks/capacity/directory.py
+++ b/benchmarks/capacity/directory.py
@@ -1,7 +1,9 @@
-"""What a list of so many destinations costs a relay: taken whole, one change of it, and each second's look.
+"""Measures the cost of a list of destinations for a relay: the full list, one change, and the maintenance of
+each second.
 
-The relay is put together as in service (assembly.py), with no sockets open. A list is written as a register
-writes it, one endpoint for each destination, and goes the way of an answer: `read`, `Host.listed`, `Turns`.
+The relay is composed as in service (composition.py), with no sockets open. A list has the form that a
+register sends, with one endpoint for each destination. It is processed like a response of the agent:
+`parse_listing`, `Relay.on_endpoint_update`, and a turn of the driver.
 """
 
 from __future__ import annotations
@@ -25,12 +27,12 @@
 from .form import Measure
 
 SIZES, LARGEST = (5_000, 10_000, 20_000, 40_000), 360_000
-CHANGES = 200  # one after another, each of one endpoint
-SWEEPS = 5  # the median counts
+CHANGES = 200  # in sequence, each of one endpoint
+SWEEPS = 5  # the result is the median
 
 
-def item(number: int, lifecycle: str = "ready", port: int = 8080) -> str:
-    """An endpoint as a register writes it, 150 bytes or so."""
+def endpoint_json(number: int, lifecycle: str = "ready", port: int = 8080) -> str:
+    """Return an endpoint in the form that a register sends, about 150 bytes."""
     host = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:{port}"
     return (
         f'{{"instanceId":"s-{number:08x}","hostPort":"{host}","zone":"z","machineType":"k",'
@@ -38,16 +40,16 @@
     )
 
 
-def answer(size: int) -> bytes:
-    """A whole list."""
+def full_list(size: int) -> bytes:
+    """Return a full list."""
     text = bytearray(b'{"generation":1,"reset":true,"instances":[')
     for number in range(1, size + 1):
-        text += (b"," if number > 1 else b"") + item(number).encode()
+        text += (b"," if number > 1 else b"") + endpoint_json(number).encode()
     return bytes(text + b"]}")
 
 
 def relay(folder: Path) -> ComposedRelay:
-    """One with nothing listed. It is not started: no sockets, and nothing that runs by itself."""
+    """Return a relay with an empty list. It is not started: it has no sockets and no background tasks."""
     (folder / "state").mkdir()
     raw = {
         "name": "b",
@@ -59,82 +61,85 @@
     }
     (folder / "config.json").write_text(json.dumps(raw))
     built = compose(config.load({"RELAY_CONFIG": str(folder / "config.json")}))
-    built.relay.is_dispatching = True  # as after the first list: what is listed goes to the decisions
+    built.relay.is_dispatching = True  # as after the first list: updates go to the decisions
     return built
 
 
-async def in_service(work: Callable[[ComposedRelay], Mapping[str, float]]) -> Mapping[str, float]:
-    """On a loop, with the garbage tended as in service."""
+async def run_in_service(work: Callable[[ComposedRelay], Mapping[str, float]]) -> Mapping[str, float]:
+    """Run `work` on an event loop, with the garbage collection policy of the daemon."""
     with tempfile.TemporaryDirectory() as name:
         built = relay(Path(name))
-        tending = asyncio.create_task(run_gc_policy(lambda: 0))
+        gc_task = asyncio.create_task(run_gc_policy(lambda: 0))
         await asyncio.sleep(0)
         try:
             return work(built)
         finally:
-            tending.cancel()
+            gc_task.cancel()
             built.relay.driver.stop()
             built.relay.journal.close()
 
 
-def take(built: ComposedRelay, body: bytes) -> tuple[float, float]:
-    """An answer in two turns of the loop, as it comes: the source's, and then the decisions'. ms of each."""
-    begun = time.perf_counter()
+def process_response(built: ComposedRelay, body: bytes) -> tuple[float, float]:
+    """Process a response in two turns of the loop, first the source's, then the decisions'.
+
+    Returns the time of each in ms.
+    """
+    started_at = time.perf_counter()
     _, update = parse_listing(json.loads(body))
     built.relay.on_endpoint_update(update)
-    then = time.perf_counter()
+    listed_at = time.perf_counter()
     built.relay.driver.run_turn()
-    return 1e3 * (then - begun), 1e3 * (time.perf_counter() - then)
+    return 1e3 * (listed_at - started_at), 1e3 * (time.perf_counter() - listed_at)
 
 
-def most_rss_mb() -> float:
-    """This process's resident memory at its most (proc(5), status)."""
+def peak_rss_mb() -> float:
+    """Return the peak resident memory of this process (proc(5), status)."""
     line = next(line for line in Path("/proc/self/status").read_text().splitlines() if line[:6] == "VmHWM:")
     return int(line.split()[1]) * 1024 / 1e6
 
 
-def measured(size: int) -> Mapping[str, float]:
-    """All in one process: a list of 360,000 takes long enough to make once."""
+def measure(size: int) -> Mapping[str, float]:
+    """Run all measures in one process, because a list of 360,000 takes long to build."""
 
     def work(built: ComposedRelay) -> Mapping[str, float]:
-        body = answer(size)
+        body = full_list(size)
         before, cpu = 1e6 * resident_memory_mb(), time.process_time()
-        turns = take(built, body)
+        turns = process_response(built, body)
         cpu = time.process_time() - cpu
-        after, most = 1e6 * resident_memory_mb(), 1e6 * most_rss_mb()
+        after, peak = 1e6 * resident_memory_mb(), 1e6 * peak_rss_mb()
         assert len(built.relay.scheduler.endpoints) == size
         return {
             "list.json_bytes": float(len(body)),
             "list.turn_ms": max(turns),
             "list.cpu_ms": 1e3 * cpu,
             "list.memory_bytes": after - before,
-            "list.peak_bytes": most - before + len(body),
-            "change.cpu_ms": changed(built, size),
-            "sweep.cpu_ms": swept(built),
+            "list.peak_bytes": peak - before + len(body),
+            "change.cpu_ms": change_ms(built, size),
+            "sweep.cpu_ms": sweep_ms(built),
         }
 
-    return asyncio.run(in_service(work))
+    return asyncio.run(run_in_service(work))
 
 
-def changed(built: ComposedRelay, size: int) -> float:
-    rng, took = random.Random(1), []
+def change_ms(built: ComposedRelay, size: int) -> float:
+    rng, times = random.Random(1), []
     for number in (rng.randint(1, size) for _ in range(CHANGES)):
-        for what in (item(number, "draining"), item(number, port=8081)):
-            body = f'{{"generation":2,"reset":false,"instances":[{what}]}}'.encode()
+        for entry in (endpoint_json(number, "draining"), endpoint_json(number, port=8081)):
+            body = f'{{"generation":2,"reset":false,"instances":[{entry}]}}'.encode()
             cpu = time.process_time()
-            take(built, body)
-            took.append(1e3 * (time.process_time() - cpu))
+            process_response(built, body)
+            times.append(1e3 * (time.process_time() - cpu))
     assert len(built.relay.scheduler.endpoints) == size
-    return statistics.median(took)
+    return statistics.median(times)
 
 
-def swept(built: ComposedRelay) -> float:
-    took = []
+def sweep_ms(built: ComposedRelay) -> float:
+    times = []
     for _ in range(SWEEPS):
         cpu = time.process_time()
         built.relay.run_maintenance()
-        took.append(1e3 * (time.process_time() - cpu))
-    return statistics.median(took)
+        times.append(1e3 * (time.process_time() - cpu))
+    return statistics.median(times)
 
 
 MEASURES: tuple[Measure, ...] = (
@@ -152,7 +157,7 @@
             "change.cpu_ms": "ms",
             "sweep.cpu_ms": "ms",
         },
-        measured,
+        measure,
         "message_relay/core/directory.py, decisions/endpoint_registry.py, core/relay.py",
         "one endpoint a destination. list: taken whole; turn_ms: the longer of the source's turn and the "
         "decisions'; peak_bytes: while it is taken, the answer's body counted once. change: one endpoint "
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,16 +1,18 @@
-"""Hollow instances: the program's own peers, rules and plans with real sockets, hundreds to a process.
+"""Measures a fleet of hollow instances: the program's own gossip, rules and plans with real sockets, hundreds
+in one process.
 
     python -m benchmarks.capacity.hollow [--instances 3000] [--processes 8] [--stretch 6] [--json]
         [--events rest,changes,frozen,return,zone,storm,deaths] [--rows docs/reports/hollow.jsonl]
     python -m benchmarks.capacity.hollow --fit --rows docs/reports/hollow.jsonl
         --into docs/reports/capacity.json
 
-A fleet of hollow ones on loopback, 5 real voters and 3 real relays that take traffic, these behind the fault
-net. All periods (membership's, the leases' bound and horizon, the evidence's window) are the defaults times
-`--stretch`; how often an instance looks whether its rules have changed (20 times a second) is not stretched.
-Each play adds a row to `--rows`; `--fit` makes of them slopes (the largest size is predicted by the others)
-and facts. Of each instance: datagrams (peers.node.Node.counts; bytes without their IP and UDP headers),
-processor time and memory of its process less an empty one, divided by the instances in it.
+The fleet runs on loopback: hollow instances, 5 real voters, and 3 real relays that serve traffic behind the
+fault proxy. All periods (of membership, the leases' bound and horizon, the window of observations) are the
+defaults times `--stretch`. The interval at which an instance checks whether its rules have changed (20 times
+a second) is not stretched. Each run adds a row to `--rows`. `--fit` turns the rows into slopes (the largest
+size is predicted from the others) and facts. The figures of an instance are its datagrams (GossipNode.counts;
+bytes without IP and UDP headers), and the processor time and memory of its process, less those of an empty
+process, divided by the number of instances in it.
 """
 
 from __future__ import annotations
@@ -35,14 +37,14 @@
 from emulator.capacity.slopes import Report, Sample, Slope, fitted
 
 from .hollow_figures import Bins
-from .hollow_fleet import Broken, HollowFleet, begun, hollow_fleet
+from .hollow_fleet import HollowFleet, WorkerError, hollow_fleet, start_fleet
 
 EVENTS = ("rest", "changes", "frozen", "return", "zone", "storm", "deaths")
 REST_S = 15.0
 CHANGES, STORM, STORM_S = 4, 20, 60.0
-RETURN, ZONE, FROZEN_S = 200, 700, 10.0
-BACK_S = 2.0  # periods: a supervisor starts one that crashed about so long after
-RATES = 900.0, 895.0  # the standby of each lies within the other: one that ends holds it up for a lease
+RETURN, ZONE, SUSPENDED_S = 200, 700, 10.0
+RESTART_PERIODS = 2.0  # periods: the approximate delay until a supervisor restarts a crashed instance
+RATES = 900.0, 895.0  # the standby of each is within the other: a stopped instance delays it by a lease
 UNITS = {
     "bytes_s": "bytes/s",
     "bytes_in_s": "bytes/s",
@@ -65,46 +67,46 @@
 
 
 def merged(rows: dict[str, Bins], keys: Sequence[str]) -> Bins:
-    found = Bins()
+    bins = Bins()
     for key in keys:
         if key in rows:
-            found.merge(rows[key].counts)
-    return found
-
-
-async def changes(them: HollowFleet, seconds: float) -> dict[str, float]:
-    before = await them.counts()
-    rows = [await them.change(RATES[n % 2], seconds) for n in range(CHANGES)]
-    after = await them.counts()
-    whole = [row for row in rows if row["acting"] == row["of"]]
-    told: dict[str, float] = {"changes": len(rows), "changes_whole": len(whole)}
-    for name in ("sent", "sent_bytes", "asked", "asked_bytes"):  # what goes at rest included
-        told[f"change_{name}"] = (after["counts"][name] - before["counts"][name]) / them.up / len(rows)
-    told["change_cpu_ms"] = 1000 * (after["cpu_s"] - before["cpu_s"]) / them.up / len(rows)
-    told["changes_took_s"] = after["at"] - before["at"]
-    told["voter_refused_streams"] = after["voter"]["refused_streams"]
+            bins.merge(rows[key].counts)
+    return bins
+
+
+async def changes(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    before = await fleet.counts()
+    rows = [await fleet.change(RATES[n % 2], seconds) for n in range(CHANGES)]
+    after = await fleet.counts()
+    complete = [row for row in rows if row["acting"] == row["of"]]
+    figures: dict[str, float] = {"changes": len(rows), "changes_whole": len(complete)}
+    for name in ("sent", "sent_bytes", "asked", "asked_bytes"):  # includes the traffic at rest
+        figures[f"change_{name}"] = (after["counts"][name] - before["counts"][name]) / fleet.up / len(rows)
+    figures["change_cpu_ms"] = 1000 * (after["cpu_s"] - before["cpu_s"]) / fleet.up / len(rows)
+    figures["changes_took_s"] = after["at"] - before["at"]
+    figures["voter_refused_streams"] = after["voter"]["refused_streams"]
     return (
-        told
+        figures
         | {f"change_{name}": statistics.median(row[name] for row in rows) for name in ("p50_s", "p99_s")}
         | {"change_most_s": max(row["most_s"] for row in rows)}
     )
 
 
-async def storm(them: HollowFleet, seconds: float) -> dict[str, float]:
-    """Twenty versions in a minute: of each, when the hollow ones act by it or a later one."""
+async def storm(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    """Propose twenty versions in a minute and measure when the instances act by each or a later one."""
     proposed = []
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     for n in range(STORM):
-        await asyncio.sleep(max(0.0, begun_at + n * STORM_S / STORM - time.monotonic()))
-        proposed.append(await them.propose(RATES[n % 2]))
-    took = time.monotonic() - begun_at
-    await them.all_act(seconds)
+        await asyncio.sleep(max(0.0, started_at + n * STORM_S / STORM - time.monotonic()))
+        proposed.append(await fleet.propose(RATES[n % 2]))
+    proposals_s = time.monotonic() - started_at
+    await fleet.all_act(seconds)
     rows = []
     for version, at in proposed:
-        bins = await them.acted(version)
+        bins = await fleet.acting_times(version)
         rows.append((bins.quantile(0.5, at), bins.quantile(0.99, at), bins.quantile(1.0, at), len(bins)))
     return {
-        "changes_20_took_s": took,
+        "changes_20_took_s": proposals_s,
         "changes_20_p50_s": statistics.median(row[0] for row in rows),
         "changes_20_p99_s": max(row[1] for row in rows),
         "changes_20_most_s": max(row[2] for row in rows),
@@ -112,93 +114,97 @@
     }
 
 
-async def away(them: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
-    """These end at once, are known as dead by all, and come back."""
-    keys = [f"n{n}/{them.boots[n]}" for n in numbers]
-    await them.heard()
-    at = await them.end(numbers)
-    want = them.up * len(numbers)
+async def stop_and_return(
+    fleet: HollowFleet, numbers: list[int], seconds: float, name: str
+) -> dict[str, float]:
+    """Stop these instances at once, wait until all others know them as dead, and start them again."""
+    keys = [f"n{n}/{fleet.boots[n]}" for n in numbers]
+    await fleet.take_observations()
+    stopped_at = await fleet.stop(numbers)
+    expected = fleet.up * len(numbers)
     deaths = Bins()
-    while time.monotonic() < at + seconds and len(deaths) < want:
+    while time.monotonic() < stopped_at + seconds and len(deaths) < expected:
         await asyncio.sleep(2.0)
-        deaths.merge(merged((await them.heard())["deaths"], keys).counts)
-    told = {f"{name}_dead_{key}": value for key, value in deaths.quartet(at).items()}
-    told |= {f"{name}_dead_known": len(deaths) / want}
-    return told | await back(them, numbers, seconds, name)
-
-
-async def back(them: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
-    """These begin again at once: until they act by the rules, and until all have heard of them."""
-    at = time.monotonic()
-    await them.start(numbers, 1.0)
-    keys = [f"n{n}/{them.boots[n]}" for n in numbers]
-    acts = await them.all_act(seconds)
-    acted = time.monotonic() - at
+        deaths.merge(merged((await fleet.take_observations())["deaths"], keys).counts)
+    figures = {f"{name}_dead_{key}": value for key, value in deaths.quartet(stopped_at).items()}
+    figures |= {f"{name}_dead_known": len(deaths) / expected}
+    return figures | await restart(fleet, numbers, seconds, name)
+
+
+async def restart(fleet: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
+    """Restart these instances at once and wait until they act by the rules and all others know them."""
+    started_at = time.monotonic()
+    await fleet.start(numbers, 1.0)
+    keys = [f"n{n}/{fleet.boots[n]}" for n in numbers]
+    act_s = await fleet.all_act(seconds)
+    acted_s = time.monotonic() - started_at
     lives = Bins()
-    want = len(numbers) * (them.up - 1)
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends and len(lives) < want:
+    expected = len(numbers) * (fleet.up - 1)
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline and len(lives) < expected:
         await asyncio.sleep(1.0)
-        lives.merge(merged((await them.heard())["lives"], keys).counts)
+        lives.merge(merged((await fleet.take_observations())["lives"], keys).counts)
     return {
-        f"{name}_s": acted,
-        f"{name}_all_act": float(not math.isnan(acts)),
-        f"{name}_known_p50_s": lives.quantile(0.5, at),
-        f"{name}_known_p99_s": lives.quantile(0.99, at),
-        f"{name}_known": min(1.0, len(lives) / want),
+        f"{name}_s": acted_s,
+        f"{name}_all_act": float(not math.isnan(act_s)),
+        f"{name}_known_p50_s": lives.quantile(0.5, started_at),
+        f"{name}_known_p99_s": lives.quantile(0.99, started_at),
+        f"{name}_known": min(1.0, len(lives) / expected),
     }
 
 
-async def crashed(them: HollowFleet, numbers: list[int], seconds: float, name: str) -> dict[str, float]:
-    """These end at once and come back before they are held for dead."""
-    await them.end(numbers)
-    await asyncio.sleep(BACK_S * them.stretch)
-    await them.heard()
-    return {name: len(numbers)} | await back(them, numbers, seconds, name)
+async def crash_and_restart(
+    fleet: HollowFleet, numbers: list[int], seconds: float, name: str
+) -> dict[str, float]:
+    """Stop these instances at once and restart them before they are declared dead."""
+    await fleet.stop(numbers)
+    await asyncio.sleep(RESTART_PERIODS * fleet.stretch)
+    await fleet.take_observations()
+    return {name: len(numbers)} | await restart(fleet, numbers, seconds, name)
 
 
-async def returning(them: HollowFleet, seconds: float) -> dict[str, float]:
-    numbers = random.Random(1).sample(them.numbers, min(RETURN, them.instances // 3))
-    return await crashed(them, numbers, seconds, "return_200")
+async def returning(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    numbers = random.Random(1).sample(fleet.numbers, min(RETURN, fleet.instances // 3))
+    return await crash_and_restart(fleet, numbers, seconds, "return_200")
 
 
-def of_zone(them: HollowFleet) -> list[int]:
-    return [n for n in them.numbers if them.zone(n) == 0][:ZONE]
+def zone_members(fleet: HollowFleet) -> list[int]:
+    return [n for n in fleet.numbers if fleet.zone(n) == 0][:ZONE]
 
 
-async def zone(them: HollowFleet, seconds: float) -> dict[str, float]:
-    return await crashed(them, of_zone(them), seconds, "zone")
+async def zone(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    return await crash_and_restart(fleet, zone_members(fleet), seconds, "zone")
 
 
-async def deaths(them: HollowFleet, seconds: float) -> dict[str, float]:
-    return await away(them, of_zone(them), 4 * seconds, "deaths")
+async def deaths(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    return await stop_and_return(fleet, zone_members(fleet), 4 * seconds, "deaths")
 
 
-async def frozen(them: HollowFleet, seconds: float) -> dict[str, float]:
-    """One process of hollow ones stands still for ten seconds, as long as a machine that swaps."""
-    await them.heard()
-    wrong, worker = dict(them.wrong), them.workers[-1]
-    mine = {f"n{n}/{them.boots[n]}" for n in worker.numbers}
+async def frozen(fleet: HollowFleet, seconds: float) -> dict[str, float]:
+    """Suspend one process of hollow instances for ten seconds, as long as a machine that swaps."""
+    await fleet.take_observations()
+    wrong_before, worker = dict(fleet.wrong_deaths), fleet.workers[-1]
+    suspended = {f"n{n}/{fleet.boots[n]}" for n in worker.numbers}
     worker.process.send_signal(signal.SIGSTOP)
-    await asyncio.sleep(FROZEN_S)
+    await asyncio.sleep(SUSPENDED_S)
     worker.process.send_signal(signal.SIGCONT)
-    at = time.monotonic()
-    acts = await them.all_act(seconds)
-    until = at + max(0.0, seconds / 2)
-    while time.monotonic() < until:
+    resumed_at = time.monotonic()
+    act_s = await fleet.all_act(seconds)
+    deadline = resumed_at + max(0.0, seconds / 2)
+    while time.monotonic() < deadline:
         await asyncio.sleep(2.0)
-        await them.heard()
-    new = {key for key in them.wrong if key not in wrong}
+        await fleet.take_observations()
+    newly_wrong = {key for key in fleet.wrong_deaths if key not in wrong_before}
     return {
         "frozen": len(worker.numbers),
-        "frozen_acts_s": acts,
-        "frozen_dead": len(new & mine),
-        "frozen_wrong_deaths": len(new - mine),
+        "frozen_acts_s": act_s,
+        "frozen_dead": len(newly_wrong & suspended),
+        "frozen_wrong_deaths": len(newly_wrong - suspended),
     }
 
 
-async def play(args: argparse.Namespace) -> dict[str, Any]:
-    began = time.monotonic()
+async def run_experiment(args: argparse.Namespace) -> dict[str, Any]:
+    started_at = time.monotonic()
     row: dict[str, Any] = {
         "instances": args.instances,
         "processes": args.processes,
@@ -206,21 +212,21 @@
         "machine": f"{os.cpu_count()} cores, Python {platform.python_version()}",
         "load": os.getloadavg()[0],
     }
-    async with hollow_fleet(args.instances, args.processes, args.stretch, args.zone_of) as them:
-        them.say(f"{args.instances}: real ones up after {time.monotonic() - began:.1f} s")
-        them.serve()
+    async with hollow_fleet(args.instances, args.processes, args.stretch, args.zone_of) as fleet:
+        fleet.log(f"{args.instances}: real instances up after {time.monotonic() - started_at:.1f} s")
+        fleet.serve()
         try:
-            row |= await begun(them, args.within or args.instances / 100, args.patience)
-            # Only now, since whoever reads this line may end the play: the row has these figures by then.
-            them.say(f"  all know all after {row['start_known_s']:.1f} s")
+            row |= await start_fleet(fleet, args.within or args.instances / 100, args.patience)
+            # Logged only now: a reader of this line may stop the run, and the row must have these figures.
+            fleet.log(f"  all know all after {row['start_known_s']:.1f} s")
             for event in args.events:
-                if time.monotonic() - began > args.budget:
+                if time.monotonic() - started_at > args.budget:
                     row.setdefault("not_played", []).append(event)
                     continue
                 if event == "rest":
-                    row |= await them.rest(REST_S)
+                    row |= await fleet.rest(REST_S)
                 else:
-                    happens = {
+                    run_event = {
                         "changes": changes,
                         "storm": storm,
                         "return": returning,
@@ -229,28 +235,28 @@
                         "deaths": deaths,
                     }[event]
                     try:
-                        row |= await happens(them, args.patience)
-                    except Broken as error:
+                        row |= await run_event(fleet, args.patience)
+                    except WorkerError as error:
                         row[f"{event}_failed"] = str(error)
-                them.say(f"  {event} done after {time.monotonic() - began:.1f} s")
-            await them.heard()
+                fleet.log(f"  {event} done after {time.monotonic() - started_at:.1f} s")
+            await fleet.take_observations()
             row |= {
-                "wrong_deaths": len(them.wrong),
-                "wrong_deaths_heard": sum(them.wrong.values()),
-                "suspected": len(them.suspected),
-                "conflicts": them.conflicts,
+                "wrong_deaths": len(fleet.wrong_deaths),
+                "wrong_deaths_heard": sum(fleet.wrong_deaths.values()),
+                "suspected": len(fleet.suspected),
+                "conflicts": fleet.conflicts,
             }
-            if them.clients is not None:
-                row["real_taken"] = len(them.clients.taken)
-                row["real_asked"] = len(them.clients.asked)
-            row["seconds"] = time.monotonic() - began
+            if fleet.clients is not None:
+                row["real_taken"] = len(fleet.clients.taken)
+                row["real_asked"] = len(fleet.clients.asked)
+            row["seconds"] = time.monotonic() - started_at
             row["whole"] = True
-        finally:  # also of a play that is ended by its time limit, and before the end of all, which may fail
-            keep(args, row)
+        finally:  # also after a time limit, and before the fleet is closed, which may fail
+            write_row(args, row)
     return row
 
 
-def keep(args: argparse.Namespace, row: dict[str, Any]) -> None:
+def write_row(args: argparse.Namespace, row: dict[str, Any]) -> None:
     row = {name: round(value, 6) if isinstance(value, float) else value for name, value in row.items()}
     if args.rows is not None:
         args.rows.parent.mkdir(parents=True, exist_ok=True)
@@ -259,12 +265,12 @@
     print(json.dumps(row, indent=None if args.json else 1), flush=True)
 
 
-# -- what the page takes -----------------------------------------------------------------------------------
+# -- results for the page -------------------------------------------------------------------------------
 
 
 def slopes(rows: list[dict[str, Any]]) -> list[Slope]:
-    """Of each cost at rest: by the rows of one stretch, the largest size in no fit."""
-    found = []
+    """Fit a slope for each cost at rest from rows of one stretch. The largest size is not part of the fit."""
+    slopes_found = []
     sizes = sorted({row["instances"] for row in rows if "bytes_s" in row})
     for cost, unit in UNITS.items():
         samples = []
@@ -279,7 +285,7 @@
         if len(samples) < 5:
             continue
         mechanism = MECHANISMS.get(cost.partition("_")[0], MECHANISM)
-        found.append(
+        slopes_found.append(
             fitted(
                 f"hollow.{cost}",
                 "instance",
@@ -290,43 +296,45 @@
                 f"periods {rows[0]['stretch']:g} times the defaults",
             )
         )
-    return found
+    return slopes_found
 
 
 def facts(rows: list[dict[str, Any]]) -> dict[str, float]:
-    """Of the largest fleet: each figure as its latest row has it."""
-    most = max(row["instances"] for row in rows)
-    found: dict[str, float] = {}
+    """Return each figure of the largest fleet, from the latest row that has it."""
+    largest = max(row["instances"] for row in rows)
+    latest: dict[str, float] = {}
     for row in rows:
-        if row["instances"] == most:
-            found |= {
+        if row["instances"] == largest:
+            latest |= {
                 f"hollow.{name}": float(value)
                 for name, value in row.items()
                 if isinstance(value, int | float) and math.isfinite(value)
             }
-    return found
+    return latest
 
 
 def fit(rows_file: Path, into: Path) -> str:
-    """Writes slopes and facts into a report that has others'."""
+    """Replace the hollow slopes and facts of a report, and keep all others."""
     rows = [json.loads(line) for line in rows_file.read_text().splitlines()]
     stretch = max(rows, key=lambda row: row["instances"])["stretch"]
     rows = [row for row in rows if row["stretch"] == stretch]
     before = Report("", 0.0, 0.0, 0, [])
     if into.exists():
         before = msgspec.json.decode(into.read_bytes(), type=Report)
-    new = slopes(rows)
-    kept = [each for each in before.slopes if not each.name.startswith("hollow.")]
-    known = {name: value for name, value in before.facts.items() if not name.startswith("hollow.")}
-    told = msgspec.structs.replace(
-        before, slopes=sorted(kept + new, key=lambda each: each.name), facts=known | facts(rows)
+    fitted_slopes = slopes(rows)
+    other_slopes = [each for each in before.slopes if not each.name.startswith("hollow.")]
+    other_facts = {name: value for name, value in before.facts.items() if not name.startswith("hollow.")}
+    updated = msgspec.structs.replace(
+        before,
+        slopes=sorted(other_slopes + fitted_slopes, key=lambda each: each.name),
+        facts=other_facts | facts(rows),
     )
-    into.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1) + b"\n")
+    into.write_bytes(msgspec.json.format(msgspec.json.encode(updated), indent=1) + b"\n")
     return "\n".join(
         f"{each.name:32} base {each.base:12.5g} each {each.each:12.5g} exponent {each.exponent:5.2f}  at "
         f"{each.largest}: predicted {each.predicted:.5g}, measured {each.measured:.5g}"
         f"{'  OFF' if each.finding else ''}"
-        for each in new
+        for each in fitted_slopes
     )
 
 
@@ -335,15 +343,19 @@
     parser.add_argument("--instances", type=int, default=3000)
     parser.add_argument("--processes", type=int, default=8)
     parser.add_argument("--stretch", type=float, default=6.0)
-    parser.add_argument("--zone-of", type=int, default=0, help="hollow ones in the zone that is lost")
-    parser.add_argument("--within", type=float, default=0.0, help="s over which they begin; 100 a second")
-    parser.add_argument("--patience", type=float, default=60.0, help="s until something counts as not come")
-    parser.add_argument("--budget", type=float, default=1e9, help="s after which no further event begins")
+    parser.add_argument("--zone-of", type=int, default=0, help="hollow instances in the zone that is lost")
+    parser.add_argument(
+        "--within", type=float, default=0.0, help="s over which instances start; default: 100 a second"
+    )
+    parser.add_argument(
+        "--patience", type=float, default=60.0, help="s to wait before an event counts as failed"
+    )
+    parser.add_argument("--budget", type=float, default=1e9, help="s after which no further event starts")
     parser.add_argument("--events", type=lambda text: text.split(","), default=list(EVENTS))
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--rows", type=Path, help="a row is added to it")
+    parser.add_argument("--rows", type=Path, help="the file to which a row is added")
     parser.add_argument("--fit", action="store_true")
-    parser.add_argument("--into", type=Path, help="with --fit: the report")
+    parser.add_argument("--into", type=Path, help="with --fit: the report to update")
     args = parser.parse_args()
     if set(args.events) - set(EVENTS):
         parser.error(f"--events: {', '.join(set(args.events) - set(EVENTS))}: none of {', '.join(EVENTS)}")
@@ -352,10 +364,11 @@
             parser.error("--fit: needs --rows and --into")
         print(fit(args.rows, args.into))
         return 0
-    asyncio.run(play(args))
+    asyncio.run(run_experiment(args))
     return 0
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # a time limit leaves its row, and no process
+    # A run stopped by a time limit still writes its row and leaves no process behind.
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     sys.exit(main())
--- a/benchmarks/capacity/hollow_figures.py
+++ b/benchmarks/capacity/hollow_figures.py
@@ -1,5 +1,5 @@
-"""Times of a whole fleet in few words: counted by tenths of a second, so that hundreds of thousands of them
-can be passed from process to process."""
+"""Histograms of times of a whole fleet: counts per bin of 0.05 s, so that hundreds of thousands of times can
+be passed between processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Bins:
-    """Times, each rounded up to the end of its bin."""
+    """A histogram of times, each rounded up to the end of its bin."""
 
     def __init__(self, counts: Iterable[tuple[int, int]] = ()) -> None:
         self.counts: dict[int, int] = dict(counts)
@@ -28,11 +28,11 @@
         return sum(self.counts.values())
 
     def quantile(self, share: float, since: float = 0.0) -> float:
-        """Of all samples, s after `since`; nan of none."""
-        left = math.ceil(share * len(self))
+        """Return a quantile of all samples in seconds after `since`, or nan without samples."""
+        remaining = math.ceil(share * len(self))
         for n in sorted(self.counts):
-            left -= self.counts[n]
-            if left <= 0:
+            remaining -= self.counts[n]
+            if remaining <= 0:
                 return round(n * BIN_S - since, 3)
         return math.nan
 
@@ -44,14 +44,14 @@
         }
 
 
-def of(times: Iterable[float]) -> Bins:
-    found = Bins()
+def bins_of(times: Iterable[float]) -> Bins:
+    bins = Bins()
     for at in times:
-        found.add(at)
-    return found
+        bins.add(at)
+    return bins
 
 
 def rates(before: Counter[str], after: Counter[str], seconds: float, instances: int) -> dict[str, float]:
-    """Per instance and second."""
+    """Return the increase of each counter per instance and second."""
     names = sorted({*before, *after})
     return {name: (after[name] - before[name]) / seconds / instances for name in names}
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow instances, real voters and real relays under traffic, and what happens to it."""
+"""Controls a fleet of hollow instances, real voters and real relays under traffic."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from benchmarks.processes import Clients
 from message_relay.fleet.status import StatusError
 
-from .hollow_figures import Bins, of, rates
+from .hollow_figures import Bins, bins_of, rates
 
 ZONES = ("a", "b", "c", "d", "e")
 VOTERS, RELAYS = 5, 3
-PERIOD_S, BOUND_S, HORIZON_S, WINDOW_S = 1.0, 2.0, 30.0, 1.0  # of the program's defaults; stretched together
-RATE = 60.0  # messages a second to the real ones
-ORDER_S = 240.0  # an order takes no longer
+PERIOD_S, BOUND_S, HORIZON_S, WINDOW_S = 1.0, 2.0, 30.0, 1.0  # the program's defaults, all times `stretch`
+RATE = 60.0  # messages a second to the real relays
+ORDER_TIMEOUT_S = 240.0  # timeout of a worker's order
 MEMORY = Path("/dev/shm")
-LINE_BYTES = 1 << 28  # of an answer: who heard of whose end, in bins
-FIRST = 100  # the number of the first hollow one
-ZONE_SHARE = 0.2  # of the hollow ones are in the zone that is lost; more with `zone_of`
+LINE_BYTES = 1 << 28  # limit of a response line, which may hold the bins of all observed deaths
+FIRST = 100  # the number of the first hollow instance
+ZONE_SHARE = 0.2  # share of hollow instances in the zone that is lost; more with `zone_of`
 
 
-def parts(zones: Sequence[str], window_s: float) -> str:
-    """Of the operator's file: two regions."""
+def regions_section(zones: Sequence[str], window_s: float) -> str:
+    """Return the part of the operator's file that defines two regions."""
     east = (len(zones) + 1) // 2
     named = ", ".join(
         f'{zone} = {{ region = "{"east" if n < east else "west"}" }}' for n, zone in enumerate(zones)
@@ -42,8 +42,8 @@
     return f"[failover]\nzones = {{ {named} }}\nwindow_s = {window_s:g}\n"
 
 
-class Broken(Exception):
-    """A worker has ended, or could not do what it was told."""
+class WorkerError(Exception):
+    """A worker has exited, or could not carry out an order."""
 
 
 @dataclass
@@ -52,42 +52,43 @@
 
     process: asyncio.subprocess.Process
     numbers: list[int]
-    empty: int  # bytes of memory before it had any
+    empty: int  # bytes of memory before it had any instance
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def do(self, **order: Any) -> Any:
         assert self.process.stdin is not None and self.process.stdout is not None
-        async with self.lock, asyncio.timeout(ORDER_S):
+        async with self.lock, asyncio.timeout(ORDER_TIMEOUT_S):
             self.process.stdin.write(json.dumps(order).encode() + b"\n")
             await self.process.stdin.drain()
             line = await self.process.stdout.readline()
         if not line:
-            raise Broken(f"a worker has ended with {self.process.returncode}")
-        told = json.loads(line)
-        if isinstance(told, dict) and "error" in told:
-            raise Broken(told["error"])
-        return told
+            raise WorkerError(f"a worker has exited with code {self.process.returncode}")
+        reply = json.loads(line)
+        if isinstance(reply, dict) and "error" in reply:
+            raise WorkerError(reply["error"])
+        return reply
 
 
 @dataclass
 class HollowFleet:
-    it: ClusterHarness
+    harness: ClusterHarness
     instances: int
     processes: int
     stretch: float
-    zone_of: int = 0  # hollow ones in zone a; 0: as many as in each other
+    zone_of: int = 0  # hollow instances in zone a; 0: the same number as in every other zone
     workers: list[Worker] = field(default_factory=list)
     down: set[int] = field(default_factory=set)
     clients: Clients | None = None
     traffic: asyncio.Future[Any] | None = None
-    expected: set[str] = field(default_factory=set)  # processes (name/boot) that were ended on purpose
+    expected: set[str] = field(default_factory=set)  # processes (name/boot) that were stopped on purpose
     boots: Counter[int] = field(default_factory=Counter)
-    wrong: dict[str, int] = field(default_factory=dict)  # processes held for dead that ran on: by how many
+    # Maps each running process that was declared dead to the number of observers.
+    wrong_deaths: dict[str, int] = field(default_factory=dict)
     suspected: Counter[str] = field(default_factory=Counter)
     version: int = 1
-    state: Path = Path()  # in memory where that is there: thousands of starts would wait for one disk
-    conflicts: int = 0  # proposals that were made against a version that was the newest no more
-    say: Callable[[str], None] = lambda text: print(text, file=sys.stderr, flush=True)
+    state: Path = Path()  # in memory if possible: thousands of starts would wait for one disk
+    conflicts: int = 0  # proposals based on a version that was no longer the newest
+    log: Callable[[str], None] = lambda text: print(text, file=sys.stderr, flush=True)
 
     # -- set up ----------------------------------------------------------------------------------------------
 
@@ -99,30 +100,30 @@
         n = number - FIRST
         if not self.zone_of:
             return n % self.zones
-        step = self.instances / self.zone_of  # spread over all processes
-        here = int((n + 1) / step) > int(n / step)
-        return 0 if here else 1 + n % (self.zones - 1)
+        step = self.instances / self.zone_of  # spreads them over all processes
+        is_in_large_zone = int((n + 1) / step) > int(n / step)
+        return 0 if is_in_large_zone else 1 + n % (self.zones - 1)
 
     @property
     def zones(self) -> int:
-        return len(self.it.partners)
+        return len(self.harness.partners)
 
-    async def begin(self) -> None:
-        """The processes, without instances yet."""
+    async def start_workers(self) -> None:
+        """Start the worker processes, without instances."""
         for n in range(self.processes):
-            log = open(self.it.folder / f"hollow{n}.log", "ab")  # noqa: SIM115  the process keeps it
+            log = open(self.harness.folder / f"hollow{n}.log", "ab")  # noqa: SIM115  the process inherits it
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "benchmarks.capacity.hollow_instance",
                 "--operator",
-                str(self.it.folder / "relay.toml"),
+                str(self.harness.folder / "relay.toml"),
                 "--config",
-                str(self.it.folder / "config0.json"),
+                str(self.harness.folder / "config0.json"),
                 "--state",
                 str(self.state),
                 "--address",
-                f"127.{self.it.block}.{4 + n}.1",
+                f"127.{self.harness.block}.{4 + n}.1",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
@@ -133,41 +134,44 @@
             assert process.stdout is not None
             line = await process.stdout.readline()
             if not line:
-                raise Broken((self.it.folder / f"hollow{n}.log").read_text()[-2000:])
+                raise WorkerError((self.harness.folder / f"hollow{n}.log").read_text()[-2000:])
             worker.empty = json.loads(line)["rss"]
             self.workers.append(worker)
 
-    async def all(self, **order: Any) -> list[Any]:
+    async def order_all(self, **order: Any) -> list[Any]:
         return await asyncio.gather(*(worker.do(**order) for worker in self.workers))
 
     async def start(self, numbers: list[int], within_s: float) -> float:
-        """Begins these, spread over so long: s until all of them have begun."""
-        begun = time.monotonic()
+        """Start these instances, spread over `within_s`. Returns the seconds until all have started."""
+        started_at = time.monotonic()
         zones = {str(number): self.zone(number) for number in numbers}
-        wanted = set(numbers)
+        selected = set(numbers)
         await asyncio.gather(
             *(
                 worker.do(
                     do="start",
-                    numbers=[n for n in worker.numbers if n in wanted],
+                    numbers=[n for n in worker.numbers if n in selected],
                     zones=zones,
-                    of=self.instances + self.it.instances,
+                    of=self.instances + self.harness.instances,
                     within_s=within_s,
                 )
                 for worker in self.workers
             )
         )
         self.boots.update(numbers)
-        self.down -= wanted
-        return time.monotonic() - begun
+        self.down -= selected
+        return time.monotonic() - started_at
 
-    async def end(self, numbers: list[int], word: bool = False) -> float:
-        """Ends these at once; when."""
-        at = time.monotonic()
+    async def stop(self, numbers: list[int], announce: bool = False) -> float:
+        """Stop these instances at once. Returns the time of the order.
+
+        With `announce`, each announces its departure first.
+        """
+        stopped_at = time.monotonic()
         self.expected |= {f"n{n}/{self.boots[n]}" for n in numbers}
         self.down |= set(numbers)
-        await self.all(do="end", numbers=numbers, word=word)
-        return at
+        await self.order_all(do="end", numbers=numbers, word=announce)
+        return stopped_at
 
     async def close(self) -> None:
         if self.traffic is not None and self.clients is not None:
@@ -185,58 +189,62 @@
                 worker.process.kill()
                 await worker.process.wait()
 
-    # -- looking ---------------------------------------------------------------------------------------------
+    # -- observing -------------------------------------------------------------------------------------------
 
     @property
     def up(self) -> int:
         return self.instances - len(self.down)
 
-    async def until(
-        self, true: Callable[[list[dict[str, Any]]], bool], seconds: float, word: str, every: float = 1.0
+    async def wait_until(
+        self,
+        condition: Callable[[list[dict[str, Any]]], bool],
+        seconds: float,
+        description: str,
+        interval_s: float = 1.0,
     ) -> float:
-        """Until that is true of all workers; how long it took. nan, and said, where it does not come."""
-        begun = time.monotonic()
+        """Wait until the condition holds. Returns the seconds; a timeout is logged and returns nan."""
+        started_at = time.monotonic()
         while True:
-            told = await self.all(do="known", version=self.version)
-            if true(told):
-                return time.monotonic() - begun
-            if time.monotonic() > begun + seconds:
-                self.say(f"  not in {seconds:.0f} s: {word}: {told[:3]}")
+            reports = await self.order_all(do="known", version=self.version)
+            if condition(reports):
+                return time.monotonic() - started_at
+            if time.monotonic() > started_at + seconds:
+                self.log(f"  timeout after {seconds:.0f} s: {description}: {reports[:3]}")
                 return float("nan")
-            await asyncio.sleep(every)
+            await asyncio.sleep(interval_s)
 
     async def all_known(self, seconds: float) -> float:
-        """Until each knows each other one that runs, and nobody else."""
-        count = self.up + self.it.instances
-        return await self.until(
-            lambda told: all(row["least"] == row["most"] == count for row in told),
+        """Wait until each instance knows every other running instance, and no others."""
+        count = self.up + self.harness.instances
+        return await self.wait_until(
+            lambda reports: all(row["least"] == row["most"] == count for row in reports),
             seconds,
             f"all know {count}",
         )
 
     async def all_act(self, seconds: float) -> float:
-        return await self.until(
-            lambda told: sum(row["acts"] for row in told) == self.up,
+        return await self.wait_until(
+            lambda reports: sum(row["acts"] for row in reports) == self.up,
             seconds,
             f"all act by {self.version}",
             0.25,
         )
 
-    async def heard(self) -> dict[str, dict[str, Bins]]:
-        """What was heard of members since the last look, by process; what was wrong is kept."""
-        found: dict[str, dict[str, Bins]] = {"deaths": {}, "lives": {}}
-        for told in await self.all(do="changes"):
-            for kind, rows in found.items():
-                for key, counts in told[kind].items():
+    async def take_observations(self) -> dict[str, dict[str, Bins]]:
+        """Return observed deaths and starts since the last call, by process. Wrong deaths are recorded."""
+        observed: dict[str, dict[str, Bins]] = {"deaths": {}, "lives": {}}
+        for report in await self.order_all(do="changes"):
+            for kind, rows in observed.items():
+                for key, counts in report[kind].items():
                     rows.setdefault(key, Bins()).merge(counts)
-            self.suspected.update(told["suspects"])
-        for key, bins in found["deaths"].items():
+            self.suspected.update(report["suspects"])
+        for key, bins in observed["deaths"].items():
             if key not in self.expected:
-                self.wrong[key] = self.wrong.get(key, 0) + len(bins)
-        return found
+                self.wrong_deaths[key] = self.wrong_deaths.get(key, 0) + len(bins)
+        return observed
 
     async def counts(self) -> dict[str, Any]:
-        rows = await self.all(do="counts")
+        rows = await self.order_all(do="counts")
         total: Counter[str] = Counter()
         for row in rows:
             total.update(row["counts"])
@@ -247,43 +255,45 @@
             "rss": sum(row["rss"] - worker.empty for row, worker in zip(rows, self.workers, strict=True)),
             "descriptors": max(row["descriptors"] for row in rows),
             "lag_ms": max(row["lag_ms"][2] for row in rows),
-            "voters": {n: self._used(n) for n in range(self.it.instances)},
+            "voters": {n: self._cpu_seconds(n) for n in range(self.harness.instances)},
             "voter": await self._traffic(0),
         }
 
     async def _traffic(self, n: int) -> Counter[str]:
         try:
-            return Counter((await self.it.status(n))["traffic"])
+            return Counter((await self.harness.status(n))["traffic"])
         except StatusError:
             return Counter()
 
-    def _used(self, n: int) -> float:
-        """Processor seconds of a real one."""
-        pid = self.it.processes[self.it.name(n)].pid
+    def _cpu_seconds(self, n: int) -> float:
+        """Return the processor seconds of a real instance."""
+        pid = self.harness.processes[self.harness.name(n)].pid
         with open(f"/proc/{pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def _memory(self, n: int) -> float:
-        pid = self.it.processes[self.it.name(n)].pid
+        pid = self.harness.processes[self.harness.name(n)].pid
         with open(f"/proc/{pid}/statm") as file:
             return int(file.read().split()[1]) * float(os.sysconf("SC_PAGE_SIZE"))
 
     async def rest(self, seconds: float) -> dict[str, float]:
-        """What an instance costs in so long without anything that happens."""
+        """Measure the cost of an instance at rest, over this time."""
         before = await self.counts()
         await asyncio.sleep(seconds)
         after = await self.counts()
-        took = after["at"] - before["at"]
-        mine = rates(before["counts"], after["counts"], took, self.up)
-        voter = rates(before["voter"], after["voter"], took, 1)
-        used = [(after["voters"][n] - before["voters"][n]) / took for n in range(self.it.voters)]
+        seconds_measured = after["at"] - before["at"]
+        instance = rates(before["counts"], after["counts"], seconds_measured, self.up)
+        voter = rates(before["voter"], after["voter"], seconds_measured, 1)
+        voter_cores = [
+            (after["voters"][n] - before["voters"][n]) / seconds_measured for n in range(self.harness.voters)
+        ]
         return {
-            "bytes_s": mine["sent_bytes"] + mine["asked_bytes"],
-            "bytes_in_s": mine["received_bytes"],
-            "datagrams_s": mine["sent"],
-            "datagrams_in_s": mine["received"],
-            "cpu_share": (after["cpu_s"] - before["cpu_s"]) / took / self.up,
+            "bytes_s": instance["sent_bytes"] + instance["asked_bytes"],
+            "bytes_in_s": instance["received_bytes"],
+            "datagrams_s": instance["sent"],
+            "datagrams_in_s": instance["received"],
+            "cpu_share": (after["cpu_s"] - before["cpu_s"]) / seconds_measured / self.up,
             "memory_bytes": after["rss"] / self.up,
             "descriptors": after["descriptors"],
             "lag_ms": after["lag_ms"],
@@ -291,56 +301,59 @@
             "voter_bytes_in_s": voter.get("received_bytes", 0.0),
             "voter_datagrams_s": voter.get("sent", 0.0),
             "voter_bytes_s": voter.get("sent_bytes", 0.0),
-            "voter_cpu_share": max(used),
-            "voter_memory_bytes": max(self._memory(n) for n in range(self.it.voters)),
+            "voter_cpu_share": max(voter_cores),
+            "voter_memory_bytes": max(self._memory(n) for n in range(self.harness.voters)),
         }
 
     # -- traffic and changes ---------------------------------------------------------------------------------
 
     def serve(self) -> None:
-        """The real relays take traffic from now on."""
-        relays = self.it.instances - self.it.voters
-        self.clients = Clients(self.it.port + self.it.voters, relays, deadline_share=0.5)
+        """Start traffic to the real relays."""
+        relays = self.harness.instances - self.harness.voters
+        self.clients = Clients(self.harness.port + self.harness.voters, relays, deadline_share=0.5)
         self.traffic = asyncio.ensure_future(self.clients.run(RATE, 3600.0))
 
     async def propose(self, rate: float) -> tuple[int, float]:
-        """A version, and when it was proposed. A plan may have come first: tried again."""
+        """Propose a version. Returns its number and the time of the proposal.
+
+        Retries if another version, such as a plan, was accepted first.
+        """
         rules = {"destinations": {"1": {"rate": rate}}}
-        ends = time.monotonic() + 30.0
+        deadline = time.monotonic() + 30.0
         while True:
-            at = time.monotonic()
+            proposed_at = time.monotonic()
             try:
-                told = await self.it.propose(0, rules)
+                reply = await self.harness.propose(0, rules)
             except StatusError as error:
-                told = {"number": 0, "refused": str(error)}
-            if told["number"]:
-                self.version = told["number"]
-                return told["number"], at
+                reply = {"number": 0, "refused": str(error)}
+            if reply["number"]:
+                self.version = reply["number"]
+                return reply["number"], proposed_at
             self.conflicts += 1
-            if time.monotonic() > ends:
-                raise Broken(f"a version was not taken: {told['refused']}")
+            if time.monotonic() > deadline:
+                raise WorkerError(f"a version was not accepted: {reply['refused']}")
             await asyncio.sleep(0.1)
 
-    async def acted(self, version: int) -> Bins:
-        return of([at for row in await self.all(do="acted", version=version) for at in row])
+    async def acting_times(self, version: int) -> Bins:
+        return bins_of([at for row in await self.order_all(do="acted", version=version) for at in row])
 
     async def change(self, rate: float, seconds: float) -> dict[str, float]:
-        """One version: when each hollow one acts by it."""
+        """Propose one version. Returns quantiles of the time until each hollow instance acts by it."""
         version, at = await self.propose(rate)
         await self.all_act(seconds)
-        bins = await self.acted(version)
+        bins = await self.acting_times(version)
         return {**bins.quartet(at), "acting": len(bins), "of": self.up}
 
 
-async def begun(them: HollowFleet, within_s: float, seconds: float) -> dict[str, float]:
-    """Starts all; when all know all, and all act by the rules."""
-    began = time.monotonic()
-    took = await them.start(them.numbers, within_s)
-    them.say(f"  {them.instances} begun in {took:.1f} s")
-    acts = await them.all_act(seconds)
-    them.say(f"  all act after {time.monotonic() - began:.1f} s")
-    known = await them.all_known(seconds)
-    return {"start_s": took, "start_acts_s": took + acts, "start_known_s": took + acts + known}
+async def start_fleet(fleet: HollowFleet, within_s: float, seconds: float) -> dict[str, float]:
+    """Start all. Returns the times until all act by the rules, and until all know all."""
+    started_at = time.monotonic()
+    start_s = await fleet.start(fleet.numbers, within_s)
+    fleet.log(f"  {fleet.instances} started in {start_s:.1f} s")
+    act_s = await fleet.all_act(seconds)
+    fleet.log(f"  all act after {time.monotonic() - started_at:.1f} s")
+    known_s = await fleet.all_known(seconds)
+    return {"start_s": start_s, "start_acts_s": start_s + act_s, "start_known_s": start_s + act_s + known_s}
 
 
 @contextlib.asynccontextmanager
@@ -362,13 +375,13 @@
         zones=len(zones),
         partners=zones,
         deadline_share=0.5,
-        more_parts=parts(zones, WINDOW_S * stretch),
-    ) as it:
+        more_parts=regions_section(zones, WINDOW_S * stretch),
+    ) as harness:
         memory = str(MEMORY) if MEMORY.is_dir() else None
         with tempfile.TemporaryDirectory(prefix="message_relay-hollow-", dir=memory) as state:
-            them = HollowFleet(it, instances, processes, stretch, zone_of, state=Path(state))
+            fleet = HollowFleet(harness, instances, processes, stretch, zone_of, state=Path(state))
             try:
-                await them.begin()
-                yield them
+                await fleet.start_workers()
+                yield fleet
             finally:
-                await them.close()
+                await fleet.close()
--- a/benchmarks/capacity/hollow_instance.py
+++ b/benchmarks/capacity/hollow_instance.py
@@ -1,5 +1,5 @@
-"""Hollow instances, many to a process: the program's own peers, rules and plans (fleet/common.py) with real
-sockets, over a host that takes no messages. Told what to do by lines of JSON, see `Worker`.
+"""Runs many hollow instances in one process: the program's own gossip, rules and plans (fleet/common.py) with
+real sockets, over a relay that accepts no messages. Orders arrive as lines of JSON, see `Worker`.
 
     python -m benchmarks.capacity.hollow_instance --operator FILE --config FILE --state FOLDER --address HOST
 """
@@ -37,9 +37,9 @@
 
 from .hollow_figures import Bins
 
-PORT = 7400  # with an instance's number
-LINE_BYTES = 1 << 24  # of an order: names of all that end
-START_S = 0.002  # between two starts in one turn of an order: others have theirs in between
+PORT = 7400  # plus the instance's number
+LINE_BYTES = 1 << 24  # limit of an order, which may hold the numbers of all instances to stop
+START_PAUSE_S = 0.002  # minimum pause between two starts, so that running instances get their turn
 COUNTED = (
     "sent",
     "sent_bytes",
@@ -55,8 +55,8 @@
 )
 
 
-class Silent:
-    """A transport that is never asked: there are no messages."""
+class UnusedTransport:
+    """A transport that is never used, because there are no messages."""
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
         return AttemptResult(Outcome.NOT_SENT)
@@ -74,20 +74,21 @@
         pass
 
 
-class Watch:
-    """What the instances of this process came to know, and when (time.monotonic, one for the machine)."""
+class ObservationLog:
+    """Records what the instances of this process learn, and when (time.monotonic, shared by the machine)."""
 
     def __init__(self) -> None:
-        self.acts: dict[int, dict[int, float]] = {}  # instance -> version -> since when it acts by it alone
-        self.deaths: dict[str, Bins] = {}  # of a process: name/boot -> when it was known here, how often
+        # instance -> version -> when it began to act by this version only
+        self.acts: dict[int, dict[int, float]] = {}
+        self.deaths: dict[str, Bins] = {}  # process (name/boot) -> histogram of the times when it was learned
         self.lives: dict[str, Bins] = {}
         self.suspects: Counter[str] = Counter()
 
-    def acting(self, number: int, label: str) -> None:
+    def record_acting(self, number: int, label: str) -> None:
         if label.isdecimal():
             self.acts.setdefault(number, {}).setdefault(int(label), time.monotonic())
 
-    def changed(self, claim: Claim) -> None:
+    def record_claim(self, claim: Claim) -> None:
         key = f"{claim.name}/{claim.process_epoch}"
         if claim.state in (MemberState.DEAD, MemberState.LEFT):
             self.deaths.setdefault(key, Bins()).add(time.monotonic())
@@ -98,68 +99,70 @@
 
 
 class Hollow:
-    """One instance."""
+    """One hollow instance."""
 
-    def __init__(self, number: int, told: OperatorConfig, config: Config, watch: Watch) -> None:
+    def __init__(
+        self, number: int, operator_config: OperatorConfig, config: Config, watch: ObservationLog
+    ) -> None:
         self.number, self.watch = number, watch
         self.host = Relay(config)
-        self.host.connect({}, Silent(), [])
-        self.common = SharedSubsystems(told, number, config, self.host)
+        self.host.connect({}, UnusedTransport(), [])
+        self.common = SharedSubsystems(operator_config, number, config, self.host)
         if config.known_endpoints:
-            known: EndpointUpdate = DiscoveryClient(config.discovery, config.settings.relays).load_configured(
-                config.known_endpoints
-            )
-            self.host.on_endpoint_update(known)
-        self.common.gossip.on_member_changed.append(watch.changed)
-        accord = self.common.consensus
-        assert accord is not None
-        self.accord, retell = accord, accord.on_rules_changed
-
-        def retold() -> None:
-            if accord.reported_rules is not None:
-                watch.acting(number, accord.reported_rules.label)
-            retell()
-
-        accord.on_rules_changed = retold
+            update: EndpointUpdate = DiscoveryClient(
+                config.discovery, config.settings.relays
+            ).load_configured(config.known_endpoints)
+            self.host.on_endpoint_update(update)
+        self.common.gossip.on_member_changed.append(watch.record_claim)
+        consensus = self.common.consensus
+        assert consensus is not None
+        self.consensus, notify_relay = consensus, consensus.on_rules_changed
+
+        def on_rules_changed() -> None:
+            if consensus.reported_rules is not None:
+                watch.record_acting(number, consensus.reported_rules.label)
+            notify_relay()
+
+        consensus.on_rules_changed = on_rules_changed
 
     async def start(self) -> None:
         await self.common.start()
 
-    async def end(self, word: bool) -> None:
-        """As a process that is killed, or one that says so first."""
-        if word:
+    async def stop(self, announce: bool) -> None:
+        """Stop like a killed process, or with `announce` announce the departure first."""
+        if announce:
             self.common.close()
         if self.common.failover is not None:
             await self.common.failover.tasks.cancel()
-        await self.accord.close()
+        await self.consensus.close()
         await self.common.gossip.close()
         self.host.journal.close()
         self.host.lock.release()
         self.watch.acts.pop(self.number, None)
 
     @property
-    def there(self) -> int:
-        """Members that it knows to be there, itself included."""
+    def present(self) -> int:
+        """The number of present members that it knows, including itself."""
         return len(self.common.gossip.swim.present_members())
 
 
 class Worker:
-    """Carries out orders, each a line of JSON with `do`, and answers each with a line."""
+    """Carries out orders, each a line of JSON with `do`, and replies to each with a line."""
 
     def __init__(self, args: argparse.Namespace) -> None:
-        self.args, self.watch, self.lag = args, Watch(), LoopLag()
+        self.args, self.watch, self.lag = args, ObservationLog(), LoopLag()
         self.instances: dict[int, Hollow] = {}
-        self.ended: Counter[str] = Counter()  # what those counted that have ended
-        self.told: OperatorConfig = operator.read(args.operator)
+        self.stopped_counts: Counter[str] = Counter()  # totals of the instances that have stopped
+        self.operator_config: OperatorConfig = operator.read(args.operator)
         config = load({"RELAY_CONFIG": str(args.config), "RELAY_NAME": "x", "RELAY_STATE": args.state})
         self.config, self.listed = config, config.known_endpoints
 
-    def _one(self, number: int, of: int, zone: int) -> Hollow:
+    def _create(self, number: int, fleet_size: int, zone: int) -> Hollow:
         listen = f"{self.args.address}:{PORT}"
-        told = msgspec.structs.replace(
-            self.told,
-            peers=msgspec.structs.replace(self.told.peers, listen=listen, address=""),
-            fleet=FleetSection(instances=of),
+        operator_config = msgspec.structs.replace(
+            self.operator_config,
+            peers=msgspec.structs.replace(self.operator_config.peers, listen=listen, address=""),
+            fleet=FleetSection(instances=fleet_size),
             status=StatusSection(),
         )
         state = Path(self.args.state) / str(number)
@@ -177,67 +180,72 @@
             settings=settings,
             zones=self.config.zones,
         )
-        return Hollow(number, told, config, self.watch)
+        return Hollow(number, operator_config, config, self.watch)
 
-    async def start(self, numbers: list[int], zones: dict[str, int], of: int, within_s: float) -> None:
-        """Evenly over so long."""
-        begun = time.monotonic()
+    async def start(
+        self, numbers: list[int], zones: dict[str, int], fleet_size: int, within_s: float
+    ) -> None:
+        """Start these instances, evenly spread over `within_s`."""
+        started_at = time.monotonic()
         for n, number in enumerate(numbers):
-            await asyncio.sleep(max(START_S, begun + within_s * n / len(numbers) - time.monotonic()))
-            one = self._one(number, of, zones.get(str(number), 0))
-            await one.start()
-            self.instances[number] = one
-
-    async def end(self, numbers: list[int], word: bool) -> None:
-        """At once, all that are here of them."""
-        gone = [self.instances.pop(number) for number in numbers if number in self.instances]
-        for one in gone:
-            self.ended.update({name: one.common.gossip.counts[name] for name in COUNTED})
-        await asyncio.gather(*(one.end(word) for one in gone))
+            await asyncio.sleep(
+                max(START_PAUSE_S, started_at + within_s * n / len(numbers) - time.monotonic())
+            )
+            instance = self._create(number, fleet_size, zones.get(str(number), 0))
+            await instance.start()
+            self.instances[number] = instance
+
+    async def stop(self, numbers: list[int], announce: bool) -> None:
+        """Stop at once those of these instances that run in this process."""
+        stopped = [self.instances.pop(number) for number in numbers if number in self.instances]
+        for instance in stopped:
+            self.stopped_counts.update({name: instance.common.gossip.counts[name] for name in COUNTED})
+        await asyncio.gather(*(instance.stop(announce) for instance in stopped))
 
     def counts(self) -> dict[str, Any]:
-        found = Counter(self.ended)
-        for one in self.instances.values():
-            found.update({name: one.common.gossip.counts[name] for name in COUNTED})
-        used = resource.getrusage(resource.RUSAGE_SELF)
+        totals = Counter(self.stopped_counts)
+        for instance in self.instances.values():
+            totals.update({name: instance.common.gossip.counts[name] for name in COUNTED})
+        usage = resource.getrusage(resource.RUSAGE_SELF)
         lag = self.lag.summary()
         return {
             "instances": len(self.instances),
-            "counts": dict(found),
+            "counts": dict(totals),
             "at": time.monotonic(),
-            "cpu_s": used.ru_utime + used.ru_stime,
+            "cpu_s": usage.ru_utime + usage.ru_stime,
             "rss": _rss(),
             "descriptors": len(os.listdir("/proc/self/fd")),
             "lag_ms": [lag.median_ms, lag.p99_ms, lag.most_ms],
         }
 
     def known(self, version: int) -> dict[str, Any]:
-        """How far they are: members that each knows to be there (least, most), and how many act by that
-        version or a later one."""
-        there = [one.there for one in self.instances.values()]
+        """Return the progress: the minimum and maximum number of members that an instance knows as present,
+        and how many instances act by this version or a later one."""
+        present = [instance.present for instance in self.instances.values()]
         acts = sum(max(self.watch.acts.get(number, {0: 0.0})) >= version for number in self.instances)
-        news = [len(one.common.gossip.swim.dissemination_queue) for one in self.instances.values()]
+        news = [len(instance.common.gossip.swim.dissemination_queue) for instance in self.instances.values()]
         late = [
-            f"{one.accord.name}: {one.accord.active_rules().label} {one.accord.lease_holder.denial_reason}"
-            for number, one in self.instances.items()
+            f"{instance.consensus.name}: {instance.consensus.active_rules().label} "
+            f"{instance.consensus.lease_holder.denial_reason}"
+            for number, instance in self.instances.items()
             if max(self.watch.acts.get(number, {0: 0.0})) < version
         ]
         return {
-            "least": min(there, default=0),
-            "most": max(there, default=0),
+            "least": min(present, default=0),
+            "most": max(present, default=0),
             "acts": acts,
             "news": max(news, default=0),
             "late": late[:2],
-        }  # some, for whoever looks for the cause
+        }  # two examples, to help find the cause
 
     def acted(self, version: int) -> list[float]:
-        """When each began to act by that version or a later one, of those that do."""
-        found = []
+        """Return when each instance began to act by this version or a later one, if it does."""
+        acting_since = []
         for number in self.instances:
             times = [at for each, at in self.watch.acts.get(number, {}).items() if each >= version]
             if times:
-                found.append(min(times))
-        return found
+                acting_since.append(min(times))
+        return acting_since
 
     async def do(self, order: dict[str, Any]) -> Any:
         match order["do"]:
@@ -245,7 +253,7 @@
                 await self.start(order["numbers"], order["zones"], order["of"], order["within_s"])
                 return len(self.instances)
             case "end":
-                await self.end(order["numbers"], order.get("word", False))
+                await self.stop(order["numbers"], order.get("word", False))
                 return len(self.instances)
             case "counts":
                 return self.counts()
@@ -254,45 +262,45 @@
             case "acted":
                 return self.acted(order["version"])
             case "changes":
-                """What was heard of members since the last question."""
+                """Return the observations of members since the last such order."""
                 watch = self.watch
-                told = {
+                reply = {
                     "deaths": {key: bins.counts for key, bins in watch.deaths.items()},
                     "lives": {key: bins.counts for key, bins in watch.lives.items()},
                     "suspects": dict(watch.suspects),
                 }
                 watch.deaths, watch.lives, watch.suspects = {}, {}, Counter()
-                return told
+                return reply
             case "collect":
                 gc.collect()
                 return None
-        raise ValueError(f"do: {order['do']!r} is no order")
+        raise ValueError(f"do: {order['do']!r} is not a known order")
 
     async def run(self) -> None:
-        """Until there are no more orders."""
+        """Run until there are no more orders."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader(limit=LINE_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         self.lag.start()
-        load_solver()  # what it imports is the process's, not an instance's
-        tending = loop.create_task(run_gc_policy(lambda: 0))
-        say({"rss": _rss(), "pid": os.getpid()})
+        load_solver()  # its imports count for the process, not for an instance
+        gc_task = loop.create_task(run_gc_policy(lambda: 0))
+        reply_line({"rss": _rss(), "pid": os.getpid()})
         while line := await reader.readline():
             try:
-                say(await self.do(json.loads(line)))
-            except Exception as error:  # told to whoever gave the order
+                reply_line(await self.do(json.loads(line)))
+            except Exception as error:  # reported to the sender of the order
                 logging.exception("an order failed")
-                say({"error": repr(error)})
-        tending.cancel()
-        await asyncio.gather(*(one.end(False) for one in self.instances.values()))
+                reply_line({"error": repr(error)})
+        gc_task.cancel()
+        await asyncio.gather(*(instance.stop(False) for instance in self.instances.values()))
 
 
 def _rss() -> int:
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def say(what: Any) -> None:
-    sys.stdout.write(json.dumps(what) + "\n")
+def reply_line(reply: Any) -> None:
+    sys.stdout.write(json.dumps(reply) + "\n")
     sys.stdout.flush()
 
 
--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -1,4 +1,5 @@
-"""What evidence costs: a relay by the destinations it calls, and the decider by the relays that tell it."""
+"""Measures the cost of observations: for a relay by the destinations that it calls, and for the failover
+controller by the relays that report to it."""
 
 from __future__ import annotations
 
@@ -20,86 +21,97 @@
 
 SECRET = b"0123456789abcdef"
 ZONES = tuple(f"zone-{n}" for n in range(10))
-PART = FailoverSettings({zone: ZoneSettings(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
-CALLS = 857  # of a relay in a window: a second of its share of three million
-DESTINATIONS = 20  # that a relay calls in a window, where relays are counted; of as many as ten relays call
+SETTINGS = FailoverSettings({zone: ZoneSettings(f"region-{n // 5}") for n, zone in enumerate(ZONES)})
+CALLS = 857  # of a relay in a window: its share of three million calls a second
+DESTINATIONS = 20  # called by a relay in a window when the number of relays varies; ten relays share each
 GROUP = "anywhere 1"
 
 
-def window(counting: CallCounter, rng: random.Random, destinations: list[int]) -> list[ObservationReport]:
+def close_window(
+    counter: CallCounter, rng: random.Random, destinations: list[int]
+) -> list[ObservationReport]:
     for n in range(CALLS):
         destination = destinations[n % len(destinations)]
-        counting.record_submission(destination, GROUP)
-        good = rng.random() < 0.98
-        counting.record_call(destination, counting.zone, good, not good, False, rng.lognormvariate(3.0, 0.5))
-    return counting.close_window(1.0, 0.1)
+        counter.record_submission(destination, GROUP)
+        succeeded = rng.random() < 0.98
+        counter.record_call(
+            destination, counter.zone, succeeded, not succeeded, False, rng.lognormvariate(3.0, 0.5)
+        )
+    return counter.close_window(1.0, 0.1)
 
 
 def packets(reports: list[ObservationReport]) -> list[bytes]:
     return [
         seal_packet(
-            Packet(each.relay, 1, AppMessage(OBSERVATIONS_KIND, msgspec.msgpack.encode(each))), SECRET
+            Packet(report.relay, 1, AppMessage(OBSERVATIONS_KIND, msgspec.msgpack.encode(report))), SECRET
         )
-        for each in reports
+        for report in reports
     ]
 
 
-def taken(evidence: Observations, now: float, raws: list[bytes]) -> None:
+def add_reports(observations: Observations, now: float, raws: list[bytes]) -> None:
     for raw in raws:
         body = open_packet(raw, SECRET).body
         assert isinstance(body, AppMessage)
-        evidence.add(now, msgspec.msgpack.decode(body.body, type=ObservationReport))
+        observations.add(now, msgspec.msgpack.decode(body.body, type=ObservationReport))
 
 
-def timed(what: Callable[[], object]) -> float:
-    """Milliseconds of processor."""
-    began = time.process_time()
-    what()
-    return 1000 * (time.process_time() - began)
+def cpu_ms(action: Callable[[], object]) -> float:
+    """Return the processor time in ms."""
+    started_at = time.process_time()
+    action()
+    return 1000 * (time.process_time() - started_at)
 
 
 def report(size: int) -> Mapping[str, float]:
-    """Of one relay and window, as told to one voter."""
-    rng, counting = random.Random(1), CallCounter("n1", 1, ZONES[0])
-    reports = window(counting, rng, list(range(size)))
+    """Measure the report of one relay and window to one voter."""
+    rng, counter = random.Random(1), CallCounter("n1", 1, ZONES[0])
+    reports = close_window(counter, rng, list(range(size)))
     times = []
     for n in range(20):
         raws = packets(reports)
-        evidence = Observations()
-        times.append(timed(lambda raws=raws, evidence=evidence, n=n: taken(evidence, float(n), raws)))  # type: ignore[misc]
+        observations = Observations()
+        times.append(
+            cpu_ms(
+                lambda raws=raws, observations=observations, n=n: add_reports(observations, float(n), raws)  # type: ignore[misc]
+            )
+        )
     return {"bytes": sum(map(len, raws)), "datagrams": len(raws), "cpu_ms": min(times)}
 
 
-def filled(size: int) -> tuple[Observations, float, float]:
-    """What a decider knows of so many relays; how long the last window took it, and its bytes."""
-    rng, evidence = random.Random(1), Observations()
+def observations_of(size: int) -> tuple[Observations, float, float]:
+    """Return the observations of `size` relays, and the processor ms and the bytes of the last window."""
+    rng, observations = random.Random(1), Observations()
     pool = max(DESTINATIONS, size * DESTINATIONS // 10)
     relays = [CallCounter(f"n{n}", n, ZONES[n % len(ZONES)]) for n in range(size)]
-    mine = [rng.sample(range(pool), DESTINATIONS) for _ in relays]
-    now, took, length = 0.0, 0.0, 0
+    called = [rng.sample(range(pool), DESTINATIONS) for _ in relays]
+    now, last_ms, length = 0.0, 0.0, 0
     for number in range(RETAINED_WINDOWS):
         now = number + 1.0
-        for n, counting in enumerate(relays):
-            for destination in mine[n]:  # some calls each: what counts here is the number of cells
-                counting.record_submission(destination, GROUP)
-                counting.record_call(destination, counting.zone, True, False, False, 20.0)
-        raws = [raw for counting in relays for raw in packets(counting.close_window(1.0, 0.1))]
-        took, length = timed(lambda raws=raws, now=now: taken(evidence, now, raws)), sum(map(len, raws))  # type: ignore[misc]
-    return evidence, took, length
+        for n, counter in enumerate(relays):
+            for destination in called[n]:  # a few calls each: only the number of samples matters
+                counter.record_submission(destination, GROUP)
+                counter.record_call(destination, counter.zone, True, False, False, 20.0)
+        raws = [raw for counter in relays for raw in packets(counter.close_window(1.0, 0.1))]
+        last_ms, length = (
+            cpu_ms(lambda raws=raws, now=now: add_reports(observations, now, raws)),  # type: ignore[misc]
+            sum(map(len, raws)),
+        )
+    return observations, last_ms, length
 
 
 def total(size: int) -> Mapping[str, float]:
-    evidence, took, length = filled(size)
-    now, decider = RETAINED_WINDOWS + 0.5, FailoverController(PART, evidence, None, lambda: 0.0)
-    first = timed(lambda: decider.update(now, Rules(), {}))
+    observations, take_ms, length = observations_of(size)
+    now, controller = RETAINED_WINDOWS + 0.5, FailoverController(SETTINGS, observations, None, lambda: 0.0)
+    first_update_ms = cpu_ms(lambda: controller.update(now, Rules(), {}))
     return {
-        "take_cpu_ms": took,
+        "take_cpu_ms": take_ms,
         "take_bytes": length,
-        "series_cpu_ms": timed(lambda: evidence.series(now)),
-        "demand_cpu_ms": timed(lambda: evidence.demand(now)),
-        "news_cpu_ms": timed(lambda: evidence.latest_reports(now, 4 * FORWARDED_REPORTS)),
-        "first_look_cpu_ms": first,
-        "look_cpu_ms": timed(lambda: decider.update(now + 0.2, Rules(), {})),
+        "series_cpu_ms": cpu_ms(lambda: observations.series(now)),
+        "demand_cpu_ms": cpu_ms(lambda: observations.demand(now)),
+        "news_cpu_ms": cpu_ms(lambda: observations.latest_reports(now, 4 * FORWARDED_REPORTS)),
+        "first_look_cpu_ms": first_update_ms,
+        "look_cpu_ms": cpu_ms(lambda: controller.update(now + 0.2, Rules(), {})),
     }
 
 
--- a/benchmarks/capacity/planner.py
+++ b/benchmarks/capacity/planner.py
@@ -1,4 +1,5 @@
-"""What plans cost: one destination's by its zones and groups of classes, and many within the budget."""
+"""Measures the cost of plans: for one destination by its zones and groups of message classes, and for many
+destinations within the time budget."""
 
 from __future__ import annotations
 
@@ -12,25 +13,25 @@
 
 from .form import Measure
 
-BUDGET_S = 0.15  # failover.budget_ms as it is set at first
+BUDGET_S = 0.15  # the default of failover.budget_ms
 GROUPS, ZONES = 3, 10
-ROUNDS = 5  # of different problems, the median of which counts
+ROUNDS = 5  # different problems; the result is the median
 
 
 def problem(zones: int, groups: int, seed: int) -> PlanningProblem:
-    """One zone is lost, and the others have room for most of what it had."""
+    """Return a problem in which one zone is lost and the others have capacity for most of its demand."""
     rng = random.Random(seed)
     names = tuple(f"zone-{n}" for n in range(zones))
     half = (zones + 1) // 2
     region = {name: n // half for n, name in enumerate(names)}
     demand = {(name, f"g{n}"): rng.uniform(20.0, 40.0) for name in names for n in range(groups)}
-    room = {name: 33.0 * groups for name in names}
+    capacity = {name: 33.0 * groups for name in names}
     lost = names[0]
     return PlanningProblem(
         names,
         tuple(TrafficGroup(f"g{n}", 1.0 + n) for n in range(groups)),
         demand,
-        room,
+        capacity,
         {(a, lost): 0.0 for a in names},
         {(a, b): 0.0 if a == b else 0.05 if region[a] == region[b] else 0.2 for a in names for b in names},
         {},
@@ -38,49 +39,49 @@
     )
 
 
-def median_ms(zones: int, groups: int, made: Callable[[PlanningProblem], Plan | None]) -> float:
+def median_ms(zones: int, groups: int, make_plan: Callable[[PlanningProblem], Plan | None]) -> float:
     times = []
     for seed in range(ROUNDS):
         each = problem(zones, groups, seed)
-        began = time.process_time()
-        assert made(each) is not None
-        times.append(1000 * (time.process_time() - began))
+        started_at = time.process_time()
+        assert make_plan(each) is not None
+        times.append(1000 * (time.process_time() - started_at))
     return sorted(times)[ROUNDS // 2]
 
 
-def solver() -> Solver:
-    """Loaded here: all other measures are imported beside this one, and don't need it."""
+def load_solver() -> Solver:
+    """Import the solver lazily: the other measures are imported together with this one and do not need it."""
     from message_relay.failover.solver import solve
 
     return solve
 
 
-def of_zones(size: int) -> Mapping[str, float]:
-    solved = solver()
-    solved(problem(2, 1, 0), 1.0)  # what is loaded at the first use is not of a plan
+def measure_zones(size: int) -> Mapping[str, float]:
+    solve = load_solver()
+    solve(problem(2, 1, 0), 1.0)  # the first use loads modules, which is not part of a plan
     return {
-        "solved_cpu_ms": median_ms(size, GROUPS, lambda each: solved(each, 10.0)),
+        "solved_cpu_ms": median_ms(size, GROUPS, lambda each: solve(each, 10.0)),
         "greedy_cpu_ms": median_ms(size, GROUPS, plan_greedily),
     }
 
 
-def of_groups(size: int) -> Mapping[str, float]:
-    solved = solver()
-    solved(problem(2, 1, 0), 1.0)
+def measure_groups(size: int) -> Mapping[str, float]:
+    solve = load_solver()
+    solve(problem(2, 1, 0), 1.0)
     return {
-        "solved_cpu_ms": median_ms(ZONES, size, lambda each: solved(each, 10.0)),
+        "solved_cpu_ms": median_ms(ZONES, size, lambda each: solve(each, 10.0)),
         "greedy_cpu_ms": median_ms(ZONES, size, plan_greedily),
     }
 
 
-def of_destinations(size: int) -> Mapping[str, float]:
-    solved = solver()
-    solved(problem(2, 1, 0), 1.0)
+def measure_destinations(size: int) -> Mapping[str, float]:
+    solve = load_solver()
+    solve(problem(2, 1, 0), 1.0)
     problems = {n: problem(ZONES, GROUPS, n) for n in range(size)}
-    began = time.process_time()
-    found = plan_all(problems, solved, BUDGET_S, time.perf_counter)
-    took = 1000 * (time.process_time() - began)
-    return {"cpu_ms": took, "solved": sum(each.method == "solved" for each in found.values())}
+    started_at = time.process_time()
+    plans = plan_all(problems, solve, BUDGET_S, time.perf_counter)
+    elapsed_ms = 1000 * (time.process_time() - started_at)
+    return {"cpu_ms": elapsed_ms, "solved": sum(each.method == "solved" for each in plans.values())}
 
 
 MEASURES = (
@@ -90,7 +91,7 @@
         (2, 4, 8, 16),
         32,
         {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
-        of_zones,
+        measure_zones,
         "message_relay/failover/solver.py",
         "one destination, 3 groups, one zone lost",
     ),
@@ -100,7 +101,7 @@
         (1, 2, 4, 8),
         16,
         {"solved_cpu_ms": "ms", "greedy_cpu_ms": "ms"},
-        of_groups,
+        measure_groups,
         "message_relay/failover/solver.py",
         "one destination, 10 zones, one of them lost",
     ),
@@ -110,7 +111,7 @@
         (12, 25, 50, 100),
         200,
         {"cpu_ms": "ms", "solved": "plans"},
-        of_destinations,
+        measure_destinations,
         "message_relay/failover/planner.py",
         "10 zones, 3 groups, one zone lost; the solver has 150 ms for all, and the others are greedy",
     ),
--- a/benchmarks/capacity/relay.py
+++ b/benchmarks/capacity/relay.py
@@ -1,4 +1,7 @@
-"""What the whole relay costs for a message that it delivers, by how much it holds: `benchmarks.relay`."""
+"""Measures the cost of a delivered message in the whole relay by the number of pending messages.
+
+Uses `benchmarks.relay`.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,13 @@
 from .form import Measure
 
 SECONDS = 2.0
-RATE = 50.0  # a second, for the part with open arrivals, which is not looked at here
+RATE = 50.0  # a second, for the part with open arrivals, whose result is not used
 
 
 def message(size: int) -> Mapping[str, float]:
     row = asyncio.run(measure("message_relay", size, SECONDS, RATE))
     if row.failed:
-        raise ValueError(f"{row.failed} requests were neither taken nor refused")
+        raise ValueError(f"{row.failed} requests were neither accepted nor rejected")
     return {"cpu_ms": row.cpu_ms}
 
 
--- a/benchmarks/capacity/sharded_directory.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -1,7 +1,9 @@
-"""What the directory by interest costs a keeper and a reader: their decisions, without sockets.
+"""Measures the cost of the sharded directory for a shard server and a shard client: their decisions, without
+sockets.
 
-Rows are as a register has them, one endpoint a destination; shards are 8,192 whatever the size, as the plan's
-operator has them. Readers hold an eighth of these, drawn for each: 1,000 destinations in use lie in 940.
+Rows have the form of a register, with one endpoint for each destination. There are 8,192 shards at every
+size, as in the planned deployment. Each client holds a random eighth of them: 1,000 destinations in use lie
+in 940 shards.
 """
 
 from __future__ import annotations
@@ -29,10 +31,10 @@
 from .form import Measure
 
 SHARDS, DESTINATIONS = 8_192, 360_000
-FEW = 22_500  # where it is readers that are counted
+FEW = 22_500  # destinations when the number of clients varies
 LAYOUT = Layout(SHARDS, tuple(range(1, 9)))
-PIECE = 2_000  # rows that the source hands over in one turn
-CHANGES = 200  # the mean counts
+PIECE = 2_000  # rows that the source passes on in one turn
+CHANGES = 200  # the result is their mean
 DIGEST_SECONDS = 30
 
 
@@ -53,137 +55,138 @@
         ]
 
 
-def loaded(size: int) -> tuple[ShardServer, list[float]]:
-    """And how long each turn of the load took, in ms."""
-    keeper, turns = ShardServer(LAYOUT, 1, random.Random(1)), []
-    load = keeper.start_list(0.0, (1, 1))
+def loaded_server(size: int) -> tuple[ShardServer, list[float]]:
+    """Return a server with a loaded list, and the time of each turn of the load in ms."""
+    server, turns = ShardServer(LAYOUT, 1, random.Random(1)), []
+    load = server.start_list(0.0, (1, 1))
     for piece in rows(size):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         load.add(piece)
-        turns.append((time.perf_counter() - began) * 1e3)
+        turns.append((time.perf_counter() - started_at) * 1e3)
     assert load.seal(0.0)
     done = False
     while not done:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         done = load.step()
-        turns.append((time.perf_counter() - began) * 1e3)
+        turns.append((time.perf_counter() - started_at) * 1e3)
     assert load.is_committed
-    return keeper, turns
+    return server, turns
 
 
-def keeper(size: int) -> Mapping[str, float]:
+def measure_server(size: int) -> Mapping[str, float]:
     gc.collect()
-    before, began = resident_memory_mb(), time.process_time()
-    kept, turns = loaded(size)
-    took = time.process_time() - began
+    before, started_at = resident_memory_mb(), time.process_time()
+    server, turns = loaded_server(size)
+    elapsed = time.process_time() - started_at
     gc.collect()
-    made = time.process_time()
+    creation = time.process_time()
     for _ in rows(size):
         pass
-    made = time.process_time() - made  # of that, what making the rows took
-    assert kept.status(0.0).endpoints == size
+    creation = time.process_time() - creation  # the part that creating the rows took
+    assert server.status(0.0).endpoints == size
     return {
         "memory_bytes": (resident_memory_mb() - before) * 1e6,
-        "load_cpu_ms": (took - made) * 1e3,
+        "load_cpu_ms": (elapsed - creation) * 1e3,
         "turn_ms": max(turns),
     }
 
 
-def audience(kept: ShardServer, readers: int) -> list[bytes]:
-    """So many readers that have asked; what each holds."""
-    rng, found = random.Random(2), []
-    for number in range(readers):
+def add_clients(server: ShardServer, clients: int) -> list[bytes]:
+    """Send a request of each of so many clients. Returns the shard set that each holds."""
+    rng, shard_sets = random.Random(2), []
+    for number in range(clients):
         held = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
-        found.append(pack_shard_set(held, SHARDS))
-        answer = kept.handle_request(
-            float(number), f"n{number + 100}", ShardRequest(1, LAYOUT, kept.version, found[-1])
+        shard_sets.append(pack_shard_set(held, SHARDS))
+        response = server.handle_request(
+            float(number), f"n{number + 100}", ShardRequest(1, LAYOUT, server.version, shard_sets[-1])
         )
-        assert isinstance(answer, ShardResponse)
-    return found
+        assert isinstance(response, ShardResponse)
+    return shard_sets
 
 
-def change(readers: int) -> Mapping[str, float]:
-    kept, _ = loaded(FEW)
-    holds = audience(kept, readers)
-    now, rng, told = float(readers), random.Random(3), 0
+def change(clients: int) -> Mapping[str, float]:
+    server, _ = loaded_server(FEW)
+    shard_sets = add_clients(server, clients)
+    now, rng, size = float(clients), random.Random(3), 0
     numbers = [rng.randrange(FEW) for _ in range(CHANGES)]
-    began = time.process_time()
-    for place, number in enumerate(numbers):
-        assert kept.apply_changes(
-            now, 2 + place, [Row(f"s-{number:08x}", number, 1, "h", 8080, "k", "z", 8.3)]
+    started_at = time.process_time()
+    for index, number in enumerate(numbers):
+        assert server.apply_changes(
+            now, 2 + index, [Row(f"s-{number:08x}", number, 1, "h", 8080, "k", "z", 8.3)]
         )
-    took = time.process_time() - began
-    asked = 0
-    for raw in holds[:50]:  # all changes at once: bytes of each that the reader holds
-        ask = ShardRequest(2, LAYOUT, (1, 1), raw)
-        answer = kept.handle_request(now + 100.0, "n100", ask)
-        assert isinstance(answer, ShardResponse)
-        told += len(encode_message(answer)) + len(encode_message(ask))
-        asked += 1
-    return {"cpu_us": took / CHANGES * 1e6, "bytes": told / asked / CHANGES}
-
-
-def taken(kept: ShardServer, shards: int, now: float) -> tuple[ShardClient, float]:
-    """A reader that has taken so many, one destination of each in use, and the processor time in s."""
-    read = ShardClient("n100", LAYOUT, random.Random(4))
-    wanted: set[int] = set()
+    elapsed = time.process_time() - started_at
+    requests = 0
+    for raw in shard_sets[:50]:  # all changes at once: the bytes of those that the client holds
+        request = ShardRequest(2, LAYOUT, (1, 1), raw)
+        response = server.handle_request(now + 100.0, "n100", request)
+        assert isinstance(response, ShardResponse)
+        size += len(encode_message(response)) + len(encode_message(request))
+        requests += 1
+    return {"cpu_us": elapsed / CHANGES * 1e6, "bytes": size / requests / CHANGES}
+
+
+def fetched_client(server: ShardServer, shards: int, now: float) -> tuple[ShardClient, float]:
+    """Return a client that has fetched so many shards, with one destination in use in each, and the processor
+    time in s."""
+    client = ShardClient("n100", LAYOUT, random.Random(4))
+    selected: set[int] = set()
     for destination in range(DESTINATIONS):
         shard = shard_of(destination, SHARDS)
-        if shard not in wanted:
-            wanted.add(shard)
-            read.request(now, destination, now + 600.0)
-            if len(wanted) == shards:
+        if shard not in selected:
+            selected.add(shard)
+            client.request(now, destination, now + 600.0)
+            if len(selected) == shards:
                 break
-    took = 0.0
-    while read.status(now).waiting:
+    elapsed = 0.0
+    while client.status(now).waiting:
         now += 0.05
-        kept.confirm_source(now)
-        began = time.process_time()
-        read.tick(now, lambda destination: False)
-        asks = list(read.outgoing)
-        read.outgoing.clear()
-        took += time.process_time() - began
-        for name, ask in asks:
-            word = kept.handle_request(now, "n100", ask)
-            began = time.process_time()
-            read.on_response(now, name, word)
-            read.updates.clear()
-            took += time.process_time() - began
-    assert read.status(now).shards == shards
-    return read, took
-
-
-def reader(shards: int) -> Mapping[str, float]:
-    kept, _ = loaded(DESTINATIONS)
-    _, took = taken(kept, shards, 0.0)
+        server.confirm_source(now)
+        started_at = time.process_time()
+        client.tick(now, lambda destination: False)
+        requests = list(client.outgoing)
+        client.outgoing.clear()
+        elapsed += time.process_time() - started_at
+        for name, request in requests:
+            response = server.handle_request(now, "n100", request)
+            started_at = time.process_time()
+            client.on_response(now, name, response)
+            client.updates.clear()
+            elapsed += time.process_time() - started_at
+    assert client.status(now).shards == shards
+    return client, elapsed
+
+
+def measure_client(shards: int) -> Mapping[str, float]:
+    server, _ = loaded_server(DESTINATIONS)
+    _, elapsed = fetched_client(server, shards, 0.0)
     gc.collect()
-    tracemalloc.start()  # what the keeper's load has left free would hide it from the process's size
-    read, _ = taken(kept, shards, 1e4)
+    tracemalloc.start()  # memory that the server's load freed would hide it in the size of the process
+    client, _ = fetched_client(server, shards, 1e4)
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
-    assert read.cache.resident
-    return {"memory_bytes": held, "cpu_ms": took * 1e3}
+    memory = tracemalloc.get_traced_memory()[0]
+    assert client.cache.resident
+    return {"memory_bytes": memory, "cpu_ms": elapsed * 1e3}
 
 
-def digests(readers: int) -> Mapping[str, float]:
-    kept, _ = loaded(FEW)
-    audience(kept, readers)
-    now, size, took = float(readers), 0, 0.0
-    for reader_ in kept.subscribers.by_name.values():
-        reader_.requested_at = now
+def digests(clients: int) -> Mapping[str, float]:
+    server, _ = loaded_server(FEW)
+    add_clients(server, clients)
+    now, size, elapsed = float(clients), 0, 0.0
+    for subscriber in server.subscribers.by_name.values():
+        subscriber.requested_at = now
     rng = random.Random(5)
-    kept.subscribers.digest_queue = sorted(
-        (now + DIGEST_INTERVAL_S * rng.random(), slot) for slot in range(readers)
+    server.subscribers.digest_queue = sorted(
+        (now + DIGEST_INTERVAL_S * rng.random(), slot) for slot in range(clients)
     )
     end = now + DIGEST_SECONDS
     while now < end:
-        began = time.process_time()
-        found = kept.due_digests(now)
-        raw = [encode_message(digest) for _, digest in found]
-        took += time.process_time() - began
-        size += sum(map(len, raw))
-        now = min(max(now + 0.001, kept.next_digest_at()), now + 0.05)
-    return {"cpu_ms_s": took * 1e3 / DIGEST_SECONDS, "bytes_s": size / DIGEST_SECONDS}
+        started_at = time.process_time()
+        due = server.due_digests(now)
+        encoded = [encode_message(digest) for _, digest in due]
+        elapsed += time.process_time() - started_at
+        size += sum(map(len, encoded))
+        now = min(max(now + 0.001, server.next_digest_at()), now + 0.05)
+    return {"cpu_ms_s": elapsed * 1e3 / DIGEST_SECONDS, "bytes_s": size / DIGEST_SECONDS}
 
 
 MEASURES = (
@@ -193,7 +196,7 @@
         (11_250, 22_500, 45_000, 90_000),
         360_000,
         {"memory_bytes": "bytes", "load_cpu_ms": "ms", "turn_ms": "ms"},
-        keeper,
+        measure_server,
         "message_relay/sharded_directory/shard_table.py",
         "8,192 shards; a whole list in pieces of 2,000 rows, its longest turn",
     ),
@@ -214,7 +217,7 @@
         (128, 256, 512, 1_024, 2_048),
         8_192,
         {"memory_bytes": "bytes", "cpu_ms": "ms"},
-        reader,
+        measure_client,
         "message_relay/sharded_directory/shard_cache.py",
         "shards of 44 endpoints; one destination in use in each; without the directory and the decisions",
     ),
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -1,4 +1,4 @@
-"""What a start costs by what the journal holds, and what an event costs the journal by how much it holds."""
+"""Measures the cost of a start and of a message in the journal by the number of records that it holds."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 from .form import Measure
 
 BODY = 300  # bytes
-LIFE_MS = 3_600_000.0  # nothing dies while it is measured
+LIFE_MS = 3_600_000.0  # nothing expires during the measurement
 EVENTS = 4000  # messages, with four records each
-ROOM = 6000  # bytes of the folder for each message held: twice what it needs, records to come included
+BYTES_PER_MESSAGE = (
+    6000  # bytes of the folder for each pending message: twice what it needs, with all later records
+)
 
 
 def entry(number: int) -> JournalEntry:
@@ -31,37 +33,37 @@
     return (entry(number) for number in range(first, first + count))
 
 
-def filled(folder: Path, size: int) -> Journal:
-    journal = Journal(folder, ROOM * (size + EVENTS) + 10_000_000)
+def filled_journal(folder: Path, size: int) -> Journal:
+    journal = Journal(folder, BYTES_PER_MESSAGE * (size + EVENTS) + 10_000_000)
     for each in entries(0, size):
         journal.append_accepted(each)
     return journal
 
 
 def start(size: int) -> Mapping[str, float]:
-    """By a process that has held none of it: a child fills the folder."""
+    """Start in a process that has held none of the records: a child process fills the folder."""
     with tempfile.TemporaryDirectory() as name:
-        _elsewhere(Path(name), size)
+        _fill_in_child(Path(name), size)
         gc.collect()
         before, cpu = resident_memory_mb(), time.process_time()
-        journal = Journal(Path(name), ROOM * (size + EVENTS) + 10_000_000)
+        journal = Journal(Path(name), BYTES_PER_MESSAGE * (size + EVENTS) + 10_000_000)
         cpu = time.process_time() - cpu
         assert len(journal.entries) == size
-        told = {
+        costs = {
             "cpu_ms": 1e3 * cpu,
             "memory_bytes": 1e6 * (resident_memory_mb() - before),
             "disk_bytes": float(journal.disk_bytes),
         }
         journal.close()
-        return told
+        return costs
 
 
-def _elsewhere(folder: Path, size: int) -> None:
+def _fill_in_child(folder: Path, size: int) -> None:
     child = os.fork()
     if child == 0:
         status = 1
         try:
-            filled(folder, size).close()
+            filled_journal(folder, size).close()
             status = 0
         finally:
             os._exit(status)
@@ -71,9 +73,9 @@
 
 def message(size: int) -> Mapping[str, float]:
     with tempfile.TemporaryDirectory() as name:
-        journal = filled(Path(name), size)
+        journal = filled_journal(Path(name), size)
         gc.collect()
-        gc.freeze()  # as the daemon does
+        gc.freeze()  # as in the daemon
         written, copied, cpu = journal.written_bytes, journal.copied_bytes, time.process_time()
         now = 1e6
         for each in entries(size, EVENTS):
--- a/tests/scale/counting.py
+++ b/tests/scale/counting.py
@@ -1,9 +1,9 @@
-"""What a piece of work does, counted and not timed: the same on any machine.
+"""Counts the work of a function instead of timing it, so that the result is the same on any machine.
 
-`steps` are the interpreter's instructions, in all functions that it calls. A walk inside the interpreter's
-own code (`set(all.values())`) makes few of them, but room for what it gathers: so `bytes` are counted beside
-them, the most at once beyond what was there before. Where it gathers nothing (`few.difference_update(all)`),
-neither shows it: `Walked` does, in the place of a map.
+`steps` is the number of interpreter instructions in all functions that it calls. An iteration in the
+interpreter's C code (`set(all.values())`) takes few instructions but allocates memory for its result, so
+`bytes` counts the peak of allocated memory beyond the start. Where it allocates nothing
+(`few.difference_update(all)`), neither shows it; `Walked` detects it when it replaces the dictionary.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Walked(dict[K, V]):
-    """Counts how often somebody may have gone through all of it."""
+    """A dictionary that counts how often a caller may have iterated over all of it."""
 
     walks = 0
 
@@ -49,8 +49,8 @@
     bytes: int
 
 
-def counted(work: Callable[[], object]) -> Work:
-    """Run once only: steps and bytes are counted in the same run."""
+def count_work(work: Callable[[], object]) -> Work:
+    """Run `work` once and count steps and bytes in the same run."""
     steps = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Callable[..., Any]:
@@ -68,16 +68,16 @@
         work()
     finally:
         sys.settrace(None)
-        most = tracemalloc.get_traced_memory()[1]
+        peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         gc.enable()
-    return Work(steps, most - before)
+    return Work(steps, peak - before)
 
 
-def usual(works: Iterable[Callable[[], object]]) -> Work:
-    """Of several of a kind, the median: now and then a map that has filled up grows."""
-    each = [counted(work) for work in works]
+def median_work(works: Iterable[Callable[[], object]]) -> Work:
+    """Return the median of several runs of one kind, because now and then a full dictionary is resized."""
+    runs = [count_work(work) for work in works]
     return Work(
-        round(statistics.median(one.steps for one in each)),
-        round(statistics.median(one.bytes for one in each)),
+        round(statistics.median(run.steps for run in runs)),
+        round(statistics.median(run.bytes for run in runs)),
     )
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits at their edges: what is just inside works, what is just outside is refused and said."""
+"""Tests limits at their boundaries: a value just inside works, one just outside is rejected and logged."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..loopback import Client, Server, answer, host_of, listing, message, run, until
 
 
-def test_a_list_as_long_as_may_be_is_taken_and_a_longer_one_is_refused_and_said(
+def test_list_of_maximum_length_is_accepted_and_a_longer_one_is_rejected_and_logged(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.WARNING)
@@ -33,9 +33,9 @@
         assert {known.address for known in host.directory.by_name.values()} == {new.address}
         longer = json.dumps(listing(old, generation=3)).ljust(ANSWER_BYTES + 1)
         agent.changes.put_nowait(answer(200, body=longer))
-        said = f"the answer is too long: {ANSWER_BYTES + 1} bytes, {ANSWER_BYTES} at most"
-        await until(lambda: said in caplog.text)
-        assert host.register.version == 2  # and what is known goes on serving
+        warning = f"the answer is too long: {ANSWER_BYTES + 1} bytes, {ANSWER_BYTES} at most"
+        await until(lambda: warning in caplog.text)
+        assert host.register.version == 2  # the known list stays in use
         async with Client(host.ingress.port) as client:
             assert await client.ask(message("m")) == 202
         await until(lambda: len(new.seen) == 1)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("size", (BYTES_PER_EXTRA_PIECE, 1))
-def test_a_long_answer_may_come_in_many_pieces_and_not_in_endless_tiny_ones(size: int) -> None:
+def test_long_response_may_have_many_pieces_but_not_many_tiny_ones(size: int) -> None:
     count = 4 * MAX_PIECES
 
     async def work() -> None:
@@ -59,12 +59,12 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         agent = AgentClient(server.sockets[0].getsockname()[:2])
-        asked = agent.request("GET", "/", b"", 30.0)
+        response = agent.request("GET", "/", b"", 30.0)
         if size == 1:
             with pytest.raises(AgentError, match="too many pieces"):
-                await asked
+                await response
         else:
-            assert await asked == (200, b"x" * size * count)
+            assert await response == (200, b"x" * size * count)
         agent.close()
         server.close()
 
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -1,4 +1,4 @@
-"""One change, one message, one second and one record cost the same however much there is: by counts."""
+"""Tests by counts that the cost of a change, message, second or record is independent of their total."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.capacity.directory import answer, in_service, item, take
+from benchmarks.capacity.directory import endpoint_json, full_list, process_response, run_in_service
 from benchmarks.decisions import Load
 from message_relay.composition import ComposedRelay
 from message_relay.core.ports import EndpointRecord, EndpointUpdate
@@ -18,118 +18,118 @@
 from message_relay.store.journal import Journal
 from message_relay.store.records import JournalEntry
 
-from .counting import Walked, Work, counted, usual
+from .counting import Walked, Work, count_work, median_work
 
 FEW, MANY = 1_000, 20_000  # destinations
-TIMES = 9  # of each, the median counts
-MORE = 1.25  # the steps at the larger size, over those at the smaller: trees and hashes are not wholly even
-BYTES = 16_384  # the same of one such piece of work, apart from what it keeps; a set of MANY takes a megabyte
+RUNS = 9  # runs of each kind; the result is the median
+MAX_STEP_RATIO = 1.25  # maximum ratio of steps at the two sizes: trees and hashes are not quite even
+MAX_EXTRA_BYTES = 16_384  # maximum difference of bytes, without retained data; a set of MANY takes a megabyte
 
 
-def flat(few: Work, many: Work) -> None:
-    assert many.steps <= MORE * few.steps, (few, many)
-    assert many.bytes <= few.bytes + BYTES, (few, many)
+def assert_constant(few: Work, many: Work) -> None:
+    assert many.steps <= MAX_STEP_RATIO * few.steps, (few, many)
+    assert many.bytes <= few.bytes + MAX_EXTRA_BYTES, (few, many)
 
 
-def at(size: int, work: Callable[[ComposedRelay, int], Work]) -> Work:
-    """With a list of so many destinations taken whole, and its first second over."""
-    found: list[Work] = []
+def work_at(size: int, work: Callable[[ComposedRelay, int], Work]) -> Work:
+    """Run `work` after a full list of `size` destinations and the first maintenance."""
+    results: list[Work] = []
 
-    def there(built: ComposedRelay) -> dict[str, float]:
-        take(built, answer(size))
+    def measure(built: ComposedRelay) -> dict[str, float]:
+        process_response(built, full_list(size))
         built.relay.run_maintenance()
-        found.append(work(built, size))
+        results.append(work(built, size))
         return {}
 
-    asyncio.run(in_service(there))
-    return found[0]
+    asyncio.run(run_in_service(measure))
+    return results[0]
 
 
-def changes(built: ComposedRelay, size: int) -> Work:
+def change_work(built: ComposedRelay, size: int) -> Work:
     bodies = [
-        f'{{"generation":2,"reset":false,"instances":[{item(n, what, port)}]}}'.encode()
-        for n in range(100, 100 + TIMES)
-        for what, port in (("draining", 8080), ("ready", 8081))
+        f'{{"generation":2,"reset":false,"instances":[{endpoint_json(n, state, port)}]}}'.encode()
+        for n in range(100, 100 + RUNS)
+        for state, port in (("draining", 8080), ("ready", 8081))
     ]
-    return usual(partial(take, built, body) for body in bodies)
+    return median_work(partial(process_response, built, body) for body in bodies)
 
 
-def seconds(built: ComposedRelay, size: int) -> Work:
-    return usual([built.relay.run_maintenance] * TIMES)
+def maintenance_work(built: ComposedRelay, size: int) -> Work:
+    return median_work([built.relay.run_maintenance] * RUNS)
 
 
-def test_a_change_of_one_endpoint_costs_the_same_beside_1_000_and_20_000() -> None:
-    flat(at(FEW, changes), at(MANY, changes))
+def test_change_of_one_endpoint_costs_the_same_with_1_000_and_20_000_listed() -> None:
+    assert_constant(work_at(FEW, change_work), work_at(MANY, change_work))
 
 
-def test_the_look_of_each_second_costs_the_same_beside_1_000_and_20_000() -> None:
-    flat(at(FEW, seconds), at(MANY, seconds))
+def test_maintenance_costs_the_same_with_1_000_and_20_000_listed() -> None:
+    assert_constant(work_at(FEW, maintenance_work), work_at(MANY, maintenance_work))
 
 
-def test_no_change_and_no_second_goes_through_all_that_is_listed() -> None:
-    def there(built: ComposedRelay) -> dict[str, float]:
-        host, members = built.relay, built.relay.scheduler.registry
-        take(built, answer(FEW))
-        host.run_maintenance()
-        maps: dict[str, Walked[Any, Any]] = {}
+def test_changes_and_maintenance_do_not_iterate_over_the_whole_list() -> None:
+    def check(built: ComposedRelay) -> dict[str, float]:
+        relay, registry = built.relay, built.relay.scheduler.registry
+        process_response(built, full_list(FEW))
+        relay.run_maintenance()
+        counted_maps: dict[str, Walked[Any, Any]] = {}
         for owner, name in (
-            (host.directory, "by_name"),
-            (host.directory, "by_number"),
-            (host.directory, "listed_counts"),
-            (host.messages, "known_destinations"),
-            (members, "destinations"),
-            (members, "endpoints"),
+            (relay.directory, "by_name"),
+            (relay.directory, "by_number"),
+            (relay.directory, "listed_counts"),
+            (relay.messages, "known_destinations"),
+            (registry, "destinations"),
+            (registry, "endpoints"),
         ):
-            maps[name] = Walked(getattr(owner, name))
-            setattr(owner, name, maps[name])
-        changes(built, FEW)
-        seconds(built, FEW)
-        assert {name: each.walks for name, each in maps.items() if each.walks} == {}
+            counted_maps[name] = Walked(getattr(owner, name))
+            setattr(owner, name, counted_maps[name])
+        change_work(built, FEW)
+        maintenance_work(built, FEW)
+        assert {name: each.walks for name, each in counted_maps.items() if each.walks} == {}
         return {}
 
-    asyncio.run(in_service(there))
+    asyncio.run(run_in_service(check))
 
 
-def test_a_change_told_by_one_of_several_sources_costs_the_same_beside_1_000_and_20_000() -> None:
-    def told(size: int) -> Work:
+def test_change_from_one_of_several_sources_costs_the_same_with_1_000_and_20_000_listed() -> None:
+    def merge_work(size: int) -> Work:
         merge = SourceMerge(["a", "b"])
-        members = tuple(EndpointRecord(f"x{n}", n, Listing.READY, ("h", 1)) for n in range(size))
-        merge.merge(EndpointUpdate(True, members, source="a"), 0.0)
-        return usual(
+        records = tuple(EndpointRecord(f"x{n}", n, Listing.READY, ("h", 1)) for n in range(size))
+        merge.merge(EndpointUpdate(True, records, source="a"), 0.0)
+        return median_work(
             partial(
                 merge.merge,
-                EndpointUpdate(False, (EndpointRecord(f"x{n}", n, what, ("h", port)),), source="a"),
+                EndpointUpdate(False, (EndpointRecord(f"x{n}", n, state, ("h", port)),), source="a"),
                 1.0,
             )
-            for n in range(TIMES)
-            for what, port in ((Listing.DRAINING, 1), (Listing.READY, 2))
+            for n in range(RUNS)
+            for state, port in ((Listing.DRAINING, 1), (Listing.READY, 2))
         )
 
-    flat(told(FEW), told(MANY))
+    assert_constant(merge_work(FEW), merge_work(MANY))
 
 
-def test_a_message_costs_the_same_for_1_000_and_20_000_destinations() -> None:
-    """With as many held: what waits is another size."""
+def test_message_costs_the_same_for_1_000_and_20_000_destinations() -> None:
+    """The number of pending messages is the same: it is another size."""
 
     def message(dests: int) -> Work:
         load = Load("open", 2_000, dests)
         load.run(100)
-        return counted(partial(load.run, 200))
+        return count_work(partial(load.run, 200))
 
     few, many = message(FEW), message(MANY)
-    assert many.steps <= 1.5 * few.steps, (few, many)  # fewer of a destination are looked at together
+    assert many.steps <= 1.5 * few.steps, (few, many)  # fewer messages of a destination are examined together
 
 
-def test_a_start_costs_the_same_for_each_of_1_000_and_8_000_records() -> None:
+def test_start_costs_the_same_per_record_with_1_000_and_8_000_records() -> None:
     def start(records: int) -> float:
         with tempfile.TemporaryDirectory() as name:
-            room = 6_000 * records + 10_000_000
-            journal = Journal(Path(name), room)
+            max_bytes = 6_000 * records + 10_000_000
+            journal = Journal(Path(name), max_bytes)
             for n in range(records):
                 journal.append_accepted(
                     JournalEntry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(300))
                 )
             journal.close()
-            return counted(lambda: Journal(Path(name), room).close()).steps / records
+            return count_work(lambda: Journal(Path(name), max_bytes).close()).steps / records
 
     assert start(8_000) <= 1.1 * start(1_000)
