--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -24,7 +24,7 @@
 import msgspec
 
 import benchmarks.capacity as package
-from emulator.capacity.slopes import Report, Sample, Slope, fitted
+from emulator.capacity.slopes import Report, Sample, Slope, fit_slope
 
 from .form import Measure
 
@@ -109,7 +109,7 @@
             values = [row[cost] for row in rows[size]]
             samples.append(Sample(size, statistics.median(values), min(values), max(values)))
         slopes.append(
-            fitted(
+            fit_slope(
                 f"{measure.name}.{cost}",
                 measure.per,
                 measure.units[cost],
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -34,7 +34,7 @@
 
 import msgspec
 
-from emulator.capacity.slopes import Report, Sample, Slope, fitted
+from emulator.capacity.slopes import Report, Sample, Slope, fit_slope
 
 from .hollow_figures import Bins
 from .hollow_fleet import HollowFleet, WorkerError, hollow_fleet, start_fleet
@@ -286,7 +286,7 @@
             continue
         mechanism = MECHANISMS.get(cost.partition("_")[0], MECHANISM)
         slopes_found.append(
-            fitted(
+            fit_slope(
                 f"hollow.{cost}",
                 "instance",
                 unit,
--- a/benchmarks/capacity/sharded_directory.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -82,7 +82,7 @@
     creation = time.process_time()
     for _ in rows(size):
         pass
-    creation = time.process_time() - creation  # the part that creating the rows took
+    creation = time.process_time() - creation  # the part of the time that creates the rows
     assert server.status(0.0).endpoints == size
     return {
         "memory_bytes": (resident_memory_mb() - before) * 1e6,
@@ -92,7 +92,7 @@
 
 
 def add_clients(server: ShardServer, clients: int) -> list[bytes]:
-    """Send a request of each of so many clients. Returns the shard set that each holds."""
+    """Send a request from each client. Returns the packed shard set of each."""
     rng, shard_sets = random.Random(2), []
     for number in range(clients):
         held = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
@@ -126,8 +126,10 @@
 
 
 def fetched_client(server: ShardServer, shards: int, now: float) -> tuple[ShardClient, float]:
-    """Return a client that has fetched so many shards, with one destination in use in each, and the processor
-    time in s."""
+    """Return a client that has fetched `shards` shards, with one destination in use in each.
+
+    The second value is the processor time in s.
+    """
     client = ShardClient("n100", LAYOUT, random.Random(4))
     selected: set[int] = set()
     for destination in range(DESTINATIONS):
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -18,9 +18,8 @@
 BODY = 300  # bytes
 LIFE_MS = 3_600_000.0  # nothing expires during the measurement
 EVENTS = 4000  # messages, with four records each
-BYTES_PER_MESSAGE = (
-    6000  # bytes of the folder for each pending message: twice what it needs, with all later records
-)
+# Bytes of the folder for each pending message: twice what it needs, including all later records.
+BYTES_PER_MESSAGE = 6000
 
 
 def entry(number: int) -> JournalEntry:
--- a/emulator/capacity/__init__.py
+++ b/emulator/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs at a given size, worked out from measured slopes: `docs/CAPACITY.md`."""
+"""Computes the cost of each role at a given size from measured slopes, for `docs/CAPACITY.md`."""
--- a/emulator/capacity/agreement.py
+++ b/emulator/capacity/agreement.py
@@ -1,5 +1,5 @@
-"""What a voter, the leader of the log and the decider of plans cost: one process each, on a machine that is
-set aside for control."""
+"""Formulas for a voter, the leader of the log and the failover controller: one process each, on a machine
+reserved for control."""
 
 from __future__ import annotations
 
@@ -7,37 +7,46 @@
 
 from message_relay.failover.observations import MAX_SAMPLES
 
-from . import budgets as b
-from .rows import Formula, Kind, Reckoner, Role, Unit, When
-from .steps import ASSIGN, BESIDE, CAP, COUNTING, LAYERS, PARTS, PLANNER
-from .terms import DAY_S, changes_s, datagrams_s, members, needed, renewals_s, stretch, told_of
+from . import budgets
+from .rows import Calculation, Formula, Kind, Role, Unit, When
+from .steps import ASSIGN, CAP, LAYERS, OBSERVATIONS, PARTS, PLANNER, PLANS_WITH_SERVERS
+from .terms import (
+    DAY_S,
+    called_destinations,
+    changes_s,
+    members,
+    renewals_s,
+    reported_destinations,
+    stretch,
+    voter_renewals_s,
+)
 
-GRANTING, RULES = "message_relay/consensus/lease_grantor.py", "message_relay/consensus/rules.py"
-NODE, LOG = "message_relay/consensus/instance.py", "message_relay/consensus/replicated_log.py"
-HEARTBEAT_S, ELECTION_S = 0.15, 1.2  # as consensus/replicated_log.py has them, which needs the extra `fleet`
-DECIDES = "message_relay/failover/controller.py"
-FAILOVER = "message_relay/failover/node.py"
+LEASE_GRANTOR, RULES = "message_relay/consensus/lease_grantor.py", "message_relay/consensus/rules.py"
+INSTANCE, LOG = "message_relay/consensus/instance.py", "message_relay/consensus/replicated_log.py"
+HEARTBEAT_S, ELECTION_S = 0.15, 1.2  # copied from consensus/replicated_log.py, which needs the extra `fleet`
+CONTROLLER = "message_relay/failover/controller.py"
+FAILOVER_NODE = "message_relay/failover/node.py"
 
 
-def renewing(m: Reckoner, relays: float) -> float:
-    """Processor time of so many relays' renewals at one voter."""
+def renewals_core(m: Calculation, relays: float) -> float:
+    """Return the processor time of the renewals of `relays` relays at one voter."""
     return relays * renewals_s(m) * m.at("accord.renewal.cpu_us", m.size.fleet.relays)
 
 
-def reported(m: Reckoner) -> float:
+def reports_s(m: Calculation) -> float:
     return m.size.fleet.relays / m.assume("window_s")
 
 
-def version_bytes(m: Reckoner) -> float:
+def version_bytes(m: Calculation) -> float:
     return m.at("accord.rules.bytes", m.size.fleet.destinations)
 
 
-def voting(m: Reckoner) -> float:
-    """All of one voter's process but the log."""
+def voter_core(m: Calculation) -> float:
+    """Return the processor time of a voter's process without the log."""
     relays = m.size.fleet.relays
     return (
         relays * renewals_s(m) * m.part("accord.renewal.cpu_us", relays)
-        + reported(m) * m.part("evidence.report.cpu_ms", told_of(m))
+        + reports_s(m) * m.part("evidence.report.cpu_ms", reported_destinations(m))
         + m.part("peers.members.cpu_ms_s", members(m))
     )
 
@@ -52,8 +61,8 @@
         Unit.COUNT,
         lambda m: float(m.size.fleet.relays),
         "relays",
-        GRANTING,
-        b.GRANTED,
+        LEASE_GRANTOR,
+        budgets.GRANTED,
         CAP,
     ),
     Formula(
@@ -63,9 +72,9 @@
         Kind.IN,
         "renewals, and as many answers out",
         Unit.EACH_S,
-        datagrams_s,
+        voter_renewals_s,
         "relays x renewals of a lease",
-        NODE,
+        INSTANCE,
         step=LAYERS,
     ),
     Formula(
@@ -75,9 +84,9 @@
         Kind.OUT,
         "answers to renewals",
         Unit.EACH_S,
-        datagrams_s,
+        voter_renewals_s,
         "as many as renewals",
-        NODE,
+        INSTANCE,
         step=LAYERS,
     ),
     Formula(
@@ -89,8 +98,8 @@
         Unit.BYTES,
         lambda m: m.size.fleet.relays * m.at("accord.renewal.memory_bytes", m.size.fleet.relays),
         "relays x memory of one",
-        GRANTING,
-        b.MACHINE,
+        LEASE_GRANTOR,
+        budgets.MACHINE,
     ),
     Formula(
         "voter.disk",
@@ -114,7 +123,7 @@
         lambda m: float(math.ceil(m.assume("voters") / m.size.fleet.zones)),
         "voters / zones, rounded up",
         LOG,
-        b.LOST,
+        budgets.LOST,
     ),
     Formula(
         "voter.side",
@@ -134,10 +143,10 @@
         Kind.IN,
         "renewals and their answers",
         Unit.RATE,
-        lambda m: datagrams_s(m) * m.at("accord.renewal.bytes", m.size.fleet.relays),
+        lambda m: voter_renewals_s(m) * m.at("accord.renewal.bytes", m.size.fleet.relays),
         "renewals x bytes of one",
-        NODE,
-        b.LINK,
+        INSTANCE,
+        budgets.LINK,
         LAYERS,
     ),
     Formula(
@@ -147,10 +156,10 @@
         Kind.PROCESSOR,
         "renewals",
         Unit.CORE,
-        lambda m: renewing(m, m.size.fleet.relays),
+        lambda m: renewals_core(m, m.size.fleet.relays),
         "renewals x processor time of one",
-        GRANTING,
-        b.PROCESS,
+        LEASE_GRANTOR,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -162,8 +171,8 @@
         Unit.SECONDS,
         lambda m: m.at("accord.clear.cpu_ms", m.size.fleet.relays),
         "processor time at so many relays",
-        GRANTING,
-        b.TURN,
+        LEASE_GRANTOR,
+        budgets.TURN,
         LAYERS,
     ),
     Formula(
@@ -175,8 +184,8 @@
         Unit.CORE,
         lambda m: changes_s(m) * m.at("accord.clear.cpu_ms", m.size.fleet.relays),
         "changes x processor time at so many relays",
-        GRANTING,
-        b.PROCESS,
+        LEASE_GRANTOR,
+        budgets.PROCESS,
     ),
     Formula(
         "voter.evidence",
@@ -185,10 +194,10 @@
         Kind.IN,
         "reports",
         Unit.RATE,
-        lambda m: reported(m) * m.at("evidence.report.bytes", told_of(m)),
+        lambda m: reports_s(m) * m.at("evidence.report.bytes", reported_destinations(m)),
         "relays x bytes of a window's reports",
-        COUNTING,
-        b.LINK,
+        OBSERVATIONS,
+        budgets.LINK,
         ASSIGN,
     ),
     Formula(
@@ -200,8 +209,8 @@
         Unit.COUNT,
         lambda m: float(m.size.fleet.relays),
         "relays",
-        COUNTING,
-        b.EVIDENCE,
+        OBSERVATIONS,
+        budgets.EVIDENCE,
         CAP,
     ),
     Formula(
@@ -211,10 +220,10 @@
         Kind.PROCESSOR,
         "taking reports in",
         Unit.CORE,
-        lambda m: reported(m) * m.at("evidence.report.cpu_ms", told_of(m)),
+        lambda m: reports_s(m) * m.at("evidence.report.cpu_ms", reported_destinations(m)),
         "relays x processor time of a window's reports",
-        COUNTING,
-        b.PROCESS,
+        OBSERVATIONS,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -224,10 +233,10 @@
         Kind.PROCESSOR,
         "renewals, evidence and membership",
         Unit.CORE,
-        voting,
+        voter_core,
         "renewals + evidence + membership of one among so many",
-        NODE,
-        b.PROCESS,
+        INSTANCE,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -237,10 +246,10 @@
         Kind.PROCESSOR,
         "renewals while a version waits for relays that are cut off",
         Unit.CORE,
-        lambda m: datagrams_s(m) * m.at("accord.renewal.waiting_cpu_us", m.size.fleet.relays),
+        lambda m: voter_renewals_s(m) * m.at("accord.renewal.waiting_cpu_us", m.size.fleet.relays),
         "renewals x processor time of one meanwhile",
-        GRANTING,
-        b.PROCESS,
+        LEASE_GRANTOR,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -252,8 +261,8 @@
         Unit.SECONDS,
         lambda m: m.at("evidence.sum.news_cpu_ms", m.size.fleet.relays),
         "processor time at so many relays",
-        COUNTING,
-        b.TURN,
+        OBSERVATIONS,
+        budgets.TURN,
         LAYERS,
     ),
     Formula(
@@ -266,7 +275,7 @@
         lambda m: float(m.size.fleet.relays + m.size.control.machines - 1),
         "relays + machines of control - 1",
         "message_relay/consensus/settings.py",
-        b.NUMBERS,
+        budgets.NUMBERS,
         CAP,
     ),
     Formula(
@@ -276,10 +285,10 @@
         Kind.PROCESSOR,
         "a zone's relays renew beside the others'",
         Unit.CORE,
-        lambda m: renewing(m, m.size.fleet.relays),
+        lambda m: renewals_core(m, m.size.fleet.relays),
         "as at rest: a renewal costs the same",
-        GRANTING,
-        b.PROCESS,
+        LEASE_GRANTOR,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -291,8 +300,8 @@
         Unit.CORE,
         lambda m: stretch(m) * m.at("hollow.voter_cpu_share", m.size.fleet.relays),
         "as run among so many x stretch, at most",
-        NODE,
-        b.PROCESS,
+        INSTANCE,
+        budgets.PROCESS,
         LAYERS,
     ),
     Formula(
@@ -304,7 +313,7 @@
         Unit.EACH_S,
         lambda m: stretch(m) * m.at("hollow.voter_datagrams_in_s", m.size.fleet.relays),
         "as run among so many x stretch",
-        NODE,
+        INSTANCE,
         step=LAYERS,
     ),
     Formula(
@@ -320,8 +329,8 @@
             + m.at("hollow.voter_bytes_in_s", m.size.fleet.relays)
         ),
         "as run among so many x stretch",
-        NODE,
-        b.LINK,
+        INSTANCE,
+        budgets.LINK,
         LAYERS,
     ),
     Formula(
@@ -333,8 +342,8 @@
         Unit.BYTES,
         lambda m: m.at("hollow.voter_memory_bytes", m.size.fleet.relays),
         "as run among so many",
-        NODE,
-        b.MACHINE,
+        INSTANCE,
+        budgets.MACHINE,
     ),
     Formula(
         "voter.seed",
@@ -343,10 +352,10 @@
         Kind.TIME,
         "words to all as a seed, when all start together, link full",
         Unit.SECONDS,
-        lambda m: m.at("peers.start.seed_bytes", members(m)) / (m.assume("link_mb_s") * b.MB),
+        lambda m: m.at("peers.start.seed_bytes", members(m)) / (m.assume("link_mb_s") * budgets.MB),
         "bytes of a seed among so many / link",
         "message_relay/gossip/swim.py",
-        b.FORCE,
+        budgets.FORCE,
         LAYERS,
     ),
     Formula(
@@ -356,9 +365,9 @@
         Kind.IN,
         "renewals on one side",
         Unit.EACH_S,
-        lambda m: datagrams_s(m) / m.size.fleet.regions,
+        lambda m: voter_renewals_s(m) / m.size.fleet.regions,
         "renewals / regions",
-        NODE,
+        INSTANCE,
     ),
     Formula(
         "voter.restarts",
@@ -369,13 +378,13 @@
         Unit.EACH_S,
         lambda m: m.size.failures.restarts_a_day / DAY_S,
         "restarts / day",
-        GRANTING,
+        LEASE_GRANTOR,
     ),
 ]
 
 
-def missed(m: Reckoner) -> float:
-    """Versions while the regions are apart."""
+def missed_versions(m: Calculation) -> float:
+    """Return the number of versions while the regions are disconnected."""
     return changes_s(m) * m.size.failures.regions_apart_s
 
 
@@ -390,7 +399,7 @@
         lambda m: float(m.size.fleet.destinations),
         "destinations",
         RULES,
-        b.NAMED,
+        budgets.NAMED,
         PARTS,
     ),
     Formula(
@@ -414,7 +423,7 @@
         lambda m: HEARTBEAT_S + ELECTION_S,
         "a heartbeat + the longest wait for an election",
         LOG,
-        b.FORCE,
+        budgets.FORCE,
     ),
     Formula(
         "leader.missed",
@@ -423,7 +432,7 @@
         Kind.STATE,
         "versions that one side does not hear of",
         Unit.COUNT,
-        missed,
+        missed_versions,
         "changes a second x time apart",
         LOG,
     ),
@@ -434,15 +443,15 @@
         Kind.TIME,
         "all versions that were missed, out to one region, links full",
         Unit.SECONDS,
-        lambda m: missed(m)
+        lambda m: missed_versions(m)
         * version_bytes(m)
         * m.size.fleet.relays
         / m.size.fleet.regions
         / m.assume("voters")
-        / (m.assume("link_mb_s") * b.MB),
+        / (m.assume("link_mb_s") * budgets.MB),
         "versions missed x bytes of one x relays / regions / voters / link",
-        NODE,
-        b.FORCE,
+        INSTANCE,
+        budgets.FORCE,
         PARTS,
     ),
     Formula(
@@ -467,7 +476,7 @@
         lambda m: m.at("accord.rules.voter_cpu_ms", m.size.fleet.destinations),
         "processor time of a version at so many destinations",
         RULES,
-        b.TURN,
+        budgets.TURN,
         PARTS,
     ),
     Formula(
@@ -480,7 +489,7 @@
         lambda m: changes_s(m) * version_bytes(m) * (m.assume("voters") - 1),
         "changes x bytes of a version x other voters",
         LOG,
-        b.LINK,
+        budgets.LINK,
         PARTS,
     ),
     Formula(
@@ -492,8 +501,8 @@
         Unit.RATE,
         lambda m: changes_s(m) * version_bytes(m) * m.size.fleet.relays / m.assume("voters"),
         "changes x bytes of a version x relays / voters",
-        NODE,
-        b.LINK,
+        INSTANCE,
+        budgets.LINK,
         PARTS,
     ),
     Formula(
@@ -506,10 +515,10 @@
         lambda m: version_bytes(m)
         * m.size.fleet.relays
         / m.assume("voters")
-        / (m.assume("link_mb_s") * b.MB),
+        / (m.assume("link_mb_s") * budgets.MB),
         "bytes of a version x relays / voters / link",
-        NODE,
-        b.FORCE,
+        INSTANCE,
+        budgets.FORCE,
         PARTS,
     ),
 ]
@@ -524,7 +533,7 @@
         Unit.COUNT,
         lambda m: min(float(m.size.fleet.destinations), m.size.fleet.events_s * m.assume("window_s")),
         "the fewer of destinations and calls",
-        DECIDES,
+        CONTROLLER,
         step=PARTS,
     ),
     Formula(
@@ -534,9 +543,9 @@
         Kind.STATE,
         "calls of a window that get no cell of their own",
         Unit.SHARE,
-        lambda m: max(0.0, 1 - MAX_SAMPLES / needed(m, m.assume("window_s"))),
+        lambda m: max(0.0, 1 - MAX_SAMPLES / called_destinations(m, m.assume("window_s"))),
         "1 - cells of a report / destinations called",
-        COUNTING,
+        OBSERVATIONS,
         step=ASSIGN,
     ),
     Formula(
@@ -546,10 +555,10 @@
         Kind.IN,
         "reports of all relays",
         Unit.RATE,
-        lambda m: reported(m) * m.at("evidence.report.bytes", told_of(m)),
+        lambda m: reports_s(m) * m.at("evidence.report.bytes", reported_destinations(m)),
         "relays x bytes of a window's reports",
-        COUNTING,
-        b.LINK,
+        OBSERVATIONS,
+        budgets.LINK,
         ASSIGN,
     ),
     Formula(
@@ -561,8 +570,8 @@
         Unit.SECONDS,
         lambda m: m.at("evidence.sum.look_cpu_ms", m.size.fleet.relays),
         "processor time at so many relays, 20 destinations of each",
-        DECIDES,
-        b.TURN,
+        CONTROLLER,
+        budgets.TURN,
         PARTS,
     ),
     Formula(
@@ -574,8 +583,8 @@
         Unit.SECONDS,
         lambda m: m.at("evidence.sum.first_look_cpu_ms", m.size.fleet.relays),
         "processor time at so many relays, 20 destinations of each",
-        DECIDES,
-        b.TURN,
+        CONTROLLER,
+        budgets.TURN,
         PARTS,
     ),
     Formula(
@@ -588,7 +597,7 @@
         lambda m: float(m.size.fleet.destinations),
         "destinations",
         "missing",
-        step=BESIDE,
+        step=PLANS_WITH_SERVERS,
     ),
     Formula(
         "decider.rooms",
@@ -599,8 +608,8 @@
         Unit.SECONDS,
         lambda m: m.at("failover.rooms.cpu_ms", m.size.fleet.destinations),
         "processor time at so many destinations",
-        FAILOVER,
-        b.TURN,
+        FAILOVER_NODE,
+        budgets.TURN,
         PARTS,
     ),
     Formula(
@@ -613,7 +622,7 @@
         lambda m: m.at("planner.zones.solved_cpu_ms", m.size.fleet.zones),
         "processor time at so many zones",
         "message_relay/failover/solver.py",
-        b.WINDOW,
+        budgets.WINDOW,
     ),
     Formula(
         "decider.greedy",
@@ -625,7 +634,7 @@
         lambda m: m.at("planner.zones.greedy_cpu_ms", m.size.fleet.zones),
         "processor time at so many zones",
         PLANNER,
-        b.WINDOW,
+        budgets.WINDOW,
     ),
     Formula(
         "decider.plans",
@@ -636,8 +645,8 @@
         Unit.SECONDS,
         lambda m: m.at("planner.plan.cpu_ms", m.assume("storm")),
         "processor time at so many destinations, the greedy way past the solver's time",
-        FAILOVER,
-        b.FORCE,
+        FAILOVER_NODE,
+        budgets.FORCE,
         PARTS,
     ),
 ]
--- a/emulator/capacity/command.py
+++ b/emulator/capacity/command.py
@@ -1,4 +1,4 @@
-"""`python -m emulator capacity`: the tables at a size, from measured slopes; and their place in the page."""
+"""`python -m emulator capacity`: prints the tables at a size from measured slopes, or updates the page."""
 
 from __future__ import annotations
 
@@ -13,39 +13,42 @@
 from .slopes import Report
 from .tables import as_json, markdown, tables
 
-WRONG = 2
+EXIT_INVALID = 2
 SLOPES = Path("docs/reports/capacity.json")
 BEGIN, END = "<!-- capacity:begin -->", "<!-- capacity:end -->"
-NOTHING = Report("no machine", 0.0, 0.0, 0, [])
+EMPTY_REPORT = Report("no machine", 0.0, 0.0, 0, [])
 
 
 class PageError(ValueError):
-    """The page has no place for the tables."""
+    """The page does not have the markers for the tables."""
 
 
-def measured(path: Path, must: bool) -> Report:
-    """Raises ValueError with a plain text. Without `must`, a report that is not there is one of nothing."""
-    if not must and not path.exists():
-        return NOTHING
+def read_report(path: Path, is_required: bool) -> Report:
+    """Read a report. Raises ValueError with a readable text.
+
+    Unless `must` is set, a missing file gives an empty report.
+    """
+    if not is_required and not path.exists():
+        return EMPTY_REPORT
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror}") from error
-    except ValueError as error:  # msgspec's own are ValueErrors
+    except ValueError as error:  # errors of msgspec are ValueErrors
         raise ValueError(f"{path}: {error}") from error
 
 
-def between(page: str, where: str) -> tuple[str, str, str]:
-    """What stands before, between and after the marks."""
-    before, begun, rest = page.partition(BEGIN + "\n")
-    inside, ended, after = rest.partition(END)
-    if not begun or not ended or BEGIN in rest or END in after:
+def split_page(page: str, where: str) -> tuple[str, str, str]:
+    """Return the text before, between and after the markers."""
+    before, begin_marker, remainder = page.partition(BEGIN + "\n")
+    inside, end_marker, after = remainder.partition(END)
+    if not begin_marker or not end_marker or BEGIN in remainder or END in after:
         raise PageError(f"{where}: must have the lines {BEGIN} and {END} once each, in this order")
     return before, inside, after
 
 
-def renewed(page: str, text: str, where: str) -> str:
-    before, _, after = between(page, where)
+def replace_tables(page: str, text: str, where: str) -> str:
+    before, _, after = split_page(page, where)
     return f"{before}{BEGIN}\n{text}{END}{after}"
 
 
@@ -55,35 +58,37 @@
     "size_file",
     type=click.Path(path_type=Path),
     required=True,
-    help="What to design for: deploy/sizes/two-years.toml.",
+    help="The size to design for: deploy/sizes/two-years.toml.",
 )
 @click.option(
     "--slopes",
     type=click.Path(path_type=Path),
     default=SLOPES,
     show_default=True,
-    help="What `python -m benchmarks.capacity --into` wrote.",
+    help="The output of `python -m benchmarks.capacity --into`.",
 )
 @click.option("--json", "in_json", is_flag=True)
-@click.option("--write", type=click.Path(path_type=Path), help="Put the tables between this page's marks.")
+@click.option(
+    "--write", type=click.Path(path_type=Path), help="Write the tables between the markers of this page."
+)
 @click.pass_context
 def capacity(
     context: click.Context, size_file: Path, slopes: Path, in_json: bool, write: Path | None
 ) -> None:
-    """What each role costs at a size, worked out from measured slopes."""
-    named = context.get_parameter_source("slopes") is ParameterSource.COMMANDLINE
+    """Compute the cost of each role at a size from measured slopes."""
+    is_explicit = context.get_parameter_source("slopes") is ParameterSource.COMMANDLINE
     try:
-        told = tables(read(size_file), measured(slopes, named))
+        result = tables(read(size_file), read_report(slopes, is_explicit))
         if write is not None:
-            write.write_text(renewed(write.read_text(), markdown(told), str(write)))
+            write.write_text(replace_tables(write.read_text(), markdown(result), str(write)))
             return
     except (SizeError, PageError, ValueError) as error:
         fail(error)
     except OSError as error:
         fail(f"{write}: {error.strerror}")
-    click.echo(as_json(told).decode() if in_json else markdown(told), nl=False)
+    click.echo(as_json(result).decode() if in_json else markdown(result), nl=False)
 
 
 def fail(text: object) -> None:
     click.echo(text, err=True)
-    sys.exit(WRONG)
+    sys.exit(EXIT_INVALID)
--- a/emulator/capacity/control.py
+++ b/emulator/capacity/control.py
@@ -1,63 +1,68 @@
-"""What a relay spends on control: held against the operators' budget of processor, memory and bytes."""
+"""Formulas for the control traffic of a relay, with the operators' budgets of processor, memory and bytes."""
 
 from __future__ import annotations
 
-from . import budgets as b
-from .interest import INTERESTED, digest_bytes, read_core, read_memory
-from .rows import Formula, Kind, Reckoner, Role, Unit, When
-from .steps import ASSIGN, CAP, COUNTING, INTEREST, LAYERS, PARTS, READING
+from . import budgets
+from .interest import SHARD_CLIENT, client_core, client_memory, digest_bytes
+from .rows import Calculation, Formula, Kind, Role, Unit, When
+from .steps import ASSIGN, CAP, LAYERS, OBSERVATIONS, PARTS, SHARD_CLIENT_FILE, SHARDED_DIRECTORY
 from .terms import (
     DAY_S,
+    called_destinations,
     changes_s,
     entry_bytes,
     members,
-    needed,
-    of_rack,
-    of_zone,
+    relays_per_rack,
+    relays_per_zone,
     renewals_s,
+    reported_destinations,
     stretch,
-    told_of,
 )
 
-HOST = "message_relay/core/relay.py"
-LIST, REGISTER = "message_relay/core/directory.py", "message_relay/http/discovery_client.py"
+RELAY = "message_relay/core/relay.py"
+DIRECTORY, DISCOVERY_CLIENT = "message_relay/core/directory.py", "message_relay/http/discovery_client.py"
 AGENT = "message_relay/http/agent.py"
-SWIM, HOLDING = "message_relay/gossip/swim.py", "message_relay/consensus/lease_holder.py"
+SWIM, LEASE_HOLDER = "message_relay/gossip/swim.py", "message_relay/consensus/lease_holder.py"
 RULES = "message_relay/consensus/rules.py"
 
 
-def renewal_bytes(m: Reckoner) -> float:
-    """A renewal to each voter and its answer."""
+def renewal_bytes(m: Calculation) -> float:
+    """Return the bytes a second of a renewal to each voter and its answer."""
     return renewals_s(m) * m.assume("voters") * m.part("accord.renewal.bytes", m.size.fleet.relays)
 
 
-def renewal_core(m: Reckoner) -> float:
-    """What a voter spends on a renewal stands for what its relay does, who packs it and reads the answer."""
+def renewal_core(m: Calculation) -> float:
+    """Return the processor time of renewals in a relay, which packs each one and reads the answer.
+
+    The cost of a renewal at a voter is used as an estimate.
+    """
     return renewals_s(m) * m.assume("voters") * m.part("accord.renewal.cpu_us", m.size.fleet.relays)
 
 
-def report_bytes(m: Reckoner) -> float:
-    return m.assume("voters") / m.assume("window_s") * m.part("evidence.report.bytes", told_of(m))
+def report_bytes(m: Calculation) -> float:
+    return (
+        m.assume("voters") / m.assume("window_s") * m.part("evidence.report.bytes", reported_destinations(m))
+    )
 
 
-def report_core(m: Reckoner) -> float:
-    return m.part("evidence.tell.cpu_ms", told_of(m)) / m.assume("window_s")
+def report_core(m: Calculation) -> float:
+    return m.part("evidence.tell.cpu_ms", reported_destinations(m)) / m.assume("window_s")
 
 
-def change_core(m: Reckoner) -> float:
+def change_core(m: Calculation) -> float:
     return changes_s(m) * m.part("directory.change.cpu_ms", m.size.fleet.destinations)
 
 
-def total_memory(m: Reckoner, directory: float) -> float:
+def total_memory(m: Calculation, directory: float) -> float:
     return directory + members(m) * m.part("peers.members.memory_bytes", members(m))
 
 
-def total_bytes(m: Reckoner, directory: float) -> float:
-    """Sent and received. What one sends of membership it receives too, on average."""
+def total_bytes(m: Calculation, directory: float) -> float:
+    """Return the bytes a second sent and received. On average, membership receives as much as it sends."""
     return directory + 2 * m.part("peers.members.bytes_s", members(m)) + renewal_bytes(m)
 
 
-def total_core(m: Reckoner, directory: float) -> float:
+def total_core(m: Calculation, directory: float) -> float:
     return directory + m.part("peers.members.cpu_ms_s", members(m)) + renewal_core(m)
 
 
@@ -71,9 +76,9 @@
         Unit.BYTES,
         lambda m: m.at("directory.list.memory_bytes", m.size.fleet.destinations),
         "memory at so many destinations",
-        LIST,
-        b.MEMORY,
-        INTEREST,
+        DIRECTORY,
+        budgets.MEMORY,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.directory_answer",
@@ -85,8 +90,8 @@
         lambda m: m.at("directory.list.json_bytes", m.size.fleet.destinations),
         "JSON of so many destinations",
         AGENT,
-        b.ANSWER,
-        INTEREST,
+        budgets.ANSWER,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.directory_turn",
@@ -97,9 +102,9 @@
         Unit.SECONDS,
         lambda m: m.at("directory.list.turn_ms", m.size.fleet.destinations),
         "longest turn at so many destinations",
-        REGISTER,
-        b.TURN,
-        INTEREST,
+        DISCOVERY_CLIENT,
+        budgets.TURN,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.directory_peak",
@@ -111,8 +116,8 @@
         lambda m: m.at("directory.list.peak_bytes", m.size.fleet.destinations),
         "most memory at so many destinations",
         AGENT,
-        b.MEMORY,
-        INTEREST,
+        budgets.MEMORY,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.sweep",
@@ -123,9 +128,9 @@
         Unit.CORE,
         lambda m: m.at("directory.sweep.cpu_ms", m.size.fleet.destinations),
         "processor time at so many destinations",
-        HOST,
-        b.CORE,
-        INTEREST,
+        RELAY,
+        budgets.CORE,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.sweep_turn",
@@ -136,9 +141,9 @@
         Unit.SECONDS,
         lambda m: m.at("directory.sweep.cpu_ms", m.size.fleet.destinations),
         "processor time at so many destinations",
-        HOST,
-        b.TURN,
-        INTEREST,
+        RELAY,
+        budgets.TURN,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.directory_change",
@@ -149,8 +154,8 @@
         Unit.SECONDS,
         lambda m: m.at("directory.change.cpu_ms", m.size.fleet.destinations),
         "processor time at so many destinations",
-        LIST,
-        b.TURN,
+        DIRECTORY,
+        budgets.TURN,
     ),
     Formula(
         "relay.directory_changes",
@@ -161,8 +166,8 @@
         Unit.RATE,
         lambda m: changes_s(m) * entry_bytes(m),
         "changes x bytes of an entry",
-        REGISTER,
-        b.BYTES,
+        DISCOVERY_CLIENT,
+        budgets.BYTES,
     ),
     Formula(
         "relay.storm_bytes",
@@ -173,9 +178,9 @@
         Unit.RATE,
         lambda m: m.assume("storm") * entry_bytes(m) / m.size.changes.force_s,
         "entries x bytes of an entry / time to be in force",
-        REGISTER,
-        b.BYTES,
-        INTEREST,
+        DISCOVERY_CLIENT,
+        budgets.BYTES,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.storm_processor",
@@ -186,11 +191,11 @@
         Unit.SECONDS,
         lambda m: m.assume("storm") * m.at("directory.change.cpu_ms", m.size.fleet.destinations),
         "entries x processor time of a change",
-        LIST,
-        b.FORCE,
-        INTEREST,
+        DIRECTORY,
+        budgets.FORCE,
+        SHARDED_DIRECTORY,
     ),
-    *INTERESTED,
+    *SHARD_CLIENT,
     Formula(
         "relay.members",
         Role.CONTROL,
@@ -201,7 +206,7 @@
         members,
         "relays + machines of control",
         SWIM,
-        b.MEMBERS,
+        budgets.MEMBERS,
         CAP,
     ),
     Formula(
@@ -214,7 +219,7 @@
         lambda m: members(m) * m.at("peers.members.memory_bytes", members(m)),
         "members x memory of each",
         SWIM,
-        b.MEMORY,
+        budgets.MEMORY,
         LAYERS,
     ),
     Formula(
@@ -227,7 +232,7 @@
         lambda m: 2 * m.at("peers.members.bytes_s", members(m)),
         "2 x bytes sent by one among so many",
         SWIM,
-        b.BYTES,
+        budgets.BYTES,
         LAYERS,
     ),
     Formula(
@@ -251,7 +256,7 @@
         lambda m: m.at("peers.members.cpu_ms_s", members(m)),
         "processor time of one among so many",
         SWIM,
-        b.CORE,
+        budgets.CORE,
         LAYERS,
     ),
     Formula(
@@ -288,7 +293,7 @@
         lambda m: m.at("peers.start.seconds", members(m)),
         "time among so many, without the processor's",
         SWIM,
-        b.FORCE,
+        budgets.FORCE,
         LAYERS,
     ),
     Formula(
@@ -300,7 +305,7 @@
         Unit.EACH_S,
         lambda m: renewals_s(m) * m.assume("voters"),
         "renewals of a lease x voters",
-        HOLDING,
+        LEASE_HOLDER,
     ),
     Formula(
         "relay.renewal_bytes",
@@ -311,8 +316,8 @@
         Unit.RATE,
         lambda m: renewals_s(m) * m.assume("voters") * m.at("accord.renewal.bytes", m.size.fleet.relays),
         "renewals x bytes of one",
-        HOLDING,
-        b.BYTES,
+        LEASE_HOLDER,
+        budgets.BYTES,
     ),
     Formula(
         "relay.report_bytes",
@@ -321,10 +326,12 @@
         Kind.OUT,
         "evidence to the voters",
         Unit.RATE,
-        lambda m: m.assume("voters") / m.assume("window_s") * m.at("evidence.report.bytes", told_of(m)),
+        lambda m: m.assume("voters")
+        / m.assume("window_s")
+        * m.at("evidence.report.bytes", reported_destinations(m)),
         "voters x bytes of a window's reports",
-        COUNTING,
-        b.BYTES,
+        OBSERVATIONS,
+        budgets.BYTES,
         ASSIGN,
     ),
     Formula(
@@ -334,10 +341,10 @@
         Kind.STATE,
         "destinations called in a window",
         Unit.COUNT,
-        lambda m: needed(m, m.assume("window_s")),
+        lambda m: called_destinations(m, m.assume("window_s")),
         "destinations x (1 - e^-(window / time between two calls))",
-        COUNTING,
-        b.CELLS_OF,
+        OBSERVATIONS,
+        budgets.CELLS_OF,
         ASSIGN,
     ),
     Formula(
@@ -350,7 +357,7 @@
         lambda m: changes_s(m) * m.at("accord.rules.bytes", m.size.fleet.destinations),
         "changes x bytes of a version",
         RULES,
-        b.BYTES,
+        budgets.BYTES,
         PARTS,
     ),
     Formula(
@@ -363,7 +370,7 @@
         lambda m: changes_s(m) * m.at("accord.rules.relay_cpu_ms", m.size.fleet.destinations),
         "changes x processor time of a version",
         RULES,
-        b.CORE,
+        budgets.CORE,
         PARTS,
     ),
     Formula(
@@ -375,9 +382,9 @@
         Unit.BYTES,
         lambda m: total_memory(m, m.part("directory.list.memory_bytes", m.size.fleet.destinations)),
         "whole list + members",
-        LIST,
-        b.MEMORY,
-        INTEREST,
+        DIRECTORY,
+        budgets.MEMORY,
+        SHARDED_DIRECTORY,
     ),
     Formula(
         "relay.control_memory_shards",
@@ -386,10 +393,10 @@
         Kind.MEMORY,
         "all of control, with keepers",
         Unit.BYTES,
-        lambda m: total_memory(m, read_memory(m)),
+        lambda m: total_memory(m, client_memory(m)),
         "shards in use + members",
-        READING,
-        b.MEMORY,
+        SHARD_CLIENT_FILE,
+        budgets.MEMORY,
         LAYERS,
     ),
     Formula(
@@ -408,7 +415,7 @@
         ),
         "changes + membership + renewals + evidence",
         SWIM,
-        b.BYTES,
+        budgets.BYTES,
         LAYERS,
     ),
     Formula(
@@ -420,8 +427,8 @@
         Unit.RATE,
         lambda m: total_bytes(m, digest_bytes(m)),
         "digests + membership + renewals",
-        READING,
-        b.BYTES,
+        SHARD_CLIENT_FILE,
+        budgets.BYTES,
         LAYERS,
     ),
     Formula(
@@ -434,7 +441,7 @@
         lambda m: report_core(m) + total_core(m, change_core(m)),
         "changes + membership + renewals + evidence",
         SWIM,
-        b.CORE,
+        budgets.CORE,
         LAYERS,
     ),
     Formula(
@@ -444,10 +451,10 @@
         Kind.PROCESSOR,
         "all of control, with keepers",
         Unit.CORE,
-        lambda m: total_core(m, read_core(m)),
+        lambda m: total_core(m, client_core(m)),
         "shards in use + membership + renewals",
-        READING,
-        b.CORE,
+        SHARD_CLIENT_FILE,
+        budgets.CORE,
         LAYERS,
     ),
     Formula(
@@ -481,7 +488,7 @@
         Kind.STATE,
         "members gone at once",
         Unit.COUNT,
-        of_rack,
+        relays_per_rack,
         "relays of a machine x machines of a rack",
         SWIM,
     ),
@@ -492,7 +499,7 @@
         Kind.STATE,
         "relays lost with racks in a year",
         Unit.COUNT,
-        lambda m: 365 / m.size.failures.rack_days * of_rack(m),
+        lambda m: 365 / m.size.failures.rack_days * relays_per_rack(m),
         "racks of a year x relays of one",
         SWIM,
     ),
@@ -503,7 +510,7 @@
         Kind.STATE,
         "relays lost with zones in a year",
         Unit.COUNT,
-        lambda m: m.size.failures.zones_a_year * of_zone(m),
+        lambda m: m.size.failures.zones_a_year * relays_per_zone(m),
         "zones of a year x relays of one",
         SWIM,
     ),
@@ -514,7 +521,7 @@
         Kind.STATE,
         "members gone at once",
         Unit.COUNT,
-        of_zone,
+        relays_per_zone,
         "relays / zones",
         SWIM,
     ),
@@ -527,7 +534,7 @@
         Unit.COUNT,
         lambda m: m.size.fleet.relays / m.size.fleet.regions,
         "relays / regions",
-        HOLDING,
+        LEASE_HOLDER,
     ),
     Formula(
         "relay.force_p99",
@@ -538,8 +545,8 @@
         Unit.SECONDS,
         lambda m: m.fact("hollow.change_p99_s"),
         "as run",
-        HOLDING,
-        b.FORCE,
+        LEASE_HOLDER,
+        budgets.FORCE,
     ),
     Formula(
         "relay.force",
@@ -550,8 +557,8 @@
         Unit.SECONDS,
         lambda m: m.fact("hollow.change_most_s"),
         "as run",
-        HOLDING,
-        b.FORCE,
+        LEASE_HOLDER,
+        budgets.FORCE,
     ),
     Formula(
         "relay.force_usual",
@@ -562,8 +569,8 @@
         Unit.SECONDS,
         lambda m: m.fact("hollow.change_most_s") / stretch(m),
         "as run / stretch",
-        HOLDING,
-        b.FORCE,
+        LEASE_HOLDER,
+        budgets.FORCE,
     ),
     Formula(
         "relay.force_storm",
@@ -574,8 +581,8 @@
         Unit.SECONDS,
         lambda m: m.fact("hollow.changes_20_most_s"),
         "as run",
-        HOLDING,
-        b.FORCE,
+        LEASE_HOLDER,
+        budgets.FORCE,
     ),
     Formula(
         "relay.hollow_bytes",
@@ -588,7 +595,7 @@
         * (m.at("hollow.bytes_s", m.size.fleet.relays) + m.at("hollow.bytes_in_s", m.size.fleet.relays)),
         "as run among so many x stretch",
         SWIM,
-        b.BYTES,
+        budgets.BYTES,
         LAYERS,
     ),
     Formula(
@@ -617,7 +624,7 @@
         lambda m: stretch(m) * m.at("hollow.cpu_share", m.size.fleet.relays),
         "as run among so many x stretch, at most",
         SWIM,
-        b.CORE,
+        budgets.CORE,
         LAYERS,
     ),
     Formula(
@@ -630,7 +637,7 @@
         lambda m: m.at("hollow.memory_bytes", m.size.fleet.relays),
         "as run among so many",
         SWIM,
-        b.MEMORY,
+        budgets.MEMORY,
         LAYERS,
     ),
     Formula(
@@ -665,7 +672,7 @@
         lambda m: m.fact("hollow.zone_s") / stretch(m),
         "as run / stretch",
         SWIM,
-        b.START,
+        budgets.START,
     ),
     Formula(
         "relay.hollow_frozen",
@@ -699,7 +706,7 @@
         members,
         "relays + machines of control",
         "message_relay/fleet/operator.py",
-        b.INSTANCES,
+        budgets.INSTANCES,
         CAP,
     ),
 ]
--- a/emulator/capacity/data_path.py
+++ b/emulator/capacity/data_path.py
@@ -1,4 +1,4 @@
-"""What a relay's data path costs: taking, holding and delivering events."""
+"""Formulas for the data path of a relay: accepting, storing and delivering events."""
 
 from __future__ import annotations
 
@@ -6,79 +6,82 @@
 
 from message_relay.consensus.lease_protocol import LeaseTerms
 
-from . import budgets as b
-from .rows import Formula, Kind, Reckoner, Role, Unit, When
+from . import budgets
+from .rows import Calculation, Formula, Kind, Role, Unit, When
 from .steps import (
     ASSIGN,
     BACKLOG,
-    ENDINGS,
+    EXPIRY,
     JOURNAL,
-    KEEPING_OPEN,
-    MESSAGES,
+    KEEP_ALIVE,
+    MESSAGE_LIFECYCLE,
     PLANNER,
     RECOVERY,
 )
-from .terms import again_s, in_use, needed, of_rack, of_zone, rate
+from .terms import call_interval_s, called_destinations, events_s, in_use, relays_per_rack, relays_per_zone
 
-MEASURED_BODY = 300  # bytes, of each measure of the store: benchmarks/capacity/store.py
-HORIZON_S = LeaseTerms().horizon_s  # as deploy/relay.toml has it
-CONTROL, STATE = "message_relay/decisions/scheduler.py", "message_relay/decisions/pending.py"
+MEASURED_BODY = 300  # bytes of a body in all measures of benchmarks/capacity/store.py
+HORIZON_S = LeaseTerms().horizon_s  # as in deploy/relay.toml
+SCHEDULER, PENDING = "message_relay/decisions/scheduler.py", "message_relay/decisions/pending.py"
 
 
-def backlog(m: Reckoner) -> float:
+def backlog(m: Calculation) -> float:
     return m.size.fleet.backlog / m.size.fleet.relays
 
 
-def held(m: Reckoner) -> float:
-    """By Little's law: those under way, and those that wait for destinations that are down, half an outage
-    each."""
+def pending_events(m: Calculation) -> float:
+    """Return the pending events of a relay by Little's law: those in flight, and those that wait for
+    destinations that are down, for half an outage on average."""
     waits = min(m.assume("deadline_s"), m.assume("outage_s") / 2)
-    return rate(m) * (m.assume("latency_s") + m.size.fleet.down * waits)
+    return events_s(m) * (m.assume("latency_s") + m.size.fleet.down * waits)
 
 
-def busy(m: Reckoner, relays: float, waiting: float) -> float:
-    """Of a core, with so many relays left and so many messages held."""
+def core_share(m: Calculation, relays: float, waiting: float) -> float:
+    """Return the share of a core with `relays` relays left and `waiting` messages pending."""
     return m.size.fleet.events_s / relays * m.at("relay.message.cpu_ms", waiting)
 
 
-def left(m: Reckoner, gone: float) -> float:
+def remaining_relays(m: Calculation, gone: float) -> float:
     return max(1.0, m.size.fleet.relays - gone)
 
 
-def unkept(m: Reckoner) -> float:
-    """Share of calls that find no connection still open."""
-    return math.exp(-m.assume("idle_s") / again_s(m))
+def new_connection_share(m: Calculation) -> float:
+    """Return the share of calls that find no open connection."""
+    return math.exp(-m.assume("idle_s") / call_interval_s(m))
 
 
-def bodies(m: Reckoner, count: float) -> float:
-    """What so many bodies take beyond those that were measured; less where they are smaller."""
+def extra_body_bytes(m: Calculation, count: float) -> float:
+    """Return the extra bytes of `count` bodies over the measured body size; negative if they are smaller."""
     return count * (m.assume("body_bytes") - MEASURED_BODY)
 
 
-def held_memory(m: Reckoner, count: float) -> float:
+def pending_memory(m: Calculation, count: float) -> float:
     return max(
         0.0,
         m.at("decisions.held.memory_bytes", count)
         + m.at("store.start.memory_bytes", count)
-        + bodies(m, count),
+        + extra_body_bytes(m, count),
     )
 
 
-def drains_s(m: Reckoner, spare: float) -> float:
-    """With this share of the ordinary rate to spare."""
-    return backlog(m) / (rate(m) * spare) if spare > 0 else math.inf
+def drain_s(m: Calculation, spare: float) -> float:
+    """Return the time to drain the backlog with this share of the ordinary rate to spare."""
+    return backlog(m) / (events_s(m) * spare) if spare > 0 else math.inf
 
 
-def processor_spare(m: Reckoner) -> float:
+def processor_spare(m: Calculation) -> float:
     core, cost = m.assume("process_core"), m.at("relay.message.cpu_ms", backlog(m))
-    return core / cost / rate(m) - 1 if cost else math.inf
+    return core / cost / events_s(m) - 1 if cost else math.inf
 
 
-def expired(m: Reckoner, deadline_s: float) -> float:
-    """Share of the backlog that is older than this when it begins to drain. Oldest first an event's age only
-    falls from there on, since it is drained faster than it came."""
-    gathered = m.size.fleet.backlog / m.size.fleet.events_s
-    return max(0.0, 1 - deadline_s / gathered) if gathered else 0.0
+def expired_share(m: Calculation, deadline_s: float) -> float:
+    """Return the share of the backlog that is older than the deadline when it begins to drain.
+
+    The oldest event is sent first. From then on the age only falls, because the backlog drains faster than it
+    arrived.
+    """
+    accumulation_s = m.size.fleet.backlog / m.size.fleet.events_s
+    return max(0.0, 1 - deadline_s / accumulation_s) if accumulation_s else 0.0
 
 
 DATA = [
@@ -89,7 +92,7 @@
         Kind.IN,
         "events of a relay",
         Unit.EACH_S,
-        rate,
+        events_s,
         "events a second / relays",
         "message_relay/http/client_connection.py",
     ),
@@ -100,9 +103,9 @@
         Kind.STATE,
         "events held by a relay",
         Unit.COUNT,
-        held,
+        pending_events,
         "events x (latency + share down x half an outage)",
-        CONTROL,
+        SCHEDULER,
     ),
     Formula(
         "relay.processor",
@@ -111,10 +114,10 @@
         Kind.PROCESSOR,
         "taking and delivering",
         Unit.CORE,
-        lambda m: busy(m, m.size.fleet.relays, held(m)),
+        lambda m: core_share(m, m.size.fleet.relays, pending_events(m)),
         "events x processor time of one",
-        MESSAGES,
-        b.PROCESS,
+        MESSAGE_LIFECYCLE,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.turn",
@@ -125,8 +128,8 @@
         Unit.SECONDS,
         lambda m: m.at("decisions.message.turn_ms", in_use(m)),
         "longest turn at so many destinations",
-        CONTROL,
-        b.TURN,
+        SCHEDULER,
+        budgets.TURN,
     ),
     Formula(
         "relay.turn_all",
@@ -137,8 +140,8 @@
         Unit.SECONDS,
         lambda m: m.at("decisions.message.turn_ms", in_use(m, True)),
         "longest turn at so many destinations",
-        CONTROL,
-        b.TURN,
+        SCHEDULER,
+        budgets.TURN,
         ASSIGN,
     ),
     Formula(
@@ -148,10 +151,10 @@
         Kind.PROCESSOR,
         "the decisions' part, destinations in use",
         Unit.CORE,
-        lambda m: rate(m) * m.at("decisions.message.cpu_us", in_use(m)),
+        lambda m: events_s(m) * m.at("decisions.message.cpu_us", in_use(m)),
         "events x processor time of one at so many destinations",
-        CONTROL,
-        b.PROCESS,
+        SCHEDULER,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.decisions_all",
@@ -160,10 +163,10 @@
         Kind.PROCESSOR,
         "the decisions' part, clients spread evenly",
         Unit.CORE,
-        lambda m: rate(m) * m.at("decisions.message.cpu_us", in_use(m, True)),
+        lambda m: events_s(m) * m.at("decisions.message.cpu_us", in_use(m, True)),
         "events x processor time of one at so many destinations",
-        CONTROL,
-        b.PROCESS,
+        SCHEDULER,
+        budgets.PROCESS,
         ASSIGN,
     ),
     Formula(
@@ -173,10 +176,10 @@
         Kind.MEMORY,
         "events held",
         Unit.BYTES,
-        lambda m: held_memory(m, held(m)),
+        lambda m: pending_memory(m, pending_events(m)),
         "held x (in the decisions + in the journal's memory)",
-        STATE,
-        b.DATA_MEMORY,
+        PENDING,
+        budgets.DATA_MEMORY,
     ),
     Formula(
         "relay.journal_bytes",
@@ -185,7 +188,7 @@
         Kind.DISK,
         "written to the journal",
         Unit.RATE,
-        lambda m: rate(m) * m.at("store.message.disk_bytes", held(m)),
+        lambda m: events_s(m) * m.at("store.message.disk_bytes", pending_events(m)),
         "events x bytes of one beside what is held",
         JOURNAL,
     ),
@@ -196,10 +199,10 @@
         Kind.PROCESSOR,
         "the journal's part",
         Unit.CORE,
-        lambda m: rate(m) * m.at("store.message.cpu_us", held(m)),
+        lambda m: events_s(m) * m.at("store.message.cpu_us", pending_events(m)),
         "events x processor time of one",
         JOURNAL,
-        b.PROCESS,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.call_again",
@@ -208,9 +211,9 @@
         Kind.OUT,
         "from a call to a destination to the next there",
         Unit.SECONDS,
-        again_s,
+        call_interval_s,
         "relays x destinations / events a second",
-        KEEPING_OPEN,
+        KEEP_ALIVE,
     ),
     Formula(
         "relay.unkept",
@@ -219,9 +222,9 @@
         Kind.OUT,
         "calls that find no connection open",
         Unit.SHARE,
-        unkept,
+        new_connection_share,
         "e^-(idle time / time between two calls)",
-        KEEPING_OPEN,
+        KEEP_ALIVE,
         step=ASSIGN,
     ),
     Formula(
@@ -231,7 +234,7 @@
         Kind.STATE,
         "destinations called in an hour, clients spread evenly",
         Unit.COUNT,
-        lambda m: needed(m, 3600),
+        lambda m: called_destinations(m, 3600),
         "destinations x (1 - e^-(hour / time between two calls))",
         "missing",
         step=ASSIGN,
@@ -243,10 +246,10 @@
         Kind.PROCESSOR,
         "the others take its events",
         Unit.CORE,
-        lambda m: busy(m, left(m, m.assume("relays_a_machine")), held(m)),
+        lambda m: core_share(m, remaining_relays(m, m.assume("relays_a_machine")), pending_events(m)),
         "events x processor time of one, relays less a machine's",
-        MESSAGES,
-        b.PROCESS,
+        MESSAGE_LIFECYCLE,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.rack",
@@ -255,10 +258,10 @@
         Kind.PROCESSOR,
         "the others take its events",
         Unit.CORE,
-        lambda m: busy(m, left(m, of_rack(m)), held(m)),
+        lambda m: core_share(m, remaining_relays(m, relays_per_rack(m)), pending_events(m)),
         "events x processor time of one, relays less a rack's",
-        MESSAGES,
-        b.PROCESS,
+        MESSAGE_LIFECYCLE,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.zone",
@@ -267,10 +270,10 @@
         Kind.PROCESSOR,
         "the others take its events",
         Unit.CORE,
-        lambda m: busy(m, left(m, of_zone(m)), held(m)),
+        lambda m: core_share(m, remaining_relays(m, relays_per_zone(m)), pending_events(m)),
         "events x processor time of one, relays less a zone's",
         PLANNER,
-        b.PROCESS,
+        budgets.PROCESS,
     ),
     Formula(
         "relay.apart",
@@ -279,7 +282,7 @@
         Kind.STATE,
         "events for the other region that wait",
         Unit.COUNT,
-        lambda m: rate(m) * m.size.failures.regions_apart_s * (1 - 1 / m.size.fleet.regions),
+        lambda m: events_s(m) * m.size.failures.regions_apart_s * (1 - 1 / m.size.fleet.regions),
         "events x time apart x share for other regions",
         JOURNAL,
         step=BACKLOG,
@@ -291,9 +294,9 @@
         Kind.STATE,
         "events that come for what has changed, until that is in force",
         Unit.COUNT,
-        lambda m: rate(m) * m.size.changes.force_s * m.assume("storm") / m.size.fleet.destinations,
+        lambda m: events_s(m) * m.size.changes.force_s * m.assume("storm") / m.size.fleet.destinations,
         "events x time to be in force x entries / destinations",
-        CONTROL,
+        SCHEDULER,
     ),
     Formula(
         "relay.back",
@@ -308,8 +311,8 @@
         if m.assume("headroom") > 1
         else math.inf,
         "time apart x share for other regions / (headroom - 1)",
-        CONTROL,
-        b.DEADLINE,
+        SCHEDULER,
+        budgets.DEADLINE,
     ),
     Formula(
         "relay.apart_floor",
@@ -318,7 +321,7 @@
         Kind.STATE,
         "events that gather at a relay on the side without a majority, where the floor is closed",
         Unit.COUNT,
-        lambda m: rate(m) * max(0.0, m.size.failures.regions_apart_s - HORIZON_S),
+        lambda m: events_s(m) * max(0.0, m.size.failures.regions_apart_s - HORIZON_S),
         "events x (time apart - horizon)",
         "message_relay/consensus/lease_holder.py",
         step=BACKLOG,
@@ -341,10 +344,10 @@
         Kind.MEMORY,
         "full backlog, held as today",
         Unit.BYTES,
-        lambda m: held_memory(m, backlog(m)),
+        lambda m: pending_memory(m, backlog(m)),
         "backlog x (in the decisions + in the journal's memory)",
-        STATE,
-        b.DATA_MEMORY,
+        PENDING,
+        budgets.DATA_MEMORY,
         BACKLOG,
     ),
     Formula(
@@ -354,10 +357,10 @@
         Kind.DISK,
         "full backlog in the journal",
         Unit.BYTES,
-        lambda m: max(0.0, m.at("store.start.disk_bytes", backlog(m)) + bodies(m, backlog(m))),
+        lambda m: max(0.0, m.at("store.start.disk_bytes", backlog(m)) + extra_body_bytes(m, backlog(m))),
         "disk of so many records",
         JOURNAL,
-        b.DATA_DISK,
+        budgets.DATA_DISK,
     ),
     Formula(
         "relay.backlog_processor",
@@ -366,10 +369,10 @@
         Kind.PROCESSOR,
         "taking and delivering beside it",
         Unit.CORE,
-        lambda m: busy(m, m.size.fleet.relays, backlog(m)),
+        lambda m: core_share(m, m.size.fleet.relays, backlog(m)),
         "events x processor time of one with the backlog held",
-        CONTROL,
-        b.PROCESS,
+        SCHEDULER,
+        budgets.PROCESS,
         BACKLOG,
     ),
     Formula(
@@ -382,7 +385,7 @@
         lambda m: m.at("store.start.cpu_ms", backlog(m)),
         "backlog x processor time of a record",
         RECOVERY,
-        b.START,
+        budgets.START,
         BACKLOG,
     ),
     Formula(
@@ -392,10 +395,10 @@
         Kind.TIME,
         "a start on what an ordinary hour holds",
         Unit.SECONDS,
-        lambda m: m.at("store.start.cpu_ms", held(m)),
+        lambda m: m.at("store.start.cpu_ms", pending_events(m)),
         "held x processor time of a record",
         RECOVERY,
-        b.START,
+        budgets.START,
     ),
     Formula(
         "relay.drain",
@@ -404,10 +407,10 @@
         Kind.TIME,
         "until it is gone, by what destinations can take",
         Unit.SECONDS,
-        lambda m: drains_s(m, m.assume("headroom") - 1),
+        lambda m: drain_s(m, m.assume("headroom") - 1),
         "backlog / (events x (headroom - 1))",
-        CONTROL,
-        b.DEADLINE,
+        SCHEDULER,
+        budgets.DEADLINE,
     ),
     Formula(
         "relay.drain_processor",
@@ -416,10 +419,10 @@
         Kind.TIME,
         "until it is gone, by what a relay's processor can",
         Unit.SECONDS,
-        lambda m: drains_s(m, processor_spare(m)),
+        lambda m: drain_s(m, processor_spare(m)),
         "backlog / (share of a core / processor time of one - events)",
-        CONTROL,
-        b.DEADLINE,
+        SCHEDULER,
+        budgets.DEADLINE,
     ),
     Formula(
         "relay.expired",
@@ -428,9 +431,9 @@
         Kind.STATE,
         "of it out of time when it begins to drain",
         Unit.SHARE,
-        lambda m: expired(m, m.assume("deadline_s")),
+        lambda m: expired_share(m, m.assume("deadline_s")),
         "1 - time of an event / time in which it gathered",
-        ENDINGS,
+        EXPIRY,
     ),
     Formula(
         "relay.expired_today",
@@ -439,8 +442,8 @@
         Kind.STATE,
         "of it out of time, with the longest time of today",
         Unit.SHARE,
-        lambda m: expired(m, m.assume("deadline_today_s")),
+        lambda m: expired_share(m, m.assume("deadline_today_s")),
         "1 - time of an event / time in which it gathered",
-        ENDINGS,
+        EXPIRY,
     ),
 ]
--- a/emulator/capacity/destination.py
+++ b/emulator/capacity/destination.py
@@ -1,41 +1,45 @@
-"""What a destination sees of all relays together: calls, connections, probes, and the cold budget of all
-senders."""
+"""Formulas for the load on a destination from all relays: calls, connections, trial calls, and the cold
+budget that all senders share."""
 
 from __future__ import annotations
 
 import math
 
-from . import budgets as b
-from .rows import Formula, Kind, Reckoner, Role, Unit, When
-from .steps import ASSIGN, JOURNAL, KEEPING_OPEN, PACES, PLANNER
-from .terms import again_s
+from . import budgets
+from .rows import Calculation, Formula, Kind, Role, Unit, When
+from .steps import ASSIGN, JOURNAL, KEEP_ALIVE, PLANNER, RATE_CONTROL
+from .terms import call_interval_s
 
 
-def calls_s(m: Reckoner) -> float:
+def calls_s(m: Calculation) -> float:
     return m.size.fleet.events_s / m.size.fleet.destinations
 
 
-def senders(m: Reckoner, seconds: float) -> float:
-    """Relays that get an event for it in so long, where clients spread evenly."""
-    return m.size.fleet.relays * -math.expm1(-seconds / again_s(m))
+def senders(m: Calculation, seconds: float) -> float:
+    """Return the number of relays that get an event for it within `seconds`, if clients spread evenly."""
+    return m.size.fleet.relays * -math.expm1(-seconds / call_interval_s(m))
 
 
-def open_at_once(m: Reckoner) -> float:
+def open_at_once(m: Calculation) -> float:
     return senders(m, m.assume("idle_s"))
 
 
-def cold_s(m: Reckoner) -> float:
-    """Calls a second that it can take right after its return."""
+def cold_s(m: Calculation) -> float:
+    """Return the calls a second that it can accept right after its return."""
     return calls_s(m) * m.assume("headroom") * m.assume("cold_share")
 
 
-def waiting(m: Reckoner) -> float:
-    """Events that all relays hold for one that was down."""
+def waiting(m: Calculation) -> float:
+    """Return the events that are pending in all relays for a destination that was down."""
     return calls_s(m) * min(m.assume("outage_s"), m.assume("deadline_s"))
 
 
-def first_calls_s(m: Reckoner) -> float:
-    """No relay learns of its return by the call of another: each makes one, and all share its cold budget."""
+def first_calls_s(m: Calculation) -> float:
+    """Return the time of the first call of each relay after an outage.
+
+    No relay learns of the return from the call of another relay: each makes one call, and all of them share
+    the cold budget.
+    """
     return senders(m, m.assume("outage_s")) / cold_s(m)
 
 
@@ -49,7 +53,7 @@
         Unit.EACH_S,
         calls_s,
         "events a second / destinations",
-        PACES,
+        RATE_CONTROL,
     ),
     Formula(
         "destination.senders",
@@ -60,7 +64,7 @@
         Unit.COUNT,
         lambda m: senders(m, 3600),
         "relays x (1 - e^-(hour / time between two calls))",
-        PACES,
+        RATE_CONTROL,
         step=ASSIGN,
     ),
     Formula(
@@ -72,8 +76,8 @@
         Unit.COUNT,
         open_at_once,
         "relays x (1 - e^-(idle time / time between two calls))",
-        KEEPING_OPEN,
-        b.CONNECTIONS,
+        KEEP_ALIVE,
+        budgets.CONNECTIONS,
         ASSIGN,
     ),
     Formula(
@@ -83,9 +87,9 @@
         Kind.IN,
         "connections opened",
         Unit.EACH_S,
-        lambda m: calls_s(m) * math.exp(-m.assume("idle_s") / again_s(m)),
+        lambda m: calls_s(m) * math.exp(-m.assume("idle_s") / call_interval_s(m)),
         "calls x share that finds none open",
-        KEEPING_OPEN,
+        KEEP_ALIVE,
         step=ASSIGN,
     ),
     Formula(
@@ -97,7 +101,7 @@
         Unit.COUNT,
         lambda m: m.size.fleet.destinations * m.size.fleet.down,
         "destinations x share down",
-        PACES,
+        RATE_CONTROL,
     ),
     Formula(
         "destination.returns",
@@ -108,7 +112,7 @@
         Unit.EACH_S,
         lambda m: m.size.fleet.destinations * m.size.fleet.down / m.assume("outage_s"),
         "those down / an outage",
-        PACES,
+        RATE_CONTROL,
     ),
     Formula(
         "destination.waiting",
@@ -119,7 +123,7 @@
         Unit.COUNT,
         waiting,
         "calls x an outage",
-        PACES,
+        RATE_CONTROL,
     ),
     Formula(
         "destination.cold",
@@ -130,7 +134,7 @@
         Unit.EACH_S,
         cold_s,
         "calls x headroom x cold share",
-        PACES,
+        RATE_CONTROL,
     ),
     Formula(
         "destination.holders",
@@ -141,7 +145,7 @@
         Unit.COUNT,
         lambda m: senders(m, m.assume("outage_s")),
         "relays x (1 - e^-(outage / time between two calls))",
-        PACES,
+        RATE_CONTROL,
         step=ASSIGN,
     ),
     Formula(
@@ -153,8 +157,8 @@
         Unit.SECONDS,
         first_calls_s,
         "relays that hold something / calls that it can take cold",
-        PACES,
-        b.DEADLINE,
+        RATE_CONTROL,
+        budgets.DEADLINE,
         ASSIGN,
     ),
     Formula(
@@ -166,8 +170,8 @@
         Unit.SECONDS,
         first_calls_s,
         "relays that hold something / calls that it can take cold",
-        PACES,
-        b.DEADLINE_TODAY,
+        RATE_CONTROL,
+        budgets.DEADLINE_TODAY,
         ASSIGN,
     ),
     Formula(
@@ -181,8 +185,8 @@
         if m.assume("headroom") > 1
         else math.inf,
         "events that wait / (calls x (headroom - 1))",
-        PACES,
-        b.DEADLINE,
+        RATE_CONTROL,
+        budgets.DEADLINE,
     ),
     Formula(
         "destination.learned",
@@ -191,9 +195,9 @@
         Kind.OUT,
         "calls a relay made there during the outage, by its own share",
         Unit.COUNT,
-        lambda m: m.assume("outage_s") / again_s(m),
+        lambda m: m.assume("outage_s") / call_interval_s(m),
         "an outage / time between two calls",
-        PACES,
+        RATE_CONTROL,
         step=ASSIGN,
     ),
     Formula(
@@ -227,6 +231,6 @@
         Unit.EACH_S,
         lambda m: calls_s(m) * m.assume("headroom"),
         "calls x headroom",
-        PACES,
+        RATE_CONTROL,
     ),
 ]
--- a/emulator/capacity/interest.py
+++ b/emulator/capacity/interest.py
@@ -1,36 +1,43 @@
-"""What the directory by interest costs a relay: by slopes of its decisions, and as a real relay was run
-beside keepers of all destinations."""
+"""Formulas for the sharded directory in a relay: from slopes of its decisions, and from runs of a real relay
+with shard servers that hold all destinations."""
 
 from __future__ import annotations
 
 from functools import partial
 
-from . import budgets as b
-from .rows import Formula, Kind, Reckoner, Role, Unit, Unmeasured, When
-from .steps import ASSIGN, READING
-from .terms import in_use, listeners, shards_in_use
+from . import budgets
+from .rows import Calculation, Formula, Kind, Role, Unit, Unmeasured, When
+from .steps import ASSIGN, SHARD_CLIENT_FILE
+from .terms import clients_per_server, in_use, shards_in_use
 
 
-def digest_bytes(m: Reckoner) -> float:
-    """Of the keepers that one reader hears. Asks and answers are in what the real relay took."""
-    return m.assume("keepers_a_reader") * m.part("shards.digests.bytes_s", listeners(m)) / listeners(m)
+def digest_bytes(m: Calculation) -> float:
+    """Return the bytes a second of digests from the shard servers of one client.
+
+    Requests and responses are included in the figures of the real relay.
+    """
+    return (
+        m.assume("keepers_a_reader")
+        * m.part("shards.digests.bytes_s", clients_per_server(m))
+        / clients_per_server(m)
+    )
 
 
-def read_memory(m: Reckoner, every: bool = False) -> float:
-    """The shards, and what directory and decisions keep of the destinations in use."""
+def client_memory(m: Calculation, every: bool = False) -> float:
+    """Return the memory of the shards, and of directory and decisions for the destinations in use."""
     return m.part("shards.reader.memory_bytes", shards_in_use(m, every)) + m.part(
         "directory.list.memory_bytes", in_use(m, every)
     )
 
 
-def of_budget(m: Reckoner, size: str, when: str, cost: str) -> float:
-    """What a real relay beside keepers of all destinations took, less one without keepers."""
+def extra_cost(m: Calculation, size: str, when: str, cost: str) -> float:
+    """Return the cost of a real relay with shard servers of all destinations, less that of one without."""
     without = m.fact(f"shards.budget.without.{cost}")
     return max(0.0, m.fact(f"shards.budget.{size}_in_use.{when}.{cost}") - without)
 
 
-def read_core(m: Reckoner) -> float:
-    """Of a real relay with 1,000 destinations in use."""
+def client_core(m: Calculation) -> float:
+    """Return the processor time of a real relay with 1,000 destinations in use."""
     try:
         return real_core(m, "1000", "plan")
     except Unmeasured as error:
@@ -38,51 +45,51 @@
         return 0.0
 
 
-def real_bytes(m: Reckoner, size: str, when: str) -> float:
+def real_bytes(m: Calculation, size: str, when: str) -> float:
     return m.fact(f"shards.budget.{size}_in_use.{when}.bytes_s")
 
 
-def real_core(m: Reckoner, size: str, when: str) -> float:
-    return of_budget(m, size, when, "core_percent") / 100
+def real_core(m: Calculation, size: str, when: str) -> float:
+    return extra_cost(m, size, when, "core_percent") / 100
 
 
-def beside_keepers(size: str, words: str) -> list[Formula]:
-    """The rows of a real relay with so many destinations in use."""
-    found = []
-    for when, at, said in (
+def real_relay_formulas(size: str, words: str) -> list[Formula]:
+    """Return the formulas of a real relay with this number of destinations in use."""
+    formulas = []
+    for when, event, description in (
         ("plan", When.CHANGES, "at the plan's changes"),
         ("plan_x_100", When.STORM, "at 100 times the plan's changes"),
     ):
-        found += [
+        formulas += [
             Formula(
                 f"relay.real_{size}_{when}_bytes",
                 Role.CONTROL,
-                at,
+                event,
                 Kind.IN,
-                f"sent and received by a real relay, {words} in use, {said}",
+                f"sent and received by a real relay, {words} in use, {description}",
                 Unit.RATE,
                 partial(real_bytes, size=size, when=when),
                 "as run",
-                READING,
-                b.BYTES,
+                SHARD_CLIENT_FILE,
+                budgets.BYTES,
                 ASSIGN,
             ),
             Formula(
                 f"relay.real_{size}_{when}_processor",
                 Role.CONTROL,
-                at,
+                event,
                 Kind.PROCESSOR,
-                f"of a real relay more than without keepers, {words} in use, {said}",
+                f"of a real relay more than without keepers, {words} in use, {description}",
                 Unit.CORE,
                 partial(real_core, size=size, when=when),
                 "as run, less as run without",
-                READING,
-                b.CORE,
+                SHARD_CLIENT_FILE,
+                budgets.CORE,
                 ASSIGN,
             ),
         ]
     return [
-        *found,
+        *formulas,
         Formula(
             f"relay.real_{size}_memory",
             Role.CONTROL,
@@ -90,16 +97,16 @@
             Kind.MEMORY,
             f"of a real relay more than without keepers, {words} in use",
             Unit.BYTES,
-            lambda m: of_budget(m, size, "plan", "rss_mb") * b.MB,
+            lambda m: extra_cost(m, size, "plan", "rss_mb") * budgets.MB,
             "as run, less as run without",
-            READING,
-            b.MORE,
+            SHARD_CLIENT_FILE,
+            budgets.MORE,
             ASSIGN,
         ),
     ]
 
 
-INTERESTED = [
+SHARD_CLIENT = [
     Formula(
         "relay.storm_in_use",
         Role.CONTROL,
@@ -113,8 +120,8 @@
         * m.assume("packed_bytes")
         / m.size.changes.force_s,
         "entries x share of the shards x packed bytes of one / time to be in force",
-        READING,
-        b.BYTES,
+        SHARD_CLIENT_FILE,
+        budgets.BYTES,
         ASSIGN,
     ),
     Formula(
@@ -127,8 +134,8 @@
         lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m))
         + m.at("directory.list.memory_bytes", in_use(m)),
         "memory at so many shards + directory and decisions at so many in use",
-        READING,
-        b.MEMORY,
+        SHARD_CLIENT_FILE,
+        budgets.MEMORY,
     ),
     Formula(
         "relay.reader_memory_all",
@@ -140,8 +147,8 @@
         lambda m: m.at("shards.reader.memory_bytes", shards_in_use(m, True))
         + m.at("directory.list.memory_bytes", in_use(m, True)),
         "memory at so many shards + directory and decisions at so many in use",
-        READING,
-        b.MEMORY,
+        SHARD_CLIENT_FILE,
+        budgets.MEMORY,
         ASSIGN,
     ),
     Formula(
@@ -153,8 +160,8 @@
         Unit.SECONDS,
         lambda m: m.at("shards.reader.cpu_ms", shards_in_use(m)),
         "processor time at so many shards",
-        READING,
-        b.START,
+        SHARD_CLIENT_FILE,
+        budgets.START,
     ),
     Formula(
         "relay.digest_bytes",
@@ -163,13 +170,15 @@
         Kind.IN,
         "digests of its keepers",
         Unit.RATE,
-        lambda m: m.assume("keepers_a_reader") * m.at("shards.digests.bytes_s", listeners(m)) / listeners(m),
+        lambda m: m.assume("keepers_a_reader")
+        * m.at("shards.digests.bytes_s", clients_per_server(m))
+        / clients_per_server(m),
         "keepers that it hears x bytes to so many readers / readers",
-        READING,
-        b.BYTES,
+        SHARD_CLIENT_FILE,
+        budgets.BYTES,
     ),
-    *beside_keepers("1000", "1,000 destinations"),
-    *beside_keepers("10000", "10,000 destinations"),
+    *real_relay_formulas("1000", "1,000 destinations"),
+    *real_relay_formulas("10000", "10,000 destinations"),
     Formula(
         "relay.real_storm",
         Role.CONTROL,
@@ -179,8 +188,8 @@
         Unit.SECONDS,
         lambda m: m.fact("shards.budget.storm.the_relay_follows_after_s"),
         "as run",
-        READING,
-        b.FORCE,
+        SHARD_CLIENT_FILE,
+        budgets.FORCE,
     ),
     Formula(
         "relay.real_force",
@@ -191,8 +200,8 @@
         Unit.SECONDS,
         lambda m: m.worst("shards.", ".force_most_s"),
         "as run",
-        READING,
-        b.FORCE,
+        SHARD_CLIENT_FILE,
+        budgets.FORCE,
     ),
     Formula(
         "relay.real_force_p99",
@@ -203,7 +212,7 @@
         Unit.SECONDS,
         lambda m: m.worst("shards.", ".force_p99_s"),
         "as run",
-        READING,
-        b.FORCE,
+        SHARD_CLIENT_FILE,
+        budgets.FORCE,
     ),
 ]
--- a/emulator/capacity/keepers.py
+++ b/emulator/capacity/keepers.py
@@ -1,33 +1,36 @@
-"""What a keeper of the directory costs, one on each machine that is set aside for control."""
+"""Formulas for a shard server of the directory, one on each machine reserved for control."""
 
 from __future__ import annotations
 
-from . import budgets as b
+from . import budgets
 from .budgets import ANSWERS_BYTES_S
-from .rows import Formula, Kind, Reckoner, Role, Unit, When
+from .rows import Calculation, Formula, Kind, Role, Unit, When
 from .steps import ANSWERS, ASSIGN
-from .terms import DAY_S, changes_s, listeners, of_rack, of_zone, shards_in_use
+from .terms import DAY_S, changes_s, clients_per_server, relays_per_rack, relays_per_zone, shards_in_use
 
-KEEPING, NODE = "message_relay/sharded_directory/shard_server.py", "message_relay/sharded_directory/node.py"
+SHARD_SERVER, SHARD_NODE = (
+    "message_relay/sharded_directory/shard_server.py",
+    "message_relay/sharded_directory/node.py",
+)
 SOURCE = "message_relay/sharded_directory/source.py"
 
 
-def shard_bytes(m: Reckoner) -> float:
-    """A whole shard, packed."""
+def shard_bytes(m: Calculation) -> float:
+    """Return the packed bytes of one full shard."""
     return m.assume("packed_bytes") * m.size.fleet.destinations / m.assume("shards")
 
 
-def asked(m: Reckoner, readers: float, every: bool = False) -> float:
-    """Bytes of all shards in use of so many readers, from one keeper of those there are."""
+def response_bytes(m: Calculation, readers: float, every: bool = False) -> float:
+    """Return the bytes that one shard server sends so that `readers` clients get all their shards in use."""
     return readers * shards_in_use(m, every) * shard_bytes(m) / m.assume("keepers")
 
 
-def serving_s(m: Reckoner, readers: float, every: bool = False) -> float:
-    return asked(m, readers, every) / ANSWERS_BYTES_S
+def serving_s(m: Calculation, readers: float, every: bool = False) -> float:
+    return response_bytes(m, readers, every) / ANSWERS_BYTES_S
 
 
-def digests(m: Reckoner) -> float:
-    return listeners(m) / m.assume("digest_s")
+def digests_s(m: Calculation) -> float:
+    return clients_per_server(m) / m.assume("digest_s")
 
 
 KEEPER = [
@@ -40,8 +43,8 @@
         Unit.BYTES,
         lambda m: m.at("shards.keeper.memory_bytes", m.size.fleet.destinations),
         "memory at so many destinations",
-        KEEPING,
-        b.MACHINE,
+        SHARD_SERVER,
+        budgets.MACHINE,
     ),
     Formula(
         "keeper.digests",
@@ -50,9 +53,9 @@
         Kind.OUT,
         "digests",
         Unit.EACH_S,
-        digests,
+        digests_s,
         "relays x keepers that each asks / keepers / time between two",
-        NODE,
+        SHARD_NODE,
     ),
     Formula(
         "keeper.shards",
@@ -63,7 +66,7 @@
         Unit.COUNT,
         shards_in_use,
         "shards with a destination in use",
-        KEEPING,
+        SHARD_SERVER,
     ),
     Formula(
         "keeper.shards_all",
@@ -74,7 +77,7 @@
         Unit.COUNT,
         lambda m: shards_in_use(m, True),
         "shards with a destination in use",
-        KEEPING,
+        SHARD_SERVER,
         step=ASSIGN,
     ),
     Formula(
@@ -98,7 +101,7 @@
         lambda m: m.at("shards.keeper.load_cpu_ms", m.size.fleet.destinations),
         "processor time at so many destinations",
         SOURCE,
-        b.START,
+        budgets.START,
     ),
     Formula(
         "keeper.load_turn",
@@ -110,7 +113,7 @@
         lambda m: m.at("shards.keeper.turn_ms", m.size.fleet.destinations),
         "longest turn at so many destinations",
         SOURCE,
-        b.TURN,
+        budgets.TURN,
     ),
     Formula(
         "keeper.digest_bytes",
@@ -119,10 +122,10 @@
         Kind.OUT,
         "digests",
         Unit.RATE,
-        lambda m: m.at("shards.digests.bytes_s", listeners(m)),
+        lambda m: m.at("shards.digests.bytes_s", clients_per_server(m)),
         "bytes a second to so many readers",
-        NODE,
-        b.LINK,
+        SHARD_NODE,
+        budgets.LINK,
     ),
     Formula(
         "keeper.digest_processor",
@@ -131,10 +134,10 @@
         Kind.PROCESSOR,
         "digests, without sockets",
         Unit.CORE,
-        lambda m: m.at("shards.digests.cpu_ms_s", listeners(m)),
+        lambda m: m.at("shards.digests.cpu_ms_s", clients_per_server(m)),
         "processor time for so many readers",
-        NODE,
-        b.PROCESS,
+        SHARD_NODE,
+        budgets.PROCESS,
     ),
     Formula(
         "keeper.changes",
@@ -143,10 +146,10 @@
         Kind.PROCESSOR,
         "taking a day's changes in",
         Unit.CORE,
-        lambda m: changes_s(m) * m.at("shards.change.cpu_us", listeners(m)),
+        lambda m: changes_s(m) * m.at("shards.change.cpu_us", clients_per_server(m)),
         "changes x processor time with so many readers",
-        KEEPING,
-        b.PROCESS,
+        SHARD_SERVER,
+        budgets.PROCESS,
     ),
     Formula(
         "keeper.storm_processor",
@@ -155,10 +158,10 @@
         Kind.TIME,
         "taking the whole storm in",
         Unit.SECONDS,
-        lambda m: m.assume("storm") * m.at("shards.change.cpu_us", listeners(m)),
+        lambda m: m.assume("storm") * m.at("shards.change.cpu_us", clients_per_server(m)),
         "entries x processor time with so many readers",
-        KEEPING,
-        b.FORCE,
+        SHARD_SERVER,
+        budgets.FORCE,
     ),
     Formula(
         "keeper.storm",
@@ -168,12 +171,12 @@
         "whole storm to its readers within the time to be in force",
         Unit.RATE,
         lambda m: m.assume("storm")
-        * listeners(m)
-        * m.at("shards.change.bytes", listeners(m))
+        * clients_per_server(m)
+        * m.at("shards.change.bytes", clients_per_server(m))
         / m.size.changes.force_s,
         "entries x readers x bytes of one to each / time to be in force",
-        NODE,
-        b.ANSWERS,
+        SHARD_NODE,
+        budgets.ANSWERS,
         ANSWERS,
     ),
     Formula(
@@ -183,10 +186,10 @@
         Kind.OUT,
         "a day's changes to its readers",
         Unit.RATE,
-        lambda m: changes_s(m) * listeners(m) * m.at("shards.change.bytes", listeners(m)),
+        lambda m: changes_s(m) * clients_per_server(m) * m.at("shards.change.bytes", clients_per_server(m)),
         "changes x readers x bytes of one to each",
-        NODE,
-        b.ANSWERS,
+        SHARD_NODE,
+        budgets.ANSWERS,
         ANSWERS,
     ),
     Formula(
@@ -196,10 +199,10 @@
         Kind.MEMORY,
         "of a real keeper of all destinations",
         Unit.BYTES,
-        lambda m: m.fact("shards.budget.keeper.rss_mb") * b.MB,
+        lambda m: m.fact("shards.budget.keeper.rss_mb") * budgets.MB,
         "as run",
-        KEEPING,
-        b.MACHINE,
+        SHARD_SERVER,
+        budgets.MACHINE,
     ),
     Formula(
         "keeper.restarts",
@@ -208,10 +211,10 @@
         Kind.OUT,
         "shards to relays that begin anew",
         Unit.RATE,
-        lambda m: asked(m, m.size.failures.restarts_a_day) / DAY_S,
+        lambda m: response_bytes(m, m.size.failures.restarts_a_day) / DAY_S,
         "restarts x shards in use x bytes of one / keepers",
-        NODE,
-        b.ANSWERS,
+        SHARD_NODE,
+        budgets.ANSWERS,
         ANSWERS,
     ),
     Formula(
@@ -223,8 +226,8 @@
         Unit.SECONDS,
         lambda m: serving_s(m, m.assume("relays_a_machine")),
         "relays x shards in use x bytes of one / keepers / what a keeper answers",
-        NODE,
-        b.START,
+        SHARD_NODE,
+        budgets.START,
         ANSWERS,
     ),
     Formula(
@@ -234,10 +237,10 @@
         Kind.TIME,
         "a rack's relays ask for theirs anew",
         Unit.SECONDS,
-        lambda m: serving_s(m, of_rack(m)),
+        lambda m: serving_s(m, relays_per_rack(m)),
         "relays x shards in use x bytes of one / keepers / what a keeper answers",
-        NODE,
-        b.START,
+        SHARD_NODE,
+        budgets.START,
         ANSWERS,
     ),
     Formula(
@@ -247,10 +250,10 @@
         Kind.TIME,
         "a zone's relays come back and ask for theirs",
         Unit.SECONDS,
-        lambda m: serving_s(m, of_zone(m)),
+        lambda m: serving_s(m, relays_per_zone(m)),
         "relays x shards in use x bytes of one / keepers / what a keeper answers",
-        NODE,
-        b.START,
+        SHARD_NODE,
+        budgets.START,
         ANSWERS,
     ),
     Formula(
@@ -260,10 +263,10 @@
         Kind.TIME,
         "a zone's relays come back, clients spread evenly",
         Unit.SECONDS,
-        lambda m: serving_s(m, of_zone(m), True),
+        lambda m: serving_s(m, relays_per_zone(m), True),
         "relays x shards in use x bytes of one / keepers / what a keeper answers",
-        NODE,
-        b.START,
+        SHARD_NODE,
+        budgets.START,
         ASSIGN,
     ),
     Formula(
@@ -275,6 +278,6 @@
         Unit.COUNT,
         lambda m: changes_s(m) * m.size.failures.regions_apart_s,
         "changes a second x time apart",
-        KEEPING,
+        SHARD_SERVER,
     ),
 ]
--- a/emulator/capacity/machines.py
+++ b/emulator/capacity/machines.py
@@ -1,14 +1,14 @@
-"""What a machine's supervisor and the operator's commands over all instances cost."""
+"""Formulas for the supervisor of a machine and the operator's commands over all instances."""
 
 from __future__ import annotations
 
-from . import budgets as b
-from .data_path import held
+from . import budgets
+from .data_path import pending_events
 from .rows import Formula, Kind, Role, Unit, When
-from .steps import ALL
+from .steps import ALL_MACHINES
 from .terms import DAY_S
 
-SUPERVISED, PLAN = "message_relay/fleet/supervisor.py", "message_relay/fleet/plan.py"
+SUPERVISOR_FILE, PLAN = "message_relay/fleet/supervisor.py", "message_relay/fleet/plan.py"
 STATUS = "message_relay/cli/status.py"
 
 SUPERVISOR = [
@@ -32,8 +32,8 @@
         Unit.CORE,
         lambda m: m.at("supervisor.instances.cpu_ms_s", m.assume("relays_a_machine")),
         "processor time at so many instances",
-        SUPERVISED,
-        b.SUPERVISOR_CORE,
+        SUPERVISOR_FILE,
+        budgets.SUPERVISOR_CORE,
     ),
     Formula(
         "supervisor.memory",
@@ -44,8 +44,8 @@
         Unit.BYTES,
         lambda m: m.at("supervisor.instances.memory_bytes", m.assume("relays_a_machine")),
         "memory at so many instances",
-        SUPERVISED,
-        b.SUPERVISOR_MEMORY,
+        SUPERVISOR_FILE,
+        budgets.SUPERVISOR_MEMORY,
     ),
     Formula(
         "supervisor.restarts",
@@ -65,10 +65,10 @@
         Kind.TIME,
         "its relays start on what an ordinary hour holds, one after another",
         Unit.SECONDS,
-        lambda m: m.assume("relays_a_machine") * m.at("store.start.cpu_ms", held(m)),
+        lambda m: m.assume("relays_a_machine") * m.at("store.start.cpu_ms", pending_events(m)),
         "relays of a machine x a start",
         PLAN,
-        b.START,
+        budgets.START,
     ),
     Formula(
         "supervisor.machines",
@@ -94,7 +94,7 @@
         lambda m: m.size.fleet.relays / m.assume("relays_a_machine"),
         "relays / relays of a machine",
         "missing",
-        step=ALL,
+        step=ALL_MACHINES,
     ),
     Formula(
         "commands.status",
@@ -106,8 +106,8 @@
         lambda m: m.at("commands.status.cpu_ms", m.size.fleet.relays),
         "processor time at so many instances",
         STATUS,
-        b.COMMAND,
-        ALL,
+        budgets.COMMAND,
+        ALL_MACHINES,
     ),
     Formula(
         "commands.bytes",
@@ -119,8 +119,8 @@
         lambda m: m.at("commands.status.bytes", m.size.fleet.relays),
         "bytes at so many instances",
         STATUS,
-        b.COMMAND_MEMORY,
-        ALL,
+        budgets.COMMAND_MEMORY,
+        ALL_MACHINES,
     ),
     Formula(
         "commands.memory",
@@ -132,8 +132,8 @@
         lambda m: m.at("commands.status.memory_bytes", m.size.fleet.relays),
         "memory at so many instances",
         STATUS,
-        b.COMMAND_MEMORY,
-        ALL,
+        budgets.COMMAND_MEMORY,
+        ALL_MACHINES,
     ),
     Formula(
         "commands.machine",
@@ -145,7 +145,7 @@
         lambda m: m.at("commands.status.cpu_ms", m.assume("relays_a_machine")),
         "processor time at so many instances",
         STATUS,
-        b.COMMAND,
+        budgets.COMMAND,
     ),
     Formula(
         "commands.changes",
--- a/emulator/capacity/roles.py
+++ b/emulator/capacity/roles.py
@@ -1,5 +1,5 @@
-"""All formulas, role by role: the one list that tables, page and JSON are made from; and why a role has no
-figure of its own at an event."""
+"""The list of all formulas by role, from which tables, page and JSON are made, and the reasons why a role has
+no formula for an event."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     *DESTINATION,
 ]
 
-# Where an event costs a role nothing of its own.
+# The reasons why an event adds no cost of its own to a role.
 AS_ELSEWHERE: dict[Role, dict[str, tuple[When, ...]]] = {
     Role.DATA: {
         "nothing is held and nothing goes out": (When.REST,),
--- a/emulator/capacity/rows.py
+++ b/emulator/capacity/rows.py
@@ -1,9 +1,9 @@
-"""One figure of one role at the size that is asked for: how it is worked out, and what it is held against.
+"""Computes one figure of one role at a given size, with its sources and its budget.
 
-A `Formula` is what a role's file lists; a `Reckoner` gives it the size, the assumptions and the measured
-slopes, and notes each that it uses. So a row can tell by itself what it rests on: a cost as it was run at
-just this size ("measured"), slopes at other sizes or several put together, or the operators' words alone
-("reckoned"), these with something assumed ("assumed"), or a slope that nobody has measured ("not measured").
+The module of a role lists its `Formula` objects. A `Calculation` gives a formula the size, the assumptions
+and the measured slopes, and records each that it uses. Each row therefore states its basis: a cost measured
+at exactly this size ("measured"), slopes at other sizes, several combined or only the operators' figures
+("reckoned"), the operators' figures with an assumption ("assumed"), or a missing slope ("not measured").
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from .size import Size
 from .slopes import Report, Slope
 
-ROOT = Path(message_relay.__file__).parent.parent  # mechanisms are named from here
+ROOT = Path(message_relay.__file__).parent.parent  # paths of mechanisms are relative to it
 MISSING = "missing"
-SAME = 1e-9  # of a figure: so near to its slope's it is the slope's own
+SAME = 1e-9  # relative tolerance for a figure that equals the value of its slope
 
 
 class Role(Enum):
@@ -72,7 +72,7 @@
     EACH_S = "/s"
 
 
-# Units that measures tell, and what one of them is in the units here.
+# Maps each unit of a measure to its size in the units of `Unit`.
 SCALE = {
     "bytes": 1.0,
     "KB": 1e3,
@@ -98,19 +98,22 @@
 
 
 class Unmeasured(LookupError):
-    """A slope or fact that the report does not have; the text says which."""
+    """The report lacks a slope or fact, which is named by the text."""
 
 
 class Use(msgspec.Struct, frozen=True):
-    """A slope, and the size at which a row took it."""
+    """A slope, and the size at which a row evaluated it."""
 
     slope: str
     size: float
 
 
 @dataclass
-class Reckoner:
-    """What a formula may ask for, for one row; `edge` 0: the figure, 1 and 2: the ends of its interval."""
+class Calculation:
+    """Input of a formula for one row, and a record of its use.
+
+    `edge` is 0 for the figure, and 1 or 2 for the ends of its interval.
+    """
 
     size: Size
     report: Report
@@ -118,11 +121,12 @@
     uses: list[Use] = field(default_factory=list)
     facts: list[str] = field(default_factory=list)
     assumed: list[str] = field(default_factory=list)
-    lacks: list[str] = field(default_factory=list)  # parts of a sum that nobody has measured
-    alone: list[float] = field(default_factory=list)  # what slopes and facts said, unscaled
+    lacks: list[str] = field(default_factory=list)  # parts of a sum that were not measured
+    # The values of slopes and facts, before further terms.
+    raw_values: list[float] = field(default_factory=list)
 
     def at(self, name: str, size: float) -> float:
-        """What the slope says at a size, in the units of `Unit`. Raises Unmeasured."""
+        """Return the value of a slope at a size, in the units of `Unit`. Raises Unmeasured."""
         try:
             slope = self.report.slope(name)
         except KeyError:
@@ -130,12 +134,12 @@
         if slope.unit not in SCALE:
             raise Unmeasured(f"{name}: its unit {slope.unit!r} is none of {', '.join(filter(None, SCALE))}")
         self.uses.append(Use(name, size))
-        value = slope.reckoned(size)[self.edge] * SCALE[slope.unit]
-        self.alone.append(value)
+        value = slope.estimate(size)[self.edge] * SCALE[slope.unit]
+        self.raw_values.append(value)
         return value
 
     def part(self, name: str, size: float) -> float:
-        """The same as a part of a sum, which tells what it lacks."""
+        """Return the same for a part of a sum. A missing slope is recorded and counts as 0."""
         try:
             return self.at(name, size)
         except Unmeasured as error:
@@ -143,22 +147,22 @@
             return 0.0
 
     def fact(self, name: str) -> float:
-        """A single figure, in the units of `Unit`. Raises Unmeasured."""
+        """Return a single figure, in the units of `Unit`. Raises Unmeasured."""
         if name not in self.report.facts:
             raise Unmeasured(name)
         self.facts.append(name)
-        self.alone.append(self.report.facts[name])
+        self.raw_values.append(self.report.facts[name])
         return self.report.facts[name]
 
-    def worst(self, start: str, end: str) -> float:
-        """The largest of the single figures whose names begin and end so. Raises Unmeasured."""
-        names = [name for name in self.report.facts if name.startswith(start) and name.endswith(end)]
+    def worst(self, prefix: str, suffix: str) -> float:
+        """Return the largest of the single figures with this prefix and suffix. Raises Unmeasured."""
+        names = [name for name in self.report.facts if name.startswith(prefix) and name.endswith(suffix)]
         if not names:
-            raise Unmeasured(f"{start}*{end}")
+            raise Unmeasured(f"{prefix}*{suffix}")
         return self.fact(max(names, key=lambda name: self.report.facts[name]))
 
     def assume(self, name: str) -> float:
-        """A field of [assumed], which the row then tells."""
+        """Return a field of [assumed], and record it for the row."""
         if name not in self.assumed:
             self.assumed.append(name)
         return float(getattr(self.size.assumed, name))
@@ -166,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What a figure may be at most, and whose word that is."""
+    """The maximum of a figure, and its source."""
 
     words: str
     most: Callable[[Size], float]
@@ -180,11 +184,11 @@
     kind: Kind
     what: str
     unit: Unit
-    figure: Callable[[Reckoner], float]
+    figure: Callable[[Calculation], float]
     how: str  # in words, for the page
-    mechanism: str  # file that carries it, or "missing"
+    mechanism: str  # the file that implements it, or "missing"
     budget: Budget | None = None
-    step: str = ""  # what would carry it where it is over budget, or where the mechanism is missing
+    step: str = ""  # the remedy if it is over budget or the mechanism is missing
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -201,7 +205,7 @@
     budget: float | None
     budget_words: str
     factor: float | None  # value over budget
-    over: bool  # told by itself: a figure without end has no number in JSON
+    over: bool  # a field of its own, because an infinite figure has no number in JSON
     state: str  # "measured", "reckoned", "assumed" or "not measured"
     mechanism: str
     step: str
@@ -211,23 +215,23 @@
     lacks: list[str]
 
 
-def reckoned(formula: Formula, size: Size, report: Report) -> Row:
+def compute_row(formula: Formula, size: Size, report: Report) -> Row:
     values: list[float] = []
-    one = Reckoner(size, report)
+    calculation = Calculation(size, report)
     lacks: list[str] = []
     for edge in range(3):
-        reckoner = Reckoner(size, report, edge)
+        attempt = Calculation(size, report, edge)
         try:
-            values.append(formula.figure(reckoner))
+            values.append(formula.figure(attempt))
         except Unmeasured as error:
             lacks = [str(error)]
             values = []
             break
         if not edge:
-            one = reckoner
-    lacks = lacks or one.lacks
-    # A sum of which nothing was measured, though it rests on measures, is no figure.
-    value = values[0] if values and (not one.lacks or one.uses or one.facts) else None
+            calculation = attempt
+    lacks = lacks or calculation.lacks
+    # A sum that depends on measures, none of which exist, has no value.
+    value = values[0] if values and (not calculation.lacks or calculation.uses or calculation.facts) else None
     budget = None if formula.budget is None else formula.budget.most(size)
     factor = None if value is None or not budget else value / budget
     return Row(
@@ -245,36 +249,42 @@
         "" if formula.budget is None else formula.budget.words,
         factor,
         factor is not None and factor > 1.0 + SAME,
-        "not measured" if value is None else state(one, value),
+        "not measured" if value is None else state(calculation, value),
         mechanism(formula.mechanism),
         formula.step,
-        one.uses,
-        one.facts,
-        one.assumed,
+        calculation.uses,
+        calculation.facts,
+        calculation.assumed,
         list(dict.fromkeys(lacks)),
     )
 
 
-def state(one: Reckoner, value: float) -> str:
-    if not one.uses and not one.facts:
-        return "assumed" if one.assumed else "reckoned"
-    run = all(one.report.slope(use.slope).run(use.size) is not None for use in one.uses)
-    plain = len(one.alone) == 1 and math.isclose(value, one.alone[0], rel_tol=SAME) and not one.lacks
-    return "measured" if run and plain and not one.assumed else "reckoned"
+def state(calculation: Calculation, value: float) -> str:
+    if not calculation.uses and not calculation.facts:
+        return "assumed" if calculation.assumed else "reckoned"
+    is_measured = all(
+        calculation.report.slope(use.slope).measurement(use.size) is not None for use in calculation.uses
+    )
+    is_single_value = (
+        len(calculation.raw_values) == 1
+        and math.isclose(value, calculation.raw_values[0], rel_tol=SAME)
+        and not calculation.lacks
+    )
+    return "measured" if is_measured and is_single_value and not calculation.assumed else "reckoned"
 
 
-def mechanism(told: str) -> str:
-    """A file that is not there carries nothing."""
-    if told.startswith(MISSING) or (ROOT / told).exists():
-        return told
-    return f"{MISSING} ({told})"
+def mechanism(path: str) -> str:
+    """Return the path, marked as missing if the file does not exist."""
+    if path.startswith(MISSING) or (ROOT / path).exists():
+        return path
+    return f"{MISSING} ({path})"
 
 
 def rows(formulas: Iterable[Formula], size: Size, report: Report) -> list[Row]:
-    """Over budget first, the worst at the top; the others as they are listed."""
-    found = [reckoned(formula, size, report) for formula in formulas]
-    over = sorted((row for row in found if row.over), key=lambda row: -(row.factor or 0.0))
-    return over + [row for row in found if not row.over]
+    """Return the rows over budget first, the worst at the top, then the others in their order."""
+    computed = [compute_row(formula, size, report) for formula in formulas]
+    over = sorted((row for row in computed if row.over), key=lambda row: -(row.factor or 0.0))
+    return over + [row for row in computed if not row.over]
 
 
 def slopes_of(row: Row, report: Report) -> list[Slope]:
--- a/emulator/capacity/size.py
+++ b/emulator/capacity/size.py
@@ -1,7 +1,7 @@
-"""A size to design for, as a file (TOML): the operators' words, and beside them what had to be assumed.
+"""Reads a size to design for from a TOML file: the operators' figures, and the assumptions beside them.
 
-Checked as a whole, as the operator's file is: each fault is told with its field's path and what would be
-right.
+The whole file is checked, like the operator's file. Each fault is reported with the path of its field and the
+values that are allowed.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from message_relay.fleet.operator import faults
 
 MISSING = re.compile(r"^(.*?)Object missing required field `(.+?)`.*$")
-MOST = 1e15  # of any figure: beyond it is a slip of the keyboard, or infinity
-Positive = Annotated[float, Meta(gt=0, le=MOST)]
-NotNegative = Annotated[float, Meta(ge=0, le=MOST)]
+MAX_FIGURE = 1e15  # maximum of any figure: a larger one is a typing error or infinity
+Positive = Annotated[float, Meta(gt=0, le=MAX_FIGURE)]
+NotNegative = Annotated[float, Meta(ge=0, le=MAX_FIGURE)]
 Number = Annotated[int, Meta(ge=1, le=10**9)]
 Share = Annotated[float, Meta(gt=0, le=1)]
 
 
 class SizeError(ValueError):
-    """The file can't be used; each of its lines tells one fault."""
+    """The file can't be used. Each line of the text describes one fault."""
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
+    """Base of the tables of the file; rejects unknown fields."""
 
 
 class FleetSize(Strict, frozen=True):
@@ -50,7 +50,7 @@
 
 
 class Control(Strict, frozen=True):
-    """What a relay may spend on anything but messages, and how many machines are set aside for that."""
+    """Limits of a relay for everything except messages, and the number of machines reserved for control."""
 
     core: Share
     memory_mb: Positive
@@ -67,7 +67,7 @@
 
 
 class Assumed(Strict, frozen=True):
-    """deploy/sizes/two-years.toml says of each what it is."""
+    """Assumptions; deploy/sizes/two-years.toml describes each field."""
 
     relays_a_machine: Number
     machines_a_rack: Number
@@ -105,7 +105,7 @@
 
 
 class Paper(Strict, frozen=True):
-    """A figure that was reckoned by hand, for the row of that name."""
+    """A figure computed by hand, for the row of that name."""
 
     row: Annotated[str, Meta(min_length=1, max_length=100)]
     figure: NotNegative
@@ -122,7 +122,7 @@
 
 
 def read(path: Path) -> Size:
-    """Raises SizeError with all faults of the file, a line each."""
+    """Read a size file. Raises SizeError with all faults of the file, one per line."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
@@ -133,22 +133,22 @@
 
 
 def decoded(raw: Mapping[str, Any], where: str) -> Size:
-    found = [MISSING.sub(r"\1\2: is missing", fault) for fault in faults(raw, Size, "")]
-    if not found:
+    problems = [MISSING.sub(r"\1\2: is missing", fault) for fault in faults(raw, Size, "")]
+    if not problems:
         size = msgspec.convert(raw, Size)
-        found = list(contradictions(size))
-    if found:
-        raise SizeError("\n".join(f"{where}: {fault}" for fault in found))
+        problems = list(contradictions(size))
+    if problems:
+        raise SizeError("\n".join(f"{where}: {fault}" for fault in problems))
     return size
 
 
 def contradictions(size: Size) -> list[str]:
-    """What no field alone shows."""
-    fleet, assumed, found = size.fleet, size.assumed, []
+    """Return the faults that involve several fields."""
+    fleet, assumed, problems = size.fleet, size.assumed, []
     if assumed.shards & (assumed.shards - 1):
-        less = 1 << assumed.shards.bit_length() - 1
-        found.append(f"assumed.shards: {assumed.shards}: must be a power of two: {less} or {2 * less}")
-    most = {
+        lower = 1 << assumed.shards.bit_length() - 1
+        problems.append(f"assumed.shards: {assumed.shards}: must be a power of two: {lower} or {2 * lower}")
+    limits = {
         "fleet.zones": (fleet.zones, fleet.relays, "fleet.relays"),
         "fleet.regions": (fleet.regions, fleet.zones, "fleet.zones"),
         "assumed.voters": (assumed.voters, size.control.machines, "control.machines"),
@@ -158,11 +158,13 @@
         "assumed.in_use": (assumed.in_use, assumed.in_use_most, "assumed.in_use_most"),
         "assumed.relays_a_machine": (assumed.relays_a_machine, fleet.relays, "fleet.relays"),
     }
-    found += [
-        f"{name}: {value:g}: must be {limit:g} or less ({of})"
-        for name, (value, limit, of) in most.items()
+    problems += [
+        f"{name}: {value:g}: must be {limit:g} or less ({source})"
+        for name, (value, limit, source) in limits.items()
         if value > limit
     ]
     if assumed.voters % 2 == 0:
-        found.append(f"assumed.voters: {assumed.voters}: must be odd: {assumed.voters - 1} outlive as many")
-    return found
+        problems.append(
+            f"assumed.voters: {assumed.voters}: must be odd: {assumed.voters - 1} outlive as many"
+        )
+    return problems
--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity as code: figures worked out by hand against those of the tables, from slopes that are made up."""
+"""Compares figures of the capacity tables with figures computed by hand, from synthetic slopes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from click.testing import CliRunner, Result
 
 from emulator.capacity import agreement, budgets
-from emulator.capacity.command import BEGIN, END, PageError, between, renewed
-from emulator.capacity.facts import flattened, taken
+from emulator.capacity.command import BEGIN, END, PageError, replace_tables, split_page
+from emulator.capacity.facts import add_facts, flatten
 from emulator.capacity.roles import AS_ELSEWHERE, FORMULAS
 from emulator.capacity.rows import ROOT, Role, Row, When, rows
 from emulator.capacity.size import Size, SizeError, decoded
-from emulator.capacity.slopes import Report, Sample, Slope, fitted
+from emulator.capacity.slopes import Report, Sample, Slope, fit_slope
 from emulator.capacity.tables import as_json, markdown, steps, tables
 from emulator.commands import main
 
@@ -34,8 +34,8 @@
     return tomllib.loads(PLAN.read_text())
 
 
-def small(**changed: Any) -> Size:
-    """Round figures. `changed`: table__field."""
+def small_size(**changed: Any) -> Size:
+    """Return a size with round figures. `changed` holds values by `table__field`."""
     raw = plan()
     raw["paper"] = []
     raw["fleet"] |= {
@@ -75,8 +75,8 @@
 
 
 def slope(name: str, unit: str, cost: Any, off: float = 1.0, per: str = "destination") -> Slope:
-    """`cost` by size; the largest size costs `off` times that."""
-    return fitted(
+    """Return a slope with the cost `cost(size)`; the largest size costs `off` times that."""
+    return fit_slope(
         name,
         per,
         unit,
@@ -97,7 +97,7 @@
     )
 
 
-MADE_UP = report(
+SYNTHETIC = report(
     slope("directory.list.memory_bytes", "bytes", lambda n: 1000 + 2000 * n),
     slope("directory.change.cpu_ms", "ms", lambda n: 0.1),
     slope("accord.renewal.cpu_us", "us", lambda n: 4.0, per="relay"),
@@ -109,11 +109,11 @@
 )
 
 
-def row(name: str, size: Size | None = None, told: Report = MADE_UP) -> Row:
-    return next(each for each in rows(FORMULAS, size or small(), told) if each.name == name)
+def row(name: str, size: Size | None = None, measured: Report = SYNTHETIC) -> Row:
+    return next(each for each in rows(FORMULAS, size or small_size(), measured) if each.name == name)
 
 
-# -- figures by hand ----------------------------------------------------------------------------------------
+# -- figures computed by hand ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
         ("relay.call_again", 10.0, "reckoned"),  # 100 x 1,000 / 10,000
         ("relay.backlog", 10_000.0, "reckoned"),  # 1e6 / 100
         ("relay.held", 110.0, "assumed"),  # 100 x (0.1 + 0.02 x 50)
-        ("relay.directory_memory", 2_001_000.0, "reckoned"),  # 1,000 + 2,000 x 1,000: 1,000 was not run
+        ("relay.directory_memory", 2_001_000.0, "reckoned"),  # 1,000 + 2,000 x 1,000: 1,000 was not measured
         ("relay.storm_processor", 0.05, "reckoned"),  # 500 x 0.1 ms
         ("relay.start", 0.1, "reckoned"),  # 10,000 x 0.01 ms: beyond 1,600
         ("relay.start_hour", 0.0011, "reckoned"),  # 110 x 0.01 ms
@@ -134,7 +134,7 @@
         ("relay.machine", 10_000 / 95 * 0.001, "reckoned"),
         ("relay.drain", 200.0, "assumed"),  # 10,000 / (100 x 0.5)
         ("relay.drain_processor", 20.0, "reckoned"),  # 0.6 / 1 ms = 600 a second: 500 to spare
-        ("relay.expired", 0.4, "assumed"),  # it gathered in 100 s, of which 60 still count
+        ("relay.expired", 0.4, "assumed"),  # it arrived within 100 s, of which 60 are within the deadline
         ("relay.expired_today", 0.9, "assumed"),
         ("relay.apart", 180_000.0, "reckoned"),  # 100 x 3,600 x 1/2
         ("relay.force", 4.0, "measured"),
@@ -142,10 +142,10 @@
         ("voter.processor", 100 / 0.27 * 4e-6, "reckoned"),
         ("destination.calls", 10.0, "reckoned"),  # 10,000 / 1,000
         ("destination.cold", 2.7, "assumed"),  # 10 x 1.5 x 0.18
-        ("destination.waiting", 600.0, "assumed"),  # 10 x 60: none waits longer than its time
+        ("destination.waiting", 600.0, "assumed"),  # 10 x 60: none waits longer than its deadline
         ("destination.connections", 100 * (1 - math.exp(-6)), "assumed"),  # 60 s idle, called each 10 s
         ("relay.storm_held", 500.0, "assumed"),  # 100 x 10 s x 500 / 1,000
-        ("relay.back", 3600.0, "assumed"),  # an hour's half for the other region, at half the rate to spare
+        ("relay.back", 3600.0, "assumed"),  # half of an hour's events, drained with half the rate to spare
         ("voter.lost", 2.0, "assumed"),  # 5 over 4 zones
         ("voter.side", 2.0, "assumed"),
         ("leader.missed", 360.0, "reckoned"),  # 0.1 a second
@@ -155,22 +155,22 @@
         ("keeper.digests", 100 * 2 / 8 / 3, "assumed"),
     ],
 )
-def test_a_figure_is_what_the_hand_works_out(name: str, value: float, state: str) -> None:
-    found = row(name)
-    assert found.value == pytest.approx(value, rel=1e-6)
-    assert found.state == state
+def test_figure_equals_the_one_computed_by_hand(name: str, value: float, state: str) -> None:
+    computed = row(name)
+    assert computed.value == pytest.approx(value, rel=1e-6)
+    assert computed.state == state
 
 
 @pytest.mark.parametrize(
     "destinations, value, state",
     [
         (800, 1_601_000.0, "measured"),  # a size of the fit
-        (1600, 4_000_000.0, "measured"),  # the largest: as it was run, whatever was predicted
+        (1600, 4_000_000.0, "measured"),  # the largest: the measured value, whatever was predicted
         (1601, 3_203_000.0, "reckoned"),
     ],
 )
-def test_a_size_that_was_run_is_told_as_it_was_run(destinations: int, value: float, state: str) -> None:
-    line = fitted(
+def test_measured_size_gives_the_measured_value(destinations: int, value: float, state: str) -> None:
+    line = fit_slope(
         "directory.list.memory_bytes",
         "destination",
         "bytes",
@@ -178,32 +178,34 @@
         sample(LARGEST, 4_000_000.0),
         "f",
     )
-    found = row("relay.directory_memory", small(fleet__destinations=destinations), report(line))
-    assert found.value == pytest.approx(value) and found.state == state
+    computed = row("relay.directory_memory", small_size(fleet__destinations=destinations), report(line))
+    assert computed.value == pytest.approx(value) and computed.state == state
 
 
-def test_stretched_periods_are_put_back() -> None:
-    told = report(
+def test_stretched_periods_are_converted_to_default_periods() -> None:
+    stretched = report(
         slope("hollow.cpu_share", "cores", lambda n: 1e-5 * n, per="instance"),
         hollow__stretch=6.0,
         hollow__change_most_s=18.0,
     )
-    assert row("relay.hollow_processor", told=told).value == pytest.approx(0.006)  # 100 x 1e-5 x 6
-    usual = row("relay.force_usual", told=told)
+    assert row("relay.hollow_processor", measured=stretched).value == pytest.approx(0.006)  # 100 x 1e-5 x 6
+    usual = row("relay.force_usual", measured=stretched)
     assert usual.value == pytest.approx(3.0) and usual.state == "reckoned"
-    assert row("relay.force", told=told).state == "measured"
+    assert row("relay.force", measured=stretched).state == "measured"
 
 
-def whole(size: Size, value: float) -> Report:
-    """Every slope and fact that a formula asks for, at the same cost whatever the size."""
-    told = report()
-    for _ in range(9):  # a formula tells one that it lacks at a time
-        names = tables(size, told).not_measured
+def complete_report(size: Size, value: float) -> Report:
+    """Return a report with every slope and fact that a formula uses, at the same cost for every size."""
+    complete = report()
+    for _ in range(9):  # a formula reports one missing name at a time
+        names = tables(size, complete).not_measured
         slopes = [slope(name, "ms", lambda n: value) for name in names]
         facts = {name.replace("*", "x"): value for name in names}
-        told = msgspec.structs.replace(told, slopes=[*told.slopes, *slopes], facts=told.facts | facts)
+        complete = msgspec.structs.replace(
+            complete, slopes=[*complete.slopes, *slopes], facts=complete.facts | facts
+        )
         if not names:
-            return told
+            return complete
     raise AssertionError(names)
 
 
@@ -244,25 +246,25 @@
 
 @pytest.mark.parametrize("value", [0.0, 1.0, 1e12])
 @pytest.mark.parametrize("changed", [{}, ONE, NONE, ONE | NONE, MOST])
-def test_no_size_that_is_taken_breaks_the_command(changed: dict[str, Any], value: float) -> None:
-    size = small(**changed)
-    told = tables(size, whole(size, value))
-    for each in told.rows:
+def test_every_valid_size_gives_complete_tables(changed: dict[str, Any], value: float) -> None:
+    size = small_size(**changed)
+    result = tables(size, complete_report(size, value))
+    for each in result.rows:
         assert each.row.value is not None and not math.isnan(each.row.value) and each.row.value >= 0, each.row
-    assert "not measured" not in {each.row.state for each in told.rows}
-    assert markdown(told) and msgspec.json.decode(as_json(told))
+    assert "not measured" not in {each.row.state for each in result.rows}
+    assert markdown(result) and msgspec.json.decode(as_json(result))
 
 
 FIELDS = [(table, field) for table, fields in plan().items() if isinstance(fields, dict) for field in fields]
 
 
 @pytest.mark.parametrize("table, field", FIELDS)
-def test_no_field_of_the_size_is_there_for_nothing(table: str, field: str) -> None:
+def test_every_field_of_the_size_affects_a_figure_or_budget(table: str, field: str) -> None:
     def figures(raw: dict[str, Any]) -> list[tuple[str, float | None, float | None]]:
         size = decoded(raw, "x")
         return [(each.name, each.value, each.budget) for each in rows(FORMULAS, size, costs)]
 
-    costs = whole(decoded(plan(), "x"), 1.0)
+    costs = complete_report(decoded(plan(), "x"), 1.0)
     before, raw = figures(plan()), plan()
     value = raw[table][field]
     for changed in (value * 2, value / 2, value + 2, value - 2):
@@ -276,8 +278,8 @@
     raise AssertionError(f"{table}.{field} moves no figure and no budget")
 
 
-def test_what_a_real_relay_took_is_told_less_one_without_keepers() -> None:
-    found = {
+def test_cost_of_a_real_relay_is_the_difference_to_one_without_shard_servers() -> None:
+    raw = {
         "budget": {
             "destinations": 360_000,
             "without": {"core %": 2.0, "bytes/s": 0, "RSS MB": 30.0},
@@ -289,118 +291,119 @@
         "killed": {"force most s": 9.5, "broken": []},
         "frozen": {"force most s": 11.0, "answers": {"200": 3}},
     }
-    told = taken(MADE_UP, "shards", found)
-    assert told.facts["hollow.change_most_s"] == 4.0  # others' stay
-    assert told.facts["shards.budget.1000_in_use.plan.core_percent"] == 3.0
-    assert "shards.budget.1000_in_use.reader.behind" not in told.facts
-    assert row("relay.real_1000_memory", told=told).value == pytest.approx(30e6)
-    assert row("relay.real_1000_plan_processor", told=told).value == pytest.approx(0.01)
-    assert row("relay.real_1000_plan_bytes", told=told).value == 1800
-    worst = row("relay.real_force", told=told)
+    updated = add_facts(SYNTHETIC, "shards", raw)
+    assert updated.facts["hollow.change_most_s"] == 4.0  # other facts are kept
+    assert updated.facts["shards.budget.1000_in_use.plan.core_percent"] == 3.0
+    assert "shards.budget.1000_in_use.reader.behind" not in updated.facts
+    assert row("relay.real_1000_memory", measured=updated).value == pytest.approx(30e6)
+    assert row("relay.real_1000_plan_processor", measured=updated).value == pytest.approx(0.01)
+    assert row("relay.real_1000_plan_bytes", measured=updated).value == 1800
+    worst = row("relay.real_force", measured=updated)
     assert (worst.value, worst.state, worst.facts) == (11.0, "measured", ["shards.frozen.force_most_s"])
-    assert row("relay.real_10000_memory", told=told).value is None
+    assert row("relay.real_10000_memory", measured=updated).value is None
 
 
 def test_facts_have_plain_names_and_finite_values() -> None:
-    found = {"b c/s": 1, "d %": {"E": 2.5}, "f": math.inf, "g": True, "h": [1], "i": "2"}
-    assert dict(flattened("a", found)) == {"a.b_c_s": 1.0, "a.d_percent.e": 2.5}
+    raw = {"b c/s": 1, "d %": {"E": 2.5}, "f": math.inf, "g": True, "h": [1], "i": "2"}
+    assert dict(flatten("a", raw)) == {"a.b_c_s": 1.0, "a.d_percent.e": 2.5}
 
 
-def test_what_is_over_budget_comes_first_and_the_worst_at_the_top() -> None:
-    found = rows(FORMULAS, small(), MADE_UP)
-    factors = [each.factor or 0.0 for each in found if each.over]
+def test_rows_over_budget_come_first_with_the_worst_at_the_top() -> None:
+    ordered = rows(FORMULAS, small_size(), SYNTHETIC)
+    factors = [each.factor or 0.0 for each in ordered if each.over]
     assert factors and factors == sorted(factors, reverse=True)
-    assert not any(each.over for each in found[len(factors) :])
+    assert not any(each.over for each in ordered[len(factors) :])
     assert row("relay.directory_memory").factor == pytest.approx(2.001)
     assert not row("relay.backlog_memory").over  # 15 MB for 15 MB
 
 
-def test_steps_are_told_by_their_worst_figure() -> None:
-    told = steps(reversed(rows(FORMULAS, small(), MADE_UP)))  # whatever the order of the rows
-    factors = [step.factor for step in told]
+def test_steps_are_ordered_by_their_worst_figure() -> None:
+    ordered = steps(reversed(rows(FORMULAS, small_size(), SYNTHETIC)))  # whatever the order of the rows
+    factors = [step.factor for step in ordered]
     assert len(set(factors)) > 1 and factors == sorted(factors, reverse=True)
-    interest = next(step for step in told if step.name == "directory by interest")
+    interest = next(step for step in ordered if step.name == "directory by interest")
     assert interest.factor == pytest.approx(2.001) and "relay.directory_memory" in interest.rows
 
 
-def test_a_sum_tells_what_it_lacks_and_stays_a_lower_bound() -> None:
-    found = row("relay.control_memory")
-    assert found.value == pytest.approx(2_001_000) and found.lacks == ["peers.members.memory_bytes"]
-    assert found.state == "reckoned"
-    text = markdown(tables(small(), MADE_UP))
+def test_sum_with_a_missing_part_names_it_and_is_a_lower_bound() -> None:
+    total = row("relay.control_memory")
+    assert total.value == pytest.approx(2_001_000) and total.lacks == ["peers.members.memory_bytes"]
+    assert total.state == "reckoned"
+    text = markdown(tables(small_size(), SYNTHETIC))
     assert "at least 2 MB" in text
 
 
-def test_a_slope_that_is_missing_makes_its_rows_not_measured_and_breaks_nothing() -> None:
-    found = row("relay.members_bytes")
-    assert (found.value, found.factor, found.state) == (None, None, "not measured")
-    assert found.lacks == ["peers.members.bytes_s"]
-    none = rows(FORMULAS, small(), report())
-    assert [each.name for each in none if each.state == "measured"] == []
-    assert row("relay.control_memory", told=report()).value is None  # a sum of nothing is no figure
-    told = tables(small(), report())
-    assert "peers.members.bytes_s" in told.not_measured and "not measured" in markdown(told)
+def test_rows_of_a_missing_slope_are_not_measured() -> None:
+    missing = row("relay.members_bytes")
+    assert (missing.value, missing.factor, missing.state) == (None, None, "not measured")
+    assert missing.lacks == ["peers.members.bytes_s"]
+    empty = rows(FORMULAS, small_size(), report())
+    assert [each.name for each in empty if each.state == "measured"] == []
+    # A sum without any measurement has no value.
+    assert row("relay.control_memory", measured=report()).value is None
+    result = tables(small_size(), report())
+    assert "peers.members.bytes_s" in result.not_measured and "not measured" in markdown(result)
 
 
-def test_a_unit_that_is_not_known_is_told_and_not_guessed() -> None:
+def test_unknown_unit_is_reported_as_missing() -> None:
     odd = report(slope("directory.list.memory_bytes", "furlongs", lambda n: n))
-    found = row("relay.directory_memory", told=odd)
-    assert found.value is None and "furlongs" in found.lacks[0]
+    computed = row("relay.directory_memory", measured=odd)
+    assert computed.value is None and "furlongs" in computed.lacks[0]
 
 
 @pytest.mark.parametrize("unit, seconds", [("us", 1e-6), ("ms", 1e-3), ("s", 1.0)])
-def test_units_of_time_are_put_to_seconds(unit: str, seconds: float) -> None:
-    told = report(slope("accord.clear.cpu_ms", unit, lambda n: 5.0, per="relay"))
-    assert row("voter.clear", told=told).value == pytest.approx(5 * seconds)
+def test_units_of_time_are_converted_to_seconds(unit: str, seconds: float) -> None:
+    measured = report(slope("accord.clear.cpu_ms", unit, lambda n: 5.0, per="relay"))
+    assert row("voter.clear", measured=measured).value == pytest.approx(5 * seconds)
 
 
-def test_what_grows_faster_than_a_line_is_reckoned_by_the_worse() -> None:
+def test_superlinear_cost_uses_the_larger_estimate() -> None:
     squared = slope("accord.clear.cpu_ms", "ms", lambda n: 0.001 * n * n, per="relay")
     assert squared.superlinear and squared.exponent == pytest.approx(2.0)
-    size = small(fleet__relays=10_000)
-    found = row("voter.clear", size, report(squared))
-    assert found.value == pytest.approx(100.0)  # 0.001 ms x 1e8
-    assert squared.at(10_000) < 10_000  # the line alone would tell a tenth of it
+    size = small_size(fleet__relays=10_000)
+    computed = row("voter.clear", size, report(squared))
+    assert computed.value == pytest.approx(100.0)  # 0.001 ms x 1e8
+    assert squared.at(10_000) < 10_000  # the line alone would give a tenth of it
     assert "power law taken where worse" in markdown(tables(size, report(squared)))
 
 
-def test_a_line_is_not_taken_for_more() -> None:
+def test_linear_cost_is_not_superlinear() -> None:
     line = slope("accord.clear.cpu_ms", "ms", lambda n: 5 + 0.1 * n)
     assert not line.superlinear
-    assert line.reckoned(1e6)[0] == pytest.approx(5 + 1e5)
+    assert line.estimate(1e6)[0] == pytest.approx(5 + 1e5)
 
 
-def test_no_cost_falls_below_nothing() -> None:
-    assert slope("x.y.z", "ms", lambda n: 1000 - n).reckoned(1e6) == (0.0, 0.0, 0.0)
+def test_estimate_is_never_negative() -> None:
+    assert slope("x.y.z", "ms", lambda n: 1000 - n).estimate(1e6) == (0.0, 0.0, 0.0)
 
 
-def test_every_mechanism_is_a_file_or_told_as_missing() -> None:
+def test_every_mechanism_is_a_file_or_marked_as_missing() -> None:
     for formula in FORMULAS:
-        told = next(each for each in rows([formula], small(), MADE_UP))
-        there = (ROOT / formula.mechanism).exists()
-        assert there or told.mechanism.startswith("missing"), formula.name
+        computed = next(each for each in rows([formula], small_size(), SYNTHETIC))
+        exists = (ROOT / formula.mechanism).exists()
+        assert exists or computed.mechanism.startswith("missing"), formula.name
 
 
-def test_a_mechanism_whose_file_is_not_there_is_missing() -> None:
+def test_mechanism_without_its_file_is_missing() -> None:
     formula = next(each for each in FORMULAS if each.name == "relay.events")
-    gone = replace(formula, mechanism="message_relay/nothing.py")
-    assert rows([gone], small(), MADE_UP)[0].mechanism == "missing (message_relay/nothing.py)"
+    changed = replace(formula, mechanism="message_relay/nothing.py")
+    assert rows([changed], small_size(), SYNTHETIC)[0].mechanism == "missing (message_relay/nothing.py)"
 
 
-def test_each_role_tells_of_each_event_once_a_figure_or_why_there_is_none() -> None:
+def test_each_role_has_figures_or_a_reason_for_each_event() -> None:
     for role in Role:
         figures = {formula.when for formula in FORMULAS if formula.role is role}
-        words = [when for at in AS_ELSEWHERE.get(role, {}).values() for when in at]
-        assert len(set(words)) == len(words) and not figures & set(words), role
-        assert figures | set(words) == set(When), role
+        reasons = [when for at in AS_ELSEWHERE.get(role, {}).values() for when in at]
+        assert len(set(reasons)) == len(reasons) and not figures & set(reasons), role
+        assert figures | set(reasons) == set(When), role
 
 
-def test_each_row_has_a_name_of_its_own() -> None:
+def test_row_names_are_unique() -> None:
     names = [formula.name for formula in FORMULAS]
     assert len(set(names)) == len(names)
 
 
-def test_the_keepers_bound_is_that_of_the_keeper() -> None:
+def test_budget_of_responses_equals_the_limit_of_the_shard_server() -> None:
     if not (ROOT / "message_relay/sharded_directory/shard_server.py").exists():
         assert row("keeper.memory").mechanism.startswith("missing")
         return
@@ -408,7 +411,7 @@
     assert budgets.ANSWERS_BYTES_S == keeping.BYTES_S
 
 
-def test_the_logs_times_are_those_of_the_log() -> None:
+def test_log_times_equal_those_of_the_replicated_log() -> None:
     from message_relay.consensus import replicated_log
 
     assert (replicated_log.HEARTBEAT_S, replicated_log.ELECTION_S[1]) == (
@@ -417,44 +420,45 @@
     )
 
 
-def test_what_was_reckoned_by_hand_is_corrected_where_it_is_off() -> None:
+def test_figure_computed_by_hand_is_corrected_if_it_is_off() -> None:
     raw = plan()
     raw["paper"] = [
         {"row": "relay.events", "figure": 857},
         {"row": "voter.renewals", "figure": 10_000},
         {"row": "nobody.knows", "figure": 1},
     ]
-    told = tables(decoded(raw, "x"), report())
-    assert [(each.row, each.corrected) for each in told.paper] == [
+    result = tables(decoded(raw, "x"), report())
+    assert [(each.row, each.corrected) for each in result.paper] == [
         ("relay.events", False),
         ("voter.renewals", True),
         ("nobody.knows", False),
     ]
-    assert told.paper[2].unit == "no such row"
+    assert result.paper[2].unit == "no such row"
 
 
 # -- the fit ------------------------------------------------------------------------------------------------
 
 
-def test_a_known_line_is_found_with_no_interval() -> None:
-    found = slope("x.y.z", "ms", lambda n: 3 + 0.5 * n)
-    assert found.base == pytest.approx(3) and found.each == pytest.approx(0.5)
-    assert found.each_high - found.each_low == pytest.approx(0, abs=1e-9)
-    assert found.predicted == pytest.approx(803) and not found.finding
+def test_fit_finds_an_exact_line_with_no_interval() -> None:
+    fit = slope("x.y.z", "ms", lambda n: 3 + 0.5 * n)
+    assert fit.base == pytest.approx(3) and fit.each == pytest.approx(0.5)
+    assert fit.each_high - fit.each_low == pytest.approx(0, abs=1e-9)
+    assert fit.predicted == pytest.approx(803) and not fit.finding
 
 
 @pytest.mark.parametrize("power", [0.0, 0.5, 1.0, 2.0])
-def test_a_known_power_is_found(power: float) -> None:
-    found = slope("x.y.z", "ms", lambda n: 7 * n**power)
-    assert found.exponent == pytest.approx(power, abs=1e-9)
-    assert found.exponent_low <= power + 1e-9 and found.exponent_high >= power - 1e-9
-    assert found.power(10_000, found.exponent) == pytest.approx(7 * 10_000**power)
+def test_fit_finds_an_exact_power_law(power: float) -> None:
+    fit = slope("x.y.z", "ms", lambda n: 7 * n**power)
+    assert fit.exponent == pytest.approx(power, abs=1e-9)
+    assert fit.exponent_low <= power + 1e-9 and fit.exponent_high >= power - 1e-9
+    assert fit.power(10_000, fit.exponent) == pytest.approx(7 * 10_000**power)
 
 
-def test_an_interval_is_students_and_holds_the_truth() -> None:
-    """Two sizes up and two down by a tenth: the interval by hand, of the relative residuals."""
+def test_interval_is_by_students_t_and_contains_the_true_slope() -> None:
+    """Two sizes are a tenth too high and two a tenth too low. The interval of the relative residuals is
+    computed by hand."""
     values = [110.0, 180.0, 360.0, 880.0]
-    found = fitted(
+    fit = fit_slope(
         "x.y.z",
         "d",
         "ms",
@@ -462,7 +466,7 @@
         sample(LARGEST, 1600),
         "f",
     )
-    # Weighed normal equations of y = a + b x with weights 1 / y, solved by hand.
+    # Weighted normal equations of y = a + b x with weights 1 / y, solved by hand.
     w = [1 / y**2 for y in values]
     sw, sx = sum(w), sum(a * x for a, x in zip(w, FIT, strict=True))
     sxx = sum(a * x * x for a, x in zip(w, FIT, strict=True))
@@ -470,33 +474,41 @@
     sxy = sum(a * x * y for a, x, y in zip(w, FIT, values, strict=True))
     each = (sw * sxy - sx * sy) / (sw * sxx - sx * sx)
     base = (sy - each * sx) / sw
-    rest = sum(a * (y - base - each * x) ** 2 for a, x, y in zip(w, FIT, values, strict=True))
-    half = 4.303 * math.sqrt(rest / 2 * sw / (sw * sxx - sx * sx))
-    assert found.each == pytest.approx(each) and found.base == pytest.approx(base)
-    assert found.each_high - found.each == pytest.approx(half)
-    assert found.each_low < 1.0 < found.each_high
+    residual = sum(a * (y - base - each * x) ** 2 for a, x, y in zip(w, FIT, values, strict=True))
+    half = 4.303 * math.sqrt(residual / 2 * sw / (sw * sxx - sx * sx))
+    assert fit.each == pytest.approx(each) and fit.base == pytest.approx(base)
+    assert fit.each_high - fit.each == pytest.approx(half)
+    assert fit.each_low < 1.0 < fit.each_high
 
 
-@pytest.mark.parametrize("off, told", [(1.0, False), (0.81, False), (1.3, False), (0.79, True), (1.34, True)])
-def test_a_prediction_off_by_more_than_a_quarter_is_a_finding(off: float, told: bool) -> None:
-    """Of what was measured: a cost 0.8 of the prediction is off by a quarter, one of 4/3 likewise."""
-    found = tables(small(), report(slope("x.y.z", "ms", lambda n: 10 + n, off)))
-    assert [each.slope for each in found.findings] == ["x.y.z"] * told
-    assert ("### Findings" in (text := markdown(found))) and (f"| `x.y.z` | {LARGEST:,} |" in text) is told
+@pytest.mark.parametrize(
+    "off, is_finding", [(1.0, False), (0.81, False), (1.3, False), (0.79, True), (1.34, True)]
+)
+def test_prediction_off_by_more_than_a_quarter_is_a_finding(off: float, is_finding: bool) -> None:
+    """The error is relative to the measured value: 0.8 and 4/3 of the prediction are off by a quarter."""
+    result = tables(small_size(), report(slope("x.y.z", "ms", lambda n: 10 + n, off)))
+    assert [each.slope for each in result.findings] == ["x.y.z"] * is_finding
+    assert ("### Findings" in (text := markdown(result))) and (
+        f"| `x.y.z` | {LARGEST:,} |" in text
+    ) is is_finding
 
 
-def test_a_finding_has_its_reason() -> None:
-    squared = tables(small(), report(slope("x.y.z", "ms", lambda n: n * n)))
+def test_finding_has_a_reason() -> None:
+    squared = tables(small_size(), report(slope("x.y.z", "ms", lambda n: n * n)))
     assert "grows faster than a line: exponent 2.00" in squared.findings[0].reason
-    wild = fitted("x.y.z", "d", "ms", [Sample(n, n, n / 2, 2 * n) for n in FIT], sample(LARGEST, 9999), "f")
-    assert "rounds at one size lie apart by up to 150%" in tables(small(), report(wild)).findings[0].reason
+    wild = fit_slope(
+        "x.y.z", "d", "ms", [Sample(n, n, n / 2, 2 * n) for n in FIT], sample(LARGEST, 9999), "f"
+    )
+    assert (
+        "rounds at one size lie apart by up to 150%" in tables(small_size(), report(wild)).findings[0].reason
+    )
 
 
 # -- bad input ----------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "table, field, value, told",
+    "table, field, value, expected",
     [
         ("fleet", "relays", 0, "fleet.relays: 0: Expected `int` >= 1"),
         ("fleet", "relays", -3500, "fleet.relays: -3500: Expected `int` >= 1"),
@@ -521,15 +533,17 @@
         ("assumed", "storm", 400_000, "assumed.storm: 400000: must be 360000 or less (fleet.destinations)"),
     ],
 )
-def test_a_figure_without_sense_is_refused_by_name(table: str, field: str, value: Any, told: str) -> None:
+def test_invalid_figure_is_rejected_with_its_field_name(
+    table: str, field: str, value: Any, expected: str
+) -> None:
     raw = plan()
     raw[table][field] = value
     with pytest.raises(SizeError) as caught:
         decoded(raw, "plan.toml")
-    assert f"plan.toml: {told}" in str(caught.value)
+    assert f"plan.toml: {expected}" in str(caught.value)
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     raw = plan()
     raw["fleet"]["relays"], raw["paper"][1]["figure"] = 0, -1
     del raw["changes"]["a_day"]
@@ -542,28 +556,30 @@
     ]
 
 
-def run(*told: object) -> Result:
-    return CliRunner().invoke(main, ["capacity", *map(str, told)])
+def run(*arguments: object) -> Result:
+    return CliRunner().invoke(main, ["capacity", *map(str, arguments)])
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected",
     [
         (None, "No such file"),
         ("name = ", "plan.toml: "),
         ("name = 'x'", "fleet: is missing"),
     ],
 )
-def test_a_file_that_is_none_ends_with_2_and_plain_text(tmp_path: Path, text: str | None, told: str) -> None:
+def test_unreadable_size_file_exits_with_2_and_a_readable_text(
+    tmp_path: Path, text: str | None, expected: str
+) -> None:
     path = tmp_path / "plan.toml"
     if text is not None:
         path.write_text(text)
     result = run("--size", path)
-    assert result.exit_code == 2 and told in result.output and "Traceback" not in result.output
+    assert result.exit_code == 2 and expected in result.output and "Traceback" not in result.output
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"machine": 5}', "[]"])
-def test_slopes_that_cannot_be_read_end_with_2(tmp_path: Path, text: str | None) -> None:
+def test_unreadable_slopes_exit_with_2(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "slopes.json"
     if text is not None:
         path.write_text(text)
@@ -574,26 +590,26 @@
 # -- the command and the page -------------------------------------------------------------------------------
 
 
-def written(path: Path, told: Report) -> Path:
-    path.write_bytes(msgspec.json.encode(told))
+def write_report(path: Path, content: Report) -> Path:
+    path.write_bytes(msgspec.json.encode(content))
     return path
 
 
-def test_the_command_tells_the_same_in_json(tmp_path: Path) -> None:
-    result = run("--size", PLAN, "--slopes", written(tmp_path / "s.json", MADE_UP), "--json")
+def test_command_prints_the_same_figures_as_json(tmp_path: Path) -> None:
+    result = run("--size", PLAN, "--slopes", write_report(tmp_path / "s.json", SYNTHETIC), "--json")
     assert result.exit_code == 0
-    told = json.loads(result.output)
-    assert told["size"]["fleet"]["relays"] == 3500 and told["slopes"][0]["name"]
-    by_name = {each["row"]["name"]: each for each in told["rows"]}
+    output = json.loads(result.output)
+    assert output["size"]["fleet"]["relays"] == 3500 and output["slopes"][0]["name"]
+    by_name = {each["row"]["name"]: each for each in output["rows"]}
     memory = by_name["relay.directory_memory"]
     assert memory["row"]["value"] == pytest.approx(720_001_000)
     assert memory["slopes"][0]["name"] == "directory.list.memory_bytes"
-    assert memory["row"]["state"] == "reckoned"  # 360,000 lies beyond 1,600
-    assert told["rows"][0]["row"]["over"] and not told["rows"][-1]["row"]["over"]
+    assert memory["row"]["state"] == "reckoned"  # 360,000 is beyond 1,600
+    assert output["rows"][0]["row"]["over"] and not output["rows"][-1]["row"]["over"]
 
 
-def test_a_row_tells_its_slope_sizes_interval_exponent_budget_and_mechanism() -> None:
-    text = markdown(tables(small(), MADE_UP))
+def test_row_shows_slope_sizes_interval_exponent_budget_and_mechanism() -> None:
+    text = markdown(tables(small_size(), SYNTHETIC))
     line = next(line for line in text.splitlines() if "the whole list, in directory and decisions" in line)
     for part in (
         "2 MB",
@@ -609,11 +625,11 @@
         assert part in line, part
 
 
-def test_write_renews_what_stands_between_the_marks_alone(tmp_path: Path) -> None:
-    page, slopes = tmp_path / "page.md", written(tmp_path / "s.json", MADE_UP)
+def test_write_replaces_only_the_text_between_the_markers(tmp_path: Path) -> None:
+    page, slopes = tmp_path / "page.md", write_report(tmp_path / "s.json", SYNTHETIC)
     page.write_text(f"before\n{BEGIN}\nold\n{END}\nafter\n")
     assert run("--size", PLAN, "--slopes", slopes, "--write", page).exit_code == 0
-    before, inside, after = between(page.read_text(), "page")
+    before, inside, after = split_page(page.read_text(), "page")
     assert (before, after) == ("before\n", "\nafter\n")
     assert inside == run("--size", PLAN, "--slopes", slopes).output
     first = page.read_text()
@@ -624,53 +640,54 @@
 @pytest.mark.parametrize(
     "page", ["", BEGIN, f"{END}\n{BEGIN}\n", f"{BEGIN}\n{BEGIN}\n{END}", f"{BEGIN}\n{END}{END}"]
 )
-def test_a_page_without_its_marks_is_left_as_it_is(tmp_path: Path, page: str) -> None:
+def test_page_without_markers_is_not_changed(tmp_path: Path, page: str) -> None:
     path = tmp_path / "page.md"
     path.write_text(page)
-    result = run("--size", PLAN, "--slopes", written(tmp_path / "s.json", MADE_UP), "--write", path)
+    result = run("--size", PLAN, "--slopes", write_report(tmp_path / "s.json", SYNTHETIC), "--write", path)
     assert result.exit_code == 2 and "once each" in result.output and path.read_text() == page
     with pytest.raises(PageError):
-        renewed(page, "x", "page")
+        replace_tables(page, "x", "page")
 
 
-def test_the_page_tells_what_each_step_means() -> None:
+def test_page_explains_each_step() -> None:
     page = PAGE.read_text().lower()
     for step in {formula.step for formula in FORMULAS if formula.step}:
         assert f"- **{step.lower()}**: " in page, step
 
 
-def test_the_page_holds_what_the_command_prints(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_page_contains_the_output_of_the_command(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(ROOT)
     result = run("--size", PLAN.relative_to(ROOT))
     assert result.exit_code == 0
-    _, inside, _ = between(PAGE.read_text(), "docs/CAPACITY.md")
+    _, inside, _ = split_page(PAGE.read_text(), "docs/CAPACITY.md")
     assert inside == result.output, (
         "python -m emulator capacity --size deploy/sizes/two-years.toml " "--write docs/CAPACITY.md"
     )
 
 
-def test_a_flat_cost_is_reckoned_far_away_as_its_mean_and_its_interval_stays_the_lines() -> None:
-    """Seen: 0.38 ms a message at 64 to 2,000 held, a slope of 6e-06 +- 2e-04, told as 20 ms at 3.4e6."""
+def test_flat_cost_uses_its_mean_with_the_interval_of_the_line() -> None:
+    """Guards against an observed fault: 0.38 ms a message at 64 to 2,000 pending messages, with a slope of
+    6e-06 +- 2e-04, was reported as 20 ms at 3.4e6."""
     values = {64: 0.412, 250: 0.353, 500: 0.375, 1000: 0.394}
     samples = [Sample(size, value, value, value) for size, value in values.items()]
-    slope = fitted("a.b", "x", "ms", samples, Sample(2000, 0.32, 0.32, 0.32), "f")
-    middle, low, high = slope.reckoned(3_400_000)
+    slope = fit_slope("a.b", "x", "ms", samples, Sample(2000, 0.32, 0.32, 0.32), "f")
+    middle, low, high = slope.estimate(3_400_000)
     assert 0.353 < middle < 0.412 and middle == slope.predicted
     assert low == 0.0 and high == pytest.approx(slope.base + slope.each_high * 3_400_000)
     grows = [Sample(size, 0.4 + size / 1000, 0.4, 0.4) for size in values]
-    line = fitted("a.c", "x", "ms", grows, Sample(2000, 2.4, 2.4, 2.4), "f")
-    assert line.reckoned(10_000)[0] == pytest.approx(10.4)
+    line = fit_slope("a.c", "x", "ms", grows, Sample(2000, 2.4, 2.4, 2.4), "f")
+    assert line.estimate(10_000)[0] == pytest.approx(10.4)
 
 
-def test_a_cost_that_does_not_measurably_grow_is_predicted_as_its_mean() -> None:
-    """By its line the noise of small sizes, taken nine times as far, would be a finding of its own."""
+def test_cost_that_does_not_measurably_grow_is_predicted_by_its_mean() -> None:
+    """Guards against a false finding: a line extrapolates noise of small sizes to nine times the size."""
     samples = [
         Sample(size, value, value, value)
         for size, value in ((2500, 1.1), (5000, 0.9), (10000, 1.05), (20000, 0.95), (40000, 0.9))
     ]
-    slope = fitted("a.b", "x", "ms", samples, Sample(360_000, 1.0, 1.0, 1.0), "f")
+    slope = fit_slope("a.b", "x", "ms", samples, Sample(360_000, 1.0, 1.0, 1.0), "f")
     assert slope.each_low < 0 < slope.each_high and abs(slope.base + slope.each * 360_000 - 1.0) > 0.5
     assert abs(slope.predicted - 0.97) < 0.03 and not slope.finding
     grows = [Sample(size, 2.0 + size, 2.0 + size, 2.0 + size) for size in (10, 20, 40, 80)]
-    line = fitted("a.c", "x", "ms", grows, Sample(160, 162.0, 162.0, 162.0), "f")
+    line = fit_slope("a.c", "x", "ms", grows, Sample(160, 162.0, 162.0, 162.0), "f")
     assert abs(line.predicted - 162.0) < 1e-6
--- a/tests/emulator/test_size.py
+++ b/tests/emulator/test_size.py
@@ -1,4 +1,5 @@
-"""Forty relays at one partner that counts refused calls too: what is harmless alone and harmful together."""
+"""Tests forty relays that send to one partner which counts refused calls too: behavior that is harmless for
+one relay and harmful for many together."""
 
 from __future__ import annotations
 
@@ -38,36 +39,39 @@
 }
 
 
-def delivered(seed: int, **more: Any) -> float:
-    it = decoded({**FORTY, **more}, "x")
-    record = World(it, it.all_variants()[0], seed).run()
+def delivered_share(seed: int, **overrides: Any) -> float:
+    experiment = decoded({**FORTY, **overrides}, "x")
+    record = World(experiment, experiment.all_variants()[0], seed).run()
     assert not record.broken
     return record.figures()["delivered"]
 
 
-def test_a_rush_does_not_use_the_limit_up_by_refused_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without an end to each relay's pace all of them pass the limit at once, and what they lose by refused
-    calls is not won back for long."""
-    kept = [delivered(seed) for seed in (1, 2, 3)]
+def test_burst_does_not_exhaust_the_limit_with_refused_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without an upper bound of each relay's send rate, all of them exceed the limit at once, and the loss by
+    refused calls is not recovered for a long time."""
+    bounded = [delivered_share(seed) for seed in (1, 2, 3)]
     monkeypatch.setattr(rate_control, "MAX_PART", 40.0)
     monkeypatch.setattr(
         rate_control, "CAUTIOUS_INCREASE", rate_control.FAST_INCREASE
-    )  # which holds those back that go beyond their part
-    free = [delivered(seed) for seed in (1, 2, 3)]
-    assert sum(kept) / 3 > sum(free) / 3 + 0.05
+    )  # the slow increase applies to relays beyond their share
+    unbounded = [delivered_share(seed) for seed in (1, 2, 3)]
+    assert sum(bounded) / 3 > sum(unbounded) / 3 + 0.05
 
 
-def test_a_small_destination_is_not_called_at_its_whole_rate_once_it_refuses() -> None:
-    """Each of forty has a fraction of a call a second there, and kept all of it after its first refusal: then
-    next to nothing is taken, for good (0.15 of what came, in the mean of these seeds; now 0.64)."""
+def test_small_destination_is_not_called_at_full_rate_after_a_refusal() -> None:
+    """Guards against a relay that keeps its full rate after the first refusal. Each of forty relays has a
+    fraction of a call a second there, and almost nothing was then accepted permanently (a share of 0.15 as
+    the mean of these seeds; now 0.64)."""
     rate = 15.0
     limit = {**FORTY["partners"][0]["rate"], "per_s": rate, "burst": rate / 2}
     partner, traffic = {**FORTY["partners"][0], "rate": limit}, {**FORTY["traffic"], "rate": 0.8 * rate}
-    took = [delivered(seed, partners=[partner], traffic=traffic) for seed in range(1, 7)]
-    assert sum(took) / 6 > 0.4
+    shares = [delivered_share(seed, partners=[partner], traffic=traffic) for seed in range(1, 7)]
+    assert sum(shares) / 6 > 0.4
 
 
-def test_in_a_small_fleet_one_relay_may_still_use_what_the_others_leave() -> None:
-    """Its pace may come to the whole rate: it meets most of what is refused there itself."""
-    fleet = {"relays": 3, "slots": 40, "hold": 200, "skew": 20.0}  # all of it comes by the first relay
-    assert delivered(1, fleet=fleet, traffic={"rate": 0.7 * RATE, "seconds": 30.0, "warm_s": 10.0}) > 0.97
+def test_one_relay_of_a_small_fleet_may_use_the_rate_that_others_leave() -> None:
+    """Its send rate may reach the full rate, because it gets most of the refusals there itself."""
+    fleet = {"relays": 3, "slots": 40, "hold": 200, "skew": 20.0}  # all messages arrive at the first relay
+    assert (
+        delivered_share(1, fleet=fleet, traffic={"rate": 0.7 * RATE, "seconds": 30.0, "warm_s": 10.0}) > 0.97
+    )
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -381,9 +381,8 @@
         swim = settled_member(count)
         step_counts.append(steps(CASES[case](swim)))
         assert isinstance(swim.member_table.members, Walked) and not swim.member_table.members.walks
-    assert (
-        abs(step_counts[0] - step_counts[1]) <= 0.02 * step_counts[0]
-    )  # the duration of a suspicion includes a logarithm
+    # The duration of a suspicion includes a logarithm.
+    assert abs(step_counts[0] - step_counts[1]) <= 0.02 * step_counts[0]
 
 
 def test_indirect_probe_does_not_walk_over_all_members() -> None:
