--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,2 +1,3 @@
-"""Measurements: `python -m benchmarks.NAME`, `--json` for machines; each prints ratios to a baseline of its
-run."""
+"""Benchmarks, run with `python -m benchmarks.NAME`; `--json` prints machine-readable rows.
+
+Each prints ratios to a baseline that is measured in the same run."""
--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -1,15 +1,16 @@
-"""Delivery by HTTP and by AMQP side by side, intake from a queue, and what one dead broker costs the others.
+"""Compares delivery by HTTP and by AMQP, and measures intake from a queue and the effect of a dead broker.
 
     python -m benchmarks.amqp [--json] [--seconds 4] [--rounds 2] [--messages 3000] [--kills 0]
 
 One relay process with an operator's file; destination 1 is `fakes.endpoint` or a queue of
-`fakes.amqp_broker`,
-which confirms at once. `delivered/s` and `CPU ms` at saturation (24 clients on kept connections, 64 held),
-then open loop at half of that: waits from the intended moment to the 202. `intake`: messages that lie in one
-broker's queue go out by another's; a second until all are out. Two brokers, half of all messages to each: the
-open-loop waits, and deliveries of the first, while both answer and while the second takes connections and
-never speaks. `--kills N` instead kills the relay so often while work comes in by one broker and leaves by
-another, which loses confirms, stalls, refuses and cuts by chance, and counts what the ledgers say.
+`fakes.amqp_broker`, which confirms at once. `delivered/s` and `CPU ms` are measured at saturation (24 clients
+on persistent connections, 64 pending messages); then, open loop at half that rate, the latencies from the
+scheduled submission time to the 202. `intake`: messages wait in one broker's queue and are delivered to
+another broker; `a second` is the rate until all are delivered. Two brokers that get half of all messages
+each: the open-loop latencies, and the deliveries to the first, while both answer and while the second accepts
+connections and never sends anything. `--kills N` instead kills the relay N times while messages come in from
+one broker and go to another, which randomly loses confirms, stalls, refuses and drops connections, and counts
+the outcomes by the ledgers.
 """
 
 from __future__ import annotations
@@ -59,25 +60,27 @@
         return sum(1 for _ in self.ledger.open()) if self.ledger.exists() else 0
 
 
-def operators(
+def write_operator_file(
     folder: Path, brokers: dict[str, str], endpoints: dict[int, tuple[str, str]], queue: str
 ) -> str:
-    out = [f'[[amqp.brokers]]\nname = "{name}"\nhosts = ["{at}"]' for name, at in brokers.items()]
-    out += [
+    sections = [
+        f'[[amqp.brokers]]\nname = "{name}"\nhosts = ["{address}"]' for name, address in brokers.items()
+    ]
+    sections += [
         f'[[amqp.endpoints]]\nname = "e{dest}"\ndestination = {dest}\nbroker = "{broker}"\n'
         f'routing_key = "{key}"\nrate = 1e6'
         for dest, (broker, key) in endpoints.items()
     ]
     if queue:
-        out.append(f'[[amqp.queues]]\nbroker = "{queue}"\nqueue = "in"\nprefetch = 50')
+        sections.append(f'[[amqp.queues]]\nbroker = "{queue}"\nqueue = "in"\nprefetch = 50')
     path = folder / "relay.toml"
-    path.write_text("\n".join(out) + "\n")
+    path.write_text("\n".join(sections) + "\n")
     return str(path)
 
 
 @contextlib.asynccontextmanager
 async def relay(
-    folder: Path, partner: str, operator: str, held: int = HELD, told: dict[str, Any] | None = None
+    folder: Path, partner: str, operator: str, held: int = HELD, relay_settings: dict[str, Any] | None = None
 ) -> AsyncIterator[Relay]:
     (port,) = free_ports(1)
     entries = (
@@ -108,7 +111,7 @@
                     "discovery": agent,
                     "seed": "1",
                     "state": str(folder / "state"),
-                    "settings": told or settings(held),
+                    "settings": relay_settings or settings(held),
                     "known": listing,
                     "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 200},
                 }
@@ -120,8 +123,8 @@
             env={**os.environ, "RELAY_CONFIG": str(folder / "config.json"), "RELAY_OPERATOR": operator},
         )
         try:
-            ends = time.monotonic() + PATIENCE_S
-            while time.monotonic() < ends:
+            ends_at = time.monotonic() + PATIENCE_S
+            while time.monotonic() < ends_at:
                 with contextlib.suppress(OSError):
                     _, writer = await asyncio.open_connection("127.0.0.1", port)
                     writer.close()
@@ -133,22 +136,30 @@
             process.wait()
 
 
-async def saturated(it: Relay, seconds: float) -> dict[str, Any]:
-    begun = time.perf_counter()
-    clients = [Client(n, it.port, begun + 1.5 + seconds) for n in range(CLIENTS)]
+async def saturated(target: Relay, seconds: float) -> dict[str, Any]:
+    started_at = time.perf_counter()
+    clients = [Client(n, target.port, started_at + 1.5 + seconds) for n in range(CLIENTS)]
     tasks = [asyncio.create_task(client.run()) for client in clients]
     await asyncio.sleep(1.5)
-    cpu, at, before = cpu_s(it.pid), time.perf_counter(), it.delivered()
+    cpu_before, measured_from, delivered_before = cpu_s(target.pid), time.perf_counter(), target.delivered()
     await asyncio.sleep(seconds)
-    done, took, spent = it.delivered() - before, time.perf_counter() - at, cpu_s(it.pid) - cpu
-    rss = rss_mb(it.pid)
+    delivered, elapsed_s, cpu_used = (
+        target.delivered() - delivered_before,
+        time.perf_counter() - measured_from,
+        cpu_s(target.pid) - cpu_before,
+    )
+    rss = rss_mb(target.pid)
     await asyncio.gather(*tasks)
-    return {"delivered/s": done / took, "CPU ms": 1000 * spent / max(1, done), "RSS MB": rss}
+    return {
+        "delivered/s": delivered / elapsed_s,
+        "CPU ms": 1000 * cpu_used / max(1, delivered),
+        "RSS MB": rss,
+    }
 
 
-async def opened(it: Relay, rate: float, seconds: float, destinations: int = 1) -> Load:
+async def open_loop(target: Relay, rate: float, seconds: float, destinations: int = 1) -> Load:
     plan = Plan(
-        (("127.0.0.1", it.port),),
+        (("127.0.0.1", target.port),),
         rate,
         seconds,
         destinations=destinations,
@@ -166,20 +177,20 @@
         if kind == "AMQP":
             brokers = {"b": stack.enter_context(standin("fakes.amqp_broker", "--queue", "q", *ledger))}
             endpoints = {1: ("b", "q")}
-        async with relay(folder, partner, operators(folder, brokers, endpoints, "")) as it:
-            row = {"kind": kind, **await saturated(it, seconds)}
-            found = await opened(it, row["delivered/s"] / 2, seconds)
+        async with relay(folder, partner, write_operator_file(folder, brokers, endpoints, "")) as target:
+            row = {"kind": kind, **await saturated(target, seconds)}
+            result = await open_loop(target, row["delivered/s"] / 2, seconds)
             return {
                 **row,
-                "p50": found.ms(50),
-                "p99": found.ms(99),
-                "p999": found.ms(99.9),
-                "limit": found.limit,
+                "p50": result.ms(50),
+                "p99": result.ms(99),
+                "p999": result.ms(99.9),
+                "limit": result.limit,
             }
 
 
-def fill(at: str, messages: int, classes: Sequence[str] = ("order",), reply: str | None = None) -> None:
-    host, _, port = at.partition(":")
+def fill(address: str, messages: int, classes: Sequence[str] = ("order",), reply: str | None = None) -> None:
+    host, _, port = address.partition(":")
     connection = pika.BlockingConnection(pika.ConnectionParameters(host, int(port)))
     channel = connection.channel()
     for n in range(messages):
@@ -202,21 +213,21 @@
 async def intake(messages: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        inward = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in"))
-        outward = stack.enter_context(
+        source = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in"))
+        sink = stack.enter_context(
             standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
-        await asyncio.to_thread(fill, inward, messages)
-        told = operators(folder, {"a": inward, "b": outward}, {1: ("b", "q")}, "a")
-        async with relay(folder, "", told, held=300) as it:
-            begun, cpu = time.perf_counter(), cpu_s(it.pid)
-            while it.delivered() < messages and time.perf_counter() < begun + PATIENCE_S:
+        await asyncio.to_thread(fill, source, messages)
+        operator_file = write_operator_file(folder, {"a": source, "b": sink}, {1: ("b", "q")}, "a")
+        async with relay(folder, "", operator_file, held=300) as target:
+            started_at, cpu_before = time.perf_counter(), cpu_s(target.pid)
+            while target.delivered() < messages and time.perf_counter() < started_at + PATIENCE_S:
                 await asyncio.sleep(0.02)
-            took = time.perf_counter() - begun
+            elapsed_s = time.perf_counter() - started_at
             return {
                 "what": "intake",
-                "a second": it.delivered() / took,
-                "CPU ms": 1000 * (cpu_s(it.pid) - cpu) / max(1, it.delivered()),
+                "a second": target.delivered() / elapsed_s,
+                "CPU ms": 1000 * (cpu_s(target.pid) - cpu_before) / max(1, target.delivered()),
                 "p50": 0.0,
                 "p99": 0.0,
             }
@@ -225,56 +236,58 @@
 async def stalled(mute: bool, seconds: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        good = stack.enter_context(
+        live_broker = stack.enter_context(
             standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
-        other = stack.enter_context(
+        other_broker = stack.enter_context(
             standin("fakes.amqp_broker", "--queue", "q", *(["--mute"] if mute else []))
         )
-        told = operators(folder, {"a": good, "b": other}, {1: ("a", "q"), 2: ("b", "q")}, "")
-        async with relay(folder, "", told, held=600) as it:
-            cpu = cpu_s(it.pid)
-            found = await opened(it, 100.0, seconds, destinations=2)
+        operator_file = write_operator_file(
+            folder, {"a": live_broker, "b": other_broker}, {1: ("a", "q"), 2: ("b", "q")}, ""
+        )
+        async with relay(folder, "", operator_file, held=600) as target:
+            cpu_before = cpu_s(target.pid)
+            result = await open_loop(target, 100.0, seconds, destinations=2)
             return {
                 "what": "one of two is dead" if mute else "both answer",
-                "a second": it.delivered() / (seconds + 1),
-                "CPU ms": 1000 * (cpu_s(it.pid) - cpu) / max(1, sum(found.answers.values())),
-                "p50": found.ms(50),
-                "p99": found.ms(99),
+                "a second": target.delivered() / (seconds + 1),
+                "CPU ms": 1000 * (cpu_s(target.pid) - cpu_before) / max(1, sum(result.answers.values())),
+                "p50": result.ms(50),
+                "p99": result.ms(99),
             }
 
 
 CLASSES = ("order", "pay", "status")
 
 
-def rough() -> dict[str, Any]:
-    told = processes.settings(0.4)
-    told["extra"]["call-slots"], told["limits"]["open-cap"] = 32, 200
-    told["safety"]["cold-from"], told["safety"]["cold-ms"] = 1.0, 0.0
-    return told
+def kill_settings() -> dict[str, Any]:
+    raw = processes.settings(0.4)
+    raw["extra"]["call-slots"], raw["limits"]["open-cap"] = 32, 200
+    raw["safety"]["cold-from"], raw["safety"]["cold-ms"] = 1.0, 0.0
+    return raw
 
 
-def answers(at: str) -> dict[str, set[str]]:
-    """The states that were told, by message."""
-    host, _, port = at.partition(":")
+def answers(address: str) -> dict[str, set[str]]:
+    """Maps each message to the final states that were published to the queue `answers`."""
+    host, _, port = address.partition(":")
     connection = pika.BlockingConnection(pika.ConnectionParameters(host, int(port)))
-    channel, found = connection.channel(), dict[str, set[str]]()
+    channel, states = connection.channel(), dict[str, set[str]]()
     for method, _, body in channel.consume("answers", inactivity_timeout=0.5):
         if method is None:
             break
-        end = json.loads(body)
-        found.setdefault(end["id"], set()).add(end["state"])
+        answer = json.loads(body)
+        states.setdefault(answer["id"], set()).add(answer["state"])
         channel.basic_ack(method.delivery_tag)
     connection.close()
-    return found
+    return states
 
 
 async def kills(messages: int, times: int, seed: int) -> dict[str, Any]:
-    rng, begun = random.Random(seed), time.monotonic()
+    rng, started_at = random.Random(seed), time.monotonic()
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        inward = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in", "--queue", "answers"))
-        outward = stack.enter_context(
+        source = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in", "--queue", "answers"))
+        sink = stack.enter_context(
             standin(
                 "fakes.amqp_broker",
                 "--queue",
@@ -303,56 +316,61 @@
                 "0.0005",
             )
         )
-        await asyncio.to_thread(fill, inward, messages, CLASSES, "answers")
-        told = operators(folder, {"a": inward, "b": outward}, {1: ("b", "q")}, "a")
+        await asyncio.to_thread(fill, source, messages, CLASSES, "answers")
+        operator_file = write_operator_file(folder, {"a": source, "b": sink}, {1: ("b", "q")}, "a")
         for _ in range(times):
-            async with relay(folder, "", told, told=rough()) as it:
+            async with relay(folder, "", operator_file, relay_settings=kill_settings()) as target:
                 await asyncio.sleep(rng.uniform(0.2, 1.2))
-                os.kill(it.pid, signal.SIGKILL)
-        async with relay(folder, "", told, told=rough()) as it:
-            seen, quiet_since = -1, time.monotonic()
-            while time.monotonic() - quiet_since < 8.0:  # longer than any message has
-                if it.delivered() != seen:
-                    seen, quiet_since = it.delivered(), time.monotonic()
+                os.kill(target.pid, signal.SIGKILL)
+        async with relay(folder, "", operator_file, relay_settings=kill_settings()) as target:
+            last_count, unchanged_since = -1, time.monotonic()
+            while time.monotonic() - unchanged_since < 8.0:  # longer than any message's deadline
+                if target.delivered() != last_count:
+                    last_count, unchanged_since = target.delivered(), time.monotonic()
                 await asyncio.sleep(0.1)
         effects = Counter(line.split()[1] for line in (folder / "ledger").read_text().splitlines())
-        ends = await asyncio.to_thread(answers, inward)
-    every = {f"m{n}": CLASSES[n % len(CLASSES)] for n in range(messages)}
+        ends = await asyncio.to_thread(answers, source)
+    classes = {f"m{n}": CLASSES[n % len(CLASSES)] for n in range(messages)}
     return {
         "messages": messages,
         "kills": times,
-        "seconds": time.monotonic() - begun,
+        "seconds": time.monotonic() - started_at,
         "took effect": len(effects),
         "answered": len(ends),
-        "without an end": sum(ident not in effects and ident not in ends for ident in every),
+        "without an end": sum(message_id not in effects and message_id not in ends for message_id in classes),
         "told two ends": sum(len(states) > 1 for states in ends.values()),
-        "unsafe twice": sum(count > 1 for ident, count in effects.items() if every[ident] == "pay"),
+        "unsafe twice": sum(
+            count > 1 for message_id, count in effects.items() if classes[message_id] == "pay"
+        ),
         "unsafe returned, and ran": sum(
-            "returned" in states and effects[ident] > 0
-            for ident, states in ends.items()
-            if every[ident] == "pay"
+            "returned" in states and effects[message_id] > 0
+            for message_id, states in ends.items()
+            if classes[message_id] == "pay"
         ),
     }
 
 
 async def connections(count: int) -> dict[str, Any]:
-    """What so many connections of one process take, each with its channel and one publish made."""
-    with standin("fakes.amqp_broker", "--queue", "q") as at:
-        parts = [BrokerSettings(f"b{n}", [at]) for n in range(count)]
-        targets = [EndpointSettings(f"e{n}", n, f"b{n}", "q") for n in range(count)]
-        out, before = BrokerPublisher(AmqpSettings(parts, targets), random.Random(1)), rss_mb(os.getpid())
+    """Measures the memory of `count` connections of one process, each with a channel and one publish."""
+    with standin("fakes.amqp_broker", "--queue", "q") as address:
+        brokers = [BrokerSettings(f"b{n}", [address]) for n in range(count)]
+        endpoints = [EndpointSettings(f"e{n}", n, f"b{n}", "q") for n in range(count)]
+        publisher, rss_before = (
+            BrokerPublisher(AmqpSettings(brokers, endpoints), random.Random(1)),
+            rss_mb(os.getpid()),
+        )
         loop = asyncio.get_running_loop()
-        made = await asyncio.gather(
+        results = await asyncio.gather(
             *(
-                out.attempt(
+                publisher.attempt(
                     Attempt(n, (f"amqp:e{n}", 0), f"m{n}", None, b"x", loop.time() + 30, lambda: True)
                 )
                 for n in range(count)
             )
         )
-        assert all(each.outcome is Outcome.OK for each in made)
-        taken = rss_mb(os.getpid()) - before
-        out.close()
+        assert all(result.outcome is Outcome.OK for result in results)
+        rss_growth = rss_mb(os.getpid()) - rss_before
+        publisher.close()
         await asyncio.sleep(0.1)
         return {
             "what": f"{count} connections",
@@ -360,7 +378,7 @@
             "CPU ms": 0.0,
             "p50": 0.0,
             "p99": 0.0,
-            "KB a connection": 1024 * taken / count,
+            "KB a connection": 1024 * rss_growth / count,
         }
 
 
--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -1,10 +1,9 @@
-"""Real instances that agree on rules, with a net between them in which faults are put: for tests and
-benchmarks.
+"""Cluster harness for tests and benchmarks: real instances with consensus, connected by a fault proxy.
 
-Each instance is a process of its own (`message_relay run` with an operator's file), reaches the others only
-through fakes.fault_proxy, and delivers to one partner, whose ledger says under which version each call was
-made. Started, killed, frozen and started again by number; their folders can be put back to an older
-state.
+Each instance is a separate process (`message_relay run` with an operator's file), reaches the others only
+through fakes.fault_proxy, and delivers to one partner, whose ledger records the rules version of each call.
+Instances are started, killed, frozen and restarted by number, and their state folders can be restored to an
+older copy.
 """
 
 from __future__ import annotations
@@ -37,26 +36,29 @@
 
 @dataclass
 class ClusterHarness(Fleet):
-    """`voters` of `instances` vote; `bound` is T. `shared` and the supervisor of a Fleet are not used."""
+    """Runs `instances` processes without a supervisor; the first `voters` of them vote.
+
+    `bound` is the lease bound T, in seconds. The field `shared` of Fleet is not used.
+    """
 
     voters: int = 3
     bound: float = 2.0
     horizon: float = 6.0
-    period: float = 0.5  # of membership
+    period: float = 0.5  # gossip period, in seconds
     zones: int = 1
-    agreed: bool = True  # without: neither peers nor rules, the same instances alone
+    agreed: bool = True  # False: the same instances without gossip and consensus
     net_seed: int = 1
     answer_ms: int = 10
     destinations: int = 1
     clock_rates: dict[int, str] = field(default_factory=dict)
-    block: int = 0  # of loopback addresses: 127.BLOCK.x.n, so that towns beside each other don't meet
+    block: int = 0  # loopback addresses are 127.BLOCK.x.n, so that clusters side by side stay separate
     more_env: dict[int, dict[str, str]] = field(default_factory=dict)
-    first: str = ""  # of the operator's file: [accord.first]
-    partners: tuple[str, ...] = ()  # zones, each with a partner of its own; instance n is in zone n % as many
-    partner: tuple[str, ...] = ()  # more arguments of each partner
-    fleet_of: int = 40  # instances that the operator's file names at the least: rates are shared by them
-    more_parts: str = ""  # of the operator's file
-    agents: dict[int, str] = field(default_factory=dict)  # by place of the zone
+    first: str = ""  # section [accord.first] of the operator's file
+    partners: tuple[str, ...] = ()  # zones with one partner each; instance n is in zone n % len(partners)
+    partner: tuple[str, ...] = ()  # additional arguments of each partner
+    fleet_of: int = 40  # lower limit of the fleet size in the operator's file, by which rates are divided
+    more_parts: str = ""  # additional sections of the operator's file
+    agents: dict[int, str] = field(default_factory=dict)  # maps each zone index to its agent's address
 
     def name(self, n: int) -> str:
         return f"i{n}"
@@ -65,9 +67,9 @@
         self.block = self.block or 16 + os.getpid() % 200
         self.port = free_ports(max(self.instances, 40), self.block)
         (self.folder / "run").mkdir()
-        places: dict[str, str] = {}
+        partner_addresses: dict[str, str] = {}
         for zone in self.partners or ("z",):
-            places[zone] = await self.start(
+            partner_addresses[zone] = await self.start(
                 f"partner {zone}" if self.partners else "partner",
                 "fakes.endpoint",
                 "--answer-ms",
@@ -78,23 +80,30 @@
                 str(self.folder / "effects"),
                 *self.partner,
             )
-        # From each zone of instances to each partner a door of its own, so that either can be cut alone.
-        doors = [
+        # A separate proxy route from each zone's instances to each partner, so that each can be cut alone.
+        routes = [
             {
-                "from": f"relays {one}",
-                "to": f"partner {other}",
+                "from": f"relays {source_zone}",
+                "to": f"partner {target_zone}",
                 "at": f"127.{self.block}.3.{n + 1}:{PORT}",
-                "target": places[other],
+                "target": partner_addresses[target_zone],
             }
-            for n, (one, other) in enumerate((a, b) for a in self.partners for b in self.partners)
+            for n, (source_zone, target_zone) in enumerate(
+                (a, b) for a in self.partners for b in self.partners
+            )
         ]
-        known = {}
+        listings = {}
         for n, zone in enumerate(self.partners or ("z",)):
-            at = {door["to"]: door["at"] for door in doors if door["from"] == f"relays {zone}"}
-            known[n] = self._listed(
-                {other: at.get(f"partner {other}", place) for other, place in places.items()}
+            addresses_by_target = {
+                route["to"]: route["at"] for route in routes if route["from"] == f"relays {zone}"
+            }
+            listings[n] = self._listed(
+                {
+                    target_zone: addresses_by_target.get(f"partner {target_zone}", address)
+                    for target_zone, address in partner_addresses.items()
+                }
             )
-            (self.folder / f"list{n}.json").write_text(json.dumps(known[n]))
+            (self.folder / f"list{n}.json").write_text(json.dumps(listings[n]))
             self.agents[n] = await self.start(
                 f"agent {n}" if n else "agent",
                 "fakes.discovery_agent",
@@ -112,7 +121,7 @@
             }
             for n in range(max(self.instances, 40))
         ]
-        (self.folder / "plan.json").write_text(json.dumps({"nodes": nodes, "doors": doors}))
+        (self.folder / "plan.json").write_text(json.dumps({"nodes": nodes, "doors": routes}))
         self.control = await self.start(
             "net",
             "fakes.fault_proxy",
@@ -129,7 +138,7 @@
                 "listen": "127.0.0.1:1",
                 "discovery": self.agents[n],
                 "seed": "1",
-                "known": known[n],
+                "known": listings[n],
                 "state": str(self.folder),
                 "settings": self._settings()
                 | {"az": n, "zones": list(self.partners or ("z",)), "prices": {"cross-zone": 0.05}},
@@ -140,43 +149,45 @@
         await asyncio.gather(*(self.start_instance(n) for n in range(self.instances)))
 
     def _settings(self) -> dict[str, Any]:
-        """Partners of different zones know nothing of each other's keys."""
-        told = settings(self.deadline_share)
+        """Partners of different zones don't know each other's keys, so the scope of a key is its zone."""
+        base = settings(self.deadline_share)
         scope = {"dedup-scope": "zone"} if self.partners else {}
-        return told | {"classes": [class_ | scope for class_ in told["classes"]]}
+        return base | {"classes": [class_ | scope for class_ in base["classes"]]}
 
     def broken(self, taken: dict[str, str]) -> list[str]:
-        """A repeatable message may take effect in two zones: that is harmless."""
-        bad = super().broken(taken)
+        """Excludes repeatable messages that took effect in two zones, which is harmless."""
+        violations = super().broken(taken)
         if not self.partners:
-            return bad
+            return violations
         return [
-            text for text in bad if "took effect" not in text or taken.get(text.partition(":")[0]) != "status"
+            text
+            for text in violations
+            if "took effect" not in text or taken.get(text.partition(":")[0]) != "status"
         ]
 
-    def _listed(self, places: dict[str, str]) -> dict[str, Any]:
+    def _listed(self, partner_addresses: dict[str, str]) -> dict[str, Any]:
         entries = [
             {
-                "instanceId": f"p{dest}{zone if self.partners else ''}",
-                "hostPort": at,
+                "instanceId": f"p{destination}{zone if self.partners else ''}",
+                "hostPort": address,
                 "zone": zone,
                 "machineType": "k",
-                "cell": dest,
+                "cell": destination,
                 "lifecycle": "ready",
                 "weight": self.rate,
                 "startedAtMs": 0,
             }
-            for zone, at in places.items()
-            for dest in range(1, self.destinations + 1)
+            for zone, address in partner_addresses.items()
+            for destination in range(1, self.destinations + 1)
         ]
         return {"generation": 1, "reset": True, "instances": entries}
 
     def configure(self, instances: int) -> None:
         self.instances = instances
-        part = ""
+        peers_and_accord = ""
         if self.agreed:
             seeds = ", ".join(f'"127.{self.block}.2.{n}:{PORT}"' for n in range(self.voters))
-            part = (
+            peers_and_accord = (
                 f'[peers]\nlisten = "127.{self.block}.1.{{n}}:{PORT}"\n'
                 f'address = "127.{self.block}.2.{{n}}:{PORT}"\n'
                 f'seeds = [{seeds}]\nsecret_file = "{self.folder}/secret"\nperiod_s = {self.period}\n'
@@ -185,7 +196,7 @@
             )
         (self.folder / "relay.toml").write_text(
             f'[fleet]\ninstances = {max(instances, self.fleet_of)}\n[status]\nfolder = "{self.folder}/run"\n'
-            + part
+            + peers_and_accord
             + self.more_parts
         )
 
@@ -222,14 +233,14 @@
                     return
                 if self.processes[self.name(n)].returncode is not None:
                     raise RuntimeError(
-                        f"instance {n} ended: " + (self.folder / f"i{n}.log").read_text()[-2000:]
+                        f"instance {n} exited: " + (self.folder / f"i{n}.log").read_text()[-2000:]
                     )
                 await asyncio.sleep(0.05)
 
-    async def kill(self, n: int, how: signal.Signals = signal.SIGKILL) -> None:
+    async def kill(self, n: int, signal_number: signal.Signals = signal.SIGKILL) -> None:
         process = self.processes[self.name(n)]
         if process.returncode is None:
-            process.send_signal(how)
+            process.send_signal(signal_number)
             await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
 
     def freeze(self, n: int) -> None:
@@ -239,116 +250,118 @@
         self.tell(self.name(n), signal.SIGCONT)
 
     def full_disk(self, n: int, full: bool = True) -> None:
-        """No file of it can grow, or be written anew, until it is told otherwise."""
+        """Prevents the instance from extending or creating files, until called with full=False."""
         pid = self.processes[self.name(n)].pid
         hard = resource.prlimit(pid, resource.RLIMIT_FSIZE)[1]
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard, hard))
 
     def save_state_folder(self, n: int) -> None:
-        """As it is now, for `old_folder`."""
-        kept = self.folder / "kept" / str(n)
-        shutil.rmtree(kept, ignore_errors=True)
-        shutil.copytree(self.folder / "state" / str(n) / "peers", kept)
+        """Copies the instance's gossip and consensus state, for `restore_state_folder`."""
+        copy = self.folder / "kept" / str(n)
+        shutil.rmtree(copy, ignore_errors=True)
+        shutil.copytree(self.folder / "state" / str(n) / "peers", copy)
 
     def restore_state_folder(self, n: int) -> None:
-        """Puts its part on peers and rules back to what was kept, in its place."""
-        place = self.folder / "state" / str(n) / "peers"
-        for path in place.iterdir():
+        """Restores the instance's gossip and consensus state to the saved copy."""
+        peers_folder = self.folder / "state" / str(n) / "peers"
+        for path in peers_folder.iterdir():
             path.unlink()
         for path in (self.folder / "kept" / str(n)).iterdir():
-            shutil.copy(path, place / path.name)
+            shutil.copy(path, peers_folder / path.name)
 
     # -- the net and the rules -------------------------------------------------------------------------------
 
     async def net(
-        self, do: str, source: str | list[str] = "*", to: str | list[str] = "*", **more: Any
+        self, do: str, source: str | list[str] = "*", to: str | list[str] = "*", **options: Any
     ) -> Any:
         host, _, port = self.control.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(json.dumps({"do": do, "from": source, "to": to, **more}).encode() + b"\n")
-        answer = json.loads(await reader.readline())
+        writer.write(json.dumps({"do": do, "from": source, "to": to, **options}).encode() + b"\n")
+        reply = json.loads(await reader.readline())
         writer.close()
-        if isinstance(answer, str) and answer.startswith("error"):
-            raise ValueError(answer)
-        return answer
+        if isinstance(reply, str) and reply.startswith("error"):
+            raise ValueError(reply)
+        return reply
 
     async def cut(self, some: list[int], others: list[int] | None = None) -> None:
-        """Between these and all others, both ways."""
-        mine = [f"n{n}" for n in some]
-        rest = [
+        """Cuts both directions between these instances and the others (default: all others)."""
+        names = [f"n{n}" for n in some]
+        other_names = [
             f"n{n}"
             for n in (
                 others if others is not None else [n for n in range(max(self.instances, 40)) if n not in some]
             )
         ]
-        await self.net("set", mine, rest, cut=True)
-        await self.net("set", rest, mine, cut=True)
+        await self.net("set", names, other_names, cut=True)
+        await self.net("set", other_names, names, cut=True)
 
-    async def rules(self, n: int, ask: str, **more: Any) -> dict[str, Any]:
-        return await send_request(self.folder / "run" / f"{n}.rules", {"ask": ask, **more})
+    async def rules(self, n: int, ask: str, **options: Any) -> dict[str, Any]:
+        return await send_request(self.folder / "run" / f"{n}.rules", {"ask": ask, **options})
 
-    async def propose(self, n: int, rules: dict[str, Any], **more: Any) -> dict[str, Any]:
+    async def propose(self, n: int, rules: dict[str, Any], **options: Any) -> dict[str, Any]:
         return await self.rules(
-            n, "propose", rules=rules, author="test", cause=more.pop("cause", "a test"), **more
+            n, "propose", rules=rules, author="test", cause=options.pop("cause", "a test"), **options
         )
 
     async def status(self, n: int) -> dict[str, Any]:
         return await self.rules(n, "status")
 
     async def wait_for_version(self, label: str, of: list[int] | None = None, seconds: float = 30.0) -> float:
-        """Until these (or all) act by that version: how long it took."""
-        begun = time.monotonic()
-        wanted = list(range(self.instances)) if of is None else of
+        """Waits until these instances (default: all) act by that version; returns the seconds it took."""
+        started_at = time.monotonic()
+        remaining = list(range(self.instances)) if of is None else of
         try:
             async with asyncio.timeout(seconds):
-                while wanted:
-                    for n in list(wanted):
+                while remaining:
+                    for n in list(remaining):
                         with contextlib.suppress(StatusError):
                             if (await self.status(n))["acts by"] == label:
-                                wanted.remove(n)
-                    if wanted:
+                                remaining.remove(n)
+                    if remaining:
                         await asyncio.sleep(0.02)
         except TimeoutError:
-            raise TimeoutError(f"{wanted} don't act by {label}: {await self.describe_instances()}") from None
-        return time.monotonic() - begun
+            raise TimeoutError(
+                f"instances {remaining} don't act by version {label}: {await self.describe_instances()}"
+            ) from None
+        return time.monotonic() - started_at
 
     async def describe_instances(self) -> str:
-        """Of each instance what its rules' socket says, for whoever looks for a cause."""
-        found = []
+        """Returns the main fields of each instance's consensus status, for error messages."""
+        descriptions = []
         for n in range(self.instances):
             try:
-                said = await asyncio.wait_for(self.status(n), 2.0)
-                found.append(f"{n}: { {name: said[name] for name in DESCRIBED_FIELDS} }")
+                status = await asyncio.wait_for(self.status(n), 2.0)
+                descriptions.append(f"{n}: { {name: status[name] for name in DESCRIBED_FIELDS} }")
             except (StatusError, TimeoutError) as error:
-                found.append(f"{n}: {error!r}")
-        return "; ".join(found)
+                descriptions.append(f"{n}: {error!r}")
+        return "; ".join(descriptions)
 
     async def wait_for(
-        self, true: Callable[[dict[str, Any]], bool], n: int, seconds: float = 30.0
+        self, condition: Callable[[dict[str, Any]], bool], n: int, seconds: float = 30.0
     ) -> dict[str, Any]:
         async with asyncio.timeout(seconds):
             while True:
                 with contextlib.suppress(StatusError):
-                    told = await self.status(n)
-                    if true(told):
-                        return told
+                    status = await self.status(n)
+                    if condition(status):
+                        return status
                 await asyncio.sleep(0.05)
 
     def labelled_calls(self) -> list[tuple[float, str, str]]:
-        """Of each whole call: Unix ms, message, and by what it was made."""
-        found = []
+        """Returns (Unix ms, message, label of the rules it was made under) of each complete call."""
+        calls = []
         for path in self.folder.glob("calls*"):
             for line in lines(path):
-                at, ident, _, _, label = line.split()
-                found.append((float(at), ident, label))
-        return sorted(found)
+                arrived_at, message_id, _, _, label = line.split()
+                calls.append((float(arrived_at), message_id, label))
+        return sorted(calls)
 
     def calls_at(self, zone: str) -> list[float]:
-        """Unix ms of each whole call to the partner of that zone."""
+        """Returns the arrival time of each complete call at that zone's partner, in Unix ms."""
         return sorted(float(line.split()[0]) for line in lines(self.folder / f"calls {zone}"))
 
     async def close(self) -> None:
-        """Raises RuntimeError where an instance did not end when it was told to."""
+        """Raises RuntimeError if an instance has not exited in time after SIGTERM."""
         late = []
         for name, process in self.processes.items():
             if process.returncode is None and name.startswith("i"):
@@ -373,15 +386,15 @@
             await net.wait()
         await super().close()
         if late:
-            raise RuntimeError(f"{', '.join(late)}: not ended {STOP_TIMEOUT_S:g} s after SIGTERM")
+            raise RuntimeError(f"{', '.join(late)}: not exited {STOP_TIMEOUT_S:g} s after SIGTERM")
 
 
 @contextlib.asynccontextmanager
-async def cluster(instances: int, **more: Any) -> AsyncIterator[ClusterHarness]:
+async def cluster(instances: int, **fields: Any) -> AsyncIterator[ClusterHarness]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
-        it = ClusterHarness(Path(folder), instances, more.pop("rate", 1000.0), False, **more)
+        harness = ClusterHarness(Path(folder), instances, fields.pop("rate", 1000.0), False, **fields)
         try:
-            await it.set_up()
-            yield it
+            await harness.set_up()
+            yield harness
         finally:
-            await it.close()
+            await harness.close()
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,11 +1,12 @@
-"""What a fleet sends a destination that has just come back: each relay decides alone, in virtual time.
+"""Simulates, in virtual time, the calls of a fleet to a destination that has just come back from an outage.
 
-The budget of a cold destination holds for the sum: over any window of the settings' `fall_ms` it takes N
-calls, `fall_multiple` times what it can do then, and 2 x root of N + 2 more are put down to chance. Prints,
-for fleets of 1 to 200 and several ways in which they know of the outage, the worst window of each seed
-against that, and how long after the return the destination is in full use (too little is a failure as well).
-`unheard`: while it is out, connections get no answer, and the system asks anew after 1 s and 3 s; what comes
-up after the return asks `may_write`, as a transport does, and carries its call if that says so.
+Each relay decides alone, but the budget of a cold destination applies to their sum: in any window of the
+settings' `fall_ms` it accepts N calls, which is `fall_multiple` times its capacity then, and 2 x root of
+N + 2 more are attributed to chance. Prints, for fleets of 1 to 200 and several ways in which they know of the
+outage, the calls in each seed's worst window divided by that limit, and the time from the return until the
+destination is in full use (too few calls are a failure as well). `unheard`: during the outage connection
+attempts get no answer, and the system resends its SYN after 1 s and 3 s; a connection that is established
+after the return asks `may_write`, as a transport does, and makes its call if that is allowed.
 
     python -m benchmarks.cold [--seeds 200] [--json]"""
 
@@ -40,27 +41,27 @@
 
 FLEETS = (1, 5, 20, 30, 200)
 WAYS = ("all know", "half know", "restarted", "uneven", "hint high", "silent", "unheard")
-RATE, LOAD = 40.0, 0.8  # calls a second that it takes warm, and of them that are asked for
+RATE, LOAD = 40.0, 0.8  # capacity of the warm destination in calls/s, and the offered share of it
 DOWN_MS, BACK_MS, END_MS = 4_000.0, 11_000.0, 24_000.0
 SAFETY = Safety(
     warm_up_initial_share=0.18, warm_up_ms=11_000.0, overload_multiple=2.0, overload_window_ms=1_500.0
 )
-HINT = 1.5  # a rough rate may be listed so much too high
+HINT = 1.5  # a rough listed rate may be too high by this factor
 REFUSED_MS, ANSWER_MS = 15.0, 120.0
-SAID_ANEW_MS, CONNECT_MS = (1_000.0, 3_000.0), 5_000.0  # of a connection, and how long a relay waits for it
+SYN_RETRY_MS, CONNECT_MS = (1_000.0, 3_000.0), 5_000.0  # SYN retransmissions; the relay's connect timeout
 CLASS = MessageClass("c", Effect.SAFE, 3_000.0, 12_000.0)
 
 
 @dataclass
 class Play:
-    """One seed of one fleet."""
+    """One run: a fleet size, a way of knowing of the outage, and a seed."""
 
     relays: int
     way: str
     seed: int
     events: list[tuple[float, int, str, int, object]] = field(default_factory=list)
     numbers: Iterator[int] = field(default_factory=count)
-    calls: list[tuple[float, bool]] = field(default_factory=list)  # when, and by one that knew of the outage
+    calls: list[tuple[float, bool]] = field(default_factory=list)  # ms; whether the relay knew of the outage
 
     def run(self) -> Play:
         rng = random.Random(f"{self.relays} {self.way} {self.seed}")
@@ -77,7 +78,7 @@
             tick_ms=5.0,
             safety=SAFETY,
         )
-        self.made = [self._new(rng) for _ in range(self.relays)]
+        self.schedulers = [self._new(rng) for _ in range(self.relays)]
         self.knows = [False] * self.relays
         self.wakes = [float("inf")] * self.relays
         self._arrivals(rng)
@@ -85,26 +86,26 @@
             for n in range(0, self.relays, 2):
                 self.at(rng.uniform(DOWN_MS + 1_000, BACK_MS + 1_000), "restart", n, rng.random())
         while self.events:
-            now, _, what, n, more = heapq.heappop(self.events)
-            if what == "restart":
-                learned = self.made[n].destination_snapshot(now)
-                self.made[n] = self._new(rng)
+            now, _, kind, n, payload = heapq.heappop(self.events)
+            if kind == "restart":
+                learned = self.schedulers[n].destination_snapshot(now)
+                self.schedulers[n] = self._new(rng)
                 self._handle(now, n, list(learned))
-            elif what == "up":
-                assert isinstance(more, StartAttempt)
-                self._up(now, n, more)
-            elif what != "wake":
-                assert isinstance(more, Message | AttemptCompleted)
-                failed = isinstance(more, AttemptCompleted) and more.outcome is not Outcome.OK
+            elif kind == "up":
+                assert isinstance(payload, StartAttempt)
+                self._on_late_connection(now, n, payload)
+            elif kind != "wake":
+                assert isinstance(payload, Message | AttemptCompleted)
+                failed = isinstance(payload, AttemptCompleted) and payload.outcome is not Outcome.OK
                 self.knows[n] = self.knows[n] or (failed and now < BACK_MS)
-                self._handle(now, n, [more])
+                self._handle(now, n, [payload])
             elif self.wakes[n] == now:
                 self._handle(now, n, [TimerFired(0)])
         return self
 
-    def at(self, when: float, what: str, n: int, more: object = None) -> None:
+    def at(self, when: float, kind: str, n: int, payload: object = None) -> None:
         if when < END_MS:
-            heapq.heappush(self.events, (when, next(self.numbers), what, n, more))
+            heapq.heappush(self.events, (when, next(self.numbers), kind, n, payload))
 
     def _new(self, rng: random.Random) -> DeliveryScheduler:
         relay = DeliveryScheduler(self.settings, rng.getrandbits(32))
@@ -115,87 +116,89 @@
 
     def _arrivals(self, rng: random.Random) -> None:
         weights = [1.0 / (1 + n) if self.way == "uneven" else 1.0 for n in range(self.relays)]
-        now, ident = 0.0, 0
+        now, message_id = 0.0, 0
         while (now := now + rng.expovariate(RATE * LOAD) * 1000) < END_MS:
-            ident += 1
+            message_id += 1
             n = rng.choices(range(self.relays), weights)[0]
             if self.way == "half know" and n % 2 and now < BACK_MS:
-                continue  # those have no traffic for it before it is back
-            self.at(now, "event", n, Message(ident, 1, 0, CLASS.deadline_ms))
+                continue  # these relays have no traffic for the destination before its return
+            self.at(now, "event", n, Message(message_id, 1, 0, CLASS.deadline_ms))
 
     def _handle(self, now: float, n: int, events: list[Event]) -> None:
-        for act in self.made[n].handle(now, events):
-            if isinstance(act, SetTimer):
-                self.wakes[n] = now + act.delay_ms
+        for action in self.schedulers[n].handle(now, events):
+            if isinstance(action, SetTimer):
+                self.wakes[n] = now + action.delay_ms
                 self.at(self.wakes[n], "wake", n)
-            elif isinstance(act, StartAttempt):
-                self._call(now, n, act)
+            elif isinstance(action, StartAttempt):
+                self._call(now, n, action)
 
-    def _call(self, now: float, n: int, send: StartAttempt) -> None:
+    def _call(self, now: float, n: int, attempt: StartAttempt) -> None:
         if self.way == "unheard" and DOWN_MS <= now < BACK_MS:
-            until = min(CONNECT_MS, send.give_up_at_ms - now)
-            again = [ms for ms in SAID_ANEW_MS if now + ms >= BACK_MS and ms < until]
-            if again:
-                self.at(now + again[0], "up", n, send)
+            until = min(CONNECT_MS, attempt.give_up_at_ms - now)
+            retries = [ms for ms in SYN_RETRY_MS if now + ms >= BACK_MS and ms < until]
+            if retries:
+                self.at(now + retries[0], "up", n, attempt)
             else:
                 self.at(
                     now + until,
                     "event",
                     n,
-                    AttemptCompleted(send.id, 0, send.endpoint, Outcome.CONNECT_FAILED, until),
+                    AttemptCompleted(attempt.id, 0, attempt.endpoint, Outcome.CONNECT_FAILED, until),
                 )
             return
         self.calls.append((now, self.knows[n]))
-        outcome, took = Outcome.OK, ANSWER_MS
+        outcome, latency_ms = Outcome.OK, ANSWER_MS
         if DOWN_MS <= now < BACK_MS:
             silent = self.way == "silent"
             outcome = Outcome.TIMEOUT if silent else Outcome.CONNECT_FAILED
-            took = send.give_up_at_ms - now if silent else REFUSED_MS
+            latency_ms = attempt.give_up_at_ms - now if silent else REFUSED_MS
         self.at(
-            now + took,
+            now + latency_ms,
             "event",
             n,
-            AttemptCompleted(send.id, 0, send.endpoint, outcome, took, outcome is Outcome.OK),
+            AttemptCompleted(attempt.id, 0, attempt.endpoint, outcome, latency_ms, outcome is Outcome.OK),
         )
 
-    def _up(self, now: float, n: int, send: StartAttempt) -> None:
-        """A connection is there, long after it was asked for."""
-        if self.made[n].may_write(now, send.id):
-            self._call(now, n, send)
+    def _on_late_connection(self, now: float, n: int, attempt: StartAttempt) -> None:
+        """Handles a connection that was established long after its first attempt."""
+        if self.schedulers[n].may_write(now, attempt.id):
+            self._call(now, n, attempt)
         else:
             self._handle(
                 now,
                 n,
-                [AttemptCompleted(send.id, 0, send.endpoint, Outcome.NOT_SENT, 0.0, was_withheld=True)],
+                [AttemptCompleted(attempt.id, 0, attempt.endpoint, Outcome.NOT_SENT, 0.0, was_withheld=True)],
             )
 
-    # -- what came of it ---------------------------------------------------------------------------------
+    # -- results ----------------------------------------------------------------------------------------
 
     def worst(self) -> float:
-        """Of all windows after the return: calls over what the budget and chance allow; only those of which
-        two thirds came from relays that knew, as the rule says."""
-        late, first, worst = [call for call in self.calls if call[0] >= BACK_MS], 0, 0.0
-        for last, (at, _) in enumerate(late):
-            while late[first][0] <= at - SAFETY.overload_window_ms:
+        """Returns the worst ratio of calls to the allowed number over all windows after the return.
+
+        By the rule, a window counts only if two thirds of its calls came from relays that knew of the outage.
+        """
+        calls, first, worst = [call for call in self.calls if call[0] >= BACK_MS], 0, 0.0
+        for last, (at, _) in enumerate(calls):
+            while calls[first][0] <= at - SAFETY.overload_window_ms:
                 first += 1
-            window = late[first : last + 1]
+            window = calls[first : last + 1]
             if 3 * sum(knew for _, knew in window) > 2 * len(window):
                 worst = max(worst, len(window) / allowed(max(BACK_MS, at - SAFETY.overload_window_ms)))
         return worst
 
     def full_use_s(self) -> float:
-        """After the return, until a second brings nine tenths of what is asked for."""
-        late = [at - BACK_MS for at, _ in self.calls if at >= BACK_MS]
+        """Returns the seconds from the return until a second with nine tenths of the offered calls."""
+        call_times = [at - BACK_MS for at, _ in self.calls if at >= BACK_MS]
         for start in range(0, int(END_MS - BACK_MS) - 1000, 100):
-            if sum(start <= at < start + 1000 for at in late) >= 0.9 * RATE * LOAD:
+            if sum(start <= at < start + 1000 for at in call_times) >= 0.9 * RATE * LOAD:
                 return start / 1000
         return (END_MS - BACK_MS) / 1000
 
 
 def allowed(start: float) -> float:
-    middle = min(1.0, (start + SAFETY.overload_window_ms / 2 - BACK_MS) / SAFETY.warm_up_ms)
-    can = RATE * (SAFETY.warm_up_initial_share + (1 - SAFETY.warm_up_initial_share) * middle)
-    budget = SAFETY.overload_multiple * can * SAFETY.overload_window_ms / 1000
+    progress = min(1.0, (start + SAFETY.overload_window_ms / 2 - BACK_MS) / SAFETY.warm_up_ms)
+    capacity = RATE * (SAFETY.warm_up_initial_share + (1 - SAFETY.warm_up_initial_share) * progress)
+    budget = SAFETY.overload_multiple * capacity * SAFETY.overload_window_ms / 1000
     return budget + 2 * sqrt(budget) + 2
 
 
@@ -207,19 +210,19 @@
     worst_p50: float
     worst_p99: float
     worst_max: float
-    over: int  # seeds in which some window is above what is allowed
+    over: int  # number of seeds with a window above the allowed number
     full_use_s_p50: float
 
 
 def one(relays: int, way: str, seed: int) -> tuple[float, float]:
-    play = Play(relays, way, seed).run()
-    return play.worst(), play.full_use_s()
+    simulation = Play(relays, way, seed).run()
+    return simulation.worst(), simulation.full_use_s()
 
 
 def row(relays: int, way: str, seeds: int, pool: ProcessPoolExecutor | None = None) -> Row:
-    spread = pool.map if pool is not None else map
-    got = list(spread(one, [relays] * seeds, [way] * seeds, range(seeds)))
-    worst = sorted(each for each, _ in got)
+    mapper = pool.map if pool is not None else map
+    results = list(mapper(one, [relays] * seeds, [way] * seeds, range(seeds)))
+    worst = sorted(each for each, _ in results)
     return Row(
         relays,
         way,
@@ -228,7 +231,7 @@
         round(worst[int(0.99 * (seeds - 1))], 2),
         round(worst[-1], 2),
         sum(each > 1 for each in worst),
-        median(used for _, used in got),
+        median(used for _, used in results),
     )
 
 
--- a/benchmarks/cold_real.py
+++ b/benchmarks/cold_real.py
@@ -1,18 +1,20 @@
-"""What a fleet of real processes sends a partner that has just come back, against the budget of the rule.
+"""Measures the calls of a fleet of real processes to a partner that has just come back from an outage.
 
     python -m benchmarks.cold_real [--relays 40] [--slots 4] [--rate 60] [--multiple 2] [--plays 3] [--seed 1]
                                    [--unheard] [--connect-ms 1500] [--learn-s 10] [--calls FILE] [--json]
 
-Each relay is a process of its own without an operator's file: `balancers` in the settings tells it how many
-there are, and it decides alone. The partner (fakes.endpoint) is down for 12 s, comes back at 18% of the
-agreed rate and is warm 11 s later; down it refuses connections, or with `--unheard` leaves them without an
-answer, so that those which still wait come up together at its return. Clients hand in at 80% of the rate,
-evenly. As in benchmarks/cold.py, any window of `fall-ms` that begins while it is cold may hold N + 2 x root
-of N + 2 calls, N being `multiple` times what the partner can do in it. `over can` is the worst window against
-what the partner can do alone, without the multiple and without chance; `first`: calls in the first one;
-`knew`: the part of the worst window's calls from relays that had been handed a message while the partner was
-down. `--calls` keeps a line for each call after the return: play, ms since then, message, relay, reply, and
-whether it was handed in before.
+Each relay is a separate process without an operator's file: `balancers` in the settings is the number of
+relays, and each decides alone. The partner (fakes.endpoint) is down for 12 s, comes back at 18% of the agreed
+rate and is warm 11 s later. While down it refuses connections, or with `--unheard` leaves connection attempts
+unanswered, so that the pending ones are established together at its return. Clients submit at 80% of the
+rate, evenly. As in benchmarks/cold.py, any window of `fall-ms` that begins while the partner is cold may
+contain N + 2 x root of N + 2 calls, where N is `multiple` times the partner's capacity in the window.
+
+`worst`: calls in the worst window, divided by that limit. `over can`: calls in the worst window, divided by
+the partner's capacity, without the multiple and the allowance for chance. `first`: calls in the first window.
+`knew`: the share of the worst window's calls from relays that got a message while the partner was down.
+`--calls` writes a line for each call after the return: seed, ms since the return, message, relay, reply, and
+whether the message was submitted before the return.
 """
 
 from __future__ import annotations
@@ -37,11 +39,11 @@
 from .processes import CLASSES, COLD, FALL_MS, WARM_S, expected, free_ports, lines, most, settings
 from .report import report
 
-READY_S = 60.0  # all relays are up by then, or the machine is too slow for this
-STOP_S = 30.0  # a stop takes 3 s at most; forty at once on a busy machine take longer
-DOWN_S, AFTER_S = 12.0, 8.0  # handed in while it is away, and after its return
+READY_S = 60.0  # if not all relays are up by then, the machine is too slow for this benchmark
+STOP_S = 30.0  # a stop takes at most 3 s, but forty at once on a busy machine take longer
+DOWN_S, AFTER_S = 12.0, 8.0  # duration of the traffic during the outage, and after the return
 ANSWER_MS = 150
-USED = 0.9  # of what is handed in, in a second: full use
+USED = 0.9  # a second with this share of the submission rate counts as full use
 
 
 @dataclass(frozen=True)
@@ -52,26 +54,26 @@
     multiple: float
     unheard: bool
     connect_ms: float
-    learn_s: float  # handed in until it goes down
+    learn_s: float  # duration of the traffic before the outage
 
     def settings(self) -> dict[str, Any]:
-        told = settings()
-        told["balancers"] = self.relays
-        told["extra"]["call-slots"] = self.slots
-        told["safety"]["fall-multiple"] = self.multiple
-        told["limits"]["connect-timeout-ms"] = self.connect_ms
-        return told
+        raw = settings()
+        raw["balancers"] = self.relays
+        raw["extra"]["call-slots"] = self.slots
+        raw["safety"]["fall-multiple"] = self.multiple
+        raw["limits"]["connect-timeout-ms"] = self.connect_ms
+        return raw
 
 
 @dataclass(frozen=True)
 class Arrived:
-    """One call at the partner, ms after its return."""
+    """One call at the partner; `at` is in ms after the partner's return."""
 
     at: float
     ident: str
     relay: int
     reply: str
-    before: bool  # its message was handed in before the return
+    before: bool  # whether its message was submitted before the return
 
 
 @dataclass
@@ -80,18 +82,18 @@
     folder: Path
     seed: int
     processes: list[asyncio.subprocess.Process] = field(default_factory=list)
-    handed: dict[str, tuple[int, float]] = field(default_factory=dict)  # message -> its relay, when (Unix ms)
+    submissions: dict[str, tuple[int, float]] = field(default_factory=dict)  # message -> (relay, Unix ms)
     back: float = 0.0  # when the partner returns, Unix ms
 
     async def _start(
-        self, name: str, *args: str, env: dict[str, str] | None = None, says: bool = True
+        self, name: str, *args: str, env: dict[str, str] | None = None, prints_address: bool = True
     ) -> str:
         with open(self.folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 *args,
-                stdout=asyncio.subprocess.PIPE if says else log,
+                stdout=asyncio.subprocess.PIPE if prints_address else log,
                 stderr=log,
                 env={**os.environ, **(env or {})},
             )
@@ -101,14 +103,14 @@
         return (await asyncio.wait_for(process.stdout.readline(), READY_S)).decode().split()[1]
 
     async def _set_up(self) -> None:
-        it = self.setting
-        at = await self._start(
+        setting = self.setting
+        partner_address = await self._start(
             "partner",
             "fakes.endpoint",
             "--answer-ms",
             str(ANSWER_MS),
             "--rate",
-            str(it.rate),
+            str(setting.rate),
             "--armed",
             "--down",
             f"0:{DOWN_S}",
@@ -118,23 +120,23 @@
             str(WARM_S),
             "--calls",
             str(self.folder / "calls"),
-            *(["--unheard"] if it.unheard else []),
+            *(["--unheard"] if setting.unheard else []),
         )
         entry = {
             "instanceId": "p",
-            "hostPort": at,
+            "hostPort": partner_address,
             "zone": "z",
             "machineType": "k",
             "cell": 1,
             "lifecycle": "ready",
-            "weight": it.rate,
+            "weight": setting.rate,
             "startedAtMs": 0,
         }
-        known = {"generation": 1, "reset": True, "instances": [entry]}
-        (self.folder / "list.json").write_text(json.dumps(known))
+        listing = {"generation": 1, "reset": True, "instances": [entry]}
+        (self.folder / "list.json").write_text(json.dumps(listing))
         agent = await self._start("agent", "fakes.discovery_agent", "--list", str(self.folder / "list.json"))
-        self.port = free_ports(it.relays)
-        for n in range(it.relays):
+        self.port = free_ports(setting.relays)
+        for n in range(setting.relays):
             (self.folder / f"state{n}").mkdir()
             (self.folder / f"config{n}.json").write_text(
                 json.dumps(
@@ -144,15 +146,15 @@
                         "discovery": agent,
                         "seed": f"{self.seed * 1000 + n:x}",
                         "state": str(self.folder / f"state{n}"),
-                        "settings": it.settings(),
-                        "known": known,
+                        "settings": setting.settings(),
+                        "known": listing,
                     }
                 )
             )
             env = {"RELAY_CONFIG": str(self.folder / f"config{n}.json")}
-            await self._start(f"relay{n}", "message_relay", env=env, says=False)
+            await self._start(f"relay{n}", "message_relay", env=env, prints_address=False)
         async with asyncio.timeout(READY_S):
-            for n in range(it.relays):
+            for n in range(setting.relays):
                 await self._ready(n)
 
     async def _ready(self, n: int) -> None:
@@ -171,39 +173,43 @@
             await self._traffic()
         finally:
             await self._close()
-        found = []
+        arrived = []
         for line in lines(self.folder / "calls"):
-            at, ident, reply, *_ = line.split()
-            relay, handed = self.handed[ident]
-            found.append(Arrived(float(at) - self.back, ident, relay, reply, handed < self.back))
-        return sorted((each for each in found if each.at >= 0), key=lambda each: each.at)
+            arrived_at, message_id, reply, *_ = line.split()
+            relay, submitted_at = self.submissions[message_id]
+            arrived.append(
+                Arrived(float(arrived_at) - self.back, message_id, relay, reply, submitted_at < self.back)
+            )
+        return sorted((call for call in arrived if call.at >= 0), key=lambda call: call.at)
 
     async def _traffic(self) -> None:
         rng, clients, loop = random.Random(self.seed), Clients(2000.0), asyncio.get_running_loop()
-        work: set[asyncio.Task[None]] = set()
-        at = loop.time()
-        goes = at + self.setting.learn_s
-        while (at := at + rng.expovariate(0.8 * self.setting.rate)) < goes + DOWN_S + AFTER_S:
-            await asyncio.sleep(max(0.0, at - loop.time()))
-            if not self.back and at >= goes:
+        submission_tasks: set[asyncio.Task[None]] = set()
+        due_at = loop.time()
+        down_at = due_at + self.setting.learn_s
+        while (due_at := due_at + rng.expovariate(0.8 * self.setting.rate)) < down_at + DOWN_S + AFTER_S:
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
+            if not self.back and due_at >= down_at:
                 self.back = time.time() * 1000 + DOWN_S * 1000
                 self.processes[0].send_signal(signal.SIGUSR1)
-            task = asyncio.ensure_future(self._hand_in(clients, rng))
-            work.add(task)
-            task.add_done_callback(work.discard)
-        await asyncio.gather(*work)
+            task = asyncio.ensure_future(self._submit(clients, rng))
+            submission_tasks.add(task)
+            task.add_done_callback(submission_tasks.discard)
+        await asyncio.gather(*submission_tasks)
         clients.close()
 
-    async def _hand_in(self, clients: Clients, rng: random.Random) -> None:
-        ident, n = f"m{len(self.handed)}", rng.randrange(self.setting.relays)
+    async def _submit(self, clients: Clients, rng: random.Random) -> None:
+        message_id, n = f"m{len(self.submissions)}", rng.randrange(self.setting.relays)
         class_, _, deadline, _ = rng.choices(CLASSES, [weight for *_, weight in CLASSES])[0]
-        self.handed[ident] = n, time.time() * 1000
-        data = request(ident, class_, 1, deadline, b"x" * 200, f"k{ident}")
+        self.submissions[message_id] = n, time.time() * 1000
+        data = request(message_id, class_, 1, deadline, b"x" * 200, f"k{message_id}")
         await clients.hand_in(("127.0.0.1", self.port + n), data)
 
     def knowing(self) -> set[int]:
-        """Relays that were handed a message while the partner was down: each of them has seen a call fail."""
-        return {n for n, at in self.handed.values() if self.back - DOWN_S * 1000 <= at < self.back - 1000}
+        """Returns the relays that got a message during the outage: each of them has seen a call fail."""
+        return {
+            n for n, at in self.submissions.values() if self.back - DOWN_S * 1000 <= at < self.back - 1000
+        }
 
     async def _close(self) -> None:
         for process in reversed(self.processes):
@@ -217,38 +223,43 @@
                 await process.wait()
 
 
-def row(it: Setting, calls: list[Arrived], knowing: set[int], agreed: Partner) -> dict[str, Any]:
-    """`agreed`: what the partner can do, by time since it went down."""
+def row(setting: Setting, calls: list[Arrived], knowing: set[int], agreed: Partner) -> dict[str, Any]:
+    """Computes the result row. `agreed` models the partner's capacity by the time since it went down."""
     times, worst, over_can, knew = [each.at for each in calls], 0.0, 0.0, 0.0
     budget = 0.0
     for first, at in enumerate(times):
         if at >= WARM_S * 1000:
             break
-        count, can = most(times, at, FALL_MS), agreed.can(DOWN_S * 1000 + at + FALL_MS / 2) * FALL_MS / 1000
-        n = it.multiple * can
-        over_can = max(over_can, count / can)
+        count, capacity = (
+            most(times, at, FALL_MS),
+            agreed.can(DOWN_S * 1000 + at + FALL_MS / 2) * FALL_MS / 1000,
+        )
+        n = setting.multiple * capacity
+        over_can = max(over_can, count / capacity)
         if count / (n + 2 * sqrt(n) + 2) > worst:
             worst, budget = count / (n + 2 * sqrt(n) + 2), n
             knew = sum(each.relay in knowing for each in calls[first : first + count]) / count
     seconds = [most(times, n * 1000.0, 1000.0) for n in range(int(AFTER_S))]
-    full = [n for n, count in enumerate(seconds) if count >= USED * 0.8 * it.rate]
+    full_seconds = [n for n, count in enumerate(seconds) if count >= USED * 0.8 * setting.rate]
     return {
         "worst": worst,
         "N": budget,
         "knew": knew,
         "over can": over_can,
         "first": most(times, 0.0, FALL_MS),
-        "in use s": full[0] if full else AFTER_S,
+        "in use s": full_seconds[0] if full_seconds else AFTER_S,
         "refused": sum(each.reply == "full" for each in calls),
         "by second": seconds,
     }
 
 
-async def play(it: Setting, seed: int) -> tuple[dict[str, Any], list[Arrived]]:
+async def play(setting: Setting, seed: int) -> tuple[dict[str, Any], list[Arrived]]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
-        one = Play(it, Path(folder), seed)
-        calls = await one.run()
-        return row(it, calls, one.knowing(), expected(it.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)), calls
+        fleet_run = Play(setting, Path(folder), seed)
+        calls = await fleet_run.run()
+        return row(
+            setting, calls, fleet_run.knowing(), expected(setting.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)
+        ), calls
 
 
 def main() -> int:
@@ -265,25 +276,26 @@
     parser.add_argument("--learn-s", type=float, default=10.0)
     parser.add_argument("--calls", type=Path)
     args = parser.parse_args()
-    it = Setting(
+    setting = Setting(
         args.relays, args.slots, args.rate, args.multiple, args.unheard, args.connect_ms, args.learn_s
     )
-    rows, kept = [], []
+    rows, call_lines = [], []
     for seed in range(args.seed, args.seed + args.plays):
-        found, calls = asyncio.run(play(it, seed))
-        rows.append({"seed": seed, **found})
-        kept += [
+        result, calls = asyncio.run(play(setting, seed))
+        rows.append({"seed": seed, **result})
+        call_lines += [
             f"{seed} {each.at:.1f} {each.ident} {each.relay} {each.reply} {int(each.before)}\n"
             for each in calls
         ]
     if args.calls is not None:
-        args.calls.write_text("".join(kept))
+        args.calls.write_text("".join(call_lines))
     report(
         rows,
         args.json,
         (
-            f"{it.relays} processes, slots {it.slots}, agreed rate {it.rate:g}/s, multiple {it.multiple:g}"
-            f"{', unheard' * it.unheard}, connections within {it.connect_ms:g} ms; "
+            f"{setting.relays} processes, slots {setting.slots}, agreed rate {setting.rate:g}/s, "
+            f"multiple {setting.multiple:g}{', unheard' * setting.unheard}, "
+            f"connections within {setting.connect_ms:g} ms; "
             "worst: 1.00 = N + 2 x root of N + 2",
             "seed  worst      N   knew  over can  first  in use s  refused  by second",
         ),
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,14 +1,14 @@
-"""What a message costs the decision module, by how much is held for how many destinations.
+"""Measures the decision module's cost for each message, by the number of pending messages and destinations.
 
     python -m benchmarks.decisions [--json] [--messages N] [--rounds N] [--held N --dests N]
 
-The clock is virtual: a message comes each millisecond, and calls end as messages come. Two loads:
+The clock is virtual: a message arrives each millisecond, and calls complete as messages arrive. Two loads:
 
-- `open`: every destination takes calls and the slots are what is short, so that each free one goes to the
-  best of all that is held. What is held is of all ages, so that some of it dies in each step as well.
-- `shut`: all but one destination told this relay to wait, and the traffic goes through the one.
+- `open`: every destination accepts calls and the call slots are the bottleneck, so that each free slot goes
+  to the best of all pending messages. These have all ages, so that some of them expire in each step as well.
+- `shut`: all destinations except one told this relay to wait, and the traffic goes to that one.
 
-The baseline is 70 messages held for one destination, measured before and after each row of the same round.
+The baseline is 70 pending messages for one destination, measured before and after each row of the same round.
 """
 
 from __future__ import annotations
@@ -58,14 +58,14 @@
     load: str
     held: int
     dests: int
-    us_a_message: float  # all turns for one more message: its coming, an outcome, and what died meanwhile
+    us_a_message: float  # all turns for one more message: its arrival, an outcome, and expiries meanwhile
     us_a_turn: float
     worst_ms: float  # the longest turn
-    steps_a_turn: float  # messages and cells looked at
+    steps_a_turn: float  # number of messages and cells examined
 
 
 class Load:
-    """A relay with so many messages held, and the events that keep it so."""
+    """Keeps a relay's scheduler at a given number of pending messages by feeding it events."""
 
     def __init__(self, load: str, held: int, dests: int, seed: int = 1) -> None:
         self.rng, self.now, self.ids, self.turns = random.Random(seed), 1e6, 0, 0
@@ -95,26 +95,32 @@
         )
         if load == "shut":
             for dest in range(2, dests + 1):
-                self._shut(dest)
+                self._make_destination_wait(dest)
         while len(self.relay.pending.by_id) < held:
             self.feed(self._message(age_ms=self.rng.uniform(0.0, 7000.0)))
         self.relay.handle(self.now, [])
         gc.collect()
-        gc.freeze()  # as the daemon does: a pass over all that is held is no part of a turn
+        gc.freeze()  # as the relay process does: a full collection is not part of a turn
 
     def feed(self, event: Event) -> None:
-        begun = time.perf_counter()
-        acts = self.relay.handle(self.now, [event])
-        took = time.perf_counter() - begun
-        self.turns, self.took, self.longest = self.turns + 1, self.took + took, max(self.longest, took)
-        self.out.extend(act for act in acts if isinstance(act, StartAttempt))
+        started_at = time.perf_counter()
+        actions = self.relay.handle(self.now, [event])
+        elapsed_s = time.perf_counter() - started_at
+        self.turns, self.took, self.longest = (
+            self.turns + 1,
+            self.took + elapsed_s,
+            max(self.longest, elapsed_s),
+        )
+        self.out.extend(action for action in actions if isinstance(action, StartAttempt))
 
-    def _shut(self, dest: int) -> None:
+    def _make_destination_wait(self, dest: int) -> None:
         self.ids += 1
         self.feed(Message(self.ids, dest, 2, 8000.0))
         while self.out:
-            send = self.out.popleft()
-            self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.FULL, 20.0, retry_after_ms=3.6e6))
+            attempt = self.out.popleft()
+            self.feed(
+                AttemptCompleted(attempt.id, 0, attempt.endpoint, Outcome.FULL, 20.0, retry_after_ms=3.6e6)
+            )
 
     def _message(self, age_ms: float | None = None) -> Message:
         self.ids += 1
@@ -122,20 +128,25 @@
         dest = self.rng.randint(1, self.dests)
         if self.load == "shut" and age_ms is None:
             dest = 1
-        left = CLASSES[class_].deadline_ms - (age_ms or 0.0)
-        # Those that are there at the beginning have had a try: they may make room for others.
-        tries = 0 if age_ms is None else 1
-        return Message(self.ids, dest, class_, left, self.rng.randrange(2), age_ms=age_ms, attempts=tries)
+        remaining_ms = CLASSES[class_].deadline_ms - (age_ms or 0.0)
+        # The initial messages have had an attempt, so that new messages may displace them.
+        attempts = 0 if age_ms is None else 1
+        return Message(
+            self.ids, dest, class_, remaining_ms, self.rng.randrange(2), age_ms=age_ms, attempts=attempts
+        )
 
     def run(self, messages: int) -> None:
-        """So many more messages: each comes, and the oldest call ends, as long as enough are held."""
+        """Feeds so many messages; with each one that arrives, the oldest call completes.
+
+        A message arrives only while fewer than `held` are pending.
+        """
         for _ in range(messages):
             self.now += STEP_MS
             while len(self.relay.pending.by_id) < self.held:
                 self.feed(self._message())
             if self.out:
-                send = self.out.popleft()
-                self.feed(AttemptCompleted(send.id, 0, send.endpoint, Outcome.OK, 20.0, True))
+                attempt = self.out.popleft()
+                self.feed(AttemptCompleted(attempt.id, 0, attempt.endpoint, Outcome.OK, 20.0, True))
 
     def measure(self, messages: int) -> Row:
         self.run(messages // 10)
@@ -166,17 +177,19 @@
     parser.add_argument("--dests", type=int)
     args = parser.parse_args()
     sizes = ((args.held, args.dests or 1),) if args.held else SIZES
-    out = []
+    output_rows = []
     for load in ("open", "shut"):
         for size in sizes:
             rows, ratios = [], []
             for seed in range(args.rounds):
-                base = Load(load, BASE[0], BASE[1], seed).measure(args.messages)
+                base_before = Load(load, BASE[0], BASE[1], seed).measure(args.messages)
                 row = Load(load, size[0], size[1], seed).measure(args.messages)
-                again = Load(load, BASE[0], BASE[1], seed).measure(args.messages)
+                base_after = Load(load, BASE[0], BASE[1], seed).measure(args.messages)
                 rows.append(row)
-                ratios.append(row.us_a_message / statistics.mean((base.us_a_message, again.us_a_message)))
-            out.append(
+                ratios.append(
+                    row.us_a_message / statistics.mean((base_before.us_a_message, base_after.us_a_message))
+                )
+            output_rows.append(
                 {
                     **asdict(median(rows)),
                     "ratio": statistics.median(ratios),
@@ -185,7 +198,7 @@
                 }
             )
     report(
-        out,
+        output_rows,
         args.json,
         (
             f"against {BASE[0]} held for {BASE[1]}; {args.messages} messages, median of {args.rounds} rounds",
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -1,11 +1,12 @@
-"""Many relays in zones, in virtual time, through faults: plans against each relay alone and a static switch.
+"""Simulates many relays in zones through faults, in virtual time: plans, relays alone, and a static switch.
 
     python -m benchmarks.failover_fleet [--json] [--relays 200] [--seeds 5] [--processes 4]
-    python -m benchmarks.failover_fleet --chart FILE.svg    one shift: what each zone's partners are called
+    python -m benchmarks.failover_fleet --chart FILE.svg    plots the calls to each zone's partners
 
-Same traffic and same faults for all three; ratios are by seed, told as median, least and most. Each zone's
-partners do 1.4 times what their own relays ask for, refused calls use that up, and one that comes back cold
-falls over when it is pushed past twice what it can do. `worst` is the worst span of ten seconds."""
+All three modes get the same traffic and the same faults; ratios are taken seed by seed and printed as median,
+minimum and maximum. The capacity of each zone's partners is 1.4 times the demand of its own relays, refused
+calls count against it, and a cold partner fails when it is loaded beyond twice its capacity. `worst` is the
+service in the worst ten seconds."""
 
 from __future__ import annotations
 
@@ -40,11 +41,11 @@
 
 
 def fleet(relays: int, seed: int, place: Place) -> Zoned:
-    """Ready to run."""
+    """Returns a simulation that is ready to run."""
     rate = EACH * relays
-    told = {"per_s": 1.4 * rate / DESTINATIONS / 3, "counts_refused": True, "wait_ms": [200.0, 900.0]}
-    partner = {"rate": told, "cold": {"share": 0.18, "fall_multiple": 2.0}}
-    it = decoded(
+    capacity = {"per_s": 1.4 * rate / DESTINATIONS / 3, "counts_refused": True, "wait_ms": [200.0, 900.0]}
+    partner = {"rate": capacity, "cold": {"share": 0.18, "fall_multiple": 2.0}}
+    experiment = decoded(
         {
             "name": "zones",
             "traffic": {"rate": rate, "seconds": SECONDS, "warm_s": 5.0},
@@ -53,7 +54,7 @@
         },
         "benchmark",
     )
-    return Zoned(it, seed, place)
+    return Zoned(experiment, seed, place)
 
 
 def world_of(case: str, mode: Mode, seed: int, relays: int) -> Zoned:
@@ -71,7 +72,7 @@
 
 
 def chart(path: str, relays: int) -> None:
-    """Calls a second that the partners of each zone get, alone and by plans, of the first seed."""
+    """Plots calls per second to the partners of each zone with the first seed, relays alone and by plans."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -106,27 +107,29 @@
 
 
 def measured(case: str, relays: int, seeds: int, pool: ProcessPoolExecutor) -> dict[str, Any]:
-    asked = [(mode, seed) for mode in MODES for seed in range(1, seeds + 1)]
-    told = [pool.submit(play, case, mode, seed, relays) for mode, seed in asked]
-    found: dict[tuple[str, int], dict[str, float]] = {
-        (mode, seed): each.result() for (mode, seed), each in zip(asked, told, strict=True)
+    jobs = [(mode, seed) for mode in MODES for seed in range(1, seeds + 1)]
+    pending_results = [pool.submit(play, case, mode, seed, relays) for mode, seed in jobs]
+    figures: dict[tuple[str, int], dict[str, float]] = {
+        (mode, seed): pending.result() for (mode, seed), pending in zip(jobs, pending_results, strict=True)
     }
-    row: dict[str, Any] = {"broken": sum(each["broken"] for each in found.values())}
+    row: dict[str, Any] = {"broken": sum(run_figures["broken"] for run_figures in figures.values())}
     for name, figure in (("worth", "service"), ("worst", "worst_10s")):
         for base in ("alone", "static"):
             row[f"{name}_ratio_{base}"] = spread(
-                [found["plans", n][figure] / found[base, n][figure] for n in range(1, seeds + 1)]
+                [figures["plans", n][figure] / figures[base, n][figure] for n in range(1, seeds + 1)]
             )
     for figure in ("over_1s", "over_cold", "falls", "near", "versions"):
-        row[figure] = {mode: spread([found[mode, n][figure] for n in range(1, seeds + 1)]) for mode in MODES}
+        row[figure] = {
+            mode: spread([figures[mode, n][figure] for n in range(1, seeds + 1)]) for mode in MODES
+        }
     return row
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0] if __doc__ else None)
     parser.add_argument("--json", action="store_true")
-    for name, usual in (("relays", 200), ("seeds", 5), ("processes", 4)):
-        parser.add_argument(f"--{name}", type=int, default=usual)
+    for name, default in (("relays", 200), ("seeds", 5), ("processes", 4)):
+        parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--chart", default="")
     args = parser.parse_args()
     if args.chart:
@@ -139,8 +142,8 @@
         return
     for case, row in rows.items():
         print(case)
-        for name, told in row.items():
-            print(f"  {name:20} {told}")
+        for name, value in row.items():
+            print(f"  {name:20} {value}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -1,8 +1,9 @@
-"""The least a relay of this kind can cost: h11 on both sides, a write for each journal record, no decisions.
+"""A minimal relay, as the cost floor: h11 on both sides, a write for each journal record, no decisions.
 
-Started by benchmarks.relay with the relay's own variables. It takes a message, writes its record, answers
-202, makes the call on a kept connection, and writes a record before the call's first byte and one at its end.
-What it cannot call at once waits in a plain queue; with `hold` messages held it answers 503.
+benchmarks.relay starts it with the relay's own environment variables. It accepts a message, writes a record,
+answers 202 and makes the call on a persistent connection; it writes a record before the call's first byte and
+one at its completion. Messages that it cannot send at once wait in a FIFO queue; with `hold` pending messages
+it answers 503.
 """
 
 from __future__ import annotations
@@ -33,54 +34,54 @@
         self.held = self.busy = 0
         self.idle: list[Call] = []
 
-    def record(self, **what: object) -> None:
-        text = json.dumps(what, separators=(",", ":")).encode()
+    def record(self, **fields: object) -> None:
+        text = json.dumps(fields, separators=(",", ":")).encode()
         os.write(self.file, b"%08x %s\n" % (zlib.crc32(text), text))
 
-    def take(self, ident: str, body: bytes) -> bool:
+    def accept(self, message_id: str, body: bytes) -> bool:
         if self.held >= self.hold:
             return False
         self.held += 1
-        self.record(k="take", id=ident, body=body.decode("latin-1"))
-        self.queue.append((ident, body))
-        self.next()
+        self.record(k="take", id=message_id, body=body.decode("latin-1"))
+        self.queue.append((message_id, body))
+        self.start_next()
         return True
 
-    def next(self) -> None:
+    def start_next(self) -> None:
         while self.queue and self.busy < self.slots:
             self.busy += 1
-            ident, body = self.queue.popleft()
+            message_id, body = self.queue.popleft()
             if self.idle:
-                self.idle.pop().begin(ident, body)
+                self.idle.pop().begin(message_id, body)
             else:
-                call = Call(self, ident, body)
+                call = Call(self, message_id, body)
                 task = asyncio.get_running_loop().create_task(call.connect())
                 call.task = task
 
 
 class Call(asyncio.Protocol):
-    def __init__(self, floor: Floor, ident: str, body: bytes) -> None:
-        self.floor, self.ident, self.body = floor, ident, body
+    def __init__(self, floor: Floor, message_id: str, body: bytes) -> None:
+        self.floor, self.message_id, self.body = floor, message_id, body
         self.http = h11.Connection(h11.CLIENT)
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
 
     async def connect(self) -> None:
         await asyncio.get_running_loop().create_connection(lambda: self, *self.floor.partner)
-        self.begin(self.ident, self.body)
+        self.begin(self.message_id, self.body)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def begin(self, ident: str, body: bytes) -> None:
+    def begin(self, message_id: str, body: bytes) -> None:
         assert self.transport is not None
-        self.ident, self.body = ident, body
-        self.floor.record(k="try", id=ident)
+        self.message_id, self.body = message_id, body
+        self.floor.record(k="try", id=message_id)
         request = h11.Request(
             method="POST",
             target="/inbox",
-            headers=[("Host", "x"), ("X-Trace-Id", ident), ("Content-Length", str(len(body)))],
+            headers=[("Host", "x"), ("X-Trace-Id", message_id), ("Content-Length", str(len(body)))],
         )
         self.transport.write(
             b"".join(
@@ -92,19 +93,19 @@
         self.http.receive_data(data)
         while (event := self.http.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.EndOfMessage):
-                self.floor.record(k="end", id=self.ident)
+                self.floor.record(k="end", id=self.message_id)
                 self.http.start_next_cycle()
                 self.floor.held -= 1
                 self.floor.busy -= 1
                 self.floor.idle.append(self)
-                self.floor.next()
+                self.floor.start_next()
                 return
 
 
 class Client(asyncio.Protocol):
     def __init__(self, floor: Floor) -> None:
         self.floor, self.http = floor, h11.Connection(h11.SERVER)
-        self.ident, self.body = "", b""
+        self.message_id, self.body = "", b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -115,14 +116,18 @@
         while True:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
-                found = dict(event.headers)
-                self.ident, self.body = found.get(b"x-trace-id", b"").decode("latin-1"), b""
+                headers = dict(event.headers)
+                self.message_id, self.body = headers.get(b"x-trace-id", b"").decode("latin-1"), b""
             elif isinstance(event, h11.Data):
                 self.body += event.data
             elif isinstance(event, h11.EndOfMessage):
-                taken = not self.ident or self.floor.take(self.ident, self.body)
-                answer = h11.Response(status_code=202 if taken else 503, headers=[("Content-Length", "0")])
-                self.transport.write(b"".join(self.http.send(e) or b"" for e in (answer, h11.EndOfMessage())))
+                accepted = not self.message_id or self.floor.accept(self.message_id, self.body)
+                response = h11.Response(
+                    status_code=202 if accepted else 503, headers=[("Content-Length", "0")]
+                )
+                self.transport.write(
+                    b"".join(self.http.send(part) or b"" for part in (response, h11.EndOfMessage()))
+                )
                 self.http.start_next_cycle()
             else:
                 return
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,12 +1,12 @@
-"""SIGKILL of the real process at random moments, while its journal gives up segments under traffic.
+"""Kills the real process with SIGKILL at random moments, while its journal deletes segments under traffic.
 
     python -m benchmarks.kills [--kills 300] [--seed 1] [--json]
 
-One relay with a small budget for its journal (so that it gives up segments all the time), a partner that
-refuses, fails and hangs by chance (fakes.endpoint), a register that counts notices (fakes.discovery_agent),
-clients without pause. After each kill it is started anew on its folder. At the end every message that was
-taken must have an effect at the partner or a final answer, and no `pay` an effect twice: the partner's
-ledger takes a `pay` as often as it comes, since those carry no key."""
+One relay with a small journal budget (so that it deletes segments all the time), a partner that randomly
+refuses, fails and hangs (fakes.endpoint), a discovery agent that records notices (fakes.discovery_agent), and
+clients that submit without pause. After each kill the relay is restarted on its state folder. At the end
+every accepted message must have taken effect at the partner or have a final outcome, and no `pay` may have
+taken effect twice: the partner's ledger records each delivery of a `pay`, since those carry no key."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     taken: int = 0
     effects: int = 0
     notices: int = 0
-    segments: int = 0  # that were begun
+    segments: int = 0  # number of segments created
     restart_s: float = 0.0  # mean, from the kill to the next 200 of /healthz
     broken: list[str] = field(default_factory=list)
 
@@ -95,12 +95,12 @@
 
     async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.numbers += 1
-        ident = f"m{self.numbers}"
+        message_id = f"m{self.numbers}"
         class_ = self.rng.choice(("order", "pay", "status"))
         body = bytes(self.rng.choice((100, 100, 400, 9000)))
-        key = f"Idempotency-Key: k{ident}\r\n" if class_ == "order" else ""
+        key = f"Idempotency-Key: k{message_id}\r\n" if class_ == "order" else ""
         writer.write(
-            f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {ident}\r\nX-Qos: {class_}\r\n"
+            f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {message_id}\r\nX-Qos: {class_}\r\n"
             f"X-Customer: t\r\nX-Expires-In-Ms: {4000}\r\n{key}X-Addressing: dest=1\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
@@ -109,7 +109,7 @@
         length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
         await reader.readexactly(int(length or 0))
         if b" 202 " in head[:13]:
-            self.accepted[ident] = class_
+            self.accepted[message_id] = class_
         else:
             await asyncio.sleep(0.02)
 
@@ -117,7 +117,7 @@
 async def measure(folder: Path, kills: int, seed: int) -> Row:
     rng, row = random.Random(seed), Row()
     (folder / "state").mkdir()
-    partner, at = await started(
+    partner, partner_address = await started(
         "fakes.endpoint",
         "--answer-ms",
         "15",
@@ -130,13 +130,13 @@
         "--ledger",
         str(folder / "effects"),
     )
-    known = {
+    listing = {
         "generation": 1,
         "reset": True,
         "instances": [
             {
                 "instanceId": "p",
-                "hostPort": at,
+                "hostPort": partner_address,
                 "zone": "z",
                 "machineType": "k",
                 "cell": 1,
@@ -146,7 +146,7 @@
             }
         ],
     }
-    (folder / "list.json").write_text(json.dumps(known))
+    (folder / "list.json").write_text(json.dumps(listing))
     agent, discovery = await started(
         "fakes.discovery_agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
     )
@@ -160,7 +160,7 @@
                 "listen": f"127.0.0.1:{port}",
                 "discovery": discovery,
                 "seed": "1",
-                "known": known,
+                "known": listing,
                 "state": str(folder / "state"),
                 "settings": raw,
                 "limits": {"disk_mb": DISK_MB},
@@ -185,7 +185,7 @@
         for client in clients:
             client.cancel()
         await asyncio.gather(*clients, return_exceptions=True)
-        await asyncio.sleep(5.0)  # past every deadline
+        await asyncio.sleep(5.0)  # longer than every deadline
         numbers = [int(path.name[4:]) for path in (folder / "state").glob("seg-*")]
         row.segments = max(numbers)
         relay.send_signal(signal.SIGTERM)
@@ -196,17 +196,23 @@
                 process.kill()
                 await process.wait()
     effects = Counter(line.split()[1] for line in lines(folder / "effects"))
-    ends: dict[str, set[str]] = {}
+    final_states: dict[str, set[str]] = {}
     for item in map(json.loads, lines(folder / "notices")):
-        ends.setdefault(item["id"], set()).add(item["state"])
-    row.taken, row.effects, row.notices = len(traffic.accepted), len(effects), len(ends)
-    finished = effects.keys() | ends.keys()
-    row.broken += [f"{ident}: no end" for ident in traffic.accepted if ident not in finished]
-    row.broken += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
+        final_states.setdefault(item["id"], set()).add(item["state"])
+    row.taken, row.effects, row.notices = len(traffic.accepted), len(effects), len(final_states)
+    finished = effects.keys() | final_states.keys()
     row.broken += [
-        f"{ident}: took effect {effects[ident]} times"
-        for ident, class_ in traffic.accepted.items()
-        if class_ == "pay" and effects[ident] > 1
+        f"{message_id}: no final outcome" for message_id in traffic.accepted if message_id not in finished
+    ]
+    row.broken += [
+        f"{message_id}: several final outcomes {sorted(states)}"
+        for message_id, states in final_states.items()
+        if len(states) > 1
+    ]
+    row.broken += [
+        f"{message_id}: took effect {effects[message_id]} times"
+        for message_id, class_ in traffic.accepted.items()
+        if class_ == "pay" and effects[message_id] > 1
     ]
     return row
 
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -1,11 +1,11 @@
-"""Two builds of the relay on each other's state folders, and side by side in one fleet.
+"""Runs two builds of the relay on each other's state folders, and together in one fleet.
 
     python -m benchmarks.mixed_builds --other CHECKOUT [--json] [--rate 60] [--seconds 6]
 
-CHECKOUT is a work tree of another revision. The plays, each with an independent ledger at the destination:
+CHECKOUT is a work tree of another revision. The runs, each with an independent ledger at the destination:
 
 `state folders`: four instances with gossip, consensus and failover run this build, the other one, this one
-and the other one again, each on the folders and the operator's file that the build before has left. Each
+and the other one again, each on the folders and the operator's file that the previous build has left. Each
 change of build happens under traffic: one instance is stopped with SIGTERM, the others with SIGKILL. A
 version of the rules is proposed by each build, and the next build has to act by it. Each build also writes
 a dump of the Raft log and, while no partner answers, a snapshot of its destinations' states; the
@@ -47,7 +47,7 @@
 RATES = (900, 800, 700, 600, 500, 400)
 VERSION_TIMEOUT_S, DRAIN_TIMEOUT_S = 30.0, 30.0
 FILE_TIMEOUT_S = 90.0  # an instance compacts its Raft log every 30 s
-SHARD_BOUND_S = 12.0  # from a change at the servers until the last call by the earlier list
+SHARD_BOUND_S = 12.0  # from a change at the servers until the last call by the previous list
 
 
 def build_environment(checkout: Path) -> dict[str, str]:
@@ -100,7 +100,9 @@
             while min([await version_in_force(fleet, n) for n in range(fleet.instances)]) < version:
                 await asyncio.sleep(0.05)
     except TimeoutError:
-        raise TimeoutError(f"not at version {version}: {await fleet.describe_instances()}") from None
+        raise TimeoutError(
+            f"not all instances act by version {version} or later: {await fleet.describe_instances()}"
+        ) from None
 
 
 async def propose_and_wait(fleet: ClusterHarness, proposer: int, rate: int) -> int:
@@ -108,11 +110,11 @@
     async with asyncio.timeout(VERSION_TIMEOUT_S):
         while True:
             with contextlib.suppress(StatusError):
-                answer = await fleet.propose(proposer, rules_with_rate(rate))
-                if not answer["refused"]:
+                reply = await fleet.propose(proposer, rules_with_rate(rate))
+                if not reply["refused"]:
                     break
             await asyncio.sleep(0.2)
-    number = int(answer["number"])
+    number = int(reply["number"])
     await wait_for_at_least(fleet, number)
     return number
 
@@ -245,8 +247,8 @@
             await asyncio.sleep(seconds / 2)
             fleet.move(*range(1, 11))
             await asyncio.sleep(seconds / 2)
-            for n, how in ((1, signal.SIGKILL), (2, signal.SIGTERM)):
-                await fleet.kill(n, how)
+            for n, signal_number in ((1, signal.SIGKILL), (2, signal.SIGTERM)):
+                await fleet.kill(n, signal_number)
                 fleet.more_env[n] = build_environment(builds[(n + 1) % 2])
                 fleet.move(*range(11, 21))
                 await fleet.start_instance(n)
@@ -258,7 +260,7 @@
         broken = fleet.broken(clients.accepted)
         latest = max(fleet.lateness_of_moves())
         if latest > SHARD_BOUND_S:
-            broken.append(f"a destination was called by the earlier list {latest:.1f} s after it moved")
+            broken.append(f"a destination was called at its previous address {latest:.1f} s after it moved")
         return {
             "play": "mixed shards",
             "versions": [],
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,13 +1,14 @@
-"""The model of the fleet itself: how near it comes to real relays, how quick it is, what intervals are worth.
+"""Validates the fleet model: agreement with real relays, speed, and coverage of its intervals.
 
-    python -m benchmarks.model live [FILE...] [--seeds 3] [--json]   figures beside those of real processes
-    python -m benchmarks.model speed [--json]                        virtual seconds a second, by fleet size
-    python -m benchmarks.model common [--json]                       what common random numbers buy
-    python -m benchmarks.model coverage [--json]                     200 A/A experiments, whole and early
+    python -m benchmarks.model live [FILE...] [--seeds 3] [--json]   figures compared with real processes
+    python -m benchmarks.model speed [--json]                        virtual seconds per second, by fleet size
+    python -m benchmarks.model common [--json]                       variance with common random numbers
+    python -m benchmarks.model coverage [--json]                     200 A/A experiments, full and shortened
 
-`live` plays the experiments side by side, all files at once. A figure agrees if the mean of the live runs
-lies in the model's 95% prediction interval for a mean of so many runs: t * s * sqrt(1/n + 1/m), s over the
-model's n seeds, m live ones. Where the model has no spread at all, LEAST is taken.
+`live` runs the experiments of all files in parallel. A figure agrees if the mean of the m live runs lies in
+the model's 95% prediction interval for such a mean: t * s * sqrt(1/n + 1/m), where s is the standard
+deviation over the model's n seeds. LEAST is the smallest half width, for figures without variance in the
+model.
 """
 
 from __future__ import annotations
@@ -47,49 +48,55 @@
     "calls",
     "unsafe_failed",
 )
-LEAST = 0.02  # of a figure's own size: what a real clock and TCP may add where the model knows no chance
+LEAST = 0.02  # relative to the figure: variation by a real clock and TCP that the model does not have
 EXPERIMENTS, SEEDS = 200, 10
 CORES = len(os.sched_getaffinity(0))
 
 
 def quiet(done: int, every: int) -> None:
-    """No progress is shown."""
+    """Ignores progress reports."""
 
 
 def live(files: list[Path], seeds: int) -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
     experiments = [read(file) for file in files]
-    jobs = [(it, it.variants[0], seed) for it in experiments for seed in range(1, seeds + 1)]
+    jobs = [
+        (experiment, experiment.variants[0], seed)
+        for experiment in experiments
+        for seed in range(1, seeds + 1)
+    ]
     with ProcessPoolExecutor(min(4, len(jobs)), get_context("spawn")) as pool:
-        played = list(pool.map(one_live, *zip(*jobs, strict=True)))
-    for n, it in enumerate(experiments):
+        results = list(pool.map(one_live, *zip(*jobs, strict=True)))
+    for n, experiment in enumerate(experiments):
         with tempfile.TemporaryDirectory() as folder:
-            Runs(it, Path(folder)).run(CORES, quiet)
+            Runs(experiment, Path(folder)).run(CORES, quiet)
             (model,) = by_variant(Path(folder)).values()
-        real = played[n * seeds : (n + 1) * seeds]
-        breaks = sum(result.breaks for result in real)
+        live_results = results[n * seeds : (n + 1) * seeds]
+        breaks = sum(result.breaks for result in live_results)
         for name in SHOWN:
-            drawn = np.array([value for value in row(model, name) if not math.isnan(value)])
-            seen = [value for value in (result.figure(name) for result in real) if not math.isnan(value)]
-            if not len(drawn) or not seen:
+            model_values = np.array([value for value in row(model, name) if not math.isnan(value)])
+            live_values = [
+                value for value in (result.figure(name) for result in live_results) if not math.isnan(value)
+            ]
+            if not len(model_values) or not live_values:
                 continue
-            mean = float(drawn.mean())
-            width = float(
-                stats.t.ppf(0.975, len(drawn) - 1)
-                * drawn.std(ddof=1)
-                * math.sqrt(1 / len(drawn) + 1 / len(seen))
+            mean = float(model_values.mean())
+            half_width = float(
+                stats.t.ppf(0.975, len(model_values) - 1)
+                * model_values.std(ddof=1)
+                * math.sqrt(1 / len(model_values) + 1 / len(live_values))
             )
-            width = max(width, LEAST * abs(mean))
-            got = float(np.mean(seen))
+            half_width = max(half_width, LEAST * abs(mean))
+            live_mean = float(np.mean(live_values))
             rows.append(
                 {
-                    "experiment": it.name.rpartition(": ")[2],
+                    "experiment": experiment.name.rpartition(": ")[2],
                     "figure": name,
                     "model": mean,
-                    "low": mean - width,
-                    "high": mean + width,
-                    "live": got,
-                    "agrees": mean - width <= got <= mean + width,
+                    "low": mean - half_width,
+                    "high": mean + half_width,
+                    "live": live_mean,
+                    "agrees": mean - half_width <= live_mean <= mean + half_width,
                     "rules broken live": breaks,
                 }
             )
@@ -108,12 +115,12 @@
     )
 
 
-def timed(it: Experiment, seed: int) -> tuple[float, float]:
-    """Wall seconds, and virtual ones."""
-    begun = time.perf_counter()
-    one(it, it.variants[0], seed)
-    longest = max(each.deadline_ms for each in it.classes) / 1000
-    return time.perf_counter() - begun, it.traffic.seconds + longest
+def timed(experiment: Experiment, seed: int) -> tuple[float, float]:
+    """Runs one seed; returns (wall-clock seconds, virtual seconds)."""
+    started_at = time.perf_counter()
+    one(experiment, experiment.variants[0], seed)
+    longest = max(class_.deadline_ms for class_ in experiment.classes) / 1000
+    return time.perf_counter() - started_at, experiment.traffic.seconds + longest
 
 
 def speed() -> list[dict[str, Any]]:
@@ -127,20 +134,20 @@
         (100, 1000.0),
         (200, 1000.0),
     ):
-        it = sized(relays, rate, max(20.0, 6000.0 / rate))
-        took, _ = timed(it, 1)
-        begun = time.perf_counter()
+        experiment = sized(relays, rate, max(20.0, 6000.0 / rate))
+        single_s, _ = timed(experiment, 1)
+        started_at = time.perf_counter()
         with ProcessPoolExecutor(CORES, get_context("forkserver")) as pool:
-            list(pool.map(timed, [it] * CORES, range(CORES)))
-        every = time.perf_counter() - begun
+            list(pool.map(timed, [experiment] * CORES, range(CORES)))
+        parallel_s = time.perf_counter() - started_at
         rows.append(
             {
                 "relays": relays,
                 "messages a s": rate,
-                "one process": it.traffic.seconds / took,
-                "all processes": CORES * it.traffic.seconds / every,
+                "one process": experiment.traffic.seconds / single_s,
+                "all processes": CORES * experiment.traffic.seconds / parallel_s,
                 "processes": CORES,
-                "us a message": took * 1e6 / (rate * it.traffic.seconds),
+                "us a message": single_s * 1e6 / (rate * experiment.traffic.seconds),
             }
         )
     return rows
@@ -149,7 +156,7 @@
 def common() -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
     for kind in ("none", "streams", "calls"):
-        it = decoded(
+        experiment = decoded(
             {
                 "name": "common",
                 "seeds": 40,
@@ -171,18 +178,18 @@
             "common",
         )
         with tempfile.TemporaryDirectory() as folder:
-            Runs(it, Path(folder)).run(CORES, quiet)
-            found = by_variant(Path(folder))
-        diff = difference(row(found["A"], "service"), row(found["B"], "service"))
+            Runs(experiment, Path(folder)).run(CORES, quiet)
+            runs = by_variant(Path(folder))
+        diff = difference(row(runs["A"], "service"), row(runs["B"], "service"))
         rows.append({"common": kind, "mean": diff.mean, "half": diff.half})
-    for each in rows:
-        each["variance"] = (each["half"] / rows[0]["half"]) ** 2
+    for entry in rows:
+        entry["variance"] = (entry["half"] / rows[0]["half"]) ** 2
     return rows
 
 
 def coverage() -> list[dict[str, Any]]:
-    """Independent runs of one relay as A and as B, a fresh pair for each seed of each experiment."""
-    it = decoded(
+    """Compares identical variants A and B in independent runs, with a new pair for each seed."""
+    experiment = decoded(
         {
             "name": "a/a",
             "seeds": EXPERIMENTS * SEEDS,
@@ -199,27 +206,27 @@
         "a/a",
     )
     with tempfile.TemporaryDirectory() as folder:
-        Runs(it, Path(folder)).run(CORES, quiet)
-        found = by_variant(Path(folder))
-    a, b = np.array(row(found["A"], "service")), np.array(row(found["B"], "service"))
-    whole = sum(
+        Runs(experiment, Path(folder)).run(CORES, quiet)
+        runs = by_variant(Path(folder))
+    a, b = np.array(row(runs["A"], "service")), np.array(row(runs["B"], "service"))
+    complete = sum(
         difference(list(a[n::EXPERIMENTS]), list(b[n::EXPERIMENTS])).holds(0.0) for n in range(EXPERIMENTS)
     )
     diffs, rng = a - b, stream(1, "stopping")
-    target = float(diffs.std()) * float(stats.t.ppf(0.975, 20)) / math.sqrt(20)  # some 20 seeds
-    stopped, taken = 0, 0
+    target = float(diffs.std()) * float(stats.t.ppf(0.975, 20)) / math.sqrt(20)  # about 20 seeds
+    stopped, seeds_used = 0, 0
     for _ in range(EXPERIMENTS * 5):
         drawn = rng.choice(diffs, 60, replace=False) - diffs.mean()
         for n in looks(60):
-            found_ = difference([0.0] * n, list(drawn[:n]))
-            if found_.half <= target:
+            interval = difference([0.0] * n, list(drawn[:n]))
+            if interval.half <= target:
                 break
-        stopped += found_.holds(0.0)
-        taken += n
+        stopped += interval.holds(0.0)
+        seeds_used += n
     return [
-        {"what": f"{SEEDS} seeds, not stopped", "experiments": EXPERIMENTS, "covers": whole / EXPERIMENTS},
+        {"what": f"{SEEDS} seeds, not stopped", "experiments": EXPERIMENTS, "covers": complete / EXPERIMENTS},
         {
-            "what": f"stopped early, {taken / EXPERIMENTS / 5:.0f} seeds on average",
+            "what": f"stopped early, {seeds_used / EXPERIMENTS / 5:.0f} seeds on average",
             "experiments": EXPERIMENTS * 5,
             "covers": stopped / EXPERIMENTS / 5,
         },
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,15 +1,17 @@
-"""A fleet of real processes under its supervisor, a partner with an agreed rate, and clients.
+"""Runs a fleet of real processes under its supervisor, with a partner that has an agreed rate, and clients.
 
     python -m benchmarks.processes [--json] [--instances 40] [--rate 60] [--modes shared,alone] [--rolls 1]
 
-The supervisor (`message_relay fleet`), the partner (fakes.endpoint) and the register (fakes.discovery_agent)
-are processes of their own. Clients hand in at 80% of the rate, open loop, evenly over the instances. The
-partner is down for 12 s, comes back at 18% of its rate and is warm 11 s later; then all instances are
-restarted one by one, with traffic going on. `shared`: listed rates are kept together; `alone`: they are not.
+The supervisor (`message_relay fleet`), the partner (fakes.endpoint) and the discovery agent
+(fakes.discovery_agent) run as separate processes. Clients submit at 80% of the rate, open loop, evenly over
+the instances. The partner is down for 12 s, comes back at 18% of its rate and is warm 11 s later; then all
+instances are restarted one by one under traffic. In mode `shared` the instances share each listed rate; in
+mode `alone` they do not.
 
-`over 1 s`: the worst window of 1 s against the agreed rate; `over cold`: the worst of 1.5 s after the return
-against what the partner can do in it. `delivered` is over all that was handed in, refusals counted. Calls
-that find no connection while the partner is down can't be counted here: experiments/forty.toml does that.
+`over 1 s`: calls in the worst window of 1 s, divided by the agreed rate. `over cold`: calls in the worst
+window of 1.5 s after the return, divided by the partner's capacity in that window. `delivered`: the share of
+all submitted messages, including rejected ones. Connection attempts that fail while the partner is down leave
+no entry in its ledger and can't be counted here: experiments/forty.toml counts them.
 """
 
 from __future__ import annotations
@@ -44,12 +46,12 @@
 CLASSES = (("order", "by_key", 16000, 51), ("pay", "once", 16000, 32), ("status", "repeatable", 8000, 17))
 WARM_S = 11.0
 COLD, FALL_MS = 0.18, 1500.0
-READY_S = 60.0  # all instances are up by then, or the machine is too slow for the experiment
+READY_S = 60.0  # if not all instances are up by then, the machine is too slow for the experiment
 BODY = b"x" * 200
 
 
 def settings(deadline_share: float = 1.0) -> dict[str, Any]:
-    """In the platform's form."""
+    """Returns the settings in the platform's format."""
     return {
         "az": 0,
         "balancers": 1,
@@ -91,46 +93,49 @@
 
 @dataclass
 class Clients:
-    """One kept connection to each instance; a message is handed in when its time has come, whatever became of
-    others. Without an answer in 2 s it is given up, and its id never used again."""
+    """Submits messages open loop over one persistent connection to each instance.
+
+    A message is sent at its scheduled time, whatever the state of earlier ones. A submission without a
+    response within 2 s is abandoned, and its id is never used again.
+    """
 
     port: int
     instances: int
     deadline_share: float = 1.0
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     asked: list[str] = field(default_factory=list)
-    taken: dict[str, str] = field(default_factory=dict)  # and their classes
-    to: dict[str, int] = field(default_factory=dict)  # the instance that took it
+    taken: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
+    to: dict[str, int] = field(default_factory=dict)  # maps each accepted message to its instance
     answers: Counter[str] = field(default_factory=Counter)
     work: set[asyncio.Task[None]] = field(default_factory=set)
     kept: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
 
     async def run(self, rate: float, seconds: float) -> list[str]:
-        """The ids handed in."""
+        """Submits at `rate` for so many seconds; returns the ids submitted."""
         loop = asyncio.get_running_loop()
-        at, first = loop.time(), len(self.asked)
-        ends = at + seconds
-        while (at := at + self.rng.expovariate(rate)) < ends:
-            await asyncio.sleep(max(0.0, at - loop.time()))
+        due_at, first_index = loop.time(), len(self.asked)
+        ends_at = due_at + seconds
+        while (due_at := due_at + self.rng.expovariate(rate)) < ends_at:
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
             task = asyncio.ensure_future(self.one(self.rng.randrange(self.instances)))
             self.work.add(task)
             task.add_done_callback(self.work.discard)
         await asyncio.gather(*self.work, return_exceptions=True)
-        return self.asked[first:]
+        return self.asked[first_index:]
 
-    async def one(self, n: int) -> None:
-        ident = f"m{len(self.asked)}-{os.getpid():x}"
-        self.asked.append(ident)
+    async def one(self, instance: int) -> None:
+        message_id = f"m{len(self.asked)}-{os.getpid():x}"
+        self.asked.append(message_id)
         class_, _, deadline, _ = self.rng.choices(CLASSES, [weight for *_, weight in CLASSES])[0]
-        data = request(ident, class_, 1, deadline * self.deadline_share, BODY, f"k{ident}")
-        status = (await self.kept.hand_in(("127.0.0.1", self.port + n), data)).status
+        data = request(message_id, class_, 1, deadline * self.deadline_share, BODY, f"k{message_id}")
+        status = (await self.kept.hand_in(("127.0.0.1", self.port + instance), data)).status
         self.answers[status] += 1
         if status in ("202", "200"):
-            self.taken[ident] = class_
-            self.to[ident] = n
+            self.taken[message_id] = class_
+            self.to[message_id] = instance
 
     async def stop(self, traffic: asyncio.Future[Any]) -> None:
-        """Ends a `run`, and what is on its way of it."""
+        """Cancels a `run` and waits for its submissions in flight."""
         traffic.cancel()
         await asyncio.gather(traffic, *self.work, return_exceptions=True)
 
@@ -140,7 +145,7 @@
 
 @dataclass
 class Fleet:
-    """The processes, and what their ledgers say."""
+    """Starts and stops the processes, and reads their ledgers."""
 
     folder: Path
     instances: int
@@ -149,7 +154,7 @@
     down_s: float = 12.0
     warm_s: float = WARM_S
     deadline_share: float = 1.0
-    more: str = ""  # of the operator's file: its [supervisor] part
+    more: str = ""  # appended to the [supervisor] section of the operator's file
     settle_s: float = 20.0
     processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
     port: int = 0
@@ -171,7 +176,7 @@
     async def set_up(self) -> None:
         self.port = free_ports(self.instances)
         (self.folder / "run").mkdir()
-        at = await self.start(
+        partner_address = await self.start(
             "partner",
             "fakes.endpoint",
             "--answer-ms",
@@ -192,7 +197,7 @@
         )
         entry = {
             "instanceId": "p",
-            "hostPort": at,
+            "hostPort": partner_address,
             "zone": "z",
             "machineType": "k",
             "cell": 1,
@@ -200,8 +205,8 @@
             "weight": self.rate,
             "startedAtMs": 0,
         }
-        known = {"generation": 1, "reset": True, "instances": [entry]}
-        (self.folder / "list.json").write_text(json.dumps(known))
+        listing = {"generation": 1, "reset": True, "instances": [entry]}
+        (self.folder / "list.json").write_text(json.dumps(listing))
         agent = await self.start(
             "agent",
             "fakes.discovery_agent",
@@ -217,7 +222,7 @@
                     "listen": "127.0.0.1:1",
                     "discovery": agent,
                     "seed": "1",
-                    "known": known,
+                    "known": listing,
                     "state": str(self.folder),
                     "settings": settings(self.deadline_share),
                 }
@@ -225,7 +230,7 @@
         )
         self.configure(self.instances)
         await self.start("fleet", "message_relay", "fleet", "--config", str(self.folder / "relay.toml"))
-        await self.until(lambda told: told.up == self.instances)
+        await self.until(lambda report: report.up == self.instances)
 
     def configure(self, instances: int) -> None:
         (self.folder / "relay.toml").write_text(
@@ -235,65 +240,81 @@
             f'port = {self.port}\nstate = "{self.folder}/state"\n{self.more}'
         )
 
-    async def until(self, true: Callable[[FleetReport], bool], seconds: float = READY_S) -> FleetReport:
-        """The supervisor's report for which it is true; TimeoutError if none comes."""
+    async def until(self, condition: Callable[[FleetReport], bool], seconds: float = READY_S) -> FleetReport:
+        """Waits for a supervisor's report that meets the condition and returns it.
+
+        Raises TimeoutError if none arrives in time, RuntimeError if the supervisor has exited.
+        """
         async with asyncio.timeout(seconds):
             while True:
                 with contextlib.suppress(StatusError):
-                    told = await fetch_report(self.folder / "run" / "fleet.sock")
-                    if isinstance(told, FleetReport) and true(told):
-                        return told
+                    report = await fetch_report(self.folder / "run" / "fleet.sock")
+                    if isinstance(report, FleetReport) and condition(report):
+                        return report
                 process = self.processes["fleet"]
                 if process.returncode is not None:
-                    raise RuntimeError(f"the supervisor ended with {process.returncode}")
+                    raise RuntimeError(f"the supervisor exited with code {process.returncode}")
                 await asyncio.sleep(0.05)
 
     async def reports(self) -> list[Report]:
-        found = []
+        reports = []
         for path in (self.folder / "run").glob("[0-9]*.sock"):
             with contextlib.suppress(StatusError):
-                told = await fetch_report(path)
-                if isinstance(told, Report):
-                    found.append(told)
-        return found
+                report = await fetch_report(path)
+                if isinstance(report, Report):
+                    reports.append(report)
+        return reports
 
-    def tell(self, name: str, what: signal.Signals) -> None:
-        self.processes[name].send_signal(what)
+    def tell(self, name: str, signal_number: signal.Signals) -> None:
+        self.processes[name].send_signal(signal_number)
 
     async def drained(self, seconds: float) -> None:
-        """Until no instance holds or owes anything; TimeoutError if that takes too long."""
+        """Waits until no instance has pending messages or unsent notifications; raises TimeoutError."""
         async with asyncio.timeout(seconds):
-            while any(told.held or told.ends_waiting for told in await self.reports()):
+            while any(report.held or report.ends_waiting for report in await self.reports()):
                 await asyncio.sleep(0.1)
 
     def effects(self) -> Counter[str]:
         return Counter(line.split()[1] for line in lines(self.folder / "effects"))
 
     def calls(self) -> list[float]:
-        """Unix ms of each whole call that came."""
+        """Returns the arrival time of each complete call at the partner, in Unix ms."""
         return sorted(float(line.split()[0]) for line in lines(self.folder / "calls"))
 
     def ends(self) -> dict[str, set[str]]:
-        """The final answers that were told, by message; one told again counts once."""
-        found: dict[str, set[str]] = {}
+        """Maps each message to the set of final states in its notifications; repeats count once."""
+        states: dict[str, set[str]] = {}
         for item in map(json.loads, lines(self.folder / "notices")):
-            found.setdefault(item["id"], set()).add(item["state"])
-        return found
+            states.setdefault(item["id"], set()).add(item["state"])
+        return states
 
     def broken(self, taken: dict[str, str]) -> list[str]:
-        """Messages that were taken and have not exactly one end, or took effect twice. One that failed may
-        have taken effect: that promises nothing. One that is returned may have, where its class makes that
-        harmless."""
+        """Returns a text for each message that violates a guarantee.
+
+        An accepted message must have exactly one final outcome, and no message may take effect twice. A
+        failed message may have taken effect: `failed` makes no statement about that. A returned message may
+        have taken effect where its class makes that harmless.
+        """
         effects, ends = self.effects(), self.ends()
-        bad = [f"{ident}: took effect {count} times" for ident, count in effects.items() if count > 1]
-        bad += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
-        bad += [f"{ident}: no end" for ident in taken if ident not in effects and ident not in ends]
-        bad += [
-            f"{ident}: took effect and was returned"
-            for ident, states in ends.items()
-            if "returned" in states and effects[ident] and taken.get(ident) == "pay"
+        violations = [
+            f"{message_id}: took effect {count} times" for message_id, count in effects.items() if count > 1
+        ]
+        violations += [
+            f"{message_id}: several final outcomes {sorted(states)}"
+            for message_id, states in ends.items()
+            if len(states) > 1
+        ]
+        violations += [
+            f"{message_id}: no final outcome"
+            for message_id in taken
+            if message_id not in effects and message_id not in ends
         ]
-        return bad
+        violations += [
+            f"{message_id}: took effect and was returned"
+            for message_id, states in ends.items()
+            if "returned" in states and effects[message_id] and taken.get(message_id) == "pay"
+        ]
+        return violations
 
     async def close(self) -> None:
         for name in ("fleet", "agent", "partner"):
@@ -313,7 +334,7 @@
 
 
 def free_ports(count: int, salt: int = 0) -> int:
-    """The first of so many in a row that are free just now; with another `salt` others are tried."""
+    """Returns the first port of `count` consecutive free ones; another `salt` tries other ports."""
     import socket
 
     rng = random.Random(1000 * os.getpid() + salt)
@@ -330,22 +351,22 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(instances: int, rate: float, shared: bool, **more: Any) -> AsyncIterator[Fleet]:
+async def fleet(instances: int, rate: float, shared: bool, **fields: Any) -> AsyncIterator[Fleet]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
-        it = Fleet(Path(folder), instances, rate, shared, **more)
+        processes = Fleet(Path(folder), instances, rate, shared, **fields)
         try:
-            await it.set_up()
-            yield it
+            await processes.set_up()
+            yield processes
         finally:
-            await it.close()
+            await processes.close()
 
 
-def most(times: list[float], begin: float, ms: float) -> int:
-    return bisect_left(times, begin + ms) - bisect_left(times, begin)
+def most(times: list[float], begin_ms: float, length_ms: float) -> int:
+    return bisect_left(times, begin_ms + length_ms) - bisect_left(times, begin_ms)
 
 
 def expected(rate: float, begin: float, back: float, warm_ms: float) -> Partner:
-    """What the partner could do, on Unix time, where it was down once."""
+    """Returns a model of the partner's capacity, in Unix time, with one outage from `begin` to `back`."""
     return Partner(
         Spec(rate=rated(rate), cold=Cold(COLD, warm_ms), troubles=(Trouble(Fault.DOWN, begin, back),)),
         random.Random(1),
@@ -353,54 +374,62 @@
 
 
 def over(calls: list[float], agreed: Partner, begin: float, back: float) -> tuple[float, float]:
-    """The worst second against the rate, and the worst 1.5 s after the return against what can be done."""
-    counted = [at for at in calls if at >= begin]
+    """Returns the calls in the worst second divided by the agreed rate, and the calls in the worst 1.5 s
+    after the return divided by the partner's capacity in that window."""
+    window_starts = [at for at in calls if at >= begin]
     assert agreed.spec.rate is not None
-    second = max((most(calls, at, 1000.0) for at in counted), default=0) / agreed.spec.rate.per_s
-    cold = 0.0
-    for at in [at for at in counted if back <= at < back + agreed.spec.cold.warm_ms]:
-        cold = max(cold, most(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000))
-    return second, cold
+    worst_second = max((most(calls, at, 1000.0) for at in window_starts), default=0) / agreed.spec.rate.per_s
+    worst_cold = 0.0
+    for at in [at for at in window_starts if back <= at < back + agreed.spec.cold.warm_ms]:
+        worst_cold = max(
+            worst_cold, most(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000)
+        )
+    return worst_second, worst_cold
 
 
 async def experiment(instances: int, rate: float, shared: bool, rolls: int, seed: int) -> dict[str, Any]:
-    begun = time.monotonic()
-    async with fleet(instances, rate, shared) as it:
-        row: dict[str, Any] = {"mode": "shared" if shared else "alone", "all up s": time.monotonic() - begun}
-        told = await it.until(lambda told: told.up == instances)
-        row["start s"] = sorted(line.start_s for line in told.lines)[instances // 2]
-        first = {each.instance: each for each in await it.reports()}
+    started_at = time.monotonic()
+    async with fleet(instances, rate, shared) as processes:
+        row: dict[str, Any] = {
+            "mode": "shared" if shared else "alone",
+            "all up s": time.monotonic() - started_at,
+        }
+        status = await processes.until(lambda status: status.up == instances)
+        row["start s"] = sorted(line.start_s for line in status.lines)[instances // 2]
+        first_reports = {each.instance: each for each in await processes.reports()}
         await asyncio.sleep(5.0)
-        idle = await it.reports()
-        row["idle CPU ms/s"] = 200 * sum(each.cpu_s - first[each.instance].cpu_s for each in idle) / instances
-        row["idle MB"] = max(each.rss_mb for each in idle)
-        clients = Clients(it.port, instances, rng=random.Random(seed))
-        await clients.run(0.8 * rate, 20.0)  # until all have learned what the partner can do
-        begin = time.time() * 1000
-        it.tell("partner", signal.SIGUSR1)
-        back = begin + it.down_s * 1000
-        asked = await clients.run(0.8 * rate, it.down_s + it.warm_s + 6.0)
-        await it.drained(20.0)
-        agreed = expected(rate, begin, back, it.warm_s * 1000)
-        row["over 1 s"], row["over cold"] = over(it.calls(), agreed, begin - 10_000, back)
-        calls = it.calls()
-        row["by second"] = [most(calls, back + n * 1000, 1000) for n in range(16)]
-        effects = it.effects()
-        row["delivered"] = sum(ident in effects for ident in asked) / len(asked)
+        idle_reports = await processes.reports()
+        row["idle CPU ms/s"] = (
+            200 * sum(each.cpu_s - first_reports[each.instance].cpu_s for each in idle_reports) / instances
+        )
+        row["idle MB"] = max(each.rss_mb for each in idle_reports)
+        clients = Clients(processes.port, instances, rng=random.Random(seed))
+        await clients.run(0.8 * rate, 20.0)  # until all instances have learned the partner's capacity
+        down_at = time.time() * 1000
+        processes.tell("partner", signal.SIGUSR1)
+        back_at = down_at + processes.down_s * 1000
+        submitted = await clients.run(0.8 * rate, processes.down_s + processes.warm_s + 6.0)
+        await processes.drained(20.0)
+        agreed = expected(rate, down_at, back_at, processes.warm_s * 1000)
+        row["over 1 s"], row["over cold"] = over(processes.calls(), agreed, down_at - 10_000, back_at)
+        calls = processes.calls()
+        row["by second"] = [most(calls, back_at + n * 1000, 1000) for n in range(16)]
+        effects = processes.effects()
+        row["delivered"] = sum(message_id in effects for message_id in submitted) / len(submitted)
         row["roll s"] = 0.0
         for _ in range(rolls):
-            before = time.monotonic()
-            it.tell("fleet", signal.SIGUSR2)
+            roll_started_at = time.monotonic()
+            processes.tell("fleet", signal.SIGUSR2)
             await asyncio.sleep(0.2)
             traffic = asyncio.ensure_future(clients.run(0.5 * rate, 3600.0))
-            await it.until(lambda told: not told.rolling, 600.0)
-            row["roll s"] += (time.monotonic() - before) / rolls
+            await processes.until(lambda status: not status.rolling, 600.0)
+            row["roll s"] += (time.monotonic() - roll_started_at) / rolls
             await clients.stop(traffic)
-        await it.drained(30.0)
-        broken = it.broken(clients.taken)
-        for text in broken:
-            print(text, file=sys.stderr)
-        row["broken"] = len(broken)
+        await processes.drained(30.0)
+        violations = processes.broken(clients.taken)
+        for violation in violations:
+            print(violation, file=sys.stderr)
+        row["broken"] = len(violations)
         row["answers"] = dict(clients.answers)
         row["taken"] = len(clients.taken)
         clients.close()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,13 +1,14 @@
-"""What the whole relay costs at saturation, beside a floor of the same run.
+"""Measures the cost of the complete relay at saturation, against a minimal relay in the same run.
 
     python -m benchmarks.relay [--json] [--seconds N] [--rounds N] [--held 64,300,1000,4000] [--rate 300]
 
-One process of the relay, one partner that answers in 2 ms (fakes.endpoint), clients on kept connections
-that hand in a message as soon as the last one was answered, and pause when it was refused. So the hold is
-full all the time: `delivered/s` is what the process can do, `CPU ms` its processor time for each delivered
-one, and `p99` is over all 202s, in ms from the request's last byte. The floor (benchmarks.floor) holds no
-more than 64. Then the same process gets `--rate` messages a second, open loop (emulator.load): waits count
-from the intended moment. PROFILE=FILE in the environment has cProfile write there what the program does.
+One process of the relay, one partner that answers in 2 ms (fakes.endpoint), clients on persistent connections
+that submit the next message as soon as the last one was answered, and pause after a rejection. The limit of
+pending messages is therefore reached all the time: `delivered/s` is the throughput of the process, `CPU ms`
+its processor time for each delivered message, and `p99` is over all 202s, in ms from the request's last byte.
+The minimal relay (benchmarks.floor) has at most 64 pending messages. Then the same process gets `--rate`
+messages a second, open loop (emulator.load): latencies count from the scheduled time. With PROFILE=FILE in
+the environment, cProfile writes a profile of the program to FILE.
 """
 
 from __future__ import annotations
@@ -51,17 +52,17 @@
     p50_ms: float
     worst_ms: float  # the longest wait for a 202: that of the client served last
     refused: int
-    failed: int  # answers that were neither 202 nor 503, or none
+    failed: int  # responses other than 202 and 503, or no response
     rss_mb: float
-    open_p50_ms: float  # open loop, at `--rate`: from the intended moment to the 202
+    open_p50_ms: float  # open loop, at `--rate`: from the scheduled time to the 202
     open_p99_ms: float
     open_p999_ms: float
-    limit: str  # why the generator was the limit there, if it was
+    limit: str  # why the load generator was the bottleneck, if it was
 
 
 @contextlib.contextmanager
 def standin(*args: str) -> Iterator[str]:
-    """A stand-in as a process of its own; yields its address."""
+    """Starts one of the fakes as a process and yields its address."""
     process = subprocess.Popen([sys.executable, "-m", *args], stdout=subprocess.PIPE, text=True)
     try:
         assert process.stdout is not None
@@ -124,7 +125,7 @@
 
 
 class Client:
-    """Hands in a message as soon as the last one was answered."""
+    """Submits a message as soon as the last one was answered."""
 
     def __init__(self, number: int, port: int, ends: float) -> None:
         self.number, self.at, self.ends = number, ("127.0.0.1", port), ends
@@ -135,16 +136,16 @@
         clients, n = Clients(wait_ms=5000.0), 0
         while time.perf_counter() < self.ends:
             n += 1
-            class_, left = ("status", 8000.0) if n % 4 == 0 else ("order", 16000.0)
-            ident = f"{self.number:x}-{n:x}-{os.getpid():x}"
-            data = request(ident, class_, 1, left, BODY, f"k{ident}")
-            begun = time.perf_counter()
-            said = await clients.hand_in(self.at, data)
-            if said.taken:
-                self.waits.append(time.perf_counter() - begun)
+            class_, deadline_ms = ("status", 8000.0) if n % 4 == 0 else ("order", 16000.0)
+            message_id = f"{self.number:x}-{n:x}-{os.getpid():x}"
+            data = request(message_id, class_, 1, deadline_ms, BODY, f"k{message_id}")
+            sent_at = time.perf_counter()
+            response = await clients.hand_in(self.at, data)
+            if response.taken:
+                self.waits.append(time.perf_counter() - sent_at)
             else:
-                self.refused += said.refused
-                self.failed += not said.refused
+                self.refused += response.refused
+                self.failed += not response.refused
                 await asyncio.sleep(PAUSE_S)
         clients.close()
 
@@ -202,17 +203,17 @@
         (folder / "list").write_text(json.dumps({"generation": 1, "reset": True, "instances": [entry]}))
         with standin("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
             async with program(module, held, folder, partner, agent) as (pid, port):
-                warm = 1.0 + held / 1000  # until the hold is full
-                begun = time.perf_counter()
-                clients = [Client(n, port, begun + warm + seconds) for n in range(CLIENTS)]
+                warm_up_s = 1.0 + held / 1000  # until the limit of pending messages is reached
+                started_at = time.perf_counter()
+                clients = [Client(n, port, started_at + warm_up_s + seconds) for n in range(CLIENTS)]
                 tasks = [asyncio.create_task(client.run()) for client in clients]
-                await asyncio.sleep(warm)
-                seen = [len(client.waits) for client in clients]
-                cpu, at = cpu_s(pid), time.perf_counter()
-                lines = sum(1 for _ in (folder / "ledger").open())
+                await asyncio.sleep(warm_up_s)
+                waits_before = [len(client.waits) for client in clients]
+                cpu_before, measured_from = cpu_s(pid), time.perf_counter()
+                lines_before = sum(1 for _ in (folder / "ledger").open())
                 await asyncio.sleep(seconds)
-                took, spent = time.perf_counter() - at, cpu_s(pid) - cpu
-                done = sum(1 for _ in (folder / "ledger").open()) - lines
+                elapsed_s, cpu_used = time.perf_counter() - measured_from, cpu_s(pid) - cpu_before
+                delivered = sum(1 for _ in (folder / "ledger").open()) - lines_before
                 rss = rss_mb(pid)
                 await asyncio.gather(*tasks)
                 plan = Plan(
@@ -222,24 +223,26 @@
                     classes=(("order", 0.75, 16000.0), ("status", 0.25, 8000.0)),
                     warm_s=seconds / 3,
                 )
-                opened = await asyncio.to_thread(load, plan)
-    waits = sorted(1e3 * wait for client, n in zip(clients, seen, strict=True) for wait in client.waits[n:])
+                open_loop = await asyncio.to_thread(load, plan)
+    waits = sorted(
+        1e3 * wait for client, n in zip(clients, waits_before, strict=True) for wait in client.waits[n:]
+    )
     name = module.rpartition(".")[2]
     return Row(
         name,
         held,
-        done / took,
-        1e3 * spent / max(1, done),
+        delivered / elapsed_s,
+        1e3 * cpu_used / max(1, delivered),
         waits[int(0.99 * len(waits))] if waits else float("inf"),
         statistics.median(waits or [0.0]),
         max(waits, default=0.0),
         sum(client.refused for client in clients),
         sum(client.failed for client in clients),
         rss,
-        opened.ms(50),
-        opened.ms(99),
-        opened.ms(99.9),
-        opened.limit,
+        open_loop.ms(50),
+        open_loop.ms(99),
+        open_loop.ms(99.9),
+        open_loop.limit,
     )
 
 
@@ -251,19 +254,19 @@
     parser.add_argument(
         "--held", type=lambda text: [int(part) for part in text.split(",")], default=[64, 300, 1000, 4000]
     )
-    parser.add_argument("--program", default="message_relay", help="modules to measure, with commas")
+    parser.add_argument("--program", default="message_relay", help="modules to measure, separated by commas")
     parser.add_argument("--rate", type=float, default=300.0, help="messages a second, open loop")
     args = parser.parse_args()
-    out: list[dict[str, Any]] = []
+    rows: list[dict[str, Any]] = []
     for _ in range(args.rounds):
         floor = asyncio.run(measure("benchmarks.floor", 64, args.seconds, args.rate))
-        out.append({**asdict(floor), "ratio": 1.0})
+        rows.append({**asdict(floor), "ratio": 1.0})
         for held in args.held:
             for module in args.program.split(","):
                 row = asyncio.run(measure(module, held, args.seconds, args.rate))
-                out.append({**asdict(row), "ratio": row.cpu_ms / floor.cpu_ms})
+                rows.append({**asdict(row), "ratio": row.cpu_ms / floor.cpu_ms})
     report(
-        out,
+        rows,
         args.json,
         (
             "program       held  delivered/s  CPU ms  ratio  p50 ms  p99 ms  worst ms  refused  failed"
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""How each benchmark tells its rows: as JSON, or as a table under its head."""
+"""Prints the rows of a benchmark as JSON or as a table with a header."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def report(rows: Iterable[Mapping[str, Any]], as_json: bool, head: Iterable[str], line: str) -> None:
-    """`line` is a format of a row's fields."""
+    """Prints the rows. `line` is the format string for one row; its fields are the keys of the row."""
     if as_json:
         json.dump(list(rows), sys.stdout, indent=1)
         print()
--- a/benchmarks/restart_clients.py
+++ b/benchmarks/restart_clients.py
@@ -1,4 +1,4 @@
-"""Clients of benchmarks.restarts: they use a connection for as long as it stays open, also after SIGTERM."""
+"""Clients of benchmarks.restarts. They use a connection for as long as it stays open, also after SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 LIFE_MS = {"order": 4000.0, "pay": 4000.0, "status": 2000.0}
 KEYED_CLASS = "order"
-ANSWER_S = 5.0  # beyond what a client of the platform waits: an answer that is late is told from none
+ANSWER_S = 5.0  # longer than the platform's clients wait, to distinguish a late response from a missing one
 BUSY_PAUSE_S, RESTING_PAUSE_S = 0.05, 3.5
 RECONNECT_S = 0.02
-CROWD = 110  # idle connections, where a play has a crowd
+CROWD = 110  # number of idle connections in a run with a crowd
 CROWD_PAUSE_S = 0.05
 
 
 @dataclass
 class Client:
-    """Hands in one message after the other."""
+    """Submits one message after the other."""
 
     address: tuple[str, int]
     number: int
@@ -57,18 +57,21 @@
     async def _hand_in(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answered_at: float
     ) -> bytes | None:
-        """The head of the answer; None if the connection ended, or had ended, without one."""
+        """Submits a message and returns the response head.
+
+        Returns None if the connection closes without a response, or was closed before the request.
+        """
         self.count += 1
         message = f"m{self.number}-{self.count}"
         class_name = self.rng.choice(tuple(LIFE_MS))
         body = bytes(self.rng.choice((100, 100, 400, 9000)))
         data = request(message, class_name, 1, LIFE_MS[class_name], body, f"k{message}")
-        if class_name != KEYED_CLASS:  # with a key the endpoint would hide that it came twice
+        if class_name != KEYED_CLASS:  # with a key, the endpoint's deduplication would hide a second delivery
             data = data.replace(f"Idempotency-Key: k{message}\r\n".encode(), b"")
         written_at = time.monotonic()
         rested_s = written_at - answered_at if answered_at > 0 else -1.0
         if reader.at_eof():
-            return None  # it was closed while it rested, and the client knows
+            return None  # the connection was closed while idle, and the client has seen it
         writer.write(data)
         try:
             async with asyncio.timeout(ANSWER_S):
@@ -77,10 +80,10 @@
                 length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
                 await reader.readexactly(int(length or 0))
         except (OSError, asyncio.IncompleteReadError) as error:
-            how = type(error).__name__
+            error_name = type(error).__name__
             ended_at = time.monotonic()
-            lost = Unanswered(message, written_at, ended_at, rested_s, how, self.last_status)
-            self.ledger.unanswered.append(lost)
+            unanswered = Unanswered(message, written_at, ended_at, rested_s, error_name, self.last_status)
+            self.ledger.unanswered.append(unanswered)
             return None
         self._on_answer(message, class_name, said(head).status)
         return head
@@ -95,7 +98,7 @@
 
 
 async def idle_visitor(address: tuple[str, int]) -> None:
-    """Keeps a connection open on which it asks once, or never."""
+    """Keeps an idle connection open: it sends nothing, and reconnects when the connection is closed."""
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -1,9 +1,9 @@
-"""What all parties of a play of benchmarks.restarts saw, and which rules that breaks; on time.monotonic().
+"""Records what all parties of a run of benchmarks.restarts observed, and finds violated rules.
 
-The rules are those of the platform's pages: each accepted message has one end in time, what may not run twice
-takes effect once, a request that was written whole gets an answer from a process that is not killed, an
-endpoint that was announced as leaving gets nothing new, a process that is told to end does so with 0 and a
-new one is ready in time."""
+All times are of time.monotonic(), in seconds. The rules are those of the platform's pages: each accepted
+message has one final outcome in time; a message that may not run twice takes effect once; a completely
+written request gets a response unless the process is killed; an endpoint that was announced as leaving gets
+no new calls; a process exits with 0 after a termination signal, and its successor is ready in time."""
 
 from __future__ import annotations
 
@@ -14,18 +14,17 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-GRACE_S = 0.25 + 0.05  # of a leaving endpoint, and the slack of the sockets' rules
-TOLD_AT_ONCE_S = 0.1  # what a prompt agent has: an open watch is answered, and this process runs it all
-TOLD_LATEST_S = 6.0  # what discovery has counts as told then, whatever the agent does
+GRACE_S = 0.25 + 0.05  # drain grace of a leaving endpoint, plus the slack in the rules on sockets
+# A prompt agent answers an open watch within this time; agent, endpoints and clients share this process.
+PROMPT_DISCOVERY_S = 0.1
+MAX_DISCOVERY_S = 6.0  # a change counts as known to the relay after this time, whatever the agent does
 AFTER_RELOAD_S = 4.0
-END_SLACK_S = 0.35  # after a message's time
-AFTER_READY_S = (
-    1.5  # no final outcome is overdue from a restart until so long after the next process is ready
-)
+END_SLACK_S = 0.35  # after a message's deadline
+AFTER_READY_S = 1.5  # grace for final outcomes after a restart, from when the next process is ready
 READY_S = 10.0
-KILL_NOTICED_S = 0.05  # between a kill and what its clients see of it
-CONNECTIONS_COME_S = 0.4 + 0.05  # after SIGTERM, with the slack of the sockets' rules
-RELIED_ON_S = 2.0  # so long a connection may rest before it is closed without a request
+KILL_NOTICED_S = 0.05  # between a kill and the moment its clients notice
+NEW_CONNECTIONS_S = 0.4 + 0.05  # new connections arrive this long after SIGTERM; with the sockets' slack
+MIN_IDLE_S = 2.0  # an idle connection may be closed without a request after this time
 
 
 @dataclass
@@ -46,18 +45,18 @@
 
 @dataclass
 class Unanswered:
-    """A request that was written whole, and whose connection ended without an answer."""
+    """A completely written request whose connection closed without a response."""
 
     message: str
     written_at: float
     ended_at: float
-    rested_s: float  # since the answer before; negative: it was the first one on its connection
+    rested_s: float  # since the previous response; negative for the first request on a connection
     how: str
-    last_status: str = ""  # of the answer before
+    last_status: str = ""  # of the previous response
 
 
 class CallLog:
-    """What one endpoint was asked, as `fakes.endpoint` writes it, by this process's clock."""
+    """Records the calls to one endpoint, in the format of `fakes.endpoint`, by this process's clock."""
 
     def __init__(self, ledger: Ledger, name: str) -> None:
         self.ledger, self.name = ledger, name
@@ -72,7 +71,7 @@
 
 
 class NoticeLog:
-    """The final outcomes that the agent has got, by this process's clock."""
+    """Records the final outcomes that the agent was notified of, by this process's clock."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -89,7 +88,7 @@
 
 @dataclass
 class Ledger:
-    is_prompt: bool  # the agent answers at once
+    is_prompt: bool  # the agent answers without delay
     has_crowd: bool
     processes: list[Process] = field(default_factory=list)
     accepted: dict[str, Accepted] = field(default_factory=dict)
@@ -97,15 +96,15 @@
     calls: list[tuple[float, str, str, str]] = field(default_factory=list)
     notices: list[tuple[float, str, str]] = field(default_factory=list)
     effects: Counter[str] = field(default_factory=Counter)
-    leaving: list[tuple[float, float, str]] = field(default_factory=list)  # from, until, endpoint
-    silences: list[tuple[float, float]] = field(default_factory=list)  # of the agent
+    leaving: list[tuple[float, float, str]] = field(default_factory=list)  # start, end, endpoint
+    silences: list[tuple[float, float]] = field(default_factory=list)  # start, end: the agent does not answer
     reloads: list[float] = field(default_factory=list)
     answers: Counter[str] = field(default_factory=Counter)
-    lags: list[tuple[float, float]] = field(default_factory=list)  # of this process's own loop: when, seconds
+    lags: list[tuple[float, float]] = field(default_factory=list)  # of this process's event loop: time, s
 
     def broken(self) -> list[str]:
         return [
-            *self._ends(),
+            *self._final_outcomes(),
             *self._effects(),
             *self._lost_requests(),
             *self._calls_to_leaving(),
@@ -114,19 +113,23 @@
 
     # -- messages ----------------------------------------------------------------------------------------
 
-    def _ends(self) -> list[str]:
+    def _final_outcomes(self) -> list[str]:
         ended = {message: at for at, _, message, reply in reversed(self.calls) if reply == "ok"}
         states: dict[str, set[str]] = {}
         for at, message, state in reversed(self.notices):
             states.setdefault(message, set()).add(state)
             ended[message] = min(at, ended.get(message, math.inf))
-        found = [f"{message}: told {sorted(each)}" for message, each in states.items() if len(each) > 1]
+        violations = [
+            f"{message}: told {sorted(message_states)}"
+            for message, message_states in states.items()
+            if len(message_states) > 1
+        ]
         for message, accepted in self.accepted.items():
             if message not in ended:
-                found.append(f"{message}: accepted, no end")
+                violations.append(f"{message}: accepted, no end")
             elif ended[message] > self._latest_end(accepted.due_at):
-                found.append(f"{message}: its end came {ended[message] - accepted.due_at:.2f} s late")
-        return found
+                violations.append(f"{message}: its end came {ended[message] - accepted.due_at:.2f} s late")
+        return violations
 
     def _latest_end(self, due_at: float) -> float:
         latest = due_at + END_SLACK_S
@@ -147,10 +150,12 @@
     # -- requests ----------------------------------------------------------------------------------------
 
     def is_excused(self, request: Unanswered) -> bool:
-        """Its process was killed, its client had rested for longer than it may rely on, or a crowd waits.
+        """Whether no response was due: the process was killed, the connection had been idle for longer than a
+        client may rely on, or the request was the first on its connection while a crowd of connections waits.
 
-        Nor does a new connection count that comes when the platform's clients open none any more: one that
-        is in the listener's queue when that closes is reset by the system (seed 38, 0.523 s after SIGTERM).
+        A new connection doesn't count either if it comes later after SIGTERM than the platform's clients open
+        any: the system resets one that is in the listener's queue when the listener closes (seed 38, 0.523 s
+        after SIGTERM).
         """
         was_killed = any(
             process.killed_at <= request.ended_at + KILL_NOTICED_S
@@ -158,64 +163,74 @@
             for process in self.processes
         )
         is_new = request.rested_s < 0
-        is_too_late = any(
-            process.told_to_end_at + CONNECTIONS_COME_S < request.written_at <= process.ended_at
+        is_after_listening = any(
+            process.told_to_end_at + NEW_CONNECTIONS_S < request.written_at <= process.ended_at
             for process in self.processes
         )
-        return was_killed or request.rested_s >= RELIED_ON_S or (is_new and (self.has_crowd or is_too_late))
+        return (
+            was_killed
+            or request.rested_s >= MIN_IDLE_S
+            or (is_new and (self.has_crowd or is_after_listening))
+        )
 
     def _lost_requests(self) -> list[str]:
         return [
-            f"{each.message}: no answer ({each.how}) {self._since_told(each):.3f} s after the signal,"
+            f"{each.message}: no answer ({each.how}) {self._since_signal(each):.3f} s after the signal,"
             f" {each.ended_at - each.written_at:.3f} s after it was written; rested {each.rested_s:.3f} s"
             f" after {each.last_status or 'no answer'}"
             for each in self.unanswered
             if not self.is_excused(each)
         ]
 
-    def _since_told(self, request: Unanswered) -> float:
-        told = [each.told_to_end_at for each in self.processes if each.told_to_end_at <= request.ended_at]
-        return request.ended_at - max(told, default=-math.inf)
+    def _since_signal(self, request: Unanswered) -> float:
+        signal_times = [
+            process.told_to_end_at for process in self.processes if process.told_to_end_at <= request.ended_at
+        ]
+        return request.ended_at - max(signal_times, default=-math.inf)
 
     # -- endpoints ---------------------------------------------------------------------------------------
 
     def _calls_to_leaving(self) -> list[str]:
-        found = []
+        violations = []
         for at, endpoint, message, _ in self.calls:
             for since, until, name in self.leaving:
                 if (
                     name == endpoint
-                    and self._told_at(since) + GRACE_S + self._lateness(since, at) < at < until
+                    and self._known_at(since) + GRACE_S + self._lateness(since, at) < at < until
                 ):
-                    found.append(f"{message}: call to {endpoint} {at - since:.2f} s after it was leaving")
-        return found
+                    violations.append(
+                        f"{message}: call to {endpoint} {at - since:.2f} s after it was leaving"
+                    )
+        return violations
 
     def _lateness(self, since: float, until: float) -> float:
-        """How late this process may have been: to write the change, and to read the call."""
+        """Returns how late this process may have been in writing the change and in reading the call."""
         return 2 * max((lag for at, lag in self.lags if since <= at <= until), default=0.0)
 
-    def _told_at(self, since: float) -> float:
-        """When the change counts as told to whichever process runs then."""
-        told_at = since + (TOLD_AT_ONCE_S if self.is_prompt else TOLD_LATEST_S)
+    def _known_at(self, since: float) -> float:
+        """Returns the time at which the change counts as known to the process that runs then."""
+        known_at = since + (PROMPT_DISCOVERY_S if self.is_prompt else MAX_DISCOVERY_S)
         for begin, end in self.silences:
-            if begin <= told_at and end >= since:
-                told_at = max(told_at, end + TOLD_LATEST_S)
+            if begin <= known_at and end >= since:
+                known_at = max(known_at, end + MAX_DISCOVERY_S)
         for reload_at in self.reloads:
-            if reload_at <= told_at <= reload_at + AFTER_RELOAD_S or since <= reload_at <= told_at:
-                told_at = max(told_at, reload_at + AFTER_RELOAD_S)
-        return told_at
+            if reload_at <= known_at <= reload_at + AFTER_RELOAD_S or since <= reload_at <= known_at:
+                known_at = max(known_at, reload_at + AFTER_RELOAD_S)
+        return known_at
 
     # -- processes ---------------------------------------------------------------------------------------
 
     def _processes(self) -> list[str]:
-        found = []
+        violations = []
         for number, process in enumerate(self.processes):
             was_ready = process.ready_at < math.inf
             if process.killed_at < math.inf and process.exit_code == -signal.SIGKILL:
                 continue
             allowed = {0} if was_ready else {0, -signal.SIGTERM}
             if process.told_to_end_at == math.inf or process.exit_code not in allowed:
-                found.append(f"process {number}: ended with {process.exit_code}")
+                violations.append(f"process {number}: ended with {process.exit_code}")
             if was_ready and process.ready_at - process.started_at > READY_S:
-                found.append(f"process {number}: ready after {process.ready_at - process.started_at:.1f} s")
-        return found
+                violations.append(
+                    f"process {number}: ready after {process.ready_at - process.started_at:.1f} s"
+                )
+        return violations
--- a/benchmarks/restart_plan.py
+++ b/benchmarks/restart_plan.py
@@ -1,4 +1,4 @@
-"""What one play of benchmarks.restarts does, drawn from its seed."""
+"""Draws the plan of one run of benchmarks.restarts from its seed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Restart(Enum):
-    """How a process ends. Each but a kill is followed by SIGKILL if it takes too long."""
+    """How a process is ended. Except for a kill, SIGKILL follows if the exit takes too long."""
 
     TERM = "term"
     TERM_TWICE = "term, term"
@@ -20,7 +20,7 @@
 
 
 class FirstMoment(Enum):
-    """What a new process gets before it can have a handler."""
+    """The signal that a new process gets before it can have installed a handler."""
 
     NOTHING = "nothing"
     HUP = "hup"
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One stretch of service, and how it ends."""
+    """A period of service, and how it ends. Times are in seconds."""
 
     serve_s: float
-    leave_at_s: float  # after its start: an endpoint leaves, or comes back
-    reload_at_s: float  # two new configurations in a row
-    close_at_s: float  # an endpoint refuses connections for a while
-    silent_s: float  # from its start: the agent answers nothing
+    leave_at_s: float  # after the step's start: an endpoint leaves or returns
+    reload_at_s: float  # two configuration reloads in a row
+    close_at_s: float  # an endpoint starts to refuse connections for a while
+    silent_s: float  # the agent does not answer for this long from the step's start
     restart: Restart
     leaves_while_away: bool
     first_moment: FirstMoment
@@ -47,7 +47,7 @@
 class Plan:
     seed: int
     clients: int
-    resting_clients: int  # of them: they rest for seconds between two requests
+    resting_clients: int  # how many of the clients pause for seconds between two requests
     agent_delay_s: float
     has_crowd: bool
     hang: float
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,12 +1,13 @@
-"""A soak of restarts: the real program, clients that use their connections until the kill, signals in series.
+"""Soak test of restarts: real relay processes under traffic get series of signals; clients use their
+connections until the kill.
 
     python -m benchmarks.restarts [--seeds 50] [--first 1] [--restarts 4] [--parallel 4] [--json]
-    python -m benchmarks.restarts --seed 7          # one play again, with the program's log kept
+    python -m benchmarks.restarts --seed 7          # repeats one run and keeps the relay's log
 
-Agent, endpoints and clients are in this process, the program is one of its own; all is drawn from the seed
-(restart_plan.py). SIGKILL comes 3.7 s after SIGTERM and the next start 0.6 s later, as on the platform. A
-ledger of all parties judges (restart_ledger.py). It prints what was broken, with the command that plays it
-again, and ends with 1 if anything was."""
+Agent, endpoints and clients run in this process, the relay in a separate one; the plan is drawn from the seed
+(restart_plan.py). SIGKILL follows 3.7 s after SIGTERM and the next start 0.6 s later, as on the platform. A
+ledger of all parties finds the violated rules (restart_ledger.py). The program prints the violations with the
+command that repeats the run; the exit code is 1 if there are any."""
 
 from __future__ import annotations
 
@@ -45,21 +46,21 @@
 ENDPOINTS = 3
 CLOSED_MS = 700.0
 LAG_CHECK_S = 0.01
-LEARNED_S = 1.0  # besides the agent's delay: so old a list has surely come to the relay
+LEARNED_S = 1.0  # plus the agent's delay: the relay has certainly received a list of this age
 KEY_WINDOW_MS = 3_600_000.0
-SETTLE_S = 5.5  # past each message's time
+SETTLE_S = 5.5  # longer than each message's deadline
 SOCKETS = 128
 PORT = 7070
 DISK_MB = 3
 
 
 def loopback_address(number: int) -> str:
-    """One of some 15 million addresses of the loopback network, by the number of a process."""
+    """Maps a process id to one of some 15 million addresses of the loopback network."""
     return f"127.{1 + number // 62_500 % 250}.{number // 250 % 250}.{1 + number % 250}"
 
 
 class Play:
-    """One seed."""
+    """One run, by the plan of one seed."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -67,10 +68,10 @@
         self.ledger = Ledger(is_prompt=plan.agent_delay_s == 0, has_crowd=plan.has_crowd)
         self.endpoints: list[Endpoint] = []
         self.agents: list[Agent] = []
-        self.left: int | None = None  # the endpoint that is leaving
-        self.lists: list[tuple[float, dict[str, Any]]] = []  # of discovery, and since when
-        self.known_at = time.monotonic()  # a new process is told of the list that the last one had by then
-        # Of its own: while the program is away, nobody else can take the port for a moment.
+        self.left: int | None = None  # the endpoint that is listed as leaving
+        self.lists: list[tuple[float, dict[str, Any]]] = []  # since when, and the agent's list
+        self.known_at = time.monotonic()  # a new process is configured with the list as of this time
+        # A separate address for each run: no other process can bind the port while the relay is down.
         self.address = (loopback_address(os.getpid()), PORT)
         self.accepted = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
@@ -141,14 +142,14 @@
 
     def _listed(self) -> list[dict[str, Any]]:
         return [
-            entry(f"s-{n}", each.listen, "draining" if n == self.left else "ready")
-            for n, each in enumerate(self.endpoints)
+            entry(f"s-{n}", endpoint.listen, "draining" if n == self.left else "ready")
+            for n, endpoint in enumerate(self.endpoints)
         ]
 
     def _known(self) -> dict[str, Any]:
-        """The list as the relay last had it, as in the platform's configuration."""
-        had = [listed for since, listed in self.lists if since <= self.known_at]
-        return had[-1] if had else self.lists[0][1]
+        """Returns the list that the relay last received, as the platform writes it into the configuration."""
+        received = [listing for since, listing in self.lists if since <= self.known_at]
+        return received[-1] if received else self.lists[0][1]
 
     def _configure(self, agent: int) -> None:
         self.agent = agent
@@ -167,17 +168,17 @@
         partial.replace(self.folder / "config.json")
 
     def _start_clients(self) -> list[asyncio.Task[None]]:
-        work: list[Coroutine[Any, Any, None]] = []
+        client_runs: list[Coroutine[Any, Any, None]] = []
         for number in range(self.plan.clients):
-            rests = number < self.plan.resting_clients
-            pause_s = RESTING_PAUSE_S if rests else BUSY_PAUSE_S
+            is_resting = number < self.plan.resting_clients
+            pause_s = RESTING_PAUSE_S if is_resting else BUSY_PAUSE_S
             rng = random.Random(self.plan.seed * 100 + number)
-            work.append(Client(self.address, number, pause_s, rng, self.ledger, self.accepted).run())
+            client_runs.append(Client(self.address, number, pause_s, rng, self.ledger, self.accepted).run())
         if self.plan.has_crowd:
-            work += [idle_visitor(self.address) for _ in range(CROWD)]
-        return [asyncio.ensure_future(each) for each in work]
+            client_runs += [idle_visitor(self.address) for _ in range(CROWD)]
+        return [asyncio.ensure_future(client_run) for client_run in client_runs]
 
-    # -- the program -------------------------------------------------------------------------------------
+    # -- the relay process -------------------------------------------------------------------------------
 
     async def _launch(self) -> Process:
         self._configure(self.agent)
@@ -218,7 +219,7 @@
             self.process.send_signal(number)
 
     async def _await_end(self) -> None:
-        """Until the process has ended; it is killed at the platform's earliest."""
+        """Waits until the process has exited; kills it at the earliest time that the platform would."""
         assert self.process is not None
         record = self.ledger.processes[-1]
         kill_at = min(record.told_to_end_at + KILL_AFTER_S, record.killed_at)
@@ -234,14 +235,14 @@
         await asyncio.sleep(max(0.0, kill_at - time.monotonic()) + START_AFTER_S)
 
     def _reload(self) -> None:
-        """A new configuration, which names the other agent."""
+        """Writes a configuration that names the other agent, and sends SIGHUP."""
         assert self.process is not None
         self._configure(1 - self.agent)
         self.ledger.reloads.append(time.monotonic())
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGHUP)
 
-    # -- what happens meanwhile --------------------------------------------------------------------------
+    # -- events during service --------------------------------------------------------------------------
 
     async def _serve(self, step: Step) -> None:
         self._later(step.leave_at_s, self._leave_or_return)
@@ -253,10 +254,10 @@
             self._silence(step.silent_s)
         await asyncio.sleep(step.serve_s)
 
-    def _later(self, delay_s: float, act: Any) -> None:
+    def _later(self, delay_s: float, action: Any) -> None:
         async def wait() -> None:
             await asyncio.sleep(delay_s)
-            act()
+            action()
 
         task = asyncio.ensure_future(wait())
         self.timers.add(task)
@@ -316,14 +317,14 @@
 
 
 async def play(seed: int, restarts: int, folder: Path) -> dict[str, Any]:
-    it = Play(draw(seed, restarts), folder)
+    soak = Play(draw(seed, restarts), folder)
     try:
         async with asyncio.timeout(60.0 + 20.0 * restarts):
-            await it.run()
-        broken = it.ledger.broken()
+            await soak.run()
+        broken = soak.ledger.broken()
     except TimeoutError:
-        broken = ["the play did not come to its end in time"]
-    ledger = it.ledger
+        broken = ["the run did not finish in time"]
+    ledger = soak.ledger
     return {
         "seed": seed,
         "accepted": len(ledger.accepted),
@@ -339,31 +340,31 @@
 
 
 async def plays(seeds: list[int], restarts: int, parallel: int, keep: Path | None) -> list[dict[str, Any]]:
-    places = asyncio.Semaphore(parallel)
+    slots = asyncio.Semaphore(parallel)
 
-    async def one(seed: int) -> dict[str, Any]:
-        async with places:
-            words = [sys.executable, "-m", "benchmarks.restarts", "--seed", str(seed), "--json"]
-            words += ["--restarts", str(restarts)]
-            process = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
+    async def run_seed(seed: int) -> dict[str, Any]:
+        async with slots:
+            command = [sys.executable, "-m", "benchmarks.restarts", "--seed", str(seed), "--json"]
+            command += ["--restarts", str(restarts)]
+            process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
             output, _ = await process.communicate()
             (row,) = json.loads(output)
             return dict(row)
 
     if keep is not None:
         return [await play(seeds[0], restarts, keep)]
-    return list(await asyncio.gather(*(one(seed) for seed in seeds)))
+    return list(await asyncio.gather(*(run_seed(seed) for seed in seeds)))
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.restarts")
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--seed", type=int, help="play this one alone")
+    parser.add_argument("--seed", type=int, help="run only this seed")
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--restarts", type=int, default=4)
     parser.add_argument("--parallel", type=int, default=4)
-    parser.add_argument("--folder", type=Path, help="an empty one for what a single play leaves")
+    parser.add_argument("--folder", type=Path, help="an empty folder that keeps the files of a single run")
     args = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         if args.seed is not None:
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -1,12 +1,13 @@
-"""The directory by interest on real processes: one play of each hard case, and what it costs a relay.
+"""Runs the sharded directory on real processes through hard cases, and measures its cost for a relay.
 
     python -m benchmarks.sharded_directory [--json] [--plays killed,...] [--budget] [--sizes 1000,...]
             [--parts rows,...]
 
-Plays: 3 servers and 3 relays through the fault net, traffic to 60 of 400 destinations, ten of which move to
-another address every two seconds. `force`: how long after a move, as the register told it, the last call was
-made by the entry before it. `broken`: messages that were lost, doubled or told two ends, by the ledgers. The
-budget: `--budget`, with servers of 360,000 destinations beside one real relay. Nothing else should run.
+Cases (`--plays`): 3 servers and 3 relays connected by the fault proxy, with traffic to 60 of 400
+destinations, ten of which move to another address every two seconds. `force`: the time from a move, as the
+discovery agent announced it, to the last call by the previous entry. `broken`: messages that were lost,
+duplicated or got two final outcomes, by the ledgers. `--budget` measures the cost: servers with 360,000
+destinations and one real relay. Nothing else should run on the machine meanwhile.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 from .sharded_directory_cluster import Clients, ShardedCluster, entry, sharded_cluster, traffic
 
 RATE = 120.0  # messages a second, of all clients
-USED = list(range(1, 61))  # destinations with traffic all the time
-MOVED, MOVE_S = 10, 2.0  # so many move at once, so often
-DRAIN_S = 25.0  # past the longest deadline
+USED = list(range(1, 61))  # destinations with permanent traffic
+MOVED, MOVE_S = 10, 2.0  # number of destinations that move at once, and the interval
+DRAIN_S = 25.0  # longer than the longest deadline
 BOUND_S = 12.0
 Play = Callable[[], Awaitable[dict[str, Any]]]
 
@@ -40,35 +41,35 @@
 
 
 async def measure(cluster: ShardedCluster, clients: Clients) -> dict[str, Any]:
-    """After the play: what the ledgers say."""
+    """Collects the results from the ledgers and the status reports after a run."""
     await cluster.drained(DRAIN_S)
-    late = sorted(cluster.lateness_of_moves())
+    lateness = sorted(cluster.lateness_of_moves())
     readers = [await cluster.role_status(n, "reader") for n in cluster.relays]
-    found: dict[str, Any] = {
+    results: dict[str, Any] = {
         "handed in": len(clients.submitted),
         "taken": len(clients.accepted),
         "answers": clients.statuses,
         "broken": cluster.broken(clients.accepted),
-        "failed": sum("failed" in ends for ends in cluster.ends().values()),
-        "stale refused": sum(each["stale_refused"] for each in readers),
-        "ask failures": sum(each["failures"] for each in readers),
-        "unreadable": sum(each["unreadable"] for each in readers),
+        "failed": sum("failed" in states for states in cluster.ends().values()),
+        "stale refused": sum(reader["stale_refused"] for reader in readers),
+        "ask failures": sum(reader["failures"] for reader in readers),
+        "unreadable": sum(reader["unreadable"] for reader in readers),
     }
-    if late:
-        found |= {
-            "moves": len(late),
-            "force p50 s": round(late[len(late) // 2], 2),
-            "force p99 s": round(late[int(0.99 * (len(late) - 1))], 2),
-            "force most s": round(late[-1], 2),
+    if lateness:
+        results |= {
+            "moves": len(lateness),
+            "force p50 s": round(lateness[len(lateness) // 2], 2),
+            "force p99 s": round(lateness[int(0.99 * (len(lateness) - 1))], 2),
+            "force most s": round(lateness[-1], 2),
         }
-    return found
+    return results
 
 
 async def run_with_fault(
-    fault: Callable[[ShardedCluster, Clients], Awaitable[None]], **more: Any
+    fault: Callable[[ShardedCluster, Clients], Awaitable[None]], **fields: Any
 ) -> dict[str, Any]:
-    """Traffic and moves, with a fault among them."""
-    async with sharded_cluster(3, 3, **more) as cluster:
+    """Runs traffic and moves, and injects a fault among them."""
+    async with sharded_cluster(3, 3, **fields) as cluster:
         async with traffic(cluster, RATE, USED) as clients:
             await asyncio.sleep(1.0)
             moves = asyncio.ensure_future(move_destinations(cluster, 600.0))
@@ -88,7 +89,7 @@
 
 
 async def killed() -> dict[str, Any]:
-    """A server is killed in the middle of a shard's answer: what comes of it is a trickle."""
+    """A server is killed in the middle of a shard's response, which a slow link delivers at 2000 bytes/s."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         for relay in cluster.relays:
@@ -106,7 +107,7 @@
 
 
 async def frozen() -> dict[str, Any]:
-    """A server stands still for 20 s, and then a relay does."""
+    """A server is frozen for 20 s, and then a relay for 15 s."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         cluster.freeze(0)
@@ -122,8 +123,8 @@
 
 
 async def behind() -> dict[str, Any]:
-    """One server hears of no change, though its source confirms it: it is behind by all changes of the play
-    and 300 before it. For a while it is the only one that can be reached."""
+    """One server gets no changes, though its source confirms its list: it lacks all changes of the run and
+    300 earlier ones. For a while it is the only reachable server."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await asyncio.sleep(8.0)
@@ -140,7 +141,7 @@
     async with sharded_cluster(3, 3, old=(1,)) as cluster:
         for _ in range(30):
             cluster.move(*random.Random(3).sample(range(1, cluster.dests + 1), 10))
-        cluster.moves.clear()  # nobody has called yet
+        cluster.moves.clear()  # without traffic so far, these moves don't count
         await cluster.wait_until_followed()
         async with traffic(cluster, RATE, USED) as clients:
             await asyncio.sleep(1.0)
@@ -153,7 +154,7 @@
 
 
 async def restarted() -> dict[str, Any]:
-    """All servers end and start together, while messages come for shards that no relay has."""
+    """All servers are killed and restarted together, while messages arrive for shards that no relay has."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await asyncio.gather(*(cluster.kill(n) for n in range(3)))
@@ -167,12 +168,12 @@
 
 
 async def one_way() -> dict[str, Any]:
-    """What servers say does not come, what is asked of them does; then the other way round."""
+    """Links from servers to relays are cut while the opposite direction works; then the other way round."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         relays = [f"n{n}" for n in cluster.relays]
-        for some, others in ((["n0", "n1", "n2"], relays), (relays, ["n0", "n1", "n2"])):
-            await cluster.net("set", some, others, cut=True)
+        for sources, targets in ((["n0", "n1", "n2"], relays), (relays, ["n0", "n1", "n2"])):
+            await cluster.net("set", sources, targets, cut=True)
             await asyncio.sleep(4.0)
             await cluster.net("heal")
             await asyncio.sleep(4.0)
@@ -185,8 +186,8 @@
 
 
 async def doubled() -> dict[str, Any]:
-    """Datagrams come twice, late and in another order, and a third is lost; connections are slow and uneven,
-    and end now and then in the middle."""
+    """Datagrams are duplicated, delayed and reordered, and a third of them is lost; connections are slow with
+    varying delay, and are sometimes reset in the middle of a transfer."""
 
     async def fault(cluster: ShardedCluster, clients: Clients) -> None:
         await cluster.net("set", twice=0.5, late=0.2, loss=0.3, delay_ms=20.0, jitter_ms=150.0)
@@ -201,8 +202,8 @@
 
 
 async def unreadable() -> dict[str, Any]:
-    """Entries that can't be read: a port that is none, no address, a rate below 0, and no entry at all; then
-    two that are known change to such."""
+    """Malformed entries: an invalid port, no address, a negative rate, and an entry with only an id; then two
+    known entries become malformed."""
     spoilt = (
         entry(900, "127.0.0.1:99999"),
         entry(901, ""),
@@ -221,7 +222,7 @@
 
 
 async def held() -> dict[str, Any]:
-    """3 relays are killed with 500 messages held over 400 shards, whose servers are away; some of their
+    """3 relays are killed with 500 pending messages in 400 shards whose servers are down; some of their
     destinations move meanwhile."""
     async with sharded_cluster(3, 3, dests=1200, count=4096) as cluster:
         await asyncio.gather(*(cluster.kill(n) for n in range(3)))
@@ -229,43 +230,47 @@
         for n in range(500):
             clients.submit(1 + 2 * n, cluster.relays[n % 3], "order", 60_000.0)
         await clients.wait_until_settled()
-        before = len(clients.accepted)
+        pending_before = len(clients.accepted)
         await asyncio.gather(*(cluster.kill(n) for n in cluster.relays))
-        moved = [1 + 2 * n for n in range(0, 500, 10)]
-        cluster.move(*moved)
+        moved_destinations = [1 + 2 * n for n in range(0, 500, 10)]
+        cluster.move(*moved_destinations)
         started_at = time.monotonic()
         await asyncio.gather(*(cluster.start_instance(n) for n in range(6)))
         await cluster.drained(60.0)
-        took = time.monotonic() - started_at
-        wrong = sum(len(cluster.calls_to(dest, "a")) for dest in moved)
-        found = await measure(cluster, clients)
+        drain_s = time.monotonic() - started_at
+        calls_to_old_place = sum(len(cluster.calls_to(dest, "a")) for dest in moved_destinations)
+        results = await measure(cluster, clients)
         clients.close()
-        return found | {
-            "held": before,
-            "drained s": round(took, 1),
+        return results | {
+            "held": pending_before,
+            "drained s": round(drain_s, 1),
             "delivered": len(cluster.effects()),
-            "calls at places that were left": wrong,
+            "calls at places that were left": calls_to_old_place,
         }
 
 
 async def waiting() -> dict[str, Any]:
-    """Destinations move, twice, while their messages wait for the shard."""
+    """Destinations move, some of them twice, while their messages wait for the shard."""
     async with sharded_cluster(3, 3) as cluster:
         await asyncio.gather(*(cluster.kill(n) for n in range(3)))
         clients = Clients(cluster)
-        moved = list(range(100, 160))
-        for dest in moved:
+        moved_destinations = list(range(100, 160))
+        for dest in moved_destinations:
             clients.submit(dest, cluster.relays[dest % 3])
         await clients.wait_until_settled()
-        cluster.move(*moved)
-        cluster.move(*moved[:30])
+        cluster.move(*moved_destinations)
+        cluster.move(*moved_destinations[:30])
         await asyncio.gather(*(cluster.start_instance(n) for n in range(3)))
-        found = await measure(cluster, clients)
-        wrong = sum(
-            len(cluster.calls_to(dest, "b" if cluster.current_places[dest] == "a" else "a")) for dest in moved
+        results = await measure(cluster, clients)
+        calls_to_old_place = sum(
+            len(cluster.calls_to(dest, "b" if cluster.current_places[dest] == "a" else "a"))
+            for dest in moved_destinations
         )
         clients.close()
-        return found | {"delivered": len(cluster.effects()), "calls at places that were left": wrong}
+        return results | {
+            "delivered": len(cluster.effects()),
+            "calls at places that were left": calls_to_old_place,
+        }
 
 
 PLAYS: dict[str, Play] = {
@@ -282,30 +287,36 @@
 }
 
 
-def faults(name: str, found: dict[str, Any]) -> list[str]:
-    bad = [f"{name}: {text}" for text in found["broken"]]
-    if found.get("force most s", 0.0) > BOUND_S:
-        bad.append(f"{name}: a call by what was known {found['force most s']} s before")
-    if found.get("calls at places that were left"):
-        bad.append(f"{name}: calls at places that were left before")
-    return bad
+def violations_of(name: str, results: dict[str, Any]) -> list[str]:
+    violations = [f"{name}: {text}" for text in results["broken"]]
+    if results.get("force most s", 0.0) > BOUND_S:
+        violations.append(f"{name}: a call by an entry that was replaced {results['force most s']} s before")
+    if results.get("calls at places that were left"):
+        violations.append(f"{name}: calls to places that the destinations had left before")
+    return violations
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.sharded_directory")
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--plays", default=",".join(PLAYS), help="by name, with commas; empty: none")
+    parser.add_argument(
+        "--plays", default=",".join(PLAYS), help="names of the cases, separated by commas; empty: none"
+    )
     parser.add_argument("--budget", action="store_true")
-    parser.add_argument("--sizes", default="1000,10000", help="destinations in use, of 360,000")
-    parser.add_argument("--known", type=int, default=DESTS, help="destinations at the keepers")
-    parser.add_argument("--parts", default="without,rows,storm", help="of the budget, with commas")
-    parser.add_argument("--count", type=int, default=SHARDS, help="shards: a power of two")
+    parser.add_argument("--sizes", default="1000,10000", help="numbers of destinations in use, of 360,000")
+    parser.add_argument(
+        "--known", type=int, default=DESTS, help="number of destinations on the shard servers"
+    )
+    parser.add_argument(
+        "--parts", default="without,rows,storm", help="parts of the budget, separated by commas"
+    )
+    parser.add_argument("--count", type=int, default=SHARDS, help="number of shards: a power of two")
     args = parser.parse_args()
     results: dict[str, Any] = {}
-    bad: list[str] = []
+    violations: list[str] = []
     for name in (each for each in args.plays.split(",") if each):
         results[name] = asyncio.run(_run_play(PLAYS[name]))
-        bad += faults(name, results[name])
+        violations += violations_of(name, results[name])
         if not args.json:
             summary = ", ".join(f"{key} {value}" for key, value in results[name].items())
             print(f"{name}: {summary}", flush=True)
@@ -320,9 +331,9 @@
         )
     if args.json or args.budget:
         print(json.dumps(results, indent=1))
-    for text in bad:
+    for text in violations:
         print(text, file=sys.stderr)
-    return 1 if bad else 0
+    return 1 if violations else 0
 
 
 async def _run_play(play: Play) -> dict[str, Any]:
@@ -331,5 +342,5 @@
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that no process is left behind
+    signal.signal(signal.SIGTERM, signal.default_int_handler)  # stops the child processes on SIGTERM too
     sys.exit(main())
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -1,5 +1,5 @@
-"""What the directory by interest costs a real relay beside servers of 360,000 destinations: memory, bytes and
-processor time, at rest and at changes. See benchmarks/sharded_directory.py."""
+"""Measures the sharded directory's cost for a real relay, with servers of 360,000 destinations: memory, bytes
+and processor time, when idle and during changes. See benchmarks/sharded_directory.py."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from .sharded_directory_cluster import Clients, ShardedCluster, entry, sharded_cluster
 
 DESTS = 360_000
-DAY_S, PLAN = 86_400.0, 7_000  # changes
-WINDOW_S = 20.0  # of each measurement
-STORM, STORM_S = 72_000, 30.0  # changes, and within so long
-HAND_IN = 250.0  # messages a second while destinations come into use: a shard for nearly each
+DAY_S, PLAN = 86_400.0, 7_000  # planned changes a day
+WINDOW_S = 20.0  # duration of each measurement
+STORM, STORM_S = 72_000, 30.0  # number of changes, and their duration
+SUBMISSIONS_PER_S = 250.0  # messages/s while destinations come into use; nearly each needs another shard
 HOLD, LEFT_MS = 4000, 30_000.0
 SHARDS = 8192
 
 
 async def resource_usage(cluster: ShardedCluster) -> dict[str, float]:
-    """Of the relay, since its start.
+    """Returns the relay's resource usage since its start.
 
-    Bytes of connections are those of the net, in which there is no other client.
+    The bytes on connections are those that the fault proxy counts: there is no other client.
     """
     report = await cluster.report(cluster.relays[0])
     shards = report.shards or {}
     counts = await cluster.net("count")
     datagrams = shards.get("peers", {})
-    moved = counts.get("bytes", 0) + datagrams.get("sent_bytes", 0) + datagrams.get("received_bytes", 0)
+    byte_count = counts.get("bytes", 0) + datagrams.get("sent_bytes", 0) + datagrams.get("received_bytes", 0)
     return {
         "at": time.monotonic(),
         "cpu": report.cpu_s,
         "rss": report.rss_mb,
-        "bytes": float(moved),
+        "bytes": float(byte_count),
         "lag": report.lag.most_ms,
     }
 
 
 def between(before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
-    took = after["at"] - before["at"]
+    elapsed_s = after["at"] - before["at"]
     return {
-        "core %": round(100 * (after["cpu"] - before["cpu"]) / took, 2),
-        "bytes/s": round((after["bytes"] - before["bytes"]) / took),
+        "core %": round(100 * (after["cpu"] - before["cpu"]) / elapsed_s, 2),
+        "bytes/s": round((after["bytes"] - before["bytes"]) / elapsed_s),
         "RSS MB": round(after["rss"], 1),
         "lag ms": after["lag"],
     }
@@ -55,7 +55,7 @@
 
 
 async def changing(cluster: ShardedCluster, a_second: float) -> None:
-    """Each of one destination, any of them."""
+    """Changes one randomly chosen destination at a time, until cancelled."""
     rng = random.Random(5)
     while True:
         await asyncio.sleep(rng.expovariate(a_second))
@@ -63,20 +63,20 @@
 
 
 async def with_changes(cluster: ShardedCluster, a_second: float) -> dict[str, float]:
-    work = asyncio.ensure_future(changing(cluster, a_second))
+    task = asyncio.ensure_future(changing(cluster, a_second))
     try:
         await asyncio.sleep(3.0)
         return await window(cluster)
     finally:
-        work.cancel()
-        await asyncio.gather(work, return_exceptions=True)
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
 
 
-async def use(cluster: ShardedCluster, clients: Clients, some: list[int]) -> float:
-    """Hands in a message for each; how long until all have gone."""
+async def use(cluster: ShardedCluster, clients: Clients, dests: list[int]) -> float:
+    """Submits a message to each destination; returns the seconds until all are delivered."""
     started_at = time.monotonic()
-    for n, dest in enumerate(some):
-        await asyncio.sleep(max(0.0, started_at + n / HAND_IN - time.monotonic()))
+    for n, dest in enumerate(dests):
+        await asyncio.sleep(max(0.0, started_at + n / SUBMISSIONS_PER_S - time.monotonic()))
         clients.submit(dest, cluster.relays[0], "status", LEFT_MS)
     await clients.wait_until_settled()
     await cluster.drained(LEFT_MS / 1000 + 5.0)
@@ -87,10 +87,10 @@
     rng, started_at = random.Random(6), time.monotonic()
     before = await resource_usage(cluster)
     dests = rng.sample(range(1, cluster.dests + 1), min(STORM, cluster.dests))
-    pieces = 60
-    for n in range(pieces):
-        cluster.register.change([entry(dest, cluster.at["b"]) for dest in dests[n::pieces]])
-        await asyncio.sleep(max(0.0, started_at + STORM_S * (n + 1) / pieces - time.monotonic()))
+    batch_count = 60
+    for n in range(batch_count):
+        cluster.register.change([entry(dest, cluster.at["b"]) for dest in dests[n::batch_count]])
+        await asyncio.sleep(max(0.0, started_at + STORM_S * (n + 1) / batch_count - time.monotonic()))
     changed_at = time.monotonic()
     await cluster.wait_until_followed(120.0)
     servers_followed_s = time.monotonic() - changed_at
@@ -111,41 +111,41 @@
 
 
 async def budget(sizes: list[int], known: int, parts: set[str], count: int = SHARDS) -> dict[str, Any]:
-    """Ascending sizes: destinations in use at the relay, of `known`. `parts`: `without` (a relay without it),
-    `rows` (of each size), `storm`."""
-    found: dict[str, Any] = {"destinations": known, "shards": count}
+    """Runs the measurements named by `parts`: `without` (a relay without the sharded directory), `rows` (for
+    each size) and `storm`. `sizes` are ascending numbers of destinations in use at the relay, of `known`."""
+    results: dict[str, Any] = {"destinations": known, "shards": count}
     if "without" in parts:
         async with sharded_cluster(1, 1, on=False, dests=1, hold=HOLD) as cluster:
             await asyncio.sleep(2.0)
             clients = Clients(cluster)
             await use(cluster, clients, [1] * 1000)
             clients.close()
-            found["without"] = await window(cluster)
+            results["without"] = await window(cluster)
     async with sharded_cluster(2, 1, dests=known, count=count, hold=HOLD, idle_s=3600.0) as cluster:
         await asyncio.sleep(2.0)
-        found["keeper"] = {"RSS MB": round((await cluster.report(0)).rss_mb, 1)}
+        results["keeper"] = {"RSS MB": round((await cluster.report(0)).rss_mb, 1)}
         if "without" in parts:
-            found["none in use"] = await window(cluster)
+            results["none in use"] = await window(cluster)
         dests = list(range(1, known + 1))
         random.Random(4).shuffle(dests)
-        clients, before = Clients(cluster), 0
+        clients, used_count = Clients(cluster), 0
         for size in sizes:
             row: dict[str, Any] = {}
-            row["into use s"] = round(await use(cluster, clients, dests[before:size]), 1)
-            before = size
+            row["into use s"] = round(await use(cluster, clients, dests[used_count:size]), 1)
+            used_count = size
             if "rows" in parts:
                 await asyncio.sleep(3.0)
                 row["at rest"] = await window(cluster)
                 row["plan"] = await with_changes(cluster, PLAN / DAY_S)
                 row["plan x 100"] = await with_changes(cluster, 100 * PLAN / DAY_S)
             row["reader"] = await cluster.role_status(cluster.relays[0], "reader")
-            found[f"{size} in use"] = row
+            results[f"{size} in use"] = row
         if "storm" in parts:
-            found["storm"] = await stormed(cluster)
-        found["keeper after"] = {
+            results["storm"] = await stormed(cluster)
+        results["keeper after"] = {
             "RSS MB": round((await cluster.report(0)).rss_mb, 1),
             "lag ms": (await cluster.report(0)).lag.most_ms,
         }
-        found["broken"] = cluster.broken(clients.accepted)
+        results["broken"] = cluster.broken(clients.accepted)
         clients.close()
-    return found
+    return results
