--- a/benchmarks/sharded_directory_cluster.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -1,8 +1,9 @@
-"""Real relays and shard servers with a fault proxy between them, a register whose list changes, and two
-endpoints between which destinations move: for tests and benchmarks/sharded_directory.py.
+"""Cluster harness for the sharded directory, for tests and benchmarks/sharded_directory.py.
 
-Instances 0 to `keepers` - 1 are shard servers; clients submit at the others. Each message's id names its
-destination, so that the ledgers of the two places show by which entry each call was made.
+Runs real relays and shard servers with a fault proxy between them, a discovery agent whose list changes, and
+two endpoints ("places" a and b) between which destinations move. Instances 0 to `keepers` - 1 are shard
+servers; clients submit to the others. Each message's id contains its destination, so that the ledgers of the
+two endpoints show which entry each call used.
 """
 
 from __future__ import annotations
@@ -30,17 +31,17 @@
 from .processes import CLASSES, lines
 
 PLACES = ("a", "b")
-MAX_LOGGED_CHANGES = 200_000  # changes that a register knows; from before them it sends the whole list
+MAX_LOGGED_CHANGES = 200_000  # a request from before the oldest logged change gets the complete list
 
 
 class ChangingRegister(Agent):
-    """The platform's agent with a list that changes. It runs in the benchmark's process."""
+    """A discovery agent with a list that changes. It runs in the benchmark's process."""
 
     def __init__(self, entries: Iterable[dict[str, Any]], ledger: TextIO | None = None) -> None:
         super().__init__(b'{"generation": 1}', ledger)
         self.entries = {entry["instanceId"]: entry for entry in entries}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.history_start = 1  # changes are known since this generation
+        self.history_start = 1  # the generation of the oldest logged change
         self.full_list = (0, b"")
         self.sent_bytes = 0
         self.generation_times: dict[int, float] = {}  # Unix s of each generation
@@ -51,7 +52,7 @@
         return f"{host}:{port}"
 
     def change(self, entries: Iterable[dict[str, Any]]) -> None:
-        """In one generation."""
+        """Applies these entries as one new generation; an entry with lifecycle `gone` is removed."""
         self.generation += 1
         for entry in entries:
             self.changes.append((self.generation, entry))
@@ -61,7 +62,7 @@
                 self.entries[entry["instanceId"]] = entry
         if len(self.changes) > MAX_LOGGED_CHANGES:
             self.history_start = self.changes[-MAX_LOGGED_CHANGES][0] + 1
-            self.changes = [each for each in self.changes if each[0] >= self.history_start]
+            self.changes = [change for change in self.changes if change[0] >= self.history_start]
         self.generation_times[self.generation] = time.time()
         self.changed.set()
         self.changed = asyncio.Event()
@@ -70,16 +71,18 @@
         if method == "POST":
             return await super().answer(method, target, report)
         query = parse_qs(urlsplit(target).query)
-        known = int(query.get("from", ["-1"])[0])
-        if not self.history_start <= known <= self.generation:
+        known_generation = int(query.get("from", ["-1"])[0])
+        if not self.history_start <= known_generation <= self.generation:
             if self.full_list[0] != self.generation:
                 self.full_list = self.generation, self._list_body(True, list(self.entries.values()))
             return 200, self.full_list[1]
-        if known == self.generation:
+        if known_generation == self.generation:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query.get("hold_ms", ["0"])[0]) / 1000):
                     await self.changed.wait()
-        changes = self.changes[bisect_left(self.changes, known + 1, key=lambda each: each[0]) :]
+        changes = self.changes[
+            bisect_left(self.changes, known_generation + 1, key=lambda change: change[0]) :
+        ]
         latest = {entry["instanceId"]: entry for _, entry in changes}
         return 200, self._list_body(False, list(latest.values()))
 
@@ -89,39 +92,39 @@
         return body
 
 
-def entry(dest: int, at: str, **more: Any) -> dict[str, Any]:
+def entry(destination: int, address: str, **fields: Any) -> dict[str, Any]:
     return {
-        "instanceId": f"e{dest}",
-        "hostPort": at,
+        "instanceId": f"e{destination}",
+        "hostPort": address,
         "zone": "z",
         "machineType": "k",
-        "cell": dest,
+        "cell": destination,
         "lifecycle": "ready",
         "weight": 1000.0,
         "startedAtMs": 0,
-        **more,
+        **fields,
     }
 
 
 @dataclass
 class Clients:
-    """Submits messages at relays by turns; each has its destination in its id."""
+    """Submits messages to randomly chosen relays; each message's id contains its destination."""
 
     cluster: ShardedCluster
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     submitted: list[str] = field(default_factory=list)
-    accepted: dict[str, str] = field(default_factory=dict)  # and their classes
+    accepted: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
     statuses: dict[str, int] = field(default_factory=dict)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
     pool: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
 
     async def run(self, rate: float, seconds: float, dests: list[int], to: list[int] | None = None) -> None:
-        """Open loop; a message is handed in when its time has come."""
+        """Submits messages open loop, each at its scheduled time."""
         loop = asyncio.get_running_loop()
-        at = loop.time()
-        ends = at + seconds
-        while (at := at + self.rng.expovariate(rate)) < ends:
-            await asyncio.sleep(max(0.0, at - loop.time()))
+        due_at = loop.time()
+        ends_at = due_at + seconds
+        while (due_at := due_at + self.rng.expovariate(rate)) < ends_at:
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
             self.submit(self.rng.choice(dests), self.rng.choice(to or self.cluster.relays))
         await self.wait_until_settled()
 
@@ -135,16 +138,16 @@
             await asyncio.gather(*list(self.tasks), return_exceptions=True)
 
     async def submit_and_wait(self, dest: int, relay: int, class_: str = "", left_ms: float = 0.0) -> None:
-        ident = f"m{len(self.submitted)}-{dest}"
-        self.submitted.append(ident)
+        message_id = f"m{len(self.submitted)}-{dest}"
+        self.submitted.append(message_id)
         names = [name for name, *_ in CLASSES]
         class_ = class_ or self.rng.choices(names, [weight for *_, weight in CLASSES])[0]
         deadline = left_ms or next(ms for name, _, ms, _ in CLASSES if name == class_)
-        data = request(ident, class_, dest, deadline, b"x" * 200, f"k{ident}")
+        data = request(message_id, class_, dest, deadline, b"x" * 200, f"k{message_id}")
         status = (await self.pool.hand_in(("127.0.0.1", self.cluster.port + relay), data)).status
         self.statuses[status] = self.statuses.get(status, 0) + 1
         if status in ("202", "200"):
-            self.accepted[ident] = class_
+            self.accepted[message_id] = class_
 
     def close(self) -> None:
         self.pool.close()
@@ -161,11 +164,11 @@
     bound_s: float = 12.0
     idle_s: float = 300.0
     hold: int = 1000
-    on: bool = True  # False: the same processes with the whole list at each
-    spoilt: tuple[dict[str, Any], ...] = ()  # entries of the list that can't be read
-    old: tuple[int, ...] = ()  # servers with a register of their own, which never changes
-    extra: int = 0  # destinations that nobody calls
-    moves: list[tuple[float, int, str]] = field(default_factory=list)  # Unix s, destination, to which place
+    on: bool = True  # False: the same processes without sharding, each with the complete list
+    spoilt: tuple[dict[str, Any], ...] = ()  # malformed entries of the list
+    old: tuple[int, ...] = ()  # servers with a separate agent whose list never changes
+    extra: int = 0  # number of additional destinations without traffic
+    moves: list[tuple[float, int, str]] = field(default_factory=list)  # Unix s, destination, new place
     current_places: dict[int, str] = field(default_factory=dict)
 
     @property
@@ -173,10 +176,11 @@
         return list(range(self.keepers, self.instances))
 
     async def start(self, name: str, *args: str) -> str:
-        """In place of the agent: the register of this process, which takes its notices too."""
+        """Starts a process. In place of the agent process, starts a `ChangingRegister` in this process,
+        which also receives the notices."""
         if name != "agent":
             return await super().start(name, *args)
-        self.notices = open(self.folder / "notices", "a")  # noqa: SIM115  until it is closed
+        self.notices = open(self.folder / "notices", "a")  # noqa: SIM115  closed in close()
         listed = [entry(dest, self.at["a"]) for dest in range(1, self.dests + 1)]
         listed += [entry(dest, self.at["a"]) for dest in range(self.dests + 1, self.dests + 1 + self.extra)]
         self.current_places = dict.fromkeys(range(1, self.dests + 1), "a")
@@ -207,8 +211,8 @@
         return {"generation": 1, "reset": True, "instances": []}
 
     def _settings(self) -> dict[str, Any]:
-        report = super()._settings()
-        return report | {"limits": report["limits"] | {"open-cap": self.hold}}
+        base = super()._settings()
+        return base | {"limits": base["limits"] | {"open-cap": self.hold}}
 
     def configure(self, instances: int) -> None:
         seeds = ", ".join(f'"127.{self.block}.2.{n}:{PORT}"' for n in range(max(1, self.keepers)))
@@ -224,55 +228,62 @@
             )
         path = self.folder / "config0.json"
         if self.old:
-            report = json.loads(path.read_text())
+            config = json.loads(path.read_text())
             (self.folder / "old.json").write_text(
-                json.dumps(report | {"discovery": self.old_register_address})
+                json.dumps(config | {"discovery": self.old_register_address})
             )
         super().configure(instances)
 
     # -- changes ---------------------------------------------------------------------------------------------
 
     def move(self, *dests: int) -> None:
-        """To the other place."""
+        """Moves each of these destinations to the other endpoint, in one generation."""
         for dest in dests:
             self.current_places[dest] = "b" if self.current_places[dest] == "a" else "a"
             self.moves.append((time.time(), dest, self.current_places[dest]))
         self.register.change(entry(dest, self.at[self.current_places[dest]]) for dest in dests)
 
     def lateness_of_moves(self) -> list[float]:
-        """For each move, how long after it the last call was made by the entry before it; 0: none was."""
+        """Returns for each move the seconds until the last call by the previous entry; 0 if none."""
         calls: dict[tuple[str, int], list[float]] = {}
         for place in PLACES:
             for line in lines(self.folder / f"calls {place}"):
-                at, ident = line.split()[:2]
-                calls.setdefault((place, int(ident.rpartition("-")[2])), []).append(float(at) / 1000)
-        found = []
+                at, message_id = line.split()[:2]
+                calls.setdefault((place, int(message_id.rpartition("-")[2])), []).append(float(at) / 1000)
+        lateness = []
         for n, (moved, dest, to) in enumerate(self.moves):
-            ends = next((then for then, other, _ in self.moves[n + 1 :] if other == dest), float("inf"))
-            before = "b" if to == "a" else "a"
-            old = [each - moved for each in calls.get((before, dest), []) if moved < each < ends]
-            found.append(max(old, default=0.0))
-        return found
+            next_move_at = next(
+                (moved_again_at for moved_again_at, other, _ in self.moves[n + 1 :] if other == dest),
+                float("inf"),
+            )
+            previous_place = "b" if to == "a" else "a"
+            delays = [
+                called_at - moved
+                for called_at in calls.get((previous_place, dest), [])
+                if moved < called_at < next_move_at
+            ]
+            lateness.append(max(delays, default=0.0))
+        return lateness
 
     def calls_to(self, dest: int, place: str) -> list[str]:
-        """Ids of its messages that were called there."""
-        idents = [line.split()[1] for line in lines(self.folder / f"calls {place}")]
-        return [ident for ident in idents if int(ident.rpartition("-")[2]) == dest]
+        """Returns the ids of the destination's messages that were sent to this endpoint."""
+        message_ids = [line.split()[1] for line in lines(self.folder / f"calls {place}")]
+        return [message_id for message_id in message_ids if int(message_id.rpartition("-")[2]) == dest]
 
     # -- instances -------------------------------------------------------------------------------------------
 
     async def report(self, n: int) -> Report:
-        """Raises StatusError."""
+        """Returns the instance's status report; raises StatusError."""
         report = await fetch_report(self.folder / "run" / f"{n}.sock")
         assert isinstance(report, Report)
         return report
 
     async def role_status(self, n: int, role: str) -> dict[str, Any]:
-        report: dict[str, Any] = ((await self.report(n)).shards or {})[role]
-        return report
+        status: dict[str, Any] = ((await self.report(n)).shards or {})[role]
+        return status
 
     async def wait_until_loaded(self, seconds: float = 60.0) -> None:
-        """Wait until each server has a list."""
+        """Waits until each server has a list."""
         async with asyncio.timeout(seconds):
             for n in range(self.keepers):
                 while True:
@@ -282,7 +293,7 @@
                     await asyncio.sleep(0.05)
 
     async def wait_until_followed(self, seconds: float = 60.0) -> None:
-        """Wait until each server but those with an old register is at the latest generation."""
+        """Waits until each server, except those with the unchanging agent, is at the latest generation."""
         async with asyncio.timeout(seconds):
             for n in (n for n in range(self.keepers) if n not in self.old):
                 while True:
@@ -295,22 +306,22 @@
         try:
             await super().close()
         finally:
-            for each in (self.register, self.old_register):
-                each.server.close()
+            for register in (self.register, self.old_register):
+                register.server.close()
             self.notices.close()
 
 
 @contextlib.asynccontextmanager
-async def sharded_cluster(keepers: int = 3, relays: int = 3, **more: Any) -> AsyncIterator[ShardedCluster]:
+async def sharded_cluster(keepers: int = 3, relays: int = 3, **fields: Any) -> AsyncIterator[ShardedCluster]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         cluster = ShardedCluster(
             Path(folder),
             keepers + relays,
-            more.pop("rate", 1000.0),
+            fields.pop("rate", 1000.0),
             False,
             keepers=keepers,
             fleet_of=keepers + relays,
-            **more,
+            **fields,
         )
         try:
             await cluster.set_up()
@@ -323,13 +334,13 @@
 
 @contextlib.asynccontextmanager
 async def traffic(cluster: ShardedCluster, rate: float, dests: list[int]) -> AsyncIterator[Clients]:
-    """Submit messages for as long as the context is open."""
+    """Submits messages for as long as the context is open."""
     clients = Clients(cluster)
-    work = asyncio.ensure_future(clients.run(rate, 600.0, dests))
+    task = asyncio.ensure_future(clients.run(rate, 600.0, dests))
     try:
         yield clients
     finally:
-        work.cancel()
-        await asyncio.gather(work, return_exceptions=True)
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
         await clients.wait_until_settled()
         clients.close()
--- a/benchmarks/sharded_directory_schedules.py
+++ b/benchmarks/sharded_directory_schedules.py
@@ -1,12 +1,12 @@
-"""The sharded directory in virtual time: the product's servers and clients, with simulated links and sources.
+"""Simulates the sharded directory in virtual time: real servers and clients, simulated links and sources.
 
     python -m benchmarks.sharded_directory_schedules --seeds 1000 [--readers 200] [--json]
 
-Processes are killed, frozen and restarted, links cut and sources silent, by seeds. A call is *late* by the
-time since which a server that has the newer entry could be reached by its client without a break: alive, not
-frozen, both ways of the link open. Requests go over TCP (late, or not at all where a way is cut); digests are
-datagrams (lost, doubled, out of order). Each row's rate is the generation that it is from, so that the
-directory itself tells its age.
+Processes are killed, frozen and restarted, links are cut and sources are silent, as drawn from the seed. The
+lateness of a call is the time for which its client could continuously have reached a server that has the
+newer entry: alive, not frozen, both directions of the link open. Requests go over TCP (delayed, or not
+delivered where a direction is cut); digests are datagrams (lost, duplicated, reordered). Each row's rate is
+the generation that it is from, so that the age of an entry can be read from the directory.
 """
 
 from __future__ import annotations
@@ -46,8 +46,9 @@
 )
 
 BOUND_S = 12.0
-MAX_BLOCKED_S = 10.0  # a server that knows all could be reached for so long: calls go, wanted shards are here
-SOURCE_POLL_S = 2.0  # of a server at its source
+# After an up-to-date server was reachable for this long, calls are made and requested shards are resident.
+MAX_BLOCKED_S = 10.0
+SOURCE_POLL_S = 2.0  # interval at which a server polls its source
 REQUEST_TIMEOUT_S = 1.0
 SETTINGS = Settings(
     classes=(MessageClass("order", Effect.KEYED, 4000.0, 16000.0, 2.0, 0.5, 4000.0),),
@@ -60,21 +61,21 @@
 
 @dataclass
 class Plan:
-    """A schedule; what isn't given is drawn from the seed."""
+    """A schedule; fields that are None are drawn from the seed."""
 
     seed: int
     clients: int = 200
     servers: int = 8
     destinations: int = 800
     shard_count: int = 128
-    destinations_per_client: int = 12  # destinations of a client
+    destinations_per_client: int = 12
     seconds: float = 50.0
-    call_interval_s: float = 1.0  # between two calls of a client
-    change_interval_s: float = 0.7  # between two changes
+    call_interval_s: float = 1.0  # mean time between two calls of a client
+    change_interval_s: float = 0.7  # mean time between two changes
     fault_count: int | None = None
-    restarts_all: bool | None = None  # all servers at once, in the middle
-    max_freeze_s: float = 25.0  # a process, at most
-    digest_loss: float | None = None  # of digests
+    restarts_all: bool | None = None  # whether all servers restart together during the run
+    max_freeze_s: float = 25.0  # longest duration of a fault
+    digest_loss: float | None = None  # share of digests that are lost
 
 
 @dataclass
@@ -83,21 +84,22 @@
 
     seed: int
     calls: int = 0
-    blocked: int = 0  # calls that `is_current` held back
-    late_s: float = 0.0  # the last call by an older entry, at its latest
-    late_calls: int = 0  # past the bound
-    older: int = 0  # entries that went back in the directory
-    returned: int = 0  # entries that were replaced before something that the directory had already
-    stuck: int = 0  # calls held back, and shards not here, though a server that knows all was there for long
-    wait_s: float = 0.0  # for a wanted shard, while such a server was there
-    wrong_absent: int = 0  # "no such destination" of one that there was within the bound
-    unmet: int = 0  # clients that differ from the truth after a quiet end
+    blocked: int = 0  # calls withheld because `is_current` was false
+    late_s: float = 0.0  # greatest lateness of a call by a replaced entry
+    late_calls: int = 0  # calls later than the bound
+    older: int = 0  # entries that the directory replaced by an older version
+    returned: int = 0  # added entries that were replaced by the directory's latest generation
+    # Calls withheld and shards not resident although an up-to-date server was reachable for MAX_BLOCKED_S.
+    stuck: int = 0
+    wait_s: float = 0.0  # wait for a requested shard while an up-to-date server was reachable
+    wrong_absent: int = 0  # destinations reported missing that existed throughout the bound
+    unmet: int = 0  # destinations in use whose entries differ from the source after the final quiet period
     answers: int = 0
     busy: int = 0
     stale_refused: int = 0
-    answers_s: float = 0.0  # the most in a second at one server
+    answers_s: float = 0.0  # most responses of one server in a second
     bytes_s: float = 0.0
-    reader_bytes_s: float = 0.0  # mean, of asks and answers as they are packed
+    reader_bytes_s: float = 0.0  # mean over the clients, of encoded requests and responses
     notes: list[str] = field(default_factory=list)
 
     @property
@@ -111,14 +113,14 @@
 
 
 class SourceModel:
-    """The source: all rows, and every change so far."""
+    """The source of the directory: the current rows and all changes so far."""
 
     def __init__(self, plan: Plan, rng: random.Random) -> None:
         self.rng, self.plan = rng, plan
         self.rows: dict[str, Row] = {}
         self.changes: list[tuple[int, list[Row], list[tuple[str, int]]]] = []
-        self.history: dict[str, list[int]] = defaultdict(list)  # generations at which a name changed
-        # By destination: (since, how many).
+        self.history: dict[str, list[int]] = defaultdict(list)  # name -> generations that changed it
+        # Maps each destination to (start time, number of endpoints) entries.
         self.endpoint_counts: dict[int, list[tuple[float, int]]] = defaultdict(list)
         self.generation_times = [0.0]
         self.generation = 0
@@ -131,26 +133,28 @@
         if row.listing != GONE:
             self.rows[row.name] = row
         self.history[row.name].append(self.generation)
-        for one, by in ((before, -1), (row if row.listing != GONE else None, 1)):
-            if one is not None:
-                there = self.endpoint_counts[one.destination]
-                there.append((now, (there[-1][1] if there else 0) + by))
+        for changed, delta in ((before, -1), (row if row.listing != GONE else None, 1)):
+            if changed is not None:
+                counts = self.endpoint_counts[changed.destination]
+                counts.append((now, (counts[-1][1] if counts else 0) + delta))
 
-    def change(self, now: float, many: int = 1) -> None:
+    def change(self, now: float, count: int = 1) -> None:
         self.generation += 1
         self.generation_times.append(now)
         rows, listings = [], []
-        for _ in range(many):
+        for _ in range(count):
             name = f"e{self.rng.randrange(self.plan.destinations)}.{self.rng.randrange(2)}"
             known = self.rows.get(name)
             chance = self.rng.random()
             mark = float(self.generation)
-            if known is None or chance < 0.4:  # new, or at another place
-                at = self.rng.randrange(self.plan.destinations) if known is None else known.destination
-                row = Row(name, at, 0, "h", self.rng.randrange(1, 65536), None, "z", mark)
+            if known is None or chance < 0.4:  # new, or with another address
+                destination = (
+                    self.rng.randrange(self.plan.destinations) if known is None else known.destination
+                )
+                row = Row(name, destination, 0, "h", self.rng.randrange(1, 65536), None, "z", mark)
             elif chance < 0.6:  # to another destination
-                at = self.rng.randrange(self.plan.destinations)
-                row = Row(name, at, 0, "h", 7, None, "z", mark)
+                destination = self.rng.randrange(self.plan.destinations)
+                row = Row(name, destination, 0, "h", 7, None, "z", mark)
             elif chance < 0.8:
                 row = Row(name, known.destination, DRAINING, "h", known.port, None, "z", mark)
             else:
@@ -160,24 +164,25 @@
                 continue
             rows.append(row)
             self._set(now, row)
-        # As some sources do: rows first, lives after. One that is told twice in a generation is left out.
-        last = {row.name: row for row in rows}
+        # As some sources do: rows first, listings after. Of several changes of a name in a generation, only
+        # the last is sent.
+        last_rows = {row.name: row for row in rows}
         removed = [(name, life) for name, life in listings if name not in self.rows]
         self.changes.append(
-            (self.generation, [row for name, row in last.items() if name in self.rows], removed)
+            (self.generation, [row for name, row in last_rows.items() if name in self.rows], removed)
         )
 
     def replaced_at(self, name: str, mark: int) -> int | None:
-        """At which generation what had this mark was replaced."""
-        known = self.history[name]
-        place = bisect_right(known, mark)
-        return known[place] if place < len(known) else None
+        """Returns the generation that replaced this name's entry of generation `mark`, or None."""
+        generations = self.history[name]
+        index = bisect_right(generations, mark)
+        return generations[index] if index < len(generations) else None
 
     def existed_since(self, destination: int, since: float) -> bool:
-        """At each moment since then."""
-        there = self.endpoint_counts[destination]
-        place = bisect_right(there, (since, 1 << 30))
-        return bool(place) and there[place - 1][1] > 0 and all(count > 0 for _, count in there[place:])
+        """Whether the destination had an endpoint at every moment since then."""
+        counts = self.endpoint_counts[destination]
+        index = bisect_right(counts, (since, 1 << 30))
+        return bool(index) and counts[index - 1][1] > 0 and all(count > 0 for _, count in counts[index:])
 
 
 class SimulatedServer:
@@ -188,7 +193,7 @@
         self.source_cut_until = 0.0
         self.process_number = 0
         self.server: ShardServer
-        self.generations: list[int] = []  # what it had in this life, and when
+        self.generations: list[int] = []  # generations that this process has had; times in generation_times
         self.generation_times: list[float] = []
         self.responses_by_second: Counter[int] = Counter()
         self.bytes_by_second: Counter[int] = Counter()
@@ -208,44 +213,48 @@
     def stop(self) -> None:
         self.up_since = None
 
-    def poll_source(self, life: int) -> None:
+    def poll_source(self, process_number: int) -> None:
         simulation, now = self.simulation, self.simulation.now
-        if life != self.process_number or self.up_since is None:
+        if process_number != self.process_number or self.up_since is None:
             return
         if self.frozen_until > now:
-            simulation.at(self.frozen_until, lambda: self.poll_source(life))
+            simulation.at(self.frozen_until, lambda: self.poll_source(process_number))
             return
-        truth = simulation.source
+        source = simulation.source
         if self.source_cut_until <= now:
             if not self.server.is_loaded:
-                staged = self.server.start_list(now, (1, truth.generation))
-                staged.add(truth.rows.values())
+                staged = self.server.start_list(now, (1, source.generation))
+                staged.add(source.rows.values())
                 assert staged.seal(now)
                 while not staged.step():
                     pass
                 assert staged.is_committed
-            elif self.server.table.generation < truth.generation:
-                for generation, rows, listings in truth.changes[self.server.table.generation :]:
+            elif self.server.table.generation < source.generation:
+                for generation, rows, listings in source.changes[self.server.table.generation :]:
                     assert self.server.apply_changes(now, generation, rows, listings)
             self.server.confirm_source(now)
-            if not self.generations or self.generations[-1] < truth.generation:
-                self.generations.append(truth.generation)
+            if not self.generations or self.generations[-1] < source.generation:
+                self.generations.append(source.generation)
                 self.generation_times.append(now)
-        simulation.at(now + SOURCE_POLL_S * simulation.rng.uniform(0.7, 1.1), lambda: self.poll_source(life))
+        simulation.at(
+            now + SOURCE_POLL_S * simulation.rng.uniform(0.7, 1.1), lambda: self.poll_source(process_number)
+        )
 
     def known_since(self, generation: int) -> float | None:
-        """Since when it has this or a later one."""
-        place = bisect_left(self.generations, generation)
-        return self.generation_times[place] if place < len(self.generations) else None
-
-    def handle_request(self, client: str, raw: ShardRequest) -> ShardResponse | Overloaded | LayoutMismatch:
-        message = self.server.handle_request(self.simulation.now, client, raw)
-        if isinstance(message, ShardResponse):
+        """Returns the time since which it has this or a later generation."""
+        index = bisect_left(self.generations, generation)
+        return self.generation_times[index] if index < len(self.generations) else None
+
+    def handle_request(
+        self, client: str, request: ShardRequest
+    ) -> ShardResponse | Overloaded | LayoutMismatch:
+        response = self.server.handle_request(self.simulation.now, client, request)
+        if isinstance(response, ShardResponse):
             self.responses_by_second[int(self.simulation.now)] += 1
-        return message
+        return response
 
     def current_since(self, now: float) -> float | None:
-        """Since when it was up and had a source that it reaches."""
+        """Returns the time since which it runs and reaches its source; None if it does not."""
         if (
             self.up_since is None
             or self.frozen_until > now
@@ -269,15 +278,15 @@
         self.directory = EndpointDirectory(SETTINGS, ("z",))
         self.destinations = rng.sample(range(plan.destinations), plan.destinations_per_client)
         self.frozen_until = 0.0
-        self.delayed: list[Callable[[], None]] = []  # what came while it was frozen
-        self.latest_marks: dict[str, int] = {}  # the latest that the directory had of a name
-        self.latest_mark = 0  # the latest of any name
+        self.delayed: list[Callable[[], None]] = []  # events received while frozen
+        self.latest_marks: dict[str, int] = {}  # the latest generation of each name in the directory
+        self.latest_mark = 0  # the latest generation of any name
         self.waiting_since: dict[int, float] = {}
         self.next_tick = -1.0
         self.byte_count = 0
 
     def deliver(self, work: Callable[[], None]) -> None:
-        """Process something that comes in; a frozen client does so once it wakes."""
+        """Processes an incoming event; a frozen client does so once it wakes."""
         if self.frozen_until > self.simulation.now:
             self.delayed.append(work)
         else:
@@ -287,7 +296,7 @@
     def wake(self) -> None:
         if self.frozen_until > self.simulation.now:
             return
-        for _ in range(3):  # pending messages go on at once, before anything delayed is read
+        for _ in range(3):  # pending messages continue at once, before delayed events are read
             self.call()
         work, self.delayed = self.delayed, []
         self.rng.shuffle(work)
@@ -304,10 +313,10 @@
         client.updates.clear()
         for destination in client.missing_destinations:
             self.waiting_since.pop(destination, None)
-            there = simulation.source.existed_since(destination, now - BOUND_S)
-            if there and simulation.had_current_server(self, now, BOUND_S):
+            existed = simulation.source.existed_since(destination, now - BOUND_S)
+            if existed and simulation.had_current_server(self, now, BOUND_S):
                 simulation.findings.wrong_absent += 1
-                simulation.note(f"{now:.1f} {self.name}: {destination} is said not to be")
+                simulation.note(f"{now:.1f} {self.name}: {destination} is reported missing, but exists")
         client.missing_destinations.clear()
         for destination in [each for each in self.waiting_since if client.is_resident(each)]:
             del self.waiting_since[destination]
@@ -321,7 +330,7 @@
 
     def check_update(self, update: EndpointUpdate) -> None:
         simulation, directory = self.simulation, self.directory
-        evidence = self.latest_mark
+        latest_before = self.latest_mark
         for member in update.endpoints:
             mark = int(member.rate)
             if mark < self.latest_marks.get(member.name, 0):
@@ -329,17 +338,17 @@
                 simulation.note(f"{self.name}: {member.name} of {mark}, had {self.latest_marks[member.name]}")
             elif member.name not in directory.by_name:
                 replaced = simulation.source.replaced_at(member.name, mark)
-                if replaced is not None and replaced <= evidence:
+                if replaced is not None and replaced <= latest_before:
                     simulation.findings.returned += 1
                     simulation.note(
-                        f"{self.name}: {member.name} of {mark}, replaced at {replaced}; had {evidence}"
+                        f"{self.name}: {member.name} of {mark}, replaced at {replaced}; had {latest_before}"
                     )
             self.latest_marks[member.name] = max(mark, self.latest_marks.get(member.name, 0))
             self.latest_mark = max(self.latest_mark, mark)
         directory.apply(update)
 
     def call(self) -> None:
-        """One message: it goes, is held back, or waits for its shard."""
+        """Handles one message: it is sent, withheld, or waits for its shard."""
         simulation, client, now = self.simulation, self.client, self.simulation.now
         if self.rng.random() < 0.05:
             self.destinations[self.rng.randrange(len(self.destinations))] = self.rng.randrange(
@@ -356,7 +365,9 @@
             simulation.findings.blocked += 1
             if simulation.had_current_server(self, now, MAX_BLOCKED_S):
                 simulation.findings.stuck += 1
-                simulation.note(f"{now:.1f} {self.name}: held back for {destination}: {client.status(now)}")
+                simulation.note(
+                    f"{now:.1f} {self.name}: call to {destination} withheld: {client.status(now)}"
+                )
             return
         for known in list(self.directory.by_name.values()):
             if known.endpoint.destination == destination and known.is_ready:
@@ -368,11 +379,11 @@
         if replaced is None:
             return
         for server in simulation.servers.values():
-            had = server.known_since(replaced)
-            since = simulation.reachable_since(self, server, now)
-            if had is None or since is None:
+            server_had_it_at = server.known_since(replaced)
+            reachable_since = simulation.reachable_since(self, server, now)
+            if server_had_it_at is None or reachable_since is None:
                 continue
-            late = now - max(had, since)
+            late = now - max(server_had_it_at, reachable_since)
             simulation.findings.late_s = max(simulation.findings.late_s, late)
             if late > BOUND_S:
                 simulation.findings.late_calls += 1
@@ -413,12 +424,12 @@
         return cut is None or cut[direction] <= self.now
 
     def send_request(self, side: SimulatedClient, name: str, request: ShardRequest) -> None:
-        """Carry a request over a connection."""
-        sent, server, ended = self.now, self.servers[name], [False]
+        """Transmits a request over a connection, and its response."""
+        sent_at, server, is_finished = self.now, self.servers[name], [False]
 
         def end() -> None:
-            if not ended[0]:
-                ended[0] = True
+            if not is_finished[0]:
+                is_finished[0] = True
                 side.deliver(lambda: side.client.on_request_failed(self.now, name))
 
         def arrive() -> None:
@@ -427,27 +438,31 @@
             if server.frozen_until > self.now:
                 self.at(server.frozen_until + 0.01, arrive)
                 return
-            message = server.handle_request(side.name, request)
+            response = server.handle_request(side.name, request)
             side.byte_count += 600
-            if isinstance(message, ShardResponse):
-                size = sum(64 * len(getattr(part, "rows", ())) for part in message.parts)
+            if isinstance(response, ShardResponse):
+                size = sum(64 * len(getattr(part, "rows", ())) for part in response.parts)
                 server.bytes_by_second[int(self.now)] += size
                 side.byte_count += size + 60
-            self.at(self.now + self.rng.uniform(0.001, 0.2), lambda: back(message))
-            if self.rng.random() < 0.05:  # doubled, and out of order
-                self.at(self.now + self.rng.uniform(0.001, 6.0), lambda: twice(message))
-
-        def back(message: ShardResponse | Overloaded | LayoutMismatch) -> None:
-            if not self.is_open(side.name, name, 1) or ended[0] or self.now - sent > REQUEST_TIMEOUT_S:
+            self.at(self.now + self.rng.uniform(0.001, 0.2), lambda: back(response))
+            if self.rng.random() < 0.05:  # duplicated and reordered
+                self.at(self.now + self.rng.uniform(0.001, 6.0), lambda: twice(response))
+
+        def back(response: ShardResponse | Overloaded | LayoutMismatch) -> None:
+            if (
+                not self.is_open(side.name, name, 1)
+                or is_finished[0]
+                or self.now - sent_at > REQUEST_TIMEOUT_S
+            ):
                 return
-            ended[0] = True
-            side.deliver(lambda: side.client.on_response(self.now, name, message))
+            is_finished[0] = True
+            side.deliver(lambda: side.client.on_response(self.now, name, response))
 
-        def twice(message: ShardResponse | Overloaded | LayoutMismatch) -> None:
-            side.deliver(lambda: side.client.on_response(self.now, name, message))
+        def twice(response: ShardResponse | Overloaded | LayoutMismatch) -> None:
+            side.deliver(lambda: side.client.on_response(self.now, name, response))
 
-        self.at(sent + self.rng.uniform(0.001, 0.1), arrive)
-        self.at(sent + REQUEST_TIMEOUT_S, end)
+        self.at(sent_at + self.rng.uniform(0.001, 0.1), arrive)
+        self.at(sent_at + REQUEST_TIMEOUT_S, end)
 
     def send_due_digests(self, server: SimulatedServer) -> None:
         if server.up_since is not None and server.frozen_until <= self.now:
@@ -468,19 +483,26 @@
             self.at(self.now + self.rng.uniform(0.001, 10.0), arrive)
 
     def reachable_since(self, side: SimulatedClient, server: SimulatedServer, now: float) -> float | None:
-        """Since when a request would have been answered; None: it would not."""
+        """Returns the time since which a request would be answered; None if it would not be."""
         if server.up_since is None or server.frozen_until > now:
             return None
         cut = max(self.cuts.get((side.name, server.name), [0.0]))
         return None if cut > now else max(server.up_since, server.frozen_until, cut)
 
     def had_current_server(self, side: SimulatedClient, now: float, long: float) -> bool:
-        """Whether a server that knows all could be reached for so long, by a client that ran."""
+        """Whether an up-to-date server was reachable for `long` seconds, while the client was not frozen."""
         if now - side.frozen_until < long:
             return False
         for server in self.servers.values():
-            fresh, since = server.current_since(now), self.reachable_since(side, server, now)
-            if fresh is not None and since is not None and now - max(fresh, since) >= long:
+            current_since, reachable_since = (
+                server.current_since(now),
+                self.reachable_since(side, server, now),
+            )
+            if (
+                current_since is not None
+                and reachable_since is not None
+                and now - max(current_since, reachable_since) >= long
+            ):
                 return True
         return False
 
@@ -490,7 +512,7 @@
         rng, now = self.rng, self.now
         length = rng.uniform(2.0, self.plan.max_freeze_s)
         until = min(now + length, self.end_of_faults)
-        some = rng.sample(sorted(self.clients), max(1, len(self.clients) // rng.choice((2, 5, 20))))
+        client_names = rng.sample(sorted(self.clients), max(1, len(self.clients) // rng.choice((2, 5, 20))))
         server = rng.choice(list(self.servers.values()))
         kind = rng.choice(("kill", "freeze keeper", "cut", "one way", "source", "freeze readers", "most"))
         if kind == "kill":
@@ -500,7 +522,7 @@
             server.frozen_until = until
         elif kind in ("cut", "one way"):
             direction = rng.randrange(2)
-            for name in some:
+            for name in client_names:
                 for other in rng.sample(sorted(self.servers), max(1, len(self.servers) - rng.randrange(3))):
                     cut = self.cuts.setdefault((name, other), [0.0, 0.0])
                     for side in (0, 1) if kind == "cut" else (direction,):
@@ -508,16 +530,16 @@
         elif kind == "source":
             server.source_cut_until = until
         elif kind == "freeze readers":
-            for name in some:
+            for name in client_names:
                 side_ = self.clients[name]
                 side_.frozen_until = max(side_.frozen_until, until)
                 self.at(until + 0.001, side_.wake)
-        else:  # all but one lose their source, or die
-            left = rng.choice(list(self.servers))
-            dies = rng.random() < 0.5
+        else:  # all servers but one lose their source or are killed
+            spared = rng.choice(list(self.servers))
+            is_kill = rng.random() < 0.5
             for name, each in self.servers.items():
-                if name != left:
-                    if dies and each.up_since is not None:
+                if name != spared:
+                    if is_kill and each.up_since is not None:
                         each.stop()
                         self.at(until + rng.random(), lambda each=each: self.restart(each))  # type: ignore[misc]
                     else:
@@ -532,7 +554,7 @@
             server.stop()
             server.start(self.now)
 
-    # -- a play ----------------------------------------------------------------------------------------------
+    # -- the run ---------------------------------------------------------------------------------------------
 
     def run(self) -> Findings:
         plan, rng = self.plan, self.rng
@@ -540,8 +562,8 @@
         when = 0.0
         while when < self.end_of_faults:
             when += rng.expovariate(1.0 / plan.change_interval_s)
-            many = 1 if rng.random() < 0.95 else rng.randrange(2, plan.destinations // 2)
-            self.at(when, lambda many=many: self.source.change(self.now, many))  # type: ignore[misc]
+            count = 1 if rng.random() < 0.95 else rng.randrange(2, plan.destinations // 2)
+            self.at(when, lambda count=count: self.source.change(self.now, count))  # type: ignore[misc]
         for _ in range(rng.randrange(3, 16) if plan.fault_count is None else plan.fault_count):
             self.at(rng.uniform(2.0, self.end_of_faults), self.inject_fault)
         if plan.restarts_all if plan.restarts_all is not None else rng.random() < 0.3:
@@ -563,43 +585,45 @@
                     side, self.now, MAX_BLOCKED_S
                 ):
                     self.findings.stuck += 1
-                    self.note(f"{self.now:.1f} {side.name}: waits for {destination} since {since:.1f}")
+                    self.note(f"{self.now:.1f} {side.name}: has waited for {destination} since {since:.1f}")
         self.at(
             self.now + self.plan.call_interval_s * side.rng.uniform(0.5, 1.5),
             lambda: self.call_repeatedly(side),
         )
 
     def collect(self) -> Findings:
-        found = self.findings
+        findings = self.findings
         for side in self.clients.values():
-            found.stale_refused += side.client.stale_rejected
+            findings.stale_refused += side.client.stale_rejected
             self._compare(side)
         for server in self.servers.values():
-            found.answers += sum(server.responses_by_second.values())
-            found.busy += server.server.overloaded
-            found.answers_s = max([found.answers_s, *server.responses_by_second.values()])
-            found.bytes_s = max([found.bytes_s, *server.bytes_by_second.values()])
+            findings.answers += sum(server.responses_by_second.values())
+            findings.busy += server.server.overloaded
+            findings.answers_s = max([findings.answers_s, *server.responses_by_second.values()])
+            findings.bytes_s = max([findings.bytes_s, *server.bytes_by_second.values()])
         total = sum(side.byte_count for side in self.clients.values())
-        found.reader_bytes_s = total / len(self.clients) / self.now
-        return found
+        findings.reader_bytes_s = total / len(self.clients) / self.now
+        return findings
 
     def _compare(self, side: SimulatedClient) -> None:
-        """After the quiet end the directory has of each destination in use what there is."""
+        """Checks, after the final quiet period, each destination in use against the source."""
         for destination in set(side.destinations):
             if side.client.is_resident(destination):
-                has = {
+                actual = {
                     (known.name, int(known.endpoint.rate))
                     for known in side.directory.by_name.values()
                     if known.endpoint.destination == destination
                 }
-                is_ = {
+                expected = {
                     (row.name, int(row.rate))
                     for row in self.source.rows.values()
                     if row.destination == destination
                 }
-                if has != is_:
+                if actual != expected:
                     self.findings.unmet += 1
-                    self.note(f"{side.name}: {destination} is {sorted(is_)}, has {sorted(has)}")
+                    self.note(
+                        f"{side.name}: {destination}: expected {sorted(expected)}, found {sorted(actual)}"
+                    )
 
 
 def run_plan(plan: Plan) -> Findings:
@@ -613,14 +637,11 @@
     parser.add_argument("--readers", type=int, default=200)
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--json", action="store_true")
-    arguments = parser.parse_args()
-    plans = [
-        Plan(seed, clients=arguments.readers)
-        for seed in range(arguments.first, arguments.first + arguments.seeds)
-    ]
-    with ProcessPoolExecutor(arguments.processes) as pool:
-        found = list(pool.map(run_plan, plans, chunksize=4))
-    total: dict[str, Any] = {"schedules": len(found), "readers": arguments.readers}
+    args = parser.parse_args()
+    plans = [Plan(seed, clients=args.readers) for seed in range(args.first, args.first + args.seeds)]
+    with ProcessPoolExecutor(args.processes) as pool:
+        findings = list(pool.map(run_plan, plans, chunksize=4))
+    total: dict[str, Any] = {"schedules": len(findings), "readers": args.readers}
     for name in (
         "calls",
         "blocked",
@@ -634,14 +655,18 @@
         "busy",
         "stale_refused",
     ):
-        total[name] = sum(getattr(each, name) for each in found)
-    late = sorted(each.late_s for each in found)
-    total["late_s"] = {"p50": late[len(late) // 2], "p99": late[len(late) * 99 // 100], "most": late[-1]}
-    total["answers_s"] = max(each.answers_s for each in found)
-    total["bytes_s"] = max(each.bytes_s for each in found)
-    total["reader_bytes_s"] = sum(each.reader_bytes_s for each in found) / len(found)
-    total["bad"] = [asdict(each) for each in found if each.has_violations][:10]
-    if arguments.json:
+        total[name] = sum(getattr(each, name) for each in findings)
+    lateness = sorted(each.late_s for each in findings)
+    total["late_s"] = {
+        "p50": lateness[len(lateness) // 2],
+        "p99": lateness[len(lateness) * 99 // 100],
+        "most": lateness[-1],
+    }
+    total["answers_s"] = max(each.answers_s for each in findings)
+    total["bytes_s"] = max(each.bytes_s for each in findings)
+    total["reader_bytes_s"] = sum(each.reader_bytes_s for each in findings) / len(findings)
+    total["bad"] = [asdict(each) for each in findings if each.has_violations][:10]
+    if args.json:
         print(json.dumps(total))
     else:
         for name, value in total.items():
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -1,11 +1,11 @@
-"""Calls to an endpoint that was announced as leaving, where the agent answers each request late.
+"""Counts calls to an endpoint that was announced as leaving, with an agent that answers each request late.
 
     python -m benchmarks.slow_discovery [--delays 0,0.3,0.6,0.8,2,5] [--seconds 10] [--relays 200] [--json]
 
-One real process a play, with agent, endpoints and clients in this one. `restart`: the list changes while the
-relay is away, and it starts with the older one in its configuration. `middle`: it changes while the relay is
-serving. `silent`: how often, and over how many connections at once, `--relays` relays in one process ask an
-agent each that is silent."""
+Each run has one real relay process; agent, endpoints and clients are in this process. `restart`: the list
+changes while the relay is down, and the relay starts with the older list in its configuration. `middle`: the
+list changes while the relay is serving. `silent`: the request rate, and the largest number of concurrent
+connections to an agent, of `--relays` relays in one process, each with its own agent that does not answer."""
 
 from __future__ import annotations
 
@@ -32,14 +32,12 @@
 from .processes import settings
 from .report import report
 
-PAGE_BOUND_S = (
-    6.25  # a change counts as told after 6 s, and 250 ms later a call to a draining endpoint is late
-)
+PAGE_BOUND_S = 6.25  # a change counts as known after 6 s; 250 ms later a call to a draining endpoint is late
 CLIENTS = 4
 
 
 class CallTimes:
-    """The calls that an endpoint has had, by the clock of this process."""
+    """Records the times of an endpoint's calls, by the clock of this process."""
 
     def __init__(self) -> None:
         self.times: list[float] = []
@@ -54,10 +52,10 @@
 
 async def endpoint(calls: CallTimes) -> Endpoint:
     model = Partner(Spec(service=Service(5.0, cv=0.0)), random.Random(1))
-    found = Endpoint(model, ("127.0.0.1", 0), None, None, calls)  # type: ignore[arg-type]
-    await found.start()
-    found.begin()
-    return found
+    server = Endpoint(model, ("127.0.0.1", 0), None, None, calls)  # type: ignore[arg-type]
+    await server.start()
+    server.begin()
+    return server
 
 
 def entry(name: str, at: tuple[str, int], lifecycle: str) -> dict[str, Any]:
@@ -76,9 +74,9 @@
 async def play(folder: Path, delay_s: float, is_restart: bool, seconds: float) -> dict[str, Any]:
     leaving, staying = CallTimes(), CallTimes()
     old, new = await endpoint(leaving), await endpoint(staying)
-    known = {"generation": 1, "reset": True, "instances": [entry("s-1", old.listen, "ready")]}
+    listing = {"generation": 1, "reset": True, "instances": [entry("s-1", old.listen, "ready")]}
     changed = [entry("s-1", old.listen, "draining"), entry("s-2", new.listen, "ready")]
-    agent = await Agent(json.dumps(known).encode()).start()
+    agent = await Agent(json.dumps(listing).encode()).start()
     agent.delay_s = delay_s
     (port,) = free_ports(1)
     (folder / "state").mkdir()
@@ -87,7 +85,7 @@
         "listen": f"127.0.0.1:{port}",
         "discovery": "{}:{}".format(*agent.address),
         "seed": "1",
-        "known": known,
+        "known": listing,
         "state": str(folder / "state"),
         "settings": settings(0.25),
     }
@@ -99,11 +97,11 @@
     clients: list[asyncio.Task[None]] = []
     try:
         await healthy(port)
-        told_at = time.monotonic()
+        changed_at = time.monotonic()
         clients = [asyncio.ensure_future(traffic.client()) for _ in range(CLIENTS)]
         if not is_restart:
             await asyncio.sleep(3.0)
-            told_at = time.monotonic()
+            changed_at = time.monotonic()
             agent.replace_list(changed)
         await asyncio.sleep(seconds)
     finally:
@@ -112,32 +110,32 @@
         await asyncio.gather(*clients, return_exceptions=True)
         relay.kill()
         await relay.wait()
-    late = [at - told_at for at in leaving.times if at > told_at]
+    delays = [at - changed_at for at in leaving.times if at > changed_at]
     return {
         "case": "restart" if is_restart else "middle",
         "delay_s": delay_s,
-        "leaving": len(late),
-        "calls": len(late) + len([at for at in staying.times if at > told_at]),
-        "last_s": max(late, default=0.0),
-        "after_bound": sum(at > PAGE_BOUND_S for at in late),
+        "leaving": len(delays),
+        "calls": len(delays) + len([at for at in staying.times if at > changed_at]),
+        "last_s": max(delays, default=0.0),
+        "after_bound": sum(at > PAGE_BOUND_S for at in delays),
     }
 
 
 async def silent(relays: int, seconds: float) -> dict[str, Any]:
-    """The load on agents that are down, one for each relay."""
-    known = json.dumps({"generation": 1, "reset": True, "instances": []}).encode()
-    agents = [await Agent(known).start() for _ in range(relays)]
+    """Measures the load on agents that do not answer, one for each relay."""
+    listing = json.dumps({"generation": 1, "reset": True, "instances": []}).encode()
+    agents = [await Agent(listing).start() for _ in range(relays)]
     clients = [DiscoveryClient(each.address, relays, n, shared=False) for n, each in enumerate(agents)]
     for agent in agents:
         agent.is_silent = True
-    work = [asyncio.ensure_future(each.run(lambda update: None)) for each in clients]
+    client_tasks = [asyncio.ensure_future(each.run(lambda update: None)) for each in clients]
     connections = 0
     for _ in range(round(seconds * 10)):
         await asyncio.sleep(0.1)
         connections = max(connections, max(each.open_count for each in agents))
-    for task in work:
+    for task in client_tasks:
         task.cancel()
-    await asyncio.gather(*work, return_exceptions=True)
+    await asyncio.gather(*client_tasks, return_exceptions=True)
     calls = sum(len(each.calls) for each in agents) / seconds
     return {"case": f"silent, {relays}", "calls_per_s": calls, "connections": connections}
 
@@ -160,7 +158,7 @@
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--relays", type=int, default=200)
     args = parser.parse_args()
-    logging.disable(logging.WARNING)  # of the clients in this process
+    logging.disable(logging.WARNING)  # hides the warnings of the clients in this process
     with contextlib.suppress(KeyboardInterrupt):
         rows = asyncio.run(plays([float(text) for text in args.delays.split(",")], args.seconds, args.relays))
     table = [row for row in rows if "calls_per_s" not in row]
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,13 +1,13 @@
-"""The journal in segments beside the one file that it replaced, on the real mix, in the same run.
+"""Measures the segmented journal, and the single file that it replaced, on a realistic mix in the same run.
 
     python -m benchmarks.store [--json] [--messages 20000] [--rounds 3] [--old DIR | --recovery]
 
-The mix: bodies of 200 bytes to 60 KB (log-normal, median 400), 55% delivered at the first attempt, others
-after some more, 4% fail or are returned, with a notification; each is known for 16 s at 120 messages a
-second, budget 2.96 MB. `--old` names a checkout of another version, which is then measured by a process of
-its own in each round; its package and the journal's methods must have the present names. `pause` is the
-longest call, `p99` of an accept, `amplification` bytes written over bytes of new records, `peak` the most
-that was on the disk, against the budget."""
+The mix: bodies of 200 bytes to 60 KB (log-normal, median 400); 55% are delivered at the first attempt, others
+after further ones; 4% fail or are returned, with a notification. Each message is kept for 16 s at 120
+messages a second; the budget is 2.96 MB. `--old` names a checkout of another version, which a separate
+process measures in each round; its package and the journal's methods must have the present names. `pause` is
+the longest call, `p99` that of an accept, `amplification` the bytes written divided by the bytes of new
+records, `peak` the largest size on the disk, to compare with the budget."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 from .report import report
 
-BUDGET = 2_967_552  # of the platform's 3 MB, without what was learned
+BUDGET = 2_967_552  # the platform's 3 MB without the destination snapshot
 RATE, LIFE_MS, OPEN = 120.0, 16_000.0, 150
 
 
@@ -42,7 +42,7 @@
 
 
 class Mix:
-    """The same calls to whatever journal: what it took for each."""
+    """Makes the same calls to any journal and records the duration of each."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -98,26 +98,26 @@
 
 
 def measure(messages: int, seed: int) -> dict[str, Any]:
-    """Of the journal that this process imports, new or old."""
+    """Measures the journal that this process imports, new or old."""
     with tempfile.TemporaryDirectory() as name:
         folder, mix = Path(name), Mix(seed)
         journal: Any = Journal(folder, BUDGET)
         gc.collect()
-        gc.disable()  # its pauses are the process's, not the journal's
+        gc.disable()  # collector pauses belong to the process, not the journal
         started = time.perf_counter()
         mix.run(journal, JournalEntry, folder, messages)
-        took = time.perf_counter() - started
-        size, live = on_disk(folder), len(journal.entries)
+        elapsed_s = time.perf_counter() - started
+        size, entry_count = on_disk(folder), len(journal.entries)
         copied, written = getattr(journal, "copied_bytes", 0), getattr(journal, "written_bytes", 1)
         journal.close()
         started = time.perf_counter()
-        again: Any = Journal(folder, BUDGET)
-        restored = time.perf_counter() - started
-        assert len(again.entries) >= live
-        again.close()
+        reopened: Any = Journal(folder, BUDGET)
+        recovery_s = time.perf_counter() - started
+        assert len(reopened.entries) >= entry_count
+        reopened.close()
         accept_ms, all_ms = sorted(mix.accept_ms), sorted(mix.accept_ms + mix.other_ms)
         return {
-            "us a message": took / messages * 1e6,
+            "us a message": elapsed_s / messages * 1e6,
             "p99 ms": accept_ms[int(0.99 * len(accept_ms))],
             "p999 ms": accept_ms[int(0.999 * len(accept_ms))],
             "pause ms": all_ms[-1],
@@ -125,16 +125,16 @@
             "amplification": (copied + written) / written,
             "peak": mix.peak,
             "over": mix.peak > BUDGET,
-            "bytes a known": size / max(1, live),
-            "recovery ms": restored * 1000,
-            "recovery MB/s": size / 1e6 / restored,
+            "bytes a known": size / max(1, entry_count),
+            "recovery ms": recovery_s * 1000,
+            "recovery MB/s": size / 1e6 / recovery_s,
         }
 
 
 def recovery(size: int, total: int) -> dict[str, Any]:
-    """A start on so many bytes of messages of one size; the floor only reads the files and sums them up."""
+    """Measures recovery of `total` bytes of messages of one size; `floor` only reads and checksums."""
     with tempfile.TemporaryDirectory() as name:
-        journal = Journal(Path(name), 4 * total + 3000 * (total // size))  # its reserve
+        journal = Journal(Path(name), 4 * total + 3000 * (total // size))  # with the journal's reserve
         for n in range(total // size):
             journal.append_accepted(
                 JournalEntry(f"{n:016x}", "order", "t", 7, f"k{n:016x}", 1e6, 2e6, "", bytes(size))
@@ -142,34 +142,34 @@
         journal.close()
         paths = sorted(Path(name).iterdir())
         started = time.perf_counter()
-        read = sum(len(data) for data in (path.read_bytes() for path in paths) if crc32(data) >= 0)
-        floor = time.perf_counter() - started
+        byte_count = sum(len(data) for data in (path.read_bytes() for path in paths) if crc32(data) >= 0)
+        floor_s = time.perf_counter() - started
         started = time.perf_counter()
-        found = recover(DirectoryFileStore(Path(name)))
-        took = time.perf_counter() - started
-        assert len(found.entries) == total // size
+        recovered = recover(DirectoryFileStore(Path(name)))
+        recovery_s = time.perf_counter() - started
+        assert len(recovered.entries) == total // size
         return {
             "body": size,
-            "MB": read / 1e6,
-            "us a record": took / len(found.entries) * 1e6,
-            "MB/s": read / 1e6 / took,
-            "floor": read / 1e6 / floor,
+            "MB": byte_count / 1e6,
+            "us a record": recovery_s / len(recovered.entries) * 1e6,
+            "MB/s": byte_count / 1e6 / recovery_s,
+            "floor": byte_count / 1e6 / floor_s,
         }
 
 
 def old(folder: Path, messages: int, seed: int) -> dict[str, Any]:
-    """The same by the version in another folder: this file's loop, that version's journal."""
+    """Runs `measure` on another checkout: with this file's loop and that version's journal."""
     code = (
         "import json, sys; from benchmarks.store import measure;"
         f"print(json.dumps(measure({messages}, {seed})))"
     )
-    checkout = Path(__file__).parents[1]
+    this_checkout = Path(__file__).parents[1]
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "benchmarks").mkdir()
         for part in ("__init__.py", "report.py", "store.py"):
-            (Path(name) / "benchmarks" / part).symlink_to(checkout / "benchmarks" / part)
+            (Path(name) / "benchmarks" / part).symlink_to(this_checkout / "benchmarks" / part)
         (Path(name) / "message_relay").symlink_to(folder / "message_relay")
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", code],
             cwd=name,
             capture_output=True,
@@ -177,7 +177,7 @@
             check=True,
             env={**os.environ, "PYTHONPATH": name},
         )
-    return dict(json.loads(done.stdout))
+    return dict(json.loads(process.stdout))
 
 
 def main() -> int:
@@ -186,7 +186,9 @@
     parser.add_argument("--messages", type=int, default=20_000)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--old", type=Path)
-    parser.add_argument("--recovery", action="store_true", help="a start on messages of each size instead")
+    parser.add_argument(
+        "--recovery", action="store_true", help="measure recovery for each message size instead"
+    )
     args = parser.parse_args()
     if args.recovery:
         report(
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -1,15 +1,16 @@
-"""Other ways to keep the journal, on the real mix of benchmarks.store. Prototypes, without recovery.
+"""Compares other journal designs on the mix of benchmarks.store. These are prototypes without recovery.
 
     python -m benchmarks.stores [--json] [--messages 10000] [--rounds 2]
 
-- `segments`: what the relay has (message_relay.store).
-- `generations`: a file for each second of `due`, unlinked when that is past; a message's records go to its
-own. - `sqlite`: WAL mode, synchronous off, one row a message, a transaction for each call. - `lmdb`: no
-sync, one key a message, a transaction for each call (the extra `lab` has it).
+- `segments`: the relay's journal (message_relay.store).
+- `generations`: a file for each second of the deadlines, which holds all records of the messages with that
+  deadline and is unlinked when it has passed.
+- `sqlite`: WAL mode, synchronous off, one row for each message, a transaction for each call.
+- `lmdb`: no sync, one key for each message, a transaction for each call (installed by the extra `lab`).
 
-`amplification` is what went through write calls (`wchar` of /proc/self/io) over the bytes of the records
-themselves, `pause` the longest call, `peak` the most that lay on the disk, looked at once a second of the
-traffic."""
+`amplification` is the bytes given to write calls (`wchar` of /proc/self/io) divided by the bytes of the
+records themselves, `pause` the longest call, `peak` the largest size on the disk, sampled once for each
+second of the traffic."""
 
 from __future__ import annotations
 
@@ -33,7 +34,7 @@
 
 
 class Store(Protocol):
-    """The calls that the relay makes, as `Mix` makes them."""
+    """The journal's methods that `Mix` calls, as the relay does."""
 
     def append_accepted(self, entry: JournalEntry) -> None: ...
 
@@ -91,14 +92,14 @@
             self.put(self.entries[message_id])
 
     def compact(self, now: float) -> None:
-        old = [
+        expired_ids = [
             message_id
             for message_id, entry in self.entries.items()
             if entry.final_state and entry.deadline_ms < now
         ]
-        for message_id in old:
+        for message_id in expired_ids:
             del self.entries[message_id]
-        self.drop(old)
+        self.drop(expired_ids)
 
 
 class Sqlite(Rows):
@@ -114,7 +115,8 @@
             self.db.execute(text)
 
     def put(self, entry: JournalEntry) -> None:
-        """The body in a column of its own would still be written with its row: SQLite writes whole pages."""
+        """Writes the complete snapshot: a body in a separate column would still be written with its row,
+        since SQLite writes whole pages."""
         self.db.execute("INSERT OR REPLACE INTO m VALUES (?, ?, ?)", (entry.id, encode_snapshot(entry), b""))
 
     def drop(self, message_ids: list[str]) -> None:
@@ -134,31 +136,31 @@
         )
 
     def put(self, entry: JournalEntry) -> None:
-        with self.db.begin(write=True) as work:
-            work.put(entry.id.encode(), encode_snapshot(entry))
+        with self.db.begin(write=True) as transaction:
+            transaction.put(entry.id.encode(), encode_snapshot(entry))
 
     def drop(self, message_ids: list[str]) -> None:
-        with self.db.begin(write=True) as work:
+        with self.db.begin(write=True) as transaction:
             for message_id in message_ids:
-                work.delete(message_id.encode())
+                transaction.delete(message_id.encode())
 
     def close(self) -> None:
         self.db.close()
 
 
 class Generations:
-    """A file for each second of the deadlines, open as long as one of its messages is known."""
+    """A file for each second of the deadlines, open until that second has passed."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.files = folder, dict[int, int]()
         self.entries: dict[str, JournalEntry] = {}
 
     def record(self, entry: JournalEntry, payload: bytes) -> None:
-        when = int(entry.deadline_ms // 1000)
-        if when not in self.files:
-            path = self.folder / f"gen-{when:012}"
-            self.files[when] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-        os.write(self.files[when], entry.id.encode() + len(payload).to_bytes(4, "little") + payload)
+        second = int(entry.deadline_ms // 1000)
+        if second not in self.files:
+            path = self.folder / f"gen-{second:012}"
+            self.files[second] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+        os.write(self.files[second], entry.id.encode() + len(payload).to_bytes(4, "little") + payload)
 
     def append_accepted(self, entry: JournalEntry) -> None:
         self.entries[entry.id] = entry
@@ -181,17 +183,17 @@
             self.record(self.entries[message_id], b"")
 
     def compact(self, now: float) -> None:
-        for when in [when for when in self.files if when * 1000 + 1000 < now]:
-            os.close(self.files.pop(when))
-            (self.folder / f"gen-{when:012}").unlink()
+        for second in [second for second in self.files if second * 1000 + 1000 < now]:
+            os.close(self.files.pop(second))
+            (self.folder / f"gen-{second:012}").unlink()
 
     def close(self) -> None:
         for file in self.files.values():
             os.close(file)
 
 
-def through_writes() -> int:
-    """Bytes that this process gave to write calls (proc(5), io)."""
+def write_call_total() -> int:
+    """Returns the bytes that this process has given to write calls (see proc(5), io)."""
     lines = Path("/proc/self/io").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("wchar"))
 
@@ -201,18 +203,18 @@
         store, mix = make(Path(folder)), Mix(seed)
         gc.collect()
         gc.disable()
-        before = through_writes()
+        written_before = write_call_total()
         started = time.perf_counter()
         mix.run(store, JournalEntry, Path(folder), messages)
-        took = time.perf_counter() - started
-        wrote = through_writes() - before
+        elapsed_s = time.perf_counter() - started
+        write_call_bytes = write_call_total() - written_before
         gc.enable()
         store.close()
         all_ms = sorted(mix.accept_ms + mix.other_ms)
         return {
             "store": name,
-            "us a message": took / messages * 1e6,
-            "wrote": wrote,
+            "us a message": elapsed_s / messages * 1e6,
+            "wrote": write_call_bytes,
             "peak": mix.peak,
             "p99 ms": sorted(mix.accept_ms)[int(0.99 * len(mix.accept_ms))],
             "pause ms": all_ms[-1],
@@ -239,9 +241,9 @@
             try:
                 row = measure(name, make, args.messages, seed)
             except ImportError as error:
-                print(f"{name}: left out: {error}", file=sys.stderr)
+                print(f"{name}: skipped: {error}", file=sys.stderr)
                 continue
-            records = row["written"] or records  # the same calls, so the same records
+            records = row["written"] or records  # all stores get the same calls, so the same records
             rows.append({**row, "amplification": row["wrote"] / records})
     report(
         rows,
--- a/benchmarks/uncompacted.py
+++ b/benchmarks/uncompacted.py
@@ -1,4 +1,4 @@
-"""The relay with a journal that never gives up a segment: what compaction costs is the difference.
+"""The relay with journal compaction switched off; the difference to the normal relay is the compaction cost.
 
 python -m benchmarks.relay --held 64,300 --program message_relay,benchmarks.uncompacted
 """
