--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -43,7 +43,7 @@
 from message_relay.decisions.model import Outcome
 
 from . import processes
-from .relay import CLIENTS, Client, cpu_s, rss_mb, settings, standin
+from .relay import CLIENTS, Client, cpu_s, rss_mb, settings, start_fake
 from .report import report
 
 HELD = 64
@@ -102,7 +102,7 @@
     listing = {"generation": 1, "reset": True, "instances": entries}
     (folder / "list").write_text(json.dumps(listing))
     (folder / "state").mkdir(exist_ok=True)
-    with standin("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
+    with start_fake("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
         (folder / "config.json").write_text(
             json.dumps(
                 {
@@ -136,7 +136,7 @@
             process.wait()
 
 
-async def saturated(target: Relay, seconds: float) -> dict[str, Any]:
+async def measure_saturated(target: Relay, seconds: float) -> dict[str, Any]:
     started_at = time.perf_counter()
     clients = [Client(n, target.port, started_at + 1.5 + seconds) for n in range(CLIENTS)]
     tasks = [asyncio.create_task(client.run()) for client in clients]
@@ -168,17 +168,17 @@
     return await asyncio.to_thread(load, plan)
 
 
-async def side(kind: str, seconds: float) -> dict[str, Any]:
+async def measure_transport(kind: str, seconds: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
         ledger = ("--ledger", str(folder / "ledger"))
-        partner = stack.enter_context(standin("fakes.endpoint", *ledger)) if kind == "HTTP" else ""
+        partner = stack.enter_context(start_fake("fakes.endpoint", *ledger)) if kind == "HTTP" else ""
         brokers, endpoints = {}, {}
         if kind == "AMQP":
-            brokers = {"b": stack.enter_context(standin("fakes.amqp_broker", "--queue", "q", *ledger))}
+            brokers = {"b": stack.enter_context(start_fake("fakes.amqp_broker", "--queue", "q", *ledger))}
             endpoints = {1: ("b", "q")}
         async with relay(folder, partner, write_operator_file(folder, brokers, endpoints, "")) as target:
-            row = {"kind": kind, **await saturated(target, seconds)}
+            row = {"kind": kind, **await measure_saturated(target, seconds)}
             result = await open_loop(target, row["delivered/s"] / 2, seconds)
             return {
                 **row,
@@ -189,7 +189,9 @@
             }
 
 
-def fill(address: str, messages: int, classes: Sequence[str] = ("order",), reply: str | None = None) -> None:
+def fill_queue(
+    address: str, messages: int, classes: Sequence[str] = ("order",), reply: str | None = None
+) -> None:
     host, _, port = address.partition(":")
     connection = pika.BlockingConnection(pika.ConnectionParameters(host, int(port)))
     channel = connection.channel()
@@ -213,11 +215,11 @@
 async def intake(messages: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        source = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in"))
+        source = stack.enter_context(start_fake("fakes.amqp_broker", "--queue", "in"))
         sink = stack.enter_context(
-            standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
+            start_fake("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
-        await asyncio.to_thread(fill, source, messages)
+        await asyncio.to_thread(fill_queue, source, messages)
         operator_file = write_operator_file(folder, {"a": source, "b": sink}, {1: ("b", "q")}, "a")
         async with relay(folder, "", operator_file, held=300) as target:
             started_at, cpu_before = time.perf_counter(), cpu_s(target.pid)
@@ -233,14 +235,14 @@
             }
 
 
-async def stalled(mute: bool, seconds: float) -> dict[str, Any]:
+async def measure_two_brokers(mute: bool, seconds: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
         live_broker = stack.enter_context(
-            standin("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
+            start_fake("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
         other_broker = stack.enter_context(
-            standin("fakes.amqp_broker", "--queue", "q", *(["--mute"] if mute else []))
+            start_fake("fakes.amqp_broker", "--queue", "q", *(["--mute"] if mute else []))
         )
         operator_file = write_operator_file(
             folder, {"a": live_broker, "b": other_broker}, {1: ("a", "q"), 2: ("b", "q")}, ""
@@ -286,9 +288,9 @@
     rng, started_at = random.Random(seed), time.monotonic()
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
-        source = stack.enter_context(standin("fakes.amqp_broker", "--queue", "in", "--queue", "answers"))
+        source = stack.enter_context(start_fake("fakes.amqp_broker", "--queue", "in", "--queue", "answers"))
         sink = stack.enter_context(
-            standin(
+            start_fake(
                 "fakes.amqp_broker",
                 "--queue",
                 "q",
@@ -316,7 +318,7 @@
                 "0.0005",
             )
         )
-        await asyncio.to_thread(fill, source, messages, CLASSES, "answers")
+        await asyncio.to_thread(fill_queue, source, messages, CLASSES, "answers")
         operator_file = write_operator_file(folder, {"a": source, "b": sink}, {1: ("b", "q")}, "a")
         for _ in range(times):
             async with relay(folder, "", operator_file, relay_settings=kill_settings()) as target:
@@ -352,7 +354,7 @@
 
 async def connections(count: int) -> dict[str, Any]:
     """Measures the memory of `count` connections of one process, each with a channel and one publish."""
-    with standin("fakes.amqp_broker", "--queue", "q") as address:
+    with start_fake("fakes.amqp_broker", "--queue", "q") as address:
         brokers = [BrokerSettings(f"b{n}", [address]) for n in range(count)]
         endpoints = [EndpointSettings(f"e{n}", n, f"b{n}", "q") for n in range(count)]
         publisher, rss_before = (
@@ -400,10 +402,14 @@
             "{unsafe twice:14}",
         )
         return 0
-    rows = [asyncio.run(side(kind, args.seconds)) for _ in range(args.rounds) for kind in ("HTTP", "AMQP")]
+    rows = [
+        asyncio.run(measure_transport(kind, args.seconds))
+        for _ in range(args.rounds)
+        for kind in ("HTTP", "AMQP")
+    ]
     others = [
         asyncio.run(intake(args.messages)),
-        *(asyncio.run(stalled(mute, 2 * args.seconds)) for mute in (False, True)),
+        *(asyncio.run(measure_two_brokers(mute, 2 * args.seconds)) for mute in (False, True)),
     ]
     memory = asyncio.run(connections(200))
     if args.json:
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class Play:
+class Simulation:
     """One run: a fleet size, a way of knowing of the outage, and a seed."""
 
     relays: int
@@ -63,7 +63,7 @@
     numbers: Iterator[int] = field(default_factory=count)
     calls: list[tuple[float, bool]] = field(default_factory=list)  # ms; whether the relay knew of the outage
 
-    def run(self) -> Play:
+    def run(self) -> Simulation:
         rng = random.Random(f"{self.relays} {self.way} {self.seed}")
         rates = Rates.ROUGH if self.way == "hint high" else Rates.NOMINAL
         self.settings = Settings(
@@ -214,14 +214,14 @@
     full_use_s_p50: float
 
 
-def one(relays: int, way: str, seed: int) -> tuple[float, float]:
-    simulation = Play(relays, way, seed).run()
+def run_seed(relays: int, way: str, seed: int) -> tuple[float, float]:
+    simulation = Simulation(relays, way, seed).run()
     return simulation.worst(), simulation.full_use_s()
 
 
 def row(relays: int, way: str, seeds: int, pool: ProcessPoolExecutor | None = None) -> Row:
     mapper = pool.map if pool is not None else map
-    results = list(mapper(one, [relays] * seeds, [way] * seeds, range(seeds)))
+    results = list(mapper(run_seed, [relays] * seeds, [way] * seeds, range(seeds)))
     worst = sorted(each for each, _ in results)
     return Row(
         relays,
--- a/benchmarks/cold_real.py
+++ b/benchmarks/cold_real.py
@@ -36,7 +36,7 @@
 from emulator.clients import Clients, request
 from emulator.partner import Partner
 
-from .processes import CLASSES, COLD, FALL_MS, WARM_S, expected, free_ports, lines, most, settings
+from .processes import CLASSES, COLD, FALL_MS, WARM_S, count_in_window, expected, free_ports, lines, settings
 from .report import report
 
 READY_S = 60.0  # if not all relays are up by then, the machine is too slow for this benchmark
@@ -77,7 +77,7 @@
 
 
 @dataclass
-class Play:
+class FleetRun:
     setting: Setting
     folder: Path
     seed: int
@@ -231,7 +231,7 @@
         if at >= WARM_S * 1000:
             break
         count, capacity = (
-            most(times, at, FALL_MS),
+            count_in_window(times, at, FALL_MS),
             agreed.can(DOWN_S * 1000 + at + FALL_MS / 2) * FALL_MS / 1000,
         )
         n = setting.multiple * capacity
@@ -239,14 +239,14 @@
         if count / (n + 2 * sqrt(n) + 2) > worst:
             worst, budget = count / (n + 2 * sqrt(n) + 2), n
             knew = sum(each.relay in knowing for each in calls[first : first + count]) / count
-    seconds = [most(times, n * 1000.0, 1000.0) for n in range(int(AFTER_S))]
+    seconds = [count_in_window(times, n * 1000.0, 1000.0) for n in range(int(AFTER_S))]
     full_seconds = [n for n, count in enumerate(seconds) if count >= USED * 0.8 * setting.rate]
     return {
         "worst": worst,
         "N": budget,
         "knew": knew,
         "over can": over_can,
-        "first": most(times, 0.0, FALL_MS),
+        "first": count_in_window(times, 0.0, FALL_MS),
         "in use s": full_seconds[0] if full_seconds else AFTER_S,
         "refused": sum(each.reply == "full" for each in calls),
         "by second": seconds,
@@ -255,7 +255,7 @@
 
 async def play(setting: Setting, seed: int) -> tuple[dict[str, Any], list[Arrived]]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
-        fleet_run = Play(setting, Path(folder), seed)
+        fleet_run = FleetRun(setting, Path(folder), seed)
         calls = await fleet_run.run()
         return row(
             setting, calls, fleet_run.knowing(), expected(setting.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -30,7 +30,7 @@
 from message_relay.failover.solver import solve
 
 from .cluster_harness import cluster
-from .processes import Clients, most
+from .processes import Clients, count_in_window
 
 ZONES = ("a", "b", "c")
 PARTS = """[failover]
@@ -104,7 +104,7 @@
         return {
             "delivered": sum(message_id in effects for message_id in submitted) / max(1, len(submitted)),
             "rate_worst": max(
-                most(times, at, 1000.0) / partner_rate
+                count_in_window(times, at, 1000.0) / partner_rate
                 for times in calls.values()
                 for at in times
                 if at > down_at
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -44,7 +44,7 @@
     broken: list[str] = field(default_factory=list)
 
 
-async def started(*args: str, **env: str) -> tuple[asyncio.subprocess.Process, str]:
+async def start_process(*args: str, **env: str) -> tuple[asyncio.subprocess.Process, str]:
     import os
 
     process = await asyncio.create_subprocess_exec(
@@ -61,7 +61,7 @@
     return process, (await process.stdout.readline()).decode().split()[1]
 
 
-async def healthy(port: int, host: str = "127.0.0.1") -> None:
+async def wait_until_healthy(port: int, host: str = "127.0.0.1") -> None:
     async with asyncio.timeout(READY_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -79,7 +79,7 @@
     port: int
     rng: random.Random
     accepted: dict[str, str] = field(default_factory=dict)
-    numbers: int = 0
+    submitted_count: int = 0
 
     async def client(self) -> None:
         while True:
@@ -88,14 +88,14 @@
                 try:
                     while True:
                         async with asyncio.timeout(5.0):
-                            await self.one(reader, writer)
+                            await self.submit(reader, writer)
                 finally:
                     writer.close()
             await asyncio.sleep(0.02)
 
-    async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.numbers += 1
-        message_id = f"m{self.numbers}"
+    async def submit(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.submitted_count += 1
+        message_id = f"m{self.submitted_count}"
         class_ = self.rng.choice(("order", "pay", "status"))
         body = bytes(self.rng.choice((100, 100, 400, 9000)))
         key = f"Idempotency-Key: k{message_id}\r\n" if class_ == "order" else ""
@@ -117,7 +117,7 @@
 async def measure(folder: Path, kills: int, seed: int) -> Row:
     rng, row = random.Random(seed), Row()
     (folder / "state").mkdir()
-    partner, partner_address = await started(
+    partner, partner_address = await start_process(
         "fakes.endpoint",
         "--answer-ms",
         "15",
@@ -147,7 +147,7 @@
         ],
     }
     (folder / "list.json").write_text(json.dumps(listing))
-    agent, discovery = await started(
+    agent, discovery = await start_process(
         "fakes.discovery_agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
     )
     (port,) = free_ports(1)
@@ -168,18 +168,18 @@
         )
     )
     traffic = Traffic(port, rng)
-    relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
+    relay, _ = await start_process("message_relay", RELAY_CONFIG=str(folder / "config.json"))
     clients: list[asyncio.Task[None]] = []
     try:
-        await healthy(port)
+        await wait_until_healthy(port)
         clients = [asyncio.ensure_future(traffic.client()) for _ in range(CLIENTS)]
         for _ in range(kills):
             await asyncio.sleep(rng.uniform(0.02, 0.5))
             relay.send_signal(signal.SIGKILL)
             await relay.wait()
             started_at = time.monotonic()
-            relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
-            await healthy(port)
+            relay, _ = await start_process("message_relay", RELAY_CONFIG=str(folder / "config.json"))
+            await wait_until_healthy(port)
             row.kills += 1
             row.restart_s += (time.monotonic() - started_at) / kills
         for client in clients:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -107,8 +107,8 @@
     taken: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
     to: dict[str, int] = field(default_factory=dict)  # maps each accepted message to its instance
     answers: Counter[str] = field(default_factory=Counter)
-    work: set[asyncio.Task[None]] = field(default_factory=set)
-    kept: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
+    tasks: set[asyncio.Task[None]] = field(default_factory=set)
+    pool: connections.Clients = field(default_factory=lambda: connections.Clients(2000.0))
 
     async def run(self, rate: float, seconds: float) -> list[str]:
         """Submits at `rate` for so many seconds; returns the ids submitted."""
@@ -117,18 +117,18 @@
         ends_at = due_at + seconds
         while (due_at := due_at + self.rng.expovariate(rate)) < ends_at:
             await asyncio.sleep(max(0.0, due_at - loop.time()))
-            task = asyncio.ensure_future(self.one(self.rng.randrange(self.instances)))
-            self.work.add(task)
-            task.add_done_callback(self.work.discard)
-        await asyncio.gather(*self.work, return_exceptions=True)
+            task = asyncio.ensure_future(self.submit(self.rng.randrange(self.instances)))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+        await asyncio.gather(*self.tasks, return_exceptions=True)
         return self.asked[first_index:]
 
-    async def one(self, instance: int) -> None:
+    async def submit(self, instance: int) -> None:
         message_id = f"m{len(self.asked)}-{os.getpid():x}"
         self.asked.append(message_id)
         class_, _, deadline, _ = self.rng.choices(CLASSES, [weight for *_, weight in CLASSES])[0]
         data = request(message_id, class_, 1, deadline * self.deadline_share, BODY, f"k{message_id}")
-        status = (await self.kept.hand_in(("127.0.0.1", self.port + instance), data)).status
+        status = (await self.pool.hand_in(("127.0.0.1", self.port + instance), data)).status
         self.answers[status] += 1
         if status in ("202", "200"):
             self.taken[message_id] = class_
@@ -137,10 +137,10 @@
     async def stop(self, traffic: asyncio.Future[Any]) -> None:
         """Cancels a `run` and waits for its submissions in flight."""
         traffic.cancel()
-        await asyncio.gather(traffic, *self.work, return_exceptions=True)
+        await asyncio.gather(traffic, *self.tasks, return_exceptions=True)
 
     def close(self) -> None:
-        self.kept.close()
+        self.pool.close()
 
 
 @dataclass
@@ -361,7 +361,7 @@
             await processes.close()
 
 
-def most(times: list[float], begin_ms: float, length_ms: float) -> int:
+def count_in_window(times: list[float], begin_ms: float, length_ms: float) -> int:
     return bisect_left(times, begin_ms + length_ms) - bisect_left(times, begin_ms)
 
 
@@ -378,11 +378,13 @@
     after the return divided by the partner's capacity in that window."""
     window_starts = [at for at in calls if at >= begin]
     assert agreed.spec.rate is not None
-    worst_second = max((most(calls, at, 1000.0) for at in window_starts), default=0) / agreed.spec.rate.per_s
+    worst_second = (
+        max((count_in_window(calls, at, 1000.0) for at in window_starts), default=0) / agreed.spec.rate.per_s
+    )
     worst_cold = 0.0
     for at in [at for at in window_starts if back <= at < back + agreed.spec.cold.warm_ms]:
         worst_cold = max(
-            worst_cold, most(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000)
+            worst_cold, count_in_window(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000)
         )
     return worst_second, worst_cold
 
@@ -413,7 +415,7 @@
         agreed = expected(rate, down_at, back_at, processes.warm_s * 1000)
         row["over 1 s"], row["over cold"] = over(processes.calls(), agreed, down_at - 10_000, back_at)
         calls = processes.calls()
-        row["by second"] = [most(calls, back_at + n * 1000, 1000) for n in range(16)]
+        row["by second"] = [count_in_window(calls, back_at + n * 1000, 1000) for n in range(16)]
         effects = processes.effects()
         row["delivered"] = sum(message_id in effects for message_id in submitted) / len(submitted)
         row["roll s"] = 0.0
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -61,7 +61,7 @@
 
 
 @contextlib.contextmanager
-def standin(*args: str) -> Iterator[str]:
+def start_fake(*args: str) -> Iterator[str]:
     """Starts one of the fakes as a process and yields its address."""
     process = subprocess.Popen([sys.executable, "-m", *args], stdout=subprocess.PIPE, text=True)
     try:
@@ -187,7 +187,7 @@
 async def measure(module: str, held: int, seconds: float, rate: float) -> Row:
     with (
         tempfile.TemporaryDirectory() as name,
-        standin("fakes.endpoint", "--ledger", f"{name}/ledger") as partner,
+        start_fake("fakes.endpoint", "--ledger", f"{name}/ledger") as partner,
     ):
         folder = Path(name)
         entry = {
@@ -201,7 +201,7 @@
             "startedAtMs": 0,
         }
         (folder / "list").write_text(json.dumps({"generation": 1, "reset": True, "instances": [entry]}))
-        with standin("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
+        with start_fake("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
             async with program(module, held, folder, partner, agent) as (pid, port):
                 warm_up_s = 1.0 + held / 1000  # until the limit of pending messages is reached
                 started_at = time.perf_counter()
--- a/benchmarks/restart_clients.py
+++ b/benchmarks/restart_clients.py
@@ -69,7 +69,7 @@
         if class_name != KEYED_CLASS:  # with a key, the endpoint's deduplication would hide a second delivery
             data = data.replace(f"Idempotency-Key: k{message}\r\n".encode(), b"")
         written_at = time.monotonic()
-        rested_s = written_at - answered_at if answered_at > 0 else -1.0
+        idle_s = written_at - answered_at if answered_at > 0 else -1.0
         if reader.at_eof():
             return None  # the connection was closed while idle, and the client has seen it
         writer.write(data)
@@ -82,7 +82,7 @@
         except (OSError, asyncio.IncompleteReadError) as error:
             error_name = type(error).__name__
             ended_at = time.monotonic()
-            unanswered = Unanswered(message, written_at, ended_at, rested_s, error_name, self.last_status)
+            unanswered = Unanswered(message, written_at, ended_at, idle_s, error_name, self.last_status)
             self.ledger.unanswered.append(unanswered)
             return None
         self._on_answer(message, class_name, said(head).status)
--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -50,7 +50,7 @@
     message: str
     written_at: float
     ended_at: float
-    rested_s: float  # since the previous response; negative for the first request on a connection
+    idle_s: float  # since the previous response; negative for the first request on a connection
     how: str
     last_status: str = ""  # of the previous response
 
@@ -162,21 +162,19 @@
             and process.ended_at >= request.written_at - KILL_NOTICED_S
             for process in self.processes
         )
-        is_new = request.rested_s < 0
+        is_new = request.idle_s < 0
         is_after_listening = any(
             process.told_to_end_at + NEW_CONNECTIONS_S < request.written_at <= process.ended_at
             for process in self.processes
         )
         return (
-            was_killed
-            or request.rested_s >= MIN_IDLE_S
-            or (is_new and (self.has_crowd or is_after_listening))
+            was_killed or request.idle_s >= MIN_IDLE_S or (is_new and (self.has_crowd or is_after_listening))
         )
 
     def _lost_requests(self) -> list[str]:
         return [
             f"{each.message}: no answer ({each.how}) {self._since_signal(each):.3f} s after the signal,"
-            f" {each.ended_at - each.written_at:.3f} s after it was written; rested {each.rested_s:.3f} s"
+            f" {each.ended_at - each.written_at:.3f} s after it was written; rested {each.idle_s:.3f} s"
             f" after {each.last_status or 'no answer'}"
             for each in self.unanswered
             if not self.is_excused(each)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -31,7 +31,7 @@
 from fakes.discovery_agent import Agent
 from fakes.endpoint import Endpoint
 
-from .kills import healthy
+from .kills import wait_until_healthy
 from .processes import settings
 from .report import report
 from .restart_clients import BUSY_PAUSE_S, CROWD, RESTING_PAUSE_S, Client, idle_visitor
@@ -59,7 +59,7 @@
     return f"127.{1 + number // 62_500 % 250}.{number // 250 % 250}.{1 + number % 250}"
 
 
-class Play:
+class SoakRun:
     """One run, by the plan of one seed."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -85,13 +85,13 @@
             for step in self.plan.steps:
                 await self._start(step)
                 await self._serve(step)
-                await self._end(step)
+                await self._stop(step)
             await self._start(None)
             for task in clients:
                 task.cancel()
             await asyncio.sleep(SETTLE_S)
             await self._signal(signal.SIGTERM)
-            await self._await_end()
+            await self._wait_for_exit()
         finally:
             work = (*clients, *self.timers, watch)
             for task in work:
@@ -131,7 +131,7 @@
             endpoint.begin()
             self.endpoints.append(endpoint)
         notices: Any = NoticeLog(self.ledger)
-        known = {"generation": 1, "reset": True, "instances": self._listed()}
+        known = {"generation": 1, "reset": True, "instances": self._list_entries()}
         for _ in range(2):
             agent = await Agent(json.dumps(known).encode(), notices).start()
             agent.delay_s = plan.agent_delay_s
@@ -140,13 +140,13 @@
         self.lists.append((time.monotonic(), known))
         self._configure(0)
 
-    def _listed(self) -> list[dict[str, Any]]:
+    def _list_entries(self) -> list[dict[str, Any]]:
         return [
             entry(f"s-{n}", endpoint.listen, "draining" if n == self.left else "ready")
             for n, endpoint in enumerate(self.endpoints)
         ]
 
-    def _known(self) -> dict[str, Any]:
+    def _known_list(self) -> dict[str, Any]:
         """Returns the list that the relay last received, as the platform writes it into the configuration."""
         received = [listing for since, listing in self.lists if since <= self.known_at]
         return received[-1] if received else self.lists[0][1]
@@ -158,7 +158,7 @@
             "listen": "{}:{}".format(*self.address),
             "discovery": "{}:{}".format(*self.agents[agent].address),
             "seed": f"{self.plan.seed:x}",
-            "known": self._known(),
+            "known": self._known_list(),
             "state": str(self.folder / "state"),
             "settings": settings(0.25),
             "limits": {"sockets": SOCKETS, "disk_mb": DISK_MB},
@@ -203,9 +203,9 @@
                 await self._signal(
                     signal.SIGTERM if step.first_moment is FirstMoment.TERM else signal.SIGKILL
                 )
-                await self._await_end()
+                await self._wait_for_exit()
                 record = await self._launch()
-        await healthy(self.address[1], self.address[0])
+        await wait_until_healthy(self.address[1], self.address[0])
         record.ready_at = time.monotonic()
 
     async def _signal(self, number: signal.Signals) -> None:
@@ -218,7 +218,7 @@
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
-    async def _await_end(self) -> None:
+    async def _wait_for_exit(self) -> None:
         """Waits until the process has exited; kills it at the earliest time that the platform would."""
         assert self.process is not None
         record = self.ledger.processes[-1]
@@ -245,16 +245,16 @@
     # -- events during service --------------------------------------------------------------------------
 
     async def _serve(self, step: Step) -> None:
-        self._later(step.leave_at_s, self._leave_or_return)
-        self._later(step.close_at_s, self._refuse_connections)
+        self._schedule(step.leave_at_s, self._leave_or_return)
+        self._schedule(step.close_at_s, self._refuse_connections)
         if step.reload_at_s < step.serve_s:
-            self._later(step.reload_at_s, self._reload)
-            self._later(step.reload_at_s + BETWEEN_SIGNALS_S, self._reload)
+            self._schedule(step.reload_at_s, self._reload)
+            self._schedule(step.reload_at_s + BETWEEN_SIGNALS_S, self._reload)
         if step.silent_s:
             self._silence(step.silent_s)
         await asyncio.sleep(step.serve_s)
 
-    def _later(self, delay_s: float, action: Any) -> None:
+    def _schedule(self, delay_s: float, action: Any) -> None:
         async def wait() -> None:
             await asyncio.sleep(delay_s)
             action()
@@ -273,7 +273,7 @@
             self.ledger.leaving.append((since, now, name))
             self.left = None
         for agent in self.agents:
-            agent.replace_list(self._listed())
+            agent.replace_list(self._list_entries())
         self.lists.append((now, json.loads(self.agents[0].listing)))
 
     def _refuse_connections(self) -> None:
@@ -284,13 +284,13 @@
         self.ledger.silences.append((now, now + seconds))
         for agent in self.agents:
             agent.is_silent = True
-        self._later(seconds, self._speak)
+        self._schedule(seconds, self._end_silence)
 
-    def _speak(self) -> None:
+    def _end_silence(self) -> None:
         for agent in self.agents:
             agent.is_silent = False
 
-    async def _end(self, step: Step) -> None:
+    async def _stop(self, step: Step) -> None:
         if step.restart is Restart.KILL_BEHIND_ANSWER:
             self.accepted.clear()
             with contextlib.suppress(TimeoutError):
@@ -312,12 +312,12 @@
             await asyncio.sleep(self.rng.uniform(0.0, SIGNAL_AGAIN_S))
             self._reload()
         if step.leaves_while_away:
-            self._later(self.rng.uniform(0.0, KILL_AFTER_S), self._leave_or_return)
-        await self._await_end()
+            self._schedule(self.rng.uniform(0.0, KILL_AFTER_S), self._leave_or_return)
+        await self._wait_for_exit()
 
 
-async def play(seed: int, restarts: int, folder: Path) -> dict[str, Any]:
-    soak = Play(draw(seed, restarts), folder)
+async def run_soak(seed: int, restarts: int, folder: Path) -> dict[str, Any]:
+    soak = SoakRun(draw(seed, restarts), folder)
     try:
         async with asyncio.timeout(60.0 + 20.0 * restarts):
             await soak.run()
@@ -333,13 +333,15 @@
         "calls": len(ledger.calls),
         "notices": len(ledger.notices),
         "excused": sum(ledger.is_excused(each) for each in ledger.unanswered),
-        "rested": sum(ledger.is_excused(each) and each.rested_s >= 2.0 for each in ledger.unanswered),
+        "rested": sum(ledger.is_excused(each) and each.idle_s >= 2.0 for each in ledger.unanswered),
         "lag_s": max((lag for _, lag in ledger.lags), default=0.0),
         "broken": broken,
     }
 
 
-async def plays(seeds: list[int], restarts: int, parallel: int, keep: Path | None) -> list[dict[str, Any]]:
+async def run_soaks(
+    seeds: list[int], restarts: int, parallel: int, keep: Path | None
+) -> list[dict[str, Any]]:
     slots = asyncio.Semaphore(parallel)
 
     async def run_seed(seed: int) -> dict[str, Any]:
@@ -352,7 +354,7 @@
             return dict(row)
 
     if keep is not None:
-        return [await play(seeds[0], restarts, keep)]
+        return [await run_soak(seeds[0], restarts, keep)]
     return list(await asyncio.gather(*(run_seed(seed) for seed in seeds)))
 
 
@@ -368,10 +370,10 @@
     args = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         if args.seed is not None:
-            rows = asyncio.run(plays([args.seed], args.restarts, 1, args.folder or Path(folder)))
+            rows = asyncio.run(run_soaks([args.seed], args.restarts, 1, args.folder or Path(folder)))
         else:
             seeds = list(range(args.first, args.first + args.seeds))
-            rows = asyncio.run(plays(seeds, args.restarts, args.parallel, None))
+            rows = asyncio.run(run_soaks(seeds, args.restarts, args.parallel, None))
     report(
         [{**row, "failures": len(row["broken"])} if not args.json else row for row in rows],
         args.json,
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -138,7 +138,7 @@
         await cluster.net("heal")
         await asyncio.sleep(6.0)
 
-    async with sharded_cluster(3, 3, old=(1,)) as cluster:
+    async with sharded_cluster(3, 3, stale_servers=(1,)) as cluster:
         for _ in range(30):
             cluster.move(*random.Random(3).sample(range(1, cluster.dests + 1), 10))
         cluster.moves.clear()  # without traffic so far, these moves don't count
@@ -204,7 +204,7 @@
 async def unreadable() -> dict[str, Any]:
     """Malformed entries: an invalid port, no address, a negative rate, and an entry with only an id; then two
     known entries become malformed."""
-    spoilt = (
+    malformed = (
         entry(900, "127.0.0.1:99999"),
         entry(901, ""),
         entry(902, "127.0.0.1:9", weight=-1),
@@ -218,7 +218,7 @@
             clients.submit(dest, cluster.relays[0])
         await asyncio.sleep(8.0)
 
-    return await run_with_fault(fault, spoilt=spoilt)
+    return await run_with_fault(fault, malformed=malformed)
 
 
 async def held() -> dict[str, Any]:
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -48,13 +48,13 @@
     }
 
 
-async def window(cluster: ShardedCluster, seconds: float = WINDOW_S) -> dict[str, float]:
+async def measure_window(cluster: ShardedCluster, seconds: float = WINDOW_S) -> dict[str, float]:
     before = await resource_usage(cluster)
     await asyncio.sleep(seconds)
     return between(before, await resource_usage(cluster))
 
 
-async def changing(cluster: ShardedCluster, a_second: float) -> None:
+async def change_repeatedly(cluster: ShardedCluster, a_second: float) -> None:
     """Changes one randomly chosen destination at a time, until cancelled."""
     rng = random.Random(5)
     while True:
@@ -62,17 +62,17 @@
         cluster.register.change([entry(rng.randint(1, cluster.dests), cluster.at[rng.choice("ab")])])
 
 
-async def with_changes(cluster: ShardedCluster, a_second: float) -> dict[str, float]:
-    task = asyncio.ensure_future(changing(cluster, a_second))
+async def measure_with_changes(cluster: ShardedCluster, a_second: float) -> dict[str, float]:
+    task = asyncio.ensure_future(change_repeatedly(cluster, a_second))
     try:
         await asyncio.sleep(3.0)
-        return await window(cluster)
+        return await measure_window(cluster)
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def use(cluster: ShardedCluster, clients: Clients, dests: list[int]) -> float:
+async def bring_into_use(cluster: ShardedCluster, clients: Clients, dests: list[int]) -> float:
     """Submits a message to each destination; returns the seconds until all are delivered."""
     started_at = time.monotonic()
     for n, dest in enumerate(dests):
@@ -83,7 +83,7 @@
     return time.monotonic() - started_at
 
 
-async def stormed(cluster: ShardedCluster) -> dict[str, Any]:
+async def measure_storm(cluster: ShardedCluster) -> dict[str, Any]:
     rng, started_at = random.Random(6), time.monotonic()
     before = await resource_usage(cluster)
     dests = rng.sample(range(1, cluster.dests + 1), min(STORM, cluster.dests))
@@ -118,30 +118,30 @@
         async with sharded_cluster(1, 1, on=False, dests=1, hold=HOLD) as cluster:
             await asyncio.sleep(2.0)
             clients = Clients(cluster)
-            await use(cluster, clients, [1] * 1000)
+            await bring_into_use(cluster, clients, [1] * 1000)
             clients.close()
-            results["without"] = await window(cluster)
+            results["without"] = await measure_window(cluster)
     async with sharded_cluster(2, 1, dests=known, count=count, hold=HOLD, idle_s=3600.0) as cluster:
         await asyncio.sleep(2.0)
         results["keeper"] = {"RSS MB": round((await cluster.report(0)).rss_mb, 1)}
         if "without" in parts:
-            results["none in use"] = await window(cluster)
+            results["none in use"] = await measure_window(cluster)
         dests = list(range(1, known + 1))
         random.Random(4).shuffle(dests)
         clients, used_count = Clients(cluster), 0
         for size in sizes:
             row: dict[str, Any] = {}
-            row["into use s"] = round(await use(cluster, clients, dests[used_count:size]), 1)
+            row["into use s"] = round(await bring_into_use(cluster, clients, dests[used_count:size]), 1)
             used_count = size
             if "rows" in parts:
                 await asyncio.sleep(3.0)
-                row["at rest"] = await window(cluster)
-                row["plan"] = await with_changes(cluster, PLAN / DAY_S)
-                row["plan x 100"] = await with_changes(cluster, 100 * PLAN / DAY_S)
+                row["at rest"] = await measure_window(cluster)
+                row["plan"] = await measure_with_changes(cluster, PLAN / DAY_S)
+                row["plan x 100"] = await measure_with_changes(cluster, 100 * PLAN / DAY_S)
             row["reader"] = await cluster.role_status(cluster.relays[0], "reader")
             results[f"{size} in use"] = row
         if "storm" in parts:
-            results["storm"] = await stormed(cluster)
+            results["storm"] = await measure_storm(cluster)
         results["keeper after"] = {
             "RSS MB": round((await cluster.report(0)).rss_mb, 1),
             "lag ms": (await cluster.report(0)).lag.most_ms,
--- a/benchmarks/sharded_directory_cluster.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -165,9 +165,9 @@
     idle_s: float = 300.0
     hold: int = 1000
     on: bool = True  # False: the same processes without sharding, each with the complete list
-    spoilt: tuple[dict[str, Any], ...] = ()  # malformed entries of the list
-    old: tuple[int, ...] = ()  # servers with a separate agent whose list never changes
-    extra: int = 0  # number of additional destinations without traffic
+    malformed: tuple[dict[str, Any], ...] = ()  # malformed entries of the list
+    stale_servers: tuple[int, ...] = ()  # servers with a separate agent whose list never changes
+    unused_destinations: int = 0  # number of additional destinations without traffic
     moves: list[tuple[float, int, str]] = field(default_factory=list)  # Unix s, destination, new place
     current_places: dict[int, str] = field(default_factory=dict)
 
@@ -182,10 +182,13 @@
             return await super().start(name, *args)
         self.notices = open(self.folder / "notices", "a")  # noqa: SIM115  closed in close()
         listed = [entry(dest, self.at["a"]) for dest in range(1, self.dests + 1)]
-        listed += [entry(dest, self.at["a"]) for dest in range(self.dests + 1, self.dests + 1 + self.extra)]
+        listed += [
+            entry(dest, self.at["a"])
+            for dest in range(self.dests + 1, self.dests + 1 + self.unused_destinations)
+        ]
         self.current_places = dict.fromkeys(range(1, self.dests + 1), "a")
-        self.register = ChangingRegister([*listed, *self.spoilt], self.notices)
-        self.old_register = ChangingRegister([*listed, *self.spoilt], self.notices)
+        self.register = ChangingRegister([*listed, *self.malformed], self.notices)
+        self.old_register = ChangingRegister([*listed, *self.malformed], self.notices)
         self.old_register_address = await self.old_register.listen()
         return await self.register.listen()
 
@@ -202,9 +205,9 @@
                 "--ledger",
                 str(self.folder / "effects"),
             )
-        if self.old:
+        if self.stale_servers:
             path = self.folder / "old.json"
-            self.more_env |= {n: {"RELAY_CONFIG": str(path)} for n in self.old}
+            self.more_env |= {n: {"RELAY_CONFIG": str(path)} for n in self.stale_servers}
         await super().set_up()
 
     def _listed(self, places: dict[str, str]) -> dict[str, Any]:
@@ -227,7 +230,7 @@
                 f"bound_s = {self.bound_s}\nidle_s = {self.idle_s}\n"
             )
         path = self.folder / "config0.json"
-        if self.old:
+        if self.stale_servers:
             config = json.loads(path.read_text())
             (self.folder / "old.json").write_text(
                 json.dumps(config | {"discovery": self.old_register_address})
@@ -295,7 +298,7 @@
     async def wait_until_followed(self, seconds: float = 60.0) -> None:
         """Waits until each server, except those with the unchanging agent, is at the latest generation."""
         async with asyncio.timeout(seconds):
-            for n in (n for n in range(self.keepers) if n not in self.old):
+            for n in (n for n in range(self.keepers) if n not in self.stale_servers):
                 while True:
                     with contextlib.suppress(StatusError):
                         if (await self.role_status(n, "keeper"))["version"][1] == self.register.generation:
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -28,7 +28,7 @@
 from fakes.endpoint import Endpoint
 from message_relay.http.discovery_client import DiscoveryClient
 
-from .kills import Traffic, healthy, started
+from .kills import Traffic, start_process, wait_until_healthy
 from .processes import settings
 from .report import report
 
@@ -92,11 +92,11 @@
     (folder / "config.json").write_text(json.dumps(config))
     if is_restart:
         agent.replace_list(changed)
-    relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
+    relay, _ = await start_process("message_relay", RELAY_CONFIG=str(folder / "config.json"))
     traffic = Traffic(port, random.Random(1))
     clients: list[asyncio.Task[None]] = []
     try:
-        await healthy(port)
+        await wait_until_healthy(port)
         changed_at = time.monotonic()
         clients = [asyncio.ensure_future(traffic.client()) for _ in range(CLIENTS)]
         if not is_restart:
