--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -244,10 +244,10 @@
             await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
 
     def freeze(self, n: int) -> None:
-        self.tell(self.name(n), signal.SIGSTOP)
+        self.send_signal(self.name(n), signal.SIGSTOP)
 
     def resume(self, n: int) -> None:
-        self.tell(self.name(n), signal.SIGCONT)
+        self.send_signal(self.name(n), signal.SIGCONT)
 
     def full_disk(self, n: int, full: bool = True) -> None:
         """Prevents the instance from extending or creating files, until called with full=False."""
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -103,7 +103,7 @@
     async with cluster(members, agreed=False) as harness:
         harness.freeze(members - 1)
         for n in range(members):
-            harness.tell(harness.name(n), signal.SIGHUP)
+            harness.send_signal(harness.name(n), signal.SIGHUP)
         await asyncio.sleep(3.0)
         harness.resume(members - 1)
         await asyncio.sleep(1.0)
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -145,13 +145,13 @@
     """Ends all instances while no partner answers, and starts them with this build."""
     frozen_at = time.time()
     for zone in ZONES:
-        fleet.tell(f"partner {zone}", signal.SIGSTOP)
+        fleet.send_signal(f"partner {zone}", signal.SIGSTOP)
     try:
         await wait_for_file(fleet, "*/learned", frozen_at)
         await asyncio.gather(fleet.kill(3, signal.SIGTERM), *(fleet.kill(n) for n in range(fleet.voters)))
     finally:
         for zone in ZONES:
-            fleet.tell(f"partner {zone}", signal.SIGCONT)
+            fleet.send_signal(f"partner {zone}", signal.SIGCONT)
     fleet.more_env = {n: build_environment(build) for n in range(fleet.instances)}
     await asyncio.gather(*(fleet.start_instance(n) for n in range(fleet.instances)))
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -265,7 +265,7 @@
                     reports.append(report)
         return reports
 
-    def tell(self, name: str, signal_number: signal.Signals) -> None:
+    def send_signal(self, name: str, signal_number: signal.Signals) -> None:
         self.processes[name].send_signal(signal_number)
 
     async def drained(self, seconds: float) -> None:
@@ -408,7 +408,7 @@
         clients = Clients(processes.port, instances, rng=random.Random(seed))
         await clients.run(0.8 * rate, 20.0)  # until all instances have learned the partner's capacity
         down_at = time.time() * 1000
-        processes.tell("partner", signal.SIGUSR1)
+        processes.send_signal("partner", signal.SIGUSR1)
         back_at = down_at + processes.down_s * 1000
         submitted = await clients.run(0.8 * rate, processes.down_s + processes.warm_s + 6.0)
         await processes.drained(20.0)
@@ -421,7 +421,7 @@
         row["roll s"] = 0.0
         for _ in range(rolls):
             roll_started_at = time.monotonic()
-            processes.tell("fleet", signal.SIGUSR2)
+            processes.send_signal("fleet", signal.SIGUSR2)
             await asyncio.sleep(0.2)
             traffic = asyncio.ensure_future(clients.run(0.5 * rate, 3600.0))
             await processes.until(lambda status: not status.rolling, 600.0)
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -111,7 +111,7 @@
             clients,
         ):
             await asyncio.sleep(4.0)
-            harness.tell("partner a", signal.SIGUSR1)
+            harness.send_signal("partner a", signal.SIGUSR1)
             status = await until(harness, lambda status: share(status, "a", "a") <= 0.1)
             assert share(status, "b", "b") == 1.0
             controller = int(status["name"][1:])
@@ -141,7 +141,7 @@
         async with zones(6, 120.0, partner=partner, fleet_of=6) as (harness, clients):
             await asyncio.sleep(6.0)
             newest = (await harness.status(5))["newest"]
-            harness.tell("partner a", signal.SIGUSR1)
+            harness.send_signal("partner a", signal.SIGUSR1)
             status = await until(harness, lambda status: share(status, "a", "a") <= 0.1)
             controller = int(status["name"][1:])
             await harness.wait_for(lambda status: status["newest"] > newest, 5)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -62,7 +62,7 @@
             clients = Clients(it.port, 4, deadline_share=0.5)
             await clients.run(16.0, 5.0)
             begin = time.time() * 1000
-            it.tell("partner", signal.SIGUSR1)
+            it.send_signal("partner", signal.SIGUSR1)
             await clients.run(16.0, 9.0)
             await it.drained(12.0)
             agreed = expected(24.0, begin, begin + 3000.0, 4000.0)
@@ -81,7 +81,7 @@
             traffic = asyncio.ensure_future(clients.run(30.0, 600.0))
             before = {line.instance: line.pid for line in (await it.until(whole)).lines}
             for _ in range(2):
-                it.tell("fleet", signal.SIGUSR2)
+                it.send_signal("fleet", signal.SIGUSR2)
                 await it.until(lambda told: told.rolling > 0)
                 told = await it.until(whole)
             assert all(line.restarts == 2 and line.pid != before[line.instance] for line in told.lines)
@@ -98,7 +98,7 @@
     async def work() -> None:
         async with fleet(2, 30.0, False, down_s=2.0, warm_s=1.0, more=QUICK) as it:
             clients = Clients(it.port, 1)
-            it.tell("partner", signal.SIGUSR1)  # so that it holds them
+            it.send_signal("partner", signal.SIGUSR1)  # so that it holds them
             await clients.run(40.0, 0.5)
             pid = (await line_of(it, 0)).pid
             assert pid is not None and clients.taken
@@ -130,7 +130,7 @@
     async def work() -> None:
         async with fleet(1, 30.0, False, down_s=1.5, warm_s=1.0, deadline_share=0.1, more=QUICK) as it:
             clients = Clients(it.port, 1, deadline_share=0.1)
-            it.tell("partner", signal.SIGUSR1)
+            it.send_signal("partner", signal.SIGUSR1)
             await clients.run(60.0, 0.5)
             pid = (await line_of(it, 0)).pid
             assert pid is not None and len(clients.taken) > 10
@@ -150,11 +150,11 @@
     async def work() -> None:
         async with fleet(3, 30.0, False, down_s=60.0, more=QUICK) as it:
             clients = Clients(it.port, 3)
-            it.tell("partner", signal.SIGUSR1)
+            it.send_signal("partner", signal.SIGUSR1)
             await clients.run(40.0, 0.5)
             pids = [line.pid for line in (await it.until(whole)).lines if line.pid is not None]
             os.kill(pids[2], signal.SIGSTOP)  # one of them can't even hear of it, until it wakes
-            it.tell("fleet", signal.SIGKILL)
+            it.send_signal("fleet", signal.SIGKILL)
             await it.processes["fleet"].wait()
             await until(lambda: not any(map(alive, pids[:2])))
             os.kill(pids[2], signal.SIGCONT)
@@ -175,23 +175,23 @@
             4, 40.0, True, down_s=2.0, warm_s=1.0, deadline_share=0.5, settle_s=12.0, more=QUICK
         ) as it:
             clients = Clients(it.port, 4, deadline_share=0.5)
-            it.tell("partner", signal.SIGUSR1)
+            it.send_signal("partner", signal.SIGUSR1)
             await clients.run(40.0, 1.0)
             good = (it.folder / "relay.toml").read_text()
             (it.folder / "relay.toml").write_text(good.replace("instances = 4", "instances = none"))
-            it.tell("fleet", signal.SIGHUP)
+            it.send_signal("fleet", signal.SIGHUP)
             log = it.folder / "fleet.log"
             await until(lambda: b"operator's file rejected" in log.read_bytes())
             it.configure(2)
             assert (await it.until(whole)).instances == 4
-            it.tell("fleet", signal.SIGHUP)
+            it.send_signal("fleet", signal.SIGHUP)
             gone = ["up", "up", "gone", "gone"]
             told = await it.until(lambda told: [line.state for line in told.lines] == gone)
             assert told.instances == 2
             clients.instances = 2
             await clients.run(20.0, 1.0)
             it.configure(3)  # one of them comes back, on the folder that it had
-            it.tell("fleet", signal.SIGHUP)
+            it.send_signal("fleet", signal.SIGHUP)
             told = await it.until(lambda told: told.up == 3)
             clients.instances = 3
             await clients.run(20.0, 1.0)
