--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -252,7 +252,7 @@
             await asyncio.sleep(0.2)
         together = await harness.wait_for_version(str(number), seconds=60.0)
         await stop_clients(work, clients)
-        await harness.drained(20.0)
+        await harness.wait_until_drained(20.0)
         worst, calls = contradiction(harness, await versions(harness))
         violations = harness.broken(clients.taken)
         for violation in violations[:5]:
@@ -283,7 +283,7 @@
             number = (await harness.propose(0, RULE_SETS[size == 5]))["number"]
             row[f"activate_s_{size}"] = round(await harness.wait_for_version(str(number)), 3)
         await stop_clients(work, clients)
-        await harness.drained(20.0)
+        await harness.wait_until_drained(20.0)
         row["contradiction_s_worst"], row["calls"] = contradiction(harness, await versions(harness))
         row["broken"] = len(harness.broken(clients.taken))
         return row
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -97,7 +97,7 @@
         down_at, first_index = time.time() * 1000, len(clients.asked)
         harness.send_signal("partner a", signal.SIGUSR1)
         submitted = await clients.run(3 * RATE, 24.0)
-        await harness.drained(20.0)
+        await harness.wait_until_drained(20.0)
         effects = harness.effects()
         calls = {zone: harness.calls_at(zone) for zone in ZONES}
         clients.close()
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -180,7 +180,7 @@
                 await wait_for_decider(fleet)
                 await asyncio.sleep(seconds)
                 await wait_for_file(fleet, "*/peers/raft.dump", started)
-        await fleet.drained(DRAIN_TIMEOUT_S)
+        await fleet.wait_until_drained(DRAIN_TIMEOUT_S)
         return {
             "play": "state folders",
             "versions": versions,
@@ -229,7 +229,7 @@
             versions.append(await propose_and_wait(fleet, 4, RATES[3]))
             await wait_for_decider(fleet)
             await asyncio.sleep(seconds / 2)
-        await fleet.drained(DRAIN_TIMEOUT_S)
+        await fleet.wait_until_drained(DRAIN_TIMEOUT_S)
         return {
             "play": "mixed fleet",
             "versions": versions,
@@ -256,7 +256,7 @@
             await fleet.wait_until_followed()
             fleet.move(*range(1, 31))
             await asyncio.sleep(SHARD_BOUND_S + 1.0)
-        await fleet.drained(DRAIN_TIMEOUT_S)
+        await fleet.wait_until_drained(DRAIN_TIMEOUT_S)
         broken = fleet.broken(clients.accepted)
         latest = max(fleet.lateness_of_moves())
         if latest > SHARD_BOUND_S:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -268,7 +268,7 @@
     def send_signal(self, name: str, signal_number: signal.Signals) -> None:
         self.processes[name].send_signal(signal_number)
 
-    async def drained(self, seconds: float) -> None:
+    async def wait_until_drained(self, seconds: float) -> None:
         """Waits until no instance has pending messages or unsent notifications; raises TimeoutError."""
         async with asyncio.timeout(seconds):
             while any(report.held or report.ends_waiting for report in await self.reports()):
@@ -411,7 +411,7 @@
         processes.send_signal("partner", signal.SIGUSR1)
         back_at = down_at + processes.down_s * 1000
         submitted = await clients.run(0.8 * rate, processes.down_s + processes.warm_s + 6.0)
-        await processes.drained(20.0)
+        await processes.wait_until_drained(20.0)
         agreed = expected(rate, down_at, back_at, processes.warm_s * 1000)
         row["over 1 s"], row["over cold"] = over(processes.calls(), agreed, down_at - 10_000, back_at)
         calls = processes.calls()
@@ -427,7 +427,7 @@
             await processes.until(lambda status: not status.rolling, 600.0)
             row["roll s"] += (time.monotonic() - roll_started_at) / rolls
             await clients.stop(traffic)
-        await processes.drained(30.0)
+        await processes.wait_until_drained(30.0)
         violations = processes.broken(clients.taken)
         for violation in violations:
             print(violation, file=sys.stderr)
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -42,7 +42,7 @@
 
 async def measure(cluster: ShardedCluster, clients: Clients) -> dict[str, Any]:
     """Collects the results from the ledgers and the status reports after a run."""
-    await cluster.drained(DRAIN_S)
+    await cluster.wait_until_drained(DRAIN_S)
     lateness = sorted(cluster.lateness_of_moves())
     readers = [await cluster.role_status(n, "reader") for n in cluster.relays]
     results: dict[str, Any] = {
@@ -236,7 +236,7 @@
         cluster.move(*moved_destinations)
         started_at = time.monotonic()
         await asyncio.gather(*(cluster.start_instance(n) for n in range(6)))
-        await cluster.drained(60.0)
+        await cluster.wait_until_drained(60.0)
         drain_s = time.monotonic() - started_at
         calls_to_old_place = sum(len(cluster.calls_to(dest, "a")) for dest in moved_destinations)
         results = await measure(cluster, clients)
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -79,7 +79,7 @@
         await asyncio.sleep(max(0.0, started_at + n / SUBMISSIONS_PER_S - time.monotonic()))
         clients.submit(dest, cluster.relays[0], "status", LEFT_MS)
     await clients.wait_until_settled()
-    await cluster.drained(LEFT_MS / 1000 + 5.0)
+    await cluster.wait_until_drained(LEFT_MS / 1000 + 5.0)
     return time.monotonic() - started_at
 
 
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -81,7 +81,7 @@
                 fleet.resume(leader)
                 await fleet.wait_for_version("2", [leader])
                 await asyncio.sleep(0.5)
-            await fleet.drained(12.0)
+            await fleet.wait_until_drained(12.0)
             assert not calls_after(fleet, closed_at), calls_after(fleet, closed_at)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
@@ -109,7 +109,7 @@
                 assert not (await fleet.propose(0, {"destinations": {"1": {"rate": 400}}}))["refused"]
                 await fleet.net("heal")
                 await fleet.wait_for_version("3")
-            await fleet.drained(12.0)
+            await fleet.wait_until_drained(12.0)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(scenario())
@@ -198,7 +198,7 @@
                 await fleet.wait_for_version("5")
                 assert (await fleet.wait_for(lambda status: status["votes"], 3))["newest"] == 5
                 assert not (await fleet.status(full))["votes"]
-            await fleet.drained(12.0)
+            await fleet.wait_until_drained(12.0)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(scenario())
@@ -254,7 +254,7 @@
                 )
                 explained = await command("explain", message_id)
                 assert explained.exit_code == 0 and "allowed" in explained.output
-            await fleet.drained(12.0)
+            await fleet.wait_until_drained(12.0)
             assert fleet.broken(clients.taken) == []
 
     run_with_timeout(scenario())
--- a/tests/consensus/test_mixed_builds_and_clocks.py
+++ b/tests/consensus/test_mixed_builds_and_clocks.py
@@ -59,7 +59,7 @@
                     await fleet.wait_for_version(str(number))
                 answer = await propose_until_accepted(fleet, CLASSES)
                 await fleet.wait_for_version(str(answer["number"]))
-            await fleet.drained(12.0)
+            await fleet.wait_until_drained(12.0)
             assert fleet.broken(clients.taken) == [] and len(clients.taken) > 50
 
     run_with_timeout(scenario())
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -52,7 +52,7 @@
         finally:
             await clients.stop(traffic)
             clients.close()
-        await harness.drained(15.0)
+        await harness.wait_until_drained(15.0)
         assert harness.broken(clients.taken) == [] and len(clients.taken) > 100
 
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -64,7 +64,7 @@
             begin = time.time() * 1000
             it.send_signal("partner", signal.SIGUSR1)
             await clients.run(16.0, 9.0)
-            await it.drained(12.0)
+            await it.wait_until_drained(12.0)
             agreed = expected(24.0, begin, begin + 3000.0, 4000.0)
             second, cold = over(it.calls(), agreed, begin, begin + 3000.0)
             assert second <= 1.25 and cold <= 2.0 and it.broken(clients.taken) == []
@@ -86,7 +86,7 @@
                 told = await it.until(whole)
             assert all(line.restarts == 2 and line.pid != before[line.instance] for line in told.lines)
             await clients.stop(traffic)
-            await it.drained(10.0)
+            await it.wait_until_drained(10.0)
             assert it.broken(clients.taken) == [] and len(clients.taken) > 50
             assert not {name for name in clients.answers if name.endswith("Error")}
             clients.close()
@@ -105,7 +105,7 @@
             os.kill(pid, signal.SIGKILL)
             told = await it.until(lambda told: told.lines[0].crashes == 1 and told.up == 2)
             assert told.lines[0].pid != pid and not told.lines[0].crash_loop
-            await it.drained(20.0)
+            await it.wait_until_drained(20.0)
             assert it.broken(clients.taken) == []
             clients.close()
 
@@ -138,7 +138,7 @@
             await asyncio.sleep(4.0)  # the partner is back meanwhile, and all deadlines are over
             before = it.effects()
             os.kill(pid, signal.SIGCONT)
-            await it.drained(20.0)
+            await it.wait_until_drained(20.0)
             assert it.effects() == before and it.broken(clients.taken) == []
             assert set(it.ends()) >= set(clients.taken) - set(before)
             clients.close()
@@ -162,7 +162,7 @@
             # What they held is still there, and the next supervisor's instances owe its end.
             await it.start("fleet", "message_relay", "fleet", "--config", str(it.folder / "relay.toml"))
             await it.until(lambda told: told.up == 3)
-            await it.drained(40.0)
+            await it.wait_until_drained(40.0)
             assert it.broken(clients.taken) == [] and clients.taken
             clients.close()
 
@@ -195,7 +195,7 @@
             told = await it.until(lambda told: told.up == 3)
             clients.instances = 3
             await clients.run(20.0, 1.0)
-            await it.drained(15.0)
+            await it.wait_until_drained(15.0)
             assert it.broken(clients.taken) == [] and clients.answers["202"] > 40
             clients.close()
 
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -30,7 +30,7 @@
             await asyncio.gather(*(harness.kill(n) for n in harness.relays))
             harness.move(*range(1, 21))
             await asyncio.gather(*(harness.start_instance(n) for n in range(4)))
-            await harness.drained(30.0)
+            await harness.wait_until_drained(30.0)
             assert harness.broken(clients.accepted) == []
             assert harness.ends() == {"m60-999": {"failed"}} and len(harness.effects()) == 60
             assert not any(harness.calls_to(dest, "a") for dest in range(1, 21))
@@ -62,7 +62,7 @@
                 await asyncio.sleep(13.0)
                 harness.resume(harness.relays[0])
                 await asyncio.sleep(2.0)
-            await harness.drained(25.0)
+            await harness.wait_until_drained(25.0)
             assert harness.broken(clients.accepted) == [] and len(clients.accepted) > 500
             assert max(harness.lateness_of_moves()) < 12.0
 
@@ -86,7 +86,7 @@
                     CliRunner().invoke, group, ["status", "--folder", str(harness.folder / "run")]
                 )
                 assert "directory by interest" in output.output and "age_s" in output.output.replace("\n", "")
-            await harness.drained(25.0)
+            await harness.wait_until_drained(25.0)
             assert harness.broken(clients.accepted) == []
 
     run_test(work())
