--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -281,7 +281,7 @@
         """Returns the arrival time of each complete call at the partner, in Unix ms."""
         return sorted(float(line.split()[0]) for line in lines(self.folder / "calls"))
 
-    def ends(self) -> dict[str, set[str]]:
+    def final_states(self) -> dict[str, set[str]]:
         """Maps each message to the set of final states in its notifications; repeats count once."""
         states: dict[str, set[str]] = {}
         for item in map(json.loads, lines(self.folder / "notices")):
@@ -295,7 +295,7 @@
         failed message may have taken effect: `failed` makes no statement about that. A returned message may
         have taken effect where its class makes that harmless.
         """
-        effects, ends = self.effects(), self.ends()
+        effects, ends = self.effects(), self.final_states()
         violations = [
             f"{message_id}: took effect {count} times" for message_id, count in effects.items() if count > 1
         ]
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -50,7 +50,7 @@
         "taken": len(clients.accepted),
         "answers": clients.statuses,
         "broken": cluster.broken(clients.accepted),
-        "failed": sum("failed" in states for states in cluster.ends().values()),
+        "failed": sum("failed" in states for states in cluster.final_states().values()),
         "stale refused": sum(reader["stale_refused"] for reader in readers),
         "ask failures": sum(reader["failures"] for reader in readers),
         "unreadable": sum(reader["unreadable"] for reader in readers),
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -140,7 +140,7 @@
             os.kill(pid, signal.SIGCONT)
             await it.wait_until_drained(20.0)
             assert it.effects() == before and it.broken(clients.taken) == []
-            assert set(it.ends()) >= set(clients.taken) - set(before)
+            assert set(it.final_states()) >= set(clients.taken) - set(before)
             clients.close()
 
     go(work())
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -32,7 +32,7 @@
             await asyncio.gather(*(harness.start_instance(n) for n in range(4)))
             await harness.wait_until_drained(30.0)
             assert harness.broken(clients.accepted) == []
-            assert harness.ends() == {"m60-999": {"failed"}} and len(harness.effects()) == 60
+            assert harness.final_states() == {"m60-999": {"failed"}} and len(harness.effects()) == 60
             assert not any(harness.calls_to(dest, "a") for dest in range(1, 21))
             clients.submit(999, harness.relays[0])
             await clients.wait_until_settled()
