--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -154,9 +154,9 @@
         scope = {"dedup-scope": "zone"} if self.partners else {}
         return base | {"classes": [class_ | scope for class_ in base["classes"]]}
 
-    def broken(self, taken: dict[str, str]) -> list[str]:
+    def violations(self, taken: dict[str, str]) -> list[str]:
         """Excludes repeatable messages that took effect in two zones, which is harmless."""
-        violations = super().broken(taken)
+        violations = super().violations(taken)
         if not self.partners:
             return violations
         return [
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -254,7 +254,7 @@
         await stop_clients(work, clients)
         await harness.wait_until_drained(20.0)
         worst, calls = contradiction(harness, await versions(harness))
-        violations = harness.broken(clients.taken)
+        violations = harness.violations(clients.taken)
         for violation in violations[:5]:
             print(violation, file=sys.stderr)
         return {
@@ -285,7 +285,7 @@
         await stop_clients(work, clients)
         await harness.wait_until_drained(20.0)
         row["contradiction_s_worst"], row["calls"] = contradiction(harness, await versions(harness))
-        row["broken"] = len(harness.broken(clients.taken))
+        row["broken"] = len(harness.violations(clients.taken))
         return row
 
 
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -186,7 +186,7 @@
             "versions": versions,
             "accepted": len(clients.taken),
             "effects": len(fleet.effects()),
-            "broken": fleet.broken(clients.taken),
+            "broken": fleet.violations(clients.taken),
             "files": sorted(
                 {path.name for path in (fleet.folder / "state").glob("*/**/*") if path.is_file()}
             ),
@@ -235,7 +235,7 @@
             "versions": versions,
             "accepted": len(clients.taken),
             "effects": len(fleet.effects()),
-            "broken": fleet.broken(clients.taken),
+            "broken": fleet.violations(clients.taken),
         }
 
 
@@ -257,7 +257,7 @@
             fleet.move(*range(1, 31))
             await asyncio.sleep(SHARD_BOUND_S + 1.0)
         await fleet.wait_until_drained(DRAIN_TIMEOUT_S)
-        broken = fleet.broken(clients.accepted)
+        broken = fleet.violations(clients.accepted)
         latest = max(fleet.lateness_of_moves())
         if latest > SHARD_BOUND_S:
             broken.append(f"a destination was called at its previous address {latest:.1f} s after it moved")
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -288,7 +288,7 @@
             states.setdefault(item["id"], set()).add(item["state"])
         return states
 
-    def broken(self, taken: dict[str, str]) -> list[str]:
+    def violations(self, taken: dict[str, str]) -> list[str]:
         """Returns a text for each message that violates a guarantee.
 
         An accepted message must have exactly one final outcome, and no message may take effect twice. A
@@ -428,7 +428,7 @@
             row["roll s"] += (time.monotonic() - roll_started_at) / rolls
             await clients.stop(traffic)
         await processes.wait_until_drained(30.0)
-        violations = processes.broken(clients.taken)
+        violations = processes.violations(clients.taken)
         for violation in violations:
             print(violation, file=sys.stderr)
         row["broken"] = len(violations)
--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -102,7 +102,7 @@
     answers: Counter[str] = field(default_factory=Counter)
     lags: list[tuple[float, float]] = field(default_factory=list)  # of this process's event loop: time, s
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         return [
             *self._final_outcomes(),
             *self._effects(),
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -321,7 +321,7 @@
     try:
         async with asyncio.timeout(60.0 + 20.0 * restarts):
             await soak.run()
-        broken = soak.ledger.broken()
+        broken = soak.ledger.violations()
     except TimeoutError:
         broken = ["the run did not finish in time"]
     ledger = soak.ledger
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -49,7 +49,7 @@
         "handed in": len(clients.submitted),
         "taken": len(clients.accepted),
         "answers": clients.statuses,
-        "broken": cluster.broken(clients.accepted),
+        "broken": cluster.violations(clients.accepted),
         "failed": sum("failed" in states for states in cluster.final_states().values()),
         "stale refused": sum(reader["stale_refused"] for reader in readers),
         "ask failures": sum(reader["failures"] for reader in readers),
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -146,6 +146,6 @@
             "RSS MB": round((await cluster.report(0)).rss_mb, 1),
             "lag ms": (await cluster.report(0)).lag.most_ms,
         }
-        results["broken"] = cluster.broken(clients.accepted)
+        results["broken"] = cluster.violations(clients.accepted)
         clients.close()
     return results
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -53,7 +53,7 @@
             await clients.stop(traffic)
             clients.close()
         await harness.wait_until_drained(15.0)
-        assert harness.broken(clients.taken) == [] and len(clients.taken) > 100
+        assert harness.violations(clients.taken) == [] and len(clients.taken) > 100
 
 
 async def until(
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -67,7 +67,7 @@
             await it.wait_until_drained(12.0)
             agreed = expected(24.0, begin, begin + 3000.0, 4000.0)
             second, cold = over(it.calls(), agreed, begin, begin + 3000.0)
-            assert second <= 1.25 and cold <= 2.0 and it.broken(clients.taken) == []
+            assert second <= 1.25 and cold <= 2.0 and it.violations(clients.taken) == []
             assert len(clients.taken) > 100 and len(it.effects()) > 60
             clients.close()
 
@@ -87,7 +87,7 @@
             assert all(line.restarts == 2 and line.pid != before[line.instance] for line in told.lines)
             await clients.stop(traffic)
             await it.wait_until_drained(10.0)
-            assert it.broken(clients.taken) == [] and len(clients.taken) > 50
+            assert it.violations(clients.taken) == [] and len(clients.taken) > 50
             assert not {name for name in clients.answers if name.endswith("Error")}
             clients.close()
 
@@ -106,7 +106,7 @@
             told = await it.until(lambda told: told.lines[0].crashes == 1 and told.up == 2)
             assert told.lines[0].pid != pid and not told.lines[0].crash_loop
             await it.wait_until_drained(20.0)
-            assert it.broken(clients.taken) == []
+            assert it.violations(clients.taken) == []
             clients.close()
 
     go(work())
@@ -139,7 +139,7 @@
             before = it.effects()
             os.kill(pid, signal.SIGCONT)
             await it.wait_until_drained(20.0)
-            assert it.effects() == before and it.broken(clients.taken) == []
+            assert it.effects() == before and it.violations(clients.taken) == []
             assert set(it.final_states()) >= set(clients.taken) - set(before)
             clients.close()
 
@@ -163,7 +163,7 @@
             await it.start("fleet", "message_relay", "fleet", "--config", str(it.folder / "relay.toml"))
             await it.until(lambda told: told.up == 3)
             await it.wait_until_drained(40.0)
-            assert it.broken(clients.taken) == [] and clients.taken
+            assert it.violations(clients.taken) == [] and clients.taken
             clients.close()
 
     go(work())
@@ -196,7 +196,7 @@
             clients.instances = 3
             await clients.run(20.0, 1.0)
             await it.wait_until_drained(15.0)
-            assert it.broken(clients.taken) == [] and clients.answers["202"] > 40
+            assert it.violations(clients.taken) == [] and clients.answers["202"] > 40
             clients.close()
 
     go(work())
--- a/tests/sharded_directory/test_cluster.py
+++ b/tests/sharded_directory/test_cluster.py
@@ -31,7 +31,7 @@
             harness.move(*range(1, 21))
             await asyncio.gather(*(harness.start_instance(n) for n in range(4)))
             await harness.wait_until_drained(30.0)
-            assert harness.broken(clients.accepted) == []
+            assert harness.violations(clients.accepted) == []
             assert harness.final_states() == {"m60-999": {"failed"}} and len(harness.effects()) == 60
             assert not any(harness.calls_to(dest, "a") for dest in range(1, 21))
             clients.submit(999, harness.relays[0])
@@ -63,7 +63,7 @@
                 harness.resume(harness.relays[0])
                 await asyncio.sleep(2.0)
             await harness.wait_until_drained(25.0)
-            assert harness.broken(clients.accepted) == [] and len(clients.accepted) > 500
+            assert harness.violations(clients.accepted) == [] and len(clients.accepted) > 500
             assert max(harness.lateness_of_moves()) < 12.0
 
     run_test(work())
@@ -87,6 +87,6 @@
                 )
                 assert "directory by interest" in output.output and "age_s" in output.output.replace("\n", "")
             await harness.wait_until_drained(25.0)
-            assert harness.broken(clients.accepted) == []
+            assert harness.violations(clients.accepted) == []
 
     run_test(work())
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -47,31 +47,31 @@
 
 
 def test_a_sound_ledger_is_not_broken() -> None:
-    assert sound_ledger().broken() == []
+    assert sound_ledger().violations() == []
 
 
 def test_a_message_without_an_end_is_seen() -> None:
     ledger = sound_ledger()
     ledger.calls.clear()
-    assert ledger.broken() == ["m: accepted, no end"]
+    assert ledger.violations() == ["m: accepted, no end"]
 
 
 def test_a_late_end_is_seen_unless_a_restart_excuses_it() -> None:
     ledger = sound_ledger()
     ledger.calls[0] = (106.0, "s-1", "m", "ok")
-    assert "1.00 s late" in ledger.broken()[0]
+    assert "1.00 s late" in ledger.violations()[0]
     ledger.accepted["m"].due_at = 111.0
     ledger.calls[0] = (116.0, "s-1", "m", "ok")  # 1.4 s after the next process is ready
-    assert ledger.broken() == []
+    assert ledger.violations() == []
     ledger.calls[0] = (116.2, "s-1", "m", "ok")
-    assert "late" in ledger.broken()[0]
+    assert "late" in ledger.violations()[0]
 
 
 def test_two_ends_and_two_effects_are_seen() -> None:
     ledger = sound_ledger()
     ledger.effects["m"] = 2
     ledger.notices += [(103.0, "m", "failed"), (104.0, "m", "returned")]
-    assert ledger.broken() == ["m: told ['failed', 'returned']", "m: took effect 2 times"]
+    assert ledger.violations() == ["m: told ['failed', 'returned']", "m: took effect 2 times"]
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     if killed:
         ledger.processes[0].killed_at, ledger.processes[0].exit_code = 110.49, -signal.SIGKILL
     ledger.unanswered.append(Unanswered("x", 110.5, 110.51, rested_s, "IncompleteReadError"))
-    assert bool(ledger.broken()) is is_broken
+    assert bool(ledger.violations()) is is_broken
 
 
 @pytest.mark.parametrize(("after_signal_s", "is_broken"), [(0.3, True), (0.44, True), (0.5, False)])
@@ -102,7 +102,7 @@
     ledger = sound_ledger()
     at = 110.0 + after_signal_s
     ledger.unanswered.append(Unanswered("x", at, at + 0.01, -1.0, "ConnectionResetError"))
-    assert bool(ledger.broken()) is is_broken
+    assert bool(ledger.violations()) is is_broken
 
 
 @pytest.mark.parametrize(
@@ -132,11 +132,11 @@
     ledger.accepted["m"].due_at = 110.0
     ledger.silences += [silence] if silence else []
     ledger.reloads += [reload_at] if reload_at else []
-    assert bool(ledger.broken()) is is_broken
+    assert bool(ledger.violations()) is is_broken
 
 
 def test_a_wrong_exit_and_a_slow_start_are_seen() -> None:
     ledger = sound_ledger()
     ledger.processes[0].exit_code = -signal.SIGHUP
     ledger.processes[1].ready_at = 125.0
-    assert ledger.broken() == ["process 0: ended with -1", "process 1: ready after 10.7 s"]
+    assert ledger.violations() == ["process 0: ended with -1", "process 1: ready after 10.7 s"]
