--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -31,7 +31,7 @@
 class Process:
     started_at: float
     ready_at: float = math.inf
-    told_to_end_at: float = math.inf
+    signalled_at: float = math.inf
     killed_at: float = math.inf
     ended_at: float = math.inf
     exit_code: int | None = None
@@ -134,7 +134,7 @@
     def _latest_end(self, due_at: float) -> float:
         latest = due_at + END_SLACK_S
         for number, process in enumerate(self.processes[:-1]):
-            away_from = min(process.told_to_end_at, process.killed_at, process.ended_at)
+            away_from = min(process.signalled_at, process.killed_at, process.ended_at)
             back_at = self.processes[number + 1].ready_at + AFTER_READY_S
             if away_from <= latest <= back_at:
                 latest = back_at
@@ -164,7 +164,7 @@
         )
         is_new = request.idle_s < 0
         is_after_listening = any(
-            process.told_to_end_at + NEW_CONNECTIONS_S < request.written_at <= process.ended_at
+            process.signalled_at + NEW_CONNECTIONS_S < request.written_at <= process.ended_at
             for process in self.processes
         )
         return (
@@ -182,7 +182,7 @@
 
     def _since_signal(self, request: Unanswered) -> float:
         signal_times = [
-            process.told_to_end_at for process in self.processes if process.told_to_end_at <= request.ended_at
+            process.signalled_at for process in self.processes if process.signalled_at <= request.ended_at
         ]
         return request.ended_at - max(signal_times, default=-math.inf)
 
@@ -225,7 +225,7 @@
             if process.killed_at < math.inf and process.exit_code == -signal.SIGKILL:
                 continue
             allowed = {0} if was_ready else {0, -signal.SIGTERM}
-            if process.told_to_end_at == math.inf or process.exit_code not in allowed:
+            if process.signalled_at == math.inf or process.exit_code not in allowed:
                 violations.append(f"process {number}: ended with {process.exit_code}")
             if was_ready and process.ready_at - process.started_at > READY_S:
                 violations.append(
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -212,7 +212,7 @@
         assert self.process is not None
         record = self.ledger.processes[-1]
         if number in (signal.SIGTERM, signal.SIGINT):
-            record.told_to_end_at = min(record.told_to_end_at, time.monotonic())
+            record.signalled_at = min(record.signalled_at, time.monotonic())
         elif number is signal.SIGKILL:
             record.killed_at = time.monotonic()
         with contextlib.suppress(ProcessLookupError):
@@ -222,7 +222,7 @@
         """Waits until the process has exited; kills it at the earliest time that the platform would."""
         assert self.process is not None
         record = self.ledger.processes[-1]
-        kill_at = min(record.told_to_end_at + KILL_AFTER_S, record.killed_at)
+        kill_at = min(record.signalled_at + KILL_AFTER_S, record.killed_at)
         try:
             async with asyncio.timeout(max(0.0, kill_at - time.monotonic())):
                 await self.process.wait()
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -37,8 +37,8 @@
 def sound_ledger() -> Ledger:
     """A process that was told to end, one that follows it, and one message that was delivered between."""
     ledger = Ledger(is_prompt=True, has_crowd=False)
-    first = Process(100.0, 100.3, told_to_end_at=110.0, ended_at=112.0, exit_code=0)
-    second = Process(114.3, 114.6, told_to_end_at=130.0, ended_at=131.0, exit_code=0)
+    first = Process(100.0, 100.3, signalled_at=110.0, ended_at=112.0, exit_code=0)
+    second = Process(114.3, 114.6, signalled_at=130.0, ended_at=131.0, exit_code=0)
     ledger.processes = [first, second]
     ledger.accepted["m"] = Accepted("pay", 105.0)
     ledger.calls.append((102.0, "s-1", "m", "ok"))
