--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -23,7 +23,7 @@
 AFTER_READY_S = 1.5  # grace for final outcomes after a restart, from when the next process is ready
 READY_S = 10.0
 KILL_NOTICED_S = 0.05  # between a kill and the moment its clients notice
-NEW_CONNECTIONS_S = 0.4 + 0.05  # new connections arrive this long after SIGTERM; with the sockets' slack
+NEW_CONNECTIONS_S = 0.4 + 0.05  # clients open connections until then after SIGTERM; with slack
 MIN_IDLE_S = 2.0  # an idle connection may be closed without a request after this time
 
 
