--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,12 +1,12 @@
-"""SIGKILL of the real process at random moments, while its journal gives up segments under traffic.
+"""Kills the real process with SIGKILL at random moments, while its journal deletes segments under traffic.
 
     python -m benchmarks.kills [--kills 300] [--seed 1] [--json]
 
-One relay with a small budget for its journal (so that it gives up segments all the time), a partner that
-refuses, fails and hangs by chance (fakes.endpoint), a register that counts notices (fakes.discovery_agent),
-clients without pause. After each kill it is started anew on its folder. At the end every message that was
-taken must have an effect at the partner or a final answer, and no `pay` an effect twice: the partner's
-ledger takes a `pay` as often as it comes, since those carry no key."""
+One relay with a small journal budget (so that it deletes segments all the time), a partner that randomly
+refuses, fails and hangs (fakes.endpoint), a discovery agent that records notices (fakes.discovery_agent), and
+clients that submit without pause. After each kill the relay is restarted on its state folder. At the end
+every accepted message must have taken effect at the partner or have a final outcome, and no `pay` may have
+taken effect twice: the partner's ledger records each delivery of a `pay`, since those carry no key."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     taken: int = 0
     effects: int = 0
     notices: int = 0
-    segments: int = 0  # that were begun
+    segments: int = 0  # number of segments created
     restart_s: float = 0.0  # mean, from the kill to the next 200 of /healthz
     broken: list[str] = field(default_factory=list)
 
 
-async def started(*args: str, **env: str) -> tuple[asyncio.subprocess.Process, str]:
+async def start_process(*args: str, **env: str) -> tuple[asyncio.subprocess.Process, str]:
     import os
 
     process = await asyncio.create_subprocess_exec(
@@ -61,7 +61,7 @@
     return process, (await process.stdout.readline()).decode().split()[1]
 
 
-async def healthy(port: int, host: str = "127.0.0.1") -> None:
+async def wait_until_healthy(port: int, host: str = "127.0.0.1") -> None:
     async with asyncio.timeout(READY_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -79,7 +79,7 @@
     port: int
     rng: random.Random
     accepted: dict[str, str] = field(default_factory=dict)
-    numbers: int = 0
+    submitted_count: int = 0
 
     async def client(self) -> None:
         while True:
@@ -88,19 +88,19 @@
                 try:
                     while True:
                         async with asyncio.timeout(5.0):
-                            await self.one(reader, writer)
+                            await self.submit(reader, writer)
                 finally:
                     writer.close()
             await asyncio.sleep(0.02)
 
-    async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.numbers += 1
-        ident = f"m{self.numbers}"
+    async def submit(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.submitted_count += 1
+        message_id = f"m{self.submitted_count}"
         class_ = self.rng.choice(("order", "pay", "status"))
         body = bytes(self.rng.choice((100, 100, 400, 9000)))
-        key = f"Idempotency-Key: k{ident}\r\n" if class_ == "order" else ""
+        key = f"Idempotency-Key: k{message_id}\r\n" if class_ == "order" else ""
         writer.write(
-            f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {ident}\r\nX-Qos: {class_}\r\n"
+            f"POST /{class_} HTTP/1.1\r\nHost: r\r\nX-Trace-Id: {message_id}\r\nX-Qos: {class_}\r\n"
             f"X-Customer: t\r\nX-Expires-In-Ms: {4000}\r\n{key}X-Addressing: dest=1\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
@@ -109,7 +109,7 @@
         length = head.lower().partition(b"content-length:")[2].split(b"\r", 1)[0]
         await reader.readexactly(int(length or 0))
         if b" 202 " in head[:13]:
-            self.accepted[ident] = class_
+            self.accepted[message_id] = class_
         else:
             await asyncio.sleep(0.02)
 
@@ -117,7 +117,7 @@
 async def measure(folder: Path, kills: int, seed: int) -> Row:
     rng, row = random.Random(seed), Row()
     (folder / "state").mkdir()
-    partner, at = await started(
+    partner, partner_address = await start_process(
         "fakes.endpoint",
         "--answer-ms",
         "15",
@@ -130,13 +130,13 @@
         "--ledger",
         str(folder / "effects"),
     )
-    known = {
+    listing = {
         "generation": 1,
         "reset": True,
         "instances": [
             {
                 "instanceId": "p",
-                "hostPort": at,
+                "hostPort": partner_address,
                 "zone": "z",
                 "machineType": "k",
                 "cell": 1,
@@ -146,8 +146,8 @@
             }
         ],
     }
-    (folder / "list.json").write_text(json.dumps(known))
-    agent, discovery = await started(
+    (folder / "list.json").write_text(json.dumps(listing))
+    agent, discovery = await start_process(
         "fakes.discovery_agent", "--list", str(folder / "list.json"), "--ledger", str(folder / "notices")
     )
     (port,) = free_ports(1)
@@ -160,7 +160,7 @@
                 "listen": f"127.0.0.1:{port}",
                 "discovery": discovery,
                 "seed": "1",
-                "known": known,
+                "known": listing,
                 "state": str(folder / "state"),
                 "settings": raw,
                 "limits": {"disk_mb": DISK_MB},
@@ -168,24 +168,24 @@
         )
     )
     traffic = Traffic(port, rng)
-    relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
+    relay, _ = await start_process("message_relay", RELAY_CONFIG=str(folder / "config.json"))
     clients: list[asyncio.Task[None]] = []
     try:
-        await healthy(port)
+        await wait_until_healthy(port)
         clients = [asyncio.ensure_future(traffic.client()) for _ in range(CLIENTS)]
         for _ in range(kills):
             await asyncio.sleep(rng.uniform(0.02, 0.5))
             relay.send_signal(signal.SIGKILL)
             await relay.wait()
             started_at = time.monotonic()
-            relay, _ = await started("message_relay", RELAY_CONFIG=str(folder / "config.json"))
-            await healthy(port)
+            relay, _ = await start_process("message_relay", RELAY_CONFIG=str(folder / "config.json"))
+            await wait_until_healthy(port)
             row.kills += 1
             row.restart_s += (time.monotonic() - started_at) / kills
         for client in clients:
             client.cancel()
         await asyncio.gather(*clients, return_exceptions=True)
-        await asyncio.sleep(5.0)  # past every deadline
+        await asyncio.sleep(5.0)  # longer than every deadline
         numbers = [int(path.name[4:]) for path in (folder / "state").glob("seg-*")]
         row.segments = max(numbers)
         relay.send_signal(signal.SIGTERM)
@@ -196,17 +196,23 @@
                 process.kill()
                 await process.wait()
     effects = Counter(line.split()[1] for line in lines(folder / "effects"))
-    ends: dict[str, set[str]] = {}
+    final_states: dict[str, set[str]] = {}
     for item in map(json.loads, lines(folder / "notices")):
-        ends.setdefault(item["id"], set()).add(item["state"])
-    row.taken, row.effects, row.notices = len(traffic.accepted), len(effects), len(ends)
-    finished = effects.keys() | ends.keys()
-    row.broken += [f"{ident}: no end" for ident in traffic.accepted if ident not in finished]
-    row.broken += [f"{ident}: told {sorted(states)}" for ident, states in ends.items() if len(states) > 1]
+        final_states.setdefault(item["id"], set()).add(item["state"])
+    row.taken, row.effects, row.notices = len(traffic.accepted), len(effects), len(final_states)
+    finished = effects.keys() | final_states.keys()
     row.broken += [
-        f"{ident}: took effect {effects[ident]} times"
-        for ident, class_ in traffic.accepted.items()
-        if class_ == "pay" and effects[ident] > 1
+        f"{message_id}: no final outcome" for message_id in traffic.accepted if message_id not in finished
+    ]
+    row.broken += [
+        f"{message_id}: several final outcomes {sorted(states)}"
+        for message_id, states in final_states.items()
+        if len(states) > 1
+    ]
+    row.broken += [
+        f"{message_id}: took effect {effects[message_id]} times"
+        for message_id, class_ in traffic.accepted.items()
+        if class_ == "pay" and effects[message_id] > 1
     ]
     return row
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,12 +1,13 @@
-"""A soak of restarts: the real program, clients that use their connections until the kill, signals in series.
+"""Soak test of restarts: real relay processes under traffic get series of signals; clients use their
+connections until the kill.
 
     python -m benchmarks.restarts [--seeds 50] [--first 1] [--restarts 4] [--parallel 4] [--json]
-    python -m benchmarks.restarts --seed 7          # one play again, with the program's log kept
+    python -m benchmarks.restarts --seed 7          # repeats one run and keeps the relay's log
 
-Agent, endpoints and clients are in this process, the program is one of its own; all is drawn from the seed
-(restart_plan.py). SIGKILL comes 3.7 s after SIGTERM and the next start 0.6 s later, as on the platform. A
-ledger of all parties judges (restart_ledger.py). It prints what was broken, with the command that plays it
-again, and ends with 1 if anything was."""
+Agent, endpoints and clients run in this process, the relay in a separate one; the plan is drawn from the seed
+(restart_plan.py). SIGKILL follows 3.7 s after SIGTERM and the next start 0.6 s later, as on the platform. A
+ledger of all parties finds the violated rules (restart_ledger.py). The program prints the violations with the
+command that repeats the run; the exit code is 1 if there are any."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 from fakes.discovery_agent import Agent
 from fakes.endpoint import Endpoint
 
-from .kills import healthy
+from .kills import wait_until_healthy
 from .processes import settings
 from .report import report
 from .restart_clients import BUSY_PAUSE_S, CROWD, RESTING_PAUSE_S, Client, idle_visitor
@@ -45,21 +46,21 @@
 ENDPOINTS = 3
 CLOSED_MS = 700.0
 LAG_CHECK_S = 0.01
-LEARNED_S = 1.0  # besides the agent's delay: so old a list has surely come to the relay
+LEARNED_S = 1.0  # plus the agent's delay: the relay has certainly received a list of this age
 KEY_WINDOW_MS = 3_600_000.0
-SETTLE_S = 5.5  # past each message's time
+SETTLE_S = 5.5  # longer than each message's deadline
 SOCKETS = 128
 PORT = 7070
 DISK_MB = 3
 
 
 def loopback_address(number: int) -> str:
-    """One of some 15 million addresses of the loopback network, by the number of a process."""
+    """Maps a process id to one of some 15 million addresses of the loopback network."""
     return f"127.{1 + number // 62_500 % 250}.{number // 250 % 250}.{1 + number % 250}"
 
 
-class Play:
-    """One seed."""
+class SoakRun:
+    """One run, by the plan of one seed."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -67,10 +68,10 @@
         self.ledger = Ledger(is_prompt=plan.agent_delay_s == 0, has_crowd=plan.has_crowd)
         self.endpoints: list[Endpoint] = []
         self.agents: list[Agent] = []
-        self.left: int | None = None  # the endpoint that is leaving
-        self.lists: list[tuple[float, dict[str, Any]]] = []  # of discovery, and since when
-        self.known_at = time.monotonic()  # a new process is told of the list that the last one had by then
-        # Of its own: while the program is away, nobody else can take the port for a moment.
+        self.left: int | None = None  # the endpoint that is listed as leaving
+        self.lists: list[tuple[float, dict[str, Any]]] = []  # since when, and the agent's list
+        self.known_at = time.monotonic()  # a new process is configured with the list as of this time
+        # A separate address for each run: no other process can bind the port while the relay is down.
         self.address = (loopback_address(os.getpid()), PORT)
         self.accepted = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
@@ -84,13 +85,13 @@
             for step in self.plan.steps:
                 await self._start(step)
                 await self._serve(step)
-                await self._end(step)
+                await self._stop(step)
             await self._start(None)
             for task in clients:
                 task.cancel()
             await asyncio.sleep(SETTLE_S)
             await self._signal(signal.SIGTERM)
-            await self._await_end()
+            await self._wait_for_exit()
         finally:
             work = (*clients, *self.timers, watch)
             for task in work:
@@ -130,7 +131,7 @@
             endpoint.begin()
             self.endpoints.append(endpoint)
         notices: Any = NoticeLog(self.ledger)
-        known = {"generation": 1, "reset": True, "instances": self._listed()}
+        known = {"generation": 1, "reset": True, "instances": self._list_entries()}
         for _ in range(2):
             agent = await Agent(json.dumps(known).encode(), notices).start()
             agent.delay_s = plan.agent_delay_s
@@ -139,16 +140,16 @@
         self.lists.append((time.monotonic(), known))
         self._configure(0)
 
-    def _listed(self) -> list[dict[str, Any]]:
+    def _list_entries(self) -> list[dict[str, Any]]:
         return [
-            entry(f"s-{n}", each.listen, "draining" if n == self.left else "ready")
-            for n, each in enumerate(self.endpoints)
+            entry(f"s-{n}", endpoint.listen, "draining" if n == self.left else "ready")
+            for n, endpoint in enumerate(self.endpoints)
         ]
 
-    def _known(self) -> dict[str, Any]:
-        """The list as the relay last had it, as in the platform's configuration."""
-        had = [listed for since, listed in self.lists if since <= self.known_at]
-        return had[-1] if had else self.lists[0][1]
+    def _known_list(self) -> dict[str, Any]:
+        """Returns the list that the relay last received, as the platform writes it into the configuration."""
+        received = [listing for since, listing in self.lists if since <= self.known_at]
+        return received[-1] if received else self.lists[0][1]
 
     def _configure(self, agent: int) -> None:
         self.agent = agent
@@ -157,7 +158,7 @@
             "listen": "{}:{}".format(*self.address),
             "discovery": "{}:{}".format(*self.agents[agent].address),
             "seed": f"{self.plan.seed:x}",
-            "known": self._known(),
+            "known": self._known_list(),
             "state": str(self.folder / "state"),
             "settings": settings(0.25),
             "limits": {"sockets": SOCKETS, "disk_mb": DISK_MB},
@@ -167,17 +168,17 @@
         partial.replace(self.folder / "config.json")
 
     def _start_clients(self) -> list[asyncio.Task[None]]:
-        work: list[Coroutine[Any, Any, None]] = []
+        client_runs: list[Coroutine[Any, Any, None]] = []
         for number in range(self.plan.clients):
-            rests = number < self.plan.resting_clients
-            pause_s = RESTING_PAUSE_S if rests else BUSY_PAUSE_S
+            is_resting = number < self.plan.resting_clients
+            pause_s = RESTING_PAUSE_S if is_resting else BUSY_PAUSE_S
             rng = random.Random(self.plan.seed * 100 + number)
-            work.append(Client(self.address, number, pause_s, rng, self.ledger, self.accepted).run())
+            client_runs.append(Client(self.address, number, pause_s, rng, self.ledger, self.accepted).run())
         if self.plan.has_crowd:
-            work += [idle_visitor(self.address) for _ in range(CROWD)]
-        return [asyncio.ensure_future(each) for each in work]
+            client_runs += [idle_visitor(self.address) for _ in range(CROWD)]
+        return [asyncio.ensure_future(client_run) for client_run in client_runs]
 
-    # -- the program -------------------------------------------------------------------------------------
+    # -- the relay process -------------------------------------------------------------------------------
 
     async def _launch(self) -> Process:
         self._configure(self.agent)
@@ -202,26 +203,26 @@
                 await self._signal(
                     signal.SIGTERM if step.first_moment is FirstMoment.TERM else signal.SIGKILL
                 )
-                await self._await_end()
+                await self._wait_for_exit()
                 record = await self._launch()
-        await healthy(self.address[1], self.address[0])
+        await wait_until_healthy(self.address[1], self.address[0])
         record.ready_at = time.monotonic()
 
     async def _signal(self, number: signal.Signals) -> None:
         assert self.process is not None
         record = self.ledger.processes[-1]
         if number in (signal.SIGTERM, signal.SIGINT):
-            record.told_to_end_at = min(record.told_to_end_at, time.monotonic())
+            record.signalled_at = min(record.signalled_at, time.monotonic())
         elif number is signal.SIGKILL:
             record.killed_at = time.monotonic()
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
-    async def _await_end(self) -> None:
-        """Until the process has ended; it is killed at the platform's earliest."""
+    async def _wait_for_exit(self) -> None:
+        """Waits until the process has exited; kills it at the earliest time that the platform would."""
         assert self.process is not None
         record = self.ledger.processes[-1]
-        kill_at = min(record.told_to_end_at + KILL_AFTER_S, record.killed_at)
+        kill_at = min(record.signalled_at + KILL_AFTER_S, record.killed_at)
         try:
             async with asyncio.timeout(max(0.0, kill_at - time.monotonic())):
                 await self.process.wait()
@@ -234,29 +235,29 @@
         await asyncio.sleep(max(0.0, kill_at - time.monotonic()) + START_AFTER_S)
 
     def _reload(self) -> None:
-        """A new configuration, which names the other agent."""
+        """Writes a configuration that names the other agent, and sends SIGHUP."""
         assert self.process is not None
         self._configure(1 - self.agent)
         self.ledger.reloads.append(time.monotonic())
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGHUP)
 
-    # -- what happens meanwhile --------------------------------------------------------------------------
+    # -- events during service --------------------------------------------------------------------------
 
     async def _serve(self, step: Step) -> None:
-        self._later(step.leave_at_s, self._leave_or_return)
-        self._later(step.close_at_s, self._refuse_connections)
+        self._schedule(step.leave_at_s, self._leave_or_return)
+        self._schedule(step.close_at_s, self._refuse_connections)
         if step.reload_at_s < step.serve_s:
-            self._later(step.reload_at_s, self._reload)
-            self._later(step.reload_at_s + BETWEEN_SIGNALS_S, self._reload)
+            self._schedule(step.reload_at_s, self._reload)
+            self._schedule(step.reload_at_s + BETWEEN_SIGNALS_S, self._reload)
         if step.silent_s:
             self._silence(step.silent_s)
         await asyncio.sleep(step.serve_s)
 
-    def _later(self, delay_s: float, act: Any) -> None:
+    def _schedule(self, delay_s: float, action: Any) -> None:
         async def wait() -> None:
             await asyncio.sleep(delay_s)
-            act()
+            action()
 
         task = asyncio.ensure_future(wait())
         self.timers.add(task)
@@ -272,7 +273,7 @@
             self.ledger.leaving.append((since, now, name))
             self.left = None
         for agent in self.agents:
-            agent.replace_list(self._listed())
+            agent.replace_list(self._list_entries())
         self.lists.append((now, json.loads(self.agents[0].listing)))
 
     def _refuse_connections(self) -> None:
@@ -283,13 +284,13 @@
         self.ledger.silences.append((now, now + seconds))
         for agent in self.agents:
             agent.is_silent = True
-        self._later(seconds, self._speak)
+        self._schedule(seconds, self._end_silence)
 
-    def _speak(self) -> None:
+    def _end_silence(self) -> None:
         for agent in self.agents:
             agent.is_silent = False
 
-    async def _end(self, step: Step) -> None:
+    async def _stop(self, step: Step) -> None:
         if step.restart is Restart.KILL_BEHIND_ANSWER:
             self.accepted.clear()
             with contextlib.suppress(TimeoutError):
@@ -311,19 +312,19 @@
             await asyncio.sleep(self.rng.uniform(0.0, SIGNAL_AGAIN_S))
             self._reload()
         if step.leaves_while_away:
-            self._later(self.rng.uniform(0.0, KILL_AFTER_S), self._leave_or_return)
-        await self._await_end()
+            self._schedule(self.rng.uniform(0.0, KILL_AFTER_S), self._leave_or_return)
+        await self._wait_for_exit()
 
 
-async def play(seed: int, restarts: int, folder: Path) -> dict[str, Any]:
-    it = Play(draw(seed, restarts), folder)
+async def run_soak(seed: int, restarts: int, folder: Path) -> dict[str, Any]:
+    soak = SoakRun(draw(seed, restarts), folder)
     try:
         async with asyncio.timeout(60.0 + 20.0 * restarts):
-            await it.run()
-        broken = it.ledger.broken()
+            await soak.run()
+        broken = soak.ledger.violations()
     except TimeoutError:
-        broken = ["the play did not come to its end in time"]
-    ledger = it.ledger
+        broken = ["the run did not finish in time"]
+    ledger = soak.ledger
     return {
         "seed": seed,
         "accepted": len(ledger.accepted),
@@ -332,45 +333,47 @@
         "calls": len(ledger.calls),
         "notices": len(ledger.notices),
         "excused": sum(ledger.is_excused(each) for each in ledger.unanswered),
-        "rested": sum(ledger.is_excused(each) and each.rested_s >= 2.0 for each in ledger.unanswered),
+        "rested": sum(ledger.is_excused(each) and each.idle_s >= 2.0 for each in ledger.unanswered),
         "lag_s": max((lag for _, lag in ledger.lags), default=0.0),
         "broken": broken,
     }
 
 
-async def plays(seeds: list[int], restarts: int, parallel: int, keep: Path | None) -> list[dict[str, Any]]:
-    places = asyncio.Semaphore(parallel)
+async def run_soaks(
+    seeds: list[int], restarts: int, parallel: int, keep: Path | None
+) -> list[dict[str, Any]]:
+    slots = asyncio.Semaphore(parallel)
 
-    async def one(seed: int) -> dict[str, Any]:
-        async with places:
-            words = [sys.executable, "-m", "benchmarks.restarts", "--seed", str(seed), "--json"]
-            words += ["--restarts", str(restarts)]
-            process = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
+    async def run_seed(seed: int) -> dict[str, Any]:
+        async with slots:
+            command = [sys.executable, "-m", "benchmarks.restarts", "--seed", str(seed), "--json"]
+            command += ["--restarts", str(restarts)]
+            process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
             output, _ = await process.communicate()
             (row,) = json.loads(output)
             return dict(row)
 
     if keep is not None:
-        return [await play(seeds[0], restarts, keep)]
-    return list(await asyncio.gather(*(one(seed) for seed in seeds)))
+        return [await run_soak(seeds[0], restarts, keep)]
+    return list(await asyncio.gather(*(run_seed(seed) for seed in seeds)))
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.restarts")
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--seed", type=int, help="play this one alone")
+    parser.add_argument("--seed", type=int, help="run only this seed")
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--restarts", type=int, default=4)
     parser.add_argument("--parallel", type=int, default=4)
-    parser.add_argument("--folder", type=Path, help="an empty one for what a single play leaves")
+    parser.add_argument("--folder", type=Path, help="an empty folder that keeps the files of a single run")
     args = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         if args.seed is not None:
-            rows = asyncio.run(plays([args.seed], args.restarts, 1, args.folder or Path(folder)))
+            rows = asyncio.run(run_soaks([args.seed], args.restarts, 1, args.folder or Path(folder)))
         else:
             seeds = list(range(args.first, args.first + args.seeds))
-            rows = asyncio.run(plays(seeds, args.restarts, args.parallel, None))
+            rows = asyncio.run(run_soaks(seeds, args.restarts, args.parallel, None))
     report(
         [{**row, "failures": len(row["broken"])} if not args.json else row for row in rows],
         args.json,
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -64,12 +64,12 @@
             clients = Clients(running.port, 4, deadline_share=0.5)
             await clients.run(16.0, 5.0)
             start_ms = time.time() * 1000
-            running.tell("partner", signal.SIGUSR1)
+            running.send_signal("partner", signal.SIGUSR1)
             await clients.run(16.0, 9.0)
-            await running.drained(12.0)
+            await running.wait_until_drained(12.0)
             agreed = expected(24.0, start_ms, start_ms + 3000.0, 4000.0)
             over_one_second, over_warm_up = over(running.calls(), agreed, start_ms, start_ms + 3000.0)
-            assert over_one_second <= 1.25 and over_warm_up <= 2.0 and running.broken(clients.taken) == []
+            assert over_one_second <= 1.25 and over_warm_up <= 2.0 and running.violations(clients.taken) == []
             assert len(clients.taken) > 100 and len(running.effects()) > 60
             clients.close()
 
@@ -83,13 +83,13 @@
             traffic = asyncio.ensure_future(clients.run(30.0, 600.0))
             before = {line.instance: line.pid for line in (await running.until(is_fully_up)).lines}
             for _ in range(2):
-                running.tell("fleet", signal.SIGUSR2)
+                running.send_signal("fleet", signal.SIGUSR2)
                 await running.until(lambda report: report.rolling > 0)
                 report = await running.until(is_fully_up)
             assert all(line.restarts == 2 and line.pid != before[line.instance] for line in report.lines)
             await clients.stop(traffic)
-            await running.drained(10.0)
-            assert running.broken(clients.taken) == [] and len(clients.taken) > 50
+            await running.wait_until_drained(10.0)
+            assert running.violations(clients.taken) == [] and len(clients.taken) > 50
             assert not {name for name in clients.answers if name.endswith("Error")}
             clients.close()
 
@@ -100,15 +100,17 @@
     async def work() -> None:
         async with fleet(2, 30.0, False, down_s=2.0, warm_s=1.0, more=FAST_SUPERVISOR) as running:
             clients = Clients(running.port, 1)
-            running.tell("partner", signal.SIGUSR1)  # the partner goes down, so that messages stay pending
+            running.send_signal(
+                "partner", signal.SIGUSR1
+            )  # the partner goes down, so that messages stay pending
             await clients.run(40.0, 0.5)
             pid = (await line_of(running, 0)).pid
             assert pid is not None and clients.taken
             os.kill(pid, signal.SIGKILL)
             report = await running.until(lambda report: report.lines[0].crashes == 1 and report.up == 2)
             assert report.lines[0].pid != pid and not report.lines[0].crash_loop
-            await running.drained(20.0)
-            assert running.broken(clients.taken) == []
+            await running.wait_until_drained(20.0)
+            assert running.violations(clients.taken) == []
             clients.close()
 
     run_with_timeout(work())
@@ -136,7 +138,7 @@
             1, 30.0, False, down_s=1.5, warm_s=1.0, deadline_share=0.1, more=FAST_SUPERVISOR
         ) as running:
             clients = Clients(running.port, 1, deadline_share=0.1)
-            running.tell("partner", signal.SIGUSR1)
+            running.send_signal("partner", signal.SIGUSR1)
             await clients.run(60.0, 0.5)
             pid = (await line_of(running, 0)).pid
             assert pid is not None and len(clients.taken) > 10
@@ -144,9 +146,9 @@
             await asyncio.sleep(4.0)  # meanwhile the partner returns and all deadlines pass
             before = running.effects()
             os.kill(pid, signal.SIGCONT)
-            await running.drained(20.0)
-            assert running.effects() == before and running.broken(clients.taken) == []
-            assert set(running.ends()) >= set(clients.taken) - set(before)
+            await running.wait_until_drained(20.0)
+            assert running.effects() == before and running.violations(clients.taken) == []
+            assert set(running.final_states()) >= set(clients.taken) - set(before)
             clients.close()
 
     run_with_timeout(work())
@@ -156,11 +158,11 @@
     async def work() -> None:
         async with fleet(3, 30.0, False, down_s=60.0, more=FAST_SUPERVISOR) as running:
             clients = Clients(running.port, 3)
-            running.tell("partner", signal.SIGUSR1)
+            running.send_signal("partner", signal.SIGUSR1)
             await clients.run(40.0, 0.5)
             pids = [line.pid for line in (await running.until(is_fully_up)).lines if line.pid is not None]
             os.kill(pids[2], signal.SIGSTOP)  # one instance can't react until it is continued
-            running.tell("fleet", signal.SIGKILL)
+            running.send_signal("fleet", signal.SIGKILL)
             await running.processes["fleet"].wait()
             await until(lambda: not any(map(alive, pids[:2])))
             os.kill(pids[2], signal.SIGCONT)
@@ -170,8 +172,8 @@
                 "fleet", "message_relay", "fleet", "--config", str(running.folder / "relay.toml")
             )
             await running.until(lambda report: report.up == 3)
-            await running.drained(40.0)
-            assert running.broken(clients.taken) == [] and clients.taken
+            await running.wait_until_drained(40.0)
+            assert running.violations(clients.taken) == [] and clients.taken
             clients.close()
 
     run_with_timeout(work())
@@ -183,18 +185,18 @@
             4, 40.0, True, down_s=2.0, warm_s=1.0, deadline_share=0.5, settle_s=12.0, more=FAST_SUPERVISOR
         ) as running:
             clients = Clients(running.port, 4, deadline_share=0.5)
-            running.tell("partner", signal.SIGUSR1)
+            running.send_signal("partner", signal.SIGUSR1)
             await clients.run(40.0, 1.0)
             valid_file = (running.folder / "relay.toml").read_text()
             (running.folder / "relay.toml").write_text(
                 valid_file.replace("instances = 4", "instances = none")
             )
-            running.tell("fleet", signal.SIGHUP)
+            running.send_signal("fleet", signal.SIGHUP)
             log = running.folder / "fleet.log"
             await until(lambda: b"operator's file rejected" in log.read_bytes())
             running.configure(2)
             assert (await running.until(is_fully_up)).instances == 4
-            running.tell("fleet", signal.SIGHUP)
+            running.send_signal("fleet", signal.SIGHUP)
             expected_states = ["up", "up", "gone", "gone"]
             report = await running.until(
                 lambda report: [line.state for line in report.lines] == expected_states
@@ -203,12 +205,12 @@
             clients.instances = 2
             await clients.run(20.0, 1.0)
             running.configure(3)  # one instance returns, with its previous state folder
-            running.tell("fleet", signal.SIGHUP)
+            running.send_signal("fleet", signal.SIGHUP)
             report = await running.until(lambda report: report.up == 3)
             clients.instances = 3
             await clients.run(20.0, 1.0)
-            await running.drained(15.0)
-            assert running.broken(clients.taken) == [] and clients.answers["202"] > 40
+            await running.wait_until_drained(15.0)
+            assert running.violations(clients.taken) == [] and clients.answers["202"] > 40
             clients.close()
 
     run_with_timeout(work())
