--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -156,10 +156,11 @@
     await asyncio.gather(*(fleet.start_instance(n) for n in range(fleet.instances)))
 
 
-async def state_folders(builds: list[Path], rate: float, seconds: float) -> dict[str, Any]:
-    versions: list[int] = []
+@contextlib.asynccontextmanager
+async def failover_cluster(builds: list[Path]) -> AsyncIterator[ClusterHarness]:
+    """Starts one instance of each of these builds, three of them voters, in two zones with failover."""
     async with cluster(
-        4,
+        len(builds),
         voters=3,
         bound=1.0,
         horizon=6.0,
@@ -167,8 +168,24 @@
         zones=2,
         partners=ZONES,
         more_parts=FAILOVER,
-        more_env={n: build_environment(builds[0]) for n in range(4)},
+        more_env={n: build_environment(build) for n, build in enumerate(builds)},
     ) as fleet:
+        yield fleet
+
+
+async def restart_leader(fleet: ClusterHarness) -> None:
+    """Kills the leader of the log, and starts it again once the other voters have elected one."""
+    status = await fleet.wait_for(lambda status: bool(status["leader"]), 0)
+    leader = int(status["leader"][1:])
+    await fleet.kill(leader)
+    other_voter = next(n for n in range(fleet.voters) if n != leader)
+    await fleet.wait_for(lambda status: status["leader"] not in ("", f"n{leader}"), other_voter)
+    await fleet.start_instance(leader)
+
+
+async def state_folders(builds: list[Path], rate: float, seconds: float) -> dict[str, Any]:
+    versions: list[int] = []
+    async with failover_cluster([builds[0]] * 4) as fleet:
         await wait_for_at_least(fleet, 1)
         async with client_traffic(fleet, rate) as clients:
             for turn, build in enumerate([builds[0], builds[1], builds[0], builds[1]]):
@@ -195,31 +212,14 @@
 
 async def mixed_fleet(builds: list[Path], rate: float, seconds: float) -> dict[str, Any]:
     versions: list[int] = []
-    async with cluster(
-        6,
-        voters=3,
-        bound=1.0,
-        horizon=6.0,
-        deadline_share=0.5,
-        zones=2,
-        partners=ZONES,
-        more_parts=FAILOVER,
-        more_env={n: build_environment(builds[n % 2]) for n in range(6)},
-    ) as fleet:
+    async with failover_cluster([builds[n % 2] for n in range(6)]) as fleet:
         await wait_for_at_least(fleet, 1)
         async with client_traffic(fleet, rate) as clients:
             for turn, proposer in enumerate((0, 1)):
                 versions.append(await propose_and_wait(fleet, proposer, RATES[turn]))
                 await asyncio.sleep(seconds / 2)
             await wait_for_decider(fleet)
-            status = await fleet.wait_for(lambda status: bool(status["leader"]), 0)
-            leader = int(status["leader"][1:])
-            await fleet.kill(leader)
-            others = [n for n in range(6) if n != leader]
-            await fleet.wait_for(
-                lambda status: status["leader"] not in ("", f"n{leader}"), next(n for n in others if n < 3)
-            )
-            await fleet.start_instance(leader)
+            await restart_leader(fleet)
             versions.append(await propose_and_wait(fleet, 5, RATES[2]))
             for n in range(6):
                 await fleet.kill(n, signal.SIGTERM if n % 3 else signal.SIGKILL)
