--- a/benchmarks/capacity/consensus.py
+++ b/benchmarks/capacity/consensus.py
@@ -15,7 +15,7 @@
 from message_relay.consensus.lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
 from message_relay.consensus.rules import ANY, DestinationRule, Rules
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
-from message_relay.consensus.rules_meet import is_subset
+from message_relay.consensus.rules_intersection import is_subset
 from message_relay.consensus.version_history import VERSIONS_RETAINED, Propose, Version, VersionHistory
 from message_relay.consensus.voter import GRANT
 from message_relay.gossip.wire import AppMessage, Packet, open_packet, seal_packet
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -37,7 +37,7 @@
 from message_relay.consensus.lease_protocol import LeaseTerms
 from message_relay.consensus.rules import Rules
 from message_relay.consensus.rules_codec import decode_rules
-from message_relay.consensus.rules_meet import intersect_all, is_subset, standby_rules
+from message_relay.consensus.rules_intersection import intersect_all, is_subset, standby_rules
 from message_relay.fleet.status import StatusError
 
 from .cluster_harness import ClusterHarness, cluster
--- a/emulator/consensus/oracle.py
+++ b/emulator/consensus/oracle.py
@@ -6,7 +6,7 @@
 
 from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.rules import Rules
-from message_relay.consensus.rules_meet import is_subset
+from message_relay.consensus.rules_intersection import is_subset
 from message_relay.consensus.version_history import Command, VersionHistory
 
 
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -21,7 +21,7 @@
 from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.rule_enforcement import RuleEnforcer
 from message_relay.consensus.rules import Rules
-from message_relay.consensus.rules_meet import normalize
+from message_relay.consensus.rules_intersection import normalize
 from message_relay.core.ports import CallContext
 from message_relay.decisions.events import EndpointList
 from message_relay.decisions.model import Endpoint, Listing, ListKind, Outcome
--- a/message_relay/cli/status.py
+++ b/message_relay/cli/status.py
@@ -159,7 +159,7 @@
     def gauge(name: str, text: str, *labels: str) -> Gauge:
         return Gauge(f"linnetstile_{name}", text, labels, registry=registry)
 
-    held = gauge("held_messages", "Messages held", "instance", "class")
+    pending_messages = gauge("held_messages", "Messages held", "instance", "class")
     gauges = {
         name: gauge(name, text, "instance")
         for name, text in (
@@ -174,7 +174,7 @@
     down = gauge("destinations_down", "Destinations taken as out", "instance")
     for report in reports:
         for name, count in report.by_class.items():
-            held.labels(report.instance, name).set(count)
+            pending_messages.labels(report.instance, name).set(count)
         for name, field_gauge in gauges.items():
             field_gauge.labels(report.instance).set(getattr(report, name))
         lag.labels(report.instance).set(report.lag.most_ms)
--- a/message_relay/consensus/lease_grantor.py
+++ b/message_relay/consensus/lease_grantor.py
@@ -31,7 +31,7 @@
 from ..gossip.settings import INSTANCES_MAX
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
 from .rules import Rules
-from .rules_meet import intersect_all, is_subset, standby_rules
+from .rules_intersection import intersect_all, is_subset, standby_rules
 from .version_history import Stage, Version, VersionHistory
 
 MAX_RELAYS = INSTANCES_MAX  # one record each, and all are searched to clear a version
--- a/message_relay/consensus/lease_holder.py
+++ b/message_relay/consensus/lease_holder.py
@@ -24,7 +24,7 @@
 from .active_rules import ActiveRules, LeaseTier
 from .lease_protocol import DeliveryCounts, LeaseGrant, LeaseRenewal, LeaseTerms
 from .rules import DENY_ALL, Rules
-from .rules_meet import intersect, intersect_all, standby_rules
+from .rules_intersection import intersect, intersect_all, standby_rules
 from .version_history import Version
 
 MAX_OUTSTANDING_RENEWALS = 64  # renewals whose answers are still used: those of eight leases and more
--- a/message_relay/consensus/proposer.py
+++ b/message_relay/consensus/proposer.py
@@ -9,7 +9,7 @@
 from .context import PROPOSE_TIMEOUT_S, REQUEST_TIMEOUT_S, ConsensusContext
 from .rules import Rules, RulesError
 from .rules_codec import decode_rules
-from .rules_meet import is_subset
+from .rules_intersection import is_subset
 from .rules_validation import validate_rules
 from .version_history import ChangeVoters, Command, CommandResult, Propose, decode_command
 from .voter import Voter
--- a/message_relay/consensus/replicated_log.py
+++ b/message_relay/consensus/replicated_log.py
@@ -38,13 +38,13 @@
 COMPACT_S, COMPACT_ENTRIES = 30, 200
 CHECKSUM_BYTES = 32  # SHA-256 in front of a snapshot
 
-_TAKEN_OVER = "another leader has taken over: check whether the command was applied, else repeat it"
+_LEADER_CHANGED = "another leader has taken over: check whether the command was applied, else repeat it"
 FAILURE_MESSAGES = {
     FAIL_REASON.QUEUE_FULL: "too many commands are waiting",
     FAIL_REASON.MISSING_LEADER: "there is no leader at present",
-    FAIL_REASON.DISCARDED: _TAKEN_OVER,
-    FAIL_REASON.NOT_LEADER: _TAKEN_OVER,
-    FAIL_REASON.LEADER_CHANGED: _TAKEN_OVER,
+    FAIL_REASON.DISCARDED: _LEADER_CHANGED,
+    FAIL_REASON.NOT_LEADER: _LEADER_CHANGED,
+    FAIL_REASON.LEADER_CHANGED: _LEADER_CHANGED,
     FAIL_REASON.REQUEST_DENIED: "the request was denied",
 }
 
--- a/message_relay/consensus/rules.py
+++ b/message_relay/consensus/rules.py
@@ -1,8 +1,8 @@
 """The model of a rule set: what operators and failover plans allow all instances to do.
 
 Rules only narrow what the settings and the endpoint lists allow; they never widen it. Each field is ordered
-from strict to loose, so that rule sets form a meet-semilattice: `rules_meet.intersect` is the loosest set
-that both operands allow, and `rules_meet.is_subset(a, b)` holds if b allows whatever a allows.
+from strict to loose, so that rule sets form a meet-semilattice: `rules_intersection.intersect` is the loosest
+set that both operands allow, and `rules_intersection.is_subset(a, b)` holds if b allows whatever a allows.
 
 | field | strict to loose | meet | if the field is absent |
 | --- | --- | --- | --- |
--- a/message_relay/consensus/rules_codec.py
+++ b/message_relay/consensus/rules_codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .rules import MAX_RULES_BYTES, Rules, RulesError
-from .rules_meet import normalize
+from .rules_intersection import normalize
 from .rules_validation import validate_rules
 
 DIGEST_CHARACTERS = 16
--- a/message_relay/consensus/rules_diff.py
+++ b/message_relay/consensus/rules_diff.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from .rules import Rules
-from .rules_meet import names_with_wildcard
+from .rules_intersection import names_with_wildcard
 
 
 def diff_rules(a: Rules, b: Rules) -> list[str]:
--- a/message_relay/consensus/version_history.py
+++ b/message_relay/consensus/version_history.py
@@ -23,7 +23,7 @@
 
 from .rules import Rules, RulesError
 from .rules_codec import decode_rules, digest, encode_rules
-from .rules_meet import is_subset
+from .rules_intersection import is_subset
 
 VERSIONS_RETAINED = 64  # with their rules: includes all that an isolated relay may still hold
 CAUSE_CHARACTERS_MAX = 500
--- a/message_relay/endpoint_discovery/source_merge.py
+++ b/message_relay/endpoint_discovery/source_merge.py
@@ -20,7 +20,7 @@
 EndpointKey = tuple[int, Address]  # destination and address
 # Maximum number of removed endpoints remembered per source, oldest evicted first. Guards against unbounded
 # growth; larger than any number of endpoints that return.
-REMEMBERED_GONE_MAX = 10_000
+REMOVED_KEYS_MAX = 10_000
 
 
 def endpoint_key(endpoint: EndpointRecord) -> EndpointKey:
@@ -36,7 +36,7 @@
     is_shrink_guarded: bool = False  # a suddenly shrunk full list must be confirmed
     endpoints: dict[EndpointKey, EndpointRecord] = field(default_factory=dict)  # including removed ones
     keys_by_name: dict[str, EndpointKey] = field(default_factory=dict)
-    gone_keys: dict[EndpointKey, None] = field(default_factory=dict)  # removed endpoints, latest last
+    removed_keys: dict[EndpointKey, None] = field(default_factory=dict)  # removed endpoints, latest last
     shrink_guard: ShrinkGuard = field(default_factory=ShrinkGuard)
 
     def status(self, key: EndpointKey) -> EndpointStatus:
@@ -56,7 +56,7 @@
             key = self.keys_by_name.get(name)
             if key is not None:
                 touched |= self._record(replace(self.endpoints[key], listing=listing))
-        self._evict_oldest_gone()
+        self._evict_oldest_removed()
         return touched
 
     def _remove_missing(self, update: EndpointUpdate, now: float) -> set[EndpointKey]:
@@ -84,16 +84,16 @@
     def _record(self, endpoint: EndpointRecord) -> set[EndpointKey]:
         key = endpoint_key(endpoint)
         self.endpoints[key] = endpoint
-        self.gone_keys.pop(key, None)
+        self.removed_keys.pop(key, None)
         if endpoint.listing is Listing.REMOVED:
-            self.gone_keys[key] = None
+            self.removed_keys[key] = None
         self.keys_by_name[endpoint.name] = key
         return {key}
 
-    def _evict_oldest_gone(self) -> None:
-        while len(self.gone_keys) > REMEMBERED_GONE_MAX:
-            key = next(iter(self.gone_keys))
-            del self.gone_keys[key]
+    def _evict_oldest_removed(self) -> None:
+        while len(self.removed_keys) > REMOVED_KEYS_MAX:
+            key = next(iter(self.removed_keys))
+            del self.removed_keys[key]
             endpoint = self.endpoints.pop(key)
             if self.keys_by_name.get(endpoint.name) == key:
                 del self.keys_by_name[endpoint.name]
--- a/message_relay/failover/controller.py
+++ b/message_relay/failover/controller.py
@@ -49,7 +49,7 @@
 SHARED_LOSS_SHARE = 0.5  # of the judged destinations; above it a pair counts as lost for all destinations
 MIN_JUDGED_DESTINATIONS = 3  # minimum of judged destinations before SHARED_LOSS_SHARE applies
 MAX_DESTINATIONS = 5000  # judged at the same time: the number that one set of rules can name
-FORGET_DESTINATION_S = 120.0  # the judgement of a destination without observations is dropped after this time
+EVICT_DESTINATION_S = 120.0  # the judgement of a destination without observations is dropped after this time
 
 
 @dataclass
@@ -173,7 +173,7 @@
         shared_recovery = self._shared_recovery(now, series)
         for destination, judge in list(self.judges.items()):
             judge.update(now, series.get(destination, {}), shared_recovery)
-            if now - self.last_observed[destination] > FORGET_DESTINATION_S:
+            if now - self.last_observed[destination] > EVICT_DESTINATION_S:
                 del self.judges[destination]
                 del self.last_observed[destination]
 
--- a/message_relay/failover/observations.py
+++ b/message_relay/failover/observations.py
@@ -173,12 +173,12 @@
 
     def add(self, now: float, report: ObservationReport) -> bool:
         """Adds a report unless it is too old or there are too many; returns whether it is new."""
-        ended_at = now - max(0.0, report.age_s)
-        if ended_at <= now - self.retention_s:
+        window_end = now - max(0.0, report.age_s)
+        if window_end <= now - self.retention_s:
             return False
-        return self._put(report, ended_at)
+        return self._put(report, window_end)
 
-    def _put(self, report: ObservationReport, ended_at: float) -> bool:
+    def _put(self, report: ObservationReport, window_end: float) -> bool:
         known = self.reports.get(report.name)
         if known is None:
             if report.part >= MAX_PARTS:
@@ -187,37 +187,37 @@
                 self.rejected_reports += 1
                 self.rejected_relay = report.relay
                 return False
-            self.reports[report.name] = msgspec.structs.replace(report, age_s=0.0), ended_at
+            self.reports[report.name] = msgspec.structs.replace(report, age_s=0.0), window_end
             return True
         # Two different reports under one name are a fault of their relay. The choice does not depend on the
         # order of arrival, so that all instances retain the same one.
-        retained, retained_ended_at = known
+        retained, retained_window_end = known
         greater = max(retained, msgspec.structs.replace(report, age_s=0.0), key=msgspec.msgpack.encode)
-        self.reports[report.name] = greater, max(retained_ended_at, ended_at)
+        self.reports[report.name] = greater, max(retained_window_end, window_end)
         return False
 
     def merge(self, other: Observations) -> None:
         """Adds all reports of another instance."""
-        for report, ended_at in list(other.reports.values()):
-            self._put(report, ended_at)
+        for report, window_end in list(other.reports.values()):
+            self._put(report, window_end)
 
     def drop_expired(self, now: float) -> None:
         """Removes reports whose window no longer counts."""
-        for name, (_, ended_at) in list(self.reports.items()):
-            if ended_at <= now - self.retention_s:
+        for name, (_, window_end) in list(self.reports.items()):
+            if window_end <= now - self.retention_s:
                 del self.reports[name]
 
     def latest_reports(self, now: float, limit: int) -> list[ObservationReport]:
         """Returns the youngest report of each relay, `limit` at most, with current ages."""
         latest: dict[str, tuple[float, ReportName]] = {}
-        for name, (_, ended_at) in self.reports.items():
-            key = (-ended_at, name)
+        for name, (_, window_end) in self.reports.items():
+            key = (-window_end, name)
             known = latest.get(name[0])
             if known is None or key < known:
                 latest[name[0]] = key
         return [
-            msgspec.structs.replace(self.reports[name][0], age_s=max(0.0, now + minus_ended_at))
-            for minus_ended_at, name in heapq.nsmallest(limit, latest.values())
+            msgspec.structs.replace(self.reports[name][0], age_s=max(0.0, now + minus_window_end))
+            for minus_window_end, name in heapq.nsmallest(limit, latest.values())
         ]
 
     # -- views over all reports ------------------------------------------------------------------------------
@@ -225,8 +225,8 @@
     def series(self, now: float) -> dict[int, ZoneSeries]:
         """Maps destination and pair of zones to the sums of each window, the latest first."""
         by_destination: dict[int, ZoneSeries] = {}
-        for report, ended_at in self.reports.values():
-            index = int((now - ended_at) / self.window_s)
+        for report, window_end in self.reports.values():
+            index = int((now - window_end) / self.window_s)
             if not 0 <= index < RETAINED_WINDOWS:
                 continue
             for sample in report.samples:
@@ -255,8 +255,8 @@
         """
         sums: dict[tuple[int, str, str, str], float] = {}
         windows: dict[str, set[tuple[int, int]]] = {}
-        for report, ended_at in self.reports.values():
-            if ended_at <= now - self.retention_s:
+        for report, window_end in self.reports.values():
+            if window_end <= now - self.retention_s:
                 continue
             windows.setdefault(report.relay, set()).add((report.nonce, report.window))
             for demand in report.demand:
@@ -271,7 +271,7 @@
     def relays(self, now: float) -> dict[str, set[str]]:
         """The relays that reported in the retained windows, by zone."""
         names_by_zone: dict[str, set[str]] = {}
-        for report, ended_at in self.reports.values():
-            if ended_at > now - self.retention_s:
+        for report, window_end in self.reports.values():
+            if window_end > now - self.retention_s:
                 names_by_zone.setdefault(report.zone, set()).add(report.relay)
         return names_by_zone
--- a/message_relay/failover/zone_health.py
+++ b/message_relay/failover/zone_health.py
@@ -326,8 +326,8 @@
     @staticmethod
     def _mark_lost(now: float, health: ZoneHealth) -> None:
         # A failure on the first step belongs to the same outage: only a pair that had left it has flapped.
-        had_begun_recovery = health.state is not HealthState.RECOVERING or health.ramp_step > 0
-        if health.recently_lost and had_begun_recovery:
+        had_started_recovery = health.state is not HealthState.RECOVERING or health.ramp_step > 0
+        if health.recently_lost and had_started_recovery:
             health.flaps = min(MAX_FLAPS, health.flaps + 1)
         health.recently_lost = True
         _enter(now, health, HealthState.LOST)
--- a/message_relay/gossip/anti_entropy.py
+++ b/message_relay/gossip/anti_entropy.py
@@ -63,7 +63,7 @@
 ) -> list[Address]:
     """Return a random present member, and a random one of the dead members and the unknown seeds."""
     targets = []
-    present = [claim for claim in members.values() if not claim.is_gone]
+    present = [claim for claim in members.values() if not claim.has_departed]
     if present:
         targets.append(rng.choice(present).address)
     lost = [claim.address for claim in members.values() if claim.state is MemberState.DEAD]
--- a/message_relay/gossip/claim_packing.py
+++ b/message_relay/gossip/claim_packing.py
@@ -21,7 +21,8 @@
 ) -> tuple[Claim, ...]:
     """Return the queued claims that fit into one packet, the least sent first, and mark them as sent.
 
-    A recipient that is believed suspect or gone gets the claim about itself first, so that it may refute it.
+    A recipient that is believed suspect or departed gets the claim about itself first, so that it may refute
+    it.
     """
     selected: list[Claim] = []
     free_bytes = CLAIMS_BYTES_MAX
--- a/message_relay/gossip/claim_rules.py
+++ b/message_relay/gossip/claim_rules.py
@@ -21,7 +21,7 @@
     IGNORED = auto()
     NEWER_EPOCH = auto()  # a later process of this folder has ended: the folder was restored from a backup
     IDENTITY_CONFLICT = auto()  # another live process has this member's name and outranks it
-    TO_REFUTE = auto()  # the claim that this process is suspect or gone is false
+    TO_REFUTE = auto()  # the claim that this process is suspect or departed is false
 
 
 def judge_claim_about_self(own: Claim, claim: Claim) -> SelfClaimVerdict:
@@ -32,13 +32,13 @@
     is_other_process = claim.nonce != own.nonce
     is_other_identity = claim.id != own.id
     is_earlier = claim.process_epoch < own.process_epoch
-    if is_other_process and not is_other_identity and claim.is_gone and not is_earlier:
+    if is_other_process and not is_other_identity and claim.has_departed and not is_earlier:
         return SelfClaimVerdict.NEWER_EPOCH
     if is_other_identity or (claim.process_epoch, claim.nonce) > (own.process_epoch, own.nonce):
-        if not claim.is_gone and (is_other_process or is_other_identity):
+        if not claim.has_departed and (is_other_process or is_other_identity):
             return SelfClaimVerdict.IDENTITY_CONFLICT
         return SelfClaimVerdict.IGNORED
-    is_accused = not is_other_process and claim.state >= MemberState.SUSPECT and not own.is_gone
+    is_accused = not is_other_process and claim.state >= MemberState.SUSPECT and not own.has_departed
     if is_accused and claim.incarnation >= own.incarnation:
         return SelfClaimVerdict.TO_REFUTE
     return SelfClaimVerdict.IGNORED
@@ -51,7 +51,7 @@
 
 def is_restored_folder(known: Claim, claim: Claim) -> bool:
     """Return whether the claim is of a live process whose state folder was restored from a backup."""
-    return claim.process_epoch < known.process_epoch and claim.nonce != known.nonce and not claim.is_gone
+    return claim.process_epoch < known.process_epoch and claim.nonce != known.nonce and not claim.has_departed
 
 
 def is_visible_change(known: Claim | None, claim: Claim) -> bool:
--- a/message_relay/gossip/member_table.py
+++ b/message_relay/gossip/member_table.py
@@ -2,9 +2,9 @@
 
 No I/O. Builds without slice checksums compare the checksum over all members, and send all their claims on
 any difference: a quarter of a megabyte for 3,500 members. Slice checksums cover 64 parts of the names, so
-that one differing claim costs a reply of one sixty-fourth. Gone members are not in the slice checksums: each
-instance evicts them at its own time, and the others would send it all of them again until they evict them
-too.
+that one differing claim costs a reply of one sixty-fourth. Departed members are not in the slice checksums:
+each instance evicts them at its own time, and the others would send it all of them again until they evict
+them too.
 
 Claims enter the checksums as `repr` of name and precedence: these are part of the wire format.
 """
@@ -31,7 +31,7 @@
 
 def _claim_hash(claim: Claim) -> int:
     """Not a CRC: it is linear, so that equal changes of two members would leave a checksum unchanged."""
-    if claim.is_gone:
+    if claim.has_departed:
         return 0
     digest = hashlib.blake2b(repr((claim.name, *claim.precedence)).encode(), digest_size=4)
     return int.from_bytes(digest.digest(), "little")
@@ -46,15 +46,15 @@
 
     def __init__(self) -> None:
         self.members: dict[str, Claim] = {}  # all except this one
-        self.gone_at: dict[str, float] = {}  # when each gone member was reported gone, the earliest first
+        self.departed_at: dict[str, float] = {}  # time of each member's departure report, the earliest first
         self.names: list[str] = []  # of `members`, to sample without iterating over them
         self._slice_hashes = [0] * SLICES
         self._cached_checksum: tuple[Claim, int] | None = None  # and the own claim that it was computed with
 
     @property
     def present_count(self) -> int:
-        """Number of members that are not gone."""
-        return len(self.members) - len(self.gone_at)
+        """Number of members that have not departed."""
+        return len(self.members) - len(self.departed_at)
 
     def put(self, now: float, claim: Claim) -> None:
         """Add a member or replace the claim about it."""
@@ -65,24 +65,24 @@
             self._slice_hashes[slice_index(claim.name)] ^= _claim_hash(known)
         self._slice_hashes[slice_index(claim.name)] ^= _claim_hash(claim)
         self.members[claim.name] = claim
-        self.gone_at.pop(claim.name, None)
-        if claim.is_gone:
-            self.gone_at[claim.name] = now
+        self.departed_at.pop(claim.name, None)
+        if claim.has_departed:
+            self.departed_at[claim.name] = now
         self._cached_checksum = None
 
     def replace_equal(self, claim: Claim) -> None:
         """Replace a claim by one of equal precedence, which leaves all checksums unchanged."""
         self.members[claim.name] = claim
 
-    def evict_gone(self, before: float) -> list[str]:
-        """Remove the members that were gone before a time; return their names."""
+    def evict_departed(self, before: float) -> list[str]:
+        """Remove the members that had departed before a time; return their names."""
         evicted = []
-        for name, gone_at in self.gone_at.items():
-            if gone_at >= before:
+        for name, departed_at in self.departed_at.items():
+            if departed_at >= before:
                 break
             evicted.append(name)
         for name in evicted:
-            del self.gone_at[name], self.members[name]  # gone members are in no slice checksum
+            del self.departed_at[name], self.members[name]  # departed members are in no slice checksum
         if evicted:
             self.names = list(self.members)
             self._cached_checksum = None
--- a/message_relay/gossip/paced_replies.py
+++ b/message_relay/gossip/rate_limited_replies.py
@@ -1,4 +1,4 @@
-"""Paced replies: replies of many packets, sent in bursts. No I/O; the clock is passed in, in seconds.
+"""Rate-limited replies: replies of many packets, sent in bursts. No I/O; the clock is passed in, in seconds.
 
 A receiver's socket buffer holds some ninety packets of this size until its process reads them (212,992 bytes,
 of which the system counts 2,304 for each), and all claims about 3,500 members need 260. A fleet that starts
@@ -18,7 +18,7 @@
 CONCURRENT_REPLIES_MAX = 8  # replies in progress: a second's worth of them for 3,500 members
 
 
-class PacedReplies:
+class RateLimitedReplies:
     """Replies in progress, by recipient, sent in turn."""
 
     def __init__(self) -> None:
--- a/message_relay/gossip/suspicion.py
+++ b/message_relay/gossip/suspicion.py
@@ -32,12 +32,12 @@
         """Return the next present member, None if there is none."""
         while self.remaining or self._start_round(members):
             name = self.remaining.pop()
-            if name in members and not members[name].is_gone:
+            if name in members and not members[name].has_departed:
                 return name
         return None
 
     def _start_round(self, members: Mapping[str, Claim]) -> bool:
-        self.remaining = [name for name, claim in members.items() if not claim.is_gone]
+        self.remaining = [name for name, claim in members.items() if not claim.has_departed]
         self.rng.shuffle(self.remaining)
         return bool(self.remaining)
 
--- a/message_relay/gossip/swim.py
+++ b/message_relay/gossip/swim.py
@@ -30,7 +30,7 @@
 from .claim_packing import CLAIMS_EXAMINED_MAX, pack_claims, select_claims
 from .dissemination_queue import DisseminationQueue
 from .member_table import MemberTable
-from .paced_replies import PacedReplies
+from .rate_limited_replies import RateLimitedReplies
 from .settings import INSTANCES_MAX
 from .suspicion import IndirectProbes, Probe, ProbeOrder, SuspicionTimers
 from .wire import (
@@ -51,7 +51,7 @@
 PROBE_TIMEOUT_SHARE = 0.3  # of a period, after which indirect probes start
 LOCAL_HEALTH_MAX = 8  # of the local health multiplier, as in Lifeguard
 STALLED_AFTER_PERIODS = 0.5  # a tick that is late by this much means that this process stalled
-GONE_RETENTION_S = 600.0  # gone members are remembered, so that an old claim about them is not taken as new
+DEPARTED_RETENTION_S = 600.0  # departed members are retained, so that an old claim about them is not new
 # Members known at a time: the size of a fleet. Guards against a flood of names, by mistake or by attack.
 MEMBERS_MAX = INSTANCES_MAX
 
@@ -75,7 +75,7 @@
         self.local_health_score = 0
         self.sequence = 0
         self.dissemination_queue = DisseminationQueue()
-        self.paced_replies = PacedReplies()
+        self.rate_limited_replies = RateLimitedReplies()
         self.sync = SyncSchedule(self.seeds, self.rng, self.period_s)
         self.suspicions = SuspicionTimers()
         self.probe_order = ProbeOrder(self.rng)
@@ -99,10 +99,10 @@
         if now >= self.sync.next_at:
             self._start_sync(now)
         self._expire_indirect_probes(now)
-        self.outbox += self.paced_replies.next_burst(now)
+        self.outbox += self.rate_limited_replies.next_burst(now)
         self._run_probe(now)
         self._expire_suspicions(now)
-        self._evict_gone(now)
+        self._evict_departed(now)
         self.next_tick_due = self.next_at()
 
     def next_at(self) -> float:
@@ -114,8 +114,8 @@
             times.append(self.indirect_probes.next_expiry_at())
         if self.suspicions:
             times.append(self.suspicions.next_expiry_at)
-        if self.paced_replies.in_progress:
-            times.append(self.paced_replies.next_burst_at)
+        if self.rate_limited_replies.in_progress:
+            times.append(self.rate_limited_replies.next_burst_at)
         return min(times)
 
     def _expire_indirect_probes(self, now: float) -> None:
@@ -174,7 +174,7 @@
         missing = probe.helpers - probe.nacks if probe.helpers else 1
         self.local_health_score = min(LOCAL_HEALTH_MAX, self.local_health_score + missing)
         claim = self.members.get(probe.target)
-        if claim is not None and not claim.is_gone:
+        if claim is not None and not claim.has_departed:
             self._apply_claim(now, self._claim_as(claim, MemberState.SUSPECT))
 
     def _claim_as(self, claim: Claim, state: MemberState) -> Claim:
@@ -192,8 +192,8 @@
         members, stretch = 1 + self.member_table.present_count, 1 + self.local_health_score
         self.suspicions.start(now, claim.name, claim.suspected_by, members, self.period_s, stretch)
 
-    def _evict_gone(self, now: float) -> None:
-        for name in self.member_table.evict_gone(now - GONE_RETENTION_S):
+    def _evict_departed(self, now: float) -> None:
+        for name in self.member_table.evict_departed(now - DEPARTED_RETENTION_S):
             self.dissemination_queue.drop(name)
 
     # -- claims about members --------------------------------------------------------------------------------
@@ -205,7 +205,7 @@
             return
         known = self.members.get(claim.name)
         if known is None:
-            if claim.is_gone or self._rejects_new_member(claim):
+            if claim.has_departed or self._rejects_new_member(claim):
                 return
         elif not self._outranks_known(known, claim):
             return
@@ -225,9 +225,9 @@
     def _outranks_known(self, known: Claim, claim: Claim) -> bool:
         """Return whether `claim` replaces `known`; report conflicts of identity to the loser."""
         if claim.id != known.id:
-            if known.is_gone:
+            if known.has_departed:
                 return True
-            if not claim.is_gone:  # the name belongs to another instance, which is alive
+            if not claim.has_departed:  # the name belongs to another instance, which is alive
                 self._send(claim.address, IdentityConflict(known))
             return False
         if claim.process_epoch == known.process_epoch and claim.nonce != known.nonce:
@@ -284,7 +284,7 @@
         """Announce a deliberate stop to some members, which disseminate it."""
         self.own_claim = msgspec.structs.replace(self.own_claim, state=MemberState.LEFT)
         self.dissemination_queue.add(self.own_claim.name)
-        present = [name for name, claim in self.members.items() if not claim.is_gone]
+        present = [name for name, claim in self.members.items() if not claim.has_departed]
         for name in self.rng.sample(present, min(2 * INDIRECT_PROBE_HELPERS, len(present))):
             self._send_to_member(name, Sync(False, (self.own_claim,)))
 
@@ -295,7 +295,7 @@
         match body:
             case Ping(sequence, target, claims):
                 self._apply_claims(now, claims)
-                if target == self.own_claim.name and not self.own_claim.is_gone:
+                if target == self.own_claim.name and not self.own_claim.has_departed:
                     self._send_to_member(sender, Ack(sequence, self._piggybacked_claims(sender)))
             case Ack(sequence, claims):
                 self._apply_claims(now, claims)
@@ -372,8 +372,8 @@
         slices = table.differing_slices(self.own_claim, request.checksum, request.slice_checksums)
         if slices is not None and not slices:
             return
-        if self.paced_replies.start(to, self._sync_packets(table.claims_in(slices))):
-            self.outbox += self.paced_replies.next_burst(now)
+        if self.rate_limited_replies.start(to, self._sync_packets(table.claims_in(slices))):
+            self.outbox += self.rate_limited_replies.next_burst(now)
             return
         names = table.sample(self.rng, CLAIMS_EXAMINED_MAX, MemberState.ALIVE)  # enough to ask other members
         self._send(to, next(self._sync_packets(self.members[name] for name in names)))
@@ -396,4 +396,4 @@
 
     def present_members(self) -> list[Claim]:
         """Return the claims about all members that are joining, alive or suspect, this one included."""
-        return [self.own_claim, *(claim for claim in self.members.values() if not claim.is_gone)]
+        return [self.own_claim, *(claim for claim in self.members.values() if not claim.has_departed)]
--- a/message_relay/gossip/wire.py
+++ b/message_relay/gossip/wire.py
@@ -59,7 +59,7 @@
         return self.host, self.port
 
     @property
-    def is_gone(self) -> bool:
+    def has_departed(self) -> bool:
         """Whether the member is dead or has left."""
         return self.state in (MemberState.DEAD, MemberState.LEFT)
 
--- a/message_relay/sharded_directory/node.py
+++ b/message_relay/sharded_directory/node.py
@@ -307,7 +307,7 @@
         reachable = [
             name
             for name in sorted(self.server_names)
-            if name == self.name or (name in members and not members[name].is_gone)
+            if name == self.name or (name in members and not members[name].has_departed)
         ]
         self.client.set_reachable(self.now(), reachable)
         self._schedule_tick(self.now() + MIN_TICK_INTERVAL_S)
--- a/tests/consensus/test_rules.py
+++ b/tests/consensus/test_rules.py
@@ -18,7 +18,7 @@
 )
 from message_relay.consensus.rules_codec import decode_rules, digest, encode_rules
 from message_relay.consensus.rules_diff import diff_rules
-from message_relay.consensus.rules_meet import intersect, is_subset, normalize, standby_rules
+from message_relay.consensus.rules_intersection import intersect, is_subset, normalize, standby_rules
 from message_relay.consensus.rules_validation import validate_rules
 
 zone_names = st.one_of(st.none(), st.frozensets(st.sampled_from("abc")))
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -10,7 +10,7 @@
 from message_relay.consensus.active_rules import ActiveRules, LeaseTier
 from message_relay.consensus.rule_enforcement import RuleEnforcer
 from message_relay.consensus.rules import FlowRule, Policies, Rules
-from message_relay.consensus.rules_meet import is_subset, normalize, standby_rules
+from message_relay.consensus.rules_intersection import is_subset, normalize, standby_rules
 from message_relay.core.ports import CallContext
 from message_relay.decisions.model import Endpoint, Listing
 from message_relay.failover.call_counter import CallCounter
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -28,7 +28,7 @@
 from message_relay.failover.observations import ObservationReport, Observations
 from message_relay.gossip.dissemination_queue import DisseminationQueue
 from message_relay.gossip.member_table import SLICES, MemberTable, slice_index
-from message_relay.gossip.paced_replies import BURST_INTERVAL_S, BURST_PACKETS, CONCURRENT_REPLIES_MAX
+from message_relay.gossip.rate_limited_replies import BURST_INTERVAL_S, BURST_PACKETS, CONCURRENT_REPLIES_MAX
 from message_relay.gossip.swim import Swim
 from message_relay.gossip.wire import (
     AppMessage,
@@ -214,11 +214,11 @@
     assert (
         max(sent_at_once) <= BURST_PACKETS
         and sum(sent_at_once) == BURST_PACKETS + 300 - CONCURRENT_REPLIES_MAX
-        and len(it.paced_replies.in_progress) == CONCURRENT_REPLIES_MAX
+        and len(it.rate_limited_replies.in_progress) == CONCURRENT_REPLIES_MAX
     )
     replies: dict[tuple[str, int], set[str]] = {}
     now = 0.0
-    while it.paced_replies.in_progress:
+    while it.rate_limited_replies.in_progress:
         now = it.next_at()
         it.tick(now)
         assert len(it.outbox) <= BURST_PACKETS
