--- a/tests/decisions/rule_checker.py
+++ b/tests/decisions/rule_checker.py
@@ -33,7 +33,7 @@
     message: Message
     deadline_at: float
     attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)  # time, endpoint, outcome
-    has_ended: bool = False
+    is_final: bool = False
     earlier_attempt: tuple[float, int] | None = None  # of an earlier process, if it may have run
     earlier_attempts: int = 0  # of earlier processes
 
@@ -83,7 +83,7 @@
             case EndpointList(kind, entries) if kind is not ListKind.FAILED:
                 self._record_endpoints(now, kind, entries)
             case MessageCancelled(message_id):
-                self.messages[message_id].has_ended = True
+                self.messages[message_id].is_final = True
             case AttemptCompleted():
                 self._record_completed(now, event)
 
@@ -112,7 +112,7 @@
         record = self.messages[event.id]
         sent_at, endpoint_id, _ = record.attempts[event.attempt]
         record.attempts[event.attempt] = (sent_at, endpoint_id, event.outcome)
-        record.has_ended |= event.is_final
+        record.is_final |= event.is_final
         route = self.route(endpoint_id)
         if event.outcome is Outcome.CONNECT_FAILED:
             self.failed_connections[route] = self.failed_connections.get(route, 0) + 1
@@ -137,7 +137,7 @@
                 self._check_end(self.messages[message_id], is_rejected=False)
 
     def _check_end(self, record: MessageRecord, is_rejected: bool) -> None:
-        if record.has_ended:
+        if record.is_final:
             raise RuleViolation("lost: a second final outcome")
         message_class = self.class_of(record)
         may_repeat = message_class.effect is Effect.SAFE or (
@@ -145,12 +145,12 @@
         )
         if is_rejected and record.uncertain_attempts() and not may_repeat:
             raise RuleViolation("twice: refused although it may have run")
-        record.has_ended = True
+        record.is_final = True
 
     def check_send(self, now: float, record: MessageRecord, endpoint_id: int) -> None:
         """Checks and records the start of an attempt."""
         endpoint = self.endpoints[endpoint_id]
-        if record.has_ended:
+        if record.is_final:
             raise RuleViolation("lost: sent after its final outcome")
         if endpoint.destination != record.message.destination:
             raise RuleViolation("fault: the endpoint belongs to another destination")
@@ -187,7 +187,7 @@
             if message_id == record.message.id:
                 break
             is_same_key = earlier.message.key == key and self.class_of(earlier).in_order
-            if is_same_key and (not earlier.has_ended or earlier.is_in_flight):
+            if is_same_key and (not earlier.is_final or earlier.is_in_flight):
                 raise RuleViolation("order: an earlier message of its key is pending")
         if not record.attempts and now < self.key_paused_until.get(key, 0.0):
             raise RuleViolation("order: its key must pause")
@@ -209,7 +209,7 @@
             raise RuleViolation("failback: over the budget of a warming destination")
 
     def check_deadlines(self, now: float) -> None:
-        """Checks that each message whose deadline has passed has ended."""
+        """Checks that each message whose deadline has passed is final."""
         for record in self.messages.values():
-            if not record.has_ended and now > record.deadline_at + self.settings.safety.answer_slack_ms:
+            if not record.is_final and now > record.deadline_at + self.settings.safety.answer_slack_ms:
                 raise RuleViolation("lost: no final outcome in time")
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -80,14 +80,14 @@
 def test_message_that_has_waited_longest_is_shed_before_a_newcomer() -> None:
     driver = overloaded()
     driver.pass_time(7500.0, 50.0)  # no submissions: the accepted messages grow old
-    ended_before = set(driver.final_actions)
+    final_before = set(driver.final_actions)
     while len(driver.relay.pending.by_id) < THRESHOLD:
         driver.message(dest=1)
     new_ids = set(range(THRESHOLD + 1, driver.ids + 1))
     assert rejection_delay(driver, dest=2) is None
     driver.message(dest=2)
-    ended = set(driver.final_actions) - ended_before
-    assert len(ended) == 1 and not ended & new_ids
+    newly_final = set(driver.final_actions) - final_before
+    assert len(newly_final) == 1 and not newly_final & new_ids
 
 
 def test_rejected_submission_is_not_journalled_and_has_no_outcome(tmp_path: Path) -> None:
--- a/tests/decisions/test_failure_scenarios.py
+++ b/tests/decisions/test_failure_scenarios.py
@@ -493,8 +493,8 @@
         driver.feed(event)
     driver.pass_time(100)
     assert set(driver.out) == {1, 3}
-    ended = {message_id: type(act) for message_id, act in driver.final_actions.items()}
-    assert ended == {2: Fail, 4: Reject, 5: Reject, 6: Reject}
+    action_types = {message_id: type(act) for message_id, act in driver.final_actions.items()}
+    assert action_types == {2: Fail, 4: Reject, 5: Reject, 6: Reject}
 
 
 def test_resumed_message_stays_in_the_scope_of_its_idempotency_key() -> None:
--- a/tests/decisions/test_name_independence.py
+++ b/tests/decisions/test_name_independence.py
@@ -61,13 +61,13 @@
 
 def run_scheduler(
     classes: tuple[MessageClass, ...],
-    class_numbers: list[int],
+    numbers: list[int],
     kinds: tuple[str, ...],
     tenants: tuple[str, ...],
     steps: list[Step],
     seed: int,
 ) -> list[tuple[float, Action]]:
-    """Returns all actions of a scheduler; `class_numbers`: number of each class in these settings."""
+    """Returns all actions of a scheduler; `numbers`: number of each class in these settings."""
     driver = Driver(
         make_settings(
             classes=classes,
@@ -83,15 +83,9 @@
     driver.listed((1, 1), (2, 1), (3, 2), rate=6.0)
     actions: list[tuple[float, Action]] = []
     outcomes = list(Outcome)
-    for message_id, (class_, dest, end) in enumerate(steps, 1):
+    for msg_id, (class_, dest, end) in enumerate(steps, 1):
         events: list[Event] = [
-            Message(
-                message_id,
-                dest,
-                class_numbers[class_ % len(class_numbers)],
-                4000.0,
-                tenant=message_id % len(tenants),
-            )
+            Message(msg_id, dest, numbers[class_ % len(numbers)], 4000.0, tenant=msg_id % len(tenants))
         ]
         if driver.out and end < len(outcomes):
             oldest = next(iter(driver.out))
--- a/tests/decisions/test_rate_slots.py
+++ b/tests/decisions/test_rate_slots.py
@@ -40,10 +40,10 @@
 
 
 def send_times(
-    slots: TimeSlotShare, begin: float, end: float, late: random.Random | None = None
+    slots: TimeSlotShare, start: float, end: float, late: random.Random | None = None
 ) -> list[float]:
     """Returns the send times in an interval; `late` draws the delay of each call, answered at once."""
-    out, now = [], begin
+    out, now = [], start
     while (at := slots.next_slot_at(now)) < end:
         now = max(now, at) + (late.uniform(0.0, 0.99 * slots.slot_tolerance_ms) if late else 0.0)
         if slots.next_slot_at(now) > now:  # too late for its slot
--- a/tests/decisions/test_rule_invariants.py
+++ b/tests/decisions/test_rule_invariants.py
@@ -111,7 +111,7 @@
                 outcome = rng.choice(OUTCOMES) if rng.random() < failure_probability else Outcome.OK
                 outcome = Outcome.TIMEOUT if now >= send.give_up_at_ms else outcome
                 wait = rng.choice([0.0, 300.0]) if outcome is Outcome.FULL else 0.0
-                finished = outcome is Outcome.OK or checker.messages[message_id].has_ended
+                finished = outcome is Outcome.OK or checker.messages[message_id].is_final
                 del in_flight[message_id, number]
                 events.append(
                     AttemptCompleted(message_id, number, send.endpoint, outcome, 80.0, finished, wait)
@@ -151,10 +151,10 @@
             state = rng.choice(list(Listing)) if kind is ListKind.CHANGES else Listing.READY
             entries = tuple(Endpoint(e.id, e.destination, state, 0, e.zone, e.rate) for e in part)
             events.append(EndpointList(kind, () if kind is ListKind.FAILED else entries))
-        if rng.random() < 0.02 and any(not record.has_ended for record in checker.messages.values()):
-            message_id = next(i for i, record in checker.messages.items() if not record.has_ended)
+        if rng.random() < 0.02 and any(not record.is_final for record in checker.messages.values()):
+            message_id = next(i for i, record in checker.messages.items() if not record.is_final)
             events.append(MessageCancelled(message_id))
-            checker.messages[message_id].has_ended = True
+            checker.messages[message_id].is_final = True
         if step == steps - 20 and seed % 5 == 0:
             events.append(ShutdownScheduled(now + 500.0))
         checker.check_deadlines(now - 60.0)  # a step may take longer than the slack
--- a/tests/decisions/test_scalability.py
+++ b/tests/decisions/test_scalability.py
@@ -63,7 +63,7 @@
     max_examined: int = 0  # in one turn
     in_flight: dict[int, StartAttempt] = field(default_factory=dict)
     sent: list[tuple[float, StartAttempt]] = field(default_factory=list)
-    ended: dict[int, Action] = field(default_factory=dict)
+    final_actions: dict[int, Action] = field(default_factory=dict)
     timer: float = 0.0
 
     def __post_init__(self) -> None:
@@ -72,19 +72,19 @@
     def feed(self, *events: Event) -> int:
         for event in events:
             self.checker.record_event(self.now, event)
-        before, ended_before = self.relay.index.examined_count, len(self.ended)
+        before, final_before = self.relay.index.examined_count, len(self.final_actions)
         for action in self.relay.handle(self.now, list(events)):
             self.checker.check_action(self.now, action)
             if isinstance(action, StartAttempt):
                 self.in_flight[action.id] = action
                 self.sent.append((self.now, action))
             elif isinstance(action, Reject | Fail):
-                self.ended[action.id] = action
+                self.final_actions[action.id] = action
             elif isinstance(action, SetTimer):
                 self.timer = self.now + action.delay_ms
         examined = self.relay.index.examined_count - before
         self.max_examined = max(self.max_examined, examined)
-        assert len(self.ended) - ended_before <= MAX_CLOSED + MAX_SHED
+        assert len(self.final_actions) - final_before <= MAX_CLOSED + MAX_SHED
         return examined
 
     def submit(self, dest: int = 1, class_: int = SAFE, left: float = 120_000.0, **options: Any) -> int:
@@ -232,7 +232,7 @@
         )
     )
 
-    def ended(message_id: int, now: float) -> list[int]:
+    def complete(message_id: int, now: float) -> list[int]:
         actions = relay.handle(now, [AttemptCompleted(message_id, 0, 12, Outcome.OK, 500.0, True)])
         return [action.id for action in actions if isinstance(action, StartAttempt)]
 
@@ -251,9 +251,9 @@
     for n in range(6):  # more than are indexed completely; their value soon falls to its minimum, 0.1
         relay.handle(n * 100.0, [Message(n, 1, 0, 8000.0)])
     relay.handle(5990.0, [Message(101, 2, 0, 8000.0, 1)])
-    assert ended(100, 6000.0) == [101]  # 0.14 precedes 0.1; destination 1 has been scanned
+    assert complete(100, 6000.0) == [101]  # 0.14 precedes 0.1; destination 1 has been scanned
     relay.handle(6690.0, [Message(102, 2, 0, 8000.0, 1)])
-    (message_id,) = ended(101, 6700.0)
+    (message_id,) = complete(101, 6700.0)
     assert message_id in (0, 1, 2) and relay.choices >= 3  # responses would arrive at 7.0 to 7.2 s of 8
 
 
@@ -301,7 +301,7 @@
         driver.submit(left=3000.0)  # without any endpoint
     for _ in driver.ticks(3000.0):
         pass
-    assert len(driver.ended) == 20_000  # each exactly once, which the checker verifies
+    assert len(driver.final_actions) == 20_000  # each exactly once, which the checker verifies
     driver.checker.check_deadlines(driver.now)
 
 
@@ -321,7 +321,7 @@
 
 
 def test_memory_per_message_in_total(tmp_path: Path) -> None:
-    """Checks docs/sizing.md for a body of 300 bytes: under 4 KB pending, under 1.5 KB once ended."""
+    """Checks docs/sizing.md for a body of 300 bytes: under 4 KB pending, under 1.5 KB once completed."""
     settings = make_settings(max_pending_messages=30_000, max_concurrent_attempts=64)
     relay, count = DeliveryScheduler(settings, 1), 4000
 
@@ -343,12 +343,12 @@
     for number in list(lifecycle.accepted):
         lifecycle.finish(number, "returned")
         relay.handle(1000.0, [MessageCancelled(number)])
-    ended = tracemalloc.get_traced_memory()[0]
+    completed = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert 300 < (used - empty) / count < 4000 and 0 < (ended - empty) / count < 1500
+    assert 300 < (used - empty) / count < 4000 and 0 < (completed - empty) / count < 1500
 
 
-def test_10000_destinations_that_come_and_go_leave_no_state() -> None:
+def test_10000_destinations_that_appear_and_disappear_leave_no_state() -> None:
     relay, now, ids = (
         DeliveryScheduler(
             make_settings(
