--- a/tests/compatibility/amqp_binding.py
+++ b/tests/compatibility/amqp_binding.py
@@ -107,7 +107,7 @@
     def close(self) -> None:
         """There is no socket."""
 
-    def take_written(self) -> bytes:
+    def pop_written(self) -> bytes:
         data = bytes(self.data)
         self.data.clear()
         return data
@@ -138,13 +138,13 @@
         self._link.connection_made(self._transport)
         self._link.data_received(opening)
         self._link.data_received(channel_opening)
-        self._transport.take_written()
+        self._transport.pop_written()
 
     def subscribe(self, prefetch: int, queue: str, channel_ready: bytes) -> bytes:
         """Returns all bytes that are sent to consume a queue."""
         self._link.consume(prefetch, _Subscriber(self._link, queue))
         self._link.data_received(channel_ready)
-        return self._transport.take_written()
+        return self._transport.pop_written()
 
     async def publish_final_outcome(
         self, message_id: str, state: str, after_ms: float, reply: str, correlation: str, confirm: bytes
@@ -159,7 +159,7 @@
             await asyncio.sleep(0)
         self._link.data_received(confirm)
         await publishing
-        return self._transport.take_written()
+        return self._transport.pop_written()
 
     def close(self) -> None:
         self._link.connection_lost(None)
--- a/tests/compatibility/decision_binding.py
+++ b/tests/compatibility/decision_binding.py
@@ -288,8 +288,8 @@
     return [_neutral_action(action) for action in scheduler.handle(now_ms, events)]
 
 
-def rejection_delay(scheduler: Scheduler, now_ms: float, offered: Message, holding: int) -> float | None:
-    return scheduler.rejection_delay_ms(now_ms, offered, holding)
+def rejection_delay(scheduler: Scheduler, now_ms: float, offered: Message, pending: int) -> float | None:
+    return scheduler.rejection_delay_ms(now_ms, offered, pending)
 
 
 def may_write(scheduler: Scheduler, now_ms: float, number: int) -> bool:
--- a/tests/compatibility/decision_fixtures.py
+++ b/tests/compatibility/decision_fixtures.py
@@ -21,7 +21,7 @@
 
 DIGESTS = Path(__file__).parent / "fixtures" / "decisions" / "digests.json"
 EMULATOR_SEED = 3
-LINES_SHOWN = 3  # from the first block that differs
+DIFF_LINES = 3  # from the first block that differs
 
 
 class Expected(msgspec.Struct, frozen=True):
@@ -80,7 +80,7 @@
             f"lines: {stored.lines} -> {len(trace.lines)}",
             f"counts: {', '.join(changed) or 'the same'}",
             "the block begins now with:",
-            *trace.lines[start : start + LINES_SHOWN],
+            *trace.lines[start : start + DIFF_LINES],
         ]
     )
 
--- a/tests/compatibility/decision_trace.py
+++ b/tests/compatibility/decision_trace.py
@@ -211,12 +211,12 @@
             is_resubmission,
             from_dead_instance,
         )
-        holding = len(self.accepted)
-        if holding >= self.scenario.max_pending:
+        pending_count = len(self.accepted)
+        if pending_count >= self.scenario.max_pending:
             self.trace.add("hold_is_full", self.now, number)
             self._resubmit_later(message, 300.0)
             return
-        delay_ms = binding.rejection_delay(self.scheduler, self.now, submission, holding)
+        delay_ms = binding.rejection_delay(self.scheduler, self.now, submission, pending_count)
         self.trace.add("turned_away" if delay_ms is not None else "taken", self.now, number, delay_ms)
         if delay_ms is not None:
             self._resubmit_later(message, max(50.0, delay_ms))
--- a/tests/compatibility/state_binding.py
+++ b/tests/compatibility/state_binding.py
@@ -344,11 +344,11 @@
         return {"refused": str(error).replace(str(folder), "FOLDER")}
 
 
-def claim_and_raise_identity(folder: Path, name: str, seen_boot: int) -> Plain:
+def claim_and_raise_identity(folder: Path, name: str, seen_epoch: int) -> Plain:
     """Claims the identity and raises its process epoch, as if others had seen a later one."""
     try:
         claimed = gossip_identity.claim_identity(folder, name)
-        return _plain_identity(gossip_identity.raise_process_epoch(folder, claimed, seen_boot))
+        return _plain_identity(gossip_identity.raise_process_epoch(folder, claimed, seen_epoch))
     except IdentityError as error:
         return {"refused": str(error)}
 
@@ -438,8 +438,8 @@
             return Withdraw(number, author, cause)
         case ["voters", base, add, remove, author, at_ms]:
             return ChangeVoters(base, add, remove, author, at_ms)
-        case ["forget", name, boot, author, at_ms]:
-            return Forget(name, boot, author, at_ms)
+        case ["forget", name, epoch, author, at_ms]:
+            return Forget(name, epoch, author, at_ms)
     raise AssertionError(f"unknown command: {step!r}")
 
 
@@ -681,11 +681,11 @@
 
 
 def write_voter_state(
-    folder: Path, cleared: int, boots: dict[str, int], log_started: bool, voters: Iterable[str]
+    folder: Path, cleared: int, epochs: dict[str, int], log_started: bool, voters: Iterable[str]
 ) -> Plain:
     instance = _consensus_instance(folder)
     state = instance.voter.state
     state.cleared, state.log_started, state.voters = cleared, log_started, tuple(voters)
-    state.highest_epochs.update(boots)
+    state.highest_epochs.update(epochs)
     instance.voter.save_state()
     return _plain_voter_state(instance)
--- a/tests/compatibility/state_fixtures.py
+++ b/tests/compatibility/state_fixtures.py
@@ -73,7 +73,8 @@
 
 DISK_BYTES = 400_000
 SMALL_DISK_BYTES = 200_000  # so small that segments have to be discarded
-TAKE, TRY, OUT, END, NOTIFIED, DROP, CENSUS = range(1, 8)  # numbers of the record kinds on disk
+# Numbers of the record kinds on disk.
+ACCEPTED, ATTEMPT, OUTCOME, FINAL_OUTCOME, NOTIFIED, CANCELLED, UNFINISHED_IDS = range(1, 8)
 
 
 def accept(message: str, body: bytes, key: str | None = None, front: str = "http", repeat: str = "") -> Any:
@@ -257,24 +258,26 @@
         1,
         0x01020304,
         [
-            (TAKE, "m0", pack(open_message)),
-            (TAKE, "m1", pack(risky)),
-            (TRY, "m1", pack([1600, "endpoint-2", 1])),
-            (OUT, "m1", pack(True)),
-            (TRY, "m1", pack([1700, "endpoint-3", 1])),
-            (END, "m0", pack(["returned", 12.5])),
+            (ACCEPTED, "m0", pack(open_message)),
+            (ACCEPTED, "m1", pack(risky)),
+            (ATTEMPT, "m1", pack([1600, "endpoint-2", 1])),
+            (OUTCOME, "m1", pack(True)),
+            (ATTEMPT, "m1", pack([1700, "endpoint-3", 1])),
+            (FINAL_OUTCOME, "m0", pack(["returned", 12.5])),
             (NOTIFIED, "m0", b""),
-            (TAKE, "m2", pack(open_message)),
-            (DROP, "m2", b""),
-            (CENSUS, "", pack({"http": ["m1", "m9"]})),
+            (ACCEPTED, "m2", pack(open_message)),
+            (CANCELLED, "m2", b""),
+            (UNFINISHED_IDS, "", pack({"http": ["m1", "m9"]})),
         ],
     )
 
 
 def segment_with_unknown_kind() -> bytes:
     """Returns a segment that a later version of the same format could write."""
-    taken = ["safe", "t", 7, None, 1000, 9000, "", 0, None, None, "", 0.0, False, "http", b"body"]
-    return product.segment_bytes(1, 1, 5, [(TAKE, "m0", msgspec.msgpack.encode(taken)), (9, "m0", b"more")])
+    accepted = ["safe", "t", 7, None, 1000, 9000, "", 0, None, None, "", 0.0, False, "http", b"body"]
+    return product.segment_bytes(
+        1, 1, 5, [(ACCEPTED, "m0", msgspec.msgpack.encode(accepted)), (9, "m0", b"more")]
+    )
 
 
 def line_of_format_1(fields: Plain) -> bytes:
@@ -285,7 +288,7 @@
 def journal_of_format_1() -> bytes:
     """Returns a journal in format 1 with every kind of line, a damaged line and a torn end."""
 
-    def take(message: str, **overrides: Any) -> Plain:
+    def accepted_line(message: str, **overrides: Any) -> Plain:
         fields = {
             "k": "take",
             "id": message,
@@ -307,15 +310,15 @@
         }
         return fields | overrides
 
-    without_origin = take("m2")
+    without_origin = accepted_line("m2")
     del without_origin["from"]
     entries = [
-        take("m0", tries=2, out=[1500.0, "endpoint-1", 1]),
-        take("m1", tries=1, risk=[1400.0, "endpoint-2", 0]),
+        accepted_line("m0", tries=2, out=[1500.0, "endpoint-1", 1]),
+        accepted_line("m1", tries=1, risk=[1400.0, "endpoint-2", 0]),
         without_origin,
-        take("m3", end="failed", after=2.5, told=True, body=""),
-        take("m4"),
-        take("m5"),
+        accepted_line("m3", end="failed", after=2.5, told=True, body=""),
+        accepted_line("m4"),
+        accepted_line("m5"),
         {"k": "try", "id": "m2", "at": 1600.5, "ep": "endpoint-3", "zone": 2},
         {"k": "out", "id": "m2", "ran": True},
         {"k": "end", "id": "m4", "state": "returned", "after": 25.0},
@@ -323,8 +326,8 @@
         {"k": "drop", "id": "m5"},
     ]
     lines = [line_of_format_1(entry) for entry in entries]
-    damaged = line_of_format_1(take("m6")).replace(b'"tenant":"t"', b'"tenant":"u"')
-    return b"".join([*lines, damaged, line_of_format_1(take("m7"))[:-9]])
+    damaged = line_of_format_1(accepted_line("m6")).replace(b'"tenant":"t"', b'"tenant":"u"')
+    return b"".join([*lines, damaged, line_of_format_1(accepted_line("m7"))[:-9]])
 
 
 JOURNAL_1 = Path(__file__).parent.parent / "store" / "journal-1"
@@ -511,8 +514,8 @@
 
 def build_voter_states(target: Path) -> None:
     folder = new_folder(target / "every-field")
-    boots = {"8899aabbccddeeff": 4, "0123456789abcdef": 1}
-    product.write_voter_state(folder, 6, boots, True, ["n0", "n1", "n5"])
+    epochs = {"8899aabbccddeeff": 4, "0123456789abcdef": 1}
+    product.write_voter_state(folder, 6, epochs, True, ["n0", "n1", "n5"])
     write_expected(target / "every-field", product.read_voter_state(folder))
     for name, text in VOTER_STATE_TEXTS.items():
         folder = new_folder(target / name)
--- a/tests/compatibility/subsystem_binding.py
+++ b/tests/compatibility/subsystem_binding.py
@@ -378,32 +378,32 @@
     for _ in range(400):
         destination = draw.choice((draw.randint(0, 5000), draw.getrandbits(64), -draw.randint(1, 9)))
         rows.append((destination, *(shard_of(destination, 1 << bits) for bits in (0, 4, 10, 16))))
-    keepers = [f"k{number}" for number in range(9)]
-    rows += [(f"r{number}", *rank_servers(f"r{number}", keepers)) for number in range(60)]
+    servers = [f"k{number}" for number in range(9)]
+    rows += [(f"r{number}", *rank_servers(f"r{number}", servers)) for number in range(60)]
     return rows
 
 
 def shard_freshness(seed: int) -> list[Row]:
     draw, now, rows = random.Random(seed), 50.0, list[Row]()
-    keepers = ("k0", "k1", "k2")
-    tracker = StalenessTracker(keepers, 6.0)
+    servers = ("k0", "k1", "k2")
+    tracker = StalenessTracker(servers, 6.0)
     for _ in range(800):
         now += draw.expovariate(3.0)
-        keeper, version = draw.choice(keepers), (1 + draw.randint(0, 1), draw.randint(0, int(now)))
+        server, version = draw.choice(servers), (1 + draw.randint(0, 1), draw.randint(0, int(now)))
         match draw.randint(0, 4):
             case 0:
                 tracker.record_response(
-                    keeper, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9)
+                    server, now - draw.random(), draw.randint(1, 2), 1e3 * now + draw.uniform(0, 9)
                 )
             case 1:
                 clock_ms = 1e3 * (now - draw.random())
-                rows.append(("dated", tracker.earliest_sent_at(now, keeper, draw.randint(1, 2), clock_ms)))
+                rows.append(("dated", tracker.earliest_sent_at(now, server, draw.randint(1, 2), clock_ms)))
             case 2 | 3:
                 tracker.record_version(
-                    keeper, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8
+                    server, now - draw.random(), version, draw.uniform(0.0, 4.0), draw.random() < 0.8
                 )
             case _:
-                tracker.record_failure(keeper, now - draw.random())
+                tracker.record_failure(server, now - draw.random())
         rows.append((*version, tracker.confirmed_at(version), tracker.is_current(now, version)))
     return rows
 
--- a/tests/compatibility/test_state_folders.py
+++ b/tests/compatibility/test_state_folders.py
@@ -133,9 +133,9 @@
     monkeypatch.setattr(fcntl, "ioctl", ioctl)
 
 
-def identity_text(folder: Path, boot: int) -> str:
+def identity_text(folder: Path, epoch: int) -> str:
     at = folder.stat()
-    return IDENTITY % (boot, at.st_dev, at.st_ino, GENERATION)
+    return IDENTITY % (epoch, at.st_dev, at.st_ino, GENERATION)
 
 
 def test_the_folder_of_the_fleet_keeps_its_name() -> None:
