--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -274,7 +274,7 @@
             await relay.start()
             await until(lambda: 7 in relay.dests)
             await hand_in(relay, 5000, taken)
-            await until(lambda: not relay.held and relay.host.is_idle)
+            await until(lambda: not relay.accepted and relay.host.is_idle)
             await relay.close()
         ends: dict[str, set[str]] = {}
         while not agent.notices.empty():
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -132,7 +132,7 @@
         told["limits"]["open-cap"] = 10
         async with serving(inward) as a, serving(outward) as b:
             relay = await relay_of(tmp_path, both(a, b, prefetch=4), settings=told)
-            await until(lambda: len(relay.held) == 8 and left(inward.queues["in"]) == 52)
+            await until(lambda: len(relay.accepted) == 8 and left(inward.queues["in"]) == 52)
             await asyncio.sleep(0.3)
             assert len(inward.queues["in"].waiting) == 48 and not inward.queues["dead"].waiting
             outward.blocked = False
@@ -228,7 +228,7 @@
         told["limits"]["open-cap"] = 5
         async with serving(inward) as a, serving(outward) as b:
             relay = await relay_of(tmp_path, both(a, b), settings=told)
-            await until(lambda: len(relay.held) == 4)
+            await until(lambda: len(relay.accepted) == 4)
             for queue in relay.host.intakes.values():
                 queue.stop()
             await until(lambda: len(inward.queues["in"].waiting) == 26)
--- a/tests/core/test_pending_outcomes.py
+++ b/tests/core/test_pending_outcomes.py
@@ -193,7 +193,7 @@
 
             def start_and_cancel(number: int, endpoint: int, until_ms: float) -> None:
                 start_attempt(number, endpoint, until_ms)
-                cancel = host.held[number].cancel
+                cancel = host.accepted[number].cancel
                 assert cancel is not None
                 cancel()
 
@@ -203,7 +203,7 @@
 
             host.host.attempt_runner.start = start_and_cancel  # type: ignore[method-assign]
             host.driver.feed = record_event  # type: ignore[method-assign]
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
             await until(lambda: any(isinstance(fed, AttemptCompleted) for fed in fed_events))
             outcome = next(fed for fed in fed_events if isinstance(fed, AttemptCompleted))
             assert outcome.outcome is Outcome.CANCELLED
@@ -263,7 +263,7 @@
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             server.default_reply = None if unfinished == "a call that is out" else answer(500)
             agent.script += [None] * 100
-            assert await client.ask(message("m", "unsafe")) == 202
+            assert await client.send(message("m", "unsafe")) == 202
             await until(lambda: bool(server.seen))
             if server.default_reply is not None:
                 await until(lambda: host.host.pending_outcomes == 1)
@@ -299,7 +299,7 @@
                 raise AssertionError
 
             host.host.transport.attempt = attempt  # type: ignore[method-assign]
-            assert await client.ask(message("m", "unsafe")) == 202
+            assert await client.send(message("m", "unsafe")) == 202
             await attempt_started.wait()
             await until(lambda: host.now() > host.driver.last_turn_ms + 2 * host.settings.tick_ms)
         assert host.journal.entries["m"].final_state == ""
--- a/tests/core/test_ports.py
+++ b/tests/core/test_ports.py
@@ -74,7 +74,7 @@
     def __init__(self, *script: Outcome) -> None:
         self.script, self.attempts = list(script), list[Attempt]()
         self.listed: set[EndpointKey] = set()
-        self.gone: list[EndpointKey] = []
+        self.removed: list[EndpointKey] = []
 
     async def attempt(self, attempt: Attempt) -> AttemptResult:
         if not attempt.may_write():
@@ -89,7 +89,7 @@
     def endpoint_changed(self, key: EndpointKey, listed: bool) -> None:
         (self.listed.add if listed else self.listed.discard)(key)
         if not listed:
-            self.gone.append(key)
+            self.removed.append(key)
 
     def sweep(self) -> None:
         pass
@@ -185,7 +185,7 @@
         source.updates.put_nowait(
             EndpointUpdate(False, status_changes=(("a", Listing.DRAINING), ("unknown", Listing.REMOVED)))
         )
-        await until(lambda: transport.gone == [(1, ("queue", 1))])
+        await until(lambda: transport.removed == [(1, ("queue", 1))])
         relay.messages.accept(submission("m", remaining_ms=200))
         await until(lambda: bool(intake.ends))
         assert intake.ends[0].state == "returned" and not transport.attempts
--- a/tests/core/test_process.py
+++ b/tests/core/test_process.py
@@ -52,7 +52,7 @@
         while True:
             try:
                 async with Client(self.port) as client:
-                    assert await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+                    assert await client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
                     return
             except OSError:
                 assert self.process.returncode is None
@@ -65,7 +65,7 @@
     async def submit(self, *requests: bytes) -> None:
         async with Client(self.port) as client:
             for request in requests:
-                assert await client.ask(request) == 202
+                assert await client.send(request) == 202
 
 
 async def start_environment(folder: Path) -> tuple[Agent, Server, Process]:
@@ -175,7 +175,7 @@
         other = await Server().start()
         for new in (Agent(script=deque([None] * 100)), Agent()):  # the first acknowledges none either
             await new.start()
-            new.tell(listing(other, generation=1))
+            new.publish(listing(other, generation=1))
             process.configure(discovery="{}:{}".format(*new.address))
             process.process.send_signal(signal.SIGHUP)
             await until(lambda: len(new.seen) > 1)  # noqa: B023
@@ -199,7 +199,7 @@
         for invalid in ("{", "[]", json.dumps({**json.loads(valid), "discovery": "nowhere"})):
             process.config.write_text(invalid)
             process.process.send_signal(signal.SIGHUP)
-        agent.tell(listing(server, generation=5))
+        agent.publish(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))  # still the old agent
         await process.submit(message("m", "unsafe"))
         await server.arrivals.get()
--- a/tests/core/test_rejected_settings.py
+++ b/tests/core/test_rejected_settings.py
@@ -91,7 +91,7 @@
         invalid["classes"][0]["window-ms"] = 0.0
         process.configure(settings=invalid, discovery="{}:{}".format(*other.address))
         process.process.send_signal(signal.SIGHUP)
-        agent.tell(listing(server, generation=5))
+        agent.publish(listing(server, generation=5))
         await until(lambda: any("from=5" in seen.target for seen in agent.seen))
         assert not other.seen
         assert await process.stop(signal.SIGTERM) == 0
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -41,14 +41,14 @@
     async def work() -> None:
         agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+            assert await client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             body = bytes(range(256)) * 256
-            assert await client.ask(message("m1", "keyed", body)) == 202
+            assert await client.send(message("m1", "keyed", body)) == 202
             seen = await server.arrivals.get()
             assert (seen.target, seen.body) == ("/inbox", body)
             assert (seen.headers["x-trace-id"], seen.headers["idempotency-key"]) == ("m1", "k-m1")
             await until(lambda: host.journal.entries["m1"].final_state == "delivered")
-            assert not host.held and agent.notices.empty()
+            assert not host.accepted and agent.notices.empty()
 
     run(work())
 
@@ -83,8 +83,8 @@
     async def work() -> None:
         agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(request_) == status and expected in client.text
-            assert not host.held and not host.journal.entries
+            assert await client.send(request_) == status and expected in client.text
+            assert not host.accepted and not host.journal.entries
         assert not server.seen
 
     run(work())
@@ -94,10 +94,10 @@
     async def work() -> None:
         agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("m")) == await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == await client.send(message("m")) == 202
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
-            assert await client.ask(message("m")) == 202
-            assert await client.ask(message("n")) == 202
+            assert await client.send(message("m")) == 202
+            assert await client.send(message("n")) == 202
             await until(lambda: host.journal.entries["n"].final_state == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["m", "n"]
 
@@ -110,13 +110,13 @@
         server.default_reply = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             statuses = [
-                await client.ask(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)
+                await client.send(message(f"m{n}")) for n in range(host.settings.max_pending_messages + 1)
             ]
             assert statuses[:15] == [202] * 15  # beyond that the scheduler may reject messages itself
-            host.held.update(
-                {-n: next(iter(host.held.values())) for n in range(1, host.settings.max_pending_messages)}
+            host.accepted.update(
+                {-n: next(iter(host.accepted.values())) for n in range(1, host.settings.max_pending_messages)}
             )
-            assert await client.ask(message("more")) == 503 and "retry-after: 1.000" in client.head
+            assert await client.send(message("more")) == 503 and "retry-after: 1.000" in client.head
         small_limits = {"sockets": 256, "disk_mb": 0.27}
         for path in state.glob("seg-*"):
             path.unlink()
@@ -124,9 +124,9 @@
             relay(state, agent, server, limits=small_limits) as host,
             Client(host.ingress.port) as client,
         ):
-            assert await client.ask(message("a", body=b"x" * 60000)) == 202
-            assert await client.ask(message("b", body=b"x" * 60000)) == 503
-            assert "b" not in host.journal.entries and await client.ask(message("c")) == 202
+            assert await client.send(message("a", body=b"x" * 60000)) == 202
+            assert await client.send(message("b", body=b"x" * 60000)) == 503
+            assert "b" not in host.journal.entries and await client.send(message("c")) == 202
 
     run(work())
 
@@ -143,8 +143,8 @@
 
             with monkeypatch.context() as patch:
                 patch.setattr(os, "write", no_space)
-                assert await client.ask(message("m")) == 503
-            assert not host.held and await client.ask(message("n")) == 202
+                assert await client.send(message("m")) == 503
+            assert not host.accepted and await client.send(message("n")) == 202
             await until(lambda: host.journal.entries["n"].final_state == "delivered")
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["n"]
 
@@ -158,10 +158,10 @@
         agent, server = await start_agent_and_server()
         async with relay(state, agent, server) as host:
             # Nothing is awaited in between, so the relay reads the request and the close together.
-            with socket.create_connection(("127.0.0.1", host.ingress.port)) as gone:
-                gone.sendall(message("gone"))
+            with socket.create_connection(("127.0.0.1", host.ingress.port)) as disconnecting:
+                disconnecting.sendall(message("gone"))
             async with Client(host.ingress.port) as client:
-                assert await client.ask(message("here")) == 202
+                assert await client.send(message("here")) == 202
                 await until(lambda: host.journal.entries["here"].final_state == "delivered")
             await until(lambda: not host.ingress.connections)
             assert list(host.journal.entries) == ["here"]
@@ -189,13 +189,13 @@
         agent, server = await start_agent_and_server()
         server.default_reply = None
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
             await server.arrivals.get()
             (connection,) = host.ingress.connections
             connection.unsent_ids.append("m")  # as if the socket did not accept the response
             client.writer.transport.abort()
             await until(lambda: not host.ingress.connections)
-            assert not host.held and "m" not in host.journal.entries
+            assert not host.accepted and "m" not in host.journal.entries
 
     run(work())
 
@@ -205,10 +205,10 @@
         agent, server = await start_agent_and_server()
         server.script.append(answer(429, "X-RateLimit-Wait-Ms: 400"))
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("a")) == 202
+            assert await client.send(message("a")) == 202
             rejected_at = (await server.arrivals.get()).at
             await until(lambda: host.journal.entries["a"].attempt_in_flight is None)
-            assert await client.ask(message("b")) == 202
+            assert await client.send(message("b")) == 202
             assert (
                 min((await server.arrivals.get()).at, (await server.arrivals.get()).at) >= rejected_at + 0.4
             )
@@ -221,16 +221,16 @@
         agent, old = await start_agent_and_server()
         new = await Server().start()
         async with relay(state, agent, old) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("a")) == 202
+            assert await client.send(message("a")) == 202
             await old.arrivals.get()
             raw = listing(old, generation=2, reset=False, state="draining")
             raw["instances"] += listing(new)["instances"]
-            agent.tell(raw)
+            agent.publish(raw)
             await until(lambda: host.register.version == 2)
             for n in range(5):
-                assert await client.ask(message(f"b{n}")) == 202
+                assert await client.send(message(f"b{n}")) == 202
             await until(lambda: len(new.seen) == 5)
-            agent.tell(listing(new, generation=3, reset=True))
+            agent.publish(listing(new, generation=3, reset=True))
             await until(lambda: host.register.version == 3)
             assert len(host.directory.by_name) == 1
         assert len(old.seen) == 1
@@ -250,15 +250,15 @@
         async with relay(state, agent, server) as host:
             for reply in (answer(500), answer(200, body="{"), answer(200, body="[]")):
                 agent.changes.put_nowait(reply)
-            agent.tell({**malformed, "instances": None})
+            agent.publish({**malformed, "instances": None})
             await until(lambda: len(agent.seen) >= 6)  # including one that got no response
             hold_times = [seen.target.removeprefix("/v1/servers?from=1&hold_ms=") for seen in agent.seen]
             # 0 after a failed call.
             assert all(hold_ms == "0" or 75 <= int(hold_ms) <= 100 for hold_ms in hold_times)
             assert hold_times[0] == "0" and "0" in hold_times[2:]
-            agent.tell(listing(server, generation=4))  # may be consumed by an earlier, cancelled call
+            agent.publish(listing(server, generation=4))  # may be consumed by an earlier, cancelled call
             while host.register.version != 4:
-                agent.tell(listing(server, generation=4))
+                agent.publish(listing(server, generation=4))
                 await asyncio.sleep(0.02)
             assert len(host.directory.by_name) == 1
 
@@ -279,11 +279,11 @@
                 {"instanceId": name, "lifecycle": "ready"},
             ]
             raw = {"generation": 2, "reset": True, "instances": [*mangled, other]}
-            host.tell(raw)
+            host.apply_list(raw)
             assert set(host.directory.by_name) == {name, "s-other"} and host.register.version == 2
             assert host.directory.by_name[name].address == server.address
             removal = {"instanceId": name, "lifecycle": "gone"}  # enough to remove the endpoint
-            host.tell({"generation": 3, "reset": False, "instances": [removal]})
+            host.apply_list({"generation": 3, "reset": False, "instances": [removal]})
             assert set(host.directory.by_name) == {"s-other"}
 
     run(work())
@@ -301,18 +301,18 @@
             for number in range(2, 40):  # each time a different endpoint and destination at the same address
                 raw = listing(server, generation=number)
                 raw["instances"][0].update(instanceId=f"s-{number}", cell=number)
-                host.tell(raw)
+                host.apply_list(raw)
                 async with Client(host.ingress.port) as client:
                     dest = f"dest={number}"
-                    assert await client.ask(message(f"m{number}", "keyed", X_Addressing=dest)) == 202
-                    await until(lambda: not host.held)
+                    assert await client.send(message(f"m{number}", "keyed", X_Addressing=dest)) == 202
+                    await until(lambda: not host.accepted)
             await until(lambda: not host.ingress.connections and not host.relay.pending.by_id)
             host.journal.compact(unix_time_ms() + 1e6)
             host.messages.expire_destinations()
             host.messages.add_destinations({39})
             directory, listener, scheduler = host.directory, host.ingress, host.relay
             sizes: dict[str, Sized] = {
-                "held": host.held,
+                "held": host.accepted,
                 "numbers": host.numbers,
                 "entries": host.journal.entries,
                 "sizes": host.journal.messages.sizes,
@@ -354,7 +354,7 @@
         server.default_reply = answer(500)
         agent.script += [answer(503), "reset", answer(400)]
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("m", "unsafe")) == 202
+            assert await client.send(message("m", "unsafe")) == 202
             assert await agent.notices.get() == {"id": "m", "state": "failed"}
             await until(lambda: host.journal.entries["m"].is_notified)
         assert len(server.seen) == 1
@@ -388,10 +388,10 @@
         async with relay(state, agent, server) as host, Client(host.ingress.port) as client:
             with monkeypatch.context() as patch:
                 patch.setattr(host.ingress, "handle", lambda request: 1 // 0)
-                assert await client.ask(message("m")) == 500
+                assert await client.send(message("m")) == 500
             assert "ZeroDivisionError" in caplog.text
             async with Client(host.ingress.port) as other:
-                assert await other.ask(message("n")) == 202
+                assert await other.send(message("n")) == 202
                 await until(lambda: host.journal.entries["n"].final_state == "delivered")
 
     run(work())
@@ -452,7 +452,7 @@
             elif outcome:
                 assert await agent.notices.get() == {"id": "m", "state": outcome}
                 await until(lambda: host.journal.entries["m"].is_notified)
-            assert not host.held and bool(server.seen) == (outcome == "delivered")
+            assert not host.accepted and bool(server.seen) == (outcome == "delivered")
             assert agent.notices.empty()
 
     run(work())
@@ -470,7 +470,7 @@
         host = host_of(state, agent, server)
         await host.start()
         async with Client(host.ingress.port) as client, Client(host.ingress.port) as slow_client:
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
             await server.arrivals.get()
             late_request = message("late", "unsafe")
             slow_client.writer.write(late_request[:50])
@@ -494,7 +494,7 @@
         host = host_of(state, agent, server)
         await host.start()
         async with Client(host.ingress.port) as client:
-            assert await client.ask(message("out")) == 202
+            assert await client.send(message("out")) == 202
             await server.arrivals.get()
             await host.stop()
         (remaining_entry,) = Journal(state, 3_000_000).entries.values()
--- a/tests/core/test_restarts.py
+++ b/tests/core/test_restarts.py
@@ -251,7 +251,7 @@
     async def _ready(self) -> bool:
         try:
             async with Client(self.port) as client:
-                return await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+                return await client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
         except OSError:
             return False
 
@@ -281,7 +281,7 @@
             await process.submit(message(f"m{n}"))
         await until(lambda: len(server.seen) == 10)
         other = await Agent().start()
-        other.tell(listing(server, generation=9))
+        other.publish(listing(server, generation=9))
         process.configure(discovery="{}:{}".format(*other.address))
         process.process.send_signal(signal.SIGHUP)
         await until(lambda: any("from=9" in seen.target for seen in other.seen))
@@ -305,7 +305,7 @@
         journal.close()
         host = host_of(state, agent, server)
         await host.start()
-        assert not host.held and host.messages.pending_count == 1 and not host.host.is_idle
+        assert not host.accepted and host.messages.pending_count == 1 and not host.host.is_idle
         assert [entry.id for entry in host.messages.pending_entries()] == ["m"]
         stopping = asyncio.ensure_future(host.stop())
         await until(lambda: len(server.seen) == 1)  # it is attempted during the stop
--- a/tests/decisions/test_destination_snapshot.py
+++ b/tests/decisions/test_destination_snapshot.py
@@ -148,7 +148,7 @@
         host = host_of(state, agent, server)
         await host.start()
         async with Client(host.ingress.port) as client:
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
             first = await server.arrivals.get()
             await until(lambda: bool(host.relay.destination_snapshot(host.now())))
         await host.close()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -69,7 +69,7 @@
         async with managed_relay(tmp_path) as relay:
             await relay.serve()
             async with Client(relay.manager.port) as client:
-                assert await client.ask(message("m")) == 202
+                assert await client.send(message("m")) == 202
             before = time.monotonic_ns() // 1000
             relay.manager.tell(signal.SIGHUP)
             notification = await relay.manager.heard("RELOADING")
@@ -129,7 +129,7 @@
             async with Client(relay.manager.port) as client:
                 while first.exists():  # until compaction removes it
                     n += 1
-                    if await client.ask(message(f"m{n}", body=b"x" * 4000)) != 202:
+                    if await client.send(message(f"m{n}", body=b"x" * 4000)) != 202:
                         await asyncio.sleep(0.01)
             await until(lambda: len(relay.manager.beats) >= 4)
             gaps = [b - a for a, b in zip(relay.manager.beats, relay.manager.beats[1:], strict=False)]
@@ -145,7 +145,7 @@
             assert relay.manager.fill() > 0
             await relay.start()
             async with Client(relay.manager.port) as client:
-                assert await client.ask(message("m")) == 202
+                assert await client.send(message("m")) == 202
             relay.manager.tell(signal.SIGHUP)
             await until(lambda: len(relay.server.seen) == 1)
             assert await relay.manager.end() == 0  # SIGTERM while the socket is full
@@ -159,7 +159,7 @@
             await relay.serve()
             relay.server.hold = asyncio.Event()
             async with Client(relay.manager.port) as client:
-                assert await client.ask(message("m")) == 202
+                assert await client.send(message("m")) == 202
             await relay.server.arrivals.get()
             relay.manager.tell(signal.SIGHUP)
             relay.manager.tell(signal.SIGTERM)
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -56,9 +56,9 @@
     parts = compose(replace(relay_config, settings=replace(relay_config.settings, fleet=fleet)))
     await parts.start()
     async with Client(parts.relay.intakes["http"].listener.port) as client:  # type: ignore[attr-defined]
-        assert await client.ask(message("a")) == 202
+        assert await client.send(message("a")) == 202
         await until(lambda: bool(server.seen) and not parts.relay.scheduler.in_flight)
-        assert [await client.ask(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
+        assert [await client.send(message(name, "keyed")) for name in ("b", "c")] == [202, 202]
     await until(lambda: len(parts.relay.scheduler.pending.by_id) == 3)
     result = report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 10)
     assert report.report_of(parts.relay, 0, "serving", 0.0, report.Lag(), 0).more == 1
--- a/tests/http/test_client_connections.py
+++ b/tests/http/test_client_connections.py
@@ -58,9 +58,9 @@
     async def work() -> None:
         environment = RelayWithEndpoint(tmp_path)
         async with environment as host, Client(host.ingress.port) as client:
-            assert await client.ask(request_) == status and "connection: close" in client.head
+            assert await client.send(request_) == status and "connection: close" in client.head
             assert await read_to_end(client)
-            assert not host.held and not host.journal.entries
+            assert not host.accepted and not host.journal.entries
         assert not environment.server.seen
 
     run(work())
@@ -82,7 +82,7 @@
             (connection,) = host.ingress.connections
             assert connection.request is None and connection.is_lingering
             async with Client(host.ingress.port) as other:
-                assert await other.ask(message("n")) == 202
+                assert await other.send(message("n")) == 202
         assert list(host.journal.entries) == ["n"]
 
     run(work())
@@ -107,10 +107,10 @@
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             if sent:
-                assert await client.ask(sent) == status
+                assert await client.send(sent) == status
             assert await read_to_end(client)
             await until(lambda: not host.ingress.connections)
-            assert not host.held
+            assert not host.accepted
 
     run(work())
 
@@ -129,7 +129,7 @@
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             client.writer.write(VALID_REQUEST[:-2])
             client.writer.write_eof()
-            assert await client.status() == 400 and not host.held
+            assert await client.status() == 400 and not host.accepted
 
     run(work())
 
@@ -143,7 +143,7 @@
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            assert await client.ask(VALID_REQUEST) == 202
+            assert await client.send(VALID_REQUEST) == 202
             assert await client.reader.read() == b""
             await until(lambda: not host.ingress.connections)
             listener = host.ingress
@@ -167,12 +167,12 @@
             port, host.ingress.crowding_threshold = host.ingress.port, 3
             idle = [await clients.enter_async_context(Client(port)) for _ in range(3)]
             for count, client in enumerate(idle):
-                assert await client.ask(message(f"a{count}")) == 202
+                assert await client.send(message(f"a{count}")) == 202
                 assert "connection: close" not in client.head
             async with Client(port) as once:
-                assert await once.ask(message("b")) == 202 and "connection: close" in once.head
+                assert await once.send(message("b")) == 202 and "connection: close" in once.head
                 assert await read_to_end(once)
-            assert await idle[0].ask(message("c")) == 202 and "connection: close" not in idle[0].head
+            assert await idle[0].send(message("c")) == 202 and "connection: close" not in idle[0].head
             now = asyncio.get_running_loop().time()
             assert len(
                 host.ingress._overdue(now + client_limits.MIN_IDLE_S)
@@ -194,13 +194,13 @@
         async with RelayWithEndpoint(tmp_path) as host:
             port, host.ingress.max_connections = host.ingress.port, 3
             async with Client(port) as submitter, Client(port) as first, Client(port) as second:
-                assert await submitter.ask(message("a")) == 202
+                assert await submitter.send(message("a")) == 202
                 for count in range(10):
                     async with Client(port) as other:
-                        assert await other.ask(message(f"b{count}")) == 202
+                        assert await other.send(message(f"b{count}")) == 202
                         assert len(host.ingress.connections) <= 3
                 assert await read_to_end(first) and await read_to_end(second)
-                assert await submitter.ask(message("c")) == 202  # idle for less than 2 s: not evicted
+                assert await submitter.send(message("c")) == 202  # idle for less than 2 s: not evicted
 
     run(work())
 
@@ -216,11 +216,11 @@
             port, host.ingress.max_connections = host.ingress.port, 4
             idle = [await clients.enter_async_context(Client(port)) for _ in range(4)]
             for count, client in enumerate(idle):
-                assert await client.ask(message(f"a{count}")) == 202
+                assert await client.send(message(f"a{count}")) == 202
             new = [await clients.enter_async_context(Client(port)) for _ in range(4)]
             await until(lambda: len(host.ingress.silent) == 4)
             for count, client in enumerate(new):
-                assert await client.ask(message(f"b{count}")) == 202
+                assert await client.send(message(f"b{count}")) == 202
             for client in idle:
                 assert await read_to_end(client)
 
@@ -234,12 +234,12 @@
         async with RelayWithEndpoint(tmp_path) as host, AsyncExitStack() as clients:
             port, host.ingress.max_connections = host.ingress.port, 4
             submitter = await clients.enter_async_context(Client(port))
-            assert await submitter.ask(message("a")) == 202
+            assert await submitter.send(message("a")) == 202
             for _ in range(20):
                 health_checker = await clients.enter_async_context(Client(port))
-                assert await health_checker.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
+                assert await health_checker.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") == 200
             other = await clients.enter_async_context(Client(port))
-            assert await other.ask(message("b")) == await submitter.ask(message("c")) == 202
+            assert await other.send(message("b")) == await submitter.send(message("c")) == 202
             assert len(host.ingress.connections) == 4
 
     run(work())
@@ -258,12 +258,12 @@
             host.messages.is_retiring = True
             port = host.ingress.port
             async with Client(port) as rejected, Client(port) as also_rejected:
-                assert await rejected.ask(message("a")) == 503
-                assert await also_rejected.ask(message("b")) == 503
+                assert await rejected.send(message("a")) == 503
+                assert await also_rejected.send(message("b")) == 503
                 async with Client(port) as waiting:
                     waiting.writer.write(message("c"))
                     await asyncio.sleep(0.2)
-                    assert await rejected.ask(message("d")) == 503
+                    assert await rejected.send(message("d")) == 503
 
     run(work())
 
@@ -276,7 +276,7 @@
             port, host.ingress.max_connections = host.ingress.port, 2
             async with Client(port) as partial, Client(port) as idle:
                 partial.writer.write(VALID_REQUEST[:60])
-                assert await idle.ask(message("a")) == 202
+                assert await idle.send(message("a")) == 202
                 await until(lambda: not host.ingress.silent)
                 async with Client(port) as other:  # it waits in the kernel's queue, without a descriptor
                     other.writer.write(message("b"))
@@ -298,10 +298,10 @@
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
             invalid = message("m", "other")
-            assert await client.ask(invalid) == 400
+            assert await client.send(invalid) == 400
             (connection,) = host.ingress.connections
             assert connection.transport is not None and not connection.transport.is_reading()
-            assert await client.ask(invalid) == 400 and await client.ask(VALID_REQUEST) == 202
+            assert await client.send(invalid) == 400 and await client.send(VALID_REQUEST) == 202
             assert connection.transport.is_reading()
 
     run(work())
@@ -312,13 +312,13 @@
         environment = RelayWithEndpoint(tmp_path)
         environment.server.hold = asyncio.Event()
         async with environment as host, Client(host.ingress.port) as submitter:
-            assert await submitter.ask(VALID_REQUEST) == 202
+            assert await submitter.send(VALID_REQUEST) == 202
             async with Client(host.ingress.port) as other_client:
-                assert await other_client.ask(message("m", "unsafe", b"other")) == 202
+                assert await other_client.send(message("m", "unsafe", b"other")) == 202
                 other_client.writer.write(message("m", "unsafe", b"other"))
                 other_client.writer.transport.abort()
             await until(lambda: len(host.ingress.connections) == 1)
-            assert len(host.held) == 1
+            assert len(host.accepted) == 1
             environment.server.hold.set()
             await until(lambda: host.journal.entries["m"].final_state == "delivered")
         assert [seen.body for seen in environment.server.seen] == [b"hello"]
--- a/tests/http/test_connection_closing.py
+++ b/tests/http/test_connection_closing.py
@@ -88,7 +88,7 @@
     run(work())
 
 
-def test_idle_client_is_ended_at_stop_without_reset_and_in_time(
+def test_idle_client_is_disconnected_at_stop_without_reset_and_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It sends more after the relay's shutdown: nothing is accepted, and the connection ends."""
@@ -225,7 +225,7 @@
     run(work())
 
 
-def test_flooding_client_at_stop_is_ended_within_bound(
+def test_flooding_client_at_stop_is_disconnected_within_bound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It never stops sending; it gets a response, and its connection ends."""
@@ -371,12 +371,12 @@
     return not host.ingress.connections
 
 
-def test_idle_connection_is_ended_without_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_without_reset(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_limits, "IDLE_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         async with RelayWithEndpoint(tmp_path) as host, Client(host.ingress.port) as client:
-            assert await client.ask(message("a")) == 202
+            assert await client.send(message("a")) == 202
             assert await read_to_end(client)
             await until(lambda: no_connection(host))
 
--- a/tests/http/test_discovery_client.py
+++ b/tests/http/test_discovery_client.py
@@ -53,7 +53,7 @@
     async def work() -> None:
         state = journal_with_pending_messages(tmp_path, 3)
         agent, old, new = await start_agent_and_two_servers()
-        agent.tell(list_with_move(old, new))
+        agent.publish(list_with_move(old, new))
         async with relay(state, agent, old):
             await until(lambda: len(new.seen) == 3)
             assert not old.seen
@@ -70,7 +70,7 @@
         started_at = time.monotonic()
         async with relay(state, agent, old) as host:
             async with Client(host.ingress.port) as client:  # it accepts messages during the wait
-                assert await client.ask(message("n")) == 202
+                assert await client.send(message("n")) == 202
             assert not old.seen
             await until(lambda: len(old.seen) == 4)
             assert time.monotonic() - started_at >= core_host.INITIAL_LIST_TIMEOUT_S
@@ -100,7 +100,7 @@
             await until(lambda: bool(other.seen))
             assert other.seen[0].target == "/v1/servers" and host.register.version == -1
             assert {known.address for known in host.directory.by_name.values()} == {old.address}
-            other.tell(listing(new, generation=3))
+            other.publish(listing(new, generation=3))
             await until(lambda: host.register.version == 3)
             await until(lambda: any("from=3&" in seen.target for seen in other.seen))
             assert {known.address for known in host.directory.by_name.values()} == {new.address}
@@ -129,7 +129,7 @@
                 await until(lambda: any("hold_ms=0" not in seen.target for seen in agent.seen))
             host.reload(_with_agent(host.host.config, other))
             await until(lambda: bool(other.seen))
-            other.tell(listing(new, generation=1))
+            other.publish(listing(new, generation=1))
             await until(lambda: {known.address for known in host.directory.by_name.values()} == {new.address})
 
     run(work())
@@ -144,13 +144,13 @@
             raw = listing(new, generation=2, reset=False)
             (name,) = host.directory.by_name
             raw["instances"][0]["instanceId"] = name
-            gone = {"instanceId": name, "lifecycle": "gone"}  # malformed except for its lifecycle
-            raw["instances"] = [gone, *raw["instances"]]
+            removal = {"instanceId": name, "lifecycle": "gone"}  # malformed except for its lifecycle
+            raw["instances"] = [removal, *raw["instances"]]
             body = json.dumps(raw, indent=2 if layout == "indented" else None)
             agent.changes.put_nowait(answer(200, body=body))
             await until(lambda: host.register.version == 2)
             async with Client(host.ingress.port) as client:
-                assert await client.ask(message("n")) == 202
+                assert await client.send(message("n")) == 202
             await until(lambda: len(new.seen) == 1)
             assert not old.seen
 
@@ -169,7 +169,7 @@
             agent.writers[-1].close()  # the remaining bytes never arrive
             await until(lambda: len(agent.seen) >= 4)
             assert host.register.version == 1 and len(host.directory.by_name) == 1
-            agent.tell(list_with_move(old, new))
+            agent.publish(list_with_move(old, new))
             await until(lambda: host.register.version == 2)
 
     run(work())
@@ -185,10 +185,10 @@
         await host.start()
         await until(lambda: bool(agent.seen))
         stopping = asyncio.ensure_future(host.stop())
-        agent.tell(list_with_move(old, new))
+        agent.publish(list_with_move(old, new))
         await until(lambda: host.register.version == 2)
         async with Client(host.ingress.port) as client:
-            assert await client.ask(message("n")) == 202
+            assert await client.send(message("n")) == 202
         await until(lambda: len(new.seen) == 1)
         assert not old.seen
         await stopping
--- a/tests/http/test_slow_discovery.py
+++ b/tests/http/test_slow_discovery.py
@@ -46,7 +46,7 @@
             await until(lambda: {known.address for known in self.ready()} == {self.new.address})
         attempt_count = len(self.old.seen)
         async with Client(self.running.ingress.port) as client:
-            assert await client.ask(message("after")) == 202
+            assert await client.send(message("after")) == 202
         await until(lambda: len(self.new.seen) == 1)
         assert len(self.old.seen) == attempt_count
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -148,7 +148,7 @@
 class Agent(Server):
     """A fake agent for discovery and outcome notifications.
 
-    Discovery requests wait for `tell`; one with `hold_ms=0` is answered at once, unless `silent`.
+    Discovery requests wait for `publish`; one with `hold_ms=0` is answered at once, unless `silent`.
     Notifications are stored in `notices`.
     """
 
@@ -175,7 +175,7 @@
         version = int(target.partition("from=")[2].partition("&")[0])
         return answer(200, body=json.dumps({"generation": version, "reset": False, "instances": []}))
 
-    def tell(self, raw: dict[str, Any]) -> None:
+    def publish(self, raw: dict[str, Any]) -> None:
         self.changes.put_nowait(answer(200, body=json.dumps(raw)))
 
 
@@ -232,7 +232,7 @@
         self.transport = self.parts.transport
         self.messages, self.driver, self.directory = self.host.messages, self.host.driver, self.host.directory
         self.relay, self.settings, self.journal = self.host.scheduler, self.host.settings, self.host.journal
-        self.held, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.driver.now
+        self.accepted, self.tasks, self.now = self.messages.accepted, self.host.tasks, self.driver.now
         self.start, self.stop, self.close = self.parts.start, self.host.stop, self.host.close
         self.reload = self.host.reload
 
@@ -248,7 +248,7 @@
     def events(self) -> list[Event]:
         return self.driver.pending_events
 
-    def tell(self, raw: dict[str, Any]) -> None:
+    def apply_list(self, raw: dict[str, Any]) -> None:
         """Applies an endpoint list as if it had come from discovery."""
         self.register.version, update = parse_listing(raw)
         self.host.on_endpoint_update(update)
@@ -299,7 +299,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    async def ask(self, request: bytes) -> int:
+    async def send(self, request: bytes) -> int:
         self.writer.write(request)
         return await self.status()
 
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -37,7 +37,7 @@
         await until(lambda: said in caplog.text)
         assert host.register.version == 2  # and what is known goes on serving
         async with Client(host.ingress.port) as client:
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
         await until(lambda: len(new.seen) == 1)
         agent.changes.put_nowait(answer(200, body=json.dumps(listing(old, generation=4))))
         await until(lambda: host.register.version == 4)
--- a/tests/sharded_directory/test_source.py
+++ b/tests/sharded_directory/test_source.py
@@ -195,7 +195,7 @@
     run(work())
 
 
-def test_changes_are_applied_and_too_many_require_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_are_applied_and_too_many_require_the_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         shard_server = server()
         await transferred(shard_server, listing(many(100)))
@@ -289,7 +289,7 @@
         agent, shard_server = await Agent().start(), server()
         agent.silent = True
         agent.changes.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        agent.tell(listing(many(3000)))
+        agent.publish(listing(many(3000)))
         long_list = json.dumps(listing(many(3000))).encode()
         agent.changes.put_nowait(answer(200, body=long_list.decode())[:-100])  # truncated, then silent
         list_source = registered(shard_server, agent)
@@ -300,7 +300,7 @@
         await until(lambda: len(agent.seen) > 2)
         assert agent.seen[2].target.startswith("/v1/servers?from=1&hold_ms=")
         assert int(agent.seen[2].target.rpartition("=")[2]) <= source.WATCH_MS
-        agent.tell(listing([entry("new", 5)], 2, False))
+        agent.publish(listing([entry("new", 5)], 2, False))
         await until(lambda: shard_server.version == (1, 2))
         assert len(rows(shard_server)) == 3001
         task.cancel()
@@ -315,7 +315,7 @@
 
     async def work() -> None:
         agent, shard_server = await Agent().start(), server()
-        agent.tell(listing(many(count)))
+        agent.publish(listing(many(count)))
         assert len(json.dumps(listing(many(count)))) > ANSWER_BYTES
         task = asyncio.ensure_future(registered(shard_server, agent).run())
         await until(lambda: shard_server.is_loaded)
@@ -328,14 +328,14 @@
 def test_register_with_restarted_generations_is_rejected_until_it_has_caught_up() -> None:
     async def work() -> None:
         agent, shard_server = await Agent().start(), server()
-        agent.tell(listing(many(10), 9))
+        agent.publish(listing(many(10), 9))
         list_source = registered(shard_server, agent)
         task = asyncio.ensure_future(list_source.run())
         await until(lambda: shard_server.is_loaded)
-        agent.tell(listing(many(3), 2))
+        agent.publish(listing(many(3), 2))
         await until(lambda: list_source.failures == 1)
         assert shard_server.version == (1, 9) and len(rows(shard_server)) == 10
-        agent.tell(listing(many(4), 10))
+        agent.publish(listing(many(4), 10))
         await until(lambda: shard_server.version == (1, 10))
         assert len(rows(shard_server)) == 4
         assert [("from" in seen.target) for seen in agent.seen[:3]] == [False, True, False]
@@ -344,16 +344,16 @@
     run(work())
 
 
-def test_too_many_changes_in_one_response_cause_a_poll_of_the_whole_list(
+def test_too_many_changes_in_one_response_cause_a_poll_of_the_full_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(list_transfer, "MAX_CHANGES", 50)
 
     async def work() -> None:
         agent, shard_server = await Agent().start(), server()
-        agent.tell(listing(many(100)))
-        agent.tell(listing(many(60), 2, False))
-        agent.tell(listing(many(60), 2))
+        agent.publish(listing(many(100)))
+        agent.publish(listing(many(60), 2, False))
+        agent.publish(listing(many(60), 2))
         task = asyncio.ensure_future(registered(shard_server, agent).run())
         await until(lambda: shard_server.version == (1, 2))
         assert len(rows(shard_server)) == 60
@@ -363,11 +363,11 @@
     run(work())
 
 
-def test_new_register_is_polled_for_its_whole_list() -> None:
+def test_new_register_is_polled_for_its_full_list() -> None:
     async def work() -> None:
         one, other, shard_server = await Agent().start(), await Agent().start(), server()
-        one.tell(listing(many(3), 1))
-        other.tell(listing(many(5), 2))
+        one.publish(listing(many(3), 1))
+        other.publish(listing(many(5), 2))
         list_source = registered(shard_server, one)
         task = asyncio.ensure_future(list_source.run())
         await until(lambda: shard_server.version == (1, 1))
@@ -375,7 +375,7 @@
         assert list_source.generation == 1
         await until(lambda: len(one.seen) == 2)
         list_source.reload(other.address)
-        one.tell(listing([], 1, False))  # the response to the earlier request
+        one.publish(listing([], 1, False))  # the response to the earlier request
         await until(lambda: shard_server.version == (1, 2))
         assert "from" not in other.seen[0].target and len(rows(shard_server)) == 5
         task.cancel()
--- a/tests/store/test_durability.py
+++ b/tests/store/test_durability.py
@@ -214,7 +214,7 @@
             assert await reading == 202
             await server.arrivals.get()
             await until(lambda: "g" not in journal.entries)
-            assert await client.ask(message("n")) == 202  # the connection can be used again
+            assert await client.send(message("n")) == 202  # the connection can be used again
             await until(lambda: len(server.seen) == 2)
         assert [seen.headers["x-trace-id"] for seen in server.seen] == ["m", "n"]
         await host.close()
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -13,9 +13,9 @@
 @pytest.mark.parametrize("load", ["open", "shut"])
 def test_steps_of_a_turn_do_not_grow_with_the_number_of_pending_messages(load: str) -> None:
     small = decisions.Load(load, 70, 1).measure(300)
-    for held, dests, max_factor in ((3000, 1, 2.0), (3000, 600, 4.0)):
-        large = decisions.Load(load, held, dests).measure(300)
-        assert large.held == held and large.steps_a_turn < max_factor * small.steps_a_turn + 4
+    for pending_count, dests, max_factor in ((3000, 1, 2.0), (3000, 600, 4.0)):
+        large = decisions.Load(load, pending_count, dests).measure(300)
+        assert large.held == pending_count and large.steps_a_turn < max_factor * small.steps_a_turn + 4
 
 
 def test_the_decisions_benchmark_prints_ratios(
