--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -245,8 +245,8 @@
                 assert history[-1]["author"] == "guard" and history[-1]["of"] == newest
                 assert "delivered" in history[-1]["cause"]
                 await fleet.wait_for_version(str(status["newest"]))
-                shown = await command("status")
-                assert shown.exit_code == 0 and "n0" in shown.output
+                status_result = await command("status")
+                assert status_result.exit_code == 0 and "n0" in status_result.output
                 diff = await command("diff", str(newest), str(newest + 1))
                 assert "destinations.1.endpoints: - -> nobody" in diff.output
                 message_id = next(
--- a/tests/consensus/test_mixed_builds_and_clocks.py
+++ b/tests/consensus/test_mixed_builds_and_clocks.py
@@ -46,8 +46,8 @@
             async with traffic(fleet) as clients:
                 number = 1
                 for n in (3, 4):
-                    for asked in (0, 4):  # a voter, and an instance of the old build
-                        refusal = (await fleet.propose(asked, CLASSES))["refused"]
+                    for instance in (0, 4):  # a voter, and an instance of the old build
+                        refusal = (await fleet.propose(instance, CLASSES))["refused"]
                         assert "runs a build that does not know classes: upgrade it first" in refusal
                     # Rules that all builds support can still be agreed on.
                     assert not (await fleet.propose(4, OPEN if n == 3 else CLOSED))["refused"]
--- a/tests/consensus/test_process_epochs.py
+++ b/tests/consensus/test_process_epochs.py
@@ -99,30 +99,30 @@
     """Guards against a voter that is disabled because a peer's answer waited for the disk.
 
     The peers may be starting too, all on one disk, so that an answer arrives after its query timed out. When
-    asked again, they have seen the asker's epoch, but from the asking process itself.
+    queried again, they have seen the querying instance's epoch, but from that process itself.
     """
     monkeypatch.setattr(voter, "REQUEST_TIMEOUT_S", 0.2)
     queries: list[int] = []
 
     async def scenario() -> None:
-        async with two_of_three_voters(tmp_path) as (asking, asked):
+        async with two_of_three_voters(tmp_path) as (querying, queried):
 
             async def answer_late(hello: Hello, raw: bytes) -> bytes:
-                answer = asked.voter.on_epoch_query(hello, raw)
+                answer = queried.voter.on_epoch_query(hello, raw)
                 queries.append(msgspec.msgpack.decode(answer))
                 if len(queries) == 1:
                     await asyncio.sleep(0.5)
                 return answer
 
-            asked.gossip.frame_handlers[EPOCH_QUERY] = answer_late
-            seen = await asyncio.wait_for(asking.voter.highest_epoch_seen_by_peers(), 20.0)
-            assert len(queries) == 2 and seen < asking.voter.identity.process_epoch
+            queried.gossip.frame_handlers[EPOCH_QUERY] = answer_late
+            seen = await asyncio.wait_for(querying.voter.highest_epoch_seen_by_peers(), 20.0)
+            assert len(queries) == 2 and seen < querying.voter.identity.process_epoch
             # A second process of this folder with the same epoch: the folder was restored to an older state.
             other = Hello("n0", EPOCH_QUERY, 12345)
-            raw = msgspec.msgpack.encode((asking.voter.identity.id, asking.voter.identity.process_epoch))
+            raw = msgspec.msgpack.encode((querying.voter.identity.id, querying.voter.identity.process_epoch))
             assert (
-                msgspec.msgpack.decode(asked.voter.on_epoch_query(other, raw))
-                == asking.voter.identity.process_epoch
+                msgspec.msgpack.decode(queried.voter.on_epoch_query(other, raw))
+                == querying.voter.identity.process_epoch
             )
 
     asyncio.run(scenario())
@@ -138,24 +138,24 @@
     """
 
     async def scenario() -> None:
-        async with two_of_three_voters(tmp_path) as (asking, asked):
-            identity = asking.voter.identity
+        async with two_of_three_voters(tmp_path) as (querying, queried):
+            identity = querying.voter.identity
             raw = msgspec.msgpack.encode((identity.id, identity.process_epoch))
             disk_is_full = True
-            save = asked.voter.save_state
+            save = queried.voter.save_state
 
             def save_if_possible() -> None:
                 if disk_is_full:
                     raise OSError(28, "No space left on device")
                 save()
 
-            monkeypatch.setattr(asked.voter, "save_state", save_if_possible)
-            assert await asking.voter._query_epoch("n1") is None
+            monkeypatch.setattr(queried.voter, "save_state", save_if_possible)
+            assert await querying.voter._query_epoch("n1") is None
             disk_is_full = False
-            seen = await asking.voter._query_epoch("n1")
+            seen = await querying.voter._query_epoch("n1")
             assert seen is not None and seen < identity.process_epoch
             second = Hello("n0", EPOCH_QUERY, 12345)
-            answer = msgspec.msgpack.decode(asked.voter.on_epoch_query(second, raw))
+            answer = msgspec.msgpack.decode(queried.voter.on_epoch_query(second, raw))
             assert answer == identity.process_epoch
 
     asyncio.run(scenario())
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -23,10 +23,10 @@
     """Voters with a scripted answer each."""
 
     def __init__(self, voters: dict[str, str | CommandResult]) -> None:
-        self.voters, self.asked = voters, list[str]()
+        self.voters, self.requested = voters, list[str]()
 
     async def request(self, name: str, kind: int, raw: bytes, seconds: float) -> bytes:
-        self.asked.append(name)
+        self.requested.append(name)
         answer = self.voters[name]
         if answer == SILENT:
             raise TimeoutError
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("voters", "number", "refused", "asked"),
+    ("voters", "number", "refused", "requested"),
     [
         ({"n0": STARTING, "n1": CommandResult(number=3), "n2": CommandResult(number=4)}, 3, "", ["n0", "n1"]),
         ({"n0": SILENT, "n1": STARTING, "n2": CommandResult(number=4)}, 4, "", ["n0", "n1", "n2"]),
@@ -62,7 +62,7 @@
     ],
 )
 def test_starting_voter_does_not_answer_for_the_others(
-    voters: dict[str, str | CommandResult], number: int, refused: str, asked: list[str]
+    voters: dict[str, str | CommandResult], number: int, refused: str, requested: list[str]
 ) -> None:
     """Guards against the first voter's refusal being final.
 
@@ -70,4 +70,4 @@
     the two others would have accepted.
     """
     peers = ScriptedPeers(voters)
-    assert propose(peers) == CommandResult(number, refused) and peers.asked == asked
+    assert propose(peers) == CommandResult(number, refused) and peers.requested == requested
--- a/tests/consensus/test_version_fetch.py
+++ b/tests/consensus/test_version_fetch.py
@@ -30,7 +30,7 @@
         self.refused: Counter[int] = Counter()
         self.answered: Counter[int] = Counter()
 
-    def ask(self, now: float, voter: int) -> bool:
+    def request(self, now: float, voter: int) -> bool:
         busy = self.busy[voter] = [ends for ends in self.busy[voter] if ends > now]
         if len(busy) >= INBOUND_CONNECTIONS_MAX:
             self.refused[voter] += 1
@@ -62,10 +62,10 @@
             heapq.heappush(pending, (now + HINTS_S, n, event))  # the next grant names it again
             continue
         search = fetcher.searches[2]
-        asked = search.next_voter()
-        if asked is None:
+        requested = search.next_voter()
+        if requested is None:
             fetcher.finish(2)
-        elif int(asked) not in down and limited_voters.ask(now, int(asked)):
+        elif int(requested) not in down and limited_voters.request(now, int(requested)):
             fetched_at.append(now + ANSWER_S)
             del lacking[n]
         else:
@@ -92,8 +92,8 @@
     fetcher = VersionFetcher(random.Random(1))
     search = fetcher.on_version_reported(7, "n0")
     assert search is not None and fetcher.on_version_reported(7, "n1") is None
-    asked = [search.next_voter() for _ in range(2 * ROUNDS)]
-    assert Counter(asked) == {"n0": ROUNDS, "n1": ROUNDS} and search.next_voter() is None
+    requested = [search.next_voter() for _ in range(2 * ROUNDS)]
+    assert Counter(requested) == {"n0": ROUNDS, "n1": ROUNDS} and search.next_voter() is None
     fetcher.finish(7)
     assert fetcher.on_version_reported(7, "n0") is not None
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -231,8 +231,8 @@
             await running.until(lambda report: report.up == 2)
             assert stat.S_IMODE((running.folder / "run" / "0.sock").stat().st_mode) == 0o600
             metrics = await status_output(running, "--prometheus")
-            held_line = r'^linnetstile_held_messages\{class="pay",instance="1"\} 0.0$'
-            assert re.search(held_line, metrics, re.MULTILINE)
+            metric_line = r'^linnetstile_held_messages\{class="pay",instance="1"\} 0.0$'
+            assert re.search(metric_line, metrics, re.MULTILINE)
             assert "linnetstile_instances_up 2.0" in metrics
 
     run_with_timeout(work())
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -107,7 +107,7 @@
             read(path, {"RELAY_INSTANCES": count})
 
 
-def test_the_state_folder_may_come_from_the_service_manager(tmp_path: Path) -> None:
+def test_the_state_folder_may_be_set_by_the_service_manager(tmp_path: Path) -> None:
     raw = raw_config(tmp_path, Agent(address=("127.0.0.1", 1)))
     (tmp_path / "c.json").write_text(json.dumps({**raw, "state": ""}))
     env = {"RELAY_CONFIG": str(tmp_path / "c.json"), "STATE_DIRECTORY": "/var/lib/a:/var/lib/b"}
--- a/tests/sharded_directory/test_costs.py
+++ b/tests/sharded_directory/test_costs.py
@@ -125,7 +125,7 @@
     assert sum(len(update.endpoints) for update in client.updates) == 50
 
 
-def test_requested_shards_come_in_few_requests() -> None:
+def test_requested_shards_are_received_with_few_requests() -> None:
     _, client, requests = client_with_destinations(LARGE, 2_000)
     assert client.status(NOW).shards > 450
     assert len(requests) < 2 * (client.status(NOW).bytes_in / (36 << 10) + 2)
--- a/tests/sharded_directory/test_request_scheduler.py
+++ b/tests/sharded_directory/test_request_scheduler.py
@@ -63,7 +63,7 @@
     assert world.client.status(world.now).failures > 20
 
 
-def test_lagging_server_is_asked_last_for_shards_that_are_not_resident() -> None:
+def test_lagging_server_is_queried_last_for_shards_that_are_not_resident() -> None:
     a, b = in_shard(0, 1)[0], in_shard(1, 1)[0]
     world = ClientWorld([row("a", a), row("b", b)])
     world.lagging = {FIRST}
@@ -129,7 +129,7 @@
     assert world.now < world.client.next_tick_at() <= world.now + 1.0
 
 
-def test_older_response_is_counted_and_its_server_asked_last() -> None:
+def test_older_response_is_counted_and_its_server_queried_last() -> None:
     world = ClientWorld([row("a", 1)], ONE_SHARD)
     world.apply_changes(5, [], [("a", DRAINING)])
     world.request_destinations(1)
@@ -176,7 +176,7 @@
     assert world.client.unsolicited == 1 and not world.client.is_current(world.now, 1)
 
 
-def test_clients_that_lost_their_servers_together_return_spread_out() -> None:
+def test_clients_that_lost_their_servers_at_the_same_time_return_spread_out() -> None:
     clients = []
     for number in range(60):
         client = ShardClient(f"n{100 + number}", LAYOUT, random.Random(number))
--- a/tests/sharded_directory/test_schedules.py
+++ b/tests/sharded_directory/test_schedules.py
@@ -39,13 +39,13 @@
 
 
 @pytest.mark.parametrize("seed", (201, 202))
-def test_two_hundred_clients_and_eight_servers_that_restart_together(seed: int) -> None:
+def test_two_hundred_clients_and_eight_servers_that_restart_at_the_same_time(seed: int) -> None:
     findings = run_plan(Plan(seed, clients=200, seconds=40.0, restarts_all=True, call_interval_s=2.0))
     assert_sound(findings)
     assert findings.answers > 500
 
 
-def test_recovered_servers_are_not_overloaded_and_urgent_requests_come_first(
+def test_recovered_servers_are_not_overloaded_and_urgent_requests_are_served_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The server is down while 150 clients come to need 60 shards each, then it returns with a quarter of
--- a/tests/sharded_directory/test_shard_client.py
+++ b/tests/sharded_directory/test_shard_client.py
@@ -67,7 +67,7 @@
     assert world.client.status(world.now).version == (1, 3) and not world.served
 
 
-def test_older_response_is_rejected_and_another_server_asked() -> None:
+def test_older_response_is_rejected_and_another_server_queried() -> None:
     """Guards against a drained endpoint coming back from a server that has not got the change."""
     a, b = in_shard(0, 2)
     c = in_shard(1, 1)[0]
--- a/tests/sharded_directory/test_storm.py
+++ b/tests/sharded_directory/test_storm.py
@@ -171,7 +171,7 @@
     assert cost[4 * SHARDS][1] < 0.6 * cost[SHARDS][1]  # including the larger bitmaps
 
 
-def test_received_bytes_are_those_of_changes_and_not_of_whole_shards() -> None:
+def test_received_bytes_are_those_of_changes_and_not_of_full_shards() -> None:
     storm = Storm()
     storm.run_storm()
     before = storm.client.scheduler.received_bytes
@@ -213,7 +213,7 @@
     assert after == ShardChanges(shard, (row("e0", 0, mark=5.0),))
 
 
-def test_response_in_pieces_makes_progress_though_versions_come_faster(
+def test_response_in_pieces_makes_progress_though_versions_change_faster(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Nine generations: a longer disconnection causes full shards.
