--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -278,7 +278,7 @@
             await relay.start()
             await until(lambda: 7 in relay.dests)
             await submit(relay, 5000, accepted)
-            await until(lambda: not relay.held and relay.host.is_idle)
+            await until(lambda: not relay.accepted and relay.host.is_idle)
             await relay.close()
         outcomes: dict[str, set[str]] = {}
         while not agent.notices.empty():
--- a/tests/amqp/test_intake.py
+++ b/tests/amqp/test_intake.py
@@ -147,7 +147,7 @@
             relay = await relay_of(
                 tmp_path, amqp_settings(source_port, target_port, prefetch=4), settings=relay_settings
             )
-            await until(lambda: len(relay.held) == 8 and unacknowledged(source.queues["in"]) == 52)
+            await until(lambda: len(relay.accepted) == 8 and unacknowledged(source.queues["in"]) == 52)
             await asyncio.sleep(0.3)
             assert len(source.queues["in"].waiting) == 48 and not source.queues["dead"].waiting
             target.blocked = False
@@ -243,7 +243,7 @@
         relay_settings["limits"]["open-cap"] = 5
         async with serving(source) as source_port, serving(target) as target_port:
             relay = await relay_of(tmp_path, amqp_settings(source_port, target_port), settings=relay_settings)
-            await until(lambda: len(relay.held) == 4)
+            await until(lambda: len(relay.accepted) == 4)
             for queue in relay.host.intakes.values():
                 queue.stop()
             await until(lambda: len(source.queues["in"].waiting) == 26)
--- a/tests/scale/test_limits.py
+++ b/tests/scale/test_limits.py
@@ -37,7 +37,7 @@
         await until(lambda: warning in caplog.text)
         assert host.register.version == 2  # the known list stays in use
         async with Client(host.ingress.port) as client:
-            assert await client.ask(message("m")) == 202
+            assert await client.send(message("m")) == 202
         await until(lambda: len(new.seen) == 1)
         agent.changes.put_nowait(answer(200, body=json.dumps(listing(old, generation=4))))
         await until(lambda: host.register.version == 4)
