--- a/emulator/capacity/command.py
+++ b/emulator/capacity/command.py
@@ -15,7 +15,7 @@
 
 EXIT_INVALID = 2
 SLOPES = Path("docs/reports/capacity.json")
-BEGIN, END = "<!-- capacity:begin -->", "<!-- capacity:end -->"
+START, END = "<!-- capacity:begin -->", "<!-- capacity:end -->"
 EMPTY_REPORT = Report("no machine", 0.0, 0.0, 0, [])
 
 
@@ -40,16 +40,16 @@
 
 def split_page(page: str, where: str) -> tuple[str, str, str]:
     """Return the text before, between and after the markers."""
-    before, begin_marker, remainder = page.partition(BEGIN + "\n")
+    before, start_marker, remainder = page.partition(START + "\n")
     inside, end_marker, after = remainder.partition(END)
-    if not begin_marker or not end_marker or BEGIN in remainder or END in after:
-        raise PageError(f"{where}: must have the lines {BEGIN} and {END} once each, in this order")
+    if not start_marker or not end_marker or START in remainder or END in after:
+        raise PageError(f"{where}: must have the lines {START} and {END} once each, in this order")
     return before, inside, after
 
 
 def replace_tables(page: str, text: str, where: str) -> str:
     before, _, after = split_page(page, where)
-    return f"{before}{BEGIN}\n{text}{END}{after}"
+    return f"{before}{START}\n{text}{END}{after}"
 
 
 @click.command()
--- a/emulator/capacity/data_path.py
+++ b/emulator/capacity/data_path.py
@@ -41,8 +41,8 @@
     return m.size.fleet.events_s / relays * m.at("relay.message.cpu_ms", waiting)
 
 
-def remaining_relays(m: Calculation, gone: float) -> float:
-    return max(1.0, m.size.fleet.relays - gone)
+def remaining_relays(m: Calculation, lost: float) -> float:
+    return max(1.0, m.size.fleet.relays - lost)
 
 
 def new_connection_share(m: Calculation) -> float:
--- a/emulator/capacity/destination.py
+++ b/emulator/capacity/destination.py
@@ -24,7 +24,7 @@
     return senders(m, m.assume("idle_s"))
 
 
-def cold_s(m: Calculation) -> float:
+def warming_up_calls_s(m: Calculation) -> float:
     """Return the calls a second that it can accept right after its return."""
     return calls_s(m) * m.assume("headroom") * m.assume("cold_share")
 
@@ -40,7 +40,7 @@
     No relay learns of the return from the call of another relay: each makes one call, and all of them share
     the cold budget.
     """
-    return senders(m, m.assume("outage_s")) / cold_s(m)
+    return senders(m, m.assume("outage_s")) / warming_up_calls_s(m)
 
 
 DESTINATION = [
@@ -132,7 +132,7 @@
         Kind.IN,
         "calls that it can take cold",
         Unit.EACH_S,
-        cold_s,
+        warming_up_calls_s,
         "calls x headroom x cold share",
         RATE_CONTROL,
     ),
--- a/emulator/capacity/interest.py
+++ b/emulator/capacity/interest.py
@@ -53,7 +53,7 @@
     return extra_cost(m, size, when, "core_percent") / 100
 
 
-def real_relay_formulas(size: str, words: str) -> list[Formula]:
+def real_relay_formulas(size: str, text: str) -> list[Formula]:
     """Return the formulas of a real relay with this number of destinations in use."""
     formulas = []
     for when, event, description in (
@@ -66,7 +66,7 @@
                 Role.CONTROL,
                 event,
                 Kind.IN,
-                f"sent and received by a real relay, {words} in use, {description}",
+                f"sent and received by a real relay, {text} in use, {description}",
                 Unit.RATE,
                 partial(real_bytes, size=size, when=when),
                 "as run",
@@ -79,7 +79,7 @@
                 Role.CONTROL,
                 event,
                 Kind.PROCESSOR,
-                f"of a real relay more than without keepers, {words} in use, {description}",
+                f"of a real relay more than without keepers, {text} in use, {description}",
                 Unit.CORE,
                 partial(real_core, size=size, when=when),
                 "as run, less as run without",
@@ -95,7 +95,7 @@
             Role.CONTROL,
             When.HOUR,
             Kind.MEMORY,
-            f"of a real relay more than without keepers, {words} in use",
+            f"of a real relay more than without keepers, {text} in use",
             Unit.BYTES,
             lambda m: extra_cost(m, size, "plan", "rss_mb") * budgets.MB,
             "as run, less as run without",
--- a/emulator/capacity/keepers.py
+++ b/emulator/capacity/keepers.py
@@ -33,7 +33,7 @@
     return clients_per_server(m) / m.assume("digest_s")
 
 
-KEEPER = [
+SERVER = [
     Formula(
         "keeper.memory",
         Role.KEEPER,
--- a/emulator/capacity/roles.py
+++ b/emulator/capacity/roles.py
@@ -7,7 +7,7 @@
 from .control import RELAY_CONTROL
 from .data_path import DATA
 from .destination import DESTINATION
-from .keepers import KEEPER
+from .keepers import SERVER
 from .machines import COMMANDS, SUPERVISOR
 from .rows import Formula, Role, When
 
@@ -17,7 +17,7 @@
     *VOTER,
     *LEADER,
     *DECIDER,
-    *KEEPER,
+    *SERVER,
     *SUPERVISOR,
     *COMMANDS,
     *DESTINATION,
--- a/emulator/capacity/rows.py
+++ b/emulator/capacity/rows.py
@@ -172,7 +172,7 @@
 class Budget:
     """The maximum of a figure, and its source."""
 
-    words: str
+    text: str
     most: Callable[[Size], float]
 
 
@@ -246,7 +246,7 @@
         None if value is None else min(values),
         None if value is None else max(values),
         budget,
-        "" if formula.budget is None else formula.budget.words,
+        "" if formula.budget is None else formula.budget.text,
         factor,
         factor is not None and factor > 1.0 + SAME,
         "not measured" if value is None else state(calculation, value),
--- a/emulator/capacity/tables.py
+++ b/emulator/capacity/tables.py
@@ -282,8 +282,8 @@
         ]
         lines += [""] if AS_ELSEWHERE.get(role) else []
         lines += [
-            f"- {', '.join(when.value for when in at)}: {words}."
-            for words, at in AS_ELSEWHERE.get(role, {}).items()
+            f"- {', '.join(when.value for when in at)}: {text}."
+            for text, at in AS_ELSEWHERE.get(role, {}).items()
         ]
     lines += [
         "",
@@ -345,14 +345,14 @@
     by_name = {each.row.name: each.row for each in result.rows}
     lines = []
     for index, step in enumerate(result.steps, 1):
-        shown_rows = [by_name[name] for name in step.rows[:MAX_NAMED_ROWS]]
-        words = "; ".join(
+        displayed_rows = [by_name[name] for name in step.rows[:MAX_NAMED_ROWS]]
+        text = "; ".join(
             f"{row.role}, {row.what}: {format_value(row.value, row.unit)} for "
             f"{format_value(row.budget, row.unit)}"
-            for row in shown_rows
+            for row in displayed_rows
         )
         remainder = f"; and {len(step.rows) - MAX_NAMED_ROWS} more" if len(step.rows) > MAX_NAMED_ROWS else ""
-        lines.append(f"{index}. **{step.name}**, {format_digits(step.factor)} times: {words}{remainder}.")
+        lines.append(f"{index}. **{step.name}**, {format_digits(step.factor)} times: {text}{remainder}.")
     missing_rows = [
         each.row
         for each in result.rows
--- a/emulator/commands.py
+++ b/emulator/commands.py
@@ -55,9 +55,9 @@
             MofNCompleteColumn(),
             TimeRemainingColumn(),
             console=console,
-        ) as shown:
-            task = shown.add_task("runs", total=None)
-            yield lambda done, every: shown.update(task, completed=done, total=every)
+        ) as progress:
+            task = progress.add_task("runs", total=None)
+            yield lambda done, every: progress.update(task, completed=done, total=every)
         return
     last = -1
 
@@ -184,9 +184,9 @@
         Plan(addresses, rate, seconds, processes=processes, destinations=destinations, bytes=size, seed=seed)
     )
     out = {
-        "taken": total.taken,
+        "taken": total.accepted,
         "answers": dict(total.answers),
-        "taken a second": total.taken / seconds,
+        "taken a second": total.accepted / seconds,
         "ms": {f"p{each:g}": round(total.ms(each), 3) for each in (50, 90, 99, 99.9)},
         "generator p99 ms": total.late.get_value_at_percentile(99) / 1000,
         "limit": total.limit,
@@ -271,18 +271,18 @@
 ) -> None:
     with report_errors():
         experiment = manifest(folder).experiment
-        results_by_variant = by_variant(folder) if other is None else first_variants(folder, other)
+        by_name = by_variant(folder) if other is None else first_variants(folder, other)
         if names:
             for name in names:
-                if name not in results_by_variant:
-                    fail(f"{folder}: {name!r} is none of {', '.join(results_by_variant)}")
-            results_by_variant = {name: results_by_variant[name] for name in names}
-    rows = figure_rows(results_by_variant)
+                if name not in by_name:
+                    fail(f"{folder}: {name!r} is none of {', '.join(by_name)}")
+            by_name = {name: by_name[name] for name in names}
+    rows = figure_rows(by_name)
     if as_json:
         json.dump({"experiment": experiment.name, "rows": rows}, sys.stdout, indent=1)
         click.echo()
         return
-    first, console = next(iter(results_by_variant)), Console(width=None if sys.stdout.isatty() else 160)
+    first, console = next(iter(by_name)), Console(width=None if sys.stdout.isatty() else 160)
     table = Table(title=experiment.name)
     for head in ("variant", "figure", "mean", "95%", f"less {first}", "95%", ""):
         table.add_column(head, justify="left" if head in ("variant", "figure", "") else "right")
@@ -304,9 +304,7 @@
             ),
         )
     console.print(table)
-    violations = {
-        name: sum(result.breaks for result in results) for name, results in results_by_variant.items()
-    }
+    violations = {name: sum(result.breaks for result in results) for name, results in by_name.items()}
     console.print("rules broken: " + ", ".join(f"{name} {count}" for name, count in violations.items()))
 
 
--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -152,9 +152,10 @@
     def may_write(self, number: int, now: float, ident: int) -> bool:
         """Whether the attempt may start. Called right before the first byte of a call."""
 
-    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
-        """Called before a message is accepted, while `holding` messages are pending. Returns the retry delay
-        in ms if the message is to be rejected, else None. A version without this method rejects nothing."""
+    def turned_away(self, number: int, now: float, message: Message, pending_count: int) -> float | None:
+        """Called before a message is accepted, while `pending_count` messages are pending. Returns the retry
+        delay in ms if the message is to be rejected, else None. A version without this method rejects
+        nothing."""
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
         """The state of the destinations that the next process of this instance starts from."""
@@ -178,8 +179,8 @@
     def may_write(self, number: int, now: float, ident: int) -> bool:
         return self.relays[number].may_write(now, ident)
 
-    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
-        return self.relays[number].rejection_delay_ms(now, message, holding)
+    def turned_away(self, number: int, now: float, message: Message, pending_count: int) -> float | None:
+        return self.relays[number].rejection_delay_ms(now, message, pending_count)
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
         return self.relays[number].destination_snapshot(now)
@@ -196,10 +197,10 @@
     """Runs another version of the decision module in a process of its own."""
 
     def __init__(self, folder: Path, constants: Mapping[str, float]) -> None:
-        here = Path(__file__).parents[1]
+        root = Path(__file__).parents[1]
         # -P keeps this repository off the path, so that its message_relay does not hide the other version's.
         self.process = subprocess.Popen(
-            [sys.executable, "-P", str(here / "emulator" / "peer.py")],
+            [sys.executable, "-P", str(root / "emulator" / "peer.py")],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             env={**os.environ, "PYTHONPATH": str(folder)},
@@ -235,8 +236,8 @@
     def may_write(self, number: int, now: float, ident: int) -> bool:
         return bool(self._request("may_write", number, now, ident))
 
-    def turned_away(self, number: int, now: float, message: Message, holding: int) -> float | None:
-        delay_ms: float | None = self._request("turned_away", number, now, packed(message), holding)
+    def turned_away(self, number: int, now: float, message: Message, pending_count: int) -> float | None:
+        delay_ms: float | None = self._request("turned_away", number, now, packed(message), pending_count)
         return delay_ms
 
     def learned(self, number: int, now: float) -> list[RestoredDestination]:
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -157,12 +157,12 @@
 
     def model(self) -> spec.Spec:
         """The behaviour of this partner. Raises ValueError that names the field."""
-        rate, service, cold = (
+        rate, service, warm_up = (
             self.rate,
             msgspec.structs.asdict(self.service),
             msgspec.structs.asdict(self.cold),
         )
-        cold["fall_multiple"] = cold["fall_multiple"] or math.inf
+        warm_up["fall_multiple"] = warm_up["fall_multiple"] or math.inf
         return spec.Spec(
             None
             if rate is None
@@ -170,7 +170,7 @@
             self.slots,
             self.queue,
             spec.Service(**service),
-            spec.Cold(**cold),
+            spec.Cold(**warm_up),
             self.key_window_ms,
             self.refuse,
             self.error,
@@ -347,7 +347,7 @@
 
 def settings_of(experiment: Experiment) -> dict[str, Any]:
     """The settings of each relay, in the platform's format."""
-    cold = experiment.partners[0].cold
+    warm_up = experiment.partners[0].cold
     return {
         "az": 0,
         "balancers": experiment.fleet.relays,
@@ -380,9 +380,9 @@
         "safety": {
             "answer-slack-ms": 20,
             "drain-grace-ms": experiment.fleet.drain_grace_ms,
-            "cold-from": cold.share,
-            "cold-ms": cold.warm_ms,
-            "fall-ms": cold.fall_ms,
-            "fall-multiple": cold.fall_multiple or DEFAULT_FALL_MULTIPLE,
+            "cold-from": warm_up.share,
+            "cold-ms": warm_up.warm_ms,
+            "fall-ms": warm_up.fall_ms,
+            "fall-multiple": warm_up.fall_multiple or DEFAULT_FALL_MULTIPLE,
         },
     }
--- a/emulator/intervals.py
+++ b/emulator/intervals.py
@@ -17,8 +17,8 @@
 LEVEL = 0.95
 FEW_SEEDS = 8  # with fewer seeds, an interval has a warning
 DOMINANT_SHARE = 0.5  # above this share of the squared deviations, one seed dominates the mean
-# Sequential stopping: seeds at the first look, and the factor from each look to the next one.
-FIRST_LOOK, LOOK_GROWTH = 8, 1.5
+# Sequential stopping: seeds at the first check, and the factor from each check to the next one.
+FIRST_CHECK, CHECK_GROWTH = 8, 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,12 +76,12 @@
     """The numbers of seeds after which sequential stopping checks the width of the interval.
 
     Stopping once the width is small enough selects moments at which the spread is small by chance, so the
-    interval covers a little less than its nominal level. The first check comes after FIRST_LOOK seeds and
+    interval covers a little less than its nominal level. The first check comes after FIRST_CHECK seeds and
     there are few checks, which keeps the loss under some 2% (benchmarks.model)."""
-    out, n = [], FIRST_LOOK
+    out, n = [], FIRST_CHECK
     while n < max_seeds:
         out.append(n)
-        n = math.ceil(n * LOOK_GROWTH)
+        n = math.ceil(n * CHECK_GROWTH)
     return [*out, max_seeds]
 
 
--- a/emulator/load.py
+++ b/emulator/load.py
@@ -70,7 +70,7 @@
         return float(self.waits.get_value_at_percentile(percentile)) / 1000
 
     @property
-    def taken(self) -> int:
+    def accepted(self) -> int:
         return sum(count for status, count in self.answers.items() if status in ("200", "202"))
 
     @property
--- a/emulator/measures.py
+++ b/emulator/measures.py
@@ -22,7 +22,7 @@
     from .traffic import Job
 
 LOWEST_MS, HIGHEST_MS, DIGITS = 1, 600_000, 3
-COLD_MS = 1500.0
+WARM_UP_WINDOW_MS = 1500.0
 SLACK = 3.0  # calls above the rate in one window that may be chance and are not counted
 MAX_VIOLATION_TEXTS = 20  # violations that are stored with their text
 
@@ -124,7 +124,7 @@
 
     # -- figures -----------------------------------------------------------------------------------------
 
-    def worth(self, history: MessageHistory) -> float:
+    def delivered_weight(self, history: MessageHistory) -> float:
         if history.delivered_at is None:
             return 0.0
         class_ = self.experiment.classes[history.class_]
@@ -134,16 +134,18 @@
     def figures(self) -> dict[str, float]:
         """All figures of MEASURES by name; NaN where there is nothing to measure."""
         counted = [history for history in self.histories if history.is_counted]
-        submitted_worth = sum(self.experiment.classes[history.class_].worth for history in counted)
+        submitted_weight = sum(self.experiment.classes[history.class_].worth for history in counted)
         delivery_ms = np.array(
             sorted(
                 history.delivered_at - history.at for history in counted if history.delivered_at is not None
             )
         )
-        over, cold = self._worst_overload()
+        over, warm_up = self._worst_overload()
         unsafe = [history for history in counted if self.experiment.classes[history.class_].effect == "once"]
         return {
-            "service": sum(map(self.worth, counted)) / submitted_worth if submitted_worth else math.nan,
+            "service": sum(map(self.delivered_weight, counted)) / submitted_weight
+            if submitted_weight
+            else math.nan,
             "delivered": len(delivery_ms) / len(counted) if counted else math.nan,
             "in_aim": _share(
                 history.delivered_at is not None
@@ -154,7 +156,7 @@
             "p50_ms": float(np.percentile(delivery_ms, 50)) if len(delivery_ms) else math.nan,
             "p99_ms": float(np.percentile(delivery_ms, 99)) if len(delivery_ms) else math.nan,
             "over_1s": over,
-            "over_cold": cold,
+            "over_cold": warm_up,
             "tries_while_out": float(self.tries_while_out),
             "refused": float(self.refused),
             "calls": sum(history.calls for history in counted) / len(counted) if counted else math.nan,
@@ -163,20 +165,20 @@
         }
 
     def _worst_10s(self, counted: list[MessageHistory]) -> float:
-        submitted_worth: Counter[int] = Counter()
+        submitted_weight: Counter[int] = Counter()
         got: Counter[int] = Counter()
         for history in counted:
-            submitted_worth[int(history.at / 10_000)] += self.experiment.classes[history.class_].worth  # type: ignore[assignment]
-            got[int(history.at / 10_000)] += self.worth(history)  # type: ignore[assignment]
-        most = max(submitted_worth.values(), default=0)
-        parts = [got[k] / submitted_worth[k] for k in submitted_worth if submitted_worth[k] > 0.2 * most]
+            submitted_weight[int(history.at / 10_000)] += self.experiment.classes[history.class_].worth  # type: ignore[assignment]
+            got[int(history.at / 10_000)] += self.delivered_weight(history)  # type: ignore[assignment]
+        most = max(submitted_weight.values(), default=0)
+        parts = [got[k] / submitted_weight[k] for k in submitted_weight if submitted_weight[k] > 0.2 * most]
         return min(parts, default=math.nan)
 
     def _worst_overload(self) -> tuple[float, float]:
         """The largest ratio of calls to the partner's rate, over all partners with a rate: in any window of
         1 s, and in any window of 1.5 s while the partner is cold. Each call starts a window. SLACK calls are
         subtracted."""
-        second = cold = 0.0
+        second = warm_up = 0.0
         for n, partner in enumerate(self.partners):
             times = np.array(self.calls.get(n + 1, []))
             if partner.spec.rate is None or not len(times):
@@ -190,12 +192,12 @@
                     continue
                 recovered_ms = trouble.end_ms
                 inside = times[(times >= recovered_ms) & (times < recovered_ms + partner.spec.cold.warm_ms)]
-                wide = np.searchsorted(times, inside + COLD_MS) - np.searchsorted(times, inside)
+                wide = np.searchsorted(times, inside + WARM_UP_WINDOW_MS) - np.searchsorted(times, inside)
                 for at, k in zip(inside.tolist(), wide.tolist(), strict=True):
-                    capacity = partner.can(at + COLD_MS / 2) * COLD_MS / 1000
+                    capacity = partner.can(at + WARM_UP_WINDOW_MS / 2) * WARM_UP_WINDOW_MS / 1000
                     if capacity > 0:
-                        cold = max(cold, (k - SLACK) / capacity)
-        return max(0.0, second), max(0.0, cold)
+                        warm_up = max(warm_up, (k - SLACK) / capacity)
+        return max(0.0, second), max(0.0, warm_up)
 
     # -- what reports show -------------------------------------------------------------------------------
 
--- a/emulator/partner.py
+++ b/emulator/partner.py
@@ -84,21 +84,21 @@
 
     def recovered_at(self, at: float) -> float | None:
         """When the latest outage ended, or None if there was none."""
-        ended = [each.end_ms for each in self.troubles if each.fault.outage and each.end_ms <= at]
-        return max(ended, default=None)
+        end_times = [each.end_ms for each in self.troubles if each.fault.outage and each.end_ms <= at]
+        return max(end_times, default=None)
 
     def can(self, at: float) -> float:
         """The capacity in calls a second; infinity without an agreed rate."""
         if self.trouble(at, Fault.DOWN, Fault.SILENT, Fault.HUNG, Fault.SHUT) is not None:
             return 0.0
-        rate, cold, recovered = self.spec.rate, self.spec.cold, self.recovered_at(at)
+        rate, warm_up, recovered = self.spec.rate, self.spec.cold, self.recovered_at(at)
         if rate is None:
             return math.inf
         lowered = self.trouble(at, Fault.LOWERED)
         per_s = rate.per_s if lowered is None else rate.per_s * lowered.size
-        if recovered is None or at >= recovered + cold.warm_ms:
+        if recovered is None or at >= recovered + warm_up.warm_ms:
             return per_s
-        return per_s * (cold.share + (1 - cold.share) * (at - recovered) / cold.warm_ms)
+        return per_s * (warm_up.share + (1 - warm_up.share) * (at - recovered) / warm_up.warm_ms)
 
     # -- a call ------------------------------------------------------------------------------------------
 
@@ -158,17 +158,17 @@
     def _collapses(self, now: float) -> bool:
         """Whether this call makes the partner collapse: while it is cold, the calls of the last `fall_ms`
         exceed `fall_multiple` times its capacity. A collapse adds an outage of `fallen_ms`."""
-        cold, recovered = self.spec.cold, self.recovered_at(now)
-        while self.recent_calls and self.recent_calls[0] <= now - cold.fall_ms:
+        warm_up, recovered = self.spec.cold, self.recovered_at(now)
+        while self.recent_calls and self.recent_calls[0] <= now - warm_up.fall_ms:
             self.recent_calls.popleft()
         self.recent_calls.append(now)
-        if recovered is None or now >= recovered + cold.warm_ms or math.isinf(cold.fall_multiple):
+        if recovered is None or now >= recovered + warm_up.warm_ms or math.isinf(warm_up.fall_multiple):
             return False
-        most = cold.fall_multiple * self.can(now) * cold.fall_ms / 1000
+        most = warm_up.fall_multiple * self.can(now) * warm_up.fall_ms / 1000
         if sum(at >= recovered for at in self.recent_calls) <= max(1.0, most):
             return False
         self.falls += 1
-        self.troubles.append(Trouble(Fault.DOWN, now, now + cold.fallen_ms))
+        self.troubles.append(Trouble(Fault.DOWN, now, now + warm_up.fallen_ms))
         self.troubles.sort(key=lambda each: each.begin_ms)
         self.recent_calls.clear()
         return True
@@ -188,15 +188,15 @@
             return passes
         counted_calls = self.counted_calls.setdefault(client, deque())
         recovered = self.recovered_at(now)
-        begin = now - rate.window_ms if recovered is None else max(now - rate.window_ms, recovered)
+        start = now - rate.window_ms if recovered is None else max(now - rate.window_ms, recovered)
         while counted_calls and counted_calls[0] < now - rate.window_ms:
             counted_calls.popleft()
         count = (
-            sum(at >= begin for at in counted_calls)
-            if recovered is not None and begin == recovered
+            sum(at >= start for at in counted_calls)
+            if recovered is not None and start == recovered
             else len(counted_calls)
         )
-        most = self.can(now) * (now - begin) / 1000 + rate.burst
+        most = self.can(now) * (now - start) / 1000 + rate.burst
         passes = count + 1 <= max(1.0, most)
         if passes or rate.counts_refused:
             counted_calls.append(now)
@@ -213,13 +213,13 @@
         """When the call will have been served, or None if the queue is full."""
         while self.slot_free_at and self.slot_free_at[0] <= now:
             heapq.heappop(self.slot_free_at)
-        slots, begin = self.spec.slots, now
+        slots, start = self.spec.slots, now
         if slots is not None and len(self.slot_free_at) >= slots:
             if len(self.slot_free_at) >= slots + self.spec.queue:
                 return None
-            begin = heapq.nsmallest(len(self.slot_free_at) - slots + 1, self.slot_free_at)[-1]
+            start = heapq.nsmallest(len(self.slot_free_at) - slots + 1, self.slot_free_at)[-1]
         load = 0.0 if slots is None else min(1.0, (len(self.slot_free_at) + 1) / slots)
-        finish = begin + self._service_ms(now, load, draw)
+        finish = start + self._service_ms(now, load, draw)
         heapq.heappush(self.slot_free_at, finish)
         return finish
 
--- a/emulator/peer.py
+++ b/emulator/peer.py
@@ -41,8 +41,8 @@
             for each in engine.handle(number, now, [parts.unpacked(each, vocabulary) for each in events])
         ]
     if operation == "turned_away":
-        number, now, message, holding = args
-        return engine.turned_away(number, now, parts.unpacked(message, vocabulary), holding)
+        number, now, message, pending_count = args
+        return engine.turned_away(number, now, parts.unpacked(message, vocabulary), pending_count)
     if operation == "learned":
         return [parts.packed(each) for each in engine.learned(*args)]
     return getattr(engine, operation)(*args)
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -91,11 +91,7 @@
         }
     )
     charts = Charts(folder)
-    parts = [
-        f"<h1>{html.escape(experiment.name)}</h1>",
-        facts(experiment, runs),
-        *verdicts(experiment, runs),
-    ]
+    parts = [f"<h1>{html.escape(experiment.name)}</h1>", facts(experiment, runs), *verdicts(experiment, runs)]
     if len(runs) > 2:
         parts += ["<h2>All variants</h2>", charts.add("variants", variants(experiment, runs))]
     parts += ["<h2>Figures</h2>", table(experiment, runs)]
@@ -107,10 +103,7 @@
     ]
     parts += ["<h2>Time to delivery</h2>", charts.add("latency", latency(experiment, runs))]
     if len(experiment.partners) > 1:
-        parts += [
-            "<h2>Delivered, by destination</h2>",
-            charts.add("destinations", destinations(runs)),
-        ]
+        parts += ["<h2>Delivered, by destination</h2>", charts.add("destinations", destinations(runs))]
     parts += ["<h2>The worst seeds</h2>", worst(experiment, runs)]
     parts += broken(runs)
     title = html.escape(experiment.name)
@@ -145,7 +138,7 @@
         return []
     meaning, more_is_better = MEASURES[experiment.measure]
     first, out = row(runs[names[0]], experiment.measure), []
-    names_shown = (
+    displayed = (
         names[1:]
         if len(names) <= 4
         else sorted(
@@ -153,7 +146,7 @@
             key=lambda name: -abs(difference(first, row(runs[name], experiment.measure)).mean),
         )[:3]
     )
-    for name in names_shown:
+    for name in displayed:
         diff = difference(first, row(runs[name], experiment.measure))
         word = verdict(diff, more_is_better)
         kind = word if word in ("better", "worse") else "same"
@@ -162,7 +155,7 @@
             f'<p class="verdict {kind}"><b>{html.escape(name)}</b> against <b>{html.escape(names[0])}</b>: '
             f"<b>{word}</b>. {experiment.measure} ({meaning}) differs by {format_interval(diff)}.{note}</p>"
         )
-    if len(names_shown) < len(names) - 1:
+    if len(displayed) < len(names) - 1:
         out.append(
             f'<p class="note">Of {len(names) - 1} variants the three that differ most; with so many, some '
             "5% of intervals miss zero by chance alone.</p>"
@@ -218,12 +211,12 @@
 
 def table_of_many(experiment: Experiment, runs: dict[str, list[Result]]) -> str:
     names = list(runs)
-    names_shown = ["service", "delivered", "worst_10s", "p99_ms", "over_1s", "tries_while_out"]
+    displayed = ["service", "delivered", "worst_10s", "p99_ms", "over_1s", "tries_while_out"]
     _, more_is_better = MEASURES[experiment.measure]
     first = row(runs[names[0]], experiment.measure)
     lines = [
         "<tr><th>variant</th>"
-        + "".join(f"<th>{name}</th>" for name in names_shown)
+        + "".join(f"<th>{name}</th>" for name in displayed)
         + f"<th>{experiment.measure} less {html.escape(names[0])}</th><th></th></tr>"
     ]
     order = sorted(
@@ -234,7 +227,7 @@
         diff = difference(first, row(runs[name], experiment.measure))
         word = verdict(diff, more_is_better)
         cells = [f"<td>{html.escape(name)}</td>"]
-        cells += [f"<td>{format_figure(interval(row(runs[name], each)).mean)}</td>" for each in names_shown]
+        cells += [f"<td>{format_figure(interval(row(runs[name], each)).mean)}</td>" for each in displayed]
         cells += [
             f"<td>{format_interval(diff)}</td>",
             f"<td>{'' if word == 'no difference seen' else word}</td>",
@@ -266,8 +259,8 @@
 def load(experiment: Experiment, runs: dict[str, list[Result]]) -> Any:
     names = list(runs)[:MAX_DRAWN]
     figure, axes = plt.subplots(2, 1, figsize=(8, 5), sharex=True, layout="constrained")
-    asked = mean_series(runs[names[0]], "asked")
-    axes[0].step(range(len(asked)), asked, where="mid", color="#bbb", lw=1, label="handed in")
+    submitted = mean_series(runs[names[0]], "asked")
+    axes[0].step(range(len(submitted)), submitted, where="mid", color="#bbb", lw=1, label="handed in")
     can = mean_series(runs[names[0]], "can")
     if len(can) and can.max() > 0:
         axes[0].plot(can, "k--", lw=1, label="agreed")
@@ -279,7 +272,7 @@
             lw=1.2,
             label=f"delivered, {name}",
         )
-    axes[1].step(range(len(asked)), asked, where="mid", color="#bbb", lw=1)
+    axes[1].step(range(len(submitted)), submitted, where="mid", color="#bbb", lw=1)
     for trouble in {
         (each.fault, each.begin_s, each.end_s)
         for each in [trouble for partner in experiment.partners for trouble in partner.troubles]
@@ -338,17 +331,17 @@
     names = list(runs)[:MAX_DRAWN]
     figure, axis = plt.subplots(figsize=(8, 2.8), layout="constrained")
     for n, (colour, name) in enumerate(zip(COLOURS, names, strict=False)):
-        asked: dict[float, float] = {}
+        submitted: dict[float, float] = {}
         done: dict[float, float] = {}
         for result in runs[name]:
             for dest, count, delivered, _ in result.destinations:
-                asked[dest] = asked.get(dest, 0.0) + count
+                submitted[dest] = submitted.get(dest, 0.0) + count
                 done[dest] = done.get(dest, 0.0) + delivered
-        order = sorted(asked, key=lambda dest: -asked[dest])[:40]
+        order = sorted(submitted, key=lambda dest: -submitted[dest])[:40]
         positions = np.arange(len(order)) + (n - len(names) / 2) * 0.8 / len(names)
         axis.bar(
             positions,
-            [done[dest] / asked[dest] for dest in order],
+            [done[dest] / submitted[dest] for dest in order],
             0.8 / len(names),
             color=colour,
             label=name,
--- a/emulator/runs.py
+++ b/emulator/runs.py
@@ -71,9 +71,9 @@
 
 
 def versions(experiment: Experiment) -> dict[str, str]:
-    here = Path(__file__).parents[1]
+    root = Path(__file__).parents[1]
     return {
-        each.name: fingerprint(Path(each.version) if each.version else here)
+        each.name: fingerprint(Path(each.version) if each.version else root)
         for each in experiment.all_variants()
     }
 
--- a/emulator/spec.py
+++ b/emulator/spec.py
@@ -134,5 +134,5 @@
         need(self.key_window_ms >= 0, "key_window_ms", "must not be negative")
         for name in ("refuse", "error", "reset", "hang"):
             need(0 <= getattr(self, name) <= 1, name, "must lie in 0 to 1")
-        together = self.refuse + self.error + self.reset + self.hang
-        need(together <= 1, "refuse, error, reset, hang", "must sum to 1 at most")
+        combined = self.refuse + self.error + self.reset + self.hang
+        need(combined <= 1, "refuse, error, reset, hang", "must sum to 1 at most")
--- a/emulator/trace.py
+++ b/emulator/trace.py
@@ -188,13 +188,13 @@
     return out
 
 
-def cut(lines: Iterable[Line], begin_ms: float, end_ms: float) -> Iterator[Line]:
+def cut(lines: Iterable[Line], start_ms: float, end_ms: float) -> Iterator[Line]:
     """The lines of a time span, with times relative to its start."""
     for line in lines:
         if line.at >= end_ms:
             return
-        if line.at >= begin_ms:
-            yield msgspec.structs.replace(line, at=line.at - begin_ms)
+        if line.at >= start_ms:
+            yield msgspec.structs.replace(line, at=line.at - start_ms)
 
 
 def scale(lines: Iterable[Line], times: float, rng: np.random.Generator) -> Iterator[Line]:
@@ -246,11 +246,11 @@
                 f"swing = {self.swing:.3f}",
                 f"peak_s = {self.peak_s:.0f}.0",
             ]
-        for begin, length, times in self.bursts:
+        for start, length, times in self.bursts:
             out += [
                 "",
                 "[[traffic.bursts]]",
-                f"at_s = {begin:.0f}.0",
+                f"at_s = {start:.0f}.0",
                 f"seconds = {length:.0f}.0",
                 f"times = {times:.2f}",
             ]
@@ -288,8 +288,8 @@
     swing = math.hypot(cosine, sine) / max(1e-9, mean)
     noise = 3 * math.sqrt(2 / max(1.0, mean * seconds))  # amplitude that chance alone would show
     bursts = []
-    for begin, end in _runs(is_burst):
-        bursts.append((float(begin), float(end - begin), float(counts[begin:end].mean() / max(1e-9, mean))))
+    for start, end in _runs(is_burst):
+        bursts.append((float(start), float(end - start), float(counts[start:end].mean() / max(1e-9, mean))))
     residuals = counts[is_usual] - basis[is_usual] @ np.array([mean, cosine, sine])
     dispersion = float(residuals.var() / max(1e-9, mean))
     ranked = np.array([count for _, count in stats.destinations.most_common(200) if count >= 5], dtype=float)
--- a/emulator/traffic.py
+++ b/emulator/traffic.py
@@ -60,37 +60,32 @@
     for burst in traffic.bursts:
         most *= burst.times if burst.destination is None else 1.0
     clumps = rng.poisson(most / traffic.clump * traffic.seconds)
-    arrival_times = rng.uniform(0.0, traffic.seconds, clumps)
-    is_kept = rng.uniform(0.0, most, clumps) < rate_at(experiment, arrival_times)
-    arrival_times, destinations = (
-        arrival_times[is_kept],
-        rng.choice(len(weights), int(is_kept.sum()), p=weights),
-    )
+    arrivals = rng.uniform(0.0, traffic.seconds, clumps)
+    accepted = rng.uniform(0.0, most, clumps) < rate_at(experiment, arrivals)
+    arrivals, destinations = arrivals[accepted], rng.choice(len(weights), int(accepted.sum()), p=weights)
     if traffic.clump > 1:
-        sizes = rng.geometric(1 / traffic.clump, len(arrival_times))
-        arrival_times, destinations = np.repeat(arrival_times, sizes), np.repeat(destinations, sizes)
-        arrival_times = arrival_times + rng.uniform(0.0, traffic.clump_ms / 1000, len(arrival_times))
+        sizes = rng.geometric(1 / traffic.clump, len(arrivals))
+        arrivals, destinations = np.repeat(arrivals, sizes), np.repeat(destinations, sizes)
+        arrivals = arrivals + rng.uniform(0.0, traffic.clump_ms / 1000, len(arrivals))
     for n, burst in enumerate(traffic.bursts):
         if burst.destination is not None:
-            rng_of_burst = stream(seed, "burst", n)
+            burst_rng = stream(seed, "burst", n)
             usual = traffic.rate * weights[burst.destination - 1]
-            extra = rng_of_burst.poisson(usual * (burst.times - 1) * burst.seconds)
-            arrival_times = np.concatenate(
-                [arrival_times, burst.at_s + rng_of_burst.uniform(0.0, burst.seconds, extra)]
-            )
+            extra = burst_rng.poisson(usual * (burst.times - 1) * burst.seconds)
+            arrivals = np.concatenate([arrivals, burst.at_s + burst_rng.uniform(0.0, burst.seconds, extra)])
             destinations = np.concatenate([destinations, np.full(extra, burst.destination - 1)])
-    order = np.argsort(arrival_times, kind="stable")
-    arrival_times, destinations = arrival_times[order] * 1000, destinations[order]
-    is_inside = arrival_times < traffic.seconds * 1000
-    arrival_times, destinations = arrival_times[is_inside], destinations[is_inside]
+    order = np.argsort(arrivals, kind="stable")
+    arrivals, destinations = arrivals[order] * 1000, destinations[order]
+    is_inside = arrivals < traffic.seconds * 1000
+    arrivals, destinations = arrivals[is_inside], destinations[is_inside]
     shares = np.array([each.share for each in experiment.classes])
-    classes = rng.choice(len(shares), len(arrival_times), p=shares / shares.sum())
-    relays = rng.random(len(arrival_times))
+    classes = rng.choice(len(shares), len(arrivals), p=shares / shares.sum())
+    relays = rng.random(len(arrivals))
     deadlines = [each.deadline_ms for each in experiment.classes]
     return [
         Job(n + 1, at, class_, dest + 1, deadlines[class_], traffic.bytes, relay)
         for n, (at, class_, dest, relay) in enumerate(
-            zip(arrival_times.tolist(), classes.tolist(), destinations.tolist(), relays.tolist(), strict=True)
+            zip(arrivals.tolist(), classes.tolist(), destinations.tolist(), relays.tolist(), strict=True)
         )
     ]
 
--- a/emulator/zones.py
+++ b/emulator/zones.py
@@ -48,7 +48,7 @@
     modes."""
 
     zone: str
-    begin_s: float
+    start_s: float
     end_s: float
     fault: Fault = Fault.DOWN
     size: float = 1.0
@@ -61,7 +61,7 @@
 
     source: str
     target: str
-    begin_s: float
+    start_s: float
     end_s: float
 
 
@@ -74,7 +74,7 @@
     outages: tuple[Outage, ...] = ()
     cuts: tuple[Cut, ...] = ()
     loss: float = 0.02  # probability that a report is lost
-    tell_ms: tuple[float, float] = (1.0, 50.0)  # delay of a report to the failover controller
+    report_delay_ms: tuple[float, float] = (1.0, 50.0)  # delay of a report to the failover controller
     agree_ms: tuple[float, float] = (200.0, 1800.0)  # from a proposal until a relay applies it, as measured
     switch_s: float = 3.0  # delay of the static switch, until someone has noticed the fault and turned it
     dies_s: tuple[float, ...] = ()  # when the controller dies; the next one continues from the latest version
@@ -136,7 +136,7 @@
     def _partner_in_zone(self, n: int, zone: str, rng: BufferedRandom) -> Partner:
         model = self.experiment.partners[n].model()
         troubles = tuple(
-            Trouble(each.fault, each.begin_s * 1000, each.end_s * 1000, each.size)
+            Trouble(each.fault, each.start_s * 1000, each.end_s * 1000, each.size)
             for each in self.place.outages
             if each.zone == zone and rng.random() < each.share
         )
@@ -187,7 +187,7 @@
                 self.at(when * 1000, lambda now: setattr(self, "decider", self._decider()))
         if self.place.mode == "static":
             for each in self.place.outages:
-                self.at((each.begin_s + self.place.switch_s) * 1000, self._switch(each.zone, True))
+                self.at((each.start_s + self.place.switch_s) * 1000, self._switch(each.zone, True))
                 self.at((each.end_s + self.place.switch_s) * 1000, self._switch(each.zone, False))
 
     def _partner_number(self, endpoint: int) -> int:
@@ -222,7 +222,7 @@
     def _is_path_cut(self, node: Node, endpoint: int, now: float) -> bool:
         source, target = self._zone(node.number), self.zones[self.listing[endpoint].zone]
         return any(
-            (each.source, each.target) == (source, target) and each.begin_s * 1000 <= now < each.end_s * 1000
+            (each.source, each.target) == (source, target) and each.start_s * 1000 <= now < each.end_s * 1000
             for each in self.place.cuts
         )
 
@@ -255,7 +255,9 @@
             load = len(self.nodes[n].pending) / self.experiment.fleet.hold
             for report in self.call_counters[n].close_window(self.place.part.window_s, load):
                 if self.rng.random() >= self.place.loss:
-                    self.at(now + self._uniform(self.place.tell_ms), self._receive_report(report, now))
+                    self.at(
+                        now + self._uniform(self.place.report_delay_ms), self._receive_report(report, now)
+                    )
             self.at(now + self._window() * (1 - JITTER + 2 * JITTER * self.rng.random()), act)
 
         return act
--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner, Result
 
 from emulator.capacity import agreement, budgets
-from emulator.capacity.command import BEGIN, END, PageError, replace_tables, split_page
+from emulator.capacity.command import END, START, PageError, replace_tables, split_page
 from emulator.capacity.facts import add_facts, flatten
 from emulator.capacity.roles import AS_ELSEWHERE, FORMULAS
 from emulator.capacity.rows import ROOT, Role, Row, When, rows
@@ -308,7 +308,7 @@
     assert dict(flatten("a", raw)) == {"a.b_c_s": 1.0, "a.d_percent.e": 2.5}
 
 
-def test_rows_over_budget_come_first_with_the_worst_at_the_top() -> None:
+def test_rows_over_budget_are_first_and_sorted_by_descending_factor() -> None:
     ordered = rows(FORMULAS, small_size(), SYNTHETIC)
     factors = [each.factor or 0.0 for each in ordered if each.over]
     assert factors and factors == sorted(factors, reverse=True)
@@ -407,8 +407,8 @@
     if not (ROOT / "message_relay/sharded_directory/shard_server.py").exists():
         assert row("keeper.memory").mechanism.startswith("missing")
         return
-    keeping = importlib.import_module("message_relay.sharded_directory.shard_server")
-    assert budgets.ANSWERS_BYTES_S == keeping.BYTES_S
+    shard_server = importlib.import_module("message_relay.sharded_directory.shard_server")
+    assert budgets.ANSWERS_BYTES_S == shard_server.BYTES_S
 
 
 def test_log_times_equal_those_of_the_replicated_log() -> None:
@@ -543,7 +543,7 @@
     assert f"plan.toml: {expected}" in str(caught.value)
 
 
-def test_all_faults_are_reported_together() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     raw = plan()
     raw["fleet"]["relays"], raw["paper"][1]["figure"] = 0, -1
     del raw["changes"]["a_day"]
@@ -627,7 +627,7 @@
 
 def test_write_replaces_only_the_text_between_the_markers(tmp_path: Path) -> None:
     page, slopes = tmp_path / "page.md", write_report(tmp_path / "s.json", SYNTHETIC)
-    page.write_text(f"before\n{BEGIN}\nold\n{END}\nafter\n")
+    page.write_text(f"before\n{START}\nold\n{END}\nafter\n")
     assert run("--size", PLAN, "--slopes", slopes, "--write", page).exit_code == 0
     before, inside, after = split_page(page.read_text(), "page")
     assert (before, after) == ("before\n", "\nafter\n")
@@ -638,7 +638,7 @@
 
 
 @pytest.mark.parametrize(
-    "page", ["", BEGIN, f"{END}\n{BEGIN}\n", f"{BEGIN}\n{BEGIN}\n{END}", f"{BEGIN}\n{END}{END}"]
+    "page", ["", START, f"{END}\n{START}\n", f"{START}\n{START}\n{END}", f"{START}\n{END}{END}"]
 )
 def test_page_without_markers_is_not_changed(tmp_path: Path, page: str) -> None:
     path = tmp_path / "page.md"
--- a/tests/emulator/test_experiment.py
+++ b/tests/emulator/test_experiment.py
@@ -57,7 +57,7 @@
     assert text in str(caught.value) and str(caught.value).startswith("f.toml: ")
 
 
-def test_all_errors_are_reported_together() -> None:
+def test_all_errors_are_reported_at_once() -> None:
     with pytest.raises(ExperimentError) as caught:
         decoded({"name": "x", "seeds": 0, "fleet": {"relays": 0, "holds": 3}}, "f")
     assert len(str(caught.value).splitlines()) == 3
--- a/tests/emulator/test_live.py
+++ b/tests/emulator/test_live.py
@@ -73,7 +73,7 @@
             return await asyncio.to_thread(load.run, plan)
 
     result = asyncio.run(play())
-    assert 120 < sum(result.answers.values()) < 260 and result.taken > 100
+    assert 120 < sum(result.answers.values()) < 260 and result.accepted > 100
     assert 0 < result.ms(50) < 1000 and result.skipped == 0
 
 
--- a/tests/emulator/test_partner.py
+++ b/tests/emulator/test_partner.py
@@ -20,34 +20,34 @@
     return Partner(Spec(**more), Random(seed))  # type: ignore[arg-type]
 
 
-def drive(it: Partner, per_s: float, begin: float, end: float) -> list[tuple[float, Answer]]:
+def drive(it: Partner, per_s: float, start: float, end: float) -> list[tuple[float, Answer]]:
     gap, got = 1000 / per_s, list[tuple[float, Answer]]()
-    for n in range(int((end - begin) / gap)):
-        now = begin + n * gap
+    for n in range(int((end - start) / gap)):
+        now = start + n * gap
         got.append((now, it.call(now, Call(f"t{now:.3f}", client=f"c{n % 3}"))))
     return got
 
 
-def taken(got: list[tuple[float, Answer]], begin: float, end: float) -> int:
-    return sum(begin <= at < end and answer.reply is Reply.OK for at, answer in got)
+def accepted(got: list[tuple[float, Answer]], start: float, end: float) -> int:
+    return sum(start <= at < end and answer.reply is Reply.OK for at, answer in got)
 
 
 @pytest.mark.parametrize("enforced", list(Enforced))
 def test_calls_above_the_rate_are_rejected(enforced: Enforced) -> None:
     got = drive(partner(rate=Rate(50.0, enforced)), 100.0, 0.0, 20_000.0)
-    assert taken(got, 5_000.0, 15_000.0) == pytest.approx(500, abs=25)
+    assert accepted(got, 5_000.0, 15_000.0) == pytest.approx(500, abs=25)
     assert {answer.reply for _, answer in got} == {Reply.OK, Reply.FULL}
-    assert taken(drive(partner(rate=Rate(50.0, enforced)), 45.0, 0.0, 20_000.0), 0.0, 20_000.0) == 900
+    assert accepted(drive(partner(rate=Rate(50.0, enforced)), 45.0, 0.0, 20_000.0), 0.0, 20_000.0) == 900
 
 
 def test_per_client_rate_limits_each_client_separately() -> None:
     got = drive(partner(rate=Rate(20.0, per_client=True)), 120.0, 0.0, 10_000.0)
-    assert taken(got, 2_000.0, 8_000.0) == pytest.approx(3 * 6 * (20 + 2), abs=9)  # `burst`: 2 a window
+    assert accepted(got, 2_000.0, 8_000.0) == pytest.approx(3 * 6 * (20 + 2), abs=9)  # `burst`: 2 a window
 
 
 def test_rejected_calls_count_against_the_rate_if_so_set() -> None:
     got = drive(partner(rate=Rate(20.0, counts_refused=True)), 60.0, 0.0, 10_000.0)
-    assert taken(got, 2_000.0, 10_000.0) == 0  # no call passes as long as the calls continue
+    assert accepted(got, 2_000.0, 10_000.0) == 0  # no call passes as long as the calls continue
 
 
 def test_retry_delay_is_within_its_range() -> None:
@@ -61,15 +61,16 @@
     can = [it.can(at) for at in (5_000.0, 15_000.0, 20_000.0, 25_000.0, 30_000.0)]
     assert can == pytest.approx([50, 0, 10, 30, 50])
     got = drive(it, 100.0, 0.0, 40_000.0)
-    assert taken(got, 20_000.0, 21_500.0) <= 1.5 * (10 + 16) / 2 + 2 * 2.5  # 10 to 16 a second, and `burst`
-    assert taken(got, 31_000.0, 40_000.0) == pytest.approx(450, abs=25)
+    # 10 to 16 a second, and `burst`
+    assert accepted(got, 20_000.0, 21_500.0) <= 1.5 * (10 + 16) / 2 + 2 * 2.5
+    assert accepted(got, 31_000.0, 40_000.0) == pytest.approx(450, abs=25)
     assert {answer.reply for at, answer in got if 10_000 <= at < 20_000} == {Reply.NO_CONNECTION}
 
 
 @pytest.mark.parametrize(("multiple", "falls"), [(1.8, False), (2.3, True)])
-def test_cold_partner_collapses_above_fall_multiple_but_not_below(multiple: float, falls: bool) -> None:
-    cold = Cold(share=0.2, warm_ms=1e9, fall_multiple=2.0, fall_ms=1500.0, fallen_ms=5_000.0)
-    it = partner(rate=Rate(100.0), cold=cold, troubles=OUT)
+def test_warming_up_partner_collapses_above_fall_multiple_but_not_below(multiple: float, falls: bool) -> None:
+    warm_up = Cold(share=0.2, warm_ms=1e9, fall_multiple=2.0, fall_ms=1500.0, fallen_ms=5_000.0)
+    it = partner(rate=Rate(100.0), cold=warm_up, troubles=OUT)
     got = drive(it, multiple * 20.0, 20_000.0, 24_000.0)
     assert (it.falls > 0) == falls
     if falls:
@@ -101,15 +102,15 @@
     assert brown.call(0.0, Call("a")).at == 240.0 and brown.call(1000.0, Call("b")).at == 1080.0
 
 
-def test_lowered_reduces_the_rate_without_a_cold_phase_after_it() -> None:
+def test_lowered_reduces_the_rate_without_a_warm_up_after_it() -> None:
     it = partner(
         rate=Rate(100.0, Enforced.BUCKET, burst=5.0),
         service=Service(1.0, 0.0),
         cold=Cold(share=0.1),
         troubles=(Trouble(Fault.LOWERED, 10_000.0, 20_000.0, 0.3),),
     )
-    passed = [at for at, answer in drive(it, 100.0, 0.0, 30_000.0) if answer.reply is Reply.OK]
-    by_second = [sum(1000 * s <= at < 1000 * (s + 1) for at in passed) for s in range(30)]
+    accepted_at = [at for at, answer in drive(it, 100.0, 0.0, 30_000.0) if answer.reply is Reply.OK]
+    by_second = [sum(1000 * s <= at < 1000 * (s + 1) for at in accepted_at) for s in range(30)]
     assert min(by_second[1:10]) >= 99 and max(by_second[11:20]) <= 31 and min(by_second[21:29]) >= 99
     with pytest.raises(ValueError, match="trouble.size"):
         Trouble(Fault.LOWERED, 0.0, 1.0, 1.5)
--- a/tests/emulator/test_shell.py
+++ b/tests/emulator/test_shell.py
@@ -89,8 +89,8 @@
 
 def test_collapse_closes_the_listener_until_it_recovers() -> None:
     async def work() -> None:
-        cold = Cold(0.2, 1e9, 2.0, 1500.0, 300.0)
-        spec = Spec(rate=Rate(20.0), cold=cold, troubles=(Trouble(Fault.DOWN, 0.0, 1.0),))
+        warm_up = Cold(0.2, 1e9, 2.0, 1500.0, 300.0)
+        spec = Spec(rate=Rate(20.0), cold=warm_up, troubles=(Trouble(Fault.DOWN, 0.0, 1.0),))
         now = [2.0]
         endpoint = Endpoint(Partner(spec, Random(1)), ("127.0.0.1", 0), lambda: now[0])
         await endpoint.start()
--- a/tests/emulator/test_trace.py
+++ b/tests/emulator/test_trace.py
@@ -58,8 +58,8 @@
         recorder.record(offer(n))
     recorder.close()
     assert path.stat().st_size < 10_100
-    kept = len(list(trace.read(path)))
-    assert json.loads(path.read_bytes().splitlines()[-1]) == {"dropped": 500 - kept} and 0 < kept < 500
+    stored = len(list(trace.read(path)))
+    assert json.loads(path.read_bytes().splitlines()[-1]) == {"dropped": 500 - stored} and 0 < stored < 500
 
 
 def test_full_disk_ends_the_recording_without_an_exception(tmp_path: Path) -> None:
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -118,7 +118,7 @@
     )
 
 
-def test_partner_collapses_above_its_cold_multiple_only() -> None:
+def test_partner_collapses_above_its_warm_up_multiple_only() -> None:
     record, figures = play_with_collapse(1.3)
     assert figures["falls"] >= 1
     model = record.partners[1]
--- a/tests/emulator/test_zones.py
+++ b/tests/emulator/test_zones.py
@@ -20,16 +20,16 @@
     return world
 
 
-def calls(world: Zoned, zone: str, begin_s: float, end_s: float) -> int:
+def calls(world: Zoned, zone: str, start_s: float, end_s: float) -> int:
     """The number of calls of all relays to the partners in a zone during a time span."""
     places = [n + 1 for n in range(len(world.partners)) if world.zones[n % 3] == zone]
     times = (at for place in places for at in world.record.calls.get(place, []))
-    return sum(begin_s * 1000 <= at < end_s * 1000 for at in times)
+    return sum(start_s * 1000 <= at < end_s * 1000 for at in times)
 
 
-def shares(world: Zoned, source: str, target: str, begin_s: float, end_s: float) -> list[float]:
+def shares(world: Zoned, source: str, target: str, start_s: float, end_s: float) -> list[float]:
     """The allowed shares of the first destination in the versions of a time span."""
-    of_time = (rules for at, rules in world.moves.versions if begin_s <= at / 1000 < end_s)
+    of_time = (rules for at, rules in world.moves.versions if start_s <= at / 1000 < end_s)
     return [rules.flow_for("1").allowed_share(source, target) for rules in of_time]
 
 
@@ -52,7 +52,7 @@
     assert service["plans"] > max(service["alone"], service["static"])
 
 
-def test_destinations_of_a_lost_zone_recover_together() -> None:
+def test_destinations_of_a_lost_zone_recover_simultaneously() -> None:
     """Guards against slow recovery of a zone: each destination alone has some four calls in ten seconds as
     evidence, so each step of the recovery took ten seconds."""
     for seed in (1, 2, 3):
@@ -79,7 +79,7 @@
     assert other > 0.97 * one
 
 
-def test_flapping_zone_is_retried_with_growing_hold_offs() -> None:
+def test_flapping_zone_is_retried_with_increasing_backoff() -> None:
     flaps = tuple(Outage("a", at, at + 2.0) for at in range(10, 38, 4))
     alone, plans = play("alone", outages=flaps), play(outages=flaps)
     assert plans.record.figures()["service"] > 0.9 * alone.record.figures()["service"]
@@ -91,7 +91,7 @@
     assert 1 <= falls <= 5  # in 28 s with seven flaps, since hold-offs of 2, 4, 8 and 16 s separate them
 
 
-def test_partial_outage_of_two_zones_shifts_only_what_other_zones_can_take() -> None:
+def test_partial_outage_of_two_zones_shifts_only_the_spare_capacity_of_other_zones() -> None:
     half = (Outage("a", 10.0, 40.0, share=0.5), Outage("b", 10.0, 40.0, share=0.5))
     alone, plans = play("alone", outages=half), play(outages=half)
     assert plans.record.figures()["worst_10s"] > 0.97 * alone.record.figures()["worst_10s"]
