--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -46,7 +46,7 @@
 from .relay import CLIENTS, Client, cpu_s, rss_mb, settings, start_fake
 from .report import report
 
-HELD = 64
+CAP = 64
 PATIENCE_S = 60.0
 
 
@@ -80,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def relay(
-    folder: Path, partner: str, operator: str, held: int = HELD, relay_settings: dict[str, Any] | None = None
+    folder: Path, partner: str, operator: str, cap: int = CAP, relay_settings: dict[str, Any] | None = None
 ) -> AsyncIterator[Relay]:
     (port,) = free_ports(1)
     entries = (
@@ -111,7 +111,7 @@
                     "discovery": agent,
                     "seed": "1",
                     "state": str(folder / "state"),
-                    "settings": relay_settings or settings(held),
+                    "settings": relay_settings or settings(cap),
                     "known": listing,
                     "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 200},
                 }
@@ -221,7 +221,7 @@
         )
         await asyncio.to_thread(fill_queue, source, messages)
         operator_file = write_operator_file(folder, {"a": source, "b": sink}, {1: ("b", "q")}, "a")
-        async with relay(folder, "", operator_file, held=300) as target:
+        async with relay(folder, "", operator_file, cap=300) as target:
             started_at, cpu_before = time.perf_counter(), cpu_s(target.pid)
             while target.delivered() < messages and time.perf_counter() < started_at + PATIENCE_S:
                 await asyncio.sleep(0.02)
@@ -235,23 +235,23 @@
             }
 
 
-async def measure_two_brokers(mute: bool, seconds: float) -> dict[str, Any]:
+async def measure_two_brokers(unresponsive: bool, seconds: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = Path(name)
         live_broker = stack.enter_context(
             start_fake("fakes.amqp_broker", "--queue", "q", "--ledger", str(folder / "ledger"))
         )
         other_broker = stack.enter_context(
-            start_fake("fakes.amqp_broker", "--queue", "q", *(["--mute"] if mute else []))
+            start_fake("fakes.amqp_broker", "--queue", "q", *(["--mute"] if unresponsive else []))
         )
         operator_file = write_operator_file(
             folder, {"a": live_broker, "b": other_broker}, {1: ("a", "q"), 2: ("b", "q")}, ""
         )
-        async with relay(folder, "", operator_file, held=600) as target:
+        async with relay(folder, "", operator_file, cap=600) as target:
             cpu_before = cpu_s(target.pid)
             result = await open_loop(target, 100.0, seconds, destinations=2)
             return {
-                "what": "one of two is dead" if mute else "both answer",
+                "what": "one of two is dead" if unresponsive else "both answer",
                 "a second": target.delivered() / (seconds + 1),
                 "CPU ms": 1000 * (cpu_s(target.pid) - cpu_before) / max(1, sum(result.answers.values())),
                 "p50": result.ms(50),
@@ -409,7 +409,7 @@
     ]
     others = [
         asyncio.run(intake(args.messages)),
-        *(asyncio.run(measure_two_brokers(mute, 2 * args.seconds)) for mute in (False, True)),
+        *(asyncio.run(measure_two_brokers(unresponsive, 2 * args.seconds)) for unresponsive in (False, True)),
     ]
     memory = asyncio.run(connections(200))
     if args.json:
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -39,7 +39,7 @@
     return {"cpu_us": 1e6 * cpu / (load.ids - ids), "turn_ms": 1e3 * load.longest}
 
 
-def held(size: int) -> Mapping[str, float]:
+def pending(size: int) -> Mapping[str, float]:
     """Measure the objects of the decisions only: the body and the journal entry belong to the store."""
     asyncio.run(_apply_gc_policy())
     before = resident_memory_mb()
@@ -67,7 +67,7 @@
         (2_500, 5_000, 10_000, 20_000),
         80_000,
         {"memory_bytes": "bytes"},
-        held,
+        pending,
         "message_relay/decisions/pending.py",
         f"for {DESTS} destinations, whose part is in the base; without body and journal entry",
     ),
--- a/benchmarks/capacity/gossip.py
+++ b/benchmarks/capacity/gossip.py
@@ -29,14 +29,14 @@
 SLACK_S = 0.005  # as in gossip/node.py: timers closer together than this are merged
 
 
-def claim(n: int, state: MemberState = MemberState.JOINING, boot: int = 1) -> Claim:
+def claim(n: int, state: MemberState = MemberState.JOINING, process_epoch: int = 1) -> Claim:
     """Return a claim of realistic size: an identity of 16 letters, a nonce of 48 bits, a host address."""
     host = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
-    nonce = (n * 0x9E3779B97F4A7C15 + boot) & (1 << 48) - 1
+    nonce = (n * 0x9E3779B97F4A7C15 + process_epoch) & (1 << 48) - 1
     return Claim(
         f"n{n}",
         f"{n * 0x9E3779B97F4A7C15 & (1 << 64) - 1:016x}",
-        boot,
+        process_epoch,
         nonce,
         0,
         state,
@@ -80,8 +80,8 @@
         self.members[n], self.number_by_address[own_claim.host, own_claim.port] = swim, n
         return swim
 
-    def start(self, n: int, boot: int = 1) -> None:
-        swim = self._create_member(claim(n, boot=boot))
+    def start(self, n: int, process_epoch: int = 1) -> None:
+        swim = self._create_member(claim(n, process_epoch=process_epoch))
         self._tick(n, swim)
 
     def _call_at(self, when: float, action: Callable[[], None]) -> None:
@@ -131,7 +131,7 @@
             action()
         self.now = end
 
-    def knows_all(self) -> bool:
+    def is_fully_informed(self) -> bool:
         count = len(self.members)
         return all(
             swim.own_claim.state is MemberState.ALIVE
@@ -146,7 +146,7 @@
             self._call_at(self.rng.uniform(0.0, START_S), lambda n=n: self.start(n))  # type: ignore[misc]
         while self.now < JOIN_MOST_S:
             self.run(1.0)
-            if len(self.members) == len(self.sent) and self.knows_all():
+            if len(self.members) == len(self.sent) and self.is_fully_informed():
                 return self.now
         raise RuntimeError(f"{len(self.sent)} members did not know each other after {JOIN_MOST_S:g} s")
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -118,14 +118,14 @@
     fleet: HollowFleet, numbers: list[int], seconds: float, name: str
 ) -> dict[str, float]:
     """Stop these instances at once, wait until all others know them as dead, and start them again."""
-    keys = [f"n{n}/{fleet.boots[n]}" for n in numbers]
-    await fleet.take_observations()
+    keys = [f"n{n}/{fleet.process_epochs[n]}" for n in numbers]
+    await fleet.drain_observations()
     stopped_at = await fleet.stop(numbers)
     expected = fleet.up * len(numbers)
     deaths = Bins()
     while time.monotonic() < stopped_at + seconds and len(deaths) < expected:
         await asyncio.sleep(2.0)
-        deaths.merge(merged((await fleet.take_observations())["deaths"], keys).counts)
+        deaths.merge(merged((await fleet.drain_observations())["deaths"], keys).counts)
     figures = {f"{name}_dead_{key}": value for key, value in deaths.quartet(stopped_at).items()}
     figures |= {f"{name}_dead_known": len(deaths) / expected}
     return figures | await restart(fleet, numbers, seconds, name)
@@ -135,7 +135,7 @@
     """Restart these instances at once and wait until they act by the rules and all others know them."""
     started_at = time.monotonic()
     await fleet.start(numbers, 1.0)
-    keys = [f"n{n}/{fleet.boots[n]}" for n in numbers]
+    keys = [f"n{n}/{fleet.process_epochs[n]}" for n in numbers]
     act_s = await fleet.all_act(seconds)
     acted_s = time.monotonic() - started_at
     lives = Bins()
@@ -143,7 +143,7 @@
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline and len(lives) < expected:
         await asyncio.sleep(1.0)
-        lives.merge(merged((await fleet.take_observations())["lives"], keys).counts)
+        lives.merge(merged((await fleet.drain_observations())["lives"], keys).counts)
     return {
         f"{name}_s": acted_s,
         f"{name}_all_act": float(not math.isnan(act_s)),
@@ -159,7 +159,7 @@
     """Stop these instances at once and restart them before they are declared dead."""
     await fleet.stop(numbers)
     await asyncio.sleep(RESTART_PERIODS * fleet.stretch)
-    await fleet.take_observations()
+    await fleet.drain_observations()
     return {name: len(numbers)} | await restart(fleet, numbers, seconds, name)
 
 
@@ -182,9 +182,9 @@
 
 async def frozen(fleet: HollowFleet, seconds: float) -> dict[str, float]:
     """Suspend one process of hollow instances for ten seconds, as long as a machine that swaps."""
-    await fleet.take_observations()
+    await fleet.drain_observations()
     wrong_before, worker = dict(fleet.wrong_deaths), fleet.workers[-1]
-    suspended = {f"n{n}/{fleet.boots[n]}" for n in worker.numbers}
+    suspended = {f"n{n}/{fleet.process_epochs[n]}" for n in worker.numbers}
     worker.process.send_signal(signal.SIGSTOP)
     await asyncio.sleep(SUSPENDED_S)
     worker.process.send_signal(signal.SIGCONT)
@@ -193,7 +193,7 @@
     deadline = resumed_at + max(0.0, seconds / 2)
     while time.monotonic() < deadline:
         await asyncio.sleep(2.0)
-        await fleet.take_observations()
+        await fleet.drain_observations()
     newly_wrong = {key for key in fleet.wrong_deaths if key not in wrong_before}
     return {
         "frozen": len(worker.numbers),
@@ -239,7 +239,7 @@
                     except WorkerError as error:
                         row[f"{event}_failed"] = str(error)
                 fleet.log(f"  {event} done after {time.monotonic() - started_at:.1f} s")
-            await fleet.take_observations()
+            await fleet.drain_observations()
             row |= {
                 "wrong_deaths": len(fleet.wrong_deaths),
                 "wrong_deaths_heard": sum(fleet.wrong_deaths.values()),
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -80,8 +80,8 @@
     down: set[int] = field(default_factory=set)
     clients: Clients | None = None
     traffic: asyncio.Future[Any] | None = None
-    expected: set[str] = field(default_factory=set)  # processes (name/boot) that were stopped on purpose
-    boots: Counter[int] = field(default_factory=Counter)
+    expected: set[str] = field(default_factory=set)  # processes (name/epoch) that were stopped on purpose
+    process_epochs: Counter[int] = field(default_factory=Counter)
     # Maps each running process that was declared dead to the number of observers.
     wrong_deaths: dict[str, int] = field(default_factory=dict)
     suspected: Counter[str] = field(default_factory=Counter)
@@ -158,7 +158,7 @@
                 for worker in self.workers
             )
         )
-        self.boots.update(numbers)
+        self.process_epochs.update(numbers)
         self.down -= selected
         return time.monotonic() - started_at
 
@@ -168,7 +168,7 @@
         With `announce`, each announces its departure first.
         """
         stopped_at = time.monotonic()
-        self.expected |= {f"n{n}/{self.boots[n]}" for n in numbers}
+        self.expected |= {f"n{n}/{self.process_epochs[n]}" for n in numbers}
         self.down |= set(numbers)
         await self.order_all(do="end", numbers=numbers, word=announce)
         return stopped_at
@@ -230,7 +230,7 @@
             0.25,
         )
 
-    async def take_observations(self) -> dict[str, dict[str, Bins]]:
+    async def drain_observations(self) -> dict[str, dict[str, Bins]]:
         """Return observed deaths and starts since the last call, by process. Wrong deaths are recorded."""
         observed: dict[str, dict[str, Bins]] = {"deaths": {}, "lives": {}}
         for report in await self.order_all(do="changes"):
--- a/benchmarks/capacity/observations.py
+++ b/benchmarks/capacity/observations.py
@@ -101,11 +101,11 @@
 
 
 def total(size: int) -> Mapping[str, float]:
-    observations, take_ms, length = observations_of(size)
+    observations, processing_ms, length = observations_of(size)
     now, controller = RETAINED_WINDOWS + 0.5, FailoverController(SETTINGS, observations, None, lambda: 0.0)
     first_update_ms = cpu_ms(lambda: controller.update(now, Rules(), {}))
     return {
-        "take_cpu_ms": take_ms,
+        "take_cpu_ms": processing_ms,
         "take_bytes": length,
         "series_cpu_ms": cpu_ms(lambda: observations.series(now)),
         "demand_cpu_ms": cpu_ms(lambda: observations.demand(now)),
--- a/benchmarks/capacity/sharded_directory.py
+++ b/benchmarks/capacity/sharded_directory.py
@@ -95,8 +95,8 @@
     """Send a request from each client. Returns the packed shard set of each."""
     rng, shard_sets = random.Random(2), []
     for number in range(clients):
-        held = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
-        shard_sets.append(pack_shard_set(held, SHARDS))
+        shard_set = rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS) & rng.getrandbits(SHARDS)
+        shard_sets.append(pack_shard_set(shard_set, SHARDS))
         response = server.handle_request(
             float(number), f"n{number + 100}", ShardRequest(1, LAYOUT, server.version, shard_sets[-1])
         )
--- a/benchmarks/cluster_harness.py
+++ b/benchmarks/cluster_harness.py
@@ -154,15 +154,15 @@
         scope = {"dedup-scope": "zone"} if self.partners else {}
         return base | {"classes": [class_ | scope for class_ in base["classes"]]}
 
-    def violations(self, taken: dict[str, str]) -> list[str]:
+    def violations(self, accepted: dict[str, str]) -> list[str]:
         """Excludes repeatable messages that took effect in two zones, which is harmless."""
-        violations = super().violations(taken)
+        violations = super().violations(accepted)
         if not self.partners:
             return violations
         return [
             text
             for text in violations
-            if "took effect" not in text or taken.get(text.partition(":")[0]) != "status"
+            if "took effect" not in text or accepted.get(text.partition(":")[0]) != "status"
         ]
 
     def _listed(self, partner_addresses: dict[str, str]) -> dict[str, Any]:
@@ -295,8 +295,8 @@
         await self.net("set", names, other_names, cut=True)
         await self.net("set", other_names, names, cut=True)
 
-    async def rules(self, n: int, ask: str, **options: Any) -> dict[str, Any]:
-        return await send_request(self.folder / "run" / f"{n}.rules", {"ask": ask, **options})
+    async def rules(self, n: int, command: str, **options: Any) -> dict[str, Any]:
+        return await send_request(self.folder / "run" / f"{n}.rules", {"ask": command, **options})
 
     async def propose(self, n: int, rules: dict[str, Any], **options: Any) -> dict[str, Any]:
         return await self.rules(
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -40,7 +40,7 @@
 from message_relay.decisions.scheduler import DeliveryScheduler
 
 FLEETS = (1, 5, 20, 30, 200)
-WAYS = ("all know", "half know", "restarted", "uneven", "hint high", "silent", "unheard")
+VARIANTS = ("all know", "half know", "restarted", "uneven", "hint high", "silent", "unheard")
 RATE, LOAD = 40.0, 0.8  # capacity of the warm destination in calls/s, and the offered share of it
 DOWN_MS, BACK_MS, END_MS = 4_000.0, 11_000.0, 24_000.0
 SAFETY = Safety(
@@ -54,18 +54,18 @@
 
 @dataclass
 class Simulation:
-    """One run: a fleet size, a way of knowing of the outage, and a seed."""
+    """One run: a fleet size, a variant of the outage, and a seed."""
 
     relays: int
-    way: str
+    variant: str
     seed: int
     events: list[tuple[float, int, str, int, object]] = field(default_factory=list)
     numbers: Iterator[int] = field(default_factory=count)
     calls: list[tuple[float, bool]] = field(default_factory=list)  # ms; whether the relay knew of the outage
 
     def run(self) -> Simulation:
-        rng = random.Random(f"{self.relays} {self.way} {self.seed}")
-        rates = Rates.ROUGH if self.way == "hint high" else Rates.NOMINAL
+        rng = random.Random(f"{self.relays} {self.variant} {self.seed}")
+        rates = Rates.ROUGH if self.variant == "hint high" else Rates.NOMINAL
         self.settings = Settings(
             classes=(CLASS,),
             kinds=(DestinationKind("k"),),
@@ -79,10 +79,10 @@
             safety=SAFETY,
         )
         self.schedulers = [self._new(rng) for _ in range(self.relays)]
-        self.knows = [False] * self.relays
+        self.is_aware = [False] * self.relays
         self.wakes = [float("inf")] * self.relays
         self._arrivals(rng)
-        if self.way == "restarted":
+        if self.variant == "restarted":
             for n in range(0, self.relays, 2):
                 self.at(rng.uniform(DOWN_MS + 1_000, BACK_MS + 1_000), "restart", n, rng.random())
         while self.events:
@@ -97,7 +97,7 @@
             elif kind != "wake":
                 assert isinstance(payload, Message | AttemptCompleted)
                 failed = isinstance(payload, AttemptCompleted) and payload.outcome is not Outcome.OK
-                self.knows[n] = self.knows[n] or (failed and now < BACK_MS)
+                self.is_aware[n] = self.is_aware[n] or (failed and now < BACK_MS)
                 self._handle(now, n, [payload])
             elif self.wakes[n] == now:
                 self._handle(now, n, [TimerFired(0)])
@@ -109,18 +109,18 @@
 
     def _new(self, rng: random.Random) -> DeliveryScheduler:
         relay = DeliveryScheduler(self.settings, rng.getrandbits(32))
-        listed = RATE * (HINT if self.way == "hint high" else 1.0)
+        listed = RATE * (HINT if self.variant == "hint high" else 1.0)
         entry = Endpoint(1, 1, Listing.READY, rate=listed)
         relay.handle(0.0, [EndpointList(ListKind.COMPLETE, (entry,))])
         return relay
 
     def _arrivals(self, rng: random.Random) -> None:
-        weights = [1.0 / (1 + n) if self.way == "uneven" else 1.0 for n in range(self.relays)]
+        weights = [1.0 / (1 + n) if self.variant == "uneven" else 1.0 for n in range(self.relays)]
         now, message_id = 0.0, 0
         while (now := now + rng.expovariate(RATE * LOAD) * 1000) < END_MS:
             message_id += 1
             n = rng.choices(range(self.relays), weights)[0]
-            if self.way == "half know" and n % 2 and now < BACK_MS:
+            if self.variant == "half know" and n % 2 and now < BACK_MS:
                 continue  # these relays have no traffic for the destination before its return
             self.at(now, "event", n, Message(message_id, 1, 0, CLASS.deadline_ms))
 
@@ -133,7 +133,7 @@
                 self._call(now, n, action)
 
     def _call(self, now: float, n: int, attempt: StartAttempt) -> None:
-        if self.way == "unheard" and DOWN_MS <= now < BACK_MS:
+        if self.variant == "unheard" and DOWN_MS <= now < BACK_MS:
             until = min(CONNECT_MS, attempt.give_up_at_ms - now)
             retries = [ms for ms in SYN_RETRY_MS if now + ms >= BACK_MS and ms < until]
             if retries:
@@ -146,10 +146,10 @@
                     AttemptCompleted(attempt.id, 0, attempt.endpoint, Outcome.CONNECT_FAILED, until),
                 )
             return
-        self.calls.append((now, self.knows[n]))
+        self.calls.append((now, self.is_aware[n]))
         outcome, latency_ms = Outcome.OK, ANSWER_MS
         if DOWN_MS <= now < BACK_MS:
-            silent = self.way == "silent"
+            silent = self.variant == "silent"
             outcome = Outcome.TIMEOUT if silent else Outcome.CONNECT_FAILED
             latency_ms = attempt.give_up_at_ms - now if silent else REFUSED_MS
         self.at(
@@ -214,18 +214,18 @@
     full_use_s_p50: float
 
 
-def run_seed(relays: int, way: str, seed: int) -> tuple[float, float]:
-    simulation = Simulation(relays, way, seed).run()
+def run_seed(relays: int, variant: str, seed: int) -> tuple[float, float]:
+    simulation = Simulation(relays, variant, seed).run()
     return simulation.worst(), simulation.full_use_s()
 
 
-def row(relays: int, way: str, seeds: int, pool: ProcessPoolExecutor | None = None) -> Row:
+def row(relays: int, variant: str, seeds: int, pool: ProcessPoolExecutor | None = None) -> Row:
     mapper = pool.map if pool is not None else map
-    results = list(mapper(run_seed, [relays] * seeds, [way] * seeds, range(seeds)))
+    results = list(mapper(run_seed, [relays] * seeds, [variant] * seeds, range(seeds)))
     worst = sorted(each for each, _ in results)
     return Row(
         relays,
-        way,
+        variant,
         seeds,
         round(median(worst), 2),
         round(worst[int(0.99 * (seeds - 1))], 2),
@@ -241,7 +241,7 @@
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
     with ProcessPoolExecutor() as pool:
-        rows = [row(relays, way, args.seeds, pool) for relays in FLEETS for way in WAYS]
+        rows = [row(relays, variant, args.seeds, pool) for relays in FLEETS for variant in VARIANTS]
     if args.json:
         print(json.dumps([{name: getattr(each, name) for name in Row.__annotations__} for each in rows]))
         return 0
--- a/benchmarks/cold_real.py
+++ b/benchmarks/cold_real.py
@@ -36,7 +36,17 @@
 from emulator.clients import Clients, request
 from emulator.partner import Partner
 
-from .processes import CLASSES, COLD, FALL_MS, WARM_S, count_in_window, expected, free_ports, lines, settings
+from .processes import (
+    CLASSES,
+    FALL_MS,
+    INITIAL_SHARE,
+    WARM_S,
+    count_in_window,
+    expected,
+    free_ports,
+    lines,
+    settings,
+)
 from .report import report
 
 READY_S = 60.0  # if not all relays are up by then, the machine is too slow for this benchmark
@@ -52,7 +62,7 @@
     slots: int
     rate: float
     multiple: float
-    unheard: bool
+    unresponsive: bool
     connect_ms: float
     learn_s: float  # duration of the traffic before the outage
 
@@ -115,12 +125,12 @@
             "--down",
             f"0:{DOWN_S}",
             "--cold",
-            str(COLD),
+            str(INITIAL_SHARE),
             "--warm-s",
             str(WARM_S),
             "--calls",
             str(self.folder / "calls"),
-            *(["--unheard"] if setting.unheard else []),
+            *(["--unheard"] if setting.unresponsive else []),
         )
         entry = {
             "instanceId": "p",
@@ -205,7 +215,7 @@
         data = request(message_id, class_, 1, deadline, b"x" * 200, f"k{message_id}")
         await clients.hand_in(("127.0.0.1", self.port + n), data)
 
-    def knowing(self) -> set[int]:
+    def informed(self) -> set[int]:
         """Returns the relays that got a message during the outage: each of them has seen a call fail."""
         return {
             n for n, at in self.submissions.values() if self.back - DOWN_S * 1000 <= at < self.back - 1000
@@ -223,7 +233,7 @@
                 await process.wait()
 
 
-def row(setting: Setting, calls: list[Arrived], knowing: set[int], agreed: Partner) -> dict[str, Any]:
+def row(setting: Setting, calls: list[Arrived], informed: set[int], agreed: Partner) -> dict[str, Any]:
     """Computes the result row. `agreed` models the partner's capacity by the time since it went down."""
     times, worst, over_can, knew = [each.at for each in calls], 0.0, 0.0, 0.0
     budget = 0.0
@@ -238,7 +248,7 @@
         over_can = max(over_can, count / capacity)
         if count / (n + 2 * sqrt(n) + 2) > worst:
             worst, budget = count / (n + 2 * sqrt(n) + 2), n
-            knew = sum(each.relay in knowing for each in calls[first : first + count]) / count
+            knew = sum(each.relay in informed for each in calls[first : first + count]) / count
     seconds = [count_in_window(times, n * 1000.0, 1000.0) for n in range(int(AFTER_S))]
     full_seconds = [n for n, count in enumerate(seconds) if count >= USED * 0.8 * setting.rate]
     return {
@@ -258,7 +268,7 @@
         fleet_run = FleetRun(setting, Path(folder), seed)
         calls = await fleet_run.run()
         return row(
-            setting, calls, fleet_run.knowing(), expected(setting.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)
+            setting, calls, fleet_run.informed(), expected(setting.rate, 0.0, DOWN_S * 1000, WARM_S * 1000)
         ), calls
 
 
@@ -294,9 +304,8 @@
         args.json,
         (
             f"{setting.relays} processes, slots {setting.slots}, agreed rate {setting.rate:g}/s, "
-            f"multiple {setting.multiple:g}{', unheard' * setting.unheard}, "
-            f"connections within {setting.connect_ms:g} ms; "
-            "worst: 1.00 = N + 2 x root of N + 2",
+            f"multiple {setting.multiple:g}{', unheard' * setting.unresponsive}, "
+            f"connections within {setting.connect_ms:g} ms; worst: 1.00 = N + 2 x root of N + 2",
             "seed  worst      N   knew  over can  first  in use s  refused  by second",
         ),
         "{seed:4}{worst:7.2f}{N:7.1f}{knew:7.2f}{over can:10.2f}{first:7}{in use s:10.1f}{refused:9}"
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -250,7 +250,7 @@
             with contextlib.suppress(StatusError):
                 number = (await harness.propose(1, {}))["number"]
             await asyncio.sleep(0.2)
-        together = await harness.wait_for_version(str(number), seconds=60.0)
+        rejoined_s = await harness.wait_for_version(str(number), seconds=60.0)
         await stop_clients(work, clients)
         await harness.wait_until_drained(20.0)
         worst, calls = contradiction(harness, await versions(harness))
@@ -264,7 +264,7 @@
             "calls": calls,
             "taken": len(clients.taken),
             "broken": len(violations),
-            "together_again_s": round(together, 2),
+            "together_again_s": round(rejoined_s, 2),
         }
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -67,16 +67,16 @@
 class Load:
     """Keeps a relay's scheduler at a given number of pending messages by feeding it events."""
 
-    def __init__(self, load: str, held: int, dests: int, seed: int = 1) -> None:
+    def __init__(self, load: str, pending: int, dests: int, seed: int = 1) -> None:
         self.rng, self.now, self.ids, self.turns = random.Random(seed), 1e6, 0, 0
-        self.load, self.held, self.dests = load, held, dests
+        self.load, self.pending, self.dests = load, pending, dests
         self.out: deque[StartAttempt] = deque()
         self.took, self.longest = 0.0, 0.0
         settings = Settings(
             CLASSES,
             (DestinationKind("k"),),
             max_concurrent_attempts=SLOTS,
-            max_pending_messages=2 * held,
+            max_pending_messages=2 * pending,
             max_attempts=8,
             tick_ms=1.0,
             decay=Decay.HALVES,
@@ -96,7 +96,7 @@
         if load == "shut":
             for dest in range(2, dests + 1):
                 self._make_destination_wait(dest)
-        while len(self.relay.pending.by_id) < held:
+        while len(self.relay.pending.by_id) < pending:
             self.feed(self._message(age_ms=self.rng.uniform(0.0, 7000.0)))
         self.relay.handle(self.now, [])
         gc.collect()
@@ -138,11 +138,11 @@
     def run(self, messages: int) -> None:
         """Feeds so many messages; with each one that arrives, the oldest call completes.
 
-        A message arrives only while fewer than `held` are pending.
+        A message arrives only while fewer than `pending` are pending.
         """
         for _ in range(messages):
             self.now += STEP_MS
-            while len(self.relay.pending.by_id) < self.held:
+            while len(self.relay.pending.by_id) < self.pending:
                 self.feed(self._message())
             if self.out:
                 attempt = self.out.popleft()
@@ -155,7 +155,7 @@
         self.run(messages)
         return Row(
             self.load,
-            self.held,
+            self.pending,
             self.dests,
             1e6 * self.took / max(1, self.ids - ids),
             1e6 * self.took / self.turns,
--- a/benchmarks/failover_fleet.py
+++ b/benchmarks/failover_fleet.py
@@ -80,8 +80,8 @@
 
     case = "a zone is down for 20 s"
     figure, rows = pyplot.subplots(2, 1, sharex=True, sharey=True, figsize=(8, 5))
-    shown: tuple[Mode, Mode] = ("alone", "plans")
-    for axes, mode in zip(rows, shown, strict=True):
+    modes: tuple[Mode, Mode] = ("alone", "plans")
+    for axes, mode in zip(rows, modes, strict=True):
         world = world_of(case, mode, 1, relays)
         record = world.run()
         limit = sum(partner.can(0.0) for partner in world.partners) / len(world.zones)
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -31,7 +31,7 @@
         self.partner = (host, int(port))
         self.file = os.open(state / "journal", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         self.queue: deque[tuple[str, bytes]] = deque()
-        self.held = self.busy = 0
+        self.pending = self.busy = 0
         self.idle: list[Call] = []
 
     def record(self, **fields: object) -> None:
@@ -39,9 +39,9 @@
         os.write(self.file, b"%08x %s\n" % (zlib.crc32(text), text))
 
     def accept(self, message_id: str, body: bytes) -> bool:
-        if self.held >= self.hold:
+        if self.pending >= self.hold:
             return False
-        self.held += 1
+        self.pending += 1
         self.record(k="take", id=message_id, body=body.decode("latin-1"))
         self.queue.append((message_id, body))
         self.start_next()
@@ -52,7 +52,7 @@
             self.busy += 1
             message_id, body = self.queue.popleft()
             if self.idle:
-                self.idle.pop().begin(message_id, body)
+                self.idle.pop().start(message_id, body)
             else:
                 call = Call(self, message_id, body)
                 task = asyncio.get_running_loop().create_task(call.connect())
@@ -68,13 +68,13 @@
 
     async def connect(self) -> None:
         await asyncio.get_running_loop().create_connection(lambda: self, *self.floor.partner)
-        self.begin(self.message_id, self.body)
+        self.start(self.message_id, self.body)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def begin(self, message_id: str, body: bytes) -> None:
+    def start(self, message_id: str, body: bytes) -> None:
         assert self.transport is not None
         self.message_id, self.body = message_id, body
         self.floor.record(k="try", id=message_id)
@@ -95,7 +95,7 @@
             if isinstance(event, h11.EndOfMessage):
                 self.floor.record(k="end", id=self.message_id)
                 self.http.start_next_cycle()
-                self.floor.held -= 1
+                self.floor.pending -= 1
                 self.floor.busy -= 1
                 self.floor.idle.append(self)
                 self.floor.start_next()
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -36,7 +36,7 @@
 from .report import report
 
 FILES = sorted((Path(__file__).parents[1] / "experiments" / "live").glob("*.toml"))
-SHOWN = (
+FIGURES = (
     "service",
     "delivered",
     "in_aim",
@@ -60,11 +60,7 @@
 def live(files: list[Path], seeds: int) -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
     experiments = [read(file) for file in files]
-    jobs = [
-        (experiment, experiment.variants[0], seed)
-        for experiment in experiments
-        for seed in range(1, seeds + 1)
-    ]
+    jobs = [(each, each.variants[0], seed) for each in experiments for seed in range(1, seeds + 1)]
     with ProcessPoolExecutor(min(4, len(jobs)), get_context("spawn")) as pool:
         results = list(pool.map(one_live, *zip(*jobs, strict=True)))
     for n, experiment in enumerate(experiments):
@@ -73,7 +69,7 @@
             (model,) = by_variant(Path(folder)).values()
         live_results = results[n * seeds : (n + 1) * seeds]
         breaks = sum(result.breaks for result in live_results)
-        for name in SHOWN:
+        for name in FIGURES:
             model_values = np.array([value for value in row(model, name) if not math.isnan(value)])
             live_values = [
                 value for value in (result.figure(name) for result in live_results) if not math.isnan(value)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -45,7 +45,7 @@
 
 CLASSES = (("order", "by_key", 16000, 51), ("pay", "once", 16000, 32), ("status", "repeatable", 8000, 17))
 WARM_S = 11.0
-COLD, FALL_MS = 0.18, 1500.0
+INITIAL_SHARE, FALL_MS = 0.18, 1500.0
 READY_S = 60.0  # if not all instances are up by then, the machine is too slow for the experiment
 BODY = b"x" * 200
 
@@ -83,7 +83,7 @@
         "safety": {
             "answer-slack-ms": 20,
             "drain-grace-ms": 250,
-            "cold-from": COLD,
+            "cold-from": INITIAL_SHARE,
             "cold-ms": WARM_S * 1000,
             "fall-ms": FALL_MS,
             "fall-multiple": 2.0,
@@ -187,7 +187,7 @@
             "--down",
             f"0:{self.down_s}",
             "--cold",
-            str(COLD),
+            str(INITIAL_SHARE),
             "--warm-s",
             str(self.warm_s),
             "--calls",
@@ -361,32 +361,35 @@
             await processes.close()
 
 
-def count_in_window(times: list[float], begin_ms: float, length_ms: float) -> int:
-    return bisect_left(times, begin_ms + length_ms) - bisect_left(times, begin_ms)
+def count_in_window(times: list[float], start_ms: float, length_ms: float) -> int:
+    return bisect_left(times, start_ms + length_ms) - bisect_left(times, start_ms)
 
 
-def expected(rate: float, begin: float, back: float, warm_ms: float) -> Partner:
-    """Returns a model of the partner's capacity, in Unix time, with one outage from `begin` to `back`."""
+def expected(rate: float, start: float, back: float, warm_ms: float) -> Partner:
+    """Returns a model of the partner's capacity, in Unix time, with one outage from `start` to `back`."""
     return Partner(
-        Spec(rate=rated(rate), cold=Cold(COLD, warm_ms), troubles=(Trouble(Fault.DOWN, begin, back),)),
+        Spec(
+            rate=rated(rate), cold=Cold(INITIAL_SHARE, warm_ms), troubles=(Trouble(Fault.DOWN, start, back),)
+        ),
         random.Random(1),
     )
 
 
-def over(calls: list[float], agreed: Partner, begin: float, back: float) -> tuple[float, float]:
+def over(calls: list[float], agreed: Partner, start: float, back: float) -> tuple[float, float]:
     """Returns the calls in the worst second divided by the agreed rate, and the calls in the worst 1.5 s
     after the return divided by the partner's capacity in that window."""
-    window_starts = [at for at in calls if at >= begin]
+    window_starts = [at for at in calls if at >= start]
     assert agreed.spec.rate is not None
     worst_second = (
         max((count_in_window(calls, at, 1000.0) for at in window_starts), default=0) / agreed.spec.rate.per_s
     )
-    worst_cold = 0.0
+    worst_warm_up = 0.0
     for at in [at for at in window_starts if back <= at < back + agreed.spec.cold.warm_ms]:
-        worst_cold = max(
-            worst_cold, count_in_window(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000)
+        worst_warm_up = max(
+            worst_warm_up,
+            count_in_window(calls, at, FALL_MS) / (agreed.can(at + FALL_MS / 2) * FALL_MS / 1000),
         )
-    return worst_second, worst_cold
+    return worst_second, worst_warm_up
 
 
 async def experiment(instances: int, rate: float, shared: bool, rolls: int, seed: int) -> dict[str, Any]:
@@ -420,12 +423,12 @@
         row["delivered"] = sum(message_id in effects for message_id in submitted) / len(submitted)
         row["roll s"] = 0.0
         for _ in range(rolls):
-            roll_started_at = time.monotonic()
+            rollout_started_at = time.monotonic()
             processes.send_signal("fleet", signal.SIGUSR2)
             await asyncio.sleep(0.2)
             traffic = asyncio.ensure_future(clients.run(0.5 * rate, 3600.0))
             await processes.until(lambda status: not status.rolling, 600.0)
-            row["roll s"] += (time.monotonic() - roll_started_at) / rolls
+            row["roll s"] += (time.monotonic() - rollout_started_at) / rolls
             await clients.stop(traffic)
         await processes.wait_until_drained(30.0)
         violations = processes.violations(clients.taken)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -72,7 +72,7 @@
         process.wait()
 
 
-def settings(held: int) -> dict[str, Any]:
+def settings(cap: int) -> dict[str, Any]:
     return {
         "az": 0,
         "balancers": 1,
@@ -100,7 +100,7 @@
             },
         ],
         "extra": {"call-slots": 64, "loses-worth": "halves"},
-        "limits": {"open-cap": held, "try-limit": 8, "conn-idle-ms": 10000.0, "connect-timeout-ms": 1500.0},
+        "limits": {"open-cap": cap, "try-limit": 8, "conn-idle-ms": 10000.0, "connect-timeout-ms": 1500.0},
         "orgs": [{"name": "t", "quota-per-s": 1e6}],
         "safety": {
             "drain-grace-ms": 250.0,
@@ -151,7 +151,7 @@
 
 
 @contextlib.asynccontextmanager
-async def program(module: str, held: int, folder: Path, partner: str, agent: str) -> AsyncIterator[Any]:
+async def program(module: str, cap: int, folder: Path, partner: str, agent: str) -> AsyncIterator[Any]:
     (port,) = free_ports(1)
     (folder / "state").mkdir()
     config = {
@@ -160,8 +160,8 @@
         "discovery": agent,
         "seed": "1",
         "state": str(folder / "state"),
-        "settings": settings(held),
-        "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 2000 if held > 64 else 200},
+        "settings": settings(cap),
+        "limits": {"sockets": 1024, "memory_mb": 192, "disk_mb": 2000 if cap > 64 else 200},
         "known": json.loads((folder / "list").read_text()),
     }
     (folder / "config.json").write_text(json.dumps(config))
@@ -184,7 +184,7 @@
         process.wait()
 
 
-async def measure(module: str, held: int, seconds: float, rate: float) -> Row:
+async def measure(module: str, cap: int, seconds: float, rate: float) -> Row:
     with (
         tempfile.TemporaryDirectory() as name,
         start_fake("fakes.endpoint", "--ledger", f"{name}/ledger") as partner,
@@ -202,8 +202,8 @@
         }
         (folder / "list").write_text(json.dumps({"generation": 1, "reset": True, "instances": [entry]}))
         with start_fake("fakes.discovery_agent", "--list", str(folder / "list")) as agent:
-            async with program(module, held, folder, partner, agent) as (pid, port):
-                warm_up_s = 1.0 + held / 1000  # until the limit of pending messages is reached
+            async with program(module, cap, folder, partner, agent) as (pid, port):
+                warm_up_s = 1.0 + cap / 1000  # until the limit of pending messages is reached
                 started_at = time.perf_counter()
                 clients = [Client(n, port, started_at + warm_up_s + seconds) for n in range(CLIENTS)]
                 tasks = [asyncio.create_task(client.run()) for client in clients]
@@ -230,7 +230,7 @@
     name = module.rpartition(".")[2]
     return Row(
         name,
-        held,
+        cap,
         delivered / elapsed_s,
         1e3 * cpu_used / max(1, delivered),
         waits[int(0.99 * len(waits))] if waits else float("inf"),
@@ -261,9 +261,9 @@
     for _ in range(args.rounds):
         floor = asyncio.run(measure("benchmarks.floor", 64, args.seconds, args.rate))
         rows.append({**asdict(floor), "ratio": 1.0})
-        for held in args.held:
+        for cap in args.held:
             for module in args.program.split(","):
-                row = asyncio.run(measure(module, held, args.seconds, args.rate))
+                row = asyncio.run(measure(module, cap, args.seconds, args.rate))
                 rows.append({**asdict(row), "ratio": row.cpu_ms / floor.cpu_ms})
     report(
         rows,
--- a/benchmarks/restart_clients.py
+++ b/benchmarks/restart_clients.py
@@ -81,8 +81,8 @@
                 await reader.readexactly(int(length or 0))
         except (OSError, asyncio.IncompleteReadError) as error:
             error_name = type(error).__name__
-            ended_at = time.monotonic()
-            unanswered = Unanswered(message, written_at, ended_at, idle_s, error_name, self.last_status)
+            closed_at = time.monotonic()
+            unanswered = Unanswered(message, written_at, closed_at, idle_s, error_name, self.last_status)
             self.ledger.unanswered.append(unanswered)
             return None
         self._on_answer(message, class_name, said(head).status)
--- a/benchmarks/restart_ledger.py
+++ b/benchmarks/restart_ledger.py
@@ -33,7 +33,7 @@
     ready_at: float = math.inf
     signalled_at: float = math.inf
     killed_at: float = math.inf
-    ended_at: float = math.inf
+    exited_at: float = math.inf
     exit_code: int | None = None
 
 
@@ -49,7 +49,7 @@
 
     message: str
     written_at: float
-    ended_at: float
+    closed_at: float
     idle_s: float  # since the previous response; negative for the first request on a connection
     how: str
     last_status: str = ""  # of the previous response
@@ -114,27 +114,29 @@
     # -- messages ----------------------------------------------------------------------------------------
 
     def _final_outcomes(self) -> list[str]:
-        ended = {message: at for at, _, message, reply in reversed(self.calls) if reply == "ok"}
+        completed_at = {message: at for at, _, message, reply in reversed(self.calls) if reply == "ok"}
         states: dict[str, set[str]] = {}
         for at, message, state in reversed(self.notices):
             states.setdefault(message, set()).add(state)
-            ended[message] = min(at, ended.get(message, math.inf))
+            completed_at[message] = min(at, completed_at.get(message, math.inf))
         violations = [
             f"{message}: told {sorted(message_states)}"
             for message, message_states in states.items()
             if len(message_states) > 1
         ]
         for message, accepted in self.accepted.items():
-            if message not in ended:
+            if message not in completed_at:
                 violations.append(f"{message}: accepted, no end")
-            elif ended[message] > self._latest_end(accepted.due_at):
-                violations.append(f"{message}: its end came {ended[message] - accepted.due_at:.2f} s late")
+            elif completed_at[message] > self._latest_end(accepted.due_at):
+                violations.append(
+                    f"{message}: its end came {completed_at[message] - accepted.due_at:.2f} s late"
+                )
         return violations
 
     def _latest_end(self, due_at: float) -> float:
         latest = due_at + END_SLACK_S
         for number, process in enumerate(self.processes[:-1]):
-            away_from = min(process.signalled_at, process.killed_at, process.ended_at)
+            away_from = min(process.signalled_at, process.killed_at, process.exited_at)
             back_at = self.processes[number + 1].ready_at + AFTER_READY_S
             if away_from <= latest <= back_at:
                 latest = back_at
@@ -158,13 +160,13 @@
         after SIGTERM).
         """
         was_killed = any(
-            process.killed_at <= request.ended_at + KILL_NOTICED_S
-            and process.ended_at >= request.written_at - KILL_NOTICED_S
+            process.killed_at <= request.closed_at + KILL_NOTICED_S
+            and process.exited_at >= request.written_at - KILL_NOTICED_S
             for process in self.processes
         )
         is_new = request.idle_s < 0
         is_after_listening = any(
-            process.signalled_at + NEW_CONNECTIONS_S < request.written_at <= process.ended_at
+            process.signalled_at + NEW_CONNECTIONS_S < request.written_at <= process.exited_at
             for process in self.processes
         )
         return (
@@ -174,7 +176,7 @@
     def _lost_requests(self) -> list[str]:
         return [
             f"{each.message}: no answer ({each.how}) {self._since_signal(each):.3f} s after the signal,"
-            f" {each.ended_at - each.written_at:.3f} s after it was written; rested {each.idle_s:.3f} s"
+            f" {each.closed_at - each.written_at:.3f} s after it was written; rested {each.idle_s:.3f} s"
             f" after {each.last_status or 'no answer'}"
             for each in self.unanswered
             if not self.is_excused(each)
@@ -182,9 +184,9 @@
 
     def _since_signal(self, request: Unanswered) -> float:
         signal_times = [
-            process.signalled_at for process in self.processes if process.signalled_at <= request.ended_at
+            process.signalled_at for process in self.processes if process.signalled_at <= request.closed_at
         ]
-        return request.ended_at - max(signal_times, default=-math.inf)
+        return request.closed_at - max(signal_times, default=-math.inf)
 
     # -- endpoints ---------------------------------------------------------------------------------------
 
@@ -208,8 +210,8 @@
     def _known_at(self, since: float) -> float:
         """Returns the time at which the change counts as known to the process that runs then."""
         known_at = since + (PROMPT_DISCOVERY_S if self.is_prompt else MAX_DISCOVERY_S)
-        for begin, end in self.silences:
-            if begin <= known_at and end >= since:
+        for start, end in self.silences:
+            if start <= known_at and end >= since:
                 known_at = max(known_at, end + MAX_DISCOVERY_S)
         for reload_at in self.reloads:
             if reload_at <= known_at <= reload_at + AFTER_RELOAD_S or since <= reload_at <= known_at:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -128,7 +128,7 @@
             model = Partner(spec, random.Random(plan.seed * 10 + number))
             endpoint = Endpoint(model, ("127.0.0.1", 0), None, None, log)
             await endpoint.start()
-            endpoint.begin()
+            endpoint.start_model()
             self.endpoints.append(endpoint)
         notices: Any = NoticeLog(self.ledger)
         known = {"generation": 1, "reset": True, "instances": self._list_entries()}
@@ -229,9 +229,9 @@
         except TimeoutError:
             await self._signal(signal.SIGKILL)
         record.exit_code = await self.process.wait()
-        record.ended_at = time.monotonic()
-        if record.ready_at < record.ended_at and not self.agents[0].is_silent:
-            self.known_at = record.ended_at - self.plan.agent_delay_s - LEARNED_S
+        record.exited_at = time.monotonic()
+        if record.ready_at < record.exited_at and not self.agents[0].is_silent:
+            self.known_at = record.exited_at - self.plan.agent_delay_s - LEARNED_S
         await asyncio.sleep(max(0.0, kill_at - time.monotonic()) + START_AFTER_S)
 
     def _reload(self) -> None:
--- a/benchmarks/sharded_directory.py
+++ b/benchmarks/sharded_directory.py
@@ -221,7 +221,7 @@
     return await run_with_fault(fault, malformed=malformed)
 
 
-async def held() -> dict[str, Any]:
+async def pending_messages() -> dict[str, Any]:
     """3 relays are killed with 500 pending messages in 400 shards whose servers are down; some of their
     destinations move meanwhile."""
     async with sharded_cluster(3, 3, dests=1200, count=4096) as cluster:
@@ -282,7 +282,7 @@
     "one_way": one_way,
     "doubled": doubled,
     "unreadable": unreadable,
-    "held": held,
+    "held": pending_messages,
     "waiting": waiting,
 }
 
--- a/benchmarks/sharded_directory_budget.py
+++ b/benchmarks/sharded_directory_budget.py
@@ -106,7 +106,7 @@
         "the relay follows after s": round(time.monotonic() - changed_at, 1),
         **between(before, await resource_usage(cluster)),
         "reader": await cluster.role_status(cluster.relays[0], "reader"),
-        "keepers": [await cluster.role_status(n, "keeper") for n in range(cluster.keepers)],
+        "keepers": [await cluster.role_status(n, "keeper") for n in range(cluster.shard_servers)],
     }
 
 
--- a/benchmarks/sharded_directory_cluster.py
+++ b/benchmarks/sharded_directory_cluster.py
@@ -1,7 +1,7 @@
 """Cluster harness for the sharded directory, for tests and benchmarks/sharded_directory.py.
 
 Runs real relays and shard servers with a fault proxy between them, a discovery agent whose list changes, and
-two endpoints ("places" a and b) between which destinations move. Instances 0 to `keepers` - 1 are shard
+two endpoints ("places" a and b) between which destinations move. Instances 0 to `shard_servers` - 1 are shard
 servers; clients submit to the others. Each message's id contains its destination, so that the ledgers of the
 two endpoints show which entry each call used.
 """
@@ -158,7 +158,7 @@
     """A cluster with shard servers; `instances` counts them and the relays."""
 
     agreed: bool = False
-    keepers: int = 3
+    shard_servers: int = 3
     dests: int = 400
     count: int = 512
     bound_s: float = 12.0
@@ -173,7 +173,7 @@
 
     @property
     def relays(self) -> list[int]:
-        return list(range(self.keepers, self.instances))
+        return list(range(self.shard_servers, self.instances))
 
     async def start(self, name: str, *args: str) -> str:
         """Starts a process. In place of the agent process, starts a `ChangingRegister` in this process,
@@ -218,7 +218,7 @@
         return base | {"limits": base["limits"] | {"open-cap": self.hold}}
 
     def configure(self, instances: int) -> None:
-        seeds = ", ".join(f'"127.{self.block}.2.{n}:{PORT}"' for n in range(max(1, self.keepers)))
+        seeds = ", ".join(f'"127.{self.block}.2.{n}:{PORT}"' for n in range(max(1, self.shard_servers)))
         self.more_parts = (
             f'[peers]\nlisten = "127.{self.block}.1.{{n}}:{PORT}"\n'
             f'address = "127.{self.block}.2.{{n}}:{PORT}"\nseeds = [{seeds}]\n'
@@ -226,7 +226,7 @@
         )
         if self.on:
             self.more_parts += (
-                f"[shards]\nkeepers = {list(range(self.keepers))}\ncount = {self.count}\n"
+                f"[shards]\nkeepers = {list(range(self.shard_servers))}\ncount = {self.count}\n"
                 f"bound_s = {self.bound_s}\nidle_s = {self.idle_s}\n"
             )
         path = self.folder / "config0.json"
@@ -288,7 +288,7 @@
     async def wait_until_loaded(self, seconds: float = 60.0) -> None:
         """Waits until each server has a list."""
         async with asyncio.timeout(seconds):
-            for n in range(self.keepers):
+            for n in range(self.shard_servers):
                 while True:
                     with contextlib.suppress(StatusError):
                         if not (await self.role_status(n, "keeper"))["loading"]:
@@ -298,7 +298,7 @@
     async def wait_until_followed(self, seconds: float = 60.0) -> None:
         """Waits until each server, except those with the unchanging agent, is at the latest generation."""
         async with asyncio.timeout(seconds):
-            for n in (n for n in range(self.keepers) if n not in self.stale_servers):
+            for n in (n for n in range(self.shard_servers) if n not in self.stale_servers):
                 while True:
                     with contextlib.suppress(StatusError):
                         if (await self.role_status(n, "keeper"))["version"][1] == self.register.generation:
@@ -315,15 +315,17 @@
 
 
 @contextlib.asynccontextmanager
-async def sharded_cluster(keepers: int = 3, relays: int = 3, **fields: Any) -> AsyncIterator[ShardedCluster]:
+async def sharded_cluster(
+    shard_servers: int = 3, relays: int = 3, **fields: Any
+) -> AsyncIterator[ShardedCluster]:
     with tempfile.TemporaryDirectory(prefix="message_relay-") as folder:
         cluster = ShardedCluster(
             Path(folder),
-            keepers + relays,
+            shard_servers + relays,
             fields.pop("rate", 1000.0),
             False,
-            keepers=keepers,
-            fleet_of=keepers + relays,
+            shard_servers=shard_servers,
+            fleet_of=shard_servers + relays,
             **fields,
         )
         try:
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -54,7 +54,7 @@
     model = Partner(Spec(service=Service(5.0, cv=0.0)), random.Random(1))
     server = Endpoint(model, ("127.0.0.1", 0), None, None, calls)  # type: ignore[arg-type]
     await server.start()
-    server.begin()
+    server.start_model()
     return server
 
 
--- a/fakes/amqp_broker.py
+++ b/fakes/amqp_broker.py
@@ -139,7 +139,7 @@
         self.bindings: dict[str, list[tuple[str, str]]] = {}  # exchange -> (key, queue)
         self.sessions: set[Session] = set()
         self.effects: list[tuple[str, str]] = []  # message id and key of each routed message
-        self.sends_heartbeats, self.mute, self.name_counter = True, False, itertools.count(1)
+        self.sends_heartbeats, self.unresponsive, self.name_counter = True, False, itertools.count(1)
         self.blocked = False
 
     # -- routing -----------------------------------------------------------------------------------------
@@ -268,7 +268,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.last_received_at = time.monotonic()
-        if self.broker.mute:
+        if self.broker.unresponsive:
             return
         self.data += data
         try:
@@ -674,7 +674,7 @@
         args.user,
         args.password,
     )
-    broker.sends_heartbeats, broker.mute = not args.no_heartbeats, args.mute
+    broker.sends_heartbeats, broker.unresponsive = not args.no_heartbeats, args.mute
     for queue in args.queue:
         name, _, dead_letter = queue.partition("=")
         broker.declare(name, dead_letter or None)
--- a/fakes/endpoint.py
+++ b/fakes/endpoint.py
@@ -79,7 +79,8 @@
         )  # maps the model's delay of an answer to the real one
         self.open: set[asyncio.Transport] = set()
         self.falls = 0
-        self.unheard = False  # whether new connections get no answer during an outage; else they are refused
+        # Whether new connections get no answer during an outage; else they are refused.
+        self.unresponsive = False
         self.tasks: set[asyncio.Task[None]] = set()
 
     def _clock(self) -> float:
@@ -117,7 +118,7 @@
         loop = asyncio.get_running_loop()
         return await loop.create_server(lambda: Connection(self), *self.listen, backlog=1024)
 
-    def begin(self) -> None:
+    def start_model(self) -> None:
         """Starts the model's time, and so its outages."""
         self.started_at_ms = time.time() * 1000
         for trouble in self.model.spec.troubles:
@@ -130,12 +131,12 @@
         self.server.close()
         for transport in list(self.open):
             transport.abort()
-        sockets = unanswering_listener(self.listen) if self.unheard else []
-        task = asyncio.get_running_loop().create_task(self._come_back(length_ms, sockets))
+        sockets = unanswering_listener(self.listen) if self.unresponsive else []
+        task = asyncio.get_running_loop().create_task(self._recover(length_ms, sockets))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _come_back(self, length_ms: float, sockets: list[socket.socket]) -> None:
+    async def _recover(self, length_ms: float, sockets: list[socket.socket]) -> None:
         await asyncio.sleep(length_ms / 1000)
         for each in sockets:
             each.close()
@@ -188,11 +189,11 @@
 
 
 def spans(text: str) -> list[tuple[float, float]]:
-    """Parses `FROM:LENGTH,...` in seconds into pairs of begin and end in ms. Raises ValueError."""
+    """Parses `FROM:LENGTH,...` in seconds into pairs of start and end in ms. Raises ValueError."""
     pairs = [[float(part) * 1000 for part in item.split(":")] for item in text.split(",") if item]
     if any(len(pair) != 2 for pair in pairs):
         raise ValueError(f"{text!r} is not FROM:LENGTH,...")
-    return [(begin, begin + length) for begin, length in pairs]
+    return [(start, start + length) for start, length in pairs]
 
 
 def rated(per_s: float) -> Rate:
@@ -249,7 +250,7 @@
                 error=args.error,
                 reset=args.reset,
                 hang=args.hang,
-                troubles=tuple(Trouble(Fault.DOWN, begin, end) for begin, end in args.down),
+                troubles=tuple(Trouble(Fault.DOWN, start, end) for start, end in args.down),
             )
         )
     except ValueError as error:
@@ -257,14 +258,14 @@
     endpoint = Endpoint(
         Partner(spec, random.Random(args.seed)), address(args.listen), None, args.ledger, args.calls
     )
-    endpoint.unheard = args.unheard
+    endpoint.unresponsive = args.unheard
 
     async def start() -> asyncio.Server:
         server = await endpoint.start()
         if args.armed:
-            asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, endpoint.begin)
+            asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, endpoint.start_model)
         else:
-            endpoint.begin()
+            endpoint.start_model()
         return server
 
     serve(start)
--- a/fakes/fault_proxy.py
+++ b/fakes/fault_proxy.py
@@ -61,7 +61,7 @@
     zone: str = ""
 
 
-class DoorPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"source": "from"}):
+class RoutePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"source": "from"}):
     source: str
     to: str
     at: str
@@ -70,7 +70,7 @@
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     nodes: list[NodePlan]
-    doors: list[DoorPlan] = []
+    doors: list[RoutePlan] = []
     zones: dict[str, str] = {}  # of the nodes behind doors
 
 
@@ -127,7 +127,9 @@
         self.plan, self.rng, self.log = plan, random.Random(seed), log
         self.links: dict[tuple[str, str], LinkFaults] = {}  # links with faults
         self.zones = {node.name: node.zone for node in plan.nodes} | plan.zones
-        self.names = sorted(self.zones | {name: "" for door in plan.doors for name in (door.source, door.to)})
+        self.names = sorted(
+            self.zones | {name: "" for route in plan.doors for name in (route.source, route.to)}
+        )
         self.by_host = {address(node.bind)[0]: node.name for node in plan.nodes}
         self.open: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         self.counts: Counter[str] = Counter()
@@ -143,9 +145,9 @@
             await asyncio.start_server(
                 self._connection_handler(node.name, address(node.bind)), *address(node.at)
             )
-        for door in self.plan.doors:
+        for route in self.plan.doors:
             await asyncio.start_server(
-                self._connection_handler(door.to, address(door.target), door.source), *address(door.at)
+                self._connection_handler(route.to, address(route.target), route.source), *address(route.at)
             )
         return await asyncio.start_server(self._control, *control)
 
--- a/tests/amqp/test_delivery.py
+++ b/tests/amqp/test_delivery.py
@@ -91,9 +91,9 @@
         started_at = asyncio.get_running_loop().time()
         assert (await publisher.attempt(attempt())).outcome is Outcome.CONNECT_FAILED  # during the backoff
         assert asyncio.get_running_loop().time() - started_at < 0.1
-        mute = Broker()
-        mute.mute = True
-        async with publishing(mute) as publisher:
+        unresponsive = Broker()
+        unresponsive.unresponsive = True
+        async with publishing(unresponsive) as publisher:
             assert (await publisher.attempt(attempt(seconds=0.3))).outcome is Outcome.CONNECT_FAILED
         broker = Broker(user="other")
         async with publishing(broker) as publisher:
@@ -209,7 +209,7 @@
     assert text in str(caught.value)
 
 
-def test_credentials_are_read_from_file_and_never_shown(tmp_path: Path) -> None:
+def test_credentials_are_read_from_file_and_never_printed(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_text("user\ngeheim\n")
     assert read_credentials(BrokerSettings("b", ["a:1"], credentials=str(path))) == ("user", "geheim")
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,7 +11,7 @@
 from message_relay.decisions import slow_start
 
 
-@pytest.mark.parametrize("way", cold.WAYS)
+@pytest.mark.parametrize("way", cold.VARIANTS)
 @pytest.mark.parametrize("relays", (1, 20, 30))
 def test_fleet_stays_within_the_budget_of_a_warming_destination(relays: int, way: str) -> None:
     row = cold.row(relays, way, 3)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -35,7 +35,7 @@
         first_change = await hollow.change(900.0, PATIENCE_S)
         assert first_change["acting"] == INSTANCES
         stopped = hollow.numbers[::3]
-        await hollow.take_observations()
+        await hollow.drain_observations()
         await hollow.stop(stopped)
         second_change = await hollow.change(895.0, PATIENCE_S)
         assert second_change["acting"] == second_change["of"] == INSTANCES - len(stopped)
@@ -43,7 +43,7 @@
         await hollow.start(stopped, 0.5)
         assert not math.isnan(await hollow.all_known(PATIENCE_S)), "and known as back"
         assert not math.isnan(await hollow.all_act(PATIENCE_S)), "who came back acts by the rules"
-        await hollow.take_observations()
+        await hollow.drain_observations()
         assert set(hollow.expected) == {f"n{n}/1" for n in stopped}
         counts = await hollow.counts()
         assert counts["counts"]["sent"] > 0 and counts["counts"]["received_bytes"] > 0
@@ -135,13 +135,13 @@
     got 210 packets five times over."""
     seeds = tuple(("127.0.0.1", 7400 + n) for n in range(5))
     own_claim = Claim("n9", "id9", 1, 9, 0, MemberState.JOINING, "127.0.0.1", 7409)
-    swim, asked = Swim(own_claim, seeds, random.Random(1)), list[tuple[str, int]]()
+    swim, requested = Swim(own_claim, seeds, random.Random(1)), list[tuple[str, int]]()
     for turn in range(10):
         swim.tick(1.0 * turn)
         out, swim.outbox = swim.outbox, []
         assert len(out) == 1
-        asked.append(out[0][0])
-    assert sorted(asked) == sorted(2 * seeds) and len(set(asked[:5])) == 5
+        requested.append(out[0][0])
+    assert sorted(requested) == sorted(2 * seeds) and len(set(requested[:5])) == 5
 
 
 def test_message_to_many_members_is_sealed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -125,7 +125,7 @@
         )
         swim.dissemination_queue.clear()
     assert not first_replies(other, one._sync_request())
-    one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, boot=2),)))
+    one.receive(0.0, "n2", 1, Ping(1, "nobody", (gossip.claim(7, MemberState.ALIVE, process_epoch=2),)))
     one.outbox.clear()
     replies = first_replies(one, other._sync_request(), 1.0)
     names = {claim.name for body in replies for claim in body.claims}
@@ -479,9 +479,11 @@
             ObservationReport(f"n{rng.randrange(60)}", 1, rng.randrange(20), rng.randrange(3), "a", age, 0.0),
         )
     expected: dict[str, ObservationReport] = {}
-    for report, ended in sorted(observations.reports.values(), key=lambda item: (-item[1], item[0].name)):
+    for report, reported_at in sorted(
+        observations.reports.values(), key=lambda item: (-item[1], item[0].name)
+    ):
         if len(expected) < 16 and report.relay not in expected:
-            expected[report.relay] = msgspec.structs.replace(report, age_s=max(0.0, 11.0 - ended))
+            expected[report.relay] = msgspec.structs.replace(report, age_s=max(0.0, 11.0 - reported_at))
     assert observations.latest_reports(11.0, 16) == list(expected.values()) and len(expected) == 16
 
 
--- a/tests/scale/test_state.py
+++ b/tests/scale/test_state.py
@@ -66,7 +66,7 @@
     assert_constant(work_at(FEW, maintenance_work), work_at(MANY, maintenance_work))
 
 
-def test_changes_and_maintenance_do_not_iterate_over_the_whole_list() -> None:
+def test_changes_and_maintenance_do_not_iterate_over_the_complete_list() -> None:
     def check(built: ComposedRelay) -> dict[str, float]:
         relay, registry = built.relay, built.relay.scheduler.registry
         process_response(built, full_list(FEW))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -38,8 +38,8 @@
 def faultless_ledger() -> Ledger:
     """Returns a ledger of a process that was told to end, its successor, and one delivered message."""
     ledger = Ledger(is_prompt=True, has_crowd=False)
-    first = Process(100.0, 100.3, signalled_at=110.0, ended_at=112.0, exit_code=0)
-    second = Process(114.3, 114.6, signalled_at=130.0, ended_at=131.0, exit_code=0)
+    first = Process(100.0, 100.3, signalled_at=110.0, exited_at=112.0, exit_code=0)
+    second = Process(114.3, 114.6, signalled_at=130.0, exited_at=131.0, exit_code=0)
     ledger.processes = [first, second]
     ledger.accepted["m"] = Accepted("pay", 105.0)
     ledger.calls.append((102.0, "s-1", "m", "ok"))
