--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -247,7 +247,7 @@
                 "conflicts": fleet.conflicts,
             }
             if fleet.clients is not None:
-                row["real_taken"] = len(fleet.clients.taken)
+                row["real_taken"] = len(fleet.clients.accepted)
                 row["real_asked"] = len(fleet.clients.asked)
             row["seconds"] = time.monotonic() - started_at
             row["whole"] = True
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -254,7 +254,7 @@
         await stop_clients(work, clients)
         await harness.wait_until_drained(20.0)
         worst, calls = contradiction(harness, await versions(harness))
-        violations = harness.violations(clients.taken)
+        violations = harness.violations(clients.accepted)
         for violation in violations[:5]:
             print(violation, file=sys.stderr)
         return {
@@ -262,7 +262,7 @@
             "faults": counts,
             "contradiction_s_worst": worst,
             "calls": calls,
-            "taken": len(clients.taken),
+            "taken": len(clients.accepted),
             "broken": len(violations),
             "together_again_s": round(rejoined_s, 2),
         }
@@ -285,7 +285,7 @@
         await stop_clients(work, clients)
         await harness.wait_until_drained(20.0)
         row["contradiction_s_worst"], row["calls"] = contradiction(harness, await versions(harness))
-        row["broken"] = len(harness.violations(clients.taken))
+        row["broken"] = len(harness.violations(clients.accepted))
         return row
 
 
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -110,7 +110,7 @@
                 if at > down_at
             ),
             "near_before": sum(first_index > 0 and at < down_at for at in calls["a"]),
-            "broken": len(harness.violations(clients.taken)),
+            "broken": len(harness.violations(clients.accepted)),
         }
 
 
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -184,9 +184,9 @@
         return {
             "play": "state folders",
             "versions": versions,
-            "accepted": len(clients.taken),
+            "accepted": len(clients.accepted),
             "effects": len(fleet.effects()),
-            "broken": fleet.violations(clients.taken),
+            "broken": fleet.violations(clients.accepted),
             "files": sorted(
                 {path.name for path in (fleet.folder / "state").glob("*/**/*") if path.is_file()}
             ),
@@ -233,9 +233,9 @@
         return {
             "play": "mixed fleet",
             "versions": versions,
-            "accepted": len(clients.taken),
+            "accepted": len(clients.accepted),
             "effects": len(fleet.effects()),
-            "broken": fleet.violations(clients.taken),
+            "broken": fleet.violations(clients.accepted),
         }
 
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -104,7 +104,7 @@
     deadline_share: float = 1.0
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     asked: list[str] = field(default_factory=list)
-    taken: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
+    accepted: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
     to: dict[str, int] = field(default_factory=dict)  # maps each accepted message to its instance
     answers: Counter[str] = field(default_factory=Counter)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -131,7 +131,7 @@
         status = (await self.pool.hand_in(("127.0.0.1", self.port + instance), data)).status
         self.answers[status] += 1
         if status in ("202", "200"):
-            self.taken[message_id] = class_
+            self.accepted[message_id] = class_
             self.to[message_id] = instance
 
     async def stop(self, traffic: asyncio.Future[Any]) -> None:
@@ -288,7 +288,7 @@
             states.setdefault(item["id"], set()).add(item["state"])
         return states
 
-    def violations(self, taken: dict[str, str]) -> list[str]:
+    def violations(self, accepted: dict[str, str]) -> list[str]:
         """Returns a text for each message that violates a guarantee.
 
         An accepted message must have exactly one final outcome, and no message may take effect twice. A
@@ -306,13 +306,13 @@
         ]
         violations += [
             f"{message_id}: no final outcome"
-            for message_id in taken
+            for message_id in accepted
             if message_id not in effects and message_id not in ends
         ]
         violations += [
             f"{message_id}: took effect and was returned"
             for message_id, states in ends.items()
-            if "returned" in states and effects[message_id] and taken.get(message_id) == "pay"
+            if "returned" in states and effects[message_id] and accepted.get(message_id) == "pay"
         ]
         return violations
 
@@ -431,12 +431,12 @@
             row["roll s"] += (time.monotonic() - rollout_started_at) / rolls
             await clients.stop(traffic)
         await processes.wait_until_drained(30.0)
-        violations = processes.violations(clients.taken)
+        violations = processes.violations(clients.accepted)
         for violation in violations:
             print(violation, file=sys.stderr)
         row["broken"] = len(violations)
         row["answers"] = dict(clients.answers)
-        row["taken"] = len(clients.taken)
+        row["taken"] = len(clients.accepted)
         clients.close()
         return row
 
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -46,7 +46,7 @@
 
 async def wait_for_accepted(clients: Clients, more_than: int) -> None:
     """Waits until more than `more_than` messages have been accepted."""
-    while len(clients.taken) <= more_than:
+    while len(clients.accepted) <= more_than:
         await asyncio.sleep(0.05)
 
 
@@ -83,7 +83,7 @@
                 await asyncio.sleep(0.5)
             await fleet.wait_until_drained(12.0)
             assert not calls_after(fleet, closed_at), calls_after(fleet, closed_at)
-            assert fleet.violations(clients.taken) == [] and len(clients.taken) > 50
+            assert fleet.violations(clients.accepted) == [] and len(clients.accepted) > 50
 
     run_with_timeout(scenario())
 
@@ -110,7 +110,7 @@
                 await fleet.net("heal")
                 await fleet.wait_for_version("3")
             await fleet.wait_until_drained(12.0)
-            assert fleet.violations(clients.taken) == [] and len(clients.taken) > 50
+            assert fleet.violations(clients.accepted) == [] and len(clients.accepted) > 50
 
     run_with_timeout(scenario())
 
@@ -199,7 +199,7 @@
                 assert (await fleet.wait_for(lambda status: status["votes"], 3))["newest"] == 5
                 assert not (await fleet.status(full))["votes"]
             await fleet.wait_until_drained(12.0)
-            assert fleet.violations(clients.taken) == [] and len(clients.taken) > 50
+            assert fleet.violations(clients.accepted) == [] and len(clients.accepted) > 50
 
     run_with_timeout(scenario())
 
@@ -255,7 +255,7 @@
                 explained = await command("explain", message_id)
                 assert explained.exit_code == 0 and "allowed" in explained.output
             await fleet.wait_until_drained(12.0)
-            assert fleet.violations(clients.taken) == []
+            assert fleet.violations(clients.accepted) == []
 
     run_with_timeout(scenario())
 
--- a/tests/consensus/test_mixed_builds_and_clocks.py
+++ b/tests/consensus/test_mixed_builds_and_clocks.py
@@ -60,7 +60,7 @@
                 answer = await propose_until_accepted(fleet, CLASSES)
                 await fleet.wait_for_version(str(answer["number"]))
             await fleet.wait_until_drained(12.0)
-            assert fleet.violations(clients.taken) == [] and len(clients.taken) > 50
+            assert fleet.violations(clients.accepted) == [] and len(clients.accepted) > 50
 
     run_with_timeout(scenario())
 
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -53,7 +53,7 @@
             await clients.stop(traffic)
             clients.close()
         await harness.wait_until_drained(15.0)
-        assert harness.violations(clients.taken) == [] and len(clients.taken) > 100
+        assert harness.violations(clients.accepted) == [] and len(clients.accepted) > 100
 
 
 async def until(
@@ -224,7 +224,9 @@
             # Payments of relays in c went to no other zone, by the ledgers of the partners in a and b.
             zone_by_id = {line.split()[1]: zone for zone in "ab" for line in lines_of(harness, zone)}
             payments = {
-                ident for ident in clients.taken if clients.taken[ident] == "pay" and clients.to[ident] == 2
+                ident
+                for ident in clients.accepted
+                if clients.accepted[ident] == "pay" and clients.to[ident] == 2
             }
             assert payments and not payments & set(zone_by_id)
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -69,8 +69,10 @@
             await running.wait_until_drained(12.0)
             agreed = expected(24.0, start_ms, start_ms + 3000.0, 4000.0)
             over_one_second, over_warm_up = over(running.calls(), agreed, start_ms, start_ms + 3000.0)
-            assert over_one_second <= 1.25 and over_warm_up <= 2.0 and running.violations(clients.taken) == []
-            assert len(clients.taken) > 100 and len(running.effects()) > 60
+            assert (
+                over_one_second <= 1.25 and over_warm_up <= 2.0 and running.violations(clients.accepted) == []
+            )
+            assert len(clients.accepted) > 100 and len(running.effects()) > 60
             clients.close()
 
     run_with_timeout(work())
@@ -89,7 +91,7 @@
             assert all(line.restarts == 2 and line.pid != before[line.instance] for line in report.lines)
             await clients.stop(traffic)
             await running.wait_until_drained(10.0)
-            assert running.violations(clients.taken) == [] and len(clients.taken) > 50
+            assert running.violations(clients.accepted) == [] and len(clients.accepted) > 50
             assert not {name for name in clients.answers if name.endswith("Error")}
             clients.close()
 
@@ -105,12 +107,12 @@
             )  # the partner goes down, so that messages stay pending
             await clients.run(40.0, 0.5)
             pid = (await line_of(running, 0)).pid
-            assert pid is not None and clients.taken
+            assert pid is not None and clients.accepted
             os.kill(pid, signal.SIGKILL)
             report = await running.until(lambda report: report.lines[0].crashes == 1 and report.up == 2)
             assert report.lines[0].pid != pid and not report.lines[0].crash_loop
             await running.wait_until_drained(20.0)
-            assert running.violations(clients.taken) == []
+            assert running.violations(clients.accepted) == []
             clients.close()
 
     run_with_timeout(work())
@@ -141,14 +143,14 @@
             running.send_signal("partner", signal.SIGUSR1)
             await clients.run(60.0, 0.5)
             pid = (await line_of(running, 0)).pid
-            assert pid is not None and len(clients.taken) > 10
+            assert pid is not None and len(clients.accepted) > 10
             os.kill(pid, signal.SIGSTOP)
             await asyncio.sleep(4.0)  # meanwhile the partner returns and all deadlines pass
             before = running.effects()
             os.kill(pid, signal.SIGCONT)
             await running.wait_until_drained(20.0)
-            assert running.effects() == before and running.violations(clients.taken) == []
-            assert set(running.final_states()) >= set(clients.taken) - set(before)
+            assert running.effects() == before and running.violations(clients.accepted) == []
+            assert set(running.final_states()) >= set(clients.accepted) - set(before)
             clients.close()
 
     run_with_timeout(work())
@@ -173,7 +175,7 @@
             )
             await running.until(lambda report: report.up == 3)
             await running.wait_until_drained(40.0)
-            assert running.violations(clients.taken) == [] and clients.taken
+            assert running.violations(clients.accepted) == [] and clients.accepted
             clients.close()
 
     run_with_timeout(work())
@@ -210,7 +212,7 @@
             clients.instances = 3
             await clients.run(20.0, 1.0)
             await running.wait_until_drained(15.0)
-            assert running.violations(clients.taken) == [] and clients.answers["202"] > 40
+            assert running.violations(clients.accepted) == [] and clients.answers["202"] > 40
             clients.close()
 
     run_with_timeout(work())
