--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -248,7 +248,7 @@
             }
             if fleet.clients is not None:
                 row["real_taken"] = len(fleet.clients.accepted)
-                row["real_asked"] = len(fleet.clients.asked)
+                row["real_asked"] = len(fleet.clients.submitted)
             row["seconds"] = time.monotonic() - started_at
             row["whole"] = True
         finally:  # also after a time limit, and before the fleet is closed, which may fail
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -94,7 +94,7 @@
         await harness.wait_for(lambda status: status["tier"] == "lease", 0)
         clients = Clients(harness.port, INSTANCES, deadline_share=0.5, rng=random.Random(seed))
         await clients.run(3 * RATE, 6.0)
-        down_at, first_index = time.time() * 1000, len(clients.asked)
+        down_at, first_index = time.time() * 1000, len(clients.submitted)
         harness.send_signal("partner a", signal.SIGUSR1)
         submitted = await clients.run(3 * RATE, 24.0)
         await harness.wait_until_drained(20.0)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -103,7 +103,7 @@
     instances: int
     deadline_share: float = 1.0
     rng: random.Random = field(default_factory=lambda: random.Random(1))
-    asked: list[str] = field(default_factory=list)
+    submitted: list[str] = field(default_factory=list)
     accepted: dict[str, str] = field(default_factory=dict)  # maps each accepted message to its class
     to: dict[str, int] = field(default_factory=dict)  # maps each accepted message to its instance
     answers: Counter[str] = field(default_factory=Counter)
@@ -113,7 +113,7 @@
     async def run(self, rate: float, seconds: float) -> list[str]:
         """Submits at `rate` for so many seconds; returns the ids submitted."""
         loop = asyncio.get_running_loop()
-        due_at, first_index = loop.time(), len(self.asked)
+        due_at, first_index = loop.time(), len(self.submitted)
         ends_at = due_at + seconds
         while (due_at := due_at + self.rng.expovariate(rate)) < ends_at:
             await asyncio.sleep(max(0.0, due_at - loop.time()))
@@ -121,11 +121,11 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        return self.asked[first_index:]
+        return self.submitted[first_index:]
 
     async def submit(self, instance: int) -> None:
-        message_id = f"m{len(self.asked)}-{os.getpid():x}"
-        self.asked.append(message_id)
+        message_id = f"m{len(self.submitted)}-{os.getpid():x}"
+        self.submitted.append(message_id)
         class_, _, deadline, _ = self.rng.choices(CLASSES, [weight for *_, weight in CLASSES])[0]
         data = request(message_id, class_, 1, deadline * self.deadline_share, BODY, f"k{message_id}")
         status = (await self.pool.hand_in(("127.0.0.1", self.port + instance), data)).status
